--- /dev/null
+++ b/internal/golden/fill.go
@@ -0,0 +1,83 @@
+package golden
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+)
+
+// BoolVariants is the number of variants of Filled after which any two of up to seven booleans
+// have differed.
+const BoolVariants = 3
+
+// Filled returns a value whose fields are all set, each to another value, in the order of their
+// declaration; names of fields don't matter. Slices and maps have one element. Strings have the
+// form of a job's name, as the parsers of names demand it. The booleans that are set differ
+// from one variant to the next, from 0 on.
+func Filled[T any](variant int) T {
+	var value T
+	f := filler{variant: variant}
+	f.fill(reflect.ValueOf(&value).Elem())
+	return value
+}
+
+// filler sets values one after the other.
+type filler struct {
+	variant  int
+	values   int // set so far
+	booleans int // of these
+}
+
+func (f *filler) fill(v reflect.Value) {
+	f.values++
+	switch v.Kind() {
+	case reflect.Bool:
+		f.booleans++
+		v.SetBool(f.booleans>>f.variant&1 == 1)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(f.values))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(f.values))
+	case reflect.Float64:
+		v.SetFloat(float64(f.values) + 0.5)
+	case reflect.String:
+		v.SetString(f.name())
+	case reflect.Interface:
+		v.Set(reflect.ValueOf(f.name()))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.Slice:
+		f.fillSlice(v)
+	case reflect.Map:
+		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		f.fill(key)
+		f.fill(element)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, element)
+	case reflect.Struct:
+		f.fillStruct(v)
+	default:
+		panic(fmt.Sprintf("no values of type %s", v.Type()))
+	}
+}
+
+// fillSlice sets a slice to one element, and a part of a JSON text to a number.
+func (f *filler) fillSlice(v reflect.Value) {
+	if v.Type() == reflect.TypeFor[json.RawMessage]() {
+		v.SetBytes(fmt.Append(nil, f.values))
+		return
+	}
+	v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+	f.fill(v.Index(0))
+}
+
+func (f *filler) fillStruct(v reflect.Value) {
+	for i := range v.NumField() {
+		if field := v.Type().Field(i); field.IsExported() || field.Anonymous {
+			f.fill(v.Field(i))
+		}
+	}
+}
+
+func (f *filler) name() string { return fmt.Sprintf("j-%d", f.values) }
