--- /dev/null
+++ b/internal/jobs/golden_test.go
@@ -0,0 +1,185 @@
+package jobs
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"opaldale/internal/api"
+	"opaldale/internal/commit"
+	goldenfile "opaldale/internal/golden"
+	"opaldale/internal/ident"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/statetest"
+)
+
+// recorder is a state service that keeps the requests that came, in words.
+type recorder struct {
+	*keep
+	requests strings.Builder
+}
+
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+	r.requests.WriteString(statetest.Describe(q))
+	r.keep.State(q, f)
+}
+
+// storage is a way to keep tasks in the state service.
+type storage struct {
+	name       string
+	packed     bool
+	valueBytes int // by which tasks are divided into segments
+}
+
+var storages = []storage{
+	{"first format, tasks in the header", false, 16 << 10},
+	{"first format, tasks in segments", false, 64 + 2*recordBytes},
+	{"packed", true, 16 << 10},
+}
+
+// open makes a table that writes in that way.
+func (s storage) open(r *recorder) (*Table, *commit.Committer) {
+	limits := commit.Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 16 << 10}
+	c := commit.New(r, limits, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { panic(why) })
+	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
+	if s.packed {
+		c.Pack()
+		tb.Pack()
+	}
+	return tb, c
+}
+
+// goldenSpec is a submission of three tasks.
+func goldenSpec(id ident.JobID) *api.Spec {
+	s := goldenfile.Filled[api.Spec](0)
+	s.ID, s.Shape, s.Priority, s.Tasks = id, api.Batch, api.High, 3
+	return &s
+}
+
+// play takes jobs through all that is written of them.
+func play(r *recorder, tb *Table, c *commit.Committer) {
+	settle := func() {
+		c.Flush()
+		r.run()
+	}
+	add := func(id ident.JobID) *Job {
+		j := tb.Add(goldenSpec(id), func() {}, nil)
+		settle()
+		return j
+	}
+	open, cancelled, held, done := add("j-11"), add("j-12"), add("j-13"), add("j-14")
+	for i := range 3 {
+		tb.Place(&open.Tasks[i], ident.HostID(fmt.Sprintf("host 0%d,a", i)), ident.Session(21+i), func() {})
+		tb.Place(&done.Tasks[i], "host-14", 31, func() {})
+	}
+	tb.Place(&held.Tasks[1], "host-13", 41, func() {})
+	settle()
+	tb.Gone(&open.Tasks[0], nil)
+	settle()
+	tb.Place(&open.Tasks[0], "host-77", 51, func() {})
+	tb.Complete(&open.Tasks[1], nil)
+	settle()
+	tb.Cancel(cancelled, func() {})
+	tb.Cancel(held, func() {})
+	for i := range done.Tasks {
+		tb.Complete(&done.Tasks[i], nil)
+	}
+	settle()
+	c.Mark(open.head, nil)
+	for _, d := range open.segs {
+		c.Mark(d, nil)
+	}
+	settle()
+}
+
+// describe puts the jobs of a table into words.
+func describe(tb *Table) string {
+	var b strings.Builder
+	for _, j := range tb.Sorted() {
+		fmt.Fprintf(&b, "%s is %s, number %d of %d\n", j.Spec.ID, j.Phase, j.Seq, j.AtMS)
+		for i := range j.Tasks {
+			t := &j.Tasks[i]
+			fmt.Fprintf(&b, "  %d is %s in attempt %d on %q, incarnation %d\n", t.Index, t.State, t.Attempt, t.Host, t.Session)
+		}
+	}
+	return b.String()
+}
+
+// stored lists the keys and values of a state service.
+func stored(k *keep) string {
+	var b strings.Builder
+	for _, path := range sortedKeys(k.Keys) {
+		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Keys[path].Stamp, k.Keys[path].Value)
+	}
+	return b.String()
+}
+
+// views lists what a node that doesn't lead reads of the jobs that are live.
+func views(t *testing.T, k *keep) string {
+	t.Helper()
+	var b strings.Builder
+	for _, path := range sortedKeys(k.Keys) {
+		if strings.HasPrefix(path, LivePrefix) && strings.Count(path, "/") == 1 {
+			view, err := ReadLive(k.Keys[path].Value)
+			fmt.Fprintf(&b, "%s, %v\n", api.JSON(view), err)
+		}
+	}
+	return b.String()
+}
+
+// TestGoldenStorage pins every key, value and condition that jobs are written with in either
+// format, and what the next term reads of them.
+func TestGoldenStorage(t *testing.T) {
+	var d goldenfile.Document
+	for _, s := range storages {
+		r := &recorder{keep: newKeep(statetest.New())}
+		tb, c := s.open(r)
+		play(r, tb, c)
+		d.Add(s.name+": requests", r.requests.String())
+		d.Add(s.name+": stored", stored(r.keep))
+		d.Add(s.name+": views", views(t, r.keep))
+		for _, packed := range []bool{false, true} {
+			if s.packed && !packed {
+				continue // of a later format
+			}
+			next, _ := load(t, r.keep, packed)
+			d.Add(fmt.Sprintf("%s: read with packed %v", s.name, packed), describe(next))
+		}
+	}
+	d.Compare(t, "storage")
+}
+
+// TestGoldenConversion pins what is written when jobs of the first format are brought to the
+// packed one.
+func TestGoldenConversion(t *testing.T) {
+	r := &recorder{keep: newKeep(statetest.New())}
+	tb, c := storages[1].open(r)
+	play(r, tb, c)
+	next, c := load(t, r.keep, true)
+	for next.Convert(1) || !settled(next) {
+		c.Flush()
+		r.run()
+	}
+	c.Flush()
+	r.run()
+	goldenfile.Compare(t, "conversion", stored(r.keep))
+}
+
+// TestGoldenRecords pins the values of keys with all of their fields set.
+func TestGoldenRecords(t *testing.T) {
+	var d goldenfile.Document
+	for v := range goldenfile.BoolVariants {
+		h := goldenfile.Filled[header](v)
+		h.Phase = Cancelled
+		goldenfile.RoundTrip(t, &d, fmt.Sprintf("header %d", v), h)
+	}
+	goldenfile.RoundTrip(t, &d, "segment", goldenfile.Filled[segment](0))
+	goldenfile.RoundTrip(t, &d, "line of the first format", goldenfile.Filled[line](0))
+	for _, p := range []Phase{Open, Cancelled, Done} {
+		e := goldenfile.Filled[Ended](0)
+		e.Phase = p
+		goldenfile.RoundTrip(t, &d, "job that is over: "+p.String(), e)
+		d.JSON(t, "view of it", e.View("j-15"))
+	}
+	d.Compare(t, "records")
+}
--- /dev/null
+++ b/internal/migration/golden_test.go
@@ -0,0 +1,58 @@
+package migration
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"opaldale/internal/commit"
+	"opaldale/internal/golden"
+	"opaldale/internal/ident"
+	"opaldale/internal/rebalance"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/statetest"
+)
+
+// recorder is a state service that keeps the requests that came, in words.
+type recorder struct {
+	*statetest.Queue
+	requests strings.Builder
+}
+
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+	r.requests.WriteString(statetest.Describe(q))
+	r.Queue.State(q, f)
+}
+
+// TestGoldenHistory pins the keys and values that moves are recorded with.
+func TestGoldenHistory(t *testing.T) {
+	r := &recorder{Queue: statetest.NewQueue(statetest.New())}
+	c := commit.New(r, commit.Limits{Ops: 5, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 61}, func(why string) { t.Error(why) })
+	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
+	move := rebalance.Move{
+		Source: rebalance.MakesRoom,
+		Task:   ident.TaskID{Job: "j-11", Index: 5},
+		Team:   "red",
+		From:   "host-1",
+		To:     "host-2",
+		For:    ident.TaskID{Job: "j-12", Index: 6},
+		Wait:   71 * time.Second,
+		Gain:   72500 * time.Millisecond,
+		Cost:   73250 * time.Millisecond,
+		Save:   74 * time.Second,
+		Fetch:  75 * time.Second,
+	}
+	for _, source := range []rebalance.Source{rebalance.MakesRoom, rebalance.LeavesSlow} {
+		move.Source = source
+		h.Write(&Move{Move: move, Attempt: 8}, nil)
+		c.Flush()
+		r.Run()
+	}
+	h.Forget("j-11")
+	c.Flush()
+	r.Run()
+	var d golden.Document
+	d.Add("requests", r.requests.String())
+	golden.RoundTrip(t, &d, "record", golden.Filled[Record](0))
+	d.Compare(t, "history")
+}
