--- /dev/null
+++ b/internal/controller/golden_test.go
@@ -0,0 +1,284 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/authority"
+	"opaldale/internal/cloud"
+	"opaldale/internal/golden"
+	"opaldale/internal/handover"
+	"opaldale/internal/ident"
+	"opaldale/internal/jobs"
+	"opaldale/internal/links"
+	"opaldale/internal/load"
+	"opaldale/internal/mesh"
+	"opaldale/internal/migration"
+	"opaldale/internal/rebalance"
+	"opaldale/internal/settings"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/workers"
+)
+
+// goldenStore is a store beside a cloud with two machine types.
+type goldenStore struct{ *store }
+
+func (goldenStore) WallMS() int64 { return 1_700_000_000_123 }
+
+func (goldenStore) Cloud(r cloud.Request, f func(cloud.Reply)) {
+	if r.Op == cloud.Catalog {
+		other := golden.Filled[cloud.Model](0)
+		other.SKU, other.Zones = "m8", []string{"a", "b"}
+		f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{golden.Filled[cloud.Model](0), other}})
+	}
+}
+
+// lead begins a term at a format level over what is stored.
+func (s goldenStore) lead(term ident.Term, level ident.Level) *Controller {
+	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
+		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
+		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
+		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud:   settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+	c.Lead(term, level, statesvc.Cond{Path: "leader", Stamp: 9})
+	s.settle(c)
+	return c
+}
+
+// settle lets time pass until everything is written.
+func (s goldenStore) settle(c *Controller) {
+	for range 50 {
+		s.pass(100 * time.Millisecond)
+		c.Settle()
+	}
+}
+
+// stored lists the keys and values.
+func (s goldenStore) stored() string {
+	var b strings.Builder
+	for _, path := range slices.Sorted(maps.Keys(s.pairs)) {
+		fmt.Fprintf(&b, "%s: %s\n", path, s.pairs[path].Value)
+	}
+	return b.String()
+}
+
+// machinesOf lists what a leader knows of its machines and their types.
+func machinesOf(l *lead) string {
+	var b strings.Builder
+	for _, w := range l.workers.Sorted() {
+		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.Host, w.Addr, w.Model, w.Zone, w.Spot, w.State,
+			l.c.env.Now().Sub(w.Born).Round(time.Minute))
+	}
+	for _, m := range l.models {
+		fmt.Fprintf(&b, "%s\n", api.JSON(m))
+	}
+	return b.String()
+}
+
+// TestGoldenMachines pins the keys and values of machines and their types in either format, and
+// what the next term reads of them.
+func TestGoldenMachines(t *testing.T) {
+	var d golden.Document
+	for _, level := range []ident.Level{0, ident.Packed} {
+		s := goldenStore{&store{world: &world{now: ident.Mono(9 * time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.Pair{}, limit: 16 << 10, left: 1 << 30}}
+		c := s.lead(7, level)
+		for i, h := range []ident.HostID{"host 1,a", "host-2", "host-3", "host-4"} {
+			w := c.lead.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
+			if i != 1 {
+				c.lead.workers.Checkin(&api.Report{Host: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Session: 1, Serial: 1})
+			}
+		}
+		s.settle(c)
+		d.Add(fmt.Sprintf("level %d", level), s.stored())
+		d.Add(fmt.Sprintf("level %d: read", level), machinesOf(s.lead(8, level).lead))
+		if level < ident.Packed {
+			c = s.lead(9, ident.Packed)
+			d.Add("level 0: read above it", machinesOf(c.lead))
+			d.Add("level 0: written above it", s.stored())
+			c.lead.pack()
+			s.settle(c)
+			d.Add("level 0: written as the level is raised", s.stored())
+		}
+	}
+	golden.RoundTrip(t, &d, "group", golden.Filled[groupRecord](0))
+	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, typesPrefix, jobs.LivePrefix, jobs.OverPrefix, migration.Prefix}, "\n"))
+	d.Compare(t, "machines")
+}
+
+// asker sends requests to a node and writes the answers down.
+type asker struct {
+	c *Controller
+	w *world
+	b strings.Builder
+}
+
+func (a *asker) ask(what string, v mesh.Verb, job string, body []byte) {
+	answered := false
+	a.c.Request(v, job, body, func(r Reply) {
+		answered = true
+		fmt.Fprintf(&a.b, "%s: %d, retry after %d: %s\n", what, r.Status, r.Retry, r.Body)
+	})
+	a.c.Settle()
+	if !answered {
+		a.w.pass(5 * time.Second)
+	}
+}
+
+// TestGoldenAnswers pins status, time to come back and body of what users and workers are
+// answered.
+func TestGoldenAnswers(t *testing.T) {
+	var d golden.Document
+	for _, level := range []ident.Level{0, ident.Packed} {
+		c, w := alone(level)
+		a := &asker{c: c, w: w}
+		askLeader(a)
+		d.Add(fmt.Sprintf("leader at level %d", level), a.b.String())
+	}
+	for _, known := range []bool{false, true} {
+		a := goldenFollower(known)
+		askFollower(a)
+		d.Add(fmt.Sprintf("follower, leader known: %v", known), a.b.String())
+	}
+	d.Compare(t, "answers")
+}
+
+// askLeader asks whatever a leader answers by itself.
+func askLeader(a *asker) {
+	batch := func(change ...string) []byte { return gangSpec(append(change, `"gang"`, `"batch"`)...) }
+	var many []string
+	for i := range 500 {
+		many = append(many, fmt.Sprintf("model-%04d", i))
+	}
+	models := string(api.JSON(append(many, "m8")))
+	report := api.JSON(api.Report{Host: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Session: 1, Serial: 1})
+	a.w.values[jobs.OverKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
+	a.w.values[jobs.OverKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
+	a.w.values[jobs.OverKey("j-72")] = `{"phase":"lost"}`
+	a.ask("malformed submission", mesh.Submit, "", []byte("x"))
+	a.ask("field missing", mesh.Submit, "", batch(`"vcpus"`, `"x"`))
+	a.ask("gang", mesh.Submit, "", gangSpec(`"j-1"`, `"j-2"`))
+	a.ask("array", mesh.Submit, "", batch())
+	a.ask("same array", mesh.Submit, "", batch())
+	a.ask("unknown team", mesh.Submit, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
+	a.ask("over the limit", mesh.Submit, "", gangSpec(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
+	a.ask("fits no machine", mesh.Submit, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
+	a.ask("long description", mesh.Submit, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
+	a.ask("refused, and over already", mesh.Submit, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
+	for _, id := range []string{"j-1", "j-70", "j-71", "j-72", "j-99"} {
+		a.ask("poll "+id, mesh.Poll, id, nil)
+	}
+	for _, id := range []string{"j-1", "j-1", "j-70", "j-71", "j-72", "j-99"} {
+		a.ask("cancel "+id, mesh.Cancel, id, nil)
+	}
+	a.ask("poll j-1", mesh.Poll, "j-1", nil)
+	a.ask("malformed report", mesh.Checkin, "", []byte(`{}`))
+	a.ask("report", mesh.Checkin, "", report)
+	a.w.now = a.w.now.Add(time.Hour)
+	a.ask("submission to a leader that is not sure", mesh.Submit, "", batch(`"j-1"`, `"j-8"`))
+	a.ask("cancellation to a leader that is not sure", mesh.Cancel, "j-1", nil)
+	a.ask("report to a leader that is not sure", mesh.Checkin, "", report)
+}
+
+// goldenFollower makes a node with a sibling that leads, if it is known.
+func goldenFollower(known bool) *asker {
+	w := &world{now: ident.Mono(1 << 40), asked: map[string]bool{}, values: map[string]string{"term": "5"}}
+	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Siblings: []settings.Sibling{{Node: "agent-1"}},
+		Cluster: settings.Cluster{Nodes: 2, Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
+	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
+	if known {
+		a.c.Frame("agent-1", &mesh.Frame{Kind: mesh.Heartbeat, Node: "agent-1", Term: 5, ID: 1})
+	}
+	return a
+}
+
+// askFollower asks a node that passes requests on to a leader, which doesn't answer.
+func askFollower(a *asker) {
+	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open","tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
+	a.w.values[jobs.LiveKey("j-80")] = live
+	a.w.values[jobs.LiveKey("j-81")] = `{}`
+	a.w.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
+	a.ask("malformed submission", mesh.Submit, "", []byte("x"))
+	a.ask("gang", mesh.Submit, "", gangSpec())
+	a.ask("array", mesh.Submit, "", gangSpec(`"gang"`, `"batch"`))
+	a.ask("cancellation", mesh.Cancel, "j-1", nil)
+	report := api.JSON(api.Report{Host: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Session: 1, Serial: 1})
+	a.ask("malformed report", mesh.Checkin, "", []byte(`{}`))
+	a.ask("report", mesh.Checkin, "", report)
+	for _, id := range []string{"j-80", "j-81", "j-82"} {
+		a.ask("poll "+id, mesh.Poll, id, nil)
+	}
+}
+
+// TestGoldenReports pins the reports for operators, with all of their fields set.
+func TestGoldenReports(t *testing.T) {
+	var d golden.Document
+	for v := range golden.BoolVariants {
+		d.JSON(t, fmt.Sprintf("links %d", v), golden.Filled[LinkReport](v))
+		golden.RoundTrip(t, &d, fmt.Sprintf("moves %d", v), golden.Filled[MoveReport](v))
+	}
+	d.JSON(t, "no links", LinkReport{})
+	d.JSON(t, "no moves", MoveReport{})
+	recordedMoves := recorded(statesvc.Pair{Path: "moves/j-7",
+		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
+	d.JSON(t, "moves on record", recordedMoves)
+	d.Compare(t, "reports")
+}
+
+// namesOf lists the names of consecutive values, the first one being 0.
+func namesOf[T ~uint8](last T, name func(T) string) string {
+	var b strings.Builder
+	for v := T(0); v <= last; v++ {
+		fmt.Fprintf(&b, "%d %s\n", v, name(v))
+	}
+	return b.String()
+}
+
+// TestGoldenNames pins the words of reports, of labels of metrics and of stored values.
+func TestGoldenNames(t *testing.T) {
+	var d golden.Document
+	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+links.Peer{Kind: links.Sibling, Name: "agent-1"}.String())
+	d.Add("directions", namesOf(links.Outbound, links.Direction.String))
+	d.Add("states of links", namesOf(links.Down, links.State.String))
+	d.Add("evidence", namesOf(links.Silence, links.Evidence.String))
+	d.Add("rows not taken", namesOf(links.Older, links.Refusal.String))
+	d.Add("authority", namesOf(authority.Deciding, authority.State.String))
+	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
+	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
+	d.Add("sources of gain", namesOf(rebalance.LeavesSlow, rebalance.Source.String))
+	d.Add("rounds without a plan", namesOf(restraintCount-1, restraint.String))
+	d.Add("teams", namesOf(load.Cooling, load.Heat.String))
+	d.Add("machines", namesOf(workers.Gone, workers.State.String))
+	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
+	d.Compare(t, "names")
+}
+
+// TestGoldenSnapshot pins which counters of a leader its snapshot shows.
+func TestGoldenSnapshot(t *testing.T) {
+	c, _ := alone(ident.Packed)
+	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
+	l := c.lead
+	p := &l.planner.Stats
+	p.Planned, p.Local, p.New, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.Extra = 201, 202, 203, 204, 205, 206, 207, 208, 209
+	p.FetchedGB, p.Took = 210.5, 211*time.Second
+	l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced = 301, 302, 303
+	l.commits.Txns, l.commits.Puts, l.commits.Repeats, l.commits.Rejected = 401, 402, 403, 404
+	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
+	l.workers.Relocated, l.workers.Fences, l.workers.Stale = 601, 602, 603
+	s := c.Snapshot()
+	for _, pair := range [][2]uint64{{s.Forwarded, 101}, {s.Refused, 102}, {s.Elected, 103}, {s.LeasesKept, 104}, {s.Relayed, 105},
+		{s.Planned, 201}, {s.Local, 202}, {s.New, 203}, {s.Stolen, 204}, {s.Services, 205}, {s.Gangs, 206}, {s.Preempted, 207}, {s.Rounds, 208},
+		{s.ExtraRounds, 209}, {uint64(s.FetchedGB), 210}, {uint64(s.PlanSeconds), 211}, {s.Rented, 301}, {s.Returned, 302}, {s.Fenced, 303},
+		{s.Txns, 401}, {s.Puts, 402}, {s.Repeats, 403}, {s.Rejected, 404}, {s.GangsStarted, 501}, {s.GangsLost, 502}, {s.GangsReplaced, 503},
+		{s.GangsStopped, 504}, {s.Relocated, 601}, {s.Fences, 602}, {s.Stale, 603}} {
+		if pair[0] != pair[1] {
+			t.Errorf("%d where %d is counted", pair[0], pair[1])
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/golden_test.go
@@ -0,0 +1,191 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/controller"
+	"opaldale/internal/golden"
+	"opaldale/internal/ident"
+	"opaldale/internal/load"
+	"opaldale/internal/mesh"
+	"opaldale/internal/migration"
+	"opaldale/internal/settings"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/statetest"
+	"opaldale/internal/workers"
+)
+
+// askHandler has a handler answer a request, and puts the answer into words.
+func askHandler(h http.Handler, method, path, body string) string {
+	w := httptest.NewRecorder()
+	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d\n", w.Code)
+	for _, name := range []string{"Content-Type", "Content-Length", "Retry-After", "Allow", "Connection"} {
+		if v := w.Header().Get(name); v != "" {
+			fmt.Fprintf(&b, "%s: %s\n", name, v)
+		}
+	}
+	return b.String() + w.Body.String()
+}
+
+// TestGoldenInterface pins status, headers and body of the answers of a node without a leader
+// and a state service, and of one that is overloaded.
+func TestGoldenInterface(t *testing.T) {
+	s := alone(t, 1000)
+	h := s.handler()
+	var d golden.Document
+	const report = `{"host":"h","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":1}`
+	requests := []struct{ method, path, body string }{
+		{"POST", "/v2/runs", job},
+		{"GET", "/v2/runs/j-000001", ""},
+		{"POST", "/v2/runs/j-000001/cancel", ""},
+		{"POST", "/checkin", report},
+		{"POST", "/v2/runs", "nonsense"},
+		{"POST", "/v2/runs", strings.Repeat(" ", 64<<10+1)},
+		{"GET", "/v2/runs", ""},
+		{"DELETE", "/v2/runs/j-000001", ""},
+		{"GET", "/v2/runs/sixpence", ""},
+		{"POST", "/v2/runs/sixpence/cancel", ""},
+		{"POST", "/checkin", `{"host":""}`},
+		{"GET", "/up", ""},
+		{"GET", "/nothing", ""},
+		{"GET", "/links", ""},
+		{"GET", "/moves", ""},
+	}
+	for _, r := range requests {
+		d.Add(r.method+" "+r.path+" "+r.body[:min(len(r.body), 10)], askHandler(h, r.method, r.path, r.body))
+	}
+	s.admission.requests.Store(1 << 20)
+	s.admission.reports.Store(1 << 20)
+	for _, r := range requests[:4] {
+		d.Add("overloaded: "+r.method+" "+r.path, askHandler(h, r.method, r.path, r.body))
+	}
+	d.Compare(t, "interface")
+}
+
+// TestGoldenCommands pins the call of a worker, and what is read of its answer.
+func TestGoldenCommands(t *testing.T) {
+	var d golden.Document
+	report := golden.Filled[api.Report](0)
+	transport := &golden.Transport{Status: http.StatusConflict, Body: string(api.JSON(report))}
+	s := &Server{loop: newLoop(), worker: &http.Client{Transport: transport}, commands: make(chan struct{}, 1)}
+	answer := s.command(workers.Command{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.Commands](0)})
+	d.Add("commands", transport.Saw)
+	if want := (workers.Answer{Status: http.StatusConflict, Report: &report}); !reflect.DeepEqual(answer, want) {
+		t.Errorf("%+v, want %+v", answer, want)
+	}
+	d.Compare(t, "commands")
+}
+
+// goldenCollector shows what only a leader, or a node that watches its links, has to show.
+type goldenCollector struct{}
+
+func (goldenCollector) Describe(chan<- *prometheus.Desc) {}
+
+func (goldenCollector) Collect(ch chan<- prometheus.Metric) {
+	collectLinks(ch, controller.LinkReport{Enabled: true, Authority: "deciding", HandoverCount: 11, Dropped: map[string]uint64{"expired": 12, "undated": 13},
+		Links: []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", Code: 3, Damped: true, Breaks: 14},
+			{Peer: "cloud", Direction: "outbound", Code: 1, Breaks: 15}}})
+	collectLoad(ch, controller.Snapshot{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
+		Reservations: 27, MovesHeldBack: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
+		TeamLoads: []load.TeamReport{{Team: "red", Heat: load.Hot, Ratio: 2.5}}})
+}
+
+// goldenWorld is the world of a controller in which time stands still and the state service
+// answers at once.
+type goldenWorld struct{ *statetest.Store }
+
+func (goldenWorld) Now() ident.Mono                              { return ident.Mono(time.Hour) }
+func (goldenWorld) WallMS() int64                                { return 0 }
+func (goldenWorld) After(time.Duration, func())                  {}
+func (goldenWorld) Worker(workers.Command, func(workers.Answer)) {}
+func (goldenWorld) Mesh(ident.NodeID, *mesh.Frame)               {}
+func (goldenWorld) Cloud(_ cloud.Request, f func(cloud.Reply)) {
+	f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
+}
+
+func (w goldenWorld) State(r statesvc.Request, f func(statesvc.Reply)) {
+	switch r.Op {
+	case statesvc.Get:
+		f(w.Get(r.Path))
+	case statesvc.List:
+		a := statesvc.Reply{Outcome: statesvc.OK}
+		for _, path := range slices.Sorted(maps.Keys(w.Keys)) {
+			if strings.HasPrefix(path, r.Starts) {
+				a.Pairs = append(a.Pairs, w.Keys[path])
+			}
+		}
+		f(a)
+	case statesvc.Grant:
+		f(statesvc.Reply{Outcome: statesvc.OK, Grant: 1})
+	default:
+		f(w.Apply(r.Then))
+	}
+}
+
+// goldenLeader makes a node that leads, with two jobs, seven tasks and five machines on record.
+func goldenLeader(t *testing.T) *Server {
+	t.Helper()
+	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
+	var pairs []statesvc.Pair
+	for path, value := range map[string]string{
+		"term":      `{"term":41,"level":1}`,
+		"fleet/1-1": `{"model":"m8","site":"a","text":"host-1,10.1.0.1:9000,0 host-2,10.1.0.2:9000,0 host-3,10.1.0.3:9000,0 host-4,,0 host-5,,0"}`,
+		"live/j-1":  `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":7,"vcpus":1},"seq":1,"phase":"open",` + tasks + `}`,
+		"live/j-2":  `{"spec":{"id":"j-2","desk":"red","shape":"batch","pieces":1,"vcpus":1},"seq":2,"phase":"open","tasks":[{}]}`,
+	} {
+		pairs = append(pairs, statesvc.Pair{Path: path, Value: json.RawMessage(value), Stamp: 5})
+	}
+	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
+		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
+		Workers: settings.Workers{ReportS: 3, LeaseS: 20, CancelS: 50}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud: settings.Cloud{RPS: 5}}}
+	s := &Server{loop: newLoop(), sockets: newSockets(100), mesh: mesh.NewTransport("agent-0", func(ident.NodeID, *mesh.Frame) {})}
+	s.ctl = controller.New(goldenWorld{statetest.New(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
+	s.loop.settle = func() {}
+	s.loop.post(s.ctl.Start)
+	go s.loop.run()
+	t.Cleanup(func() { close(s.loop.done) })
+	return s
+}
+
+// TestGoldenMetrics pins names, types, labels and help of the metrics, and which counters of
+// the node they show.
+func TestGoldenMetrics(t *testing.T) {
+	s := alone(t, 1000)
+	m := newMetrics(s)
+	for i, v := range []mesh.Verb{mesh.Submit, mesh.Poll, mesh.Cancel, mesh.Checkin} {
+		m.observe(v, 200+i, time.Duration(i+1)*30*time.Millisecond)
+		m.shed.WithLabelValues(verbNames[v]).Add(float64(31 + i))
+	}
+	s.sockets.evicted.Store(41)
+	s.sockets.refused.Store(42)
+	s.mesh.Malformed.Store(43)
+	ask(s.loop, s.loop.post, func() bool {
+		s.ctl.Forwarded, s.ctl.Relayed, s.ctl.Refused, s.ctl.Elections, s.ctl.LeasesKept = 51, 52, 53, 54, 55
+		return true
+	})
+	var d golden.Document
+	d.Add("every node", askHandler(m.handler(), "GET", "/metrics", ""))
+	d.Add("a leader", askHandler(newMetrics(goldenLeader(t)).handler(), "GET", "/metrics", ""))
+	reg := prometheus.NewRegistry()
+	reg.MustRegister(goldenCollector{})
+	d.Add("links and load", askHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), "GET", "/metrics", ""))
+	d.Compare(t, "metrics")
+}
