--- /dev/null
+++ b/cmd/opaldale/testdata/bounds.sexp
@@ -0,0 +1,1 @@
+(tuning (round 1ms) (links on))
--- /dev/null
+++ b/cmd/opaldale/testdata/broken.sexp
@@ -0,0 +1,1 @@
+(tuning (round soon) (colour red))
--- /dev/null
+++ b/cmd/opaldale/testdata/tuning.sexp
@@ -0,0 +1,1 @@
+(tuning (round 3s) (links on))
