--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -211,16 +211,16 @@
 
 // Report is what a worker says of itself.
 type Report struct {
-	Host    ident.HostID  `json:"host"`
-	Addr    string        `json:"addr"`
-	Model   string        `json:"model"`
-	Zone    string        `json:"site"`
-	Spot    bool          `json:"standby"`
-	Session ident.Session `json:"tenure"`
-	Serial  ident.Serial  `json:"serial"`
-	Epoch   ident.Epoch   `json:"epoch"`
-	NoticeS *float64      `json:"warning_s"`
-	Tasks   []TaskReport  `json:"pieces"`
+	Host    ident.MachineID      `json:"host"`
+	Addr    string               `json:"addr"`
+	Model   string               `json:"model"`
+	Zone    string               `json:"site"`
+	Spot    bool                 `json:"standby"`
+	Session ident.Incarnation    `json:"tenure"`
+	Serial  ident.SequenceNumber `json:"serial"`
+	Epoch   ident.FencingToken   `json:"epoch"`
+	NoticeS *float64             `json:"warning_s"`
+	Tasks   []TaskReport         `json:"pieces"`
 }
 
 // ParseReport reads and checks a worker's report.
@@ -268,8 +268,8 @@
 
 // Orders answers a report.
 type Orders struct {
-	Epoch  ident.Epoch `json:"epoch"`
-	Orders []Order     `json:"orders"`
+	Epoch  ident.FencingToken `json:"epoch"`
+	Orders []Order            `json:"orders"`
 }
 
 // Launches says whether any of the orders starts a task.
@@ -279,9 +279,9 @@
 
 // Commands is the body of POST /commands.
 type Commands struct {
-	Epoch   ident.Epoch   `json:"epoch"`
-	Session ident.Session `json:"tenure"`
-	Orders  []Order       `json:"orders"`
+	Epoch   ident.FencingToken `json:"epoch"`
+	Session ident.Incarnation  `json:"tenure"`
+	Orders  []Order            `json:"orders"`
 }
 
 // JSON encodes a message of this package, none of which can fail to encode.
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -10,12 +10,12 @@
 
 // The states, from none to all.
 const (
-	None     State = iota // the node doesn't lead, or its grace is over
-	Grace                 // its leadership is not sure any more, but workers' leases may be kept
-	Loading               // it leads, and has not read what earlier terms left
-	Yielding              // it leads, and hands the lead over
-	Holding               // it leads, and can't record what it would decide
-	Deciding              // it leads
+	None        State = iota // the node doesn't lead, or its grace is over
+	Grace                    // its leadership is not sure any more, but workers' leases may be kept
+	Loading                  // it leads, and has not read what earlier terms left
+	HandingOver              // it leads, and hands the lead over
+	StoreDown                // it leads, and can't record what it would decide
+	Active                   // it leads
 )
 
 func (s State) String() string {
@@ -36,17 +36,17 @@
 	Place Action = iota
 	// Launch sends the command that starts a task whose placement is durable.
 	Launch
-	// Accept takes submissions and cancellations, which are durable before they are
+	// AcceptSubmissions takes submissions and cancellations, which are durable before they are
 	// confirmed.
-	Accept
-	// Answer tells users what is in memory.
-	Answer
-	// Command answers workers' reports with commands that start and stop tasks.
-	Command
-	// KeepLeases answers workers' reports without starting anything.
-	KeepLeases
-	// Rent asks the cloud for machines, and returns those that nobody needs.
-	Rent
+	AcceptSubmissions
+	// ServeReads tells users what is in memory.
+	ServeReads
+	// CommandWorkers answers workers' reports with commands that start and stop tasks.
+	CommandWorkers
+	// RenewWorkerLeases answers workers' reports without starting anything.
+	RenewWorkerLeases
+	// Scale asks the cloud for machines, and returns those that nobody needs.
+	Scale
 	// Fence returns machines for their silence.
 	Fence
 
@@ -62,27 +62,27 @@
 
 var actionNames = [...]string{"place", "launch", "accept", "answer", "command", "keep leases", "rent", "fence"}
 
-// actions is a set of actions.
-type actions uint16
+// actionSet is a set of actions.
+type actionSet uint16
 
-func set(list ...Action) actions {
-	s := actions(0)
+func newActionSet(list ...Action) actionSet {
+	result := actionSet(0)
 	for _, a := range list {
-		s |= 1 << a
+		result |= 1 << a
 	}
-	return s
+	return result
 }
 
 // permissions is the whole of what each state allows. What is stopped or kept alive in
 // Yielding and Holding needs nothing recorded: a command to stop a task is safe whoever
 // leads, and one to start a task is for a placement that is durable.
-var permissions = [...]actions{
-	None:     set(),
-	Grace:    set(KeepLeases),
-	Loading:  set(),
-	Yielding: set(Answer, KeepLeases, Command),
-	Holding:  set(Launch, Accept, Answer, KeepLeases, Command),
-	Deciding: set(Place, Launch, Accept, Answer, KeepLeases, Command, Rent, Fence),
+var permissions = [...]actionSet{
+	None:        newActionSet(),
+	Grace:       newActionSet(RenewWorkerLeases),
+	Loading:     newActionSet(),
+	HandingOver: newActionSet(ServeReads, RenewWorkerLeases, CommandWorkers),
+	StoreDown:   newActionSet(Launch, AcceptSubmissions, ServeReads, RenewWorkerLeases, CommandWorkers),
+	Active:      newActionSet(Place, Launch, AcceptSubmissions, ServeReads, RenewWorkerLeases, CommandWorkers, Scale, Fence),
 }
 
 // Allows says whether a node in that state may do something.
@@ -92,48 +92,48 @@
 
 // Facts are what a node's authority follows from.
 type Facts struct {
-	Leads     bool // the node has won an election, and the term has not been ended
-	Sure      bool // nobody else can lead at this moment
-	InGrace   bool // leadership was sure until at most the grace ago
-	Loaded    bool // what earlier terms left has been read
-	Recording bool // the state service takes what is written
-	Yields    bool // a handover has begun
+	IsLeader      bool // the node has won an election, and the term has not been ended
+	LeaseValid    bool // nobody else can lead at this moment
+	WithinGrace   bool // leadership was sure until at most the grace ago
+	StateLoaded   bool // what earlier terms left has been read
+	StoreWritable bool // the state service takes what is written
+	HandingOver   bool // a handover has begun
 }
 
-// Of returns the state that follows from the facts.
-func Of(f Facts) State {
+// Evaluate returns the state that follows from the facts.
+func Evaluate(f Facts) State {
 	switch {
-	case !f.Leads:
+	case !f.IsLeader:
 		return None
-	case !f.Loaded:
-		if f.Sure {
+	case !f.StateLoaded:
+		if f.LeaseValid {
 			return Loading
 		}
 		return None
-	case !f.Sure && f.InGrace:
+	case !f.LeaseValid && f.WithinGrace:
 		return Grace
-	case !f.Sure:
+	case !f.LeaseValid:
 		return None
-	case f.Yields:
-		return Yielding
-	case !f.Recording:
-		return Holding
+	case f.HandingOver:
+		return HandingOver
+	case !f.StoreWritable:
+		return StoreDown
 	}
-	return Deciding
+	return Active
 }
 
-// Machine follows a node's authority from one state to the next.
-type Machine struct {
+// Tracker follows a node's authority from one state to the next.
+type Tracker struct {
 	state State
 }
 
 // State returns the state that was last moved to.
-func (m *Machine) State() State { return m.state }
+func (t *Tracker) State() State { return t.state }
 
-// Move is the one place where the state changes. It returns the state before, and whether
+// Update is the one place where the state changes. It returns the state before, and whether
 // it has changed.
-func (m *Machine) Move(f Facts) (before State, changed bool) {
-	before = m.state
-	m.state = Of(f)
-	return before, m.state != before
+func (t *Tracker) Update(f Facts) (before State, changed bool) {
+	before = t.state
+	t.state = Evaluate(f)
+	return before, t.state != before
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -8,8 +8,8 @@
 
 func drawFacts(t *rapid.T) Facts {
 	return Facts{
-		Leads: rapid.Bool().Draw(t, "leads"), Sure: rapid.Bool().Draw(t, "sure"), InGrace: rapid.Bool().Draw(t, "in grace"),
-		Loaded: rapid.Bool().Draw(t, "loaded"), Recording: rapid.Bool().Draw(t, "recording"), Yields: rapid.Bool().Draw(t, "yields"),
+		IsLeader: rapid.Bool().Draw(t, "leads"), LeaseValid: rapid.Bool().Draw(t, "sure"), WithinGrace: rapid.Bool().Draw(t, "in grace"),
+		StateLoaded: rapid.Bool().Draw(t, "loaded"), StoreWritable: rapid.Bool().Draw(t, "recording"), HandingOver: rapid.Bool().Draw(t, "yields"),
 	}
 }
 
@@ -18,22 +18,22 @@
 func TestNothingUnconfirmed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
-		s := Of(f)
-		sure := f.Leads && f.Loaded && f.Sure
+		s := Evaluate(f)
+		sure := f.IsLeader && f.StateLoaded && f.LeaseValid
 		for a := Place; a < actionCount; a++ {
 			allowed := s.Allows(a)
 			switch {
 			case !allowed:
-			case a == KeepLeases && f.Leads && f.Loaded && (f.Sure || f.InGrace):
+			case a == RenewWorkerLeases && f.IsLeader && f.StateLoaded && (f.LeaseValid || f.WithinGrace):
 			case !sure:
 				t.Fatalf("%+v: %v may %v without sure leadership", f, s, a)
-			case f.Yields && a != Answer && a != Command && a != KeepLeases:
+			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
 				t.Fatalf("%+v: %v may %v while it yields", f, s, a)
-			case !f.Recording && (a == Place || a == Rent || a == Fence):
+			case !f.StoreWritable && (a == Place || a == Scale || a == Fence):
 				t.Fatalf("%+v: %v may %v without recording it", f, s, a)
 			}
 		}
-		if sure && f.Recording && !f.Yields && s != Deciding {
+		if sure && f.StoreWritable && !f.HandingOver && s != Active {
 			t.Fatalf("%+v: only %v", f, s)
 		}
 	})
@@ -44,38 +44,38 @@
 func TestMoreFactsMoreAuthority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
-		less := f
+		fewer := f
 		switch rapid.IntRange(0, 4).Draw(t, "lost") {
 		case 0:
-			less.Leads = false
+			fewer.IsLeader = false
 		case 1:
-			less.Sure = false
+			fewer.LeaseValid = false
 		case 2:
-			less.Loaded = false
+			fewer.StateLoaded = false
 		case 3:
-			less.Recording = false
+			fewer.StoreWritable = false
 		case 4:
-			less.Yields = true
+			fewer.HandingOver = true
 		}
 		for a := Place; a < actionCount; a++ {
-			if Of(less).Allows(a) && !Of(f).Allows(a) && a != KeepLeases {
-				t.Fatalf("%v may %v, and %v may not", Of(less), a, Of(f))
+			if Evaluate(fewer).Allows(a) && !Evaluate(f).Allows(a) && a != RenewWorkerLeases {
+				t.Fatalf("%v may %v, and %v may not", Evaluate(fewer), a, Evaluate(f))
 			}
 		}
 	})
 }
 
-// TestMachine tells each change once.
-func TestMachine(t *testing.T) {
-	var m Machine
-	all := Facts{Leads: true, Sure: true, Loaded: true, Recording: true}
-	if before, changed := m.Move(all); before != None || !changed || m.State() != Deciding {
-		t.Errorf("from %v, changed %v, now %v", before, changed, m.State())
+// TestTracker tells each change once.
+func TestTracker(t *testing.T) {
+	var tracker Tracker
+	all := Facts{IsLeader: true, LeaseValid: true, StateLoaded: true, StoreWritable: true}
+	if before, changed := tracker.Update(all); before != None || !changed || tracker.State() != Active {
+		t.Errorf("from %v, changed %v, now %v", before, changed, tracker.State())
 	}
-	if _, changed := m.Move(all); changed {
+	if _, changed := tracker.Update(all); changed {
 		t.Error("the same facts are a change")
 	}
-	if State(99).Allows(Place) || Deciding.Allows(Action(99)) {
+	if State(99).Allows(Place) || Active.Allows(Action(99)) {
 		t.Error("an impossible state or action is allowed")
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -38,28 +38,28 @@
 
 // Listed is a machine in the cloud's list.
 type Listed struct {
-	ID     ident.HostID `json:"id"`
-	Addr   string       `json:"addr"`
-	Model  string       `json:"model"`
-	Zone   string       `json:"site"`
-	Spot   bool         `json:"standby"`
-	Status string       `json:"status"`
-	AgeS   float64      `json:"age_s"`
+	ID     ident.MachineID `json:"id"`
+	Addr   string          `json:"addr"`
+	Model  string          `json:"model"`
+	Zone   string          `json:"site"`
+	Spot   bool            `json:"standby"`
+	Status string          `json:"status"`
+	AgeS   float64         `json:"age_s"`
 }
 
 // Request is one call; only the fields of its Op are used.
 type Request struct {
-	Op     Op             `json:"-"`
-	Hire   string         `json:"hire"`
-	Model  string         `json:"model"`
-	Zone   string         `json:"site"`
-	Spot   bool           `json:"standby"`
-	Number int            `json:"number"`
-	Hosts  []ident.HostID `json:"-"`
-	Since  ident.HostID   `json:"-"`
+	Op     Op                `json:"-"`
+	Hire   string            `json:"hire"`
+	Model  string            `json:"model"`
+	Zone   string            `json:"site"`
+	Spot   bool              `json:"standby"`
+	Number int               `json:"number"`
+	Hosts  []ident.MachineID `json:"-"`
+	Since  ident.MachineID   `json:"-"`
 	// NotAfter is the time, by this node's clock, from which the request must not be
 	// sent any more; 0: none.
-	NotAfter ident.Mono `json:"-"`
+	NotAfter ident.MonotonicTime `json:"-"`
 }
 
 // Outcome is what is known after a call.
@@ -80,7 +80,7 @@
 	Outcome   Outcome
 	Error     string
 	Models    []Model
-	Rented    []ident.HostID
+	Rented    []ident.MachineID
 	Listed    []Listed
 	Truncated bool
 	Rejected  bool // the connection was refused; the request was not sent
@@ -115,14 +115,14 @@
 	case Return:
 		method, path = http.MethodPost, "/machines/return"
 		body = struct {
-			Hosts []ident.HostID `json:"hosts"`
+			Hosts []ident.MachineID `json:"hosts"`
 		}{r.Hosts}
 	case List:
 		path = "/machines?" + url.Values{"since": {string(r.Since)}, "most": {listMost}}.Encode()
 	}
 	status, b, err := httpcall.Do(c.http, timeout, method, c.base+path, body, maxReply)
 	if err != nil {
-		return Reply{Outcome: Lost, Error: err.Error(), Rejected: httpcall.Rejected(err)}
+		return Reply{Outcome: Lost, Error: err.Error(), Rejected: httpcall.ConnectionRefused(err)}
 	}
 	return decode(r.Op, status, b)
 }
@@ -156,7 +156,7 @@
 		out.Models = v.Models
 	case Rent:
 		var v struct {
-			Hosts []ident.HostID `json:"hosts"`
+			Hosts []ident.MachineID `json:"hosts"`
 		}
 		err = json.Unmarshal(body, &v)
 		out.Rented = v.Hosts
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -17,7 +17,7 @@
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
 	c := NewClient("cloud:1", transport)
-	rent := Request{Op: Rent, Hire: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Number: 9, Hosts: []ident.HostID{"host-1"}, Since: "host-2", NotAfter: 10}
+	rent := Request{Op: Rent, Hire: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Number: 9, Hosts: []ident.MachineID{"host-1"}, Since: "host-2", NotAfter: 10}
 	for _, x := range []struct {
 		name    string
 		request Request
@@ -25,7 +25,7 @@
 		{"catalog", Request{Op: Catalog}},
 		{"rental", rent},
 		{"rental of a machine that stays", Request{Op: Rent, Hire: "opaldale-7-9", Model: "g8", Zone: "east", Number: 1}},
-		{"return", Request{Op: Return, Hosts: []ident.HostID{"host-3", "host-4"}}},
+		{"return", Request{Op: Return, Hosts: []ident.MachineID{"host-3", "host-4"}}},
 		{"first page of the list", Request{Op: List}},
 		{"next page of the list", Request{Op: List, Since: "host-5"}},
 	} {
@@ -55,7 +55,7 @@
 		want Reply
 	}{
 		{Catalog, `{"models":` + text(models) + `}`, Reply{Outcome: OK, Models: models}},
-		{Rent, `{"hosts":["host-1","host-2"]}`, Reply{Outcome: OK, Rented: []ident.HostID{"host-1", "host-2"}}},
+		{Rent, `{"hosts":["host-1","host-2"]}`, Reply{Outcome: OK, Rented: []ident.MachineID{"host-1", "host-2"}}},
 		{Return, `{}`, Reply{Outcome: OK}},
 		{List, `{"hosts":` + text(machines) + `,"truncated":true}`, Reply{Outcome: OK, Listed: machines, Truncated: true}},
 	} {
--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -7,117 +7,117 @@
 	"opaldale/internal/statesvc"
 )
 
-// line is an entry in a record that is under way.
-type line struct {
-	entry Entry
-	then  []func()
+// queuedEntry is an entry in a record that is under way.
+type queuedEntry struct {
+	entry     Entry
+	callbacks []func()
 }
 
-// draft is a transaction while it is put together.
-type draft struct {
-	t       *txn
-	conds   []statesvc.Cond
-	changes []statesvc.Change
-	size    int
+// txnDraft is a transaction while it is put together.
+type txnDraft struct {
+	txn       *txn
+	compares  []statesvc.Compare
+	mutations []statesvc.Mutation
+	size      int
 }
 
-func (c *Committer) build() *txn {
-	b := &draft{t: &txn{wait: firstWait}, conds: []statesvc.Cond{c.leader}}
-	b.t.text = c.text
-	c.addLog(b)
-	c.queue = c.addDocs(b, c.queue, urgent)
-	if len(c.queue) == 0 && c.spare() {
-		c.lazy = c.addDocs(b, c.lazy, lazy)
+func (c *Committer) buildTxn() *txn {
+	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []statesvc.Compare{c.leaderCompare}}
+	draft.txn.textFormat = c.textFormat
+	c.addLogRecords(draft)
+	c.urgentQueue = c.addDocuments(draft, c.urgentQueue, urgent)
+	if len(c.urgentQueue) == 0 && c.hasSpareTokens() {
+		c.lazyQueue = c.addDocuments(draft, c.lazyQueue, lazy)
 	}
-	if len(b.t.docs) == 0 && len(b.t.slots) == 0 {
+	if len(draft.txn.documents) == 0 && len(draft.txn.slots) == 0 {
 		return nil
 	}
-	b.t.req = statesvc.Request{Op: statesvc.Txn, If: b.conds, Then: b.changes, Timeout: txnTime}
-	return b.t
+	draft.txn.request = statesvc.Request{Op: statesvc.Txn, Compares: draft.compares, Mutations: draft.mutations, Timeout: txnTimeout}
+	return draft.txn
 }
 
-// addLog packs the lines that wait into records.
-func (c *Committer) addLog(b *draft) {
-	for n := 0; n < min(maxLog, c.limits.Ops) && len(c.entries) > 0; n++ {
-		c.lsn++
-		c.logged = c.port.Now()
-		c.Records++
-		rec := record{LSN: c.lsn}
-		var take []Entry
-		if c.text {
-			take = c.pack(&rec)
+// addLogRecords packs the lines that wait into records.
+func (c *Committer) addLogRecords(draft *txnDraft) {
+	for n := 0; n < min(maxRecordsPerTxn, c.limits.MutationsPerTxn) && len(c.pendingEntries) > 0; n++ {
+		c.lastLSN++
+		c.lastRecordAt = c.port.Now()
+		c.LogRecords++
+		record := logRecord{LSN: c.lastLSN}
+		var batch []Entry
+		if c.textFormat {
+			batch = c.fillText(&record)
 		} else {
-			per := max(1, (c.limits.ValueBytes-64)/LineBytes)
-			take = c.entries[:min(per, len(c.entries))]
-			for _, e := range take {
-				rec.Lines = append(rec.Lines, e.Line())
+			linesPerRecord := max(1, (c.limits.MaxValueBytes-64)/MaxLineBytes)
+			batch = c.pendingEntries[:min(linesPerRecord, len(c.pendingEntries))]
+			for _, e := range batch {
+				record.Lines = append(record.Lines, e.JSONLine())
 			}
 		}
-		c.entries = c.entries[len(take):]
-		lines := make([]line, len(take))
-		for i, e := range take {
-			lines[i] = line{e, c.then[e]}
-			delete(c.then, e)
+		c.pendingEntries = c.pendingEntries[len(batch):]
+		queued := make([]queuedEntry, len(batch))
+		for i, e := range batch {
+			queued[i] = queuedEntry{e, c.entryCallbacks[e]}
+			delete(c.entryCallbacks, e)
 		}
-		value, err := json.Marshal(rec)
+		value, err := json.Marshal(record)
 		if err != nil {
 			panic(err)
 		}
-		s := c.slot()
-		s.lsn = c.lsn
-		c.flying[c.lsn] = true
-		b.t.slots = append(b.t.slots, s)
-		b.t.lines = append(b.t.lines, lines)
-		b.conds = append(b.conds, statesvc.Cond{Path: s.path, Stamp: s.stamp})
-		b.changes = append(b.changes, statesvc.Change{Put: s.path, Value: value})
-		b.size += len(value) + perChange
+		slot := c.allocateSlot()
+		slot.lsn = c.lastLSN
+		c.inFlightLSNs[c.lastLSN] = true
+		draft.txn.slots = append(draft.txn.slots, slot)
+		draft.txn.entries = append(draft.txn.entries, queued)
+		draft.compares = append(draft.compares, statesvc.Compare{Key: slot.key, Revision: slot.revision})
+		draft.mutations = append(draft.mutations, statesvc.Mutation{Put: slot.key, Value: value})
+		draft.size += len(value) + mutationOverheadBytes
 	}
-	if len(c.entries) == 0 {
-		c.entries = nil
+	if len(c.pendingEntries) == 0 {
+		c.pendingEntries = nil
 	}
 }
 
-// pack fills a record with lines of text, as many as surely fit into a value, and
+// fillText fills a record with lines of text, as many as surely fit into a value, and
 // returns their entries.
-func (c *Committer) pack(rec *record) []Entry {
+func (c *Committer) fillText(record *logRecord) []Entry {
 	const envelope = 64 // the record without its text
 	var text strings.Builder
-	last, n, size := "", 0, envelope
-	for _, e := range c.entries {
-		group, line := e.Text()
-		add := len(line) + 1
-		if group != last {
-			add += len(group) + 2 // the end of a line takes two bytes in JSON
+	lastGroup, count, size := "", 0, envelope
+	for _, e := range c.pendingEntries {
+		group, line := e.TextLine()
+		added := len(line) + 1
+		if group != lastGroup {
+			added += len(group) + 2 // the end of a line takes two bytes in JSON
 		}
-		if n > 0 && size+add > c.limits.ValueBytes {
+		if count > 0 && size+added > c.limits.MaxValueBytes {
 			break
 		}
-		if group != last {
-			if n > 0 {
+		if group != lastGroup {
+			if count > 0 {
 				text.WriteByte('\n')
 			}
 			text.WriteString(group)
-			last = group
+			lastGroup = group
 		}
 		text.WriteByte(' ')
 		text.WriteString(line)
-		size += add
-		n++
+		size += added
+		count++
 	}
-	rec.Text = text.String()
-	return c.entries[:n]
+	record.Text = text.String()
+	return c.pendingEntries[:count]
 }
 
-// Unpack calls f for each line of a record's text.
-func Unpack(text string, f func(group, line string) error) error {
+// ParseText calls f for each line of a record's text.
+func ParseText(text string, visit func(group, line string) error) error {
 	for len(text) > 0 {
-		var row string
-		row, text, _ = strings.Cut(text, "\n")
-		group, rest, _ := strings.Cut(row, " ")
+		var groupLine string
+		groupLine, text, _ = strings.Cut(text, "\n")
+		group, rest, _ := strings.Cut(groupLine, " ")
 		for len(rest) > 0 {
 			var line string
 			line, rest, _ = strings.Cut(rest, " ")
-			if err := f(group, line); err != nil {
+			if err := visit(group, line); err != nil {
 				return err
 			}
 		}
@@ -125,44 +125,44 @@
 	return nil
 }
 
-// addDocs adds documents from the front of a queue as far as the limits allow,
+// addDocuments adds documents from the front of a queue as far as the limits allow,
 // and returns the rest of it.
-func (c *Committer) addDocs(b *draft, queue []*Doc, u urgency) []*Doc {
-	n := 0
+func (c *Committer) addDocuments(draft *txnDraft, queue []*Document, u urgency) []*Document {
+	taken := 0
 	for _, d := range queue {
-		if d.queued != u || d.state != dirty {
-			n++ // went with the other queue
+		if d.queuedAs != u || d.state != dirty {
+			taken++ // went with the other queue
 			continue
 		}
-		var own []statesvc.Change
+		var mutations []statesvc.Mutation
 		value := d.Render()
 		if value == nil {
-			if d.Stamp != 0 {
-				own = append(own, statesvc.Change{Delete: d.Path})
+			if d.Revision != 0 {
+				mutations = append(mutations, statesvc.Mutation{Delete: d.Key})
 			}
 		} else {
-			own = append(own, statesvc.Change{Put: d.Path, Value: value})
+			mutations = append(mutations, statesvc.Mutation{Put: d.Key, Value: value})
 		}
-		if d.Also != nil {
-			own = append(own, d.Also()...)
+		if d.ExtraMutations != nil {
+			mutations = append(mutations, d.ExtraMutations()...)
 		}
-		add := len(value) + perChange*len(own)
-		if len(b.changes) > 0 && (len(b.changes)+len(own) > c.limits.Ops || b.size+add > maxBytes ||
-			float64(len(b.changes)+len(own)) > c.tokens || len(b.conds)+len(d.Absent)+1 > 4*c.limits.Ops) {
+		added := len(value) + mutationOverheadBytes*len(mutations)
+		if len(draft.mutations) > 0 && (len(draft.mutations)+len(mutations) > c.limits.MutationsPerTxn || draft.size+added > maxTxnBytes ||
+			float64(len(draft.mutations)+len(mutations)) > c.rateTokens || len(draft.compares)+len(d.MustNotExist)+1 > 4*c.limits.MutationsPerTxn) {
 			break
 		}
-		n++
-		b.size += add
-		b.conds = append(b.conds, statesvc.Cond{Path: d.Path, Stamp: d.Stamp})
-		for _, p := range d.Absent {
-			b.conds = append(b.conds, statesvc.Cond{Path: p})
+		taken++
+		draft.size += added
+		draft.compares = append(draft.compares, statesvc.Compare{Key: d.Key, Revision: d.Revision})
+		for _, key := range d.MustNotExist {
+			draft.compares = append(draft.compares, statesvc.Compare{Key: key})
 		}
-		b.changes = append(b.changes, own...)
-		d.riding, d.waiting = d.waiting, nil
-		d.rendered = c.LSN()
-		d.queued = unqueued
-		d.to(flying)
-		b.t.docs = append(b.t.docs, d)
+		draft.mutations = append(draft.mutations, mutations...)
+		d.inFlightCallbacks, d.pendingCallbacks = d.pendingCallbacks, nil
+		d.renderedLSN = c.LSN()
+		d.queuedAs = notQueued
+		d.setState(inFlight)
+		draft.txn.documents = append(draft.txn.documents, d)
 	}
-	return append(queue[:0], queue[n:]...)
+	return append(queue[:0], queue[taken:]...)
 }
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -18,187 +18,189 @@
 
 // Port is what the committer needs of the world.
 type Port interface {
-	Now() ident.Mono
+	Now() ident.MonotonicTime
 	After(time.Duration, func())
-	State(statesvc.Request, func(statesvc.Reply))
+	Store(statesvc.Request, func(statesvc.Response))
 }
 
 // Limits are those of the state service, already reduced by what other requests
 // need.
 type Limits struct {
-	Ops        int     // puts and deletes in a transaction
-	PerSecond  float64 // puts and deletes a second
-	ValueBytes int     // of a value
+	MutationsPerTxn    int     // puts and deletes in a transaction
+	MutationsPerSecond float64 // puts and deletes a second
+	MaxValueBytes      int     // of a value
 }
 
-// Within returns the smaller of both for each.
-func (l Limits) Within(o Limits) Limits {
-	return Limits{Ops: min(l.Ops, o.Ops), PerSecond: min(l.PerSecond, o.PerSecond), ValueBytes: min(l.ValueBytes, o.ValueBytes)}
+// Min returns the smaller of both for each.
+func (l Limits) Min(other Limits) Limits {
+	return Limits{MutationsPerTxn: min(l.MutationsPerTxn, other.MutationsPerTxn), MutationsPerSecond: min(l.MutationsPerSecond, other.MutationsPerSecond), MaxValueBytes: min(l.MaxValueBytes, other.MaxValueBytes)}
 }
 
 const (
-	maxOpen   = 3       // transactions whose outcome is open
-	maxLog    = 2       // records of the log in a transaction
-	logShare  = 0.25    // part of the puts that records may take
-	textShare = 0.5     // and in the log's own format: jobs' own keys are then put only as they come and go
-	logLength = 200     // records kept before documents are put to free them
-	logBytes  = 2 << 20 // or so much of them, in the log's own format
-	lineGuess = 24      // bytes of such a line
-	minValue  = 256     // a record is not made smaller than that, whatever the service says
-	// maxStrikes is how many refusals in a row are answered at once with smaller pieces,
-	// and maxReject how long the pauses between more of them become.
-	maxStrikes = 20
-	maxReject  = time.Minute
-	maxBytes   = 48 << 10 // of a transaction, below the service's 64 KiB
-	perChange  = 200      // bytes around a value
-	firstWait  = 100 * time.Millisecond
-	longWait   = time.Second
-	txnTime    = 1500 * time.Millisecond
+	maxOpenTxns         = 3       // transactions whose outcome is open
+	maxRecordsPerTxn    = 2       // records of the log in a transaction
+	jsonLogShare        = 0.25    // part of the puts that records may take
+	textLogShare        = 0.5     // and in the log's own format: jobs' own keys are then put only as they come and go
+	compactAfterRecords = 200     // records kept before documents are put to free them
+	compactAfterBytes   = 2 << 20 // or so much of them, in the log's own format
+	estimatedLineBytes  = 24      // bytes of such a line
+	minValueBytes       = 256     // a record is not made smaller than that, whatever the service says
+	// maxImmediateRejections is how many refusals in a row are answered at once with smaller pieces,
+	// and maxRejectionPause how long the pauses between more of them become.
+	maxImmediateRejections = 20
+	maxRejectionPause      = time.Minute
+	maxTxnBytes            = 48 << 10 // of a transaction, below the service's 64 KiB
+	mutationOverheadBytes  = 200      // bytes around a value
+	initialRetryDelay      = 100 * time.Millisecond
+	maxRetryDelay          = time.Second
+	txnTimeout             = 1500 * time.Millisecond
 )
 
 // Committer is the leader's only way to write. It lives for one term.
 type Committer struct {
-	port   Port
-	limits Limits
-	tight  Limits        // what the service may come to
-	text   bool          // the log is in its own format
-	leader statesvc.Cond // holds as long as we are the leader
-	onLost func(why string)
-
-	queue   []*Doc // urgent
-	lazy    []*Doc
-	open    int
-	tokens  float64
-	filled  ident.Mono
-	timer   bool
-	strikes int        // transactions refused in a row
-	paused  ident.Mono // nothing is sent earlier
-	dead    bool
-	quiet   bool // nothing new is sent
-	down    bool // the service refused or did not answer last time
-
-	entries []Entry            // changed, not yet in a record
-	then    map[Entry][]func() // to call when they are durable
-	lsn     uint64             // of the newest record
-	flying  map[uint64]bool    // records under way
-	logged  ident.Mono         // when it was built
-	slots   int                // keys of the log ever used
-	free    []*slot
-	used    []*slot // durable, oldest first, some of them free again
-	live    int     // those of them that are not
-	pinned  int     // entries that hold one
-
-	// OnDown is called when the service doesn't take a transaction.
-	OnDown func()
-
-	Txns, Puts, Repeats, Records, Rejected uint64
+	port           Port
+	limits         Limits
+	expectedLimits Limits           // what the service may come to
+	textFormat     bool             // the log is in its own format
+	leaderCompare  statesvc.Compare // holds as long as we are the leader
+	onTermLost     func(why string)
+
+	urgentQueue           []*Document // urgent
+	lazyQueue             []*Document
+	openTxns              int
+	rateTokens            float64
+	refilledAt            ident.MonotonicTime
+	flushScheduled        bool
+	consecutiveRejections int                 // transactions refused in a row
+	pausedUntil           ident.MonotonicTime // nothing is sent earlier
+	stopped               bool
+	quiesced              bool // nothing new is sent
+	unavailable           bool // the service refused or did not answer last time
+
+	pendingEntries []Entry             // changed, not yet in a record
+	entryCallbacks map[Entry][]func()  // to call when they are durable
+	lastLSN        uint64              // of the newest record
+	inFlightLSNs   map[uint64]bool     // records under way
+	lastRecordAt   ident.MonotonicTime // when it was built
+	slotCount      int                 // keys of the log ever used
+	freeSlots      []*logSlot
+	usedSlots      []*logSlot // durable, oldest first, some of them free again
+	liveSlots      int        // those of them that are not
+	pinnedEntries  int        // entries that hold one
+
+	// OnUnavailable is called when the service doesn't take a transaction.
+	OnUnavailable func()
+
+	Txns, Puts, Retries, LogRecords, Rejected uint64
 }
 
-// New makes the committer of a term. onLost is called when the leader key is not
+// New makes the committer of a term. onTermLost is called when the leader key is not
 // ours any more, or when the service contradicts what we know.
-func New(port Port, limits Limits, leader statesvc.Cond, onLost func(string)) *Committer {
-	return &Committer{port: port, limits: limits, tight: limits, leader: leader, onLost: onLost,
-		tokens: limits.PerSecond, filled: port.Now(), logged: port.Now().Add(-time.Hour), then: map[Entry][]func(){}, flying: map[uint64]bool{}}
+func New(port Port, limits Limits, leaderCompare statesvc.Compare, onTermLost func(string)) *Committer {
+	return &Committer{port: port, limits: limits, expectedLimits: limits, leaderCompare: leaderCompare, onTermLost: onTermLost,
+		rateTokens: limits.MutationsPerSecond, refilledAt: port.Now(), lastRecordAt: port.Now().Add(-time.Hour), entryCallbacks: map[Entry][]func(){}, inFlightLSNs: map[uint64]bool{}}
 }
 
-// Expect tells to which limits the service may come without notice.
-func (c *Committer) Expect(l Limits) { c.tight = c.limits.Within(l) }
+// ExpectLimits tells to which limits the service may come without notice.
+func (c *Committer) ExpectLimits(l Limits) { c.expectedLimits = c.limits.Min(l) }
 
-// Tighten keeps within those limits from now on, and says whether that is less.
-func (c *Committer) Tighten() bool {
-	was := c.limits
-	c.limits = c.limits.Within(c.tight)
-	c.tokens = min(c.tokens, c.limits.PerSecond)
-	return c.limits != was
+// TightenLimits keeps within those limits from now on, and says whether that is less.
+func (c *Committer) TightenLimits() bool {
+	before := c.limits
+	c.limits = c.limits.Min(c.expectedLimits)
+	c.rateTokens = min(c.rateTokens, c.limits.MutationsPerSecond)
+	return c.limits != before
 }
 
-// Pack has the log written in its own format from now on, within the tight limits.
-func (c *Committer) Pack() {
-	c.text = true
-	c.Tighten()
+// UseTextFormat has the log written in its own format from now on, within the tight limits.
+func (c *Committer) UseTextFormat() {
+	c.textFormat = true
+	c.TightenLimits()
 }
 
-// Spare says whether there are puts left for what may wait.
-func (c *Committer) Spare() bool { return len(c.queue)+len(c.entries) == 0 && c.spare() }
+// HasSpareCapacity says whether there are puts left for what may wait.
+func (c *Committer) HasSpareCapacity() bool {
+	return len(c.urgentQueue)+len(c.pendingEntries) == 0 && c.hasSpareTokens()
+}
 
 // Quiesce has nothing new sent from now on; what is under way is still settled.
-func (c *Committer) Quiesce() { c.quiet = true }
+func (c *Committer) Quiesce() { c.quiesced = true }
 
-// Settled says whether no transaction is under way.
-func (c *Committer) Settled() bool { return c.open == 0 }
+// Drained says whether no transaction is under way.
+func (c *Committer) Drained() bool { return c.openTxns == 0 }
 
 // Stop ends the committer; nothing of it is called any more.
-func (c *Committer) Stop() { c.dead = true }
+func (c *Committer) Stop() { c.stopped = true }
 
-// Down says whether the service did not take the last transaction.
-func (c *Committer) Down() bool { return c.down }
+// StoreUnavailable says whether the service did not take the last transaction.
+func (c *Committer) StoreUnavailable() bool { return c.unavailable }
 
 // Backlog is the number of urgent documents not yet carried out.
-func (c *Committer) Backlog() int { return len(c.queue) }
+func (c *Committer) Backlog() int { return len(c.urgentQueue) }
 
 // Flush sends what is queued, as far as the limits allow.
 func (c *Committer) Flush() {
-	for !c.dead && !c.quiet && c.open < maxOpen {
+	for !c.stopped && !c.quiesced && c.openTxns < maxOpenTxns {
 		now := c.port.Now()
-		if now < c.paused {
-			c.wake(c.paused.Sub(now))
+		if now < c.pausedUntil {
+			c.scheduleFlush(c.pausedUntil.Sub(now))
 			return
 		}
-		c.tokens = min(c.limits.PerSecond, c.tokens+c.limits.PerSecond*now.Sub(c.filled).Seconds())
-		c.filled = now
+		c.rateTokens = min(c.limits.MutationsPerSecond, c.rateTokens+c.limits.MutationsPerSecond*now.Sub(c.refilledAt).Seconds())
+		c.refilledAt = now
 		due, wait := c.due(now)
 		if !due {
 			if wait > 0 {
-				c.wake(wait)
+				c.scheduleFlush(wait)
 			}
 			return
 		}
-		if c.tokens < float64(min(c.limits.Ops, 4)) {
-			c.wake(50 * time.Millisecond)
+		if c.rateTokens < float64(min(c.limits.MutationsPerTxn, 4)) {
+			c.scheduleFlush(50 * time.Millisecond)
 			return
 		}
-		t := c.build()
+		t := c.buildTxn()
 		if t == nil {
 			return
 		}
-		c.tokens -= float64(len(t.req.Then))
+		c.rateTokens -= float64(len(t.request.Mutations))
 		c.send(t)
 	}
 }
 
 // due says whether a transaction should be sent now, else when to look again.
-func (c *Committer) due(now ident.Mono) (bool, time.Duration) {
-	if len(c.queue) > 0 {
+func (c *Committer) due(now ident.MonotonicTime) (bool, time.Duration) {
+	if len(c.urgentQueue) > 0 {
 		return true, 0
 	}
-	if len(c.entries) > 0 {
+	if len(c.pendingEntries) > 0 {
 		// Records are paced, so that puts are left for documents; what comes
 		// meanwhile goes into the same one.
-		share := logShare
-		if c.text {
-			share = textShare
+		share := jsonLogShare
+		if c.textFormat {
+			share = textLogShare
 		}
-		pace := time.Duration(float64(time.Second) / (share * c.limits.PerSecond))
-		wait := c.logged.Add(pace).Sub(now)
+		interval := time.Duration(float64(time.Second) / (share * c.limits.MutationsPerSecond))
+		wait := c.lastRecordAt.Add(interval).Sub(now)
 		return wait <= 0, wait
 	}
-	if len(c.lazy) > 0 {
-		return c.spare(), 100 * time.Millisecond
+	if len(c.lazyQueue) > 0 {
+		return c.hasSpareTokens(), 100 * time.Millisecond
 	}
 	return false, 0
 }
 
-// spare says whether there are puts left for what may wait.
-func (c *Committer) spare() bool { return c.tokens > c.limits.PerSecond/2 }
+// hasSpareTokens says whether there are puts left for what may wait.
+func (c *Committer) hasSpareTokens() bool { return c.rateTokens > c.limits.MutationsPerSecond/2 }
 
-// wake flushes again later.
-func (c *Committer) wake(d time.Duration) {
-	if c.timer {
+// scheduleFlush flushes again later.
+func (c *Committer) scheduleFlush(d time.Duration) {
+	if c.flushScheduled {
 		return
 	}
-	c.timer = true
+	c.flushScheduled = true
 	c.port.After(d, func() {
-		c.timer = false
+		c.flushScheduled = false
 		c.Flush()
 	})
 }
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -14,65 +14,65 @@
 	"opaldale/internal/statetest"
 )
 
-// flaky is a state service whose answers get lost and whose requests are carried
+// flakyStore is a state service whose answers get lost and whose requests are carried
 // out late, or twice.
-type flaky struct {
+type flakyStore struct {
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Duration
-	events []timed
-	*statetest.Store
+	events []scheduledEvent
+	*statetest.MemoryStore
 	puts map[string][]string // the values each key went through
 }
 
-type timed struct {
+type scheduledEvent struct {
 	at  time.Duration
 	run func()
 }
 
-func (f *flaky) Now() ident.Mono { return ident.Mono(f.now) }
+func (f *flakyStore) Now() ident.MonotonicTime { return ident.MonotonicTime(f.now) }
 
-func (f *flaky) After(d time.Duration, run func()) {
-	f.events = append(f.events, timed{f.now + d, run})
+func (f *flakyStore) After(d time.Duration, run func()) {
+	f.events = append(f.events, scheduledEvent{f.now + d, run})
 }
 
-func (f *flaky) State(r statesvc.Request, done func(statesvc.Reply)) {
-	answer := func(a statesvc.Reply) { f.After(time.Millisecond, func() { done(a) }) }
+func (f *flakyStore) Store(r statesvc.Request, done func(statesvc.Response)) {
+	answer := func(a statesvc.Response) { f.After(time.Millisecond, func() { done(a) }) }
 	switch f.rng.IntN(5) {
 	case 0: // never carried out
-		answer(statesvc.Reply{Outcome: statesvc.Lost})
+		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
 	case 1: // carried out now, the answer lost
 		f.serve(r)
-		answer(statesvc.Reply{Outcome: statesvc.Lost})
+		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
 	case 2: // carried out later
 		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
-		answer(statesvc.Reply{Outcome: statesvc.Lost})
+		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
 	case 3:
-		answer(statesvc.Reply{Outcome: statesvc.Refused})
+		answer(statesvc.Response{Outcome: statesvc.Unavailable})
 	default:
 		answer(f.serve(r))
 	}
 }
 
-func (f *flaky) serve(r statesvc.Request) statesvc.Reply {
+func (f *flakyStore) serve(r statesvc.Request) statesvc.Response {
 	if r.Op == statesvc.Get {
-		return f.Get(r.Path)
+		return f.Get(r.Key)
 	}
-	if failed := f.Failed(r.If); failed != nil {
-		return statesvc.Reply{Outcome: statesvc.Conflict, Failed: failed}
+	if failed := f.FailedKeys(r.Compares); failed != nil {
+		return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: failed}
 	}
-	if len(r.Then) > 8 {
-		f.t.Errorf("%d changes in a transaction", len(r.Then))
+	if len(r.Mutations) > 8 {
+		f.t.Errorf("%d changes in a transaction", len(r.Mutations))
 	}
-	for _, c := range r.Then {
+	for _, c := range r.Mutations {
 		if c.Put != "" {
 			f.puts[c.Put] = append(f.puts[c.Put], string(c.Value))
 		}
 	}
-	return f.Apply(r.Then)
+	return f.Apply(r.Mutations)
 }
 
-func (f *flaky) run(limit time.Duration) {
+func (f *flakyStore) run(limit time.Duration) {
 	for len(f.events) > 0 {
 		n := 0
 		for i, e := range f.events {
@@ -95,26 +95,26 @@
 // called once.
 func TestAtMostOnce(t *testing.T) {
 	for seed := range uint64(60) {
-		f := &flaky{t: t, rng: rand.New(rand.NewPCG(seed, 1)), Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{Ops: 8, PerSecond: 100, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		called := map[string]int{}
 		values := make([]int, 12)
-		docs := make([]*Doc, 12)
+		docs := make([]*Document, 12)
 		for i := range docs {
-			docs[i] = &Doc{Path: fmt.Sprintf("d/%d", i), Render: func() json.RawMessage { return json.RawMessage(fmt.Sprint(values[i])) }}
+			docs[i] = &Document{Key: fmt.Sprintf("d/%d", i), Render: func() json.RawMessage { return json.RawMessage(fmt.Sprint(values[i])) }}
 		}
 		for step := 1; step <= 100; step++ {
 			f.After(time.Duration(f.rng.IntN(20_000))*time.Millisecond, func() {
 				i := f.rng.IntN(len(docs))
 				values[i]++
 				v := values[i]
-				c.Mark(docs[i], func() {
+				c.MarkDirty(docs[i], func() {
 					called[fmt.Sprint(i, "/", v)]++
 					var have int
-					json.Unmarshal(f.Keys[docs[i].Path].Value, &have)
+					json.Unmarshal(f.Keys[docs[i].Key].Value, &have)
 					if have < v {
-						t.Errorf("seed %d: %s is called durable at %d, is %d", seed, docs[i].Path, v, have)
+						t.Errorf("seed %d: %s is called durable at %d, is %d", seed, docs[i].Key, v, have)
 					}
 				})
 				c.Flush()
@@ -122,34 +122,34 @@
 		}
 		f.run(10 * time.Minute)
 		for i, d := range docs {
-			if got := string(f.Keys[d.Path].Value); values[i] > 0 && got != fmt.Sprint(values[i]) {
-				t.Errorf("seed %d: %s ends as %s, want %d", seed, d.Path, got, values[i])
+			if got := string(f.Keys[d.Key].Value); values[i] > 0 && got != fmt.Sprint(values[i]) {
+				t.Errorf("seed %d: %s ends as %s, want %d", seed, d.Key, got, values[i])
 			}
-			if d.Stamp != f.Keys[d.Path].Stamp || !d.Idle() {
-				t.Errorf("seed %d: %s: stamp %d, is %d", seed, d.Path, d.Stamp, f.Keys[d.Path].Stamp)
+			if d.Revision != f.Keys[d.Key].Revision || !d.Idle() {
+				t.Errorf("seed %d: %s: stamp %d, is %d", seed, d.Key, d.Revision, f.Keys[d.Key].Revision)
 			}
 			last := 0
-			for _, p := range f.puts[d.Path] {
+			for _, p := range f.puts[d.Key] {
 				var v int
 				json.Unmarshal([]byte(p), &v)
 				if v <= last {
-					t.Errorf("seed %d: %s goes through %v", seed, d.Path, f.puts[d.Path])
+					t.Errorf("seed %d: %s goes through %v", seed, d.Key, f.puts[d.Key])
 				}
 				last = v
 			}
 			for v := 1; v <= values[i]; v++ {
 				if n := called[fmt.Sprint(i, "/", v)]; n != 1 {
-					t.Errorf("seed %d: %d of %s called %d times", seed, v, d.Path, n)
+					t.Errorf("seed %d: %d of %s called %d times", seed, v, d.Key, n)
 				}
 			}
 		}
 	}
 }
 
-// steady carries everything out at once.
-type steady struct{ *flaky }
+// reliableStore carries everything out at once.
+type reliableStore struct{ *flakyStore }
 
-func (s steady) State(r statesvc.Request, done func(statesvc.Reply)) {
+func (s reliableStore) Store(r statesvc.Request, done func(statesvc.Response)) {
 	a := s.serve(r)
 	s.After(time.Millisecond, func() { done(a) })
 }
@@ -157,10 +157,10 @@
 // TestOtherLeader: once the leader key has changed nothing is written, and the
 // term ends.
 func TestOtherLeader(t *testing.T) {
-	f := steady{&flaky{t: t, Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 5}), puts: map[string][]string{}}}
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
 	lost := 0
-	c := New(f, Limits{Ops: 8, PerSecond: 100, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(string) { lost++ })
-	c.Mark(&Doc{Path: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) { lost++ })
+	c.MarkDirty(&Document{Key: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
 	c.Flush()
 	f.run(time.Minute)
 	if lost != 1 || len(f.puts) != 0 {
@@ -171,12 +171,12 @@
 // TestExists: a key that must be absent fails its own document alone; the others
 // of the transaction are written.
 func TestExists(t *testing.T) {
-	f := steady{&flaky{t: t, Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}, statesvc.Pair{Path: "over/1", Stamp: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{Ops: 8, PerSecond: 100, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Error(why) })
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}, statesvc.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	exists, stored := 0, 0
-	one := func() json.RawMessage { return json.RawMessage("1") }
-	c.Mark(&Doc{Path: "live/1", Render: one, Absent: []string{"over/1"}, Exists: func() { exists++ }}, func() { t.Error("called durable") })
-	c.Mark(&Doc{Path: "live/2", Render: one, Absent: []string{"over/2"}}, func() { stored++ })
+	render := func() json.RawMessage { return json.RawMessage("1") }
+	c.MarkDirty(&Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}, func() { t.Error("called durable") })
+	c.MarkDirty(&Document{Key: "live/2", Render: render, MustNotExist: []string{"over/2"}}, func() { stored++ })
 	c.Flush()
 	f.run(time.Minute)
 	if exists != 1 || stored != 1 {
@@ -184,23 +184,23 @@
 	}
 }
 
-// part is one value of a document that has several.
-type part struct {
-	home  *Doc
-	n     int
-	value int
-	pin   Pin
+// testEntry is one value of a document that has several.
+type testEntry struct {
+	document *Document
+	index    int
+	value    int
+	pin      Pin
 }
 
-type partLine struct {
+type testLine struct {
 	Doc, N, Value int
 }
 
-func (p *part) Line() any  { return partLine{int(p.home.Path[2] - '0'), p.n, p.value} }
-func (p *part) Home() *Doc { return p.home }
-func (p *part) Pin() *Pin  { return &p.pin }
-func (p *part) Text() (group, line string) {
-	return p.home.Path, fmt.Sprint(p.n, ",", p.value)
+func (p *testEntry) JSONLine() any       { return testLine{int(p.document.Key[2] - '0'), p.index, p.value} }
+func (p *testEntry) Document() *Document { return p.document }
+func (p *testEntry) Pin() *Pin           { return &p.pin }
+func (p *testEntry) TextLine() (group, line string) {
+	return p.document.Key, fmt.Sprint(p.index, ",", p.value)
 }
 
 // TestLog: what is durable of a document's parts is what the document, as last
@@ -213,15 +213,15 @@
 		Values [parts]int
 	}
 	for seed := range uint64(5) {
-		f := &flaky{t: t, rng: rand.New(rand.NewPCG(seed, 2)), Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{Ops: 8, PerSecond: 100, ValueBytes: 1024}, statesvc.Cond{Path: "leader", Stamp: 1},
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
-		var all [docs][parts]*part
+		var all [docs][parts]*testEntry
 		for d := range docs {
-			doc := &Doc{Path: fmt.Sprintf("d/%d", d)}
+			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
 			for n := range parts {
-				all[d][n] = &part{home: doc, n: n}
+				all[d][n] = &testEntry{document: doc, index: n}
 			}
 			doc.Render = func() json.RawMessage {
 				w := whole{LSN: c.LSN()}
@@ -238,7 +238,7 @@
 			}
 			type rec struct {
 				N uint64
-				L []partLine
+				L []testLine
 			}
 			var recs []rec
 			for k, p := range f.Keys {
@@ -267,12 +267,12 @@
 				v := p.value
 				c.Append(p, func() {
 					called++
-					if have, _ := load(); have[p.home.Path[2]-'0'].Values[p.n] < v {
-						t.Errorf("seed %d: %s/%d is called durable at %d, is %v", seed, p.home.Path, p.n, v, have)
+					if have, _ := load(); have[p.document.Key[2]-'0'].Values[p.index] < v {
+						t.Errorf("seed %d: %s/%d is called durable at %d, is %v", seed, p.document.Key, p.index, v, have)
 					}
 				})
 				if f.rng.IntN(20) == 0 {
-					c.Mark(p.home, nil)
+					c.MarkDirty(p.document, nil)
 				}
 				c.Flush()
 			})
@@ -286,7 +286,7 @@
 				}
 			}
 		}
-		if called != steps || records > 2*logLength {
+		if called != steps || records > 2*compactAfterRecords {
 			t.Errorf("seed %d: %d of %d called back, %d records are left", seed, called, steps, records)
 		}
 	}
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -17,22 +17,22 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
-	r.Queue.State(q, f)
+	r.Queue.Store(q, f)
 }
 
 // goldenEntry is a small part of a document.
 type goldenEntry struct {
-	home        *Doc
+	home        *Document
 	group, line string
 	pin         Pin
 }
 
-func (e *goldenEntry) Line() any              { return map[string]string{e.group: e.line} }
-func (e *goldenEntry) Home() *Doc             { return e.home }
-func (e *goldenEntry) Text() (string, string) { return e.group, e.line }
-func (e *goldenEntry) Pin() *Pin              { return &e.pin }
+func (e *goldenEntry) JSONLine() any              { return map[string]string{e.group: e.line} }
+func (e *goldenEntry) Document() *Document        { return e.home }
+func (e *goldenEntry) TextLine() (string, string) { return e.group, e.line }
+func (e *goldenEntry) Pin() *Pin                  { return &e.pin }
 
 // TestGoldenTransactions pins the transactions in which documents and records of the log are
 // written, in either format of the log.
@@ -40,23 +40,23 @@
 	var d golden.Document
 	for _, packed := range []bool{false, true} {
 		r := &recorder{Queue: statetest.NewQueue(statetest.New())}
-		r.Ledger = 100
-		c := New(r, Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 17}, func(why string) { t.Error(why) })
+		r.Revision = 100
+		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 17}, func(why string) { t.Error(why) })
 		if packed {
-			c.Pack()
+			c.UseTextFormat()
 		}
 		settle := func() {
 			c.Flush()
 			r.Run()
 		}
 		value := json.RawMessage(`{"first":1}`)
-		first := &Doc{Path: "docs/1", Absent: []string{"over/1"}, Render: func() json.RawMessage { return value }}
-		second := &Doc{Path: "docs/2", Stamp: 23, Render: func() json.RawMessage { return nil }}
-		second.Also = func() []statesvc.Change {
-			return []statesvc.Change{{Put: "over/2", Value: json.RawMessage(`"second"`)}}
+		first := &Document{Key: "docs/1", MustNotExist: []string{"over/1"}, Render: func() json.RawMessage { return value }}
+		second := &Document{Key: "docs/2", Revision: 23, Render: func() json.RawMessage { return nil }}
+		second.ExtraMutations = func() []statesvc.Mutation {
+			return []statesvc.Mutation{{Put: "over/2", Value: json.RawMessage(`"second"`)}}
 		}
-		c.Mark(first, nil)
-		c.Mark(second, nil)
+		c.MarkDirty(first, nil)
+		c.MarkDirty(second, nil)
 		settle()
 		entries := []*goldenEntry{{home: first, group: "a", line: "0,1"}, {home: first, group: "a", line: "1,2,+"}, {home: first, group: "b", line: "2,3,host,4"}}
 		for _, e := range entries {
@@ -66,10 +66,10 @@
 		c.Append(entries[1], nil)
 		settle()
 		value = json.RawMessage(`{"first":2}`)
-		c.Mark(first, nil)
+		c.MarkDirty(first, nil)
 		settle()
 		d.Add(fmt.Sprintf("packed %v", packed), r.requests.String())
 	}
-	d.JSON(t, "record of the log", golden.Filled[record](0))
+	d.JSON(t, "record of the log", golden.Filled[logRecord](0))
 	d.Compare(t, "transactions")
 }
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -12,28 +12,28 @@
 	"opaldale/internal/statetest"
 )
 
-// stingy is a flaky state service that refuses what is too large, from some moment on,
+// limitedStore is a flaky state service that refuses what is too large, from some moment on,
 // and now and then answers that the rate is too high.
-type stingy struct {
-	*flaky
-	ops, value int
-	from       time.Duration
-	rejected   int
+type limitedStore struct {
+	*flakyStore
+	maxMutations, maxValueBytes int
+	enforcedFrom                time.Duration
+	rejected                    int
 }
 
-func (s *stingy) State(r statesvc.Request, done func(statesvc.Reply)) {
-	large := len(r.Then) > s.ops
-	for _, c := range r.Then {
-		large = large || len(c.Value) > s.value
+func (s *limitedStore) Store(r statesvc.Request, done func(statesvc.Response)) {
+	large := len(r.Mutations) > s.maxMutations
+	for _, c := range r.Mutations {
+		large = large || len(c.Value) > s.maxValueBytes
 	}
 	switch {
 	case r.Op == statesvc.Txn && s.rng.IntN(20) == 0:
-		s.After(time.Millisecond, func() { done(statesvc.Reply{Outcome: statesvc.Limited}) })
-	case r.Op == statesvc.Txn && s.now >= s.from && large:
+		s.After(time.Millisecond, func() { done(statesvc.Response{Outcome: statesvc.RateLimited}) })
+	case r.Op == statesvc.Txn && s.now >= s.enforcedFrom && large:
 		s.rejected++
-		s.After(time.Millisecond, func() { done(statesvc.Reply{Outcome: statesvc.Bad, Error: "too large"}) })
+		s.After(time.Millisecond, func() { done(statesvc.Response{Outcome: statesvc.Invalid, Error: "too large"}) })
 	default:
-		s.flaky.State(r, done)
+		s.flakyStore.Store(r, done)
 	}
 }
 
@@ -42,23 +42,23 @@
 // the next limits announced or not. What came before a 400 may still be carried out.
 func TestLowerLimits(t *testing.T) {
 	for seed := range uint64(40) {
-		f := &stingy{flaky: &flaky{t: t, rng: rand.New(rand.NewPCG(seed, 3)), Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}),
-			puts: map[string][]string{}}, ops: 2, value: 400, from: 10 * time.Second}
-		c := New(f, Limits{Ops: 8, PerSecond: 100, ValueBytes: 4096}, statesvc.Cond{Path: "leader", Stamp: 1},
+		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
+			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
-		c.text = true
+		c.textFormat = true
 		if seed%2 == 0 {
-			c.Expect(Limits{Ops: 2, PerSecond: 50, ValueBytes: 400})
+			c.ExpectLimits(Limits{MutationsPerTxn: 2, MutationsPerSecond: 50, MaxValueBytes: 400})
 		}
 		const docs, parts = 6, 10
 		values := make([]int, docs)
-		var all [docs][parts]*part
-		var list [docs]*Doc
+		var all [docs][parts]*testEntry
+		var list [docs]*Document
 		for d := range docs {
-			list[d] = &Doc{Path: fmt.Sprintf("d/%d", d), Absent: []string{fmt.Sprintf("x/%d", d)}}
+			list[d] = &Document{Key: fmt.Sprintf("d/%d", d), MustNotExist: []string{fmt.Sprintf("x/%d", d)}}
 			list[d].Render = func() json.RawMessage { return json.RawMessage(fmt.Sprint(values[d])) }
 			for n := range parts {
-				all[d][n] = &part{home: list[d], n: n}
+				all[d][n] = &testEntry{document: list[d], index: n}
 			}
 		}
 		want, called := 0, 0
@@ -68,7 +68,7 @@
 				want++
 				if f.rng.IntN(3) == 0 {
 					values[d]++
-					c.Mark(list[d], func() { called++ })
+					c.MarkDirty(list[d], func() { called++ })
 				} else {
 					p := all[d][f.rng.IntN(parts)]
 					p.value++
@@ -84,14 +84,14 @@
 		if seed%2 == 1 && f.rejected == 0 { // else the first 429 is warning enough
 			t.Errorf("seed %d: nothing was refused: the test shows nothing", seed)
 		}
-		got := readText(f.flaky)
+		got := readText(f.flakyStore)
 		for d := range docs {
-			if s := string(f.Keys[list[d].Path].Value); values[d] > 0 && s != fmt.Sprint(values[d]) {
-				t.Errorf("seed %d: %s ends as %s, want %d", seed, list[d].Path, s, values[d])
+			if s := string(f.Keys[list[d].Key].Value); values[d] > 0 && s != fmt.Sprint(values[d]) {
+				t.Errorf("seed %d: %s ends as %s, want %d", seed, list[d].Key, s, values[d])
 			}
 			for n, p := range all[d] {
-				if have := got[fmt.Sprintf("%s %d", list[d].Path, n)]; p.value > 0 && have != p.value {
-					t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, list[d].Path, n, have, p.value)
+				if have := got[fmt.Sprintf("%s %d", list[d].Key, n)]; p.value > 0 && have != p.value {
+					t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, list[d].Key, n, have, p.value)
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 }
 
 // readText is what the records of the log say, the newest of each line.
-func readText(f *flaky) map[string]int {
+func readText(f *flakyStore) map[string]int {
 	type rec struct {
 		N uint64 `json:"n"`
 		T string `json:"t"`
@@ -110,7 +110,7 @@
 		if !strings.HasPrefix(k, LogPrefix) || json.Unmarshal(p.Value, &r) != nil {
 			continue
 		}
-		Unpack(r.T, func(group, line string) error {
+		ParseText(r.T, func(group, line string) error {
 			var n, v int
 			fmt.Sscanf(line, "%d,%d", &n, &v)
 			key := fmt.Sprintf("%s %d", group, n)
@@ -128,23 +128,23 @@
 // entries that are released hold nothing.
 func TestPackedLog(t *testing.T) {
 	for seed := range uint64(2) {
-		f := &flaky{t: t, rng: rand.New(rand.NewPCG(seed, 4)), Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{Ops: 8, PerSecond: 200, ValueBytes: 256}, statesvc.Cond{Path: "leader", Stamp: 1},
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
-		c.Pack()
-		var all []*part
+		c.UseTextFormat()
+		var all []*testEntry
 		for d := range 40 {
-			doc := &Doc{Path: fmt.Sprintf("d/%d", d)}
+			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
 			for n := range 30 {
-				all = append(all, &part{home: doc, n: n})
+				all = append(all, &testEntry{document: doc, index: n})
 			}
 		}
 		for range 4000 {
 			f.After(time.Duration(f.rng.IntN(100_000))*time.Millisecond, func() {
 				p := all[f.rng.IntN(len(all))]
 				p.value++
-				v, key := p.value, fmt.Sprintf("%s %d", p.home.Path, p.n)
+				v, key := p.value, fmt.Sprintf("%s %d", p.document.Key, p.index)
 				c.Append(p, func() {
 					if v%4 > 0 {
 						return
@@ -159,19 +159,19 @@
 		f.run(10 * time.Minute)
 		got := readText(f)
 		for _, p := range all {
-			if have := got[fmt.Sprintf("%s %d", p.home.Path, p.n)]; have != p.value {
-				t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, p.home.Path, p.n, have, p.value)
+			if have := got[fmt.Sprintf("%s %d", p.document.Key, p.index)]; have != p.value {
+				t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, p.document.Key, p.index, have, p.value)
 			}
 			if p.value > 0 && !p.pin.Held() {
-				t.Errorf("seed %d: nothing holds the line of %s/%d", seed, p.home.Path, p.n)
+				t.Errorf("seed %d: nothing holds the line of %s/%d", seed, p.document.Key, p.index)
 			}
 		}
-		held := c.live
+		held := c.liveSlots
 		for _, p := range all {
 			c.Release(&p.pin)
 		}
-		if c.live != 0 || held == 0 || c.pinned != 0 {
-			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.live)
+		if c.liveSlots != 0 || held == 0 || c.pinnedEntries != 0 {
+			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.liveSlots)
 		}
 		for k, p := range f.Keys {
 			if len(p.Value) > 256 {
@@ -181,21 +181,21 @@
 	}
 }
 
-// TestLongLogIsWrittenAnew: records of which little is still held don't pile up.
-func TestLongLogIsWrittenAnew(t *testing.T) {
-	f := steady{&flaky{t: t, Store: statetest.New(statesvc.Pair{Path: "leader", Stamp: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{Ops: 8, PerSecond: 2000, ValueBytes: 1 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Error(why) })
-	c.Pack()
+// TestLongLogIsCompacted: records of which little is still held don't pile up.
+func TestLongLogIsCompacted(t *testing.T) {
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
-	var still []*part // each in a record of its own, among others that change again and again
-	busy := make([]*part, 60)
+	var idle []*testEntry // each in a record of its own, among others that change again and again
+	busy := make([]*testEntry, 60)
 	for i := range busy {
-		busy[i] = &part{home: &Doc{Path: "d/0"}, n: i}
+		busy[i] = &testEntry{document: &Document{Key: "d/0"}, index: i}
 	}
-	most := max(logLength, logBytes/(1<<10))
-	for i := range 2*most + 50 {
-		p := &part{home: &Doc{Path: "d/1"}, n: i}
-		still = append(still, p)
+	maxRecords := max(compactAfterRecords, compactAfterBytes/(1<<10))
+	for i := range 2*maxRecords + 50 {
+		p := &testEntry{document: &Document{Key: "d/1"}, index: i}
+		idle = append(idle, p)
 		c.Append(p, nil)
 		for _, k := range rng.Perm(len(busy))[:30] {
 			c.Append(busy[k], nil)
@@ -204,12 +204,12 @@
 		f.run(f.now + 20*time.Millisecond)
 	}
 	f.run(f.now + time.Minute)
-	if c.live > most+20 {
-		t.Errorf("%d records are held, for %d lines", c.live, c.pinned)
+	if c.liveSlots > maxRecords+20 {
+		t.Errorf("%d records are held, for %d lines", c.liveSlots, c.pinnedEntries)
 	}
-	for _, p := range still {
+	for _, p := range idle {
 		if !p.pin.Held() {
-			t.Fatalf("the line of %d is in no record", p.n)
+			t.Fatalf("the line of %d is in no record", p.index)
 		}
 	}
 }
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -11,49 +11,49 @@
 
 // Entry is something small of a document whose changes go to the log.
 type Entry interface {
-	// Line is its present content, and Home the document that it is part of; both are of
+	// JSONLine is its present content, and Home the document that it is part of; both are of
 	// the first format, as are slots' homes, keep, cover and fold.
-	Line() any
-	Home() *Doc
-	// Text is its present content in the log's own format, beside the name that
+	JSONLine() any
+	Document() *Document
+	// TextLine is its present content in the log's own format, beside the name that
 	// lines of one group share; neither has a space in it.
-	Text() (group, line string)
+	TextLine() (group, line string)
 	// Pin is the entry's hold on the record with its newest line.
 	Pin() *Pin
 }
 
 // Pin is an entry's hold on a record of the log.
 type Pin struct {
-	slot *slot
-	gone bool // the entry needs no line any more
+	slot     *logSlot
+	released bool // the entry needs no line any more
 }
 
 // Held says whether a durable record holds the entry's newest content.
 func (p *Pin) Held() bool { return p.slot != nil }
 
-// LineBytes bounds a line in JSON, comma included.
-const LineBytes = 130
+// MaxLineBytes bounds a line in JSON, comma included.
+const MaxLineBytes = 130
 
 // LogPrefix is where the records of the log are.
 const LogPrefix = "log/"
 
-// record is the value of a slot of the log.
-type record struct {
+// logRecord is the value of a slot of the log.
+type logRecord struct {
 	LSN   uint64 `json:"n"`
 	Lines []any  `json:"l,omitempty"`
 	Text  string `json:"t,omitempty"` // a line for each group: its name, then its lines, with spaces between
 }
 
-// slot is a key of the log.
-type slot struct {
-	path    string
-	stamp   ident.Stamp
-	lsn     uint64
-	left    int     // documents that have not taken over their lines, or entries whose newest line it has
-	homes   []*Doc  // of its lines
-	entries []Entry // that held it when it was written
-	folding bool    // they are being written once more
-	doubt   bool    // as in Doc
+// logSlot is a key of the log.
+type logSlot struct {
+	key        string
+	revision   ident.Revision
+	lsn        uint64
+	references int         // documents that have not taken over their lines, or entries whose newest line it has
+	documents  []*Document // of its lines
+	entries    []Entry     // that held it when it was written
+	rewriting  bool        // they are being written once more
+	uncertain  bool        // as in Doc
 }
 
 // LSN is the number of the newest record of the log up to which all are durable: for
@@ -61,187 +61,187 @@
 // the newest one under way. When that never came to be, but such a document did, the
 // next term gave the number out again, and the record's lines were passed over.)
 func (c *Committer) LSN() uint64 {
-	lsn := c.lsn
-	for n := range c.flying {
+	lsn := c.lastLSN
+	for n := range c.inFlightLSNs {
 		lsn = min(lsn, n-1)
 	}
 	return lsn
 }
 
-// Seen notes the number of a record that a document of an earlier term has taken over:
+// ObserveLSN notes the number of a record that a document of an earlier term has taken over:
 // no later record may have it or a lower one.
-func (c *Committer) Seen(lsn uint64) { c.lsn = max(c.lsn, lsn) }
+func (c *Committer) ObserveLSN(lsn uint64) { c.lastLSN = max(c.lastLSN, lsn) }
 
 // Append queues an entry's present content for the log; then is called once that,
 // or later content, is durable.
-func (c *Committer) Append(e Entry, then func()) {
-	fs, queued := c.then[e]
+func (c *Committer) Append(e Entry, onDurable func()) {
+	callbacks, queued := c.entryCallbacks[e]
 	if !queued {
-		c.entries = append(c.entries, e)
+		c.pendingEntries = append(c.pendingEntries, e)
 	}
-	if then != nil {
-		fs = append(fs, then)
+	if onDurable != nil {
+		callbacks = append(callbacks, onDurable)
 	}
-	c.then[e] = fs
+	c.entryCallbacks[e] = callbacks
 }
 
-// Restore takes in a record that an earlier term left, with those of its
+// RestoreJSON takes in a record that an earlier term left, with those of its
 // documents that were not put since.
-func (c *Committer) Restore(path string, stamp ident.Stamp, lsn uint64, homes []*Doc) {
-	c.restored(path, lsn)
-	c.keep(&slot{path: path, stamp: stamp, lsn: lsn}, homes)
+func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
+	c.noteRestoredSlot(key, lsn)
+	c.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
 }
 
-func (c *Committer) restored(path string, lsn uint64) {
-	c.lsn = max(c.lsn, lsn)
+func (c *Committer) noteRestoredSlot(key string, lsn uint64) {
+	c.lastLSN = max(c.lastLSN, lsn)
 	// There may be gaps, of slots whose first record never came to be.
-	if n, err := strconv.Atoi(strings.TrimPrefix(path, LogPrefix)); err == nil {
-		c.slots = max(c.slots, n+1)
+	if n, err := strconv.Atoi(strings.TrimPrefix(key, LogPrefix)); err == nil {
+		c.slotCount = max(c.slotCount, n+1)
 	}
 }
 
 // RestoreText takes in a record that an earlier term left, whose lines hold it by
 // themselves. Records come in the order of their numbers.
-func (c *Committer) RestoreText(path string, stamp ident.Stamp, lsn uint64, entries []Entry) {
-	c.restored(path, lsn)
-	c.hold(&slot{path: path, stamp: stamp, lsn: lsn}, entries)
+func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
+	c.noteRestoredSlot(key, lsn)
+	c.pinEntries(&logSlot{key: key, revision: revision, lsn: lsn}, entries)
 }
 
-// hold has entries hold a durable record from now on, instead of an earlier one.
-func (c *Committer) hold(s *slot, entries []Entry) {
-	s.left, s.homes, s.entries = 0, nil, nil
+// pinEntries has entries hold a durable record from now on, instead of an earlier one.
+func (c *Committer) pinEntries(slot *logSlot, entries []Entry) {
+	slot.references, slot.documents, slot.entries = 0, nil, nil
 	for _, e := range entries {
-		p := e.Pin()
-		if p.gone || p.slot == s || p.slot != nil && p.slot.lsn > s.lsn {
+		pin := e.Pin()
+		if pin.released || pin.slot == slot || pin.slot != nil && pin.slot.lsn > slot.lsn {
 			continue
 		}
-		c.letGo(p)
-		p.slot = s
-		s.left++
-		c.pinned++
-		s.entries = append(s.entries, e)
+		c.unpin(pin)
+		pin.slot = slot
+		slot.references++
+		c.pinnedEntries++
+		slot.entries = append(slot.entries, e)
 	}
-	c.retain(s)
+	c.retainSlot(slot)
 }
 
-// retain keeps a record for as long as something holds it.
-func (c *Committer) retain(s *slot) {
-	if s.left == 0 {
-		c.free = append(c.free, s)
+// retainSlot keeps a record for as long as something holds it.
+func (c *Committer) retainSlot(s *logSlot) {
+	if s.references == 0 {
+		c.freeSlots = append(c.freeSlots, s)
 		return
 	}
-	c.used = append(c.used, s)
-	c.live++
+	c.usedSlots = append(c.usedSlots, s)
+	c.liveSlots++
 }
 
-func (c *Committer) letGo(p *Pin) {
+func (c *Committer) unpin(p *Pin) {
 	s := p.slot
 	if s == nil {
 		return
 	}
 	p.slot = nil
-	c.pinned--
-	c.drop(s)
+	c.pinnedEntries--
+	c.releaseReference(s)
 }
 
-// drop notes that one thing less holds a record; without any its slot is free.
-func (c *Committer) drop(s *slot) {
-	if s.left--; s.left == 0 {
+// releaseReference notes that one thing less holds a record; without any its slot is free.
+func (c *Committer) releaseReference(s *logSlot) {
+	if s.references--; s.references == 0 {
 		// A new one: this is still in its place among the used.
-		c.free = append(c.free, &slot{path: s.path, stamp: s.stamp})
-		s.homes, s.entries = nil, nil
-		c.live--
+		c.freeSlots = append(c.freeSlots, &logSlot{key: s.key, revision: s.revision})
+		s.documents, s.entries = nil, nil
+		c.liveSlots--
 	}
 }
 
 // Release notes that an entry needs no line any more: its document is gone for good.
 func (c *Committer) Release(p *Pin) {
-	p.gone = true
-	c.letGo(p)
+	p.released = true
+	c.unpin(p)
 }
 
-// keep notes a durable record, until all its documents have its lines.
-func (c *Committer) keep(s *slot, homes []*Doc) {
-	s.left, s.homes = 0, nil
-	seen := map[*Doc]bool{}
-	for _, d := range homes {
-		if !d.gone && d.LSN < s.lsn && !seen[d] {
+// pinDocuments notes a durable record, until all its documents have its lines.
+func (c *Committer) pinDocuments(slot *logSlot, documents []*Document) {
+	slot.references, slot.documents = 0, nil
+	seen := map[*Document]bool{}
+	for _, d := range documents {
+		if !d.deleted && d.LSN < slot.lsn && !seen[d] {
 			seen[d] = true
-			d.slots = append(d.slots, s)
-			s.homes = append(s.homes, d)
+			d.slots = append(d.slots, slot)
+			slot.documents = append(slot.documents, d)
 		}
 	}
-	s.left = len(s.homes)
-	c.retain(s)
+	slot.references = len(slot.documents)
+	c.retainSlot(slot)
 }
 
-// cover notes that a document has taken over all lines up to its LSN.
-func (c *Committer) cover(d *Doc) {
-	rest := d.slots[:0]
+// releaseCovered notes that a document has taken over all lines up to its LSN.
+func (c *Committer) releaseCovered(d *Document) {
+	remaining := d.slots[:0]
 	for _, s := range d.slots {
-		if !d.gone && s.lsn > d.LSN {
-			rest = append(rest, s)
+		if !d.deleted && s.lsn > d.LSN {
+			remaining = append(remaining, s)
 			continue
 		}
-		c.drop(s)
+		c.releaseReference(s)
 	}
-	d.slots = rest
+	d.slots = remaining
 }
 
-// fold has the documents put that hold up the oldest records of a log that has
+// compactLog has the documents put that hold up the oldest records of a log that has
 // become long: a successor reads all of it.
-func (c *Committer) fold() {
-	if len(c.used) > 2*c.live+logLength {
-		c.used = slices.DeleteFunc(c.used, func(s *slot) bool { return s.left == 0 })
+func (c *Committer) compactLog() {
+	if len(c.usedSlots) > 2*c.liveSlots+compactAfterRecords {
+		c.usedSlots = slices.DeleteFunc(c.usedSlots, func(s *logSlot) bool { return s.references == 0 })
 	}
-	if c.text {
-		c.refresh()
+	if c.textFormat {
+		c.rewriteOldestRecords()
 		return
 	}
-	over := c.live - logLength
-	for i := 0; i < len(c.used) && over > 0; i++ {
-		if c.used[i].left == 0 {
+	excess := c.liveSlots - compactAfterRecords
+	for i := 0; i < len(c.usedSlots) && excess > 0; i++ {
+		if c.usedSlots[i].references == 0 {
 			continue
 		}
-		over--
-		for _, d := range c.used[i].homes {
-			if d.state == clean && d.LSN < c.used[i].lsn {
-				c.MarkLazy(d, nil)
+		excess--
+		for _, d := range c.usedSlots[i].documents {
+			if d.state == clean && d.LSN < c.usedSlots[i].lsn {
+				c.MarkDirtyLazily(d, nil)
 			}
 		}
 	}
 }
 
-// refresh has the lines of the oldest records written once more, while more records
+// rewriteOldestRecords has the lines of the oldest records written once more, while more records
 // are held than twice what their lines need: a successor reads all of them.
-func (c *Committer) refresh() {
-	most := max(logLength, logBytes/c.limits.ValueBytes, 2*c.pinned*lineGuess/c.limits.ValueBytes)
-	over := c.live - most
-	for i := 0; i < len(c.used) && over > 0; i++ {
-		s := c.used[i]
-		if s.left == 0 {
+func (c *Committer) rewriteOldestRecords() {
+	maxRecords := max(compactAfterRecords, compactAfterBytes/c.limits.MaxValueBytes, 2*c.pinnedEntries*estimatedLineBytes/c.limits.MaxValueBytes)
+	excess := c.liveSlots - maxRecords
+	for i := 0; i < len(c.usedSlots) && excess > 0; i++ {
+		slot := c.usedSlots[i]
+		if slot.references == 0 {
 			continue
 		}
-		over--
-		if s.folding {
+		excess--
+		if slot.rewriting {
 			continue
 		}
-		s.folding = true
-		for _, e := range s.entries {
-			if e.Pin().slot == s {
+		slot.rewriting = true
+		for _, e := range slot.entries {
+			if e.Pin().slot == slot {
 				c.Append(e, nil)
 			}
 		}
 	}
 }
 
-// slot takes a key of the log that is free, or a new one.
-func (c *Committer) slot() *slot {
-	if n := len(c.free); n > 0 {
-		s := c.free[n-1]
-		c.free = c.free[:n-1]
+// allocateSlot takes a key of the log that is free, or a new one.
+func (c *Committer) allocateSlot() *logSlot {
+	if n := len(c.freeSlots); n > 0 {
+		s := c.freeSlots[n-1]
+		c.freeSlots = c.freeSlots[:n-1]
 		return s
 	}
-	c.slots++
-	return &slot{path: fmt.Sprintf("%s%05d", LogPrefix, c.slots-1)}
+	c.slotCount++
+	return &logSlot{key: fmt.Sprintf("%s%05d", LogPrefix, c.slotCount-1)}
 }
--- a/internal/commit/outcome.go
+++ b/internal/commit/outcome.go
@@ -11,320 +11,320 @@
 // txn is one transaction on its way. Its content never changes: a repeat is the
 // same transaction, so the stamps it compares let it apply at most once.
 type txn struct {
-	docs   []*Doc
-	slots  []*slot
-	lines  [][]line // by slot
-	text   bool     // records are in the log's own format
-	req    statesvc.Request
-	unsure bool // a copy may have been carried out, or may yet be
-	wait   time.Duration
+	documents  []*Document
+	slots      []*logSlot
+	entries    [][]queuedEntry // by slot
+	textFormat bool            // records are in the log's own format
+	request    statesvc.Request
+	uncertain  bool // a copy may have been carried out, or may yet be
+	retryDelay time.Duration
 }
 
 func (c *Committer) send(t *txn) {
-	c.open++
+	c.openTxns++
 	c.Txns++
-	c.Puts += uint64(len(t.req.Then))
-	c.try(t)
+	c.Puts += uint64(len(t.request.Mutations))
+	c.attempt(t)
 }
 
-func (c *Committer) try(t *txn) {
-	c.port.State(t.req, func(r statesvc.Reply) {
-		if c.dead {
+func (c *Committer) attempt(t *txn) {
+	c.port.Store(t.request, func(response statesvc.Response) {
+		if c.stopped {
 			return
 		}
-		switch r.Outcome {
+		switch response.Outcome {
 		case statesvc.OK:
-			c.taken(true)
-			c.done(t, ident.Stamp(r.Ledger))
+			c.noteAvailability(true)
+			c.handleCommitted(t, ident.Revision(response.StoreRevision))
 		case statesvc.Conflict:
-			c.taken(true)
-			c.conflict(t, r.Failed)
-		case statesvc.Limited:
+			c.noteAvailability(true)
+			c.handleConflict(t, response.FailedKeys)
+		case statesvc.RateLimited:
 			// A lower rate than we know of. Nothing was carried out by this copy.
-			c.Tighten()
-			c.tokens = 0
-			c.again(t, func() { c.try(t) })
-		case statesvc.Bad:
-			c.taken(true)
-			c.tooLarge(t, r.Error)
-		case statesvc.Lost, statesvc.Refused:
-			if r.Outcome == statesvc.Lost {
-				t.unsure = true
+			c.TightenLimits()
+			c.rateTokens = 0
+			c.retry(t, func() { c.attempt(t) })
+		case statesvc.Invalid:
+			c.noteAvailability(true)
+			c.handleRejected(t, response.Error)
+		case statesvc.NoAnswer, statesvc.Unavailable:
+			if response.Outcome == statesvc.NoAnswer {
+				t.uncertain = true
 			}
-			c.taken(false)
-			if c.OnDown != nil {
-				c.OnDown()
+			c.noteAvailability(false)
+			if c.OnUnavailable != nil {
+				c.OnUnavailable()
 			}
-			c.again(t, func() { c.try(t) })
+			c.retry(t, func() { c.attempt(t) })
 		default:
-			c.fail("state service: " + r.Error)
+			c.failTerm("state service: " + response.Error)
 		}
 	})
 }
 
-// taken notes whether the service takes transactions.
-func (c *Committer) taken(yes bool) {
-	if c.down == yes {
-		slog.Info("state service takes transactions", "yes", yes)
+// noteAvailability notes whether the service takes transactions.
+func (c *Committer) noteAvailability(available bool) {
+	if c.unavailable == available {
+		slog.Info("state service takes transactions", "yes", available)
 	}
-	c.down = !yes
+	c.unavailable = !available
 }
 
-func (c *Committer) again(t *txn, f func()) {
-	c.Repeats++
-	c.port.After(t.wait, func() {
-		if !c.dead {
+func (c *Committer) retry(t *txn, f func()) {
+	c.Retries++
+	c.port.After(t.retryDelay, func() {
+		if !c.stopped {
 			f()
 		}
 	})
-	t.wait = min(2*t.wait, longWait)
+	t.retryDelay = min(2*t.retryDelay, maxRetryDelay)
 }
 
-// conflict settles a 409. The leader key unchanged means that nobody but us has
+// handleConflict settles a 409. The leader key unchanged means that nobody but us has
 // written; then either a key that must be absent was there, or an earlier copy
 // of this very transaction was carried out.
-func (c *Committer) conflict(t *txn, failed []string) {
-	set := make(map[string]bool, len(failed))
-	for _, p := range failed {
-		set[p] = true
+func (c *Committer) handleConflict(t *txn, failed []string) {
+	isFailed := make(map[string]bool, len(failed))
+	for _, key := range failed {
+		isFailed[key] = true
 	}
-	if set[c.leader.Path] {
-		c.fail("another leader")
+	if isFailed[c.leaderCompare.Key] {
+		c.failTerm("another leader")
 		return
 	}
-	var taken, rest []*Doc
-	for _, d := range t.docs {
+	var existing, others []*Document
+	for _, d := range t.documents {
 		exists := false
-		for _, p := range d.Absent {
-			exists = exists || set[p]
+		for _, key := range d.MustNotExist {
+			exists = exists || isFailed[key]
 		}
 		if exists {
-			taken = append(taken, d)
+			existing = append(existing, d)
 		} else {
-			rest = append(rest, d)
+			others = append(others, d)
 		}
 	}
-	if len(taken) > 0 {
+	if len(existing) > 0 {
 		// Nothing was carried out, by any copy: a copy carried out would have
 		// left the absent keys absent.
-		c.open--
-		for _, d := range taken {
-			d.riding, d.waiting = nil, nil
-			d.to(clean)
-			if d.Exists != nil {
-				d.Exists()
+		c.openTxns--
+		for _, d := range existing {
+			d.inFlightCallbacks, d.pendingCallbacks = nil, nil
+			d.setState(clean)
+			if d.OnExists != nil {
+				d.OnExists()
 			}
 		}
-		c.undo(t, rest)
+		c.requeue(t, others)
 		c.Flush()
 		return
 	}
-	if t.doubtful() {
-		c.reread(t, failed)
+	if t.hasUncertainKeys() {
+		c.refreshRevisions(t, failed)
 		return
 	}
-	if !t.unsure {
-		c.fail("conflict on " + t.docs[0].Path)
+	if !t.uncertain {
+		c.failTerm("conflict on " + t.documents[0].Key)
 		return
 	}
-	c.settle(t)
+	c.recoverRevision(t)
 }
 
-// leave takes a document out of a transaction that is given up; it waits for another one.
-func (t *txn) leave(d *Doc) {
-	d.waiting = append(d.riding, d.waiting...)
-	d.riding = nil
-	d.doubt = d.doubt || t.unsure
-	d.queued = urgent
-	d.to(dirty)
+// detach takes a document out of a transaction that is given up; it waits for another one.
+func (t *txn) detach(d *Document) {
+	d.pendingCallbacks = append(d.inFlightCallbacks, d.pendingCallbacks...)
+	d.inFlightCallbacks = nil
+	d.uncertain = d.uncertain || t.uncertain
+	d.queuedAs = urgent
+	d.setState(dirty)
 }
 
-// undo takes a transaction apart again: documents and lines wait for another one.
-func (c *Committer) undo(t *txn, docs []*Doc) {
-	for _, d := range docs {
-		t.leave(d)
+// requeue takes a transaction apart again: documents and lines wait for another one.
+func (c *Committer) requeue(t *txn, documents []*Document) {
+	for _, d := range documents {
+		t.detach(d)
 		c.enqueue(d)
 	}
 	// The lines go into new records; their slots are as they were.
 	for i, s := range t.slots {
-		delete(c.flying, s.lsn)
-		s.doubt = s.doubt || t.unsure
-		c.free = append(c.free, s)
-		for _, l := range t.lines[i] {
+		delete(c.inFlightLSNs, s.lsn)
+		s.uncertain = s.uncertain || t.uncertain
+		c.freeSlots = append(c.freeSlots, s)
+		for _, l := range t.entries[i] {
 			c.Append(l.entry, nil)
-			c.then[l.entry] = append(l.then, c.then[l.entry]...)
+			c.entryCallbacks[l.entry] = append(l.callbacks, c.entryCallbacks[l.entry]...)
 		}
 	}
 }
 
-// doubtful says whether a transaction that was given up may yet change, or have
+// hasUncertainKeys says whether a transaction that was given up may yet change, or have
 // changed, one of this one's keys.
-func (t *txn) doubtful() bool {
-	for _, d := range t.docs {
-		if d.doubt {
+func (t *txn) hasUncertainKeys() bool {
+	for _, d := range t.documents {
+		if d.uncertain {
 			return true
 		}
 	}
 	for _, s := range t.slots {
-		if s.doubt {
+		if s.uncertain {
 			return true
 		}
 	}
 	return false
 }
 
-// reread learns the stamps of keys that a transaction which was given up has changed
+// refreshRevisions learns the stamps of keys that a transaction which was given up has changed
 // after all, and writes anew: what is written is absolute, and newer. Once it is
 // carried out, that transaction can't be any more.
-func (c *Committer) reread(t *txn, failed []string) {
+func (c *Committer) refreshRevisions(t *txn, failed []string) {
 	if len(failed) == 0 {
-		c.open--
-		c.undo(t, t.docs)
-		c.wake(firstWait)
+		c.openTxns--
+		c.requeue(t, t.documents)
+		c.scheduleFlush(initialRetryDelay)
 		return
 	}
-	path := failed[0]
-	c.port.State(statesvc.Request{Op: statesvc.Get, Path: path, Timeout: txnTime}, func(r statesvc.Reply) {
-		var stamp ident.Stamp
+	key := failed[0]
+	c.port.Store(statesvc.Request{Op: statesvc.Get, Key: key, Timeout: txnTimeout}, func(response statesvc.Response) {
+		var revision ident.Revision
 		switch {
-		case c.dead:
+		case c.stopped:
 			return
-		case r.Outcome == statesvc.OK:
-			stamp = r.Stamp
-		case r.Outcome != statesvc.NotFound:
-			c.again(t, func() { c.reread(t, failed) })
+		case response.Outcome == statesvc.OK:
+			revision = response.Revision
+		case response.Outcome != statesvc.NotFound:
+			c.retry(t, func() { c.refreshRevisions(t, failed) })
 			return
 		}
-		for _, d := range t.docs {
-			if d.Path == path {
-				d.Stamp = stamp
+		for _, d := range t.documents {
+			if d.Key == key {
+				d.Revision = revision
 			}
 		}
 		for _, s := range t.slots {
-			if s.path == path {
-				s.stamp = stamp
+			if s.key == key {
+				s.revision = revision
 			}
 		}
-		c.reread(t, failed[1:])
+		c.refreshRevisions(t, failed[1:])
 	})
 }
 
-// tooLarge settles a 400: the limits are lower than we know of. This copy was not
+// handleRejected settles a 400: the limits are lower than we know of. This copy was not
 // carried out; of an earlier one without an answer nobody knows, so its keys are in
 // doubt until something newer is written there. All is written anew, in smaller
 // pieces; what is refused by itself waits longer each time.
-func (c *Committer) tooLarge(t *txn, why string) {
-	c.open--
+func (c *Committer) handleRejected(t *txn, reason string) {
+	c.openTxns--
 	c.Rejected++
-	slog.Error("the state service refuses a transaction", "changes", len(t.req.Then), "why", why)
-	docs := t.docs
+	slog.Error("the state service refuses a transaction", "changes", len(t.request.Mutations), "why", reason)
+	documents := t.documents
 	switch {
-	case c.Tighten():
-	case len(t.docs)+len(t.slots) > 1:
-		c.limits.Ops = max(1, len(t.req.Then)/2)
-	case len(t.slots) > 0 && c.limits.ValueBytes > minValue:
-		c.limits.ValueBytes = max(minValue, c.limits.ValueBytes/2)
-	case len(t.docs) > 0:
-		d := t.docs[0]
-		docs = nil
-		t.leave(d)
-		d.rejected = min(d.rejected+1, 10)
-		c.port.After(min(time.Second<<d.rejected, maxReject), func() {
-			if !c.dead && d.state == dirty {
+	case c.TightenLimits():
+	case len(t.documents)+len(t.slots) > 1:
+		c.limits.MutationsPerTxn = max(1, len(t.request.Mutations)/2)
+	case len(t.slots) > 0 && c.limits.MaxValueBytes > minValueBytes:
+		c.limits.MaxValueBytes = max(minValueBytes, c.limits.MaxValueBytes/2)
+	case len(t.documents) > 0:
+		d := t.documents[0]
+		documents = nil
+		t.detach(d)
+		d.rejections = min(d.rejections+1, 10)
+		c.port.After(min(time.Second<<d.rejections, maxRejectionPause), func() {
+			if !c.stopped && d.state == dirty {
 				c.enqueue(d)
 				c.Flush()
 			}
 		})
 	}
-	if c.strikes++; c.strikes > maxStrikes {
-		c.paused = c.port.Now().Add(min(time.Second<<min(c.strikes-maxStrikes, 10), maxReject))
+	if c.consecutiveRejections++; c.consecutiveRejections > maxImmediateRejections {
+		c.pausedUntil = c.port.Now().Add(min(time.Second<<min(c.consecutiveRejections-maxImmediateRejections, 10), maxRejectionPause))
 	}
-	c.undo(t, docs)
-	c.wake(firstWait)
+	c.requeue(t, documents)
+	c.scheduleFlush(initialRetryDelay)
 }
 
-// settle reads the stamp that an earlier copy of the transaction left.
-func (c *Committer) settle(t *txn) {
-	path := ""
-	for _, ch := range t.req.Then {
-		if ch.Put != "" {
-			path = ch.Put
+// recoverRevision reads the stamp that an earlier copy of the transaction left.
+func (c *Committer) recoverRevision(t *txn) {
+	key := ""
+	for _, mutation := range t.request.Mutations {
+		if mutation.Put != "" {
+			key = mutation.Put
 			break
 		}
 	}
-	if path == "" {
-		c.done(t, 0)
+	if key == "" {
+		c.handleCommitted(t, 0)
 		return
 	}
-	c.port.State(statesvc.Request{Op: statesvc.Get, Path: path, Timeout: txnTime}, func(r statesvc.Reply) {
+	c.port.Store(statesvc.Request{Op: statesvc.Get, Key: key, Timeout: txnTimeout}, func(response statesvc.Response) {
 		switch {
-		case c.dead:
-		case r.Outcome == statesvc.OK:
-			c.done(t, r.Stamp)
-		case r.Outcome == statesvc.Lost || r.Outcome == statesvc.Refused || r.Outcome == statesvc.Limited:
-			c.again(t, func() { c.settle(t) })
+		case c.stopped:
+		case response.Outcome == statesvc.OK:
+			c.handleCommitted(t, response.Revision)
+		case response.Outcome == statesvc.NoAnswer || response.Outcome == statesvc.Unavailable || response.Outcome == statesvc.RateLimited:
+			c.retry(t, func() { c.recoverRevision(t) })
 		default:
-			c.fail("lost " + path)
+			c.failTerm("lost " + key)
 		}
 	})
 }
 
-func (c *Committer) done(t *txn, stamp ident.Stamp) {
-	c.open--
-	c.strikes = 0
-	put := make(map[string]bool, len(t.req.Then))
-	for _, ch := range t.req.Then {
-		put[ch.Put] = true
+func (c *Committer) handleCommitted(t *txn, revision ident.Revision) {
+	c.openTxns--
+	c.consecutiveRejections = 0
+	putKeys := make(map[string]bool, len(t.request.Mutations))
+	for _, mutation := range t.request.Mutations {
+		putKeys[mutation.Put] = true
 	}
-	var then []func()
-	for _, d := range t.docs {
-		d.Stamp = 0
-		if put[d.Path] {
-			d.Stamp = stamp
-			d.LSN = max(d.LSN, d.rendered)
+	var callbacks []func()
+	for _, d := range t.documents {
+		d.Revision = 0
+		if putKeys[d.Key] {
+			d.Revision = revision
+			d.LSN = max(d.LSN, d.renderedLSN)
 		} else {
-			d.gone = true
+			d.deleted = true
 		}
-		c.cover(d)
-		d.Absent, d.doubt, d.rejected = nil, false, 0
-		then = append(then, d.riding...)
-		d.riding = nil
-		if d.state == flyingDirty {
-			d.to(dirty)
+		c.releaseCovered(d)
+		d.MustNotExist, d.uncertain, d.rejections = nil, false, 0
+		callbacks = append(callbacks, d.inFlightCallbacks...)
+		d.inFlightCallbacks = nil
+		if d.state == inFlightDirty {
+			d.setState(dirty)
 			c.enqueue(d)
 		} else {
-			d.to(clean)
+			d.setState(clean)
 		}
 	}
 	for i, s := range t.slots {
-		s.stamp, s.doubt = stamp, false
-		delete(c.flying, s.lsn)
-		var homes []*Doc
+		s.revision, s.uncertain = revision, false
+		delete(c.inFlightLSNs, s.lsn)
+		var documents []*Document
 		var entries []Entry
-		for _, l := range t.lines[i] {
-			then = append(then, l.then...)
-			if t.text {
+		for _, l := range t.entries[i] {
+			callbacks = append(callbacks, l.callbacks...)
+			if t.textFormat {
 				entries = append(entries, l.entry)
 			} else {
-				homes = append(homes, l.entry.Home())
+				documents = append(documents, l.entry.Document())
 			}
 		}
-		if t.text {
-			c.hold(s, entries)
+		if t.textFormat {
+			c.pinEntries(s, entries)
 		} else {
-			c.keep(s, homes)
+			c.pinDocuments(s, documents)
 		}
 	}
-	c.fold()
-	for _, f := range then {
+	c.compactLog()
+	for _, f := range callbacks {
 		f()
 	}
 	c.Flush()
 }
 
-// fail ends the term: what memory holds may differ from the truth.
-func (c *Committer) fail(why string) {
-	slog.Error("commit failed", "why", why)
-	c.dead = true
-	c.onLost(why)
+// failTerm ends the term: what memory holds may differ from the truth.
+func (c *Committer) failTerm(reason string) {
+	slog.Error("commit failed", "why", reason)
+	c.stopped = true
+	c.onTermLost(reason)
 }
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -140,7 +140,7 @@
 		t.Fails++
 		l.jobs.Doubt(j)
 		if j.Shunned == nil {
-			j.Shunned = map[ident.HostID]bool{}
+			j.Shunned = map[ident.MachineID]bool{}
 		}
 		j.Shunned[w.Host] = true
 		if len(j.Shunned) >= 3 {
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -14,7 +14,7 @@
 // not sure any more. The rim judges it again right before it goes out, since the process
 // may have stood still in between; what is final holds for ever.
 func TestAnswersHaveTheirTime(t *testing.T) {
-	c, w := alone(ident.Packed)
+	c, w := alone(ident.FormatPacked)
 	if got := status(c, gangSpec()); got != http.StatusCreated {
 		t.Fatalf("submission: %d", got)
 	}
@@ -24,7 +24,7 @@
 		return out
 	}
 	r := ask(mesh.Poll)
-	if r.Status != http.StatusOK || r.Until != c.elect.Until() {
+	if r.Status != http.StatusOK || r.Until != c.elect.LeaseExpiry() {
 		t.Fatalf("a question: %+v", r)
 	}
 	if a := r.Now(r.Until.Add(-time.Millisecond)); a.Status != http.StatusOK {
@@ -45,7 +45,7 @@
 // TestMalformedAtAnyTime: a submission that lacks a field gets 400 from a node that has
 // just lost the lead, too.
 func TestMalformedAtAnyTime(t *testing.T) {
-	c, w := alone(ident.Packed)
+	c, w := alone(ident.FormatPacked)
 	w.now = w.now.Add(time.Hour)
 	c.Request(mesh.Submit, "", gangSpec(`"pieces":4,`, ``), func(r Reply) {
 		if r.Status != http.StatusBadRequest {
@@ -57,8 +57,8 @@
 // TestKeepersStop: a node that keeps leases without a leader stops what it knows to be
 // cancelled.
 func TestKeepersStop(t *testing.T) {
-	c, w := alone(ident.Packed)
-	c.Follow("test")
+	c, w := alone(ident.FormatPacked)
+	c.OnStoppedLeading("test")
 	c.lead = nil
 	w.now = w.now.Add(time.Minute)
 	c.renewer.Permit(5, w.now.Add(-5*time.Second), 20*time.Second)
@@ -66,7 +66,7 @@
 	piece := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
 	}
-	rep := &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "a", Session: 1, Serial: 2, Epoch: ident.MakeEpoch(5, 0),
+	rep := &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "a", Session: 1, Serial: 2, Epoch: ident.MakeFencingToken(5, 0),
 		Tasks: []api.TaskReport{piece("j-7"), piece("j-8")}}
 	r, ok := c.keepLease(rep)
 	want := string(api.JSON(api.Orders{Epoch: rep.Epoch, Orders: []api.Order{{Verb: api.Kill, TaskID: piece("j-7").TaskID, Attempt: 1, WindDownS: new(float64)}}}))
@@ -79,7 +79,7 @@
 // oldest cancelled job with a task that may be on a machine; once that is proven gone, for
 // the whole of it again. A successor doesn't know when a job was cancelled: for none.
 func TestAllowanceShrinks(t *testing.T) {
-	c, w := alone(ident.Packed)
+	c, w := alone(ident.FormatPacked)
 	if got := status(c, gangSpec(`"gang"`, `"batch"`)); got != http.StatusCreated {
 		t.Fatalf("submission: %d", got)
 	}
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -8,15 +8,15 @@
 
 // authorityNow returns what this node may decide at this moment.
 func (c *Controller) authorityNow() authority.State {
-	facts := authority.Facts{Leads: c.lead != nil}
+	facts := authority.Facts{IsLeader: c.lead != nil}
 	if l := c.lead; l != nil && !l.dead {
-		facts.Sure = c.elect.Valid()
-		facts.InGrace = c.elect.Within(c.grace)
-		facts.Loaded = l.ready
-		facts.Recording = !l.commits.Down()
-		facts.Yields = l.handover != nil && l.handover.Yields()
+		facts.LeaseValid = c.elect.LeaseValid()
+		facts.WithinGrace = c.elect.WithinGrace(c.grace)
+		facts.StateLoaded = l.ready
+		facts.StoreWritable = !l.commits.StoreUnavailable()
+		facts.HandingOver = l.handover != nil && l.handover.Begun()
 	}
-	before, changed := c.authority.Move(facts)
+	before, changed := c.authority.Update(facts)
 	now := c.authority.State()
 	if changed && c.links != nil {
 		slog.Info("authority", "from", before.String(), "to", now.String())
@@ -32,5 +32,5 @@
 // that can't record goes on to rent and to fence.
 func (c *Controller) mayTend() bool {
 	state := c.authorityNow()
-	return state.Allows(authority.Rent) || c.links == nil && state == authority.Holding
+	return state.Allows(authority.Scale) || c.links == nil && state == authority.StoreDown
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -16,9 +16,9 @@
 // readCatalog takes the machine types from the state service, and failing that
 // from the cloud.
 func (l *lead) readCatalog(done func()) {
-	l.catalog = &commit.Doc{Path: catalogKey}
+	l.catalog = &commit.Document{Key: catalogKey}
 	l.catalog.Render = func() json.RawMessage {
-		if l.level >= ident.Packed {
+		if l.level >= ident.FormatPacked {
 			return nil
 		}
 		return api.JSON(l.models)
@@ -33,10 +33,10 @@
 		l.askCatalog(nil)
 	}
 	whole := func() {
-		l.read(statesvc.Request{Op: statesvc.Get, Path: catalogKey, Timeout: commitTime}, func(r statesvc.Reply) {
+		l.read(statesvc.Request{Op: statesvc.Get, Key: catalogKey, Timeout: commitTime}, func(r statesvc.Response) {
 			var models []cloud.Model
 			if r.Outcome == statesvc.OK {
-				l.catalog.Stamp = r.Stamp
+				l.catalog.Revision = r.Revision
 				if err := json.Unmarshal(r.Value, &models); err != nil {
 					slog.Error("unreadable catalog", "err", err)
 				}
@@ -44,20 +44,20 @@
 			known(models)
 		})
 	}
-	if l.level < ident.Packed {
+	if l.level < ident.FormatPacked {
 		whole()
 		return
 	}
-	var pairs []statesvc.Pair
+	var pairs []statesvc.KeyValue
 	l.readAll(typesPrefix, "", &pairs, func() {
 		var models []cloud.Model
 		for i, p := range pairs {
 			var m cloud.Model
-			if p.Path != typeKey(i) || json.Unmarshal(p.Value, &m) != nil {
-				slog.Error("unreadable machine type", "path", p.Path)
+			if p.Key != typeKey(i) || json.Unmarshal(p.Value, &m) != nil {
+				slog.Error("unreadable machine type", "path", p.Key)
 				continue
 			}
-			l.typeDoc(i).Stamp = p.Stamp
+			l.typeDoc(i).Revision = p.Revision
 			models = append(models, m)
 		}
 		if len(models) == 0 {
@@ -71,9 +71,9 @@
 func typeKey(i int) string { return fmt.Sprintf("%s%05d", typesPrefix, i) }
 
 // typeDoc is the record of the i-th machine type.
-func (l *lead) typeDoc(i int) *commit.Doc {
+func (l *lead) typeDoc(i int) *commit.Document {
 	for k := len(l.types); k <= i; k++ {
-		d := &commit.Doc{Path: typeKey(k)}
+		d := &commit.Document{Key: typeKey(k)}
 		d.Render = func() json.RawMessage {
 			if k >= len(l.models) {
 				return nil
@@ -92,15 +92,15 @@
 
 // storeCatalog writes the machine types.
 func (l *lead) storeCatalog() {
-	if l.level >= ident.Packed {
+	if l.level >= ident.FormatPacked {
 		for i := range max(len(l.models), len(l.types)) {
-			l.commits.Mark(l.typeDoc(i), nil)
+			l.commits.MarkDirty(l.typeDoc(i), nil)
 		}
-		if l.catalog.Stamp == 0 {
+		if l.catalog.Revision == 0 {
 			return
 		}
 	}
-	l.commits.Mark(l.catalog, nil)
+	l.commits.MarkDirty(l.catalog, nil)
 }
 
 func (l *lead) setModels(models []cloud.Model) {
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -19,7 +19,7 @@
 	if l.c.hears(aloneAfter / 2) {
 		return false
 	}
-	mute, asked, newest := 0, 0, ident.Mono(0)
+	mute, asked, newest := 0, 0, ident.MonotonicTime(0)
 	for _, w := range l.workers.Sorted() {
 		if w.State != workers.Up && w.State != workers.Silent {
 			continue
@@ -75,7 +75,7 @@
 	if l.c.links != nil {
 		return // a sibling that is better placed shows by its row
 	}
-	if l.missing[w] = true; len(l.missing) >= unreached && l.c.elect.Valid() {
+	if l.missing[w] = true; len(l.missing) >= unreached && l.c.elect.LeaseValid() {
 		l.c.elect.Resign(restAfter, "machines are heard by siblings only")
 	}
 }
@@ -83,7 +83,7 @@
 // allowance is how long siblings may keep leases for this leader from now on. A lease given
 // by them at the very end must be over before cancel_s is, for every job that was
 // cancelled and is not surely gone.
-func (l *lead) allowance(now ident.Mono) time.Duration {
+func (l *lead) allowance(now ident.MonotonicTime) time.Duration {
 	left := l.c.grace
 	for _, j := range l.jobs.Jobs {
 		if j.Phase == jobs.Cancelled && j.Held > 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,10 +26,10 @@
 // Env is the world around a controller. Its callbacks come one at a time, each
 // followed by Settle.
 type Env interface {
-	Now() ident.Mono
+	Now() ident.MonotonicTime
 	WallMS() int64
 	After(time.Duration, func())
-	State(statesvc.Request, func(statesvc.Reply))
+	Store(statesvc.Request, func(statesvc.Response))
 	Cloud(cloud.Request, func(cloud.Reply))
 	Worker(workers.Command, func(workers.Answer))
 	Mesh(to ident.NodeID, f *mesh.Frame)
@@ -37,7 +37,7 @@
 
 // peer is a sibling as seen from here.
 type peer struct {
-	heard ident.Mono
+	heard ident.MonotonicTime
 	ever  bool
 	beat  uint64 // the newest
 }
@@ -47,9 +47,9 @@
 	env   Env
 	set   *settings.Settings
 	rng   *rand.Rand
-	elect *election.Machine
-	lead  *lead       // nil while not leading
-	level ident.Level // in force, as far as this node knows
+	elect *election.Elector
+	lead  *lead             // nil while not leading
+	level ident.FormatLevel // in force, as far as this node knows
 	grace time.Duration
 
 	peers map[ident.NodeID]*peer
@@ -57,13 +57,13 @@
 	askID uint64
 	reads bucket
 
-	heartbeats renewal.Heartbeats
+	heartbeats renewal.SentHeartbeats
 	renewer    renewal.Renewer
 	// cancelled holds jobs that were durably cancelled, as this node has passed on.
 	cancelled *jobs.Recent[struct{}]
-	seen      ident.Mono // when the state service last served this node
-	links     *linkView  // nil unless links are watched
-	authority authority.Machine
+	seen      ident.MonotonicTime // when the state service last served this node
+	links     *linkView           // nil unless links are watched
+	authority authority.Tracker
 
 	// Counters for the metrics.
 	Forwarded, Relayed, Refused, Elections, LeasesKept uint64
@@ -107,7 +107,7 @@
 	}
 	c.elect = election.New(c.env, c, set.Node, set.Tuning.LeaderLease, rng)
 	if c.links != nil {
-		c.elect.Hesitate = c.links.hesitate
+		c.elect.CampaignDelay = c.links.hesitate
 	}
 	return c
 }
@@ -131,31 +131,31 @@
 }
 
 // Level returns the format level in force, as far as this node knows.
-func (c *Controller) Level() ident.Level { return c.level }
+func (c *Controller) Level() ident.FormatLevel { return c.level }
 
 // Election returns the node's part in the elections.
-func (c *Controller) Election() *election.Machine { return c.elect }
+func (c *Controller) Election() *election.Elector { return c.elect }
 
 // beat tells the siblings that we live, whether we lead, and what of theirs we heard.
 func (c *Controller) beat() {
 	now := c.env.Now()
 	f := mesh.Frame{Kind: mesh.Heartbeat, ID: c.rng.Uint64(), Life: mesh.Life{ProcessAge: mesh.Millis(now.Sub(0)), SinceLeader: mesh.None, SinceRenewal: mesh.None}}
-	if c.elect.Valid() {
+	if c.elect.LeaseValid() {
 		f.Node, f.Term = c.set.Node, c.elect.Term()
 		if c.lead.ready {
 			f.Life.Allowance = mesh.Millis(c.lead.allowance(now))
 		}
 	}
-	if ago, ever := c.renewer.Newest(now); ever {
+	if ago, ever := c.renewer.SinceRenewal(now); ever {
 		f.Life.SinceRenewal = mesh.Millis(ago)
 	}
-	if age, ever := c.renewer.Age(now); ever {
+	if age, ever := c.renewer.SinceLeader(now); ever {
 		f.Life.SinceLeader = mesh.Millis(age)
 		if age > lookAfter && c.lead == nil {
 			c.look()
 		}
 	}
-	c.heartbeats.Sent(f.ID, now)
+	c.heartbeats.Record(f.ID, now)
 	var own links.Row
 	if c.links != nil {
 		own = c.links.row(now)
@@ -174,8 +174,8 @@
 
 // look asks the state service for anything, to see whether it serves this node.
 func (c *Controller) look() {
-	c.env.State(statesvc.Request{Op: statesvc.Get, Path: election.LeaderKey, Timeout: commitTime}, func(r statesvc.Reply) {
-		if r.Outcome != statesvc.Lost && r.Outcome != statesvc.Refused && r.Outcome != statesvc.Limited {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.LeaderKey, Timeout: commitTime}, func(r statesvc.Response) {
+		if r.Outcome != statesvc.NoAnswer && r.Outcome != statesvc.Unavailable && r.Outcome != statesvc.RateLimited {
 			c.seen = c.env.Now()
 		}
 	})
@@ -185,21 +185,21 @@
 func (c *Controller) hear(from ident.NodeID, p *peer, f *mesh.Frame) {
 	now := c.env.Now()
 	p.beat = f.ID
-	at, echoed := c.heartbeats.When(f.Life.Echo)
+	at, echoed := c.heartbeats.SentAt(f.Life.Echo)
 	if c.links != nil {
 		if echoed {
 			c.links.monitor.Echoed(siblingLink(from), at, now)
 		}
 		if f.Node != "" {
-			c.links.history.Saw(f.Term, now)
+			c.links.history.ObserveTerm(f.Term, now)
 		}
 	}
 	if echoed && f.Node == from {
 		c.renewer.Permit(f.Term, at, mesh.Duration(f.Life.Allowance))
 	}
 	if c.lead != nil {
-		w := renewal.Claim{ProcessAge: mesh.Duration(f.Life.ProcessAge), SinceLeader: mesh.Duration(f.Life.SinceLeader), HasRenewed: f.Life.SinceRenewal != mesh.None, SinceRenewal: mesh.Duration(f.Life.SinceRenewal)}
-		c.lead.renewals.Heard(from, now, at, echoed, w)
+		w := renewal.PeerStatus{ProcessAge: mesh.Duration(f.Life.ProcessAge), SinceLeader: mesh.Duration(f.Life.SinceLeader), HasRenewed: f.Life.SinceRenewal != mesh.None, SinceRenewal: mesh.Duration(f.Life.SinceRenewal)}
+		c.lead.renewals.ObserveHeartbeat(from, now, at, echoed, w)
 	}
 }
 
@@ -208,10 +208,10 @@
 // work goes on for as long as the leader allows.
 func (c *Controller) keepLease(r *api.Report) (Reply, bool) {
 	now := c.env.Now()
-	if !c.renewer.May(now, r.Epoch) || now.Sub(c.seen) < cutAfter {
+	if !c.renewer.MayRenew(now, r.Epoch) || now.Sub(c.seen) < cutAfter {
 		return Reply{}, false
 	}
-	c.renewer.Note(now)
+	c.renewer.RecordRenewal(now)
 	c.LeasesKept++
 	o := api.Orders{Epoch: r.Epoch, Orders: []api.Order{}}
 	for _, p := range r.Tasks {
@@ -234,19 +234,19 @@
 	}
 }
 
-// Lead begins a term.
-func (c *Controller) Lead(t ident.Term, l ident.Level, key statesvc.Cond) {
+// OnStartedLeading begins a term.
+func (c *Controller) OnStartedLeading(t ident.Term, l ident.FormatLevel, key statesvc.Compare) {
 	c.Elections++
 	c.level = max(c.level, l)
 	if c.links != nil {
-		c.links.history.Saw(t, c.env.Now())
+		c.links.history.ObserveTerm(t, c.env.Now())
 	}
 	c.lead = newLead(c, t, l, key)
 	c.lead.load()
 }
 
-// Follow ends it: nothing of its memory is used again but what is final.
-func (c *Controller) Follow(why string) {
+// OnStoppedLeading ends it: nothing of its memory is used again but what is final.
+func (c *Controller) OnStoppedLeading(why string) {
 	if c.lead != nil {
 		for _, j := range c.lead.jobs.Sorted() {
 			c.learned(j.Spec.ID, j.Durable.String()) // what is final can't change any more
@@ -259,7 +259,7 @@
 // Healthy says whether the node can take requests: it leads, or hears the leader
 // to pass them to, or at least nobody is known to do better.
 func (c *Controller) Healthy() bool {
-	if c.elect.Valid() {
+	if c.elect.LeaseValid() {
 		return true
 	}
 	if way, known := c.leaderRoute(); known && way.to != c.set.Node {
@@ -319,10 +319,10 @@
 			c.links.take(f)
 		}
 	case mesh.Yield:
-		c.elect.Prefer(f.Node, f.Term)
+		c.elect.PreferSuccessor(f.Node, f.Term)
 	case mesh.Heartbeat:
 		if f.Node != "" {
-			c.elect.Heard(f.Node, f.Term)
+			c.elect.PeerReportedLeader(f.Node, f.Term)
 		}
 		c.hear(from, p, f)
 	case mesh.Ask:
@@ -359,10 +359,10 @@
 	switch {
 	case v == mesh.Checkin:
 		c.checkin(body, direct, reply)
-	case v == mesh.Poll && !c.may(authority.Answer):
+	case v == mesh.Poll && !c.may(authority.ServeReads):
 		// Past the surely valid time memory may be behind a successor's.
 		c.read(job, reply)
-	case v != mesh.Poll && !c.may(authority.Accept):
+	case v != mesh.Poll && !c.may(authority.AcceptSubmissions):
 		c.Refused++
 		reply(unavailable("no leader at present"))
 	case v == mesh.Submit:
@@ -382,20 +382,20 @@
 		return
 	}
 	var o *api.Orders
-	var until ident.Mono
+	var until ident.MonotonicTime
 	if l := c.lead; l != nil {
 		if c.links != nil {
 			c.links.reported(r, direct)
 		}
-		if c.may(authority.Command) {
+		if c.may(authority.CommandWorkers) {
 			o = l.workers.Checkin(r)
 			if o != nil && api.Launches(o.Orders) {
 				// Should this process stand still now, a successor may have told that
 				// the job is cancelled before the answer goes out.
-				until = c.elect.Until()
+				until = c.elect.LeaseExpiry()
 			}
 			l.heard(l.workers.Workers[r.Host], direct)
-		} else if c.may(authority.KeepLeases) {
+		} else if c.may(authority.RenewWorkerLeases) {
 			o = l.workers.Renew(r)
 		}
 	}
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -77,7 +77,7 @@
 			reply(problem(http.StatusBadRequest, err.Error()))
 			return
 		}
-		if s.Shape == api.Gang && c.level < ident.Packed {
+		if s.Shape == api.Gang && c.level < ident.FormatPacked {
 			// A leader of an earlier version would call it malformed.
 			c.learn(func() { c.pass(way, v, job, body, reply) }, reply)
 			return
@@ -123,7 +123,7 @@
 // the first format.
 func (c *Controller) learn(then func(), reply func(Reply)) {
 	c.readLevel(func() {
-		if c.level < ident.Packed {
+		if c.level < ident.FormatPacked {
 			c.Refused++
 			reply(unavailable("some nodes may run an earlier version"))
 			return
@@ -135,9 +135,9 @@
 // readLevel reads the format level from the state service, as far as that answers; then is
 // called either way.
 func (c *Controller) readLevel(then func()) {
-	c.env.State(statesvc.Request{Op: statesvc.Get, Path: election.TermKey, Timeout: commitTime}, func(r statesvc.Reply) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.TermKey, Timeout: commitTime}, func(r statesvc.Response) {
 		if r.Outcome == statesvc.OK {
-			if _, l, err := election.ReadTerm(r.Value); err == nil {
+			if _, l, err := election.DecodeTerm(r.Value); err == nil {
 				c.level = max(c.level, l)
 			}
 		}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -16,15 +16,15 @@
 )
 
 // alone makes a leader without siblings at a format level, and its world.
-func alone(level ident.Level) (*Controller, *world) {
-	w := &world{now: ident.Mono(1 << 40), asked: map[string]bool{}}
+func alone(level ident.FormatLevel) (*Controller, *world) {
+	w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}}
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
 		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61, GangWaitS: 50, GangPeerS: 5},
 		State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
 			Next: &settings.NextState{WriteRPS: 35, ValueKB: 2, TxnOps: 5}},
 		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	w.values = map[string]string{election.TermKey: string(election.TermValue(1, level))}
+	w.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
 	c.Start()
 	w.pass(4 * askEvery)
 	return c, w
@@ -59,17 +59,17 @@
 	list, _ := json.Marshal(append(many, "m8"))
 	for _, x := range []struct {
 		what  string
-		level ident.Level
+		level ident.FormatLevel
 		body  []byte
 		want  int
 	}{
 		{"a gang below the level", 0, gangSpec(), http.StatusServiceUnavailable},
 		{"an array below it", 0, gangSpec(`"gang"`, `"batch"`), http.StatusCreated},
-		{"a gang", ident.Packed, gangSpec(), http.StatusCreated},
-		{"a gang over the limit", ident.Packed, gangSpec(`"pieces":4`, `"pieces":9`), http.StatusUnprocessableEntity},
-		{"an array of as many", ident.Packed, gangSpec(`"pieces":4`, `"pieces":9`, `"gang"`, `"batch"`), http.StatusCreated},
+		{"a gang", ident.FormatPacked, gangSpec(), http.StatusCreated},
+		{"a gang over the limit", ident.FormatPacked, gangSpec(`"pieces":4`, `"pieces":9`), http.StatusUnprocessableEntity},
+		{"an array of as many", ident.FormatPacked, gangSpec(`"pieces":4`, `"pieces":9`, `"gang"`, `"batch"`), http.StatusCreated},
 		{"too long a description below the level", 0, gangSpec(`"gang"`, `"batch"`, `"models":null`, `"models":`+string(list)), http.StatusUnprocessableEntity},
-		{"too long a description", ident.Packed, gangSpec(`"models":null`, `"models":`+string(list)), http.StatusUnprocessableEntity},
+		{"too long a description", ident.FormatPacked, gangSpec(`"models":null`, `"models":`+string(list)), http.StatusUnprocessableEntity},
 	} {
 		c, _ := alone(x.level)
 		if got := status(c, x.body); got != x.want {
@@ -82,7 +82,7 @@
 // read that the level is raised: an old leader would call the gang malformed.
 func TestGangsWaitForTheLevel(t *testing.T) {
 	for _, x := range []struct{ term, want string }{{`5`, "503"}, {`{"term":5,"level":1}`, "passed on"}} {
-		w := &world{now: ident.Mono(1 << 40), asked: map[string]bool{}}
+		w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}}
 		w.values = map[string]string{"term": x.term}
 		set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Siblings: []settings.Sibling{{Node: "agent-1"}},
 			Cluster: settings.Cluster{Nodes: 2, Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -41,13 +41,13 @@
 }
 
 // lead begins a term at a format level over what is stored.
-func (s goldenStore) lead(term ident.Term, level ident.Level) *Controller {
+func (s goldenStore) lead(term ident.Term, level ident.FormatLevel) *Controller {
 	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
 		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
 		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud:   settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.Lead(term, level, statesvc.Cond{Path: "leader", Stamp: 9})
+	c.OnStartedLeading(term, level, statesvc.Compare{Key: "leader", Revision: 9})
 	s.settle(c)
 	return c
 }
@@ -86,10 +86,10 @@
 // what the next term reads of them.
 func TestGoldenMachines(t *testing.T) {
 	var d golden.Document
-	for _, level := range []ident.Level{0, ident.Packed} {
-		s := goldenStore{&store{world: &world{now: ident.Mono(9 * time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.Pair{}, limit: 16 << 10, left: 1 << 30}}
+	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
+		s := goldenStore{&store{world: &world{now: ident.MonotonicTime(9 * time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, limit: 16 << 10, left: 1 << 30}}
 		c := s.lead(7, level)
-		for i, h := range []ident.HostID{"host 1,a", "host-2", "host-3", "host-4"} {
+		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.lead.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
 			if i != 1 {
 				c.lead.workers.Checkin(&api.Report{Host: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Session: 1, Serial: 1})
@@ -98,8 +98,8 @@
 		s.settle(c)
 		d.Add(fmt.Sprintf("level %d", level), s.stored())
 		d.Add(fmt.Sprintf("level %d: read", level), machinesOf(s.lead(8, level).lead))
-		if level < ident.Packed {
-			c = s.lead(9, ident.Packed)
+		if level < ident.FormatPacked {
+			c = s.lead(9, ident.FormatPacked)
 			d.Add("level 0: read above it", machinesOf(c.lead))
 			d.Add("level 0: written above it", s.stored())
 			c.lead.pack()
@@ -135,7 +135,7 @@
 // answered.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
-	for _, level := range []ident.Level{0, ident.Packed} {
+	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
 		c, w := alone(level)
 		a := &asker{c: c, w: w}
 		askLeader(a)
@@ -188,7 +188,7 @@
 
 // goldenFollower makes a node with a sibling that leads, if it is known.
 func goldenFollower(known bool) *asker {
-	w := &world{now: ident.Mono(1 << 40), asked: map[string]bool{}, values: map[string]string{"term": "5"}}
+	w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}, values: map[string]string{"term": "5"}}
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Siblings: []settings.Sibling{{Node: "agent-1"}},
 		Cluster: settings.Cluster{Nodes: 2, Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
@@ -225,7 +225,7 @@
 	}
 	d.JSON(t, "no links", LinkReport{})
 	d.JSON(t, "no moves", MoveReport{})
-	recordedMoves := recorded(statesvc.Pair{Path: "moves/j-7",
+	recordedMoves := recorded(statesvc.KeyValue{Key: "moves/j-7",
 		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
 	d.JSON(t, "moves on record", recordedMoves)
 	d.Compare(t, "reports")
@@ -248,7 +248,7 @@
 	d.Add("states of links", namesOf(links.Down, links.State.String))
 	d.Add("evidence", namesOf(links.Silence, links.Evidence.String))
 	d.Add("rows not taken", namesOf(links.Older, links.Refusal.String))
-	d.Add("authority", namesOf(authority.Deciding, authority.State.String))
+	d.Add("authority", namesOf(authority.Active, authority.State.String))
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
 	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlow, rebalance.Source.String))
@@ -261,14 +261,14 @@
 
 // TestGoldenSnapshot pins which counters of a leader its snapshot shows.
 func TestGoldenSnapshot(t *testing.T) {
-	c, _ := alone(ident.Packed)
+	c, _ := alone(ident.FormatPacked)
 	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
 	l := c.lead
 	p := &l.planner.Stats
 	p.Planned, p.Local, p.New, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.Extra = 201, 202, 203, 204, 205, 206, 207, 208, 209
 	p.FetchedGB, p.Took = 210.5, 211*time.Second
 	l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced = 301, 302, 303
-	l.commits.Txns, l.commits.Puts, l.commits.Repeats, l.commits.Rejected = 401, 402, 403, 404
+	l.commits.Txns, l.commits.Puts, l.commits.Retries, l.commits.Rejected = 401, 402, 403, 404
 	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
 	l.workers.Relocated, l.workers.Fences, l.workers.Stale = 601, 602, 603
 	s := c.Snapshot()
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -37,12 +37,12 @@
 
 	models  []cloud.Model
 	kinds   map[string]*cloud.Model
-	catalog *commit.Doc   // of the first format
-	types   []*commit.Doc // from it on: one for each machine type
+	catalog *commit.Document   // of the first format
+	types   []*commit.Document // from it on: one for each machine type
 
-	level      ident.Level // the format that is written
-	valueBytes int         // of a value, at any time
-	converted  ident.Mono  // no look for jobs in the old form before
+	level      ident.FormatLevel   // the format that is written
+	valueBytes int                 // of a value, at any time
+	converted  ident.MonotonicTime // no look for jobs in the old form before
 
 	groups    map[kindOf]*workers.Group // that new machines go into
 	older     []*workers.Group          // loaded, in the form of before
@@ -50,23 +50,23 @@
 
 	ready  bool
 	dead   bool
-	began  ident.Mono
-	rested ident.Mono // no dispatch before
-	waking bool       // a timer will bring the next
-	dirty  bool       // something may be placed
+	began  ident.MonotonicTime
+	rested ident.MonotonicTime // no dispatch before
+	waking bool                // a timer will bring the next
+	dirty  bool                // something may be placed
 	// pending holds the users whose answers wait for the state service.
 	pending map[uint64]func(Reply)
 	lastReq uint64
 
 	renewals *renewal.Registry
-	direct   ident.Mono               // when a machine last reached this node, or it one
+	direct   ident.MonotonicTime      // when a machine last reached this node, or it one
 	missing  map[*workers.Worker]bool // alive as a sibling hears, but not reached from here since
-	probed   ident.Mono               // when one of them was last asked
+	probed   ident.MonotonicTime      // when one of them was last asked
 
-	handover *handover.Machine // nil unless links are watched
-	upByZone map[string]int    // machines that should be reached
-	loads    *load.Model       // nil unless load is watched
-	mover    *mover            // nil unless load is watched
+	handover *handover.Coordinator // nil unless links are watched
+	upByZone map[string]int        // machines that should be reached
+	loads    *load.Model           // nil unless load is watched
+	mover    *mover                // nil unless load is watched
 }
 
 const (
@@ -99,38 +99,38 @@
 	probeEvery = 100 * time.Millisecond
 )
 
-func newLead(c *Controller, t ident.Term, level ident.Level, key statesvc.Cond) *lead {
+func newLead(c *Controller, t ident.Term, level ident.FormatLevel, key statesvc.Compare) *lead {
 	l := &lead{c: c, term: t, level: level, began: c.env.Now(), kinds: map[string]*cloud.Model{}, groups: map[kindOf]*workers.Group{}, pending: map[uint64]func(Reply){},
 		renewals: renewal.NewRegistry(c.grace), direct: c.env.Now(), missing: map[*workers.Worker]bool{}, upByZone: map[string]int{}}
 	st := c.set.Cluster.State
 	limits := func(s settings.State) commit.Limits {
-		return commit.Limits{Ops: s.TxnOps, PerSecond: writeShare * s.WriteRPS, ValueBytes: int(s.ValueKB * 1024)}
+		return commit.Limits{MutationsPerTxn: s.TxnOps, MutationsPerSecond: writeShare * s.WriteRPS, MaxValueBytes: int(s.ValueKB * 1024)}
 	}
 	tight := limits(st.Tight())
-	l.valueBytes = tight.ValueBytes
+	l.valueBytes = tight.MaxValueBytes
 	l.commits = commit.New(c.env, limits(st), key, func(why string) { c.elect.Deposed(why) })
-	l.commits.Expect(tight)
-	l.commits.OnDown = l.refusePending
-	l.jobs = jobs.NewTable(l.commits, limits(st).ValueBytes, c.env.Now, c.env.WallMS)
+	l.commits.ExpectLimits(tight)
+	l.commits.OnUnavailable = l.refusePending
+	l.jobs = jobs.NewTable(l.commits, limits(st).MaxValueBytes, c.env.Now, c.env.WallMS)
 	l.jobs.Expect(l.valueBytes)
-	if level >= ident.Packed {
-		l.commits.Pack()
+	if level >= ident.FormatPacked {
+		l.commits.UseTextFormat()
 		l.jobs.Pack()
 	}
 	nodes := []ident.NodeID{c.set.Node}
 	for _, s := range c.set.Siblings {
 		nodes = append(nodes, s.Node)
 	}
-	l.raiser = upgrade.New(c.env, t, key, nodes, l.commits.Mark, l.pack)
+	l.raiser = upgrade.New(c.env, t, key, nodes, l.commits.MarkDirty, l.pack)
 	l.teams = placement.NewTeams(c.set.Cluster.Teams)
 	w := c.set.Cluster.Workers
-	port := leaderPort{Env: c.env, until: c.elect.Until}
+	port := leaderPort{Env: c.env, until: c.elect.LeaseExpiry}
 	l.workers = workers.NewTable(port, l.jobs, l.workersConfig())
 	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.set.Tuning.Plan == "asm1", c.set.Cluster.Objectives)
 	l.planner.MaxWait, l.planner.GangWait = c.set.Tuning.MaxWait, c.set.Tuning.GangWait
 	if c.links != nil {
 		times := handover.DefaultConfig()
-		times.Hold, times.Persist = c.set.Tuning.Links.Hold, c.set.Tuning.Links.Persist
+		times.MinTermDuration, times.StabilizationWindow = c.set.Tuning.Links.Hold, c.set.Tuning.Links.Persist
 		l.handover = handover.New(times, &c.links.history, c.env.Now())
 	}
 	l.watchLoad()
@@ -160,7 +160,7 @@
 		},
 		Commit:  l.commitWorker,
 		Asked:   l.asked,
-		Renewed: func() ident.Mono { return l.renewals.Renewed(c.env.Now()) },
+		Renewed: func() ident.MonotonicTime { return l.renewals.LatestRenewal(c.env.Now()) },
 	}
 }
 
@@ -198,15 +198,15 @@
 	l.refusePending()
 }
 
-// pack goes over to the format of ident.Packed, now that it is in force. It goes with
+// pack goes over to the format of ident.FormatPacked, now that it is in force. It goes with
 // the first format.
 func (l *lead) pack() {
 	if l.dead {
 		return
 	}
-	l.level = ident.Packed
+	l.level = ident.FormatPacked
 	l.c.level = max(l.c.level, l.level)
-	l.commits.Pack()
+	l.commits.UseTextFormat()
 	l.jobs.Pack()
 	l.fitGroups()
 	l.storeCatalog()
@@ -221,7 +221,7 @@
 		l.countUp()
 	}
 	l.judgeLoad()
-	if l.c.links == nil && l.c.elect.Valid() && l.alone() {
+	if l.c.links == nil && l.c.elect.LeaseValid() && l.alone() {
 		l.c.elect.Resign(restAfter, "nobody is heard")
 		return
 	}
@@ -230,7 +230,7 @@
 		l.jobs.Acquit()
 		l.fleet.Tick()
 		l.gangs.Tick()
-		if l.level >= ident.Packed && began > l.converted && l.commits.Spare() && !l.jobs.Convert(convertBatch) {
+		if l.level >= ident.FormatPacked && began > l.converted && l.commits.HasSpareCapacity() && !l.jobs.Convert(convertBatch) {
 			l.converted = began.Add(convertAgain)
 		}
 		l.dirty = true
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -23,9 +23,9 @@
 
 // world has a state service with a fleet on record, and machines that don't answer.
 type world struct {
-	now    ident.Mono
+	now    ident.MonotonicTime
 	timers []timer
-	keys   []statesvc.Pair
+	keys   []statesvc.KeyValue
 	asked  map[string]bool
 	values map[string]string // of single keys
 	frames []*mesh.Frame     // sent to siblings
@@ -33,40 +33,40 @@
 }
 
 type timer struct {
-	at ident.Mono
+	at ident.MonotonicTime
 	f  func()
 }
 
-func (w *world) Now() ident.Mono                            { return w.now }
+func (w *world) Now() ident.MonotonicTime                   { return w.now }
 func (w *world) WallMS() int64                              { return 0 }
 func (w *world) After(d time.Duration, f func())            { w.timers = append(w.timers, timer{w.now.Add(d), f}) }
 func (w *world) Cloud(r cloud.Request, f func(cloud.Reply)) {}
 func (w *world) Mesh(_ ident.NodeID, f *mesh.Frame)         { w.frames = append(w.frames, f) }
 
-func (w *world) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (w *world) Store(r statesvc.Request, f func(statesvc.Response)) {
 	switch r.Op {
 	case statesvc.Txn:
 		w.ledger++
-		f(statesvc.Reply{Outcome: statesvc.OK, Ledger: w.ledger})
+		f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: w.ledger})
 	case statesvc.Get:
-		if v, ok := w.values[r.Path]; ok {
-			f(statesvc.Reply{Outcome: statesvc.OK, Value: json.RawMessage(v)})
+		if v, ok := w.values[r.Key]; ok {
+			f(statesvc.Response{Outcome: statesvc.OK, Value: json.RawMessage(v)})
 			return
 		}
-		if strings.HasPrefix(r.Path, jobs.OverPrefix) || r.Path == election.LeaderKey || r.Path == election.TermKey {
-			f(statesvc.Reply{Outcome: statesvc.NotFound})
+		if strings.HasPrefix(r.Key, jobs.OverPrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
+			f(statesvc.Response{Outcome: statesvc.NotFound})
 			return
 		}
-		if r.Path == catalogKey {
-			f(statesvc.Reply{Outcome: statesvc.OK, Value: api.JSON([]cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
+		if r.Key == catalogKey {
+			f(statesvc.Response{Outcome: statesvc.OK, Value: api.JSON([]cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
 		}
-	case statesvc.Grant, statesvc.Extend:
-		f(statesvc.Reply{Outcome: statesvc.OK, Grant: 1})
+	case statesvc.GrantLease, statesvc.RenewLease:
+		f(statesvc.Response{Outcome: statesvc.OK, LeaseID: 1})
 	case statesvc.List:
-		out := statesvc.Reply{Outcome: statesvc.OK}
+		out := statesvc.Response{Outcome: statesvc.OK}
 		for _, p := range w.keys {
-			if strings.HasPrefix(p.Path, r.Starts) {
-				out.Pairs = append(out.Pairs, p)
+			if strings.HasPrefix(p.Key, r.Prefix) {
+				out.KeyValues = append(out.KeyValues, p)
 			}
 		}
 		f(out)
@@ -104,24 +104,24 @@
 // over, and nobody else was asked; those with tasks never were, for their sessions are
 // on record.
 func TestSilentMachinesTakeNoTurn(t *testing.T) {
-	w := &world{now: ident.Mono(time.Hour), asked: map[string]bool{}}
+	w := &world{now: ident.MonotonicTime(time.Hour), asked: map[string]bool{}}
 	var g groupRecord
 	g.Model, g.Zone = "m8", "a"
 	const machines = 3 * maxAsked
 	for i := range machines {
-		g.Hosts = append(g.Hosts, machineRecord{Host: ident.HostID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprint("addr-", i)})
+		g.Hosts = append(g.Hosts, machineRecord{Host: ident.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprint("addr-", i)})
 	}
 	b, err := json.Marshal(g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.keys = []statesvc.Pair{{Path: fleetPrefix + "1-1", Value: b, Stamp: 3}}
+	w.keys = []statesvc.KeyValue{{Key: fleetPrefix + "1-1", Value: b, Revision: 3}}
 	job := `{"spec":{"id":"j-1","desk":"red","shape":"service","pieces":1,"vcpus":1},"seq":1,"phase":"open","tasks":[{"t":1,"h":"host-000007","n":1}]}`
-	w.keys = append(w.keys, statesvc.Pair{Path: "live/j-1", Value: json.RawMessage(job), Stamp: 4})
+	w.keys = append(w.keys, statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.Lead(2, 0, statesvc.Cond{Path: "leader", Stamp: 9})
+	c.OnStartedLeading(2, 0, statesvc.Compare{Key: "leader", Revision: 9})
 	w.pass(4 * askEvery)
 	if len(w.asked) != machines {
 		t.Errorf("%d of %d machines were asked", len(w.asked), machines)
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -96,7 +96,7 @@
 }
 
 // linkEntries lists the verdicts on all directions of the node's links.
-func (v *linkView) linkEntries(now ident.Mono) []LinkEntry {
+func (v *linkView) linkEntries(now ident.MonotonicTime) []LinkEntry {
 	entries := []LinkEntry{}
 	for _, p := range v.monitor.Peers() {
 		for _, d := range []links.Direction{links.Inbound, links.Outbound} {
@@ -132,7 +132,7 @@
 	return entry
 }
 
-func handoverEntry(h HandoverRecord, now ident.Mono) HandoverEntry {
+func handoverEntry(h HandoverRecord, now ident.MonotonicTime) HandoverEntry {
 	return HandoverEntry{
 		Term:     uint64(h.Term),
 		AgoS:     roundSeconds(now.Sub(h.At)),
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -67,13 +67,13 @@
 	incarnation uint64
 	sequence    uint64
 	capable     map[ident.NodeID]bool // siblings that can read frames about links
-	looked      ident.Mono            // when those were last looked for
+	looked      ident.MonotonicTime   // when those were last looked for
 	looking     bool
-	sampled     ident.Mono // when a report was last read for its zone
+	sampled     ident.MonotonicTime // when a report was last read for its zone
 	recent      map[string][]links.Witness
-	doubted     map[string]ident.Mono    // when all witnesses of a zone were last asked
-	refusals    map[links.Refusal]uint64 // rows that were not taken
-	undated     uint64                   // messages of rows that echoed nothing of this node
+	doubted     map[string]ident.MonotonicTime // when all witnesses of a zone were last asked
+	refusals    map[links.Refusal]uint64       // rows that were not taken
+	undated     uint64                         // messages of rows that echoed nothing of this node
 	records     []HandoverRecord
 	handovers   uint64 // terms that were ended by choice
 }
@@ -88,7 +88,7 @@
 		incarnation: uint64(max(1, c.env.WallMS())),
 		capable:     map[ident.NodeID]bool{},
 		recent:      map[string][]links.Witness{},
-		doubted:     map[string]ident.Mono{},
+		doubted:     map[string]ident.MonotonicTime{},
 		refusals:    map[links.Refusal]uint64{},
 	}
 	v.view = links.NewView(c.siblings())
@@ -116,21 +116,21 @@
 	view *linkView
 }
 
-// State sends a request to the state service. A long poll says nothing by taking long.
-func (e observedEnv) State(r statesvc.Request, f func(statesvc.Reply)) {
-	if r.Op == statesvc.Follow {
-		e.Env.State(r, f)
+// Store sends a request to the state service. A long poll says nothing by taking long.
+func (e observedEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
+	if r.Op == statesvc.Watch {
+		e.Env.Store(r, f)
 		return
 	}
 	sent := e.Now()
 	e.view.monitor.Sent(stateLink, sent)
-	e.Env.State(r, func(a statesvc.Reply) {
+	e.Env.Store(r, func(a statesvc.Response) {
 		switch {
-		case a.Outcome == statesvc.Refused:
+		case a.Outcome == statesvc.Unavailable:
 			e.view.monitor.Refused(stateLink, sent, e.Now())
-		case a.Outcome != statesvc.Lost:
+		case a.Outcome != statesvc.NoAnswer:
 			e.view.monitor.Answered(stateLink, sent, e.Now())
-		case a.Rejected:
+		case a.ConnectionRefused:
 			e.view.monitor.Rejected(stateLink, e.Now())
 		}
 		f(a)
@@ -204,7 +204,7 @@
 }
 
 // probe asks where there is no traffic to judge by.
-func (v *linkView) probe(now ident.Mono) {
+func (v *linkView) probe(now ident.MonotonicTime) {
 	if v.monitor.Idle(stateLink, now, probeStateAfter) {
 		v.c.look()
 	}
@@ -249,7 +249,7 @@
 
 // witnesses returns, by zone, machines that this node may ask: those whose reports came
 // here, and those that the leader names.
-func (v *linkView) witnesses(now ident.Mono) map[string][]links.Witness {
+func (v *linkView) witnesses(now ident.MonotonicTime) map[string][]links.Witness {
 	out := map[string][]links.Witness{}
 	for zone, list := range v.recent {
 		out[zone] = append(out[zone], list...)
@@ -297,32 +297,34 @@
 }
 
 // findCapable looks for siblings that can read frames about links, until all can.
-func (v *linkView) findCapable(now ident.Mono) {
-	if v.looking || len(v.capable) == len(v.c.peers) && v.c.level >= ident.Packed || v.looked > 0 && now.Sub(v.looked) < capableEvery {
+func (v *linkView) findCapable(now ident.MonotonicTime) {
+	if v.looking || len(v.capable) == len(v.c.peers) && v.c.level >= ident.FormatPacked || v.looked > 0 && now.Sub(v.looked) < capableEvery {
 		return
 	}
 	v.looked, v.looking = now, true
-	v.c.env.State(statesvc.Request{Op: statesvc.List, Starts: upgrade.Prefix, Timeout: commitTime}, func(r statesvc.Reply) {
+	v.c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: upgrade.NodeKeyPrefix, Timeout: commitTime}, func(r statesvc.Response) {
 		v.looking = false
 		if r.Outcome != statesvc.OK {
 			return
 		}
-		for n, frames := range upgrade.FramesOf(r.Pairs) {
+		for n, frames := range upgrade.FrameCapabilities(r.KeyValues) {
 			if v.c.peers[n] != nil && frames >= mesh.LinksCapability {
 				v.capable[n] = true
 			}
 		}
 	})
-	if v.c.level < ident.Packed {
+	if v.c.level < ident.FormatPacked {
 		v.c.readLevel(func() {})
 	}
 }
 
 // speaks says whether a sibling can be told of links.
-func (v *linkView) speaks(n ident.NodeID) bool { return v.capable[n] && v.c.level >= ident.Packed }
+func (v *linkView) speaks(n ident.NodeID) bool {
+	return v.capable[n] && v.c.level >= ident.FormatPacked
+}
 
 // row makes this node's row.
-func (v *linkView) row(now ident.Mono) links.Row {
+func (v *linkView) row(now ident.MonotonicTime) links.Row {
 	v.sequence++
 	r := v.monitor.Row(v.c.set.Node, v.incarnation, v.sequence)
 	r.Links = r.Links[:min(len(r.Links), links.MaxLinks)]
@@ -337,7 +339,7 @@
 }
 
 // send tells a sibling this node's row, and those of the others.
-func (v *linkView) send(n ident.NodeID, own links.Row, now ident.Mono) {
+func (v *linkView) send(n ident.NodeID, own links.Row, now ident.MonotonicTime) {
 	if !v.speaks(n) {
 		return
 	}
@@ -355,7 +357,7 @@
 // that it names; without one of ours of late there is nothing to date them by.
 func (v *linkView) take(f *mesh.Frame) {
 	now := v.c.env.Now()
-	at, ok := v.c.heartbeats.When(f.ID)
+	at, ok := v.c.heartbeats.SentAt(f.ID)
 	if !ok {
 		v.undated++
 		return
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -17,7 +17,7 @@
 func (l *lead) load() {
 	began := l.c.env.Now()
 	left := 4
-	var live, log, machines, moves []statesvc.Pair
+	var live, log, machines, moves []statesvc.KeyValue
 	if l.mover != nil {
 		left++
 	}
@@ -30,7 +30,7 @@
 			faults = append(faults, l.restoreGroup(p))
 		}
 		for _, p := range live {
-			faults = append(faults, l.jobs.Load(p.Path, p.Value, p.Stamp))
+			faults = append(faults, l.jobs.Load(p.Key, p.Value, p.Revision))
 		}
 		faults = append(faults, l.jobs.LoadLog(log))
 		if err := errors.Join(faults...); err != nil {
@@ -40,7 +40,7 @@
 			return
 		}
 		for _, p := range moves {
-			l.mover.history.Load(p.Path, p.Value, p.Stamp)
+			l.mover.history.Load(p.Key, p.Value, p.Revision)
 		}
 		slog.Info("loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
 			"took_ms", l.c.env.Now().Sub(began).Milliseconds())
@@ -55,11 +55,11 @@
 	}
 }
 
-func (l *lead) readAll(prefix, since string, into *[]statesvc.Pair, done func()) {
-	l.read(statesvc.Request{Op: statesvc.List, Starts: prefix, Since: since, Timeout: loadTime}, func(r statesvc.Reply) {
-		*into = append(*into, r.Pairs...)
-		if r.Truncated && len(r.Pairs) > 0 {
-			l.readAll(prefix, r.Pairs[len(r.Pairs)-1].Path, into, done)
+func (l *lead) readAll(prefix, since string, into *[]statesvc.KeyValue, done func()) {
+	l.read(statesvc.Request{Op: statesvc.List, Prefix: prefix, StartAfter: since, Timeout: loadTime}, func(r statesvc.Response) {
+		*into = append(*into, r.KeyValues...)
+		if r.Truncated && len(r.KeyValues) > 0 {
+			l.readAll(prefix, r.KeyValues[len(r.KeyValues)-1].Key, into, done)
 			return
 		}
 		done()
@@ -67,8 +67,8 @@
 }
 
 // read asks the state service until it answers.
-func (l *lead) read(r statesvc.Request, f func(statesvc.Reply)) {
-	l.c.env.State(r, func(a statesvc.Reply) {
+func (l *lead) read(r statesvc.Request, f func(statesvc.Response)) {
+	l.c.env.Store(r, func(a statesvc.Response) {
 		switch {
 		case l.dead:
 		case a.Outcome == statesvc.OK || a.Outcome == statesvc.NotFound:
@@ -118,8 +118,8 @@
 		l.mover.adopt()
 	}
 	l.ready, l.dirty = true, true
-	if l.level < ident.NewestLevel {
-		l.raiser.Look()
+	if l.level < ident.NewestFormatLevel {
+		l.raiser.Poll()
 	} else {
 		l.fitLoaded()
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -28,9 +28,9 @@
 }
 
 type machineRecord struct {
-	Host   ident.HostID `json:"h"`
-	Addr   string       `json:"a,omitempty"`
-	BornMS int64        `json:"b"`
+	Host   ident.MachineID `json:"h"`
+	Addr   string          `json:"a,omitempty"`
+	BornMS int64           `json:"b"`
 }
 
 const (
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, machineRecord{ident.HostID(host), addr, r.BaseMS + age*1000})
+		out = append(out, machineRecord{ident.MachineID(host), addr, r.BaseMS + age*1000})
 	}
 	return out, nil
 }
@@ -97,7 +97,7 @@
 func (l *lead) groupFits(g *workers.Group, k kindOf, more ...*workers.Worker) bool {
 	size := groupBytes + len(k.model) + len(k.site)
 	per := plainBytes
-	if l.level >= ident.Packed {
+	if l.level >= ident.FormatPacked {
 		per = packedBytes
 	}
 	for _, list := range [][]*workers.Worker{g.Members, more} {
@@ -125,11 +125,11 @@
 	if w.State == workers.Gone {
 		g := w.Group
 		g.Members = slices.DeleteFunc(slices.Clone(g.Members), func(o *workers.Worker) bool { return o == w })
-		l.commits.MarkLazy(g.Doc, func() { w.Recorded = false })
+		l.commits.MarkDirtyLazily(g.Doc, func() { w.Recorded = false })
 		return
 	}
 	if fresh {
-		l.commits.Mark(w.Group.Doc, func() {
+		l.commits.MarkDirty(w.Group.Doc, func() {
 			if w.State != workers.Gone {
 				w.Recorded = true
 				l.dirty = true
@@ -137,7 +137,7 @@
 		})
 		return
 	}
-	l.commits.MarkLazy(w.Group.Doc, nil)
+	l.commits.MarkDirtyLazily(w.Group.Doc, nil)
 }
 
 func (l *lead) nextGroup(k kindOf) *workers.Group {
@@ -146,7 +146,7 @@
 }
 
 func (l *lead) newGroup(path string, k kindOf) *workers.Group {
-	g := &workers.Group{Doc: &commit.Doc{Path: path}}
+	g := &workers.Group{Doc: &commit.Document{Key: path}}
 	g.Doc.Render = func() json.RawMessage {
 		members := slices.Concat(g.Members, g.Leaving)
 		if len(members) == 0 {
@@ -159,7 +159,7 @@
 		for _, w := range members {
 			list = append(list, machineRecord{w.Host, w.Addr, l.c.env.WallMS() - l.c.env.Now().Sub(w.Born).Milliseconds()})
 		}
-		if l.level >= ident.Packed {
+		if l.level >= ident.FormatPacked {
 			r.pack(list)
 		} else {
 			r.Hosts = list
@@ -168,7 +168,7 @@
 		// Those that leave have their address in their next group; of longer addresses
 		// than expected, reports tell again.
 		for _, from := range []int{len(g.Members), 0} {
-			if len(b) > l.valueBytes && l.level >= ident.Packed {
+			if len(b) > l.valueBytes && l.level >= ident.FormatPacked {
 				for i := range list[from:] {
 					list[from+i].Addr = ""
 				}
@@ -181,31 +181,31 @@
 	return g
 }
 
-func (l *lead) restoreGroup(p statesvc.Pair) error {
+func (l *lead) restoreGroup(p statesvc.KeyValue) error {
 	var r groupRecord
 	if err := json.Unmarshal(p.Value, &r); err != nil {
-		return fmt.Errorf("%s: %w", p.Path, err)
+		return fmt.Errorf("%s: %w", p.Key, err)
 	}
 	list, err := r.machines()
 	if err != nil {
-		return fmt.Errorf("%s: %w", p.Path, err)
+		return fmt.Errorf("%s: %w", p.Key, err)
 	}
 	k := kindOf{r.Model, r.Zone, r.Spot}
-	g := l.newGroup(p.Path, k)
-	g.Doc.Stamp = p.Stamp
+	g := l.newGroup(p.Key, k)
+	g.Doc.Revision = p.Revision
 	now := l.c.env.Now()
 	for _, m := range list {
 		if w := l.workers.Workers[m.Host]; w != nil {
 			// On its way from one group to another when a term ended.
 			l.workers.CameUp(w, m.Addr)
-			l.commits.MarkLazy(g.Doc, nil)
+			l.commits.MarkDirtyLazily(g.Doc, nil)
 			continue
 		}
 		age := time.Duration(l.c.env.WallMS()-m.BornMS) * time.Millisecond
 		w := l.workers.Restore(m.Host, r.Model, r.Zone, r.Spot, now.Add(-max(0, age)), m.Addr, g)
 		g.Members = append(g.Members, w)
 	}
-	if l.level >= ident.Packed && r.Text == "" {
+	if l.level >= ident.FormatPacked && r.Text == "" {
 		l.older = append(l.older, g)
 	}
 	return nil
@@ -241,7 +241,7 @@
 	w := g.Members[0]
 	k := kindOf{w.Model, w.Zone, w.Spot}
 	if l.groupFits(g, k) {
-		l.commits.MarkLazy(g.Doc, nil)
+		l.commits.MarkDirtyLazily(g.Doc, nil)
 	} else {
 		l.split(g, k)
 	}
@@ -250,7 +250,7 @@
 // split moves machines to other groups. They leave the old one when the new record is
 // durable, so that a successor finds each in at least one of both.
 func (l *lead) split(g *workers.Group, k kindOf) {
-	slog.Info("splitting a record of machines", "path", g.Doc.Path, "machines", len(g.Members))
+	slog.Info("splitting a record of machines", "path", g.Doc.Key, "machines", len(g.Members))
 	for !l.groupFits(g, k) && len(g.Members) > 1 {
 		n := l.nextGroup(k)
 		for len(g.Members) > 1 && l.groupFits(n, k, g.Members[len(g.Members)-1]) {
@@ -267,9 +267,9 @@
 			return
 		}
 		moved := slices.Clone(n.Members)
-		l.commits.Mark(n.Doc, func() {
+		l.commits.MarkDirty(n.Doc, func() {
 			g.Leaving = slices.DeleteFunc(g.Leaving, func(w *workers.Worker) bool { return slices.Contains(moved, w) })
-			l.commits.MarkLazy(g.Doc, nil)
+			l.commits.MarkDirtyLazily(g.Doc, nil)
 		})
 	}
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -20,13 +20,13 @@
 type store struct {
 	*world
 	t     *testing.T
-	pairs map[string]statesvc.Pair
+	pairs map[string]statesvc.KeyValue
 	limit int
 	left  int
 	lose  int // counts down to it
 }
 
-func (s *store) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (s *store) Store(r statesvc.Request, f func(statesvc.Response)) {
 	switch r.Op {
 	case statesvc.Txn:
 		if s.left == 0 {
@@ -37,31 +37,31 @@
 			return
 		}
 		s.ledger++
-		for _, c := range r.Then {
+		for _, c := range r.Mutations {
 			if len(c.Value) > s.limit {
 				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
 			}
 			if c.Put != "" {
-				s.pairs[c.Put] = statesvc.Pair{Path: c.Put, Value: c.Value, Stamp: ident.Stamp(s.ledger)}
+				s.pairs[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.ledger)}
 			} else {
 				delete(s.pairs, c.Delete)
 			}
 		}
-		f(statesvc.Reply{Outcome: statesvc.OK, Ledger: s.ledger})
+		f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.ledger})
 	case statesvc.Get:
-		if p, ok := s.pairs[r.Path]; ok {
-			f(statesvc.Reply{Outcome: statesvc.OK, Value: p.Value, Stamp: p.Stamp})
+		if p, ok := s.pairs[r.Key]; ok {
+			f(statesvc.Response{Outcome: statesvc.OK, Value: p.Value, Revision: p.Revision})
 			return
 		}
-		f(statesvc.Reply{Outcome: statesvc.NotFound})
+		f(statesvc.Response{Outcome: statesvc.NotFound})
 	case statesvc.List:
-		out := statesvc.Reply{Outcome: statesvc.OK}
+		out := statesvc.Response{Outcome: statesvc.OK}
 		for k, p := range s.pairs {
-			if strings.HasPrefix(k, r.Starts) {
-				out.Pairs = append(out.Pairs, p)
+			if strings.HasPrefix(k, r.Prefix) {
+				out.KeyValues = append(out.KeyValues, p)
 			}
 		}
-		slices.SortFunc(out.Pairs, func(a, b statesvc.Pair) int { return strings.Compare(a.Path, b.Path) })
+		slices.SortFunc(out.KeyValues, func(a, b statesvc.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 		f(out)
 	}
 }
@@ -79,9 +79,9 @@
 		State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
 			Next: &settings.NextState{ValueKB: float64(s.limit) / 1024, TxnOps: 5}},
 		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.Lead(term, ident.Packed, statesvc.Cond{Path: "leader", Stamp: 9})
+	c.OnStartedLeading(term, ident.FormatPacked, statesvc.Compare{Key: "leader", Revision: 9})
 	for _, w := range c.lead.workers.Sorted() {
-		c.lead.commits.MarkLazy(w.Group.Doc, nil) // as after a report with another address
+		c.lead.commits.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
 	}
 	for range 200 {
 		s.pass(100 * time.Millisecond)
@@ -100,19 +100,19 @@
 		if run%2 == 1 {
 			left, lose = 1<<30, run/2
 		}
-		s := &store{world: &world{now: ident.Mono(time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.Pair{}, limit: 1536, left: left, lose: lose}
+		s := &store{world: &world{now: ident.MonotonicTime(time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, limit: 1536, left: left, lose: lose}
 		s.ledger = 50
 		for g := range 3 {
 			r := groupRecord{Model: "m8", Zone: "a", Spot: g == 2}
 			for i := range 50 {
-				r.Hosts = append(r.Hosts, machineRecord{Host: ident.HostID(fmt.Sprintf("host-%06d", 50*g+i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", g, i), BornMS: int64(-1000 * i)})
+				r.Hosts = append(r.Hosts, machineRecord{Host: ident.MachineID(fmt.Sprintf("host-%06d", 50*g+i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", g, i), BornMS: int64(-1000 * i)})
 			}
 			b, err := json.Marshal(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			path := fmt.Sprintf("%s1-%d", fleetPrefix, g)
-			s.pairs[path] = statesvc.Pair{Path: path, Value: b, Stamp: ident.Stamp(10 + g)}
+			s.pairs[path] = statesvc.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
 		}
 		s.lead(2) // ends with its last transaction
 		s.left, s.lose = 1<<30, 0
@@ -120,7 +120,7 @@
 		if n := len(c.lead.workers.Workers); n != machines {
 			t.Fatalf("after %d transactions %d machines are known", left, n)
 		}
-		seen := map[ident.HostID]string{}
+		seen := map[ident.MachineID]string{}
 		for path, p := range s.pairs {
 			if !strings.HasPrefix(path, fleetPrefix) {
 				continue
--- a/internal/controller/move_picture.go
+++ b/internal/controller/move_picture.go
@@ -14,7 +14,7 @@
 
 // waiting lists the first waiting task of each job that has waited for long enough, in the
 // order of arrival.
-func (m *mover) waiting(now ident.Mono) []rebalance.Waiting {
+func (m *mover) waiting(now ident.MonotonicTime) []rebalance.Waiting {
 	l := m.lead
 	var list []rebalance.Waiting
 	booting := l.booting()
@@ -55,7 +55,7 @@
 
 // arriving estimates when the next of the machines that boot and may take a job is there; 0:
 // none is on its way.
-func arriving(booting []*workers.Worker, s *api.Spec, now ident.Mono) time.Duration {
+func arriving(booting []*workers.Worker, s *api.Spec, now ident.MonotonicTime) time.Duration {
 	soonest := time.Duration(0)
 	for _, w := range booting {
 		if !w.Allows(s) {
@@ -70,7 +70,7 @@
 }
 
 // picture is the cluster as a plan of moves sees it.
-func (m *mover) picture(waiting []rebalance.Waiting, now ident.Mono) *rebalance.Picture {
+func (m *mover) picture(waiting []rebalance.Waiting, now ident.MonotonicTime) *rebalance.Picture {
 	l := m.lead
 	p := &rebalance.Picture{Waiting: waiting, Fits: m.fits}
 	for _, w := range l.workers.Sorted() {
@@ -96,7 +96,7 @@
 	return a
 }
 
-func (m *mover) machine(w *workers.Worker, now ident.Mono) *rebalance.Machine {
+func (m *mover) machine(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
 	k := &rebalance.Machine{Host: w.Host, Zone: w.Zone, Free: w.Free()}
 	for _, t := range m.lead.workers.TasksOf(w) {
 		if left := timeLeft(t, now); left > 0 {
@@ -110,7 +110,7 @@
 }
 
 // timeLeft estimates how long a task stays on its machine; 0: nobody knows.
-func timeLeft(t *jobs.Task, now ident.Mono) time.Duration {
+func timeLeft(t *jobs.Task, now ident.MonotonicTime) time.Duration {
 	runtime := settings.Seconds(t.Job.Spec.RuntimeS)
 	switch {
 	case t.State == jobs.Stopping:
@@ -133,7 +133,7 @@
 	return s.Shape != api.Service || t.Job.Runs > 1 // a lone replica would be missed
 }
 
-func (m *mover) running(t *jobs.Task, now ident.Mono) rebalance.Task {
+func (m *mover) running(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
 	s := t.Job.Spec
 	return rebalance.Task{
 		ID:      t.TaskID(),
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -27,17 +27,17 @@
 
 // MoveEntry is one move.
 type MoveEntry struct {
-	Task          string       `json:"task"`
-	Team          string       `json:"team,omitempty"`
-	From          ident.HostID `json:"from"`
-	To            ident.HostID `json:"to"`
-	For           string       `json:"for,omitempty"`
-	Source        string       `json:"source"`
-	State         string       `json:"state"`
-	Reason        string       `json:"reason,omitempty"`
-	AgeS          float64      `json:"age_s"`
-	ExpectedGainS float64      `json:"expected_gain_s"`
-	CostS         float64      `json:"cost_s"`
+	Task          string          `json:"task"`
+	Team          string          `json:"team,omitempty"`
+	From          ident.MachineID `json:"from"`
+	To            ident.MachineID `json:"to"`
+	For           string          `json:"for,omitempty"`
+	Source        string          `json:"source"`
+	State         string          `json:"state"`
+	Reason        string          `json:"reason,omitempty"`
+	AgeS          float64         `json:"age_s"`
+	ExpectedGainS float64         `json:"expected_gain_s"`
+	CostS         float64         `json:"cost_s"`
 	// RealisedGainS is the gain as it came about, for a move that has ended.
 	RealisedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
@@ -59,12 +59,12 @@
 		reply(r)
 		return
 	}
-	c.env.State(statesvc.Request{Op: statesvc.List, Starts: migration.Prefix, Timeout: commitTime}, func(a statesvc.Reply) {
+	c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: migration.Prefix, Timeout: commitTime}, func(a statesvc.Response) {
 		if a.Outcome != statesvc.OK {
 			r.Error = errState.Error()
 		}
 		r.Truncated = a.Truncated
-		for _, p := range a.Pairs {
+		for _, p := range a.KeyValues {
 			r.Moves = append(r.Moves, recorded(p, c.env.WallMS())...)
 		}
 		reply(r)
@@ -72,13 +72,13 @@
 }
 
 // recorded lists the moves of one key.
-func recorded(p statesvc.Pair, nowMS int64) []MoveEntry {
+func recorded(p statesvc.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(p.Value)
 	if err != nil {
-		slog.Error("unreadable record of moves", "path", p.Path, "err", err)
+		slog.Error("unreadable record of moves", "path", p.Key, "err", err)
 		return nil
 	}
-	job := ident.JobID(p.Path[len(migration.Prefix):])
+	job := ident.JobID(p.Key[len(migration.Prefix):])
 	var out []MoveEntry
 	for _, e := range record.Moves {
 		age := time.Duration(max(0, nowMS-e.AtMS)) * time.Millisecond
@@ -98,7 +98,7 @@
 }
 
 // entries lists the moves under way, and those that have ended of late.
-func (m *mover) entries(now ident.Mono) []MoveEntry {
+func (m *mover) entries(now ident.MonotonicTime) []MoveEntry {
 	out := []MoveEntry{}
 	for _, x := range slices.Concat(m.table.Active(), m.table.Recent()) {
 		e := MoveEntry{
--- a/internal/controller/move_restraint.go
+++ b/internal/controller/move_restraint.go
@@ -35,7 +35,7 @@
 
 // restrained says why this is no time to move work: an election of late, something in doubt,
 // or machines that leave in numbers.
-func (m *mover) restrained(now ident.Mono) restraint {
+func (m *mover) restrained(now ident.MonotonicTime) restraint {
 	l := m.lead
 	switch {
 	case now < m.notBefore:
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -42,9 +42,9 @@
 	held map[*migration.Move]*workers.Worker
 
 	slow      int // machines that are called slow
-	readyAt   ident.Mono
-	cooledAt  ident.Mono // when a hot team last cooled; 0: none did
-	notBefore ident.Mono // no plan earlier
+	readyAt   ident.MonotonicTime
+	cooledAt  ident.MonotonicTime // when a hot team last cooled; 0: none did
+	notBefore ident.MonotonicTime // no plan earlier
 	proposed  uint64
 	gain      time.Duration
 	heldBack  [restraintCount]uint64 // how often no plan was made, by why
@@ -124,7 +124,7 @@
 }
 
 // waitingNow lists the tasks that others could be moved for, or says why none is.
-func (m *mover) waitingNow(now ident.Mono) ([]rebalance.Waiting, restraint) {
+func (m *mover) waitingNow(now ident.MonotonicTime) ([]rebalance.Waiting, restraint) {
 	if why := m.restrained(now); why != unrestrained {
 		return nil, why
 	}
@@ -158,7 +158,7 @@
 
 // begin takes up a proposed move: its room is kept, and it is recorded. The task is stopped
 // once that is durable.
-func (m *mover) begin(p rebalance.Move, now ident.Mono) {
+func (m *mover) begin(p rebalance.Move, now ident.MonotonicTime) {
 	l := m.lead
 	t, to := l.task(p.Task), l.workers.Workers[p.To]
 	if t == nil || to == nil || !to.Reserve(workers.Reservation{Need: p.Need, Priority: t.Job.Spec.Priority}) {
--- a/internal/controller/port.go
+++ b/internal/controller/port.go
@@ -12,7 +12,7 @@
 // free socket.
 type leaderPort struct {
 	Env
-	until func() ident.Mono
+	until func() ident.MonotonicTime
 }
 
 // Cloud sends a request; machines are rented and returned by a sure leader only.
--- a/internal/controller/read.go
+++ b/internal/controller/read.go
@@ -14,10 +14,10 @@
 // bucket bounds the state service requests that polls cause.
 type bucket struct {
 	tokens, perSecond float64
-	filled            ident.Mono
+	filled            ident.MonotonicTime
 }
 
-func (b *bucket) take(now ident.Mono, n float64) bool {
+func (b *bucket) take(now ident.MonotonicTime, n float64) bool {
 	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.filled).Seconds())
 	b.filled = now
 	if b.tokens < n {
@@ -38,7 +38,7 @@
 		reply(unavailable("too many polls at present"))
 		return
 	}
-	c.get(jobs.LiveKey(id), reply, func(r statesvc.Reply) {
+	c.get(jobs.LiveKey(id), reply, func(r statesvc.Response) {
 		v, err := jobs.ReadLive(r.Value)
 		if err != nil {
 			slog.Error("unreadable job", "id", job, "err", err)
@@ -70,7 +70,7 @@
 
 // over looks a job up among those that are over.
 func (c *Controller) over(id ident.JobID, f func(e jobs.Ended, found bool, err error)) {
-	c.env.State(statesvc.Request{Op: statesvc.Get, Path: jobs.OverKey(id), Timeout: commitTime}, func(r statesvc.Reply) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.OverKey(id), Timeout: commitTime}, func(r statesvc.Response) {
 		var e jobs.Ended
 		switch r.Outcome {
 		case statesvc.OK:
@@ -88,8 +88,8 @@
 	})
 }
 
-func (c *Controller) get(path string, reply func(Reply), found func(statesvc.Reply), missing func()) {
-	c.env.State(statesvc.Request{Op: statesvc.Get, Path: path, Timeout: commitTime}, func(r statesvc.Reply) {
+func (c *Controller) get(path string, reply func(Reply), found func(statesvc.Response), missing func()) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: path, Timeout: commitTime}, func(r statesvc.Response) {
 		switch r.Outcome {
 		case statesvc.OK:
 			found(r)
--- a/internal/controller/reply.go
+++ b/internal/controller/reply.go
@@ -13,11 +13,11 @@
 	Retry  int // Retry-After in seconds, 0 for none
 	Body   []byte
 	// Until is when the answer may be out of date, by this node's clock; 0: never.
-	Until ident.Mono
+	Until ident.MonotonicTime
 }
 
 // within bounds an answer's time, if it says that the request was taken.
-func (r Reply) within(at ident.Mono) Reply {
+func (r Reply) within(at ident.MonotonicTime) Reply {
 	if r.Status < http.StatusInternalServerError && (r.Until == 0 || at < r.Until) {
 		r.Until = at
 	}
@@ -25,7 +25,7 @@
 }
 
 // Now returns the answer if it still holds at that time.
-func (r Reply) Now(now ident.Mono) Reply {
+func (r Reply) Now(now ident.MonotonicTime) Reply {
 	if r.Until > 0 && now >= r.Until {
 		return unavailable("the answer came too late")
 	}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -68,12 +68,12 @@
 		l.ended(s.ID, reply, known, func() { reply(problem(http.StatusUnprocessableEntity, why)) })
 		return
 	}
-	if l.level < ident.Packed && (s.Shape == api.Gang || size > jobs.HeaderBytes) {
+	if l.level < ident.FormatPacked && (s.Shape == api.Gang || size > jobs.HeaderBytes) {
 		l.c.Refused++
 		reply(unavailable("some nodes still run an earlier version"))
 		return
 	}
-	if l.commits.Down() || l.commits.Backlog() > maxBacklog {
+	if l.commits.StoreUnavailable() || l.commits.Backlog() > maxBacklog {
 		l.c.Refused++
 		reply(unavailable("state service unavailable"))
 		return
@@ -146,10 +146,10 @@
 // judged once more right before the answer goes out, as the process may stand still
 // meanwhile.
 func (l *lead) fresh(r Reply) Reply {
-	if l.dead || !l.c.may(authority.Answer) {
+	if l.dead || !l.c.may(authority.ServeReads) {
 		return unavailable("no leader at present")
 	}
-	return r.within(l.c.elect.Until())
+	return r.within(l.c.elect.LeaseExpiry())
 }
 
 // poll answers from memory.
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -38,7 +38,7 @@
 
 // Snapshot reads the node's counters.
 func (c *Controller) Snapshot() Snapshot {
-	s := Snapshot{Leading: c.lead != nil, Valid: c.elect.Valid(), Term: uint64(c.elect.Term()), Machines: map[string]int{},
+	s := Snapshot{Leading: c.lead != nil, Valid: c.elect.LeaseValid(), Term: uint64(c.elect.Term()), Machines: map[string]int{},
 		Forwarded: c.Forwarded, Refused: c.Refused, Elected: c.Elections, LeasesKept: c.LeasesKept, Relayed: c.Relayed, Level: uint8(c.level)}
 	l := c.lead
 	if l == nil || !l.ready {
@@ -57,7 +57,7 @@
 	s.Services, s.Gangs, s.Preempted, s.Rounds, s.ExtraRounds = p.Services, p.Gangs, p.Preempted, p.Rounds, p.Extra
 	s.FetchedGB, s.PlanSeconds = p.FetchedGB, p.Took.Seconds()
 	s.Rented, s.Returned, s.Fenced = l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced
-	s.Txns, s.Puts, s.Repeats = l.commits.Txns, l.commits.Puts, l.commits.Repeats
+	s.Txns, s.Puts, s.Repeats = l.commits.Txns, l.commits.Puts, l.commits.Retries
 	s.Rejected = l.commits.Rejected
 	s.GangsStarted, s.GangsLost, s.GangsReplaced, s.GangsStopped = l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped
 	if l.loads != nil {
--- a/internal/controller/takeover_bench_test.go
+++ b/internal/controller/takeover_bench_test.go
@@ -18,21 +18,21 @@
 
 // fleetOnRecord is a state service's content: machines in groups, and three running tasks
 // on each, in the newest format.
-func fleetOnRecord(machines int) []statesvc.Pair {
-	var pairs []statesvc.Pair
+func fleetOnRecord(machines int) []statesvc.KeyValue {
+	var pairs []statesvc.KeyValue
 	put := func(path string, v any) {
 		b, err := json.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
-		pairs = append(pairs, statesvc.Pair{Path: path, Value: b, Stamp: ident.Stamp(len(pairs) + 1)})
+		pairs = append(pairs, statesvc.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
 	}
 	host := func(i int) string { return fmt.Sprintf("host-%06d", i) }
 	for at := 0; at < machines; at += groupSize {
 		g := groupRecord{Model: "m8", Zone: "a"}
 		var list []machineRecord
 		for i := at; i < min(at+groupSize, machines); i++ {
-			list = append(list, machineRecord{Host: ident.HostID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+			list = append(list, machineRecord{Host: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
 		}
 		g.pack(list)
 		put(fmt.Sprintf("%s1-%d", fleetPrefix, at), g)
@@ -67,10 +67,10 @@
 				Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
 				State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.Cloud{RPS: 5}}}
 			for b.Loop() {
-				w := &world{now: ident.Mono(time.Hour), asked: map[string]bool{}, keys: pairs,
+				w := &world{now: ident.MonotonicTime(time.Hour), asked: map[string]bool{}, keys: pairs,
 					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
 				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
-				c.Lead(2, ident.NewestLevel, statesvc.Cond{Path: "leader", Stamp: 9})
+				c.OnStartedLeading(2, ident.NewestFormatLevel, statesvc.Compare{Key: "leader", Revision: 9})
 				if c.lead == nil || !c.lead.ready || len(c.lead.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
 				}
--- a/internal/controller/yield.go
+++ b/internal/controller/yield.go
@@ -14,7 +14,7 @@
 // HandoverRecord tells of a lead that this node has given up by choice.
 type HandoverRecord struct {
 	Term     ident.Term
-	At       ident.Mono
+	At       ident.MonotonicTime
 	To       ident.NodeID
 	Reason   handover.Reason
 	Own      links.Standing
@@ -25,37 +25,37 @@
 const maxHandoverRecords = 8
 
 // compare has the leader see whether a sibling is better placed, and takes the handover on.
-func (l *lead) compare(now ident.Mono) {
-	if l.handover == nil || !l.c.elect.Valid() {
+func (l *lead) compare(now ident.MonotonicTime) {
+	if l.handover == nil || !l.c.elect.LeaseValid() {
 		return
 	}
 	v := l.c.links
 	cluster := links.Cluster{Siblings: l.c.siblings(), Machines: l.upByZone}
 	assessment := cluster.Assess(v.row(now), v.view, now)
 	step := l.handover.Handle(handover.Event{
-		Now:      now,
-		Worse:    assessment.Worse(),
-		To:       assessment.Best,
-		Isolated: assessment.Isolated,
-		Idle:     l.commits.Settled(),
+		Now:              now,
+		PeerBetterPlaced: assessment.Worse(),
+		Successor:        assessment.Best,
+		Isolated:         assessment.Isolated,
+		WritesDrained:    l.commits.Drained(),
 		// At this moment: a link that flaps is down most of the time by its verdict, and a
 		// transaction passes all the same.
-		CanWrite: v.monitor.Passing(stateLink) && !v.monitor.Refusing(stateLink) && !l.commits.Down(),
+		StoreWritable: v.monitor.Passing(stateLink) && !v.monitor.Refusing(stateLink) && !l.commits.StoreUnavailable(),
 	})
 	switch step {
 	case handover.Announce:
 		l.announce(assessment, now)
-	case handover.End:
+	case handover.EndTerm:
 		v.handovers++
-		_, reason := l.handover.To()
+		_, reason := l.handover.Successor()
 		l.c.elect.HandOver(l.c.set.Tuning.Links.Hold, reason.String())
 	}
 }
 
 // announce stops deciding and says who should follow.
-func (l *lead) announce(a links.Assessment, now ident.Mono) {
+func (l *lead) announce(a links.Assessment, now ident.MonotonicTime) {
 	v := l.c.links
-	to, reason := l.handover.To()
+	to, reason := l.handover.Successor()
 	v.records = append(v.records, HandoverRecord{Term: l.term, At: now, To: to, Reason: reason, Own: a.Own, Standing: a.BestRank})
 	if len(v.records) > maxHandoverRecords {
 		v.records = slices.Delete(v.records, 0, len(v.records)-maxHandoverRecords)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -24,15 +24,15 @@
 // the value is the bare number; a program that knows no levels can't read more, and so
 // can't lead.
 type termRecord struct {
-	Term  ident.Term  `json:"term"`
-	Level ident.Level `json:"level"`
+	Term  ident.Term        `json:"term"`
+	Level ident.FormatLevel `json:"level"`
 }
 
-// TermValue is what the term's key holds.
-func TermValue(t ident.Term, l ident.Level) json.RawMessage {
-	var v any = t
-	if l > 0 {
-		v = termRecord{t, l}
+// EncodeTerm is what the term's key holds.
+func EncodeTerm(term ident.Term, level ident.FormatLevel) json.RawMessage {
+	var v any = term
+	if level > 0 {
+		v = termRecord{term, level}
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -41,23 +41,23 @@
 	return b
 }
 
-// ReadTerm reads what TermValue wrote.
-func ReadTerm(b []byte) (ident.Term, ident.Level, error) {
-	var t ident.Term
-	if json.Unmarshal(b, &t) == nil {
-		return t, 0, nil
+// DecodeTerm reads what EncodeTerm wrote.
+func DecodeTerm(data []byte) (ident.Term, ident.FormatLevel, error) {
+	var term ident.Term
+	if json.Unmarshal(data, &term) == nil {
+		return term, 0, nil
 	}
-	var r termRecord
-	if err := json.Unmarshal(b, &r); err != nil {
+	var record termRecord
+	if err := json.Unmarshal(data, &record); err != nil {
 		return 0, 0, err
 	}
-	if r.Term == 0 || r.Level == 0 {
+	if record.Term == 0 || record.Level == 0 {
 		return 0, 0, errors.New("term or level missing")
 	}
-	if r.Level > ident.NewestLevel {
-		return 0, 0, fmt.Errorf("format level %d is later than this program's", r.Level)
+	if record.Level > ident.NewestFormatLevel {
+		return 0, 0, fmt.Errorf("format level %d is later than this program's", record.Level)
 	}
-	return r.Term, r.Level, nil
+	return record.Term, record.Level, nil
 }
 
 // State is where a node stands in the election.
@@ -65,335 +65,335 @@
 
 // The states of a node.
 const (
-	Following State = iota // watching the leader key
-	Granting               // asking for a lease and the term
-	Claiming               // transaction for the leader key under way
-	Leading                // the key was ours when last heard
+	Following       State = iota // watching the leader key
+	RequestingLease              // asking for a lease and the term
+	Claiming                     // transaction for the leader key under way
+	Leading                      // the key was ours when last heard
 )
 
 func (s State) String() string {
 	return [...]string{"following", "granting", "claiming", "leading"}[s]
 }
 
-// drift is the part by which a lease is counted shorter: steady clocks drift
+// driftMargin is the part by which a lease is counted shorter: steady clocks drift
 // apart by at most 0.05%.
-const drift = 0.001
+const driftMargin = 0.001
 
 const (
-	callTime  = time.Second
-	lookAgain = 300 * time.Millisecond
-	watchTime = 10 * time.Second
+	callTimeout     = time.Second
+	recheckInterval = 300 * time.Millisecond
+	watchBlock      = 10 * time.Second
 )
 
 // Port is what an election needs of the world.
 type Port interface {
-	Now() ident.Mono
+	Now() ident.MonotonicTime
 	After(time.Duration, func())
-	State(statesvc.Request, func(statesvc.Reply))
+	Store(statesvc.Request, func(statesvc.Response))
 }
 
-// Events are told to the owner, one call at a time.
-type Events interface {
-	// Lead begins a term, with the format level in force.
-	Lead(t ident.Term, l ident.Level, key statesvc.Cond)
-	// Follow ends it.
-	Follow(why string)
+// Callbacks are told to the owner, one call at a time.
+type Callbacks interface {
+	// OnStartedLeading begins a term, with the format level in force.
+	OnStartedLeading(t ident.Term, l ident.FormatLevel, key statesvc.Compare)
+	// OnStoppedLeading ends it.
+	OnStoppedLeading(why string)
 }
 
-// record is the value of the leader key.
-type record struct {
+// leaderRecord is the value of the leader key.
+type leaderRecord struct {
 	Node  ident.NodeID `json:"node"`
 	Term  ident.Term   `json:"term"`
 	Nonce uint64       `json:"nonce"`
 }
 
-// Machine is a node's part in the elections.
-type Machine struct {
-	port   Port
-	events Events
-	self   ident.NodeID
-	ttl    time.Duration
-	nonce  uint64
-	rng    *rand.Rand
-
-	state State
-	round uint64 // invalidates answers of earlier attempts
-	term  ident.Term
-	grant uint64
-	valid ident.Mono
-	rest  ident.Mono
-	// waits says that no renewal since waiting has had an answer.
-	waits   bool
-	waiting ident.Mono
-
-	known     record
-	knownDown bool // the known leader's key is gone
-
-	key       statesvc.Cond // the leader key, while it is ours
-	preferred preference
-	hesitated bool // since somebody was last known to lead
-	// Hesitate returns for how long the node lets others claim first, 0 for not at all; it
+// Elector is a node's part in the elections.
+type Elector struct {
+	port      Port
+	callbacks Callbacks
+	self      ident.NodeID
+	leaseTTL  time.Duration
+	nonce     uint64
+	rng       *rand.Rand
+
+	state        State
+	generation   uint64 // invalidates answers of earlier attempts
+	term         ident.Term
+	leaseID      uint64
+	validUntil   ident.MonotonicTime
+	abstainUntil ident.MonotonicTime
+	// renewalUnanswered says that no renewal since waiting has had an answer.
+	renewalUnanswered bool
+	unansweredSince   ident.MonotonicTime
+
+	knownLeader     leaderRecord
+	knownLeaderGone bool // the known leader's key is gone
+
+	leaderKey       statesvc.Compare // the leader key, while it is ours
+	preferred       successorPreference
+	campaignDelayed bool // since somebody was last known to lead
+	// CampaignDelay returns for how long the node lets others claim first, 0 for not at all; it
 	// may be nil.
-	Hesitate func() time.Duration
+	CampaignDelay func() time.Duration
 }
 
 // New makes the machine of a node.
-func New(port Port, events Events, self ident.NodeID, ttl time.Duration, rng *rand.Rand) *Machine {
-	return &Machine{port: port, events: events, self: self, ttl: ttl, nonce: rng.Uint64(), rng: rng}
+func New(port Port, callbacks Callbacks, self ident.NodeID, leaseTTL time.Duration, rng *rand.Rand) *Elector {
+	return &Elector{port: port, callbacks: callbacks, self: self, leaseTTL: leaseTTL, nonce: rng.Uint64(), rng: rng}
 }
 
 // Start begins to follow.
-func (m *Machine) Start() { m.look() }
+func (e *Elector) Start() { e.checkLeader() }
 
 // State returns where the node stands.
-func (m *Machine) State() State { return m.state }
+func (e *Elector) State() State { return e.state }
 
 // Term returns the term the node leads in.
-func (m *Machine) Term() ident.Term { return m.term }
+func (e *Elector) Term() ident.Term { return e.term }
 
-// Valid says whether nobody else can be leader at this moment.
-func (m *Machine) Valid() bool { return m.state == Leading && m.port.Now() < m.valid }
+// LeaseValid says whether nobody else can be leader at this moment.
+func (e *Elector) LeaseValid() bool { return e.state == Leading && e.port.Now() < e.validUntil }
 
-// Until returns when that ends, unless it is renewed.
-func (m *Machine) Until() ident.Mono { return m.valid }
+// LeaseExpiry returns when that ends, unless it is renewed.
+func (e *Elector) LeaseExpiry() ident.MonotonicTime { return e.validUntil }
 
-// Within says whether leadership was sure until at most d ago.
-func (m *Machine) Within(d time.Duration) bool {
-	return m.state == Leading && m.port.Now() < m.valid.Add(d)
+// WithinGrace says whether leadership was sure until at most d ago.
+func (e *Elector) WithinGrace(grace time.Duration) bool {
+	return e.state == Leading && e.port.Now() < e.validUntil.Add(grace)
 }
 
 // Leader returns the newest leader known, if any.
-func (m *Machine) Leader() (ident.NodeID, bool) {
-	if m.state == Leading {
-		return m.self, true
+func (e *Elector) Leader() (ident.NodeID, bool) {
+	if e.state == Leading {
+		return e.self, true
 	}
-	return m.known.Node, m.known.Node != "" && !m.knownDown && m.known.Node != m.self
+	return e.knownLeader.Node, e.knownLeader.Node != "" && !e.knownLeaderGone && e.knownLeader.Node != e.self
 }
 
-// to is the one place where the state changes.
-func (m *Machine) to(s State, why string) {
-	if m.state != s {
-		slog.Debug("election", "from", m.state.String(), "to", s.String(), "why", why)
+// setState is the one place where the state changes.
+func (e *Elector) setState(s State, why string) {
+	if e.state != s {
+		slog.Debug("election", "from", e.state.String(), "to", s.String(), "why", why)
 	}
-	m.state = s
-	m.round++
+	e.state = s
+	e.generation++
 }
 
-// Heard takes a sibling's word that somebody leads in a term.
-func (m *Machine) Heard(node ident.NodeID, t ident.Term) {
-	if m.state == Leading && t > m.term {
-		m.stepDown("a later term is known")
+// PeerReportedLeader takes a sibling's word that somebody leads in a term.
+func (e *Elector) PeerReportedLeader(node ident.NodeID, term ident.Term) {
+	if e.state == Leading && term > e.term {
+		e.stepDown("a later term is known")
 	}
-	if t > m.known.Term {
-		m.known, m.knownDown = record{Node: node, Term: t}, false
+	if term > e.knownLeader.Term {
+		e.knownLeader, e.knownLeaderGone = leaderRecord{Node: node, Term: term}, false
 	}
 }
 
 // Resign gives leadership up and takes no part for a while.
-func (m *Machine) Resign(rest time.Duration, why string) {
-	if m.state != Leading {
+func (e *Elector) Resign(abstain time.Duration, why string) {
+	if e.state != Leading {
 		return
 	}
-	m.rest = m.port.Now().Add(rest)
-	m.port.State(statesvc.Request{Op: statesvc.Revoke, Grant: m.grant, Timeout: callTime}, func(statesvc.Reply) {})
-	m.stepDown(why)
+	e.abstainUntil = e.port.Now().Add(abstain)
+	e.port.Store(statesvc.Request{Op: statesvc.RevokeLease, LeaseID: e.leaseID, Timeout: callTimeout}, func(statesvc.Response) {})
+	e.stepDown(why)
 }
 
 // Deposed is called by the owner when it learns that the term is over.
-func (m *Machine) Deposed(why string) {
-	if m.state == Leading {
-		m.stepDown(why)
+func (e *Elector) Deposed(why string) {
+	if e.state == Leading {
+		e.stepDown(why)
 	}
 }
 
-func (m *Machine) stepDown(why string) {
-	slog.Info("leadership ends", "term", uint64(m.term), "why", why)
-	m.to(Following, why)
-	m.known, m.knownDown = record{}, false
-	m.events.Follow(why)
-	m.look()
+func (e *Elector) stepDown(why string) {
+	slog.Info("leadership ends", "term", uint64(e.term), "why", why)
+	e.setState(Following, why)
+	e.knownLeader, e.knownLeaderGone = leaderRecord{}, false
+	e.callbacks.OnStoppedLeading(why)
+	e.checkLeader()
 }
 
-// call sends a request whose answer counts only while the state stays the same.
-func (m *Machine) call(r statesvc.Request, f func(statesvc.Reply)) {
-	round := m.round
-	m.port.State(r, func(a statesvc.Reply) {
-		if m.round == round {
-			f(a)
+// callStore sends a request whose answer counts only while the state stays the same.
+func (e *Elector) callStore(r statesvc.Request, onResponse func(statesvc.Response)) {
+	generation := e.generation
+	e.port.Store(r, func(response statesvc.Response) {
+		if e.generation == generation {
+			onResponse(response)
 		}
 	})
 }
 
-func (m *Machine) lookLater() {
-	round := m.round
-	m.port.After(lookAgain+time.Duration(m.rng.Int64N(int64(lookAgain))), func() {
-		if m.round == round {
-			m.look()
+func (e *Elector) checkLeaderLater() {
+	generation := e.generation
+	e.port.After(recheckInterval+time.Duration(e.rng.Int64N(int64(recheckInterval))), func() {
+		if e.generation == generation {
+			e.checkLeader()
 		}
 	})
 }
 
-// look reads the leader key.
-func (m *Machine) look() {
-	m.to(Following, "look")
-	m.call(statesvc.Request{Op: statesvc.Get, Path: LeaderKey, Timeout: callTime}, func(r statesvc.Reply) {
-		switch r.Outcome {
+// checkLeader reads the leader key.
+func (e *Elector) checkLeader() {
+	e.setState(Following, "look")
+	e.callStore(statesvc.Request{Op: statesvc.Get, Key: LeaderKey, Timeout: callTimeout}, func(response statesvc.Response) {
+		switch response.Outcome {
 		case statesvc.OK:
-			var rec record
-			if err := json.Unmarshal(r.Value, &rec); err != nil {
+			var rec leaderRecord
+			if err := json.Unmarshal(response.Value, &rec); err != nil {
 				slog.Error("leader key is malformed", "err", err)
-				m.lookLater()
+				e.checkLeaderLater()
 				return
 			}
-			if rec.Node == m.self {
+			if rec.Node == e.self {
 				// Left by an earlier process of this node, which is surely dead,
 				// or by an attempt of ours whose answer was lost.
-				m.campaign(r.Stamp)
+				e.campaign(response.Revision)
 				return
 			}
-			m.observe(rec)
-			m.watch(uint64(r.Stamp))
+			e.observeLeader(rec)
+			e.watchLeader(uint64(response.Revision))
 		case statesvc.NotFound:
-			m.campaign(0)
+			e.campaign(0)
 		default:
-			m.lookLater()
+			e.checkLeaderLater()
 		}
 	})
 }
 
-func (m *Machine) observe(rec record) {
-	m.hesitated = false
-	if rec.Term >= m.known.Term {
-		m.known, m.knownDown = rec, false
+func (e *Elector) observeLeader(rec leaderRecord) {
+	e.campaignDelayed = false
+	if rec.Term >= e.knownLeader.Term {
+		e.knownLeader, e.knownLeaderGone = rec, false
 	}
 }
 
-// watch waits for the leader key to change.
-func (m *Machine) watch(since uint64) {
-	m.call(statesvc.Request{Op: statesvc.Follow, Starts: LeaderKey, Ledger: since, Block: watchTime,
-		Timeout: watchTime + 2*time.Second}, func(r statesvc.Reply) {
-		if r.Outcome != statesvc.OK {
-			m.lookLater()
+// watchLeader waits for the leader key to change.
+func (e *Elector) watchLeader(fromRevision uint64) {
+	e.callStore(statesvc.Request{Op: statesvc.Watch, Prefix: LeaderKey, Revision: fromRevision, Block: watchBlock,
+		Timeout: watchBlock + 2*time.Second}, func(response statesvc.Response) {
+		if response.Outcome != statesvc.OK {
+			e.checkLeaderLater()
 			return
 		}
 		gone := false
-		for _, n := range r.News {
+		for _, event := range response.Events {
 			switch {
-			case n.Delete == LeaderKey:
+			case event.Delete == LeaderKey:
 				gone = true
-			case n.Put == LeaderKey:
+			case event.Put == LeaderKey:
 				gone = false
-				var rec record
-				if json.Unmarshal(n.Value, &rec) != nil || rec.Node == m.self {
-					m.look()
+				var rec leaderRecord
+				if json.Unmarshal(event.Value, &rec) != nil || rec.Node == e.self {
+					e.checkLeader()
 					return
 				}
-				m.observe(rec)
+				e.observeLeader(rec)
 			}
 		}
 		if gone {
-			m.knownDown = true
-			m.campaign(0)
+			e.knownLeaderGone = true
+			e.campaign(0)
 			return
 		}
-		m.watch(max(r.Ledger, since))
+		e.watchLeader(max(response.StoreRevision, fromRevision))
 	})
 }
 
 // campaign tries to put the leader key, whose stamp was seen to be over.
-func (m *Machine) campaign(over ident.Stamp) {
-	if wait := m.rest.Sub(m.port.Now()); wait > 0 {
-		m.to(Following, "resting")
-		m.lookLater()
+func (e *Elector) campaign(staleRevision ident.Revision) {
+	if wait := e.abstainUntil.Sub(e.port.Now()); wait > 0 {
+		e.setState(Following, "resting")
+		e.checkLeaderLater()
 		return
 	}
-	if m.standsBack() {
+	if e.deferToOthers() {
 		return
 	}
-	m.to(Granting, "no leader")
-	sent := m.port.Now()
-	var grant uint64
+	e.setState(RequestingLease, "no leader")
+	sentAt := e.port.Now()
+	var leaseID uint64
 	var term ident.Term
-	var level ident.Level
-	var stamp ident.Stamp
-	left := 2
-	next := func() {
-		if left--; left == 0 {
-			m.claim(over, grant, term+1, level, stamp, sent)
+	var level ident.FormatLevel
+	var termRevision ident.Revision
+	pending := 2
+	claimWhenReady := func() {
+		if pending--; pending == 0 {
+			e.claim(staleRevision, leaseID, term+1, level, termRevision, sentAt)
 		}
 	}
-	m.call(statesvc.Request{Op: statesvc.Grant, TTL: m.ttl, Timeout: callTime}, func(r statesvc.Reply) {
-		if r.Outcome != statesvc.OK {
-			m.to(Following, "no lease")
-			m.lookLater()
+	e.callStore(statesvc.Request{Op: statesvc.GrantLease, TTL: e.leaseTTL, Timeout: callTimeout}, func(response statesvc.Response) {
+		if response.Outcome != statesvc.OK {
+			e.setState(Following, "no lease")
+			e.checkLeaderLater()
 			return
 		}
-		grant = r.Grant
-		next()
+		leaseID = response.LeaseID
+		claimWhenReady()
 	})
-	m.call(statesvc.Request{Op: statesvc.Get, Path: TermKey, Timeout: callTime}, func(r statesvc.Reply) {
-		switch r.Outcome {
+	e.callStore(statesvc.Request{Op: statesvc.Get, Key: TermKey, Timeout: callTimeout}, func(response statesvc.Response) {
+		switch response.Outcome {
 		case statesvc.OK:
 			var err error
-			if term, level, err = ReadTerm(r.Value); err != nil {
+			if term, level, err = DecodeTerm(response.Value); err != nil {
 				slog.Error("term key is malformed", "err", err)
-				m.to(Following, "no term")
-				m.lookLater()
+				e.setState(Following, "no term")
+				e.checkLeaderLater()
 				return
 			}
-			stamp = r.Stamp
+			termRevision = response.Revision
 		case statesvc.NotFound:
 		default:
-			m.to(Following, "no term")
-			m.lookLater()
+			e.setState(Following, "no term")
+			e.checkLeaderLater()
 			return
 		}
-		next()
+		claimWhenReady()
 	})
 }
 
-func (m *Machine) claim(over ident.Stamp, grant uint64, term ident.Term, level ident.Level, termStamp ident.Stamp, sent ident.Mono) {
-	m.to(Claiming, "lease granted")
-	rec, _ := json.Marshal(record{Node: m.self, Term: term, Nonce: m.nonce})
-	m.call(statesvc.Request{Op: statesvc.Txn, Timeout: callTime,
-		If:   []statesvc.Cond{{Path: LeaderKey, Stamp: over}, {Path: TermKey, Stamp: termStamp}},
-		Then: []statesvc.Change{{Put: LeaderKey, Value: rec, Grant: grant}, {Put: TermKey, Value: TermValue(term, level)}},
-	}, func(r statesvc.Reply) {
-		if r.Outcome != statesvc.OK {
+func (e *Elector) claim(staleRevision ident.Revision, leaseID uint64, term ident.Term, level ident.FormatLevel, termRevision ident.Revision, sentAt ident.MonotonicTime) {
+	e.setState(Claiming, "lease granted")
+	value, _ := json.Marshal(leaderRecord{Node: e.self, Term: term, Nonce: e.nonce})
+	e.callStore(statesvc.Request{Op: statesvc.Txn, Timeout: callTimeout,
+		Compares:  []statesvc.Compare{{Key: LeaderKey, Revision: staleRevision}, {Key: TermKey, Revision: termRevision}},
+		Mutations: []statesvc.Mutation{{Put: LeaderKey, Value: value, LeaseID: leaseID}, {Put: TermKey, Value: EncodeTerm(term, level)}},
+	}, func(response statesvc.Response) {
+		if response.Outcome != statesvc.OK {
 			// Lost: if it was carried out, look finds our own name and claims
 			// again, in a later term.
-			if r.Outcome == statesvc.Conflict {
-				m.port.State(statesvc.Request{Op: statesvc.Revoke, Grant: grant, Timeout: callTime}, func(statesvc.Reply) {})
+			if response.Outcome == statesvc.Conflict {
+				e.port.Store(statesvc.Request{Op: statesvc.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}, func(statesvc.Response) {})
 			}
-			m.to(Following, "claim "+r.Outcome.String())
-			m.lookLater()
+			e.setState(Following, "claim "+response.Outcome.String())
+			e.checkLeaderLater()
 			return
 		}
-		m.to(Leading, "claim carried out")
-		m.term, m.grant = term, grant
-		m.key = statesvc.Cond{Path: LeaderKey, Stamp: ident.Stamp(r.Ledger)}
-		m.preferred, m.hesitated = preference{}, false
-		m.waits = false
-		m.extendValid(sent)
-		m.known, m.knownDown = record{}, false
+		e.setState(Leading, "claim carried out")
+		e.term, e.leaseID = term, leaseID
+		e.leaderKey = statesvc.Compare{Key: LeaderKey, Revision: ident.Revision(response.StoreRevision)}
+		e.preferred, e.campaignDelayed = successorPreference{}, false
+		e.renewalUnanswered = false
+		e.extendValidity(sentAt)
+		e.knownLeader, e.knownLeaderGone = leaderRecord{}, false
 		slog.Info("leading", "term", uint64(term), "level", uint8(level))
-		m.renewLater()
-		m.events.Lead(term, level, m.key)
+		e.scheduleRenewal()
+		e.callbacks.OnStartedLeading(term, level, e.leaderKey)
 	})
 }
 
-// extendValid counts from before the renewal was sent, on our own steady clock:
+// extendValidity counts from before the renewal was sent, on our own steady clock:
 // the service's lease surely lasts longer.
-func (m *Machine) extendValid(sent ident.Mono) {
-	m.valid = max(m.valid, sent.Add(time.Duration(float64(m.ttl)*(1-drift))))
+func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
+	e.validUntil = max(e.validUntil, sentAt.Add(time.Duration(float64(e.leaseTTL)*(1-driftMargin))))
 }
 
-func (m *Machine) renewLater() {
-	round := m.round
-	m.port.After(m.ttl/4, func() {
-		if m.round == round {
-			m.renew()
-			m.renewLater()
+func (e *Elector) scheduleRenewal() {
+	generation := e.generation
+	e.port.After(e.leaseTTL/4, func() {
+		if e.generation == generation {
+			e.renew()
+			e.scheduleRenewal()
 		}
 	})
 }
@@ -403,41 +403,41 @@
 // live on with a leader that can't be sure of it, and nobody could follow. (A leader whose
 // answers from the state service were cut off kept the cluster without one for as long as
 // the cut lasted.)
-func (m *Machine) renew() {
-	if m.waits && m.port.Now().Sub(m.waiting) >= m.ttl/2 {
-		m.confirm()
+func (e *Elector) renew() {
+	if e.renewalUnanswered && e.port.Now().Sub(e.unansweredSince) >= e.leaseTTL/2 {
+		e.confirmLeadership()
 		return
 	}
-	m.extend()
+	e.sendRenewal()
 }
 
-func (m *Machine) extend() {
-	sent := m.port.Now()
-	if !m.waits {
-		m.waits, m.waiting = true, sent
+func (e *Elector) sendRenewal() {
+	sentAt := e.port.Now()
+	if !e.renewalUnanswered {
+		e.renewalUnanswered, e.unansweredSince = true, sentAt
 	}
-	m.call(statesvc.Request{Op: statesvc.Extend, Grant: m.grant, Timeout: m.ttl}, func(r statesvc.Reply) {
-		m.waits = m.waits && r.Outcome == statesvc.Lost
-		switch r.Outcome {
+	e.callStore(statesvc.Request{Op: statesvc.RenewLease, LeaseID: e.leaseID, Timeout: e.leaseTTL}, func(response statesvc.Response) {
+		e.renewalUnanswered = e.renewalUnanswered && response.Outcome == statesvc.NoAnswer
+		switch response.Outcome {
 		case statesvc.OK:
-			m.extendValid(sent)
+			e.extendValidity(sentAt)
 		case statesvc.NotFound:
-			m.stepDown("lease has ended")
+			e.stepDown("lease has ended")
 		}
 	})
 }
 
-// confirm reads the leader key, and extends the lease if that is answered and the key is
+// confirmLeadership reads the leader key, and extends the lease if that is answered and the key is
 // still ours.
-func (m *Machine) confirm() {
-	m.call(statesvc.Request{Op: statesvc.Get, Path: LeaderKey, Timeout: callTime}, func(r statesvc.Reply) {
+func (e *Elector) confirmLeadership() {
+	e.callStore(statesvc.Request{Op: statesvc.Get, Key: LeaderKey, Timeout: callTimeout}, func(response statesvc.Response) {
 		switch {
-		case r.Outcome == statesvc.OK && r.Stamp == m.key.Stamp:
-			m.extend()
-		case r.Outcome == statesvc.OK, r.Outcome == statesvc.NotFound:
-			m.stepDown("the leader key is not ours")
-		case r.Outcome != statesvc.Lost:
-			m.waits = false
+		case response.Outcome == statesvc.OK && response.Revision == e.leaderKey.Revision:
+			e.sendRenewal()
+		case response.Outcome == statesvc.OK, response.Outcome == statesvc.NotFound:
+			e.stepDown("the leader key is not ours")
+		case response.Outcome != statesvc.NoAnswer:
+			e.renewalUnanswered = false
 		}
 	})
 }
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -15,13 +15,13 @@
 
 // recordingStage is a stage that keeps the requests that came, in words.
 type recordingStage struct {
-	*stage
+	*fakeStore
 	requests strings.Builder
 }
 
-func (s *recordingStage) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (s *recordingStage) State(r statesvc.Request, f func(statesvc.Response)) {
 	s.requests.WriteString(statetest.Describe(r))
-	s.stage.State(r, f)
+	s.fakeStore.Store(r, f)
 }
 
 // TestGoldenElection pins the requests of a node that takes the lead, keeps it and gives it up,
@@ -31,22 +31,22 @@
 	for _, c := range []struct {
 		name string
 		term string
-		end  func(*Machine)
+		end  func(*Elector)
 	}{
-		{"first term", "", func(m *Machine) { m.Resign(time.Minute, "test") }},
-		{"term without a level", "41", func(m *Machine) { m.Resign(time.Minute, "test") }},
-		{"term with a level", `{"term":41,"level":1}`, func(m *Machine) { m.HandOver(time.Minute, "test") }},
+		{"first term", "", func(m *Elector) { m.Resign(time.Minute, "test") }},
+		{"term without a level", "41", func(m *Elector) { m.Resign(time.Minute, "test") }},
+		{"term with a level", `{"term":41,"level":1}`, func(m *Elector) { m.HandOver(time.Minute, "test") }},
 	} {
-		s := &recordingStage{stage: newStage()}
-		s.ledger = 200
+		s := &recordingStage{fakeStore: newFakeStore()}
+		s.revision = 200
 		if c.term != "" {
-			s.keys[TermKey] = statesvc.Pair{Path: TermKey, Value: json.RawMessage(c.term), Stamp: 33}
+			s.keys[TermKey] = statesvc.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
 		}
-		m := New(s, nobody{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
+		m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 		m.Start()
-		s.pass(700 * time.Millisecond)
+		s.advance(700 * time.Millisecond)
 		c.end(m)
-		s.pass(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 		d.Add(c.name, s.requests.String())
 	}
 	d.Compare(t, "election")
@@ -54,14 +54,14 @@
 
 // TestGoldenLeaderKey pins what a node that follows makes of the leader key, and asks.
 func TestGoldenLeaderKey(t *testing.T) {
-	s := &recordingStage{stage: newStage()}
+	s := &recordingStage{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
-	s.keys[LeaderKey] = statesvc.Pair{Path: LeaderKey, Value: json.RawMessage(value), Stamp: 57}
-	m := New(s, nobody{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
+	s.keys[LeaderKey] = statesvc.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
+	m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	m.Start()
-	s.pass(50 * time.Millisecond)
-	if node, known := m.Leader(); node != "agent-7" || !known || m.known.Term != 43 || m.known.Nonce != 99 {
-		t.Errorf("%+v", m.known)
+	s.advance(50 * time.Millisecond)
+	if node, known := m.Leader(); node != "agent-7" || !known || m.knownLeader.Term != 43 || m.knownLeader.Nonce != 99 {
+		t.Errorf("%+v", m.knownLeader)
 	}
 	golden.Compare(t, "follower", s.requests.String())
 }
@@ -69,10 +69,10 @@
 // TestGoldenRecords pins the values of the leader's and the term's keys.
 func TestGoldenRecords(t *testing.T) {
 	var d golden.Document
-	golden.RoundTrip(t, &d, "leader", golden.Filled[record](0))
+	golden.RoundTrip(t, &d, "leader", golden.Filled[leaderRecord](0))
 	golden.RoundTrip(t, &d, "term with a level", golden.Filled[termRecord](0))
-	for _, l := range []ident.Level{0, ident.Packed} {
-		d.Add("key of the term", string(TermValue(41, l)))
+	for _, l := range []ident.FormatLevel{0, ident.FormatPacked} {
+		d.Add("key of the term", string(EncodeTerm(41, l)))
 	}
 	d.Add("keys", LeaderKey+"\n"+TermKey)
 	d.Compare(t, "records")
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -10,27 +10,27 @@
 	"opaldale/internal/statesvc"
 )
 
-// stage is a state service and a clock for the machines of an election.
-type stage struct {
-	now    ident.Mono
-	timers []stageTimer
-	keys   map[string]statesvc.Pair
-	ledger uint64
-	grants uint64
-	lose   bool // transactions on the leader key are lost
+// fakeStore is a state service and a clock for the machines of an election.
+type fakeStore struct {
+	now         ident.MonotonicTime
+	timers      []fakeTimer
+	keys        map[string]statesvc.KeyValue
+	revision    uint64
+	leaseCount  uint64
+	loseDeletes bool // transactions on the leader key are lost
 }
 
-type stageTimer struct {
-	at ident.Mono
+type fakeTimer struct {
+	at ident.MonotonicTime
 	f  func()
 }
 
-func (s *stage) Now() ident.Mono { return s.now }
-func (s *stage) After(d time.Duration, f func()) {
-	s.timers = append(s.timers, stageTimer{s.now.Add(d), f})
+func (s *fakeStore) Now() ident.MonotonicTime { return s.now }
+func (s *fakeStore) After(d time.Duration, f func()) {
+	s.timers = append(s.timers, fakeTimer{s.now.Add(d), f})
 }
 
-func (s *stage) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (s *fakeStore) Store(r statesvc.Request, f func(statesvc.Response)) {
 	s.After(time.Millisecond, func() {
 		if a, ok := s.serve(r); ok {
 			f(a)
@@ -38,43 +38,43 @@
 	})
 }
 
-func (s *stage) serve(r statesvc.Request) (statesvc.Reply, bool) {
+func (s *fakeStore) serve(r statesvc.Request) (statesvc.Response, bool) {
 	switch r.Op {
 	case statesvc.Get:
-		if p, ok := s.keys[r.Path]; ok {
-			return statesvc.Reply{Outcome: statesvc.OK, Value: p.Value, Stamp: p.Stamp}, true
+		if p, ok := s.keys[r.Key]; ok {
+			return statesvc.Response{Outcome: statesvc.OK, Value: p.Value, Revision: p.Revision}, true
 		}
-		return statesvc.Reply{Outcome: statesvc.NotFound}, true
-	case statesvc.Grant:
-		s.grants++
-		return statesvc.Reply{Outcome: statesvc.OK, Grant: s.grants}, true
+		return statesvc.Response{Outcome: statesvc.NotFound}, true
+	case statesvc.GrantLease:
+		s.leaseCount++
+		return statesvc.Response{Outcome: statesvc.OK, LeaseID: s.leaseCount}, true
 	case statesvc.Txn:
-		if s.lose && r.Then[0].Delete != "" {
-			return statesvc.Reply{}, false
+		if s.loseDeletes && r.Mutations[0].Delete != "" {
+			return statesvc.Response{}, false
 		}
-		for _, c := range r.If {
-			if s.keys[c.Path].Stamp != c.Stamp {
-				return statesvc.Reply{Outcome: statesvc.Conflict, Failed: []string{c.Path}}, true
+		for _, c := range r.Compares {
+			if s.keys[c.Key].Revision != c.Revision {
+				return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: []string{c.Key}}, true
 			}
 		}
-		s.ledger++
-		for _, c := range r.Then {
+		s.revision++
+		for _, c := range r.Mutations {
 			if c.Delete != "" {
 				delete(s.keys, c.Delete)
 			} else {
-				s.keys[c.Put] = statesvc.Pair{Value: c.Value, Stamp: ident.Stamp(s.ledger)}
+				s.keys[c.Put] = statesvc.KeyValue{Value: c.Value, Revision: ident.Revision(s.revision)}
 			}
 		}
-		return statesvc.Reply{Outcome: statesvc.OK, Ledger: s.ledger}, true
-	case statesvc.Follow:
-		return statesvc.Reply{}, false // followers are told by look alone
+		return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision}, true
+	case statesvc.Watch:
+		return statesvc.Response{}, false // followers are told by look alone
 	}
-	return statesvc.Reply{Outcome: statesvc.OK}, true
+	return statesvc.Response{Outcome: statesvc.OK}, true
 }
 
-func (s *stage) pass(d time.Duration) {
+func (s *fakeStore) advance(d time.Duration) {
 	for end := s.now.Add(d); ; {
-		slices.SortStableFunc(s.timers, func(a, b stageTimer) int { return int(a.at - b.at) })
+		slices.SortStableFunc(s.timers, func(a, b fakeTimer) int { return int(a.at - b.at) })
 		if len(s.timers) == 0 || s.timers[0].at > end {
 			s.now = end
 			return
@@ -86,49 +86,51 @@
 	}
 }
 
-type nobody struct{}
+type noCallbacks struct{}
 
-func (nobody) Lead(ident.Term, ident.Level, statesvc.Cond) {}
-func (nobody) Follow(string)                               {}
+func (noCallbacks) OnStartedLeading(ident.Term, ident.FormatLevel, statesvc.Compare) {}
+func (noCallbacks) OnStoppedLeading(string)                                          {}
 
-func newStage() *stage { return &stage{now: ident.Mono(time.Hour), keys: map[string]statesvc.Pair{}} }
+func newFakeStore() *fakeStore {
+	return &fakeStore{now: ident.MonotonicTime(time.Hour), keys: map[string]statesvc.KeyValue{}}
+}
 
-func (s *stage) node(name string) *Machine {
-	return New(s, nobody{}, ident.NodeID(name), 2*time.Second, rand.New(rand.NewPCG(1, 2)))
+func (s *fakeStore) newElector(name string) *Elector {
+	return New(s, noCallbacks{}, ident.NodeID(name), 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 }
 
 // TestHandOver: the term is over with one transaction, the preferred successor claims at
 // once, others only when it doesn't, and the one who gave the lead up takes no part.
 func TestHandOver(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		s := newStage()
-		old, chosen, other := s.node("a"), s.node("b"), s.node("c")
+		s := newFakeStore()
+		old, preferred, other := s.newElector("a"), s.newElector("b"), s.newElector("c")
 		old.Start()
-		s.pass(100 * time.Millisecond)
-		if !old.Valid() {
+		s.advance(100 * time.Millisecond)
+		if !old.LeaseValid() {
 			t.Fatal("nobody leads")
 		}
-		chosen.Prefer("b", old.Term())
-		other.Prefer("b", old.Term())
+		preferred.PreferSuccessor("b", old.Term())
+		other.PreferSuccessor("b", old.Term())
 		old.HandOver(15*time.Second, "a test")
-		if old.Valid() || old.State() == Leading {
+		if old.LeaseValid() || old.State() == Leading {
 			t.Fatal("it leads on")
 		}
-		s.pass(5 * time.Millisecond)
+		s.advance(5 * time.Millisecond)
 		if _, held := s.keys[LeaderKey]; held {
 			t.Fatal("the leader key is still there")
 		}
 		other.Start()
-		s.pass(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 		if other.State() != Following {
 			t.Errorf("the other node is %v", other.State())
 		}
 		if alive {
-			chosen.Start()
+			preferred.Start()
 		}
-		s.pass(2 * time.Second)
-		if chosen.Valid() != alive || other.Valid() == alive || old.Valid() {
-			t.Errorf("successor alive %v: it leads %v, the other %v, the old one %v", alive, chosen.Valid(), other.Valid(), old.Valid())
+		s.advance(2 * time.Second)
+		if preferred.LeaseValid() != alive || other.LeaseValid() == alive || old.LeaseValid() {
+			t.Errorf("successor alive %v: it leads %v, the other %v, the old one %v", alive, preferred.LeaseValid(), other.LeaseValid(), old.LeaseValid())
 		}
 	}
 }
@@ -136,44 +138,44 @@
 // TestHandOverLost: without the transaction the old leader decides nothing either, and the
 // key stays until its lease ends.
 func TestHandOverLost(t *testing.T) {
-	s := newStage()
-	old, other := s.node("a"), s.node("b")
+	s := newFakeStore()
+	old, other := s.newElector("a"), s.newElector("b")
 	old.Start()
-	s.pass(100 * time.Millisecond)
-	s.lose = true
+	s.advance(100 * time.Millisecond)
+	s.loseDeletes = true
 	old.HandOver(15*time.Second, "a test")
-	s.pass(time.Second)
+	s.advance(time.Second)
 	other.Start()
-	s.pass(time.Second)
-	if old.Valid() || other.Valid() {
-		t.Errorf("the old one leads %v, another %v, while the key is there", old.Valid(), other.Valid())
+	s.advance(time.Second)
+	if old.LeaseValid() || other.LeaseValid() {
+		t.Errorf("the old one leads %v, another %v, while the key is there", old.LeaseValid(), other.LeaseValid())
 	}
 	delete(s.keys, LeaderKey) // its lease has ended
-	other.look()
-	s.pass(time.Second)
-	if !other.Valid() {
+	other.checkLeader()
+	s.advance(time.Second)
+	if !other.LeaseValid() {
 		t.Error("nobody follows")
 	}
 }
 
 // TestPreferences: an earlier leader's word counts for nothing, and a node hesitates once.
 func TestPreferences(t *testing.T) {
-	s := newStage()
-	m := s.node("c")
-	m.Heard("a", 7)
-	m.Prefer("b", 6)
-	if m.preferred.node != "" {
+	s := newFakeStore()
+	elector := s.newElector("c")
+	elector.PeerReportedLeader("a", 7)
+	elector.PreferSuccessor("b", 6)
+	if elector.preferred.node != "" {
 		t.Error("an earlier leader's word counts")
 	}
 	hesitations := 0
-	m.Hesitate = func() time.Duration { hesitations++; return time.Second }
-	m.Start()
-	s.pass(500 * time.Millisecond)
-	if m.State() == Leading {
+	elector.CampaignDelay = func() time.Duration { hesitations++; return time.Second }
+	elector.Start()
+	s.advance(500 * time.Millisecond)
+	if elector.State() == Leading {
 		t.Error("it did not hesitate")
 	}
-	s.pass(2 * time.Second)
-	if !m.Valid() || hesitations != 1 {
-		t.Errorf("it leads %v after %d hesitations", m.Valid(), hesitations)
+	s.advance(2 * time.Second)
+	if !elector.LeaseValid() || hesitations != 1 {
+		t.Errorf("it leads %v after %d hesitations", elector.LeaseValid(), hesitations)
 	}
 }
