--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -9,7 +9,7 @@
 
 // arrivals remembers the jobs of the last while, to expect the next ones.
 type arrivals struct {
-	at   []ident.Mono
+	at   []ident.MonotonicTime
 	cpus []float64
 }
 
@@ -26,13 +26,13 @@
 	maxSeen = 50_000
 )
 
-func (a *arrivals) add(now ident.Mono, cpus float64) {
+func (a *arrivals) add(now ident.MonotonicTime, cpus float64) {
 	a.at = append(a.at, now)
 	a.cpus = append(a.cpus, cpus)
 	a.trim(now)
 }
 
-func (a *arrivals) trim(now ident.Mono) {
+func (a *arrivals) trim(now ident.MonotonicTime) {
 	n := 0
 	for n < len(a.at) && (now.Sub(a.at[n]) > window || len(a.at)-n > maxSeen) {
 		n++
@@ -41,7 +41,7 @@
 }
 
 // newest returns when the last job came, 0 if none did.
-func (a *arrivals) newest() ident.Mono {
+func (a *arrivals) newest() ident.MonotonicTime {
 	if len(a.at) == 0 {
 		return 0
 	}
@@ -49,7 +49,7 @@
 }
 
 // rate returns CPUs a second, and the mean and the largest job.
-func (a *arrivals) rate(now, began ident.Mono) (perSecond, mean, most float64) {
+func (a *arrivals) rate(now, began ident.MonotonicTime) (perSecond, mean, most float64) {
 	a.trim(now)
 	sum, last, all := 0.0, 0.0, 0.0
 	for i, c := range a.cpus {
@@ -73,7 +73,7 @@
 }
 
 // Arrived notes a new job, or at the start of a term one of the term before.
-func (m *Manager) Arrived(s *api.Spec, at ident.Mono) {
+func (m *Manager) Arrived(s *api.Spec, at ident.MonotonicTime) {
 	if m.teams.Guest(s.Team) {
 		return // nothing is kept free for them
 	}
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -89,7 +89,7 @@
 	m.page("")
 }
 
-func (m *Manager) page(since ident.HostID) {
+func (m *Manager) page(since ident.MachineID) {
 	m.port.Cloud(cloud.Request{Op: cloud.List, Since: since}, func(a cloud.Reply) {
 		if m.dead {
 			return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,7 +16,7 @@
 
 // Port is what the fleet needs of the world.
 type Port interface {
-	Now() ident.Mono
+	Now() ident.MonotonicTime
 	After(time.Duration, func())
 	Cloud(cloud.Request, func(cloud.Reply))
 }
@@ -29,8 +29,8 @@
 
 // market is what is known of a pool.
 type market struct {
-	pending int        // asked for, not yet answered
-	closed  ident.Mono // no capacity until then
+	pending int                 // asked for, not yet answered
+	closed  ident.MonotonicTime // no capacity until then
 	backoff time.Duration
 }
 
@@ -79,22 +79,22 @@
 	hires   uint64
 	markets map[pool]*market
 	tokens  float64
-	filled  ident.Mono
+	filled  ident.MonotonicTime
 	leaving []*workers.Worker // to be returned with the next request
 	listing bool
-	listed  ident.Mono
-	fences  []ident.Mono // of late
-	ticked  ident.Mono
-	stalled ident.Mono // when we were last found to have stalled
-	excess  ident.Mono // since when there is more room than needed, 0: there isn't
-	began   ident.Mono
-	started ident.Mono            // of the term
-	silent  time.Duration         // a worker not heard of for so long is fenced
-	moves   int                   // replicas that this tick may still look at
-	missed  time.Duration         // a worker not heard of for so long missed a report
-	alarm   ident.Mono            // when a late worker was last found not to answer
-	cut     map[string]bool       // zones from which nothing is heard, neither machines nor siblings
-	back    map[string]ident.Mono // when a zone was last found not to be cut off any more
+	listed  ident.MonotonicTime
+	fences  []ident.MonotonicTime // of late
+	ticked  ident.MonotonicTime
+	stalled ident.MonotonicTime // when we were last found to have stalled
+	excess  ident.MonotonicTime // since when there is more room than needed, 0: there isn't
+	began   ident.MonotonicTime
+	started ident.MonotonicTime            // of the term
+	silent  time.Duration                  // a worker not heard of for so long is fenced
+	moves   int                            // replicas that this tick may still look at
+	missed  time.Duration                  // a worker not heard of for so long missed a report
+	alarm   ident.MonotonicTime            // when a late worker was last found not to answer
+	cut     map[string]bool                // zones from which nothing is heard, neither machines nor siblings
+	back    map[string]ident.MonotonicTime // when a zone was last found not to be cut off any more
 
 	unheard map[string]*unheardZone
 
@@ -114,7 +114,7 @@
 	}
 	// Reports come up to a quarter late.
 	late := settings.Seconds(1.25*cfg.Workers.ReportS) + 500*time.Millisecond
-	return &Manager{silent: silent, missed: late, alarm: now.Add(-time.Hour), cfg: cfg, port: port, machine: m, jobs: j, teams: t, rng: rng, markets: map[pool]*market{}, back: map[string]ident.Mono{}, unheard: map[string]*unheardZone{},
+	return &Manager{silent: silent, missed: late, alarm: now.Add(-time.Hour), cfg: cfg, port: port, machine: m, jobs: j, teams: t, rng: rng, markets: map[pool]*market{}, back: map[string]ident.MonotonicTime{}, unheard: map[string]*unheardZone{},
 		tokens: cfg.Cloud.RPS, filled: now, listed: now.Add(-time.Hour), began: now, started: now, ticked: now, stalled: now.Add(-time.Hour)}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -42,7 +42,7 @@
 		if tries[q.Hire] < 3 {
 			return cloud.Reply{Outcome: cloud.Lost}
 		}
-		return cloud.Reply{Outcome: cloud.OK, Rented: []ident.HostID{ident.HostID("host-" + q.Hire)}}
+		return cloud.Reply{Outcome: cloud.OK, Rented: []ident.MachineID{ident.MachineID("host-" + q.Hire)}}
 	}
 	for i := range 2 {
 		r.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 8, MemoryGB: 1}, func() {}, nil)
@@ -121,7 +121,7 @@
 	r.up(6)
 	for i := range 20 {
 		for n := range 5 {
-			r.table.Checkin(&api.Report{Host: ident.HostID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.Serial(2 + i), Epoch: ident.MakeEpoch(3, 0)})
+			r.table.Checkin(&api.Report{Host: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(2 + i), Epoch: ident.MakeFencingToken(3, 0)})
 		}
 		r.pass(500*time.Millisecond, r.m)
 	}
@@ -140,7 +140,7 @@
 	r.up(1)
 	r.reply = func(q cloud.Request) cloud.Reply {
 		if q.Op == cloud.Rent {
-			return cloud.Reply{Outcome: cloud.OK, Rented: []ident.HostID{"host-000777"}}
+			return cloud.Reply{Outcome: cloud.OK, Rented: []ident.MachineID{"host-000777"}}
 		}
 		return cloud.Reply{Outcome: cloud.OK}
 	}
@@ -162,14 +162,14 @@
 func TestDeaf(t *testing.T) {
 	r := newRig()
 	r.up(6)
-	epochs := map[ident.HostID]ident.Epoch{}
+	epochs := map[ident.MachineID]ident.FencingToken{}
 	for i := range 40 {
 		for n := range 6 {
-			h := ident.HostID(fmt.Sprintf("host-%06d", n))
+			h := ident.MachineID(fmt.Sprintf("host-%06d", n))
 			if w := r.table.Workers[h]; w == nil || w.State != workers.Up {
 				continue
 			}
-			o := r.table.Checkin(&api.Report{Host: h, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.Serial(2 + i), Epoch: epochs[h]})
+			o := r.table.Checkin(&api.Report{Host: h, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(2 + i), Epoch: epochs[h]})
 			if n > 0 && o != nil {
 				epochs[h] = o.Epoch
 			}
@@ -177,7 +177,7 @@
 		r.pass(500*time.Millisecond, r.m)
 	}
 	for n := range 6 {
-		if w := r.table.Workers[ident.HostID(fmt.Sprintf("host-%06d", n))]; (w.State == workers.Up) != (n > 0) {
+		if w := r.table.Workers[ident.MachineID(fmt.Sprintf("host-%06d", n))]; (w.State == workers.Up) != (n > 0) {
 			t.Errorf("machine %d is %v", n, w.State)
 		}
 	}
@@ -192,7 +192,7 @@
 	for n := 1; n < 40; n++ {
 		r.now = r.now.Add(200 * time.Millisecond)
 		w := r.table.Sorted()[n]
-		r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 1, Serial: 2, Epoch: ident.MakeEpoch(3, 0)})
+		r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 1, Serial: 2, Epoch: ident.MakeFencingToken(3, 0)})
 	}
 	r.m.Tick()
 	r.pass(9*time.Second, r.m)
@@ -218,12 +218,12 @@
 		r.follow()
 		r.jobs.Place(&j.Tasks[0], lost.Host, 1, func() {})
 		r.commits.Flush()
-		serial := ident.Serial(1)
+		serial := ident.SequenceNumber(1)
 		live := func(d time.Duration) {
 			for end := r.now.Add(d); r.now < end; {
 				serial++
 				for n := 5; n < 12; n++ {
-					r.table.Checkin(&api.Report{Host: ident.HostID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: serial, Epoch: ident.MakeEpoch(3, 0)})
+					r.table.Checkin(&api.Report{Host: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: serial, Epoch: ident.MakeFencingToken(3, 0)})
 				}
 				r.pass(500*time.Millisecond, r.m)
 			}
@@ -270,7 +270,7 @@
 		for range 2 {
 			for _, w := range r.table.Sorted() {
 				if w.State == workers.Up {
-					r.table.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.Serial(r.now)})
+					r.table.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(r.now)})
 				}
 			}
 			r.pass(2500*time.Millisecond, r.m)
@@ -320,7 +320,7 @@
 			a := cloud.Reply{Outcome: cloud.OK}
 			for range q.Number {
 				rented[q.Zone]++
-				a.Rented = append(a.Rented, ident.HostID(fmt.Sprintf("host-%s%03d", q.Zone, rented[q.Zone])))
+				a.Rented = append(a.Rented, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, rented[q.Zone])))
 			}
 			return a
 		}
@@ -345,7 +345,7 @@
 		vast := r.jobs.Add(&api.Spec{ID: "j-1", Team: desk, Shape: api.Batch, Priority: api.BestEffort, Tasks: 60, VCPUs: 1, Spot: true, RuntimeS: 100}, func() {}, nil)
 		r.commits.Flush()
 		for i := range 16 {
-			r.jobs.Place(&vast.Tasks[i], ident.HostID(fmt.Sprintf("host-%06d", i/8)), 1, func() {})
+			r.jobs.Place(&vast.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i/8)), 1, func() {})
 		}
 		r.jobs.Add(&api.Spec{ID: "j-2", Team: "red", Shape: api.Batch, Priority: api.Standard, Tasks: 2, VCPUs: 4, RuntimeS: 10}, func() {}, nil)
 		r.commits.Flush()
--- a/internal/fleet/lay.go
+++ b/internal/fleet/lay.go
@@ -15,7 +15,7 @@
 	left   int      // tasks without room
 	late   *float64 // CPUs for which ordinary machines may be rented in place of spot ones
 	open   func(*api.Spec, ask) *bin
-	now    ident.Mono
+	now    ident.MonotonicTime
 
 	ask   ask
 	zones map[string]int // tasks in each
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -186,7 +186,7 @@
 const exact = 1e-6
 
 // layout counts the machines that can take work now or soon.
-func (m *Manager) layout(catalog []cloud.Model, now ident.Mono) *layout {
+func (m *Manager) layout(catalog []cloud.Model, now ident.MonotonicTime) *layout {
 	l := newLayout()
 	for j := range m.jobs.Waiting {
 		l.least.Least(j.Spec)
@@ -214,7 +214,7 @@
 }
 
 // layMachine counts a machine, if it can take work now or soon.
-func (m *Manager) layMachine(l *layout, g *gathering, w *workers.Worker, guests jobs.Need, now ident.Mono) {
+func (m *Manager) layMachine(l *layout, g *gathering, w *workers.Worker, guests jobs.Need, now ident.MonotonicTime) {
 	// A machine where a task failed is no room to count on: the job keeps off it.
 	// (A job waited for ever while the only idle machine was one that it shunned.)
 	// Nor is one in a zone that is cut off.
@@ -269,8 +269,8 @@
 // guests returns what tasks of teams without a guarantee have on each machine. It is room
 // for whatever waits, as they give way. (Machines were rented for the house beside some
 // that were full of them.)
-func (m *Manager) guests() map[ident.HostID]jobs.Need {
-	out := map[ident.HostID]jobs.Need{}
+func (m *Manager) guests() map[ident.MachineID]jobs.Need {
+	out := map[ident.MachineID]jobs.Need{}
 	m.arraysOpen(func(j *jobs.Job) {
 		if j.Held == 0 || !m.teams.Guest(j.Spec.Team) {
 			return
@@ -286,7 +286,7 @@
 
 // running calls f for every array task seen running, with how long it will
 // probably go on.
-func (m *Manager) running(now ident.Mono, f func(t *jobs.Task, w *workers.Worker, left time.Duration)) {
+func (m *Manager) running(now ident.MonotonicTime, f func(t *jobs.Task, w *workers.Worker, left time.Duration)) {
 	m.arraysOpen(func(j *jobs.Job) {
 		if j.Runs == 0 {
 			return
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -21,14 +21,14 @@
 // world answers the cloud's requests from a script and lets time pass.
 type world struct {
 	dead   map[string]bool
-	serial ident.Serial
-	now    ident.Mono
+	serial ident.SequenceNumber
+	now    ident.MonotonicTime
 	timers []func()
 	calls  []cloud.Request
 	reply  func(cloud.Request) cloud.Reply
 }
 
-func (w *world) Now() ident.Mono { return w.now }
+func (w *world) Now() ident.MonotonicTime { return w.now }
 
 func (w *world) After(d time.Duration, f func()) { w.timers = append(w.timers, f) }
 
@@ -37,8 +37,8 @@
 	f(w.reply(r))
 }
 
-func (w *world) State(r statesvc.Request, f func(statesvc.Reply)) {
-	f(statesvc.Reply{Outcome: statesvc.OK, Ledger: 5})
+func (w *world) Store(r statesvc.Request, f func(statesvc.Response)) {
+	f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 5})
 }
 
 // Worker never answers, unless it is said who is dead.
@@ -49,7 +49,7 @@
 		return
 	}
 	w.serial++
-	f(workers.Answer{Status: 200, Report: &api.Report{Host: ident.HostID(addr), Addr: addr, Model: "m8", Zone: "east",
+	f(workers.Answer{Status: 200, Report: &api.Report{Host: ident.MachineID(addr), Addr: addr, Model: "m8", Zone: "east",
 		Session: 1, Serial: w.serial, Epoch: c.Body.Epoch}})
 }
 
@@ -75,14 +75,14 @@
 }
 
 func newRig() *rig {
-	r := &rig{world: &world{now: ident.Mono(time.Hour)}, reached: true}
+	r := &rig{world: &world{now: ident.MonotonicTime(time.Hour)}, reached: true}
 	r.reply = func(q cloud.Request) cloud.Reply { return cloud.Reply{Outcome: cloud.OK} }
 	kind := cloud.Model{SKU: "m8", VCPUs: 8, MemoryGB: 32, Hourly: 1, MarketPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
-	r.commits = commit.New(r, commit.Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(string) {})
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.table = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseS: 30 * time.Second, Grace: 10 * time.Second,
 		Catalog: func(string) *cloud.Model { return &kind }, Deposed: func() {}, Changed: func() {},
-		Failed: func(*jobs.Task, *workers.Worker, api.Cause) {}, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.Mono { return 0 },
+		Failed: func(*jobs.Task, *workers.Worker, api.Cause) {}, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 },
 		Commit: func(w *workers.Worker) {
 			w.Recorded = w.State != workers.Gone
 		}})
@@ -113,7 +113,7 @@
 
 func (r *rig) up(n int) {
 	for i := range n {
-		w := r.table.Add(ident.HostID(fmt.Sprintf("host-%06d", i)), "m8", "east", false, r.now)
+		w := r.table.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m8", "east", false, r.now)
 		r.table.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 1})
 	}
 }
--- a/internal/fleet/shrink.go
+++ b/internal/fleet/shrink.go
@@ -15,7 +15,7 @@
 // headroom needs. A machine is seldom idle by itself: tasks come and go on it,
 // and replicas stay. So the one that is easiest to empty is cordoned: its tasks
 // end, its replicas move, and nothing new is placed there.
-func (m *Manager) shrink(l *layout, services, ordinary map[string]float64, arrays float64, now ident.Mono) {
+func (m *Manager) shrink(l *layout, services, ordinary map[string]float64, arrays float64, now ident.MonotonicTime) {
 	m.moves = maxMoves
 	x := &shrinking{arrays: arrays, services: total(services), ordinary: ordinary, free: l.zones()}
 	candidates, smallest, leaving := m.candidates(now)
@@ -57,7 +57,7 @@
 
 // candidates lists the machines that may be cordoned, with the CPUs of the smallest, and goes on
 // emptying those that are; leaving is what work there will need elsewhere.
-func (m *Manager) candidates(now ident.Mono) (list []*workers.Worker, smallest, leaving float64) {
+func (m *Manager) candidates(now ident.MonotonicTime) (list []*workers.Worker, smallest, leaving float64) {
 	for _, w := range m.machine.Sorted() {
 		if w.State != workers.Up || w.Kind == nil || w.Doomed > 0 || w.Shun > now || w.Slow {
 			continue
@@ -139,7 +139,7 @@
 
 // empty moves the replicas off a cordoned machine, once its arrays have ended,
 // and returns it when nothing is left.
-func (m *Manager) empty(w *workers.Worker, now ident.Mono) {
+func (m *Manager) empty(w *workers.Worker, now ident.MonotonicTime) {
 	if w.State != workers.Up {
 		return
 	}
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -147,7 +147,7 @@
 // late returns how many CPUs are missing for the arrays that wait to be started
 // in time for the first of their aims, 0 if the machines that are there or coming
 // can still do it. A backlog is seen by its work, not by waiting until it is late.
-func (m *Manager) late(l *layout, now ident.Mono) float64 {
+func (m *Manager) late(l *layout, now ident.MonotonicTime) float64 {
 	room, work, slack, weight := 0.0, 0.0, 0.0, 0.0
 	for p, n := range l.count {
 		if k := m.kind(p.model); p.standby && k != nil {
@@ -217,7 +217,7 @@
 
 // newBin opens a machine of the cheapest pool that allows the job, in the zone
 // that has the fewest of its kind.
-func (m *Manager) newBin(catalog []cloud.Model, l *layout, s *api.Spec, a ask, now ident.Mono) *bin {
+func (m *Manager) newBin(catalog []cloud.Model, l *layout, s *api.Spec, a ask, now ident.MonotonicTime) *bin {
 	var best *bin
 	cheapest, fewest := math.Inf(1), 0
 	m.openPools(catalog, a, now, func(k *cloud.Model, p pool) {
@@ -240,7 +240,7 @@
 
 // openPools calls f for each pool that is asked for and has machines to be had, as far as is
 // known.
-func (m *Manager) openPools(catalog []cloud.Model, a ask, now ident.Mono, f func(*cloud.Model, pool)) {
+func (m *Manager) openPools(catalog []cloud.Model, a ask, now ident.MonotonicTime, f func(*cloud.Model, pool)) {
 	for i := range catalog {
 		k := &catalog[i]
 		for _, z := range k.Zones {
@@ -267,7 +267,7 @@
 
 // wanted returns the room in CPUs to keep free: for services by zone, and for
 // arrays.
-func (m *Manager) wanted(now ident.Mono) (services map[string]float64, arrays float64) {
+func (m *Manager) wanted(now ident.MonotonicTime) (services map[string]float64, arrays float64) {
 	boot := m.slowest().Seconds()
 	services = map[string]float64{}
 	for _, k := range m.cfg.Catalog() {
--- a/internal/fleet/unheard.go
+++ b/internal/fleet/unheard.go
@@ -14,10 +14,10 @@
 // silent machines are, a broken link would cost the whole zone, and the machines rented in
 // their place would be silent as well, and so on for as long as the link is broken.
 type unheardZone struct {
-	since    ident.Mono
+	since    ident.MonotonicTime
 	machines int
-	returned int        // given up in this period
-	period   ident.Mono // its begin
+	returned int                 // given up in this period
+	period   ident.MonotonicTime // its begin
 }
 
 const (
@@ -32,7 +32,7 @@
 
 // zonesUnheard finds the zones that are silent as a whole. One stays so until a machine of it
 // is heard, though all that it had may be given up by then.
-func (m *Manager) zonesUnheard(zones map[string]*zoneHearing, now ident.Mono) {
+func (m *Manager) zonesUnheard(zones map[string]*zoneHearing, now ident.MonotonicTime) {
 	if m.cfg.Unheard == nil {
 		return
 	}
@@ -55,7 +55,7 @@
 // mayGiveUp says whether a machine may be returned for its silence. Those of a zone that is
 // silent as a whole are given up a few at a time; nothing is placed on the others until they
 // are heard.
-func (m *Manager) mayGiveUp(w *workers.Worker, now ident.Mono) bool {
+func (m *Manager) mayGiveUp(w *workers.Worker, now ident.MonotonicTime) bool {
 	z := m.unheard[w.Zone]
 	if z == nil {
 		return true
--- a/internal/fleet/unheard_test.go
+++ b/internal/fleet/unheard_test.go
@@ -22,7 +22,7 @@
 		if q.Op == cloud.Rent {
 			for range q.Number {
 				names++
-				a.Rented = append(a.Rented, ident.HostID(time.Duration(names).String()))
+				a.Rented = append(a.Rented, ident.MachineID(time.Duration(names).String()))
 				rented++
 			}
 		}
@@ -64,7 +64,7 @@
 		}
 	}
 	r.serial++
-	r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 2, Serial: r.serial, Epoch: ident.MakeEpoch(3, 1)})
+	r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 2, Serial: r.serial, Epoch: ident.MakeFencingToken(3, 1)})
 	r.pass(500*time.Millisecond, r.m)
 	if r.m.unheard["east"] != nil {
 		t.Error("the zone still counts as silent")
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -62,7 +62,7 @@
 // zoneHearing is what is heard of a zone's machines.
 type zoneHearing struct {
 	up     int // machines that should be heard
-	newest ident.Mono
+	newest ident.MonotonicTime
 }
 
 // hearZones returns what is heard of each zone that has machines.
@@ -87,7 +87,7 @@
 // siblings: they are cut off rather than dead, and work inside goes on for as long
 // as its leases do. (Half a fleet was fenced for its zone's cut, with replicas that
 // were not allowed anywhere else.) Nothing is placed there meanwhile.
-func (m *Manager) zonesCut(zones map[string]*zoneHearing, now ident.Mono) {
+func (m *Manager) zonesCut(zones map[string]*zoneHearing, now ident.MonotonicTime) {
 	was := m.cut
 	m.cut = map[string]bool{}
 	for site, z := range zones {
@@ -107,7 +107,7 @@
 
 // strand keeps work off a machine of a zone that is cut off, and takes what was on it
 // for gone once its lease is surely over.
-func (m *Manager) strand(w *workers.Worker, now ident.Mono) {
+func (m *Manager) strand(w *workers.Worker, now ident.MonotonicTime) {
 	w.Shun = max(w.Shun, now.Add(time.Second))
 	if !m.machine.Expired(w) {
 		return
@@ -152,7 +152,7 @@
 }
 
 // inspect looks at one machine.
-func (m *Manager) inspect(w *workers.Worker, now ident.Mono, s *sweep) {
+func (m *Manager) inspect(w *workers.Worker, now ident.MonotonicTime, s *sweep) {
 	switch w.State {
 	case workers.Booting:
 		startup := m.startup(w)
@@ -178,7 +178,7 @@
 }
 
 // inspectUp looks at a machine that should be heard.
-func (m *Manager) inspectUp(w *workers.Worker, now ident.Mono, s *sweep) {
+func (m *Manager) inspectUp(w *workers.Worker, now ident.MonotonicTime, s *sweep) {
 	s.up++
 	quiet := min(m.machine.Silence(w), now.Sub(max(m.stalled, m.back[w.Zone])))
 	limit := m.silent
@@ -217,7 +217,7 @@
 }
 
 // inspectReplicas has a machine with replicas asked when it is late.
-func (m *Manager) inspectReplicas(w *workers.Worker, quiet, limit time.Duration, now ident.Mono, s *sweep) {
+func (m *Manager) inspectReplicas(w *workers.Worker, quiet, limit time.Duration, now ident.MonotonicTime, s *sweep) {
 	if w.Misses() > 0 {
 		s.mutes++
 		if quiet > m.missed {
@@ -241,8 +241,8 @@
 // leaders that each resigned over machines long taken kept a cluster without one for good.)
 // Those fenced a moment ago count as well: machines that fall silent together are noticed
 // one by one.
-func (m *Manager) fence(s *sweep, now ident.Mono) {
-	m.fences = slices.DeleteFunc(m.fences, func(at ident.Mono) bool { return now.Sub(at) > 2*m.silent })
+func (m *Manager) fence(s *sweep, now ident.MonotonicTime) {
+	m.fences = slices.DeleteFunc(m.fences, func(at ident.MonotonicTime) bool { return now.Sub(at) > 2*m.silent })
 	n := len(s.silent) + len(m.fences)
 	mass := n > 1 && 2*n > s.up+len(m.fences) || len(s.silent) > 0 && !m.cfg.Direct()
 	if mass && !m.cfg.Reached() {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -37,12 +37,12 @@
 	job   *jobs.Job
 	try   ident.Attempt
 	state State
-	since ident.Mono
-	began ident.Mono // when its machines were chosen
-	gap   ident.Mono // since when a task is missing, 0: none is
-	ours  bool       // of this term: all machines that it ever was on are known
-	used  map[ident.HostID]bool
-	sent  map[int]ident.HostID // where its tasks were launched
+	since ident.MonotonicTime
+	began ident.MonotonicTime // when its machines were chosen
+	gap   ident.MonotonicTime // since when a task is missing, 0: none is
+	ours  bool                // of this term: all machines that it ever was on are known
+	used  map[ident.MachineID]bool
+	sent  map[int]ident.MachineID // where its tasks were launched
 }
 
 // Pick is a machine chosen for a task.
@@ -61,7 +61,7 @@
 // Table holds all attempts. It lives for one term.
 type Table struct {
 	cfg     Config
-	now     func() ident.Mono
+	now     func() ident.MonotonicTime
 	valid   func() bool // whether launches may be sent
 	jobs    *jobs.Table
 	workers *workers.Table
@@ -72,7 +72,7 @@
 }
 
 // NewTable makes a term's table.
-func NewTable(j *jobs.Table, w *workers.Table, now func() ident.Mono, valid func() bool, cfg Config) *Table {
+func NewTable(j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, valid func() bool, cfg Config) *Table {
 	return &Table{cfg: cfg, now: now, valid: valid, jobs: j, workers: w, open: map[*jobs.Job]*attempt{}}
 }
 
@@ -126,7 +126,7 @@
 		return
 	}
 	now := tb.now()
-	a := &attempt{job: j, try: j.LastTry(), state: Gathering, since: now, began: now, used: map[ident.HostID]bool{}, sent: map[int]ident.HostID{}}
+	a := &attempt{job: j, try: j.LastTry(), state: Gathering, since: now, began: now, used: map[ident.MachineID]bool{}, sent: map[int]ident.MachineID{}}
 	tb.open[j] = a
 	for i := range j.Tasks {
 		a.sent[i] = j.Tasks[i].Host // if it never was, the answer to a report does it
@@ -141,8 +141,8 @@
 	now := tb.now()
 	a := tb.open[j]
 	if a == nil {
-		a = &attempt{job: j, try: j.LastTry() + 1, state: Placed, since: now, began: now, ours: true, used: map[ident.HostID]bool{},
-			sent: map[int]ident.HostID{}}
+		a = &attempt{job: j, try: j.LastTry() + 1, state: Placed, since: now, began: now, ours: true, used: map[ident.MachineID]bool{},
+			sent: map[int]ident.MachineID{}}
 		tb.open[j] = a
 	} else {
 		tb.Replaced += uint64(len(picks))
@@ -158,7 +158,7 @@
 // Used says whether a task of the gang's present attempt was on a machine: another
 // one may not come there with the same number, since an old report would say that it
 // has ended.
-func (tb *Table) Used(j *jobs.Job, h ident.HostID) bool {
+func (tb *Table) Used(j *jobs.Job, h ident.MachineID) bool {
 	a := tb.open[j]
 	return a != nil && a.used[h]
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -18,13 +18,13 @@
 // rig is one gang of three on machines that note what they are sent.
 type rig struct {
 	t       *testing.T
-	now     ident.Mono
+	now     ident.MonotonicTime
 	queue   []func()
 	held    []func() // answers of the state service that are kept back
 	hold    bool
-	sent    map[ident.HostID][]api.Order
+	sent    map[ident.MachineID][]api.Order
 	mute    map[string]bool
-	serial  ident.Serial
+	serial  ident.SequenceNumber
 	ledger  uint64
 	commits *commit.Committer
 	jobs    *jobs.Table
@@ -33,11 +33,11 @@
 	job     *jobs.Job
 }
 
-func (r *rig) Now() ident.Mono                 { return r.now }
+func (r *rig) Now() ident.MonotonicTime        { return r.now }
 func (r *rig) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
-func (r *rig) State(_ statesvc.Request, f func(statesvc.Reply)) {
+func (r *rig) Store(_ statesvc.Request, f func(statesvc.Response)) {
 	r.ledger++
-	a := statesvc.Reply{Outcome: statesvc.OK, Ledger: r.ledger}
+	a := statesvc.Response{Outcome: statesvc.OK, StoreRevision: r.ledger}
 	if r.hold {
 		r.held = append(r.held, func() { f(a) })
 		return
@@ -51,7 +51,7 @@
 		r.queue = append(r.queue, func() { f(workers.Answer{}) })
 		return
 	}
-	h := ident.HostID(addr)
+	h := ident.MachineID(addr)
 	r.sent[h] = append(r.sent[h], c.Body.Orders...)
 	// An answer that tells nothing new: reports come as the test says.
 	r.queue = append(r.queue, func() { f(workers.Answer{Status: 200, Report: &api.Report{Host: h, Addr: addr, Session: 1}}) })
@@ -74,15 +74,15 @@
 }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, now: ident.Mono(time.Hour), sent: map[ident.HostID][]api.Order{}, mute: map[string]bool{}}
+	r := &rig{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Order{}, mute: map[string]bool{}}
 	kind := cloud.Model{SKU: "m8", VCPUs: 8, MemoryGB: 32}
-	r.commits = commit.New(r, commit.Limits{Ops: 8, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Error(why) })
-	r.commits.Pack()
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.Pack()
 	r.workers = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseS: 30 * time.Second, Catalog: func(string) *cloud.Model { return &kind },
 		Deposed: func() { t.Error("deposed") }, Changed: func() {}, Failed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.Mono { return 0 }, Commit: func(w *workers.Worker) { w.Recorded = true }})
+		Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 }, Commit: func(w *workers.Worker) { w.Recorded = true }})
 	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, Config{Wait: 40 * time.Second, Peer: 5 * time.Second, Report: 3 * time.Second})
 	r.jobs.OnMove = func(task *jobs.Task, from, to jobs.State) {
 		r.gangs.Touch(task.Job)
@@ -93,7 +93,7 @@
 		}
 	}
 	for i := range 5 {
-		r.workers.Add(ident.HostID(fmt.Sprintf("host-%d", i)), "m8", "east", false, r.now)
+		r.workers.Add(ident.MachineID(fmt.Sprintf("host-%d", i)), "m8", "east", false, r.now)
 		r.report(i)
 	}
 	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1, SnapshotEveryS: 20, SnapshotS: 3}, func() {}, nil)
@@ -104,9 +104,9 @@
 // report has a machine report pieces; without any it reports none.
 func (r *rig) report(host int, pieces ...api.TaskReport) *api.Orders {
 	r.serial++
-	h := ident.HostID(fmt.Sprintf("host-%d", host))
+	h := ident.MachineID(fmt.Sprintf("host-%d", host))
 	o := r.workers.Checkin(&api.Report{Host: h, Addr: string(h), Model: "m8", Zone: "east", Session: 1, Serial: r.serial,
-		Epoch: ident.MakeEpoch(3, 0), Tasks: pieces})
+		Epoch: ident.MakeFencingToken(3, 0), Tasks: pieces})
 	return o
 }
 
@@ -119,7 +119,7 @@
 	var picks []Pick
 	for i := range r.job.Tasks {
 		if t := &r.job.Tasks[i]; t.State == jobs.Waiting {
-			picks = append(picks, Pick{t, r.workers.Workers[ident.HostID(fmt.Sprintf("host-%d", from+len(picks)))]})
+			picks = append(picks, Pick{t, r.workers.Workers[ident.MachineID(fmt.Sprintf("host-%d", from+len(picks)))]})
 		}
 	}
 	r.gangs.Place(r.job, picks)
@@ -300,7 +300,7 @@
 	r.run()
 	r.want("saving")
 	for i := range 3 {
-		list := r.sent[ident.HostID(fmt.Sprintf("host-%d", i))]
+		list := r.sent[ident.MachineID(fmt.Sprintf("host-%d", i))]
 		o := list[len(list)-1]
 		if o.Verb != api.Kill || o.WindDownS == nil || *o.WindDownS < 3+5 {
 			t.Errorf("host-%d is told %+v", i, o)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,10 +20,10 @@
 
 // The states of a handover.
 const (
-	Steady   State = iota // the node leads, and nobody is better placed
-	Worse                 // a sibling is, for not long enough yet
-	Draining              // nothing is decided any more; writes in flight end
-	Ended                 // the term has been ended
+	Steady      State = iota // the node leads, and nobody is better placed
+	Considering              // a sibling is, for not long enough yet
+	Draining                 // nothing is decided any more; writes in flight end
+	Ended                    // the term has been ended
 )
 
 func (s State) String() string {
@@ -57,28 +57,28 @@
 
 // Config holds the times of a handover.
 type Config struct {
-	// Hold is the least time that a lead is kept before it is given up by choice. It
+	// MinTermDuration is the least time that a lead is kept before it is given up by choice. It
 	// doubles with each change of leader of the last minutes.
-	Hold time.Duration
-	// Persist is for how long a sibling must be better placed.
-	Persist time.Duration
-	// Drain is how long writes in flight may take to end.
-	Drain time.Duration
+	MinTermDuration time.Duration
+	// StabilizationWindow is for how long a sibling must be better placed.
+	StabilizationWindow time.Duration
+	// DrainTimeout is how long writes in flight may take to end.
+	DrainTimeout time.Duration
 }
 
 // DefaultConfig returns the times used where the operators name none.
 func DefaultConfig() Config {
-	return Config{Hold: 15 * time.Second, Persist: 3 * time.Second, Drain: time.Second}
+	return Config{MinTermDuration: 15 * time.Second, StabilizationWindow: 3 * time.Second, DrainTimeout: time.Second}
 }
 
 // Event is what a handover is decided by.
 type Event struct {
-	Now      ident.Mono
-	Worse    bool         // a sibling is better placed by a clear margin
-	To       ident.NodeID // that sibling
-	Isolated bool
-	Idle     bool // no write is in flight
-	CanWrite bool // the state service takes what is written
+	Now              ident.MonotonicTime
+	PeerBetterPlaced bool         // a sibling is better placed by a clear margin
+	Successor        ident.NodeID // that sibling
+	Isolated         bool
+	WritesDrained    bool // no write is in flight
+	StoreWritable    bool // the state service takes what is written
 }
 
 // Step is what the caller has to do.
@@ -86,90 +86,90 @@
 
 // The steps.
 const (
-	Nothing  Step = iota
+	NoStep   Step = iota
 	Announce      // stop deciding, and tell all siblings who should follow
-	End           // end the term in one transaction
+	EndTerm       // end the term in one transaction
 )
 
-// Machine takes one term of a node through a handover.
-type Machine struct {
-	config  Config
-	history *History
-	began   ident.Mono
-	state   State
-	since   ident.Mono // of the state
-	to      ident.NodeID
-	reason  Reason
+// Coordinator takes one term of a node through a handover.
+type Coordinator struct {
+	config     Config
+	history    *History
+	startedAt  ident.MonotonicTime
+	state      State
+	stateSince ident.MonotonicTime // of the state
+	successor  ident.NodeID
+	reason     Reason
 }
 
 // New makes the machine of a term that began at a time.
-func New(config Config, history *History, began ident.Mono) *Machine {
-	return &Machine{config: config, history: history, began: began, since: began}
+func New(config Config, history *History, startedAt ident.MonotonicTime) *Coordinator {
+	return &Coordinator{config: config, history: history, startedAt: startedAt, stateSince: startedAt}
 }
 
 // State returns where the handover stands.
-func (m *Machine) State() State { return m.state }
+func (c *Coordinator) State() State { return c.state }
 
-// To returns who should follow, and why; empty while nobody is chosen.
-func (m *Machine) To() (ident.NodeID, Reason) { return m.to, m.reason }
+// Successor returns who should follow, and why; empty while nobody is chosen.
+func (c *Coordinator) Successor() (ident.NodeID, Reason) { return c.successor, c.reason }
 
-// Yields says whether a handover has begun: nothing may be decided any more.
-func (m *Machine) Yields() bool { return m.state == Draining || m.state == Ended }
+// Begun says whether a handover has begun: nothing may be decided any more.
+func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
 
-// move is the one place where the state changes.
-func (m *Machine) move(s State, now ident.Mono) {
-	if m.state != s {
-		m.state, m.since = s, now
+// setState is the one place where the state changes.
+func (c *Coordinator) setState(s State, now ident.MonotonicTime) {
+	if c.state != s {
+		c.state, c.stateSince = s, now
 	}
 }
 
 // Handle takes an event and returns the step that follows from it.
-func (m *Machine) Handle(e Event) Step {
-	switch m.state {
-	case Steady, Worse:
-		return m.consider(e)
+func (c *Coordinator) Handle(e Event) Step {
+	switch c.state {
+	case Steady, Considering:
+		return c.evaluate(e)
 	case Draining:
-		if e.Idle || e.Now.Sub(m.since) >= m.config.Drain {
-			m.move(Ended, e.Now)
-			m.history.Gave(e.Now)
-			return End
+		if e.WritesDrained || e.Now.Sub(c.stateSince) >= c.config.DrainTimeout {
+			c.setState(Ended, e.Now)
+			c.history.RecordHandover(e.Now)
+			return EndTerm
 		}
 	}
-	return Nothing
+	return NoStep
 }
 
-// consider decides whether a handover begins.
-func (m *Machine) consider(e Event) Step {
-	worse := e.Worse && e.To != ""
+// evaluate decides whether a handover begins.
+func (c *Coordinator) evaluate(e Event) Step {
+	peerBetter := e.PeerBetterPlaced && e.Successor != ""
 	switch {
-	case !worse && !e.Isolated:
-		m.move(Steady, e.Now)
-		return Nothing
-	case m.state == Steady:
-		m.move(Worse, e.Now)
-		return Nothing
-	case e.Now.Sub(m.since) < m.config.Persist:
-		return Nothing
-	case !e.CanWrite:
+	case !peerBetter && !e.Isolated:
+		c.setState(Steady, e.Now)
+		return NoStep
+	case c.state == Steady:
+		c.setState(Considering, e.Now)
+		return NoStep
+	case e.Now.Sub(c.stateSince) < c.config.StabilizationWindow:
+		return NoStep
+	case !e.StoreWritable:
 		// The term can't be ended by a transaction: it ends with its lease.
-		return Nothing
-	case e.Now.Sub(m.began) < m.history.Hold(m.config.Hold, e.Now):
-		return Nothing
+		return NoStep
+	case e.Now.Sub(c.startedAt) < c.history.MinTermDuration(c.config.MinTermDuration, e.Now):
+		return NoStep
 	}
-	m.to, m.reason = e.To, BetterPlaced
-	if !worse {
-		m.to, m.reason = "", Isolated
+	c.successor, c.reason = e.Successor, BetterPlaced
+	if !peerBetter {
+		c.successor, c.reason = "", Isolated
 	}
-	m.move(Draining, e.Now)
+	c.setState(Draining, e.Now)
 	return Announce
 }
 
 // Request begins a handover because the node is being stopped; to may be empty.
-func (m *Machine) Request(now ident.Mono, to ident.NodeID) Step {
-	if m.Yields() {
-		return Nothing
+func (c *Coordinator) Request(now ident.MonotonicTime, successor ident.NodeID) Step {
+	if c.Begun() {
+		return NoStep
 	}
-	m.to, m.reason = to, Requested
-	m.move(Draining, now)
+	c.successor, c.reason = successor, Requested
+	c.setState(Draining, now)
 	return Announce
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,43 +13,43 @@
 // without what they need.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config, now := DefaultConfig(), ident.Mono(time.Hour)
+		config, now := DefaultConfig(), ident.MonotonicTime(time.Hour)
 		history := &History{}
-		history.Saw(1, now)
-		m := New(config, history, now)
-		began, announced, ended := now, ident.Mono(0), false
-		worseSince := ident.Mono(0)
+		history.ObserveTerm(1, now)
+		coordinator := New(config, history, now)
+		began, announced, ended := now, ident.MonotonicTime(0), false
+		worseSince := ident.MonotonicTime(0)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 1500).Draw(t, "pause_ms")) * time.Millisecond)
-			e := Event{Now: now, Worse: rapid.IntRange(0, 9).Draw(t, "worse") > 0, To: "agent-1",
-				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, Idle: rapid.Bool().Draw(t, "idle"),
-				CanWrite: rapid.IntRange(0, 3).Draw(t, "can write") > 0}
-			bad := e.Worse || e.Isolated
+			e := Event{Now: now, PeerBetterPlaced: rapid.IntRange(0, 9).Draw(t, "worse") > 0, Successor: "agent-1",
+				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, WritesDrained: rapid.Bool().Draw(t, "idle"),
+				StoreWritable: rapid.IntRange(0, 3).Draw(t, "can write") > 0}
+			warranted := e.PeerBetterPlaced || e.Isolated
 			switch {
-			case !bad:
+			case !warranted:
 				worseSince = 0
 			case worseSince == 0:
 				worseSince = now
 			}
-			switch step := m.Handle(e); step {
+			switch step := coordinator.Handle(e); step {
 			case Announce:
-				if announced > 0 || !bad || !e.CanWrite || now.Sub(began) < config.Hold || now.Sub(worseSince) < config.Persist {
+				if announced > 0 || !warranted || !e.StoreWritable || now.Sub(began) < config.MinTermDuration || now.Sub(worseSince) < config.StabilizationWindow {
 					t.Fatalf("announced at %v after the begin, %v after a sibling was better placed: %+v", now.Sub(began), now.Sub(worseSince), e)
 				}
-				if to, reason := m.To(); e.Worse != (to != "") || reason == NoReason {
+				if to, reason := coordinator.Successor(); e.PeerBetterPlaced != (to != "") || reason == NoReason {
 					t.Fatalf("to %q for %v: %+v", to, reason, e)
 				}
 				announced = now
-			case End:
-				if announced == 0 || ended || !e.Idle && now.Sub(announced) < config.Drain {
+			case EndTerm:
+				if announced == 0 || ended || !e.WritesDrained && now.Sub(announced) < config.DrainTimeout {
 					t.Fatalf("ended %v after the announcement: %+v", now.Sub(announced), e)
 				}
 				ended = true
 			}
-			if m.Yields() != (announced > 0) {
-				t.Fatalf("yields %v, announced %v", m.Yields(), announced > 0)
+			if coordinator.Begun() != (announced > 0) {
+				t.Fatalf("yields %v, announced %v", coordinator.Begun(), announced > 0)
 			}
-			if announced > 0 && !ended && now.Sub(announced) >= 2*config.Drain+1500*time.Millisecond {
+			if announced > 0 && !ended && now.Sub(announced) >= 2*config.DrainTimeout+1500*time.Millisecond {
 				t.Fatal("an announced handover does not end")
 			}
 		}
@@ -60,26 +60,26 @@
 // lead on no more often than the bound, and less and less.
 func TestHandoversAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config, start := DefaultConfig(), ident.Mono(time.Hour)
+		config, start := DefaultConfig(), ident.MonotonicTime(time.Hour)
 		nodes := rapid.IntRange(2, 5).Draw(t, "nodes")
 		histories := make([]History, nodes)
 		now, leader, term := start, 0, ident.Term(1)
-		saw := func() {
+		observe := func() {
 			for i := range histories {
-				histories[i].Saw(term, now)
+				histories[i].ObserveTerm(term, now)
 			}
 		}
-		saw()
-		m := New(config, &histories[leader], now)
-		var times []ident.Mono
+		observe()
+		coordinator := New(config, &histories[leader], now)
+		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			if m.Handle(Event{Now: now, Worse: true, To: "x", Idle: true, CanWrite: true}) == End {
+			if coordinator.Handle(Event{Now: now, PeerBetterPlaced: true, Successor: "x", WritesDrained: true, StoreWritable: true}) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
-				saw()
-				m = New(config, &histories[leader], now)
+				observe()
+				coordinator = New(config, &histories[leader], now)
 			}
 		}
 		for i, at := range times {
@@ -101,15 +101,15 @@
 
 // TestRequested: a node that is being stopped hands over at once, and once.
 func TestRequested(t *testing.T) {
-	now := ident.Mono(time.Hour)
-	m := New(DefaultConfig(), &History{}, now)
-	if m.Request(now, "agent-1") != Announce || m.Request(now, "agent-2") != Nothing {
+	now := ident.MonotonicTime(time.Hour)
+	coordinator := New(DefaultConfig(), &History{}, now)
+	if coordinator.Request(now, "agent-1") != Announce || coordinator.Request(now, "agent-2") != NoStep {
 		t.Error("a request is announced once")
 	}
-	if to, reason := m.To(); to != "agent-1" || reason != Requested {
+	if to, reason := coordinator.Successor(); to != "agent-1" || reason != Requested {
 		t.Errorf("to %q for %v", to, reason)
 	}
-	if m.Handle(Event{Now: now, Idle: true}) != End || m.Handle(Event{Now: now, Idle: true}) != Nothing {
+	if coordinator.Handle(Event{Now: now, WritesDrained: true}) != EndTerm || coordinator.Handle(Event{Now: now, WritesDrained: true}) != NoStep {
 		t.Error("the term is ended once")
 	}
 }
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -11,63 +11,63 @@
 // bounds how often the lead is given up by choice: the time for which it is kept at least
 // doubles with each change of the last minutes.
 type History struct {
-	changes []change
+	changes []leaderChange
 }
 
-type change struct {
+type leaderChange struct {
 	term ident.Term
-	at   ident.Mono
+	at   ident.MonotonicTime
 }
 
 const (
-	// window is how long a change of the lead counts.
-	window = 5 * time.Minute
+	// changeWindow is how long a change of the lead counts.
+	changeWindow = 5 * time.Minute
 	// maxDoublings bounds the hold to sixteen times the configured one.
 	maxDoublings = 4
 	// maxChanges bounds the changes remembered.
 	maxChanges = 64
-	// freeChanges is how many changes of the window are of no consequence: the one that
+	// uncountedChanges is how many changes of the window are of no consequence: the one that
 	// made the present leader, and one before.
-	freeChanges = 2
+	uncountedChanges = 2
 )
 
-// Saw notes a term that somebody leads in.
-func (h *History) Saw(t ident.Term, now ident.Mono) {
-	if n := len(h.changes); n > 0 && t <= h.changes[n-1].term {
+// ObserveTerm notes a term that somebody leads in.
+func (h *History) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
+	if n := len(h.changes); n > 0 && term <= h.changes[n-1].term {
 		return
 	}
-	h.changes = append(h.changes, change{t, now})
+	h.changes = append(h.changes, leaderChange{term, now})
 	if len(h.changes) > maxChanges {
 		h.changes = slices.Delete(h.changes, 0, len(h.changes)-maxChanges)
 	}
 }
 
-// Gave notes that this node has given the lead up by choice.
-func (h *History) Gave(now ident.Mono) {
+// RecordHandover notes that this node has given the lead up by choice.
+func (h *History) RecordHandover(now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 {
 		// Counts again, beside the term that ends.
-		h.changes = append(h.changes, change{h.changes[n-1].term, now})
+		h.changes = append(h.changes, leaderChange{h.changes[n-1].term, now})
 	}
 }
 
-// Recent counts the changes of the window.
-func (h *History) Recent(now ident.Mono) int {
+// RecentChanges counts the changes of the window.
+func (h *History) RecentChanges(now ident.MonotonicTime) int {
 	n := 0
 	for _, c := range h.changes {
-		if now.Sub(c.at) < window {
+		if now.Sub(c.at) < changeWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// Hold returns for how long a lead is kept at the least.
-func (h *History) Hold(least time.Duration, now ident.Mono) time.Duration {
-	doublings := min(max(0, h.Recent(now)-freeChanges), maxDoublings)
-	return least << doublings
+// MinTermDuration returns for how long a lead is kept at the least.
+func (h *History) MinTermDuration(base time.Duration, now ident.MonotonicTime) time.Duration {
+	doublings := min(max(0, h.RecentChanges(now)-uncountedChanges), maxDoublings)
+	return base << doublings
 }
 
 // MaxPerMinute returns how many times in a minute the lead can be given up by choice, at
 // the most, in a cluster whose nodes see each other's terms: each holder keeps it for the
 // least time first.
-func MaxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.Hold, time.Second)) }
+func MaxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -14,33 +14,33 @@
 
 // Do sends a request, with body as JSON unless it is nil, and reads at most limit
 // bytes of the answer. After an error the request may have been carried out.
-func Do(c *http.Client, timeout time.Duration, method, url string, body any, limit int64) (status int, answer []byte, err error) {
+func Do(client *http.Client, timeout time.Duration, method, url string, body any, maxBytes int64) (status int, responseBody []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	var rd io.Reader
+	var reader io.Reader
 	if body != nil {
-		b, err := json.Marshal(body)
+		data, err := json.Marshal(body)
 		if err != nil {
 			return 0, nil, err
 		}
-		rd = bytes.NewReader(b)
+		reader = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, rd)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return 0, nil, err
 	}
-	if rd != nil {
+	if reader != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, limit))
-	return resp.StatusCode, b, err
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
+	return resp.StatusCode, data, err
 }
 
-// Rejected says whether a call failed because the connection was refused. Nothing was sent
+// ConnectionRefused says whether a call failed because the connection was refused. Nothing was sent
 // then.
-func Rejected(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -10,63 +10,63 @@
 	"time"
 )
 
-// Mono is a reading of the steady clock, counted from the start of the process.
-type Mono time.Duration
+// MonotonicTime is a reading of the steady clock, counted from the start of the process.
+type MonotonicTime time.Duration
 
 // Never lies beyond every reading of the steady clock.
-const Never = Mono(1<<63 - 1)
+const Never = MonotonicTime(1<<63 - 1)
 
 // Add returns the reading d later.
-func (m Mono) Add(d time.Duration) Mono { return m + Mono(d) }
+func (m MonotonicTime) Add(d time.Duration) MonotonicTime { return m + MonotonicTime(d) }
 
 // Sub returns the time that passed from o to m.
-func (m Mono) Sub(o Mono) time.Duration { return time.Duration(m - o) }
+func (m MonotonicTime) Sub(o MonotonicTime) time.Duration { return time.Duration(m - o) }
 
 type (
 	// NodeID names a controller.
 	NodeID string
-	// HostID names a rented machine.
-	HostID string
+	// MachineID names a rented machine.
+	MachineID string
 	// JobID names a job; users choose it.
 	JobID string
 	// Term counts elections.
 	Term uint64
-	// Epoch is the token that entitles to command a worker.
-	Epoch uint64
-	// Session counts the sessions of a worker.
-	Session uint64
-	// Serial orders the messages of one session of a worker.
-	Serial uint64
-	// Stamp is the revision of a key's last change; 0: the key does not exist.
-	Stamp uint64
+	// FencingToken is the token that entitles to command a worker.
+	FencingToken uint64
+	// Incarnation counts the sessions of a worker.
+	Incarnation uint64
+	// SequenceNumber orders the messages of one session of a worker.
+	SequenceNumber uint64
+	// Revision is the revision of a key's last change; 0: the key does not exist.
+	Revision uint64
 	// Attempt counts the attempts at a task.
 	Attempt uint64
-	// Level is the format of what is stored, once all nodes can read it; 0: that of
+	// FormatLevel is the format of what is stored, once all nodes can read it; 0: that of
 	// the first version.
-	Level uint8
+	FormatLevel uint8
 )
 
 // The format levels. What reads and writes the format below Packed is marked in the
 // code as of the first format; it can go, with package upgrade, once no deployment is
 // below that level.
 const (
-	// Packed keeps tasks in the log alone, in lines of text, and every value within the
+	// FormatPacked keeps tasks in the log alone, in lines of text, and every value within the
 	// limits that the state service may come to. Gangs need it.
-	Packed Level = 1
-	// NewestLevel is the newest that this program can read and write.
-	NewestLevel = Packed
+	FormatPacked FormatLevel = 1
+	// NewestFormatLevel is the newest that this program can read and write.
+	NewestFormatLevel = FormatPacked
 )
 
-// fenceBits is the room for the fence counter below the term in an Epoch.
-const fenceBits = 20
+// tokenCounterBits is the room for the fence counter below the term in an Epoch.
+const tokenCounterBits = 20
 
-// MakeEpoch puts the term above the worker's fence counter.
-func MakeEpoch(t Term, fence uint32) Epoch {
-	return Epoch(uint64(t)<<fenceBits | uint64(fence)&(1<<fenceBits-1))
+// MakeFencingToken puts the term above the worker's fence counter.
+func MakeFencingToken(term Term, counter uint32) FencingToken {
+	return FencingToken(uint64(term)<<tokenCounterBits | uint64(counter)&(1<<tokenCounterBits-1))
 }
 
 // Term returns the term that an epoch was made in.
-func (e Epoch) Term() Term { return Term(e >> fenceBits) }
+func (t FencingToken) Term() Term { return Term(t >> tokenCounterBits) }
 
 // ErrMalformed is returned for a name that does not have its form.
 var ErrMalformed = errors.New("malformed name")
@@ -91,13 +91,13 @@
 	Index int
 }
 
-func (p TaskID) String() string { return string(p.Job) + "/" + strconv.Itoa(p.Index) }
+func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // MarshalText writes the piece's name.
-func (p TaskID) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
 // UnmarshalText reads a piece's name.
-func (p *TaskID) UnmarshalText(b []byte) error {
+func (t *TaskID) UnmarshalText(b []byte) error {
 	job, index, ok := strings.Cut(string(b), "/")
 	if !ok {
 		return fmt.Errorf("piece %q: %w", b, ErrMalformed)
@@ -110,6 +110,6 @@
 	if err != nil || n < 0 {
 		return fmt.Errorf("piece %q: %w", b, ErrMalformed)
 	}
-	p.Job, p.Index = id, n
+	t.Job, t.Index = id, n
 	return nil
 }
--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -57,14 +57,14 @@
 			return
 		}
 		j.form = logged
-		tb.commits.Mark(j.head, func() {
+		tb.commits.MarkDirty(j.head, func() {
 			for _, f := range j.moved {
 				f()
 			}
 			j.moved = nil
 		})
 		for _, d := range j.segs {
-			tb.commits.MarkLazy(d, nil) // means nothing any more
+			tb.commits.MarkDirtyLazily(d, nil) // means nothing any more
 		}
 	}
 	for i := range j.Tasks {
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -19,9 +19,9 @@
 
 // golden is testdata/production.json: what the version in production (the commit in
 // deploy/service.toml) wrote in the test script of scripted below, and what it held in
-// memory then. It can go with the format of before ident.Packed.
+// memory then. It can go with the format of before ident.FormatPacked.
 type golden struct {
-	Pairs []statesvc.Pair
+	Pairs []statesvc.KeyValue
 	Jobs  map[string]goldenJob
 }
 
@@ -55,7 +55,7 @@
 	}
 	place := func(j *Job, n int) {
 		for i := range n {
-			tb.Place(&j.Tasks[i], ident.HostID(fmt.Sprintf("host-%06d", i)), ident.Session(1+i%3), func() {})
+			tb.Place(&j.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i)), ident.Incarnation(1+i%3), func() {})
 		}
 		c.Flush()
 		k.run()
@@ -71,9 +71,9 @@
 	c.Flush()
 	k.run()
 	for _, d := range large.segs {
-		c.Mark(d, nil)
+		c.MarkDirty(d, nil)
 	}
-	c.Mark(service.head, nil)
+	c.MarkDirty(service.head, nil)
 	c.Flush()
 	k.run()
 	tb.Gone(&large.Tasks[148], nil)
@@ -108,16 +108,16 @@
 	tb, c := table(k)
 	tb.Expect(2048)
 	if packed {
-		c.Expect(commit.Limits{Ops: 5, PerSecond: 1e9, ValueBytes: 2048})
-		c.Pack()
+		c.ExpectLimits(commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048})
+		c.UseTextFormat()
 		tb.Pack()
 	}
-	var log []statesvc.Pair
+	var log []statesvc.KeyValue
 	for _, path := range sortedKeys(k.Keys) {
 		p := k.Keys[path]
 		switch {
 		case strings.HasPrefix(path, LivePrefix):
-			if err := tb.Load(path, p.Value, p.Stamp); err != nil {
+			if err := tb.Load(path, p.Value, p.Revision); err != nil {
 				t.Fatal(err)
 			}
 		case strings.HasPrefix(path, commit.LogPrefix):
@@ -134,8 +134,8 @@
 func (g golden) keep() *keep {
 	k := newKeep(statetest.New())
 	for _, p := range g.Pairs {
-		k.Keys[p.Path] = p
-		k.Ledger = max(k.Ledger, uint64(p.Stamp))
+		k.Keys[p.Key] = p
+		k.Revision = max(k.Revision, uint64(p.Revision))
 	}
 	return k
 }
@@ -210,8 +210,8 @@
 	}
 	for _, p := range g.Pairs {
 		var got, want map[string]any
-		if err := json.Unmarshal(k.Keys[p.Path].Value, &got); err != nil {
-			t.Errorf("%s: %v", p.Path, err)
+		if err := json.Unmarshal(k.Keys[p.Key].Value, &got); err != nil {
+			t.Errorf("%s: %v", p.Key, err)
 			continue
 		}
 		if err := json.Unmarshal(p.Value, &want); err != nil {
@@ -222,7 +222,7 @@
 			got["lsn"] = want["lsn"]
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %s, want %s", p.Path, k.Keys[p.Path].Value, p.Value)
+			t.Errorf("%s: %s, want %s", p.Key, k.Keys[p.Key].Value, p.Value)
 		}
 	}
 }
@@ -233,9 +233,9 @@
 func TestLostNumber(t *testing.T) {
 	k := newKeep(statetest.New())
 	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open","lsn":9,"tasks":[{},{}]}`
-	k.Keys["live/j-1"] = statesvc.Pair{Path: "live/j-1", Value: json.RawMessage(head), Stamp: 20}
-	k.Keys["log/00000"] = statesvc.Pair{Path: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Stamp: 31}
-	k.Ledger = 40
+	k.Keys["live/j-1"] = statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
+	k.Keys["log/00000"] = statesvc.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
+	k.Revision = 40
 	for _, packed := range []bool{false, true} {
 		tb, _ := load(t, k, packed)
 		if got := tb.Jobs["j-1"].Tasks[0].Host; got != "host-1" {
@@ -255,4 +255,4 @@
 	}
 }
 
-func sortedKeys(keys map[string]statesvc.Pair) []string { return slices.Sorted(maps.Keys(keys)) }
+func sortedKeys(keys map[string]statesvc.KeyValue) []string { return slices.Sorted(maps.Keys(keys)) }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -19,7 +19,7 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
 	r.keep.State(q, f)
 }
@@ -39,11 +39,11 @@
 
 // open makes a table that writes in that way.
 func (s storage) open(r *recorder) (*Table, *commit.Committer) {
-	limits := commit.Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 16 << 10}
-	c := commit.New(r, limits, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { panic(why) })
+	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
+	c := commit.New(r, limits, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
 	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
 	if s.packed {
-		c.Pack()
+		c.UseTextFormat()
 		tb.Pack()
 	}
 	return tb, c
@@ -69,7 +69,7 @@
 	}
 	open, cancelled, held, done := add("j-11"), add("j-12"), add("j-13"), add("j-14")
 	for i := range 3 {
-		tb.Place(&open.Tasks[i], ident.HostID(fmt.Sprintf("host 0%d,a", i)), ident.Session(21+i), func() {})
+		tb.Place(&open.Tasks[i], ident.MachineID(fmt.Sprintf("host 0%d,a", i)), ident.Incarnation(21+i), func() {})
 		tb.Place(&done.Tasks[i], "host-14", 31, func() {})
 	}
 	tb.Place(&held.Tasks[1], "host-13", 41, func() {})
@@ -85,9 +85,9 @@
 		tb.Complete(&done.Tasks[i], nil)
 	}
 	settle()
-	c.Mark(open.head, nil)
+	c.MarkDirty(open.head, nil)
 	for _, d := range open.segs {
-		c.Mark(d, nil)
+		c.MarkDirty(d, nil)
 	}
 	settle()
 }
@@ -109,7 +109,7 @@
 func stored(k *keep) string {
 	var b strings.Builder
 	for _, path := range sortedKeys(k.Keys) {
-		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Keys[path].Stamp, k.Keys[path].Value)
+		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Keys[path].Revision, k.Keys[path].Value)
 	}
 	return b.String()
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -14,20 +14,20 @@
 	Index   int
 	State   State
 	Attempt ident.Attempt
-	Host    ident.HostID
-	Session ident.Session
+	Host    ident.MachineID
+	Session ident.Incarnation
 
 	// What follows is not durable.
 	Seen     api.TaskStatus // newest report of this try, "" if none
 	placed   uint64         // counts its placements: an attempt of a gang may place it twice
 	pin      commit.Pin
-	Since    ident.Mono    // when it entered its state
-	RunsAt   ident.Mono    // when it was first seen running
-	RetryAt  ident.Mono    // not placed earlier
-	Fails    int           // errors in a row
-	WindDown time.Duration // with which it was told to stop
-	GaveWay  ident.Mono    // when it was last stopped to make room; 0: never
-	Planned  ident.HostID  // machine of the current plan
+	Since    ident.MonotonicTime // when it entered its state
+	RunsAt   ident.MonotonicTime // when it was first seen running
+	RetryAt  ident.MonotonicTime // not placed earlier
+	Fails    int                 // errors in a row
+	WindDown time.Duration       // with which it was told to stop
+	GaveWay  ident.MonotonicTime // when it was last stopped to make room; 0: never
+	Planned  ident.MachineID     // machine of the current plan
 }
 
 // PlacedNow says whether the task was placed in this term.
@@ -53,11 +53,11 @@
 	Spec    *api.Spec
 	Seq     uint64 // order of arrival
 	AtMS    int64  // time of day of the arrival
-	Arrived ident.Mono
-	Phase   Phase      // in memory
-	Durable Phase      // known to be in the state service
-	Known   bool       // the submission is durable
-	Ended   ident.Mono // when it left its open phase; long ago if in an earlier term
+	Arrived ident.MonotonicTime
+	Phase   Phase               // in memory
+	Durable Phase               // known to be in the state service
+	Known   bool                // the submission is durable
+	Ended   ident.MonotonicTime // when it left its open phase; long ago if in an earlier term
 	Tasks   []Task
 
 	Held, Done, Runs int // tasks that count on a machine, that completed, that were seen running
@@ -66,8 +66,8 @@
 	Zones map[string]int
 
 	// Shunned holds machines where a task of the job ended with an error.
-	Shunned map[ident.HostID]bool
-	RetryAt ident.Mono // the job backs off until then
+	Shunned map[ident.MachineID]bool
+	RetryAt ident.MonotonicTime // the job backs off until then
 	Backoff time.Duration
 	// Suspect says that its tasks failed on several machines and none has completed
 	// since: the fault is rather its own. It is tried with one task at a time.
@@ -82,8 +82,8 @@
 	// attempt; the gang's own duty keeps it.
 	Joinable bool
 
-	head   *commit.Doc
-	segs   []*commit.Doc // of larger jobs; nil for tasks kept in the header
+	head   *commit.Document
+	segs   []*commit.Document // of larger jobs; nil for tasks kept in the header
 	perSeg int
 	form   form
 	moved  []func() // called once the log alone has its tasks, and the header says so
@@ -174,7 +174,7 @@
 }
 
 // Clear says whether the job's view is what any node would tell.
-func (j *Job) Clear() bool { return j.Known && (j.Phase == j.Durable || !j.head.Open()) }
+func (j *Job) Clear() bool { return j.Known && (j.Phase == j.Durable || !j.head.OutcomeUnknown()) }
 
 // WhenClear calls f once the job's view is what any node would tell, and that is at once
 // but while its submission or its end is being written: another node may then read what
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -28,7 +28,7 @@
 	ended *Recent[Ended]
 
 	commits *commit.Committer
-	now     func() ident.Mono
+	now     func() ident.MonotonicTime
 	wall    func() int64 // time of day in milliseconds
 	perSeg  int
 	inline  int
@@ -54,7 +54,7 @@
 const maxEnded = 20_000
 
 // NewTable makes an empty table.
-func NewTable(commits *commit.Committer, valueBytes int, now func() ident.Mono, wall func() int64) *Table {
+func NewTable(commits *commit.Committer, valueBytes int, now func() ident.MonotonicTime, wall func() int64) *Table {
 	return &Table{Jobs: map[ident.JobID]*Job{}, Waiting: map[*Job]struct{}{}, Teams: map[string]*Team{}, doubted: map[*Job]bool{},
 		ended: NewRecent[Ended](maxEnded), commits: commits, now: now, wall: wall,
 		most: valueBytes, perSeg: max(1, (valueBytes-64)/recordBytes), inline: max(0, (valueBytes-HeaderBytes)/recordBytes),
@@ -70,14 +70,14 @@
 	tb.Seq++
 	j := &Job{Spec: s, Seq: tb.Seq, AtMS: tb.wall(), Arrived: tb.now()}
 	tb.shape(j)
-	j.head.Absent = []string{OverKey(s.ID)}
-	j.head.Exists = func() {
+	j.head.MustNotExist = []string{OverKey(s.ID)}
+	j.head.OnExists = func() {
 		delete(tb.Jobs, s.ID)
 		taken()
 	}
 	j.wants = append(j.wants, then)
 	tb.Jobs[s.ID] = j
-	tb.commits.Mark(j.head, func() {
+	tb.commits.MarkDirty(j.head, func() {
 		j.Known = true
 		tb.open(j)
 		for _, f := range j.wants {
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -17,21 +17,21 @@
 // the service does.
 type keep struct{ *statetest.Queue }
 
-func newKeep(s *statetest.Store) *keep { return &keep{statetest.NewQueue(s)} }
+func newKeep(s *statetest.MemoryStore) *keep { return &keep{statetest.NewQueue(s)} }
 
-func (k *keep) State(r statesvc.Request, f func(statesvc.Reply)) {
-	for _, c := range r.Then {
+func (k *keep) State(r statesvc.Request, f func(statesvc.Response)) {
+	for _, c := range r.Mutations {
 		if len(c.Value) > 16<<10 {
 			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
 		}
 	}
-	k.Queue.State(r, f)
+	k.Queue.Store(r, f)
 }
 
 func (k *keep) run() { k.Run() }
 
 func table(k *keep) (*Table, *commit.Committer) {
-	c := commit.New(k, commit.Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { panic(why) })
+	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
@@ -62,13 +62,13 @@
 		}
 
 		next, c2 := table(k)
-		var log []statesvc.Pair
+		var log []statesvc.KeyValue
 		for _, p := range sortedKeys(k.Keys) { // as the state service lists them
 			if strings.HasPrefix(p, commit.LogPrefix) {
 				log = append(log, k.Keys[p])
 				continue
 			}
-			if err := next.Load(p, k.Keys[p].Value, k.Keys[p].Stamp); err != nil {
+			if err := next.Load(p, k.Keys[p].Value, k.Keys[p].Revision); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -116,20 +116,20 @@
 	told, over := "", 0
 	tb.OnOver = func(id ident.JobID) {
 		over++
-		if id != "j-1" || k.Keys["over/j-1"].Stamp == 0 {
+		if id != "j-1" || k.Keys["over/j-1"].Revision == 0 {
 			t.Errorf("%s is called over before that is durable", id)
 		}
 	}
 	tb.Cancel(j, func() { told = j.View().Status })
 	c.Flush()
 	k.run()
-	if told != "cancelled" || k.Keys["over/j-1"].Stamp != 0 || k.Keys["live/j-1"].Stamp == 0 {
+	if told != "cancelled" || k.Keys["over/j-1"].Revision != 0 || k.Keys["live/j-1"].Revision == 0 {
 		t.Fatalf("told %q, keys %v", told, k.Keys)
 	}
 	tb.Gone(&j.Tasks[0], nil)
 	c.Flush()
 	k.run()
-	if k.Keys["over/j-1"].Stamp == 0 || k.Keys["live/j-1"].Stamp != 0 || over != 1 {
+	if k.Keys["over/j-1"].Revision == 0 || k.Keys["live/j-1"].Revision != 0 || over != 1 {
 		t.Errorf("keys %v, called over %d times", k.Keys, over)
 	}
 }
--- a/internal/jobs/line.go
+++ b/internal/jobs/line.go
@@ -10,12 +10,12 @@
 	"opaldale/internal/ident"
 )
 
-// Line is the task in the log of changes.
-func (t *Task) Line() any { return line{t.Job.Spec.ID, t.Index, t.record()} }
+// JSONLine is the task in the log of changes.
+func (t *Task) JSONLine() any { return line{t.Job.Spec.ID, t.Index, t.record()} }
 
-// Text is the task in the log's own format: its index, its try, and if it counts on a
+// TextLine is the task in the log's own format: its index, its try, and if it counts on a
 // machine that one and its session, or a mark if it has completed.
-func (t *Task) Text() (group, line string) {
+func (t *Task) TextLine() (group, line string) {
 	r := t.record()
 	b := strconv.AppendInt(nil, int64(t.Index), 10)
 	b = append(b, ',')
@@ -57,7 +57,7 @@
 		if bad != nil || host == "" {
 			return 0, r, fmt.Errorf("malformed line %q", text)
 		}
-		r.Host, r.Session = ident.HostID(host), ident.Session(num(f[3]))
+		r.Host, r.Session = ident.MachineID(host), ident.Incarnation(num(f[3]))
 	}
 	if err != nil || index < 0 {
 		return 0, r, fmt.Errorf("malformed line %q", text)
@@ -68,8 +68,8 @@
 // Pin is the task's hold on the record of the log with its newest line.
 func (t *Task) Pin() *commit.Pin { return &t.pin }
 
-// Home is the document that holds the task.
-func (t *Task) Home() *commit.Doc {
+// Document is the document that holds the task.
+func (t *Task) Document() *commit.Document {
 	if len(t.Job.segs) == 0 {
 		return t.Job.head
 	}
--- a/internal/jobs/line_test.go
+++ b/internal/jobs/line_test.go
@@ -11,11 +11,11 @@
 // what the task was.
 func TestLinesAreReadBack(t *testing.T) {
 	j := &Job{Spec: &api.Spec{ID: "j-1"}, Tasks: make([]Task, 3)}
-	for _, host := range []ident.HostID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
+	for _, host := range []ident.MachineID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
 		for _, s := range []State{Waiting, Assigned, Stopping, Finished} {
 			task := &j.Tasks[2]
 			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, Host: host, Session: 1<<64 - 1}
-			group, line := task.Text()
+			group, line := task.TextLine()
 			if group != "j-1" {
 				t.Errorf("group %q", group)
 			}
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -16,7 +16,7 @@
 
 // Load takes in what an earlier term left. Pairs come in the order of keys, so a
 // header comes before its segments.
-func (tb *Table) Load(path string, value json.RawMessage, stamp ident.Stamp) error {
+func (tb *Table) Load(path string, value json.RawMessage, stamp ident.Revision) error {
 	id, segment, isSegment := strings.Cut(strings.TrimPrefix(path, LivePrefix), "/")
 	if isSegment {
 		return tb.loadSegment(path, ident.JobID(id), segment, value, stamp)
@@ -25,7 +25,7 @@
 }
 
 // loadHeader takes in a job.
-func (tb *Table) loadHeader(path string, value json.RawMessage, stamp ident.Stamp) error {
+func (tb *Table) loadHeader(path string, value json.RawMessage, stamp ident.Revision) error {
 	var h header
 	if err := json.Unmarshal(value, &h); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -50,19 +50,19 @@
 	} else {
 		j.segs = nil
 	}
-	j.head.Stamp, j.head.LSN = stamp, h.LSN
-	tb.commits.Seen(h.LSN)
+	j.head.Revision, j.head.LSN = stamp, h.LSN
+	tb.commits.ObserveLSN(h.LSN)
 	tb.Jobs[h.Spec.ID] = j
 	tb.Seq = max(tb.Seq, h.Seq)
 	return tb.restore(j, 0, h.Tasks)
 }
 
 // loadSegment takes in a part of a job's tasks, of the first format.
-func (tb *Table) loadSegment(path string, id ident.JobID, number string, value json.RawMessage, stamp ident.Stamp) error {
+func (tb *Table) loadSegment(path string, id ident.JobID, number string, value json.RawMessage, stamp ident.Revision) error {
 	j := tb.Jobs[id]
 	if j == nil || j.form == logged {
-		d := &commit.Doc{Path: path, Stamp: stamp, Render: func() json.RawMessage { return nil }}
-		tb.commits.Mark(d, nil)
+		d := &commit.Document{Key: path, Revision: stamp, Render: func() json.RawMessage { return nil }}
+		tb.commits.MarkDirty(d, nil)
 		return nil
 	}
 	var s segment
@@ -79,7 +79,7 @@
 	case per != j.perSeg:
 		// Divided under another limit: the segment says how.
 		for _, d := range j.segs {
-			if d.Stamp != 0 {
+			if d.Revision != 0 {
 				return fmt.Errorf("%s: its segments are divided in two ways", path)
 			}
 		}
@@ -88,8 +88,8 @@
 	if n >= len(j.segs) {
 		return fmt.Errorf("%s: no such segment", path)
 	}
-	j.segs[n].Stamp, j.segs[n].LSN = stamp, s.LSN
-	tb.commits.Seen(s.LSN)
+	j.segs[n].Revision, j.segs[n].LSN = stamp, s.LSN
+	tb.commits.ObserveLSN(s.LSN)
 	return tb.restore(j, n*j.perSeg, s.Tasks)
 }
 
@@ -139,7 +139,7 @@
 }
 
 // LoadLog takes in the records of the log, after all jobs.
-func (tb *Table) LoadLog(pairs []statesvc.Pair) error {
+func (tb *Table) LoadLog(pairs []statesvc.KeyValue) error {
 	type rec struct {
 		LSN   uint64 `json:"n"`
 		Lines []line `json:"l"`
@@ -150,14 +150,14 @@
 	for i, p := range pairs {
 		order[i] = i
 		if err := json.Unmarshal(p.Value, &recs[i]); err != nil {
-			return fmt.Errorf("%s: %w", p.Path, err)
+			return fmt.Errorf("%s: %w", p.Key, err)
 		}
 	}
 	// Slots are used again in any order.
 	sort.Slice(order, func(i, k int) bool { return recs[order[i]].LSN < recs[order[k]].LSN })
 	for _, i := range order {
 		r := recs[i]
-		var homes []*commit.Doc
+		var homes []*commit.Document
 		var entries []commit.Entry
 		apply := func(id ident.JobID, index int, rec record) {
 			j := tb.Jobs[id]
@@ -167,20 +167,20 @@
 			t := &j.Tasks[index]
 			// Numbers of records were once given out twice, see Committer.LSN: what was
 			// written after its home has not been taken over by it.
-			if d := t.Home(); j.form != logged && d.LSN >= r.LSN {
-				if d.Stamp >= pairs[i].Stamp {
+			if d := t.Document(); j.form != logged && d.LSN >= r.LSN {
+				if d.Revision >= pairs[i].Revision {
 					return
 				}
 				d.LSN = r.LSN - 1
 			}
 			t.restore(rec)
-			homes = append(homes, t.Home())
+			homes = append(homes, t.Document())
 			entries = append(entries, t)
 		}
 		for _, l := range r.Lines {
 			apply(l.Job, l.Index, l.record)
 		}
-		err := commit.Unpack(r.Text, func(group, text string) error {
+		err := commit.ParseText(r.Text, func(group, text string) error {
 			index, rec, err := parseLine(text)
 			if err == nil {
 				apply(ident.JobID(group), index, rec)
@@ -189,13 +189,13 @@
 		})
 		switch {
 		case err != nil:
-			return fmt.Errorf("%s: %w", pairs[i].Path, err)
+			return fmt.Errorf("%s: %w", pairs[i].Key, err)
 		case tb.packed:
-			tb.commits.RestoreText(pairs[i].Path, pairs[i].Stamp, r.LSN, entries)
+			tb.commits.RestoreText(pairs[i].Key, pairs[i].Revision, r.LSN, entries)
 		case r.Text != "":
-			return fmt.Errorf("%s: of a later format", pairs[i].Path)
+			return fmt.Errorf("%s: of a later format", pairs[i].Key)
 		default:
-			tb.commits.Restore(pairs[i].Path, pairs[i].Stamp, r.LSN, homes)
+			tb.commits.RestoreJSON(pairs[i].Key, pairs[i].Revision, r.LSN, homes)
 		}
 	}
 	return nil
--- a/internal/jobs/moves.go
+++ b/internal/jobs/moves.go
@@ -99,12 +99,12 @@
 // Place chooses a machine for a waiting task; then is called once that is
 // durable, if it still holds. Only then may the task be launched: a successor
 // must find every task that may be on a machine.
-func (tb *Table) Place(t *Task, h ident.HostID, tenure ident.Session, then func()) {
+func (tb *Table) Place(t *Task, h ident.MachineID, tenure ident.Incarnation, then func()) {
 	tb.PlaceAs(t, h, tenure, t.Attempt+1, then)
 }
 
 // PlaceAs is Place in an attempt whose number is given.
-func (tb *Table) PlaceAs(t *Task, h ident.HostID, tenure ident.Session, try ident.Attempt, then func()) {
+func (tb *Table) PlaceAs(t *Task, h ident.MachineID, tenure ident.Incarnation, try ident.Attempt, then func()) {
 	if try < t.Attempt {
 		panic("attempts are never numbered back")
 	}
@@ -197,7 +197,7 @@
 		tb.convert(j, durable)
 		return
 	}
-	tb.commits.Mark(j.head, durable)
+	tb.commits.MarkDirty(j.head, durable)
 }
 
 // settle moves a job that needs no machine any more to the jobs that are over:
@@ -211,12 +211,12 @@
 	if j.Phase == Done {
 		end.Done = end.Tasks
 	}
-	j.head.Also = func() []statesvc.Change {
-		return []statesvc.Change{{Put: OverKey(j.Spec.ID), Value: api.JSON(end)}}
+	j.head.ExtraMutations = func() []statesvc.Mutation {
+		return []statesvc.Mutation{{Put: OverKey(j.Spec.ID), Value: api.JSON(end)}}
 	}
 	wants := j.wants
 	j.wants = nil
-	tb.commits.Mark(j.head, func() {
+	tb.commits.MarkDirty(j.head, func() {
 		tb.Remember(j.Spec.ID, end)
 		delete(tb.Jobs, j.Spec.ID)
 		tb.OnOver(j.Spec.ID)
@@ -230,7 +230,7 @@
 		}
 		// Segments without a header mean nothing; a successor drops them too.
 		for _, d := range j.segs {
-			tb.commits.Mark(d, nil)
+			tb.commits.MarkDirty(d, nil)
 		}
 	})
 }
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -48,10 +48,10 @@
 
 // record is a task in the state service. A task that was never placed is empty.
 type record struct {
-	Attempt ident.Attempt `json:"t,omitempty"`
-	Host    ident.HostID  `json:"h,omitempty"`
-	Session ident.Session `json:"n,omitempty"`
-	Done    bool          `json:"d,omitempty"`
+	Attempt ident.Attempt     `json:"t,omitempty"`
+	Host    ident.MachineID   `json:"h,omitempty"`
+	Session ident.Incarnation `json:"n,omitempty"`
+	Done    bool              `json:"d,omitempty"`
 }
 
 // recordBytes bounds a record's size in JSON, commas included.
@@ -92,7 +92,7 @@
 	for i := range j.Tasks {
 		j.Tasks[i] = Task{Job: j, Index: i, Since: now}
 	}
-	j.head = &commit.Doc{Path: LiveKey(id)}
+	j.head = &commit.Document{Key: LiveKey(id)}
 	j.head.Render = func() json.RawMessage {
 		if j.over {
 			return nil
@@ -122,7 +122,7 @@
 	j.perSeg, j.segs = per, nil
 	for at := 0; at < len(j.Tasks); at += per {
 		part := j.Tasks[at:min(at+per, len(j.Tasks))]
-		d := &commit.Doc{Path: segKey(j.Spec.ID, at/per)}
+		d := &commit.Document{Key: segKey(j.Spec.ID, at/per)}
 		d.Render = func() json.RawMessage {
 			if j.over || j.form == logged {
 				return nil
--- a/internal/links/assess.go
+++ b/internal/links/assess.go
@@ -100,7 +100,7 @@
 func (a Assessment) Worse() bool { return a.Best != "" && a.BestRank >= a.Own+ClearMargin }
 
 // Assess compares a node's own row with those of its siblings.
-func (c *Cluster) Assess(own Row, v *View, now ident.Mono) Assessment {
+func (c *Cluster) Assess(own Row, v *View, now ident.MonotonicTime) Assessment {
 	a := Assessment{Own: c.standing(&own, true), Isolated: c.isolated(&own)}
 	siblings := slices.Clone(c.Siblings)
 	slices.Sort(siblings)
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -12,7 +12,7 @@
 // until the penalty has fallen below reuseAt.
 type damper struct {
 	penalty    float64
-	at         ident.Mono // when the penalty was worked out
+	at         ident.MonotonicTime // when the penalty was worked out
 	suppressed bool
 }
 
@@ -29,7 +29,7 @@
 }
 
 // decay brings the penalty up to date.
-func (d *damper) decay(now ident.Mono, halfLife time.Duration) {
+func (d *damper) decay(now ident.MonotonicTime, halfLife time.Duration) {
 	if now > d.at && d.penalty > 0 {
 		d.penalty *= math.Exp2(-float64(now.Sub(d.at)) / float64(halfLife))
 	}
@@ -40,7 +40,7 @@
 }
 
 // broke notes a break.
-func (d *damper) broke(now ident.Mono, halfLife time.Duration) {
+func (d *damper) broke(now ident.MonotonicTime, halfLife time.Duration) {
 	d.decay(now, halfLife)
 	d.penalty = min(maxPenalty, d.penalty+breakPenalty)
 	if d.penalty >= suppressAt {
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -32,10 +32,10 @@
 // Verdict is what is known of one direction of a link.
 type Verdict struct {
 	State    State
-	Since    ident.Mono // of the state
-	Evidence Evidence   // the newest
-	Level    float64    // of the detector, at the last evaluation
-	Damped   bool       // counts as down for having broken too often
+	Since    ident.MonotonicTime // of the state
+	Evidence Evidence            // the newest
+	Level    float64             // of the detector, at the last evaluation
+	Damped   bool                // counts as down for having broken too often
 	Breaks   uint64
 }
 
@@ -54,18 +54,18 @@
 	raw      State // without damping
 	proofs   int   // signs of a working link since it was down
 	verdict  Verdict
-	newest   ident.Mono // time of the newest good evidence
+	newest   ident.MonotonicTime // time of the newest good evidence
 	ever     bool
 }
 
 // link is both directions, and the requests that are open.
 type link struct {
 	in, out  way
-	pending  ident.Mono // when the oldest message without a sign of arrival was sent
-	waits    bool       // there is such a message
-	refusing bool       // the newest answers were refusals
-	rejected int        // connections refused in a row
-	stamp    ident.Mono // of the newest evidence or message sent
+	pending  ident.MonotonicTime // when the oldest message without a sign of arrival was sent
+	waits    bool                // there is such a message
+	refusing bool                // the newest answers were refusals
+	rejected int                 // connections refused in a row
+	stamp    ident.MonotonicTime // of the newest evidence or message sent
 }
 
 // Monitor judges the links of one node.
@@ -92,7 +92,7 @@
 }
 
 // Sent notes a message whose arrival will show: a request, or a heartbeat that is echoed.
-func (m *Monitor) Sent(p Peer, now ident.Mono) {
+func (m *Monitor) Sent(p Peer, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.stamp = max(l.stamp, now)
 	if !l.waits {
@@ -101,7 +101,7 @@
 }
 
 // Withdrawn notes that a message was not sent after all.
-func (m *Monitor) Withdrawn(p Peer, sent ident.Mono) {
+func (m *Monitor) Withdrawn(p Peer, sent ident.MonotonicTime) {
 	if l := m.link(p); l.waits && l.pending == sent {
 		l.waits = false
 	}
@@ -109,7 +109,7 @@
 
 // Overdue returns for how long something that was sent shows no sign of arrival, 0 if
 // nothing does.
-func (m *Monitor) Overdue(p Peer, now ident.Mono) time.Duration {
+func (m *Monitor) Overdue(p Peer, now ident.MonotonicTime) time.Duration {
 	if l := m.links[p]; l != nil && l.waits {
 		return now.Sub(l.pending)
 	}
@@ -117,9 +117,9 @@
 }
 
 // Heard notes that something came from the peer.
-func (m *Monitor) Heard(p Peer, now ident.Mono) { m.heard(m.link(p), now, Message) }
+func (m *Monitor) Heard(p Peer, now ident.MonotonicTime) { m.heard(m.link(p), now, Message) }
 
-func (m *Monitor) heard(l *link, now ident.Mono, e Evidence) {
+func (m *Monitor) heard(l *link, now ident.MonotonicTime, e Evidence) {
 	w := &l.in
 	if w.ever && w.raw != Down {
 		w.detector.sample(now.Sub(w.newest))
@@ -129,7 +129,7 @@
 }
 
 // arrived notes that what was sent at a time has come to the peer.
-func (m *Monitor) arrived(l *link, sent, now ident.Mono, e Evidence) {
+func (m *Monitor) arrived(l *link, sent, now ident.MonotonicTime, e Evidence) {
 	l.rejected = 0
 	l.stamp = max(l.stamp, now)
 	if l.out.ever && sent <= l.out.newest {
@@ -143,7 +143,7 @@
 }
 
 // good notes evidence that the direction worked at a time.
-func (w *way) good(at ident.Mono, e Evidence) {
+func (w *way) good(at ident.MonotonicTime, e Evidence) {
 	if at.Sub(w.newest) > recoverGap {
 		w.proofs = 0
 	}
@@ -153,7 +153,7 @@
 }
 
 // Answered notes the answer to a request.
-func (m *Monitor) Answered(p Peer, sent, now ident.Mono) {
+func (m *Monitor) Answered(p Peer, sent, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.refusing = false
 	m.heard(l, now, Answer)
@@ -161,12 +161,12 @@
 }
 
 // Echoed notes that the peer has repeated what was sent to it at a time.
-func (m *Monitor) Echoed(p Peer, sent, now ident.Mono) {
+func (m *Monitor) Echoed(p Peer, sent, now ident.MonotonicTime) {
 	m.arrived(m.link(p), sent, now, Echo)
 }
 
 // Refused notes an answer that says only that the peer doesn't serve this node.
-func (m *Monitor) Refused(p Peer, sent, now ident.Mono) {
+func (m *Monitor) Refused(p Peer, sent, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.refusing = true
 	m.heard(l, now, ErrorAnswer)
@@ -175,7 +175,7 @@
 
 // Rejected notes that a connection to the peer was refused. Alone that shows nothing: a host
 // without free sockets refuses as well.
-func (m *Monitor) Rejected(p Peer, now ident.Mono) {
+func (m *Monitor) Rejected(p Peer, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.rejected++
 	l.out.verdict.Evidence = Rejected
@@ -184,12 +184,12 @@
 
 // Idle says whether there was neither evidence nor a message for so long, so that only a
 // probe can tell.
-func (m *Monitor) Idle(p Peer, now ident.Mono, d time.Duration) bool {
+func (m *Monitor) Idle(p Peer, now ident.MonotonicTime, d time.Duration) bool {
 	return now.Sub(m.link(p).stamp) >= d
 }
 
 // Evaluate brings all verdicts up to date and returns those that have changed, in order.
-func (m *Monitor) Evaluate(now ident.Mono) []Change {
+func (m *Monitor) Evaluate(now ident.MonotonicTime) []Change {
 	var changes []Change
 	for _, p := range m.Peers() {
 		l := m.links[p]
@@ -214,7 +214,7 @@
 
 // judgeInbound returns the state of the inbound direction. Siblings send heartbeats all the
 // time; machines report to one node at a time, so their silence shows nothing.
-func (m *Monitor) judgeInbound(p Peer, l *link, now ident.Mono) State {
+func (m *Monitor) judgeInbound(p Peer, l *link, now ident.MonotonicTime) State {
 	w := &l.in
 	if !w.ever {
 		return Unknown
@@ -235,7 +235,7 @@
 
 // judgeOutbound returns the state of the outbound direction: it is in doubt only while
 // something that was sent shows no sign of arrival.
-func (m *Monitor) judgeOutbound(l *link, now ident.Mono) State {
+func (m *Monitor) judgeOutbound(l *link, now ident.MonotonicTime) State {
 	w := &l.out
 	w.verdict.Level = 0
 	if l.rejected >= rejections {
@@ -278,7 +278,7 @@
 }
 
 // settle is the one place where a direction changes its state.
-func (w *way) settle(instant State, now ident.Mono, halfLife time.Duration) {
+func (w *way) settle(instant State, now ident.MonotonicTime, halfLife time.Duration) {
 	w.damper.decay(now, halfLife)
 	if instant == Down && w.instant != Down {
 		w.damper.broke(now, halfLife)
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -15,11 +15,11 @@
 type line struct {
 	m       *Monitor
 	peer    Peer
-	now     ident.Mono
-	beat    ident.Mono // the next
+	now     ident.MonotonicTime
+	beat    ident.MonotonicTime // the next
 	delay   time.Duration
-	down    func(ident.Mono) bool // whether the peer's messages are lost
-	changes int                   // between down and any other state, inbound
+	down    func(ident.MonotonicTime) bool // whether the peer's messages are lost
+	changes int                            // between down and any other state, inbound
 }
 
 const (
@@ -28,8 +28,8 @@
 )
 
 func newLine(delay time.Duration) *line {
-	return &line{m: NewMonitor(testConfig), peer: Peer{Sibling, "agent-1"}, now: ident.Mono(time.Hour), delay: delay,
-		down: func(ident.Mono) bool { return false }}
+	return &line{m: NewMonitor(testConfig), peer: Peer{Sibling, "agent-1"}, now: ident.MonotonicTime(time.Hour), delay: delay,
+		down: func(ident.MonotonicTime) bool { return false }}
 }
 
 func (l *line) play(d time.Duration) {
@@ -63,12 +63,12 @@
 			t.Fatalf("a working link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
 		}
 		broke := l.now
-		l.down = func(at ident.Mono) bool { return at >= broke }
+		l.down = func(at ident.MonotonicTime) bool { return at >= broke }
 		l.play(2*time.Second + 2*beatEvery + 3*delay)
 		if l.state(Inbound) != Down || l.state(Outbound) != Down {
 			t.Fatalf("a broken link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
 		}
-		l.down = func(ident.Mono) bool { return false }
+		l.down = func(ident.MonotonicTime) bool { return false }
 		l.play((recoverProofs + 1) * beatEvery)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
 			t.Fatalf("the link is back, and %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
@@ -88,7 +88,7 @@
 		l := newLine(5 * time.Millisecond)
 		l.play(20 * time.Second)
 		began := l.now
-		l.down = func(at ident.Mono) bool { return at.Sub(began)%period < down }
+		l.down = func(at ident.MonotonicTime) bool { return at.Sub(began)%period < down }
 		l.play(settled)
 		l.changes = 0
 		l.play(2 * time.Minute)
@@ -99,7 +99,7 @@
 		if noticed && (l.state(Inbound) != Down || !l.m.Verdict(l.peer, Inbound).Damped) {
 			t.Fatalf("down for %v of %v, and %v", down, period, l.state(Inbound))
 		}
-		l.down = func(ident.Mono) bool { return false }
+		l.down = func(ident.MonotonicTime) bool { return false }
 		l.play(MaxSuppression(testConfig.HalfLife) + 3*time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
 			t.Fatalf("steady for %v, and %v inbound", MaxSuppression(testConfig.HalfLife), l.state(Inbound))
@@ -122,7 +122,7 @@
 func TestSlowBesideDead(t *testing.T) {
 	m := NewMonitor(testConfig)
 	slow, fast := Peer{Sibling, "slow"}, Peer{Sibling, "fast"}
-	now := ident.Mono(time.Hour)
+	now := ident.MonotonicTime(time.Hour)
 	for range 30 {
 		m.Sent(slow, now)
 		m.Sent(fast, now)
@@ -164,7 +164,7 @@
 
 // TestEvidence: a refusal, a refused connection and silence are told apart.
 func TestEvidence(t *testing.T) {
-	state, now := Peer{Kind: StateService}, ident.Mono(time.Hour)
+	state, now := Peer{Kind: StateService}, ident.MonotonicTime(time.Hour)
 	fresh := func() *Monitor {
 		m := NewMonitor(testConfig)
 		for range 10 {
@@ -202,7 +202,7 @@
 // TestMachinesMayBeSilent: machines report to one node at a time, so that a node which hears
 // none of a zone knows nothing of the link.
 func TestMachinesMayBeSilent(t *testing.T) {
-	m, zone, now := NewMonitor(testConfig), Peer{Machines, "east"}, ident.Mono(time.Hour)
+	m, zone, now := NewMonitor(testConfig), Peer{Machines, "east"}, ident.MonotonicTime(time.Hour)
 	for range 10 {
 		m.Heard(zone, now)
 		now = now.Add(time.Second)
--- a/internal/links/row.go
+++ b/internal/links/row.go
@@ -92,7 +92,7 @@
 
 type heldRow struct {
 	row  Row
-	made ident.Mono // not made before that, by this node's clock
+	made ident.MonotonicTime // not made before that, by this node's clock
 }
 
 // NewView makes a view of the siblings named.
@@ -107,7 +107,7 @@
 // Merge takes a row, from its origin or passed on. Its age must hold at the time now: it is
 // counted from what the sender has echoed of this node, so that a copy which was held up on
 // its way is known to be old, whatever its clock says.
-func (v *View) Merge(r Row, now ident.Mono) Refusal {
+func (v *View) Merge(r Row, now ident.MonotonicTime) Refusal {
 	if !v.members[r.Origin] {
 		return Foreign
 	}
@@ -123,7 +123,7 @@
 }
 
 // Row returns a sibling's row, if it is not too old, with its age.
-func (v *View) Row(n ident.NodeID, now ident.Mono) (Row, bool) {
+func (v *View) Row(n ident.NodeID, now ident.MonotonicTime) (Row, bool) {
 	held, ok := v.rows[n]
 	age := now.Sub(held.made)
 	if !ok || age >= RowLifetime {
@@ -135,7 +135,7 @@
 }
 
 // Rows returns all rows that are not too old, in the order of their origins.
-func (v *View) Rows(now ident.Mono) []Row {
+func (v *View) Rows(now ident.MonotonicTime) []Row {
 	var out []Row
 	for _, n := range v.origins() {
 		if r, ok := v.Row(n, now); ok {
--- a/internal/links/row_test.go
+++ b/internal/links/row_test.go
@@ -91,9 +91,9 @@
 func TestOldRowsNeverWin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView([]ident.NodeID{"a"})
-		now := ident.Mono(time.Hour)
+		now := ident.MonotonicTime(time.Hour)
 		var held *Row // by a simple model
-		var made ident.Mono
+		var made ident.MonotonicTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause_ms")) * time.Millisecond)
 			r := Row{Origin: "a", Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Sequence: rapid.Uint64Range(1, 20).Draw(t, "sequence"),
@@ -170,7 +170,7 @@
 		}, lose(StateService, Down), false, true},
 	} {
 		v := NewView(cluster.Siblings)
-		now := ident.Mono(time.Hour)
+		now := ident.MonotonicTime(time.Hour)
 		v.Merge(row("b", c.b), now)
 		a := cluster.Assess(row("a", c.own), v, now)
 		if a.Worse() != c.worse || a.Isolated != c.isolated {
--- a/internal/load/heat.go
+++ b/internal/load/heat.go
@@ -33,7 +33,7 @@
 	entitled float64
 	demand   Average
 	heat     Heat
-	since    ident.Mono
+	since    ident.MonotonicTime
 }
 
 // HeatChange is a change of a team's state.
@@ -44,7 +44,7 @@
 }
 
 // Demand notes how many CPUs a team's tasks use and wait for together.
-func (m *Model) Demand(name string, cpus float64, now ident.Mono) {
+func (m *Model) Demand(name string, cpus float64, now ident.MonotonicTime) {
 	t := m.teams[name]
 	if t == nil {
 		t = &team{}
@@ -55,7 +55,7 @@
 
 // ratio returns a team's demand as a multiple of what it is entitled to. One that is
 // entitled to nothing is measured by an equal share of all machines.
-func (m *Model) ratio(t *team, now ident.Mono) float64 {
+func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
 	entitled := t.entitled
 	if entitled <= 0 {
 		entitled = max(1, m.cpus/float64(len(m.teams)))
@@ -64,7 +64,7 @@
 }
 
 // Evaluate brings the teams' states up to date and returns those that have changed.
-func (m *Model) Evaluate(now ident.Mono) []HeatChange {
+func (m *Model) Evaluate(now ident.MonotonicTime) []HeatChange {
 	var changes []HeatChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		t := m.teams[name]
@@ -79,7 +79,7 @@
 }
 
 // judge takes a team from one state to the next.
-func (m *Model) judge(t *team, ratio float64, now ident.Mono) {
+func (m *Model) judge(t *team, ratio float64, now ident.MonotonicTime) {
 	settled := now.Sub(t.since) >= m.config.Persist
 	switch t.heat {
 	case Cool:
@@ -108,7 +108,7 @@
 }
 
 // to is the one place where a team's state changes.
-func (m *Model) to(t *team, h Heat, now ident.Mono) {
+func (m *Model) to(t *team, h Heat, now ident.MonotonicTime) {
 	if t.hot() {
 		m.hot--
 	}
@@ -138,7 +138,7 @@
 }
 
 // Teams reports on all teams, in the order of their names.
-func (m *Model) Teams(now ident.Mono) []TeamReport {
+func (m *Model) Teams(now ident.MonotonicTime) []TeamReport {
 	var out []TeamReport
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		t := m.teams[name]
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -14,12 +14,12 @@
 // ago counts half.
 type Average struct {
 	level, mean float64
-	at          ident.Mono
+	at          ident.MonotonicTime
 	known       bool
 }
 
 // Set notes that the level changes at a time. The first level is the average.
-func (a *Average) Set(level float64, now ident.Mono, halfLife time.Duration) {
+func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
 	if !a.known {
 		*a = Average{level: level, mean: level, at: now, known: true}
 		return
@@ -29,7 +29,7 @@
 }
 
 // Value returns the average at a time.
-func (a *Average) Value(now ident.Mono, halfLife time.Duration) float64 {
+func (a *Average) Value(now ident.MonotonicTime, halfLife time.Duration) float64 {
 	if now <= a.at {
 		return a.mean
 	}
@@ -91,7 +91,7 @@
 // Model is the load of a cluster.
 type Model struct {
 	config   Config
-	machines map[ident.HostID]*machine
+	machines map[ident.MachineID]*machine
 	all      spread
 	zones    map[string]*spread
 	teams    map[string]*team
@@ -101,7 +101,7 @@
 
 // New makes a model without machines. entitled says how many CPUs each team may count on.
 func New(config Config, entitled map[string]float64) *Model {
-	m := &Model{config: config, machines: map[ident.HostID]*machine{}, zones: map[string]*spread{}, teams: map[string]*team{}}
+	m := &Model{config: config, machines: map[ident.MachineID]*machine{}, zones: map[string]*spread{}, teams: map[string]*team{}}
 	for name, cpus := range entitled {
 		m.teams[name] = &team{entitled: cpus}
 	}
@@ -129,7 +129,7 @@
 	z.add(k.share(), sign)
 }
 
-func (m *Model) machine(h ident.HostID) *machine {
+func (m *Model) machine(h ident.MachineID) *machine {
 	k := m.machines[h]
 	if k == nil {
 		k = &machine{}
@@ -139,7 +139,7 @@
 }
 
 // Machine notes that a machine is there, with its size.
-func (m *Model) Machine(h ident.HostID, zone string, cpus float64) {
+func (m *Model) Machine(h ident.MachineID, zone string, cpus float64) {
 	k := m.machine(h)
 	if k.zone == zone && k.cpus == cpus {
 		return
@@ -148,7 +148,7 @@
 }
 
 // Gone notes that a machine is gone.
-func (m *Model) Gone(h ident.HostID) {
+func (m *Model) Gone(h ident.MachineID) {
 	if k := m.machines[h]; k != nil {
 		m.count(k, -1)
 		delete(m.machines, h)
@@ -157,7 +157,7 @@
 
 // Use notes that tasks of so many CPUs have come to a machine, or left it. What leaves a
 // machine that is gone changes nothing.
-func (m *Model) Use(h ident.HostID, cpus float64) {
+func (m *Model) Use(h ident.MachineID, cpus float64) {
 	if m.machines[h] == nil && cpus < 0 {
 		return
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -23,11 +23,11 @@
 		cpus, used float64
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		m, model := New(DefaultConfig(), nil), map[ident.HostID]*simple{}
-		host := rapid.Custom(func(t *rapid.T) ident.HostID {
-			return ident.HostID(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "host")))
+		m, model := New(DefaultConfig(), nil), map[ident.MachineID]*simple{}
+		host := rapid.Custom(func(t *rapid.T) ident.MachineID {
+			return ident.MachineID(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "host")))
 		})
-		get := func(h ident.HostID) *simple {
+		get := func(h ident.MachineID) *simple {
 			if model[h] == nil {
 				model[h] = &simple{}
 			}
@@ -88,7 +88,7 @@
 // TestAverage: after one half-life half of a step has come through, and rest changes nothing.
 func TestAverage(t *testing.T) {
 	var a Average
-	now, half := ident.Mono(time.Hour), 10*time.Second
+	now, half := ident.MonotonicTime(time.Hour), 10*time.Second
 	a.Set(4, now, half)
 	a.Set(8, now, half)
 	if got := a.Value(now.Add(half), half); math.Abs(got-6) > 1e-9 {
@@ -103,7 +103,7 @@
 // play has a team ask for demand by a function of time, and returns its states.
 func play(d time.Duration, demand func(time.Duration) float64) (states []Heat, hotFor time.Duration) {
 	m := New(DefaultConfig(), map[string]float64{"red": 100, "blue": 100})
-	start := ident.Mono(time.Hour)
+	start := ident.MonotonicTime(time.Hour)
 	for at := time.Duration(0); at < d; at += 500 * time.Millisecond {
 		now := start.Add(at)
 		m.Demand("red", demand(at), now)
@@ -193,9 +193,9 @@
 	for _, machines := range []int{500, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
 			m := New(DefaultConfig(), nil)
-			hosts := make([]ident.HostID, machines)
+			hosts := make([]ident.MachineID, machines)
 			for i := range hosts {
-				hosts[i] = ident.HostID(fmt.Sprintf("host-%06d", i))
+				hosts[i] = ident.MachineID(fmt.Sprintf("host-%06d", i))
 				m.Machine(hosts[i], "east", 16)
 			}
 			i := 0
--- a/internal/load/speed.go
+++ b/internal/load/speed.go
@@ -33,8 +33,8 @@
 // the same type. It is pure.
 type Speeds struct {
 	jobs     map[peers]*runs
-	machines map[ident.HostID]*pace
-	slow     map[ident.HostID]bool
+	machines map[ident.MachineID]*pace
+	slow     map[ident.MachineID]bool
 }
 
 // peers are tasks that should take alike.
@@ -45,7 +45,7 @@
 
 // run is how long a task took on a machine.
 type run struct {
-	host ident.HostID
+	host ident.MachineID
 	took time.Duration
 }
 
@@ -63,11 +63,11 @@
 
 // NewSpeeds makes an estimate that knows nothing.
 func NewSpeeds() *Speeds {
-	return &Speeds{jobs: map[peers]*runs{}, machines: map[ident.HostID]*pace{}, slow: map[ident.HostID]bool{}}
+	return &Speeds{jobs: map[peers]*runs{}, machines: map[ident.MachineID]*pace{}, slow: map[ident.MachineID]bool{}}
 }
 
 // Ran notes that a task of a job ran on a machine of a type from its beginning to its end.
-func (s *Speeds) Ran(job ident.JobID, model string, host ident.HostID, took time.Duration) {
+func (s *Speeds) Ran(job ident.JobID, model string, host ident.MachineID, took time.Duration) {
 	if took < leastRun {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // elsewhere returns the median of the runs on other machines than one.
-func (r *runs) elsewhere(host ident.HostID) (time.Duration, bool) {
+func (r *runs) elsewhere(host ident.MachineID) (time.Duration, bool) {
 	var others []time.Duration
 	for _, x := range r.list {
 		if x.host != host {
@@ -111,7 +111,7 @@
 	return others[len(others)/2], true
 }
 
-func (s *Speeds) sample(host ident.HostID, x float64) {
+func (s *Speeds) sample(host ident.MachineID, x float64) {
 	p := s.machines[host]
 	if p == nil {
 		p = &pace{}
@@ -124,7 +124,7 @@
 
 // Slowness returns how many times as long as elsewhere tasks take on a machine, 1 if nothing is
 // known.
-func (s *Speeds) Slowness(host ident.HostID) float64 {
+func (s *Speeds) Slowness(host ident.MachineID) float64 {
 	p := s.machines[host]
 	if p == nil || p.samples < leastSamples {
 		return 1
@@ -134,7 +134,7 @@
 
 // Slow says whether a machine is much slower than others; all is how many machines there are. One
 // that was called slow stays so.
-func (s *Speeds) Slow(host ident.HostID, all int) bool {
+func (s *Speeds) Slow(host ident.MachineID, all int) bool {
 	if s.slow[host] {
 		return true
 	}
@@ -146,7 +146,7 @@
 }
 
 // Gone forgets a machine.
-func (s *Speeds) Gone(host ident.HostID) {
+func (s *Speeds) Gone(host ident.MachineID) {
 	delete(s.machines, host)
 	delete(s.slow, host)
 }
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -15,7 +15,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := NewSpeeds()
 	slow := map[int]bool{}
-	host := func(i int) ident.HostID { return ident.HostID(fmt.Sprint("host-", i)) }
+	host := func(i int) ident.MachineID { return ident.MachineID(fmt.Sprint("host-", i)) }
 	for job := range 30 {
 		typical := 6 + 60*rng.Float64()
 		for range machines {
@@ -62,7 +62,7 @@
 func TestSpeedNeedsEvidence(t *testing.T) {
 	peers := func(s *Speeds, model string, took time.Duration) {
 		for i := range 8 {
-			s.Ran("j-1", model, ident.HostID(fmt.Sprint("host-", i)), took)
+			s.Ran("j-1", model, ident.MachineID(fmt.Sprint("host-", i)), took)
 		}
 	}
 	s := NewSpeeds()
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -29,8 +29,8 @@
 
 	mu       sync.Mutex
 	last     int
-	requests map[string][]ident.HostID
-	machines map[ident.HostID]*machine
+	requests map[string][]ident.MachineID
+	machines map[ident.MachineID]*machine
 }
 
 type machine struct {
@@ -44,7 +44,7 @@
 	if capacity == 0 {
 		capacity = zoneCapacity
 	}
-	return &provider{cluster: c, capacity: capacity, requests: map[string][]ident.HostID{}, machines: map[ident.HostID]*machine{}}
+	return &provider{cluster: c, capacity: capacity, requests: map[string][]ident.MachineID{}, machines: map[ident.MachineID]*machine{}}
 }
 
 func (p *provider) handler() http.Handler {
@@ -90,9 +90,9 @@
 }
 
 // boot starts a machine, whose worker is up a little later.
-func (p *provider) boot(zone string, spot bool) ident.HostID {
+func (p *provider) boot(zone string, spot bool) ident.MachineID {
 	p.last++
-	host := ident.HostID(fmt.Sprintf("host-%06d", p.last))
+	host := ident.MachineID(fmt.Sprintf("host-%06d", p.last))
 	m := &machine{zone: zone, spot: spot, born: time.Now()}
 	p.machines[host] = m
 	time.AfterFunc(bootTime, func() {
@@ -110,7 +110,7 @@
 
 func (p *provider) giveBack(w http.ResponseWriter, r *http.Request) {
 	var q struct {
-		Hosts []ident.HostID `json:"hosts"`
+		Hosts []ident.MachineID `json:"hosts"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -123,7 +123,7 @@
 }
 
 // remove ends a machine.
-func (p *provider) remove(h ident.HostID) {
+func (p *provider) remove(h ident.MachineID) {
 	p.mu.Lock()
 	m := p.machines[h]
 	delete(p.machines, h)
@@ -134,7 +134,7 @@
 }
 
 func (p *provider) list(w http.ResponseWriter, r *http.Request) {
-	since := ident.HostID(r.URL.Query().Get("since"))
+	since := ident.MachineID(r.URL.Query().Get("since"))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hosts := []cloud.Listed{}
@@ -153,10 +153,10 @@
 }
 
 // hosts lists the machines that are up, with nothing in use.
-func (p *provider) hosts() map[ident.HostID]float64 {
+func (p *provider) hosts() map[ident.MachineID]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	up := map[ident.HostID]float64{}
+	up := map[ident.MachineID]float64{}
 	for h, m := range p.machines {
 		if m.worker != nil {
 			up[h] = 0
@@ -166,7 +166,7 @@
 }
 
 // worker returns a machine's worker, nil if it has none.
-func (p *provider) worker(h ident.HostID) *worker {
+func (p *provider) worker(h ident.MachineID) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.machines[h]; m != nil {
@@ -190,7 +190,7 @@
 // endAll ends all machines.
 func (p *provider) endAll() {
 	p.mu.Lock()
-	var hosts []ident.HostID
+	var hosts []ident.MachineID
 	for h := range p.machines {
 		hosts = append(hosts, h)
 	}
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -221,7 +221,7 @@
 	return c.nodes[i%len(c.nodes)].settings.Bind
 }
 
-func (c *Cluster) hash(h ident.HostID) uint32 {
+func (c *Cluster) hash(h ident.MachineID) uint32 {
 	f := fnv.New32()
 	io.WriteString(f, string(h))
 	return f.Sum32() % uint32(len(c.nodes))
@@ -241,7 +241,7 @@
 }
 
 // holds says whether a machine may still run what it did.
-func (c *Cluster) holds(h ident.HostID) bool {
+func (c *Cluster) holds(h ident.MachineID) bool {
 	w := c.provider.worker(h)
 	return w != nil && w.holds()
 }
--- a/internal/loopback/record.go
+++ b/internal/loopback/record.go
@@ -14,7 +14,7 @@
 // run is one time that a task was on a machine.
 type run struct {
 	task  ident.TaskID
-	host  ident.HostID
+	host  ident.MachineID
 	begin time.Time
 	end   time.Time // zero while it runs
 }
@@ -41,7 +41,7 @@
 
 // acted notes that a node's token was obeyed. A follower passes the leader's answers on, so
 // only commands sent directly tell who leads.
-func (r *Record) acted(node string, e ident.Epoch) {
+func (r *Record) acted(node string, e ident.FencingToken) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e == 0 || node == "" {
@@ -56,7 +56,7 @@
 
 // begin notes a start. A task on another machine at that time is a broken rule, unless that
 // machine's lease was over, which it notices when it next looks.
-func (r *Record) begin(task ident.TaskID, host ident.HostID, elsewhere func(ident.HostID) bool) *run {
+func (r *Record) begin(task ident.TaskID, host ident.MachineID, elsewhere func(ident.MachineID) bool) *run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
@@ -85,7 +85,7 @@
 const maxMoves = 2
 
 // changed notes a change in the state service: the moves of a job only become more, to two.
-func (r *Record) changed(c statesvc.Change) {
+func (r *Record) changed(c statesvc.Mutation) {
 	id, ok := strings.CutPrefix(c.Put, migration.Prefix)
 	if !ok {
 		return
@@ -101,10 +101,10 @@
 }
 
 // running lists the tasks on each machine.
-func (r *Record) running() map[ident.HostID][]ident.TaskID {
+func (r *Record) running() map[ident.MachineID][]ident.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	on := map[ident.HostID][]ident.TaskID{}
+	on := map[ident.MachineID][]ident.TaskID{}
 	for _, x := range r.runs {
 		if x.end.IsZero() {
 			on[x.host] = append(on[x.host], x.task)
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -15,22 +15,22 @@
 func TestRecordNotices(t *testing.T) {
 	r := newRecord()
 	task := ident.TaskID{Job: "j-1"}
-	alive := func(ident.HostID) bool { return true }
+	alive := func(ident.MachineID) bool { return true }
 	first := r.begin(task, "host-1", alive)
-	if r.begin(task, "host-2", func(ident.HostID) bool { return false }); len(r.broken) != 0 {
+	if r.begin(task, "host-2", func(ident.MachineID) bool { return false }); len(r.broken) != 0 {
 		t.Errorf("a task whose machine's lease is over counts: %v", r.broken)
 	}
 	if r.begin(task, "host-3", alive); len(r.broken) == 0 {
 		t.Error("a task that runs twice is not noticed")
 	}
 	before := len(r.broken)
-	r.acted("agent-0", ident.MakeEpoch(4, 1))
-	r.acted("agent-0", ident.MakeEpoch(4, 2))
-	r.acted("agent-1", ident.MakeEpoch(5, 0))
+	r.acted("agent-0", ident.MakeFencingToken(4, 1))
+	r.acted("agent-0", ident.MakeFencingToken(4, 2))
+	r.acted("agent-1", ident.MakeFencingToken(5, 0))
 	if len(r.broken) != before {
 		t.Errorf("one node a term is a fault: %v", r.broken)
 	}
-	if r.acted("agent-1", ident.MakeEpoch(4, 3)); len(r.broken) == before {
+	if r.acted("agent-1", ident.MakeFencingToken(4, 3)); len(r.broken) == before {
 		t.Error("two nodes in one term are not noticed")
 	}
 	if r.complete("j-1", 1) {
--- a/internal/loopback/state.go
+++ b/internal/loopback/state.go
@@ -21,15 +21,15 @@
 	entries   map[string]stateEntry
 	leases    map[uint64]*stateLease
 	lastLease uint64
-	changes   []statesvc.News
+	changes   []statesvc.WatchEvent
 	changed   chan struct{} // closed at the next change
-	onChange  func(statesvc.Change)
+	onChange  func(statesvc.Mutation)
 }
 
 type stateEntry struct {
 	Path  string          `json:"path"`
 	Value json.RawMessage `json:"value"`
-	Stamp ident.Stamp     `json:"stamp"`
+	Stamp ident.Revision  `json:"stamp"`
 	Grant uint64          `json:"grant,omitempty"`
 }
 
@@ -75,10 +75,10 @@
 
 func (s *stateService) endLease(id uint64) {
 	delete(s.leases, id)
-	var gone []statesvc.Change
+	var gone []statesvc.Mutation
 	for path, e := range s.entries {
 		if e.Grant == id {
-			gone = append(gone, statesvc.Change{Delete: path})
+			gone = append(gone, statesvc.Mutation{Delete: path})
 		}
 	}
 	if len(gone) > 0 {
@@ -86,16 +86,16 @@
 	}
 }
 
-func (s *stateService) apply(changes []statesvc.Change) {
+func (s *stateService) apply(changes []statesvc.Mutation) {
 	s.revision++
 	for _, c := range changes {
 		s.onChange(c)
 		if c.Put != "" {
-			s.entries[c.Put] = stateEntry{Path: c.Put, Value: c.Value, Stamp: ident.Stamp(s.revision), Grant: c.Grant}
+			s.entries[c.Put] = stateEntry{Path: c.Put, Value: c.Value, Stamp: ident.Revision(s.revision), Grant: c.LeaseID}
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.changes = append(s.changes, statesvc.News{Put: c.Put, Value: c.Value, Delete: c.Delete, Stamp: ident.Stamp(s.revision)})
+		s.changes = append(s.changes, statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -109,7 +109,7 @@
 		answer(w, http.StatusOK, e)
 		return
 	}
-	answer(w, http.StatusNotFound, statesvc.Reply{Ledger: s.revision})
+	answer(w, http.StatusNotFound, statesvc.Response{StoreRevision: s.revision})
 }
 
 func (s *stateService) list(w http.ResponseWriter, r *http.Request) {
@@ -130,34 +130,34 @@
 
 func (s *stateService) transaction(w http.ResponseWriter, r *http.Request) {
 	var t struct {
-		If   []statesvc.Cond   `json:"if"`
-		Then []statesvc.Change `json:"then"`
+		If   []statesvc.Compare  `json:"if"`
+		Then []statesvc.Mutation `json:"then"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
-		answer(w, http.StatusBadRequest, statesvc.Reply{Error: err.Error()})
+		answer(w, http.StatusBadRequest, statesvc.Response{Error: err.Error()})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	for _, c := range t.Then {
-		if c.Put != "" && c.Grant != 0 && s.leases[c.Grant] == nil {
-			answer(w, http.StatusBadRequest, statesvc.Reply{Error: "no such lease"})
+		if c.Put != "" && c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
+			answer(w, http.StatusBadRequest, statesvc.Response{Error: "no such lease"})
 			return
 		}
 	}
 	var failed []string
 	for _, c := range t.If {
-		if s.entries[c.Path].Stamp != c.Stamp {
-			failed = append(failed, c.Path)
+		if s.entries[c.Key].Stamp != c.Revision {
+			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		answer(w, http.StatusConflict, statesvc.Reply{Failed: failed, Ledger: s.revision})
+		answer(w, http.StatusConflict, statesvc.Response{FailedKeys: failed, StoreRevision: s.revision})
 		return
 	}
 	s.apply(t.Then)
-	answer(w, http.StatusOK, statesvc.Reply{Ledger: s.revision})
+	answer(w, http.StatusOK, statesvc.Response{StoreRevision: s.revision})
 }
 
 func (s *stateService) grant(w http.ResponseWriter, r *http.Request) {
@@ -165,7 +165,7 @@
 		TTL int64 `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.TTL <= 0 {
-		answer(w, http.StatusBadRequest, statesvc.Reply{Error: "ttl_ms"})
+		answer(w, http.StatusBadRequest, statesvc.Response{Error: "ttl_ms"})
 		return
 	}
 	s.mu.Lock()
@@ -173,7 +173,7 @@
 	s.lastLease++
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	s.leases[s.lastLease] = &stateLease{ttl: ttl, end: time.Now().Add(ttl)}
-	answer(w, http.StatusOK, statesvc.Reply{Grant: s.lastLease})
+	answer(w, http.StatusOK, statesvc.Response{LeaseID: s.lastLease})
 }
 
 func (s *stateService) lease(r *http.Request) (uint64, *stateLease) {
@@ -190,10 +190,10 @@
 	defer s.mu.Unlock()
 	if _, lease := s.lease(r); lease != nil {
 		lease.end = time.Now().Add(lease.ttl)
-		answer(w, http.StatusOK, statesvc.Reply{})
+		answer(w, http.StatusOK, statesvc.Response{})
 		return
 	}
-	answer(w, http.StatusNotFound, statesvc.Reply{})
+	answer(w, http.StatusNotFound, statesvc.Response{})
 }
 
 func (s *stateService) revoke(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +202,7 @@
 	if id, lease := s.lease(r); lease != nil {
 		s.endLease(id)
 	}
-	answer(w, http.StatusOK, statesvc.Reply{})
+	answer(w, http.StatusOK, statesvc.Response{})
 }
 
 // followEvery is how often a watch looks for leases that have ended.
@@ -220,7 +220,7 @@
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(news) > 0 {
-			answer(w, http.StatusOK, statesvc.Reply{Ledger: revision, News: news})
+			answer(w, http.StatusOK, statesvc.Response{StoreRevision: revision, Events: news})
 			return
 		}
 		select {
@@ -229,17 +229,17 @@
 		case <-r.Context().Done():
 			return
 		case <-over:
-			answer(w, http.StatusOK, statesvc.Reply{Ledger: revision})
+			answer(w, http.StatusOK, statesvc.Response{StoreRevision: revision})
 			return
 		}
 	}
 }
 
 // since returns the changes of keys with a prefix after a revision.
-func (s *stateService) since(prefix string, revision uint64) []statesvc.News {
-	var news []statesvc.News
+func (s *stateService) since(prefix string, revision uint64) []statesvc.WatchEvent {
+	var news []statesvc.WatchEvent
 	for _, n := range s.changes {
-		if uint64(n.Stamp) > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
+		if uint64(n.Revision) > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
 			news = append(news, n)
 		}
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -19,7 +19,7 @@
 // worker is a machine and the worker on it.
 type worker struct {
 	cluster *Cluster
-	host    ident.HostID
+	host    ident.MachineID
 	zone    string
 	spot    bool
 	server  *http.Server
@@ -28,9 +28,9 @@
 	stop    context.CancelFunc
 
 	mu      sync.Mutex
-	session ident.Session
-	serial  ident.Serial
-	token   ident.Epoch
+	session ident.Incarnation
+	serial  ident.SequenceNumber
+	token   ident.FencingToken
 	lease   time.Time // when the last answered report was sent
 	tasks   map[taskKey]*task
 	wake    chan struct{}
@@ -49,7 +49,7 @@
 	timer  *time.Timer
 }
 
-func newWorker(c *Cluster, host ident.HostID, zone string, spot bool) (*worker, error) {
+func newWorker(c *Cluster, host ident.MachineID, zone string, spot bool) (*worker, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -19,15 +19,15 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
-	r.Queue.State(q, f)
+	r.Queue.Store(q, f)
 }
 
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
 	r := &recorder{Queue: statetest.NewQueue(statetest.New())}
-	c := commit.New(r, commit.Limits{Ops: 5, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 61}, func(why string) { t.Error(why) })
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
 		Source: rebalance.MakesRoom,
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -22,15 +22,15 @@
 
 // Entry is one recorded move.
 type Entry struct {
-	Index   int           `json:"task"`
-	Attempt ident.Attempt `json:"attempt"`
-	From    ident.HostID  `json:"from"`
-	To      ident.HostID  `json:"to"`
-	For     string        `json:"for,omitempty"`
-	Source  string        `json:"source"`
-	AtMS    int64         `json:"at_ms"`
-	GainS   float64       `json:"gain_s"`
-	CostS   float64       `json:"cost_s"`
+	Index   int             `json:"task"`
+	Attempt ident.Attempt   `json:"attempt"`
+	From    ident.MachineID `json:"from"`
+	To      ident.MachineID `json:"to"`
+	For     string          `json:"for,omitempty"`
+	Source  string          `json:"source"`
+	AtMS    int64           `json:"at_ms"`
+	GainS   float64         `json:"gain_s"`
+	CostS   float64         `json:"cost_s"`
 }
 
 // Record is the value of a job's key: all of its moves, the oldest first.
@@ -60,7 +60,7 @@
 // jobHistory is the record of one job.
 type jobHistory struct {
 	record    Record
-	doc       *commit.Doc
+	doc       *commit.Document
 	unread    bool // what is stored can't be read, and stays as it is
 	forgotten bool
 }
@@ -80,10 +80,10 @@
 
 // Load takes in what an earlier term recorded. A record that can't be read bars its job from
 // being moved, and ends no term: nothing but moves depends on it.
-func (h *History) Load(path string, value json.RawMessage, stamp ident.Stamp) {
+func (h *History) Load(path string, value json.RawMessage, stamp ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
 	j := h.add(id)
-	j.doc.Stamp = stamp
+	j.doc.Revision = stamp
 	r, err := ReadRecord(value)
 	if err != nil {
 		slog.Error("unreadable record of moves: the job is not moved", "path", path, "err", err)
@@ -94,7 +94,7 @@
 }
 
 func (h *History) add(id ident.JobID) *jobHistory {
-	j := &jobHistory{doc: &commit.Doc{Path: Key(id)}}
+	j := &jobHistory{doc: &commit.Document{Key: Key(id)}}
 	j.doc.Render = func() json.RawMessage {
 		if j.forgotten {
 			return nil
@@ -136,7 +136,7 @@
 		GainS:   m.Gain.Round(time.Millisecond).Seconds(),
 		CostS:   m.Cost.Round(time.Millisecond).Seconds(),
 	})
-	h.commits.Mark(j.doc, then)
+	h.commits.MarkDirty(j.doc, then)
 }
 
 // Forget deletes the record of a job that is over, when there is room to spare.
@@ -147,7 +147,7 @@
 	}
 	j.forgotten = true
 	delete(h.jobs, id)
-	h.commits.MarkLazy(j.doc, nil)
+	h.commits.MarkDirtyLazily(j.doc, nil)
 }
 
 // Prune forgets the jobs that are over, as an earlier term, or a version without moves, has
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -13,11 +13,11 @@
 
 // term makes the history of a term, with what is stored.
 func term(t *testing.T, s *statetest.Queue) (*History, *commit.Committer) {
-	c := commit.New(s, commit.Limits{Ops: 5, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Error(why) })
+	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Keys {
 		if strings.HasPrefix(path, Prefix) {
-			h.Load(path, p.Value, p.Stamp)
+			h.Load(path, p.Value, p.Revision)
 		}
 	}
 	return h, c
@@ -71,7 +71,7 @@
 func TestUnreadable(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
 		s := statetest.NewQueue(statetest.New())
-		s.Keys[Key("j-1")] = statesvc.Pair{Path: Key("j-1"), Value: json.RawMessage(value), Stamp: 5}
+		s.Keys[Key("j-1")] = statesvc.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
 		h, c := term(t, s)
 		if !h.Barred("j-1") || h.Barred("j-2") {
 			t.Errorf("%s: barred %v, another %v", value, h.Barred("j-1"), h.Barred("j-2"))
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -34,13 +34,13 @@
 	Attempt ident.Attempt // of the task when the move was proposed
 	State   State
 	Reason  Reason
-	Began   ident.Mono
-	Since   ident.Mono // when it entered its state
+	Began   ident.MonotonicTime
+	Since   ident.MonotonicTime // when it entered its state
 	// StoppedAt and RanAt are when the source was proven free and when the task was seen to
 	// run at the destination; 0: it didn't come to that.
-	StoppedAt, RanAt ident.Mono
+	StoppedAt, RanAt ident.MonotonicTime
 	// BeneficiaryAt is when the task that waited was placed on the source; 0: it was not.
-	BeneficiaryAt ident.Mono
+	BeneficiaryAt ident.MonotonicTime
 
 	recorded bool
 }
@@ -79,8 +79,8 @@
 	JobOpen bool
 	Task    jobs.State
 	Attempt ident.Attempt
-	Host    ident.HostID // the task's machine, while it counts on one
-	Runs    bool         // the task was seen to run in its present attempt
+	Host    ident.MachineID // the task's machine, while it counts on one
+	Runs    bool            // the task was seen to run in its present attempt
 	// Elsewhere says that some machine reports the task though it should not be there.
 	Elsewhere   bool
 	Waits       bool // the task that the move is for still waits
@@ -142,7 +142,7 @@
 }
 
 // Begin takes up a proposed move of a task in its present attempt.
-func (t *Table) Begin(p rebalance.Move, attempt ident.Attempt, now ident.Mono) *Move {
+func (t *Table) Begin(p rebalance.Move, attempt ident.Attempt, now ident.MonotonicTime) *Move {
 	m := &Move{Move: p, Attempt: attempt, State: Proposed, Began: now, Since: now}
 	t.active = append(t.active, m)
 	return m
@@ -153,7 +153,7 @@
 func (t *Table) Recorded(m *Move) { m.recorded = true }
 
 // to is the one place where a move changes its state.
-func (t *Table) to(m *Move, s State, why Reason, now ident.Mono) {
+func (t *Table) to(m *Move, s State, why Reason, now ident.MonotonicTime) {
 	m.State, m.Since, m.Reason = s, now, why
 	switch s {
 	case Stopped:
@@ -167,7 +167,7 @@
 }
 
 // Advance brings all moves up to date and returns what is to be done, in that order.
-func (t *Table) Advance(now ident.Mono, observe func(*Move) Observation) []Effect {
+func (t *Table) Advance(now ident.MonotonicTime, observe func(*Move) Observation) []Effect {
 	var effects []Effect
 	for _, m := range t.active {
 		effects = append(effects, t.advance(m, now, observe(m))...)
@@ -195,7 +195,7 @@
 
 // follow notes for a move that has arrived when the waiting task gets the room that was made,
 // for as long as the move was expected to matter.
-func (t *Table) follow(m *Move, now ident.Mono, observe func(*Move) Observation) {
+func (t *Table) follow(m *Move, now ident.MonotonicTime, observe func(*Move) Observation) {
 	if m.State != Running || m.Source != rebalance.MakesRoom || m.BeneficiaryAt > 0 || now.Sub(m.Began) > m.Wait {
 		return
 	}
@@ -207,7 +207,7 @@
 }
 
 // advance brings one move up to date.
-func (t *Table) advance(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) advance(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if o.Beneficiary && m.BeneficiaryAt == 0 {
 		m.BeneficiaryAt = now
 	}
@@ -223,7 +223,7 @@
 }
 
 // step takes a move from its present state to the next one, if it can go there.
-func (t *Table) step(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) step(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch m.State {
 	case Proposed:
 		return t.proposed(m, now, o)
@@ -238,7 +238,7 @@
 }
 
 // abandon ends a move; whatever was reserved is released.
-func (t *Table) abandon(m *Move, why Reason, now ident.Mono) []Effect {
+func (t *Table) abandon(m *Move, why Reason, now ident.MonotonicTime) []Effect {
 	t.to(m, Abandoned, why, now)
 	return []Effect{{Release, m}, {Report, m}}
 }
@@ -248,7 +248,7 @@
 
 // proposed waits for the record. Until the task is stopped nothing is lost by giving up, so
 // whatever speaks against the move ends it.
-func (t *Table) proposed(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) proposed(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if why := t.objection(m, now, o); why != NotEnded {
 		return t.abandon(m, why, now)
 	}
@@ -260,7 +260,7 @@
 }
 
 // objection returns what speaks against stopping the task now, NotEnded if nothing does.
-func (t *Table) objection(m *Move, now ident.Mono, o Observation) Reason {
+func (t *Table) objection(m *Move, now ident.MonotonicTime, o Observation) Reason {
 	switch {
 	case o.Task == jobs.Finished:
 		return TaskCompleted
@@ -293,7 +293,7 @@
 }
 
 // stopping waits for the proof that the task has left its machine.
-func (t *Table) stopping(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) stopping(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch {
 	case o.Task == jobs.Finished:
 		return t.abandon(m, TaskCompleted, now)
@@ -316,7 +316,7 @@
 func (t *Table) placeable(o Observation) bool { return o.MayDecide && !o.Elsewhere }
 
 // stopped places the task at the destination.
-func (t *Table) stopped(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) stopped(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch {
 	case !o.JobOpen:
 		return t.abandon(m, JobClosed, now)
@@ -336,7 +336,7 @@
 }
 
 // placing waits for the task to run at the destination.
-func (t *Table) placing(m *Move, now ident.Mono, o Observation) []Effect {
+func (t *Table) placing(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	there := o.Attempt > m.Attempt && o.Host == m.To
 	switch {
 	case o.Task == jobs.Finished || there && o.Runs:
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -17,8 +17,8 @@
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
 const (
-	source      = ident.HostID("host-1")
-	destination = ident.HostID("host-2")
+	source      = ident.MachineID("host-1")
+	destination = ident.MachineID("host-2")
 )
 
 // proposal is a move of a task in its third attempt.
@@ -28,7 +28,7 @@
 }
 
 // at returns what is so of the task in its usual course.
-func at(task jobs.State, attempt ident.Attempt, host ident.HostID) Observation {
+func at(task jobs.State, attempt ident.Attempt, host ident.MachineID) Observation {
 	return Observation{JobOpen: true, Task: task, Attempt: attempt, Host: host, Waits: true, MayDecide: true, LinksClear: true, TeamAllows: true}
 }
 
@@ -36,11 +36,11 @@
 type walk struct {
 	table *Table
 	move  *Move
-	now   ident.Mono
+	now   ident.MonotonicTime
 }
 
 func newWalk() *walk {
-	w := &walk{table: NewTable(DefaultConfig(time.Second)), now: ident.Mono(time.Hour)}
+	w := &walk{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
 	w.move = w.table.Begin(proposal(), 3, w.now)
 	return w
 }
@@ -194,7 +194,7 @@
 	if rapid.IntRange(0, 19).Draw(t, "odd") == 0 {
 		o.Task = rapid.SampledFrom([]jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Finished}).Draw(t, "task")
 		o.Attempt = rapid.SampledFrom([]ident.Attempt{3, 3, 4}).Draw(t, "attempt")
-		o.Host = rapid.SampledFrom([]ident.HostID{source, source, destination, ""}).Draw(t, "host")
+		o.Host = rapid.SampledFrom([]ident.MachineID{source, source, destination, ""}).Draw(t, "host")
 	}
 	unless := func(name string) bool { return rapid.IntRange(0, 59).Draw(t, name) > 0 }
 	o.Runs = rapid.Bool().Draw(t, "runs")
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -32,12 +32,12 @@
 }
 
 // still is a world in which everything is carried out at once.
-type still struct{ now ident.Mono }
+type still struct{ now ident.MonotonicTime }
 
-func (s *still) Now() ident.Mono             { return s.now }
+func (s *still) Now() ident.MonotonicTime    { return s.now }
 func (s *still) After(time.Duration, func()) {}
-func (s *still) State(r statesvc.Request, f func(statesvc.Reply)) {
-	f(statesvc.Reply{Outcome: statesvc.OK, Ledger: 5})
+func (s *still) Store(r statesvc.Request, f func(statesvc.Response)) {
+	f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 5})
 }
 func (s *still) Worker(workers.Command, func(workers.Answer)) {}
 
@@ -48,7 +48,7 @@
 	fleet   *workers.Table
 	planner *Planner
 	commits *commit.Committer
-	serial  ident.Serial
+	serial  ident.SequenceNumber
 	next    int
 }
 
@@ -63,13 +63,13 @@
 func (l *large) StopGang(*jobs.Job) bool                  { return false }
 
 func newLarge(machines int) *large {
-	l := &large{still: still{now: ident.Mono(time.Hour)}}
+	l := &large{still: still{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.Model{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalGB: 25, PullGBPerS: 0.3}
-	l.commits = commit.New(l, commit.Limits{Ops: 24, PerSecond: 1e9, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader"}, func(string) {})
+	l.commits = commit.New(l, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader"}, func(string) {})
 	l.jobs = jobs.NewTable(l.commits, 16<<10, l.Now, func() int64 { return 0 })
 	l.fleet = workers.NewTable(l, l.jobs, workers.Config{Term: 1, LeaseS: time.Minute, Catalog: func(string) *cloud.Model { return &kind },
 		Deposed: func() {}, Changed: func() {}, Failed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Commit: func(w *workers.Worker) { w.Recorded = true }, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.Mono { return 0 }})
+		Commit: func(w *workers.Worker) { w.Recorded = true }, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 }})
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
 	l.planner = NewPlanner(teams, l.jobs, l.fleet, l, l.Now, true, nil)
 	l.jobs.OnMove = func(t *jobs.Task, from, to jobs.State) {
@@ -81,7 +81,7 @@
 		}
 	}
 	for i := range machines {
-		w := l.fleet.Add(ident.HostID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, l.now)
+		w := l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, l.now)
 		l.report(w)
 	}
 	for range 3 * machines / 20 {
@@ -189,7 +189,7 @@
 			l := newLarge(n)
 			l.fill()
 			w := l.fleet.Sorted()[1]
-			r := &api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: "east", Session: 1, Epoch: ident.MakeEpoch(1, 0)}
+			r := &api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: "east", Session: 1, Epoch: ident.MakeFencingToken(1, 0)}
 			for _, t := range l.fleet.TasksOf(w) {
 				r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 			}
--- a/internal/placement/even_test.go
+++ b/internal/placement/even_test.go
@@ -13,7 +13,7 @@
 func holders(machines, holding int) *large {
 	l := newLarge(0)
 	for i := range machines {
-		w := l.fleet.Add(ident.HostID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
+		w := l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
 		l.report(w)
 	}
 	warm := l.submitAs("red", api.Standard, holding)
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -294,7 +294,7 @@
 }
 
 // stopVictim stops what must give way: a task, or the whole gang that it is of.
-func (p *Planner) stopVictim(v *jobs.Task, w *workers.Worker, now ident.Mono) {
+func (p *Planner) stopVictim(v *jobs.Task, w *workers.Worker, now ident.MonotonicTime) {
 	if v.State != jobs.Assigned {
 		return // stopped with its gang
 	}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -28,7 +28,7 @@
 		if i >= east {
 			site = "west"
 		}
-		w := l.fleet.Add(ident.HostID(fmt.Sprintf("host-%06d", i)), "m16", site, false, l.now)
+		w := l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", site, false, l.now)
 		l.serial++
 		l.fleet.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: site, Session: 1, Serial: l.serial})
 	}
--- a/internal/placement/idle.go
+++ b/internal/placement/idle.go
@@ -218,7 +218,7 @@
 		return false
 	}
 	clear(p.cursor)
-	planned := map[ident.HostID]bool{}
+	planned := map[ident.MachineID]bool{}
 	for _, s := range p.plans {
 		planned[s.w.Host] = true
 	}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -31,7 +31,7 @@
 	jobs  *jobs.Table
 	fleet *workers.Table
 	act   Actions
-	now   func() ident.Mono
+	now   func() ident.MonotonicTime
 	asm1  bool
 	aims  map[string][]time.Duration // by lane: within which times jobs should be done, ascending
 	waits map[string]time.Duration   // by lane: within which time tasks should start
@@ -69,8 +69,8 @@
 	free     map[string]float64 // free CPUs of ordinary machines, by zone
 	reserved map[*workers.Worker]*jobs.Job
 	promises map[*workers.Worker]promise
-	begun    map[string]ident.Mono // when a team's job was last begun for having waited
-	blocked  map[string]*jobs.Job  // jobs that wait too long for their team's limit
+	begun    map[string]ident.MonotonicTime // when a team's job was last begun for having waited
+	blocked  map[string]*jobs.Job           // jobs that wait too long for their team's limit
 	searches map[searchKey]*offers
 	placed   int
 	searched int // machines looked at for work to stop
@@ -100,9 +100,9 @@
 }
 
 // NewPlanner makes a planner without a plan.
-func NewPlanner(teams *Teams, j *jobs.Table, w *workers.Table, act Actions, now func() ident.Mono, asm1 bool, aims []settings.Objective) *Planner {
+func NewPlanner(teams *Teams, j *jobs.Table, w *workers.Table, act Actions, now func() ident.MonotonicTime, asm1 bool, aims []settings.Objective) *Planner {
 	p := &Planner{teams: teams, jobs: j, fleet: w, act: act, now: now, asm1: asm1, Reserve: map[string]float64{}, MaxWait: time.Hour, GangWait: time.Hour, Even: func() bool { return false },
-		reserved: map[*workers.Worker]*jobs.Job{}, promises: map[*workers.Worker]promise{}, begun: map[string]ident.Mono{}, aims: map[string][]time.Duration{}, waits: map[string]time.Duration{}}
+		reserved: map[*workers.Worker]*jobs.Job{}, promises: map[*workers.Worker]promise{}, begun: map[string]ident.MonotonicTime{}, aims: map[string][]time.Duration{}, waits: map[string]time.Duration{}}
 	for _, o := range aims {
 		switch o.Kind {
 		case "finished":
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -46,11 +46,11 @@
 	l := newLarge(0)
 	l.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		l.report(l.fleet.Add(ident.HostID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
+		l.report(l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
 	}
 	guest := l.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
-		l.Place(&guest.Tasks[i], l.fleet.Workers[ident.HostID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
+		l.Place(&guest.Tasks[i], l.fleet.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
 	}
 	l.commits.Flush()
 	for _, w := range l.fleet.Sorted() {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -86,7 +86,7 @@
 // cheapest takes the best offer of a search. A job's tasks share one search in a
 // dispatch. (With one for each task, and a bound on the machines looked at, a dispatch
 // found room for a single task of a large fleet, and guaranteed work waited for seconds.)
-func (p *Planner) cheapest(key searchKey, now ident.Mono) *offer {
+func (p *Planner) cheapest(key searchKey, now ident.MonotonicTime) *offer {
 	found := p.searches[key]
 	if found == nil {
 		if p.searched >= p.searchLimit() {
@@ -120,7 +120,7 @@
 // search looks at machines for work that must give way, as many as the dispatch may
 // still look at: first at those that hold the image, then at the others, from where the
 // search before ended.
-func (p *Planner) search(key searchKey, now ident.Mono) *offers {
+func (p *Planner) search(key searchKey, now ident.MonotonicTime) *offers {
 	found := &offers{}
 	enough := maxOffers + 2*key.job.Waits()
 	look := func(w *workers.Worker) bool {
@@ -178,7 +178,7 @@
 
 // offer finds what would be stopped on a machine for one task of a job, nil if that makes
 // no room.
-func (p *Planner) offer(key searchKey, w *workers.Worker, now ident.Mono) *offer {
+func (p *Planner) offer(key searchKey, w *workers.Worker, now ident.MonotonicTime) *offer {
 	if !p.mayOffer(key, w) {
 		return nil
 	}
@@ -209,7 +209,7 @@
 // within half a minute, while services started on a fleet that booted.
 const spareTime = time.Minute
 
-func spared(t *jobs.Task, now ident.Mono) bool {
+func spared(t *jobs.Task, now ident.MonotonicTime) bool {
 	return t.GaveWay > 0 && now.Sub(t.GaveWay) < spareTime
 }
 
@@ -220,7 +220,7 @@
 }
 
 // lostBy says how much work is lost when a task is stopped, in CPU seconds.
-func lostBy(t *jobs.Task, now ident.Mono) float64 {
+func lostBy(t *jobs.Task, now ident.MonotonicTime) float64 {
 	ran := now.Sub(t.Since).Seconds()
 	if t.Seen == "" || t.Seen == api.Pulling {
 		ran = 0
@@ -244,7 +244,7 @@
 // for j, counting what is being stopped already as room. With spare set, what gave
 // way of late is left alone; gangs are stopped only with gangs set, and never again
 // soon.
-func (p *Planner) choose(w *workers.Worker, j *jobs.Job, need jobs.Need, now ident.Mono, spare, gangs bool) ([]*jobs.Task, float64, bool) {
+func (p *Planner) choose(w *workers.Worker, j *jobs.Job, need jobs.Need, now ident.MonotonicTime, spare, gangs bool) ([]*jobs.Task, float64, bool) {
 	free := w.FreeFor(j.Spec.Priority)
 	var cand []victim
 	add := func(v *jobs.Task) { cand = append(cand, victim{v, lostBy(v, now)}) }
--- a/internal/placement/prepare.go
+++ b/internal/placement/prepare.go
@@ -28,7 +28,7 @@
 
 // waitingByShape lists the jobs that wait and may be placed now, and the least that any of their
 // tasks needs.
-func (p *Planner) waitingByShape(now ident.Mono) (map[api.Shape][]waiting, jobs.Need) {
+func (p *Planner) waitingByShape(now ident.MonotonicTime) (map[api.Shape][]waiting, jobs.Need) {
 	list := map[api.Shape][]waiting{}
 	need := jobs.NoNeed()
 	for j := range p.jobs.Waiting {
@@ -85,7 +85,7 @@
 }
 
 // reset forgets what is of one dispatch only, and what is kept for jobs that need it no more.
-func (p *Planner) reset(now ident.Mono) {
+func (p *Planner) reset(now ident.MonotonicTime) {
 	p.order, p.roomy, p.plans, p.unheld = p.order[:0], p.roomy[:0], nil, nil
 	p.held, p.holders = map[*jobs.Job]bool{}, nil
 	p.free = map[string]float64{}
@@ -102,7 +102,7 @@
 }
 
 // sortMachines lists the open machines, and those where some waiting task fits.
-func (p *Planner) sortMachines(need jobs.Need, now ident.Mono) {
+func (p *Planner) sortMachines(need jobs.Need, now ident.MonotonicTime) {
 	for _, w := range p.fleet.Sorted() {
 		if !w.Open(now) || w.Kind == nil {
 			continue
--- a/internal/placement/promise.go
+++ b/internal/placement/promise.go
@@ -10,11 +10,11 @@
 // a time: smaller tasks would take it otherwise as soon as it is there.
 type promise struct {
 	job   *jobs.Job
-	until ident.Mono
+	until ident.MonotonicTime
 }
 
 // Promise keeps what becomes free on a machine for a job until a time.
-func (p *Planner) Promise(w *workers.Worker, j *jobs.Job, until ident.Mono) {
+func (p *Planner) Promise(w *workers.Worker, j *jobs.Job, until ident.MonotonicTime) {
 	p.promises[w] = promise{j, until}
 }
 
@@ -37,7 +37,7 @@
 }
 
 // expirePromises drops what is not needed any more, or has lasted for long enough.
-func (p *Planner) expirePromises(now ident.Mono) {
+func (p *Planner) expirePromises(now ident.MonotonicTime) {
 	for w, o := range p.promises {
 		if now >= o.until || o.job.Waits() == 0 || !w.Open(now) {
 			delete(p.promises, w)
--- a/internal/rebalance/picture.go
+++ b/internal/rebalance/picture.go
@@ -30,7 +30,7 @@
 
 // Machine is a machine that takes work.
 type Machine struct {
-	Host  ident.HostID
+	Host  ident.MachineID
 	Zone  string
 	Free  jobs.Need
 	Tasks []Task // those on it that may be moved
@@ -67,7 +67,7 @@
 type Active struct {
 	Job      ident.JobID
 	Team     string
-	From, To ident.HostID
+	From, To ident.MachineID
 	Zone     string       // of the machine that it leaves
 	For      ident.TaskID // which waits for it
 }
@@ -140,7 +140,7 @@
 	Task     ident.TaskID
 	Team     string
 	Need     jobs.Need
-	From, To ident.HostID
+	From, To ident.MachineID
 	For      ident.TaskID  // which can start then, if room is made
 	Wait     time.Duration // which that would have waited without it
 	Gain     time.Duration // by which that starts sooner, or the moved task ends sooner
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -33,7 +33,7 @@
 // budgetUse is what of the budgets is in use.
 type budgetUse struct {
 	cluster  int
-	machines map[ident.HostID]int // moves from and to a machine
+	machines map[ident.MachineID]int // moves from and to a machine
 	zones    map[string]int
 	teams    map[string]int
 	jobs     map[ident.JobID]int
@@ -77,7 +77,7 @@
 }
 
 func newUse() budgetUse {
-	return budgetUse{machines: map[ident.HostID]int{}, zones: map[string]int{}, teams: map[string]int{}, jobs: map[ident.JobID]int{}}
+	return budgetUse{machines: map[ident.MachineID]int{}, zones: map[string]int{}, teams: map[string]int{}, jobs: map[ident.JobID]int{}}
 }
 
 // count takes a move under way, or one that is proposed, into account.
@@ -282,7 +282,7 @@
 	to.Free = to.Free.Minus(m.Need)
 }
 
-func (x *planner) machine(h ident.HostID) *Machine {
+func (x *planner) machine(h ident.MachineID) *Machine {
 	i := slices.IndexFunc(x.byFree, func(m *Machine) bool { return m.Host == h })
 	return x.byFree[i]
 }
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -20,7 +20,7 @@
 func drawPicture(t *rapid.T) *Picture {
 	p := &Picture{Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-		m := &Machine{Host: ident.HostID(fmt.Sprintf("host-%02d", i)), Zone: []string{"east", "west"}[i%2], Free: drawNeed(t, 0, 6)}
+		m := &Machine{Host: ident.MachineID(fmt.Sprintf("host-%02d", i)), Zone: []string{"east", "west"}[i%2], Free: drawNeed(t, 0, 6)}
 		for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 			m.Tasks = append(m.Tasks, Task{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", rapid.IntRange(1, 5).Draw(t, "job"))), Index: 10*i + k},
 				Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Need: drawNeed(t, 1, 4), Level: rapid.IntRange(0, 3).Draw(t, "level"),
@@ -72,7 +72,7 @@
 	planned := 0
 	rapid.Check(t, func(t *rapid.T) {
 		p, c := drawPicture(t), DefaultConfig()
-		machines, tasks := map[ident.HostID]*Machine{}, map[ident.TaskID]Task{}
+		machines, tasks := map[ident.MachineID]*Machine{}, map[ident.TaskID]Task{}
 		for _, m := range copied(p).Machines {
 			machines[m.Host] = m
 			for _, x := range m.Tasks {
@@ -234,9 +234,9 @@
 	p := &Picture{Fits: func(_ *Task, m *Machine) (time.Duration, bool) { return 0, m.Zone == "far" }}
 	for i := range 8 {
 		p.Machines = append(p.Machines,
-			&Machine{Host: ident.HostID(fmt.Sprintf("source-%d", i)), Zone: zone(i), Free: cpus(3), Tasks: []Task{{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", i))},
+			&Machine{Host: ident.MachineID(fmt.Sprintf("source-%d", i)), Zone: zone(i), Free: cpus(3), Tasks: []Task{{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", i))},
 				Team: team(i), Need: cpus(1), Ran: time.Minute, Saves: time.Second}}},
-			&Machine{Host: ident.HostID(fmt.Sprintf("target-%d", i)), Zone: "far", Free: cpus(1)})
+			&Machine{Host: ident.MachineID(fmt.Sprintf("target-%d", i)), Zone: "far", Free: cpus(1)})
 		p.Waiting = append(p.Waiting, Waiting{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", 100+i))}, Need: cpus(4), Waited: time.Minute,
 			Allowed: func(*Machine) bool { return true }})
 	}
@@ -282,7 +282,7 @@
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
 			p := &Picture{Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
 			for i := range machines {
-				m := &Machine{Host: ident.HostID(fmt.Sprintf("host-%06d", i)), Zone: "east", Free: cpus(float64(i % 4))}
+				m := &Machine{Host: ident.MachineID(fmt.Sprintf("host-%06d", i)), Zone: "east", Free: cpus(float64(i % 4))}
 				for k := range 4 {
 					m.Tasks = append(m.Tasks, Task{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", i)), Index: k}, Need: cpus(3), Ran: time.Minute, Left: 5 * time.Minute, Saves: time.Second})
 					m.Ends = append(m.Ends, End{Left: 5 * time.Minute, Need: cpus(3)})
--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -14,31 +14,31 @@
 	"opaldale/internal/ident"
 )
 
-// After is how long a node must be without the leader before it keeps leases.
-const After = 4 * time.Second
+// MinLeaderSilence is how long a node must be without the leader before it keeps leases.
+const MinLeaderSilence = 4 * time.Second
 
-// drift is the part by which times are counted against the one who counts: steady
+// driftMargin is the part by which times are counted against the one who counts: steady
 // clocks drift apart by at most 0.05%.
-const drift = 0.001
+const driftMargin = 0.001
 
-// Heartbeats remembers when the newest beats were sent.
-type Heartbeats struct {
-	ids [64]uint64
-	at  [64]ident.Mono
-	n   int
+// SentHeartbeats remembers when the newest beats were sent.
+type SentHeartbeats struct {
+	ids   [64]uint64
+	times [64]ident.MonotonicTime
+	count int
 }
 
-// Sent notes a beat.
-func (e *Heartbeats) Sent(id uint64, at ident.Mono) {
-	e.ids[e.n%len(e.ids)], e.at[e.n%len(e.ids)] = id, at
-	e.n++
+// Record notes a beat.
+func (h *SentHeartbeats) Record(id uint64, at ident.MonotonicTime) {
+	h.ids[h.count%len(h.ids)], h.times[h.count%len(h.ids)] = id, at
+	h.count++
 }
 
-// When returns when a beat was sent, if it is a recent one of this process.
-func (e *Heartbeats) When(id uint64) (ident.Mono, bool) {
-	for i := range min(e.n, len(e.ids)) {
-		if e.ids[i] == id {
-			return e.at[i], true
+// SentAt returns when a beat was sent, if it is a recent one of this process.
+func (h *SentHeartbeats) SentAt(id uint64) (ident.MonotonicTime, bool) {
+	for i := range min(h.count, len(h.ids)) {
+		if h.ids[i] == id {
+			return h.times[i], true
 		}
 	}
 	return 0, false
@@ -46,40 +46,44 @@
 
 // Renewer is a node that doesn't lead.
 type Renewer struct {
-	term   ident.Term
-	at     ident.Mono    // the leader surely led after that
-	left   time.Duration // and allows to keep leases for so long from then on
-	ever   bool
-	newest ident.Mono // when we last kept
-	did    bool
+	term         ident.Term
+	leaderSeenAt ident.MonotonicTime // the leader surely led after that
+	allowance    time.Duration       // and allows to keep leases for so long from then on
+	permitted    bool
+	lastRenewal  ident.MonotonicTime // when we last kept
+	hasRenewed   bool
 }
 
 // Permit notes that a leader surely led at some time after at.
-func (v *Renewer) Permit(t ident.Term, at ident.Mono, left time.Duration) {
-	if v.ever && (t < v.term || at < v.at) {
+func (r *Renewer) Permit(term ident.Term, leaderSeenAt ident.MonotonicTime, allowance time.Duration) {
+	if r.permitted && (term < r.term || leaderSeenAt < r.leaderSeenAt) {
 		return
 	}
-	v.ever, v.term, v.at, v.left = true, t, at, left
+	r.permitted, r.term, r.leaderSeenAt, r.allowance = true, term, leaderSeenAt, allowance
 }
 
-// Age returns for how long no leader was heard to lead; false if none ever was.
-func (v *Renewer) Age(now ident.Mono) (time.Duration, bool) { return now.Sub(v.at), v.ever }
+// SinceLeader returns for how long no leader was heard to lead; false if none ever was.
+func (r *Renewer) SinceLeader(now ident.MonotonicTime) (time.Duration, bool) {
+	return now.Sub(r.leaderSeenAt), r.permitted
+}
 
-// May says whether the lease of a worker that has seen a token may be renewed. A
+// MayRenew says whether the lease of a worker that has seen a token may be renewed. A
 // token of a later term is a successor's.
-func (v *Renewer) May(now ident.Mono, e ident.Epoch) bool {
-	age := now.Sub(v.at)
-	return v.ever && age > After && age < time.Duration(float64(v.left)*(1-drift)) && e != 0 && e.Term() <= v.term
+func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
+	age := now.Sub(r.leaderSeenAt)
+	return r.permitted && age > MinLeaderSilence && age < time.Duration(float64(r.allowance)*(1-driftMargin)) && token != 0 && token.Term() <= r.term
 }
 
-// Note notes that a lease was renewed.
-func (v *Renewer) Note(now ident.Mono) { v.newest, v.did = now, true }
+// RecordRenewal notes that a lease was renewed.
+func (r *Renewer) RecordRenewal(now ident.MonotonicTime) { r.lastRenewal, r.hasRenewed = now, true }
 
-// Newest returns how long ago that was last done, if ever.
-func (v *Renewer) Newest(now ident.Mono) (time.Duration, bool) { return now.Sub(v.newest), v.did }
+// SinceRenewal returns how long ago that was last done, if ever.
+func (r *Renewer) SinceRenewal(now ident.MonotonicTime) (time.Duration, bool) {
+	return now.Sub(r.lastRenewal), r.hasRenewed
+}
 
-// Claim is what a sibling says of itself with a beat.
-type Claim struct {
+// PeerStatus is what a sibling says of itself with a beat.
+type PeerStatus struct {
 	ProcessAge   time.Duration // of its process
 	SinceLeader  time.Duration // how long ago it last heard a leader lead
 	HasRenewed   bool          // it has kept, for the last time
@@ -89,51 +93,53 @@
 // Registry is a leader's knowledge of when siblings may have renewed leases.
 type Registry struct {
 	grace time.Duration
-	nodes map[ident.NodeID]*entry
+	peers map[ident.NodeID]*peerEntry
 }
 
-type entry struct {
-	seen    ident.Mono // newest beat: it can't have heard us lead later
-	cover   ident.Mono // all it did until then is known
-	renewed ident.Mono // the last that is known, or may have been
+type peerEntry struct {
+	lastHeard   ident.MonotonicTime // newest beat: it can't have heard us lead later
+	knownUntil  ident.MonotonicTime // all it did until then is known
+	lastRenewal ident.MonotonicTime // the last that is known, or may have been
 }
 
 // NewRegistry makes an empty one; grace is the longest that a leader allows.
 func NewRegistry(grace time.Duration) *Registry {
-	return &Registry{grace: grace, nodes: map[ident.NodeID]*entry{}}
+	return &Registry{grace: grace, peers: map[ident.NodeID]*peerEntry{}}
 }
 
-// Heard takes a sibling's beat; sent is when we sent the beat that it echoes, if it
+// ObserveHeartbeat takes a sibling's beat; sent is when we sent the beat that it echoes, if it
 // echoes one of ours.
-func (l *Registry) Heard(from ident.NodeID, now, sent ident.Mono, echoed bool, w Claim) {
-	e := l.nodes[from]
+func (r *Registry) ObserveHeartbeat(from ident.NodeID, now, sentAt ident.MonotonicTime, echoed bool, status PeerStatus) {
+	e := r.peers[from]
 	if e == nil {
-		e = &entry{}
-		l.nodes[from] = e
+		e = &peerEntry{}
+		r.peers[from] = e
 	}
 	if echoed {
-		if born := now.Add(-w.ProcessAge); born > e.cover && e.seen > 0 {
+		if startedAt := now.Add(-status.ProcessAge); startedAt > e.knownUntil && e.lastHeard > 0 {
 			// A process that we knew less of was there before it.
-			e.renewed = max(e.renewed, min(born, e.limit(l)))
+			e.lastRenewal = max(e.lastRenewal, min(startedAt, e.latestPossibleRenewal(r)))
 		}
-		if w.HasRenewed {
-			e.renewed = max(e.renewed, now.Add(-time.Duration(float64(w.SinceRenewal)*(1-drift))))
+		if status.HasRenewed {
+			e.lastRenewal = max(e.lastRenewal, now.Add(-time.Duration(float64(status.SinceRenewal)*(1-driftMargin))))
 		}
-		e.cover = max(e.cover, sent.Add(max(0, time.Duration(float64(After-w.SinceLeader)*(1-drift)))))
+		e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, time.Duration(float64(MinLeaderSilence-status.SinceLeader)*(1-driftMargin)))))
 	}
-	e.seen = now
+	e.lastHeard = now
 }
 
-func (e *entry) limit(l *Registry) ident.Mono { return e.seen.Add(l.grace) }
+func (e *peerEntry) latestPossibleRenewal(r *Registry) ident.MonotonicTime {
+	return e.lastHeard.Add(r.grace)
+}
 
-// Renewed returns the latest time at which any sibling may have renewed a lease.
-func (l *Registry) Renewed(now ident.Mono) ident.Mono {
-	newest := ident.Mono(0)
-	for _, e := range l.nodes {
-		newest = max(newest, e.renewed)
-		if now > e.cover {
-			newest = max(newest, min(now, e.limit(l)))
+// LatestRenewal returns the latest time at which any sibling may have renewed a lease.
+func (r *Registry) LatestRenewal(now ident.MonotonicTime) ident.MonotonicTime {
+	latest := ident.MonotonicTime(0)
+	for _, e := range r.peers {
+		latest = max(latest, e.lastRenewal)
+		if now > e.knownUntil {
+			latest = max(latest, min(now, e.latestPossibleRenewal(r)))
 		}
 	}
-	return newest
+	return latest
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -109,9 +109,9 @@
 
 // goldenWorld is the world of a controller in which time stands still and the state service
 // answers at once.
-type goldenWorld struct{ *statetest.Store }
+type goldenWorld struct{ *statetest.MemoryStore }
 
-func (goldenWorld) Now() ident.Mono                              { return ident.Mono(time.Hour) }
+func (goldenWorld) Now() ident.MonotonicTime                     { return ident.MonotonicTime(time.Hour) }
 func (goldenWorld) WallMS() int64                                { return 0 }
 func (goldenWorld) After(time.Duration, func())                  {}
 func (goldenWorld) Worker(workers.Command, func(workers.Answer)) {}
@@ -120,22 +120,22 @@
 	f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
 }
 
-func (w goldenWorld) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (w goldenWorld) Store(r statesvc.Request, f func(statesvc.Response)) {
 	switch r.Op {
 	case statesvc.Get:
-		f(w.Get(r.Path))
+		f(w.Get(r.Key))
 	case statesvc.List:
-		a := statesvc.Reply{Outcome: statesvc.OK}
+		a := statesvc.Response{Outcome: statesvc.OK}
 		for _, path := range slices.Sorted(maps.Keys(w.Keys)) {
-			if strings.HasPrefix(path, r.Starts) {
-				a.Pairs = append(a.Pairs, w.Keys[path])
+			if strings.HasPrefix(path, r.Prefix) {
+				a.KeyValues = append(a.KeyValues, w.Keys[path])
 			}
 		}
 		f(a)
-	case statesvc.Grant:
-		f(statesvc.Reply{Outcome: statesvc.OK, Grant: 1})
+	case statesvc.GrantLease:
+		f(statesvc.Response{Outcome: statesvc.OK, LeaseID: 1})
 	default:
-		f(w.Apply(r.Then))
+		f(w.Apply(r.Mutations))
 	}
 }
 
@@ -143,14 +143,14 @@
 func goldenLeader(t *testing.T) *Server {
 	t.Helper()
 	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
-	var pairs []statesvc.Pair
+	var pairs []statesvc.KeyValue
 	for path, value := range map[string]string{
 		"term":      `{"term":41,"level":1}`,
 		"fleet/1-1": `{"model":"m8","site":"a","text":"host-1,10.1.0.1:9000,0 host-2,10.1.0.2:9000,0 host-3,10.1.0.3:9000,0 host-4,,0 host-5,,0"}`,
 		"live/j-1":  `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":7,"vcpus":1},"seq":1,"phase":"open",` + tasks + `}`,
 		"live/j-2":  `{"spec":{"id":"j-2","desk":"red","shape":"batch","pieces":1,"vcpus":1},"seq":2,"phase":"open","tasks":[{}]}`,
 	} {
-		pairs = append(pairs, statesvc.Pair{Path: path, Value: json.RawMessage(value), Stamp: 5})
+		pairs = append(pairs, statesvc.KeyValue{Key: path, Value: json.RawMessage(value), Revision: 5})
 	}
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -38,10 +38,10 @@
 }
 
 // now returns the steady clock's reading.
-func (l *loop) now() ident.Mono { return ident.Mono(time.Since(l.start)) }
+func (l *loop) now() ident.MonotonicTime { return ident.MonotonicTime(time.Since(l.start)) }
 
 // past says whether a time limit is over; 0 is none.
-func (l *loop) past(limit ident.Mono) bool { return limit > 0 && l.now() >= limit }
+func (l *loop) past(limit ident.MonotonicTime) bool { return limit > 0 && l.now() >= limit }
 
 // post has f run by the loop; for other goroutines.
 func (l *loop) post(f func()) { l.put(l.events, f) }
@@ -144,7 +144,7 @@
 }
 
 type timer struct {
-	at  ident.Mono
+	at  ident.MonotonicTime
 	seq uint64
 	run func()
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -174,12 +174,12 @@
 // run by the loop.
 type env struct{ s *Server }
 
-func (e env) Now() ident.Mono                     { return e.s.loop.now() }
+func (e env) Now() ident.MonotonicTime            { return e.s.loop.now() }
 func (e env) WallMS() int64                       { return time.Now().UnixMilli() }
 func (e env) After(d time.Duration, f func())     { e.s.loop.after(d, f) }
 func (e env) Mesh(to ident.NodeID, f *mesh.Frame) { e.s.mesh.Send(to, f) }
 
-func (e env) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (e env) Store(r statesvc.Request, f func(statesvc.Response)) {
 	go func() {
 		a := e.s.state.Do(r)
 		e.s.loop.postUrgent(func() { f(a) })
@@ -212,7 +212,7 @@
 	}
 	status, b, err := httpcall.Do(s.worker, commandTime, http.MethodPost, "http://"+c.Addr+"/commands", c.Body, maxReport)
 	if err != nil {
-		return workers.Answer{Rejected: httpcall.Rejected(err)}
+		return workers.Answer{Rejected: httpcall.ConnectionRefused(err)}
 	}
 	r, err := api.ParseReport(b)
 	if err != nil {
--- a/internal/standin/calm.go
+++ b/internal/standin/calm.go
@@ -10,7 +10,7 @@
 
 // idleBeside checks that no job waits beside room for it, once all troubles are over.
 func (w *World) idleBeside() {
-	calm := ident.Mono(w.cfg.Length + faultsEnd)
+	calm := ident.MonotonicTime(w.cfg.Length + faultsEnd)
 	w.at(5*time.Second, w.idleBeside)
 	if w.now < calm {
 		return
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -8,13 +8,13 @@
 
 // fault lets something go wrong, again and again until the calm.
 func (w *World) fault() {
-	if w.now > ident.Mono(w.cfg.Length) {
+	if w.now > ident.MonotonicTime(w.cfg.Length) {
 		return
 	}
 	sec := func(a, b int) time.Duration { return time.Duration(a+w.rng.IntN(b-a)) * time.Second }
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
-		if o.alive && o.ctl.Election().Valid() && w.rng.IntN(2) == 0 {
+		if o.alive && o.ctl.Election().LeaseValid() && w.rng.IntN(2) == 0 {
 			n = o
 		}
 	}
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -16,10 +16,10 @@
 	try     ident.Attempt
 	members map[int]*member
 	started bool
-	over    bool       // started, and a task has exited since
-	overAt  ident.Mono //
-	at      float64    // progress in seconds
-	stopAt  ident.Mono // of the first kill
+	over    bool                // started, and a task has exited since
+	overAt  ident.MonotonicTime //
+	at      float64             // progress in seconds
+	stopAt  ident.MonotonicTime // of the first kill
 	told    map[int]bool
 	failed  bool // the save has failed
 	safe    bool // a task has exited with its progress saved
@@ -29,8 +29,8 @@
 type member struct {
 	k      *worker
 	p      *piece
-	tenure ident.Session
-	gone   ident.Mono // when it was first found to be gone or hung, 0: it is there
+	tenure ident.Incarnation
+	gone   ident.MonotonicTime // when it was first found to be gone or hung, 0: it is there
 }
 
 type gangKey struct {
@@ -229,7 +229,7 @@
 // undisturbed says whether nothing has gone wrong for so long, that could have kept an
 // order from a machine.
 func (w *World) undisturbed(d time.Duration) bool {
-	return !w.cfg.Faults || w.now.Sub(ident.Mono(w.cfg.Length+faultsEnd)) > d
+	return !w.cfg.Faults || w.now.Sub(ident.MonotonicTime(w.cfg.Length+faultsEnd)) > d
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/standin/gang_test.go
+++ b/internal/standin/gang_test.go
@@ -56,7 +56,7 @@
 		w := New(Config{Seed: seed, Old: true, Faults: seed%4 > 0, Gangs: true, Length: 300 * time.Second})
 		w.Run()
 		whole(t, seed, w)
-		if _, level, err := election.ReadTerm(w.store.keys[election.TermKey].value); err != nil || level != ident.NewestLevel {
+		if _, level, err := election.DecodeTerm(w.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
 			t.Errorf("seed %d: the format level ends as %d, %v", seed, level, err)
 		}
 		if w.GangRuns == 0 {
--- a/internal/standin/halt.go
+++ b/internal/standin/halt.go
@@ -66,17 +66,17 @@
 }
 
 // clock reads the steady clock; the process doesn't stand still for it.
-func (e *nodeEnv) clock() ident.Mono {
-	return ident.Mono(float64(e.w().now-e.start) * e.rate)
+func (e *nodeEnv) clock() ident.MonotonicTime {
+	return ident.MonotonicTime(float64(e.w().now-e.start) * e.rate)
 }
 
 // leads says whether the process surely leads, to an observer who isn't held up by it.
 func (e *nodeEnv) leads() bool {
 	m := e.n.ctl.Election()
-	return m.State() == election.Leading && e.clock() < m.Until()
+	return m.State() == election.Leading && e.clock() < m.LeaseExpiry()
 }
 
 // past says whether a time limit of the process is over; 0 is none.
-func (e *nodeEnv) past(limit ident.Mono) bool {
+func (e *nodeEnv) past(limit ident.MonotonicTime) bool {
 	return limit > 0 && e.clock() >= limit && e.w().cfg.Mutation != IgnoreLimits
 }
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -114,22 +114,22 @@
 // checkYield checks that a node which hands the lead over writes nothing new but the end of
 // its term, and starts nothing. Repeats of what was under way come with it.
 func (w *World) checkYield(n *node, r statesvc.Request) {
-	if r.Op != statesvc.Txn || !w.yielding(n) || len(r.Then) == 1 && r.Then[0].Delete == election.LeaderKey {
+	if r.Op != statesvc.Txn || !w.yielding(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
 		return
 	}
 	if !w.sentBefore[txnKey(n, r)] {
-		w.broken("%s writes %s%s while it hands the lead over", n.name, r.Then[0].Put, r.Then[0].Delete)
+		w.broken("%s writes %s%s while it hands the lead over", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
 	}
 }
 
 // txnKey names a transaction of a process: a repeat is the same.
 func txnKey(n *node, r statesvc.Request) string {
-	return fmt.Sprint(n.name, n.life, r.If, len(r.Then), r.Then[0].Put, r.Then[0].Delete)
+	return fmt.Sprint(n.name, n.life, r.Compares, len(r.Mutations), r.Mutations[0].Put, r.Mutations[0].Delete)
 }
 
 // noteTxn remembers a transaction, for its repeats to be known.
 func (w *World) noteTxn(n *node, r statesvc.Request) {
-	if w.cfg.Links && r.Op == statesvc.Txn && len(r.Then) > 0 {
+	if w.cfg.Links && r.Op == statesvc.Txn && len(r.Mutations) > 0 {
 		w.checkYield(n, r)
 		w.sentBefore[txnKey(n, r)] = true
 	}
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -9,7 +9,7 @@
 )
 
 // second is a moment of a run.
-func second(s float64) ident.Mono { return ident.Mono(s * float64(time.Second)) }
+func second(s float64) ident.MonotonicTime { return ident.MonotonicTime(s * float64(time.Second)) }
 
 func (w *World) when(s float64, f func()) { w.at(second(s).Sub(w.now), f) }
 
--- a/internal/standin/moves.go
+++ b/internal/standin/moves.go
@@ -17,7 +17,7 @@
 
 // checkMoves checks what is written about moves: a job's record only grows, to two moves at
 // the most, until the job is over.
-func (w *World) checkMoves(c statesvc.Change) {
+func (w *World) checkMoves(c statesvc.Mutation) {
 	id, ok := movesKey(c.Put + c.Delete)
 	if !ok {
 		return
@@ -119,7 +119,7 @@
 
 // movesOf lists the moves that a leader knows of.
 func movesOf(n *node) (out []controller.MoveEntry) {
-	if n == nil || !n.alive || !n.ctl.Election().Valid() {
+	if n == nil || !n.alive || !n.ctl.Election().LeaseValid() {
 		return nil
 	}
 	n.ctl.MoveReport(func(r controller.MoveReport) {
@@ -159,7 +159,7 @@
 		node string
 		life int
 		task string
-		from ident.HostID
+		from ident.MachineID
 	}
 	seen := map[key]bool{}
 	w.watchMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
@@ -173,7 +173,7 @@
 }
 
 // machine returns the worker of a name, nil if it is gone.
-func (w *World) machine(h ident.HostID) *worker { return w.workers[h] }
+func (w *World) machine(h ident.MachineID) *worker { return w.workers[h] }
 
 // movesKey returns the job of a key of moves.
 func movesKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
--- a/internal/standin/moves_load_test.go
+++ b/internal/standin/moves_load_test.go
@@ -196,11 +196,11 @@
 				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
-		left := map[string]map[ident.HostID]bool{}
+		left := map[string]map[ident.MachineID]bool{}
 		w.when(wideAt, func() {
 			w.watchMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 				if left[m.Task] == nil {
-					left[m.Task] = map[ident.HostID]bool{}
+					left[m.Task] = map[ident.MachineID]bool{}
 				}
 				left[m.Task][m.From] = true
 				if m.To != "" && left[m.Task][m.To] {
@@ -230,7 +230,7 @@
 				}
 				for _, id := range w.order {
 					if before > 0 {
-						w.store.apply([]statesvc.Change{{Put: migration.Key(id), Value: api.JSON(r)}})
+						w.store.apply([]statesvc.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
 					}
 				}
 				w.Moves = 0
@@ -363,7 +363,7 @@
 	w.fragment(4)
 	w.when(40, func() {
 		for _, id := range w.order {
-			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), stamp: ident.Stamp(w.store.ledger)}
+			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), stamp: ident.Revision(w.store.ledger)}
 		}
 		l := w.leader()
 		l.kill(time.Second)
--- a/internal/standin/mutation.go
+++ b/internal/standin/mutation.go
@@ -16,7 +16,7 @@
 func (w *World) mutateCheckin(n *node, body []byte, r *controller.Reply) *controller.Reply {
 	var m api.Report
 	switch {
-	case w.cfg.Mutation == RenewOn && !n.ctl.Election().Valid():
+	case w.cfg.Mutation == RenewOn && !n.ctl.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
 			return &controller.Reply{Status: 200, Body: api.JSON(api.Orders{Epoch: m.Epoch, Orders: []api.Order{}})}
 		}
@@ -42,25 +42,25 @@
 
 // cached is the mutation that has nodes answer questions from memory for a while.
 type cached struct {
-	at   ident.Mono
+	at   ident.MonotonicTime
 	body []byte
 }
 
 const cacheTime = 3 * time.Second
 
 // forgetPlacements is the mutation in which a new leader doesn't know where tasks are.
-func forgetPlacements(a statesvc.Reply) statesvc.Reply {
-	pairs := append([]statesvc.Pair(nil), a.Pairs...)
+func forgetPlacements(a statesvc.Response) statesvc.Response {
+	pairs := append([]statesvc.KeyValue(nil), a.KeyValues...)
 	for i, p := range pairs {
 		var v struct {
 			LSN  uint64 `json:"n"`
 			Text string `json:"t"`
 		}
-		if !strings.HasPrefix(p.Path, commit.LogPrefix) || json.Unmarshal(p.Value, &v) != nil {
+		if !strings.HasPrefix(p.Key, commit.LogPrefix) || json.Unmarshal(p.Value, &v) != nil {
 			continue
 		}
 		var rows []string
-		commit.Unpack(v.Text, func(group, line string) error {
+		commit.ParseText(v.Text, func(group, line string) error {
 			if f := strings.Split(line, ","); len(f) < 4 {
 				rows = append(rows, group+" "+line)
 			} else {
@@ -71,7 +71,7 @@
 		v.Text = strings.Join(rows, "\n")
 		pairs[i].Value = api.JSON(v)
 	}
-	a.Pairs = pairs
+	a.KeyValues = pairs
 	return a
 }
 
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -36,7 +36,7 @@
 	if strings.HasPrefix(to, "host-") {
 		often = 25 // commands that come late are what tokens are for
 	}
-	if w.cfg.Faults && w.now < ident.Mono(w.cfg.Length) && w.rng.IntN(often) == 0 {
+	if w.cfg.Faults && w.now < ident.MonotonicTime(w.cfg.Length) && w.rng.IntN(often) == 0 {
 		if w.rng.IntN(2) == 0 {
 			return
 		}
@@ -67,7 +67,7 @@
 			return n.zone
 		}
 	}
-	if k := w.workers[ident.HostID(name)]; k != nil {
+	if k := w.workers[ident.MachineID(name)]; k != nil {
 		return k.m.site
 	}
 	return ""
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -22,11 +22,11 @@
 	ctl   *controller.Controller
 	life  int // counts the processes
 	alive bool
-	old   bool              // its next process is of the version in production
-	still ident.Mono        // its process stands still until then, though its clocks run on
-	env   *nodeEnv          // of the present process
-	halts halts             // within an event
-	cache map[string]cached // of the mutation CacheAnswers
+	old   bool                // its next process is of the version in production
+	still ident.MonotonicTime // its process stands still until then, though its clocks run on
+	env   *nodeEnv            // of the present process
+	halts halts               // within an event
+	cache map[string]cached   // of the mutation CacheAnswers
 }
 
 // freeze has the node's process stand still.
@@ -106,15 +106,15 @@
 	n     *node
 	life  int
 	old   bool // the process is of the version in production
-	start ident.Mono
+	start ident.MonotonicTime
 	rate  float64 // of its steady clock
 }
 
 func (e *nodeEnv) w() *World { return e.n.w }
 
-func (e *nodeEnv) Now() ident.Mono {
+func (e *nodeEnv) Now() ident.MonotonicTime {
 	e.mayHalt()
-	return ident.Mono(float64(e.w().now.Add(e.n.halts.halted)-e.start) * e.rate)
+	return ident.MonotonicTime(float64(e.w().now.Add(e.n.halts.halted)-e.start) * e.rate)
 }
 
 func (e *nodeEnv) WallMS() int64 { return 1_700_000_000_000 + e.w().now.Sub(0).Milliseconds() }
@@ -129,7 +129,7 @@
 	e.w().at(e.n.halts.halted+max(0, time.Duration(float64(d)/e.rate)+time.Microsecond), e.in(f))
 }
 
-func (e *nodeEnv) State(r statesvc.Request, f func(statesvc.Reply)) {
+func (e *nodeEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
 	w := e.w()
 	ok := true
 	if e.old {
@@ -142,7 +142,7 @@
 	}
 	if w.cfg.Mutation == ForgetPlacements && r.Op == statesvc.List {
 		g := f
-		f = func(a statesvc.Reply) { g(forgetPlacements(a)) }
+		f = func(a statesvc.Response) { g(forgetPlacements(a)) }
 	}
 	w.wrote(e.n.name, r)
 	w.noteTxn(e.n, r)
@@ -150,15 +150,15 @@
 		w.call(e.n.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.n.name, r, reply) }, func(a any) {
 			e.in(func() {
 				if a == nil {
-					f(statesvc.Reply{Outcome: statesvc.Lost})
+					f(statesvc.Response{Outcome: statesvc.NoAnswer})
 				} else {
-					f(a.(statesvc.Reply))
+					f(a.(statesvc.Response))
 				}
 			})()
 		})
 	}
 	send = e.afterHalt(send)
-	if w.cfg.Mutation == LaunchFirst && r.Op == statesvc.Txn && r.If[0].Path == "leader" && r.If[0].Stamp != 0 {
+	if w.cfg.Mutation == LaunchFirst && r.Op == statesvc.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
 		w.launchPlaced(e.n.name, r)
 		w.at(400*time.Millisecond, e.in(send))
 		return
@@ -167,8 +167,8 @@
 }
 
 // reply has an answer come to the process, if it still lives.
-func (e *nodeEnv) reply(f func(statesvc.Reply)) func(statesvc.Reply) {
-	return func(a statesvc.Reply) { e.in(func() { f(a) })() }
+func (e *nodeEnv) reply(f func(statesvc.Response)) func(statesvc.Response) {
+	return func(a statesvc.Response) { e.in(func() { f(a) })() }
 }
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Reply)) {
@@ -202,7 +202,7 @@
 	if c.Launches() && !e.past(c.NotAfter) && !e.leads() {
 		w.took("launch without leadership")
 	}
-	k := w.workers[ident.HostID(c.Addr)]
+	k := w.workers[ident.MachineID(c.Addr)]
 	switch {
 	case e.past(c.NotAfter):
 		w.at(0, func() { answer(workers.Answer{Unsent: true}) })
--- a/internal/standin/old.go
+++ b/internal/standin/old.go
@@ -15,10 +15,10 @@
 // its formats, frozen, and what it refuses. It can go with package upgrade.
 
 type oldRecord struct {
-	Attempt ident.Attempt `json:"t,omitempty"`
-	Host    ident.HostID  `json:"h,omitempty"`
-	Session ident.Session `json:"n,omitempty"`
-	Done    bool          `json:"d,omitempty"`
+	Attempt ident.Attempt     `json:"t,omitempty"`
+	Host    ident.MachineID   `json:"h,omitempty"`
+	Session ident.Incarnation `json:"n,omitempty"`
+	Done    bool              `json:"d,omitempty"`
 }
 
 type oldHeader struct {
@@ -49,9 +49,9 @@
 	Zone  string `json:"site"`
 	Spot  bool   `json:"standby,omitempty"`
 	Hosts []struct {
-		Host   ident.HostID `json:"h"`
-		Addr   string       `json:"a,omitempty"`
-		BornMS int64        `json:"b"`
+		Host   ident.MachineID `json:"h"`
+		Addr   string          `json:"a,omitempty"`
+		BornMS int64           `json:"b"`
 	} `json:"hosts"`
 }
 
@@ -91,17 +91,17 @@
 }
 
 // asOld has a request of an old node answered as that one sees it.
-func (e *nodeEnv) asOld(r statesvc.Request, f func(statesvc.Reply)) (func(statesvc.Reply), bool) {
-	if r.Starts == upgrade.Prefix || strings.HasPrefix(r.Path, upgrade.Prefix) {
+func (e *nodeEnv) asOld(r statesvc.Request, f func(statesvc.Response)) (func(statesvc.Response), bool) {
+	if r.Prefix == upgrade.NodeKeyPrefix || strings.HasPrefix(r.Key, upgrade.NodeKeyPrefix) {
 		return nil, false // it knows of no such thing
 	}
-	return func(a statesvc.Reply) {
-		pairs := a.Pairs
+	return func(a statesvc.Response) {
+		pairs := a.KeyValues
 		if r.Op == statesvc.Get && a.Outcome == statesvc.OK {
-			pairs = []statesvc.Pair{{Path: r.Path, Value: a.Value}}
+			pairs = []statesvc.KeyValue{{Key: r.Key, Value: a.Value}}
 		}
 		for _, p := range pairs {
-			if err := readOld(p.Path, p.Value); err != nil {
+			if err := readOld(p.Key, p.Value); err != nil {
 				e.w().broken("an old node can't read, or would not keep: %v", err)
 			}
 		}
@@ -110,23 +110,23 @@
 }
 
 // tamper is what the mutations of a rollout do to the requests of a new node.
-func (w *World) tamper(r statesvc.Request, f func(statesvc.Reply)) (statesvc.Request, bool) {
-	if w.cfg.Mutation == RaiseEarly && r.Starts == upgrade.Prefix {
-		out := statesvc.Reply{Outcome: statesvc.OK}
+func (w *World) tamper(r statesvc.Request, f func(statesvc.Response)) (statesvc.Request, bool) {
+	if w.cfg.Mutation == RaiseEarly && r.Prefix == upgrade.NodeKeyPrefix {
+		out := statesvc.Response{Outcome: statesvc.OK}
 		for _, n := range w.nodes {
-			out.Pairs = append(out.Pairs, statesvc.Pair{Path: upgrade.Prefix + n.name, Value: json.RawMessage(`{"level":1}`)})
+			out.KeyValues = append(out.KeyValues, statesvc.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
 		}
 		w.at(0, func() { f(out) })
 		return r, false
 	}
 	if w.cfg.Mutation == WriteEarly && r.Op == statesvc.Txn {
-		then := append([]statesvc.Change(nil), r.Then...)
+		then := append([]statesvc.Mutation(nil), r.Mutations...)
 		for i, c := range then {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
 				then[i].Value = append([]byte(`{"early":1,`), c.Value[1:]...)
 			}
 		}
-		r.Then = then
+		r.Mutations = then
 	}
 	return r, true
 }
--- a/internal/standin/outage_test.go
+++ b/internal/standin/outage_test.go
@@ -25,7 +25,7 @@
 func cutTwice(seed uint64, leader bool, first, then partition) *World {
 	w := New(Config{Seed: seed, Quiet: true, Length: 130 * time.Second})
 	w.load(4)
-	w.when(30, func() { w.closeLooks = spell{0.3, ident.Mono(140 * time.Second)} })
+	w.when(30, func() { w.closeLooks = spell{0.3, ident.MonotonicTime(140 * time.Second)} })
 	w.stream(40.0, 120, 2, 8*time.Second)
 	term := ident.Term(0)
 	w.when(60, func() {
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -20,19 +20,19 @@
 	w         *World
 	ledger    uint64
 	keys      map[string]*entry
-	leases    map[uint64]ident.Mono // when each ends
+	leases    map[uint64]ident.MonotonicTime // when each ends
 	ttl       map[uint64]time.Duration
 	lastGrant uint64
 	watchers  []*watcher
-	news      []statesvc.News
-	downUntil ident.Mono
-	refuses   map[string]ident.Mono
+	news      []statesvc.WatchEvent
+	downUntil ident.MonotonicTime
+	refuses   map[string]ident.MonotonicTime
 	limits    settings.State
 }
 
 type entry struct {
 	value json.RawMessage
-	stamp ident.Stamp
+	stamp ident.Revision
 	grant uint64
 }
 
@@ -44,8 +44,8 @@
 }
 
 func newStore(w *World) *store {
-	s := &store{w: w, keys: map[string]*entry{}, leases: map[uint64]ident.Mono{}, ttl: map[uint64]time.Duration{},
-		refuses: map[string]ident.Mono{}, limits: w.set.State}
+	s := &store{w: w, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, ttl: map[uint64]time.Duration{},
+		refuses: map[string]ident.MonotonicTime{}, limits: w.set.State}
 	w.at(0, s.expire)
 	return s
 }
@@ -67,10 +67,10 @@
 
 func (s *store) end(g uint64) {
 	delete(s.leases, g)
-	var gone []statesvc.Change
+	var gone []statesvc.Mutation
 	for k, e := range s.keys {
 		if e.grant == g {
-			gone = append(gone, statesvc.Change{Delete: k})
+			gone = append(gone, statesvc.Mutation{Delete: k})
 		}
 	}
 	if len(gone) > 0 {
@@ -79,13 +79,13 @@
 	}
 }
 
-func (s *store) apply(changes []statesvc.Change) {
+func (s *store) apply(changes []statesvc.Mutation) {
 	s.ledger++
 	for _, c := range changes {
-		n := statesvc.News{Put: c.Put, Value: c.Value, Delete: c.Delete, Stamp: ident.Stamp(s.ledger)}
+		n := statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.ledger)}
 		s.w.checkMoves(c)
 		if c.Put != "" {
-			s.keys[c.Put] = &entry{c.Value, ident.Stamp(s.ledger), c.Grant}
+			s.keys[c.Put] = &entry{c.Value, ident.Revision(s.ledger), c.LeaseID}
 		} else {
 			delete(s.keys, c.Delete)
 		}
@@ -101,13 +101,13 @@
 	if w.done {
 		return
 	}
-	out := statesvc.Reply{Outcome: statesvc.OK, Ledger: s.ledger}
+	out := statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.ledger}
 	for _, n := range s.news {
-		if uint64(n.Stamp) > w.since && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
-			out.News = append(out.News, n)
+		if uint64(n.Revision) > w.since && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
+			out.Events = append(out.Events, n)
 		}
 	}
-	if len(out.News) > 0 || over {
+	if len(out.Events) > 0 || over {
 		w.done = true
 		w.reply(out)
 	}
@@ -115,55 +115,55 @@
 
 func (s *store) serve(from string, r statesvc.Request, reply func(any)) {
 	if s.w.now < s.downUntil || s.w.now < s.refuses[from] {
-		reply(statesvc.Reply{Outcome: statesvc.Refused})
+		reply(statesvc.Response{Outcome: statesvc.Unavailable})
 		return
 	}
-	out := statesvc.Reply{Outcome: statesvc.OK, Ledger: s.ledger}
+	out := statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.ledger}
 	switch r.Op {
 	case statesvc.Get:
-		e := s.keys[r.Path]
+		e := s.keys[r.Key]
 		if e == nil {
 			out.Outcome = statesvc.NotFound
 			break
 		}
-		out.Value, out.Stamp, out.Grant = e.value, e.stamp, e.grant
+		out.Value, out.Revision, out.LeaseID = e.value, e.stamp, e.grant
 	case statesvc.List:
 		var names []string
 		for k := range s.keys {
-			if strings.HasPrefix(k, r.Starts) && k > r.Since {
+			if strings.HasPrefix(k, r.Prefix) && k > r.StartAfter {
 				names = append(names, k)
 			}
 		}
 		sort.Strings(names)
 		for _, k := range names {
-			if len(out.Pairs) == 7 { // small pages, so that paging is tested
+			if len(out.KeyValues) == 7 { // small pages, so that paging is tested
 				out.Truncated = true
 				break
 			}
-			out.Pairs = append(out.Pairs, statesvc.Pair{Path: k, Value: s.keys[k].value, Stamp: s.keys[k].stamp})
+			out.KeyValues = append(out.KeyValues, statesvc.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].stamp})
 		}
 	case statesvc.Txn:
 		if s.lateTxn(r, reply) {
 			return
 		}
 		out = s.txn(r)
-	case statesvc.Grant:
+	case statesvc.GrantLease:
 		s.lastGrant++
 		s.ttl[s.lastGrant] = r.TTL
 		s.leases[s.lastGrant] = s.w.now.Add(r.TTL)
-		out.Grant = s.lastGrant
-	case statesvc.Extend:
-		if _, ok := s.leases[r.Grant]; !ok {
+		out.LeaseID = s.lastGrant
+	case statesvc.RenewLease:
+		if _, ok := s.leases[r.LeaseID]; !ok {
 			out.Outcome = statesvc.NotFound
 			break
 		}
-		s.leases[r.Grant] = s.w.now.Add(s.ttl[r.Grant])
-	case statesvc.Revoke:
-		if _, ok := s.leases[r.Grant]; ok {
-			s.end(r.Grant)
+		s.leases[r.LeaseID] = s.w.now.Add(s.ttl[r.LeaseID])
+	case statesvc.RevokeLease:
+		if _, ok := s.leases[r.LeaseID]; ok {
+			s.end(r.LeaseID)
 		}
-	case statesvc.Follow:
-		w := &watcher{prefix: r.Starts, since: r.Ledger, reply: reply}
+	case statesvc.Watch:
+		w := &watcher{prefix: r.Prefix, since: r.Revision, reply: reply}
 		s.watchers = append(s.watchers, w)
 		s.tell(w, false)
 		s.w.at(r.Block, func() { s.tell(w, true) })
@@ -181,51 +181,51 @@
 	s.w.logf("the state service has its new limits")
 }
 
-func (s *store) txn(r statesvc.Request) statesvc.Reply {
-	large := func(format string, a ...any) statesvc.Reply {
+func (s *store) txn(r statesvc.Request) statesvc.Response {
+	large := func(format string, a ...any) statesvc.Response {
 		s.w.TooLarge++
 		s.w.logf(format, a...)
 		if s.limits == s.w.set.State {
 			s.w.broken(format, a...)
 		}
-		return statesvc.Reply{Outcome: statesvc.Bad, Error: "too large"}
+		return statesvc.Response{Outcome: statesvc.Invalid, Error: "too large"}
 	}
-	if len(r.Then) > s.limits.TxnOps || len(r.If) > 4*s.limits.TxnOps {
-		return large("transaction over the limits: %d changes, %d conditions", len(r.Then), len(r.If))
+	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
+		return large("transaction over the limits: %d changes, %d conditions", len(r.Mutations), len(r.Compares))
 	}
 	size := 0
-	for _, c := range r.Then {
+	for _, c := range r.Mutations {
 		size += len(c.Value)
 		if float64(len(c.Value)) > s.limits.ValueKB*1024 {
 			return large("value of %s over the limit: %d bytes", c.Put, len(c.Value))
 		}
-		if c.Put != "" && c.Grant != 0 {
-			if _, ok := s.leases[c.Grant]; !ok {
-				return statesvc.Reply{Outcome: statesvc.Bad, Error: "no such lease"}
+		if c.Put != "" && c.LeaseID != 0 {
+			if _, ok := s.leases[c.LeaseID]; !ok {
+				return statesvc.Response{Outcome: statesvc.Invalid, Error: "no such lease"}
 			}
 		}
 	}
 	if size > 64<<10 {
 		s.w.broken("transaction of %d bytes", size)
 	}
-	election := r.If[0].Path == "leader" && len(r.If) == 2 && r.If[1].Path == "term"
+	election := r.Compares[0].Key == "leader" && len(r.Compares) == 2 && r.Compares[1].Key == "term"
 	if s.w.cfg.Mutation != IgnoreStamps || election {
 		var failed []string
-		for _, c := range r.If {
-			var have ident.Stamp
-			if e := s.keys[c.Path]; e != nil {
+		for _, c := range r.Compares {
+			var have ident.Revision
+			if e := s.keys[c.Key]; e != nil {
 				have = e.stamp
 			}
-			if have != c.Stamp {
-				failed = append(failed, c.Path)
+			if have != c.Revision {
+				failed = append(failed, c.Key)
 			}
 		}
 		if failed != nil {
-			return statesvc.Reply{Outcome: statesvc.Conflict, Failed: failed, Ledger: s.ledger}
+			return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: failed, StoreRevision: s.ledger}
 		}
 	}
-	s.apply(r.Then)
-	return statesvc.Reply{Outcome: statesvc.OK, Ledger: s.ledger}
+	s.apply(r.Mutations)
+	return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.ledger}
 }
 
 // provider is the cloud.
@@ -233,23 +233,23 @@
 	w         *World
 	models    []cloud.Model
 	machines  []*rented
-	hires     map[string][]ident.HostID
-	downUntil ident.Mono
+	hires     map[string][]ident.MachineID
+	downUntil ident.MonotonicTime
 	soldOut   bool // no machine is to be had
 }
 
 type rented struct {
-	host    ident.HostID
+	host    ident.MachineID
 	site    string
 	standby bool
-	born    ident.Mono
-	up      ident.Mono // 0: not yet
-	gone    ident.Mono
+	born    ident.MonotonicTime
+	up      ident.MonotonicTime // 0: not yet
+	gone    ident.MonotonicTime
 	never   bool
 }
 
 func newProvider(w *World) *provider {
-	return &provider{w: w, hires: map[string][]ident.HostID{}, models: []cloud.Model{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
+	return &provider{w: w, hires: map[string][]ident.MachineID{}, models: []cloud.Model{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
 		LocalGB: 4, PullGBPerS: 1, Hourly: 1, MarketPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
 }
 
@@ -302,7 +302,7 @@
 		}
 	case cloud.List:
 		lag := time.Duration(w.rng.IntN(int(2*w.set.Cloud.ListLagS*1000))) * time.Millisecond
-		at := ident.Mono(max(0, w.now.Sub(0)-lag))
+		at := ident.MonotonicTime(max(0, w.now.Sub(0)-lag))
 		for _, m := range p.machines {
 			if m.host <= r.Since || m.born > at || m.gone > 0 && m.gone <= at {
 				continue
@@ -318,9 +318,9 @@
 	w.at(50*time.Millisecond, func() { reply(out) })
 }
 
-func (p *provider) rent(r cloud.Request) ident.HostID {
+func (p *provider) rent(r cloud.Request) ident.MachineID {
 	w := p.w
-	m := &rented{host: ident.HostID(fmt.Sprintf("host-%06d", len(p.machines)+1)), site: r.Zone, standby: r.Spot, born: w.now,
+	m := &rented{host: ident.MachineID(fmt.Sprintf("host-%06d", len(p.machines)+1)), site: r.Zone, standby: r.Spot, born: w.now,
 		never: w.rng.IntN(40) == 0}
 	p.machines = append(p.machines, m)
 	boot := time.Duration(3000+w.rng.IntN(6000)) * time.Millisecond
--- a/internal/standin/study.go
+++ b/internal/standin/study.go
@@ -51,13 +51,13 @@
 
 // study notes what nodes decide while a link is broken.
 type study struct {
-	from, until  ident.Mono
+	from, until  ident.MonotonicTime
 	cut          string // the leader that was cut
-	lastDecision ident.Mono
-	nextPlaces   ident.Mono
+	lastDecision ident.MonotonicTime
+	nextPlaces   ident.MonotonicTime
 }
 
-func (s *study) on(now ident.Mono) bool { return s.from > 0 && now >= s.from && now < s.until }
+func (s *study) on(now ident.MonotonicTime) bool { return s.from > 0 && now >= s.from && now < s.until }
 
 // wrote notes a transaction of a node: a record of the log is a placement, or the end of one.
 func (w *World) wrote(node string, r statesvc.Request) {
@@ -65,7 +65,7 @@
 	if !s.on(w.now) || r.Op != statesvc.Txn {
 		return
 	}
-	for _, c := range r.Then {
+	for _, c := range r.Mutations {
 		if !strings.HasPrefix(c.Put, commit.LogPrefix) {
 			continue
 		}
--- a/internal/standin/study_load.go
+++ b/internal/standin/study_load.go
@@ -53,7 +53,7 @@
 		if w.onlyHot(hotTeam) {
 			out.HotSeconds++
 		}
-		if w.now < ident.Mono(floodFrom+floodFor) {
+		if w.now < ident.MonotonicTime(floodFrom+floodFor) {
 			w.at(time.Second, sample)
 		}
 	}
@@ -61,7 +61,7 @@
 	w.Run()
 	for _, id := range w.order {
 		j := w.jobs[id]
-		if j.told != "done" || j.sentAt < ident.Mono(floodFrom) {
+		if j.told != "done" || j.sentAt < ident.MonotonicTime(floodFrom) {
 			continue
 		}
 		if took := j.toldAt.Sub(j.sentAt); j.spec.Team == hotTeam {
@@ -96,7 +96,7 @@
 }
 
 // flood has the hot team submit arrays one after the other.
-func (w *World) flood(until ident.Mono) {
+func (w *World) flood(until ident.MonotonicTime) {
 	if w.now > until {
 		return
 	}
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -16,7 +16,7 @@
 // spell is a trouble that befalls a share of what it is about until a time.
 type spell struct {
 	share float64
-	until ident.Mono
+	until ident.MonotonicTime
 }
 
 func (w *World) hits(s spell) bool { return w.now < s.until && w.rng.Float64() < s.share }
@@ -35,7 +35,7 @@
 	neverBoots  spell // or never
 	lastMoment  spell // jobs are called off at the moment in which their last task ends
 	closeLooks  spell // users ask at all nodes within milliseconds of what they are told
-	mute        map[string]ident.Mono
+	mute        map[string]ident.MonotonicTime
 	kept        []func()
 	watching    bool // for the next leader, to deliver what is kept
 
@@ -256,7 +256,7 @@
 }
 
 // odd has users send what is odd, but defined, until a time.
-func (w *World) odd(until ident.Mono) {
+func (w *World) odd(until ident.MonotonicTime) {
 	if w.now > until {
 		return
 	}
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -18,7 +18,7 @@
 	mistaken   bool                                    // its tasks fail on every machine
 	tries      int                                     // that failed for it
 	step       time.Duration                           // by which each task runs longer than the one before
-	beside     ident.Mono                              // since when it waits beside room for it, 0: it doesn't
+	beside     ident.MonotonicTime                     // since when it waits beside room for it, 0: it doesn't
 	saved      float64                                 // progress of a gang that is safe, in seconds
 	kept       map[int]time.Duration                   // progress of an array's tasks that is safe
 	lost       time.Duration                           // of its tasks' run time, by stops without saving
@@ -27,20 +27,20 @@
 	sent       bool
 	accepted   bool
 	told       string
-	toldAt     ident.Mono
-	cancelSent ident.Mono
-	cancelTold ident.Mono
-	sentAt     ident.Mono
-	acceptedAt ident.Mono
-	begunAt    ident.Mono // when its first task started, 0: not yet
-	answered   ident.Mono // when a question about it was last answered
+	toldAt     ident.MonotonicTime
+	cancelSent ident.MonotonicTime
+	cancelTold ident.MonotonicTime
+	sentAt     ident.MonotonicTime
+	acceptedAt ident.MonotonicTime
+	begunAt    ident.MonotonicTime // when its first task started, 0: not yet
+	answered   ident.MonotonicTime // when a question about it was last answered
 }
 
 func (j *userJob) runOf(i int) time.Duration { return j.runs + time.Duration(i)*j.step }
 
 // arrive submits jobs, more at the start.
 func (w *World) arrive() {
-	if w.now > ident.Mono(w.cfg.Length) {
+	if w.now > ident.MonotonicTime(w.cfg.Length) {
 		return
 	}
 	w.newJob()
@@ -140,7 +140,7 @@
 // crowd submits more small jobs of a team than its limit can take, and now and
 // then a job whose tasks are large, and one of a team without a guarantee.
 func (w *World) crowd() {
-	if w.now > ident.Mono(w.cfg.Length) {
+	if w.now > ident.MonotonicTime(w.cfg.Length) {
 		return
 	}
 	w.nextJob++
@@ -180,12 +180,12 @@
 	return w.nodes[0]
 }
 
-func (w *World) submit(j *userJob, until ident.Mono) { w.submitTo(j, until, w.some()) }
+func (w *World) submit(j *userJob, until ident.MonotonicTime) { w.submitTo(j, until, w.some()) }
 
 // submitAt repeats the submission of a job at a node, once.
 func (w *World) submitAt(j *userJob, n *node) { w.submitTo(j, 0, n) }
 
-func (w *World) submitTo(j *userJob, until ident.Mono, n *node) {
+func (w *World) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.sent = true
 	asked := w.now
 	w.request("users", n, mesh.Submit, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Reply) {
@@ -211,10 +211,10 @@
 }
 
 func (w *World) poll(j *userJob) {
-	if calm := ident.Mono(w.cfg.Length + faultsEnd); w.now > calm && w.now.Sub(max(j.answered, calm)) > knownWithin {
+	if calm := ident.MonotonicTime(w.cfg.Length + faultsEnd); w.now > calm && w.now.Sub(max(j.answered, calm)) > knownWithin {
 		w.broken("forgotten: nothing about %s was answered for %v", j.spec.ID, w.now.Sub(max(j.answered, calm)))
 	}
-	if w.cfg.Mutation == StarvePolls && w.now > ident.Mono(w.cfg.Length) && j.spec.Tasks%2 == 0 {
+	if w.cfg.Mutation == StarvePolls && w.now > ident.MonotonicTime(w.cfg.Length) && j.spec.Tasks%2 == 0 {
 		w.at(5*time.Second, func() { w.poll(j) })
 		return
 	}
@@ -273,7 +273,7 @@
 
 // hear checks an answer against what the user knew when asking: requests that
 // overlap have no order.
-func (w *World) hear(j *userJob, r *controller.Reply, asked ident.Mono) {
+func (w *World) hear(j *userJob, r *controller.Reply, asked ident.MonotonicTime) {
 	var v api.View
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
 		w.broken("%s: unreadable answer %s", j.spec.ID, r.Body)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -21,19 +21,19 @@
 type worker struct {
 	w       *World
 	m       *rented
-	host    ident.HostID
+	host    ident.MachineID
 	dead    bool
-	hung    ident.Mono
-	tenure  ident.Session
-	serial  ident.Serial
-	epoch   ident.Epoch
-	leaseAt ident.Mono
-	doomed  ident.Mono
+	hung    ident.MonotonicTime
+	tenure  ident.Incarnation
+	serial  ident.SequenceNumber
+	epoch   ident.FencingToken
+	leaseAt ident.MonotonicTime
+	doomed  ident.MonotonicTime
 	node    int
 	pieces  map[ident.TaskID]map[ident.Attempt]*piece
 	images  map[string]bool
 	flying  bool // a report is under way
-	last    ident.Mono
+	last    ident.MonotonicTime
 	faulty  bool
 	pace    float64 // how many times as long arrays' tasks take
 }
@@ -46,7 +46,7 @@
 	stored bool
 	alike  bool // of the mutation OneTry
 	gen    int
-	began  ident.Mono // when it started to run
+	began  ident.MonotonicTime // when it started to run
 }
 
 // slowPace is that of slow machines.
@@ -183,7 +183,7 @@
 // whatever has become of the machine. Nobody waits for its answer.
 func (k *worker) copied(m *api.Report) {
 	w := k.w
-	if !w.cfg.Faults || w.now > ident.Mono(w.cfg.Length) || w.rng.IntN(30) > 0 {
+	if !w.cfg.Faults || w.now > ident.MonotonicTime(w.cfg.Length) || w.rng.IntN(30) > 0 {
 		return
 	}
 	late := time.Duration(w.rng.Float64() * 2 * w.set.Workers.LeaseS * float64(time.Second))
@@ -208,7 +208,7 @@
 }
 
 // entitled checks and notes a token.
-func (k *worker) entitled(e ident.Epoch) bool {
+func (k *worker) entitled(e ident.FencingToken) bool {
 	if e < k.epoch && k.w.cfg.Mutation != IgnoreEpochs {
 		return false
 	}
@@ -427,23 +427,23 @@
 // launchPlaced is the mutation that launches what a transaction is only about to
 // make durable.
 func (w *World) launchPlaced(from string, r statesvc.Request) {
-	for _, c := range r.Then {
+	for _, c := range r.Mutations {
 		var v struct {
 			Text string `json:"t"`
 		}
 		if !strings.HasPrefix(c.Put, commit.LogPrefix) || json.Unmarshal(c.Value, &v) != nil {
 			continue
 		}
-		commit.Unpack(v.Text, func(id, line string) error {
+		commit.ParseText(v.Text, func(id, line string) error {
 			var i int
 			var try ident.Attempt
-			var tenure ident.Session
+			var tenure ident.Incarnation
 			f := strings.Split(line, ",")
 			if len(f) != 4 {
 				return nil
 			}
 			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &tenure)
-			k := w.workers[ident.HostID(f[2])]
+			k := w.workers[ident.MachineID(f[2])]
 			if k == nil {
 				return nil
 			}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -55,7 +55,7 @@
 type World struct {
 	cfg   Config
 	rng   *rand.Rand
-	now   ident.Mono
+	now   ident.MonotonicTime
 	queue eventHeap
 	seq   uint64
 
@@ -63,15 +63,15 @@
 	nodes   []*node
 	store   *store
 	cloud   *provider
-	workers map[ident.HostID]*worker
+	workers map[ident.MachineID]*worker
 	jobs    map[ident.JobID]*userJob
 	gangs   map[gangKey]*gangRun
 	order   []ident.JobID
 	cuts    map[[2]string]*cut
-	oneWay  map[[2]string]*cut    // links broken in one direction, from the first to the second
-	sorted  []*worker             // the workers by name, nil when they have changed
-	zones   map[string]*cut       // zones cut off from everything outside
-	deaf    map[string]ident.Mono // machines that nothing reaches until then
+	oneWay  map[[2]string]*cut             // links broken in one direction, from the first to the second
+	sorted  []*worker                      // the workers by name, nil when they have changed
+	zones   map[string]*cut                // zones cut off from everything outside
+	deaf    map[string]ident.MonotonicTime // machines that nothing reaches until then
 	nextJob int
 	troubles
 	linkEvents
@@ -97,7 +97,7 @@
 }
 
 type event struct {
-	at  ident.Mono
+	at  ident.MonotonicTime
 	seq uint64
 	run func()
 }
@@ -119,10 +119,10 @@
 
 // New makes a world of three controllers in two zones.
 func New(cfg Config) *World {
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.HostID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangRun{}, cuts: map[[2]string]*cut{}, oneWay: map[[2]string]*cut{}, zones: map[string]*cut{}, deaf: map[string]ident.Mono{},
+	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
+		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangRun{}, cuts: map[[2]string]*cut{}, oneWay: map[[2]string]*cut{}, zones: map[string]*cut{}, deaf: map[string]ident.MonotonicTime{},
 		linkEvents: linkEvents{announced: map[ident.Term]bool{}, newest: map[string]uint64{}, yields: map[string]int{}, sentBefore: map[string]bool{}},
-		troubles:   troubles{mute: map[string]ident.Mono{}, seen: map[string]int{}}}
+		troubles:   troubles{mute: map[string]ident.MonotonicTime{}, seen: map[string]int{}}}
 	w.set = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, TimeBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
@@ -198,7 +198,7 @@
 	if w.cfg.Calm > 0 {
 		quiet = w.cfg.Calm
 	}
-	end := ident.Mono(w.cfg.Length + quiet)
+	end := ident.MonotonicTime(w.cfg.Length + quiet)
 	for len(w.queue) > 0 && len(w.Broken) == 0 {
 		e := heap.Pop(&w.queue).(event)
 		if e.at > end {
@@ -223,7 +223,7 @@
 // leader returns the node that surely leads, nil if none does.
 func (w *World) leader() *node {
 	for _, n := range w.nodes {
-		if n.alive && n.ctl.Election().Valid() {
+		if n.alive && n.ctl.Election().LeaseValid() {
 			return n
 		}
 	}
--- a/internal/standin/world_test.go
+++ b/internal/standin/world_test.go
@@ -139,7 +139,7 @@
 	})
 	w.at(67*time.Second, func() {
 		for _, n := range w.nodes {
-			if n != old && n.ctl.Election().Valid() {
+			if n != old && n.ctl.Election().LeaseValid() {
 				return
 			}
 		}
@@ -223,7 +223,7 @@
 		}
 		led := false
 		for _, n := range w.nodes {
-			led = led || n != old && n.ctl.Election().Valid()
+			led = led || n != old && n.ctl.Election().LeaseValid()
 		}
 		if !led {
 			t.Error("nobody else leads 7 s after the cut")
@@ -365,7 +365,7 @@
 		})
 		for ms := 112_000; ms < 114_000; ms += 10 {
 			w.at(time.Duration(ms)*time.Millisecond+time.Microsecond, func() {
-				if old.ctl.Election().Valid() {
+				if old.ctl.Election().LeaseValid() {
 					t.Errorf("seed %d: the woken node thinks that it leads", seed)
 				}
 			})
