--- a/internal/statesvc/statesvc_test.go
+++ b/internal/statesvc/statesvc_test.go
@@ -15,12 +15,12 @@
 func TestClient(t *testing.T) {
 	var mu sync.Mutex
 	var status int
-	var body, saw string
+	var body, received string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		mu.Lock()
 		defer mu.Unlock()
-		saw = r.Method + " " + r.URL.String() + " " + string(b)
+		received = r.Method + " " + r.URL.String() + " " + string(b)
 		if status == 0 {
 			panic(http.ErrAbortHandler)
 		}
@@ -29,38 +29,38 @@
 	}))
 	defer srv.Close()
 	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), &http.Transport{DisableKeepAlives: true})
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		r      Request
 		status int
 		body   string
 		saw    string
 		want   Outcome
 	}{
-		{Request{Op: Get, Path: "a/b"}, 200, `{"path":"a/b","value":{},"stamp":412}`, "GET /keys/a/b ", OK},
-		{Request{Op: Get, Path: "a/b"}, 404, `{"ledger":4}`, "GET /keys/a/b ", NotFound},
-		{Request{Op: List, Starts: "c/", Since: "c/7"}, 200, `{}`, "GET /keys?most=1000&since=c%2F7&starts=c%2F ", OK},
-		{Request{Op: Txn, If: []Cond{{"a", 0}}, Then: []Change{{Put: "a", Value: []byte("1"), Grant: 7}, {Delete: "b"}}}, 409, `{"failed":["a"]}`,
+		{Request{Op: Get, Key: "a/b"}, 200, `{"path":"a/b","value":{},"stamp":412}`, "GET /keys/a/b ", OK},
+		{Request{Op: Get, Key: "a/b"}, 404, `{"ledger":4}`, "GET /keys/a/b ", NotFound},
+		{Request{Op: List, Prefix: "c/", StartAfter: "c/7"}, 200, `{}`, "GET /keys?most=1000&since=c%2F7&starts=c%2F ", OK},
+		{Request{Op: Txn, Compares: []Compare{{"a", 0}}, Mutations: []Mutation{{Put: "a", Value: []byte("1"), LeaseID: 7}, {Delete: "b"}}}, 409, `{"failed":["a"]}`,
 			`POST /txn {"if":[{"path":"a","stamp":0}],"then":[{"put":"a","value":1,"grant":7},{"delete":"b"}]}`, Conflict},
-		{Request{Op: Txn}, 400, `{"error":"no such lease"}`, "", Bad},
-		{Request{Op: Txn}, 429, ``, "", Limited},
-		{Request{Op: Txn}, 503, ``, "", Refused},
-		{Request{Op: Txn}, 500, ``, "", Lost},
-		{Request{Op: Txn}, 200, `{"ledg`, "", Lost},
-		{Request{Op: Txn}, 0, ``, "", Lost},
-		{Request{Op: Grant, TTL: 2 * time.Second}, 200, `{"grant":7}`, `POST /leases {"ttl_ms":2000}`, OK},
-		{Request{Op: Extend, Grant: 7}, 404, ``, "POST /leases/7/extend ", NotFound},
-		{Request{Op: Revoke, Grant: 7}, 200, `{}`, "DELETE /leases/7 ", OK},
-		{Request{Op: Follow, Starts: "leader", Ledger: 431, Block: 10 * time.Second}, 410, ``,
-			"GET /follow?block_ms=10000&since=431&starts=leader ", TooOld},
+		{Request{Op: Txn}, 400, `{"error":"no such lease"}`, "", Invalid},
+		{Request{Op: Txn}, 429, ``, "", RateLimited},
+		{Request{Op: Txn}, 503, ``, "", Unavailable},
+		{Request{Op: Txn}, 500, ``, "", NoAnswer},
+		{Request{Op: Txn}, 200, `{"ledg`, "", NoAnswer},
+		{Request{Op: Txn}, 0, ``, "", NoAnswer},
+		{Request{Op: GrantLease, TTL: 2 * time.Second}, 200, `{"grant":7}`, `POST /leases {"ttl_ms":2000}`, OK},
+		{Request{Op: RenewLease, LeaseID: 7}, 404, ``, "POST /leases/7/extend ", NotFound},
+		{Request{Op: RevokeLease, LeaseID: 7}, 200, `{}`, "DELETE /leases/7 ", OK},
+		{Request{Op: Watch, Prefix: "leader", Revision: 431, Block: 10 * time.Second}, 410, ``,
+			"GET /follow?block_ms=10000&since=431&starts=leader ", Compacted},
 	} {
-		x.r.Timeout = 5 * time.Second
+		tc.r.Timeout = 5 * time.Second
 		mu.Lock()
-		status, body = x.status, x.body
+		status, body = tc.status, tc.body
 		mu.Unlock()
-		got := c.Do(x.r)
+		got := c.Do(tc.r)
 		mu.Lock()
-		if got.Outcome != x.want || x.saw != "" && saw != x.saw {
-			t.Errorf("%d %s: %v (%s), saw %q", x.status, x.body, got.Outcome, got.Error, saw)
+		if got.Outcome != tc.want || tc.saw != "" && received != tc.saw {
+			t.Errorf("%d %s: %v (%s), saw %q", tc.status, tc.body, got.Outcome, got.Error, received)
 		}
 		mu.Unlock()
 	}
--- a/internal/statetest/describe.go
+++ b/internal/statetest/describe.go
@@ -12,17 +12,17 @@
 func Describe(r statesvc.Request) string {
 	switch r.Op {
 	case statesvc.Get:
-		return fmt.Sprintf("get %s\n", r.Path)
+		return fmt.Sprintf("get %s\n", r.Key)
 	case statesvc.List:
-		return fmt.Sprintf("list %s\n", r.Starts)
-	case statesvc.Grant:
+		return fmt.Sprintf("list %s\n", r.Prefix)
+	case statesvc.GrantLease:
 		return fmt.Sprintf("grant %v\n", r.TTL)
-	case statesvc.Extend:
-		return fmt.Sprintf("extend %d\n", r.Grant)
-	case statesvc.Revoke:
-		return fmt.Sprintf("revoke %d\n", r.Grant)
-	case statesvc.Follow:
-		return fmt.Sprintf("follow %s from %d for %v\n", r.Starts, r.Ledger, r.Block)
+	case statesvc.RenewLease:
+		return fmt.Sprintf("extend %d\n", r.LeaseID)
+	case statesvc.RevokeLease:
+		return fmt.Sprintf("revoke %d\n", r.LeaseID)
+	case statesvc.Watch:
+		return fmt.Sprintf("follow %s from %d for %v\n", r.Prefix, r.Revision, r.Block)
 	}
 	return describeTransaction(r)
 }
@@ -30,15 +30,15 @@
 func describeTransaction(r statesvc.Request) string {
 	var b strings.Builder
 	b.WriteString("transaction\n")
-	for _, c := range r.If {
-		fmt.Fprintf(&b, "  if %s is at %d\n", c.Path, c.Stamp)
+	for _, c := range r.Compares {
+		fmt.Fprintf(&b, "  if %s is at %d\n", c.Key, c.Revision)
 	}
-	for _, c := range r.Then {
+	for _, c := range r.Mutations {
 		if c.Delete != "" {
 			fmt.Fprintf(&b, "  delete %s\n", c.Delete)
 			continue
 		}
-		fmt.Fprintf(&b, "  put %s under lease %d: %s\n", c.Put, c.Grant, c.Value)
+		fmt.Fprintf(&b, "  put %s under lease %d: %s\n", c.Put, c.LeaseID, c.Value)
 	}
 	return b.String()
 }
--- a/internal/statetest/queue.go
+++ b/internal/statetest/queue.go
@@ -10,16 +10,16 @@
 // Queue is a state service that carries everything out at once and in order, and answers, like
 // timers, only when the test runs what is pending.
 type Queue struct {
-	*Store
+	*MemoryStore
 	Pending []func()
-	now     ident.Mono
+	now     ident.MonotonicTime
 }
 
 // NewQueue makes one over a store.
-func NewQueue(s *Store) *Queue { return &Queue{Store: s} }
+func NewQueue(s *MemoryStore) *Queue { return &Queue{MemoryStore: s} }
 
 // Now returns the time that the timers have reached.
-func (q *Queue) Now() ident.Mono { return q.now }
+func (q *Queue) Now() ident.MonotonicTime { return q.now }
 
 // After has f run in its turn, and the time go on by d before that.
 func (q *Queue) After(d time.Duration, f func()) {
@@ -29,9 +29,9 @@
 	})
 }
 
-// State carries a request's changes out; the answer comes in its turn.
-func (q *Queue) State(r statesvc.Request, f func(statesvc.Reply)) {
-	answer := q.Apply(r.Then)
+// Store carries a request's changes out; the answer comes in its turn.
+func (q *Queue) Store(r statesvc.Request, f func(statesvc.Response)) {
+	answer := q.Apply(r.Mutations)
 	q.Pending = append(q.Pending, func() { f(answer) })
 }
 
--- a/internal/statetest/statetest.go
+++ b/internal/statetest/statetest.go
@@ -11,50 +11,50 @@
 
 func init() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
 
-// Store holds keys as the state service does.
-type Store struct {
-	Keys   map[string]statesvc.Pair
-	Ledger uint64
+// MemoryStore holds keys as the state service does.
+type MemoryStore struct {
+	Keys     map[string]statesvc.KeyValue
+	Revision uint64
 }
 
 // New makes a store with those keys, the newest of them changed last.
-func New(pairs ...statesvc.Pair) *Store {
-	s := &Store{Keys: map[string]statesvc.Pair{}}
+func New(pairs ...statesvc.KeyValue) *MemoryStore {
+	s := &MemoryStore{Keys: map[string]statesvc.KeyValue{}}
 	for _, p := range pairs {
-		s.Keys[p.Path] = p
-		s.Ledger = max(s.Ledger, uint64(p.Stamp))
+		s.Keys[p.Key] = p
+		s.Revision = max(s.Revision, uint64(p.Revision))
 	}
 	return s
 }
 
 // Get reads a key.
-func (s *Store) Get(path string) statesvc.Reply {
+func (s *MemoryStore) Get(path string) statesvc.Response {
 	p, ok := s.Keys[path]
 	if !ok {
-		return statesvc.Reply{Outcome: statesvc.NotFound}
+		return statesvc.Response{Outcome: statesvc.NotFound}
 	}
-	return statesvc.Reply{Outcome: statesvc.OK, Stamp: p.Stamp, Value: p.Value}
+	return statesvc.Response{Outcome: statesvc.OK, Revision: p.Revision, Value: p.Value}
 }
 
-// Failed names the conditions that don't hold.
-func (s *Store) Failed(list []statesvc.Cond) (failed []string) {
+// FailedKeys names the conditions that don't hold.
+func (s *MemoryStore) FailedKeys(list []statesvc.Compare) (failed []string) {
 	for _, c := range list {
-		if s.Keys[c.Path].Stamp != c.Stamp {
-			failed = append(failed, c.Path)
+		if s.Keys[c.Key].Revision != c.Revision {
+			failed = append(failed, c.Key)
 		}
 	}
 	return failed
 }
 
 // Apply carries changes out, whatever the conditions.
-func (s *Store) Apply(changes []statesvc.Change) statesvc.Reply {
-	s.Ledger++
+func (s *MemoryStore) Apply(changes []statesvc.Mutation) statesvc.Response {
+	s.Revision++
 	for _, c := range changes {
 		if c.Put != "" {
-			s.Keys[c.Put] = statesvc.Pair{Path: c.Put, Value: c.Value, Stamp: ident.Stamp(s.Ledger)}
+			s.Keys[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
 		} else {
 			delete(s.Keys, c.Delete)
 		}
 	}
-	return statesvc.Reply{Outcome: statesvc.OK, Ledger: s.Ledger}
+	return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.Revision}
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -20,15 +20,15 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Reply)) {
+func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
 	switch q.Op {
 	case statesvc.Get:
-		f(r.Get(q.Path))
+		f(r.Get(q.Key))
 	case statesvc.List:
-		f(statesvc.Reply{Outcome: statesvc.OK, Pairs: []statesvc.Pair{r.Keys[Prefix+"agent-1"], r.Keys[Prefix+"agent-2"]}})
+		f(statesvc.Response{Outcome: statesvc.OK, KeyValues: []statesvc.KeyValue{r.Keys[NodeKeyPrefix+"agent-1"], r.Keys[NodeKeyPrefix+"agent-2"]}})
 	default:
-		f(r.Apply(q.Then))
+		f(r.Apply(q.Mutations))
 	}
 }
 
@@ -36,31 +36,31 @@
 // what others read of it.
 func TestGoldenAnnouncements(t *testing.T) {
 	var d golden.Document
-	golden.RoundTrip(t, &d, "notice", golden.Filled[notice](0))
+	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
 	for _, before := range []string{"", `{"level":1}`, `{"level":1,"frames":1}`} {
 		r := &recorder{Queue: statetest.NewQueue(statetest.New())}
 		if before != "" {
-			r.Keys[Prefix+"agent-1"] = statesvc.Pair{Path: Prefix + "agent-1", Value: json.RawMessage(before), Stamp: 27}
+			r.Keys[NodeKeyPrefix+"agent-1"] = statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
 		}
 		Announce(r, rand.New(rand.NewPCG(1, 2)), "agent-1")
 		d.Add("announced before: "+before, r.requests.String())
 	}
-	frames := FramesOf([]statesvc.Pair{{Path: "nodes/agent-1", Value: json.RawMessage(`{"level":2,"frames":3}`)},
-		{Path: "nodes/agent-2", Value: json.RawMessage(`{"level":1}`)}})
+	frames := FrameCapabilities([]statesvc.KeyValue{{Key: "nodes/agent-1", Value: json.RawMessage(`{"level":2,"frames":3}`)},
+		{Key: "nodes/agent-2", Value: json.RawMessage(`{"level":1}`)}})
 	d.Add("frames", fmt.Sprint(frames))
 	d.Compare(t, "announcements")
 }
 
 // TestGoldenRaise pins what is asked and written to raise the level.
 func TestGoldenRaise(t *testing.T) {
-	newest := statesvc.Pair{Path: Prefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Stamp: 3}
+	newest := statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
-	other.Path = Prefix + "agent-2"
+	other.Key = NodeKeyPrefix + "agent-2"
 	r := &recorder{Queue: statetest.NewQueue(statetest.New(newest, other))}
-	c := commit.New(r, commit.Limits{Ops: 5, PerSecond: 1e9, ValueBytes: 2048}, statesvc.Cond{Path: "leader", Stamp: 61}, func(why string) { t.Error(why) })
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	done := false
-	raiser := New(r, 41, statesvc.Cond{Path: "leader", Stamp: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.Mark, func() { done = true })
-	raiser.Look()
+	raiser := New(r, 41, statesvc.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
+	raiser.Poll()
 	c.Flush()
 	if !done || raiser.State() != Raised {
 		t.Errorf("done %v, %s", done, raiser.State())
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -16,7 +16,7 @@
 	Body api.Commands
 	// NotAfter is the time, by this node's clock, from which the call must not be sent
 	// any more; 0: none.
-	NotAfter ident.Mono
+	NotAfter ident.MonotonicTime
 }
 
 // Launches says whether the command starts a task.
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -10,7 +10,7 @@
 
 // Hears says whether a machine is up, was heard within d, and answers commands as far
 // as is known.
-func (tb *Table) Hears(h ident.HostID, d time.Duration) bool {
+func (tb *Table) Hears(h ident.MachineID, d time.Duration) bool {
 	w := tb.Workers[h]
 	return w != nil && w.State == Up && !w.dull && w.misses == 0 && w.deaf == 0 && w.Reported() && tb.port.Now().Sub(w.heard) <= d
 }
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -43,7 +43,7 @@
 		tb.cfg.Deposed()
 		return nil
 	}
-	epoch := ident.MakeEpoch(tb.cfg.Term, 0)
+	epoch := ident.MakeFencingToken(tb.cfg.Term, 0)
 	if !tb.asked[r.Host] && len(tb.asked) < tb.strangerLimit() {
 		tb.asked[r.Host] = true
 		tb.port.Worker(Command{Addr: r.Addr, Zone: r.Zone, Body: api.Commands{Epoch: epoch, Session: r.Session, Orders: []api.Order{}}}, func(a Answer) {
@@ -143,7 +143,7 @@
 	if r.Epoch > tb.epoch(w) {
 		// A token of ours that we don't remember: not possible within a term.
 		slog.Error("worker has seen a token from the future", "host", string(w.Host))
-		w.fence = uint32(r.Epoch-ident.MakeEpoch(tb.cfg.Term, 0)) + 1
+		w.fence = uint32(r.Epoch-ident.MakeFencingToken(tb.cfg.Term, 0)) + 1
 	}
 	if w.Addr != r.Addr || w.Kind == nil {
 		w.Addr = r.Addr
@@ -166,7 +166,7 @@
 
 // beginSession notes that the worker has killed and forgotten all tasks of earlier sessions, and
 // that orders for them are refused.
-func (tb *Table) beginSession(w *Worker, s ident.Session, now ident.Mono) {
+func (tb *Table) beginSession(w *Worker, s ident.Incarnation, now ident.MonotonicTime) {
 	w.Session = s
 	w.queue = nil
 	w.images = nil
@@ -178,7 +178,7 @@
 }
 
 // noteContact notes that a machine is heard, and whether it hears us.
-func (tb *Table) noteContact(w *Worker, r *api.Report, now ident.Mono) {
+func (tb *Table) noteContact(w *Worker, r *api.Report, now ident.MonotonicTime) {
 	// To hear a machine is no proof that it hears us: our answers and commands may
 	// be lost on the way there. A token that we gave it is.
 	switch {
@@ -198,7 +198,7 @@
 }
 
 // noteNotice notes when the cloud takes a machine, nil if that is not announced.
-func (tb *Table) noteNotice(w *Worker, notice *float64, now ident.Mono) {
+func (tb *Table) noteNotice(w *Worker, notice *float64, now ident.MonotonicTime) {
 	if notice == nil {
 		w.Doomed = 0
 		return
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -41,7 +41,7 @@
 
 // Worker is a machine and the worker on it.
 type Worker struct {
-	Host  ident.HostID
+	Host  ident.MachineID
 	Addr  string
 	Model string
 	Kind  *cloud.Model // nil while the catalog doesn't list it
@@ -49,21 +49,21 @@
 	Spot  bool
 	State State
 
-	Since    ident.Mono         // when it entered its state
-	Born     ident.Mono         // when it was rented, as far as known
-	IdleFrom ident.Mono         // when its last task left it
-	Doomed   ident.Mono         // when the cloud takes it; 0: not announced
-	Shun     ident.Mono         // nothing is placed on it earlier
-	Cordoned bool               // being emptied, to be returned
-	Slow     bool               // much slower than others: nothing more is placed on it
-	blame    map[*jobs.Job]bool // whose tasks failed on it since a task of another job completed
-
-	Session  ident.Session
-	serial   ident.Serial
-	told     ident.Epoch // token in the newest answer to a report of this term
+	Since    ident.MonotonicTime // when it entered its state
+	Born     ident.MonotonicTime // when it was rented, as far as known
+	IdleFrom ident.MonotonicTime // when its last task left it
+	Doomed   ident.MonotonicTime // when the cloud takes it; 0: not announced
+	Shun     ident.MonotonicTime // nothing is placed on it earlier
+	Cordoned bool                // being emptied, to be returned
+	Slow     bool                // much slower than others: nothing more is placed on it
+	blame    map[*jobs.Job]bool  // whose tasks failed on it since a task of another job completed
+
+	Session  ident.Incarnation
+	serial   ident.SequenceNumber
+	told     ident.FencingToken // token in the newest answer to a report of this term
 	fence    uint32
-	heard    ident.Mono // newest report or answer
-	answered ident.Mono // last time a report was answered
+	heard    ident.MonotonicTime // newest report or answer
+	answered ident.MonotonicTime // last time a report was answered
 	everAns  bool
 
 	Tasks   map[ident.TaskID]*jobs.Task
@@ -77,8 +77,8 @@
 	queue   []api.Order
 	dull    bool // a command was not answered; wait for its report
 	probing bool
-	misses  int        // commands and probes without an answer since it last showed that it hears us
-	deaf    ident.Mono // since when its reports show that our answers don't arrive; 0: they do
+	misses  int                 // commands and probes without an answer since it last showed that it hears us
+	deaf    ident.MonotonicTime // since when its reports show that our answers don't arrive; 0: they do
 
 	VCPUs, Cards, MemoryGB float64 // taken by Tasks
 	Arrays, Replicas       float64 // CPUs of them, by the shape of their jobs; gangs count as replicas
@@ -93,7 +93,7 @@
 // of a thousand machines takes all puts of half a minute before anything can be
 // placed.
 type Group struct {
-	Doc     *commit.Doc
+	Doc     *commit.Document
 	Members []*Worker
 	Leaving []*Worker // on record here until their next group is durable
 	Dropped bool      // its key is deleted
@@ -158,7 +158,7 @@
 }
 
 // Open says whether tasks may be placed on the machine now.
-func (w *Worker) Open(now ident.Mono) bool {
+func (w *Worker) Open(now ident.MonotonicTime) bool {
 	return w.State == Up && w.Doomed == 0 && !w.Cordoned && !w.Slow && now >= w.Shun && !w.dull && w.Session != 0 &&
 		w.Recorded // a successor must know every machine that tasks may be on
 }
@@ -190,7 +190,7 @@
 func (w *Worker) Reported() bool { return w.serial > 0 }
 
 // Heard returns when the worker was last heard of.
-func (w *Worker) Heard() ident.Mono { return w.heard }
+func (w *Worker) Heard() ident.MonotonicTime { return w.heard }
 
 // cache notes that an image was used: the workers keep the most recently used
 // ones, as far as their disk reaches.
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -22,7 +22,7 @@
 
 // Port is what the table needs of the world.
 type Port interface {
-	Now() ident.Mono
+	Now() ident.MonotonicTime
 	After(time.Duration, func())
 	Worker(Command, func(Answer))
 }
@@ -44,23 +44,23 @@
 	// Commit makes the machine's document.
 	Commit func(w *Worker)
 	// Renewed returns the latest time at which another node may have renewed a lease.
-	Renewed func() ident.Mono
+	Renewed func() ident.MonotonicTime
 	// Asked is called when a command was answered, or was not in its time.
 	Asked func(w *Worker, answered bool)
 }
 
 // Table holds all machines. It lives for one term.
 type Table struct {
-	Workers map[ident.HostID]*Worker
+	Workers map[ident.MachineID]*Worker
 	sorted  []*Worker            // in the order of their names
 	orphans map[ident.TaskID]int // on how many machines
 	ranks   [ranks]int           // tasks that count on a machine, by priority
 	cfg     Config
 	port    Port
 	jobs    *jobs.Table
-	began   ident.Mono
+	began   ident.MonotonicTime
 	dead    bool
-	asked   map[ident.HostID]bool // unknown machines that reported
+	asked   map[ident.MachineID]bool // unknown machines that reported
 
 	Relocated uint64 // tasks proven gone without having ended
 	Fences    uint64
@@ -72,7 +72,7 @@
 	if cfg.Completed == nil {
 		cfg.Completed = func(*jobs.Task, *Worker) {}
 	}
-	return &Table{Workers: map[ident.HostID]*Worker{}, orphans: map[ident.TaskID]int{}, asked: map[ident.HostID]bool{}, cfg: cfg, port: port, jobs: j, began: port.Now()}
+	return &Table{Workers: map[ident.MachineID]*Worker{}, orphans: map[ident.TaskID]int{}, asked: map[ident.MachineID]bool{}, cfg: cfg, port: port, jobs: j, began: port.Now()}
 }
 
 // Close ends the table with its term.
@@ -83,7 +83,7 @@
 func (tb *Table) Sorted() []*Worker { return tb.sorted }
 
 // place finds a name in the sorted machines.
-func (tb *Table) place(h ident.HostID) int {
+func (tb *Table) place(h ident.MachineID) int {
 	return sort.Search(len(tb.sorted), func(i int) bool { return tb.sorted[i].Host >= h })
 }
 
@@ -98,7 +98,7 @@
 
 // Restore takes in a machine that an earlier term has put on record. One with an
 // address had come up.
-func (tb *Table) Restore(h ident.HostID, model, site string, standby bool, born ident.Mono, addr string, g *Group) *Worker {
+func (tb *Table) Restore(h ident.MachineID, model, site string, standby bool, born ident.MonotonicTime, addr string, g *Group) *Worker {
 	w := tb.insert(h, model, site, standby, born)
 	w.Group, w.Recorded = g, true
 	tb.CameUp(w, addr)
@@ -115,7 +115,7 @@
 }
 
 // Add takes in a machine that was rented, loaded, listed or that reports.
-func (tb *Table) Add(h ident.HostID, model, site string, standby bool, born ident.Mono) *Worker {
+func (tb *Table) Add(h ident.MachineID, model, site string, standby bool, born ident.MonotonicTime) *Worker {
 	if w := tb.Workers[h]; w != nil {
 		return w
 	}
@@ -124,7 +124,7 @@
 	return w
 }
 
-func (tb *Table) insert(h ident.HostID, model, site string, standby bool, born ident.Mono) *Worker {
+func (tb *Table) insert(h ident.MachineID, model, site string, standby bool, born ident.MonotonicTime) *Worker {
 	now := tb.port.Now()
 	w := &Worker{Host: h, Model: model, Zone: site, Spot: standby, Kind: tb.cfg.Catalog(model),
 		Born: born, Since: now, IdleFrom: now, heard: now, Tasks: map[ident.TaskID]*jobs.Task{},
@@ -142,7 +142,9 @@
 
 // epoch is the token for a worker: the term, and how often we fenced off
 // commands of our own.
-func (tb *Table) epoch(w *Worker) ident.Epoch { return ident.MakeEpoch(tb.cfg.Term, w.fence) }
+func (tb *Table) epoch(w *Worker) ident.FencingToken {
+	return ident.MakeFencingToken(tb.cfg.Term, w.fence)
+}
 
 // Hold counts a task on its machine.
 func (tb *Table) Hold(w *Worker, t *jobs.Task) {
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -17,22 +17,22 @@
 // world lets the test decide when a transaction is carried out and what becomes
 // of a command.
 type world struct {
-	now     ident.Mono
+	now     ident.MonotonicTime
 	timers  []func()
 	txns    []func()
 	sent    []api.Commands
 	answers []func(Answer)
 }
 
-func (w *world) Now() ident.Mono { return w.now }
+func (w *world) Now() ident.MonotonicTime { return w.now }
 func (w *world) After(d time.Duration, f func()) {
 	w.timers = append(w.timers, func() {
 		w.now = w.now.Add(min(d, time.Millisecond))
 		f()
 	})
 }
-func (w *world) State(r statesvc.Request, f func(statesvc.Reply)) {
-	w.txns = append(w.txns, func() { f(statesvc.Reply{Outcome: statesvc.OK, Ledger: 9}) })
+func (w *world) Store(r statesvc.Request, f func(statesvc.Response)) {
+	w.txns = append(w.txns, func() { f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 9}) })
 }
 func (w *world) Worker(c Command, f func(Answer)) {
 	w.sent = append(w.sent, c.Body)
@@ -56,17 +56,17 @@
 	commits *commit.Committer
 	w       *Worker
 	job     *jobs.Job
-	serial  ident.Serial
+	serial  ident.SequenceNumber
 }
 
 // newRig has one machine, up, and a job of one task placed on it durably.
 func newRig(t *testing.T) *rig {
-	r := &rig{world: &world{now: ident.Mono(time.Hour)}}
+	r := &rig{world: &world{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.Model{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalGB: 10}
-	r.commits = commit.New(r, commit.Limits{Ops: 16, PerSecond: 1e9, ValueBytes: 16 << 10}, statesvc.Cond{Path: "leader", Stamp: 1}, func(why string) { t.Error(why) })
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.tb = NewTable(r, r.jobs, Config{Term: term, LeaseS: 30 * time.Second, Grace: 10 * time.Second,
-		Catalog: func(string) *cloud.Model { return &kind }, Asked: func(*Worker, bool) {}, Renewed: func() ident.Mono { return 0 }, Deposed: func() { t.Error("deposed") }, Changed: func() {},
+		Catalog: func(string) *cloud.Model { return &kind }, Asked: func(*Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 }, Deposed: func() { t.Error("deposed") }, Changed: func() {},
 		Failed: func(*jobs.Task, *Worker, api.Cause) {},
 		Commit: func(w *Worker) {
 			w.Recorded = true
@@ -102,7 +102,7 @@
 func (r *rig) report(fence uint32, pieces ...api.TaskReport) *api.Orders {
 	r.serial++
 	return r.tb.Checkin(&api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: r.serial,
-		Epoch: ident.MakeEpoch(term, fence), Tasks: pieces})
+		Epoch: ident.MakeFencingToken(term, fence), Tasks: pieces})
 }
 
 func (r *rig) piece(s api.TaskStatus, c api.Cause) api.TaskReport {
@@ -123,7 +123,7 @@
 // report without the task proves nothing until it carries the raised token.
 func TestUnansweredCommand(t *testing.T) {
 	r := newRig(t)
-	if len(r.sent) != 1 || r.sent[0].Orders[0].Verb != api.Launch || r.sent[0].Epoch != ident.MakeEpoch(term, 0) {
+	if len(r.sent) != 1 || r.sent[0].Orders[0].Verb != api.Launch || r.sent[0].Epoch != ident.MakeFencingToken(term, 0) {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	if got := verbs(r.report(0)); got != "" {
@@ -132,7 +132,7 @@
 	r.answers[0](Answer{})
 	r.tb.StopTask(r.w, r.task(), 0)
 	o := r.report(0)
-	if r.task().State != jobs.Stopping || o.Epoch != ident.MakeEpoch(term, 1) {
+	if r.task().State != jobs.Stopping || o.Epoch != ident.MakeFencingToken(term, 1) {
 		t.Fatalf("a report with the old token: task %v, token %x", r.task().State, o.Epoch)
 	}
 	r.report(1)
@@ -145,7 +145,7 @@
 // the worker, for after that a repeated launch would start it again.
 func TestClearAfterDurable(t *testing.T) {
 	r := newRig(t)
-	r.answers[0](Answer{Status: 200, Report: &api.Report{Host: "h", Session: 1, Serial: 50, Epoch: ident.MakeEpoch(term, 0)}})
+	r.answers[0](Answer{Status: 200, Report: &api.Report{Host: "h", Session: 1, Serial: 50, Epoch: ident.MakeFencingToken(term, 0)}})
 	r.serial = 50
 	if got := verbs(r.report(0, r.piece(api.Ended, api.CauseDone))); got != "" {
 		t.Errorf("orders before the end is durable: %q", got)
@@ -270,11 +270,11 @@
 // lease is over.
 func TestSuccessorsToken(t *testing.T) {
 	r := newRig(t)
-	rep := &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 50, Epoch: ident.MakeEpoch(term, 0)}
+	rep := &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 50, Epoch: ident.MakeFencingToken(term, 0)}
 	if r.tb.Renew(rep) == nil {
 		t.Error("no answer in the grace")
 	}
-	rep.Epoch = ident.MakeEpoch(term+1, 0)
+	rep.Epoch = ident.MakeFencingToken(term+1, 0)
 	if r.tb.Renew(rep) != nil {
 		t.Error("answered, though a successor has spoken")
 	}
@@ -288,12 +288,12 @@
 func TestRenewalsStopTheCancelled(t *testing.T) {
 	r := newRig(t)
 	r.answers[0](Answer{Status: 200, Report: &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 40,
-		Epoch: ident.MakeEpoch(term, 0), Tasks: []api.TaskReport{r.piece(api.Running, "")}}})
-	serial := ident.Serial(50)
+		Epoch: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{r.piece(api.Running, "")}}})
+	serial := ident.SequenceNumber(50)
 	report := func(fence uint32, pieces ...api.TaskReport) *api.Report {
 		serial++
 		return &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: serial,
-			Epoch: ident.MakeEpoch(term, fence), Tasks: pieces}
+			Epoch: ident.MakeFencingToken(term, fence), Tasks: pieces}
 	}
 	if got := verbs(r.tb.Renew(report(0, r.piece(api.Running, "")))); got != "" {
 		t.Errorf("before the cancellation: %q", got)
@@ -306,7 +306,7 @@
 		t.Errorf("listed, long after: %q", got)
 	}
 	if got := verbs(r.tb.Checkin(&api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 3,
-		Epoch: ident.MakeEpoch(term, 0), Tasks: []api.TaskReport{r.piece(api.Running, "")}})); got != "kill " {
+		Epoch: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{r.piece(api.Running, "")}})); got != "kill " {
 		t.Errorf("an older report: %q", got)
 	}
 	if r.tb.Renew(report(0)) != nil {
@@ -317,7 +317,7 @@
 		t.Error("renewed with the old token, when the command may still come")
 	}
 	r.settle()
-	if c := r.sent[len(r.sent)-1]; c.Epoch != ident.MakeEpoch(term, 1) {
+	if c := r.sent[len(r.sent)-1]; c.Epoch != ident.MakeFencingToken(term, 1) {
 		t.Errorf("the worker was not told the new token: %+v", c)
 	}
 	r.answers[len(r.answers)-1](Answer{Status: 200, Report: report(1)})
@@ -343,9 +343,9 @@
 		before, same := &r.jobs.Jobs["j-9"].Tasks[0], &r.jobs.Jobs["j-9"].Tasks[1]
 		r.tb.Hold(r.w, before)
 		r.tb.Hold(r.w, same)
-		epoch := ident.MakeEpoch(term-1, 0)
+		epoch := ident.MakeFencingToken(term-1, 0)
 		if fresh {
-			epoch = ident.MakeEpoch(term, 1)
+			epoch = ident.MakeFencingToken(term, 1)
 		}
 		o := r.tb.Checkin(&api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 2, Serial: 100, Epoch: epoch})
 		if got := verbs(o); got != "" {
@@ -453,7 +453,7 @@
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
 	r.tb.Drop(r.w, "returned")
 	r.answers[0](Answer{Status: 200, Report: &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 40,
-		Epoch: ident.MakeEpoch(term, 0), Tasks: []api.TaskReport{stray}}})
+		Epoch: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{stray}}})
 	if r.tb.Orphan(stray.TaskID) {
 		t.Error("thought to be on a machine that is gone")
 	}
