--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -49,7 +49,7 @@
 				var body []byte
 				var err error
 				if args[0] == "-" {
-					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), api.MaxBody+1))
+					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), api.MaxBodyBytes+1))
 				} else {
 					body, err = os.ReadFile(args[0])
 				}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -13,8 +13,8 @@
 	"opaldale/internal/ident"
 )
 
-// MaxBody is the largest request body that is read.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body that is read.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
@@ -55,26 +55,26 @@
 
 // Spec is a job as its user submitted it.
 type Spec struct {
-	ID             ident.JobID `json:"id"`
-	Class          string      `json:"lane"`
-	Team           string      `json:"desk"`
-	Shape          Shape       `json:"shape"`
-	Priority       Priority    `json:"rank"`
-	Tasks          int         `json:"pieces"`
-	VCPUs          float64     `json:"vcpus"`
-	Cards          float64     `json:"cards"`
-	MemoryGB       float64     `json:"memory_gb"`
-	Image          string      `json:"bundle"`
-	ImageGB        float64     `json:"image_gb"`
-	Models         []string    `json:"models"`
-	Zone           *string     `json:"site"`
-	OneZone        bool        `json:"one_zone"`
-	Spread         bool        `json:"apart"`
-	Spot           bool        `json:"standby"`
-	RuntimeS       float64     `json:"runtime_s"`
-	SnapshotEveryS float64     `json:"snapshot_every_s"`
-	SnapshotS      float64     `json:"snapshot_s"`
-	DueS           *float64    `json:"due_s"`
+	ID               ident.JobID `json:"id"`
+	Class            string      `json:"lane"`
+	Team             string      `json:"desk"`
+	Shape            Shape       `json:"shape"`
+	Priority         Priority    `json:"rank"`
+	Tasks            int         `json:"pieces"`
+	VCPUs            float64     `json:"vcpus"`
+	GPUs             float64     `json:"cards"`
+	MemoryGB         float64     `json:"memory_gb"`
+	Image            string      `json:"bundle"`
+	ImageGB          float64     `json:"image_gb"`
+	Models           []string    `json:"models"`
+	Zone             *string     `json:"site"`
+	OneZone          bool        `json:"one_zone"`
+	Spread           bool        `json:"apart"`
+	Spot             bool        `json:"standby"`
+	RuntimeS         float64     `json:"runtime_s"`
+	CheckpointEveryS float64     `json:"snapshot_every_s"`
+	CheckpointS      float64     `json:"snapshot_s"`
+	DeadlineS        *float64    `json:"due_s"`
 }
 
 // FieldError names the field that made a message malformed.
@@ -84,8 +84,8 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Problem) }
 
-// required lists the fields of a submission that may not be null or absent.
-var required = []string{"id", "lane", "desk", "shape", "rank", "pieces", "vcpus", "cards", "memory_gb",
+// requiredFields lists the fields of a submission that may not be null or absent.
+var requiredFields = []string{"id", "lane", "desk", "shape", "rank", "pieces", "vcpus", "cards", "memory_gb",
 	"bundle", "image_gb", "one_zone", "apart", "standby", "runtime_s", "snapshot_every_s", "snapshot_s"}
 
 // ParseSpec reads and checks a submission. Its errors are for the user's 400.
@@ -94,23 +94,23 @@
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, &FieldError{"body", "not a JSON object"}
 	}
-	for _, f := range required {
-		if raw, ok := fields[f]; !ok || bytes.Equal(raw, []byte("null")) {
-			return nil, &FieldError{f, "missing"}
+	for _, field := range requiredFields {
+		if raw, ok := fields[field]; !ok || bytes.Equal(raw, []byte("null")) {
+			return nil, &FieldError{field, "missing"}
 		}
 	}
 	var s Spec
 	if err := json.Unmarshal(body, &s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) && te.Field != "" {
-			return nil, &FieldError{te.Field, "wrong type or out of range"}
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return nil, &FieldError{typeErr.Field, "wrong type or out of range"}
 		}
 		return nil, &FieldError{"body", "malformed"}
 	}
-	return &s, s.check()
+	return &s, s.validate()
 }
 
-func (s *Spec) check() error {
+func (s *Spec) validate() error {
 	if _, err := ident.ParseJobID(string(s.ID)); err != nil {
 		return &FieldError{"id", "not in the form j-000412"}
 	}
@@ -125,51 +125,51 @@
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
 		return &FieldError{"pieces", "must be from 1 to 100000"}
 	}
-	for _, t := range []struct {
+	for _, text := range []struct {
 		name, v string
 	}{{"lane", s.Class}, {"desk", s.Team}, {"bundle", s.Image}} {
-		if t.v == "" || len(t.v) > 200 {
-			return &FieldError{t.name, "must have 1 to 200 bytes"}
+		if text.v == "" || len(text.v) > 200 {
+			return &FieldError{text.name, "must have 1 to 200 bytes"}
 		}
 	}
 	amounts := []struct {
 		name string
 		v    float64
-	}{{"vcpus", s.VCPUs}, {"cards", s.Cards}, {"memory_gb", s.MemoryGB}, {"image_gb", s.ImageGB},
-		{"runtime_s", s.RuntimeS}, {"snapshot_every_s", s.SnapshotEveryS}, {"snapshot_s", s.SnapshotS}}
-	if s.DueS != nil {
+	}{{"vcpus", s.VCPUs}, {"cards", s.GPUs}, {"memory_gb", s.MemoryGB}, {"image_gb", s.ImageGB},
+		{"runtime_s", s.RuntimeS}, {"snapshot_every_s", s.CheckpointEveryS}, {"snapshot_s", s.CheckpointS}}
+	if s.DeadlineS != nil {
 		amounts = append(amounts, struct {
 			name string
 			v    float64
-		}{"due_s", *s.DueS})
+		}{"due_s", *s.DeadlineS})
 	}
-	for _, a := range amounts {
-		if a.v < 0 || a.v > 1e9 || math.IsNaN(a.v) {
-			return &FieldError{a.name, "negative or out of range"}
+	for _, amount := range amounts {
+		if amount.v < 0 || amount.v > 1e9 || math.IsNaN(amount.v) {
+			return &FieldError{amount.name, "negative or out of range"}
 		}
 	}
 	return nil
 }
 
-// Saves says whether a task of the job can keep its progress when stopped.
-func (s *Spec) Saves() bool { return s.SnapshotEveryS > 0 && s.Shape != Service }
+// CanCheckpoint says whether a task of the job can keep its progress when stopped.
+func (s *Spec) CanCheckpoint() bool { return s.CheckpointEveryS > 0 && s.Shape != Service }
 
-// View is the answer to a user about a job.
-type View struct {
+// JobView is the answer to a user about a job.
+type JobView struct {
 	ID      ident.JobID `json:"id"`
 	Status  string      `json:"status"`
 	Done    int         `json:"done"`
 	Running int         `json:"running"`
 }
 
-// Ack is the short answer to a submission or a cancellation.
-type Ack struct {
+// JobStatus is the short answer to a submission or a cancellation.
+type JobStatus struct {
 	ID     ident.JobID `json:"id"`
 	Status string      `json:"status"`
 }
 
-// Problem is the body of every refusal.
-type Problem struct {
+// ErrorResponse is the body of every refusal.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -190,62 +190,62 @@
 
 // The causes that workers report.
 const (
-	CauseDone       Cause = "done"
-	CauseStopped    Cause = "stopped"
-	CauseError      Cause = "error"
-	CauseFull       Cause = "full"
-	CauseBusy       Cause = "busy"
-	CauseUnknown    Cause = "unknown"
-	CauseMates      Cause = "mates_gone" // of a gang: another task is gone
-	CauseIncomplete Cause = "incomplete" // of a gang: the others did not come in time
+	CauseDone           Cause = "done"
+	CauseStopped        Cause = "stopped"
+	CauseError          Cause = "error"
+	CauseNoCapacity     Cause = "full"
+	CauseBusy           Cause = "busy"
+	CauseUnknown        Cause = "unknown"
+	CauseGangMemberLost Cause = "mates_gone" // of a gang: another task is gone
+	CauseGangIncomplete Cause = "incomplete" // of a gang: the others did not come in time
 )
 
 // TaskReport is one task in a worker's report.
 type TaskReport struct {
-	TaskID  ident.TaskID  `json:"piece"`
-	Attempt ident.Attempt `json:"try"`
-	Status  TaskStatus    `json:"status"`
-	Cause   Cause         `json:"cause,omitempty"`
-	Stored  bool          `json:"stored,omitempty"`
+	TaskID           ident.TaskID  `json:"piece"`
+	Attempt          ident.Attempt `json:"try"`
+	Status           TaskStatus    `json:"status"`
+	Cause            Cause         `json:"cause,omitempty"`
+	CheckpointStored bool          `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Host    ident.MachineID      `json:"host"`
-	Addr    string               `json:"addr"`
-	Model   string               `json:"model"`
-	Zone    string               `json:"site"`
-	Spot    bool                 `json:"standby"`
-	Session ident.Incarnation    `json:"tenure"`
-	Serial  ident.SequenceNumber `json:"serial"`
-	Epoch   ident.FencingToken   `json:"epoch"`
-	NoticeS *float64             `json:"warning_s"`
-	Tasks   []TaskReport         `json:"pieces"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	MachineID      ident.MachineID      `json:"host"`
+	Addr           string               `json:"addr"`
+	Model          string               `json:"model"`
+	Zone           string               `json:"site"`
+	Spot           bool                 `json:"standby"`
+	Incarnation    ident.Incarnation    `json:"tenure"`
+	SequenceNumber ident.SequenceNumber `json:"serial"`
+	FencingToken   ident.FencingToken   `json:"epoch"`
+	ReclaimNoticeS *float64             `json:"warning_s"`
+	Tasks          []TaskReport         `json:"pieces"`
 }
 
-// ParseReport reads and checks a worker's report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
-	if err := json.Unmarshal(body, &r); err != nil {
+// ParseHeartbeat reads and checks a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
 	}
 	switch {
-	case r.Host == "":
+	case heartbeat.MachineID == "":
 		return nil, &FieldError{"host", "missing"}
-	case r.Addr == "":
+	case heartbeat.Addr == "":
 		return nil, &FieldError{"addr", "missing"}
-	case r.Session == 0:
+	case heartbeat.Incarnation == 0:
 		return nil, &FieldError{"tenure", "missing"}
-	case r.Model == "" || r.Zone == "":
+	case heartbeat.Model == "" || heartbeat.Zone == "":
 		return nil, &FieldError{"model", "model or site missing"}
 	}
-	for _, p := range r.Tasks {
+	for _, task := range heartbeat.Tasks {
 		// A state that is unknown here is taken for one in which the task holds its room.
-		if p.Status == "" {
+		if task.Status == "" {
 			return nil, &FieldError{"pieces", "status missing"}
 		}
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
 
 // Verb is what an order asks of a worker.
@@ -258,30 +258,30 @@
 	Clear  Verb = "clear"
 )
 
-// Order is one command to a worker.
-type Order struct {
-	Verb      Verb          `json:"verb"`
-	TaskID    ident.TaskID  `json:"piece"`
-	Attempt   ident.Attempt `json:"try"`
-	WindDownS *float64      `json:"wind_down_s,omitempty"`
+// Command is one command to a worker.
+type Command struct {
+	Verb         Verb          `json:"verb"`
+	TaskID       ident.TaskID  `json:"piece"`
+	Attempt      ident.Attempt `json:"try"`
+	GracePeriodS *float64      `json:"wind_down_s,omitempty"`
 }
 
-// Orders answers a report.
-type Orders struct {
-	Epoch  ident.FencingToken `json:"epoch"`
-	Orders []Order            `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken ident.FencingToken `json:"epoch"`
+	Commands     []Command          `json:"orders"`
 }
 
-// Launches says whether any of the orders starts a task.
-func Launches(orders []Order) bool {
-	return slices.ContainsFunc(orders, func(o Order) bool { return o.Verb == Launch })
+// ContainsLaunch says whether any of the orders starts a task.
+func ContainsLaunch(commands []Command) bool {
+	return slices.ContainsFunc(commands, func(command Command) bool { return command.Verb == Launch })
 }
 
-// Commands is the body of POST /commands.
-type Commands struct {
-	Epoch   ident.FencingToken `json:"epoch"`
-	Session ident.Incarnation  `json:"tenure"`
-	Orders  []Order            `json:"orders"`
+// CommandRequest is the body of POST /commands.
+type CommandRequest struct {
+	FencingToken ident.FencingToken `json:"epoch"`
+	Incarnation  ident.Incarnation  `json:"tenure"`
+	Commands     []Command          `json:"orders"`
 }
 
 // JSON encodes a message of this package, none of which can fail to encode.
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -23,25 +23,25 @@
 		if parsed, err := ParseSpec(JSON(s)); err != nil || !reflect.DeepEqual(*parsed, s) {
 			t.Errorf("%+v is parsed as %+v, %v", s, parsed, err)
 		}
-		r := golden.Filled[Report](v)
+		r := golden.Filled[Heartbeat](v)
 		golden.RoundTrip(t, &d, fmt.Sprintf("report %d", v), r)
-		if parsed, err := ParseReport(JSON(r)); err != nil || !reflect.DeepEqual(*parsed, r) {
+		if parsed, err := ParseHeartbeat(JSON(r)); err != nil || !reflect.DeepEqual(*parsed, r) {
 			t.Errorf("%+v is parsed as %+v, %v", r, parsed, err)
 		}
 	}
-	golden.RoundTrip(t, &d, "view", golden.Filled[View](0))
-	golden.RoundTrip(t, &d, "acknowledgement", golden.Filled[Ack](0))
-	golden.RoundTrip(t, &d, "problem", golden.Filled[Problem](0))
-	golden.RoundTrip(t, &d, "answer to a report", golden.Filled[Orders](0))
-	commands := golden.Filled[Commands](0)
+	golden.RoundTrip(t, &d, "view", golden.Filled[JobView](0))
+	golden.RoundTrip(t, &d, "acknowledgement", golden.Filled[JobStatus](0))
+	golden.RoundTrip(t, &d, "problem", golden.Filled[ErrorResponse](0))
+	golden.RoundTrip(t, &d, "answer to a report", golden.Filled[HeartbeatResponse](0))
+	commands := golden.Filled[CommandRequest](0)
 	none := 0.0
 	id := ident.TaskID{Job: "j-7", Index: 8}
-	commands.Orders = append(commands.Orders, Order{Verb: Launch, TaskID: id, Attempt: 9}, Order{Verb: Kill, TaskID: id, Attempt: 10, WindDownS: &none},
-		Order{Verb: Clear, TaskID: id, Attempt: 11})
+	commands.Commands = append(commands.Commands, Command{Verb: Launch, TaskID: id, Attempt: 9}, Command{Verb: Kill, TaskID: id, Attempt: 10, GracePeriodS: &none},
+		Command{Verb: Clear, TaskID: id, Attempt: 11})
 	golden.RoundTrip(t, &d, "commands", commands)
 	d.Add("words", fmt.Sprintln(Batch, Service, Gang)+fmt.Sprintln(Critical, High, Standard, BestEffort)+
 		fmt.Sprintln(Pulling, Gathering, Running, Flushing, Ended)+
-		fmt.Sprintln(CauseDone, CauseStopped, CauseError, CauseFull, CauseBusy, CauseUnknown, CauseMates, CauseIncomplete))
+		fmt.Sprintln(CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown, CauseGangMemberLost, CauseGangIncomplete))
 	d.Compare(t, "messages")
 }
 
@@ -65,13 +65,13 @@
 		fmt.Fprintf(&submissions, "%s for %s: %v\n", change.to, change.from, err)
 	}
 	d.Add("submissions", submissions.String())
-	report := golden.Filled[Report](0)
+	report := golden.Filled[Heartbeat](0)
 	for _, change := range []struct{ from, to string }{
 		{`{`, `[`}, {`"host"`, `"x"`}, {`"addr"`, `"x"`}, {`"model"`, `"x"`}, {`"site"`, `"x"`}, {`"standby"`, `"x"`}, {`"tenure"`, `"x"`}, {`"serial"`, `"x"`},
 		{`"epoch"`, `"x"`}, {`"warning_s"`, `"x"`}, {`"pieces"`, `"x"`}, {`"status"`, `"x"`}, {`/16`, ``}, {`"try":17`, `"try":"x"`},
 	} {
 		body := strings.Replace(string(JSON(report)), change.from, change.to, 1)
-		_, err := ParseReport([]byte(body))
+		_, err := ParseHeartbeat([]byte(body))
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
 			err = fmt.Errorf("wrong type of %s", wrong.Field) // without the names of Go's types
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -17,27 +17,27 @@
 // The operations of the cloud.
 const (
 	Catalog Op = iota
-	Rent
-	Return
+	Provision
+	Terminate
 	List
 )
 
-// Model is a machine type.
-type Model struct {
+// MachineType is a machine type.
+type MachineType struct {
 	SKU         string   `json:"sku"`
 	VCPUs       float64  `json:"vcpus"`
-	Cards       float64  `json:"cards"`
+	GPUs        float64  `json:"cards"`
 	MemoryGB    float64  `json:"memory_gb"`
-	LocalGB     float64  `json:"local_gb"`
+	LocalDiskGB float64  `json:"local_gb"`
 	PullGBPerS  float64  `json:"pull_gb_per_s"`
-	Hourly      float64  `json:"hourly"`
-	MarketPrice float64  `json:"market_price"`
+	HourlyPrice float64  `json:"hourly"`
+	SpotPrice   float64  `json:"market_price"`
 	StartupS    float64  `json:"startup_s"`
 	Zones       []string `json:"sites"`
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	ID     ident.MachineID `json:"id"`
 	Addr   string          `json:"addr"`
 	Model  string          `json:"model"`
@@ -49,14 +49,14 @@
 
 // Request is one call; only the fields of its Op are used.
 type Request struct {
-	Op     Op                `json:"-"`
-	Hire   string            `json:"hire"`
-	Model  string            `json:"model"`
-	Zone   string            `json:"site"`
-	Spot   bool              `json:"standby"`
-	Number int               `json:"number"`
-	Hosts  []ident.MachineID `json:"-"`
-	Since  ident.MachineID   `json:"-"`
+	Op         Op                `json:"-"`
+	RequestID  string            `json:"hire"`
+	Model      string            `json:"model"`
+	Zone       string            `json:"site"`
+	Spot       bool              `json:"standby"`
+	Count      int               `json:"number"`
+	MachineIDs []ident.MachineID `json:"-"`
+	StartAfter ident.MachineID   `json:"-"`
 	// NotAfter is the time, by this node's clock, from which the request must not be
 	// sent any more; 0: none.
 	NotAfter ident.MonotonicTime `json:"-"`
@@ -67,67 +67,67 @@
 
 // The outcomes. Only after Lost may the request still be carried out.
 const (
-	Lost       Outcome = iota // no answer, or one that the protocol does not name
-	OK                        // 200
-	NoCapacity                // 503 "no capacity"
-	Refused                   // 429, or 503 of an outage
-	Bad                       // 400
-	Unsent                    // its time was over before it was sent
+	NoAnswer    Outcome = iota // no answer, or one that the protocol does not name
+	OK                         // 200
+	NoCapacity                 // 503 "no capacity"
+	Unavailable                // 429, or 503 of an outage
+	Invalid                    // 400
+	NotSent                    // its time was over before it was sent
 )
 
-// Reply is the answer to any request.
-type Reply struct {
-	Outcome   Outcome
-	Error     string
-	Models    []Model
-	Rented    []ident.MachineID
-	Listed    []Listed
-	Truncated bool
-	Rejected  bool // the connection was refused; the request was not sent
+// Response is the answer to any request.
+type Response struct {
+	Outcome           Outcome
+	Error             string
+	MachineTypes      []MachineType
+	Provisioned       []ident.MachineID
+	Machines          []ListedMachine
+	Truncated         bool
+	ConnectionRefused bool // the connection was refused; the request was not sent
 }
 
 const (
-	timeout  = 4 * time.Second
-	maxReply = 4 << 20
-	listMost = "500"
+	requestTimeout   = 4 * time.Second
+	maxResponseBytes = 4 << 20
+	listPageSize     = "500"
 )
 
 // Client is the HTTP client of the cloud.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // NewClient makes a client for the cloud at addr.
 func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}}
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
 }
 
 // Do carries out a request.
-func (c *Client) Do(r Request) Reply {
+func (c *Client) Do(request Request) Response {
 	method, path := http.MethodGet, ""
 	var body any
-	switch r.Op {
+	switch request.Op {
 	case Catalog:
 		path = "/catalog"
-	case Rent:
-		method, path, body = http.MethodPost, "/machines", r
-	case Return:
+	case Provision:
+		method, path, body = http.MethodPost, "/machines", request
+	case Terminate:
 		method, path = http.MethodPost, "/machines/return"
 		body = struct {
 			Hosts []ident.MachineID `json:"hosts"`
-		}{r.Hosts}
+		}{request.MachineIDs}
 	case List:
-		path = "/machines?" + url.Values{"since": {string(r.Since)}, "most": {listMost}}.Encode()
+		path = "/machines?" + url.Values{"since": {string(request.StartAfter)}, "most": {listPageSize}}.Encode()
 	}
-	status, b, err := httpcall.Do(c.http, timeout, method, c.base+path, body, maxReply)
+	status, response, err := httpcall.Do(c.httpClient, requestTimeout, method, c.baseURL+path, body, maxResponseBytes)
 	if err != nil {
-		return Reply{Outcome: Lost, Error: err.Error(), Rejected: httpcall.ConnectionRefused(err)}
+		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
-	return decode(r.Op, status, b)
+	return decodeResponse(request.Op, status, response)
 }
 
-func decode(op Op, status int, body []byte) Reply {
+func decodeResponse(op Op, status int, body []byte) Response {
 	var problem struct {
 		Error string `json:"error"`
 	}
@@ -135,41 +135,41 @@
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
 		if json.Unmarshal(body, &problem) == nil && problem.Error == "no capacity" {
-			return Reply{Outcome: NoCapacity, Error: problem.Error}
+			return Response{Outcome: NoCapacity, Error: problem.Error}
 		}
-		return Reply{Outcome: Refused, Error: "503 " + problem.Error}
+		return Response{Outcome: Unavailable, Error: "503 " + problem.Error}
 	case http.StatusTooManyRequests:
-		return Reply{Outcome: Refused, Error: "429"}
+		return Response{Outcome: Unavailable, Error: "429"}
 	case http.StatusBadRequest:
-		return Reply{Outcome: Bad, Error: string(body)}
+		return Response{Outcome: Invalid, Error: string(body)}
 	default:
-		return Reply{Outcome: Lost, Error: http.StatusText(status)}
+		return Response{Outcome: NoAnswer, Error: http.StatusText(status)}
 	}
-	out := Reply{Outcome: OK}
+	response := Response{Outcome: OK}
 	var err error
 	switch op {
 	case Catalog:
-		var v struct {
-			Models []Model `json:"models"`
+		var parsed struct {
+			Models []MachineType `json:"models"`
 		}
-		err = json.Unmarshal(body, &v)
-		out.Models = v.Models
-	case Rent:
-		var v struct {
+		err = json.Unmarshal(body, &parsed)
+		response.MachineTypes = parsed.Models
+	case Provision:
+		var parsed struct {
 			Hosts []ident.MachineID `json:"hosts"`
 		}
-		err = json.Unmarshal(body, &v)
-		out.Rented = v.Hosts
+		err = json.Unmarshal(body, &parsed)
+		response.Provisioned = parsed.Hosts
 	case List:
-		var v struct {
-			Hosts     []Listed `json:"hosts"`
-			Truncated bool     `json:"truncated"`
+		var parsed struct {
+			Hosts     []ListedMachine `json:"hosts"`
+			Truncated bool            `json:"truncated"`
 		}
-		err = json.Unmarshal(body, &v)
-		out.Listed, out.Truncated = v.Hosts, v.Truncated
+		err = json.Unmarshal(body, &parsed)
+		response.Machines, response.Truncated = parsed.Hosts, parsed.Truncated
 	}
 	if err != nil {
-		return Reply{Outcome: Lost, Error: err.Error()}
+		return Response{Outcome: NoAnswer, Error: err.Error()}
 	}
-	return out
+	return response
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -17,17 +17,17 @@
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
 	c := NewClient("cloud:1", transport)
-	rent := Request{Op: Rent, Hire: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Number: 9, Hosts: []ident.MachineID{"host-1"}, Since: "host-2", NotAfter: 10}
+	rent := Request{Op: Provision, RequestID: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Count: 9, MachineIDs: []ident.MachineID{"host-1"}, StartAfter: "host-2", NotAfter: 10}
 	for _, x := range []struct {
 		name    string
 		request Request
 	}{
 		{"catalog", Request{Op: Catalog}},
 		{"rental", rent},
-		{"rental of a machine that stays", Request{Op: Rent, Hire: "opaldale-7-9", Model: "g8", Zone: "east", Number: 1}},
-		{"return", Request{Op: Return, Hosts: []ident.MachineID{"host-3", "host-4"}}},
+		{"rental of a machine that stays", Request{Op: Provision, RequestID: "opaldale-7-9", Model: "g8", Zone: "east", Count: 1}},
+		{"return", Request{Op: Terminate, MachineIDs: []ident.MachineID{"host-3", "host-4"}}},
 		{"first page of the list", Request{Op: List}},
-		{"next page of the list", Request{Op: List, Since: "host-5"}},
+		{"next page of the list", Request{Op: List, StartAfter: "host-5"}},
 	} {
 		c.Do(x.request)
 		d.Add(x.name, transport.Saw)
@@ -39,7 +39,7 @@
 // status means.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
-	models, machines := []Model{golden.Filled[Model](0)}, []Listed{golden.Filled[Listed](0)}
+	models, machines := []MachineType{golden.Filled[MachineType](0)}, []ListedMachine{golden.Filled[ListedMachine](0)}
 	golden.RoundTrip(t, &d, "machine type", models[0])
 	golden.RoundTrip(t, &d, "machine", machines[0])
 	text := func(v any) string {
@@ -52,24 +52,24 @@
 	for _, x := range []struct {
 		op   Op
 		body string
-		want Reply
+		want Response
 	}{
-		{Catalog, `{"models":` + text(models) + `}`, Reply{Outcome: OK, Models: models}},
-		{Rent, `{"hosts":["host-1","host-2"]}`, Reply{Outcome: OK, Rented: []ident.MachineID{"host-1", "host-2"}}},
-		{Return, `{}`, Reply{Outcome: OK}},
-		{List, `{"hosts":` + text(machines) + `,"truncated":true}`, Reply{Outcome: OK, Listed: machines, Truncated: true}},
+		{Catalog, `{"models":` + text(models) + `}`, Response{Outcome: OK, MachineTypes: models}},
+		{Provision, `{"hosts":["host-1","host-2"]}`, Response{Outcome: OK, Provisioned: []ident.MachineID{"host-1", "host-2"}}},
+		{Terminate, `{}`, Response{Outcome: OK}},
+		{List, `{"hosts":` + text(machines) + `,"truncated":true}`, Response{Outcome: OK, Machines: machines, Truncated: true}},
 	} {
 		c := NewClient("cloud:1", &golden.Transport{Status: http.StatusOK, Body: x.body})
 		if got := c.Do(Request{Op: x.op}); !reflect.DeepEqual(got, x.want) {
 			t.Errorf("%s is read as %+v", x.body, got)
 		}
 	}
-	names := map[Outcome]string{Lost: "lost", OK: "ok", NoCapacity: "no capacity", Refused: "refused", Bad: "bad"}
+	names := map[Outcome]string{NoAnswer: "lost", OK: "ok", NoCapacity: "no capacity", Unavailable: "refused", Invalid: "bad"}
 	var b strings.Builder
 	for _, status := range []int{200, 201, 400, 404, 429, 500, 503} {
 		for _, body := range []string{`{"error":"no capacity"}`, `{"error":"outage"}`} {
 			c := NewClient("cloud:1", &golden.Transport{Status: status, Body: body})
-			r := c.Do(Request{Op: Rent})
+			r := c.Do(Request{Op: Provision})
 			fmt.Fprintf(&b, "%d %s: %s, error %q\n", status, body, names[r.Outcome], r.Error)
 		}
 	}
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -22,41 +22,41 @@
 		return
 	}
 	if l.loads != nil {
-		l.loads.Use(w.Host, float64(sign)*j.Spec.VCPUs)
+		l.loads.Use(w.ID, float64(sign)*j.Spec.VCPUs)
 	}
 	if j.Spec.OneZone || j.Spec.Spread {
-		if j.Zones == nil {
-			j.Zones = map[string]int{}
+		if j.AllocatedByZone == nil {
+			j.AllocatedByZone = map[string]int{}
 		}
-		j.Zones[w.Zone] += sign
+		j.AllocatedByZone[w.Zone] += sign
 	}
 	if sign > 0 {
-		l.workers.Hold(w, t)
+		l.workers.AddTask(w, t)
 	} else {
-		l.workers.Release(w, t)
+		l.workers.RemoveTask(w, t)
 	}
 }
 
 func (l *lead) move(t *jobs.Task, from, to jobs.State) {
-	w := l.workers.Workers[t.Host]
-	l.gangs.Touch(t.Job)
-	if !from.Held() && to.Held() {
+	w := l.workers.Workers[t.MachineID]
+	l.gangs.MarkChanged(t.Job)
+	if !from.Allocated() && to.Allocated() {
 		l.count(t, w, 1)
 	}
-	if from.Held() && !to.Held() {
+	if from.Allocated() && !to.Allocated() {
 		l.count(t, w, -1)
 	}
 }
 
 // Place carries out a decision: it is launched once it is durable.
 func (l *lead) Place(t *jobs.Task, w *workers.Worker) {
-	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.Host), "held", w.Holds(t.Job.Spec.Image), "within", l.planner.Within(t.Job),
-		"age_s", l.c.env.Now().Sub(t.Job.Arrived).Seconds())
-	l.jobs.Place(t, w.Host, w.Session, func() {
+	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.Within(t.Job),
+		"age_s", l.c.env.Now().Sub(t.Job.SubmittedAt).Seconds())
+	l.jobs.Place(t, w.ID, w.Incarnation, func() {
 		if l.dead || !l.c.may(authority.Launch) {
 			return // the answer to its worker's next report launches it
 		}
-		if w.State == workers.Returning || w.State == workers.Gone {
+		if w.State == workers.Terminating || w.State == workers.Terminated {
 			return
 		}
 		l.workers.Launch(w, t)
@@ -64,31 +64,31 @@
 }
 
 // PlaceGang carries out the decision for all tasks of a gang that wait.
-func (l *lead) PlaceGang(j *jobs.Job, picks []gang.Pick) {
+func (l *lead) PlaceGang(j *jobs.Job, picks []gang.Placement) {
 	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.Within(j),
-		"age_s", l.c.env.Now().Sub(j.Arrived).Seconds())
+		"age_s", l.c.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, picks)
 }
 
 // GangUsed says whether the gang's present attempt was on a machine before.
-func (l *lead) GangUsed(j *jobs.Job, w *workers.Worker) bool { return l.gangs.Used(j, w.Host) }
+func (l *lead) GangUsed(j *jobs.Job, w *workers.Worker) bool { return l.gangs.HasUsed(j, w.ID) }
 
 // Stoppable says whether a gang can be stopped in order.
-func (l *lead) Stoppable(j *jobs.Job) bool { return l.gangs.Stoppable(j) }
+func (l *lead) Stoppable(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
 // StopGang stops a whole gang so that others find room.
 func (l *lead) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
 
 // Preempt stops a task so that another finds room.
 func (l *lead) Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration) {
-	slog.Info("preempting", "task", t.TaskID().String(), "host", string(w.Host))
+	slog.Info("preempting", "task", t.TaskID().String(), "host", string(w.ID))
 	l.workers.StopTask(w, t, windDown)
 }
 
 func (l *lead) stopAll(j *jobs.Job) {
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; t.State.Held() {
-			l.workers.StopTask(l.workers.Workers[t.Host], t, 0)
+		if t := &j.Tasks[i]; t.State.Allocated() {
+			l.workers.StopTask(l.workers.Workers[t.MachineID], t, 0)
 		}
 	}
 }
@@ -97,28 +97,28 @@
 // probably complete before.
 func (l *lead) drain(w *workers.Worker) {
 	now := l.c.env.Now()
-	left := w.Doomed.Sub(now)
-	for _, t := range l.workers.TasksOf(w) {
+	left := w.ReclaimAt.Sub(now)
+	for _, t := range l.workers.SortedTasks(w) {
 		s := t.Job.Spec
 		if t.State != jobs.Assigned {
 			continue
 		}
 		need := settings.Seconds(s.RuntimeS)
-		if t.RunsAt > 0 {
-			need -= now.Sub(t.RunsAt)
+		if t.RunningSince > 0 {
+			need -= now.Sub(t.RunningSince)
 		}
-		save := settings.Seconds(s.SnapshotS)
+		save := settings.Seconds(s.CheckpointS)
 		switch {
 		case s.Shape == api.Gang:
 			// The whole gang, or none of it: what can't be told in time is lost anyway.
 			save += settings.Seconds(l.c.set.Cluster.Workers.GangPeerS)
-			if need > left && left < save+2*settings.Seconds(l.c.set.Cluster.Workers.ReportS) {
+			if need > left && left < save+2*settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS) {
 				l.gangs.Stop(t.Job, "a machine will be taken")
 			}
-		case s.Saves():
+		case s.CanCheckpoint():
 			// As late as it can still save, with a report's time to spare.
-			if left < save+2*settings.Seconds(l.c.set.Cluster.Workers.ReportS) {
-				l.workers.StopTask(w, t, t.SaveTime())
+			if left < save+2*settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS) {
+				l.workers.StopTask(w, t, t.CheckpointGracePeriod())
 			}
 		case s.Shape == api.Service || need > left:
 			l.workers.StopTask(w, t, 0)
@@ -136,28 +136,28 @@
 	j := t.Job
 	switch c {
 	case api.CauseError:
-		slog.Info("task failed", "task", t.TaskID().String(), "host", string(w.Host))
-		t.Fails++
-		l.jobs.Doubt(j)
-		if j.Shunned == nil {
-			j.Shunned = map[ident.MachineID]bool{}
+		slog.Info("task failed", "task", t.TaskID().String(), "host", string(w.ID))
+		t.ConsecutiveErrors++
+		l.jobs.NoteFailure(j)
+		if j.AvoidedMachines == nil {
+			j.AvoidedMachines = map[ident.MachineID]bool{}
 		}
-		j.Shunned[w.Host] = true
-		if len(j.Shunned) >= 3 {
+		j.AvoidedMachines[w.ID] = true
+		if len(j.AvoidedMachines) >= 3 {
 			// Rather the job's fault than that of so many machines.
-			clear(j.Shunned)
-			j.Suspect = !j.Gang()
+			clear(j.AvoidedMachines)
+			j.Suspect = !j.IsGang()
 		}
-		if (j.Suspect || len(j.Shunned) == 0) && now >= j.RetryAt { // once for all that fail together
+		if (j.Suspect || len(j.AvoidedMachines) == 0) && now >= j.RetryAt { // once for all that fail together
 			j.Backoff = min(max(2*j.Backoff, 4*time.Second), maxBackoff)
 			j.RetryAt = now.Add(j.Backoff)
 		}
-	case api.CauseFull:
-		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(w.Host))
-		w.Shun = now.Add(time.Second)
+	case api.CauseNoCapacity:
+		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(w.ID))
+		w.QuarantinedUntil = now.Add(time.Second)
 	case api.CauseBusy, api.CauseUnknown:
-		slog.Info("refused", "task", t.TaskID().String(), "host", string(w.Host), "cause", string(c))
-		t.Fails++
-		t.RetryAt = now.Add(min(time.Duration(t.Fails)*time.Second, 10*time.Second))
+		slog.Info("refused", "task", t.TaskID().String(), "host", string(w.ID), "cause", string(c))
+		t.ConsecutiveErrors++
+		t.RetryAt = now.Add(min(time.Duration(t.ConsecutiveErrors)*time.Second, 10*time.Second))
 	}
 }
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -66,10 +66,10 @@
 	piece := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
 	}
-	rep := &api.Report{Host: "h", Addr: "a", Model: "m8", Zone: "a", Session: 1, Serial: 2, Epoch: ident.MakeFencingToken(5, 0),
+	rep := &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(5, 0),
 		Tasks: []api.TaskReport{piece("j-7"), piece("j-8")}}
 	r, ok := c.keepLease(rep)
-	want := string(api.JSON(api.Orders{Epoch: rep.Epoch, Orders: []api.Order{{Verb: api.Kill, TaskID: piece("j-7").TaskID, Attempt: 1, WindDownS: new(float64)}}}))
+	want := string(api.JSON(api.HeartbeatResponse{FencingToken: rep.FencingToken, Commands: []api.Command{{Verb: api.Kill, TaskID: piece("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}}}))
 	if !ok || string(r.Body) != want {
 		t.Errorf("%v %s, want %s", ok, r.Body, want)
 	}
@@ -100,6 +100,6 @@
 	want("3 s after a cancellation", c.grace-3*time.Second)
 	w.now = w.now.Add(c.grace)
 	want("long after", 0)
-	l.jobs.Gone(&j.Tasks[0], nil)
+	l.jobs.MarkGone(&j.Tasks[0], nil)
 	want("proven gone", c.grace)
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -23,7 +23,7 @@
 		}
 		return api.JSON(l.models)
 	}
-	known := func(models []cloud.Model) {
+	known := func(models []cloud.MachineType) {
 		if len(models) == 0 {
 			l.askCatalog(done)
 			return
@@ -34,7 +34,7 @@
 	}
 	whole := func() {
 		l.read(statesvc.Request{Op: statesvc.Get, Key: catalogKey, Timeout: commitTime}, func(r statesvc.Response) {
-			var models []cloud.Model
+			var models []cloud.MachineType
 			if r.Outcome == statesvc.OK {
 				l.catalog.Revision = r.Revision
 				if err := json.Unmarshal(r.Value, &models); err != nil {
@@ -50,9 +50,9 @@
 	}
 	var pairs []statesvc.KeyValue
 	l.readAll(typesPrefix, "", &pairs, func() {
-		var models []cloud.Model
+		var models []cloud.MachineType
 		for i, p := range pairs {
-			var m cloud.Model
+			var m cloud.MachineType
 			if p.Key != typeKey(i) || json.Unmarshal(p.Value, &m) != nil {
 				slog.Error("unreadable machine type", "path", p.Key)
 				continue
@@ -103,7 +103,7 @@
 	l.commits.MarkDirty(l.catalog, nil)
 }
 
-func (l *lead) setModels(models []cloud.Model) {
+func (l *lead) setModels(models []cloud.MachineType) {
 	l.models = models
 	for i := range models {
 		k := models[i]
@@ -118,19 +118,19 @@
 // askCatalog reads the cloud's catalog; first is called once it is known, or
 // nil: it is then read again in a while, since prices move.
 func (l *lead) askCatalog(first func()) {
-	l.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Reply) {
+	l.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
 		if l.dead {
 			return
 		}
 		wait := catalogEvery
-		if r.Outcome == cloud.OK && len(r.Models) > 0 {
-			same := len(r.Models) == len(l.models)
-			for i := 0; same && i < len(r.Models); i++ {
-				a, b := r.Models[i], l.models[i]
-				a.MarketPrice, b.MarketPrice = 0, 0
+		if r.Outcome == cloud.OK && len(r.MachineTypes) > 0 {
+			same := len(r.MachineTypes) == len(l.models)
+			for i := 0; same && i < len(r.MachineTypes); i++ {
+				a, b := r.MachineTypes[i], l.models[i]
+				a.SpotPrice, b.SpotPrice = 0, 0
 				same = string(api.JSON(a)) == string(api.JSON(b))
 			}
-			l.setModels(r.Models)
+			l.setModels(r.MachineTypes)
 			if !same {
 				l.storeCatalog()
 			}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -13,7 +13,7 @@
 // its lease, and the cluster, for as long as the cut lasts.
 func (l *lead) alone() bool {
 	now := l.c.env.Now()
-	if len(l.c.set.Siblings) == 0 || now.Sub(l.began) < aloneAfter {
+	if len(l.c.set.Peers) == 0 || now.Sub(l.began) < aloneAfter {
 		return false
 	}
 	if l.c.hears(aloneAfter / 2) {
@@ -21,13 +21,13 @@
 	}
 	mute, asked, newest := 0, 0, ident.MonotonicTime(0)
 	for _, w := range l.workers.Sorted() {
-		if w.State != workers.Up && w.State != workers.Silent {
+		if w.State != workers.Up && w.State != workers.Unreachable {
 			continue
 		}
-		newest = max(newest, w.Heard())
+		newest = max(newest, w.LastContact())
 		switch {
-		case now.Sub(w.Heard()) < aloneAfter/2:
-		case w.Misses() > 0:
+		case now.Sub(w.LastContact()) < aloneAfter/2:
+		case w.MissedResponses() > 0:
 			mute++
 		case asked < maxMute && l.workers.Probe(w):
 			// Where few machines are, reports leave longer gaps than this. (A leader of
@@ -69,7 +69,7 @@
 		l.contact()
 		return
 	}
-	if now.Sub(l.direct) < directAfter || !w.Reported() || now.Sub(w.Heard()) > 2*directAfter {
+	if now.Sub(l.direct) < directAfter || !w.HeardThisTerm() || now.Sub(w.LastContact()) > 2*directAfter {
 		return
 	}
 	if l.c.links != nil {
@@ -86,8 +86,8 @@
 func (l *lead) allowance(now ident.MonotonicTime) time.Duration {
 	left := l.c.grace
 	for _, j := range l.jobs.Jobs {
-		if j.Phase == jobs.Cancelled && j.Held > 0 {
-			left = min(left, l.c.grace-now.Sub(j.Ended))
+		if j.Phase == jobs.Cancelled && j.AllocatedTasks > 0 {
+			left = min(left, l.c.grace-now.Sub(j.ClosedAt))
 		}
 	}
 	return max(0, left)
@@ -96,7 +96,7 @@
 // stranded says whether all siblings in a zone are silent, and there are some.
 func (l *lead) stranded(site string) bool {
 	n := 0
-	for _, s := range l.c.set.Siblings {
+	for _, s := range l.c.set.Peers {
 		if s.Zone != site {
 			continue
 		}
@@ -112,7 +112,7 @@
 // A leader that hears neither workers nor siblings leaves the lead to one that
 // may.
 func (l *lead) reached() bool {
-	if l.c.hears(peerSilent) || len(l.c.set.Siblings) == 0 {
+	if l.c.hears(peerSilent) || len(l.c.set.Peers) == 0 {
 		return true
 	}
 	if l.c.links == nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,8 +30,8 @@
 	WallMS() int64
 	After(time.Duration, func())
 	Store(statesvc.Request, func(statesvc.Response))
-	Cloud(cloud.Request, func(cloud.Reply))
-	Worker(workers.Command, func(workers.Answer))
+	Cloud(cloud.Request, func(cloud.Response))
+	Worker(workers.CommandCall, func(workers.CommandResult))
 	Mesh(to ident.NodeID, f *mesh.Frame)
 }
 
@@ -60,7 +60,7 @@
 	heartbeats renewal.SentHeartbeats
 	renewer    renewal.Renewer
 	// cancelled holds jobs that were durably cancelled, as this node has passed on.
-	cancelled *jobs.Recent[struct{}]
+	cancelled *jobs.RecentJobs[struct{}]
 	seen      ident.MonotonicTime // when the state service last served this node
 	links     *linkView           // nil unless links are watched
 	authority authority.Tracker
@@ -92,14 +92,14 @@
 func New(env Env, set *settings.Settings, rng *rand.Rand) *Controller {
 	w := set.Cluster.Workers
 	c := &Controller{env: env, set: set, rng: rng, peers: map[ident.NodeID]*peer{}, asks: map[uint64]func(Reply){},
-		askID: rng.Uint64(), cancelled: jobs.NewRecent[struct{}](maxCancelled)}
+		askID: rng.Uint64(), cancelled: jobs.NewRecentJobs[struct{}](maxCancelled)}
 	// An earlier leader may answer checkins for so long past its validity; a
 	// worker that heard it last still loses its tasks before cancel_s is over.
 	c.grace = max(0, settings.Seconds(w.CancelS-w.LeaseS*1.002)-graceMargin)
-	for _, s := range set.Siblings {
+	for _, s := range set.Peers {
 		c.peers[s.Node] = &peer{}
 	}
-	rate := readShare * set.Cluster.State.RPS / float64(max(1, set.Cluster.Nodes))
+	rate := readShare * set.Cluster.Store.RPS / float64(max(1, set.Cluster.Nodes))
 	c.reads = bucket{tokens: rate, perSecond: rate, filled: env.Now()}
 	if set.Tuning.Links.Enabled {
 		c.links = newLinkView(c)
@@ -160,7 +160,7 @@
 	if c.links != nil {
 		own = c.links.row(now)
 	}
-	for _, s := range c.set.Siblings {
+	for _, s := range c.set.Peers {
 		g := f
 		g.Life.Echo = c.peers[s.Node].beat
 		c.env.Mesh(s.Node, &g)
@@ -206,18 +206,18 @@
 // keepLease answers a worker while neither the leader nor the state service serves this
 // node: both are cut off alike, or the leader has died and nobody can follow it. Its
 // work goes on for as long as the leader allows.
-func (c *Controller) keepLease(r *api.Report) (Reply, bool) {
+func (c *Controller) keepLease(r *api.Heartbeat) (Reply, bool) {
 	now := c.env.Now()
-	if !c.renewer.MayRenew(now, r.Epoch) || now.Sub(c.seen) < cutAfter {
+	if !c.renewer.MayRenew(now, r.FencingToken) || now.Sub(c.seen) < cutAfter {
 		return Reply{}, false
 	}
 	c.renewer.RecordRenewal(now)
 	c.LeasesKept++
-	o := api.Orders{Epoch: r.Epoch, Orders: []api.Order{}}
+	o := api.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []api.Command{}}
 	for _, p := range r.Tasks {
 		// A kill is safe whoever leads; without it the task ends with the lease only.
 		if _, ok := c.cancelled.Get(p.TaskID.Job); ok && p.Status != api.Ended {
-			o.Orders = append(o.Orders, workers.Kill(p.TaskID, p.Attempt))
+			o.Commands = append(o.Commands, workers.KillCommand(p.TaskID, p.Attempt))
 		}
 	}
 	return answer(http.StatusOK, o), true
@@ -249,7 +249,7 @@
 func (c *Controller) OnStoppedLeading(why string) {
 	if c.lead != nil {
 		for _, j := range c.lead.jobs.Sorted() {
-			c.learned(j.Spec.ID, j.Durable.String()) // what is final can't change any more
+			c.learned(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
 		}
 		c.lead.close()
 		c.lead = nil
@@ -376,27 +376,27 @@
 
 // checkin answers a worker's report.
 func (c *Controller) checkin(body []byte, direct bool, reply func(Reply)) {
-	r, err := api.ParseReport(body)
+	r, err := api.ParseHeartbeat(body)
 	if err != nil {
 		reply(problem(http.StatusBadRequest, err.Error()))
 		return
 	}
-	var o *api.Orders
+	var o *api.HeartbeatResponse
 	var until ident.MonotonicTime
 	if l := c.lead; l != nil {
 		if c.links != nil {
 			c.links.reported(r, direct)
 		}
 		if c.may(authority.CommandWorkers) {
-			o = l.workers.Checkin(r)
-			if o != nil && api.Launches(o.Orders) {
+			o = l.workers.HandleHeartbeat(r)
+			if o != nil && api.ContainsLaunch(o.Commands) {
 				// Should this process stand still now, a successor may have told that
 				// the job is cancelled before the answer goes out.
 				until = c.elect.LeaseExpiry()
 			}
-			l.heard(l.workers.Workers[r.Host], direct)
+			l.heard(l.workers.Workers[r.MachineID], direct)
 		} else if c.may(authority.RenewWorkerLeases) {
-			o = l.workers.Renew(r)
+			o = l.workers.RenewLeaseOnly(r)
 		}
 	}
 	if o == nil {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -99,7 +99,7 @@
 		// Otherwise read by the leader; reading it here as well doubles the cost of
 		// what comes most often.
 		if !up {
-			r, err := api.ParseReport(body)
+			r, err := api.ParseHeartbeat(body)
 			if err != nil {
 				reply(problem(http.StatusBadRequest, err.Error()))
 				return
@@ -153,7 +153,7 @@
 		return
 	}
 	c.forward(way, v, job, body, forwardTime, func(r Reply) {
-		var a api.Ack
+		var a api.JobStatus
 		if v == mesh.Cancel && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
 			c.learned(a.ID, a.Status)
 		}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -20,10 +20,10 @@
 	w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}}
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
-		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61, GangWaitS: 50, GangPeerS: 5},
-		State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
-			Next: &settings.NextState{WriteRPS: 35, ValueKB: 2, TxnOps: 5}},
-		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61, GangWaitS: 50, GangPeerS: 5},
+		Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
+			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}},
+		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
 	w.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
 	c.Start()
 	w.pass(4 * askEvery)
@@ -84,8 +84,8 @@
 	for _, x := range []struct{ term, want string }{{`5`, "503"}, {`{"term":5,"level":1}`, "passed on"}} {
 		w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}}
 		w.values = map[string]string{"term": x.term}
-		set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Siblings: []settings.Sibling{{Node: "agent-1"}},
-			Cluster: settings.Cluster{Nodes: 2, Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
+		set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
+			Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 		c := New(w, set, rand.New(rand.NewPCG(1, 2)))
 		c.Frame("agent-1", &mesh.Frame{Kind: mesh.Heartbeat, Node: "agent-1", Term: 5, ID: 1})
 		got := ""
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -32,11 +32,11 @@
 
 func (goldenStore) WallMS() int64 { return 1_700_000_000_123 }
 
-func (goldenStore) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (goldenStore) Cloud(r cloud.Request, f func(cloud.Response)) {
 	if r.Op == cloud.Catalog {
-		other := golden.Filled[cloud.Model](0)
+		other := golden.Filled[cloud.MachineType](0)
 		other.SKU, other.Zones = "m8", []string{"a", "b"}
-		f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{golden.Filled[cloud.Model](0), other}})
+		f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{golden.Filled[cloud.MachineType](0), other}})
 	}
 }
 
@@ -44,9 +44,9 @@
 func (s goldenStore) lead(term ident.Term, level ident.FormatLevel) *Controller {
 	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
-		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
-		State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud:   settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
+		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud:   settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
 	c.OnStartedLeading(term, level, statesvc.Compare{Key: "leader", Revision: 9})
 	s.settle(c)
 	return c
@@ -73,8 +73,8 @@
 func machinesOf(l *lead) string {
 	var b strings.Builder
 	for _, w := range l.workers.Sorted() {
-		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.Host, w.Addr, w.Model, w.Zone, w.Spot, w.State,
-			l.c.env.Now().Sub(w.Born).Round(time.Minute))
+		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
+			l.c.env.Now().Sub(w.CreatedAt).Round(time.Minute))
 	}
 	for _, m := range l.models {
 		fmt.Fprintf(&b, "%s\n", api.JSON(m))
@@ -92,7 +92,7 @@
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.lead.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
 			if i != 1 {
-				c.lead.workers.Checkin(&api.Report{Host: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Session: 1, Serial: 1})
+				c.lead.workers.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Incarnation: 1, SequenceNumber: 1})
 			}
 		}
 		s.settle(c)
@@ -108,7 +108,7 @@
 		}
 	}
 	golden.RoundTrip(t, &d, "group", golden.Filled[groupRecord](0))
-	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, typesPrefix, jobs.LivePrefix, jobs.OverPrefix, migration.Prefix}, "\n"))
+	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, typesPrefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
 	d.Compare(t, "machines")
 }
 
@@ -157,10 +157,10 @@
 		many = append(many, fmt.Sprintf("model-%04d", i))
 	}
 	models := string(api.JSON(append(many, "m8")))
-	report := api.JSON(api.Report{Host: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Session: 1, Serial: 1})
-	a.w.values[jobs.OverKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
-	a.w.values[jobs.OverKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
-	a.w.values[jobs.OverKey("j-72")] = `{"phase":"lost"}`
+	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
+	a.w.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
+	a.w.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
+	a.w.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
 	a.ask("malformed submission", mesh.Submit, "", []byte("x"))
 	a.ask("field missing", mesh.Submit, "", batch(`"vcpus"`, `"x"`))
 	a.ask("gang", mesh.Submit, "", gangSpec(`"j-1"`, `"j-2"`))
@@ -189,8 +189,8 @@
 // goldenFollower makes a node with a sibling that leads, if it is known.
 func goldenFollower(known bool) *asker {
 	w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}, values: map[string]string{"term": "5"}}
-	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Siblings: []settings.Sibling{{Node: "agent-1"}},
-		Cluster: settings.Cluster{Nodes: 2, Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
+	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
+		Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
 	if known {
 		a.c.Frame("agent-1", &mesh.Frame{Kind: mesh.Heartbeat, Node: "agent-1", Term: 5, ID: 1})
@@ -208,7 +208,7 @@
 	a.ask("gang", mesh.Submit, "", gangSpec())
 	a.ask("array", mesh.Submit, "", gangSpec(`"gang"`, `"batch"`))
 	a.ask("cancellation", mesh.Cancel, "j-1", nil)
-	report := api.JSON(api.Report{Host: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Session: 1, Serial: 1})
+	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
 	a.ask("malformed report", mesh.Checkin, "", []byte(`{}`))
 	a.ask("report", mesh.Checkin, "", report)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
@@ -254,7 +254,7 @@
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlow, rebalance.Source.String))
 	d.Add("rounds without a plan", namesOf(restraintCount-1, restraint.String))
 	d.Add("teams", namesOf(load.Cooling, load.Heat.String))
-	d.Add("machines", namesOf(workers.Gone, workers.State.String))
+	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
 	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
 	d.Compare(t, "names")
 }
@@ -270,7 +270,7 @@
 	l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced = 301, 302, 303
 	l.commits.Txns, l.commits.Puts, l.commits.Retries, l.commits.Rejected = 401, 402, 403, 404
 	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
-	l.workers.Relocated, l.workers.Fences, l.workers.Stale = 601, 602, 603
+	l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats = 601, 602, 603
 	s := c.Snapshot()
 	for _, pair := range [][2]uint64{{s.Forwarded, 101}, {s.Refused, 102}, {s.Elected, 103}, {s.LeasesKept, 104}, {s.Relayed, 105},
 		{s.Planned, 201}, {s.Local, 202}, {s.New, 203}, {s.Stolen, 204}, {s.Services, 205}, {s.Gangs, 206}, {s.Preempted, 207}, {s.Rounds, 208},
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -35,8 +35,8 @@
 	gangs  *gang.Table
 	raiser *upgrade.Raiser
 
-	models  []cloud.Model
-	kinds   map[string]*cloud.Model
+	models  []cloud.MachineType
+	kinds   map[string]*cloud.MachineType
 	catalog *commit.Document   // of the first format
 	types   []*commit.Document // from it on: one for each machine type
 
@@ -44,8 +44,8 @@
 	valueBytes int                 // of a value, at any time
 	converted  ident.MonotonicTime // no look for jobs in the old form before
 
-	groups    map[kindOf]*workers.Group // that new machines go into
-	older     []*workers.Group          // loaded, in the form of before
+	groups    map[kindOf]*workers.RecordGroup // that new machines go into
+	older     []*workers.RecordGroup          // loaded, in the form of before
 	lastGroup int
 
 	ready  bool
@@ -100,25 +100,25 @@
 )
 
 func newLead(c *Controller, t ident.Term, level ident.FormatLevel, key statesvc.Compare) *lead {
-	l := &lead{c: c, term: t, level: level, began: c.env.Now(), kinds: map[string]*cloud.Model{}, groups: map[kindOf]*workers.Group{}, pending: map[uint64]func(Reply){},
+	l := &lead{c: c, term: t, level: level, began: c.env.Now(), kinds: map[string]*cloud.MachineType{}, groups: map[kindOf]*workers.RecordGroup{}, pending: map[uint64]func(Reply){},
 		renewals: renewal.NewRegistry(c.grace), direct: c.env.Now(), missing: map[*workers.Worker]bool{}, upByZone: map[string]int{}}
-	st := c.set.Cluster.State
-	limits := func(s settings.State) commit.Limits {
+	st := c.set.Cluster.Store
+	limits := func(s settings.StoreLimits) commit.Limits {
 		return commit.Limits{MutationsPerTxn: s.TxnOps, MutationsPerSecond: writeShare * s.WriteRPS, MaxValueBytes: int(s.ValueKB * 1024)}
 	}
-	tight := limits(st.Tight())
+	tight := limits(st.Strictest())
 	l.valueBytes = tight.MaxValueBytes
 	l.commits = commit.New(c.env, limits(st), key, func(why string) { c.elect.Deposed(why) })
 	l.commits.ExpectLimits(tight)
 	l.commits.OnUnavailable = l.refusePending
 	l.jobs = jobs.NewTable(l.commits, limits(st).MaxValueBytes, c.env.Now, c.env.WallMS)
-	l.jobs.Expect(l.valueBytes)
+	l.jobs.LimitValueBytes(l.valueBytes)
 	if level >= ident.FormatPacked {
 		l.commits.UseTextFormat()
-		l.jobs.Pack()
+		l.jobs.UsePackedLog()
 	}
 	nodes := []ident.NodeID{c.set.Node}
-	for _, s := range c.set.Siblings {
+	for _, s := range c.set.Peers {
 		nodes = append(nodes, s.Node)
 	}
 	l.raiser = upgrade.New(c.env, t, key, nodes, l.commits.MarkDirty, l.pack)
@@ -126,18 +126,18 @@
 	w := c.set.Cluster.Workers
 	port := leaderPort{Env: c.env, until: c.elect.LeaseExpiry}
 	l.workers = workers.NewTable(port, l.jobs, l.workersConfig())
-	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.set.Tuning.Plan == "asm1", c.set.Cluster.Objectives)
-	l.planner.MaxWait, l.planner.GangWait = c.set.Tuning.MaxWait, c.set.Tuning.GangWait
+	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.set.Tuning.PlanMode == "asm1", c.set.Cluster.Objectives)
+	l.planner.MaxWait, l.planner.GangWait = c.set.Tuning.StarvationTimeout, c.set.Tuning.GangPreemptAfter
 	if c.links != nil {
 		times := handover.DefaultConfig()
-		times.MinTermDuration, times.StabilizationWindow = c.set.Tuning.Links.Hold, c.set.Tuning.Links.Persist
+		times.MinTermDuration, times.StabilizationWindow = c.set.Tuning.Links.MinLeadTime, c.set.Tuning.Links.BetterPeerFor
 		l.handover = handover.New(times, &c.links.history, c.env.Now())
 	}
 	l.watchLoad()
 	l.fleet = fleet.New(port, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
 	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.dead && c.may(authority.Launch) },
-		gang.Config{Wait: settings.Seconds(w.GangWaitS), Peer: settings.Seconds(w.GangPeerS), Report: settings.Seconds(w.ReportS)})
-	l.jobs.OnMove = l.move
+		gang.Config{GatherTimeout: settings.Seconds(w.GangWaitS), PeerLossTimeout: settings.Seconds(w.GangPeerS), HeartbeatInterval: settings.Seconds(w.HeartbeatS)})
+	l.jobs.OnStateChange = l.move
 	l.jobs.OnWaiting = func(*jobs.Task) { l.dirty = true }
 	return l
 }
@@ -146,21 +146,21 @@
 func (l *lead) workersConfig() workers.Config {
 	c := l.c
 	return workers.Config{
-		Term:    l.term,
-		LeaseS:  settings.Seconds(c.set.Cluster.Workers.LeaseS),
-		Grace:   c.grace,
-		Catalog: func(m string) *cloud.Model { return l.kinds[m] },
-		Deposed: func() { c.elect.Deposed("a worker has seen a later term") },
-		Changed: func() { l.dirty = true },
-		Failed:  l.failed,
-		Completed: func(t *jobs.Task, w *workers.Worker) {
+		Term:              l.term,
+		LeaseDuration:     settings.Seconds(c.set.Cluster.Workers.LeaseS),
+		LeaderGrace:       c.grace,
+		Catalog:           func(m string) *cloud.MachineType { return l.kinds[m] },
+		OnDeposed:         func() { c.elect.Deposed("a worker has seen a later term") },
+		OnCapacityChanged: func() { l.dirty = true },
+		OnTaskFailed:      l.failed,
+		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
 			if l.mover != nil {
 				l.mover.completed(t, w)
 			}
 		},
-		Commit:  l.commitWorker,
-		Asked:   l.asked,
-		Renewed: func() ident.MonotonicTime { return l.renewals.LatestRenewal(c.env.Now()) },
+		Persist:         l.commitWorker,
+		OnCommandResult: l.asked,
+		LastPeerRenewal: func() ident.MonotonicTime { return l.renewals.LatestRenewal(c.env.Now()) },
 	}
 }
 
@@ -172,7 +172,7 @@
 		Tuning:   c.set.Tuning,
 		Cloud:    c.set.Cluster.Cloud,
 		Workers:  c.set.Cluster.Workers,
-		Catalog:  func() []cloud.Model { return l.models },
+		Catalog:  func() []cloud.MachineType { return l.models },
 		Reached:  l.reached,
 		Stranded: l.stranded,
 		Direct:   func() bool { return c.env.Now().Sub(l.direct) < directAfter },
@@ -207,7 +207,7 @@
 	l.level = ident.FormatPacked
 	l.c.level = max(l.c.level, l.level)
 	l.commits.UseTextFormat()
-	l.jobs.Pack()
+	l.jobs.UsePackedLog()
 	l.fitGroups()
 	l.storeCatalog()
 }
@@ -227,10 +227,10 @@
 	}
 	if l.c.mayTend() {
 		began := l.c.env.Now()
-		l.jobs.Acquit()
+		l.jobs.ClearProvenHealthy()
 		l.fleet.Tick()
 		l.gangs.Tick()
-		if l.level >= ident.FormatPacked && began > l.converted && l.commits.HasSpareCapacity() && !l.jobs.Convert(convertBatch) {
+		if l.level >= ident.FormatPacked && began > l.converted && l.commits.HasSpareCapacity() && !l.jobs.ConvertToLog(convertBatch) {
 			l.converted = began.Add(convertAgain)
 		}
 		l.dirty = true
@@ -240,7 +240,7 @@
 }
 
 func (l *lead) roundLater() {
-	l.c.env.After(l.c.set.Tuning.Round, func() {
+	l.c.env.After(l.c.set.Tuning.PlanInterval, func() {
 		if l.dead {
 			return
 		}
@@ -266,13 +266,13 @@
 // much room there is.
 func (l *lead) idleness() (waits, limited int, free float64) {
 	for j := range l.jobs.Waiting {
-		n := j.Waits()
+		n := j.WaitingCount()
 		waits += n
 		limited += n - min(n, l.teams.Room(j.Spec))
 	}
 	for _, w := range l.workers.Sorted() {
-		if w.Open(l.c.env.Now()) && w.Kind != nil {
-			free += w.Kind.VCPUs - w.VCPUs
+		if w.Schedulable(l.c.env.Now()) && w.Type != nil {
+			free += w.Type.VCPUs - w.VCPUs
 		}
 	}
 	return waits, limited, free
@@ -283,7 +283,7 @@
 		return
 	}
 	if l.ready {
-		l.gangs.Settle()
+		l.gangs.ProcessChanges()
 		if l.mover != nil {
 			l.mover.advance()
 		}
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -37,11 +37,11 @@
 	f  func()
 }
 
-func (w *world) Now() ident.MonotonicTime                   { return w.now }
-func (w *world) WallMS() int64                              { return 0 }
-func (w *world) After(d time.Duration, f func())            { w.timers = append(w.timers, timer{w.now.Add(d), f}) }
-func (w *world) Cloud(r cloud.Request, f func(cloud.Reply)) {}
-func (w *world) Mesh(_ ident.NodeID, f *mesh.Frame)         { w.frames = append(w.frames, f) }
+func (w *world) Now() ident.MonotonicTime                      { return w.now }
+func (w *world) WallMS() int64                                 { return 0 }
+func (w *world) After(d time.Duration, f func())               { w.timers = append(w.timers, timer{w.now.Add(d), f}) }
+func (w *world) Cloud(r cloud.Request, f func(cloud.Response)) {}
+func (w *world) Mesh(_ ident.NodeID, f *mesh.Frame)            { w.frames = append(w.frames, f) }
 
 func (w *world) Store(r statesvc.Request, f func(statesvc.Response)) {
 	switch r.Op {
@@ -53,12 +53,12 @@
 			f(statesvc.Response{Outcome: statesvc.OK, Value: json.RawMessage(v)})
 			return
 		}
-		if strings.HasPrefix(r.Key, jobs.OverPrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
+		if strings.HasPrefix(r.Key, jobs.ArchivePrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
 			f(statesvc.Response{Outcome: statesvc.NotFound})
 			return
 		}
 		if r.Key == catalogKey {
-			f(statesvc.Response{Outcome: statesvc.OK, Value: api.JSON([]cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
+			f(statesvc.Response{Outcome: statesvc.OK, Value: api.JSON([]cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
 		}
 	case statesvc.GrantLease, statesvc.RenewLease:
 		f(statesvc.Response{Outcome: statesvc.OK, LeaseID: 1})
@@ -73,9 +73,9 @@
 	}
 }
 
-func (w *world) Worker(c workers.Command, f func(workers.Answer)) {
+func (w *world) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	w.asked[c.Addr] = true
-	w.After(1200*time.Millisecond, func() { f(workers.Answer{}) })
+	w.After(1200*time.Millisecond, func() { f(workers.CommandResult{}) })
 }
 
 // pass runs what is due within d.
@@ -119,8 +119,8 @@
 	job := `{"spec":{"id":"j-1","desk":"red","shape":"service","pieces":1,"vcpus":1},"seq":1,"phase":"open","tasks":[{"t":1,"h":"host-000007","n":1}]}`
 	w.keys = append(w.keys, statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
 	c.OnStartedLeading(2, 0, statesvc.Compare{Key: "leader", Revision: 9})
 	w.pass(4 * askEvery)
 	if len(w.asked) != machines {
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -84,7 +84,7 @@
 	tuning := c.set.Tuning.Links
 	v := &linkView{
 		c:           c,
-		monitor:     links.NewMonitor(links.Config{Pause: tuning.Suspect, HalfLife: tuning.HalfLife}),
+		monitor:     links.NewMonitor(links.Config{Pause: tuning.SuspectAfter, HalfLife: tuning.PenaltyHalfLife}),
 		incarnation: uint64(max(1, c.env.WallMS())),
 		capable:     map[ident.NodeID]bool{},
 		recent:      map[string][]links.Witness{},
@@ -102,8 +102,8 @@
 
 // siblings returns the names of the other nodes.
 func (c *Controller) siblings() []ident.NodeID {
-	out := make([]ident.NodeID, 0, len(c.set.Siblings))
-	for _, s := range c.set.Siblings {
+	out := make([]ident.NodeID, 0, len(c.set.Peers))
+	for _, s := range c.set.Peers {
 		out = append(out, s.Node)
 	}
 	return out
@@ -138,18 +138,18 @@
 }
 
 // Cloud sends a request to the cloud.
-func (e observedEnv) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (e observedEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	sent := e.Now()
 	e.view.monitor.Sent(cloudLink, sent)
-	e.Env.Cloud(r, func(a cloud.Reply) {
+	e.Env.Cloud(r, func(a cloud.Response) {
 		switch {
-		case a.Outcome == cloud.Unsent:
+		case a.Outcome == cloud.NotSent:
 			e.view.monitor.Withdrawn(cloudLink, sent)
-		case a.Outcome == cloud.Refused:
+		case a.Outcome == cloud.Unavailable:
 			e.view.monitor.Refused(cloudLink, sent, e.Now())
-		case a.Outcome != cloud.Lost:
+		case a.Outcome != cloud.NoAnswer:
 			e.view.monitor.Answered(cloudLink, sent, e.Now())
-		case a.Rejected:
+		case a.ConnectionRefused:
 			e.view.monitor.Rejected(cloudLink, e.Now())
 		}
 		f(a)
@@ -158,18 +158,18 @@
 
 // Worker sends a command to a machine. A refused connection is that machine's matter, not
 // its zone's, and shows that the network carries both ways.
-func (e observedEnv) Worker(c workers.Command, f func(workers.Answer)) {
+func (e observedEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	if c.Zone == "" {
 		e.Env.Worker(c, f)
 		return
 	}
 	zone, sent := machinesLink(c.Zone), e.Now()
 	e.view.monitor.Sent(zone, sent)
-	e.Env.Worker(c, func(a workers.Answer) {
+	e.Env.Worker(c, func(a workers.CommandResult) {
 		switch {
-		case a.Unsent:
+		case a.NotSent:
 			e.view.monitor.Withdrawn(zone, sent)
-		case a.Status != 0 || a.Rejected:
+		case a.Status != 0 || a.ConnectionRefused:
 			e.view.monitor.Answered(zone, sent, e.Now())
 		}
 		f(a)
@@ -209,7 +209,7 @@
 		v.c.look()
 	}
 	if v.monitor.Idle(cloudLink, now, probeCloudAfter) {
-		v.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(cloud.Reply) {})
+		v.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(cloud.Response) {})
 	}
 	byZone := v.witnesses(now)
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
@@ -233,8 +233,8 @@
 // ask sends a machine a command without orders, under no token: it is answered with a report
 // and carried out by nobody.
 func (v *linkView) ask(w links.Witness) {
-	command := workers.Command{Addr: w.Address, Zone: w.Zone, Body: api.Commands{Session: 1, Orders: []api.Order{}}}
-	v.c.env.Worker(command, func(a workers.Answer) {
+	command := workers.CommandCall{Addr: w.Address, Zone: w.Zone, Body: api.CommandRequest{Incarnation: 1, Commands: []api.Command{}}}
+	v.c.env.Worker(command, func(a workers.CommandResult) {
 		if a.Status == 0 {
 			v.drop(w)
 		}
@@ -267,7 +267,7 @@
 
 // reported notes a machine's report; one that came from the machine itself shows that its
 // zone is heard.
-func (v *linkView) reported(r *api.Report, direct bool) {
+func (v *linkView) reported(r *api.Heartbeat, direct bool) {
 	if direct {
 		v.monitor.Heard(machinesLink(r.Zone), v.c.env.Now())
 	}
@@ -291,7 +291,7 @@
 		return
 	}
 	v.sampled = now
-	if r, err := api.ParseReport(body); err == nil {
+	if r, err := api.ParseHeartbeat(body); err == nil {
 		v.reported(r, true)
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -88,26 +88,26 @@
 	for _, j := range l.jobs.Sorted() {
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			if !t.State.Held() {
+			if !t.State.Allocated() {
 				continue
 			}
-			w := l.workers.Workers[t.Host]
+			w := l.workers.Workers[t.MachineID]
 			if w == nil {
 				// Its machine's record was deleted: it is surely gone, which its
 				// return proves.
-				w = l.workers.Add(t.Host, "", "", false, l.c.env.Now())
+				w = l.workers.Add(t.MachineID, "", "", false, l.c.env.Now())
 				l.fleet.Return(w, "not on record")
 			}
 			l.count(t, w, 1)
 		}
 	}
-	l.jobs.Loaded()
+	l.jobs.FinishLoading()
 	if l.jobs.Seq > 0 {
 		l.fleet.Continue()
 	}
 	for _, j := range l.jobs.Sorted() {
 		if j.Phase == jobs.Open {
-			l.fleet.Arrived(j.Spec, j.Arrived)
+			l.fleet.Arrived(j.Spec, j.SubmittedAt)
 		}
 		if j.Phase == jobs.Cancelled {
 			l.stopAll(j)
@@ -138,7 +138,7 @@
 	n := maxAsked
 	for _, replicas := range []bool{true, false} { // users miss those first
 		for _, w := range l.workers.Sorted() {
-			if w.State != workers.Up || w.Reported() || w.Misses() > 0 || (w.Replicas > 0) != replicas {
+			if w.State != workers.Up || w.HeardThisTerm() || w.MissedResponses() > 0 || (w.ServiceVCPUs > 0) != replicas {
 				continue
 			}
 			if n == 0 {
--- a/internal/controller/load_view.go
+++ b/internal/controller/load_view.go
@@ -19,7 +19,7 @@
 		entitled[t.Name] = t.CPUs
 	}
 	l.mover = newMover(l)
-	l.jobs.OnOver = l.mover.history.Forget
+	l.jobs.OnArchived = l.mover.history.Forget
 	l.loads = load.New(load.DefaultConfig(), entitled)
 	if mode == settings.RebalancePlace {
 		l.planner.Even = l.loads.AnyHot
@@ -33,20 +33,20 @@
 	}
 	for _, w := range l.workers.Sorted() {
 		switch {
-		case w.State == workers.Up && w.Kind != nil:
-			l.loads.Machine(w.Host, w.Zone, w.Kind.VCPUs)
-		case w.State == workers.Gone && len(w.Tasks) == 0:
-			l.loads.Gone(w.Host)
+		case w.State == workers.Up && w.Type != nil:
+			l.loads.Machine(w.ID, w.Zone, w.Type.VCPUs)
+		case w.State == workers.Terminated && len(w.Tasks) == 0:
+			l.loads.Gone(w.ID)
 		default:
-			l.loads.Machine(w.Host, w.Zone, 0) // what it has is kept, and doesn't count
+			l.loads.Machine(w.ID, w.Zone, 0) // what it has is kept, and doesn't count
 		}
 	}
 	l.mover.judgeSpeeds()
 	now := l.c.env.Now()
 	for name, team := range l.jobs.Teams {
 		cpus := 0.0
-		for _, j := range team.Jobs {
-			cpus += float64(j.Held+j.Waits()) * j.Spec.VCPUs
+		for _, j := range team.OpenJobs {
+			cpus += float64(j.AllocatedTasks+j.WaitingCount()) * j.Spec.VCPUs
 		}
 		l.loads.Demand(name, cpus, now)
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -94,7 +94,7 @@
 
 // groupFits says whether a group's record stays within the limits that may come, with
 // so many machines more.
-func (l *lead) groupFits(g *workers.Group, k kindOf, more ...*workers.Worker) bool {
+func (l *lead) groupFits(g *workers.RecordGroup, k kindOf, more ...*workers.Worker) bool {
 	size := groupBytes + len(k.model) + len(k.site)
 	per := plainBytes
 	if l.level >= ident.FormatPacked {
@@ -102,7 +102,7 @@
 	}
 	for _, list := range [][]*workers.Worker{g.Members, more} {
 		for _, w := range list {
-			size += per + len(w.Host) + max(len(w.Addr), addrBytes)
+			size += per + len(w.ID) + max(len(w.Addr), addrBytes)
 		}
 	}
 	return size <= l.valueBytes && len(g.Members)+len(more) <= groupSize
@@ -115,23 +115,23 @@
 	if fresh {
 		k := kindOf{w.Model, w.Zone, w.Spot}
 		g := l.groups[k]
-		if g == nil || g.Dropped || !l.groupFits(g, k, w) {
+		if g == nil || g.Deleted || !l.groupFits(g, k, w) {
 			g = l.nextGroup(k)
 			l.groups[k] = g
 		}
 		w.Group = g
 		g.Members = append(g.Members, w)
 	}
-	if w.State == workers.Gone {
+	if w.State == workers.Terminated {
 		g := w.Group
 		g.Members = slices.DeleteFunc(slices.Clone(g.Members), func(o *workers.Worker) bool { return o == w })
-		l.commits.MarkDirtyLazily(g.Doc, func() { w.Recorded = false })
+		l.commits.MarkDirtyLazily(g.Doc, func() { w.Persisted = false })
 		return
 	}
 	if fresh {
 		l.commits.MarkDirty(w.Group.Doc, func() {
-			if w.State != workers.Gone {
-				w.Recorded = true
+			if w.State != workers.Terminated {
+				w.Persisted = true
 				l.dirty = true
 			}
 		})
@@ -140,24 +140,24 @@
 	l.commits.MarkDirtyLazily(w.Group.Doc, nil)
 }
 
-func (l *lead) nextGroup(k kindOf) *workers.Group {
+func (l *lead) nextGroup(k kindOf) *workers.RecordGroup {
 	l.lastGroup++
 	return l.newGroup(fmt.Sprintf("%s%d-%d", fleetPrefix, l.term, l.lastGroup), k)
 }
 
-func (l *lead) newGroup(path string, k kindOf) *workers.Group {
-	g := &workers.Group{Doc: &commit.Document{Key: path}}
+func (l *lead) newGroup(path string, k kindOf) *workers.RecordGroup {
+	g := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
 	g.Doc.Render = func() json.RawMessage {
 		members := slices.Concat(g.Members, g.Leaving)
 		if len(members) == 0 {
 			// Deleted, and not used again.
-			g.Dropped = true
+			g.Deleted = true
 			return nil
 		}
 		r := groupRecord{Model: k.model, Zone: k.site, Spot: k.standby}
 		var list []machineRecord
 		for _, w := range members {
-			list = append(list, machineRecord{w.Host, w.Addr, l.c.env.WallMS() - l.c.env.Now().Sub(w.Born).Milliseconds()})
+			list = append(list, machineRecord{w.ID, w.Addr, l.c.env.WallMS() - l.c.env.Now().Sub(w.CreatedAt).Milliseconds()})
 		}
 		if l.level >= ident.FormatPacked {
 			r.pack(list)
@@ -197,7 +197,7 @@
 	for _, m := range list {
 		if w := l.workers.Workers[m.Host]; w != nil {
 			// On its way from one group to another when a term ended.
-			l.workers.CameUp(w, m.Addr)
+			l.workers.RestoreAddress(w, m.Addr)
 			l.commits.MarkDirtyLazily(g.Doc, nil)
 			continue
 		}
@@ -223,7 +223,7 @@
 // fitGroups splits the groups that were put under larger limits: none must have to be
 // put again when it is too large.
 func (l *lead) fitGroups() {
-	seen := map[*workers.Group]bool{}
+	seen := map[*workers.RecordGroup]bool{}
 	for _, w := range l.workers.Sorted() {
 		g := w.Group
 		if g == nil || seen[g] {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (l *lead) fit(g *workers.Group) {
+func (l *lead) fit(g *workers.RecordGroup) {
 	if len(g.Members) == 0 {
 		return
 	}
@@ -249,7 +249,7 @@
 
 // split moves machines to other groups. They leave the old one when the new record is
 // durable, so that a successor finds each in at least one of both.
-func (l *lead) split(g *workers.Group, k kindOf) {
+func (l *lead) split(g *workers.RecordGroup, k kindOf) {
 	slog.Info("splitting a record of machines", "path", g.Doc.Key, "machines", len(g.Members))
 	for !l.groupFits(g, k) && len(g.Members) > 1 {
 		n := l.nextGroup(k)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -66,19 +66,19 @@
 	}
 }
 
-func (s *store) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (s *store) Cloud(r cloud.Request, f func(cloud.Response)) {
 	if r.Op == cloud.Catalog {
-		f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
+		f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
 	}
 }
 
 // lead begins a term over what is stored.
 func (s *store) lead(term ident.Term) *Controller {
 	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
-		State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
-			Next: &settings.NextState{ValueKB: float64(s.limit) / 1024, TxnOps: 5}},
-		Cloud: settings.Cloud{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
+		Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
+			Announced: &settings.AnnouncedStoreLimits{ValueKB: float64(s.limit) / 1024, TxnOps: 5}},
+		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
 	c.OnStartedLeading(term, ident.FormatPacked, statesvc.Compare{Key: "leader", Revision: 9})
 	for _, w := range c.lead.workers.Sorted() {
 		c.lead.commits.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
--- a/internal/controller/move_picture.go
+++ b/internal/controller/move_picture.go
@@ -19,23 +19,23 @@
 	var list []rebalance.Waiting
 	booting := l.booting()
 	for _, j := range l.jobs.Sorted() {
-		if j.Waits() == 0 || j.Gang() || j.Suspect || now < j.RetryAt || j.Spec.OneZone || j.Spec.Spread || !l.teams.Allows(j.Spec, 1) {
+		if j.WaitingCount() == 0 || j.IsGang() || j.Suspect || now < j.RetryAt || j.Spec.OneZone || j.Spec.Spread || !l.teams.Allows(j.Spec, 1) {
 			continue
 		}
 		first := j.WaitingTasks(1)
-		if len(first) == 0 || now.Sub(first[0].Since) < m.config.Patience {
+		if len(first) == 0 || now.Sub(first[0].StateSince) < m.config.Patience {
 			continue
 		}
 		t := first[0]
 		list = append(list, rebalance.Waiting{
 			ID:       t.TaskID(),
-			Need:     jobs.NeedOf(j.Spec),
+			Need:     jobs.ResourcesOf(j.Spec),
 			Level:    j.Spec.Priority.Level(),
-			Waited:   now.Sub(t.Since),
+			Waited:   now.Sub(t.StateSince),
 			Arriving: arriving(booting, j.Spec, now),
 			Allowed: func(k *rebalance.Machine) bool {
 				w := l.workers.Workers[k.Host]
-				return w.Allows(j.Spec) && !j.Shunned[k.Host]
+				return w.Allows(j.Spec) && !j.AvoidedMachines[k.Host]
 			},
 		})
 	}
@@ -61,7 +61,7 @@
 		if !w.Allows(s) {
 			continue
 		}
-		left := max(time.Second, settings.Seconds(w.Kind.StartupS)-now.Sub(w.Born))
+		left := max(time.Second, settings.Seconds(w.Type.StartupS)-now.Sub(w.CreatedAt))
 		if soonest == 0 || left < soonest {
 			soonest = left
 		}
@@ -75,9 +75,9 @@
 	p := &rebalance.Picture{Waiting: waiting, Fits: m.fits}
 	for _, w := range l.workers.Sorted() {
 		switch {
-		case w.Kind == nil || !l.zoneClear(w.Zone):
+		case w.Type == nil || !l.zoneClear(w.Zone):
 		case w.Slow && m.heard(w):
-			p.Slow = append(p.Slow, &rebalance.Slow{Machine: *m.machine(w, now), Slowness: m.speeds.Slowness(w.Host)})
+			p.Slow = append(p.Slow, &rebalance.Slow{Machine: *m.machine(w, now), Slowness: m.speeds.Slowness(w.ID)})
 		case m.usable(w) && !l.planner.Withheld(w):
 			p.Machines = append(p.Machines, m.machine(w, now))
 		}
@@ -97,10 +97,10 @@
 }
 
 func (m *mover) machine(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
-	k := &rebalance.Machine{Host: w.Host, Zone: w.Zone, Free: w.Free()}
-	for _, t := range m.lead.workers.TasksOf(w) {
+	k := &rebalance.Machine{Host: w.ID, Zone: w.Zone, Free: w.Free()}
+	for _, t := range m.lead.workers.SortedTasks(w) {
 		if left := timeLeft(t, now); left > 0 {
-			k.Ends = append(k.Ends, rebalance.End{Left: left, Need: jobs.NeedOf(t.Job.Spec)})
+			k.Ends = append(k.Ends, rebalance.End{Left: left, Need: jobs.ResourcesOf(t.Job.Spec)})
 		}
 		if m.movable(t) {
 			k.Tasks = append(k.Tasks, m.running(t, now))
@@ -114,11 +114,11 @@
 	runtime := settings.Seconds(t.Job.Spec.RuntimeS)
 	switch {
 	case t.State == jobs.Stopping:
-		return max(time.Second, t.WindDown)
+		return max(time.Second, t.GracePeriod)
 	case runtime <= 0:
 		return 0
 	case t.SeenRunning():
-		return max(time.Second, runtime-now.Sub(t.RunsAt))
+		return max(time.Second, runtime-now.Sub(t.RunningSince))
 	}
 	return runtime
 }
@@ -127,10 +127,10 @@
 // its job allows.
 func (m *mover) movable(t *jobs.Task) bool {
 	s := t.Job.Spec
-	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.Gang() || t.Job.Suspect || s.OneZone || s.Spread || m.history.Barred(s.ID) {
+	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect || s.OneZone || s.Spread || m.history.Barred(s.ID) {
 		return false
 	}
-	return s.Shape != api.Service || t.Job.Runs > 1 // a lone replica would be missed
+	return s.Shape != api.Service || t.Job.RunningTasks > 1 // a lone replica would be missed
 }
 
 func (m *mover) running(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
@@ -138,13 +138,13 @@
 	return rebalance.Task{
 		ID:      t.TaskID(),
 		Team:    s.Team,
-		Need:    jobs.NeedOf(s),
+		Need:    jobs.ResourcesOf(s),
 		Level:   s.Priority.Level(),
-		Ran:     now.Sub(t.RunsAt),
+		Ran:     now.Sub(t.RunningSince),
 		Left:    timeLeft(t, now),
 		Whole:   settings.Seconds(s.RuntimeS),
-		Saves:   settings.Seconds(s.SnapshotEveryS),
-		Save:    settings.Seconds(s.SnapshotS),
+		Saves:   settings.Seconds(s.CheckpointEveryS),
+		Save:    settings.Seconds(s.CheckpointS),
 		Replica: s.Shape == api.Service,
 		Moved:   m.history.Count(s.ID),
 	}
@@ -155,16 +155,16 @@
 func (m *mover) fits(t *rebalance.Task, k *rebalance.Machine) (time.Duration, bool) {
 	l := m.lead
 	j, w := l.jobs.Jobs[t.ID.Job], l.workers.Workers[k.Host]
-	if j == nil || w == nil || !w.Allows(j.Spec) || j.Shunned[w.Host] || w.Faulty() {
+	if j == nil || w == nil || !w.Allows(j.Spec) || j.AvoidedMachines[w.ID] || w.Faulty() {
 		return 0, false
 	}
 	// Within the ordinary machines of a zone a move takes nothing from services to come.
-	from := l.workers.Workers[j.Tasks[t.ID.Index].Host]
+	from := l.workers.Workers[j.Tasks[t.ID.Index].MachineID]
 	if (from == nil || from.Spot || from.Zone != w.Zone) && !l.planner.SparesReserve(j, w) {
 		return 0, false
 	}
-	if w.Holds(j.Spec.Image) {
+	if w.HasImage(j.Spec.Image) {
 		return 0, true
 	}
-	return w.FetchTime(j.Spec), true
+	return w.ImagePullTime(j.Spec), true
 }
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -136,7 +136,7 @@
 		}
 	}
 	for _, w := range m.lead.workers.Sorted() {
-		if w.Keeps() {
+		if w.HasReservation() {
 			s.Reservations++
 		}
 	}
--- a/internal/controller/move_restraint.go
+++ b/internal/controller/move_restraint.go
@@ -44,7 +44,7 @@
 		return unrestrained // nothing comes of it
 	case !l.c.may(authority.Place):
 		return withoutRights
-	case now.Sub(m.readyAt) < l.c.set.Tuning.Moves.Settle:
+	case now.Sub(m.readyAt) < l.c.set.Tuning.Migration.LeaderSettleTime:
 		return settling // machines of the term before are still being heard of
 	case l.commits.Backlog() > 0:
 		return writing
@@ -61,7 +61,7 @@
 	leaving, all := 0, 0
 	for _, w := range l.workers.Sorted() {
 		switch {
-		case w.State == workers.Silent, w.State == workers.Returning, w.State == workers.Up && (w.Doomed > 0 || w.Cordoned):
+		case w.State == workers.Unreachable, w.State == workers.Terminating, w.State == workers.Up && (w.ReclaimAt > 0 || w.Cordoned):
 			leaving++
 			all++
 		case w.State == workers.Up:
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -59,16 +59,16 @@
 func newMover(l *lead) *mover {
 	tuning := &l.c.set.Tuning
 	config := rebalance.DefaultConfig()
-	config.Margin = tuning.Moves.Margin
-	config.Budgets.Cluster, config.Budgets.Zone = tuning.Moves.Cluster, tuning.Moves.Zone
-	config.Budgets.Team = tuning.Moves.Team
-	config.Patience, config.MinRan = tuning.Moves.Patience, tuning.Moves.MinRun
+	config.Margin = tuning.Migration.MinGainFactor
+	config.Budgets.Cluster, config.Budgets.Zone = tuning.Migration.Cluster, tuning.Migration.Zone
+	config.Budgets.Team = tuning.Migration.Team
+	config.Patience, config.MinRan = tuning.Migration.MinTaskWait, tuning.Migration.MinRunTime
 	return &mover{
 		lead:    l,
 		carries: tuning.Rebalance == settings.RebalanceMove,
 		config:  config,
 		speeds:  load.NewSpeeds(),
-		table:   migration.NewTable(migration.DefaultConfig(settings.Seconds(l.c.set.Cluster.Workers.ReportS))),
+		table:   migration.NewTable(migration.DefaultConfig(settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS))),
 		history: migration.NewHistory(l.commits, l.c.env.WallMS),
 		held:    map[*migration.Move]*workers.Worker{},
 		seen:    map[proposal]bool{},
@@ -83,7 +83,7 @@
 	m.history.Prune(func(id ident.JobID) bool { return l.jobs.Jobs[id] != nil })
 	for _, id := range m.history.Interrupted(func(id ident.TaskID) (ident.Attempt, bool) {
 		t := l.task(id)
-		if t == nil || t.State == jobs.Finished {
+		if t == nil || t.State == jobs.Completed {
 			return 0, false
 		}
 		return t.Attempt, true
@@ -161,7 +161,7 @@
 func (m *mover) begin(p rebalance.Move, now ident.MonotonicTime) {
 	l := m.lead
 	t, to := l.task(p.Task), l.workers.Workers[p.To]
-	if t == nil || to == nil || !to.Reserve(workers.Reservation{Need: p.Need, Priority: t.Job.Spec.Priority}) {
+	if t == nil || to == nil || !to.Reserve(workers.Reservation{Resources: p.Need, Priority: t.Job.Spec.Priority}) {
 		return
 	}
 	x := m.table.Begin(p, t.Attempt, now)
@@ -198,13 +198,13 @@
 		LinksClear:  m.linksClear(x),
 		Cooled:      m.cooledAt > x.Began,
 		Destination: m.destination(x),
-		Elsewhere:   l.workers.Orphan(x.Task),
+		Elsewhere:   l.workers.HasUnknownAttempt(x.Task),
 	}
 	if t := l.task(x.Task); t != nil {
 		o.JobOpen = t.Job.Phase == jobs.Open
 		o.Task, o.Attempt, o.Runs = t.State, t.Attempt, t.SeenRunning()
-		if t.State.Held() {
-			o.Host = t.Host
+		if t.State.Allocated() {
+			o.Host = t.MachineID
 		}
 		o.TeamAllows = l.teams.Allows(t.Job.Spec, 1)
 	}
@@ -212,7 +212,7 @@
 		o.Waits = true // it is for the moved task itself
 	} else if t := l.task(x.For); t != nil {
 		o.Waits = t.Job.Phase == jobs.Open && t.State == jobs.Waiting
-		o.Beneficiary = t.State.Held() && t.Host == x.From
+		o.Beneficiary = t.State.Allocated() && t.MachineID == x.From
 	}
 	return o
 }
@@ -245,26 +245,28 @@
 	if w == nil || !m.usable(w) {
 		return migration.DestinationShut
 	}
-	if !w.ReservationHolds() {
+	if !w.ReservationCovered() {
 		return migration.DestinationFull
 	}
 	return migration.DestinationReady
 }
 
 // usable says whether a machine takes work, and was heard of late.
-func (m *mover) usable(w *workers.Worker) bool { return w.Open(m.lead.c.env.Now()) && m.heard(w) }
+func (m *mover) usable(w *workers.Worker) bool {
+	return w.Schedulable(m.lead.c.env.Now()) && m.heard(w)
+}
 
 // heard says whether a machine was heard of late, and hears this node.
 func (m *mover) heard(w *workers.Worker) bool {
-	late := 2*settings.Seconds(m.lead.c.set.Cluster.Workers.ReportS) + time.Second
-	return m.lead.workers.Hears(w.Host, late)
+	late := 2*settings.Seconds(m.lead.c.set.Cluster.Workers.HeartbeatS) + time.Second
+	return m.lead.workers.Reachable(w.ID, late)
 }
 
 // stop tells the task to stop, and keeps the room that it leaves for the one that waits.
 func (m *mover) stop(x *migration.Move) {
 	l := m.lead
 	t, from := l.task(x.Task), l.workers.Workers[x.From]
-	windDown := t.SaveTime()
+	windDown := t.CheckpointGracePeriod()
 	if j := l.jobs.Jobs[x.For.Job]; j != nil {
 		l.planner.Promise(from, j, l.c.env.Now().Add(windDown+promiseTime))
 	}
@@ -282,7 +284,7 @@
 func (m *mover) release(x *migration.Move) {
 	l := m.lead
 	if w := m.held[x]; w != nil {
-		w.Unreserve()
+		w.ReleaseReservation()
 		delete(m.held, x)
 	}
 	if from, j := l.workers.Workers[x.From], l.jobs.Jobs[x.For.Job]; x.State == migration.Abandoned && x.StoppedAt == 0 && from != nil && j != nil {
--- a/internal/controller/port.go
+++ b/internal/controller/port.go
@@ -16,8 +16,8 @@
 }
 
 // Cloud sends a request; machines are rented and returned by a sure leader only.
-func (p leaderPort) Cloud(r cloud.Request, f func(cloud.Reply)) {
-	if r.Op == cloud.Rent || r.Op == cloud.Return {
+func (p leaderPort) Cloud(r cloud.Request, f func(cloud.Response)) {
+	if r.Op == cloud.Provision || r.Op == cloud.Terminate {
 		r.NotAfter = p.until()
 	}
 	p.Env.Cloud(r, f)
@@ -25,7 +25,7 @@
 
 // Worker sends a command; tasks are started by a sure leader only. To stop one is safe
 // whoever leads.
-func (p leaderPort) Worker(c workers.Command, f func(workers.Answer)) {
+func (p leaderPort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	if c.Launches() {
 		c.NotAfter = p.until()
 	}
--- a/internal/controller/read.go
+++ b/internal/controller/read.go
@@ -39,7 +39,7 @@
 		return
 	}
 	c.get(jobs.LiveKey(id), reply, func(r statesvc.Response) {
-		v, err := jobs.ReadLive(r.Value)
+		v, err := jobs.ParseLiveView(r.Value)
 		if err != nil {
 			slog.Error("unreadable job", "id", job, "err", err)
 			reply(unavailable("unreadable job"))
@@ -52,7 +52,7 @@
 
 // readOver answers a poll for a job that is not live.
 func (c *Controller) readOver(id ident.JobID, reply func(Reply)) {
-	c.over(id, func(e jobs.Ended, found bool, err error) {
+	c.over(id, func(e jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
@@ -69,9 +69,9 @@
 var errState = errors.New("state service unavailable")
 
 // over looks a job up among those that are over.
-func (c *Controller) over(id ident.JobID, f func(e jobs.Ended, found bool, err error)) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.OverKey(id), Timeout: commitTime}, func(r statesvc.Response) {
-		var e jobs.Ended
+func (c *Controller) over(id ident.JobID, f func(e jobs.ArchivedJob, found bool, err error)) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.ArchiveKey(id), Timeout: commitTime}, func(r statesvc.Response) {
+		var e jobs.ArchivedJob
 		switch r.Outcome {
 		case statesvc.OK:
 			if err := json.Unmarshal(r.Value, &e); err != nil {
--- a/internal/controller/reply.go
+++ b/internal/controller/reply.go
@@ -34,10 +34,12 @@
 
 func answer(status int, v any) Reply { return Reply{Status: status, Body: api.JSON(v)} }
 
-func problem(status int, text string) Reply { return answer(status, api.Problem{Error: text}) }
+func problem(status int, text string) Reply { return answer(status, api.ErrorResponse{Error: text}) }
 
 // ack is the short answer about a job that is known.
-func ack(v api.View) Reply { return answer(http.StatusOK, api.Ack{ID: v.ID, Status: v.Status}) }
+func ack(v api.JobView) Reply {
+	return answer(http.StatusOK, api.JobStatus{ID: v.ID, Status: v.Status})
+}
 
 // retryAfter tells a client when to come back: about the time of a failover.
 const retryAfter = 1
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -47,12 +47,12 @@
 
 // submit takes a job in.
 func (l *lead) submit(s *api.Spec, reply func(Reply)) {
-	known := func(v api.View) { reply(ack(v)) }
+	known := func(v api.JobView) { reply(ack(v)) }
 	if j := l.jobs.Jobs[s.ID]; j != nil {
 		l.told(j, reply, ack)
 		return
 	}
-	if e, ok := l.jobs.Ended(s.ID); ok {
+	if e, ok := l.jobs.LookupArchived(s.ID); ok {
 		known(e.View(s.ID))
 		return
 	}
@@ -62,13 +62,13 @@
 		return
 	}
 	// A gang, or a header that the first format has no room for, waits for the level.
-	size, most := l.jobs.Size(s)
+	size, most := l.jobs.HeaderSize(s)
 	if size > most {
 		why := fmt.Sprintf("the description takes %d bytes, and %d can be kept", size, most)
 		l.ended(s.ID, reply, known, func() { reply(problem(http.StatusUnprocessableEntity, why)) })
 		return
 	}
-	if l.level < ident.FormatPacked && (s.Shape == api.Gang || size > jobs.HeaderBytes) {
+	if l.level < ident.FormatPacked && (s.Shape == api.Gang || size > jobs.HeaderSpecBytes) {
 		l.c.Refused++
 		reply(unavailable("some nodes still run an earlier version"))
 		return
@@ -87,7 +87,7 @@
 			l.told(j, reply, ack)
 			return
 		}
-		reply(l.fresh(answer(http.StatusCreated, api.Ack{ID: s.ID, Status: "queued"})))
+		reply(l.fresh(answer(http.StatusCreated, api.JobStatus{ID: s.ID, Status: "queued"})))
 	}, func() {
 		l.ended(s.ID, reply, known, func() { reply(unavailable("try again")) })
 	})
@@ -100,7 +100,7 @@
 	}
 	for i := range l.models {
 		k := &l.models[i]
-		if !workers.AllowsModel(s, k.SKU) || !workers.Could(k, s) {
+		if !workers.AllowsModel(s, k.SKU) || !workers.FitsEmpty(k, s) {
 			continue
 		}
 		for _, z := range k.Zones {
@@ -113,13 +113,13 @@
 }
 
 // ended looks for a job that went over in an earlier term.
-func (l *lead) ended(id ident.JobID, reply func(Reply), found func(api.View), missing func()) {
-	l.c.over(id, func(e jobs.Ended, ok bool, err error) {
+func (l *lead) ended(id ident.JobID, reply func(Reply), found func(api.JobView), missing func()) {
+	l.c.over(id, func(e jobs.ArchivedJob, ok bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
 		case ok:
-			l.jobs.Remember(id, e)
+			l.jobs.RememberArchived(id, e)
 			found(e.View(id))
 		default:
 			missing()
@@ -128,18 +128,18 @@
 }
 
 // told answers with a job's view, once that is what every node would say.
-func (l *lead) told(j *jobs.Job, reply func(Reply), as func(api.View) Reply) {
+func (l *lead) told(j *jobs.Job, reply func(Reply), as func(api.JobView) Reply) {
 	say := func() {
 		r := as(j.View())
-		if j.Durable == jobs.Open {
+		if j.DurablePhase == jobs.Open {
 			r = l.fresh(r)
 		}
 		reply(r)
 	}
-	if !j.Clear() {
+	if !j.ViewSettled() {
 		reply = l.wait(reply)
 	}
-	j.WhenClear(say)
+	j.WhenViewSettled(say)
 }
 
 // fresh bounds an answer from memory by the time for which leadership is sure: it is
@@ -155,10 +155,10 @@
 // poll answers from memory.
 func (l *lead) poll(id ident.JobID, reply func(Reply)) {
 	if j := l.jobs.Jobs[id]; j != nil {
-		l.told(j, reply, func(v api.View) Reply { return answer(http.StatusOK, v) })
+		l.told(j, reply, func(v api.JobView) Reply { return answer(http.StatusOK, v) })
 		return
 	}
-	if e, ok := l.jobs.Ended(id); ok {
+	if e, ok := l.jobs.LookupArchived(id); ok {
 		reply(answer(http.StatusOK, e.View(id)))
 		return
 	}
@@ -167,14 +167,14 @@
 		reply(unavailable("too many polls at present"))
 		return
 	}
-	l.ended(id, reply, func(v api.View) { reply(answer(http.StatusOK, v)) },
+	l.ended(id, reply, func(v api.JobView) { reply(answer(http.StatusOK, v)) },
 		func() { reply(problem(http.StatusNotFound, "no such job")) })
 }
 
 // cancel ends a job. Its tasks are stopped at once; nobody has any use for them.
 func (l *lead) cancel(id ident.JobID, reply func(Reply)) {
 	if j := l.jobs.Jobs[id]; j != nil {
-		if j.Durable != jobs.Open {
+		if j.DurablePhase != jobs.Open {
 			reply(ack(j.View()))
 			return
 		}
@@ -185,8 +185,8 @@
 		}
 		return
 	}
-	say := func(v api.View) { reply(ack(v)) }
-	if e, ok := l.jobs.Ended(id); ok {
+	say := func(v api.JobView) { reply(ack(v)) }
+	if e, ok := l.jobs.LookupArchived(id); ok {
 		say(e.View(id))
 		return
 	}
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -10,11 +10,11 @@
 // completed notes how long a task ran, if that was from its beginning: one that has saved before
 // needs less, and of one that an earlier term placed the beginning is not known.
 func (m *mover) completed(t *jobs.Task, w *workers.Worker) {
-	resumed := t.Attempt > 1 && t.Job.Spec.Saves()
-	if !t.SeenRunning() || !t.PlacedNow() || resumed || t.Job.Gang() {
+	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
+	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
 	}
-	m.speeds.Ran(t.Job.Spec.ID, w.Model, w.Host, m.lead.c.env.Now().Sub(t.RunsAt))
+	m.speeds.Ran(t.Job.Spec.ID, w.Model, w.ID, m.lead.c.env.Now().Sub(t.RunningSince))
 }
 
 // judgeSpeeds looks for machines that are much slower than others. Nothing more is placed on
@@ -27,13 +27,13 @@
 	all := m.lead.workers.Sorted()
 	for _, w := range all {
 		switch {
-		case w.State == workers.Gone:
-			m.speeds.Gone(w.Host)
-		case w.State == workers.Up && m.speeds.Slow(w.Host, len(all)):
+		case w.State == workers.Terminated:
+			m.speeds.Gone(w.ID)
+		case w.State == workers.Up && m.speeds.Slow(w.ID, len(all)):
 			m.slow++
 			if !w.Slow {
 				w.Slow = true
-				slog.Info("machine is slow", "host", string(w.Host), "times", m.speeds.Slowness(w.Host), "tasks", len(w.Tasks))
+				slog.Info("machine is slow", "host", string(w.ID), "times", m.speeds.Slowness(w.ID), "tasks", len(w.Tasks))
 			}
 		}
 	}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -46,8 +46,8 @@
 	}
 	s.Jobs = len(l.jobs.Jobs)
 	for _, j := range l.jobs.Jobs {
-		s.Held += j.Held
-		s.Waiting += j.Waits()
+		s.Held += j.AllocatedTasks
+		s.Waiting += j.WaitingCount()
 	}
 	for _, w := range l.workers.Workers {
 		s.Machines[w.State.String()]++
@@ -64,6 +64,6 @@
 		l.mover.counts(&s)
 		s.Imbalance, s.TeamLoads = l.loads.Imbalance(), l.loads.Teams(c.env.Now())
 	}
-	s.Relocated, s.Fences, s.Stale = l.workers.Relocated, l.workers.Fences, l.workers.Stale
+	s.Relocated, s.Fences, s.Stale = l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats
 	return s
 }
--- a/internal/controller/takeover_bench_test.go
+++ b/internal/controller/takeover_bench_test.go
@@ -64,8 +64,8 @@
 			pairs := fleetOnRecord(machines)
 			set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 				Teams:   []settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}},
-				Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 61},
-				State:   settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.Cloud{RPS: 5}}}
+				Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
+				Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.CloudLimits{RPS: 5}}}
 			for b.Loop() {
 				w := &world{now: ident.MonotonicTime(time.Hour), asked: map[string]bool{}, keys: pairs,
 					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
@@ -76,7 +76,7 @@
 				}
 				held := 0
 				for _, j := range c.lead.jobs.Jobs {
-					held += j.Held
+					held += j.AllocatedTasks
 				}
 				if held == 0 {
 					b.Fatal("no task is known to be on a machine")
--- a/internal/controller/yield.go
+++ b/internal/controller/yield.go
@@ -48,7 +48,7 @@
 	case handover.EndTerm:
 		v.handovers++
 		_, reason := l.handover.Successor()
-		l.c.elect.HandOver(l.c.set.Tuning.Links.Hold, reason.String())
+		l.c.elect.HandOver(l.c.set.Tuning.Links.MinLeadTime, reason.String())
 	}
 }
 
@@ -76,7 +76,7 @@
 func (l *lead) countUp() {
 	clear(l.upByZone)
 	for _, w := range l.workers.Sorted() {
-		if w.State == workers.Up || w.State == workers.Silent {
+		if w.State == workers.Up || w.State == workers.Unreachable {
 			l.upByZone[w.Zone]++
 		}
 	}
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -26,11 +26,11 @@
 // Return gives a machine back. Its tasks count on it until the cloud has
 // answered.
 func (m *Manager) Return(w *workers.Worker, why string) {
-	if w.State == workers.Returning || w.State == workers.Gone {
+	if w.State == workers.Terminating || w.State == workers.Terminated {
 		return
 	}
-	slog.Info("returning machine", "host", string(w.Host), "why", why, "tasks", len(w.Tasks))
-	m.machine.Away(w, why)
+	slog.Info("returning machine", "host", string(w.ID), "why", why, "tasks", len(w.Tasks))
+	m.machine.MarkTerminating(w, why)
 	m.leaving = append(m.leaving, w)
 }
 
@@ -47,11 +47,11 @@
 }
 
 func (m *Manager) giveBack(batch []*workers.Worker, wait time.Duration) {
-	r := cloud.Request{Op: cloud.Return}
+	r := cloud.Request{Op: cloud.Terminate}
 	for _, w := range batch {
-		r.Hosts = append(r.Hosts, w.Host)
+		r.MachineIDs = append(r.MachineIDs, w.ID)
 	}
-	m.port.Cloud(r, func(a cloud.Reply) {
+	m.port.Cloud(r, func(a cloud.Response) {
 		if m.dead {
 			return
 		}
@@ -66,7 +66,7 @@
 		}
 		for _, w := range batch {
 			m.Returned++
-			m.machine.Drop(w, "returned")
+			m.machine.MarkTerminated(w, "returned")
 		}
 	})
 }
@@ -90,7 +90,7 @@
 }
 
 func (m *Manager) page(since ident.MachineID) {
-	m.port.Cloud(cloud.Request{Op: cloud.List, Since: since}, func(a cloud.Reply) {
+	m.port.Cloud(cloud.Request{Op: cloud.List, StartAfter: since}, func(a cloud.Response) {
 		if m.dead {
 			return
 		}
@@ -101,7 +101,7 @@
 		// A page is a request as well.
 		m.tokens--
 		last := since
-		for _, l := range a.Listed {
+		for _, l := range a.Machines {
 			last = l.ID
 			m.adopt(l)
 		}
@@ -113,7 +113,7 @@
 	})
 }
 
-func (m *Manager) adopt(l cloud.Listed) {
+func (m *Manager) adopt(l cloud.ListedMachine) {
 	w := m.machine.Workers[l.ID]
 	if w == nil {
 		// A list may be older than this term, and show what the leader before has
@@ -142,8 +142,8 @@
 	}
 	// The term makes the name ours alone; names are never used again.
 	m.hires++
-	r := cloud.Request{Op: cloud.Rent, Hire: fmt.Sprintf("opaldale-%d-%d", m.cfg.Term, m.hires),
-		Model: p.model, Zone: p.site, Spot: p.standby, Number: n}
+	r := cloud.Request{Op: cloud.Provision, RequestID: fmt.Sprintf("opaldale-%d-%d", m.cfg.Term, m.hires),
+		Model: p.model, Zone: p.site, Spot: p.standby, Count: n}
 	slog.Info("renting", "model", p.model, "site", p.site, "standby", p.standby, "number", n)
 	m.market(p).pending += n
 	m.hire(p, r, 500*time.Millisecond, 0)
@@ -152,34 +152,34 @@
 
 func (m *Manager) hire(p pool, r cloud.Request, wait time.Duration, tries int) {
 	began := m.port.Now()
-	m.port.Cloud(r, func(a cloud.Reply) {
+	m.port.Cloud(r, func(a cloud.Response) {
 		if m.dead {
 			return
 		}
 		mk := m.market(p)
 		switch a.Outcome {
 		case cloud.OK:
-			mk.pending -= r.Number
-			for _, h := range a.Rented {
+			mk.pending -= r.Count
+			for _, h := range a.Provisioned {
 				m.Rented++
 				m.machine.Add(h, p.model, p.site, p.standby, began)
 			}
 			mk.backoff = 0
-			if len(a.Rented) < r.Number {
+			if len(a.Provisioned) < r.Count {
 				m.close(mk)
 			}
 		case cloud.NoCapacity:
-			mk.pending -= r.Number
+			mk.pending -= r.Count
 			m.NoCapacity++
 			m.close(mk)
-		case cloud.Bad:
+		case cloud.Invalid:
 			slog.Error("rental refused", "err", a.Error)
-			mk.pending -= r.Number
+			mk.pending -= r.Count
 			m.close(mk)
 		default:
 			// The same name again: what a lost request rented is answered then.
 			if tries > 20 {
-				mk.pending -= r.Number
+				mk.pending -= r.Count
 				m.close(mk)
 				return
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,7 +18,7 @@
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
-	Cloud(cloud.Request, func(cloud.Reply))
+	Cloud(cloud.Request, func(cloud.Response))
 }
 
 // pool is what can be rented in one request.
@@ -38,9 +38,9 @@
 type Config struct {
 	Term    ident.Term
 	Tuning  settings.Tuning
-	Cloud   settings.Cloud
-	Workers settings.Workers
-	Catalog func() []cloud.Model
+	Cloud   settings.CloudLimits
+	Workers settings.WorkerTimes
+	Catalog func() []cloud.MachineType
 	// Reached is asked when most of the fleet is silent: whether workers could
 	// reach us through a sibling. If not, the fault is more likely ours.
 	Reached func() bool
@@ -107,13 +107,13 @@
 // New makes the manager of a term.
 func New(port Port, m *workers.Table, j *jobs.Table, t *placement.Teams, rng *rand.Rand, cfg Config) *Manager {
 	now := port.Now()
-	silent := cfg.Tuning.Silent
+	silent := cfg.Tuning.UnreachableAfter
 	if silent == 0 {
 		// Two reports at their latest (a quarter late) are missing, and a probe.
-		silent = settings.Seconds(2.2 * cfg.Workers.ReportS)
+		silent = settings.Seconds(2.2 * cfg.Workers.HeartbeatS)
 	}
 	// Reports come up to a quarter late.
-	late := settings.Seconds(1.25*cfg.Workers.ReportS) + 500*time.Millisecond
+	late := settings.Seconds(1.25*cfg.Workers.HeartbeatS) + 500*time.Millisecond
 	return &Manager{silent: silent, missed: late, alarm: now.Add(-time.Hour), cfg: cfg, port: port, machine: m, jobs: j, teams: t, rng: rng, markets: map[pool]*market{}, back: map[string]ident.MonotonicTime{}, unheard: map[string]*unheardZone{},
 		tokens: cfg.Cloud.RPS, filled: now, listed: now.Add(-time.Hour), began: now, started: now, ticked: now, stalled: now.Add(-time.Hour)}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 // term made a new leader adopt a machine that the one before had returned.
 func TestGhosts(t *testing.T) {
 	r := newRig()
-	r.reply = func(q cloud.Request) cloud.Reply {
-		return cloud.Reply{Outcome: cloud.OK, Listed: []cloud.Listed{{ID: "host-000009", Addr: "b", Model: "m8", Zone: "east", Status: "running", AgeS: 5}}}
+	r.reply = func(q cloud.Request) cloud.Response {
+		return cloud.Response{Outcome: cloud.OK, Machines: []cloud.ListedMachine{{ID: "host-000009", Addr: "b", Model: "m8", Zone: "east", Status: "running", AgeS: 5}}}
 	}
 	r.pass(15*time.Second, r.m)
 	if r.count(cloud.List) == 0 || r.table.Workers["host-000009"] != nil {
@@ -34,15 +34,15 @@
 func TestLostRental(t *testing.T) {
 	r := newRig()
 	tries := map[string]int{}
-	r.reply = func(q cloud.Request) cloud.Reply {
-		if q.Op != cloud.Rent {
-			return cloud.Reply{Outcome: cloud.OK}
+	r.reply = func(q cloud.Request) cloud.Response {
+		if q.Op != cloud.Provision {
+			return cloud.Response{Outcome: cloud.OK}
 		}
-		tries[q.Hire]++
-		if tries[q.Hire] < 3 {
-			return cloud.Reply{Outcome: cloud.Lost}
+		tries[q.RequestID]++
+		if tries[q.RequestID] < 3 {
+			return cloud.Response{Outcome: cloud.NoAnswer}
 		}
-		return cloud.Reply{Outcome: cloud.OK, Rented: []ident.MachineID{ident.MachineID("host-" + q.Hire)}}
+		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + q.RequestID)}}
 	}
 	for i := range 2 {
 		r.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 8, MemoryGB: 1}, func() {}, nil)
@@ -67,11 +67,11 @@
 		r.reached = reached
 		r.up(6)
 		r.pass(9*time.Second, r.m)
-		if n := r.count(cloud.Return); n > 0 {
+		if n := r.count(cloud.Terminate); n > 0 {
 			t.Errorf("reached %v: fenced after 9 s", reached)
 		}
 		r.pass(10*time.Second, r.m)
-		if n := r.count(cloud.Return); (n > 0) != reached {
+		if n := r.count(cloud.Terminate); (n > 0) != reached {
 			t.Errorf("reached %v: %d returns after 19 s", reached, n)
 		}
 	}
@@ -84,11 +84,11 @@
 	r.pass(2*time.Second, r.m)
 	r.now = r.now.Add(30 * time.Second)
 	r.pass(2*time.Second, r.m)
-	if r.count(cloud.Return) > 0 {
+	if r.count(cloud.Terminate) > 0 {
 		t.Error("fenced right after a stall")
 	}
 	r.pass(8*time.Second, r.m)
-	if r.count(cloud.Return) == 0 {
+	if r.count(cloud.Terminate) == 0 {
 		t.Error("a silent machine is never fenced after a stall")
 	}
 }
@@ -97,20 +97,20 @@
 // tasks until its lease is surely over, and not for ever.
 func TestReturnWhileCloudIsDown(t *testing.T) {
 	r := newRig()
-	r.reply = func(cloud.Request) cloud.Reply { return cloud.Reply{Outcome: cloud.Refused} }
+	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.Unavailable} }
 	r.up(1)
 	w := r.table.Workers["host-000000"]
 	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	r.commits.Flush()
 	r.follow()
-	r.jobs.Place(&j.Tasks[0], w.Host, 1, func() {})
+	r.jobs.Place(&j.Tasks[0], w.ID, 1, func() {})
 	r.commits.Flush()
 	r.pass(25*time.Second, r.m)
-	if w.State != workers.Returning || j.Held != 1 {
-		t.Fatalf("after 25 s: machine %v, %d tasks held", w.State, j.Held)
+	if w.State != workers.Terminating || j.AllocatedTasks != 1 {
+		t.Fatalf("after 25 s: machine %v, %d tasks held", w.State, j.AllocatedTasks)
 	}
 	r.pass(20*time.Second, r.m)
-	if j.Held != 0 {
+	if j.AllocatedTasks != 0 {
 		t.Error("the task is still held after the lease")
 	}
 }
@@ -121,11 +121,11 @@
 	r.up(6)
 	for i := range 20 {
 		for n := range 5 {
-			r.table.Checkin(&api.Report{Host: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(2 + i), Epoch: ident.MakeFencingToken(3, 0)})
+			r.table.HandleHeartbeat(&api.Heartbeat{MachineID: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(2 + i), FencingToken: ident.MakeFencingToken(3, 0)})
 		}
 		r.pass(500*time.Millisecond, r.m)
 	}
-	if w := r.table.Workers["host-000005"]; w.State != workers.Gone {
+	if w := r.table.Workers["host-000005"]; w.State != workers.Terminated {
 		t.Errorf("the silent machine is %v", w.State)
 	}
 	if w := r.table.Workers["host-000000"]; w.State != workers.Up {
@@ -138,21 +138,21 @@
 func TestFaultyIsNoRoom(t *testing.T) {
 	r := newRig()
 	r.up(1)
-	r.reply = func(q cloud.Request) cloud.Reply {
-		if q.Op == cloud.Rent {
-			return cloud.Reply{Outcome: cloud.OK, Rented: []ident.MachineID{"host-000777"}}
+	r.reply = func(q cloud.Request) cloud.Response {
+		if q.Op == cloud.Provision {
+			return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{"host-000777"}}
 		}
-		return cloud.Reply{Outcome: cloud.OK}
+		return cloud.Response{Outcome: cloud.OK}
 	}
 	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Batch, Tasks: 1, VCPUs: 2, MemoryGB: 2, Image: "img", RuntimeS: 5}, func() {}, nil)
 	r.commits.Flush()
 	r.pass(2*time.Second, r.m)
-	if n := r.count(cloud.Rent); n != 0 {
+	if n := r.count(cloud.Provision); n != 0 {
 		t.Fatalf("%d rentals while a machine is idle", n)
 	}
-	r.table.Workers["host-000000"].Blame(j)
+	r.table.Workers["host-000000"].RecordFailure(j)
 	r.pass(2*time.Second, r.m)
-	if r.count(cloud.Rent) == 0 {
+	if r.count(cloud.Provision) == 0 {
 		t.Error("nothing is rented for a job that the idle machine fails")
 	}
 }
@@ -169,9 +169,9 @@
 			if w := r.table.Workers[h]; w == nil || w.State != workers.Up {
 				continue
 			}
-			o := r.table.Checkin(&api.Report{Host: h, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(2 + i), Epoch: epochs[h]})
+			o := r.table.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(2 + i), FencingToken: epochs[h]})
 			if n > 0 && o != nil {
-				epochs[h] = o.Epoch
+				epochs[h] = o.FencingToken
 			}
 		}
 		r.pass(500*time.Millisecond, r.m)
@@ -192,7 +192,7 @@
 	for n := 1; n < 40; n++ {
 		r.now = r.now.Add(200 * time.Millisecond)
 		w := r.table.Sorted()[n]
-		r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 1, Serial: 2, Epoch: ident.MakeFencingToken(3, 0)})
+		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(3, 0)})
 	}
 	r.m.Tick()
 	r.pass(9*time.Second, r.m)
@@ -216,34 +216,34 @@
 		j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1}, func() {}, nil)
 		r.commits.Flush()
 		r.follow()
-		r.jobs.Place(&j.Tasks[0], lost.Host, 1, func() {})
+		r.jobs.Place(&j.Tasks[0], lost.ID, 1, func() {})
 		r.commits.Flush()
 		serial := ident.SequenceNumber(1)
 		live := func(d time.Duration) {
 			for end := r.now.Add(d); r.now < end; {
 				serial++
 				for n := 5; n < 12; n++ {
-					r.table.Checkin(&api.Report{Host: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: serial, Epoch: ident.MakeFencingToken(3, 0)})
+					r.table.HandleHeartbeat(&api.Heartbeat{MachineID: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: serial, FencingToken: ident.MakeFencingToken(3, 0)})
 				}
 				r.pass(500*time.Millisecond, r.m)
 			}
 		}
 		live(25 * time.Second)
 		if !stranded {
-			if lost.State != workers.Gone {
+			if lost.State != workers.Terminated {
 				t.Error("a silent machine whose zone's sibling is heard is never fenced")
 			}
 			continue
 		}
-		if n := r.count(cloud.Return); n > 0 || j.Held != 1 || lost.Open(r.now) {
-			t.Errorf("cut off for 25 s: %d returns, %d tasks held, open %v", n, j.Held, lost.Open(r.now))
+		if n := r.count(cloud.Terminate); n > 0 || j.AllocatedTasks != 1 || lost.Schedulable(r.now) {
+			t.Errorf("cut off for 25 s: %d returns, %d tasks held, open %v", n, j.AllocatedTasks, lost.Schedulable(r.now))
 		}
 		live(20 * time.Second)
-		if n := r.count(cloud.Return); n > 0 || j.Held != 0 {
-			t.Errorf("after the lease: %d returns, %d tasks held", n, j.Held)
+		if n := r.count(cloud.Terminate); n > 0 || j.AllocatedTasks != 0 {
+			t.Errorf("after the lease: %d returns, %d tasks held", n, j.AllocatedTasks)
 		}
 		live(120 * time.Second)
-		if lost.State != workers.Gone {
+		if lost.State != workers.Terminated {
 			t.Error("a zone that never comes back is never given up")
 		}
 	}
@@ -262,7 +262,7 @@
 // within a minute of the last one of any kind.
 func TestNothingComes(t *testing.T) {
 	r := newRig()
-	r.m.cfg.Tuning.IdleKeep = 12 * time.Second
+	r.m.cfg.Tuning.ScaleInDelay = 12 * time.Second
 	r.up(2)
 	r.m.Continue()
 	// pass lets time pass while the machines report.
@@ -270,7 +270,7 @@
 		for range 2 {
 			for _, w := range r.table.Sorted() {
 				if w.State == workers.Up {
-					r.table.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: ident.SequenceNumber(r.now)})
+					r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(r.now)})
 				}
 			}
 			r.pass(2500*time.Millisecond, r.m)
@@ -278,7 +278,7 @@
 	}
 	returned := func() (n int) {
 		for _, w := range r.table.Sorted() {
-			if w.State == workers.Returning || w.State == workers.Gone {
+			if w.State == workers.Terminating || w.State == workers.Terminated {
 				n++
 			}
 		}
@@ -306,21 +306,21 @@
 	for _, closed := range []string{"", "east", "west"} {
 		r := newRig()
 		r.m.cfg.Tuning.Headroom = 0 // nothing is rented for jobs to come
-		r.m.cfg.Catalog = func() []cloud.Model {
-			return []cloud.Model{{SKU: "m8", VCPUs: 8, MemoryGB: 32, Hourly: 1, MarketPrice: 0.4, StartupS: 10, Zones: []string{"east", "west"}}}
+		r.m.cfg.Catalog = func() []cloud.MachineType {
+			return []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east", "west"}}}
 		}
 		rented := map[string]int{}
-		r.reply = func(q cloud.Request) cloud.Reply {
+		r.reply = func(q cloud.Request) cloud.Response {
 			switch {
-			case q.Op != cloud.Rent:
-				return cloud.Reply{Outcome: cloud.OK}
+			case q.Op != cloud.Provision:
+				return cloud.Response{Outcome: cloud.OK}
 			case q.Zone == closed:
-				return cloud.Reply{Outcome: cloud.NoCapacity}
+				return cloud.Response{Outcome: cloud.NoCapacity}
 			}
-			a := cloud.Reply{Outcome: cloud.OK}
-			for range q.Number {
+			a := cloud.Response{Outcome: cloud.OK}
+			for range q.Count {
 				rented[q.Zone]++
-				a.Rented = append(a.Rented, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, rented[q.Zone])))
+				a.Provisioned = append(a.Provisioned, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, rented[q.Zone])))
 			}
 			return a
 		}
@@ -355,8 +355,8 @@
 		}
 		ordinary := 0
 		for _, c := range r.calls {
-			if c.Op == cloud.Rent && !c.Spot {
-				ordinary += c.Number
+			if c.Op == cloud.Provision && !c.Spot {
+				ordinary += c.Count
 			}
 		}
 		if (ordinary > 0) != (desk == "red") {
--- a/internal/fleet/lay.go
+++ b/internal/fleet/lay.go
@@ -29,7 +29,7 @@
 	if s.Spread {
 		x.limit = (s.Tasks + 1) / 2
 	}
-	x.zones = maps.Clone(x.job.Zones)
+	x.zones = maps.Clone(x.job.AllocatedByZone)
 	if x.zones == nil {
 		x.zones = map[string]int{}
 	}
@@ -63,7 +63,7 @@
 	k, back := x.layout.put(b, s, k)
 	for _, w := range back {
 		w.Cordoned = false
-		m.machine.Uncordoned()
+		m.machine.NotifyCapacityChanged()
 	}
 	x.zones[b.pool.site] += k
 	x.left -= k
@@ -93,14 +93,14 @@
 	if s.Spread {
 		x.ask.full = x.fullZones()
 	}
-	dear := s.Spot && x.now.Sub(x.job.Arrived) < patience*m.slowest()
+	dear := s.Spot && x.now.Sub(x.job.SubmittedAt) < patience*m.slowest()
 	// An ordinary machine costs several times as much, and spot ones that are
 	// refused now are mostly to be had a little later.
 	// For work of guests no ordinary machine is rented at all: it is for what is to spare.
 	// (They doubled the ordinary fleet, and the price.)
 	x.ask.spot = dear && *x.late <= 0 || s.Spot && m.teams.Guest(s.Team)
 	b := x.open(s, x.ask)
-	if b == nil && x.job.Gang() && s.OneZone && x.job.Held == 0 && x.ask.zone != "" {
+	if b == nil && x.job.IsGang() && s.OneZone && x.job.AllocatedTasks == 0 && x.ask.zone != "" {
 		// Nothing is to be had there: perhaps it is elsewhere, for all of them.
 		x.ask.zone, x.left = "", s.Tasks
 		b = x.open(s, x.ask)
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -15,7 +15,7 @@
 // bin is a number of machines that are alike, there or to come, while demand is
 // laid out. A fleet of thousands has some hundred different ones.
 type bin struct {
-	kind    *cloud.Model
+	kind    *cloud.MachineType
 	pool    pool
 	n       int
 	v, c, g float64 // free CPUs, cards, memory of each
@@ -52,13 +52,13 @@
 func floor(x, to float64) float64 { return math.Floor(x/to+1e-6) * to }
 
 func (b *bin) fit(s *api.Spec) int {
-	return jobs.Need{VCPUs: b.v, Cards: b.c, MemoryGB: b.g}.Places(s)
+	return jobs.Resources{VCPUs: b.v, GPUs: b.c, MemoryGB: b.g}.TaskCapacity(s)
 }
 
 func (b *bin) allows(s *api.Spec) bool {
 	return (s.Zone == nil || *s.Zone == b.pool.site) && (!b.pool.standby || s.Spot) &&
 		(b.class != endingRoom || s.Shape == api.Batch) &&
-		workers.AllowsModel(s, b.pool.model) && workers.Could(b.kind, s)
+		workers.AllowsModel(s, b.pool.model) && workers.FitsEmpty(b.kind, s)
 }
 
 // layout is what there is, and is coming, while demand is laid out over it.
@@ -69,17 +69,17 @@
 	held  map[string]float64 // CPUs of replicas, by zone
 	later map[pool]float64   // CPUs of machines that are not up yet, part of free
 	count map[pool]int       // machines
-	least jobs.Need          // that anything waiting takes of a machine
+	least jobs.Resources     // that anything waiting takes of a machine
 }
 
 func newLayout() *layout {
 	return &layout{free: map[pool]float64{}, lent: map[pool]float64{}, held: map[string]float64{}, later: map[pool]float64{}, count: map[pool]int{},
-		least: jobs.NoNeed()}
+		least: jobs.UnboundedResources()}
 }
 
 // useful says whether anything that waits could find room in a bin.
 func (l *layout) useful(b *bin) bool {
-	return b.n > 0 && b.v+1e-6 >= l.least.VCPUs && b.c+1e-6 >= l.least.Cards && b.g+1e-6 >= l.least.MemoryGB
+	return b.n > 0 && b.v+1e-6 >= l.least.VCPUs && b.c+1e-6 >= l.least.GPUs && b.g+1e-6 >= l.least.MemoryGB
 }
 
 // put takes room for up to n tasks in a bin and returns how many found it, and
@@ -93,7 +93,7 @@
 	full, rest := k/per, k%per
 	left := func(machines, tasks int) {
 		f := float64(tasks)
-		r := &bin{kind: b.kind, pool: b.pool, n: machines, v: b.v - f*s.VCPUs, c: b.c - f*s.Cards, g: b.g - f*s.MemoryGB, class: b.class}
+		r := &bin{kind: b.kind, pool: b.pool, n: machines, v: b.v - f*s.VCPUs, c: b.c - f*s.GPUs, g: b.g - f*s.MemoryGB, class: b.class}
 		if r.class == cordonedRoom {
 			r.class = r.pool.class()
 		}
@@ -164,14 +164,14 @@
 }
 
 // add counts a machine, or the place of a task that ends, and returns its bin.
-func (g *gathering) add(k *cloud.Model, p pool, cl class, free jobs.Need) *bin {
+func (g *gathering) add(k *cloud.MachineType, p pool, cl class, free jobs.Resources) *bin {
 	to := g.to
 	if cl == endingRoom {
 		// The place of a task that ends is as large as the task: rounded down, the next
 		// one like it would not fit.
 		to = exact
 	}
-	key := alike{p, cl, floor(free.VCPUs, to), floor(free.Cards, to), floor(free.MemoryGB, to)}
+	key := alike{p, cl, floor(free.VCPUs, to), floor(free.GPUs, to), floor(free.MemoryGB, to)}
 	b := g.bins[key]
 	if b == nil {
 		b = &bin{kind: k, pool: p, class: cl, v: key.v, c: key.c, g: key.g}
@@ -186,10 +186,10 @@
 const exact = 1e-6
 
 // layout counts the machines that can take work now or soon.
-func (m *Manager) layout(catalog []cloud.Model, now ident.MonotonicTime) *layout {
+func (m *Manager) layout(catalog []cloud.MachineType, now ident.MonotonicTime) *layout {
 	l := newLayout()
 	for j := range m.jobs.Waiting {
-		l.least.Least(j.Spec)
+		l.least.LowerTo(j.Spec)
 	}
 	g := &gathering{bins: map[alike]*bin{}, to: exact}
 	if len(m.machine.Sorted()) > large {
@@ -197,12 +197,12 @@
 	}
 	guests := m.guests()
 	for _, w := range m.machine.Sorted() {
-		m.layMachine(l, g, w, guests[w.Host], now)
+		m.layMachine(l, g, w, guests[w.ID], now)
 	}
 	m.layPending(l, g, catalog)
 	m.running(now, func(t *jobs.Task, w *workers.Worker, left time.Duration) {
-		if !w.Cordoned && w.Kind != nil && left < m.startup(w) {
-			g.add(w.Kind, pool{w.Model, w.Zone, w.Spot}, endingRoom, jobs.NeedOf(t.Job.Spec))
+		if !w.Cordoned && w.Type != nil && left < m.startup(w) {
+			g.add(w.Type, pool{w.Model, w.Zone, w.Spot}, endingRoom, jobs.ResourcesOf(t.Job.Spec))
 		}
 	})
 	for _, b := range g.order {
@@ -214,40 +214,40 @@
 }
 
 // layMachine counts a machine, if it can take work now or soon.
-func (m *Manager) layMachine(l *layout, g *gathering, w *workers.Worker, guests jobs.Need, now ident.MonotonicTime) {
+func (m *Manager) layMachine(l *layout, g *gathering, w *workers.Worker, guests jobs.Resources, now ident.MonotonicTime) {
 	// A machine where a task failed is no room to count on: the job keeps off it.
 	// (A job waited for ever while the only idle machine was one that it shunned.)
 	// Nor is one in a zone that is cut off.
-	if w.Kind == nil || w.Doomed > 0 || w.Shun > now || w.Slow || w.Doubtful() || m.cut[w.Zone] {
+	if w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow || w.PossiblyFaulty() || m.cut[w.Zone] {
 		return
 	}
 	p := pool{w.Model, w.Zone, w.Spot}
-	free := jobs.Need{VCPUs: w.Kind.VCPUs, Cards: w.Kind.Cards, MemoryGB: w.Kind.MemoryGB}
+	free := jobs.Resources{VCPUs: w.Type.VCPUs, GPUs: w.Type.GPUs, MemoryGB: w.Type.MemoryGB}
 	switch w.State {
 	case workers.Booting:
-		if now.Sub(w.Born) > 2*m.startup(w) {
+		if now.Sub(w.CreatedAt) > 2*m.startup(w) {
 			return // late: don't count on it
 		}
 		l.later[p] += free.VCPUs
-	case workers.Up, workers.Silent:
-		free = free.Minus(jobs.Need{VCPUs: w.VCPUs, Cards: w.Cards, MemoryGB: w.MemoryGB})
+	case workers.Up, workers.Unreachable:
+		free = free.Sub(jobs.Resources{VCPUs: w.VCPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB})
 	default:
 		return
 	}
 	l.count[p]++
-	l.held[p.site] += w.Replicas
+	l.held[p.site] += w.ServiceVCPUs
 	if w.Cordoned {
-		b := g.add(w.Kind, p, cordonedRoom, free)
+		b := g.add(w.Type, p, cordonedRoom, free)
 		b.workers = append(b.workers, w)
 		return
 	}
 	l.free[p] += free.VCPUs
-	l.lent[p] += w.Arrays
-	g.add(w.Kind, p, p.class(), free.Plus(guests))
+	l.lent[p] += w.BatchVCPUs
+	g.add(w.Type, p, p.class(), free.Add(guests))
 }
 
 // layPending counts the machines that were asked for and are not on record yet.
-func (m *Manager) layPending(l *layout, g *gathering, catalog []cloud.Model) {
+func (m *Manager) layPending(l *layout, g *gathering, catalog []cloud.MachineType) {
 	for i := range catalog {
 		k := &catalog[i]
 		for _, site := range k.Zones {
@@ -257,7 +257,7 @@
 				if mk == nil || mk.pending <= 0 {
 					continue
 				}
-				g.add(k, p, p.class(), jobs.Need{VCPUs: k.VCPUs, Cards: k.Cards, MemoryGB: k.MemoryGB}).n += mk.pending - 1
+				g.add(k, p, p.class(), jobs.Resources{VCPUs: k.VCPUs, GPUs: k.GPUs, MemoryGB: k.MemoryGB}).n += mk.pending - 1
 				l.count[p] += mk.pending
 				l.free[p] += float64(mk.pending) * k.VCPUs
 				l.later[p] += float64(mk.pending) * k.VCPUs
@@ -269,15 +269,15 @@
 // guests returns what tasks of teams without a guarantee have on each machine. It is room
 // for whatever waits, as they give way. (Machines were rented for the house beside some
 // that were full of them.)
-func (m *Manager) guests() map[ident.MachineID]jobs.Need {
-	out := map[ident.MachineID]jobs.Need{}
+func (m *Manager) guests() map[ident.MachineID]jobs.Resources {
+	out := map[ident.MachineID]jobs.Resources{}
 	m.arraysOpen(func(j *jobs.Job) {
-		if j.Held == 0 || !m.teams.Guest(j.Spec.Team) {
+		if j.AllocatedTasks == 0 || !m.teams.Guest(j.Spec.Team) {
 			return
 		}
 		for i := range j.Tasks {
-			if t := &j.Tasks[i]; t.State.Held() {
-				out[t.Host] = out[t.Host].Plus(jobs.NeedOf(j.Spec))
+			if t := &j.Tasks[i]; t.State.Allocated() {
+				out[t.MachineID] = out[t.MachineID].Add(jobs.ResourcesOf(j.Spec))
 			}
 		}
 	})
@@ -288,13 +288,13 @@
 // probably go on.
 func (m *Manager) running(now ident.MonotonicTime, f func(t *jobs.Task, w *workers.Worker, left time.Duration)) {
 	m.arraysOpen(func(j *jobs.Job) {
-		if j.Runs == 0 {
+		if j.RunningTasks == 0 {
 			return
 		}
 		for i := range j.Tasks {
-			if t := &j.Tasks[i]; t.State == jobs.Assigned && t.RunsAt > 0 {
-				if w := m.machine.Workers[t.Host]; w != nil {
-					f(t, w, settings.Seconds(j.Spec.RuntimeS)-now.Sub(t.RunsAt))
+			if t := &j.Tasks[i]; t.State == jobs.Assigned && t.RunningSince > 0 {
+				if w := m.machine.Workers[t.MachineID]; w != nil {
+					f(t, w, settings.Seconds(j.Spec.RuntimeS)-now.Sub(t.RunningSince))
 				}
 			}
 		}
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -25,14 +25,14 @@
 	now    ident.MonotonicTime
 	timers []func()
 	calls  []cloud.Request
-	reply  func(cloud.Request) cloud.Reply
+	reply  func(cloud.Request) cloud.Response
 }
 
 func (w *world) Now() ident.MonotonicTime { return w.now }
 
 func (w *world) After(d time.Duration, f func()) { w.timers = append(w.timers, f) }
 
-func (w *world) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (w *world) Cloud(r cloud.Request, f func(cloud.Response)) {
 	w.calls = append(w.calls, r)
 	f(w.reply(r))
 }
@@ -42,15 +42,15 @@
 }
 
 // Worker never answers, unless it is said who is dead.
-func (w *world) Worker(c workers.Command, f func(workers.Answer)) {
+func (w *world) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
 	if gone, ok := w.dead[addr]; gone || !ok {
-		f(workers.Answer{})
+		f(workers.CommandResult{})
 		return
 	}
 	w.serial++
-	f(workers.Answer{Status: 200, Report: &api.Report{Host: ident.MachineID(addr), Addr: addr, Model: "m8", Zone: "east",
-		Session: 1, Serial: w.serial, Epoch: c.Body.Epoch}})
+	f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: ident.MachineID(addr), Addr: addr, Model: "m8", Zone: "east",
+		Incarnation: 1, SequenceNumber: w.serial, FencingToken: c.Body.FencingToken}})
 }
 
 func (w *world) pass(d time.Duration, m *Manager) {
@@ -76,22 +76,22 @@
 
 func newRig() *rig {
 	r := &rig{world: &world{now: ident.MonotonicTime(time.Hour)}, reached: true}
-	r.reply = func(q cloud.Request) cloud.Reply { return cloud.Reply{Outcome: cloud.OK} }
-	kind := cloud.Model{SKU: "m8", VCPUs: 8, MemoryGB: 32, Hourly: 1, MarketPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
+	r.reply = func(q cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
+	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
 	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
-	r.table = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseS: 30 * time.Second, Grace: 10 * time.Second,
-		Catalog: func(string) *cloud.Model { return &kind }, Deposed: func() {}, Changed: func() {},
-		Failed: func(*jobs.Task, *workers.Worker, api.Cause) {}, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 },
-		Commit: func(w *workers.Worker) {
-			w.Recorded = w.State != workers.Gone
+	r.table = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
+		Catalog: func(string) *cloud.MachineType { return &kind }, OnDeposed: func() {}, OnCapacityChanged: func() {},
+		OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {}, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 },
+		Persist: func(w *workers.Worker) {
+			w.Persisted = w.State != workers.Terminated
 		}})
 	tuning := settings.DefaultTuning()
-	tuning.IdleKeep = time.Hour // these tests are about other reasons to return
+	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to return
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
 	r.m = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{Term: 3, Tuning: tuning,
-		Cloud: settings.Cloud{RPS: 5, ListLagS: 10}, Workers: settings.Workers{ReportS: 3, LeaseS: 30},
-		Catalog: func() []cloud.Model { return []cloud.Model{kind} },
+		Cloud: settings.CloudLimits{RPS: 5, ListLagS: 10}, Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
+		Catalog: func() []cloud.MachineType { return []cloud.MachineType{kind} },
 		Reached: func() bool { return r.reached },
 		Direct:  func() bool { return true }, Stranded: func(string) bool { return r.stranded },
 		Aim:     func(string) time.Duration { return 0 },
@@ -102,11 +102,11 @@
 
 // follow counts tasks on their machines as they come and go.
 func (r *rig) follow() {
-	r.jobs.OnMove = func(task *jobs.Task, from, to jobs.State) {
-		if w := r.table.Workers[task.Host]; to.Held() && !from.Held() {
-			r.table.Hold(w, task)
-		} else if !to.Held() && from.Held() {
-			r.table.Release(w, task)
+	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
+		if w := r.table.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
+			r.table.AddTask(w, task)
+		} else if !to.Allocated() && from.Allocated() {
+			r.table.RemoveTask(w, task)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 func (r *rig) up(n int) {
 	for i := range n {
 		w := r.table.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m8", "east", false, r.now)
-		r.table.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m8", Zone: "east", Session: 1, Serial: 1})
+		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 1})
 	}
 }
 
@@ -138,9 +138,9 @@
 	r.commits.Flush()
 	r.follow()
 	for i, w := range r.table.Sorted() {
-		w.Addr = string(w.Host)
+		w.Addr = string(w.ID)
 		r.dead[w.Addr] = dead(i)
-		r.jobs.Place(&j.Tasks[i], w.Host, 1, func() {})
+		r.jobs.Place(&j.Tasks[i], w.ID, 1, func() {})
 	}
 	r.commits.Flush()
 	return r
@@ -151,10 +151,10 @@
 	t.Helper()
 	gone := 0
 	for _, w := range r.table.Sorted() {
-		if w.State == workers.Gone {
+		if w.State == workers.Terminated {
 			gone++
 			if !r.dead[w.Addr] {
-				t.Errorf("%s answers, and was fenced", w.Host)
+				t.Errorf("%s answers, and was fenced", w.ID)
 			}
 		}
 	}
--- a/internal/fleet/shrink.go
+++ b/internal/fleet/shrink.go
@@ -42,11 +42,11 @@
 		if m.excess == 0 {
 			m.excess = now
 		}
-		if now.Sub(m.excess) < m.cfg.Tuning.IdleKeep {
+		if now.Sub(m.excess) < m.cfg.Tuning.ScaleInDelay {
 			return
 		}
 		x.remove(w)
-		slog.Info("cordoning machine", "host", string(w.Host), "tasks", len(w.Tasks), "replicas_cpus", w.Replicas)
+		slog.Info("cordoning machine", "host", string(w.ID), "tasks", len(w.Tasks), "replicas_cpus", w.ServiceVCPUs)
 		w.Cordoned = true
 		m.empty(w, now)
 	}
@@ -59,7 +59,7 @@
 // emptying those that are; leaving is what work there will need elsewhere.
 func (m *Manager) candidates(now ident.MonotonicTime) (list []*workers.Worker, smallest, leaving float64) {
 	for _, w := range m.machine.Sorted() {
-		if w.State != workers.Up || w.Kind == nil || w.Doomed > 0 || w.Shun > now || w.Slow {
+		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow {
 			continue
 		}
 		if w.Cordoned {
@@ -68,8 +68,8 @@
 			continue
 		}
 		list = append(list, w)
-		if smallest == 0 || w.Kind.VCPUs < smallest {
-			smallest = w.Kind.VCPUs
+		if smallest == 0 || w.Type.VCPUs < smallest {
+			smallest = w.Type.VCPUs
 		}
 	}
 	return list, smallest, leaving
@@ -81,8 +81,8 @@
 	if x, y := price(a), price(b); x != y {
 		return x > y
 	}
-	if a.Replicas != b.Replicas {
-		return a.Replicas < b.Replicas
+	if a.ServiceVCPUs != b.ServiceVCPUs {
+		return a.ServiceVCPUs < b.ServiceVCPUs
 	}
 	return a.VCPUs < b.VCPUs
 }
@@ -105,17 +105,17 @@
 	if w.Spot {
 		keep *= spotKeep
 	}
-	if x.spare-w.Kind.VCPUs < x.services+keep {
+	if x.spare-w.Type.VCPUs < x.services+keep {
 		return false
 	}
-	return w.Spot || x.free[w.Zone]-w.Kind.VCPUs >= x.ordinary[w.Zone]
+	return w.Spot || x.free[w.Zone]-w.Type.VCPUs >= x.ordinary[w.Zone]
 }
 
 // remove takes a machine out of what is free.
 func (x *shrinking) remove(w *workers.Worker) {
-	x.spare -= w.Kind.VCPUs
+	x.spare -= w.Type.VCPUs
 	if !w.Spot {
-		x.free[w.Zone] -= w.Kind.VCPUs
+		x.free[w.Zone] -= w.Type.VCPUs
 	}
 }
 
@@ -126,9 +126,9 @@
 // price is what a machine costs at present.
 func price(w *workers.Worker) float64 {
 	if w.Spot {
-		return w.Kind.MarketPrice
+		return w.Type.SpotPrice
 	}
-	return w.Kind.Hourly
+	return w.Type.HourlyPrice
 }
 
 // maxMoves bounds the replicas that a tick looks for another place for.
@@ -147,22 +147,22 @@
 		m.Return(w, "not needed")
 		return
 	}
-	for _, t := range m.machine.TasksOf(w) {
+	for _, t := range m.machine.SortedTasks(w) {
 		if t.Job.Spec.Shape != api.Service {
 			return
 		}
-		if t.State != jobs.Assigned || t.RunsAt == 0 || now.Sub(t.RunsAt) < settled {
+		if t.State != jobs.Assigned || t.RunningSince == 0 || now.Sub(t.RunningSince) < settled {
 			return
 		}
 	}
 	// One replica each time, and only while there is room for it where its image
 	// is: it is gone for no longer than a command and a transaction take.
-	for _, t := range m.machine.TasksOf(w) {
+	for _, t := range m.machine.SortedTasks(w) {
 		if m.moves--; m.moves < 0 {
 			return
 		}
 		if m.cfg.Movable(t, w) {
-			slog.Info("moving replica", "task", t.TaskID().String(), "host", string(w.Host))
+			slog.Info("moving replica", "task", t.TaskID().String(), "host", string(w.ID))
 			m.machine.StopTask(w, t, 0)
 			return
 		}
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -66,8 +66,8 @@
 	late := m.late(l, now)
 	for _, services := range []bool{true, false} {
 		for _, j := range m.waiting(services) {
-			n := min(j.Wants(), m.teams.Room(j.Spec))
-			if n > 0 && (!j.Gang() || n == j.Waits()) {
+			n := min(j.PlaceableCount(), m.teams.Room(j.Spec))
+			if n > 0 && (!j.IsGang() || n == j.WaitingCount()) {
 				m.lay(&laying{layout: l, job: j, left: n, late: &late, open: open, now: now})
 			}
 		}
@@ -78,7 +78,7 @@
 	spare := map[string]float64{}
 	for z, v := range services {
 		m.cfg.Reserve(z, v)
-		spare[z] = round(v + whole(catalog, z, m.cfg.Tuning.Spare*l.held[z]))
+		spare[z] = round(v + whole(catalog, z, m.cfg.Tuning.ServiceSpareFraction*l.held[z]))
 	}
 	m.headroom(l, open, services, spare, arrays)
 	m.rentAll(rent)
@@ -87,7 +87,7 @@
 
 // whole rounds CPUs down to whole machines of a zone: in a small fleet the part that
 // may be lost is less than one, and a machine more would stand there for it.
-func whole(catalog []cloud.Model, site string, cpus float64) float64 {
+func whole(catalog []cloud.MachineType, site string, cpus float64) float64 {
 	most := 0.0
 	for i := range catalog {
 		if slices.Contains(catalog[i].Zones, site) {
@@ -136,7 +136,7 @@
 // arraysOpen calls f for every open array, in a fixed order.
 func (m *Manager) arraysOpen(f func(*jobs.Job)) {
 	for _, name := range slices.Sorted(maps.Keys(m.jobs.Teams)) {
-		for _, j := range m.jobs.Teams[name].Jobs {
+		for _, j := range m.jobs.Teams[name].OpenJobs {
 			if j.Spec.Shape == api.Batch {
 				f(j)
 			}
@@ -158,12 +158,12 @@
 	}
 	m.arraysOpen(func(j *jobs.Job) {
 		s := j.Spec
-		if !s.Spot || j.Wants() == 0 || m.teams.Guest(s.Team) {
+		if !s.Spot || j.PlaceableCount() == 0 || m.teams.Guest(s.Team) {
 			return
 		}
-		waits := float64(min(j.Wants(), m.teams.Room(s))) * s.VCPUs * s.RuntimeS
+		waits := float64(min(j.PlaceableCount(), m.teams.Room(s))) * s.VCPUs * s.RuntimeS
 		// What can't be done in time by any machine goes last, and doesn't count.
-		if left := (m.cfg.Aim(s.Class) - now.Sub(j.Arrived)).Seconds() - s.RuntimeS; left > 0 && waits > 0 {
+		if left := (m.cfg.Aim(s.Class) - now.Sub(j.SubmittedAt)).Seconds() - s.RuntimeS; left > 0 && waits > 0 {
 			work += waits
 			slack += waits * left
 			weight += waits
@@ -175,14 +175,14 @@
 	// A part of the slack, since arrivals go on and estimates are often short.
 	within := max(0.85*slack/weight, m.slowest().Seconds())
 	m.arraysOpen(func(j *jobs.Job) {
-		if j.Held == 0 || !j.Spec.Spot || m.teams.Guest(j.Spec.Team) {
+		if j.AllocatedTasks == 0 || !j.Spec.Spot || m.teams.Guest(j.Spec.Team) {
 			return // guests' work makes room
 		}
 		for i := range j.Tasks {
-			if t := &j.Tasks[i]; t.State.Held() {
+			if t := &j.Tasks[i]; t.State.Allocated() {
 				left := j.Spec.RuntimeS
-				if t.RunsAt > 0 {
-					left -= now.Sub(t.RunsAt).Seconds()
+				if t.RunningSince > 0 {
+					left -= now.Sub(t.RunningSince).Seconds()
 				}
 				work += j.Spec.VCPUs * min(max(left, 5), within)
 			}
@@ -192,7 +192,7 @@
 }
 
 // kind returns a machine type of the catalog, nil for an unknown one.
-func (m *Manager) kind(model string) *cloud.Model {
+func (m *Manager) kind(model string) *cloud.MachineType {
 	catalog := m.cfg.Catalog()
 	for i := range catalog {
 		if catalog[i].SKU == model {
@@ -217,17 +217,17 @@
 
 // newBin opens a machine of the cheapest pool that allows the job, in the zone
 // that has the fewest of its kind.
-func (m *Manager) newBin(catalog []cloud.Model, l *layout, s *api.Spec, a ask, now ident.MonotonicTime) *bin {
+func (m *Manager) newBin(catalog []cloud.MachineType, l *layout, s *api.Spec, a ask, now ident.MonotonicTime) *bin {
 	var best *bin
 	cheapest, fewest := math.Inf(1), 0
-	m.openPools(catalog, a, now, func(k *cloud.Model, p pool) {
-		b := &bin{kind: k, pool: p, n: 1, v: k.VCPUs, c: k.Cards, g: k.MemoryGB, class: p.class()}
+	m.openPools(catalog, a, now, func(k *cloud.MachineType, p pool) {
+		b := &bin{kind: k, pool: p, n: 1, v: k.VCPUs, c: k.GPUs, g: k.MemoryGB, class: p.class()}
 		if !b.allows(s) {
 			return
 		}
-		price := k.Hourly
+		price := k.HourlyPrice
 		if p.standby {
-			price = k.MarketPrice
+			price = k.SpotPrice
 		}
 		price /= float64(max(b.fit(s), 1))
 		n := l.count[p]
@@ -240,7 +240,7 @@
 
 // openPools calls f for each pool that is asked for and has machines to be had, as far as is
 // known.
-func (m *Manager) openPools(catalog []cloud.Model, a ask, now ident.MonotonicTime, f func(*cloud.Model, pool)) {
+func (m *Manager) openPools(catalog []cloud.MachineType, a ask, now ident.MonotonicTime, f func(*cloud.MachineType, pool)) {
 	for i := range catalog {
 		k := &catalog[i]
 		for _, z := range k.Zones {
--- a/internal/fleet/unheard.go
+++ b/internal/fleet/unheard.go
@@ -60,7 +60,7 @@
 	if z == nil {
 		return true
 	}
-	w.Shun = max(w.Shun, now.Add(time.Second))
+	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
 	if now.Sub(z.period) >= settings.Seconds(m.cfg.Workers.LeaseS) {
 		z.period, z.returned = now, 0
 	}
@@ -82,8 +82,8 @@
 	}
 	since := m.unheard[zone].since
 	for _, w := range m.machine.Sorted() {
-		coming := w.State == workers.Booting || w.State == workers.Up || w.State == workers.Silent
-		if w.Zone == zone && coming && w.Born > since {
+		coming := w.State == workers.Booting || w.State == workers.Up || w.State == workers.Unreachable
+		if w.Zone == zone && coming && w.CreatedAt > since {
 			n++
 		}
 	}
--- a/internal/fleet/unheard_test.go
+++ b/internal/fleet/unheard_test.go
@@ -17,12 +17,12 @@
 	r = newReplicas(30, func(int) bool { return true })
 	r.m.cfg.Unheard = func(string) bool { return unheard }
 	names := 1000
-	r.reply = func(q cloud.Request) cloud.Reply {
-		a := cloud.Reply{Outcome: cloud.OK}
-		if q.Op == cloud.Rent {
-			for range q.Number {
+	r.reply = func(q cloud.Request) cloud.Response {
+		a := cloud.Response{Outcome: cloud.OK}
+		if q.Op == cloud.Provision {
+			for range q.Count {
 				names++
-				a.Rented = append(a.Rented, ident.MachineID(time.Duration(names).String()))
+				a.Provisioned = append(a.Provisioned, ident.MachineID(time.Duration(names).String()))
 				rented++
 			}
 		}
@@ -30,8 +30,8 @@
 	}
 	r.pass(5*30*time.Second, r.m)
 	for _, c := range r.calls {
-		if c.Op == cloud.Return {
-			for _, h := range c.Hosts {
+		if c.Op == cloud.Terminate {
+			for _, h := range c.MachineIDs {
 				if strings.HasPrefix(string(h), "host-") { // not a scout that never came up
 					returned++
 				}
@@ -58,13 +58,13 @@
 	// One of them is heard: the others are judged one by one again.
 	w := r.table.Sorted()[0]
 	for _, k := range r.table.Sorted() {
-		if k.State == workers.Up || k.State == workers.Silent {
+		if k.State == workers.Up || k.State == workers.Unreachable {
 			w = k
 			break
 		}
 	}
 	r.serial++
-	r.table.Checkin(&api.Report{Host: w.Host, Addr: w.Addr, Model: "m8", Zone: "east", Session: 2, Serial: r.serial, Epoch: ident.MakeFencingToken(3, 1)})
+	r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: r.serial, FencingToken: ident.MakeFencingToken(3, 1)})
 	r.pass(500*time.Millisecond, r.m)
 	if r.m.unheard["east"] != nil {
 		t.Error("the zone still counts as silent")
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -69,7 +69,7 @@
 func (m *Manager) hearZones() map[string]*zoneHearing {
 	zones := map[string]*zoneHearing{}
 	for _, w := range m.machine.Sorted() {
-		if w.State != workers.Up && w.State != workers.Silent {
+		if w.State != workers.Up && w.State != workers.Unreachable {
 			continue
 		}
 		z := zones[w.Zone]
@@ -78,7 +78,7 @@
 			zones[w.Zone] = z
 		}
 		z.up++
-		z.newest = max(z.newest, w.Heard())
+		z.newest = max(z.newest, w.LastContact())
 	}
 	return zones
 }
@@ -91,7 +91,7 @@
 	was := m.cut
 	m.cut = map[string]bool{}
 	for site, z := range zones {
-		quiet := max(zoneQuiet, settings.Seconds(zoneReports*m.cfg.Workers.ReportS/float64(z.up)))
+		quiet := max(zoneQuiet, settings.Seconds(zoneReports*m.cfg.Workers.HeartbeatS/float64(z.up)))
 		if z.up > 2 && now.Sub(z.newest) > quiet && m.cfg.Stranded(site) {
 			m.cut[site] = true
 			if !was[site] {
@@ -108,12 +108,12 @@
 // strand keeps work off a machine of a zone that is cut off, and takes what was on it
 // for gone once its lease is surely over.
 func (m *Manager) strand(w *workers.Worker, now ident.MonotonicTime) {
-	w.Shun = max(w.Shun, now.Add(time.Second))
-	if !m.machine.Expired(w) {
+	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
+	if !m.machine.LeaseExpired(w) {
 		return
 	}
-	m.machine.Expire(w)
-	if m.machine.Silence(w) > zoneLeases*settings.Seconds(m.cfg.Workers.LeaseS) {
+	m.machine.ExpireLease(w)
+	if m.machine.TimeSinceContact(w) > zoneLeases*settings.Seconds(m.cfg.Workers.LeaseS) {
 		m.Return(w, "zone is cut off")
 	}
 }
@@ -156,23 +156,23 @@
 	switch w.State {
 	case workers.Booting:
 		startup := m.startup(w)
-		if now.Sub(w.Born) > time.Duration(m.cfg.Tuning.BootFactor*float64(startup)) && now.Sub(w.Since) > startup {
+		if now.Sub(w.CreatedAt) > time.Duration(m.cfg.Tuning.BootTimeoutFactor*float64(startup)) && now.Sub(w.StateSince) > startup {
 			m.Return(w, "never came up")
 		}
-	case workers.Up, workers.Silent:
+	case workers.Up, workers.Unreachable:
 		if m.cut[w.Zone] {
 			m.strand(w, now)
 			return
 		}
 		m.inspectUp(w, now, s)
-	case workers.Returning:
+	case workers.Terminating:
 		// The cloud may be down; the lease ends all the same.
-		if len(w.Tasks) > 0 && m.machine.Expired(w) {
-			m.machine.Expire(w)
+		if len(w.Tasks) > 0 && m.machine.LeaseExpired(w) {
+			m.machine.ExpireLease(w)
 		}
-	case workers.Gone:
-		if now.Sub(w.Since) > time.Minute+2*settings.Seconds(m.cfg.Cloud.ListLagS) && !w.Recorded {
-			m.machine.Forget(w)
+	case workers.Terminated:
+		if now.Sub(w.StateSince) > time.Minute+2*settings.Seconds(m.cfg.Cloud.ListLagS) && !w.Persisted {
+			m.machine.Remove(w)
 		}
 	}
 }
@@ -180,36 +180,36 @@
 // inspectUp looks at a machine that should be heard.
 func (m *Manager) inspectUp(w *workers.Worker, now ident.MonotonicTime, s *sweep) {
 	s.up++
-	quiet := min(m.machine.Silence(w), now.Sub(max(m.stalled, m.back[w.Zone])))
+	quiet := min(m.machine.TimeSinceContact(w), now.Sub(max(m.stalled, m.back[w.Zone])))
 	limit := m.silent
-	if w.Replicas > 0 {
+	if w.ServiceVCPUs > 0 {
 		// Users miss replicas at once: don't wait for reports to fail.
 		limit = min(m.silent/2, surelySilent)
 		m.inspectReplicas(w, quiet, limit, now, s)
 	}
 	if quiet > m.silent*2/3 {
-		m.machine.Quiet(w)
+		m.machine.MarkUnreachable(w)
 		m.machine.Probe(w)
 	}
-	deaf := w.Deaf()
+	deaf := w.CannotReceiveFor()
 	if deaf > m.silent/2 {
 		s.urgent = append(s.urgent, w)
 	}
 	switch {
-	case w.Doomed > 0 && now > w.Doomed && quiet > m.silent/2:
+	case w.ReclaimAt > 0 && now > w.ReclaimAt && quiet > m.silent/2:
 		m.Return(w, "taken")
-	case quiet > limit && w.Misses() > 1 || quiet > m.silent && w.Misses() > 0,
-		deaf > m.silent && w.Misses() > 1:
+	case quiet > limit && w.MissedResponses() > 1 || quiet > m.silent && w.MissedResponses() > 0,
+		deaf > m.silent && w.MissedResponses() > 1:
 		s.silent = append(s.silent, w)
 	case w.Faulty():
 		m.Return(w, "faulty")
 	case w.Slow && len(w.Tasks) == 0:
 		m.Return(w, "slow")
-	case w.Doomed > 0:
+	case w.ReclaimAt > 0:
 		m.cfg.Drain(w)
 	}
-	if m.machine.Expired(w) {
-		m.machine.Expire(w)
+	if m.machine.LeaseExpired(w) {
+		m.machine.ExpireLease(w)
 		if m.mayGiveUp(w, now) {
 			m.Return(w, "lease over")
 		}
@@ -218,7 +218,7 @@
 
 // inspectReplicas has a machine with replicas asked when it is late.
 func (m *Manager) inspectReplicas(w *workers.Worker, quiet, limit time.Duration, now ident.MonotonicTime, s *sweep) {
-	if w.Misses() > 0 {
+	if w.MissedResponses() > 0 {
 		s.mutes++
 		if quiet > m.missed {
 			s.mutes += mute // one that is late as well is enough
@@ -227,7 +227,7 @@
 	switch {
 	case quiet > m.missed:
 		s.urgent = append(s.urgent, w)
-	case now.Sub(m.alarm) < alarmTime && w.Heard() < m.alarm:
+	case now.Sub(m.alarm) < alarmTime && w.LastContact() < m.alarm:
 		s.urgent = append(s.urgent, w)
 	case quiet > limit/2:
 		s.early = append(s.early, w)
@@ -249,7 +249,7 @@
 		return
 	}
 	for _, w := range s.silent {
-		if mass && min(m.machine.Silence(w), now.Sub(m.stalled)) < 2*m.silent {
+		if mass && min(m.machine.TimeSinceContact(w), now.Sub(m.stalled)) < 2*m.silent {
 			continue
 		}
 		if m.blind(w.Zone) || !m.mayGiveUp(w, now) {
@@ -262,8 +262,8 @@
 }
 
 func (m *Manager) startup(w *workers.Worker) time.Duration {
-	if w.Kind == nil || w.Kind.StartupS <= 0 {
+	if w.Type == nil || w.Type.StartupS <= 0 {
 		return 30 * time.Second
 	}
-	return settings.Seconds(w.Kind.StartupS)
+	return settings.Seconds(w.Type.StartupS)
 }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -21,11 +21,11 @@
 
 // The states of an attempt.
 const (
-	Placed    State = iota // machines were chosen, not yet durable for all tasks
-	Gathering              // launched: the tasks fetch their image and wait for each other
-	Running                // all were seen running
-	Saving                 // all were told to save and stop
-	Ending                 // a task is gone or the rest is not wanted: all are told to stop
+	Placed        State = iota // machines were chosen, not yet durable for all tasks
+	Gathering                  // launched: the tasks fetch their image and wait for each other
+	Running                    // all were seen running
+	Checkpointing              // all were told to save and stop
+	Stopping                   // a task is gone or the rest is not wanted: all are told to stop
 )
 
 func (s State) String() string {
@@ -34,275 +34,275 @@
 
 // attempt is one try of a gang at running.
 type attempt struct {
-	job   *jobs.Job
-	try   ident.Attempt
-	state State
-	since ident.MonotonicTime
-	began ident.MonotonicTime // when its machines were chosen
-	gap   ident.MonotonicTime // since when a task is missing, 0: none is
-	ours  bool                // of this term: all machines that it ever was on are known
-	used  map[ident.MachineID]bool
-	sent  map[int]ident.MachineID // where its tasks were launched
+	job            *jobs.Job
+	number         ident.Attempt
+	state          State
+	stateSince     ident.MonotonicTime
+	placedAt       ident.MonotonicTime // when its machines were chosen
+	missingSince   ident.MonotonicTime // since when a task is missing, 0: none is
+	placedThisTerm bool                // of this term: all machines that it ever was on are known
+	usedMachines   map[ident.MachineID]bool
+	launchedOn     map[int]ident.MachineID // where its tasks were launched
 }
 
-// Pick is a machine chosen for a task.
-type Pick struct {
+// Placement is a machine chosen for a task.
+type Placement struct {
 	Task   *jobs.Task
 	Worker *workers.Worker
 }
 
 // Config holds the times of gangs.
 type Config struct {
-	Wait   time.Duration // a task waits so long for the others
-	Peer   time.Duration // within which the others notice that one is gone
-	Report time.Duration // between two reports of a worker
+	GatherTimeout     time.Duration // a task waits so long for the others
+	PeerLossTimeout   time.Duration // within which the others notice that one is gone
+	HeartbeatInterval time.Duration // between two reports of a worker
 }
 
 // Table holds all attempts. It lives for one term.
 type Table struct {
-	cfg     Config
-	now     func() ident.MonotonicTime
-	valid   func() bool // whether launches may be sent
-	jobs    *jobs.Table
-	workers *workers.Table
-	open    map[*jobs.Job]*attempt
-	touched []*jobs.Job
+	cfg       Config
+	now       func() ident.MonotonicTime
+	mayLaunch func() bool // whether launches may be sent
+	jobs      *jobs.Table
+	workers   *workers.Table
+	attempts  map[*jobs.Job]*attempt
+	changed   []*jobs.Job
 
 	Started, Lost, Replaced, Stopped uint64
 }
 
 // NewTable makes a term's table.
-func NewTable(j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, valid func() bool, cfg Config) *Table {
-	return &Table{cfg: cfg, now: now, valid: valid, jobs: j, workers: w, open: map[*jobs.Job]*attempt{}}
+func NewTable(j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config) *Table {
+	return &Table{cfg: cfg, now: now, mayLaunch: mayLaunch, jobs: j, workers: w, attempts: map[*jobs.Job]*attempt{}}
 }
 
 const (
-	// joinTime is how long the others keep their room for a task that is to be replaced.
-	joinTime = 3 * time.Second
-	// overrun is how long an orderly stop may take beyond the time it was given.
-	overrun = 2 * time.Second
+	// replacementWindow is how long the others keep their room for a task that is to be replaced.
+	replacementWindow = 3 * time.Second
+	// stopOverrun is how long an orderly stop may take beyond the time it was given.
+	stopOverrun = 2 * time.Second
 )
 
-// to is the one place where an attempt changes its state.
-func (tb *Table) to(a *attempt, s State, why string) {
-	if a.state == s {
+// setState is the one place where an attempt changes its state.
+func (tb *Table) setState(a *attempt, next State, reason string) {
+	if a.state == next {
 		return
 	}
 	now := tb.now()
-	slog.Debug("gang", "id", string(a.job.Spec.ID), "try", uint64(a.try), "from", a.state.String(), "to", s.String(), "why", why,
-		"age_s", now.Sub(a.job.Arrived).Seconds(), "placed_s", now.Sub(a.began).Seconds())
-	a.state, a.since = s, now
+	slog.Debug("gang", "id", string(a.job.Spec.ID), "try", uint64(a.number), "from", a.state.String(), "to", next.String(), "why", reason,
+		"age_s", now.Sub(a.job.SubmittedAt).Seconds(), "placed_s", now.Sub(a.placedAt).Seconds())
+	a.state, a.stateSince = next, now
 }
 
-// Touch notes that a task of a gang has changed. What follows from it waits for
+// MarkChanged notes that a task of a gang has changed. What follows from it waits for
 // Settle, when the change is complete.
-func (tb *Table) Touch(j *jobs.Job) {
-	if j.Gang() && !slices.Contains(tb.touched, j) {
-		tb.touched = append(tb.touched, j)
+func (tb *Table) MarkChanged(j *jobs.Job) {
+	if j.IsGang() && !slices.Contains(tb.changed, j) {
+		tb.changed = append(tb.changed, j)
 	}
 }
 
-// Settle draws the consequences of what has changed.
-func (tb *Table) Settle() {
-	for len(tb.touched) > 0 {
-		list := tb.touched
-		tb.touched = nil
+// ProcessChanges draws the consequences of what has changed.
+func (tb *Table) ProcessChanges() {
+	for len(tb.changed) > 0 {
+		list := tb.changed
+		tb.changed = nil
 		for _, j := range list {
-			tb.step(j)
+			tb.advance(j)
 		}
 	}
 }
 
 // Tick looks at what only time changes.
 func (tb *Table) Tick() {
-	tb.touched = slices.SortedFunc(maps.Keys(tb.open), func(a, b *jobs.Job) int { return cmp.Compare(a.Seq, b.Seq) })
-	tb.Settle()
+	tb.changed = slices.SortedFunc(maps.Keys(tb.attempts), func(a, b *jobs.Job) int { return cmp.Compare(a.Seq, b.Seq) })
+	tb.ProcessChanges()
 }
 
 // Adopt takes over a gang of the term before. A whole attempt goes on; of a part
 // nobody knows whether it was ever launched, or what became of the rest.
 func (tb *Table) Adopt(j *jobs.Job) {
-	if !j.Gang() || j.Held == 0 || j.Phase != jobs.Open {
+	if !j.IsGang() || j.AllocatedTasks == 0 || j.Phase != jobs.Open {
 		return
 	}
 	now := tb.now()
-	a := &attempt{job: j, try: j.LastTry(), state: Gathering, since: now, began: now, used: map[ident.MachineID]bool{}, sent: map[int]ident.MachineID{}}
-	tb.open[j] = a
+	a := &attempt{job: j, number: j.HighestAttempt(), state: Gathering, stateSince: now, placedAt: now, usedMachines: map[ident.MachineID]bool{}, launchedOn: map[int]ident.MachineID{}}
+	tb.attempts[j] = a
 	for i := range j.Tasks {
-		a.sent[i] = j.Tasks[i].Host // if it never was, the answer to a report does it
+		a.launchedOn[i] = j.Tasks[i].MachineID // if it never was, the answer to a report does it
 	}
-	if !j.Ready() {
-		tb.end(a, "a part was left of it")
+	if !j.ReadyToLaunch() {
+		tb.abort(a, "a part was left of it")
 	}
 }
 
 // Place begins an attempt, or replaces its lost tasks, with all that wait.
-func (tb *Table) Place(j *jobs.Job, picks []Pick) {
+func (tb *Table) Place(j *jobs.Job, placements []Placement) {
 	now := tb.now()
-	a := tb.open[j]
+	a := tb.attempts[j]
 	if a == nil {
-		a = &attempt{job: j, try: j.LastTry() + 1, state: Placed, since: now, began: now, ours: true, used: map[ident.MachineID]bool{},
-			sent: map[int]ident.MachineID{}}
-		tb.open[j] = a
+		a = &attempt{job: j, number: j.HighestAttempt() + 1, state: Placed, stateSince: now, placedAt: now, placedThisTerm: true, usedMachines: map[ident.MachineID]bool{},
+			launchedOn: map[int]ident.MachineID{}}
+		tb.attempts[j] = a
 	} else {
-		tb.Replaced += uint64(len(picks))
+		tb.Replaced += uint64(len(placements))
 	}
-	j.Joinable = false
-	a.gap = 0
-	for _, p := range picks {
-		a.used[p.Worker.Host] = true
-		tb.jobs.PlaceAs(p.Task, p.Worker.Host, p.Worker.Session, a.try, func() { tb.Touch(j) })
+	j.AcceptsReplacements = false
+	a.missingSince = 0
+	for _, placement := range placements {
+		a.usedMachines[placement.Worker.ID] = true
+		tb.jobs.PlaceAttempt(placement.Task, placement.Worker.ID, placement.Worker.Incarnation, a.number, func() { tb.MarkChanged(j) })
 	}
 }
 
-// Used says whether a task of the gang's present attempt was on a machine: another
+// HasUsed says whether a task of the gang's present attempt was on a machine: another
 // one may not come there with the same number, since an old report would say that it
 // has ended.
-func (tb *Table) Used(j *jobs.Job, h ident.MachineID) bool {
-	a := tb.open[j]
-	return a != nil && a.used[h]
+func (tb *Table) HasUsed(j *jobs.Job, machineID ident.MachineID) bool {
+	a := tb.attempts[j]
+	return a != nil && a.usedMachines[machineID]
 }
 
-// count is what there is of an attempt.
-type count struct{ placing, stopping, runs int }
+// taskCounts is what there is of an attempt.
+type taskCounts struct{ placing, stopping, running int }
 
-func counted(j *jobs.Job) (n count) {
+func countTasks(j *jobs.Job) (counts taskCounts) {
 	for i := range j.Tasks {
 		switch t := &j.Tasks[i]; t.State {
 		case jobs.Placing:
-			n.placing++
+			counts.placing++
 		case jobs.Stopping:
-			n.stopping++
+			counts.stopping++
 		case jobs.Assigned:
-			if t.Seen == api.Running {
-				n.runs++
+			if t.ReportedStatus == api.Running {
+				counts.running++
 			}
 		}
 	}
-	return n
+	return counts
 }
 
-// step moves a gang's attempt on.
-func (tb *Table) step(j *jobs.Job) {
-	a := tb.open[j]
+// advance moves a gang's attempt on.
+func (tb *Table) advance(j *jobs.Job) {
+	a := tb.attempts[j]
 	if a == nil {
 		return
 	}
-	if j.Phase != jobs.Open || j.Held == 0 {
+	if j.Phase != jobs.Open || j.AllocatedTasks == 0 {
 		// Over, or every task is proven gone: the next attempt may begin.
-		delete(tb.open, j)
-		j.Joinable = false
+		delete(tb.attempts, j)
+		j.AcceptsReplacements = false
 		return
 	}
 	now := tb.now()
-	n := counted(j)
-	missing := j.Held < len(j.Tasks)
+	counts := countTasks(j)
+	missing := j.AllocatedTasks < len(j.Tasks)
 	switch a.state {
 	case Placed, Gathering:
 		switch {
-		case n.stopping > 0:
-			tb.end(a, "a task was stopped")
+		case counts.stopping > 0:
+			tb.abort(a, "a task was stopped")
 		case missing:
-			tb.gap(a, n)
-		case n.placing > 0:
-		case a.state == Placed || tb.moved(a):
-			tb.to(a, Gathering, "durable")
-			tb.launch(a)
-		case n.runs == len(j.Tasks):
+			tb.handleMissingTask(a, counts)
+		case counts.placing > 0:
+		case a.state == Placed || tb.hasUnlaunched(a):
+			tb.setState(a, Gathering, "durable")
+			tb.launchPlaced(a)
+		case counts.running == len(j.Tasks):
 			tb.Started++
-			tb.to(a, Running, "all run")
+			tb.setState(a, Running, "all run")
 		}
 	case Running:
-		if missing || n.stopping > 0 {
-			tb.end(a, "a task is gone")
+		if missing || counts.stopping > 0 {
+			tb.abort(a, "a task is gone")
 		}
-	case Saving:
-		if now.Sub(a.since) > tb.windDown(j)+overrun {
-			tb.end(a, "saving takes too long")
+	case Checkpointing:
+		if now.Sub(a.stateSince) > tb.checkpointGracePeriod(j)+stopOverrun {
+			tb.abort(a, "saving takes too long")
 		}
-	case Ending:
-		tb.stop(a, 0)
+	case Stopping:
+		tb.stopTasks(a, 0)
 	}
 }
 
-// moved says whether a task of the attempt was placed where it has not been launched.
-func (tb *Table) moved(a *attempt) bool {
+// hasUnlaunched says whether a task of the attempt was placed where it has not been launched.
+func (tb *Table) hasUnlaunched(a *attempt) bool {
 	for i := range a.job.Tasks {
-		if a.sent[i] != a.job.Tasks[i].Host {
+		if a.launchedOn[i] != a.job.Tasks[i].MachineID {
 			return true
 		}
 	}
 	return false
 }
 
-// gap handles a task lost before the start: it is replaced if that is still in time.
-func (tb *Table) gap(a *attempt, n count) {
+// handleMissingTask handles a task lost before the start: it is replaced if that is still in time.
+func (tb *Table) handleMissingTask(a *attempt, counts taskCounts) {
 	now := tb.now()
-	if a.gap == 0 {
-		a.gap = now
+	if a.missingSince == 0 {
+		a.missingSince = now
 	}
 	switch {
-	case !a.ours:
-		tb.end(a, "a task is gone, and the machines that it was on are not all known")
-	case n.runs > 0:
-		tb.end(a, "a task is gone after the start")
-	case now.Sub(a.began) > tb.cfg.Wait/2, now.Sub(a.gap) > joinTime:
-		tb.end(a, "a task is gone, and none can replace it in time")
+	case !a.placedThisTerm:
+		tb.abort(a, "a task is gone, and the machines that it was on are not all known")
+	case counts.running > 0:
+		tb.abort(a, "a task is gone after the start")
+	case now.Sub(a.placedAt) > tb.cfg.GatherTimeout/2, now.Sub(a.missingSince) > replacementWindow:
+		tb.abort(a, "a task is gone, and none can replace it in time")
 	default:
-		a.job.Joinable = true
+		a.job.AcceptsReplacements = true
 	}
 }
 
-// launch sends the tasks that are durable and not yet launched where they are.
-func (tb *Table) launch(a *attempt) {
+// launchPlaced sends the tasks that are durable and not yet launched where they are.
+func (tb *Table) launchPlaced(a *attempt) {
 	for i := range a.job.Tasks {
 		t := &a.job.Tasks[i]
-		if a.sent[i] == t.Host {
+		if a.launchedOn[i] == t.MachineID {
 			continue
 		}
-		a.sent[i] = t.Host
-		w := tb.workers.Workers[t.Host]
-		if w == nil || w.State == workers.Returning || w.State == workers.Gone || !tb.valid() {
+		a.launchedOn[i] = t.MachineID
+		w := tb.workers.Workers[t.MachineID]
+		if w == nil || w.State == workers.Terminating || w.State == workers.Terminated || !tb.mayLaunch() {
 			continue // the answer to its next report launches it, if there is one
 		}
 		tb.workers.Launch(w, t)
 	}
 }
 
-// end gives an attempt up: what is left of it makes no progress any more.
-func (tb *Table) end(a *attempt, why string) {
-	if a.state != Ending {
+// abort gives an attempt up: what is left of it makes no progress any more.
+func (tb *Table) abort(a *attempt, reason string) {
+	if a.state != Stopping {
 		tb.Lost++
-		slog.Info("gang attempt ends", "id", string(a.job.Spec.ID), "try", uint64(a.try), "state", a.state.String(), "why", why)
+		slog.Info("gang attempt ends", "id", string(a.job.Spec.ID), "try", uint64(a.number), "state", a.state.String(), "why", reason)
 	}
-	a.job.Joinable = false
-	tb.to(a, Ending, why)
-	tb.stop(a, 0)
+	a.job.AcceptsReplacements = false
+	tb.setState(a, Stopping, reason)
+	tb.stopTasks(a, 0)
 }
 
-func (tb *Table) stop(a *attempt, windDown time.Duration) {
+func (tb *Table) stopTasks(a *attempt, gracePeriod time.Duration) {
 	for i := range a.job.Tasks {
-		if t := &a.job.Tasks[i]; t.State.Held() {
-			tb.workers.StopTask(tb.workers.Workers[t.Host], t, windDown)
+		if t := &a.job.Tasks[i]; t.State.Allocated() {
+			tb.workers.StopTask(tb.workers.Workers[t.MachineID], t, gracePeriod)
 		}
 	}
 }
 
-// windDown is the time that tasks of a gang get to save: their own, and that for which
+// checkpointGracePeriod is the time that tasks of a gang get to save: their own, and that for which
 // they then wait for each other.
-func (tb *Table) windDown(j *jobs.Job) time.Duration {
-	return time.Duration(j.Spec.SnapshotS*float64(time.Second)) + tb.cfg.Peer + time.Millisecond
+func (tb *Table) checkpointGracePeriod(j *jobs.Job) time.Duration {
+	return time.Duration(j.Spec.CheckpointS*float64(time.Second)) + tb.cfg.PeerLossTimeout + time.Millisecond
 }
 
-// Stoppable says whether a gang could be stopped now without losing more than it has
+// CanStop says whether a gang could be stopped now without losing more than it has
 // not saved: all its machines were heard lately, so that each is told in time.
-func (tb *Table) Stoppable(j *jobs.Job) bool {
-	a := tb.open[j]
-	if a == nil || a.state != Running && a.state != Gathering || !j.Ready() {
+func (tb *Table) CanStop(j *jobs.Job) bool {
+	a := tb.attempts[j]
+	if a == nil || a.state != Running && a.state != Gathering || !j.ReadyToLaunch() {
 		return false
 	}
 	for i := range j.Tasks {
-		if !tb.workers.Hears(j.Tasks[i].Host, tb.cfg.Report*3/2) {
+		if !tb.workers.Reachable(j.Tasks[i].MachineID, tb.cfg.HeartbeatInterval*3/2) {
 			return false
 		}
 	}
@@ -310,18 +310,18 @@
 }
 
 // Stop stops a whole gang in order, if that can be done.
-func (tb *Table) Stop(j *jobs.Job, why string) bool {
-	if !tb.Stoppable(j) {
+func (tb *Table) Stop(j *jobs.Job, reason string) bool {
+	if !tb.CanStop(j) {
 		return false
 	}
-	a := tb.open[j]
+	a := tb.attempts[j]
 	tb.Stopped++
-	slog.Info("gang is stopped", "id", string(j.Spec.ID), "why", why)
-	if a.state == Gathering || !j.Spec.Saves() {
-		tb.end(a, why) // nothing to save
+	slog.Info("gang is stopped", "id", string(j.Spec.ID), "why", reason)
+	if a.state == Gathering || !j.Spec.CanCheckpoint() {
+		tb.abort(a, reason) // nothing to save
 		return true
 	}
-	tb.to(a, Saving, why)
-	tb.stop(a, tb.windDown(j))
+	tb.setState(a, Checkpointing, reason)
+	tb.stopTasks(a, tb.checkpointGracePeriod(j))
 	return true
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -15,49 +15,51 @@
 	"opaldale/internal/workers"
 )
 
-// rig is one gang of three on machines that note what they are sent.
-type rig struct {
-	t       *testing.T
-	now     ident.MonotonicTime
-	queue   []func()
-	held    []func() // answers of the state service that are kept back
-	hold    bool
-	sent    map[ident.MachineID][]api.Order
-	mute    map[string]bool
-	serial  ident.SequenceNumber
-	ledger  uint64
-	commits *commit.Committer
-	jobs    *jobs.Table
-	workers *workers.Table
-	gangs   *Table
-	job     *jobs.Job
+// harness is one gang of three on machines that note what they are sent.
+type harness struct {
+	t             *testing.T
+	now           ident.MonotonicTime
+	queue         []func()
+	heldResponses []func() // answers of the state service that are kept back
+	holdResponses bool
+	sent          map[ident.MachineID][]api.Command
+	unresponsive  map[string]bool
+	sequence      ident.SequenceNumber
+	revision      uint64
+	commits       *commit.Committer
+	jobs          *jobs.Table
+	workers       *workers.Table
+	gangs         *Table
+	job           *jobs.Job
 }
 
-func (r *rig) Now() ident.MonotonicTime        { return r.now }
-func (r *rig) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
-func (r *rig) Store(_ statesvc.Request, f func(statesvc.Response)) {
-	r.ledger++
-	a := statesvc.Response{Outcome: statesvc.OK, StoreRevision: r.ledger}
-	if r.hold {
-		r.held = append(r.held, func() { f(a) })
+func (r *harness) Now() ident.MonotonicTime        { return r.now }
+func (r *harness) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
+func (r *harness) Store(_ statesvc.Request, f func(statesvc.Response)) {
+	r.revision++
+	a := statesvc.Response{Outcome: statesvc.OK, StoreRevision: r.revision}
+	if r.holdResponses {
+		r.heldResponses = append(r.heldResponses, func() { f(a) })
 		return
 	}
 	r.queue = append(r.queue, func() { f(a) })
 }
 
-func (r *rig) Worker(c workers.Command, f func(workers.Answer)) {
+func (r *harness) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
-	if r.mute[addr] {
-		r.queue = append(r.queue, func() { f(workers.Answer{}) })
+	if r.unresponsive[addr] {
+		r.queue = append(r.queue, func() { f(workers.CommandResult{}) })
 		return
 	}
 	h := ident.MachineID(addr)
-	r.sent[h] = append(r.sent[h], c.Body.Orders...)
+	r.sent[h] = append(r.sent[h], c.Body.Commands...)
 	// An answer that tells nothing new: reports come as the test says.
-	r.queue = append(r.queue, func() { f(workers.Answer{Status: 200, Report: &api.Report{Host: h, Addr: addr, Session: 1}}) })
+	r.queue = append(r.queue, func() {
+		f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: h, Addr: addr, Incarnation: 1}})
+	})
 }
 
-func (r *rig) run() {
+func (r *harness) run() {
 	for {
 		r.now = r.now.Add(time.Millisecond)
 		r.commits.Flush()
@@ -73,82 +75,82 @@
 	}
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Order{}, mute: map[string]bool{}}
-	kind := cloud.Model{SKU: "m8", VCPUs: 8, MemoryGB: 32}
+func newHarness(t *testing.T) *harness {
+	r := &harness{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Command{}, unresponsive: map[string]bool{}}
+	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
 	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
-	r.jobs.Pack()
-	r.workers = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseS: 30 * time.Second, Catalog: func(string) *cloud.Model { return &kind },
-		Deposed: func() { t.Error("deposed") }, Changed: func() {}, Failed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 }, Commit: func(w *workers.Worker) { w.Recorded = true }})
-	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, Config{Wait: 40 * time.Second, Peer: 5 * time.Second, Report: 3 * time.Second})
-	r.jobs.OnMove = func(task *jobs.Task, from, to jobs.State) {
-		r.gangs.Touch(task.Job)
-		if w := r.workers.Workers[task.Host]; to.Held() && !from.Held() {
-			r.workers.Hold(w, task)
-		} else if !to.Held() && from.Held() {
-			r.workers.Release(w, task)
+	r.jobs.UsePackedLog()
+	r.workers = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseDuration: 30 * time.Second, Catalog: func(string) *cloud.MachineType { return &kind },
+		OnDeposed: func() { t.Error("deposed") }, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
+		OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }, Persist: func(w *workers.Worker) { w.Persisted = true }})
+	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second})
+	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
+		r.gangs.MarkChanged(task.Job)
+		if w := r.workers.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
+			r.workers.AddTask(w, task)
+		} else if !to.Allocated() && from.Allocated() {
+			r.workers.RemoveTask(w, task)
 		}
 	}
 	for i := range 5 {
 		r.workers.Add(ident.MachineID(fmt.Sprintf("host-%d", i)), "m8", "east", false, r.now)
-		r.report(i)
+		r.heartbeat(i)
 	}
-	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1, SnapshotEveryS: 20, SnapshotS: 3}, func() {}, nil)
+	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1, CheckpointEveryS: 20, CheckpointS: 3}, func() {}, nil)
 	r.run()
 	return r
 }
 
-// report has a machine report pieces; without any it reports none.
-func (r *rig) report(host int, pieces ...api.TaskReport) *api.Orders {
-	r.serial++
-	h := ident.MachineID(fmt.Sprintf("host-%d", host))
-	o := r.workers.Checkin(&api.Report{Host: h, Addr: string(h), Model: "m8", Zone: "east", Session: 1, Serial: r.serial,
-		Epoch: ident.MakeFencingToken(3, 0), Tasks: pieces})
-	return o
+// heartbeat has a machine report pieces; without any it reports none.
+func (r *harness) heartbeat(host int, tasks ...api.TaskReport) *api.HeartbeatResponse {
+	r.sequence++
+	machineID := ident.MachineID(fmt.Sprintf("host-%d", host))
+	response := r.workers.HandleHeartbeat(&api.Heartbeat{MachineID: machineID, Addr: string(machineID), Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: r.sequence,
+		FencingToken: ident.MakeFencingToken(3, 0), Tasks: tasks})
+	return response
 }
 
-func (r *rig) piece(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
+func (r *harness) taskReport(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
 	return api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: i}, Attempt: r.job.Tasks[i].Attempt, Status: s, Cause: c}
 }
 
 // place puts the waiting tasks on machines from the given one on.
-func (r *rig) place(from int) {
-	var picks []Pick
+func (r *harness) place(from int) {
+	var picks []Placement
 	for i := range r.job.Tasks {
 		if t := &r.job.Tasks[i]; t.State == jobs.Waiting {
-			picks = append(picks, Pick{t, r.workers.Workers[ident.MachineID(fmt.Sprintf("host-%d", from+len(picks)))]})
+			picks = append(picks, Placement{t, r.workers.Workers[ident.MachineID(fmt.Sprintf("host-%d", from+len(picks)))]})
 		}
 	}
 	r.gangs.Place(r.job, picks)
 	r.run()
 }
 
-func (r *rig) all(s api.TaskStatus) {
+func (r *harness) reportAll(s api.TaskStatus) {
 	for i := range 3 {
-		r.report(i, r.piece(i, s, ""))
+		r.heartbeat(i, r.taskReport(i, s, ""))
 	}
 	r.run()
 }
 
-func (r *rig) state() string {
-	if a := r.gangs.open[r.job]; a != nil {
+func (r *harness) state() string {
+	if a := r.gangs.attempts[r.job]; a != nil {
 		return a.state.String()
 	}
 	return "none"
 }
 
-func (r *rig) want(state string) {
+func (r *harness) wantState(state string) {
 	r.t.Helper()
 	if got := r.state(); got != state {
 		r.t.Fatalf("the attempt is %s, want %s", got, state)
 	}
 }
 
-// count counts the orders of a kind that were sent.
-func (r *rig) count(v api.Verb) (n int) {
+// countCommands counts the orders of a kind that were sent.
+func (r *harness) countCommands(v api.Verb) (n int) {
 	for _, list := range r.sent {
 		for _, o := range list {
 			if o.Verb == v {
@@ -159,103 +161,103 @@
 	return n
 }
 
-// TestNothingIsLaunchedInPart: no task is launched, by command or by the answer to a
+// TestLaunchWaitsForAllPlacements: no task is launched, by command or by the answer to a
 // report, before all placements of the attempt are durable.
-func TestNothingIsLaunchedInPart(t *testing.T) {
-	r := newRig(t)
-	r.hold = true
+func TestLaunchWaitsForAllPlacements(t *testing.T) {
+	r := newHarness(t)
+	r.holdResponses = true
 	r.place(0)
 	for i := range 3 {
-		if o := r.report(i); len(o.Orders) > 0 {
-			t.Errorf("host-%d is told %v", i, o.Orders)
+		if o := r.heartbeat(i); len(o.Commands) > 0 {
+			t.Errorf("host-%d is told %v", i, o.Commands)
 		}
 	}
 	// One becomes durable by itself, the rest of the record doesn't.
-	r.want("placed")
-	if n := r.count(api.Launch); n > 0 {
+	r.wantState("placed")
+	if n := r.countCommands(api.Launch); n > 0 {
 		t.Fatalf("%d launches before anything is durable", n)
 	}
-	r.hold = false
-	r.queue = append(r.queue, r.held...)
+	r.holdResponses = false
+	r.queue = append(r.queue, r.heldResponses...)
 	r.run()
-	r.want("gathering")
-	if n := r.count(api.Launch); n != 3 {
+	r.wantState("gathering")
+	if n := r.countCommands(api.Launch); n != 3 {
 		t.Errorf("%d launches", n)
 	}
-	r.all(api.Gathering)
-	r.want("gathering")
+	r.reportAll(api.Gathering)
+	r.wantState("gathering")
 	if v := r.job.View(); v.Running != 0 || v.Status != "queued" {
 		t.Errorf("tasks that wait for their gang are called running: %+v", v)
 	}
-	r.all(api.Running)
-	r.want("running")
+	r.reportAll(api.Running)
+	r.wantState("running")
 }
 
-// TestReplaced: a task refused before the start comes back elsewhere with the same
+// TestReplacementBeforeStart: a task refused before the start comes back elsewhere with the same
 // number, and only where the attempt has not been.
-func TestReplaced(t *testing.T) {
-	r := newRig(t)
+func TestReplacementBeforeStart(t *testing.T) {
+	r := newHarness(t)
 	r.place(0)
-	r.report(0, r.piece(0, api.Gathering, ""))
-	r.report(1, r.piece(1, api.Gathering, ""))
-	r.report(2, r.piece(2, api.Ended, api.CauseFull))
+	r.heartbeat(0, r.taskReport(0, api.Gathering, ""))
+	r.heartbeat(1, r.taskReport(1, api.Gathering, ""))
+	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseNoCapacity))
 	r.run()
-	if r.want("gathering"); !r.job.Joinable || r.job.Tasks[2].State != jobs.Waiting {
-		t.Fatalf("joinable %v, task %v", r.job.Joinable, r.job.Tasks[2].State)
+	if r.wantState("gathering"); !r.job.AcceptsReplacements || r.job.Tasks[2].State != jobs.Waiting {
+		t.Fatalf("joinable %v, task %v", r.job.AcceptsReplacements, r.job.Tasks[2].State)
 	}
-	if !r.gangs.Used(r.job, "host-2") || r.gangs.Used(r.job, "host-3") {
+	if !r.gangs.HasUsed(r.job, "host-2") || r.gangs.HasUsed(r.job, "host-3") {
 		t.Error("where the attempt was is not known")
 	}
 	try := r.job.Tasks[0].Attempt
 	r.place(3)
-	if r.job.Tasks[2].Attempt != try || r.job.Tasks[2].Host != "host-3" || len(r.sent["host-3"]) != 1 {
-		t.Errorf("try %d on %s, sent %v", r.job.Tasks[2].Attempt, r.job.Tasks[2].Host, r.sent["host-3"])
+	if r.job.Tasks[2].Attempt != try || r.job.Tasks[2].MachineID != "host-3" || len(r.sent["host-3"]) != 1 {
+		t.Errorf("try %d on %s, sent %v", r.job.Tasks[2].Attempt, r.job.Tasks[2].MachineID, r.sent["host-3"])
 	}
-	r.report(3, r.piece(2, api.Running, ""))
-	r.report(0, r.piece(0, api.Running, ""))
-	r.report(1, r.piece(1, api.Running, ""))
+	r.heartbeat(3, r.taskReport(2, api.Running, ""))
+	r.heartbeat(0, r.taskReport(0, api.Running, ""))
+	r.heartbeat(1, r.taskReport(1, api.Running, ""))
 	r.run()
-	r.want("running")
+	r.wantState("running")
 }
 
 // TestNoReplacementInTime: the others don't hold their room for long.
 func TestNoReplacementInTime(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.place(0)
-	r.all(api.Gathering)
-	r.report(2, r.piece(2, api.Ended, api.CauseError))
+	r.reportAll(api.Gathering)
+	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseError))
 	r.run()
-	r.now = r.now.Add(joinTime + time.Second)
+	r.now = r.now.Add(replacementWindow + time.Second)
 	r.gangs.Tick()
 	r.run()
-	if r.want("ending"); r.job.Joinable || r.count(api.Kill) != 2 {
-		t.Errorf("joinable %v, %d kills", r.job.Joinable, r.count(api.Kill))
+	if r.wantState("ending"); r.job.AcceptsReplacements || r.countCommands(api.Kill) != 2 {
+		t.Errorf("joinable %v, %d kills", r.job.AcceptsReplacements, r.countCommands(api.Kill))
 	}
 }
 
-// TestLoss: after the start the loss of one task ends the attempt; the next one begins
+// TestTaskLossEndsAttempt: after the start the loss of one task ends the attempt; the next one begins
 // with a new number when each of the old tasks is proven gone, and not before.
-func TestLoss(t *testing.T) {
-	r := newRig(t)
+func TestTaskLossEndsAttempt(t *testing.T) {
+	r := newHarness(t)
 	r.place(0)
-	r.all(api.Running)
-	r.report(1, r.piece(1, api.Ended, api.CauseMates))
+	r.reportAll(api.Running)
+	r.heartbeat(1, r.taskReport(1, api.Ended, api.CauseGangMemberLost))
 	r.run()
-	r.want("ending")
+	r.wantState("ending")
 	for i := range r.job.Tasks {
 		if s := r.job.Tasks[i].State; s != jobs.Stopping && i != 1 {
 			t.Errorf("task %d is %v", i, s)
 		}
 	}
-	try := r.job.LastTry()
-	r.report(0, r.piece(0, api.Ended, api.CauseStopped))
+	try := r.job.HighestAttempt()
+	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseStopped))
 	r.run()
-	if r.want("ending"); r.job.Held != 1 {
-		t.Fatalf("%d held", r.job.Held)
+	if r.wantState("ending"); r.job.AllocatedTasks != 1 {
+		t.Fatalf("%d held", r.job.AllocatedTasks)
 	}
-	r.report(2, r.piece(2, api.Ended, api.CauseStopped))
+	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseStopped))
 	r.run()
-	r.want("none")
+	r.wantState("none")
 	r.place(0)
 	for i := range r.job.Tasks {
 		if got := r.job.Tasks[i].Attempt; got != try+1 {
@@ -264,78 +266,78 @@
 	}
 }
 
-// TestDoneTogether: one task that is done is the whole gang, also when another was
+// TestCompletionOfOneCompletesAll: one task that is done is the whole gang, also when another was
 // lost in that moment.
-func TestDoneTogether(t *testing.T) {
-	r := newRig(t)
+func TestCompletionOfOneCompletesAll(t *testing.T) {
+	r := newHarness(t)
 	r.place(0)
-	r.all(api.Running)
-	r.report(1, r.piece(1, api.Ended, api.CauseMates))
-	r.report(0, r.piece(0, api.Ended, api.CauseDone))
+	r.reportAll(api.Running)
+	r.heartbeat(1, r.taskReport(1, api.Ended, api.CauseGangMemberLost))
+	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseDone))
 	r.run()
-	if e, ok := r.jobs.Ended("j-1"); !ok || e.Phase != jobs.Done || r.state() != "none" {
+	if e, ok := r.jobs.LookupArchived("j-1"); !ok || e.Phase != jobs.Done || r.state() != "none" {
 		t.Errorf("%+v %v, %s", e, ok, r.state())
 	}
 	// What the others report later finds nothing to do.
-	if o := r.report(2, api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}); len(o.Orders) != 1 || o.Orders[0].Verb != api.Clear {
-		t.Errorf("%v", o.Orders)
+	if o := r.heartbeat(2, api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}); len(o.Commands) != 1 || o.Commands[0].Verb != api.Clear {
+		t.Errorf("%v", o.Commands)
 	}
 }
 
-// TestStopInOrder: all are told at once, with time to save and to wait for each other;
+// TestGracefulStop: all are told at once, with time to save and to wait for each other;
 // and none is while one of the machines was not heard lately.
-func TestStopInOrder(t *testing.T) {
-	r := newRig(t)
+func TestGracefulStop(t *testing.T) {
+	r := newHarness(t)
 	r.place(0)
-	r.all(api.Running)
+	r.reportAll(api.Running)
 	r.now = r.now.Add(6 * time.Second)
-	r.report(0, r.piece(0, api.Running, ""))
-	if r.gangs.Stop(r.job, "test") || r.count(api.Kill) > 0 {
+	r.heartbeat(0, r.taskReport(0, api.Running, ""))
+	if r.gangs.Stop(r.job, "test") || r.countCommands(api.Kill) > 0 {
 		t.Fatal("stopped though two machines were not heard lately")
 	}
-	r.all(api.Running)
+	r.reportAll(api.Running)
 	if !r.gangs.Stop(r.job, "test") {
 		t.Fatal("not stopped")
 	}
 	r.run()
-	r.want("saving")
+	r.wantState("saving")
 	for i := range 3 {
 		list := r.sent[ident.MachineID(fmt.Sprintf("host-%d", i))]
 		o := list[len(list)-1]
-		if o.Verb != api.Kill || o.WindDownS == nil || *o.WindDownS < 3+5 {
+		if o.Verb != api.Kill || o.GracePeriodS == nil || *o.GracePeriodS < 3+5 {
 			t.Errorf("host-%d is told %+v", i, o)
 		}
 	}
 	for i := range 3 {
-		p := r.piece(i, api.Ended, api.CauseStopped)
-		p.Stored = true
-		r.report(i, p)
+		p := r.taskReport(i, api.Ended, api.CauseStopped)
+		p.CheckpointStored = true
+		r.heartbeat(i, p)
 	}
 	r.run()
-	if r.want("none"); r.job.Waits() != 3 {
-		t.Errorf("%d wait", r.job.Waits())
+	if r.wantState("none"); r.job.WaitingCount() != 3 {
+		t.Errorf("%d wait", r.job.WaitingCount())
 	}
 }
 
 // TestAdopt: a successor goes on with a whole attempt, and ends a part of one.
 func TestAdopt(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		r := newRig(t)
+		r := newHarness(t)
 		r.place(0)
-		r.all(api.Gathering)
+		r.reportAll(api.Gathering)
 		if !whole {
-			r.jobs.Gone(&r.job.Tasks[1], nil)
+			r.jobs.MarkGone(&r.job.Tasks[1], nil)
 		}
 		r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, r.gangs.cfg)
 		r.gangs.Adopt(r.job)
 		r.run()
 		if whole {
-			r.want("gathering")
-			r.all(api.Running)
-			r.want("running")
+			r.wantState("gathering")
+			r.reportAll(api.Running)
+			r.wantState("running")
 			continue
 		}
-		if r.want("ending"); r.job.Joinable {
+		if r.wantState("ending"); r.job.AcceptsReplacements {
 			t.Error("a part of an attempt of an earlier term may be joined")
 		}
 	}
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -27,7 +27,7 @@
 
 type goldenJob struct {
 	Phase string
-	Tasks []record
+	Tasks []taskRecord
 }
 
 func readGolden(t *testing.T) (g golden) {
@@ -42,12 +42,12 @@
 	return g
 }
 
-// scripted does what the golden values come from.
-func scripted(k *keep, tb *Table, c *commit.Committer) {
-	site, due := "east", 90.5
-	add := func(id string, shape api.Shape, pieces int) *Job {
-		s := &api.Spec{ID: ident.JobID(id), Class: "lane", Team: "red", Shape: shape, Priority: api.High, Tasks: pieces, VCPUs: 1.5,
-			MemoryGB: 2, Image: "img-1", ImageGB: 0.5, Models: []string{"m8"}, Zone: &site, DueS: &due, RuntimeS: 30}
+// runScript does what the golden values come from.
+func runScript(k *fakeStore, tb *Table, c *commit.Committer) {
+	zone, deadline := "east", 90.5
+	add := func(id string, shape api.Shape, tasks int) *Job {
+		s := &api.Spec{ID: ident.JobID(id), Class: "lane", Team: "red", Shape: shape, Priority: api.High, Tasks: tasks, VCPUs: 1.5,
+			MemoryGB: 2, Image: "img-1", ImageGB: 0.5, Models: []string{"m8"}, Zone: &zone, DeadlineS: &deadline, RuntimeS: 30}
 		j := tb.Add(s, func() {}, nil)
 		c.Flush()
 		k.run()
@@ -60,32 +60,32 @@
 		c.Flush()
 		k.run()
 	}
-	small, service, large, held := add("j-1", api.Batch, 3), add("j-2", api.Service, 4), add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
+	small, service, large, cancelled := add("j-1", api.Batch, 3), add("j-2", api.Service, 4), add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
 	add("j-5", api.Batch, 400)
 	place(small, 3)
 	place(service, 4)
 	place(large, 149)
-	place(held, 2)
+	place(cancelled, 2)
 	tb.Complete(&small.Tasks[1], nil)
-	tb.Gone(&service.Tasks[2], nil)
+	tb.MarkGone(&service.Tasks[2], nil)
 	c.Flush()
 	k.run()
-	for _, d := range large.segs {
+	for _, d := range large.segmentDocs {
 		c.MarkDirty(d, nil)
 	}
-	c.MarkDirty(service.head, nil)
+	c.MarkDirty(service.headerDoc, nil)
 	c.Flush()
 	k.run()
-	tb.Gone(&large.Tasks[148], nil)
+	tb.MarkGone(&large.Tasks[148], nil)
 	tb.Complete(&large.Tasks[7], nil)
 	tb.Place(&service.Tasks[2], "host-000999", 7, func() {})
-	tb.Cancel(held, func() {})
+	tb.Cancel(cancelled, func() {})
 	c.Flush()
 	k.run()
 }
 
-// same compares a table with what production held.
-func same(t *testing.T, what string, tb *Table, g golden) {
+// assertSameJobs compares a table with what production held.
+func assertSameJobs(t *testing.T, what string, tb *Table, g golden) {
 	t.Helper()
 	if len(tb.Jobs) != len(g.Jobs) {
 		t.Errorf("%s: %d jobs, want %d", what, len(tb.Jobs), len(g.Jobs))
@@ -96,21 +96,21 @@
 			t.Errorf("%s: %s is missing", what, id)
 			continue
 		}
-		if got := (goldenJob{j.Phase.String(), records(j.Tasks)}); !reflect.DeepEqual(got, want) {
+		if got := (goldenJob{j.Phase.String(), toRecords(j.Tasks)}); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %s: %v, want %v", what, id, got, want)
 		}
 	}
 }
 
-// load reads a state service as a new leader does.
-func load(t *testing.T, k *keep, packed bool) (*Table, *commit.Committer) {
+// loadTable reads a state service as a new leader does.
+func loadTable(t *testing.T, k *fakeStore, packed bool) (*Table, *commit.Committer) {
 	t.Helper()
-	tb, c := table(k)
-	tb.Expect(2048)
+	tb, c := newTestTable(k)
+	tb.LimitValueBytes(2048)
 	if packed {
 		c.ExpectLimits(commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048})
 		c.UseTextFormat()
-		tb.Pack()
+		tb.UsePackedLog()
 	}
 	var log []statesvc.KeyValue
 	for _, path := range sortedKeys(k.Keys) {
@@ -127,12 +127,12 @@
 	if err := tb.LoadLog(log); err != nil {
 		t.Fatal(err)
 	}
-	tb.Loaded()
+	tb.FinishLoading()
 	return tb, c
 }
 
-func (g golden) keep() *keep {
-	k := newKeep(statetest.New())
+func (g golden) store() *fakeStore {
+	k := newFakeStore(statetest.New())
 	for _, p := range g.Pairs {
 		k.Keys[p.Key] = p
 		k.Revision = max(k.Revision, uint64(p.Revision))
@@ -140,20 +140,20 @@
 	return k
 }
 
-// TestProductionIsRead: values written by the version in production are read at either
+// TestProductionFormatLoads: values written by the version in production are read at either
 // level, and stay what they are when they are moved to the newest form, in whichever
 // state a term ends on the way; nothing is then larger than the limits to come.
-func TestProductionIsRead(t *testing.T) {
+func TestProductionFormatLoads(t *testing.T) {
 	g := readGolden(t)
-	old, _ := load(t, g.keep(), false)
-	same(t, "first format", old, g)
+	old, _ := loadTable(t, g.store(), false)
+	assertSameJobs(t, "first format", old, g)
 	for steps := 0; ; steps++ {
-		k := g.keep()
-		tb, c := load(t, k, true)
-		same(t, "before conversion", tb, g)
+		k := g.store()
+		tb, c := loadTable(t, k, true)
+		assertSameJobs(t, "before conversion", tb, g)
 		more := true
 		for n := range steps {
-			more = tb.Convert(1)
+			more = tb.ConvertToLog(1)
 			c.Flush()
 			if n < steps-1 {
 				k.run()
@@ -161,23 +161,23 @@
 				k.Pending = nil // the term ends before the answer comes
 			}
 		}
-		next, _ := load(t, k, true)
-		same(t, fmt.Sprintf("after %d steps", steps), next, g)
+		next, _ := loadTable(t, k, true)
+		assertSameJobs(t, fmt.Sprintf("after %d steps", steps), next, g)
 		if steps > 0 && !more && steps > 2*len(g.Jobs) {
 			break
 		}
 	}
-	k := g.keep()
-	tb, c := load(t, k, true)
-	for tb.Convert(1) || !settled(tb) {
+	k := g.store()
+	tb, c := loadTable(t, k, true)
+	for tb.ConvertToLog(1) || !allConverted(tb) {
 		c.Flush()
 		k.run()
 	}
 	c.Flush()
 	k.run()
-	same(t, "converted", tb, g)
-	next, _ := load(t, k, true)
-	same(t, "loaded again", next, g)
+	assertSameJobs(t, "converted", tb, g)
+	next, _ := loadTable(t, k, true)
+	assertSameJobs(t, "loaded again", next, g)
 	for path, p := range k.Keys {
 		if strings.HasPrefix(path, LivePrefix) && len(p.Value) > 2048 {
 			t.Errorf("%s has %d bytes", path, len(p.Value))
@@ -188,23 +188,23 @@
 	}
 }
 
-func settled(tb *Table) bool {
+func allConverted(tb *Table) bool {
 	for _, j := range tb.Jobs {
-		if j.form != logged {
+		if j.storage != inLog {
 			return false
 		}
 	}
 	return true
 }
 
-// TestFirstFormatIsWritten: below the level this program writes just what production
+// TestFirstFormatRoundTrip: below the level this program writes just what production
 // does, so that an old leader reads it, keeps all of it and writes it again.
-func TestFirstFormatIsWritten(t *testing.T) {
+func TestFirstFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
-	k := newKeep(statetest.New())
-	tb, c := table(k)
-	scripted(k, tb, c)
-	same(t, "in memory", tb, g)
+	k := newFakeStore(statetest.New())
+	tb, c := newTestTable(k)
+	runScript(k, tb, c)
+	assertSameJobs(t, "in memory", tb, g)
 	if len(k.Keys) != len(g.Pairs) {
 		t.Errorf("%d keys, want %d", len(k.Keys), len(g.Pairs))
 	}
@@ -227,23 +227,23 @@
 	}
 }
 
-// TestLostNumber: a header was put with the number of a log record still under way;
+// TestReusedLogSequenceNumber: a header was put with the number of a log record still under way;
 // that record never came to be, and the next term gave its number out again. What the
 // new record says must not be passed over for it.
-func TestLostNumber(t *testing.T) {
-	k := newKeep(statetest.New())
+func TestReusedLogSequenceNumber(t *testing.T) {
+	k := newFakeStore(statetest.New())
 	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open","lsn":9,"tasks":[{},{}]}`
 	k.Keys["live/j-1"] = statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
 	k.Keys["log/00000"] = statesvc.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
 	k.Revision = 40
 	for _, packed := range []bool{false, true} {
-		tb, _ := load(t, k, packed)
-		if got := tb.Jobs["j-1"].Tasks[0].Host; got != "host-1" {
+		tb, _ := loadTable(t, k, packed)
+		if got := tb.Jobs["j-1"].Tasks[0].MachineID; got != "host-1" {
 			t.Errorf("packed %v: the placement is passed over: %q", packed, got)
 		}
 	}
 	delete(k.Keys, "log/00000")
-	tb, c := load(t, k, false)
+	tb, c := loadTable(t, k, false)
 	tb.Place(&tb.Jobs["j-1"].Tasks[1], "host-2", 1, func() {})
 	c.Flush()
 	k.run()
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -15,13 +15,13 @@
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*keep
+	*fakeStore
 	requests strings.Builder
 }
 
 func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
-	r.keep.State(q, f)
+	r.fakeStore.State(q, f)
 }
 
 // storage is a way to keep tasks in the state service.
@@ -33,7 +33,7 @@
 
 var storages = []storage{
 	{"first format, tasks in the header", false, 16 << 10},
-	{"first format, tasks in segments", false, 64 + 2*recordBytes},
+	{"first format, tasks in segments", false, 64 + 2*maxRecordBytes},
 	{"packed", true, 16 << 10},
 }
 
@@ -44,7 +44,7 @@
 	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
 	if s.packed {
 		c.UseTextFormat()
-		tb.Pack()
+		tb.UsePackedLog()
 	}
 	return tb, c
 }
@@ -74,7 +74,7 @@
 	}
 	tb.Place(&held.Tasks[1], "host-13", 41, func() {})
 	settle()
-	tb.Gone(&open.Tasks[0], nil)
+	tb.MarkGone(&open.Tasks[0], nil)
 	settle()
 	tb.Place(&open.Tasks[0], "host-77", 51, func() {})
 	tb.Complete(&open.Tasks[1], nil)
@@ -85,8 +85,8 @@
 		tb.Complete(&done.Tasks[i], nil)
 	}
 	settle()
-	c.MarkDirty(open.head, nil)
-	for _, d := range open.segs {
+	c.MarkDirty(open.headerDoc, nil)
+	for _, d := range open.segmentDocs {
 		c.MarkDirty(d, nil)
 	}
 	settle()
@@ -96,17 +96,17 @@
 func describe(tb *Table) string {
 	var b strings.Builder
 	for _, j := range tb.Sorted() {
-		fmt.Fprintf(&b, "%s is %s, number %d of %d\n", j.Spec.ID, j.Phase, j.Seq, j.AtMS)
+		fmt.Fprintf(&b, "%s is %s, number %d of %d\n", j.Spec.ID, j.Phase, j.Seq, j.SubmittedAtMS)
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			fmt.Fprintf(&b, "  %d is %s in attempt %d on %q, incarnation %d\n", t.Index, t.State, t.Attempt, t.Host, t.Session)
+			fmt.Fprintf(&b, "  %d is %s in attempt %d on %q, incarnation %d\n", t.Index, t.State, t.Attempt, t.MachineID, t.Incarnation)
 		}
 	}
 	return b.String()
 }
 
 // stored lists the keys and values of a state service.
-func stored(k *keep) string {
+func stored(k *fakeStore) string {
 	var b strings.Builder
 	for _, path := range sortedKeys(k.Keys) {
 		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Keys[path].Revision, k.Keys[path].Value)
@@ -115,12 +115,12 @@
 }
 
 // views lists what a node that doesn't lead reads of the jobs that are live.
-func views(t *testing.T, k *keep) string {
+func views(t *testing.T, k *fakeStore) string {
 	t.Helper()
 	var b strings.Builder
 	for _, path := range sortedKeys(k.Keys) {
 		if strings.HasPrefix(path, LivePrefix) && strings.Count(path, "/") == 1 {
-			view, err := ReadLive(k.Keys[path].Value)
+			view, err := ParseLiveView(k.Keys[path].Value)
 			fmt.Fprintf(&b, "%s, %v\n", api.JSON(view), err)
 		}
 	}
@@ -132,17 +132,17 @@
 func TestGoldenStorage(t *testing.T) {
 	var d goldenfile.Document
 	for _, s := range storages {
-		r := &recorder{keep: newKeep(statetest.New())}
+		r := &recorder{fakeStore: newFakeStore(statetest.New())}
 		tb, c := s.open(r)
 		play(r, tb, c)
 		d.Add(s.name+": requests", r.requests.String())
-		d.Add(s.name+": stored", stored(r.keep))
-		d.Add(s.name+": views", views(t, r.keep))
+		d.Add(s.name+": stored", stored(r.fakeStore))
+		d.Add(s.name+": views", views(t, r.fakeStore))
 		for _, packed := range []bool{false, true} {
 			if s.packed && !packed {
 				continue // of a later format
 			}
-			next, _ := load(t, r.keep, packed)
+			next, _ := loadTable(t, r.fakeStore, packed)
 			d.Add(fmt.Sprintf("%s: read with packed %v", s.name, packed), describe(next))
 		}
 	}
@@ -152,31 +152,31 @@
 // TestGoldenConversion pins what is written when jobs of the first format are brought to the
 // packed one.
 func TestGoldenConversion(t *testing.T) {
-	r := &recorder{keep: newKeep(statetest.New())}
+	r := &recorder{fakeStore: newFakeStore(statetest.New())}
 	tb, c := storages[1].open(r)
 	play(r, tb, c)
-	next, c := load(t, r.keep, true)
-	for next.Convert(1) || !settled(next) {
+	next, c := loadTable(t, r.fakeStore, true)
+	for next.ConvertToLog(1) || !allConverted(next) {
 		c.Flush()
 		r.run()
 	}
 	c.Flush()
 	r.run()
-	goldenfile.Compare(t, "conversion", stored(r.keep))
+	goldenfile.Compare(t, "conversion", stored(r.fakeStore))
 }
 
 // TestGoldenRecords pins the values of keys with all of their fields set.
 func TestGoldenRecords(t *testing.T) {
 	var d goldenfile.Document
 	for v := range goldenfile.BoolVariants {
-		h := goldenfile.Filled[header](v)
+		h := goldenfile.Filled[jobHeader](v)
 		h.Phase = Cancelled
 		goldenfile.RoundTrip(t, &d, fmt.Sprintf("header %d", v), h)
 	}
-	goldenfile.RoundTrip(t, &d, "segment", goldenfile.Filled[segment](0))
-	goldenfile.RoundTrip(t, &d, "line of the first format", goldenfile.Filled[line](0))
+	goldenfile.RoundTrip(t, &d, "segment", goldenfile.Filled[taskSegment](0))
+	goldenfile.RoundTrip(t, &d, "line of the first format", goldenfile.Filled[logLine](0))
 	for _, p := range []Phase{Open, Cancelled, Done} {
-		e := goldenfile.Filled[Ended](0)
+		e := goldenfile.Filled[ArchivedJob](0)
 		e.Phase = p
 		goldenfile.RoundTrip(t, &d, "job that is over: "+p.String(), e)
 		d.JSON(t, "view of it", e.View("j-15"))
