--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -16,7 +16,7 @@
 	Jobs map[ident.JobID]*Job
 	Seq  uint64 // of the newest job
 
-	doubted map[*Job]bool // of which tasks failed, and nobody knows yet why
+	unexplainedFailures map[*Job]bool // of which tasks failed, and nobody knows yet why
 
 	// Waiting holds the jobs with tasks to be placed, and Teams the open jobs of
 	// each team: what decides about placing must not walk over everything else.
@@ -25,65 +25,67 @@
 
 	// Ended remembers jobs that went over in this term, for as long as it has
 	// room; the state service has them all.
-	ended *Recent[Ended]
+	archive *RecentJobs[ArchivedJob]
 
-	commits *commit.Committer
-	now     func() ident.MonotonicTime
-	wall    func() int64 // time of day in milliseconds
-	perSeg  int
-	inline  int
-	most    int  // bytes of a value, at any time
-	packed  bool // the tasks of new jobs are in the log alone
+	commits         *commit.Committer
+	now             func() ident.MonotonicTime
+	wallClock       func() int64 // time of day in milliseconds
+	tasksPerSegment int
+	maxInlineTasks  int
+	maxValueBytes   int  // bytes of a value, at any time
+	packedLog       bool // the tasks of new jobs are in the log alone
 
 	// OnWaiting is called when a task begins to wait for a machine.
 	OnWaiting func(*Task)
-	// OnMove is called before every change of a task's state, so that machines
+	// OnStateChange is called before every change of a task's state, so that machines
 	// and teams are kept in step.
-	OnMove func(t *Task, from, to State)
-	// OnOver is called once the end of a job is durable, and it needs no machine any more.
-	OnOver func(ident.JobID)
+	OnStateChange func(t *Task, from, to State)
+	// OnArchived is called once the end of a job is durable, and it needs no machine any more.
+	OnArchived func(ident.JobID)
 }
 
 // Team is what a team has open.
 type Team struct {
-	Jobs    []*Job // in the order of arrival
-	Changed bool   // since the planner looked at it
+	OpenJobs         []*Job // in the order of arrival
+	ChangedSincePlan bool   // since the planner looked at it
 }
 
-// maxEnded bounds the memory kept for jobs that are over.
-const maxEnded = 20_000
+// maxArchived bounds the memory kept for jobs that are over.
+const maxArchived = 20_000
 
 // NewTable makes an empty table.
-func NewTable(commits *commit.Committer, valueBytes int, now func() ident.MonotonicTime, wall func() int64) *Table {
-	return &Table{Jobs: map[ident.JobID]*Job{}, Waiting: map[*Job]struct{}{}, Teams: map[string]*Team{}, doubted: map[*Job]bool{},
-		ended: NewRecent[Ended](maxEnded), commits: commits, now: now, wall: wall,
-		most: valueBytes, perSeg: max(1, (valueBytes-64)/recordBytes), inline: max(0, (valueBytes-HeaderBytes)/recordBytes),
-		OnMove: func(*Task, State, State) {}, OnWaiting: func(*Task) {}, OnOver: func(ident.JobID) {}}
+func NewTable(commits *commit.Committer, valueBytes int, now func() ident.MonotonicTime, wallClock func() int64) *Table {
+	return &Table{Jobs: map[ident.JobID]*Job{}, Waiting: map[*Job]struct{}{}, Teams: map[string]*Team{}, unexplainedFailures: map[*Job]bool{},
+		archive: NewRecentJobs[ArchivedJob](maxArchived), commits: commits, now: now, wallClock: wallClock,
+		maxValueBytes: valueBytes, tasksPerSegment: max(1, (valueBytes-64)/maxRecordBytes), maxInlineTasks: max(0, (valueBytes-HeaderSpecBytes)/maxRecordBytes),
+		OnStateChange: func(*Task, State, State) {}, OnWaiting: func(*Task) {}, OnArchived: func(ident.JobID) {}}
 }
 
-// Expect tells how long values may be at the most, at any later time.
-func (tb *Table) Expect(valueBytes int) { tb.most = min(tb.most, valueBytes) }
+// LimitValueBytes tells how long values may be at the most, at any later time.
+func (tb *Table) LimitValueBytes(valueBytes int) {
+	tb.maxValueBytes = min(tb.maxValueBytes, valueBytes)
+}
 
 // Add takes in a new job; then is called once it is durable, taken if a job of
 // that name turns out to be over already.
-func (tb *Table) Add(s *api.Spec, then, taken func()) *Job {
+func (tb *Table) Add(s *api.Spec, onDurable, onDuplicate func()) *Job {
 	tb.Seq++
-	j := &Job{Spec: s, Seq: tb.Seq, AtMS: tb.wall(), Arrived: tb.now()}
-	tb.shape(j)
-	j.head.MustNotExist = []string{OverKey(s.ID)}
-	j.head.OnExists = func() {
+	j := &Job{Spec: s, Seq: tb.Seq, SubmittedAtMS: tb.wallClock(), SubmittedAt: tb.now()}
+	tb.initStorage(j)
+	j.headerDoc.MustNotExist = []string{ArchiveKey(s.ID)}
+	j.headerDoc.OnExists = func() {
 		delete(tb.Jobs, s.ID)
-		taken()
+		onDuplicate()
 	}
-	j.wants = append(j.wants, then)
+	j.onSubmitted = append(j.onSubmitted, onDurable)
 	tb.Jobs[s.ID] = j
-	tb.commits.MarkDirty(j.head, func() {
-		j.Known = true
-		tb.open(j)
-		for _, f := range j.wants {
+	tb.commits.MarkDirty(j.headerDoc, func() {
+		j.SubmissionDurable = true
+		tb.addToIndexes(j)
+		for _, f := range j.onSubmitted {
 			f()
 		}
-		j.wants = nil
+		j.onSubmitted = nil
 		for i := range j.Tasks {
 			tb.OnWaiting(&j.Tasks[i])
 		}
@@ -91,55 +93,55 @@
 	return j
 }
 
-// open takes a job into the indexes.
-func (tb *Table) open(j *Job) {
+// addToIndexes takes a job into the indexes.
+func (tb *Table) addToIndexes(j *Job) {
 	if j.Phase != Open {
 		return
 	}
-	t := tb.Teams[j.Spec.Team]
-	if t == nil {
-		t = &Team{}
-		tb.Teams[j.Spec.Team] = t
+	team := tb.Teams[j.Spec.Team]
+	if team == nil {
+		team = &Team{}
+		tb.Teams[j.Spec.Team] = team
 	}
-	i := len(t.Jobs)
-	for i > 0 && t.Jobs[i-1].Seq > j.Seq {
+	i := len(team.OpenJobs)
+	for i > 0 && team.OpenJobs[i-1].Seq > j.Seq {
 		i--
 	}
-	t.Jobs = slices.Insert(t.Jobs, i, j)
-	t.Changed = true
-	tb.index(j)
+	team.OpenJobs = slices.Insert(team.OpenJobs, i, j)
+	team.ChangedSincePlan = true
+	tb.updateWaiting(j)
 }
 
-// close is the one place where a job leaves its open phase.
-func (tb *Table) close(j *Job, p Phase) {
-	j.Phase, j.Ended = p, tb.now()
-	if t := tb.Teams[j.Spec.Team]; t != nil {
-		if i := slices.Index(t.Jobs, j); i >= 0 {
-			t.Jobs = slices.Delete(t.Jobs, i, i+1)
-			t.Changed = true
+// closeJob is the one place where a job leaves its open phase.
+func (tb *Table) closeJob(j *Job, phase Phase) {
+	j.Phase, j.ClosedAt = phase, tb.now()
+	if team := tb.Teams[j.Spec.Team]; team != nil {
+		if i := slices.Index(team.OpenJobs, j); i >= 0 {
+			team.OpenJobs = slices.Delete(team.OpenJobs, i, i+1)
+			team.ChangedSincePlan = true
 		}
 	}
-	tb.index(j)
+	tb.updateWaiting(j)
 }
 
-// index keeps Waiting in step with a job.
-func (tb *Table) index(j *Job) {
-	if j.Known && j.Waits() > 0 {
+// updateWaiting keeps Waiting in step with a job.
+func (tb *Table) updateWaiting(j *Job) {
+	if j.SubmissionDurable && j.WaitingCount() > 0 {
 		tb.Waiting[j] = struct{}{}
 	} else {
 		delete(tb.Waiting, j)
 	}
 }
 
-// save makes a task's state durable. A put for each change of a task, or of its
+// persistTask makes a task's state durable. A put for each change of a task, or of its
 // job, would take all puts there are while a large fleet starts.
-func (tb *Table) save(t *Task, then func()) { tb.commits.Append(t, then) }
+func (tb *Table) persistTask(t *Task, onDurable func()) { tb.commits.Append(t, onDurable) }
 
-// Ended returns a job that is known to be over.
-func (tb *Table) Ended(id ident.JobID) (Ended, bool) { return tb.ended.Get(id) }
+// LookupArchived returns a job that is known to be over.
+func (tb *Table) LookupArchived(id ident.JobID) (ArchivedJob, bool) { return tb.archive.Get(id) }
 
-// Remember notes a job that was read to be over.
-func (tb *Table) Remember(id ident.JobID, e Ended) { tb.ended.Put(id, e) }
+// RememberArchived notes a job that was read to be over.
+func (tb *Table) RememberArchived(id ident.JobID, archived ArchivedJob) { tb.archive.Put(id, archived) }
 
 // Sorted returns the jobs in the order of arrival.
 func (tb *Table) Sorted() []*Job {
@@ -151,13 +153,13 @@
 	return out
 }
 
-// Loaded is called after the last Load: jobs that need nothing more go over.
-func (tb *Table) Loaded() {
+// FinishLoading is called after the last Load: jobs that need nothing more go over.
+func (tb *Table) FinishLoading() {
 	for _, j := range tb.Sorted() {
-		tb.open(j)
-		if j.Phase == Open && j.Spec.Shape != api.Service && j.Done == len(j.Tasks) {
-			tb.close(j, Done)
+		tb.addToIndexes(j)
+		if j.Phase == Open && j.Spec.Shape != api.Service && j.CompletedTasks == len(j.Tasks) {
+			tb.closeJob(j, Done)
 		}
-		tb.settle(j)
+		tb.archiveIfDone(j)
 	}
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -13,13 +13,13 @@
 	"opaldale/internal/statetest"
 )
 
-// keep is a state service that carries everything out in order, and takes no larger values than
+// fakeStore is a state service that carries everything out in order, and takes no larger values than
 // the service does.
-type keep struct{ *statetest.Queue }
+type fakeStore struct{ *statetest.Queue }
 
-func newKeep(s *statetest.MemoryStore) *keep { return &keep{statetest.NewQueue(s)} }
+func newFakeStore(s *statetest.MemoryStore) *fakeStore { return &fakeStore{statetest.NewQueue(s)} }
 
-func (k *keep) State(r statesvc.Request, f func(statesvc.Response)) {
+func (k *fakeStore) State(r statesvc.Request, f func(statesvc.Response)) {
 	for _, c := range r.Mutations {
 		if len(c.Value) > 16<<10 {
 			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
@@ -28,9 +28,9 @@
 	k.Queue.Store(r, f)
 }
 
-func (k *keep) run() { k.Run() }
+func (k *fakeStore) run() { k.Run() }
 
-func table(k *keep) (*Table, *commit.Committer) {
+func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
 	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
@@ -38,10 +38,10 @@
 // TestSegments: an array too large for one value is split, survives a change of
 // leader task by task, and goes over as a whole.
 func TestSegments(t *testing.T) {
-	for _, pieces := range []int{1, 100, 5000} {
-		k := newKeep(statetest.New())
-		tb, c := table(k)
-		s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: pieces, Image: strings.Repeat("x", 200)}
+	for _, tasks := range []int{1, 100, 5000} {
+		k := newFakeStore(statetest.New())
+		tb, c := newTestTable(k)
+		s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 		accepted := false
 		j := tb.Add(s, func() { accepted = true }, nil)
 		c.Flush()
@@ -52,61 +52,61 @@
 		}
 		c.Flush()
 		k.run()
-		for i := 0; i < pieces/2; i++ {
+		for i := 0; i < tasks/2; i++ {
 			tb.Complete(&j.Tasks[i], nil)
 		}
 		c.Flush()
 		k.run()
-		if !accepted || j.Done != pieces/2 || j.Held != pieces-pieces/2 {
-			t.Fatalf("%d pieces: accepted %v, %d done, %d held", pieces, accepted, j.Done, j.Held)
+		if !accepted || j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
+			t.Fatalf("%d pieces: accepted %v, %d done, %d held", tasks, accepted, j.CompletedTasks, j.AllocatedTasks)
 		}
 
-		next, c2 := table(k)
+		successor, successorCommits := newTestTable(k)
 		var log []statesvc.KeyValue
 		for _, p := range sortedKeys(k.Keys) { // as the state service lists them
 			if strings.HasPrefix(p, commit.LogPrefix) {
 				log = append(log, k.Keys[p])
 				continue
 			}
-			if err := next.Load(p, k.Keys[p].Value, k.Keys[p].Revision); err != nil {
+			if err := successor.Load(p, k.Keys[p].Value, k.Keys[p].Revision); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := next.LoadLog(log); err != nil {
+		if err := successor.LoadLog(log); err != nil {
 			t.Fatal(err)
 		}
-		next.Loaded()
-		j = next.Jobs["j-1"]
-		if j.Done != pieces/2 || j.Held != pieces-pieces/2 || j.Tasks[pieces-1].Host != "host-999999" || j.Tasks[pieces-1].Session != 1<<40 {
-			t.Fatalf("%d pieces: loaded %d done, %d held", pieces, j.Done, j.Held)
+		successor.FinishLoading()
+		j = successor.Jobs["j-1"]
+		if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 || j.Tasks[tasks-1].MachineID != "host-999999" || j.Tasks[tasks-1].Incarnation != 1<<40 {
+			t.Fatalf("%d pieces: loaded %d done, %d held", tasks, j.CompletedTasks, j.AllocatedTasks)
 		}
-		if v, err := ReadLive(k.Keys["live/j-1"].Value); err != nil || v.ID != "j-1" {
+		if v, err := ParseLiveView(k.Keys["live/j-1"].Value); err != nil || v.ID != "j-1" {
 			t.Errorf("%+v, %v", v, err)
 		}
 		for i := range j.Tasks {
 			if j.Tasks[i].State == Assigned {
-				next.Complete(&j.Tasks[i], nil)
+				successor.Complete(&j.Tasks[i], nil)
 			}
 		}
-		c2.Flush()
+		successorCommits.Flush()
 		k.run()
 		for p := range k.Keys {
 			if strings.HasPrefix(p, commit.LogPrefix) {
 				delete(k.Keys, p) // slots are kept, and used again
 			}
 		}
-		var e Ended
+		var e ArchivedJob
 		if len(k.Keys) != 1 || json.Unmarshal(k.Keys["over/j-1"].Value, &e) != nil || e.Phase != Done {
-			t.Errorf("%d pieces: %d keys are left, over: %+v", pieces, len(k.Keys), e)
+			t.Errorf("%d pieces: %d keys are left, over: %+v", tasks, len(k.Keys), e)
 		}
 	}
 }
 
-// TestCancelWaits: a cancelled job stays live until its tasks are proven gone,
+// TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone,
 // so that a successor knows of them, but is told as cancelled at once.
-func TestCancelWaits(t *testing.T) {
-	k := newKeep(statetest.New())
-	tb, c := table(k)
+func TestCancelledJobStaysLiveUntilTasksGone(t *testing.T) {
+	k := newFakeStore(statetest.New())
+	tb, c := newTestTable(k)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
 	c.Flush()
 	k.run()
@@ -114,7 +114,7 @@
 	c.Flush()
 	k.run()
 	told, over := "", 0
-	tb.OnOver = func(id ident.JobID) {
+	tb.OnArchived = func(id ident.JobID) {
 		over++
 		if id != "j-1" || k.Keys["over/j-1"].Revision == 0 {
 			t.Errorf("%s is called over before that is durable", id)
@@ -126,7 +126,7 @@
 	if told != "cancelled" || k.Keys["over/j-1"].Revision != 0 || k.Keys["live/j-1"].Revision == 0 {
 		t.Fatalf("told %q, keys %v", told, k.Keys)
 	}
-	tb.Gone(&j.Tasks[0], nil)
+	tb.MarkGone(&j.Tasks[0], nil)
 	c.Flush()
 	k.run()
 	if k.Keys["over/j-1"].Revision == 0 || k.Keys["live/j-1"].Revision != 0 || over != 1 {
@@ -134,56 +134,56 @@
 	}
 }
 
-// TestSegmentsSayHowTheyAreDivided: any one segment of a job tells how many tasks each
+// TestInferTasksPerSegment: any one segment of a job tells how many tasks each
 // of them has, also when the limit that it was divided by is not ours. A short last
 // segment was once taken for a full one of a finer division, and no node could lead.
-func TestSegmentsSayHowTheyAreDivided(t *testing.T) {
+func TestInferTasksPerSegment(t *testing.T) {
 	for _, all := range []int{2, 7, 100, 149, 150, 200, 296, 5000} {
 		for _, per := range []int{18, 148} {
 			for n := 0; n*per < all; n++ {
 				has := min(per, all-n*per)
-				if got := perSegment(n, has, all, per); got != per {
+				if got := inferTasksPerSegment(n, has, all, per); got != per {
 					t.Errorf("%d tasks by %d: segment %d with %d is read as of %d", all, per, n, has, got)
 				}
 			}
 		}
 	}
 	for _, x := range [][4]int{{0, 18, 200, 18}, {3, 18, 200, 18}, {11, 2, 200, 18}} {
-		if got := perSegment(x[0], x[1], x[2], 148); got != x[3] {
+		if got := inferTasksPerSegment(x[0], x[1], x[2], 148); got != x[3] {
 			t.Errorf("%v is read as of %d", x, got)
 		}
 	}
-	if got := perSegment(1, 30, 40, 148); got != 0 {
+	if got := inferTasksPerSegment(1, 30, 40, 148); got != 0 {
 		t.Errorf("what can't be is read as of %d", got)
 	}
 }
 
-// TestToldOnceClear: while the end of a job is being written another node may read it or
+// TestViewWithheldUntilSettled: while the end of a job is being written another node may read it or
 // not, so this one tells neither. (The answer to a cancellation's transaction was lost; a
 // follower read "cancelled", and the leader still said "running".)
-func TestToldOnceClear(t *testing.T) {
-	k := newKeep(statetest.New())
-	tb, c := table(k)
+func TestViewWithheldUntilSettled(t *testing.T) {
+	k := newFakeStore(statetest.New())
+	tb, c := newTestTable(k)
 	var j *Job
 	told := ""
 	tell := func() { told = j.View().Status }
 	j = tb.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	c.Flush()
-	if j.WhenClear(tell); j.Clear() || told != "" {
+	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
 		t.Errorf("while the submission is written: %q", told)
 	}
 	k.run()
-	if told != "queued" || !j.Clear() {
+	if told != "queued" || !j.ViewSettled() {
 		t.Errorf("once it is: %q", told)
 	}
 	told = ""
 	tb.Cancel(j, func() {})
-	if j.WhenClear(tell); told != "queued" {
+	if j.WhenViewSettled(tell); told != "queued" {
 		t.Errorf("before anything is sent: %q", told)
 	}
 	told = ""
 	c.Flush()
-	if j.WhenClear(tell); j.Clear() || told != "" {
+	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
 		t.Errorf("while the cancellation is written: %q", told)
 	}
 	k.run()
--- a/internal/jobs/line_test.go
+++ b/internal/jobs/line_test.go
@@ -7,14 +7,14 @@
 	"opaldale/internal/ident"
 )
 
-// TestLinesAreReadBack: whatever a machine is called, its line is one word, and says
+// TestLogLineRoundTrip: whatever a machine is called, its line is one word, and says
 // what the task was.
-func TestLinesAreReadBack(t *testing.T) {
+func TestLogLineRoundTrip(t *testing.T) {
 	j := &Job{Spec: &api.Spec{ID: "j-1"}, Tasks: make([]Task, 3)}
 	for _, host := range []ident.MachineID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
-		for _, s := range []State{Waiting, Assigned, Stopping, Finished} {
+		for _, s := range []State{Waiting, Assigned, Stopping, Completed} {
 			task := &j.Tasks[2]
-			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, Host: host, Session: 1<<64 - 1}
+			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, MachineID: host, Incarnation: 1<<64 - 1}
 			group, line := task.TextLine()
 			if group != "j-1" {
 				t.Errorf("group %q", group)
@@ -24,26 +24,26 @@
 					t.Errorf("%q has %q", line, c)
 				}
 			}
-			i, r, err := parseLine(line)
-			if err != nil || i != 2 || r != task.record() {
+			i, r, err := parseLogLine(line)
+			if err != nil || i != 2 || r != task.toRecord() {
 				t.Errorf("%q is read as %d %+v, %v", line, i, r, err)
 			}
 		}
 	}
 	for _, bad := range []string{"", "1", "x,1", "1,x", "-1,2", "1,2,3", "1,2,h,x", "1,2,,3", "1,2,%zz,3", "1,2,h,3,4"} {
-		if _, _, err := parseLine(bad); err == nil {
+		if _, _, err := parseLogLine(bad); err == nil {
 			t.Errorf("%q is read", bad)
 		}
 	}
 }
 
-// FuzzParseLine: any line is read or refused, never more.
-func FuzzParseLine(f *testing.F) {
+// FuzzParseLogLine: any line is read or refused, never more.
+func FuzzParseLogLine(f *testing.F) {
 	for _, s := range []string{"1,2", "1,2,+", "1,2,host-1,3", ",,,"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		if i, _, err := parseLine(s); err == nil && i < 0 {
+		if i, _, err := parseLogLine(s); err == nil && i < 0 {
 			t.Errorf("%q has index %d", s, i)
 		}
 	})
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -16,150 +16,150 @@
 
 // Load takes in what an earlier term left. Pairs come in the order of keys, so a
 // header comes before its segments.
-func (tb *Table) Load(path string, value json.RawMessage, stamp ident.Revision) error {
+func (tb *Table) Load(path string, value json.RawMessage, revision ident.Revision) error {
 	id, segment, isSegment := strings.Cut(strings.TrimPrefix(path, LivePrefix), "/")
 	if isSegment {
-		return tb.loadSegment(path, ident.JobID(id), segment, value, stamp)
+		return tb.loadSegment(path, ident.JobID(id), segment, value, revision)
 	}
-	return tb.loadHeader(path, value, stamp)
+	return tb.loadHeader(path, value, revision)
 }
 
 // loadHeader takes in a job.
-func (tb *Table) loadHeader(path string, value json.RawMessage, stamp ident.Revision) error {
-	var h header
-	if err := json.Unmarshal(value, &h); err != nil {
+func (tb *Table) loadHeader(path string, value json.RawMessage, revision ident.Revision) error {
+	var hdr jobHeader
+	if err := json.Unmarshal(value, &hdr); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if h.Spec == nil || LiveKey(h.Spec.ID) != path {
+	if hdr.Spec == nil || LiveKey(hdr.Spec.ID) != path {
 		return fmt.Errorf("%s: not a job", path)
 	}
-	age := time.Duration(max(0, tb.wall()-h.AtMS)) * time.Millisecond
-	j := &Job{Spec: h.Spec, Seq: h.Seq, AtMS: h.AtMS, Arrived: tb.now().Add(-age), Phase: h.Phase, Durable: h.Phase, Known: true}
+	age := time.Duration(max(0, tb.wallClock()-hdr.SubmittedAtMS)) * time.Millisecond
+	j := &Job{Spec: hdr.Spec, Seq: hdr.Seq, SubmittedAtMS: hdr.SubmittedAtMS, SubmittedAt: tb.now().Add(-age), Phase: hdr.Phase, DurablePhase: hdr.Phase, SubmissionDurable: true}
 	if j.Phase != Open {
-		j.Ended = tb.now().Add(-time.Hour) // nobody knows, long enough
+		j.ClosedAt = tb.now().Add(-time.Hour) // nobody knows, long enough
 	}
-	tb.shape(j)
-	j.form = whole
-	if h.Logged {
-		if !tb.packed {
+	tb.initStorage(j)
+	j.storage = inDocuments
+	if hdr.Logged {
+		if !tb.packedLog {
 			return fmt.Errorf("%s: of a later format", path)
 		}
-		j.form = logged
-	} else if len(h.Tasks) == 0 && len(j.Tasks) > 0 {
-		tb.divide(j, tb.perSeg)
+		j.storage = inLog
+	} else if len(hdr.Tasks) == 0 && len(j.Tasks) > 0 {
+		tb.makeSegments(j, tb.tasksPerSegment)
 	} else {
-		j.segs = nil
+		j.segmentDocs = nil
 	}
-	j.head.Revision, j.head.LSN = stamp, h.LSN
-	tb.commits.ObserveLSN(h.LSN)
-	tb.Jobs[h.Spec.ID] = j
-	tb.Seq = max(tb.Seq, h.Seq)
-	return tb.restore(j, 0, h.Tasks)
+	j.headerDoc.Revision, j.headerDoc.LSN = revision, hdr.LSN
+	tb.commits.ObserveLSN(hdr.LSN)
+	tb.Jobs[hdr.Spec.ID] = j
+	tb.Seq = max(tb.Seq, hdr.Seq)
+	return tb.restoreTasks(j, 0, hdr.Tasks)
 }
 
 // loadSegment takes in a part of a job's tasks, of the first format.
-func (tb *Table) loadSegment(path string, id ident.JobID, number string, value json.RawMessage, stamp ident.Revision) error {
+func (tb *Table) loadSegment(path string, id ident.JobID, number string, value json.RawMessage, revision ident.Revision) error {
 	j := tb.Jobs[id]
-	if j == nil || j.form == logged {
-		d := &commit.Document{Key: path, Revision: stamp, Render: func() json.RawMessage { return nil }}
-		tb.commits.MarkDirty(d, nil)
+	if j == nil || j.storage == inLog {
+		doc := &commit.Document{Key: path, Revision: revision, Render: func() json.RawMessage { return nil }}
+		tb.commits.MarkDirty(doc, nil)
 		return nil
 	}
-	var s segment
-	if err := json.Unmarshal(value, &s); err != nil {
+	var seg taskSegment
+	if err := json.Unmarshal(value, &seg); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	n, err := strconv.Atoi(number)
-	if err != nil || n < 0 {
+	segmentIndex, err := strconv.Atoi(number)
+	if err != nil || segmentIndex < 0 {
 		return fmt.Errorf("%s: no such segment", path)
 	}
-	switch per := perSegment(n, len(s.Tasks), len(j.Tasks), j.perSeg); {
+	switch per := inferTasksPerSegment(segmentIndex, len(seg.Tasks), len(j.Tasks), j.tasksPerSegment); {
 	case per == 0:
-		return fmt.Errorf("%s: %d tasks of %d", path, len(s.Tasks), len(j.Tasks))
-	case per != j.perSeg:
+		return fmt.Errorf("%s: %d tasks of %d", path, len(seg.Tasks), len(j.Tasks))
+	case per != j.tasksPerSegment:
 		// Divided under another limit: the segment says how.
-		for _, d := range j.segs {
-			if d.Revision != 0 {
+		for _, doc := range j.segmentDocs {
+			if doc.Revision != 0 {
 				return fmt.Errorf("%s: its segments are divided in two ways", path)
 			}
 		}
-		tb.divide(j, per)
+		tb.makeSegments(j, per)
 	}
-	if n >= len(j.segs) {
+	if segmentIndex >= len(j.segmentDocs) {
 		return fmt.Errorf("%s: no such segment", path)
 	}
-	j.segs[n].Revision, j.segs[n].LSN = stamp, s.LSN
-	tb.commits.ObserveLSN(s.LSN)
-	return tb.restore(j, n*j.perSeg, s.Tasks)
+	j.segmentDocs[segmentIndex].Revision, j.segmentDocs[segmentIndex].LSN = revision, seg.LSN
+	tb.commits.ObserveLSN(seg.LSN)
+	return tb.restoreTasks(j, segmentIndex*j.tasksPerSegment, seg.Tasks)
 }
 
-// perSegment works out how many tasks each segment has from the n-th, which has so
+// inferTasksPerSegment works out how many tasks each segment has from the n-th, which has so
 // many of all, if it isn't as many as thought.
-func perSegment(n, has, all, thought int) int {
-	can := func(per int) bool { return per > 0 && n*per < all && has == min(per, all-n*per) }
+func inferTasksPerSegment(index, count, total, expected int) int {
+	consistent := func(per int) bool { return per > 0 && index*per < total && count == min(per, total-index*per) }
 	switch {
-	case can(thought), has == 0:
-		return thought
-	case n > 0 && can((all-has)/n): // the last one, which is shorter
-		return (all - has) / n
-	case can(has):
-		return has
+	case consistent(expected), count == 0:
+		return expected
+	case index > 0 && consistent((total-count)/index): // the last one, which is shorter
+		return (total - count) / index
+	case consistent(count):
+		return count
 	}
 	return 0
 }
 
-func (tb *Table) restore(j *Job, at int, recs []record) error {
-	if at+len(recs) > len(j.Tasks) {
+func (tb *Table) restoreTasks(j *Job, first int, records []taskRecord) error {
+	if first+len(records) > len(j.Tasks) {
 		return fmt.Errorf("%s: more tasks than pieces", j.Spec.ID)
 	}
-	for i, r := range recs {
-		j.Tasks[at+i].restore(r)
+	for i, rec := range records {
+		j.Tasks[first+i].restore(rec)
 	}
 	return nil
 }
 
 // restore sets a task to what was durable of it.
-func (t *Task) restore(r record) {
+func (t *Task) restore(rec taskRecord) {
 	j := t.Job
-	if t.State == Finished {
-		j.Done--
+	if t.State == Completed {
+		j.CompletedTasks--
 	}
-	if t.State.Held() {
-		j.Held--
+	if t.State.Allocated() {
+		j.AllocatedTasks--
 	}
-	t.Attempt, t.State, t.Host, t.Session = r.Attempt, Waiting, "", 0
+	t.Attempt, t.State, t.MachineID, t.Incarnation = rec.Attempt, Waiting, "", 0
 	switch {
-	case r.Done:
-		t.State = Finished
-		j.Done++
-	case r.Host != "":
-		t.Host, t.Session, t.State = r.Host, r.Session, Assigned
-		j.Held++
+	case rec.Done:
+		t.State = Completed
+		j.CompletedTasks++
+	case rec.MachineID != "":
+		t.MachineID, t.Incarnation, t.State = rec.MachineID, rec.Incarnation, Assigned
+		j.AllocatedTasks++
 	}
 }
 
 // LoadLog takes in the records of the log, after all jobs.
 func (tb *Table) LoadLog(pairs []statesvc.KeyValue) error {
 	type rec struct {
-		LSN   uint64 `json:"n"`
-		Lines []line `json:"l"`
-		Text  string `json:"t"`
+		LSN   uint64    `json:"n"`
+		Lines []logLine `json:"l"`
+		Text  string    `json:"t"`
 	}
-	recs := make([]rec, len(pairs))
+	records := make([]rec, len(pairs))
 	order := make([]int, len(pairs))
 	for i, p := range pairs {
 		order[i] = i
-		if err := json.Unmarshal(p.Value, &recs[i]); err != nil {
+		if err := json.Unmarshal(p.Value, &records[i]); err != nil {
 			return fmt.Errorf("%s: %w", p.Key, err)
 		}
 	}
 	// Slots are used again in any order.
-	sort.Slice(order, func(i, k int) bool { return recs[order[i]].LSN < recs[order[k]].LSN })
+	sort.Slice(order, func(i, k int) bool { return records[order[i]].LSN < records[order[k]].LSN })
 	for _, i := range order {
-		r := recs[i]
-		var homes []*commit.Document
+		r := records[i]
+		var homeDocs []*commit.Document
 		var entries []commit.Entry
-		apply := func(id ident.JobID, index int, rec record) {
+		apply := func(id ident.JobID, index int, rec taskRecord) {
 			j := tb.Jobs[id]
 			if j == nil || index >= len(j.Tasks) {
 				return // over since
@@ -167,21 +167,21 @@
 			t := &j.Tasks[index]
 			// Numbers of records were once given out twice, see Committer.LSN: what was
 			// written after its home has not been taken over by it.
-			if d := t.Document(); j.form != logged && d.LSN >= r.LSN {
-				if d.Revision >= pairs[i].Revision {
+			if home := t.Document(); j.storage != inLog && home.LSN >= r.LSN {
+				if home.Revision >= pairs[i].Revision {
 					return
 				}
-				d.LSN = r.LSN - 1
+				home.LSN = r.LSN - 1
 			}
 			t.restore(rec)
-			homes = append(homes, t.Document())
+			homeDocs = append(homeDocs, t.Document())
 			entries = append(entries, t)
 		}
-		for _, l := range r.Lines {
-			apply(l.Job, l.Index, l.record)
+		for _, entry := range r.Lines {
+			apply(entry.Job, entry.Index, entry.taskRecord)
 		}
 		err := commit.ParseText(r.Text, func(group, text string) error {
-			index, rec, err := parseLine(text)
+			index, rec, err := parseLogLine(text)
 			if err == nil {
 				apply(ident.JobID(group), index, rec)
 			}
@@ -190,39 +190,39 @@
 		switch {
 		case err != nil:
 			return fmt.Errorf("%s: %w", pairs[i].Key, err)
-		case tb.packed:
+		case tb.packedLog:
 			tb.commits.RestoreText(pairs[i].Key, pairs[i].Revision, r.LSN, entries)
 		case r.Text != "":
 			return fmt.Errorf("%s: of a later format", pairs[i].Key)
 		default:
-			tb.commits.RestoreJSON(pairs[i].Key, pairs[i].Revision, r.LSN, homes)
+			tb.commits.RestoreJSON(pairs[i].Key, pairs[i].Revision, r.LSN, homeDocs)
 		}
 	}
 	return nil
 }
 
-// ReadLive is the view of a job as a live key has it: for nodes that don't lead.
-func ReadLive(value json.RawMessage) (api.View, error) {
-	var h header
-	if err := json.Unmarshal(value, &h); err != nil {
-		return api.View{}, err
+// ParseLiveView is the view of a job as a live key has it: for nodes that don't lead.
+func ParseLiveView(value json.RawMessage) (api.JobView, error) {
+	var hdr jobHeader
+	if err := json.Unmarshal(value, &hdr); err != nil {
+		return api.JobView{}, err
 	}
-	if h.Spec == nil {
-		return api.View{}, fmt.Errorf("not a job")
+	if hdr.Spec == nil {
+		return api.JobView{}, fmt.Errorf("not a job")
 	}
-	v := api.View{ID: h.Spec.ID, Status: "queued"}
-	for _, t := range h.Tasks {
+	view := api.JobView{ID: hdr.Spec.ID, Status: "queued"}
+	for _, t := range hdr.Tasks {
 		if t.Done {
-			v.Done++
-		} else if t.Host != "" {
-			v.Running++
+			view.Done++
+		} else if t.MachineID != "" {
+			view.Running++
 		}
 	}
 	switch {
-	case h.Phase != Open:
-		v.Status, v.Running = h.Phase.String(), 0
-	case v.Running > 0:
-		v.Status = "running"
+	case hdr.Phase != Open:
+		view.Status, view.Running = hdr.Phase.String(), 0
+	case view.Running > 0:
+		view.Status = "running"
 	}
-	return v, nil
+	return view, nil
 }
--- a/internal/jobs/moves.go
+++ b/internal/jobs/moves.go
@@ -9,158 +9,158 @@
 	"opaldale/internal/statesvc"
 )
 
-// Doubt notes that a task of a job has failed: it is to be seen whether that is the job's
+// NoteFailure notes that a task of a job has failed: it is to be seen whether that is the job's
 // own fault.
-func (tb *Table) Doubt(j *Job) { tb.doubted[j] = true }
+func (tb *Table) NoteFailure(j *Job) { tb.unexplainedFailures[j] = true }
 
-// Sound says whether the job has shown that it can run: a task of it has completed, or has
+// ProvenHealthy says whether the job has shown that it can run: a task of it has completed, or has
 // run for a while. Its failures are rather its machines' fault.
-func (j *Job) Sound() bool { return j.sound || j.Done > 0 }
+func (j *Job) ProvenHealthy() bool { return j.provenHealthy || j.CompletedTasks > 0 }
 
-// Acquit looks at the jobs of which tasks have failed: one that has run for a while shows
+// ClearProvenHealthy looks at the jobs of which tasks have failed: one that has run for a while shows
 // that it was not their fault.
-func (tb *Table) Acquit() {
-	for j := range tb.doubted {
+func (tb *Table) ClearProvenHealthy() {
+	for j := range tb.unexplainedFailures {
 		if j.Phase != Open {
-			delete(tb.doubted, j)
+			delete(tb.unexplainedFailures, j)
 			continue
 		}
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			if t.State == Assigned && t.SeenRunning() && tb.now().Sub(t.RunsAt) > acquitAfter {
-				j.sound, j.Suspect, j.Backoff = true, false, 0
-				delete(tb.doubted, j)
+			if t.State == Assigned && t.SeenRunning() && tb.now().Sub(t.RunningSince) > provenHealthyAfter {
+				j.provenHealthy, j.Suspect, j.Backoff = true, false, 0
+				delete(tb.unexplainedFailures, j)
 				break
 			}
 		}
 	}
 }
 
-// acquitAfter is how long that is. What is submitted with a mistake mostly fails within
+// provenHealthyAfter is how long that is. What is submitted with a mistake mostly fails within
 // seconds.
-const acquitAfter = 10 * time.Second
+const provenHealthyAfter = 10 * time.Second
 
-// to is the one place where a task changes its state.
-func (tb *Table) to(t *Task, s State) {
+// setState is the one place where a task changes its state.
+func (tb *Table) setState(t *Task, next State) {
 	from := t.State
-	if from == s {
+	if from == next {
 		return
 	}
 	j := t.Job
-	if from.Held() && !s.Held() {
-		j.Held--
+	if from.Allocated() && !next.Allocated() {
+		j.AllocatedTasks--
 	}
-	if !from.Held() && s.Held() {
-		j.Held++
+	if !from.Allocated() && next.Allocated() {
+		j.AllocatedTasks++
 	}
-	if s == Finished {
-		j.Done++
+	if next == Completed {
+		j.CompletedTasks++
 	}
-	if from == Finished {
+	if from == Completed {
 		panic("a finished task is final")
 	}
-	tb.OnMove(t, from, s)
-	t.State, t.Since = s, tb.now()
-	tb.index(j)
-	if !s.Held() {
-		t.see(tb, "")
+	tb.OnStateChange(t, from, next)
+	t.State, t.StateSince = next, tb.now()
+	tb.updateWaiting(j)
+	if !next.Allocated() {
+		t.setReportedStatus(tb, "")
 	}
-	if s == Waiting && j.Phase == Open {
+	if next == Waiting && j.Phase == Open {
 		tb.OnWaiting(t)
 	}
 }
 
-// runs says whether a task with that status has started and not ended.
-func runs(s api.TaskStatus) bool { return s == api.Running || s == api.Flushing }
+// isRunning says whether a task with that status has started and not ended.
+func isRunning(s api.TaskStatus) bool { return s == api.Running || s == api.Flushing }
 
-// see notes the newest reported status.
-func (t *Task) see(tb *Table, s api.TaskStatus) {
-	if runs(t.Seen) {
-		t.Job.Runs--
+// setReportedStatus notes the newest reported status.
+func (t *Task) setReportedStatus(tb *Table, status api.TaskStatus) {
+	if isRunning(t.ReportedStatus) {
+		t.Job.RunningTasks--
 	}
-	if runs(s) {
-		t.Job.Runs++
-		if !runs(t.Seen) {
-			t.RunsAt = tb.now()
-			slog.Debug("task runs", "task", t.TaskID().String(), "host", string(t.Host), "try", uint64(t.Attempt),
-				"placed_s", t.Since.Sub(0).Seconds(), "job_age_s", t.RunsAt.Sub(t.Job.Arrived).Seconds())
+	if isRunning(status) {
+		t.Job.RunningTasks++
+		if !isRunning(t.ReportedStatus) {
+			t.RunningSince = tb.now()
+			slog.Debug("task runs", "task", t.TaskID().String(), "host", string(t.MachineID), "try", uint64(t.Attempt),
+				"placed_s", t.StateSince.Sub(0).Seconds(), "job_age_s", t.RunningSince.Sub(t.Job.SubmittedAt).Seconds())
 		}
 	}
-	t.Seen = s
+	t.ReportedStatus = status
 }
 
-// Observe notes what a worker reports of a task that is on it.
-func (tb *Table) Observe(t *Task, s api.TaskStatus) {
-	if t.State.Held() && t.Seen != s {
-		t.see(tb, s)
+// UpdateStatus notes what a worker reports of a task that is on it.
+func (tb *Table) UpdateStatus(t *Task, status api.TaskStatus) {
+	if t.State.Allocated() && t.ReportedStatus != status {
+		t.setReportedStatus(tb, status)
 	}
 }
 
 // Place chooses a machine for a waiting task; then is called once that is
 // durable, if it still holds. Only then may the task be launched: a successor
 // must find every task that may be on a machine.
-func (tb *Table) Place(t *Task, h ident.MachineID, tenure ident.Incarnation, then func()) {
-	tb.PlaceAs(t, h, tenure, t.Attempt+1, then)
+func (tb *Table) Place(t *Task, machineID ident.MachineID, incarnation ident.Incarnation, onDurable func()) {
+	tb.PlaceAttempt(t, machineID, incarnation, t.Attempt+1, onDurable)
 }
 
-// PlaceAs is Place in an attempt whose number is given.
-func (tb *Table) PlaceAs(t *Task, h ident.MachineID, tenure ident.Incarnation, try ident.Attempt, then func()) {
-	if try < t.Attempt {
+// PlaceAttempt is Place in an attempt whose number is given.
+func (tb *Table) PlaceAttempt(t *Task, machineID ident.MachineID, incarnation ident.Incarnation, attempt ident.Attempt, onDurable func()) {
+	if attempt < t.Attempt {
 		panic("attempts are never numbered back")
 	}
-	t.Attempt = try
-	t.placed++
-	t.Host, t.Session = h, tenure
-	tb.to(t, Placing)
-	placed := t.placed
-	tb.save(t, func() {
-		if t.placed != placed || t.State != Placing {
+	t.Attempt = attempt
+	t.placements++
+	t.MachineID, t.Incarnation = machineID, incarnation
+	tb.setState(t, Placing)
+	placement := t.placements
+	tb.persistTask(t, func() {
+		if t.placements != placement || t.State != Placing {
 			return
 		}
-		tb.to(t, Assigned)
-		then()
+		tb.setState(t, Assigned)
+		onDurable()
 	})
 }
 
-// Stop notes that a task was told to stop.
-func (tb *Table) Stop(t *Task, windDown time.Duration) {
-	t.WindDown = windDown
-	tb.to(t, Stopping)
+// MarkStopping notes that a task was told to stop.
+func (tb *Table) MarkStopping(t *Task, gracePeriod time.Duration) {
+	t.GracePeriod = gracePeriod
+	tb.setState(t, Stopping)
 }
 
-// Gone notes that a task that counted on its machine is proven not to be there.
+// MarkGone notes that a task that counted on its machine is proven not to be there.
 // then is called once that is durable.
-func (tb *Table) Gone(t *Task, then func()) {
-	if !t.State.Held() {
+func (tb *Table) MarkGone(t *Task, onDurable func()) {
+	if !t.State.Allocated() {
 		return
 	}
-	tb.to(t, Waiting)
-	tb.save(t, then)
-	tb.settle(t.Job)
+	tb.setState(t, Waiting)
+	tb.persistTask(t, onDurable)
+	tb.archiveIfDone(t.Job)
 }
 
 // Complete notes that a task has completed; then is called once it is durable.
-func (tb *Table) Complete(t *Task, then func()) {
-	t.Fails = 0
-	tb.to(t, Finished)
+func (tb *Table) Complete(t *Task, onDurable func()) {
+	t.ConsecutiveErrors = 0
+	tb.setState(t, Completed)
 	j := t.Job
 	j.Suspect, j.Backoff = false, 0
-	if j.Gang() && j.Phase == Open {
+	if j.IsGang() && j.Phase == Open {
 		tb.finishGang(j)
 	}
-	if j.Phase == Open && (j.Done == len(j.Tasks) || j.Gang()) && j.Spec.Shape != api.Service {
-		tb.close(j, Done)
+	if j.Phase == Open && (j.CompletedTasks == len(j.Tasks) || j.IsGang()) && j.Spec.Shape != api.Service {
+		tb.closeJob(j, Done)
 	}
-	if j.Phase == Done && !j.over {
+	if j.Phase == Done && !j.archived {
 		// The job goes over as a whole, and its segments go with it: a successor must not
 		// find a part of a gang done.
-		if then != nil {
-			j.wants = append(j.wants, then)
+		if onDurable != nil {
+			j.onSubmitted = append(j.onSubmitted, onDurable)
 		}
 	} else {
-		tb.save(t, then)
+		tb.persistTask(t, onDurable)
 	}
-	tb.settle(j)
+	tb.archiveIfDone(j)
 }
 
 // finishGang finishes the tasks of a gang of which one is done: they end together. Those
@@ -172,65 +172,65 @@
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		switch {
-		case t.State == Finished:
-		case t.State.Held() && t.State != Placing && !runs(t.Seen):
+		case t.State == Completed:
+		case t.State.Allocated() && t.State != Placing && !isRunning(t.ReportedStatus):
 		default:
-			tb.to(t, Finished)
+			tb.setState(t, Completed)
 		}
 	}
 }
 
 // Cancel ends a job at its user's wish; then is called once that is durable.
-func (tb *Table) Cancel(j *Job, then func()) {
+func (tb *Table) Cancel(j *Job, onDurable func()) {
 	if j.Phase == Open {
-		tb.close(j, Cancelled)
+		tb.closeJob(j, Cancelled)
 	}
-	durable := func() {
-		if j.Durable == Open {
-			j.durable()
+	phaseDurable := func() {
+		if j.DurablePhase == Open {
+			j.markPhaseDurable()
 		}
-		then()
+		onDurable()
 	}
-	tb.settle(j)
-	if tb.packed && j.form != logged && j.Known && !j.over {
+	tb.archiveIfDone(j)
+	if tb.packedLog && j.storage != inLog && j.SubmissionDurable && !j.archived {
 		// Its header can't be put again before the log has its tasks.
-		tb.convert(j, durable)
+		tb.convertJob(j, phaseDurable)
 		return
 	}
-	tb.commits.MarkDirty(j.head, durable)
+	tb.commits.MarkDirty(j.headerDoc, phaseDurable)
 }
 
-// settle moves a job that needs no machine any more to the jobs that are over:
+// archiveIfDone moves a job that needs no machine any more to the jobs that are over:
 // in one transaction, so that it is always found in one of both places.
-func (tb *Table) settle(j *Job) {
-	if j.Phase == Open || j.Held > 0 || j.over {
+func (tb *Table) archiveIfDone(j *Job) {
+	if j.Phase == Open || j.AllocatedTasks > 0 || j.archived {
 		return
 	}
-	j.over = true
-	end := Ended{Phase: j.Phase, Tasks: len(j.Tasks), Done: j.Done}
+	j.archived = true
+	archived := ArchivedJob{Phase: j.Phase, Tasks: len(j.Tasks), CompletedTasks: j.CompletedTasks}
 	if j.Phase == Done {
-		end.Done = end.Tasks
+		archived.CompletedTasks = archived.Tasks
 	}
-	j.head.ExtraMutations = func() []statesvc.Mutation {
-		return []statesvc.Mutation{{Put: OverKey(j.Spec.ID), Value: api.JSON(end)}}
+	j.headerDoc.ExtraMutations = func() []statesvc.Mutation {
+		return []statesvc.Mutation{{Put: ArchiveKey(j.Spec.ID), Value: api.JSON(archived)}}
 	}
-	wants := j.wants
-	j.wants = nil
-	tb.commits.MarkDirty(j.head, func() {
-		tb.Remember(j.Spec.ID, end)
+	onSubmitted := j.onSubmitted
+	j.onSubmitted = nil
+	tb.commits.MarkDirty(j.headerDoc, func() {
+		tb.RememberArchived(j.Spec.ID, archived)
 		delete(tb.Jobs, j.Spec.ID)
-		tb.OnOver(j.Spec.ID)
-		j.durable()
-		for _, f := range append(wants, j.moved...) {
+		tb.OnArchived(j.Spec.ID)
+		j.markPhaseDurable()
+		for _, f := range append(onSubmitted, j.onConverted...) {
 			f()
 		}
-		j.moved = nil
+		j.onConverted = nil
 		for i := range j.Tasks {
-			tb.commits.Release(&j.Tasks[i].pin)
+			tb.commits.Release(&j.Tasks[i].logPin)
 		}
 		// Segments without a header mean nothing; a successor drops them too.
-		for _, d := range j.segs {
-			tb.commits.MarkDirty(d, nil)
+		for _, doc := range j.segmentDocs {
+			tb.commits.MarkDirty(doc, nil)
 		}
 	})
 }
--- a/internal/jobs/need.go
+++ b/internal/jobs/need.go
@@ -6,45 +6,45 @@
 	"opaldale/internal/api"
 )
 
-// Need is what a task takes of its machine.
-type Need struct{ VCPUs, Cards, MemoryGB float64 }
+// Resources is what a task takes of its machine.
+type Resources struct{ VCPUs, GPUs, MemoryGB float64 }
 
-// NeedOf returns what a task of a job takes.
-func NeedOf(s *api.Spec) Need { return Need{s.VCPUs, s.Cards, s.MemoryGB} }
+// ResourcesOf returns what a task of a job takes.
+func ResourcesOf(s *api.Spec) Resources { return Resources{s.VCPUs, s.GPUs, s.MemoryGB} }
 
-// NoNeed is where Least begins: more than anything takes.
-func NoNeed() Need { return Need{math.Inf(1), math.Inf(1), math.Inf(1)} }
+// UnboundedResources is where Least begins: more than anything takes.
+func UnboundedResources() Resources { return Resources{math.Inf(1), math.Inf(1), math.Inf(1)} }
 
-// Least lowers each amount to what a task of the job needs.
-func (n *Need) Least(s *api.Spec) {
-	n.VCPUs, n.Cards, n.MemoryGB = min(n.VCPUs, s.VCPUs), min(n.Cards, s.Cards), min(n.MemoryGB, s.MemoryGB)
+// LowerTo lowers each amount to what a task of the job needs.
+func (n *Resources) LowerTo(s *api.Spec) {
+	n.VCPUs, n.GPUs, n.MemoryGB = min(n.VCPUs, s.VCPUs), min(n.GPUs, s.GPUs), min(n.MemoryGB, s.MemoryGB)
 }
 
-// Places returns how many tasks of a job find room in as much.
-func (n Need) Places(s *api.Spec) int {
-	k := math.MaxInt32
-	for _, x := range [][2]float64{{n.VCPUs, s.VCPUs}, {n.Cards, s.Cards}, {n.MemoryGB, s.MemoryGB}} {
-		if x[1] > 0 {
-			k = min(k, int((x[0]+slack)/x[1]))
+// TaskCapacity returns how many tasks of a job find room in as much.
+func (n Resources) TaskCapacity(s *api.Spec) int {
+	capacity := math.MaxInt32
+	for _, amounts := range [][2]float64{{n.VCPUs, s.VCPUs}, {n.GPUs, s.GPUs}, {n.MemoryGB, s.MemoryGB}} {
+		if amounts[1] > 0 {
+			capacity = min(capacity, int((amounts[0]+roundingTolerance)/amounts[1]))
 		}
 	}
-	return k
+	return capacity
 }
 
-// Minus returns the amounts less others.
-func (n Need) Minus(o Need) Need {
-	return Need{n.VCPUs - o.VCPUs, n.Cards - o.Cards, n.MemoryGB - o.MemoryGB}
+// Sub returns the amounts less others.
+func (n Resources) Sub(o Resources) Resources {
+	return Resources{n.VCPUs - o.VCPUs, n.GPUs - o.GPUs, n.MemoryGB - o.MemoryGB}
 }
 
-// Plus returns the amounts and others together.
-func (n Need) Plus(o Need) Need {
-	return Need{n.VCPUs + o.VCPUs, n.Cards + o.Cards, n.MemoryGB + o.MemoryGB}
+// Add returns the amounts and others together.
+func (n Resources) Add(o Resources) Resources {
+	return Resources{n.VCPUs + o.VCPUs, n.GPUs + o.GPUs, n.MemoryGB + o.MemoryGB}
 }
 
 // Covers says whether something finds room in as much.
-func (n Need) Covers(o Need) bool {
-	return o.VCPUs <= n.VCPUs+slack && o.Cards <= n.Cards+slack && o.MemoryGB <= n.MemoryGB+slack
+func (n Resources) Covers(o Resources) bool {
+	return o.VCPUs <= n.VCPUs+roundingTolerance && o.GPUs <= n.GPUs+roundingTolerance && o.MemoryGB <= n.MemoryGB+roundingTolerance
 }
 
-// slack forgives rounding in sums of amounts.
-const slack = 1e-6
+// roundingTolerance forgives rounding in sums of amounts.
+const roundingTolerance = 1e-6
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -11,61 +11,61 @@
 
 // The keys of jobs.
 const (
-	LivePrefix = "live/"
-	OverPrefix = "over/"
+	LivePrefix    = "live/"
+	ArchivePrefix = "over/"
 )
 
 // LiveKey is the key of an unfinished job's header.
 func LiveKey(id ident.JobID) string { return LivePrefix + string(id) }
 
-// OverKey is the key of a job that is over.
-func OverKey(id ident.JobID) string { return OverPrefix + string(id) }
-
-// header is the value of a live key.
-type header struct {
-	Spec  *api.Spec `json:"spec"`
-	Seq   uint64    `json:"seq"`
-	AtMS  int64     `json:"at_ms"`
-	Phase Phase     `json:"phase"`
-	LSN   uint64    `json:"lsn,omitempty"` // records of the log up to it are part of this
-	Tasks []record  `json:"tasks,omitempty"`
+// ArchiveKey is the key of a job that is over.
+func ArchiveKey(id ident.JobID) string { return ArchivePrefix + string(id) }
+
+// jobHeader is the value of a live key.
+type jobHeader struct {
+	Spec          *api.Spec    `json:"spec"`
+	Seq           uint64       `json:"seq"`
+	SubmittedAtMS int64        `json:"at_ms"`
+	Phase         Phase        `json:"phase"`
+	LSN           uint64       `json:"lsn,omitempty"` // records of the log up to it are part of this
+	Tasks         []taskRecord `json:"tasks,omitempty"`
 	// Logged says that the log alone has the tasks: one without a line was never placed.
 	Logged bool `json:"logged,omitempty"`
 }
 
-// segment is the value of a segment's key, of the first format.
-type segment struct {
-	LSN   uint64   `json:"lsn,omitempty"`
-	Tasks []record `json:"tasks"`
+// taskSegment is the value of a segment's key, of the first format.
+type taskSegment struct {
+	LSN   uint64       `json:"lsn,omitempty"`
+	Tasks []taskRecord `json:"tasks"`
 }
 
-// line is a task's change in the log, of the first format.
-type line struct {
+// logLine is a task's change in the log, of the first format.
+type logLine struct {
 	Job   ident.JobID `json:"j"`
 	Index int         `json:"i,omitempty"`
-	record
+	taskRecord
 }
 
-// record is a task in the state service. A task that was never placed is empty.
-type record struct {
-	Attempt ident.Attempt     `json:"t,omitempty"`
-	Host    ident.MachineID   `json:"h,omitempty"`
-	Session ident.Incarnation `json:"n,omitempty"`
-	Done    bool              `json:"d,omitempty"`
+// taskRecord is a task in the state service. A task that was never placed is empty.
+type taskRecord struct {
+	Attempt     ident.Attempt     `json:"t,omitempty"`
+	MachineID   ident.MachineID   `json:"h,omitempty"`
+	Incarnation ident.Incarnation `json:"n,omitempty"`
+	Done        bool              `json:"d,omitempty"`
 }
 
-// recordBytes bounds a record's size in JSON, commas included.
-const recordBytes = 110
+// maxRecordBytes bounds a record's size in JSON, commas included.
+const maxRecordBytes = 110
 
-// HeaderBytes is the room left for the specification in a header with tasks.
-const HeaderBytes = 4 << 10
+// HeaderSpecBytes is the room left for the specification in a header with tasks.
+const HeaderSpecBytes = 4 << 10
 
-// spareBytes is the room left for what may still change in a header without.
-const spareBytes = 64
+// headerReserveBytes is the room left for what may still change in a header without.
+const headerReserveBytes = 64
 
-// trimmed is the specification without what a cancelled job has no use for, if it is
+// trimmedSpec is the specification without what a cancelled job has no use for, if it is
 // cancelled.
-func (j *Job) trimmed() *api.Spec {
+func (j *Job) trimmedSpec() *api.Spec {
 	if j.Phase == Open {
 		return j.Spec
 	}
@@ -74,79 +74,79 @@
 	return &s
 }
 
-// durable notes that the job's phase is.
-func (j *Job) durable() {
-	j.Durable = j.Phase
-	fs := j.clears
-	j.clears = nil
-	for _, f := range fs {
+// markPhaseDurable notes that the job's phase is.
+func (j *Job) markPhaseDurable() {
+	j.DurablePhase = j.Phase
+	callbacks := j.onPhaseDurable
+	j.onPhaseDurable = nil
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// shape makes the job's tasks and documents.
-func (tb *Table) shape(j *Job) {
+// initStorage makes the job's tasks and documents.
+func (tb *Table) initStorage(j *Job) {
 	id := j.Spec.ID
 	now := tb.now()
 	j.Tasks = make([]Task, j.Spec.Tasks)
 	for i := range j.Tasks {
-		j.Tasks[i] = Task{Job: j, Index: i, Since: now}
+		j.Tasks[i] = Task{Job: j, Index: i, StateSince: now}
 	}
-	j.head = &commit.Document{Key: LiveKey(id)}
-	j.head.Render = func() json.RawMessage {
-		if j.over {
+	j.headerDoc = &commit.Document{Key: LiveKey(id)}
+	j.headerDoc.Render = func() json.RawMessage {
+		if j.archived {
 			return nil
 		}
-		h := header{Spec: j.Spec, Seq: j.Seq, AtMS: j.AtMS, Phase: j.Phase}
-		if j.form == logged {
-			h.Spec, h.Logged = j.trimmed(), true
-			return api.JSON(h)
+		hdr := jobHeader{Spec: j.Spec, Seq: j.Seq, SubmittedAtMS: j.SubmittedAtMS, Phase: j.Phase}
+		if j.storage == inLog {
+			hdr.Spec, hdr.Logged = j.trimmedSpec(), true
+			return api.JSON(hdr)
 		}
-		h.LSN = tb.commits.LSN()
-		if len(j.segs) == 0 {
-			h.Tasks = records(j.Tasks)
+		hdr.LSN = tb.commits.LSN()
+		if len(j.segmentDocs) == 0 {
+			hdr.Tasks = toRecords(j.Tasks)
 		}
-		return api.JSON(h)
+		return api.JSON(hdr)
 	}
-	if tb.packed {
-		j.form = logged
+	if tb.packedLog {
+		j.storage = inLog
 		return
 	}
-	if len(j.Tasks) > tb.inline {
-		tb.divide(j, tb.perSeg)
+	if len(j.Tasks) > tb.maxInlineTasks {
+		tb.makeSegments(j, tb.tasksPerSegment)
 	}
 }
 
-// divide makes the documents of a job whose tasks are in segments.
-func (tb *Table) divide(j *Job, per int) {
-	j.perSeg, j.segs = per, nil
-	for at := 0; at < len(j.Tasks); at += per {
-		part := j.Tasks[at:min(at+per, len(j.Tasks))]
-		d := &commit.Document{Key: segKey(j.Spec.ID, at/per)}
-		d.Render = func() json.RawMessage {
-			if j.over || j.form == logged {
+// makeSegments makes the documents of a job whose tasks are in segments.
+func (tb *Table) makeSegments(j *Job, tasksPerSegment int) {
+	j.tasksPerSegment, j.segmentDocs = tasksPerSegment, nil
+	for first := 0; first < len(j.Tasks); first += tasksPerSegment {
+		part := j.Tasks[first:min(first+tasksPerSegment, len(j.Tasks))]
+		doc := &commit.Document{Key: segmentKey(j.Spec.ID, first/tasksPerSegment)}
+		doc.Render = func() json.RawMessage {
+			if j.archived || j.storage == inLog {
 				return nil
 			}
-			return api.JSON(segment{LSN: tb.commits.LSN(), Tasks: records(part)})
+			return api.JSON(taskSegment{LSN: tb.commits.LSN(), Tasks: toRecords(part)})
 		}
-		j.segs = append(j.segs, d)
+		j.segmentDocs = append(j.segmentDocs, doc)
 	}
 }
 
-func segKey(id ident.JobID, n int) string { return fmt.Sprintf("%s/%05d", LiveKey(id), n) }
+func segmentKey(id ident.JobID, n int) string { return fmt.Sprintf("%s/%05d", LiveKey(id), n) }
 
-func records(tasks []Task) []record {
-	out := make([]record, len(tasks))
+func toRecords(tasks []Task) []taskRecord {
+	out := make([]taskRecord, len(tasks))
 	for i := range tasks {
-		out[i] = tasks[i].record()
+		out[i] = tasks[i].toRecord()
 	}
 	return out
 }
 
-func (t *Task) record() record {
-	r := record{Attempt: t.Attempt, Done: t.State == Finished}
-	if t.State.Held() {
-		r.Host, r.Session = t.Host, t.Session
+func (t *Task) toRecord() taskRecord {
+	rec := taskRecord{Attempt: t.Attempt, Done: t.State == Completed}
+	if t.State.Allocated() {
+		rec.MachineID, rec.Incarnation = t.MachineID, t.Incarnation
 	}
-	return r
+	return rec
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -23,8 +23,8 @@
 
 // UnmarshalText reads a phase's name.
 func (p *Phase) UnmarshalText(b []byte) error {
-	for i, n := range phaseNames {
-		if n == string(b) {
+	for i, name := range phaseNames {
+		if name == string(b) {
 			*p = Phase(i)
 			return nil
 		}
@@ -37,27 +37,27 @@
 
 // The states of a task. From Placing to Stopping it counts on its machine.
 const (
-	Waiting  State = iota // to be placed
-	Placing               // a machine was chosen, not yet durable
-	Assigned              // durable: may be on its machine
-	Stopping              // told to stop, may be on its machine
-	Finished              // completed
+	Waiting   State = iota // to be placed
+	Placing                // a machine was chosen, not yet durable
+	Assigned               // durable: may be on its machine
+	Stopping               // told to stop, may be on its machine
+	Completed              // completed
 )
 
 func (s State) String() string {
 	return [...]string{"waiting", "placing", "assigned", "stopping", "finished"}[s]
 }
 
-// Held says whether a task in this state counts on its machine.
-func (s State) Held() bool { return s == Placing || s == Assigned || s == Stopping }
+// Allocated says whether a task in this state counts on its machine.
+func (s State) Allocated() bool { return s == Placing || s == Assigned || s == Stopping }
 
-// form says where a job's tasks are in the state service. All but the last are of the
+// storageFormat says where a job's tasks are in the state service. All but the last are of the
 // first format, and go with it: so do segments, a header's tasks and LSN, Convert, and a
 // task's Line and Home.
-type form uint8
+type storageFormat uint8
 
 const (
-	whole  form = iota // in its header or its segments, and in the log since
-	moving             // on their way to the log alone
-	logged             // in the log alone
+	inDocuments storageFormat = iota // in its header or its segments, and in the log since
+	converting                       // on their way to the log alone
+	inLog                            // in the log alone
 )
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -57,8 +57,8 @@
 }
 
 func (p *provider) catalog(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, map[string]any{"models": []cloud.Model{{SKU: machineType, VCPUs: machineCPUs, MemoryGB: 32, LocalGB: 20,
-		PullGBPerS: 1, Hourly: 1, MarketPrice: 0.4, StartupS: 1, Zones: zones}}})
+	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{SKU: machineType, VCPUs: machineCPUs, MemoryGB: 32, LocalDiskGB: 20,
+		PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 1, Zones: zones}}})
 }
 
 func (p *provider) rent(w http.ResponseWriter, r *http.Request) {
@@ -69,7 +69,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hosts, known := p.requests[q.Hire]
+	hosts, known := p.requests[q.RequestID]
 	if !known {
 		have := 0
 		for _, m := range p.machines {
@@ -77,14 +77,14 @@
 				have++
 			}
 		}
-		for range min(q.Number, p.capacity-have) {
+		for range min(q.Count, p.capacity-have) {
 			hosts = append(hosts, p.boot(q.Zone, q.Spot))
 		}
 		if len(hosts) == 0 {
 			answer(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 			return
 		}
-		p.requests[q.Hire] = hosts
+		p.requests[q.RequestID] = hosts
 	}
 	answer(w, http.StatusOK, map[string]any{"hosts": hosts})
 }
@@ -137,18 +137,18 @@
 	since := ident.MachineID(r.URL.Query().Get("since"))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hosts := []cloud.Listed{}
+	hosts := []cloud.ListedMachine{}
 	for h, m := range p.machines {
 		if h <= since {
 			continue
 		}
-		l := cloud.Listed{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting", AgeS: time.Since(m.born).Seconds()}
+		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting", AgeS: time.Since(m.born).Seconds()}
 		if m.worker != nil {
 			l.Status, l.Addr = "running", m.worker.addr
 		}
 		hosts = append(hosts, l)
 	}
-	slices.SortFunc(hosts, func(a, b cloud.Listed) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(hosts, func(a, b cloud.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
 	answer(w, http.StatusOK, map[string]any{"hosts": hosts, "truncated": false})
 }
 
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -129,14 +129,14 @@
 			return err
 		}
 		n := &node{name: fmt.Sprintf("agent-%d", i), settings: &settings.Settings{
-			Zone: zones[i%len(zones)], Bind: bind, MeshAddr: mesh, Ends: settings.Endpoints{Cloud: cloudAddr, State: stateAddr},
+			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: mesh, Endpoints: settings.Endpoints{Cloud: cloudAddr, Store: stateAddr},
 			Tuning: settings.DefaultTuning(),
 			Cluster: settings.Cluster{
-				Nodes: nodes, Zones: zones, TimeBoundMS: 100,
+				Nodes: nodes, Zones: zones, ClockErrorBoundMS: 100,
 				Teams:   []settings.Team{{Name: "red", CPUs: 40, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 60}},
-				Workers: settings.Workers{ReportS: 0.5, LeaseS: 8, CancelS: 20, GangWaitS: 5, GangPeerS: 1},
-				State:   settings.State{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 24},
-				Cloud:   settings.Cloud{RPS: 20, ListLagS: 1}, Resources: settings.Resources{Cores: 1, MemoryMB: 512, Sockets: 1000},
+				Workers: settings.WorkerTimes{HeartbeatS: 0.5, LeaseS: 8, CancelS: 20, GangWaitS: 5, GangPeerS: 1},
+				Store:   settings.StoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 24},
+				Cloud:   settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.NodeResources{Cores: 1, MemoryMB: 512, Sockets: 1000},
 			},
 		}}
 		n.settings.Node = ident.NodeID(n.name)
@@ -147,7 +147,7 @@
 	for _, n := range c.nodes {
 		for _, o := range c.nodes {
 			if o != n {
-				n.settings.Siblings = append(n.settings.Siblings, settings.Sibling{Node: o.settings.Node, Zone: o.settings.Zone, Address: o.settings.MeshAddr})
+				n.settings.Peers = append(n.settings.Peers, settings.Peer{Node: o.settings.Node, Zone: o.settings.Zone, Address: o.settings.TransportAddr})
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 func (c *Cluster) reportTime() time.Duration {
-	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.ReportS)
+	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.HeartbeatS)
 }
 
 func (c *Cluster) leaseTime() time.Duration {
@@ -257,7 +257,7 @@
 // Answer is what a node told a user.
 type Answer struct {
 	Status int // 0: nothing
-	Job    api.View
+	Job    api.JobView
 }
 
 // Submit asks a node to run a job whose tasks do that work.
@@ -295,7 +295,7 @@
 	defer resp.Body.Close()
 	a := Answer{Status: resp.StatusCode}
 	if json.NewDecoder(resp.Body).Decode(&a.Job) != nil {
-		a.Job = api.View{}
+		a.Job = api.JobView{}
 	}
 	return a
 }
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -42,14 +42,14 @@
 	if r.startedAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startedAfter("j-1", time.Now()) != 0 {
 		t.Error("starts are not told by time")
 	}
-	for _, told := range []Answer{{Status: 404}, {Status: 200, Job: api.View{Status: "cancelled"}}} {
+	for _, told := range []Answer{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
 		u := &user{id: "j-1"}
 		if u.hear(told); len(u.faults) == 0 {
 			t.Errorf("%+v is no fault", told)
 		}
 	}
 	u := &user{id: "j-1", told: "done"}
-	if u.hear(Answer{Status: 200, Job: api.View{Status: "running"}}); len(u.faults) == 0 {
+	if u.hear(Answer{Status: 200, Job: api.JobView{Status: "running"}}); len(u.faults) == 0 {
 		t.Error("an answer that went back is no fault")
 	}
 }
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -117,7 +117,7 @@
 	return !w.gone && time.Since(w.lease) <= w.cluster.leaseTime()
 }
 
-func (w *worker) report() *api.Report {
+func (w *worker) report() *api.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire()
@@ -125,10 +125,10 @@
 }
 
 // message makes a report. Called with the lock.
-func (w *worker) message() *api.Report {
+func (w *worker) message() *api.Heartbeat {
 	w.serial++
-	r := &api.Report{Host: w.host, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Session: w.session,
-		Serial: w.serial, Epoch: w.token, Tasks: []api.TaskReport{}}
+	r := &api.Heartbeat{MachineID: w.host, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.session,
+		SequenceNumber: w.serial, FencingToken: w.token, Tasks: []api.TaskReport{}}
 	for k, t := range w.tasks {
 		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: k.piece, Attempt: k.attempt, Status: t.status, Cause: t.cause})
 	}
@@ -139,7 +139,7 @@
 }
 
 func (w *worker) commands(rw http.ResponseWriter, r *http.Request) {
-	var c api.Commands
+	var c api.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -147,18 +147,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire()
-	if w.gone || c.Session != w.session || c.Epoch < w.token {
+	if w.gone || c.Incarnation != w.session || c.FencingToken < w.token {
 		answer(rw, http.StatusConflict, w.message())
 		return
 	}
-	w.cluster.Record.acted(w.cluster.Switches.owner(r.RemoteAddr, w.addr), c.Epoch)
-	w.token = c.Epoch
-	w.obey(c.Orders)
+	w.cluster.Record.acted(w.cluster.Switches.owner(r.RemoteAddr, w.addr), c.FencingToken)
+	w.token = c.FencingToken
+	w.obey(c.Commands)
 	answer(rw, http.StatusOK, w.message())
 }
 
 // obey carries out orders. Called with the lock.
-func (w *worker) obey(orders []api.Order) {
+func (w *worker) obey(orders []api.Command) {
 	for _, o := range orders {
 		k := taskKey{o.TaskID, o.Attempt}
 		t := w.tasks[k]
@@ -273,7 +273,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return false
 	}
-	var orders api.Orders
+	var orders api.HeartbeatResponse
 	if json.Unmarshal(b, &orders) != nil {
 		return false
 	}
@@ -281,10 +281,10 @@
 	defer w.mu.Unlock()
 	session := w.session
 	w.expire()
-	if w.gone || session != w.session || orders.Epoch < w.token {
+	if w.gone || session != w.session || orders.FencingToken < w.token {
 		return true
 	}
-	w.token, w.lease = orders.Epoch, sent
-	w.obey(orders.Orders)
+	w.token, w.lease = orders.FencingToken, sent
+	w.obey(orders.Commands)
 	return true
 }
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -262,7 +262,7 @@
 // objection returns what speaks against stopping the task now, NotEnded if nothing does.
 func (t *Table) objection(m *Move, now ident.MonotonicTime, o Observation) Reason {
 	switch {
-	case o.Task == jobs.Finished:
+	case o.Task == jobs.Completed:
 		return TaskCompleted
 	case !o.JobOpen:
 		return JobClosed
@@ -295,7 +295,7 @@
 // stopping waits for the proof that the task has left its machine.
 func (t *Table) stopping(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch {
-	case o.Task == jobs.Finished:
+	case o.Task == jobs.Completed:
 		return t.abandon(m, TaskCompleted, now)
 	case !o.JobOpen:
 		return t.abandon(m, JobClosed, now)
@@ -339,7 +339,7 @@
 func (t *Table) placing(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	there := o.Attempt > m.Attempt && o.Host == m.To
 	switch {
-	case o.Task == jobs.Finished || there && o.Runs:
+	case o.Task == jobs.Completed || there && o.Runs:
 		t.to(m, Running, Arrived, now)
 		return []Effect{{Release, m}, {Report, m}}
 	case !o.JobOpen:
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -120,7 +120,7 @@
 		see   Observation
 		want  Reason
 	}{
-		{"it completes", Proposed, 0, at(jobs.Finished, 3, ""), TaskCompleted},
+		{"it completes", Proposed, 0, at(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled", Proposed, 0, with(here, func(o *Observation) { o.JobOpen = false }), JobClosed},
 		{"it is stopped by something else", Proposed, 0, leaving, TaskChanged},
 		{"it was placed anew", Proposed, 0, at(jobs.Assigned, 4, source), TaskChanged},
@@ -131,7 +131,7 @@
 		{"a hot team cools", Proposed, 0, with(here, func(o *Observation) { o.Cooled = true }), TeamCooled},
 		{"nobody waits for it", Proposed, 0, with(here, func(o *Observation) { o.Waits = false }), NotNeeded},
 		{"the record is late", Proposed, 3 * time.Second, here, RecordOverdue},
-		{"it completes as it is stopped", Stopping, 0, at(jobs.Finished, 3, ""), TaskCompleted},
+		{"it completes as it is stopped", Stopping, 0, at(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.JobOpen = false }), JobClosed},
 		{"the destination is lost meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.Destination = DestinationShut }), DestinationClosed},
 		{"the proof is late", Stopping, 5 * time.Second, leaving, StopOverdue},
@@ -192,7 +192,7 @@
 	}
 	o := rapid.SampledFrom(usual).Draw(t, "usual")
 	if rapid.IntRange(0, 19).Draw(t, "odd") == 0 {
-		o.Task = rapid.SampledFrom([]jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Finished}).Draw(t, "task")
+		o.Task = rapid.SampledFrom([]jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Completed}).Draw(t, "task")
 		o.Attempt = rapid.SampledFrom([]ident.Attempt{3, 3, 4}).Draw(t, "attempt")
 		o.Host = rapid.SampledFrom([]ident.MachineID{source, source, destination, ""}).Draw(t, "host")
 	}
--- a/internal/placement/begin.go
+++ b/internal/placement/begin.go
@@ -61,7 +61,7 @@
 		if !p.fits(j, w) || !p.may(j, w) {
 			continue
 		}
-		if w.Holds(j.Spec.Image) {
+		if w.HasImage(j.Spec.Image) {
 			return w
 		}
 		if found == nil {
@@ -74,7 +74,7 @@
 // holdBack keeps the machine with the most room for a job.
 func (p *Planner) holdBack(j *jobs.Job) {
 	var most *workers.Worker
-	room := func(w *workers.Worker) float64 { return w.Kind.VCPUs - w.VCPUs }
+	room := func(w *workers.Worker) float64 { return w.Type.VCPUs - w.VCPUs }
 	for _, w := range p.order {
 		if p.reserved[w] == nil && p.may(j, w) && (most == nil || room(w) > room(most)+slack) {
 			most = w
@@ -92,7 +92,7 @@
 
 // unbegun says whether a job has waited too long for its first task.
 func (p *Planner) unbegun(j *jobs.Job) bool {
-	return j.Held+j.Done == 0 && p.now().Sub(j.Arrived) > p.MaxWait
+	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.MaxWait
 }
 
 // holdsBack says whether a machine is kept for the job already.
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -39,7 +39,7 @@
 func (s *still) Store(r statesvc.Request, f func(statesvc.Response)) {
 	f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 5})
 }
-func (s *still) Worker(workers.Command, func(workers.Answer)) {}
+func (s *still) Worker(workers.CommandCall, func(workers.CommandResult)) {}
 
 // large is a fleet with three waiting tasks a machine.
 type large struct {
@@ -53,7 +53,7 @@
 }
 
 // PlaceGang places the tasks of a gang; its attempts are not played.
-func (l *large) PlaceGang(j *jobs.Job, picks []gang.Pick) {
+func (l *large) PlaceGang(j *jobs.Job, picks []gang.Placement) {
 	for _, p := range picks {
 		l.Place(p.Task, p.Worker)
 	}
@@ -64,20 +64,20 @@
 
 func newLarge(machines int) *large {
 	l := &large{still: still{now: ident.MonotonicTime(time.Hour)}}
-	kind := cloud.Model{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalGB: 25, PullGBPerS: 0.3}
+	kind := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
 	l.commits = commit.New(l, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader"}, func(string) {})
 	l.jobs = jobs.NewTable(l.commits, 16<<10, l.Now, func() int64 { return 0 })
-	l.fleet = workers.NewTable(l, l.jobs, workers.Config{Term: 1, LeaseS: time.Minute, Catalog: func(string) *cloud.Model { return &kind },
-		Deposed: func() {}, Changed: func() {}, Failed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Commit: func(w *workers.Worker) { w.Recorded = true }, Asked: func(*workers.Worker, bool) {}, Renewed: func() ident.MonotonicTime { return 0 }})
+	l.fleet = workers.NewTable(l, l.jobs, workers.Config{Term: 1, LeaseDuration: time.Minute, Catalog: func(string) *cloud.MachineType { return &kind },
+		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
+		Persist: func(w *workers.Worker) { w.Persisted = true }, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }})
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
 	l.planner = NewPlanner(teams, l.jobs, l.fleet, l, l.Now, true, nil)
-	l.jobs.OnMove = func(t *jobs.Task, from, to jobs.State) {
-		w := l.fleet.Workers[t.Host]
-		if !from.Held() && to.Held() {
-			l.fleet.Hold(w, t)
-		} else if from.Held() && !to.Held() {
-			l.fleet.Release(w, t)
+	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
+		w := l.fleet.Workers[t.MachineID]
+		if !from.Allocated() && to.Allocated() {
+			l.fleet.AddTask(w, t)
+		} else if from.Allocated() && !to.Allocated() {
+			l.fleet.RemoveTask(w, t)
 		}
 	}
 	for i := range machines {
@@ -92,11 +92,11 @@
 
 func (l *large) report(w *workers.Worker) {
 	l.serial++
-	r := &api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: "east", Spot: w.Spot, Session: 1, Serial: l.serial}
-	for _, t := range l.fleet.TasksOf(w) {
+	r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Spot: w.Spot, Incarnation: 1, SequenceNumber: l.serial}
+	for _, t := range l.fleet.SortedTasks(w) {
 		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 	}
-	l.fleet.Checkin(r)
+	l.fleet.HandleHeartbeat(r)
 }
 
 func (l *large) submit(shape api.Shape, pieces int, vcpus float64) {
@@ -108,10 +108,10 @@
 
 // Place and Preempt carry out what the planner decides.
 func (l *large) Place(t *jobs.Task, w *workers.Worker) {
-	l.jobs.Place(t, w.Host, 1, func() {})
+	l.jobs.Place(t, w.ID, 1, func() {})
 }
 func (l *large) Preempt(t *jobs.Task, w *workers.Worker, d time.Duration) {
-	if w.Host != t.Host {
+	if w.ID != t.MachineID {
 		panic("a task is stopped on another machine than its own")
 	}
 	l.fleet.StopTask(w, t, d)
@@ -176,7 +176,7 @@
 	l.commits.Flush()
 	l.jobs.Cancel(j, func() {})
 	for i := range j.Tasks {
-		l.jobs.Gone(&j.Tasks[i], nil)
+		l.jobs.MarkGone(&j.Tasks[i], nil)
 	}
 	l.commits.Flush()
 }
@@ -189,19 +189,19 @@
 			l := newLarge(n)
 			l.fill()
 			w := l.fleet.Sorted()[1]
-			r := &api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: "east", Session: 1, Epoch: ident.MakeFencingToken(1, 0)}
-			for _, t := range l.fleet.TasksOf(w) {
+			r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Incarnation: 1, FencingToken: ident.MakeFencingToken(1, 0)}
+			for _, t := range l.fleet.SortedTasks(w) {
 				r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 			}
 			body, _ := json.Marshal(r)
 			for b.Loop() {
-				got, err := api.ParseReport(body)
+				got, err := api.ParseHeartbeat(body)
 				if err != nil {
 					b.Fatal(err)
 				}
 				l.serial++
-				got.Serial = l.serial
-				api.JSON(l.fleet.Checkin(got))
+				got.SequenceNumber = l.serial
+				api.JSON(l.fleet.HandleHeartbeat(got))
 			}
 		})
 	}
--- a/internal/placement/even.go
+++ b/internal/placement/even.go
@@ -11,14 +11,14 @@
 type leastUsed []*workers.Worker
 
 // share is the part of a machine's CPUs that is in use.
-func share(w *workers.Worker) float64 { return w.VCPUs / w.Kind.VCPUs }
+func share(w *workers.Worker) float64 { return w.VCPUs / w.Type.VCPUs }
 
 func (l leastUsed) Len() int { return len(l) }
 func (l leastUsed) Less(i, k int) bool {
 	if a, b := share(l[i]), share(l[k]); a != b {
 		return a < b
 	}
-	return l[i].Host < l[k].Host
+	return l[i].ID < l[k].ID
 }
 func (l leastUsed) Swap(i, k int) { l[i], l[k] = l[k], l[i] }
 func (l *leastUsed) Push(x any)   { *l = append(*l, x.(*workers.Worker)) }
@@ -32,10 +32,10 @@
 // takeEvenly lets the machines of a kind take planned and local tasks one at a time, the
 // least used machine next, so that the work of equal holders doesn't pile up on the first of
 // them. What must be fetched isn't spread: each machine more would fetch it as well.
-func (p *Planner) takeEvenly(spot bool, need jobs.Need) {
+func (p *Planner) takeEvenly(spot bool, need jobs.Resources) {
 	queue := leastUsed{}
 	for _, w := range p.roomy {
-		if w.Spot == spot && w.Room(need) {
+		if w.Spot == spot && w.HasRoom(need) {
 			queue = append(queue, w)
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 		*rule++
 		p.place(t, w)
-		if !w.Room(need) {
+		if !w.HasRoom(need) {
 			heap.Pop(&queue)
 			continue
 		}
@@ -65,7 +65,7 @@
 		if found != nil && share(w) >= share(found) {
 			continue
 		}
-		if w.Holds(j.Spec.Image) && p.may(j, w) && p.fits(j, w) {
+		if w.HasImage(j.Spec.Image) && p.may(j, w) && p.fits(j, w) {
 			found = w
 		}
 	}
--- a/internal/placement/even_test.go
+++ b/internal/placement/even_test.go
@@ -50,7 +50,7 @@
 		}
 		for _, w := range l.fleet.Sorted()[8:] {
 			if w.VCPUs > 0 {
-				t.Errorf("even %v: %s, which doesn't hold the image, has work", even, w.Host)
+				t.Errorf("even %v: %s, which doesn't hold the image, has work", even, w.ID)
 			}
 		}
 	}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -18,7 +18,7 @@
 
 // choice is where a gang's waiting tasks would go.
 type choice struct {
-	picks  []gang.Pick
+	picks  []gang.Placement
 	stop   []*jobs.Task  // to make room
 	fetch  time.Duration // the slowest
 	cost   float64       // of what is stopped
@@ -43,7 +43,7 @@
 
 // placeGang finds machines for all waiting tasks of a gang at once, or for none.
 func (p *Planner) placeGang(j *jobs.Job) {
-	if j.Held > 0 && !j.Joinable {
+	if j.AllocatedTasks > 0 && !j.AcceptsReplacements {
 		return
 	}
 	now := p.now()
@@ -53,7 +53,7 @@
 		if t.State != jobs.Waiting {
 			continue
 		}
-		if now < t.RetryAt || p.fleet.Orphan(t.TaskID()) {
+		if now < t.RetryAt || p.fleet.HasUnknownAttempt(t.TaskID()) {
 			return
 		}
 		tasks = append(tasks, t)
@@ -74,13 +74,13 @@
 		}
 	}
 	if best == nil {
-		if now.Sub(j.Arrived) > p.MaxWait/gangHold {
+		if now.Sub(j.SubmittedAt) > p.MaxWait/gangHold {
 			p.keep(j, len(tasks))
 		}
 		return
 	}
 	for _, v := range best.stop {
-		p.stopVictim(v, p.fleet.Workers[v.Host], now)
+		p.stopVictim(v, p.fleet.Workers[v.MachineID], now)
 	}
 	if best.wait {
 		for _, t := range tasks {
@@ -125,7 +125,7 @@
 	left := tasks
 	taken := map[*workers.Worker]int{}
 	zones := map[string]int{}
-	for z, n := range j.Zones {
+	for z, n := range j.AllocatedByZone {
 		zones[z] = n
 	}
 	allowed := func(w *workers.Worker) bool {
@@ -140,7 +140,7 @@
 			return
 		}
 		for _, t := range left[:n] {
-			c.picks = append(c.picks, gang.Pick{Task: t, Worker: w})
+			c.picks = append(c.picks, gang.Placement{Task: t, Worker: w})
 		}
 		left = left[n:]
 		zones[w.Zone] += n
@@ -158,10 +158,10 @@
 		if len(left) == 0 {
 			break
 		}
-		c.fetch = max(c.fetch, r.w.FetchTime(j.Spec))
+		c.fetch = max(c.fetch, r.w.ImagePullTime(j.Spec))
 		take(r.w, r.n)
 	}
-	if len(left) > 0 && p.victims(j) && now.Sub(j.Arrived) > claimAfter {
+	if len(left) > 0 && p.victims(j) && now.Sub(j.SubmittedAt) > claimAfter {
 		p.evict(j, &left, c, taken, allowed, take, false)
 	}
 	if len(left) > 0 {
@@ -180,8 +180,8 @@
 // the most room first.
 func (p *Planner) placesFor(s *api.Spec, allowed func(*workers.Worker) bool) (holders, others []places) {
 	for _, w := range p.roomy {
-		if n := w.Places(s); n > 0 && allowed(w) {
-			if w.Holds(s.Image) {
+		if n := w.TaskCapacity(s); n > 0 && allowed(w) {
+			if w.HasImage(s.Image) {
 				holders = append(holders, places{w, n})
 			} else {
 				others = append(others, places{w, n})
@@ -211,12 +211,12 @@
 		if len(offers) >= enough || p.searched >= p.searchLimit() {
 			break
 		}
-		if taken[w] > 0 || holders && !w.Holds(s.Image) || w.Lesser(s.Priority) == 0 && (!j.Within || w.Arrays == 0) || !allowed(w) {
+		if taken[w] > 0 || holders && !w.HasImage(s.Image) || w.LowerPriorityTasks(s.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) || !allowed(w) {
 			continue
 		}
 		p.searched++
 		for n := len(*left); n > 0; n /= 2 {
-			need := jobs.Need{VCPUs: float64(n) * s.VCPUs, Cards: float64(n) * s.Cards, MemoryGB: float64(n) * s.MemoryGB}
+			need := jobs.Resources{VCPUs: float64(n) * s.VCPUs, GPUs: float64(n) * s.GPUs, MemoryGB: float64(n) * s.MemoryGB}
 			if stop, cost, ok := p.choose(w, j, need, now, true, false); ok {
 				offers = append(offers, offer{w, n, stop, cost})
 				break
@@ -235,10 +235,10 @@
 		c.stop = append(c.stop, o.stop...)
 		c.cost += o.cost
 		for _, v := range o.stop {
-			c.wait = c.wait || v.Job.Spec.Saves()
+			c.wait = c.wait || v.Job.Spec.CanCheckpoint()
 		}
-		if !o.w.Holds(s.Image) {
-			c.fetch = max(c.fetch, o.w.FetchTime(j.Spec))
+		if !o.w.HasImage(s.Image) {
+			c.fetch = max(c.fetch, o.w.ImagePullTime(j.Spec))
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		return false
 	}
 	for _, w := range p.order {
-		return w.FetchTime(j.Spec) > limit/2
+		return w.ImagePullTime(j.Spec) > limit/2
 	}
 	return false
 }
@@ -266,7 +266,7 @@
 	for _, site := range p.sites(j) {
 		var list []*workers.Worker
 		places := func(w *workers.Worker) int {
-			free := w.Kind.VCPUs - w.VCPUs + w.Arrays
+			free := w.Type.VCPUs - w.VCPUs + w.BatchVCPUs
 			if j.Spec.VCPUs <= 0 {
 				return n
 			}
@@ -299,15 +299,15 @@
 		return // stopped with its gang
 	}
 	p.Stats.Preempted++
-	v.GaveWay = now
-	if v.Job.Gang() {
+	v.PreemptedAt = now
+	if v.Job.IsGang() {
 		for i := range v.Job.Tasks {
-			v.Job.Tasks[i].GaveWay = now
+			v.Job.Tasks[i].PreemptedAt = now
 		}
 		p.act.StopGang(v.Job)
 		return
 	}
-	p.act.Preempt(v, w, v.SaveTime())
+	p.act.Preempt(v, w, v.CheckpointGracePeriod())
 }
 
 // arrays says whether a job's tasks are independent ones that end.
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -14,12 +14,12 @@
 // yard is a fleet of ordinary machines with 16 CPUs in two zones, and no work.
 func yard(east, west int) *large {
 	l := newLarge(0)
-	move := l.jobs.OnMove
-	l.jobs.OnMove = func(t *jobs.Task, from, to jobs.State) {
+	move := l.jobs.OnStateChange
+	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
 		move(t, from, to)
-		if !from.Held() && to.Held() {
+		if !from.Allocated() && to.Allocated() {
 			l.planner.teams.Count(t.Job.Spec, 1)
-		} else if from.Held() && !to.Held() {
+		} else if from.Allocated() && !to.Allocated() {
 			l.planner.teams.Count(t.Job.Spec, -1)
 		}
 	}
@@ -30,7 +30,7 @@
 		}
 		w := l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", site, false, l.now)
 		l.serial++
-		l.fleet.Checkin(&api.Report{Host: w.Host, Addr: "a", Model: "m16", Zone: site, Session: 1, Serial: l.serial})
+		l.fleet.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: site, Incarnation: 1, SequenceNumber: l.serial})
 	}
 	return l
 }
@@ -47,8 +47,8 @@
 func zonesOf(l *large, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; t.State.Held() {
-			out[l.fleet.Workers[t.Host].Zone]++
+		if t := &j.Tasks[i]; t.State.Allocated() {
+			out[l.fleet.Workers[t.MachineID].Zone]++
 		}
 	}
 	return out
@@ -60,17 +60,17 @@
 	l := yard(2, 1) // two tasks of 8 CPUs on each machine
 	j := l.gang(5, 8, true)
 	l.fill()
-	if j.Held > 0 {
-		t.Fatalf("%d of 5 tasks hold room for 4", j.Held)
+	if j.AllocatedTasks > 0 {
+		t.Fatalf("%d of 5 tasks hold room for 4", j.AllocatedTasks)
 	}
 	anywhere := l.gang(6, 8, false)
-	if l.fill(); anywhere.Held != 6 {
-		t.Fatalf("%d of 6 tasks are placed where there is room for 6", anywhere.Held)
+	if l.fill(); anywhere.AllocatedTasks != 6 {
+		t.Fatalf("%d of 6 tasks are placed where there is room for 6", anywhere.AllocatedTasks)
 	}
 	l = yard(2, 3)
 	j = l.gang(5, 8, true)
-	if l.fill(); j.Held != 5 || zonesOf(l, j)["west"] != 5 {
-		t.Errorf("%d tasks are placed: %v", j.Held, zonesOf(l, j))
+	if l.fill(); j.AllocatedTasks != 5 || zonesOf(l, j)["west"] != 5 {
+		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, zonesOf(l, j))
 	}
 }
 
@@ -79,13 +79,13 @@
 	l := yard(6, 0)
 	first := l.gang(2, 2, true)
 	l.fill()
-	w := l.fleet.Workers[first.Tasks[0].Host]
+	w := l.fleet.Workers[first.Tasks[0].MachineID]
 	l.report(w)
 	second := l.gang(4, 2, true)
 	l.fill()
 	for i := range second.Tasks {
-		if second.Tasks[i].Host != w.Host {
-			t.Errorf("task %d is on %s, which has no image", i, second.Tasks[i].Host)
+		if second.Tasks[i].MachineID != w.ID {
+			t.Errorf("task %d is on %s, which has no image", i, second.Tasks[i].MachineID)
 		}
 	}
 }
@@ -102,8 +102,8 @@
 	j := l.gang(6, 4, true)
 	l.now = l.now.Add(2 * claimAfter)
 	l.fill()
-	if j.Held != 6 {
-		t.Errorf("%d of 6 tasks are placed", j.Held)
+	if j.AllocatedTasks != 6 {
+		t.Errorf("%d of 6 tasks are placed", j.AllocatedTasks)
 	}
 }
 
@@ -118,11 +118,11 @@
 	l.fill()
 	j := l.gang(2, 16, true)
 	j.Spec.Priority = api.Standard // nothing gives way to it
-	for step := 0; step < 60 && j.Held == 0; step++ {
+	for step := 0; step < 60 && j.AllocatedTasks == 0; step++ {
 		l.now = l.now.Add(time.Second)
 		// Each second a task ends and another comes.
 		for _, w := range l.fleet.Sorted() {
-			if list := l.fleet.TasksOf(w); len(list) > 0 {
+			if list := l.fleet.SortedTasks(w); len(list) > 0 {
 				l.jobs.Complete(list[0], nil)
 				break
 			}
@@ -130,8 +130,8 @@
 		l.submit(api.Batch, 1, 4)
 		l.fill()
 	}
-	if j.Held != 2 {
-		t.Errorf("%d of 2 tasks are placed after a minute", j.Held)
+	if j.AllocatedTasks != 2 {
+		t.Errorf("%d of 2 tasks are placed after a minute", j.AllocatedTasks)
 	}
 }
 
@@ -152,7 +152,7 @@
 				l.submit(api.Batch, 1+rng.IntN(10), float64(1+rng.IntN(4)))
 			case 2:
 				for _, j := range gangs {
-					if j.Held == len(j.Tasks) && rng.IntN(3) == 0 {
+					if j.AllocatedTasks == len(j.Tasks) && rng.IntN(3) == 0 {
 						l.jobs.Complete(&j.Tasks[0], nil)
 					}
 				}
@@ -166,8 +166,8 @@
 				t.Fatalf("seed %d step %d: the team uses %v of %v", seed, step, used, most)
 			}
 			for _, j := range gangs {
-				if j.Phase == jobs.Open && j.Held != 0 && j.Held != len(j.Tasks) {
-					t.Fatalf("seed %d step %d: %d of %d tasks of %s hold room", seed, step, j.Held, len(j.Tasks), j.Spec.ID)
+				if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
+					t.Fatalf("seed %d step %d: %d of %d tasks of %s hold room", seed, step, j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
 				}
 				if z := zonesOf(l, j); j.Spec.OneZone && len(z) > 1 {
 					t.Fatalf("seed %d step %d: %s is in %v", seed, step, j.Spec.ID, z)
--- a/internal/placement/idle.go
+++ b/internal/placement/idle.go
@@ -36,7 +36,7 @@
 	clear(p.first)
 	p.unheld = p.unheld[:0]
 	for _, j := range p.arrays[turn.from:turn.to] {
-		if j.Waits() > 0 && !p.isHeld(j) {
+		if j.WaitingCount() > 0 && !p.isHeld(j) {
 			p.unheld = append(p.unheld, j)
 		}
 	}
@@ -55,7 +55,7 @@
 				if w.Spot != spot {
 					continue
 				}
-				for w.Room(need) && p.placed < maxPlaced {
+				for w.HasRoom(need) && p.placed < maxPlaced {
 					t, rule := pick(w)
 					if t == nil {
 						break
@@ -71,11 +71,11 @@
 }
 
 // least returns the least that any waiting task of some arrays needs.
-func (p *Planner) least(of span) jobs.Need {
-	need := jobs.NoNeed()
+func (p *Planner) least(of span) jobs.Resources {
+	need := jobs.UnboundedResources()
 	for _, j := range p.arrays[of.from:of.to] {
-		if j.Waits() > 0 && p.teams.Allows(j.Spec, 1) {
-			need.Least(j.Spec)
+		if j.WaitingCount() > 0 && p.teams.Allows(j.Spec, 1) {
+			need.LowerTo(j.Spec)
 		}
 	}
 	return need
@@ -86,7 +86,7 @@
 	p.plans = p.plans[:0]
 	for _, w := range p.order {
 		n := 0
-		for _, t := range w.Plan {
+		for _, t := range w.PlannedTasks {
 			if t.State == jobs.Waiting {
 				n++
 			}
@@ -108,7 +108,7 @@
 			continue
 		}
 		looked++
-		plan := s.w.Plan
+		plan := s.w.PlannedTasks
 		for s.at < len(plan) && plan[s.at].State != jobs.Waiting {
 			s.at++
 		}
@@ -138,13 +138,13 @@
 // ready says whether a machine may have a task now.
 func (p *Planner) ready(t *jobs.Task, w *workers.Worker) bool {
 	now := p.now()
-	return t.State == jobs.Waiting && t.Job.Phase == jobs.Open && t.Job.Wants() > 0 && now >= t.RetryAt && now >= t.Job.RetryAt &&
-		p.fits(t.Job, w) && p.may(t.Job, w) && !p.fleet.Orphan(t.TaskID())
+	return t.State == jobs.Waiting && t.Job.Phase == jobs.Open && t.Job.PlaceableCount() > 0 && now >= t.RetryAt && now >= t.Job.RetryAt &&
+		p.fits(t.Job, w) && p.may(t.Job, w) && !p.fleet.HasUnknownAttempt(t.TaskID())
 }
 
 // can says whether a machine may have any task of a job now.
 func (p *Planner) can(j *jobs.Job, w *workers.Worker) bool {
-	return j.Waits() > 0 && p.fits(j, w) && p.may(j, w) && p.next(j) != nil
+	return j.WaitingCount() > 0 && p.fits(j, w) && p.may(j, w) && p.next(j) != nil
 }
 
 // local chooses an array task for a machine without a fetch: what is planned for it,
@@ -152,12 +152,12 @@
 func (p *Planner) local(w *workers.Worker) (*jobs.Task, *uint64) {
 	if j := p.keptFor(w); j != nil {
 		// Kept for a gang: that is placed as a whole. (Its first task was taken alone.)
-		if t := p.next(j); t != nil && !j.Gang() && p.ready(t, w) {
+		if t := p.next(j); t != nil && !j.IsGang() && p.ready(t, w) {
 			return t, &p.Stats.Local
 		}
 		return nil, nil
 	}
-	for _, t := range w.Plan {
+	for _, t := range w.PlannedTasks {
 		if !p.inTurn(t) {
 			break
 		}
@@ -166,10 +166,10 @@
 		}
 	}
 	best := p.turn.to
-	for _, im := range w.Images() {
+	for _, im := range w.CachedImages() {
 		list := p.byImage[im.Name]
 		at := p.first[im.Name]
-		for at < len(list) && p.arrays[list[at]].Waits() == 0 {
+		for at < len(list) && p.arrays[list[at]].WaitingCount() == 0 {
 			at++
 		}
 		p.first[im.Name] = at
@@ -220,12 +220,12 @@
 	clear(p.cursor)
 	planned := map[ident.MachineID]bool{}
 	for _, s := range p.plans {
-		planned[s.w.Host] = true
+		planned[s.w.ID] = true
 	}
 	need := p.least(span{0, len(p.arrays)})
 	var room []*workers.Worker
 	for _, w := range p.roomy {
-		if w.Room(need) {
+		if w.HasRoom(need) {
 			room = append(room, w)
 		}
 	}
@@ -233,11 +233,11 @@
 		return false
 	}
 	for _, j := range p.arrays {
-		if j.Waits() == 0 || !p.teams.Allows(j.Spec, 1) || !p.isHeld(j) {
+		if j.WaitingCount() == 0 || !p.teams.Allows(j.Spec, 1) || !p.isHeld(j) {
 			continue
 		}
 		t := p.next(j)
-		if t == nil || planned[t.Planned] {
+		if t == nil || planned[t.PlannedMachine] {
 			continue
 		}
 		for _, w := range room {
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -25,8 +25,8 @@
 		return a.urgency == overdue
 	case a.urgency == overdue:
 		return a.j.Seq < b.j.Seq
-	case a.j.Within != b.j.Within:
-		return a.j.Within
+	case a.j.WithinQuota != b.j.WithinQuota:
+		return a.j.WithinQuota
 	case a.level != b.level:
 		return a.level < b.level
 	case a.urgency != b.urgency:
@@ -59,15 +59,15 @@
 )
 
 func (p *Planner) urgency(j *jobs.Job) urgency {
-	age := p.now().Sub(j.Arrived)
+	age := p.now().Sub(j.SubmittedAt)
 	// The order below puts off what is large or late for as long as other work
 	// comes; nothing else bounds how long.
 	if age > overdueFactor*p.MaxWait && arrays(j) || !arrays(j) && p.unbegun(j) {
 		return overdue
 	}
 	aims := p.aims[j.Spec.Class]
-	if j.Spec.DueS != nil {
-		aims = append(slices.Clone(aims), settings.Seconds(*j.Spec.DueS))
+	if j.Spec.DeadlineS != nil {
+		aims = append(slices.Clone(aims), settings.Seconds(*j.Spec.DeadlineS))
 		slices.Sort(aims)
 	}
 	if len(aims) == 0 {
@@ -90,5 +90,5 @@
 
 // work is what a job still has to start, in CPU seconds as estimated.
 func work(j *jobs.Job) float64 {
-	return float64(j.Waits()) * j.Spec.VCPUs * max(j.Spec.RuntimeS, 1)
+	return float64(j.WaitingCount()) * j.Spec.VCPUs * max(j.Spec.RuntimeS, 1)
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -40,8 +40,8 @@
 		for _, o := range owners {
 			w := p.order[o.Machine]
 			for _, t := range d.tasks[g][at : at+o.Tasks] {
-				w.Plan = append(w.Plan, t)
-				t.Planned = w.Host
+				w.PlannedTasks = append(w.PlannedTasks, t)
+				t.PlannedMachine = w.ID
 			}
 			at += o.Tasks
 		}
@@ -52,10 +52,10 @@
 // clearPlans takes the plan before back.
 func (p *Planner) clearPlans() {
 	for _, w := range p.fleet.Workers {
-		for _, t := range w.Plan {
-			t.Planned = ""
+		for _, t := range w.PlannedTasks {
+			t.PlannedMachine = ""
 		}
-		w.Plan = nil
+		w.PlannedTasks = nil
 	}
 }
 
@@ -81,7 +81,7 @@
 		}
 		g := Group{Tasks: len(tasks)}
 		for _, w := range p.holding(j.Spec.Image) {
-			if w.Allows(j.Spec) && !j.Shunned[w.Host] {
+			if w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] {
 				g.Machines = append(g.Machines, place[w])
 			}
 		}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -18,7 +18,7 @@
 	Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration)
 	// PlaceGang places all waiting tasks of a gang; GangUsed says whether its present
 	// attempt was on a machine before.
-	PlaceGang(j *jobs.Job, picks []gang.Pick)
+	PlaceGang(j *jobs.Job, picks []gang.Placement)
 	GangUsed(j *jobs.Job, w *workers.Worker) bool
 	// Stoppable says whether a whole gang can be stopped in order; StopGang does it.
 	Stoppable(j *jobs.Job) bool
@@ -158,12 +158,12 @@
 // next returns the job's first waiting task that may be placed now.
 func (p *Planner) next(j *jobs.Job) *jobs.Task {
 	now := p.now()
-	if j.Wants() == 0 {
+	if j.PlaceableCount() == 0 {
 		return nil
 	}
 	for i := p.cursor[j]; i < len(j.Tasks); i++ {
 		t := &j.Tasks[i]
-		if t.State == jobs.Waiting && now >= t.RetryAt && !p.fleet.Orphan(t.TaskID()) {
+		if t.State == jobs.Waiting && now >= t.RetryAt && !p.fleet.HasUnknownAttempt(t.TaskID()) {
 			p.cursor[j] = i
 			return t
 		}
@@ -179,7 +179,7 @@
 	held, ok := p.held[j]
 	if !ok {
 		for _, w := range p.holding(j.Spec.Image) {
-			if w.Allows(j.Spec) && !j.Shunned[w.Host] && zoneOK(j, w.Zone) {
+			if w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] && zoneOK(j, w.Zone) {
 				held = true
 				break
 			}
@@ -193,13 +193,13 @@
 func zoneOK(j *jobs.Job, site string) bool {
 	s := j.Spec
 	if s.OneZone {
-		for z, n := range j.Zones {
+		for z, n := range j.AllocatedByZone {
 			if n > 0 && z != site {
 				return false
 			}
 		}
 	}
-	return !s.Spread || j.Zones[site] < (s.Tasks+1)/2
+	return !s.Spread || j.AllocatedByZone[site] < (s.Tasks+1)/2
 }
 
 // may checks everything but room.
@@ -210,7 +210,7 @@
 	if o := p.blocked[j.Spec.Team]; o != nil && o != j && arrays(j) {
 		return false
 	}
-	return w.Allows(j.Spec) && !j.Shunned[w.Host] && zoneOK(j, w.Zone) && p.teams.Allows(j.Spec, 1)
+	return w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] && zoneOK(j, w.Zone) && p.teams.Allows(j.Spec, 1)
 }
 
 // fits checks the room, and for arrays what is kept for services.
@@ -231,7 +231,7 @@
 
 // account notes what a placement takes.
 func (p *Planner) account(t *jobs.Task, w *workers.Worker) {
-	if !w.Holds(t.Job.Spec.Image) && !w.Pulls(t.Job.Spec.Image) {
+	if !w.HasImage(t.Job.Spec.Image) && !w.IsPullingImage(t.Job.Spec.Image) {
 		p.Stats.FetchedGB += t.Job.Spec.ImageGB
 	}
 	if !w.Spot {
@@ -245,4 +245,4 @@
 }
 
 // Within says whether a job lay within its team's guarantee at the last dispatch.
-func (p *Planner) Within(j *jobs.Job) bool { return j.Within }
+func (p *Planner) Within(j *jobs.Job) bool { return j.WithinQuota }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -21,21 +21,21 @@
 	l.report(w)
 	j := &jobs.Job{Spec: &api.Spec{Priority: api.Critical, VCPUs: 4, Shape: api.Service}}
 	l.now = l.now.Add(30 * time.Second)
-	first, _, ok := l.planner.choose(w, j, jobs.NeedOf(j.Spec), l.now, false, false)
+	first, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false)
 	if !ok || len(first) != 1 {
 		t.Fatalf("%v, %v", first, ok)
 	}
-	first[0].GaveWay = l.now
-	if next, _, ok := l.planner.choose(w, j, jobs.NeedOf(j.Spec), l.now, false, false); !ok || next[0] == first[0] {
+	first[0].PreemptedAt = l.now
+	if next, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok || next[0] == first[0] {
 		t.Errorf("the same task again: %v, %v", next, ok)
 	}
 	for _, v := range w.Tasks {
-		v.GaveWay = l.now
+		v.PreemptedAt = l.now
 	}
-	if _, _, ok := l.planner.choose(w, j, jobs.NeedOf(j.Spec), l.now, true, false); ok {
+	if _, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, true, false); ok {
 		t.Error("a task that gave way is stopped where there is room elsewhere")
 	}
-	if _, _, ok := l.planner.choose(w, j, jobs.NeedOf(j.Spec), l.now, false, false); !ok {
+	if _, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok {
 		t.Error("nothing is stopped though there is no other room")
 	}
 }
@@ -76,8 +76,8 @@
 	j := l.submitAs("red", api.Standard, 80)
 	l.now = l.now.Add(time.Second)
 	l.planner.Dispatch()
-	if j.Held != 80 {
-		t.Errorf("%d of 80 tasks are placed by the first dispatch", j.Held)
+	if j.AllocatedTasks != 80 {
+		t.Errorf("%d of 80 tasks are placed by the first dispatch", j.AllocatedTasks)
 	}
 	if n := l.planner.Stats.Preempted; n != 80 {
 		t.Errorf("%d tasks were stopped for 80 of the same size", n)
@@ -92,10 +92,10 @@
 	l := withGuest(2, 3)
 	j := l.submitAs("red", api.Standard, 2)
 	guest := l.jobs.Jobs["j-1"]
-	held := guest.Held
+	held := guest.AllocatedTasks
 	l.planner.Round()
 	l.planner.Dispatch()
-	if j.Held != 2 || guest.Held != held+1 {
-		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.Held, guest.Held-held)
+	if j.AllocatedTasks != 2 || guest.AllocatedTasks != held+1 {
+		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.AllocatedTasks, guest.AllocatedTasks-held)
 	}
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -18,9 +18,9 @@
 		return false
 	}
 	if v.Job.Spec.Priority.Level() > j.Spec.Priority.Level() {
-		return !arrays(j) || j.Within || p.teams.Guest(v.Job.Spec.Team)
+		return !arrays(j) || j.WithinQuota || p.teams.Guest(v.Job.Spec.Team)
 	}
-	return j.Within && !v.Job.Within && v.Job.Spec.Team != j.Spec.Team && arrays(v.Job)
+	return j.WithinQuota && !v.Job.WithinQuota && v.Job.Spec.Team != j.Spec.Team && arrays(v.Job)
 }
 
 // searchKey names a search for work to stop: whose tasks need room, and where it is
@@ -60,14 +60,14 @@
 	if !p.victims(j) {
 		return false
 	}
-	key := searchKey{job: j, holders: holders, gangs: !holders && now.Sub(t.Since) > p.GangWait}
+	key := searchKey{job: j, holders: holders, gangs: !holders && now.Sub(t.StateSince) > p.GangWait}
 	best := p.cheapest(key, now)
 	if best == nil {
 		return false
 	}
 	wait := false
 	for _, v := range best.stop {
-		wait = wait || v.Job.Spec.Saves()
+		wait = wait || v.Job.Spec.CanCheckpoint()
 		p.stopVictim(v, best.worker, now)
 	}
 	if wait {
@@ -122,7 +122,7 @@
 // search before ended.
 func (p *Planner) search(key searchKey, now ident.MonotonicTime) *offers {
 	found := &offers{}
-	enough := maxOffers + 2*key.job.Waits()
+	enough := maxOffers + 2*key.job.WaitingCount()
 	look := func(w *workers.Worker) bool {
 		if p.searched >= p.searchLimit() || found.Len() >= enough {
 			return false
@@ -154,7 +154,7 @@
 	for i := range p.order {
 		at := (p.from + i) % len(p.order)
 		w := p.order[at]
-		if w.Holds(image) {
+		if w.HasImage(image) {
 			continue
 		}
 		if !look(w) {
@@ -167,10 +167,10 @@
 // mayOffer says whether it is worth to look at a machine for work to stop.
 func (p *Planner) mayOffer(key searchKey, w *workers.Worker) bool {
 	j := key.job
-	if w.Lesser(j.Spec.Priority) == 0 && (!j.Within || w.Arrays == 0) {
+	if w.LowerPriorityTasks(j.Spec.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) {
 		return false
 	}
-	if key.holders && !w.Holds(j.Spec.Image) {
+	if key.holders && !w.HasImage(j.Spec.Image) {
 		return false
 	}
 	return p.may(j, w)
@@ -183,22 +183,22 @@
 		return nil
 	}
 	j := key.job
-	stop, cost, ok := p.choose(w, j, jobs.NeedOf(j.Spec), now, key.holders, key.gangs)
+	stop, cost, ok := p.choose(w, j, jobs.ResourcesOf(j.Spec), now, key.holders, key.gangs)
 	if !ok {
 		return nil
 	}
-	if !w.Holds(j.Spec.Image) {
-		cost += w.FetchTime(j.Spec).Seconds() * 2 * max(j.Spec.VCPUs, 1)
+	if !w.HasImage(j.Spec.Image) {
+		cost += w.ImagePullTime(j.Spec).Seconds() * 2 * max(j.Spec.VCPUs, 1)
 	}
 	return &offer{worker: w, stop: stop, cost: cost}
 }
 
 // victims says whether there is anything at all that must give way to a job.
 func (p *Planner) victims(j *jobs.Job) bool {
-	if p.fleet.Lesser(j.Spec.Priority) > 0 {
+	if p.fleet.LowerPriorityTasks(j.Spec.Priority) > 0 {
 		return true
 	}
-	return j.Within && p.teams.Borrow(p.jobs, j.Spec.Team)
+	return j.WithinQuota && p.teams.Borrow(p.jobs, j.Spec.Team)
 }
 
 // gangCost is what a gang loses by being stopped, in seconds of each of its tasks.
@@ -210,7 +210,7 @@
 const spareTime = time.Minute
 
 func spared(t *jobs.Task, now ident.MonotonicTime) bool {
-	return t.GaveWay > 0 && now.Sub(t.GaveWay) < spareTime
+	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < spareTime
 }
 
 // victim is a task that may be stopped, and what is lost by it.
@@ -221,19 +221,19 @@
 
 // lostBy says how much work is lost when a task is stopped, in CPU seconds.
 func lostBy(t *jobs.Task, now ident.MonotonicTime) float64 {
-	ran := now.Sub(t.Since).Seconds()
-	if t.Seen == "" || t.Seen == api.Pulling {
+	ran := now.Sub(t.StateSince).Seconds()
+	if t.ReportedStatus == "" || t.ReportedStatus == api.Pulling {
 		ran = 0
-	} else if t.RunsAt > 0 {
-		ran = now.Sub(t.RunsAt).Seconds()
+	} else if t.RunningSince > 0 {
+		ran = now.Sub(t.RunningSince).Seconds()
 	}
-	if t.Job.Spec.Saves() {
-		ran = min(ran, t.Job.Spec.SnapshotEveryS)
+	if t.Job.Spec.CanCheckpoint() {
+		ran = min(ran, t.Job.Spec.CheckpointEveryS)
 	}
 	if spared(t, now) {
 		ran += spareTime.Seconds()
 	}
-	if t.Job.Gang() {
+	if t.Job.IsGang() {
 		// All of its tasks save, wait for each other and start again.
 		ran = (ran + gangCost) * float64(t.Job.Spec.Tasks)
 	}
@@ -244,14 +244,14 @@
 // for j, counting what is being stopped already as room. With spare set, what gave
 // way of late is left alone; gangs are stopped only with gangs set, and never again
 // soon.
-func (p *Planner) choose(w *workers.Worker, j *jobs.Job, need jobs.Need, now ident.MonotonicTime, spare, gangs bool) ([]*jobs.Task, float64, bool) {
+func (p *Planner) choose(w *workers.Worker, j *jobs.Job, need jobs.Resources, now ident.MonotonicTime, spare, gangs bool) ([]*jobs.Task, float64, bool) {
 	free := w.FreeFor(j.Spec.Priority)
 	var cand []victim
 	add := func(v *jobs.Task) { cand = append(cand, victim{v, lostBy(v, now)}) }
 	for _, v := range w.Tasks {
-		if v.State == jobs.Stopping && v.WindDown == 0 {
-			free = free.Plus(jobs.NeedOf(v.Job.Spec))
-		} else if v.Job.Gang() {
+		if v.State == jobs.Stopping && v.GracePeriod == 0 {
+			free = free.Add(jobs.ResourcesOf(v.Job.Spec))
+		} else if v.Job.IsGang() {
 			// Never a part of a gang: the whole of it, if all can be told in time.
 			if gangs && !spared(v, now) && p.givesWay(v, j) && p.act.Stoppable(v.Job) {
 				add(v)
@@ -271,7 +271,7 @@
 		}
 		stop = append(stop, v.task)
 		sum += v.cost
-		free = free.Plus(jobs.NeedOf(v.task.Job.Spec))
+		free = free.Add(jobs.ResourcesOf(v.task.Job.Spec))
 	}
 	return stop, sum, free.Covers(need)
 }
@@ -289,12 +289,12 @@
 	now := p.now()
 	clear(p.cursor)
 	for _, j := range p.arrays {
-		if !j.Within && (p.teams.Guest(j.Spec.Team) || !p.teams.Guests()) {
+		if !j.WithinQuota && (p.teams.Guest(j.Spec.Team) || !p.teams.Guests()) {
 			continue
 		}
-		for j.Waits() > 0 && p.placed < maxPlaced && p.teams.Allows(j.Spec, 1) {
+		for j.WaitingCount() > 0 && p.placed < maxPlaced && p.teams.Allows(j.Spec, 1) {
 			t := p.next(j)
-			if t == nil || now.Sub(t.Since) < claimAfter || !p.preempt(t, false) {
+			if t == nil || now.Sub(t.StateSince) < claimAfter || !p.preempt(t, false) {
 				break
 			}
 		}
--- a/internal/placement/prepare.go
+++ b/internal/placement/prepare.go
@@ -28,14 +28,14 @@
 
 // waitingByShape lists the jobs that wait and may be placed now, and the least that any of their
 // tasks needs.
-func (p *Planner) waitingByShape(now ident.MonotonicTime) (map[api.Shape][]waiting, jobs.Need) {
+func (p *Planner) waitingByShape(now ident.MonotonicTime) (map[api.Shape][]waiting, jobs.Resources) {
 	list := map[api.Shape][]waiting{}
-	need := jobs.NoNeed()
+	need := jobs.UnboundedResources()
 	for j := range p.jobs.Waiting {
 		if now < j.RetryAt {
 			continue
 		}
-		need.Least(j.Spec)
+		need.LowerTo(j.Spec)
 		shape := j.Spec.Shape
 		if shape != api.Service && shape != api.Gang {
 			shape = api.Batch
@@ -94,7 +94,7 @@
 	p.searches = map[searchKey]*offers{}
 	p.blocked = map[string]*jobs.Job{}
 	for w, j := range p.reserved {
-		if j.Waits() == 0 || j.Held > 0 || !w.Open(now) {
+		if j.WaitingCount() == 0 || j.AllocatedTasks > 0 || !w.Schedulable(now) {
 			delete(p.reserved, w)
 		}
 	}
@@ -102,13 +102,13 @@
 }
 
 // sortMachines lists the open machines, and those where some waiting task fits.
-func (p *Planner) sortMachines(need jobs.Need, now ident.MonotonicTime) {
+func (p *Planner) sortMachines(need jobs.Resources, now ident.MonotonicTime) {
 	for _, w := range p.fleet.Sorted() {
-		if !w.Open(now) || w.Kind == nil {
+		if !w.Schedulable(now) || w.Type == nil {
 			continue
 		}
 		p.order = append(p.order, w)
-		if w.Room(need) {
+		if w.HasRoom(need) {
 			p.roomy = append(p.roomy, w)
 		}
 		if !w.Spot {
@@ -122,7 +122,7 @@
 	if p.holders == nil {
 		p.holders = map[string][]*workers.Worker{}
 		for _, w := range p.order {
-			for _, im := range w.Images() {
+			for _, im := range w.CachedImages() {
 				p.holders[im.Name] = append(p.holders[im.Name], w)
 			}
 		}
--- a/internal/placement/promise.go
+++ b/internal/placement/promise.go
@@ -39,7 +39,7 @@
 // expirePromises drops what is not needed any more, or has lasted for long enough.
 func (p *Planner) expirePromises(now ident.MonotonicTime) {
 	for w, o := range p.promises {
-		if now >= o.until || o.job.Waits() == 0 || !w.Open(now) {
+		if now >= o.until || o.job.WaitingCount() == 0 || !w.Schedulable(now) {
 			delete(p.promises, w)
 		}
 	}
--- a/internal/placement/promise_test.go
+++ b/internal/placement/promise_test.go
@@ -22,7 +22,7 @@
 // TestPromise: room that is kept for a job goes to no other one, until that has it, the time is
 // over, or the promise is withdrawn.
 func TestPromise(t *testing.T) {
-	held := func(j *jobs.Job) bool { return j.Tasks[0].State.Held() }
+	held := func(j *jobs.Job) bool { return j.Tasks[0].State.Allocated() }
 	l, first, other := promised()
 	if l.planner.Dispatch(); held(other) || !l.planner.Withheld(l.fleet.Sorted()[0]) {
 		t.Error("another job has the room")
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -49,7 +49,7 @@
 		return p.leastUsedHolder(j)
 	}
 	for ; s.at < len(p.roomy); s.at++ {
-		if w := p.roomy[s.at]; w.Holds(j.Spec.Image) && p.may(j, w) && p.fits(j, w) {
+		if w := p.roomy[s.at]; w.HasImage(j.Spec.Image) && p.may(j, w) && p.fits(j, w) {
 			return w
 		}
 	}
@@ -61,7 +61,7 @@
 func (p *Planner) roomiest(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
 	for _, w := range p.roomy {
-		if (found == nil || w.Kind.VCPUs-w.VCPUs > found.Kind.VCPUs-found.VCPUs+slack) && p.may(j, w) && p.fits(j, w) {
+		if (found == nil || w.Type.VCPUs-w.VCPUs > found.Type.VCPUs-found.VCPUs+slack) && p.may(j, w) && p.fits(j, w) {
 			found = w
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	now := p.now()
 	for _, w := range p.fleet.Sorted() {
-		if w == from || !w.Fits(j.Spec) || !w.Open(now) || !w.Allows(j.Spec) || !w.Holds(j.Spec.Image) {
+		if w == from || !w.Fits(j.Spec) || !w.Schedulable(now) || !w.Allows(j.Spec) || !w.HasImage(j.Spec.Image) {
 			continue
 		}
 		// As if it had left its zone already.
@@ -92,5 +92,5 @@
 // would have its image.
 func (p *Planner) impatient(j *jobs.Job, w *workers.Worker) bool {
 	limit, ok := p.waits[j.Spec.Class]
-	return ok && w.FetchTime(j.Spec) > limit
+	return ok && w.ImagePullTime(j.Spec) > limit
 }
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -49,7 +49,7 @@
 	if s.Shape != api.Batch {
 		n = float64(s.Tasks)
 	}
-	if n*s.VCPUs > t.CPUsMax+slack || n*s.Cards > t.GPUsMax+slack {
+	if n*s.VCPUs > t.CPUsMax+slack || n*s.GPUs > t.GPUsMax+slack {
 		return "desk: over the team's limit"
 	}
 	return ""
@@ -59,14 +59,14 @@
 func (ts *Teams) Count(s *api.Spec, sign float64) {
 	if t := ts.byName[s.Team]; t != nil {
 		t.vcpus += sign * s.VCPUs
-		t.cards += sign * s.Cards
+		t.cards += sign * s.GPUs
 	}
 }
 
 // Allows says whether a team may use n tasks' worth more.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
-	return t != nil && t.vcpus+n*s.VCPUs <= t.CPUsMax+slack && t.cards+n*s.Cards <= t.GPUsMax+slack
+	return t != nil && t.vcpus+n*s.VCPUs <= t.CPUsMax+slack && t.cards+n*s.GPUs <= t.GPUsMax+slack
 }
 
 // Guest says whether a team has neither guarantee nor limit.
@@ -95,8 +95,8 @@
 	if s.VCPUs > 0 {
 		n = int(min(float64(n), (t.CPUsMax-t.vcpus+slack)/s.VCPUs))
 	}
-	if s.Cards > 0 {
-		n = int(min(float64(n), (t.GPUsMax-t.cards+slack)/s.Cards))
+	if s.GPUs > 0 {
+		n = int(min(float64(n), (t.GPUsMax-t.cards+slack)/s.GPUs))
 	}
 	return max(n, 0)
 }
@@ -114,17 +114,17 @@
 // team's earlier unfinished jobs, for teams that have changed.
 func (ts *Teams) Guarantee(all *jobs.Table) {
 	for name, list := range all.Teams {
-		if !list.Changed {
+		if !list.ChangedSincePlan {
 			continue
 		}
-		list.Changed = false
+		list.ChangedSincePlan = false
 		cpus, gpus := 0.0, 0.0
 		t := ts.byName[name]
-		for _, j := range list.Jobs {
+		for _, j := range list.OpenJobs {
 			n := float64(j.Spec.Tasks)
 			cpus += n * j.Spec.VCPUs
-			gpus += n * j.Spec.Cards
-			j.Within = t != nil && cpus <= t.CPUs+slack && gpus <= t.GPUs+slack
+			gpus += n * j.Spec.GPUs
+			j.WithinQuota = t != nil && cpus <= t.CPUs+slack && gpus <= t.GPUs+slack
 		}
 	}
 }
@@ -136,11 +136,11 @@
 		if name == but {
 			continue
 		}
-		for _, j := range slices.Backward(list.Jobs) {
-			if j.Within {
+		for _, j := range slices.Backward(list.OpenJobs) {
+			if j.WithinQuota {
 				break // and so are all before it
 			}
-			if j.Held > 0 && j.Spec.Shape == api.Batch {
+			if j.AllocatedTasks > 0 && j.Spec.Shape == api.Batch {
 				return true
 			}
 		}
--- a/internal/placement/teams_test.go
+++ b/internal/placement/teams_test.go
@@ -11,7 +11,7 @@
 // which means none. Every job of such a team was refused with 422.
 func TestNoLimit(t *testing.T) {
 	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "guest"}})
-	vast := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, Cards: 1}
+	vast := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
 	if why := ts.Refusal(vast); why != "" {
 		t.Error(why)
 	}
@@ -21,7 +21,7 @@
 	}
 	house := &api.Spec{Team: "house", Shape: api.Batch, Tasks: 1, VCPUs: 2}
 	if ts.Room(house) != 8 || ts.Refusal(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 17}) == "" ||
-		ts.Refusal(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 1, Cards: 1}) == "" {
+		ts.Refusal(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 1, GPUs: 1}) == "" {
 		t.Errorf("a team with a limit: room for %d", ts.Room(house))
 	}
 }
--- a/internal/rebalance/picture.go
+++ b/internal/rebalance/picture.go
@@ -16,7 +16,7 @@
 type Task struct {
 	ID    ident.TaskID
 	Team  string
-	Need  jobs.Need
+	Need  jobs.Resources
 	Level int           // of its priority, 0 the highest
 	Ran   time.Duration // since its last start
 	Left  time.Duration // by its owner's estimate; 0: nothing is known, or it runs until it is cancelled
@@ -32,7 +32,7 @@
 type Machine struct {
 	Host  ident.MachineID
 	Zone  string
-	Free  jobs.Need
+	Free  jobs.Resources
 	Tasks []Task // those on it that may be moved
 	Ends  []End  // of what is on it and has an end in sight, in any order
 
@@ -42,7 +42,7 @@
 // End is when a task is expected to leave its machine, and what it frees.
 type End struct {
 	Left time.Duration
-	Need jobs.Need
+	Need jobs.Resources
 }
 
 // Slow is a machine that is much slower than others. It takes no work, and what is on it may be
@@ -55,7 +55,7 @@
 // Waiting is a task that finds no room.
 type Waiting struct {
 	ID     ident.TaskID
-	Need   jobs.Need
+	Need   jobs.Resources
 	Level  int           // of its priority, 0 the highest
 	Waited time.Duration // so far
 	// Arriving is when a machine that boots may have room for it; 0: none is on its way.
@@ -139,7 +139,7 @@
 	Source   Source
 	Task     ident.TaskID
 	Team     string
-	Need     jobs.Need
+	Need     jobs.Resources
 	From, To ident.MachineID
 	For      ident.TaskID  // which can start then, if room is made
 	Wait     time.Duration // which that would have waited without it
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -171,7 +171,7 @@
 func (x *planner) movable(w *Waiting, from *Machine, t *Task) bool {
 	budgets := x.config.Budgets
 	switch {
-	case t.Need.VCPUs <= 0 || !from.Free.Plus(t.Need).Covers(w.Need):
+	case t.Need.VCPUs <= 0 || !from.Free.Add(t.Need).Covers(w.Need):
 		return false
 	case t.Need.Covers(w.Need):
 		return false // it would need no less room elsewhere
@@ -233,7 +233,7 @@
 	wait := foreverWait
 	free := m.Free
 	for _, e := range m.byEnd() {
-		if free = free.Plus(e.Need); free.Covers(w.Need) {
+		if free = free.Add(e.Need); free.Covers(w.Need) {
 			wait = e.Left
 			break
 		}
@@ -269,7 +269,7 @@
 	from := x.machine(m.From)
 	x.count(m, from.Zone)
 	x.served[m.For] = true
-	from.Free = jobs.Need{} // kept for the task that waits
+	from.Free = jobs.Resources{} // kept for the task that waits
 	from.Tasks = nil
 	x.sort()
 }
@@ -279,7 +279,7 @@
 	x.moves = append(x.moves, m)
 	x.used.count(Active{Job: m.Task.Job, Team: m.Team, From: m.From, To: m.To, Zone: zone})
 	to := x.machine(m.To)
-	to.Free = to.Free.Minus(m.Need)
+	to.Free = to.Free.Sub(m.Need)
 }
 
 func (x *planner) machine(h ident.MachineID) *Machine {
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -46,8 +46,8 @@
 	return p
 }
 
-func drawNeed(t *rapid.T, least, most int) jobs.Need {
-	return jobs.Need{VCPUs: float64(rapid.IntRange(least, most).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(least, most).Draw(t, "memory"))}
+func drawNeed(t *rapid.T, least, most int) jobs.Resources {
+	return jobs.Resources{VCPUs: float64(rapid.IntRange(least, most).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(least, most).Draw(t, "memory"))}
 }
 
 func seconds(t *rapid.T, name string, most int) time.Duration {
@@ -97,7 +97,7 @@
 			switch {
 			case float64(m.Gain) < c.Margin*float64(m.Cost):
 				t.Fatalf("%+v doesn't pay", m)
-			case !to.Free.Covers(x.Need) || !from.Free.Plus(x.Need).Covers(w.Need) || from.Free.Covers(w.Need):
+			case !to.Free.Covers(x.Need) || !from.Free.Add(x.Need).Covers(w.Need) || from.Free.Covers(w.Need):
 				t.Fatalf("%+v: %v free there, %v here, %v needed", m, to.Free, from.Free, w.Need)
 			case x.Left > 0 && x.Left <= x.Save+c.Start:
 				t.Fatalf("%+v ends before its move", m)
@@ -110,7 +110,7 @@
 				t.Fatalf("over a budget: %+v beside %+v", moves, p.Active)
 			}
 			served[m.For] = true
-			to.Free, from.Free = to.Free.Minus(x.Need), jobs.Need{}
+			to.Free, from.Free = to.Free.Sub(x.Need), jobs.Resources{}
 		}
 	})
 	if planned == 0 {
@@ -128,7 +128,7 @@
 }
 
 // cpus is a need of CPUs alone.
-func cpus(n float64) jobs.Need { return jobs.Need{VCPUs: n} }
+func cpus(n float64) jobs.Resources { return jobs.Resources{VCPUs: n} }
 
 // small is a picture in which one task waits for 4 CPUs and two machines have 3 and 2 free.
 func small(change func(*Picture)) *Picture {
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -82,5 +82,5 @@
 var overloaded = controller.Reply{
 	Status: http.StatusServiceUnavailable,
 	Retry:  overloadRetry,
-	Body:   api.JSON(api.Problem{Error: "overloaded"}),
+	Body:   api.JSON(api.ErrorResponse{Error: "overloaded"}),
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -82,12 +82,12 @@
 // TestGoldenCommands pins the call of a worker, and what is read of its answer.
 func TestGoldenCommands(t *testing.T) {
 	var d golden.Document
-	report := golden.Filled[api.Report](0)
+	report := golden.Filled[api.Heartbeat](0)
 	transport := &golden.Transport{Status: http.StatusConflict, Body: string(api.JSON(report))}
 	s := &Server{loop: newLoop(), worker: &http.Client{Transport: transport}, commands: make(chan struct{}, 1)}
-	answer := s.command(workers.Command{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.Commands](0)})
+	answer := s.command(workers.CommandCall{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.CommandRequest](0)})
 	d.Add("commands", transport.Saw)
-	if want := (workers.Answer{Status: http.StatusConflict, Report: &report}); !reflect.DeepEqual(answer, want) {
+	if want := (workers.CommandResult{Status: http.StatusConflict, Heartbeat: &report}); !reflect.DeepEqual(answer, want) {
 		t.Errorf("%+v, want %+v", answer, want)
 	}
 	d.Compare(t, "commands")
@@ -111,13 +111,13 @@
 // answers at once.
 type goldenWorld struct{ *statetest.MemoryStore }
 
-func (goldenWorld) Now() ident.MonotonicTime                     { return ident.MonotonicTime(time.Hour) }
-func (goldenWorld) WallMS() int64                                { return 0 }
-func (goldenWorld) After(time.Duration, func())                  {}
-func (goldenWorld) Worker(workers.Command, func(workers.Answer)) {}
-func (goldenWorld) Mesh(ident.NodeID, *mesh.Frame)               {}
-func (goldenWorld) Cloud(_ cloud.Request, f func(cloud.Reply)) {
-	f(cloud.Reply{Outcome: cloud.OK, Models: []cloud.Model{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
+func (goldenWorld) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
+func (goldenWorld) WallMS() int64                                           { return 0 }
+func (goldenWorld) After(time.Duration, func())                             {}
+func (goldenWorld) Worker(workers.CommandCall, func(workers.CommandResult)) {}
+func (goldenWorld) Mesh(ident.NodeID, *mesh.Frame)                          {}
+func (goldenWorld) Cloud(_ cloud.Request, f func(cloud.Response)) {
+	f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
 }
 
 func (w goldenWorld) Store(r statesvc.Request, f func(statesvc.Response)) {
@@ -154,8 +154,8 @@
 	}
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 20, CancelS: 50}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud: settings.Cloud{RPS: 5}}}
+		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud: settings.CloudLimits{RPS: 5}}}
 	s := &Server{loop: newLoop(), sockets: newSockets(100), mesh: mesh.NewTransport("agent-0", func(ident.NodeID, *mesh.Frame) {})}
 	s.ctl = controller.New(goldenWorld{statetest.New(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
 	s.loop.settle = func() {}
--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -54,14 +54,14 @@
 // withBody passes on a request whose body says what it is about.
 func (f *frontend) withBody(v mesh.Verb) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
 		if err != nil {
 			text := "unreadable body"
 			var tooLarge *http.MaxBytesError
 			if errors.As(err, &tooLarge) {
 				text = "body: over 64 KiB"
 			}
-			writeJSON(w, http.StatusBadRequest, api.Problem{Error: text})
+			writeJSON(w, http.StatusBadRequest, api.ErrorResponse{Error: text})
 			return
 		}
 		f.ask(v, w, "", body)
@@ -74,7 +74,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
 		if err != nil {
-			writeJSON(w, http.StatusNotFound, api.Problem{Error: "no such job"})
+			writeJSON(w, http.StatusNotFound, api.ErrorResponse{Error: "no such job"})
 			return
 		}
 		f.ask(v, w, string(id), nil)
@@ -120,7 +120,7 @@
 		return controller.Reply{
 			Status: http.StatusServiceUnavailable,
 			Retry:  1,
-			Body:   api.JSON(api.Problem{Error: "no answer in time"}),
+			Body:   api.JSON(api.ErrorResponse{Error: "no answer in time"}),
 		}
 	}
 }
@@ -129,7 +129,7 @@
 func (f *frontend) health(w http.ResponseWriter, _ *http.Request) {
 	loop := f.server.loop
 	if !ask(loop, loop.postUrgent, f.server.ctl.Healthy) {
-		writeJSON(w, http.StatusServiceUnavailable, api.Problem{Error: "cut off"})
+		writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{Error: "cut off"})
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -144,7 +144,7 @@
 func (f *frontend) moves(w http.ResponseWriter, r *http.Request) {
 	report, ok := f.server.moveReport(r.Context())
 	if !ok {
-		writeJSON(w, http.StatusServiceUnavailable, api.Problem{Error: "no answer in time"})
+		writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{Error: "no answer in time"})
 		return
 	}
 	writeJSON(w, http.StatusOK, report)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -84,8 +84,8 @@
 		s.transports = append(s.transports, t)
 		return t
 	}
-	s.state = statesvc.NewClient(set.Ends.State, transport(8, 0))
-	s.cloud = cloud.NewClient(set.Ends.Cloud, transport(4, 0))
+	s.state = statesvc.NewClient(set.Endpoints.Store, transport(8, 0))
+	s.cloud = cloud.NewClient(set.Endpoints.Cloud, transport(4, 0))
 	// A connection kept to each machine, beside those they report on, would take
 	// more sockets than there are.
 	commands := max(8, int(commandPart*float64(set.Cluster.Resources.Sockets)))
@@ -110,7 +110,7 @@
 // listen takes the node's addresses.
 func (s *Server) listen() error {
 	var err error
-	if s.meshListener, err = net.Listen("tcp4", s.set.MeshAddr); err != nil {
+	if s.meshListener, err = net.Listen("tcp4", s.set.TransportAddr); err != nil {
 		return err
 	}
 	if s.listener, err = net.Listen("tcp4", s.set.Bind); err != nil {
@@ -131,7 +131,7 @@
 
 // Serve runs the node until it is closed, or a socket fails.
 func (s *Server) Serve() error {
-	for _, p := range s.set.Siblings {
+	for _, p := range s.set.Peers {
 		s.mesh.Connect(p.Node, p.Address)
 	}
 	errs := make(chan error, 2)
@@ -186,9 +186,9 @@
 	}()
 }
 
-func (e env) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (e env) Cloud(r cloud.Request, f func(cloud.Response)) {
 	go func() {
-		a := cloud.Reply{Outcome: cloud.Unsent}
+		a := cloud.Response{Outcome: cloud.NotSent}
 		if !e.s.loop.past(r.NotAfter) {
 			a = e.s.cloud.Do(r)
 		}
@@ -196,7 +196,7 @@
 	}()
 }
 
-func (e env) Worker(c workers.Command, f func(workers.Answer)) {
+func (e env) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	go func() {
 		a := e.s.command(c)
 		e.s.loop.postUrgent(func() { f(a) })
@@ -204,21 +204,21 @@
 }
 
 // command sends orders to a worker.
-func (s *Server) command(c workers.Command) workers.Answer {
+func (s *Server) command(c workers.CommandCall) workers.CommandResult {
 	s.commands <- struct{}{}
 	defer func() { <-s.commands }()
 	if s.loop.past(c.NotAfter) {
-		return workers.Answer{Unsent: true}
+		return workers.CommandResult{NotSent: true}
 	}
 	status, b, err := httpcall.Do(s.worker, commandTime, http.MethodPost, "http://"+c.Addr+"/commands", c.Body, maxReport)
 	if err != nil {
-		return workers.Answer{Rejected: httpcall.ConnectionRefused(err)}
+		return workers.CommandResult{ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
-	r, err := api.ParseReport(b)
+	r, err := api.ParseHeartbeat(b)
 	if err != nil {
-		return workers.Answer{}
+		return workers.CommandResult{}
 	}
-	return workers.Answer{Status: status, Report: r}
+	return workers.CommandResult{Status: status, Heartbeat: r}
 }
 
 // snapshot asks the loop for the counters.
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -36,8 +36,8 @@
 	addr := strings.TrimPrefix(down.URL, "http://")
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 20, CancelS: 50}, State: settings.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud: settings.Cloud{RPS: 5}}}
+		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+		Cloud: settings.CloudLimits{RPS: 5}}}
 	s := &Server{loop: newLoop(), sockets: newSockets(socketsGiven), state: statesvc.NewClient(addr, http.DefaultTransport),
 		cloud: cloud.NewClient(addr, http.DefaultTransport), worker: http.DefaultClient,
 		mesh: mesh.NewTransport("agent-0", func(ident.NodeID, *mesh.Frame) {})}
--- a/internal/settings/deploy_test.go
+++ b/internal/settings/deploy_test.go
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 		tuning := DefaultTuning()
-		if err := tuning.Read(b); err != nil {
+		if err := tuning.Apply(b); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 		if err := tuning.check(); err != nil || !tuning.Links.Enabled {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,9 +16,9 @@
 // TestGoldenSettings pins the names of the platform's settings, with all of them set.
 func TestGoldenSettings(t *testing.T) {
 	want := golden.Filled[Settings](0)
-	want.Bind, want.MeshAddr = "10.0.0.1:1", "10.0.0.1:2"
-	want.Ends = Endpoints{Cloud: "10.0.0.1:3", State: "10.0.0.1:4"}
-	want.Siblings[0].Address = "10.0.0.1:5"
+	want.Bind, want.TransportAddr = "10.0.0.1:1", "10.0.0.1:2"
+	want.Endpoints = Endpoints{Cloud: "10.0.0.1:3", Store: "10.0.0.1:4"}
+	want.Peers[0].Address = "10.0.0.1:5"
 	want.Cluster.Workers.LeaseS, want.Cluster.Workers.CancelS = 1001, 1002
 	want.Tuning = DefaultTuning()
 	text, err := toml.Marshal(want)
@@ -45,7 +45,7 @@
 		var b strings.Builder
 		for _, value := range []string{"7s", "7", "on", "7h", "-7"} {
 			tuning := DefaultTuning()
-			err := tuning.Read([]byte("(tuning (" + name + " " + value + "))"))
+			err := tuning.Apply([]byte("(tuning (" + name + " " + value + "))"))
 			fmt.Fprintf(&b, "%s: %v; %v; %v\n", value, tuning, err, oneLine(tuning.check()))
 		}
 		d.Add(name, b.String())
@@ -58,19 +58,19 @@
 	var d golden.Document
 	empty := &Settings{}
 	d.Add("nothing set", fmt.Sprint(empty.check()))
-	bad := &Settings{Node: "a", Bind: "host:1", Siblings: []Sibling{{Node: "a", Address: "x"}, {Node: ident.NodeID("b"), Address: "10.0.0.1:1"}},
+	bad := &Settings{Node: "a", Bind: "host:1", Peers: []Peer{{Node: "a", Address: "x"}, {Node: ident.NodeID("b"), Address: "10.0.0.1:1"}},
 		Cluster: Cluster{Zones: []string{"z"}, Teams: []Team{{Name: "t", CPUs: -1}, {Name: "t"}},
-			Workers:   Workers{ReportS: -1, LeaseS: 5, CancelS: 5, GangWaitS: -1},
-			State:     State{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 3, Next: &NextState{WriteRPS: -1, ValueKB: 0.5, TxnOps: 3}},
-			Cloud:     Cloud{RPS: 1, ListLagS: -1},
-			Resources: Resources{Cores: -1, MemoryMB: -1, Sockets: 15}}}
+			Workers:   WorkerTimes{HeartbeatS: -1, LeaseS: 5, CancelS: 5, GangWaitS: -1},
+			Store:     StoreLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 3, Announced: &AnnouncedStoreLimits{WriteRPS: -1, ValueKB: 0.5, TxnOps: 3}},
+			Cloud:     CloudLimits{RPS: 1, ListLagS: -1},
+			Resources: NodeResources{Cores: -1, MemoryMB: -1, Sockets: 15}}}
 	d.Add("badly set", fmt.Sprint(bad.check()))
 	_, err := Parse([]byte("bind = 7"))
 	d.Add("wrong type", fmt.Sprint(err != nil))
 	for _, text := range []string{"", "(tuning", "(tuning))", "(other)", "(tuning (colour red))", "(tuning (round))", "(tuning (round soon) (links maybe))",
 		"(tuning (moves-cluster many) (spare much))", strings.Repeat("(", 100)} {
 		tuning := DefaultTuning()
-		d.Add(text, fmt.Sprint(tuning.Read([]byte(text))))
+		d.Add(text, fmt.Sprint(tuning.Apply([]byte(text))))
 	}
 	d.Compare(t, "faults")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,18 +16,18 @@
 
 // Settings is everything a node is told from outside.
 type Settings struct {
-	Node     ident.NodeID `toml:"node_name"`
-	Zone     string       `toml:"zone"`
-	Bind     string       `toml:"bind"`
-	MeshAddr string       `toml:"mesh_addr"`
-	Siblings []Sibling    `toml:"siblings"`
-	Ends     Endpoints    `toml:"endpoints"`
-	Cluster  Cluster      `toml:"cluster"`
-	Tuning   Tuning       `toml:"-"`
+	Node          ident.NodeID `toml:"node_name"`
+	Zone          string       `toml:"zone"`
+	Bind          string       `toml:"bind"`
+	TransportAddr string       `toml:"mesh_addr"`
+	Peers         []Peer       `toml:"siblings"`
+	Endpoints     Endpoints    `toml:"endpoints"`
+	Cluster       Cluster      `toml:"cluster"`
+	Tuning        Tuning       `toml:"-"`
 }
 
-// Sibling is another controller.
-type Sibling struct {
+// Peer is another controller.
+type Peer struct {
 	Node    ident.NodeID `toml:"node_name"`
 	Zone    string       `toml:"zone"`
 	Address string       `toml:"address"`
@@ -36,20 +36,20 @@
 // Endpoints are the outside services.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // Cluster is what holds for all nodes.
 type Cluster struct {
-	Nodes       int         `toml:"nodes"`
-	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"`
-	Teams       []Team      `toml:"teams"`
-	Objectives  []Objective `toml:"objectives"`
-	Workers     Workers     `toml:"workers"`
-	State       State       `toml:"state"`
-	Cloud       Cloud       `toml:"cloud"`
-	Resources   Resources   `toml:"resources"`
+	Nodes             int           `toml:"nodes"`
+	Zones             []string      `toml:"zones"`
+	ClockErrorBoundMS float64       `toml:"time_bound_ms"`
+	Teams             []Team        `toml:"teams"`
+	Objectives        []Objective   `toml:"objectives"`
+	Workers           WorkerTimes   `toml:"workers"`
+	Store             StoreLimits   `toml:"state"`
+	Cloud             CloudLimits   `toml:"cloud"`
+	Resources         NodeResources `toml:"resources"`
 }
 
 // Team has its guarantee and its limit; 0 means none of either.
@@ -69,59 +69,59 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers holds the workers' times.
-type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+// WorkerTimes holds the workers' times.
+type WorkerTimes struct {
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	CancelS    float64 `toml:"cancel_s"`
 	// GangWaitS is how long a task waits for the others of its gang, and GangPeerS
 	// within which time they notice that one is gone, or must be told to stop.
 	GangWaitS float64 `toml:"gang_wait_s"`
 	GangPeerS float64 `toml:"gang_peer_s"`
 }
 
-// State holds the limits of the state service.
-type State struct {
+// StoreLimits holds the limits of the state service.
+type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next holds the limits that the service will have from some moment on, without
+	// Announced holds the limits that the service will have from some moment on, without
 	// notice; nil if nothing is announced.
-	Next *NextState `toml:"next"`
+	Announced *AnnouncedStoreLimits `toml:"next"`
 }
 
-// NextState holds announced limits; 0 for one that stays.
-type NextState struct {
+// AnnouncedStoreLimits holds announced limits; 0 for one that stays.
+type AnnouncedStoreLimits struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Tight returns the smaller of the present and the announced limits.
-func (s State) Tight() State {
-	if n := s.Next; n != nil {
-		if n.WriteRPS > 0 {
-			s.WriteRPS = min(s.WriteRPS, n.WriteRPS)
+// Strictest returns the smaller of the present and the announced limits.
+func (s StoreLimits) Strictest() StoreLimits {
+	if announced := s.Announced; announced != nil {
+		if announced.WriteRPS > 0 {
+			s.WriteRPS = min(s.WriteRPS, announced.WriteRPS)
 		}
-		if n.ValueKB > 0 {
-			s.ValueKB = min(s.ValueKB, n.ValueKB)
+		if announced.ValueKB > 0 {
+			s.ValueKB = min(s.ValueKB, announced.ValueKB)
 		}
-		if n.TxnOps > 0 {
-			s.TxnOps = min(s.TxnOps, n.TxnOps)
+		if announced.TxnOps > 0 {
+			s.TxnOps = min(s.TxnOps, announced.TxnOps)
 		}
 	}
 	return s
 }
 
-// Cloud holds the limits of the cloud.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Resources is what a node may use of its machine.
-type Resources struct {
+// NodeResources is what a node may use of its machine.
+type NodeResources struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
@@ -133,20 +133,20 @@
 // Load reads the platform's file and, unless its path is empty, the operators'
 // tuning file. The error joins every fault found.
 func Load(path, tuning string) (*Settings, error) {
-	b, err := os.ReadFile(path)
+	platformFile, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	s, err := Parse(b)
+	s, err := Parse(platformFile)
 	if err != nil {
 		return nil, err
 	}
 	if tuning != "" {
-		t, err := os.ReadFile(tuning)
+		tuningFile, err := os.ReadFile(tuning)
 		if err != nil {
 			return nil, err
 		}
-		if err := s.Tuning.Read(t); err != nil {
+		if err := s.Tuning.Apply(tuningFile); err != nil {
 			return nil, fmt.Errorf("%s: %w", tuning, err)
 		}
 	}
@@ -162,25 +162,25 @@
 	return s, s.check()
 }
 
-// faults gathers what is wrong with the settings, each with the name of its field.
-type faults struct {
+// validation gathers what is wrong with the settings, each with the name of its field.
+type validation struct {
 	list []error
 }
 
-func (f *faults) add(format string, args ...any) {
+func (f *validation) add(format string, args ...any) {
 	f.list = append(f.list, fmt.Errorf(format, args...))
 }
 
-// address checks an IP address with a port.
-func (f *faults) address(name, v string) {
+// checkAddress checks an IP address with a port.
+func (f *validation) checkAddress(name, v string) {
 	host, _, err := net.SplitHostPort(v)
 	if err != nil || net.ParseIP(host) == nil {
 		f.add("%s: %q is not an IP address with a port", name, v)
 	}
 }
 
-// positive checks an amount that must be above 0.
-func (f *faults) positive(name string, v float64) {
+// checkPositive checks an amount that must be above 0.
+func (f *validation) checkPositive(name string, v float64) {
 	if !(v > 0) {
 		f.add("%s: must be above 0", name)
 	}
@@ -188,38 +188,38 @@
 
 // check names every fault.
 func (s *Settings) check() error {
-	f := &faults{}
+	f := &validation{}
 	if s.Node == "" {
 		f.add("node_name: missing")
 	}
-	f.address("bind", s.Bind)
-	f.address("mesh_addr", s.MeshAddr)
-	f.address("endpoints.cloud", s.Ends.Cloud)
-	f.address("endpoints.state", s.Ends.State)
-	s.checkSiblings(f)
+	f.checkAddress("bind", s.Bind)
+	f.checkAddress("mesh_addr", s.TransportAddr)
+	f.checkAddress("endpoints.cloud", s.Endpoints.Cloud)
+	f.checkAddress("endpoints.state", s.Endpoints.Store)
+	s.checkPeers(f)
 	if len(s.Cluster.Zones) == 0 {
 		f.add("cluster.zones: missing")
 	}
 	s.Cluster.checkTeams(f)
 	s.Cluster.Workers.check(f)
-	s.Cluster.State.check(f)
+	s.Cluster.Store.check(f)
 	s.Cluster.Cloud.check(f)
 	s.Cluster.Resources.check(f)
 	return errors.Join(f.list...)
 }
 
-func (s *Settings) checkSiblings(f *faults) {
+func (s *Settings) checkPeers(f *validation) {
 	seen := map[ident.NodeID]bool{s.Node: true}
-	for i, p := range s.Siblings {
+	for i, p := range s.Peers {
 		if p.Node == "" || seen[p.Node] {
 			f.add("siblings[%d].node_name: missing or used twice", i)
 		}
 		seen[p.Node] = true
-		f.address(fmt.Sprintf("siblings[%d].address", i), p.Address)
+		f.checkAddress(fmt.Sprintf("siblings[%d].address", i), p.Address)
 	}
 }
 
-func (c *Cluster) checkTeams(f *faults) {
+func (c *Cluster) checkTeams(f *validation) {
 	if len(c.Teams) == 0 {
 		f.add("cluster.teams: missing")
 	}
@@ -235,9 +235,9 @@
 	}
 }
 
-func (w Workers) check(f *faults) {
-	f.positive("cluster.workers.report_s", w.ReportS)
-	f.positive("cluster.workers.lease_s", w.LeaseS)
+func (w WorkerTimes) check(f *validation) {
+	f.checkPositive("cluster.workers.report_s", w.HeartbeatS)
+	f.checkPositive("cluster.workers.lease_s", w.LeaseS)
 	if w.CancelS <= w.LeaseS {
 		f.add("cluster.workers.cancel_s: must be above lease_s")
 	}
@@ -252,21 +252,21 @@
 	minTxnOps  = 4
 )
 
-func (s State) check(f *faults) {
-	f.positive("cluster.state.rps", s.RPS)
-	f.positive("cluster.state.write_rps", s.WriteRPS)
+func (s StoreLimits) check(f *validation) {
+	f.checkPositive("cluster.state.rps", s.RPS)
+	f.checkPositive("cluster.state.write_rps", s.WriteRPS)
 	if s.ValueKB < minValueKB {
 		f.add("cluster.state.value_kb: must be at least 1")
 	}
 	if s.TxnOps < minTxnOps {
 		f.add("cluster.state.txn_ops: must be at least 4")
 	}
-	if s.Next != nil {
-		s.Next.check(f)
+	if s.Announced != nil {
+		s.Announced.check(f)
 	}
 }
 
-func (n *NextState) check(f *faults) {
+func (n *AnnouncedStoreLimits) check(f *validation) {
 	if n.WriteRPS < 0 {
 		f.add("cluster.state.next.write_rps: negative")
 	}
@@ -278,8 +278,8 @@
 	}
 }
 
-func (c Cloud) check(f *faults) {
-	f.positive("cluster.cloud.rps", c.RPS)
+func (c CloudLimits) check(f *validation) {
+	f.checkPositive("cluster.cloud.rps", c.RPS)
 	if c.ListLagS < 0 {
 		f.add("cluster.cloud.list_lag_s: negative")
 	}
@@ -288,9 +288,9 @@
 // minSockets is the least that a node can work with.
 const minSockets = 16
 
-func (r Resources) check(f *faults) {
-	f.positive("cluster.resources.cores", r.Cores)
-	f.positive("cluster.resources.memory_mb", r.MemoryMB)
+func (r NodeResources) check(f *validation) {
+	f.checkPositive("cluster.resources.cores", r.Cores)
+	f.checkPositive("cluster.resources.memory_mb", r.MemoryMB)
 	if r.Sockets < minSockets {
 		f.add("cluster.resources.sockets: must be at least 16")
 	}
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -83,7 +83,7 @@
 	g.members[i] = &member{k: k, p: p, tenure: k.tenure}
 	k.step(p, seconds(w.set.Workers.GangWaitS), func() {
 		if p.status == api.Gathering {
-			k.end(p, api.CauseIncomplete)
+			k.end(p, api.CauseGangIncomplete)
 		}
 	})
 	g.start()
@@ -125,7 +125,7 @@
 // kill tells one task to stop.
 func (g *gangRun) kill(k *worker, p *piece, windDown float64) {
 	s := &g.j.spec
-	if p.status != api.Running || !s.Saves() || windDown < s.SnapshotS {
+	if p.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
 		if g.stopAt > 0 && !g.safe {
 			g.failed = true
 		}
@@ -139,7 +139,7 @@
 	g.told[p.id.Index] = true
 	p.status = api.Flushing
 	k.changed()
-	k.step(p, seconds(s.SnapshotS), func() { g.savedBy(k, p) })
+	k.step(p, seconds(s.CheckpointS), func() { g.savedBy(k, p) })
 }
 
 // savedBy ends a task that has saved, once the others have.
@@ -195,7 +195,7 @@
 		}
 		for _, m := range g.sorted() {
 			if m.acts() && !g.told[m.p.id.Index] {
-				m.k.end(m.p, api.CauseMates)
+				m.k.end(m.p, api.CauseGangMemberLost)
 			}
 		}
 	case !whole && g.stopAt == 0:
@@ -203,7 +203,7 @@
 			if m.gone > 0 && w.now.Sub(m.gone) >= peer {
 				for _, o := range g.sorted() {
 					if o.acts() {
-						o.k.end(o.p, api.CauseMates)
+						o.k.end(o.p, api.CauseGangMemberLost)
 					}
 				}
 				return
@@ -211,7 +211,7 @@
 		}
 	case whole && g.stopAt == 0:
 		g.at += gangStep.Seconds()
-		if every := g.j.spec.SnapshotEveryS; every > 0 {
+		if every := g.j.spec.CheckpointEveryS; every > 0 {
 			g.j.saved = max(g.j.saved, math.Floor(g.at/every)*every)
 		}
 		if g.at >= g.j.runs.Seconds() {
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -87,7 +87,7 @@
 		for range 8 {
 			w.job(func(s *api.Spec) {
 				w.narrow(s)
-				s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
 			}, wideRuns)
 		}
 		w.onMove(migration.Stopping, func(*node, controller.MoveEntry) { w.depose(3 * time.Second) })
--- a/internal/standin/moves.go
+++ b/internal/standin/moves.go
@@ -81,7 +81,7 @@
 		for range wide {
 			w.job(func(s *api.Spec) {
 				w.narrow(s)
-				s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
 			}, wideRuns)
 		}
 	})
@@ -94,7 +94,7 @@
 		w.when(s, func() {
 			w.job(func(s *api.Spec) {
 				w.narrow(s)
-				s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 1, float64(3+w.rng.IntN(4)), 0, 12
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, float64(3+w.rng.IntN(4)), 0, 12
 			}, 12*time.Second)
 		})
 	}
@@ -103,7 +103,7 @@
 // narrow makes a job of four tasks of 2 CPUs that save when they are stopped.
 func (w *World) narrow(s *api.Spec) {
 	s.Tasks, s.VCPUs, s.Spot, s.Image = 4, 2, true, "img-0"
-	s.SnapshotEveryS, s.SnapshotS = 5, 1
+	s.CheckpointEveryS, s.CheckpointS = 5, 1
 	s.RuntimeS = (firstEnds + 3*nextEnds).Seconds()
 }
 
@@ -186,7 +186,7 @@
 		w.when(s, func() {
 			j := w.job(func(s *api.Spec) {
 				w.narrow(s)
-				s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 8, 1, 0, 10
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 8, 1, 0, 10
 			}, 6*time.Second)
 			j.step = time.Second
 		})
--- a/internal/standin/moves_load_test.go
+++ b/internal/standin/moves_load_test.go
@@ -29,9 +29,9 @@
 
 // eager has moves made as often as can be.
 func eager(t *settings.Tuning) {
-	t.Round = time.Second
-	t.Moves.Settle, t.Moves.Patience, t.Moves.MinRun = time.Second, 500*time.Millisecond, 0
-	t.Moves.Cluster, t.Moves.Zone, t.Moves.Team, t.Moves.Margin = 20, 20, 20, 1
+	t.PlanInterval = time.Second
+	t.Migration.LeaderSettleTime, t.Migration.MinTaskWait, t.Migration.MinRunTime = time.Second, 500*time.Millisecond, 0
+	t.Migration.Cluster, t.Migration.Zone, t.Migration.Team, t.Migration.MinGainFactor = 20, 20, 20, 1
 }
 
 // TestMovesInDaysOfTrouble plays days on which moves pay amid faults of all kinds, several at
@@ -111,7 +111,7 @@
 			for range 6 {
 				wide = append(wide, w.job(func(s *api.Spec) {
 					w.narrow(s)
-					s.Team, s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = "red", 2, 4, 0, wideRuns.Seconds()
+					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideRuns.Seconds()
 				}, wideRuns))
 			}
 			w.onMove(migration.Proposed, func(*node, controller.MoveEntry) {
@@ -154,7 +154,7 @@
 		{"tasks that never save have run for long", func(w *World) {
 			w.when(2, func() {
 				for range 4 * w.cfg.Capacity {
-					j := w.job(func(s *api.Spec) { w.narrow(s); s.SnapshotEveryS, s.RuntimeS = 0, 150 }, firstEnds)
+					j := w.job(func(s *api.Spec) { w.narrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstEnds)
 					j.step = nextEnds
 				}
 			})
@@ -163,7 +163,7 @@
 		{"the wide job fails everywhere", func(w *World) {
 			w.fragment(0)
 			w.when(wideAt, func() {
-				j := w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.SnapshotEveryS = 1, 2, 0 }, wideRuns)
+				j := w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideRuns)
 				j.mistaken = true
 				w.at(60*time.Second, func() { w.callOff(j, nil) })
 			})
@@ -191,7 +191,7 @@
 				j.step = nextEnds
 			}
 		})
-		for s := wideAt; s < 130; s += settings.DefaultTuning().Round.Seconds() {
+		for s := wideAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
 			w.when(s, func() {
 				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
@@ -279,7 +279,7 @@
 	moves := 0
 	for seed := range uint64(3) {
 		cfg := movingConfig(seed)
-		cfg.Tune = func(t *settings.Tuning) { t.Moves.MinRun, t.Moves.Settle = 0, 25*time.Second }
+		cfg.Tune = func(t *settings.Tuning) { t.Migration.MinRunTime, t.Migration.LeaderSettleTime = 0, 25*time.Second }
 		w := New(cfg)
 		w.fragment(4)
 		w.when(wideAt+3, func() { w.depose(2 * time.Second) })
@@ -307,7 +307,7 @@
 		w.fragment(4)
 		for s := wideAt; s < wideAt+40; s += 0.7 {
 			w.when(s, func() {
-				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.SnapshotEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
+				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
 			})
 		}
 		gains := w.gatherGains()
@@ -345,7 +345,7 @@
 				w.job(func(s *api.Spec) {
 					w.narrow(s)
 					image(s, w.nextJob)
-					s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
+					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
 				}, wideRuns)
 			})
 		}
--- a/internal/standin/mutation.go
+++ b/internal/standin/mutation.go
@@ -14,24 +14,24 @@
 
 // mutateCheckin is what mutations make of an answer to a report.
 func (w *World) mutateCheckin(n *node, body []byte, r *controller.Reply) *controller.Reply {
-	var m api.Report
+	var m api.Heartbeat
 	switch {
 	case w.cfg.Mutation == RenewOn && !n.ctl.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
-			return &controller.Reply{Status: 200, Body: api.JSON(api.Orders{Epoch: m.Epoch, Orders: []api.Order{}})}
+			return &controller.Reply{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
 	case w.cfg.Mutation == NoKills && r.Status == 200:
-		var o api.Orders
+		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
-			o.Orders = withoutKills(o.Orders)
+			o.Commands = withoutKills(o.Commands)
 			return &controller.Reply{Status: 200, Body: api.JSON(o)}
 		}
 	}
 	return r
 }
 
-func withoutKills(list []api.Order) []api.Order {
-	out := []api.Order{}
+func withoutKills(list []api.Command) []api.Command {
+	out := []api.Command{}
 	for _, o := range list {
 		if o.Verb != api.Kill {
 			out = append(out, o)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -64,23 +64,23 @@
 		n.w.cfg.Tune(&set.Tuning)
 	}
 	if n.w.cfg.Mutation == NoDamping {
-		set.Tuning.Links.HalfLife = time.Millisecond
+		set.Tuning.Links.PenaltyHalfLife = time.Millisecond
 	}
 	if n.w.cfg.Mutation == EndlessHandovers {
-		set.Tuning.Links.Hold, set.Tuning.Links.Persist = 0, 0
+		set.Tuning.Links.MinLeadTime, set.Tuning.Links.BetterPeerFor = 0, 0
 	}
 	if n.w.cfg.Mutation == NoMaxWait {
-		set.Tuning.MaxWait = 24 * time.Hour
+		set.Tuning.StarvationTimeout = 24 * time.Hour
 	}
 	for _, o := range n.w.nodes {
 		if o != n {
-			set.Siblings = append(set.Siblings, settings.Sibling{Node: ident.NodeID(o.name), Zone: o.zone})
+			set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(o.name), Zone: o.zone})
 		}
 	}
-	if len(set.Siblings) == 0 {
+	if len(set.Peers) == 0 {
 		for i := range n.w.set.Nodes {
 			if name := fmt.Sprintf("agent-%d", i); name != n.name {
-				set.Siblings = append(set.Siblings, settings.Sibling{Node: ident.NodeID(name)})
+				set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(name)})
 			}
 		}
 	}
@@ -171,30 +171,30 @@
 	return func(a statesvc.Response) { e.in(func() { f(a) })() }
 }
 
-func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Reply)) {
+func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	w := e.w()
-	answer := func(a cloud.Reply) { e.in(func() { f(a) })() }
+	answer := func(a cloud.Response) { e.in(func() { f(a) })() }
 	e.afterHalt(func() {
 		if e.past(r.NotAfter) {
-			w.at(0, func() { answer(cloud.Reply{Outcome: cloud.Unsent}) })
+			w.at(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
 			return
 		}
 		w.call(e.n.name, "cloud", 4*time.Second, func(reply func(any)) { w.cloud.serve(r, reply) }, func(a any) {
 			if a == nil {
-				a = cloud.Reply{Outcome: cloud.Lost}
+				a = cloud.Response{Outcome: cloud.NoAnswer}
 			}
-			answer(a.(cloud.Reply))
+			answer(a.(cloud.Response))
 		})
 	})()
 }
 
-func (e *nodeEnv) Worker(c workers.Command, f func(workers.Answer)) {
+func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	e.afterHalt(func() { e.command(c, f) })()
 }
 
-func (e *nodeEnv) command(c workers.Command, f func(workers.Answer)) {
+func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
 	w := e.w()
-	answer := func(a workers.Answer) { e.in(func() { f(a) })() }
+	answer := func(a workers.CommandResult) { e.in(func() { f(a) })() }
 	w.commanded(e.n.name, c)
 	if c.Launches() && w.yielding(e.n) {
 		w.broken("%s starts a task while it hands the lead over", e.n.name)
@@ -205,14 +205,14 @@
 	k := w.workers[ident.MachineID(c.Addr)]
 	switch {
 	case e.past(c.NotAfter):
-		w.at(0, func() { answer(workers.Answer{Unsent: true}) })
+		w.at(0, func() { answer(workers.CommandResult{NotSent: true}) })
 		return
 	case k == nil:
-		w.at(0, func() { answer(workers.Answer{}) })
+		w.at(0, func() { answer(workers.CommandResult{}) })
 		return
 	}
 	if w.cfg.Mutation == NoKills {
-		c.Body.Orders = withoutKills(c.Body.Orders)
+		c.Body.Commands = withoutKills(c.Body.Commands)
 	}
 	w.call(e.n.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
 		carry := func() {
@@ -233,9 +233,9 @@
 		carry()
 	}, func(a any) {
 		if a == nil {
-			a = workers.Answer{}
+			a = workers.CommandResult{}
 		}
-		answer(a.(workers.Answer))
+		answer(a.(workers.CommandResult))
 	})
 }
 
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -27,7 +27,7 @@
 	news      []statesvc.WatchEvent
 	downUntil ident.MonotonicTime
 	refuses   map[string]ident.MonotonicTime
-	limits    settings.State
+	limits    settings.StoreLimits
 }
 
 type entry struct {
@@ -45,7 +45,7 @@
 
 func newStore(w *World) *store {
 	s := &store{w: w, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, ttl: map[uint64]time.Duration{},
-		refuses: map[string]ident.MonotonicTime{}, limits: w.set.State}
+		refuses: map[string]ident.MonotonicTime{}, limits: w.set.Store}
 	w.at(0, s.expire)
 	return s
 }
@@ -177,7 +177,7 @@
 
 // lower brings the announced limits into force.
 func (s *store) lower() {
-	s.limits = s.limits.Tight()
+	s.limits = s.limits.Strictest()
 	s.w.logf("the state service has its new limits")
 }
 
@@ -185,7 +185,7 @@
 	large := func(format string, a ...any) statesvc.Response {
 		s.w.TooLarge++
 		s.w.logf(format, a...)
-		if s.limits == s.w.set.State {
+		if s.limits == s.w.set.Store {
 			s.w.broken(format, a...)
 		}
 		return statesvc.Response{Outcome: statesvc.Invalid, Error: "too large"}
@@ -231,7 +231,7 @@
 // provider is the cloud.
 type provider struct {
 	w         *World
-	models    []cloud.Model
+	models    []cloud.MachineType
 	machines  []*rented
 	hires     map[string][]ident.MachineID
 	downUntil ident.MonotonicTime
@@ -249,8 +249,8 @@
 }
 
 func newProvider(w *World) *provider {
-	return &provider{w: w, hires: map[string][]ident.MachineID{}, models: []cloud.Model{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
-		LocalGB: 4, PullGBPerS: 1, Hourly: 1, MarketPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
+	return &provider{w: w, hires: map[string][]ident.MachineID{}, models: []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
+		LocalDiskGB: 4, PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
 }
 
 // capacity returns how many machines of a zone and kind there are.
@@ -265,16 +265,16 @@
 func (p *provider) serve(r cloud.Request, reply func(any)) {
 	w := p.w
 	if w.now < p.downUntil {
-		reply(cloud.Reply{Outcome: cloud.Refused})
+		reply(cloud.Response{Outcome: cloud.Unavailable})
 		return
 	}
-	out := cloud.Reply{Outcome: cloud.OK}
+	out := cloud.Response{Outcome: cloud.OK}
 	switch r.Op {
 	case cloud.Catalog:
-		out.Models = append(out.Models, p.models...)
-	case cloud.Rent:
-		if got, ok := p.hires[r.Hire]; ok {
-			out.Rented = got
+		out.MachineTypes = append(out.MachineTypes, p.models...)
+	case cloud.Provision:
+		if got, ok := p.hires[r.RequestID]; ok {
+			out.Provisioned = got
 			break
 		}
 		have := 0
@@ -283,17 +283,17 @@
 				have++
 			}
 		}
-		n := min(r.Number, p.capacity()-have)
+		n := min(r.Count, p.capacity()-have)
 		if n <= 0 || p.soldOut {
-			reply(cloud.Reply{Outcome: cloud.NoCapacity})
+			reply(cloud.Response{Outcome: cloud.NoCapacity})
 			return
 		}
 		for range n {
-			out.Rented = append(out.Rented, p.rent(r))
+			out.Provisioned = append(out.Provisioned, p.rent(r))
 		}
-		p.hires[r.Hire] = out.Rented
-	case cloud.Return:
-		for _, h := range r.Hosts {
+		p.hires[r.RequestID] = out.Provisioned
+	case cloud.Terminate:
+		for _, h := range r.MachineIDs {
 			for _, m := range p.machines {
 				if m.host == h {
 					p.take(m)
@@ -304,14 +304,14 @@
 		lag := time.Duration(w.rng.IntN(int(2*w.set.Cloud.ListLagS*1000))) * time.Millisecond
 		at := ident.MonotonicTime(max(0, w.now.Sub(0)-lag))
 		for _, m := range p.machines {
-			if m.host <= r.Since || m.born > at || m.gone > 0 && m.gone <= at {
+			if m.host <= r.StartAfter || m.born > at || m.gone > 0 && m.gone <= at {
 				continue
 			}
 			st := "booting"
 			if m.up > 0 && m.up <= at {
 				st = "running"
 			}
-			out.Listed = append(out.Listed, cloud.Listed{ID: m.host, Addr: string(m.host), Model: "m8", Zone: m.site,
+			out.Machines = append(out.Machines, cloud.ListedMachine{ID: m.host, Addr: string(m.host), Model: "m8", Zone: m.site,
 				Spot: m.standby, Status: st, AgeS: at.Sub(m.born).Seconds()})
 		}
 	}
--- a/internal/standin/study.go
+++ b/internal/standin/study.go
@@ -78,7 +78,7 @@
 }
 
 // commanded notes a command of a node.
-func (w *World) commanded(node string, c workers.Command) {
+func (w *World) commanded(node string, c workers.CommandCall) {
 	if s := &w.study; s.on(w.now) && c.Launches() && node == s.cut {
 		s.lastDecision = w.now
 	}
--- a/internal/standin/study_moves.go
+++ b/internal/standin/study_moves.go
@@ -56,7 +56,7 @@
 		w.when(s, func() {
 			wide = append(wide, w.job(func(s *api.Spec) {
 				w.narrow(s)
-				s.Tasks, s.VCPUs, s.SnapshotEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()*estimate
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()*estimate
 			}, wideRuns))
 		})
 	}
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -114,24 +114,24 @@
 }
 
 // resend has a copy of a report come to a node.
-func (w *World) resend(m *api.Report, n *node) {
-	if k := w.workers[m.Host]; k != nil {
+func (w *World) resend(m *api.Heartbeat, n *node) {
+	if k := w.workers[m.MachineID]; k != nil {
 		switch {
-		case k.tenure > m.Session:
+		case k.tenure > m.Incarnation:
 			w.took("copy of an earlier session")
-		case k.serial > m.Serial:
+		case k.serial > m.SequenceNumber:
 			w.took("copy after newer reports")
 		}
 	}
 	c := *m
 	if w.cfg.Mutation == TrustCopies {
-		c.Serial += 1000
+		c.SequenceNumber += 1000
 	}
 	w.request("copies", n, mesh.Checkin, "", api.JSON(&c), 4*time.Second, func(*controller.Reply) {})
 }
 
 // copyReport has copies of a report come to all nodes again.
-func (w *World) copyReport(m *api.Report) {
+func (w *World) copyReport(m *api.Heartbeat) {
 	again := func(late time.Duration) {
 		for i, n := range w.nodes {
 			w.at(late+time.Duration(i)*time.Millisecond, func() { w.resend(m, n) })
@@ -293,7 +293,7 @@
 			if j := w.jobs[id]; j.told == "done" && w.rng.IntN(3) == 0 {
 				w.took("done job cancelled")
 				w.request("users", n, mesh.Cancel, string(id), nil, 5*time.Second, func(r *controller.Reply) {
-					var v api.View
+					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
 						w.broken("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
 					}
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -81,7 +81,7 @@
 		s.Tasks, s.RuntimeS = 2+r.IntN(5), 40
 		s.OneZone = r.IntN(3) > 0
 		if r.IntN(4) > 0 {
-			s.SnapshotEveryS, s.SnapshotS = 8, 2
+			s.CheckpointEveryS, s.CheckpointS = 8, 2
 		}
 	}
 	j := &userJob{spec: s, runs: time.Duration(2000+r.IntN(40_000)) * time.Millisecond, done: make([]bool, s.Tasks)}
@@ -274,7 +274,7 @@
 // hear checks an answer against what the user knew when asking: requests that
 // overlap have no order.
 func (w *World) hear(j *userJob, r *controller.Reply, asked ident.MonotonicTime) {
-	var v api.View
+	var v api.JobView
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
 		w.broken("%s: unreadable answer %s", j.spec.ID, r.Body)
 		return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -100,7 +100,7 @@
 		return
 	}
 	k.when(func() {
-		if !k.flying && k.w.now.Sub(k.last) >= time.Duration(k.w.set.Workers.ReportS*900)*time.Millisecond {
+		if !k.flying && k.w.now.Sub(k.last) >= time.Duration(k.w.set.Workers.HeartbeatS*900)*time.Millisecond {
 			k.report()
 		}
 	})
@@ -110,20 +110,20 @@
 // changed brings the next report forward.
 func (k *worker) changed() { k.last = min(k.last, k.w.now.Add(-2500*time.Millisecond)) }
 
-func (k *worker) message() *api.Report {
+func (k *worker) message() *api.Heartbeat {
 	k.serial++
-	r := &api.Report{Host: k.host, Addr: string(k.host), Model: "m8", Zone: k.m.site, Spot: k.m.standby,
-		Session: k.tenure, Serial: k.serial, Epoch: k.epoch}
+	r := &api.Heartbeat{MachineID: k.host, Addr: string(k.host), Model: "m8", Zone: k.m.site, Spot: k.m.standby,
+		Incarnation: k.tenure, SequenceNumber: k.serial, FencingToken: k.epoch}
 	if k.doomed > 0 {
 		s := k.doomed.Sub(k.w.now).Seconds()
-		r.NoticeS = &s
+		r.ReclaimNoticeS = &s
 	}
 	for _, tries := range k.pieces {
 		for _, p := range tries {
 			if k.w.cfg.Mutation == HideGathering && p.status == api.Gathering {
 				continue
 			}
-			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: p.id, Attempt: p.try, Status: p.status, Cause: p.cause, Stored: p.stored})
+			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: p.id, Attempt: p.try, Status: p.status, Cause: p.cause, CheckpointStored: p.stored})
 		}
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
@@ -148,12 +148,12 @@
 		k.when(func() {
 			if r != nil && r.Status == 200 && k.w.now.Sub(sent) <= 4*time.Second {
 				k.flying = false
-				var o api.Orders
-				if json.Unmarshal(r.Body, &o) != nil || tenure != k.tenure || !k.entitled(o.Epoch) {
+				var o api.HeartbeatResponse
+				if json.Unmarshal(r.Body, &o) != nil || tenure != k.tenure || !k.entitled(o.FencingToken) {
 					return
 				}
 				k.leaseAt = sent
-				k.obey(o.Orders)
+				k.obey(o.Commands)
 				return
 			}
 			if r != nil && r.Status == 421 {
@@ -181,7 +181,7 @@
 
 // copied has a copy of a report come late now and then, up to twice the lease,
 // whatever has become of the machine. Nobody waits for its answer.
-func (k *worker) copied(m *api.Report) {
+func (k *worker) copied(m *api.Heartbeat) {
 	w := k.w
 	if !w.cfg.Faults || w.now > ident.MonotonicTime(w.cfg.Length) || w.rng.IntN(30) > 0 {
 		return
@@ -219,19 +219,19 @@
 	return true
 }
 
-func (k *worker) commands(c api.Commands, reply func(any)) {
+func (k *worker) commands(c api.CommandRequest, reply func(any)) {
 	if k.w.now < k.w.mute[string(k.host)] {
 		k.w.took("command to a mute machine")
 	}
-	if c.Session != k.tenure || !k.entitled(c.Epoch) {
-		reply(workers.Answer{Status: 409, Report: k.message()})
+	if c.Incarnation != k.tenure || !k.entitled(c.FencingToken) {
+		reply(workers.CommandResult{Status: 409, Heartbeat: k.message()})
 		return
 	}
-	k.obey(c.Orders)
-	reply(workers.Answer{Status: 200, Report: k.message()})
+	k.obey(c.Commands)
+	reply(workers.CommandResult{Status: 200, Heartbeat: k.message()})
 }
 
-func (k *worker) obey(orders []api.Order) {
+func (k *worker) obey(orders []api.Command) {
 	for _, o := range orders {
 		p := k.pieces[o.TaskID][o.Attempt]
 		switch o.Verb {
@@ -245,7 +245,7 @@
 			}
 		case api.Kill:
 			if p != nil && p.status != api.Ended {
-				k.kill(p, o.WindDownS)
+				k.kill(p, o.GracePeriodS)
 			}
 		case api.Clear:
 			if p != nil && p.status == api.Ended {
@@ -285,7 +285,7 @@
 	if j != nil {
 		j.noteStop(p)
 	}
-	if j == nil || j.spec.Shape != api.Batch || !j.spec.Saves() || windDown < j.spec.SnapshotS || p.status == api.Pulling {
+	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || p.status == api.Pulling {
 		if j != nil && p.status == api.Running {
 			j.lost += k.w.now.Sub(p.began)
 		}
@@ -299,7 +299,7 @@
 	p.status = api.Flushing
 	p.gen++
 	k.changed()
-	k.step(p, seconds(j.spec.SnapshotS), func() {
+	k.step(p, seconds(j.spec.CheckpointS), func() {
 		j.kept[p.id.Index] += ran
 		p.stored = true
 		k.end(p, api.CauseStopped)
@@ -343,7 +343,7 @@
 	case busy:
 		k.end(p, api.CauseBusy)
 	case cpus+j.spec.VCPUs > k.w.cloud.models[0].VCPUs+1e-6:
-		k.end(p, api.CauseFull)
+		k.end(p, api.CauseNoCapacity)
 	default:
 		d := time.Millisecond
 		if !k.images[j.spec.Image] {
@@ -384,7 +384,7 @@
 }
 
 // obeyOneTry is the mutation that numbers every attempt of a gang alike.
-func (k *worker) obeyOneTry(o api.Order) {
+func (k *worker) obeyOneTry(o api.Command) {
 	if p := k.pieces[o.TaskID][o.Attempt]; p != nil {
 		return
 	}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -124,14 +124,14 @@
 		linkEvents: linkEvents{announced: map[ident.Term]bool{}, newest: map[string]uint64{}, yields: map[string]int{}, sentBefore: map[string]bool{}},
 		troubles:   troubles{mute: map[string]ident.MonotonicTime{}, seen: map[string]int{}}}
 	w.set = settings.Cluster{
-		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, TimeBoundMS: 200,
+		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
 			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: "guest"}},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 20, CancelS: 42, GangWaitS: 20, GangPeerS: 4},
-		State: settings.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16,
-			Next: &settings.NextState{WriteRPS: 60, ValueKB: 2, TxnOps: 5}},
-		Cloud:     settings.Cloud{RPS: 5, ListLagS: 4},
-		Resources: settings.Resources{Cores: 1, MemoryMB: 256, Sockets: 1000},
+		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 42, GangWaitS: 20, GangPeerS: 4},
+		Store: settings.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16,
+			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 60, ValueKB: 2, TxnOps: 5}},
+		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 4},
+		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
 	}
 	if cfg.Fleet > 0 {
 		w.enlarge()
@@ -158,7 +158,7 @@
 		w.set.Teams[i].CPUs *= float64(w.cfg.Fleet)
 		w.set.Teams[i].CPUsMax *= float64(w.cfg.Fleet)
 	}
-	w.set.Workers.ReportS, w.set.Workers.LeaseS, w.set.Workers.CancelS = 8, 36, 70
+	w.set.Workers.HeartbeatS, w.set.Workers.LeaseS, w.set.Workers.CancelS = 8, 36, 70
 }
 
 func (w *World) at(d time.Duration, f func()) {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -16,11 +16,11 @@
 
 // The states of a machine.
 const (
-	Booting   State = iota // rented or listed, its worker was not heard of in this term
-	Up                     // its worker reports
-	Silent                 // its worker has not reported for a while
-	Returning              // is being returned; nothing is placed on it
-	Gone                   // returned, with everything that was on it
+	Booting     State = iota // rented or listed, its worker was not heard of in this term
+	Up                       // its worker reports
+	Unreachable              // its worker has not reported for a while
+	Terminating              // is being returned; nothing is placed on it
+	Terminated               // returned, with everything that was on it
 )
 
 func (s State) String() string {
@@ -33,113 +33,115 @@
 	GB   float64
 }
 
-// attempt names one try of a task.
-type attempt struct {
-	piece ident.TaskID
-	try   ident.Attempt
+// taskAttempt names one try of a task.
+type taskAttempt struct {
+	task    ident.TaskID
+	attempt ident.Attempt
 }
 
 // Worker is a machine and the worker on it.
 type Worker struct {
-	Host  ident.MachineID
+	ID    ident.MachineID
 	Addr  string
 	Model string
-	Kind  *cloud.Model // nil while the catalog doesn't list it
+	Type  *cloud.MachineType // nil while the catalog doesn't list it
 	Zone  string
 	Spot  bool
 	State State
 
-	Since    ident.MonotonicTime // when it entered its state
-	Born     ident.MonotonicTime // when it was rented, as far as known
-	IdleFrom ident.MonotonicTime // when its last task left it
-	Doomed   ident.MonotonicTime // when the cloud takes it; 0: not announced
-	Shun     ident.MonotonicTime // nothing is placed on it earlier
-	Cordoned bool                // being emptied, to be returned
-	Slow     bool                // much slower than others: nothing more is placed on it
-	blame    map[*jobs.Job]bool  // whose tasks failed on it since a task of another job completed
-
-	Session  ident.Incarnation
-	serial   ident.SequenceNumber
-	told     ident.FencingToken // token in the newest answer to a report of this term
-	fence    uint32
-	heard    ident.MonotonicTime // newest report or answer
-	answered ident.MonotonicTime // last time a report was answered
-	everAns  bool
-
-	Tasks   map[ident.TaskID]*jobs.Task
-	Plan    []*jobs.Task // of the current round
-	images  []Image      // newest last
-	orphans map[ident.TaskID]ident.Attempt
-	unclear map[attempt]bool // ended, and not yet durably so
-
-	flying  []api.Order // of the command under way
-	busy    bool
-	queue   []api.Order
-	dull    bool // a command was not answered; wait for its report
-	probing bool
-	misses  int                 // commands and probes without an answer since it last showed that it hears us
-	deaf    ident.MonotonicTime // since when its reports show that our answers don't arrive; 0: they do
-
-	VCPUs, Cards, MemoryGB float64 // taken by Tasks
-	Arrays, Replicas       float64 // CPUs of them, by the shape of their jobs; gangs count as replicas
-	ranks                  [ranks]int
-	reservation            *Reservation
-
-	Group    *Group // that it is on record with
-	Recorded bool   // its record is durable
-}
-
-// Group is a few machines whose records share one key: with a key each, a fleet
+	StateSince       ident.MonotonicTime // when it entered its state
+	CreatedAt        ident.MonotonicTime // when it was rented, as far as known
+	IdleSince        ident.MonotonicTime // when its last task left it
+	ReclaimAt        ident.MonotonicTime // when the cloud takes it; 0: not announced
+	QuarantinedUntil ident.MonotonicTime // nothing is placed on it earlier
+	Cordoned         bool                // being emptied, to be returned
+	Slow             bool                // much slower than others: nothing more is placed on it
+	failedJobs       map[*jobs.Job]bool  // whose tasks failed on it since a task of another job completed
+
+	Incarnation    ident.Incarnation
+	lastSequence   ident.SequenceNumber
+	sentToken      ident.FencingToken // token in the newest answer to a report of this term
+	fenceCount     uint32
+	lastContact    ident.MonotonicTime // newest report or answer
+	leaseRenewedAt ident.MonotonicTime // last time a report was answered
+	leaseRenewed   bool
+
+	Tasks           map[ident.TaskID]*jobs.Task
+	PlannedTasks    []*jobs.Task // of the current round
+	cachedImages    []Image      // newest last
+	unknownAttempts map[ident.TaskID]ident.Attempt
+	endsNotDurable  map[taskAttempt]bool // ended, and not yet durably so
+
+	inFlight           []api.Command // of the command under way
+	sending            bool
+	queued             []api.Command
+	unresponsive       bool // a command was not answered; wait for its report
+	probePending       bool
+	missedResponses    int                 // commands and probes without an answer since it last showed that it hears us
+	cannotReceiveSince ident.MonotonicTime // since when its reports show that our answers don't arrive; 0: they do
+
+	VCPUs, GPUs, MemoryGB    float64 // taken by Tasks
+	BatchVCPUs, ServiceVCPUs float64 // CPUs of them, by the shape of their jobs; gangs count as replicas
+	tasksByPriority          [numPriorities]int
+	reservation              *Reservation
+
+	Group     *RecordGroup // that it is on record with
+	Persisted bool         // its record is durable
+}
+
+// RecordGroup is a few machines whose records share one key: with a key each, a fleet
 // of a thousand machines takes all puts of half a minute before anything can be
 // placed.
-type Group struct {
+type RecordGroup struct {
 	Doc     *commit.Document
 	Members []*Worker
 	Leaving []*Worker // on record here until their next group is durable
-	Dropped bool      // its key is deleted
+	Deleted bool      // its key is deleted
 }
 
 // Fits says whether a task would find room now, and Could whether it would on
 // the empty machine.
-func (w *Worker) Fits(s *api.Spec) bool { return w.Room(jobs.NeedOf(s)) }
+func (w *Worker) Fits(s *api.Spec) bool { return w.HasRoom(jobs.ResourcesOf(s)) }
 
-// Places returns how many tasks of a job would find room now.
-func (w *Worker) Places(s *api.Spec) int {
-	if w.Kind == nil {
+// TaskCapacity returns how many tasks of a job would find room now.
+func (w *Worker) TaskCapacity(s *api.Spec) int {
+	if w.Type == nil {
 		return 0
 	}
-	return max(0, min(s.Tasks, w.Free().Places(s)))
+	return max(0, min(s.Tasks, w.Free().TaskCapacity(s)))
 }
 
-// Room says whether as much is free, beside what is reserved.
-func (w *Worker) Room(n jobs.Need) bool { return w.Kind != nil && w.Free().Covers(n) }
+// HasRoom says whether as much is free, beside what is reserved.
+func (w *Worker) HasRoom(need jobs.Resources) bool { return w.Type != nil && w.Free().Covers(need) }
 
-// Images returns what the machine surely or probably has cached.
-func (w *Worker) Images() []Image { return w.images }
+// CachedImages returns what the machine surely or probably has cached.
+func (w *Worker) CachedImages() []Image { return w.cachedImages }
 
-// ranks is the number of priorities.
-const ranks = 4
+// numPriorities is the number of priorities.
+const numPriorities = 4
 
-func lesser(counts *[ranks]int, r api.Priority) int {
+func countLowerPriority(counts *[numPriorities]int, priority api.Priority) int {
 	n := 0
-	for _, k := range counts[r.Level()+1:] {
-		n += k
+	for _, count := range counts[priority.Level()+1:] {
+		n += count
 	}
 	return n
 }
 
-// Lesser returns how many tasks of a lower priority count on the machine.
-func (w *Worker) Lesser(r api.Priority) int { return lesser(&w.ranks, r) }
+// LowerPriorityTasks returns how many tasks of a lower priority count on the machine.
+func (w *Worker) LowerPriorityTasks(priority api.Priority) int {
+	return countLowerPriority(&w.tasksByPriority, priority)
+}
 
-// slack forgives rounding in sums of amounts.
-const slack = 1e-6
+// roundingTolerance forgives rounding in sums of amounts.
+const roundingTolerance = 1e-6
 
 // Allows says whether the job may use the machine at all.
 func (w *Worker) Allows(s *api.Spec) bool {
-	if s.Zone != nil && *s.Zone != w.Zone || w.Spot && !s.Spot || w.Kind == nil {
+	if s.Zone != nil && *s.Zone != w.Zone || w.Spot && !s.Spot || w.Type == nil {
 		return false
 	}
-	return AllowsModel(s, w.Model) && Could(w.Kind, s)
+	return AllowsModel(s, w.Model) && FitsEmpty(w.Type, s)
 }
 
 // AllowsModel says whether the job may run on a type of machine.
@@ -152,88 +154,88 @@
 	return s.Models == nil
 }
 
-// Could says whether a task fits an empty machine.
-func Could(m *cloud.Model, s *api.Spec) bool {
-	return s.VCPUs <= m.VCPUs+slack && s.Cards <= m.Cards+slack && s.MemoryGB <= m.MemoryGB+slack
+// FitsEmpty says whether a task fits an empty machine.
+func FitsEmpty(machineType *cloud.MachineType, s *api.Spec) bool {
+	return s.VCPUs <= machineType.VCPUs+roundingTolerance && s.GPUs <= machineType.GPUs+roundingTolerance && s.MemoryGB <= machineType.MemoryGB+roundingTolerance
 }
 
-// Open says whether tasks may be placed on the machine now.
-func (w *Worker) Open(now ident.MonotonicTime) bool {
-	return w.State == Up && w.Doomed == 0 && !w.Cordoned && !w.Slow && now >= w.Shun && !w.dull && w.Session != 0 &&
-		w.Recorded // a successor must know every machine that tasks may be on
+// Schedulable says whether tasks may be placed on the machine now.
+func (w *Worker) Schedulable(now ident.MonotonicTime) bool {
+	return w.State == Up && w.ReclaimAt == 0 && !w.Cordoned && !w.Slow && now >= w.QuarantinedUntil && !w.unresponsive && w.Incarnation != 0 &&
+		w.Persisted // a successor must know every machine that tasks may be on
 }
 
-// Holds says whether the machine surely or probably has an image.
-func (w *Worker) Holds(bundle string) bool {
-	for _, im := range w.images {
-		if im.Name == bundle {
+// HasImage says whether the machine surely or probably has an image.
+func (w *Worker) HasImage(image string) bool {
+	for _, im := range w.cachedImages {
+		if im.Name == image {
 			return true
 		}
 	}
 	return false
 }
 
-// Deaf returns for how long the worker's reports have shown that our answers to
+// CannotReceiveFor returns for how long the worker's reports have shown that our answers to
 // them don't arrive.
-func (w *Worker) Deaf() time.Duration {
-	if w.deaf == 0 {
+func (w *Worker) CannotReceiveFor() time.Duration {
+	if w.cannotReceiveSince == 0 {
 		return 0
 	}
-	return w.heard.Sub(w.deaf)
+	return w.lastContact.Sub(w.cannotReceiveSince)
 }
 
-// Misses counts the commands and probes that went without an answer since the
+// MissedResponses counts the commands and probes that went without an answer since the
 // worker last showed that it hears us.
-func (w *Worker) Misses() int { return w.misses }
+func (w *Worker) MissedResponses() int { return w.missedResponses }
 
-// Reported says whether the worker was heard of in this term.
-func (w *Worker) Reported() bool { return w.serial > 0 }
+// HeardThisTerm says whether the worker was heard of in this term.
+func (w *Worker) HeardThisTerm() bool { return w.lastSequence > 0 }
 
-// Heard returns when the worker was last heard of.
-func (w *Worker) Heard() ident.MonotonicTime { return w.heard }
+// LastContact returns when the worker was last heard of.
+func (w *Worker) LastContact() ident.MonotonicTime { return w.lastContact }
 
-// cache notes that an image was used: the workers keep the most recently used
+// noteImageUse notes that an image was used: the workers keep the most recently used
 // ones, as far as their disk reaches.
-func (w *Worker) cache(bundle string, gb float64) {
-	n := len(w.images)
-	i := slices.IndexFunc(w.images, func(im Image) bool { return im.Name == bundle })
-	if i >= 0 && i == n-1 {
+func (w *Worker) noteImageUse(name string, gb float64) {
+	count := len(w.cachedImages)
+	i := slices.IndexFunc(w.cachedImages, func(cached Image) bool { return cached.Name == name })
+	if i >= 0 && i == count-1 {
 		return
 	}
 	if i >= 0 {
 		// The others keep their order.
-		im := w.images[i]
-		copy(w.images[i:], w.images[i+1:])
-		w.images[n-1] = im
+		cached := w.cachedImages[i]
+		copy(w.cachedImages[i:], w.cachedImages[i+1:])
+		w.cachedImages[count-1] = cached
 		return
 	}
-	w.images = append(w.images, Image{bundle, gb})
-	sum := 0.0
-	for _, im := range w.images {
-		sum += im.GB
+	w.cachedImages = append(w.cachedImages, Image{name, gb})
+	totalGB := 0.0
+	for _, cached := range w.cachedImages {
+		totalGB += cached.GB
 	}
-	drop := 0
-	for w.Kind != nil && drop < len(w.images)-1 && sum > w.Kind.LocalGB {
-		sum -= w.images[drop].GB
-		drop++
+	evict := 0
+	for w.Type != nil && evict < len(w.cachedImages)-1 && totalGB > w.Type.LocalDiskGB {
+		totalGB -= w.cachedImages[evict].GB
+		evict++
 	}
-	w.images = slices.Delete(w.images, 0, drop)
+	w.cachedImages = slices.Delete(w.cachedImages, 0, evict)
 }
 
-// Pulls says whether a task on the machine waits for an image.
-func (w *Worker) Pulls(bundle string) bool {
+// IsPullingImage says whether a task on the machine waits for an image.
+func (w *Worker) IsPullingImage(image string) bool {
 	for _, t := range w.Tasks {
-		if t.Job.Spec.Image == bundle {
+		if t.Job.Spec.Image == image {
 			return true
 		}
 	}
 	return false
 }
 
-// FetchTime estimates how long the machine would fetch a job's image.
-func (w *Worker) FetchTime(s *api.Spec) time.Duration {
-	if w.Kind == nil || w.Kind.PullGBPerS <= 0 {
+// ImagePullTime estimates how long the machine would fetch a job's image.
+func (w *Worker) ImagePullTime(s *api.Spec) time.Duration {
+	if w.Type == nil || w.Type.PullGBPerS <= 0 {
 		return 0
 	}
-	return time.Duration(s.ImageGB / w.Kind.PullGBPerS * float64(time.Second))
+	return time.Duration(s.ImageGB / w.Type.PullGBPerS * float64(time.Second))
 }
