--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -17,12 +17,12 @@
 // doesn't any more.
 func (l *lead) count(t *jobs.Task, w *workers.Worker, sign int) {
 	j := t.Job
-	l.teams.Count(j.Spec, float64(sign))
+	l.teams.AddUsage(j.Spec, float64(sign))
 	if w == nil {
 		return
 	}
 	if l.loads != nil {
-		l.loads.Use(w.ID, float64(sign)*j.Spec.VCPUs)
+		l.loads.AddUsage(w.ID, float64(sign)*j.Spec.VCPUs)
 	}
 	if j.Spec.OneZone || j.Spec.Spread {
 		if j.AllocatedByZone == nil {
@@ -50,7 +50,7 @@
 
 // Place carries out a decision: it is launched once it is durable.
 func (l *lead) Place(t *jobs.Task, w *workers.Worker) {
-	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.Within(t.Job),
+	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
 		"age_s", l.c.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation, func() {
 		if l.dead || !l.c.may(authority.Launch) {
@@ -65,16 +65,16 @@
 
 // PlaceGang carries out the decision for all tasks of a gang that wait.
 func (l *lead) PlaceGang(j *jobs.Job, picks []gang.Placement) {
-	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.Within(j),
+	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.WithinGuarantee(j),
 		"age_s", l.c.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, picks)
 }
 
-// GangUsed says whether the gang's present attempt was on a machine before.
-func (l *lead) GangUsed(j *jobs.Job, w *workers.Worker) bool { return l.gangs.HasUsed(j, w.ID) }
+// GangUsedMachine says whether the gang's present attempt was on a machine before.
+func (l *lead) GangUsedMachine(j *jobs.Job, w *workers.Worker) bool { return l.gangs.HasUsed(j, w.ID) }
 
-// Stoppable says whether a gang can be stopped in order.
-func (l *lead) Stoppable(j *jobs.Job) bool { return l.gangs.CanStop(j) }
+// CanStopGang says whether a gang can be stopped in order.
+func (l *lead) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
 // StopGang stops a whole gang so that others find room.
 func (l *lead) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -251,9 +251,9 @@
 	d.Add("authority", namesOf(authority.Active, authority.State.String))
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
 	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
-	d.Add("sources of gain", namesOf(rebalance.LeavesSlow, rebalance.Source.String))
+	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
 	d.Add("rounds without a plan", namesOf(restraintCount-1, restraint.String))
-	d.Add("teams", namesOf(load.Cooling, load.Heat.String))
+	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
 	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
 	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
 	d.Compare(t, "names")
@@ -265,9 +265,9 @@
 	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
 	l := c.lead
 	p := &l.planner.Stats
-	p.Planned, p.Local, p.New, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.Extra = 201, 202, 203, 204, 205, 206, 207, 208, 209
-	p.FetchedGB, p.Took = 210.5, 211*time.Second
-	l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced = 301, 302, 303
+	p.Planned, p.Local, p.Uncached, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.ExtraRounds = 201, 202, 203, 204, 205, 206, 207, 208, 209
+	p.FetchedGB, p.PlanTime = 210.5, 211*time.Second
+	l.fleet.Provisioned, l.fleet.Terminated, l.fleet.Fenced = 301, 302, 303
 	l.commits.Txns, l.commits.Puts, l.commits.Retries, l.commits.Rejected = 401, 402, 403, 404
 	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
 	l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats = 601, 602, 603
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -168,23 +168,23 @@
 func (l *lead) fleetConfig() fleet.Config {
 	c := l.c
 	config := fleet.Config{
-		Term:     l.term,
-		Tuning:   c.set.Tuning,
-		Cloud:    c.set.Cluster.Cloud,
-		Workers:  c.set.Cluster.Workers,
-		Catalog:  func() []cloud.MachineType { return l.models },
-		Reached:  l.reached,
-		Stranded: l.stranded,
-		Direct:   func() bool { return c.env.Now().Sub(l.direct) < directAfter },
-		Aim:      l.planner.Aim,
+		Term:             l.term,
+		Tuning:           c.set.Tuning,
+		Cloud:            c.set.Cluster.Cloud,
+		Workers:          c.set.Cluster.Workers,
+		Catalog:          func() []cloud.MachineType { return l.models },
+		ReachableViaPeer: l.reached,
+		ZonePeersSilent:  l.stranded,
+		DirectContact:    func() bool { return c.env.Now().Sub(l.direct) < directAfter },
+		Objective:        l.planner.Objective,
 		Movable: func(t *jobs.Task, from *workers.Worker) bool {
 			return c.may(authority.Place) && l.planner.Movable(t, from)
 		},
-		Drain:   l.drain,
-		Reserve: func(zone string, cpus float64) { l.planner.Reserve[zone] = cpus },
+		Drain:              l.drain,
+		SetServiceHeadroom: func(zone string, cpus float64) { l.planner.ServiceHeadroom[zone] = cpus },
 	}
 	if c.links != nil {
-		config.Unheard, config.Blind = l.unheard, l.blind
+		config.ZoneUnreachable, config.LocallyUnreachable = l.unheard, l.blind
 	}
 	return config
 }
@@ -254,8 +254,8 @@
 				s := l.planner.Stats
 				waits, limited, free := l.idleness()
 				slog.Debug("room", "waiting", waits, "at_limit", limited, "free_vcpus", free)
-				slog.Debug("figures", "planned", s.Planned, "local", s.Local, "new", s.New, "stolen", s.Stolen, "services", s.Services,
-					"rounds", s.Rounds, "extra", s.Extra, "fetched_gb", s.FetchedGB, "plan_ms", s.Took.Seconds()*1000, "preempted", s.Preempted)
+				slog.Debug("figures", "planned", s.Planned, "local", s.Local, "new", s.Uncached, "stolen", s.Stolen, "services", s.Services,
+					"rounds", s.Rounds, "extra", s.ExtraRounds, "fetched_gb", s.FetchedGB, "plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 			}
 		}
 		l.roundLater()
@@ -268,7 +268,7 @@
 	for j := range l.jobs.Waiting {
 		n := j.WaitingCount()
 		waits += n
-		limited += n - min(n, l.teams.Room(j.Spec))
+		limited += n - min(n, l.teams.RemainingTasks(j.Spec))
 	}
 	for _, w := range l.workers.Sorted() {
 		if w.Schedulable(l.c.env.Now()) && w.Type != nil {
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -96,18 +96,18 @@
 				// Its machine's record was deleted: it is surely gone, which its
 				// return proves.
 				w = l.workers.Add(t.MachineID, "", "", false, l.c.env.Now())
-				l.fleet.Return(w, "not on record")
+				l.fleet.Terminate(w, "not on record")
 			}
 			l.count(t, w, 1)
 		}
 	}
 	l.jobs.FinishLoading()
 	if l.jobs.Seq > 0 {
-		l.fleet.Continue()
+		l.fleet.ResumeFromPriorTerm()
 	}
 	for _, j := range l.jobs.Sorted() {
 		if j.Phase == jobs.Open {
-			l.fleet.Arrived(j.Spec, j.SubmittedAt)
+			l.fleet.RecordArrival(j.Spec, j.SubmittedAt)
 		}
 		if j.Phase == jobs.Cancelled {
 			l.stopAll(j)
--- a/internal/controller/load_view.go
+++ b/internal/controller/load_view.go
@@ -22,7 +22,7 @@
 	l.jobs.OnArchived = l.mover.history.Forget
 	l.loads = load.New(load.DefaultConfig(), entitled)
 	if mode == settings.RebalancePlace {
-		l.planner.Even = l.loads.AnyHot
+		l.planner.SpreadLoad = l.loads.AnyOverloaded
 	}
 }
 
@@ -34,11 +34,11 @@
 	for _, w := range l.workers.Sorted() {
 		switch {
 		case w.State == workers.Up && w.Type != nil:
-			l.loads.Machine(w.ID, w.Zone, w.Type.VCPUs)
+			l.loads.SetMachine(w.ID, w.Zone, w.Type.VCPUs)
 		case w.State == workers.Terminated && len(w.Tasks) == 0:
-			l.loads.Gone(w.ID)
+			l.loads.RemoveMachine(w.ID)
 		default:
-			l.loads.Machine(w.ID, w.Zone, 0) // what it has is kept, and doesn't count
+			l.loads.SetMachine(w.ID, w.Zone, 0) // what it has is kept, and doesn't count
 		}
 	}
 	l.mover.judgeSpeeds()
@@ -48,11 +48,11 @@
 		for _, j := range team.OpenJobs {
 			cpus += float64(j.AllocatedTasks+j.WaitingCount()) * j.Spec.VCPUs
 		}
-		l.loads.Demand(name, cpus, now)
+		l.loads.SetDemand(name, cpus, now)
 	}
 	for _, c := range l.loads.Evaluate(now) {
 		slog.Info("team heat", "team", c.Team, "from", c.From.String(), "to", c.To.String(), "demand_ratio", c.Ratio)
-		if c.From == load.Hot {
+		if c.From == load.Overloaded {
 			l.mover.cooledAt = now
 		}
 	}
--- a/internal/controller/move_picture.go
+++ b/internal/controller/move_picture.go
@@ -14,28 +14,28 @@
 
 // waiting lists the first waiting task of each job that has waited for long enough, in the
 // order of arrival.
-func (m *mover) waiting(now ident.MonotonicTime) []rebalance.Waiting {
+func (m *mover) waiting(now ident.MonotonicTime) []rebalance.WaitingTask {
 	l := m.lead
-	var list []rebalance.Waiting
+	var list []rebalance.WaitingTask
 	booting := l.booting()
 	for _, j := range l.jobs.Sorted() {
 		if j.WaitingCount() == 0 || j.IsGang() || j.Suspect || now < j.RetryAt || j.Spec.OneZone || j.Spec.Spread || !l.teams.Allows(j.Spec, 1) {
 			continue
 		}
 		first := j.WaitingTasks(1)
-		if len(first) == 0 || now.Sub(first[0].StateSince) < m.config.Patience {
+		if len(first) == 0 || now.Sub(first[0].StateSince) < m.config.MinWait {
 			continue
 		}
 		t := first[0]
-		list = append(list, rebalance.Waiting{
-			ID:       t.TaskID(),
-			Need:     jobs.ResourcesOf(j.Spec),
-			Level:    j.Spec.Priority.Level(),
-			Waited:   now.Sub(t.StateSince),
-			Arriving: arriving(booting, j.Spec, now),
+		list = append(list, rebalance.WaitingTask{
+			ID:            t.TaskID(),
+			Need:          jobs.ResourcesOf(j.Spec),
+			PriorityLevel: j.Spec.Priority.Level(),
+			WaitedFor:     now.Sub(t.StateSince),
+			BootRemaining: arriving(booting, j.Spec, now),
 			Allowed: func(k *rebalance.Machine) bool {
-				w := l.workers.Workers[k.Host]
-				return w.Allows(j.Spec) && !j.AvoidedMachines[k.Host]
+				w := l.workers.Workers[k.ID]
+				return w.Allows(j.Spec) && !j.AvoidedMachines[k.ID]
 			},
 		})
 	}
@@ -70,26 +70,26 @@
 }
 
 // picture is the cluster as a plan of moves sees it.
-func (m *mover) picture(waiting []rebalance.Waiting, now ident.MonotonicTime) *rebalance.Picture {
+func (m *mover) picture(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
 	l := m.lead
-	p := &rebalance.Picture{Waiting: waiting, Fits: m.fits}
+	p := &rebalance.Cluster{Waiting: waiting, Fits: m.fits}
 	for _, w := range l.workers.Sorted() {
 		switch {
 		case w.Type == nil || !l.zoneClear(w.Zone):
 		case w.Slow && m.heard(w):
-			p.Slow = append(p.Slow, &rebalance.Slow{Machine: *m.machine(w, now), Slowness: m.speeds.Slowness(w.ID)})
-		case m.usable(w) && !l.planner.Withheld(w):
+			p.SlowMachines = append(p.SlowMachines, &rebalance.SlowMachine{Machine: *m.machine(w, now), Slowness: m.speeds.Slowness(w.ID)})
+		case m.usable(w) && !l.planner.IsReserved(w):
 			p.Machines = append(p.Machines, m.machine(w, now))
 		}
 	}
 	for _, x := range m.table.Active() {
-		p.Active = append(p.Active, m.active(x))
+		p.ActiveMoves = append(p.ActiveMoves, m.active(x))
 	}
 	return p
 }
 
-func (m *mover) active(x *migration.Move) rebalance.Active {
-	a := rebalance.Active{Job: x.Task.Job, Team: x.Team, From: x.From, To: x.To, For: x.For}
+func (m *mover) active(x *migration.Move) rebalance.ActiveMove {
+	a := rebalance.ActiveMove{Job: x.Task.Job, Team: x.Team, From: x.From, To: x.To, BeneficiaryID: x.BeneficiaryID}
 	if w := m.lead.workers.Workers[x.From]; w != nil {
 		a.Zone = w.Zone
 	}
@@ -97,10 +97,10 @@
 }
 
 func (m *mover) machine(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
-	k := &rebalance.Machine{Host: w.ID, Zone: w.Zone, Free: w.Free()}
+	k := &rebalance.Machine{ID: w.ID, Zone: w.Zone, Free: w.Free()}
 	for _, t := range m.lead.workers.SortedTasks(w) {
 		if left := timeLeft(t, now); left > 0 {
-			k.Ends = append(k.Ends, rebalance.End{Left: left, Need: jobs.ResourcesOf(t.Job.Spec)})
+			k.Completions = append(k.Completions, rebalance.Completion{Remaining: left, Frees: jobs.ResourcesOf(t.Job.Spec)})
 		}
 		if m.movable(t) {
 			k.Tasks = append(k.Tasks, m.running(t, now))
@@ -127,7 +127,7 @@
 // its job allows.
 func (m *mover) movable(t *jobs.Task) bool {
 	s := t.Job.Spec
-	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect || s.OneZone || s.Spread || m.history.Barred(s.ID) {
+	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect || s.OneZone || s.Spread || m.history.IsBarred(s.ID) {
 		return false
 	}
 	return s.Shape != api.Service || t.Job.RunningTasks > 1 // a lone replica would be missed
@@ -136,17 +136,17 @@
 func (m *mover) running(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
 	s := t.Job.Spec
 	return rebalance.Task{
-		ID:      t.TaskID(),
-		Team:    s.Team,
-		Need:    jobs.ResourcesOf(s),
-		Level:   s.Priority.Level(),
-		Ran:     now.Sub(t.RunningSince),
-		Left:    timeLeft(t, now),
-		Whole:   settings.Seconds(s.RuntimeS),
-		Saves:   settings.Seconds(s.CheckpointEveryS),
-		Save:    settings.Seconds(s.CheckpointS),
-		Replica: s.Shape == api.Service,
-		Moved:   m.history.Count(s.ID),
+		ID:                 t.TaskID(),
+		Team:               s.Team,
+		Need:               jobs.ResourcesOf(s),
+		PriorityLevel:      s.Priority.Level(),
+		RunningFor:         now.Sub(t.RunningSince),
+		Remaining:          timeLeft(t, now),
+		EstimatedRuntime:   settings.Seconds(s.RuntimeS),
+		CheckpointInterval: settings.Seconds(s.CheckpointEveryS),
+		CheckpointTime:     settings.Seconds(s.CheckpointS),
+		Replica:            s.Shape == api.Service,
+		MoveCount:          m.history.MoveCount(s.ID),
 	}
 }
 
@@ -154,13 +154,13 @@
 // takes there.
 func (m *mover) fits(t *rebalance.Task, k *rebalance.Machine) (time.Duration, bool) {
 	l := m.lead
-	j, w := l.jobs.Jobs[t.ID.Job], l.workers.Workers[k.Host]
+	j, w := l.jobs.Jobs[t.ID.Job], l.workers.Workers[k.ID]
 	if j == nil || w == nil || !w.Allows(j.Spec) || j.AvoidedMachines[w.ID] || w.Faulty() {
 		return 0, false
 	}
 	// Within the ordinary machines of a zone a move takes nothing from services to come.
 	from := l.workers.Workers[j.Tasks[t.ID.Index].MachineID]
-	if (from == nil || from.Spot || from.Zone != w.Zone) && !l.planner.SparesReserve(j, w) {
+	if (from == nil || from.Spot || from.Zone != w.Zone) && !l.planner.KeepsServiceHeadroom(j, w) {
 		return 0, false
 	}
 	if w.HasImage(j.Spec.Image) {
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -86,8 +86,8 @@
 			Task:          ident.TaskID{Job: job, Index: e.Index}.String(),
 			From:          e.From,
 			To:            e.To,
-			For:           e.For,
-			Source:        e.Source,
+			For:           e.BeneficiaryID,
+			Source:        e.Purpose,
 			State:         recordedState,
 			AgeS:          age.Seconds(),
 			ExpectedGainS: e.GainS,
@@ -107,15 +107,15 @@
 			From:          x.From,
 			To:            x.To,
 			For:           x.Beneficiary(),
-			Source:        x.Source.String(),
+			Source:        x.Purpose.String(),
 			State:         x.State.String(),
 			Reason:        x.Reason.String(),
-			AgeS:          now.Sub(x.Began).Seconds(),
+			AgeS:          now.Sub(x.StartedAt).Seconds(),
 			ExpectedGainS: x.Gain.Seconds(),
 			CostS:         x.Cost.Seconds(),
 		}
 		if x.State.Ended() {
-			gain := x.Realised().Seconds()
+			gain := x.RealizedGain().Seconds()
 			e.RealisedGainS = &gain
 		}
 		out = append(out, e)
@@ -128,7 +128,7 @@
 	s.MovesProposed, s.MoveGainSeconds = m.proposed, m.gain.Seconds()
 	s.SlowMachines = m.slow
 	s.MovesActive, s.MovesEnded = len(m.table.Active()), m.table.ByReason()
-	s.MoveRealisedSeconds = m.table.Gained.Seconds()
+	s.MoveRealisedSeconds = m.table.TotalGain.Seconds()
 	s.MovesHeldBack = map[string]uint64{}
 	for why, n := range m.heldBack {
 		if n > 0 {
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -35,7 +35,7 @@
 	lead    *lead
 	carries bool // moves are carried out, not only reported
 	config  rebalance.Config
-	speeds  *load.Speeds
+	speeds  *load.SlownessEstimator
 	table   *migration.Table
 	history *migration.History
 	// held holds the machines on which room is kept, by move.
@@ -59,15 +59,15 @@
 func newMover(l *lead) *mover {
 	tuning := &l.c.set.Tuning
 	config := rebalance.DefaultConfig()
-	config.Margin = tuning.Migration.MinGainFactor
+	config.GainMargin = tuning.Migration.MinGainFactor
 	config.Budgets.Cluster, config.Budgets.Zone = tuning.Migration.Cluster, tuning.Migration.Zone
 	config.Budgets.Team = tuning.Migration.Team
-	config.Patience, config.MinRan = tuning.Migration.MinTaskWait, tuning.Migration.MinRunTime
+	config.MinWait, config.MinRuntime = tuning.Migration.MinTaskWait, tuning.Migration.MinRunTime
 	return &mover{
 		lead:    l,
 		carries: tuning.Rebalance == settings.RebalanceMove,
 		config:  config,
-		speeds:  load.NewSpeeds(),
+		speeds:  load.NewSlownessEstimator(),
 		table:   migration.NewTable(migration.DefaultConfig(settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS))),
 		history: migration.NewHistory(l.commits, l.c.env.WallMS),
 		held:    map[*migration.Move]*workers.Worker{},
@@ -124,7 +124,7 @@
 }
 
 // waitingNow lists the tasks that others could be moved for, or says why none is.
-func (m *mover) waitingNow(now ident.MonotonicTime) ([]rebalance.Waiting, restraint) {
+func (m *mover) waitingNow(now ident.MonotonicTime) ([]rebalance.WaitingTask, restraint) {
 	if why := m.restrained(now); why != unrestrained {
 		return nil, why
 	}
@@ -137,7 +137,7 @@
 
 // count notes a proposal, once.
 func (m *mover) count(p rebalance.Move) {
-	key := proposal{p.Task, p.For}
+	key := proposal{p.Task, p.BeneficiaryID}
 	if m.seen[key] {
 		return
 	}
@@ -152,7 +152,7 @@
 
 // logMove tells of a move that is proposed or begun.
 func logMove(what string, p rebalance.Move) {
-	slog.Info(what, "task", p.Task.String(), "source", p.Source.String(), "team", p.Team, "from", string(p.From), "to", string(p.To),
+	slog.Info(what, "task", p.Task.String(), "source", p.Purpose.String(), "team", p.Team, "from", string(p.From), "to", string(p.To),
 		"for", p.Beneficiary(), "gain_s", p.Gain.Seconds(), "cost_s", p.Cost.Seconds())
 }
 
@@ -167,7 +167,7 @@
 	x := m.table.Begin(p, t.Attempt, now)
 	m.held[x] = to
 	logMove("move begins", p)
-	m.history.Write(x, func() {
+	m.history.RecordMove(x, func() {
 		if !l.dead {
 			m.table.Recorded(x)
 		}
@@ -178,13 +178,13 @@
 func (m *mover) advance() {
 	for _, e := range m.table.Advance(m.lead.c.env.Now(), m.observe) {
 		switch e.Kind {
-		case migration.Stop:
+		case migration.StopTask:
 			m.stop(e.Move)
-		case migration.Place:
+		case migration.PlaceTask:
 			m.place(e.Move)
-		case migration.Release:
+		case migration.ReleaseReservation:
 			m.release(e.Move)
-		case migration.Report:
+		case migration.ReportEnd:
 			m.report(e.Move)
 		}
 	}
@@ -194,25 +194,25 @@
 func (m *mover) observe(x *migration.Move) migration.Observation {
 	l := m.lead
 	o := migration.Observation{
-		MayDecide:   l.c.may(authority.Place),
-		LinksClear:  m.linksClear(x),
-		Cooled:      m.cooledAt > x.Began,
-		Destination: m.destination(x),
-		Elsewhere:   l.workers.HasUnknownAttempt(x.Task),
+		HasAuthority:      l.c.may(authority.Place),
+		LinksHealthy:      m.linksClear(x),
+		DemandRecovered:   m.cooledAt > x.StartedAt,
+		Destination:       m.destination(x),
+		ReportedElsewhere: l.workers.HasUnknownAttempt(x.Task),
 	}
 	if t := l.task(x.Task); t != nil {
 		o.JobOpen = t.Job.Phase == jobs.Open
-		o.Task, o.Attempt, o.Runs = t.State, t.Attempt, t.SeenRunning()
+		o.Task, o.Attempt, o.TaskRunning = t.State, t.Attempt, t.SeenRunning()
 		if t.State.Allocated() {
-			o.Host = t.MachineID
+			o.Machine = t.MachineID
 		}
 		o.TeamAllows = l.teams.Allows(t.Job.Spec, 1)
 	}
-	if x.Source == rebalance.LeavesSlow {
-		o.Waits = true // it is for the moved task itself
-	} else if t := l.task(x.For); t != nil {
-		o.Waits = t.Job.Phase == jobs.Open && t.State == jobs.Waiting
-		o.Beneficiary = t.State.Allocated() && t.MachineID == x.From
+	if x.Purpose == rebalance.LeavesSlowMachine {
+		o.BeneficiaryWaiting = true // it is for the moved task itself
+	} else if t := l.task(x.BeneficiaryID); t != nil {
+		o.BeneficiaryWaiting = t.Job.Phase == jobs.Open && t.State == jobs.Waiting
+		o.BeneficiaryPlaced = t.State.Allocated() && t.MachineID == x.From
 	}
 	return o
 }
@@ -240,10 +240,10 @@
 }
 
 // destination says whether a move's destination still has the room that was kept on it.
-func (m *mover) destination(x *migration.Move) migration.Destination {
+func (m *mover) destination(x *migration.Move) migration.DestinationStatus {
 	w := m.held[x]
 	if w == nil || !m.usable(w) {
-		return migration.DestinationShut
+		return migration.DestinationUnschedulable
 	}
 	if !w.ReservationCovered() {
 		return migration.DestinationFull
@@ -267,8 +267,8 @@
 	l := m.lead
 	t, from := l.task(x.Task), l.workers.Workers[x.From]
 	windDown := t.CheckpointGracePeriod()
-	if j := l.jobs.Jobs[x.For.Job]; j != nil {
-		l.planner.Promise(from, j, l.c.env.Now().Add(windDown+promiseTime))
+	if j := l.jobs.Jobs[x.BeneficiaryID.Job]; j != nil {
+		l.planner.ReserveFor(from, j, l.c.env.Now().Add(windDown+promiseTime))
 	}
 	l.workers.StopTask(from, t, windDown)
 }
@@ -287,8 +287,8 @@
 		w.ReleaseReservation()
 		delete(m.held, x)
 	}
-	if from, j := l.workers.Workers[x.From], l.jobs.Jobs[x.For.Job]; x.State == migration.Abandoned && x.StoppedAt == 0 && from != nil && j != nil {
-		l.planner.Withdraw(from, j)
+	if from, j := l.workers.Workers[x.From], l.jobs.Jobs[x.BeneficiaryID.Job]; x.State == migration.Abandoned && x.StoppedAt == 0 && from != nil && j != nil {
+		l.planner.ReleaseReservation(from, j)
 	}
 	l.dirty = true
 }
@@ -296,5 +296,5 @@
 // report tells of the end of a move.
 func (m *mover) report(x *migration.Move) {
 	slog.Info("move ended", "task", x.Task.String(), "team", x.Team, "from", string(x.From), "to", string(x.To), "state", x.State.String(),
-		"reason", x.Reason.String(), "took_s", m.lead.c.env.Now().Sub(x.Began).Seconds())
+		"reason", x.Reason.String(), "took_s", m.lead.c.env.Now().Sub(x.StartedAt).Seconds())
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -81,7 +81,7 @@
 	reply = l.wait(reply)
 	var j *jobs.Job
 	j = l.jobs.Add(s, func() {
-		l.fleet.Arrived(s, l.c.env.Now())
+		l.fleet.RecordArrival(s, l.c.env.Now())
 		if j.Phase != jobs.Open {
 			// Its user cancelled it meanwhile.
 			l.told(j, reply, ack)
@@ -95,7 +95,7 @@
 
 // refusal says why a job can never run.
 func (l *lead) refusal(s *api.Spec) string {
-	if why := l.teams.Refusal(s); why != "" {
+	if why := l.teams.RejectReason(s); why != "" {
 		return why
 	}
 	for i := range l.models {
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -14,7 +14,7 @@
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
 	}
-	m.speeds.Ran(t.Job.Spec.ID, w.Model, w.ID, m.lead.c.env.Now().Sub(t.RunningSince))
+	m.speeds.RecordRun(t.Job.Spec.ID, w.Model, w.ID, m.lead.c.env.Now().Sub(t.RunningSince))
 }
 
 // judgeSpeeds looks for machines that are much slower than others. Nothing more is placed on
@@ -28,8 +28,8 @@
 	for _, w := range all {
 		switch {
 		case w.State == workers.Terminated:
-			m.speeds.Gone(w.ID)
-		case w.State == workers.Up && m.speeds.Slow(w.ID, len(all)):
+			m.speeds.RemoveMachine(w.ID)
+		case w.State == workers.Up && m.speeds.IsSlow(w.ID, len(all)):
 			m.slow++
 			if !w.Slow {
 				w.Slow = true
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -25,7 +25,7 @@
 	GangsStarted, GangsLost     uint64
 	GangsReplaced, GangsStopped uint64
 	Imbalance                   float64 // of the machines' use, while load is watched
-	TeamLoads                   []load.TeamReport
+	TeamLoads                   []load.TeamDemand
 	MovesProposed               uint64
 	MoveGainSeconds             float64
 	MovesActive                 int               // under way
@@ -53,10 +53,10 @@
 		s.Machines[w.State.String()]++
 	}
 	p := l.planner.Stats
-	s.Planned, s.Local, s.New, s.Stolen = p.Planned, p.Local, p.New, p.Stolen
-	s.Services, s.Gangs, s.Preempted, s.Rounds, s.ExtraRounds = p.Services, p.Gangs, p.Preempted, p.Rounds, p.Extra
-	s.FetchedGB, s.PlanSeconds = p.FetchedGB, p.Took.Seconds()
-	s.Rented, s.Returned, s.Fenced = l.fleet.Rented, l.fleet.Returned, l.fleet.Fenced
+	s.Planned, s.Local, s.New, s.Stolen = p.Planned, p.Local, p.Uncached, p.Stolen
+	s.Services, s.Gangs, s.Preempted, s.Rounds, s.ExtraRounds = p.Services, p.Gangs, p.Preempted, p.Rounds, p.ExtraRounds
+	s.FetchedGB, s.PlanSeconds = p.FetchedGB, p.PlanTime.Seconds()
+	s.Rented, s.Returned, s.Fenced = l.fleet.Provisioned, l.fleet.Terminated, l.fleet.Fenced
 	s.Txns, s.Puts, s.Repeats = l.commits.Txns, l.commits.Puts, l.commits.Retries
 	s.Rejected = l.commits.Rejected
 	s.GangsStarted, s.GangsLost, s.GangsReplaced, s.GangsStopped = l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -7,85 +7,85 @@
 	"opaldale/internal/ident"
 )
 
-// arrivals remembers the jobs of the last while, to expect the next ones.
-type arrivals struct {
-	at   []ident.MonotonicTime
-	cpus []float64
+// arrivalHistory remembers the jobs of the last while, to expect the next ones.
+type arrivalHistory struct {
+	times []ident.MonotonicTime
+	cpus  []float64
 }
 
 const (
-	window = 90 * time.Second
-	burst  = 25 * time.Second
-	// settling is how long after the first job arrivals count as a backlog and
+	arrivalWindow = 90 * time.Second
+	burstWindow   = 25 * time.Second
+	// backlogPeriod is how long after the first job arrivals count as a backlog and
 	// not as a rate.
-	settling = 15 * time.Second
-	// ceased is how long after the last job of any kind none is expected any more.
-	ceased = 40 * time.Second
-	// maxSeen bounds the jobs remembered of a window: 4,000 machines that each begin a job
+	backlogPeriod = 15 * time.Second
+	// arrivalsCeasedAfter is how long after the last job of any kind none is expected any more.
+	arrivalsCeasedAfter = 40 * time.Second
+	// maxArrivals bounds the jobs remembered of a window: 4,000 machines that each begin a job
 	// every ten seconds are 36,000.
-	maxSeen = 50_000
+	maxArrivals = 50_000
 )
 
-func (a *arrivals) add(now ident.MonotonicTime, cpus float64) {
-	a.at = append(a.at, now)
+func (a *arrivalHistory) record(now ident.MonotonicTime, cpus float64) {
+	a.times = append(a.times, now)
 	a.cpus = append(a.cpus, cpus)
 	a.trim(now)
 }
 
-func (a *arrivals) trim(now ident.MonotonicTime) {
-	n := 0
-	for n < len(a.at) && (now.Sub(a.at[n]) > window || len(a.at)-n > maxSeen) {
-		n++
+func (a *arrivalHistory) trim(now ident.MonotonicTime) {
+	dropped := 0
+	for dropped < len(a.times) && (now.Sub(a.times[dropped]) > arrivalWindow || len(a.times)-dropped > maxArrivals) {
+		dropped++
 	}
-	a.at, a.cpus = a.at[n:], a.cpus[n:]
+	a.times, a.cpus = a.times[dropped:], a.cpus[dropped:]
 }
 
-// newest returns when the last job came, 0 if none did.
-func (a *arrivals) newest() ident.MonotonicTime {
-	if len(a.at) == 0 {
+// latest returns when the last job came, 0 if none did.
+func (a *arrivalHistory) latest() ident.MonotonicTime {
+	if len(a.times) == 0 {
 		return 0
 	}
-	return a.at[len(a.at)-1]
+	return a.times[len(a.times)-1]
 }
 
 // rate returns CPUs a second, and the mean and the largest job.
-func (a *arrivals) rate(now, began ident.MonotonicTime) (perSecond, mean, most float64) {
+func (a *arrivalHistory) rate(now, since ident.MonotonicTime) (perSecond, mean, largest float64) {
 	a.trim(now)
-	sum, last, all := 0.0, 0.0, 0.0
-	for i, c := range a.cpus {
-		all += c
-		most = max(most, c)
-		if a.at[i].Sub(began) > settling {
-			sum += c
-			if now.Sub(a.at[i]) < burst {
-				last += c
+	windowCPUs, burstCPUs, totalCPUs := 0.0, 0.0, 0.0
+	for i, cpus := range a.cpus {
+		totalCPUs += cpus
+		largest = max(largest, cpus)
+		if a.times[i].Sub(since) > backlogPeriod {
+			windowCPUs += cpus
+			if now.Sub(a.times[i]) < burstWindow {
+				burstCPUs += cpus
 			}
 		}
 	}
 	if len(a.cpus) > 0 {
-		mean = all / float64(len(a.cpus))
+		mean = totalCPUs / float64(len(a.cpus))
 	}
-	if span := min(now.Sub(began)-settling, window); span > 10*time.Second {
+	if span := min(now.Sub(since)-backlogPeriod, arrivalWindow); span > 10*time.Second {
 		// A burst is over before a slow mean has noticed it.
-		perSecond = max(sum/span.Seconds(), last/burst.Seconds())
+		perSecond = max(windowCPUs/span.Seconds(), burstCPUs/burstWindow.Seconds())
 	}
 	return
 }
 
-// Arrived notes a new job, or at the start of a term one of the term before.
-func (m *Manager) Arrived(s *api.Spec, at ident.MonotonicTime) {
-	if m.teams.Guest(s.Team) {
+// RecordArrival notes a new job, or at the start of a term one of the term before.
+func (m *Manager) RecordArrival(spec *api.Spec, at ident.MonotonicTime) {
+	if m.teams.IsBorrower(spec.Team) {
 		return // nothing is kept free for them
 	}
-	cpus := s.VCPUs * float64(s.Tasks)
-	if s.Shape != api.Batch {
+	cpus := spec.VCPUs * float64(spec.Tasks)
+	if spec.Shape != api.Batch {
 		// Gangs as well want room that is there when they come.
-		m.services.add(at, cpus)
+		m.serviceArrivals.record(at, cpus)
 	} else {
-		m.arrays.add(at, min(cpus, max(m.teams.Largest(), s.VCPUs)))
+		m.batchArrivals.record(at, min(cpus, max(m.teams.LargestGuarantee(), spec.VCPUs)))
 	}
 }
 
-// Continue tells that the cluster was running before this term: its arrivals are
+// ResumeFromPriorTerm tells that the cluster was running before this term: its arrivals are
 // a rate from the beginning, not a backlog.
-func (m *Manager) Continue() { m.began = m.began.Add(-time.Hour) }
+func (m *Manager) ResumeFromPriorTerm() { m.arrivalsSince = m.arrivalsSince.Add(-time.Hour) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,15 +23,15 @@
 
 // pool is what can be rented in one request.
 type pool struct {
-	model, site string
-	standby     bool
+	model, zone string
+	spot        bool
 }
 
-// market is what is known of a pool.
-type market struct {
-	pending int                 // asked for, not yet answered
-	closed  ident.MonotonicTime // no capacity until then
-	backoff time.Duration
+// poolState is what is known of a pool.
+type poolState struct {
+	pending          int                 // asked for, not yet answered
+	unavailableUntil ident.MonotonicTime // no capacity until then
+	backoff          time.Duration
 }
 
 // Config is what a term's manager is made of.
@@ -41,93 +41,93 @@
 	Cloud   settings.CloudLimits
 	Workers settings.WorkerTimes
 	Catalog func() []cloud.MachineType
-	// Reached is asked when most of the fleet is silent: whether workers could
+	// ReachableViaPeer is asked when most of the fleet is silent: whether workers could
 	// reach us through a sibling. If not, the fault is more likely ours.
-	Reached func() bool
-	// Direct says whether machines reach this node, or it them. If none does, their
+	ReachableViaPeer func() bool
+	// DirectContact says whether machines reach this node, or it them. If none does, their
 	// silence is rather our fault.
-	Direct func() bool
-	// Stranded says whether all siblings in a zone are silent, and there are some.
-	Stranded func(site string) bool
-	// Unheard says whether no node reaches the machines of a zone, so that they may all be
+	DirectContact func() bool
+	// ZonePeersSilent says whether all siblings in a zone are silent, and there are some.
+	ZonePeersSilent func(site string) bool
+	// ZoneUnreachable says whether no node reaches the machines of a zone, so that they may all be
 	// alive behind a broken link; nil if nobody can tell.
-	Unheard func(zone string) bool
-	// Blind says whether a sibling reaches the machines of a zone, and this node doesn't:
+	ZoneUnreachable func(zone string) bool
+	// LocallyUnreachable says whether a sibling reaches the machines of a zone, and this node doesn't:
 	// their silence is its own fault; nil if nobody can tell.
-	Blind func(zone string) bool
-	// Aim is the shortest time within which jobs of a lane should be done, 0 if
+	LocallyUnreachable func(zone string) bool
+	// Objective is the shortest time within which jobs of a lane should be done, 0 if
 	// nothing is said.
-	Aim func(lane string) time.Duration
+	Objective func(lane string) time.Duration
 	// Movable is asked whether a replica would find room, and its image, elsewhere.
 	Movable func(t *jobs.Task, from *workers.Worker) bool
 	// Drain is called for machines that will be taken.
 	Drain func(w *workers.Worker)
 	// Room is called when it changed how much arrays must leave free.
-	Reserve func(site string, cpus float64)
+	SetServiceHeadroom func(site string, cpus float64)
 }
 
 // Manager holds one term's dealings with the cloud.
 type Manager struct {
-	cfg     Config
-	port    Port
-	machine *workers.Table
-	jobs    *jobs.Table
-	teams   *placement.Teams
-	rng     *rand.Rand
-	dead    bool
+	cfg      Config
+	port     Port
+	machines *workers.Table
+	jobs     *jobs.Table
+	teams    *placement.Teams
+	rng      *rand.Rand
+	closed   bool
 
-	hires   uint64
-	markets map[pool]*market
-	tokens  float64
-	filled  ident.MonotonicTime
-	leaving []*workers.Worker // to be returned with the next request
-	listing bool
-	listed  ident.MonotonicTime
-	fences  []ident.MonotonicTime // of late
-	ticked  ident.MonotonicTime
-	stalled ident.MonotonicTime // when we were last found to have stalled
-	excess  ident.MonotonicTime // since when there is more room than needed, 0: there isn't
-	began   ident.MonotonicTime
-	started ident.MonotonicTime            // of the term
-	silent  time.Duration                  // a worker not heard of for so long is fenced
-	moves   int                            // replicas that this tick may still look at
-	missed  time.Duration                  // a worker not heard of for so long missed a report
-	alarm   ident.MonotonicTime            // when a late worker was last found not to answer
-	cut     map[string]bool                // zones from which nothing is heard, neither machines nor siblings
-	back    map[string]ident.MonotonicTime // when a zone was last found not to be cut off any more
+	requestCount     uint64
+	pools            map[pool]*poolState
+	rateTokens       float64
+	rateRefilled     ident.MonotonicTime
+	terminating      []*workers.Worker // to be returned with the next request
+	listInProgress   bool
+	lastListed       ident.MonotonicTime
+	recentFences     []ident.MonotonicTime // of late
+	lastTick         ident.MonotonicTime
+	lastStall        ident.MonotonicTime // when we were last found to have stalled
+	excessSince      ident.MonotonicTime // since when there is more room than needed, 0: there isn't
+	arrivalsSince    ident.MonotonicTime
+	termStarted      ident.MonotonicTime            // of the term
+	fenceTimeout     time.Duration                  // a worker not heard of for so long is fenced
+	movesLeft        int                            // replicas that this tick may still look at
+	heartbeatOverdue time.Duration                  // a worker not heard of for so long missed a report
+	massProbeStarted ident.MonotonicTime            // when a late worker was last found not to answer
+	partitionedZones map[string]bool                // zones from which nothing is heard, neither machines nor siblings
+	zoneRecovered    map[string]ident.MonotonicTime // when a zone was last found not to be cut off any more
 
-	unheard map[string]*unheardZone
+	unreachableZones map[string]*unreachableZone
 
-	services arrivals
-	arrays   arrivals
+	serviceArrivals arrivalHistory
+	batchArrivals   arrivalHistory
 
-	Rented, Returned, Fenced, NoCapacity uint64
+	Provisioned, Terminated, Fenced, NoCapacity uint64
 }
 
 // New makes the manager of a term.
-func New(port Port, m *workers.Table, j *jobs.Table, t *placement.Teams, rng *rand.Rand, cfg Config) *Manager {
+func New(port Port, machineTable *workers.Table, jobTable *jobs.Table, teams *placement.Teams, rng *rand.Rand, cfg Config) *Manager {
 	now := port.Now()
-	silent := cfg.Tuning.UnreachableAfter
-	if silent == 0 {
+	fenceTimeout := cfg.Tuning.UnreachableAfter
+	if fenceTimeout == 0 {
 		// Two reports at their latest (a quarter late) are missing, and a probe.
-		silent = settings.Seconds(2.2 * cfg.Workers.HeartbeatS)
+		fenceTimeout = settings.Seconds(2.2 * cfg.Workers.HeartbeatS)
 	}
 	// Reports come up to a quarter late.
-	late := settings.Seconds(1.25*cfg.Workers.HeartbeatS) + 500*time.Millisecond
-	return &Manager{silent: silent, missed: late, alarm: now.Add(-time.Hour), cfg: cfg, port: port, machine: m, jobs: j, teams: t, rng: rng, markets: map[pool]*market{}, back: map[string]ident.MonotonicTime{}, unheard: map[string]*unheardZone{},
-		tokens: cfg.Cloud.RPS, filled: now, listed: now.Add(-time.Hour), began: now, started: now, ticked: now, stalled: now.Add(-time.Hour)}
+	heartbeatOverdue := settings.Seconds(1.25*cfg.Workers.HeartbeatS) + 500*time.Millisecond
+	return &Manager{fenceTimeout: fenceTimeout, heartbeatOverdue: heartbeatOverdue, massProbeStarted: now.Add(-time.Hour), cfg: cfg, port: port, machines: machineTable, jobs: jobTable, teams: teams, rng: rng, pools: map[pool]*poolState{}, zoneRecovered: map[string]ident.MonotonicTime{}, unreachableZones: map[string]*unreachableZone{},
+		rateTokens: cfg.Cloud.RPS, rateRefilled: now, lastListed: now.Add(-time.Hour), arrivalsSince: now, termStarted: now, lastTick: now, lastStall: now.Add(-time.Hour)}
 }
 
 // Close ends the manager with its term.
-func (m *Manager) Close() { m.dead = true }
+func (m *Manager) Close() { m.closed = true }
 
 // Tick looks after the fleet.
 func (m *Manager) Tick() {
-	m.watch()
-	if m.dead {
+	m.checkHealth()
+	if m.closed {
 		return // watch may end the term
 	}
-	m.list()
-	m.size()
-	m.flush()
+	m.listMachines()
+	m.autoscale()
+	m.flushTerminations()
 }
--- a/internal/fleet/lay.go
+++ b/internal/fleet/lay.go
@@ -8,122 +8,122 @@
 	"opaldale/internal/jobs"
 )
 
-// laying is the search of room for the tasks of one job that wait.
-type laying struct {
-	layout *layout
-	job    *jobs.Job
-	left   int      // tasks without room
-	late   *float64 // CPUs for which ordinary machines may be rented in place of spot ones
-	open   func(*api.Spec, ask) *bin
-	now    ident.MonotonicTime
+// jobPacking is the search of room for the tasks of one job that wait.
+type jobPacking struct {
+	capacity       *capacityModel
+	job            *jobs.Job
+	remaining      int      // tasks without room
+	onDemandBudget *float64 // CPUs for which ordinary machines may be rented in place of spot ones
+	openBin        func(*api.Spec, binConstraint) *bin
+	now            ident.MonotonicTime
 
-	ask   ask
-	zones map[string]int // tasks in each
-	limit int            // of them in one zone
+	constraint  binConstraint
+	tasksByZone map[string]int // tasks in each
+	maxPerZone  int            // of them in one zone
 }
 
-// lay finds room for a job's tasks, and opens machines for what finds none.
-func (m *Manager) lay(x *laying) {
-	s := x.job.Spec
-	x.limit = s.Tasks
-	if s.Spread {
-		x.limit = (s.Tasks + 1) / 2
+// packJob finds room for a job's tasks, and opens machines for what finds none.
+func (m *Manager) packJob(packing *jobPacking) {
+	spec := packing.job.Spec
+	packing.maxPerZone = spec.Tasks
+	if spec.Spread {
+		packing.maxPerZone = (spec.Tasks + 1) / 2
 	}
-	x.zones = maps.Clone(x.job.AllocatedByZone)
-	if x.zones == nil {
-		x.zones = map[string]int{}
+	packing.tasksByZone = maps.Clone(packing.job.AllocatedByZone)
+	if packing.tasksByZone == nil {
+		packing.tasksByZone = map[string]int{}
 	}
-	x.ask = ask{zone: x.layout.oneZone(s, x.zones)}
-	m.layOver(x)
-	for x.left > 0 {
-		b := m.openFor(x)
+	packing.constraint = binConstraint{zone: packing.capacity.chooseZone(spec, packing.tasksByZone)}
+	m.packExisting(packing)
+	for packing.remaining > 0 {
+		b := m.openBinFor(packing)
 		if b == nil {
 			return
 		}
-		before := x.left
-		if m.put(x, b); x.left == before {
+		before := packing.remaining
+		if m.packBin(packing, b); packing.remaining == before {
 			return
 		}
 	}
 }
 
-// put takes room in a bin for as many tasks as may be there.
-func (m *Manager) put(x *laying, b *bin) {
-	s := x.job.Spec
-	if !b.allows(s) || x.ask.zone != "" && x.ask.zone != b.pool.site {
+// packBin takes room in a bin for as many tasks as may be there.
+func (m *Manager) packBin(packing *jobPacking, b *bin) {
+	spec := packing.job.Spec
+	if !b.allows(spec) || packing.constraint.zone != "" && packing.constraint.zone != b.pool.zone {
 		return
 	}
-	k := x.left
-	if s.Spread {
-		k = min(k, x.limit-x.zones[b.pool.site])
+	count := packing.remaining
+	if spec.Spread {
+		count = min(count, packing.maxPerZone-packing.tasksByZone[b.pool.zone])
 	}
-	if k <= 0 {
+	if count <= 0 {
 		return
 	}
-	k, back := x.layout.put(b, s, k)
-	for _, w := range back {
+	count, uncordoned := packing.capacity.allocate(b, spec, count)
+	for _, w := range uncordoned {
 		w.Cordoned = false
-		m.machine.NotifyCapacityChanged()
+		m.machines.NotifyCapacityChanged()
 	}
-	x.zones[b.pool.site] += k
-	x.left -= k
+	packing.tasksByZone[b.pool.zone] += count
+	packing.remaining -= count
 }
 
-// layOver takes room in what there is and is coming.
-func (m *Manager) layOver(x *laying) {
-	bins := &x.layout.bins
-	for c := range bins {
-		kept := bins[c][:0]
-		for i := 0; i < len(bins[c]); i++ { // what is left of a bin is added behind it
-			b := bins[c][i]
-			if x.left > 0 {
-				m.put(x, b)
+// packExisting takes room in what there is and is coming.
+func (m *Manager) packExisting(packing *jobPacking) {
+	bins := &packing.capacity.bins
+	for tier := range bins {
+		kept := bins[tier][:0]
+		for i := 0; i < len(bins[tier]); i++ { // what is left of a bin is added behind it
+			b := bins[tier][i]
+			if packing.remaining > 0 {
+				m.packBin(packing, b)
 			}
-			if b.n > 0 {
+			if b.machines > 0 {
 				kept = append(kept, b)
 			}
 		}
-		bins[c] = kept
+		bins[tier] = kept
 	}
 }
 
-// openFor opens one machine more for a job, nil if none is to be had.
-func (m *Manager) openFor(x *laying) *bin {
-	s := x.job.Spec
-	if s.Spread {
-		x.ask.full = x.fullZones()
+// openBinFor opens one machine more for a job, nil if none is to be had.
+func (m *Manager) openBinFor(packing *jobPacking) *bin {
+	spec := packing.job.Spec
+	if spec.Spread {
+		packing.constraint.fullZones = packing.fullZones()
 	}
-	dear := s.Spot && x.now.Sub(x.job.SubmittedAt) < patience*m.slowest()
+	preferSpot := spec.Spot && packing.now.Sub(packing.job.SubmittedAt) < spotPatience*m.longestBoot()
 	// An ordinary machine costs several times as much, and spot ones that are
 	// refused now are mostly to be had a little later.
 	// For work of guests no ordinary machine is rented at all: it is for what is to spare.
 	// (They doubled the ordinary fleet, and the price.)
-	x.ask.spot = dear && *x.late <= 0 || s.Spot && m.teams.Guest(s.Team)
-	b := x.open(s, x.ask)
-	if b == nil && x.job.IsGang() && s.OneZone && x.job.AllocatedTasks == 0 && x.ask.zone != "" {
+	packing.constraint.spotOnly = preferSpot && *packing.onDemandBudget <= 0 || spec.Spot && m.teams.IsBorrower(spec.Team)
+	b := packing.openBin(spec, packing.constraint)
+	if b == nil && packing.job.IsGang() && spec.OneZone && packing.job.AllocatedTasks == 0 && packing.constraint.zone != "" {
 		// Nothing is to be had there: perhaps it is elsewhere, for all of them.
-		x.ask.zone, x.left = "", s.Tasks
-		b = x.open(s, x.ask)
+		packing.constraint.zone, packing.remaining = "", spec.Tasks
+		b = packing.openBin(spec, packing.constraint)
 	}
 	if b == nil {
 		return nil
 	}
-	if s.OneZone {
+	if spec.OneZone {
 		// Where the first machine is, the others have to be. (Without room anywhere
 		// they were opened in both zones in turn.)
-		x.ask.zone = b.pool.site
+		packing.constraint.zone = b.pool.zone
 	}
-	if dear && !b.pool.standby {
-		*x.late -= b.v
+	if preferSpot && !b.pool.spot {
+		*packing.onDemandBudget -= b.freeVCPUs
 	}
 	return b
 }
 
 // fullZones lists the zones that have as many of a job's tasks as they may.
-func (x *laying) fullZones() []string {
+func (x *jobPacking) fullZones() []string {
 	var full []string
-	for z, k := range x.zones {
-		if k >= x.limit {
+	for z, count := range x.tasksByZone {
+		if count >= x.maxPerZone {
 			full = append(full, z)
 		}
 	}
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -15,124 +15,124 @@
 // bin is a number of machines that are alike, there or to come, while demand is
 // laid out. A fleet of thousands has some hundred different ones.
 type bin struct {
-	kind    *cloud.MachineType
-	pool    pool
-	n       int
-	v, c, g float64 // free CPUs, cards, memory of each
-	class   class
-	workers []*workers.Worker // of cordoned ones
+	model                             *cloud.MachineType
+	pool                              pool
+	machines                          int
+	freeVCPUs, freeGPUs, freeMemoryGB float64 // free CPUs, cards, memory of each
+	tier                              binTier
+	cordoned                          []*workers.Worker // of cordoned ones
 }
 
-// class orders the bins: which room is used first.
-type class uint8
+// binTier orders the bins: which room is used first.
+type binTier uint8
 
 const (
-	spotRoom     class = iota // as the planner has it
-	ordinaryRoom              //
-	cordonedRoom              // taken back into use before another machine is rented
-	endingRoom                // of array tasks that will probably end before a machine rented now is up
-	classes
+	spotTier     binTier = iota // as the planner has it
+	onDemandTier                //
+	cordonedTier                // taken back into use before another machine is rented
+	endingTier                  // of array tasks that will probably end before a machine rented now is up
+	tierCount
 )
 
-// class is that of the pool's machines while they are not cordoned.
-func (p pool) class() class {
-	if p.standby {
-		return spotRoom
+// tier is that of the pool's machines while they are not cordoned.
+func (p pool) tier() binTier {
+	if p.spot {
+		return spotTier
 	}
-	return ordinaryRoom
+	return onDemandTier
 }
 
-// quantum is what free amounts of a large fleet's machines are rounded down to, so
+// freeQuantum is what free amounts of a large fleet's machines are rounded down to, so
 // that some are alike. In a small one it would only hide room.
 const (
-	quantum = 0.25
-	large   = 200
+	freeQuantum = 0.25
+	largeFleet  = 200
 )
 
-func floor(x, to float64) float64 { return math.Floor(x/to+1e-6) * to }
+func floorTo(x, quantum float64) float64 { return math.Floor(x/quantum+1e-6) * quantum }
 
-func (b *bin) fit(s *api.Spec) int {
-	return jobs.Resources{VCPUs: b.v, GPUs: b.c, MemoryGB: b.g}.TaskCapacity(s)
+func (b *bin) tasksPerMachine(spec *api.Spec) int {
+	return jobs.Resources{VCPUs: b.freeVCPUs, GPUs: b.freeGPUs, MemoryGB: b.freeMemoryGB}.TaskCapacity(spec)
 }
 
-func (b *bin) allows(s *api.Spec) bool {
-	return (s.Zone == nil || *s.Zone == b.pool.site) && (!b.pool.standby || s.Spot) &&
-		(b.class != endingRoom || s.Shape == api.Batch) &&
-		workers.AllowsModel(s, b.pool.model) && workers.FitsEmpty(b.kind, s)
+func (b *bin) allows(spec *api.Spec) bool {
+	return (spec.Zone == nil || *spec.Zone == b.pool.zone) && (!b.pool.spot || spec.Spot) &&
+		(b.tier != endingTier || spec.Shape == api.Batch) &&
+		workers.AllowsModel(spec, b.pool.model) && workers.FitsEmpty(b.model, spec)
 }
 
-// layout is what there is, and is coming, while demand is laid out over it.
-type layout struct {
-	bins  [classes][]*bin
-	free  map[pool]float64   // CPUs free on machines that are not cordoned
-	lent  map[pool]float64   // CPUs that arrays have there
-	held  map[string]float64 // CPUs of replicas, by zone
-	later map[pool]float64   // CPUs of machines that are not up yet, part of free
-	count map[pool]int       // machines
-	least jobs.Resources     // that anything waiting takes of a machine
+// capacityModel is what there is, and is coming, while demand is laid out over it.
+type capacityModel struct {
+	bins         [tierCount][]*bin
+	freeVCPUs    map[pool]float64   // CPUs free on machines that are not cordoned
+	batchVCPUs   map[pool]float64   // CPUs that arrays have there
+	replicaVCPUs map[string]float64 // CPUs of replicas, by zone
+	bootingVCPUs map[pool]float64   // CPUs of machines that are not up yet, part of free
+	machines     map[pool]int       // machines
+	minNeed      jobs.Resources     // that anything waiting takes of a machine
 }
 
-func newLayout() *layout {
-	return &layout{free: map[pool]float64{}, lent: map[pool]float64{}, held: map[string]float64{}, later: map[pool]float64{}, count: map[pool]int{},
-		least: jobs.UnboundedResources()}
+func newCapacityModel() *capacityModel {
+	return &capacityModel{freeVCPUs: map[pool]float64{}, batchVCPUs: map[pool]float64{}, replicaVCPUs: map[string]float64{}, bootingVCPUs: map[pool]float64{}, machines: map[pool]int{},
+		minNeed: jobs.UnboundedResources()}
 }
 
-// useful says whether anything that waits could find room in a bin.
-func (l *layout) useful(b *bin) bool {
-	return b.n > 0 && b.v+1e-6 >= l.least.VCPUs && b.c+1e-6 >= l.least.GPUs && b.g+1e-6 >= l.least.MemoryGB
+// usable says whether anything that waits could find room in a bin.
+func (c *capacityModel) usable(b *bin) bool {
+	return b.machines > 0 && b.freeVCPUs+1e-6 >= c.minNeed.VCPUs && b.freeGPUs+1e-6 >= c.minNeed.GPUs && b.freeMemoryGB+1e-6 >= c.minNeed.MemoryGB
 }
 
-// put takes room for up to n tasks in a bin and returns how many found it, and
+// allocate takes room for up to n tasks in a bin and returns how many found it, and
 // the machines that were cordoned and are needed after all.
-func (l *layout) put(b *bin, s *api.Spec, n int) (int, []*workers.Worker) {
-	per := b.fit(s)
-	if per == 0 || b.n == 0 {
+func (c *capacityModel) allocate(b *bin, spec *api.Spec, n int) (int, []*workers.Worker) {
+	perMachine := b.tasksPerMachine(spec)
+	if perMachine == 0 || b.machines == 0 {
 		return 0, nil
 	}
-	k := min(n, per*b.n)
-	full, rest := k/per, k%per
-	left := func(machines, tasks int) {
-		f := float64(tasks)
-		r := &bin{kind: b.kind, pool: b.pool, n: machines, v: b.v - f*s.VCPUs, c: b.c - f*s.GPUs, g: b.g - f*s.MemoryGB, class: b.class}
-		if r.class == cordonedRoom {
-			r.class = r.pool.class()
+	allocated := min(n, perMachine*b.machines)
+	fullMachines, remainder := allocated/perMachine, allocated%perMachine
+	addRemainder := func(machines, tasks int) {
+		taken := float64(tasks)
+		partial := &bin{model: b.model, pool: b.pool, machines: machines, freeVCPUs: b.freeVCPUs - taken*spec.VCPUs, freeGPUs: b.freeGPUs - taken*spec.GPUs, freeMemoryGB: b.freeMemoryGB - taken*spec.MemoryGB, tier: b.tier}
+		if partial.tier == cordonedTier {
+			partial.tier = partial.pool.tier()
 		}
-		if l.useful(r) {
-			l.bins[r.class] = append(l.bins[r.class], r)
+		if c.usable(partial) {
+			c.bins[partial.tier] = append(c.bins[partial.tier], partial)
 		}
 	}
-	used := full
-	if rest > 0 {
+	used := fullMachines
+	if remainder > 0 {
 		used++
-		left(1, rest)
+		addRemainder(1, remainder)
 	}
-	if full > 0 {
-		left(full, per)
+	if fullMachines > 0 {
+		addRemainder(fullMachines, perMachine)
 	}
-	b.n -= used
-	var back []*workers.Worker
-	switch b.class {
-	case cordonedRoom:
-		back, b.workers = b.workers[:used], b.workers[used:]
-		l.free[b.pool] += float64(used)*b.v - float64(k)*s.VCPUs
-	case spotRoom, ordinaryRoom:
-		l.free[b.pool] -= float64(k) * s.VCPUs
+	b.machines -= used
+	var uncordoned []*workers.Worker
+	switch b.tier {
+	case cordonedTier:
+		uncordoned, b.cordoned = b.cordoned[:used], b.cordoned[used:]
+		c.freeVCPUs[b.pool] += float64(used)*b.freeVCPUs - float64(allocated)*spec.VCPUs
+	case spotTier, onDemandTier:
+		c.freeVCPUs[b.pool] -= float64(allocated) * spec.VCPUs
 	}
-	return k, back
+	return allocated, uncordoned
 }
 
-// oneZone returns the zone that all tasks of a job must be in: where it has some,
+// chooseZone returns the zone that all tasks of a job must be in: where it has some,
 // else where most of them would find room. "" for jobs that don't care.
-func (l *layout) oneZone(s *api.Spec, sites map[string]int) string {
-	if !s.OneZone {
+func (c *capacityModel) chooseZone(spec *api.Spec, tasksByZone map[string]int) string {
+	if !spec.OneZone {
 		return ""
 	}
 	best, most := "", 0
 	room := map[string]int{}
-	for _, bins := range l.bins {
+	for _, bins := range c.bins {
 		for _, b := range bins {
-			if b.allows(s) {
-				room[b.pool.site] += b.fit(s) * b.n
+			if b.allows(spec) {
+				room[b.pool.zone] += b.tasksPerMachine(spec) * b.machines
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 			best, most = z, n
 		}
 	}
-	for z, n := range sites {
+	for z, n := range tasksByZone {
 		if n > 0 {
 			best = z
 		}
@@ -149,130 +149,130 @@
 	return best
 }
 
-// alike says what machines of one bin have in common.
-type alike struct {
-	pool    pool
-	class   class
-	v, c, g float64 // free CPUs, cards, memory
+// binKey says what machines of one bin have in common.
+type binKey struct {
+	pool                              pool
+	tier                              binTier
+	freeVCPUs, freeGPUs, freeMemoryGB float64 // free CPUs, cards, memory
 }
 
-// gathering puts machines that are alike into one bin.
-type gathering struct {
-	bins  map[alike]*bin
-	order []*bin
-	to    float64 // what free amounts of machines are rounded down to
+// binBuilder puts machines that are alike into one bin.
+type binBuilder struct {
+	bins    map[binKey]*bin
+	order   []*bin
+	quantum float64 // what free amounts of machines are rounded down to
 }
 
 // add counts a machine, or the place of a task that ends, and returns its bin.
-func (g *gathering) add(k *cloud.MachineType, p pool, cl class, free jobs.Resources) *bin {
-	to := g.to
-	if cl == endingRoom {
+func (g *binBuilder) add(model *cloud.MachineType, p pool, tier binTier, free jobs.Resources) *bin {
+	quantum := g.quantum
+	if tier == endingTier {
 		// The place of a task that ends is as large as the task: rounded down, the next
 		// one like it would not fit.
-		to = exact
+		quantum = exactQuantum
 	}
-	key := alike{p, cl, floor(free.VCPUs, to), floor(free.GPUs, to), floor(free.MemoryGB, to)}
+	key := binKey{p, tier, floorTo(free.VCPUs, quantum), floorTo(free.GPUs, quantum), floorTo(free.MemoryGB, quantum)}
 	b := g.bins[key]
 	if b == nil {
-		b = &bin{kind: k, pool: p, class: cl, v: key.v, c: key.c, g: key.g}
+		b = &bin{model: model, pool: p, tier: tier, freeVCPUs: key.freeVCPUs, freeGPUs: key.freeGPUs, freeMemoryGB: key.freeMemoryGB}
 		g.bins[key] = b
 		g.order = append(g.order, b)
 	}
-	b.n++
+	b.machines++
 	return b
 }
 
-// exact rounds to what differs by no more than sums of amounts may.
-const exact = 1e-6
+// exactQuantum rounds to what differs by no more than sums of amounts may.
+const exactQuantum = 1e-6
 
-// layout counts the machines that can take work now or soon.
-func (m *Manager) layout(catalog []cloud.MachineType, now ident.MonotonicTime) *layout {
-	l := newLayout()
+// measureCapacity counts the machines that can take work now or soon.
+func (m *Manager) measureCapacity(catalog []cloud.MachineType, now ident.MonotonicTime) *capacityModel {
+	capacity := newCapacityModel()
 	for j := range m.jobs.Waiting {
-		l.least.LowerTo(j.Spec)
+		capacity.minNeed.LowerTo(j.Spec)
 	}
-	g := &gathering{bins: map[alike]*bin{}, to: exact}
-	if len(m.machine.Sorted()) > large {
-		g.to = quantum
+	builder := &binBuilder{bins: map[binKey]*bin{}, quantum: exactQuantum}
+	if len(m.machines.Sorted()) > largeFleet {
+		builder.quantum = freeQuantum
 	}
-	guests := m.guests()
-	for _, w := range m.machine.Sorted() {
-		m.layMachine(l, g, w, guests[w.ID], now)
+	borrowed := m.borrowedByMachine()
+	for _, w := range m.machines.Sorted() {
+		m.addMachine(capacity, builder, w, borrowed[w.ID], now)
 	}
-	m.layPending(l, g, catalog)
-	m.running(now, func(t *jobs.Task, w *workers.Worker, left time.Duration) {
-		if !w.Cordoned && w.Type != nil && left < m.startup(w) {
-			g.add(w.Type, pool{w.Model, w.Zone, w.Spot}, endingRoom, jobs.ResourcesOf(t.Job.Spec))
+	m.addPending(capacity, builder, catalog)
+	m.eachRunningBatchTask(now, func(t *jobs.Task, w *workers.Worker, left time.Duration) {
+		if !w.Cordoned && w.Type != nil && left < m.bootTime(w) {
+			builder.add(w.Type, pool{w.Model, w.Zone, w.Spot}, endingTier, jobs.ResourcesOf(t.Job.Spec))
 		}
 	})
-	for _, b := range g.order {
-		if l.useful(b) {
-			l.bins[b.class] = append(l.bins[b.class], b)
+	for _, b := range builder.order {
+		if capacity.usable(b) {
+			capacity.bins[b.tier] = append(capacity.bins[b.tier], b)
 		}
 	}
-	return l
+	return capacity
 }
 
-// layMachine counts a machine, if it can take work now or soon.
-func (m *Manager) layMachine(l *layout, g *gathering, w *workers.Worker, guests jobs.Resources, now ident.MonotonicTime) {
+// addMachine counts a machine, if it can take work now or soon.
+func (m *Manager) addMachine(capacity *capacityModel, builder *binBuilder, w *workers.Worker, borrowed jobs.Resources, now ident.MonotonicTime) {
 	// A machine where a task failed is no room to count on: the job keeps off it.
 	// (A job waited for ever while the only idle machine was one that it shunned.)
 	// Nor is one in a zone that is cut off.
-	if w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow || w.PossiblyFaulty() || m.cut[w.Zone] {
+	if w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow || w.PossiblyFaulty() || m.partitionedZones[w.Zone] {
 		return
 	}
 	p := pool{w.Model, w.Zone, w.Spot}
 	free := jobs.Resources{VCPUs: w.Type.VCPUs, GPUs: w.Type.GPUs, MemoryGB: w.Type.MemoryGB}
 	switch w.State {
 	case workers.Booting:
-		if now.Sub(w.CreatedAt) > 2*m.startup(w) {
+		if now.Sub(w.CreatedAt) > 2*m.bootTime(w) {
 			return // late: don't count on it
 		}
-		l.later[p] += free.VCPUs
+		capacity.bootingVCPUs[p] += free.VCPUs
 	case workers.Up, workers.Unreachable:
 		free = free.Sub(jobs.Resources{VCPUs: w.VCPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB})
 	default:
 		return
 	}
-	l.count[p]++
-	l.held[p.site] += w.ServiceVCPUs
+	capacity.machines[p]++
+	capacity.replicaVCPUs[p.zone] += w.ServiceVCPUs
 	if w.Cordoned {
-		b := g.add(w.Type, p, cordonedRoom, free)
-		b.workers = append(b.workers, w)
+		b := builder.add(w.Type, p, cordonedTier, free)
+		b.cordoned = append(b.cordoned, w)
 		return
 	}
-	l.free[p] += free.VCPUs
-	l.lent[p] += w.BatchVCPUs
-	g.add(w.Type, p, p.class(), free.Add(guests))
+	capacity.freeVCPUs[p] += free.VCPUs
+	capacity.batchVCPUs[p] += w.BatchVCPUs
+	builder.add(w.Type, p, p.tier(), free.Add(borrowed))
 }
 
-// layPending counts the machines that were asked for and are not on record yet.
-func (m *Manager) layPending(l *layout, g *gathering, catalog []cloud.MachineType) {
+// addPending counts the machines that were asked for and are not on record yet.
+func (m *Manager) addPending(capacity *capacityModel, builder *binBuilder, catalog []cloud.MachineType) {
 	for i := range catalog {
-		k := &catalog[i]
-		for _, site := range k.Zones {
-			for _, standby := range []bool{true, false} {
-				p := pool{k.SKU, site, standby}
-				mk := m.markets[p]
-				if mk == nil || mk.pending <= 0 {
+		model := &catalog[i]
+		for _, zone := range model.Zones {
+			for _, spot := range []bool{true, false} {
+				p := pool{model.SKU, zone, spot}
+				state := m.pools[p]
+				if state == nil || state.pending <= 0 {
 					continue
 				}
-				g.add(k, p, p.class(), jobs.Resources{VCPUs: k.VCPUs, GPUs: k.GPUs, MemoryGB: k.MemoryGB}).n += mk.pending - 1
-				l.count[p] += mk.pending
-				l.free[p] += float64(mk.pending) * k.VCPUs
-				l.later[p] += float64(mk.pending) * k.VCPUs
+				builder.add(model, p, p.tier(), jobs.Resources{VCPUs: model.VCPUs, GPUs: model.GPUs, MemoryGB: model.MemoryGB}).machines += state.pending - 1
+				capacity.machines[p] += state.pending
+				capacity.freeVCPUs[p] += float64(state.pending) * model.VCPUs
+				capacity.bootingVCPUs[p] += float64(state.pending) * model.VCPUs
 			}
 		}
 	}
 }
 
-// guests returns what tasks of teams without a guarantee have on each machine. It is room
+// borrowedByMachine returns what tasks of teams without a guarantee have on each machine. It is room
 // for whatever waits, as they give way. (Machines were rented for the house beside some
 // that were full of them.)
-func (m *Manager) guests() map[ident.MachineID]jobs.Resources {
+func (m *Manager) borrowedByMachine() map[ident.MachineID]jobs.Resources {
 	out := map[ident.MachineID]jobs.Resources{}
-	m.arraysOpen(func(j *jobs.Job) {
-		if j.AllocatedTasks == 0 || !m.teams.Guest(j.Spec.Team) {
+	m.eachOpenBatchJob(func(j *jobs.Job) {
+		if j.AllocatedTasks == 0 || !m.teams.IsBorrower(j.Spec.Team) {
 			return
 		}
 		for i := range j.Tasks {
@@ -284,29 +284,29 @@
 	return out
 }
 
-// running calls f for every array task seen running, with how long it will
+// eachRunningBatchTask calls f for every array task seen running, with how long it will
 // probably go on.
-func (m *Manager) running(now ident.MonotonicTime, f func(t *jobs.Task, w *workers.Worker, left time.Duration)) {
-	m.arraysOpen(func(j *jobs.Job) {
+func (m *Manager) eachRunningBatchTask(now ident.MonotonicTime, visit func(t *jobs.Task, w *workers.Worker, left time.Duration)) {
+	m.eachOpenBatchJob(func(j *jobs.Job) {
 		if j.RunningTasks == 0 {
 			return
 		}
 		for i := range j.Tasks {
 			if t := &j.Tasks[i]; t.State == jobs.Assigned && t.RunningSince > 0 {
-				if w := m.machine.Workers[t.MachineID]; w != nil {
-					f(t, w, settings.Seconds(j.Spec.RuntimeS)-now.Sub(t.RunningSince))
+				if w := m.machines.Workers[t.MachineID]; w != nil {
+					visit(t, w, settings.Seconds(j.Spec.RuntimeS)-now.Sub(t.RunningSince))
 				}
 			}
 		}
 	})
 }
 
-// zones returns the CPUs of ordinary machines that services could have, by zone.
-func (l *layout) zones() map[string]float64 {
+// onDemandByZone returns the CPUs of ordinary machines that services could have, by zone.
+func (c *capacityModel) onDemandByZone() map[string]float64 {
 	out := map[string]float64{}
-	for p, v := range l.free {
-		if !p.standby {
-			out[p.site] += v + l.lent[p]
+	for p, v := range c.freeVCPUs {
+		if !p.spot {
+			out[p.zone] += v + c.batchVCPUs[p]
 		}
 	}
 	for z, v := range out {
@@ -315,10 +315,10 @@
 	return out
 }
 
-// spare returns all CPUs free.
-func (l *layout) spare() float64 {
+// totalFree returns all CPUs free.
+func (c *capacityModel) totalFree() float64 {
 	sum := 0.0
-	for _, v := range l.free {
+	for _, v := range c.freeVCPUs {
 		sum += v
 	}
 	return round(sum)
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -18,42 +18,42 @@
 	"opaldale/internal/workers"
 )
 
-// world answers the cloud's requests from a script and lets time pass.
-type world struct {
-	dead   map[string]bool
-	serial ident.SequenceNumber
-	now    ident.MonotonicTime
-	timers []func()
-	calls  []cloud.Request
-	reply  func(cloud.Request) cloud.Response
+// fakePort answers the cloud's requests from a script and lets time pass.
+type fakePort struct {
+	deadAddrs map[string]bool
+	sequence  ident.SequenceNumber
+	now       ident.MonotonicTime
+	timers    []func()
+	calls     []cloud.Request
+	reply     func(cloud.Request) cloud.Response
 }
 
-func (w *world) Now() ident.MonotonicTime { return w.now }
+func (w *fakePort) Now() ident.MonotonicTime { return w.now }
 
-func (w *world) After(d time.Duration, f func()) { w.timers = append(w.timers, f) }
+func (w *fakePort) After(d time.Duration, f func()) { w.timers = append(w.timers, f) }
 
-func (w *world) Cloud(r cloud.Request, f func(cloud.Response)) {
+func (w *fakePort) Cloud(r cloud.Request, f func(cloud.Response)) {
 	w.calls = append(w.calls, r)
 	f(w.reply(r))
 }
 
-func (w *world) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (w *fakePort) Store(r statesvc.Request, f func(statesvc.Response)) {
 	f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 5})
 }
 
 // Worker never answers, unless it is said who is dead.
-func (w *world) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+func (w *fakePort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
-	if gone, ok := w.dead[addr]; gone || !ok {
+	if gone, ok := w.deadAddrs[addr]; gone || !ok {
 		f(workers.CommandResult{})
 		return
 	}
-	w.serial++
+	w.sequence++
 	f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: ident.MachineID(addr), Addr: addr, Model: "m8", Zone: "east",
-		Incarnation: 1, SequenceNumber: w.serial, FencingToken: c.Body.FencingToken}})
+		Incarnation: 1, SequenceNumber: w.sequence, FencingToken: c.Body.FencingToken}})
 }
 
-func (w *world) pass(d time.Duration, m *Manager) {
+func (w *fakePort) advance(d time.Duration, m *Manager) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(500 * time.Millisecond)
 		due := w.timers
@@ -65,17 +65,17 @@
 	}
 }
 
-type rig struct {
-	*world
-	m                 *Manager
+type harness struct {
+	*fakePort
+	manager           *Manager
 	table             *workers.Table
 	jobs              *jobs.Table
 	commits           *commit.Committer
 	reached, stranded bool
 }
 
-func newRig() *rig {
-	r := &rig{world: &world{now: ident.MonotonicTime(time.Hour)}, reached: true}
+func newHarness() *harness {
+	r := &harness{fakePort: &fakePort{now: ident.MonotonicTime(time.Hour)}, reached: true}
 	r.reply = func(q cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
 	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) {})
@@ -89,19 +89,19 @@
 	tuning := settings.DefaultTuning()
 	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to return
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
-	r.m = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{Term: 3, Tuning: tuning,
+	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{Term: 3, Tuning: tuning,
 		Cloud: settings.CloudLimits{RPS: 5, ListLagS: 10}, Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
-		Catalog: func() []cloud.MachineType { return []cloud.MachineType{kind} },
-		Reached: func() bool { return r.reached },
-		Direct:  func() bool { return true }, Stranded: func(string) bool { return r.stranded },
-		Aim:     func(string) time.Duration { return 0 },
-		Movable: func(*jobs.Task, *workers.Worker) bool { return false }, Drain: func(*workers.Worker) {},
-		Reserve: func(string, float64) {}})
+		Catalog:          func() []cloud.MachineType { return []cloud.MachineType{kind} },
+		ReachableViaPeer: func() bool { return r.reached },
+		DirectContact:    func() bool { return true }, ZonePeersSilent: func(string) bool { return r.stranded },
+		Objective: func(string) time.Duration { return 0 },
+		Movable:   func(*jobs.Task, *workers.Worker) bool { return false }, Drain: func(*workers.Worker) {},
+		SetServiceHeadroom: func(string, float64) {}})
 	return r
 }
 
-// follow counts tasks on their machines as they come and go.
-func (r *rig) follow() {
+// trackTasks counts tasks on their machines as they come and go.
+func (r *harness) trackTasks() {
 	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
 		if w := r.table.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
 			r.table.AddTask(w, task)
@@ -111,14 +111,14 @@
 	}
 }
 
-func (r *rig) up(n int) {
+func (r *harness) addMachines(n int) {
 	for i := range n {
 		w := r.table.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m8", "east", false, r.now)
 		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 1})
 	}
 }
 
-func (r *rig) count(op cloud.Op) int {
+func (r *harness) countCalls(op cloud.Op) int {
 	n := 0
 	for _, c := range r.calls {
 		if c.Op == op {
@@ -128,32 +128,32 @@
 	return n
 }
 
-// newReplicas has machines with a replica on each, some of which answer nothing.
-func newReplicas(machines int, dead func(i int) bool) *rig {
-	r := newRig()
-	r.m.missed, r.m.silent = 10*time.Second, 18*time.Second
-	r.up(machines)
-	r.dead, r.serial = map[string]bool{}, 100
+// newReplicaHarness has machines with a replica on each, some of which answer nothing.
+func newReplicaHarness(machines int, dead func(i int) bool) *harness {
+	r := newHarness()
+	r.manager.heartbeatOverdue, r.manager.fenceTimeout = 10*time.Second, 18*time.Second
+	r.addMachines(machines)
+	r.deadAddrs, r.sequence = map[string]bool{}, 100
 	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: machines, VCPUs: 1}, func() {}, nil)
 	r.commits.Flush()
-	r.follow()
+	r.trackTasks()
 	for i, w := range r.table.Sorted() {
 		w.Addr = string(w.ID)
-		r.dead[w.Addr] = dead(i)
+		r.deadAddrs[w.Addr] = dead(i)
 		r.jobs.Place(&j.Tasks[i], w.ID, 1, func() {})
 	}
 	r.commits.Flush()
 	return r
 }
 
-// onlyDeadFenced checks that all machines that answer nothing are gone, and no other.
-func (r *rig) onlyDeadFenced(t *testing.T, dead int) {
+// assertOnlyDeadFenced checks that all machines that answer nothing are gone, and no other.
+func (r *harness) assertOnlyDeadFenced(t *testing.T, dead int) {
 	t.Helper()
 	gone := 0
 	for _, w := range r.table.Sorted() {
 		if w.State == workers.Terminated {
 			gone++
-			if !r.dead[w.Addr] {
+			if !r.deadAddrs[w.Addr] {
 				t.Errorf("%s answers, and was fenced", w.ID)
 			}
 		}
--- a/internal/fleet/shrink.go
+++ b/internal/fleet/shrink.go
@@ -11,60 +11,60 @@
 	"opaldale/internal/workers"
 )
 
-// shrink empties and returns machines that neither the waiting work nor the
+// scaleIn empties and returns machines that neither the waiting work nor the
 // headroom needs. A machine is seldom idle by itself: tasks come and go on it,
 // and replicas stay. So the one that is easiest to empty is cordoned: its tasks
 // end, its replicas move, and nothing new is placed there.
-func (m *Manager) shrink(l *layout, services, ordinary map[string]float64, arrays float64, now ident.MonotonicTime) {
-	m.moves = maxMoves
-	x := &shrinking{arrays: arrays, services: total(services), ordinary: ordinary, free: l.zones()}
-	candidates, smallest, leaving := m.candidates(now)
+func (m *Manager) scaleIn(capacity *capacityModel, services, onDemand map[string]float64, batch float64, now ident.MonotonicTime) {
+	m.movesLeft = maxMovesPerTick
+	budget := &scaleInBudget{batchHeadroom: batch, serviceHeadroom: total(services), onDemandHeadroom: onDemand, freeOnDemand: capacity.onDemandByZone()}
+	candidates, smallest, displaced := m.scaleInCandidates(now)
 	// What boots can't take the place of what is returned.
 	booting := 0.0
-	for p, v := range l.later {
+	for p, v := range capacity.bootingVCPUs {
 		booting += v
-		if !p.standby {
-			x.free[p.site] -= v
+		if !p.spot {
+			budget.freeOnDemand[p.zone] -= v
 		}
 	}
-	x.spare = round(l.spare() - leaving - booting)
-	if x.spare-smallest < x.services+arrays {
-		m.excess = 0
+	budget.freeTotal = round(capacity.totalFree() - displaced - booting)
+	if budget.freeTotal-smallest < budget.serviceHeadroom+batch {
+		m.excessSince = 0
 		return
 	}
-	sort.SliceStable(candidates, func(i, k int) bool { return dearer(candidates[i], candidates[k]) })
-	excess := false
+	sort.SliceStable(candidates, func(i, k int) bool { return costsMore(candidates[i], candidates[k]) })
+	surplus := false
 	for _, w := range candidates {
-		if !x.needless(w) {
+		if !budget.surplus(w) {
 			continue
 		}
-		excess = true
-		if m.excess == 0 {
-			m.excess = now
+		surplus = true
+		if m.excessSince == 0 {
+			m.excessSince = now
 		}
-		if now.Sub(m.excess) < m.cfg.Tuning.ScaleInDelay {
+		if now.Sub(m.excessSince) < m.cfg.Tuning.ScaleInDelay {
 			return
 		}
-		x.remove(w)
+		budget.subtract(w)
 		slog.Info("cordoning machine", "host", string(w.ID), "tasks", len(w.Tasks), "replicas_cpus", w.ServiceVCPUs)
 		w.Cordoned = true
-		m.empty(w, now)
+		m.drainCordoned(w, now)
 	}
-	if !excess {
-		m.excess = 0
+	if !surplus {
+		m.excessSince = 0
 	}
 }
 
-// candidates lists the machines that may be cordoned, with the CPUs of the smallest, and goes on
+// scaleInCandidates lists the machines that may be cordoned, with the CPUs of the smallest, and goes on
 // emptying those that are; leaving is what work there will need elsewhere.
-func (m *Manager) candidates(now ident.MonotonicTime) (list []*workers.Worker, smallest, leaving float64) {
-	for _, w := range m.machine.Sorted() {
+func (m *Manager) scaleInCandidates(now ident.MonotonicTime) (list []*workers.Worker, smallest, displaced float64) {
+	for _, w := range m.machines.Sorted() {
 		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow {
 			continue
 		}
 		if w.Cordoned {
-			leaving += w.VCPUs
-			m.empty(w, now)
+			displaced += w.VCPUs
+			m.drainCordoned(w, now)
 			continue
 		}
 		list = append(list, w)
@@ -72,13 +72,13 @@
 			smallest = w.Type.VCPUs
 		}
 	}
-	return list, smallest, leaving
+	return list, smallest, displaced
 }
 
-// dearer orders machines by what is saved by returning them, then by how easily they are
+// costsMore orders machines by what is saved by returning them, then by how easily they are
 // emptied.
-func dearer(a, b *workers.Worker) bool {
-	if x, y := price(a), price(b); x != y {
+func costsMore(a, b *workers.Worker) bool {
+	if x, y := hourlyPrice(a), hourlyPrice(b); x != y {
 		return x > y
 	}
 	if a.ServiceVCPUs != b.ServiceVCPUs {
@@ -87,83 +87,83 @@
 	return a.VCPUs < b.VCPUs
 }
 
-// shrinking is what is free while machines are cordoned, in CPUs, and what of it must be kept.
-type shrinking struct {
-	spare    float64            // on all machines
-	free     map[string]float64 // on ordinary machines, by zone
-	services float64            // to be kept on all machines for services
-	arrays   float64            // and for arrays
-	ordinary map[string]float64 // to be kept on ordinary machines, by zone
+// scaleInBudget is what is free while machines are cordoned, in CPUs, and what of it must be kept.
+type scaleInBudget struct {
+	freeTotal        float64            // on all machines
+	freeOnDemand     map[string]float64 // on ordinary machines, by zone
+	serviceHeadroom  float64            // to be kept on all machines for services
+	batchHeadroom    float64            // and for arrays
+	onDemandHeadroom map[string]float64 // to be kept on ordinary machines, by zone
 }
 
-// needless says whether enough is left without a machine. Its replicas move, and its arrays end
+// surplus says whether enough is left without a machine. Its replicas move, and its arrays end
 // where they are; but while work goes on as it does, others come in their place. (Counting only
 // what was free on it cordoned most of a fleet within a second of the end of a peak, and rented
 // it again.)
-func (x *shrinking) needless(w *workers.Worker) bool {
-	keep := x.arrays
+func (x *scaleInBudget) surplus(w *workers.Worker) bool {
+	keep := x.batchHeadroom
 	if w.Spot {
-		keep *= spotKeep
+		keep *= spotHeadroomFactor
 	}
-	if x.spare-w.Type.VCPUs < x.services+keep {
+	if x.freeTotal-w.Type.VCPUs < x.serviceHeadroom+keep {
 		return false
 	}
-	return w.Spot || x.free[w.Zone]-w.Type.VCPUs >= x.ordinary[w.Zone]
+	return w.Spot || x.freeOnDemand[w.Zone]-w.Type.VCPUs >= x.onDemandHeadroom[w.Zone]
 }
 
-// remove takes a machine out of what is free.
-func (x *shrinking) remove(w *workers.Worker) {
-	x.spare -= w.Type.VCPUs
+// subtract takes a machine out of what is free.
+func (x *scaleInBudget) subtract(w *workers.Worker) {
+	x.freeTotal -= w.Type.VCPUs
 	if !w.Spot {
-		x.free[w.Zone] -= w.Type.VCPUs
+		x.freeOnDemand[w.Zone] -= w.Type.VCPUs
 	}
 }
 
-// spotKeep is how many times the room for arrays is kept before a spot machine is
+// spotHeadroomFactor is how many times the room for arrays is kept before a spot machine is
 // returned: idle they cost little, and a boot is paid for as well.
-const spotKeep = 1.7
+const spotHeadroomFactor = 1.7
 
-// price is what a machine costs at present.
-func price(w *workers.Worker) float64 {
+// hourlyPrice is what a machine costs at present.
+func hourlyPrice(w *workers.Worker) float64 {
 	if w.Spot {
 		return w.Type.SpotPrice
 	}
 	return w.Type.HourlyPrice
 }
 
-// maxMoves bounds the replicas that a tick looks for another place for.
-const maxMoves = 20
+// maxMovesPerTick bounds the replicas that a tick looks for another place for.
+const maxMovesPerTick = 20
 
-// settled is how long a start must last to count for the aims.
-const settled = 35 * time.Second
+// minReplicaUptime is how long a start must last to count for the aims.
+const minReplicaUptime = 35 * time.Second
 
-// empty moves the replicas off a cordoned machine, once its arrays have ended,
+// drainCordoned moves the replicas off a cordoned machine, once its arrays have ended,
 // and returns it when nothing is left.
-func (m *Manager) empty(w *workers.Worker, now ident.MonotonicTime) {
+func (m *Manager) drainCordoned(w *workers.Worker, now ident.MonotonicTime) {
 	if w.State != workers.Up {
 		return
 	}
 	if len(w.Tasks) == 0 {
-		m.Return(w, "not needed")
+		m.Terminate(w, "not needed")
 		return
 	}
-	for _, t := range m.machine.SortedTasks(w) {
+	for _, t := range m.machines.SortedTasks(w) {
 		if t.Job.Spec.Shape != api.Service {
 			return
 		}
-		if t.State != jobs.Assigned || t.RunningSince == 0 || now.Sub(t.RunningSince) < settled {
+		if t.State != jobs.Assigned || t.RunningSince == 0 || now.Sub(t.RunningSince) < minReplicaUptime {
 			return
 		}
 	}
 	// One replica each time, and only while there is room for it where its image
 	// is: it is gone for no longer than a command and a transaction take.
-	for _, t := range m.machine.SortedTasks(w) {
-		if m.moves--; m.moves < 0 {
+	for _, t := range m.machines.SortedTasks(w) {
+		if m.movesLeft--; m.movesLeft < 0 {
 			return
 		}
 		if m.cfg.Movable(t, w) {
 			slog.Info("moving replica", "task", t.TaskID().String(), "host", string(w.ID))
-			m.machine.StopTask(w, t, 0)
+			m.machines.StopTask(w, t, 0)
 			return
 		}
 	}
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -14,19 +14,19 @@
 	"opaldale/internal/settings"
 )
 
-// ask narrows down which machine is opened.
-type ask struct {
-	zone string   // only this zone, if given
-	full []string // none of these zones
-	spot bool     // only spot machines
+// binConstraint narrows down which machine is opened.
+type binConstraint struct {
+	zone      string   // only this zone, if given
+	fullZones []string // none of these zones
+	spotOnly  bool     // only spot machines
 }
 
-// maxRent bounds the machines asked for in one request.
-const maxRent = 50
+// maxProvisionBatch bounds the machines asked for in one request.
+const maxProvisionBatch = 50
 
-func sortedPools(rent map[pool]int) []pool {
-	out := make([]pool, 0, len(rent))
-	for p := range rent {
+func sortedPools(counts map[pool]int) []pool {
+	out := make([]pool, 0, len(counts))
+	for p := range counts {
 		out = append(out, p)
 	}
 	sort.Slice(out, func(i, k int) bool {
@@ -34,90 +34,90 @@
 		if a.model != b.model {
 			return a.model < b.model
 		}
-		if a.site != b.site {
-			return a.site < b.site
+		if a.zone != b.zone {
+			return a.zone < b.zone
 		}
-		return !a.standby && b.standby
+		return !a.spot && b.spot
 	})
 	return out
 }
 
-// size lays the waiting work out over what is there and what is coming, rents
+// autoscale lays the waiting work out over what is there and what is coming, rents
 // what is missing, and returns what stays idle.
-func (m *Manager) size() {
+func (m *Manager) autoscale() {
 	catalog := m.cfg.Catalog()
 	if len(catalog) == 0 {
 		return
 	}
 	now := m.port.Now()
-	l := m.layout(catalog, now)
-	rent := map[pool]int{}
-	open := func(s *api.Spec, a ask) *bin {
-		b := m.newBin(catalog, l, s, a, now)
+	capacity := m.measureCapacity(catalog, now)
+	missing := map[pool]int{}
+	openBin := func(spec *api.Spec, constraint binConstraint) *bin {
+		b := m.cheapestBin(catalog, capacity, spec, constraint, now)
 		if b != nil {
-			rent[b.pool]++
-			l.count[b.pool]++
-			l.free[b.pool] += b.v
-			l.later[b.pool] += b.v
-			l.bins[b.class] = append(l.bins[b.class], b)
+			missing[b.pool]++
+			capacity.machines[b.pool]++
+			capacity.freeVCPUs[b.pool] += b.freeVCPUs
+			capacity.bootingVCPUs[b.pool] += b.freeVCPUs
+			capacity.bins[b.tier] = append(capacity.bins[b.tier], b)
 		}
 		return b
 	}
-	late := m.late(l, now)
+	onDemandBudget := m.batchShortfall(capacity, now)
 	for _, services := range []bool{true, false} {
-		for _, j := range m.waiting(services) {
-			n := min(j.PlaceableCount(), m.teams.Room(j.Spec))
+		for _, j := range m.waitingJobs(services) {
+			n := min(j.PlaceableCount(), m.teams.RemainingTasks(j.Spec))
 			if n > 0 && (!j.IsGang() || n == j.WaitingCount()) {
-				m.lay(&laying{layout: l, job: j, left: n, late: &late, open: open, now: now})
+				m.packJob(&jobPacking{capacity: capacity, job: j, remaining: n, onDemandBudget: &onDemandBudget, openBin: openBin, now: now})
 			}
 		}
 	}
-	services, arrays := m.wanted(now)
+	services, batch := m.targetHeadroom(now)
 	// Beyond what arrays keep off, ordinary room that they may have meanwhile: when a
 	// rack goes, its replicas need at once what takes a boot to bring.
 	spare := map[string]float64{}
 	for z, v := range services {
-		m.cfg.Reserve(z, v)
-		spare[z] = round(v + whole(catalog, z, m.cfg.Tuning.ServiceSpareFraction*l.held[z]))
+		m.cfg.SetServiceHeadroom(z, v)
+		spare[z] = round(v + wholeMachines(catalog, z, m.cfg.Tuning.ServiceSpareFraction*capacity.replicaVCPUs[z]))
 	}
-	m.headroom(l, open, services, spare, arrays)
-	m.rentAll(rent)
-	m.shrink(l, services, spare, arrays, now)
+	m.ensureHeadroom(capacity, openBin, services, spare, batch)
+	m.provisionAll(missing)
+	m.scaleIn(capacity, services, spare, batch, now)
 }
 
-// whole rounds CPUs down to whole machines of a zone: in a small fleet the part that
+// wholeMachines rounds CPUs down to whole machines of a zone: in a small fleet the part that
 // may be lost is less than one, and a machine more would stand there for it.
-func whole(catalog []cloud.MachineType, site string, cpus float64) float64 {
-	most := 0.0
+func wholeMachines(catalog []cloud.MachineType, zone string, cpus float64) float64 {
+	largest := 0.0
 	for i := range catalog {
-		if slices.Contains(catalog[i].Zones, site) {
-			most = max(most, catalog[i].VCPUs)
+		if slices.Contains(catalog[i].Zones, zone) {
+			largest = max(largest, catalog[i].VCPUs)
 		}
 	}
-	if most == 0 {
+	if largest == 0 {
 		return 0
 	}
-	return math.Floor(cpus/most) * most
+	return math.Floor(cpus/largest) * largest
 }
 
-// rentAll asks for what is missing, of each pool in turn, as far as the cloud's
+// provisionAll asks for what is missing, of each pool in turn, as far as the cloud's
 // rate allows.
-func (m *Manager) rentAll(rent map[pool]int) {
-	pools := sortedPools(rent)
+func (m *Manager) provisionAll(missing map[pool]int) {
+	pools := sortedPools(missing)
 	for again := true; again; {
 		again = false
 		for _, p := range pools {
-			if n := m.mayRent(p, min(rent[p], maxRent)); n > 0 && m.rent(p, n) {
-				rent[p] -= n
+			if n := m.provisionLimit(p, min(missing[p], maxProvisionBatch)); n > 0 && m.provision(p, n) {
+				missing[p] -= n
 				again = true
 			}
 		}
 	}
 }
 
-// waiting lists the jobs with tasks to be placed, by arrival, those of guests last: they
+// waitingJobs lists the jobs with tasks to be placed, by arrival, those of guests last: they
 // have the room that others leave.
-func (m *Manager) waiting(services bool) []*jobs.Job {
+func (m *Manager) waitingJobs(services bool) []*jobs.Job {
 	var out []*jobs.Job
 	for j := range m.jobs.Waiting {
 		if (j.Spec.Shape != api.Batch) == services && !(j.Suspect && m.port.Now() < j.RetryAt) {
@@ -125,7 +125,7 @@
 		}
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if a, b := m.teams.Guest(out[i].Spec.Team), m.teams.Guest(out[k].Spec.Team); a != b {
+		if a, b := m.teams.IsBorrower(out[i].Spec.Team), m.teams.IsBorrower(out[k].Spec.Team); a != b {
 			return b
 		}
 		return out[i].Seq < out[k].Seq
@@ -133,66 +133,66 @@
 	return out
 }
 
-// arraysOpen calls f for every open array, in a fixed order.
-func (m *Manager) arraysOpen(f func(*jobs.Job)) {
+// eachOpenBatchJob calls f for every open array, in a fixed order.
+func (m *Manager) eachOpenBatchJob(visit func(*jobs.Job)) {
 	for _, name := range slices.Sorted(maps.Keys(m.jobs.Teams)) {
 		for _, j := range m.jobs.Teams[name].OpenJobs {
 			if j.Spec.Shape == api.Batch {
-				f(j)
+				visit(j)
 			}
 		}
 	}
 }
 
-// late returns how many CPUs are missing for the arrays that wait to be started
+// batchShortfall returns how many CPUs are missing for the arrays that wait to be started
 // in time for the first of their aims, 0 if the machines that are there or coming
 // can still do it. A backlog is seen by its work, not by waiting until it is late.
-func (m *Manager) late(l *layout, now ident.MonotonicTime) float64 {
-	room, work, slack, weight := 0.0, 0.0, 0.0, 0.0
-	for p, n := range l.count {
-		if k := m.kind(p.model); p.standby && k != nil {
-			room += float64(n) * k.VCPUs
+func (m *Manager) batchShortfall(capacity *capacityModel, now ident.MonotonicTime) float64 {
+	supply, work, slack, weight := 0.0, 0.0, 0.0, 0.0
+	for p, n := range capacity.machines {
+		if model := m.catalogModel(p.model); p.spot && model != nil {
+			supply += float64(n) * model.VCPUs
 		} else {
-			room += l.free[p] + l.lent[p]
+			supply += capacity.freeVCPUs[p] + capacity.batchVCPUs[p]
 		}
 	}
-	m.arraysOpen(func(j *jobs.Job) {
-		s := j.Spec
-		if !s.Spot || j.PlaceableCount() == 0 || m.teams.Guest(s.Team) {
+	m.eachOpenBatchJob(func(j *jobs.Job) {
+		spec := j.Spec
+		if !spec.Spot || j.PlaceableCount() == 0 || m.teams.IsBorrower(spec.Team) {
 			return
 		}
-		waits := float64(min(j.PlaceableCount(), m.teams.Room(s))) * s.VCPUs * s.RuntimeS
+		waitingWork := float64(min(j.PlaceableCount(), m.teams.RemainingTasks(spec))) * spec.VCPUs * spec.RuntimeS
 		// What can't be done in time by any machine goes last, and doesn't count.
-		if left := (m.cfg.Aim(s.Class) - now.Sub(j.SubmittedAt)).Seconds() - s.RuntimeS; left > 0 && waits > 0 {
-			work += waits
-			slack += waits * left
-			weight += waits
+		if timeLeft := (m.cfg.Objective(spec.Class) - now.Sub(j.SubmittedAt)).Seconds() - spec.RuntimeS; timeLeft > 0 && waitingWork > 0 {
+			work += waitingWork
+			slack += waitingWork * timeLeft
+			weight += waitingWork
 		}
 	})
 	if weight == 0 {
 		return 0
 	}
 	// A part of the slack, since arrivals go on and estimates are often short.
-	within := max(0.85*slack/weight, m.slowest().Seconds())
-	m.arraysOpen(func(j *jobs.Job) {
-		if j.AllocatedTasks == 0 || !j.Spec.Spot || m.teams.Guest(j.Spec.Team) {
+	horizon := max(0.85*slack/weight, m.longestBoot().Seconds())
+	m.eachOpenBatchJob(func(j *jobs.Job) {
+		if j.AllocatedTasks == 0 || !j.Spec.Spot || m.teams.IsBorrower(j.Spec.Team) {
 			return // guests' work makes room
 		}
 		for i := range j.Tasks {
 			if t := &j.Tasks[i]; t.State.Allocated() {
-				left := j.Spec.RuntimeS
+				timeLeft := j.Spec.RuntimeS
 				if t.RunningSince > 0 {
-					left -= now.Sub(t.RunningSince).Seconds()
+					timeLeft -= now.Sub(t.RunningSince).Seconds()
 				}
-				work += j.Spec.VCPUs * min(max(left, 5), within)
+				work += j.Spec.VCPUs * min(max(timeLeft, 5), horizon)
 			}
 		}
 	})
-	return max(0, work/within-room)
+	return max(0, work/horizon-supply)
 }
 
-// kind returns a machine type of the catalog, nil for an unknown one.
-func (m *Manager) kind(model string) *cloud.MachineType {
+// catalogModel returns a machine type of the catalog, nil for an unknown one.
+func (m *Manager) catalogModel(model string) *cloud.MachineType {
 	catalog := m.cfg.Catalog()
 	for i := range catalog {
 		if catalog[i].SKU == model {
@@ -202,35 +202,35 @@
 	return nil
 }
 
-// patience, in boot times, is how long work that may use spot machines waits for
+// spotPatience, in boot times, is how long work that may use spot machines waits for
 // one before an ordinary one is rented for it.
-const patience = 2
+const spotPatience = 2
 
-// slowest returns the longest boot time in the catalog.
-func (m *Manager) slowest() time.Duration {
+// longestBoot returns the longest boot time in the catalog.
+func (m *Manager) longestBoot() time.Duration {
 	boot := 0.0
-	for _, k := range m.cfg.Catalog() {
-		boot = max(boot, k.StartupS)
+	for _, model := range m.cfg.Catalog() {
+		boot = max(boot, model.StartupS)
 	}
 	return settings.Seconds(boot)
 }
 
-// newBin opens a machine of the cheapest pool that allows the job, in the zone
+// cheapestBin opens a machine of the cheapest pool that allows the job, in the zone
 // that has the fewest of its kind.
-func (m *Manager) newBin(catalog []cloud.MachineType, l *layout, s *api.Spec, a ask, now ident.MonotonicTime) *bin {
+func (m *Manager) cheapestBin(catalog []cloud.MachineType, capacity *capacityModel, spec *api.Spec, constraint binConstraint, now ident.MonotonicTime) *bin {
 	var best *bin
 	cheapest, fewest := math.Inf(1), 0
-	m.openPools(catalog, a, now, func(k *cloud.MachineType, p pool) {
-		b := &bin{kind: k, pool: p, n: 1, v: k.VCPUs, c: k.GPUs, g: k.MemoryGB, class: p.class()}
-		if !b.allows(s) {
+	m.eachAvailablePool(catalog, constraint, now, func(model *cloud.MachineType, p pool) {
+		b := &bin{model: model, pool: p, machines: 1, freeVCPUs: model.VCPUs, freeGPUs: model.GPUs, freeMemoryGB: model.MemoryGB, tier: p.tier()}
+		if !b.allows(spec) {
 			return
 		}
-		price := k.HourlyPrice
-		if p.standby {
-			price = k.SpotPrice
+		price := model.HourlyPrice
+		if p.spot {
+			price = model.SpotPrice
 		}
-		price /= float64(max(b.fit(s), 1))
-		n := l.count[p]
+		price /= float64(max(b.tasksPerMachine(spec), 1))
+		n := capacity.machines[p]
 		if best == nil || price < cheapest-1e-9 || price < cheapest+1e-9 && n < fewest {
 			best, cheapest, fewest = b, price, n
 		}
@@ -238,96 +238,96 @@
 	return best
 }
 
-// openPools calls f for each pool that is asked for and has machines to be had, as far as is
+// eachAvailablePool calls f for each pool that is asked for and has machines to be had, as far as is
 // known.
-func (m *Manager) openPools(catalog []cloud.MachineType, a ask, now ident.MonotonicTime, f func(*cloud.MachineType, pool)) {
+func (m *Manager) eachAvailablePool(catalog []cloud.MachineType, constraint binConstraint, now ident.MonotonicTime, visit func(*cloud.MachineType, pool)) {
 	for i := range catalog {
-		k := &catalog[i]
-		for _, z := range k.Zones {
-			if m.cut[z] || m.scouted(z) || a.zone != "" && a.zone != z || slices.Contains(a.full, z) {
+		model := &catalog[i]
+		for _, zone := range model.Zones {
+			if m.partitionedZones[zone] || m.canariesExhausted(zone) || constraint.zone != "" && constraint.zone != zone || slices.Contains(constraint.fullZones, zone) {
 				continue
 			}
-			for _, standby := range []bool{true, false} {
-				if p := (pool{k.SKU, z, standby}); (standby || !a.spot) && m.market(p).closed <= now {
-					f(k, p)
+			for _, spot := range []bool{true, false} {
+				if p := (pool{model.SKU, zone, spot}); (spot || !constraint.spotOnly) && m.poolState(p).unavailableUntil <= now {
+					visit(model, p)
 				}
 			}
 		}
 	}
 }
 
-func (m *Manager) market(p pool) *market {
-	mk := m.markets[p]
-	if mk == nil {
-		mk = &market{}
-		m.markets[p] = mk
+func (m *Manager) poolState(p pool) *poolState {
+	state := m.pools[p]
+	if state == nil {
+		state = &poolState{}
+		m.pools[p] = state
 	}
-	return mk
+	return state
 }
 
-// wanted returns the room in CPUs to keep free: for services by zone, and for
+// targetHeadroom returns the room in CPUs to keep free: for services by zone, and for
 // arrays.
-func (m *Manager) wanted(now ident.MonotonicTime) (services map[string]float64, arrays float64) {
-	boot := m.slowest().Seconds()
+func (m *Manager) targetHeadroom(now ident.MonotonicTime) (services map[string]float64, batch float64) {
+	boot := m.longestBoot().Seconds()
 	services = map[string]float64{}
-	for _, k := range m.cfg.Catalog() {
-		for _, z := range k.Zones {
+	for _, model := range m.cfg.Catalog() {
+		for _, z := range model.Zones {
 			services[z] = 0
 		}
 	}
-	if now.Sub(max(m.services.newest(), m.arrays.newest())) > ceased {
+	if now.Sub(max(m.serviceArrivals.latest(), m.batchArrivals.latest())) > arrivalsCeasedAfter {
 		// Machines stood there with nothing to do for a minute and a half after the last
 		// job of all.
 		return services, 0
 	}
-	f := m.cfg.Tuning.Headroom
-	if len(m.services.at) > 0 {
-		rate, _, most := m.services.rate(now, m.began)
+	factor := m.cfg.Tuning.Headroom
+	if len(m.serviceArrivals.times) > 0 {
+		rate, _, largest := m.serviceArrivals.rate(now, m.arrivalsSince)
 		for z := range services {
-			services[z] = f * (rate*boot*1.3 + most) / float64(len(services))
+			services[z] = factor * (rate*boot*1.3 + largest) / float64(len(services))
 		}
 	}
-	if len(m.arrays.at) > 0 {
-		_, mean, _ := m.arrays.rate(now, m.began)
-		arrays = f * mean
+	if len(m.batchArrivals.times) > 0 {
+		_, mean, _ := m.batchArrivals.rate(now, m.arrivalsSince)
+		batch = factor * mean
 	}
-	return services, arrays
+	return services, batch
 }
 
-// headroom keeps room for the jobs to be expected while a machine boots.
-func (m *Manager) headroom(l *layout, open func(*api.Spec, ask) *bin, services, ordinary map[string]float64, arrays float64) {
+// ensureHeadroom keeps room for the jobs to be expected while a machine boots.
+func (m *Manager) ensureHeadroom(capacity *capacityModel, openBin func(*api.Spec, binConstraint) *bin, services, onDemand map[string]float64, batch float64) {
 	// Room that arrays have on ordinary machines comes back by itself, since they
 	// keep off the reserve: renting for it too, and letting arrays have that as
 	// well, made the ordinary fleet grow without services.
-	free := l.zones()
-	for _, z := range slices.Sorted(maps.Keys(ordinary)) {
-		for n := 0; n < maxOpened && free[z] < ordinary[z]; n++ {
-			b := open(&api.Spec{Shape: api.Service, Tasks: 1, Zone: &z}, ask{zone: z})
+	onDemandFree := capacity.onDemandByZone()
+	for _, z := range slices.Sorted(maps.Keys(onDemand)) {
+		for n := 0; n < maxHeadroomBins && onDemandFree[z] < onDemand[z]; n++ {
+			b := openBin(&api.Spec{Shape: api.Service, Tasks: 1, Zone: &z}, binConstraint{zone: z})
 			if b == nil {
 				break
 			}
-			free[z] += b.v
+			onDemandFree[z] += b.freeVCPUs
 		}
 	}
-	spare := round(l.spare() - total(services))
-	for n := 0; n < maxOpened && spare < arrays; n++ {
+	spare := round(capacity.totalFree() - total(services))
+	for n := 0; n < maxHeadroomBins && spare < batch; n++ {
 		// Ordinary machines are not rented just in case.
-		b := open(&api.Spec{Shape: api.Batch, Tasks: 1, Spot: true}, ask{spot: true})
+		b := openBin(&api.Spec{Shape: api.Batch, Tasks: 1, Spot: true}, binConstraint{spotOnly: true})
 		if b == nil {
 			return
 		}
-		spare += b.v
+		spare += b.freeVCPUs
 	}
 }
 
-// maxOpened bounds the machines opened for headroom at a time.
-const maxOpened = 8
+// maxHeadroomBins bounds the machines opened for headroom at a time.
+const maxHeadroomBins = 8
 
 // total adds up. Rounded, so that the order of the sum can't change what is
 // decided by it.
-func total(m map[string]float64) float64 {
+func total(byZone map[string]float64) float64 {
 	sum := 0.0
-	for _, v := range m {
+	for _, v := range byZone {
 		sum += v
 	}
 	return round(sum)
--- a/internal/fleet/unheard_test.go
+++ b/internal/fleet/unheard_test.go
@@ -11,11 +11,11 @@
 	"opaldale/internal/workers"
 )
 
-// silentZone plays a zone of 30 machines with replicas that all fall silent, for five
+// runSilentZone plays a zone of 30 machines with replicas that all fall silent, for five
 // leases, and counts what was returned of them, and what was rented.
-func silentZone(unheard bool) (returned, rented int, r *rig) {
-	r = newReplicas(30, func(int) bool { return true })
-	r.m.cfg.Unheard = func(string) bool { return unheard }
+func runSilentZone(unheard bool) (returned, rented int, r *harness) {
+	r = newReplicaHarness(30, func(int) bool { return true })
+	r.manager.cfg.ZoneUnreachable = func(string) bool { return unheard }
 	names := 1000
 	r.reply = func(q cloud.Request) cloud.Response {
 		a := cloud.Response{Outcome: cloud.OK}
@@ -28,7 +28,7 @@
 		}
 		return a
 	}
-	r.pass(5*30*time.Second, r.m)
+	r.advance(5*30*time.Second, r.manager)
 	for _, c := range r.calls {
 		if c.Op == cloud.Terminate {
 			for _, h := range c.MachineIDs {
@@ -41,18 +41,18 @@
 	return returned, rented, r
 }
 
-// TestUnheardZoneIsKept: machines of a zone that no node hears may be alive behind a broken
+// TestUnreachableZoneIsKept: machines of a zone that no node hears may be alive behind a broken
 // link. They are given up a few at a time, and only scouts are rented; with the same silence
 // and no such doubt all are returned and replaced, as before.
-func TestUnheardZoneIsKept(t *testing.T) {
-	returned, rented, _ := silentZone(false)
+func TestUnreachableZoneIsKept(t *testing.T) {
+	returned, rented, _ := runSilentZone(false)
 	if returned < 30 || rented < 4 {
 		t.Errorf("without the doubt %d were returned and %d rented: the test shows nothing", returned, rented)
 	}
-	returned, rented, r := silentZone(true)
+	returned, rented, r := runSilentZone(true)
 	// One machine a lease; two scouts, and two more whenever those are given up after three
 	// and a half times ten seconds.
-	if returned > 6 || rented > scouts*5 {
+	if returned > 6 || rented > canaries*5 {
 		t.Errorf("%d machines were returned and %d rented in a zone that may be alive", returned, rented)
 	}
 	// One of them is heard: the others are judged one by one again.
@@ -63,23 +63,23 @@
 			break
 		}
 	}
-	r.serial++
-	r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: r.serial, FencingToken: ident.MakeFencingToken(3, 1)})
-	r.pass(500*time.Millisecond, r.m)
-	if r.m.unheard["east"] != nil {
+	r.sequence++
+	r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: r.sequence, FencingToken: ident.MakeFencingToken(3, 1)})
+	r.advance(500*time.Millisecond, r.manager)
+	if r.manager.unreachableZones["east"] != nil {
 		t.Error("the zone still counts as silent")
 	}
 }
 
-// TestBlindNodeFencesNothing: the silence of machines that a sibling reaches is this node's
+// TestPartitionedNodeFencesNothing: the silence of machines that a sibling reaches is this node's
 // own fault.
-func TestBlindNodeFencesNothing(t *testing.T) {
+func TestPartitionedNodeFencesNothing(t *testing.T) {
 	for _, blind := range []bool{false, true} {
-		r := newReplicas(10, func(i int) bool { return i%2 == 0 })
-		r.m.cfg.Blind = func(string) bool { return blind }
-		r.pass(25*time.Second, r.m)
-		if (r.m.Fenced == 0) != blind {
-			t.Errorf("blind %v: %d machines were fenced", blind, r.m.Fenced)
+		r := newReplicaHarness(10, func(i int) bool { return i%2 == 0 })
+		r.manager.cfg.LocallyUnreachable = func(string) bool { return blind }
+		r.advance(25*time.Second, r.manager)
+		if (r.manager.Fenced == 0) != blind {
+			t.Errorf("blind %v: %d machines were fenced", blind, r.manager.Fenced)
 		}
 	}
 }
--- a/internal/load/heat.go
+++ b/internal/load/heat.go
@@ -8,43 +8,43 @@
 	"opaldale/internal/ident"
 )
 
-// Heat is how far a team's demand is beyond what it is entitled to.
-type Heat uint8
+// DemandState is how far a team's demand is beyond what it is entitled to.
+type DemandState uint8
 
 // The states of a team. Each lasts for a while before the next one.
 const (
-	Cool    Heat = iota // within what it is entitled to, or little beyond
-	Warming             // far beyond, for not long enough yet
-	Hot                 // far beyond
-	Cooling             // was hot, and isn't beyond any more, for not long enough yet
+	Normal     DemandState = iota // within what it is entitled to, or little beyond
+	Rising                        // far beyond, for not long enough yet
+	Overloaded                    // far beyond
+	Recovering                    // was hot, and isn't beyond any more, for not long enough yet
 )
 
-func (h Heat) String() string {
-	if int(h) < len(heatNames) {
-		return heatNames[h]
+func (h DemandState) String() string {
+	if int(h) < len(demandStateNames) {
+		return demandStateNames[h]
 	}
 	return fmt.Sprintf("heat %d", uint8(h))
 }
 
-var heatNames = [...]string{"cool", "warming", "hot", "cooling"}
+var demandStateNames = [...]string{"cool", "warming", "hot", "cooling"}
 
 // team is one team's demand.
 type team struct {
 	entitled float64
 	demand   Average
-	heat     Heat
+	state    DemandState
 	since    ident.MonotonicTime
 }
 
-// HeatChange is a change of a team's state.
-type HeatChange struct {
+// DemandStateChange is a change of a team's state.
+type DemandStateChange struct {
 	Team     string
-	From, To Heat
+	From, To DemandState
 	Ratio    float64 // of demand to what the team is entitled to
 }
 
-// Demand notes how many CPUs a team's tasks use and wait for together.
-func (m *Model) Demand(name string, cpus float64, now ident.MonotonicTime) {
+// SetDemand notes how many CPUs a team's tasks use and wait for together.
+func (m *Model) SetDemand(name string, cpus float64, now ident.MonotonicTime) {
 	t := m.teams[name]
 	if t == nil {
 		t = &team{}
@@ -58,91 +58,91 @@
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
 	entitled := t.entitled
 	if entitled <= 0 {
-		entitled = max(1, m.cpus/float64(len(m.teams)))
+		entitled = max(1, m.totalCPUs/float64(len(m.teams)))
 	}
 	return t.demand.Value(now, m.config.HalfLife) / entitled
 }
 
 // Evaluate brings the teams' states up to date and returns those that have changed.
-func (m *Model) Evaluate(now ident.MonotonicTime) []HeatChange {
-	var changes []HeatChange
+func (m *Model) Evaluate(now ident.MonotonicTime) []DemandStateChange {
+	var changes []DemandStateChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		t := m.teams[name]
 		ratio := m.ratio(t, now)
-		before := t.heat
-		m.judge(t, ratio, now)
-		if t.heat != before {
-			changes = append(changes, HeatChange{Team: name, From: before, To: t.heat, Ratio: ratio})
+		before := t.state
+		m.updateState(t, ratio, now)
+		if t.state != before {
+			changes = append(changes, DemandStateChange{Team: name, From: before, To: t.state, Ratio: ratio})
 		}
 	}
 	return changes
 }
 
-// judge takes a team from one state to the next.
-func (m *Model) judge(t *team, ratio float64, now ident.MonotonicTime) {
-	settled := now.Sub(t.since) >= m.config.Persist
-	switch t.heat {
-	case Cool:
-		if ratio >= m.config.HotAt {
-			m.to(t, Warming, now)
+// updateState takes a team from one state to the next.
+func (m *Model) updateState(t *team, ratio float64, now ident.MonotonicTime) {
+	lasted := now.Sub(t.since) >= m.config.MinDuration
+	switch t.state {
+	case Normal:
+		if ratio >= m.config.OverloadAt {
+			m.transition(t, Rising, now)
 		}
-	case Warming:
+	case Rising:
 		switch {
-		case ratio < m.config.HotAt:
-			m.to(t, Cool, now)
-		case settled:
-			m.to(t, Hot, now)
+		case ratio < m.config.OverloadAt:
+			m.transition(t, Normal, now)
+		case lasted:
+			m.transition(t, Overloaded, now)
 		}
-	case Hot:
-		if ratio < m.config.CoolAt {
-			m.to(t, Cooling, now)
+	case Overloaded:
+		if ratio < m.config.RecoverAt {
+			m.transition(t, Recovering, now)
 		}
-	case Cooling:
+	case Recovering:
 		switch {
-		case ratio >= m.config.CoolAt:
-			m.to(t, Hot, now)
-		case settled:
-			m.to(t, Cool, now)
+		case ratio >= m.config.RecoverAt:
+			m.transition(t, Overloaded, now)
+		case lasted:
+			m.transition(t, Normal, now)
 		}
 	}
 }
 
-// to is the one place where a team's state changes.
-func (m *Model) to(t *team, h Heat, now ident.MonotonicTime) {
-	if t.hot() {
-		m.hot--
+// transition is the one place where a team's state changes.
+func (m *Model) transition(t *team, state DemandState, now ident.MonotonicTime) {
+	if t.overloaded() {
+		m.overloadedTeams--
 	}
-	t.heat, t.since = h, now
-	if t.hot() {
-		m.hot++
+	t.state, t.since = state, now
+	if t.overloaded() {
+		m.overloadedTeams++
 	}
 }
 
-// hot says whether the team counts as hot: one that cools does until it has cooled.
-func (t *team) hot() bool { return t.heat == Hot || t.heat == Cooling }
+// overloaded says whether the team counts as hot: one that cools does until it has cooled.
+func (t *team) overloaded() bool { return t.state == Overloaded || t.state == Recovering }
 
-// AnyHot says whether any team is hot.
-func (m *Model) AnyHot() bool { return m.hot > 0 }
+// AnyOverloaded says whether any team is hot.
+func (m *Model) AnyOverloaded() bool { return m.overloadedTeams > 0 }
 
-// Hot says whether a team is.
-func (m *Model) Hot(name string) bool {
+// IsOverloaded says whether a team is.
+func (m *Model) IsOverloaded(name string) bool {
 	t := m.teams[name]
-	return t != nil && t.hot()
+	return t != nil && t.overloaded()
 }
 
-// TeamReport is what is known of a team.
-type TeamReport struct {
+// TeamDemand is what is known of a team.
+type TeamDemand struct {
 	Team  string
-	Heat  Heat
+	State DemandState
 	Ratio float64
 }
 
 // Teams reports on all teams, in the order of their names.
-func (m *Model) Teams(now ident.MonotonicTime) []TeamReport {
-	var out []TeamReport
+func (m *Model) Teams(now ident.MonotonicTime) []TeamDemand {
+	var out []TeamDemand
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		t := m.teams[name]
-		out = append(out, TeamReport{Team: name, Heat: t.heat, Ratio: m.ratio(t, now)})
+		out = append(out, TeamDemand{Team: name, State: t.state, Ratio: m.ratio(t, now)})
 	}
 	return out
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,75 +13,75 @@
 // Average is the decayed average of a level that changes in steps: what lay one half-life
 // ago counts half.
 type Average struct {
-	level, mean float64
-	at          ident.MonotonicTime
-	known       bool
+	current, mean float64
+	updated       ident.MonotonicTime
+	initialized   bool
 }
 
 // Set notes that the level changes at a time. The first level is the average.
 func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
-	if !a.known {
-		*a = Average{level: level, mean: level, at: now, known: true}
+	if !a.initialized {
+		*a = Average{current: level, mean: level, updated: now, initialized: true}
 		return
 	}
 	a.mean = a.Value(now, halfLife)
-	a.level, a.at = level, max(a.at, now)
+	a.current, a.updated = level, max(a.updated, now)
 }
 
 // Value returns the average at a time.
 func (a *Average) Value(now ident.MonotonicTime, halfLife time.Duration) float64 {
-	if now <= a.at {
+	if now <= a.updated {
 		return a.mean
 	}
-	return a.level + (a.mean-a.level)*math.Exp2(-float64(now.Sub(a.at))/float64(halfLife))
+	return a.current + (a.mean-a.current)*math.Exp2(-float64(now.Sub(a.updated))/float64(halfLife))
 }
 
 // Config holds the times and bounds of a model.
 type Config struct {
 	// HalfLife is that of all averages.
 	HalfLife time.Duration
-	// HotAt is the demand, as a multiple of what a team is entitled to, from which it is
-	// hot, and CoolAt that below which it isn't any more.
-	HotAt, CoolAt float64
-	// Persist is for how long a team must be beyond either bound.
-	Persist time.Duration
+	// OverloadAt is the demand, as a multiple of what a team is entitled to, from which it is
+	// hot, and RecoverAt that below which it isn't any more.
+	OverloadAt, RecoverAt float64
+	// MinDuration is for how long a team must be beyond either bound.
+	MinDuration time.Duration
 }
 
 // DefaultConfig returns the values used where the operators name none.
 func DefaultConfig() Config {
-	return Config{HalfLife: 10 * time.Second, HotAt: 2, CoolAt: 1.2, Persist: 5 * time.Second}
+	return Config{HalfLife: 10 * time.Second, OverloadAt: 2, RecoverAt: 1.2, MinDuration: 5 * time.Second}
 }
 
-// machine is one machine's use.
-type machine struct {
+// machineUse is one machine's use.
+type machineUse struct {
 	zone string
 	cpus float64 // 0 while its size is not known
 	used float64
 }
 
-func (m *machine) share() float64 { return m.used / m.cpus }
+func (m *machineUse) utilization() float64 { return m.used / m.cpus }
 
-// spread is what the imbalance of some machines is worked out from.
-type spread struct {
-	machines    int
-	sum, square float64 // of the shares in use
+// distribution is what the imbalance of some machines is worked out from.
+type distribution struct {
+	machines        int
+	sum, sumSquares float64 // of the shares in use
 }
 
-func (s *spread) add(share float64, sign float64) {
+func (s *distribution) add(share float64, sign float64) {
 	s.machines += int(sign)
 	s.sum += sign * share
-	s.square += sign * share * share
+	s.sumSquares += sign * share * share
 }
 
 // Imbalance returns the coefficient of variation of the shares in use: the standard
 // deviation as a part of the mean; 0 if all are alike, or nothing is in use.
-func (s *spread) imbalance() float64 {
+func (s *distribution) imbalance() float64 {
 	if s.machines < 2 || s.sum < negligible {
 		return 0
 	}
 	n := float64(s.machines)
 	mean := s.sum / n
-	variance := max(0, s.square/n-mean*mean)
+	variance := max(0, s.sumSquares/n-mean*mean)
 	return math.Sqrt(variance) / mean
 }
 
@@ -90,87 +90,87 @@
 
 // Model is the load of a cluster.
 type Model struct {
-	config   Config
-	machines map[ident.MachineID]*machine
-	all      spread
-	zones    map[string]*spread
-	teams    map[string]*team
-	hot      int     // teams
-	cpus     float64 // of all machines
+	config          Config
+	machines        map[ident.MachineID]*machineUse
+	cluster         distribution
+	zones           map[string]*distribution
+	teams           map[string]*team
+	overloadedTeams int     // teams
+	totalCPUs       float64 // of all machines
 }
 
 // New makes a model without machines. entitled says how many CPUs each team may count on.
 func New(config Config, entitled map[string]float64) *Model {
-	m := &Model{config: config, machines: map[ident.MachineID]*machine{}, zones: map[string]*spread{}, teams: map[string]*team{}}
+	m := &Model{config: config, machines: map[ident.MachineID]*machineUse{}, zones: map[string]*distribution{}, teams: map[string]*team{}}
 	for name, cpus := range entitled {
 		m.teams[name] = &team{entitled: cpus}
 	}
 	return m
 }
 
-// change takes a machine out of the sums, changes it, and puts it back.
-func (m *Model) change(k *machine, f func()) {
-	m.count(k, -1)
-	f()
-	m.count(k, 1)
+// update takes a machine out of the sums, changes it, and puts it back.
+func (m *Model) update(machine *machineUse, apply func()) {
+	m.addToTotals(machine, -1)
+	apply()
+	m.addToTotals(machine, 1)
 }
 
-func (m *Model) count(k *machine, sign float64) {
-	if k.cpus <= 0 {
+func (m *Model) addToTotals(machine *machineUse, sign float64) {
+	if machine.cpus <= 0 {
 		return
 	}
-	m.all.add(k.share(), sign)
-	m.cpus += sign * k.cpus
-	z := m.zones[k.zone]
+	m.cluster.add(machine.utilization(), sign)
+	m.totalCPUs += sign * machine.cpus
+	z := m.zones[machine.zone]
 	if z == nil {
-		z = &spread{}
-		m.zones[k.zone] = z
+		z = &distribution{}
+		m.zones[machine.zone] = z
 	}
-	z.add(k.share(), sign)
+	z.add(machine.utilization(), sign)
 }
 
-func (m *Model) machine(h ident.MachineID) *machine {
-	k := m.machines[h]
-	if k == nil {
-		k = &machine{}
-		m.machines[h] = k
+func (m *Model) ensureMachine(id ident.MachineID) *machineUse {
+	machine := m.machines[id]
+	if machine == nil {
+		machine = &machineUse{}
+		m.machines[id] = machine
 	}
-	return k
+	return machine
 }
 
-// Machine notes that a machine is there, with its size.
-func (m *Model) Machine(h ident.MachineID, zone string, cpus float64) {
-	k := m.machine(h)
-	if k.zone == zone && k.cpus == cpus {
+// SetMachine notes that a machine is there, with its size.
+func (m *Model) SetMachine(id ident.MachineID, zone string, cpus float64) {
+	machine := m.ensureMachine(id)
+	if machine.zone == zone && machine.cpus == cpus {
 		return
 	}
-	m.change(k, func() { k.zone, k.cpus = zone, cpus })
+	m.update(machine, func() { machine.zone, machine.cpus = zone, cpus })
 }
 
-// Gone notes that a machine is gone.
-func (m *Model) Gone(h ident.MachineID) {
-	if k := m.machines[h]; k != nil {
-		m.count(k, -1)
-		delete(m.machines, h)
+// RemoveMachine notes that a machine is gone.
+func (m *Model) RemoveMachine(id ident.MachineID) {
+	if machine := m.machines[id]; machine != nil {
+		m.addToTotals(machine, -1)
+		delete(m.machines, id)
 	}
 }
 
-// Use notes that tasks of so many CPUs have come to a machine, or left it. What leaves a
+// AddUsage notes that tasks of so many CPUs have come to a machine, or left it. What leaves a
 // machine that is gone changes nothing.
-func (m *Model) Use(h ident.MachineID, cpus float64) {
-	if m.machines[h] == nil && cpus < 0 {
+func (m *Model) AddUsage(id ident.MachineID, cpus float64) {
+	if m.machines[id] == nil && cpus < 0 {
 		return
 	}
-	k := m.machine(h)
-	m.change(k, func() {
-		if k.used += cpus; math.Abs(k.used) < negligible {
-			k.used = 0
+	machine := m.ensureMachine(id)
+	m.update(machine, func() {
+		if machine.used += cpus; math.Abs(machine.used) < negligible {
+			machine.used = 0
 		}
 	})
 }
 
 // Imbalance returns how uneven the use of all machines is.
-func (m *Model) Imbalance() float64 { return m.all.imbalance() }
+func (m *Model) Imbalance() float64 { return m.cluster.imbalance() }
 
 // ZoneImbalance returns how uneven the use of a zone's machines is.
 func (m *Model) ZoneImbalance(zone string) float64 {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -38,14 +38,14 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				zone, cpus := rapid.SampledFrom([]string{"east", "west"}).Draw(t, "zone"), float64(rapid.IntRange(1, 64).Draw(t, "cpus"))
-				m.Machine(h, zone, cpus)
+				m.SetMachine(h, zone, cpus)
 				get(h).zone, get(h).cpus = zone, cpus
 			case 1:
-				m.Gone(h)
+				m.RemoveMachine(h)
 				delete(model, h)
 			default:
 				cpus := float64(rapid.IntRange(-4, 8).Draw(t, "use"))
-				m.Use(h, cpus)
+				m.AddUsage(h, cpus)
 				if model[h] != nil || cpus >= 0 {
 					get(h).used += cpus
 				}
@@ -100,37 +100,37 @@
 	}
 }
 
-// play has a team ask for demand by a function of time, and returns its states.
-func play(d time.Duration, demand func(time.Duration) float64) (states []Heat, hotFor time.Duration) {
+// runDemand has a team ask for demand by a function of time, and returns its states.
+func runDemand(d time.Duration, demand func(time.Duration) float64) (states []DemandState, hotFor time.Duration) {
 	m := New(DefaultConfig(), map[string]float64{"red": 100, "blue": 100})
 	start := ident.MonotonicTime(time.Hour)
 	for at := time.Duration(0); at < d; at += 500 * time.Millisecond {
 		now := start.Add(at)
-		m.Demand("red", demand(at), now)
-		m.Demand("blue", 50, now)
+		m.SetDemand("red", demand(at), now)
+		m.SetDemand("blue", 50, now)
 		for _, c := range m.Evaluate(now) {
 			if c.Team != "red" {
 				panic("the other team is " + c.To.String())
 			}
 			states = append(states, c.To)
 		}
-		if m.Hot("red") {
+		if m.IsOverloaded("red") {
 			hotFor += 500 * time.Millisecond
 		}
-		if m.AnyHot() != m.Hot("red") {
+		if m.AnyOverloaded() != m.IsOverloaded("red") {
 			panic("any hot")
 		}
 	}
 	return states, hotFor
 }
 
-// TestHeat: a flood makes a team hot within seconds and it cools some time after; what lasts
+// TestDemandStates: a flood makes a team hot within seconds and it cools some time after; what lasts
 // for a moment, or hovers between the bounds, changes nothing to and fro.
-func TestHeat(t *testing.T) {
+func TestDemandStates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		demand func(time.Duration) float64
-		states []Heat
+		states []DemandState
 	}{
 		{"within its share", func(time.Duration) float64 { return 90 }, nil},
 		{"a hundred times hotter for a minute", func(at time.Duration) float64 {
@@ -138,7 +138,7 @@
 				return 10_000
 			}
 			return 10
-		}, []Heat{Warming, Hot, Cooling, Cool}},
+		}, []DemandState{Rising, Overloaded, Recovering, Normal}},
 		{"a moment", func(at time.Duration) float64 {
 			if at > 20*time.Second && at < 22*time.Second {
 				return 1000
@@ -150,9 +150,9 @@
 				return 300
 			}
 			return 160 + 40*math.Sin(at.Seconds())
-		}, []Heat{Warming, Hot}},
+		}, []DemandState{Rising, Overloaded}},
 	} {
-		states, _ := play(4*time.Minute, c.demand)
+		states, _ := runDemand(4*time.Minute, c.demand)
 		if fmt.Sprint(states) != fmt.Sprint(c.states) {
 			t.Errorf("%s: %v, want %v", c.name, states, c.states)
 		}
@@ -166,7 +166,7 @@
 		period := time.Duration(rapid.IntRange(1, 60).Draw(t, "period_s")) * time.Second
 		high := rapid.Float64Range(100, 2000).Draw(t, "high")
 		const long = 10 * time.Minute
-		states, _ := play(long, func(at time.Duration) float64 {
+		states, _ := runDemand(long, func(at time.Duration) float64 {
 			if at%period < period/2 {
 				return high
 			}
@@ -174,12 +174,12 @@
 		})
 		flips := 0
 		for i, h := range states {
-			if h == Hot && (i == 0 || states[i-1] == Warming) || h == Cool && i > 0 && states[i-1] == Cooling {
+			if h == Overloaded && (i == 0 || states[i-1] == Rising) || h == Normal && i > 0 && states[i-1] == Recovering {
 				flips++
 			}
 		}
 		most := 2 * (int(long/period) + 1)
-		if period <= 2*DefaultConfig().Persist {
+		if period <= 2*DefaultConfig().MinDuration {
 			most = 2
 		}
 		if flips > most {
@@ -196,11 +196,11 @@
 			hosts := make([]ident.MachineID, machines)
 			for i := range hosts {
 				hosts[i] = ident.MachineID(fmt.Sprintf("host-%06d", i))
-				m.Machine(hosts[i], "east", 16)
+				m.SetMachine(hosts[i], "east", 16)
 			}
 			i := 0
 			for b.Loop() {
-				m.Use(hosts[i%machines], 1)
+				m.AddUsage(hosts[i%machines], 1)
 				m.Imbalance()
 				i++
 			}
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -9,11 +9,11 @@
 	"opaldale/internal/ident"
 )
 
-// playSpeeds has jobs of tasks of different lengths run on machines, some of them slower by a
+// runTasks has jobs of tasks of different lengths run on machines, some of them slower by a
 // factor, and returns which are called slow.
-func playSpeeds(seed uint64, machines int, factor map[int]float64) map[int]bool {
+func runTasks(seed uint64, machines int, factor map[int]float64) map[int]bool {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := NewSpeeds()
+	s := NewSlownessEstimator()
 	slow := map[int]bool{}
 	host := func(i int) ident.MachineID { return ident.MachineID(fmt.Sprint("host-", i)) }
 	for job := range 30 {
@@ -24,11 +24,11 @@
 			if f, ok := factor[i]; ok {
 				took *= f
 			}
-			s.Ran(ident.JobID(fmt.Sprint("j-", job)), "m8", host(i), time.Duration(took*float64(time.Second)))
+			s.RecordRun(ident.JobID(fmt.Sprint("j-", job)), "m8", host(i), time.Duration(took*float64(time.Second)))
 		}
 	}
 	for i := range machines {
-		if s.Slow(host(i), machines) {
+		if s.IsSlow(host(i), machines) {
 			slow[i] = true
 		}
 	}
@@ -40,53 +40,53 @@
 // small part is.
 func TestSlowMachines(t *testing.T) {
 	for seed := range uint64(20) {
-		slow := playSpeeds(seed, 100, map[int]float64{7: 3})
+		slow := runTasks(seed, 100, map[int]float64{7: 3})
 		if len(slow) != 1 || !slow[7] {
 			t.Errorf("seed %d: slow are %v", seed, slow)
 		}
-		if slow := playSpeeds(seed, 100, map[int]float64{7: 1.3}); len(slow) != 0 {
+		if slow := runTasks(seed, 100, map[int]float64{7: 1.3}); len(slow) != 0 {
 			t.Errorf("seed %d: with one a little slower: %v", seed, slow)
 		}
 		many := map[int]float64{}
 		for i := range 30 {
 			many[i] = 4
 		}
-		if slow := playSpeeds(seed, 100, many); len(slow) > 2 {
+		if slow := runTasks(seed, 100, many); len(slow) > 2 {
 			t.Errorf("seed %d: with many slower: %v", seed, slow)
 		}
 	}
 }
 
-// TestSpeedNeedsEvidence: few ends, short runs, runs of other types or of no peers say nothing,
+// TestSlownessNeedsEvidence: few ends, short runs, runs of other types or of no peers say nothing,
 // and a machine that is gone is forgotten.
-func TestSpeedNeedsEvidence(t *testing.T) {
-	peers := func(s *Speeds, model string, took time.Duration) {
+func TestSlownessNeedsEvidence(t *testing.T) {
+	peers := func(s *SlownessEstimator, model string, took time.Duration) {
 		for i := range 8 {
-			s.Ran("j-1", model, ident.MachineID(fmt.Sprint("host-", i)), took)
+			s.RecordRun("j-1", model, ident.MachineID(fmt.Sprint("host-", i)), took)
 		}
 	}
-	s := NewSpeeds()
+	s := NewSlownessEstimator()
 	peers(s, "m8", 10*time.Second)
-	for range leastSamples - 1 {
-		s.Ran("j-1", "m8", "late", time.Minute)
+	for range minSamples - 1 {
+		s.RecordRun("j-1", "m8", "late", time.Minute)
 	}
-	if s.Slowness("late") != 1 || s.Slow("late", 100) {
+	if s.Slowness("late") != 1 || s.IsSlow("late", 100) {
 		t.Errorf("few ends: %v", s.Slowness("late"))
 	}
-	if s.Ran("j-1", "m8", "late", time.Minute); s.Slowness("late") < 5 || !s.Slow("late", 100) {
+	if s.RecordRun("j-1", "m8", "late", time.Minute); s.Slowness("late") < 5 || !s.IsSlow("late", 100) {
 		t.Errorf("enough ends: %v", s.Slowness("late"))
 	}
-	if s.Gone("late"); s.Slow("late", 100) {
+	if s.RemoveMachine("late"); s.IsSlow("late", 100) {
 		t.Error("a machine that is gone is slow")
 	}
-	s = NewSpeeds()
+	s = NewSlownessEstimator()
 	peers(s, "m8", time.Second)
 	peers(s, "m16", 10*time.Second)
-	for range 2 * leastSamples {
-		s.Ran("j-1", "m8", "late", time.Minute)
-		s.Ran("j-2", "m16", "late", time.Minute)
+	for range 2 * minSamples {
+		s.RecordRun("j-1", "m8", "late", time.Minute)
+		s.RecordRun("j-2", "m16", "late", time.Minute)
 	}
-	if s.Slow("late", 100) {
+	if s.IsSlow("late", 100) {
 		t.Error("slow beside short runs, another type, or nothing")
 	}
 }
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -30,21 +30,21 @@
 	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
-		Source: rebalance.MakesRoom,
-		Task:   ident.TaskID{Job: "j-11", Index: 5},
-		Team:   "red",
-		From:   "host-1",
-		To:     "host-2",
-		For:    ident.TaskID{Job: "j-12", Index: 6},
-		Wait:   71 * time.Second,
-		Gain:   72500 * time.Millisecond,
-		Cost:   73250 * time.Millisecond,
-		Save:   74 * time.Second,
-		Fetch:  75 * time.Second,
+		Purpose:        rebalance.FreesCapacity,
+		Task:           ident.TaskID{Job: "j-11", Index: 5},
+		Team:           "red",
+		From:           "host-1",
+		To:             "host-2",
+		BeneficiaryID:  ident.TaskID{Job: "j-12", Index: 6},
+		ExpectedWait:   71 * time.Second,
+		Gain:           72500 * time.Millisecond,
+		Cost:           73250 * time.Millisecond,
+		CheckpointTime: 74 * time.Second,
+		FetchTime:      75 * time.Second,
 	}
-	for _, source := range []rebalance.Source{rebalance.MakesRoom, rebalance.LeavesSlow} {
-		move.Source = source
-		h.Write(&Move{Move: move, Attempt: 8}, nil)
+	for _, source := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
+		move.Purpose = source
+		h.RecordMove(&Move{Move: move, Attempt: 8}, nil)
 		c.Flush()
 		r.Run()
 	}
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -22,15 +22,15 @@
 
 // Entry is one recorded move.
 type Entry struct {
-	Index   int             `json:"task"`
-	Attempt ident.Attempt   `json:"attempt"`
-	From    ident.MachineID `json:"from"`
-	To      ident.MachineID `json:"to"`
-	For     string          `json:"for,omitempty"`
-	Source  string          `json:"source"`
-	AtMS    int64           `json:"at_ms"`
-	GainS   float64         `json:"gain_s"`
-	CostS   float64         `json:"cost_s"`
+	Index         int             `json:"task"`
+	Attempt       ident.Attempt   `json:"attempt"`
+	From          ident.MachineID `json:"from"`
+	To            ident.MachineID `json:"to"`
+	BeneficiaryID string          `json:"for,omitempty"`
+	Purpose       string          `json:"source"`
+	AtMS          int64           `json:"at_ms"`
+	GainS         float64         `json:"gain_s"`
+	CostS         float64         `json:"cost_s"`
 }
 
 // Record is the value of a job's key: all of its moves, the oldest first.
@@ -59,44 +59,44 @@
 
 // jobHistory is the record of one job.
 type jobHistory struct {
-	record    Record
-	doc       *commit.Document
-	unread    bool // what is stored can't be read, and stays as it is
-	forgotten bool
+	record     Record
+	doc        *commit.Document
+	unreadable bool // what is stored can't be read, and stays as it is
+	deleted    bool
 }
 
 // History keeps how often each job was moved, in the state service: a move is recorded before
 // its task is stopped, so that no change of leader forgets it.
 type History struct {
-	commits *commit.Committer
-	wall    func() int64 // time of day in milliseconds
-	jobs    map[ident.JobID]*jobHistory
+	commits     *commit.Committer
+	wallClockMS func() int64 // time of day in milliseconds
+	jobs        map[ident.JobID]*jobHistory
 }
 
 // NewHistory makes an empty history for a term.
-func NewHistory(commits *commit.Committer, wall func() int64) *History {
-	return &History{commits: commits, wall: wall, jobs: map[ident.JobID]*jobHistory{}}
+func NewHistory(commits *commit.Committer, wallClockMS func() int64) *History {
+	return &History{commits: commits, wallClockMS: wallClockMS, jobs: map[ident.JobID]*jobHistory{}}
 }
 
 // Load takes in what an earlier term recorded. A record that can't be read bars its job from
 // being moved, and ends no term: nothing but moves depends on it.
 func (h *History) Load(path string, value json.RawMessage, stamp ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
-	j := h.add(id)
+	j := h.addJob(id)
 	j.doc.Revision = stamp
 	r, err := ReadRecord(value)
 	if err != nil {
 		slog.Error("unreadable record of moves: the job is not moved", "path", path, "err", err)
-		j.unread = true
+		j.unreadable = true
 		return
 	}
 	j.record = r
 }
 
-func (h *History) add(id ident.JobID) *jobHistory {
+func (h *History) addJob(id ident.JobID) *jobHistory {
 	j := &jobHistory{doc: &commit.Document{Key: Key(id)}}
 	j.doc.Render = func() json.RawMessage {
-		if j.forgotten {
+		if j.deleted {
 			return nil
 		}
 		return api.JSON(j.record)
@@ -105,38 +105,38 @@
 	return j
 }
 
-// Count returns how often a job's tasks were moved, or were about to be.
-func (h *History) Count(id ident.JobID) int {
+// MoveCount returns how often a job's tasks were moved, or were about to be.
+func (h *History) MoveCount(id ident.JobID) int {
 	if j := h.jobs[id]; j != nil {
 		return len(j.record.Moves)
 	}
 	return 0
 }
 
-// Barred says whether a job may not be moved as its record can't be read.
-func (h *History) Barred(id ident.JobID) bool {
+// IsBarred says whether a job may not be moved as its record can't be read.
+func (h *History) IsBarred(id ident.JobID) bool {
 	j := h.jobs[id]
-	return j != nil && j.unread
+	return j != nil && j.unreadable
 }
 
-// Write records a move; then is called once that is durable.
-func (h *History) Write(m *Move, then func()) {
+// RecordMove records a move; then is called once that is durable.
+func (h *History) RecordMove(m *Move, durable func()) {
 	j := h.jobs[m.Task.Job]
 	if j == nil {
-		j = h.add(m.Task.Job)
+		j = h.addJob(m.Task.Job)
 	}
 	j.record.Moves = append(j.record.Moves, Entry{
-		Index:   m.Task.Index,
-		Attempt: m.Attempt,
-		From:    m.From,
-		To:      m.To,
-		For:     m.Beneficiary(),
-		Source:  m.Source.String(),
-		AtMS:    h.wall(),
-		GainS:   m.Gain.Round(time.Millisecond).Seconds(),
-		CostS:   m.Cost.Round(time.Millisecond).Seconds(),
+		Index:         m.Task.Index,
+		Attempt:       m.Attempt,
+		From:          m.From,
+		To:            m.To,
+		BeneficiaryID: m.Beneficiary(),
+		Purpose:       m.Purpose.String(),
+		AtMS:          h.wallClockMS(),
+		GainS:         m.Gain.Round(time.Millisecond).Seconds(),
+		CostS:         m.Cost.Round(time.Millisecond).Seconds(),
 	})
-	h.commits.MarkDirty(j.doc, then)
+	h.commits.MarkDirty(j.doc, durable)
 }
 
 // Forget deletes the record of a job that is over, when there is room to spare.
@@ -145,7 +145,7 @@
 	if j == nil {
 		return
 	}
-	j.forgotten = true
+	j.deleted = true
 	delete(h.jobs, id)
 	h.commits.MarkDirtyLazily(j.doc, nil)
 }
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/statetest"
 )
 
-// term makes the history of a term, with what is stored.
-func term(t *testing.T, s *statetest.Queue) (*History, *commit.Committer) {
+// newTermHistory makes the history of a term, with what is stored.
+func newTermHistory(t *testing.T, s *statetest.Queue) (*History, *commit.Committer) {
 	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Keys {
@@ -26,21 +26,21 @@
 // TestHistory: moves are counted by every later term, and forgotten once their job is over.
 func TestHistory(t *testing.T) {
 	s := statetest.NewQueue(statetest.New())
-	h, c := term(t, s)
+	h, c := newTermHistory(t, s)
 	move := &Move{Move: proposal(), Attempt: 3}
 	for n := range 2 {
 		durable := false
-		h.Write(move, func() { durable = true })
+		h.RecordMove(move, func() { durable = true })
 		if durable {
 			t.Error("durable before it is written")
 		}
 		c.Flush()
 		s.Run()
-		if !durable || h.Count("j-1") != n+1 || h.Count("j-2") != 0 {
-			t.Errorf("durable %v, %d moves on record, %d of another job", durable, h.Count("j-1"), h.Count("j-2"))
+		if !durable || h.MoveCount("j-1") != n+1 || h.MoveCount("j-2") != 0 {
+			t.Errorf("durable %v, %d moves on record, %d of another job", durable, h.MoveCount("j-1"), h.MoveCount("j-2"))
 		}
-		if h, c = term(t, s); h.Count("j-1") != n+1 {
-			t.Errorf("the next term knows of %d moves, want %d", h.Count("j-1"), n+1)
+		if h, c = newTermHistory(t, s); h.MoveCount("j-1") != n+1 {
+			t.Errorf("the next term knows of %d moves, want %d", h.MoveCount("j-1"), n+1)
 		}
 	}
 	if n := len(s.Keys[Key("j-1")].Value); n > 1024 {
@@ -56,12 +56,12 @@
 	}
 	h.Prune(func(ident.JobID) bool { return true })
 	c.Flush()
-	if s.Run(); h.Count("j-1") != 2 {
+	if s.Run(); h.MoveCount("j-1") != 2 {
 		t.Error("a job that is not over is forgotten")
 	}
 	h.Prune(func(ident.JobID) bool { return false })
 	c.Flush()
-	if s.Run(); len(s.Keys) != 0 || h.Count("j-1") != 0 {
+	if s.Run(); len(s.Keys) != 0 || h.MoveCount("j-1") != 0 {
 		t.Errorf("left: %v", s.Keys)
 	}
 }
@@ -72,9 +72,9 @@
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
 		s := statetest.NewQueue(statetest.New())
 		s.Keys[Key("j-1")] = statesvc.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
-		h, c := term(t, s)
-		if !h.Barred("j-1") || h.Barred("j-2") {
-			t.Errorf("%s: barred %v, another %v", value, h.Barred("j-1"), h.Barred("j-2"))
+		h, c := newTermHistory(t, s)
+		if !h.IsBarred("j-1") || h.IsBarred("j-2") {
+			t.Errorf("%s: barred %v, another %v", value, h.IsBarred("j-1"), h.IsBarred("j-2"))
 		}
 		c.Flush()
 		if s.Run(); string(s.Keys[Key("j-1")].Value) != value {
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -23,30 +23,30 @@
 
 // proposal is a move of a task in its third attempt.
 func proposal() rebalance.Move {
-	return rebalance.Move{Task: ident.TaskID{Job: "j-1"}, From: source, To: destination, For: ident.TaskID{Job: "j-9"},
-		Wait: time.Minute, Gain: 50 * time.Second, Cost: 4 * time.Second, Save: time.Second, Fetch: 2 * time.Second}
+	return rebalance.Move{Task: ident.TaskID{Job: "j-1"}, From: source, To: destination, BeneficiaryID: ident.TaskID{Job: "j-9"},
+		ExpectedWait: time.Minute, Gain: 50 * time.Second, Cost: 4 * time.Second, CheckpointTime: time.Second, FetchTime: 2 * time.Second}
 }
 
-// at returns what is so of the task in its usual course.
-func at(task jobs.State, attempt ident.Attempt, host ident.MachineID) Observation {
-	return Observation{JobOpen: true, Task: task, Attempt: attempt, Host: host, Waits: true, MayDecide: true, LinksClear: true, TeamAllows: true}
+// observationAt returns what is so of the task in its usual course.
+func observationAt(task jobs.State, attempt ident.Attempt, host ident.MachineID) Observation {
+	return Observation{JobOpen: true, Task: task, Attempt: attempt, Machine: host, BeneficiaryWaiting: true, HasAuthority: true, LinksHealthy: true, TeamAllows: true}
 }
 
-// walk is a move on its way through the states.
-type walk struct {
+// moveHarness is a move on its way through the states.
+type moveHarness struct {
 	table *Table
 	move  *Move
 	now   ident.MonotonicTime
 }
 
-func newWalk() *walk {
-	w := &walk{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
+func newMoveHarness() *moveHarness {
+	w := &moveHarness{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
 	w.move = w.table.Begin(proposal(), 3, w.now)
 	return w
 }
 
-// pass lets time go by and the table see something.
-func (w *walk) pass(d time.Duration, o Observation) []EffectKind {
+// observe lets time go by and the table see something.
+func (w *moveHarness) observe(d time.Duration, o Observation) []EffectKind {
 	w.now = w.now.Add(d)
 	var kinds []EffectKind
 	for _, e := range w.table.Advance(w.now, func(*Move) Observation { return o }) {
@@ -55,52 +55,52 @@
 	return kinds
 }
 
-// to brings the move into a state by its usual course.
-func (w *walk) to(s State) *walk {
+// advanceTo brings the move into a state by its usual course.
+func (w *moveHarness) advanceTo(s State) *moveHarness {
 	if s >= Stopping {
 		w.table.Recorded(w.move)
-		w.pass(time.Millisecond, at(jobs.Assigned, 3, source))
+		w.observe(time.Millisecond, observationAt(jobs.Assigned, 3, source))
 	}
 	if s >= Stopped {
-		o := at(jobs.Waiting, 3, "")
-		o.MayDecide = s > Stopped
-		w.pass(time.Second, o)
+		o := observationAt(jobs.Waiting, 3, "")
+		o.HasAuthority = s > Stopped
+		w.observe(time.Second, o)
 	}
 	return w
 }
 
 // TestUsualCourse: recorded, stopped, placed once the source is proven free, and running.
 func TestUsualCourse(t *testing.T) {
-	w := newWalk()
+	w := newMoveHarness()
 	for i, step := range []struct {
 		record bool
 		see    Observation
 		want   []EffectKind
 		state  State
 	}{
-		{false, at(jobs.Assigned, 3, source), nil, Proposed},
-		{true, at(jobs.Assigned, 3, source), []EffectKind{Stop}, Stopping},
-		{false, at(jobs.Stopping, 3, source), nil, Stopping},
-		{false, at(jobs.Waiting, 3, ""), []EffectKind{Place}, Placing},
-		{false, at(jobs.Placing, 4, destination), nil, Placing},
-		{false, at(jobs.Assigned, 4, destination), nil, Placing},
+		{false, observationAt(jobs.Assigned, 3, source), nil, Proposed},
+		{true, observationAt(jobs.Assigned, 3, source), []EffectKind{StopTask}, Stopping},
+		{false, observationAt(jobs.Stopping, 3, source), nil, Stopping},
+		{false, observationAt(jobs.Waiting, 3, ""), []EffectKind{PlaceTask}, Placing},
+		{false, observationAt(jobs.Placing, 4, destination), nil, Placing},
+		{false, observationAt(jobs.Assigned, 4, destination), nil, Placing},
 	} {
 		if step.record {
 			w.table.Recorded(w.move)
 		}
-		if got := w.pass(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
+		if got := w.observe(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
 			t.Fatalf("step %d: %v in %s", i, got, w.move.State)
 		}
 	}
-	o := at(jobs.Assigned, 4, destination)
-	o.Runs = true
-	if got := w.pass(time.Second, o); !slices.Equal(got, []EffectKind{Release, Report}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
+	o := observationAt(jobs.Assigned, 4, destination)
+	o.TaskRunning = true
+	if got := w.observe(time.Second, o); !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
 		t.Fatalf("%v in %s, %d active", got, w.move.State, len(w.table.Active()))
 	}
-	o.Beneficiary = true
-	w.pass(time.Second, o)
-	if got := w.table.Gained; got != w.move.Realised() || got < 45*time.Second || got > time.Minute {
-		t.Errorf("gained %v, realised %v", got, w.move.Realised())
+	o.BeneficiaryPlaced = true
+	w.observe(time.Second, o)
+	if got := w.table.TotalGain; got != w.move.RealizedGain() || got < 45*time.Second || got > time.Minute {
+		t.Errorf("gained %v, realised %v", got, w.move.RealizedGain())
 	}
 }
 
@@ -111,8 +111,8 @@
 		change(&o)
 		return o
 	}
-	here, leaving, gone := at(jobs.Assigned, 3, source), at(jobs.Stopping, 3, source), at(jobs.Waiting, 3, "")
-	there := at(jobs.Assigned, 4, destination)
+	here, leaving, gone := observationAt(jobs.Assigned, 3, source), observationAt(jobs.Stopping, 3, source), observationAt(jobs.Waiting, 3, "")
+	there := observationAt(jobs.Assigned, 4, destination)
 	for _, c := range []struct {
 		name  string
 		state State
@@ -120,60 +120,60 @@
 		see   Observation
 		want  Reason
 	}{
-		{"it completes", Proposed, 0, at(jobs.Completed, 3, ""), TaskCompleted},
+		{"it completes", Proposed, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled", Proposed, 0, with(here, func(o *Observation) { o.JobOpen = false }), JobClosed},
 		{"it is stopped by something else", Proposed, 0, leaving, TaskChanged},
-		{"it was placed anew", Proposed, 0, at(jobs.Assigned, 4, source), TaskChanged},
-		{"nothing can be recorded", Proposed, 0, with(here, func(o *Observation) { o.MayDecide = false }), AuthorityLost},
-		{"a link is in doubt", Proposed, 0, with(here, func(o *Observation) { o.LinksClear = false }), LinkSuspected},
-		{"the destination shuts", Proposed, 0, with(here, func(o *Observation) { o.Destination = DestinationShut }), DestinationClosed},
+		{"it was placed anew", Proposed, 0, observationAt(jobs.Assigned, 4, source), TaskChanged},
+		{"nothing can be recorded", Proposed, 0, with(here, func(o *Observation) { o.HasAuthority = false }), AuthorityLost},
+		{"a link is in doubt", Proposed, 0, with(here, func(o *Observation) { o.LinksHealthy = false }), LinkSuspected},
+		{"the destination shuts", Proposed, 0, with(here, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
 		{"the room is taken", Proposed, 0, with(here, func(o *Observation) { o.Destination = DestinationFull }), DestinationTaken},
-		{"a hot team cools", Proposed, 0, with(here, func(o *Observation) { o.Cooled = true }), TeamCooled},
-		{"nobody waits for it", Proposed, 0, with(here, func(o *Observation) { o.Waits = false }), NotNeeded},
+		{"a hot team cools", Proposed, 0, with(here, func(o *Observation) { o.DemandRecovered = true }), TeamRecovered},
+		{"nobody waits for it", Proposed, 0, with(here, func(o *Observation) { o.BeneficiaryWaiting = false }), NotNeeded},
 		{"the record is late", Proposed, 3 * time.Second, here, RecordOverdue},
-		{"it completes as it is stopped", Stopping, 0, at(jobs.Completed, 3, ""), TaskCompleted},
+		{"it completes as it is stopped", Stopping, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.JobOpen = false }), JobClosed},
-		{"the destination is lost meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.Destination = DestinationShut }), DestinationClosed},
+		{"the destination is lost meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
 		{"the proof is late", Stopping, 5 * time.Second, leaving, StopOverdue},
-		{"something else placed it", Stopping, 0, at(jobs.Placing, 4, "host-3"), TaskChanged},
+		{"something else placed it", Stopping, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
 		{"its job is cancelled after the stop", Stopped, 0, with(gone, func(o *Observation) { o.JobOpen = false }), JobClosed},
-		{"the destination is lost after the stop", Stopped, 0, with(gone, func(o *Observation) { o.Destination = DestinationShut }), DestinationClosed},
+		{"the destination is lost after the stop", Stopped, 0, with(gone, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
 		{"the room is taken after the stop", Stopped, 0, with(gone, func(o *Observation) { o.Destination = DestinationFull }), DestinationTaken},
 		{"its team is at its limit", Stopped, 0, with(gone, func(o *Observation) { o.TeamAllows = false }), TeamAtLimit},
-		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.MayDecide = false }), PlacementOverdue},
-		{"a machine goes on reporting it", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.Elsewhere = true }), PlacementOverdue},
-		{"it is placed by something else", Stopped, 0, at(jobs.Placing, 4, "host-3"), TaskChanged},
-		{"it is lost at the destination", Placing, 0, at(jobs.Waiting, 4, ""), LostAtDestination},
-		{"it is placed elsewhere", Placing, 0, at(jobs.Assigned, 5, "host-3"), LostAtDestination},
+		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.HasAuthority = false }), PlacementOverdue},
+		{"a machine goes on reporting it", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.ReportedElsewhere = true }), PlacementOverdue},
+		{"it is placed by something else", Stopped, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
+		{"it is lost at the destination", Placing, 0, observationAt(jobs.Waiting, 4, ""), LostAtDestination},
+		{"it is placed elsewhere", Placing, 0, observationAt(jobs.Assigned, 5, "host-3"), LostAtDestination},
 		{"its job is cancelled as it starts", Placing, 0, with(there, func(o *Observation) { o.JobOpen = false }), JobClosed},
 		{"it doesn't start", Placing, 8 * time.Second, there, StartOverdue},
 	} {
-		w := newWalk().to(c.state)
+		w := newMoveHarness().advanceTo(c.state)
 		if w.move.State != c.state {
 			t.Fatalf("%s: brought to %s", c.name, w.move.State)
 		}
-		got := w.pass(c.after, c.see)
-		if w.move.State != Abandoned || w.move.Reason != c.want || !slices.Equal(got, []EffectKind{Release, Report}) || w.table.Ended[c.want] != 1 {
+		got := w.observe(c.after, c.see)
+		if w.move.State != Abandoned || w.move.Reason != c.want || !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
 			t.Errorf("%s: %s, %s, %v", c.name, w.move.State, w.move.Reason, got)
 		}
 	}
 }
 
-// TestNothingEndsIt: what doesn't speak against a move in a state doesn't end it.
-func TestNothingEndsIt(t *testing.T) {
-	leaving := at(jobs.Stopping, 3, source)
-	leaving.MayDecide, leaving.LinksClear, leaving.Waits, leaving.Cooled, leaving.TeamAllows = false, false, false, true, false
-	if w := newWalk().to(Stopping); w.pass(time.Second, leaving) != nil || w.move.State != Stopping {
+// TestIrrelevantObservationsKeepMove: what doesn't speak against a move in a state doesn't end it.
+func TestIrrelevantObservationsKeepMove(t *testing.T) {
+	leaving := observationAt(jobs.Stopping, 3, source)
+	leaving.HasAuthority, leaving.LinksHealthy, leaving.BeneficiaryWaiting, leaving.DemandRecovered, leaving.TeamAllows = false, false, false, true, false
+	if w := newMoveHarness().advanceTo(Stopping); w.observe(time.Second, leaving) != nil || w.move.State != Stopping {
 		t.Errorf("stopping: %s, %s", w.move.State, w.move.Reason)
 	}
-	gone := at(jobs.Waiting, 3, "")
-	gone.Elsewhere = true
-	w := newWalk().to(Stopped)
-	if w.pass(time.Second, gone) != nil || w.move.State != Stopped {
+	gone := observationAt(jobs.Waiting, 3, "")
+	gone.ReportedElsewhere = true
+	w := newMoveHarness().advanceTo(Stopped)
+	if w.observe(time.Second, gone) != nil || w.move.State != Stopped {
 		t.Errorf("stopped: %s, %s", w.move.State, w.move.Reason)
 	}
-	gone.Elsewhere = false
-	if got := w.pass(time.Second, gone); !slices.Equal(got, []EffectKind{Place}) {
+	gone.ReportedElsewhere = false
+	if got := w.observe(time.Second, gone); !slices.Equal(got, []EffectKind{PlaceTask}) {
 		t.Errorf("once it may be placed: %v in %s", got, w.move.State)
 	}
 }
@@ -182,24 +182,24 @@
 // of it changed, and now and then anything.
 func drawObservation(t *rapid.T, s State) Observation {
 	usual := map[State][]Observation{
-		Proposed: {at(jobs.Assigned, 3, source)},
-		Stopping: {at(jobs.Stopping, 3, source), at(jobs.Waiting, 3, "")},
-		Stopped:  {at(jobs.Waiting, 3, "")},
-		Placing:  {at(jobs.Placing, 4, destination), at(jobs.Assigned, 4, destination)},
+		Proposed: {observationAt(jobs.Assigned, 3, source)},
+		Stopping: {observationAt(jobs.Stopping, 3, source), observationAt(jobs.Waiting, 3, "")},
+		Stopped:  {observationAt(jobs.Waiting, 3, "")},
+		Placing:  {observationAt(jobs.Placing, 4, destination), observationAt(jobs.Assigned, 4, destination)},
 	}[s]
 	if s.Ended() {
-		usual = []Observation{at(jobs.Waiting, 3, ""), at(jobs.Assigned, 3, source)}
+		usual = []Observation{observationAt(jobs.Waiting, 3, ""), observationAt(jobs.Assigned, 3, source)}
 	}
 	o := rapid.SampledFrom(usual).Draw(t, "usual")
 	if rapid.IntRange(0, 19).Draw(t, "odd") == 0 {
 		o.Task = rapid.SampledFrom([]jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Completed}).Draw(t, "task")
 		o.Attempt = rapid.SampledFrom([]ident.Attempt{3, 3, 4}).Draw(t, "attempt")
-		o.Host = rapid.SampledFrom([]ident.MachineID{source, source, destination, ""}).Draw(t, "host")
+		o.Machine = rapid.SampledFrom([]ident.MachineID{source, source, destination, ""}).Draw(t, "host")
 	}
 	unless := func(name string) bool { return rapid.IntRange(0, 59).Draw(t, name) > 0 }
-	o.Runs = rapid.Bool().Draw(t, "runs")
-	o.JobOpen, o.Waits, o.MayDecide = unless("open"), unless("waits"), unless("may decide")
-	o.LinksClear, o.TeamAllows, o.Elsewhere = unless("links clear"), unless("team allows"), !unless("elsewhere")
+	o.TaskRunning = rapid.Bool().Draw(t, "runs")
+	o.JobOpen, o.BeneficiaryWaiting, o.HasAuthority = unless("open"), unless("waits"), unless("may decide")
+	o.LinksHealthy, o.TeamAllows, o.ReportedElsewhere = unless("links clear"), unless("team allows"), !unless("elsewhere")
 	if !unless("destination") {
 		o.Destination = DestinationFull
 	}
@@ -212,7 +212,7 @@
 func TestSafeInAnyOrder(t *testing.T) {
 	ends := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWalk()
+		w := newMoveHarness()
 		stopped, placed, released := 0, 0, 0
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "record") {
@@ -220,19 +220,19 @@
 			}
 			o := drawObservation(t, w.move.State)
 			was := w.move.State
-			for _, k := range w.pass(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms"))*time.Millisecond, o) {
+			for _, k := range w.observe(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms"))*time.Millisecond, o) {
 				switch k {
-				case Stop:
+				case StopTask:
 					stopped++
-					if !w.move.recorded || o.Task != jobs.Assigned || o.Host != source || !o.JobOpen {
+					if !w.move.recorded || o.Task != jobs.Assigned || o.Machine != source || !o.JobOpen {
 						t.Fatalf("stopped in %+v", o)
 					}
-				case Place:
+				case PlaceTask:
 					placed++
-					if o.Task != jobs.Waiting || o.Attempt != 3 || o.Elsewhere || !o.JobOpen || !o.MayDecide || !o.TeamAllows || o.Destination != DestinationReady {
+					if o.Task != jobs.Waiting || o.Attempt != 3 || o.ReportedElsewhere || !o.JobOpen || !o.HasAuthority || !o.TeamAllows || o.Destination != DestinationReady {
 						t.Fatalf("placed in %+v", o)
 					}
-				case Release:
+				case ReleaseReservation:
 					released++
 				}
 			}
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -48,7 +48,7 @@
 	TaskCompleted            // the task completed before it was stopped
 	JobClosed                // the job was cancelled, or is done
 	NotNeeded                // what the move would make room for waits no more
-	TeamCooled               // a hot team cooled before the task was stopped
+	TeamRecovered            // a hot team cooled before the task was stopped
 	AuthorityLost            // the node could not record decisions any more
 	LinkSuspected            // a link to one of both zones is in doubt
 	RecordOverdue            // the record was not durable in time
--- a/internal/placement/asm1.go
+++ b/internal/placement/asm1.go
@@ -19,15 +19,15 @@
 // total excess over the even share (Theorem 10). Tasks of a group are as good as
 // each other on any path, so a search need look at each group only once.
 func ASM1(n int, groups []Group) [][]Share {
-	s := &search{
-		near: make([][]int32, n), owners: make([][]Share, len(groups)), left: make([]int, len(groups)),
-		dead: make([]bool, len(groups)), seenGroup: make([]int32, len(groups)), via: make([]int32, len(groups)),
-		seenMachine: make([]int32, n), from: make([]int32, n), cursor: make([]int32, n),
+	s := &pathSearch{
+		candidateGroups: make([][]int32, n), assigned: make([][]Share, len(groups)), remaining: make([]int, len(groups)),
+		exhausted: make([]bool, len(groups)), groupRound: make([]int32, len(groups)), reachedFromMachine: make([]int32, len(groups)),
+		machineRound: make([]int32, n), reachedFromGroup: make([]int32, n), cursor: make([]int32, n),
 	}
-	for g, gr := range groups {
-		s.left[g] = gr.Tasks
-		for _, m := range gr.Machines {
-			s.near[m] = append(s.near[m], int32(g))
+	for g, group := range groups {
+		s.remaining[g] = group.Tasks
+		for _, m := range group.Machines {
+			s.candidateGroups[m] = append(s.candidateGroups[m], int32(g))
 		}
 	}
 	active := make([]int32, n)
@@ -43,7 +43,7 @@
 		}
 		active = kept
 	}
-	return s.owners
+	return s.assigned
 }
 
 // Share is how many tasks of a group a machine takes.
@@ -52,48 +52,48 @@
 	Tasks   int
 }
 
-// search holds the breadth-first search's arrays from one path to the next.
-type search struct {
-	near        [][]int32 // groups that a machine could take tasks of
-	cursor      []int32   // by machine, the first of those that may have unassigned tasks
-	owners      [][]Share // by group
-	left        []int     // unassigned tasks of each group
-	dead        []bool    // groups from which no path leads to an unassigned task any more
-	round       int32
-	seenGroup   []int32 // round in which the group was reached
-	via         []int32 // machine from which it was reached
-	seenMachine []int32
-	from        []int32 // group through which the machine was reached
-	queue       []int32
-	reached     []int32 // groups of this round
+// pathSearch holds the breadth-first search's arrays from one path to the next.
+type pathSearch struct {
+	candidateGroups    [][]int32 // groups that a machine could take tasks of
+	cursor             []int32   // by machine, the first of those that may have unassigned tasks
+	assigned           [][]Share // by group
+	remaining          []int     // unassigned tasks of each group
+	exhausted          []bool    // groups from which no path leads to an unassigned task any more
+	round              int32
+	groupRound         []int32 // round in which the group was reached
+	reachedFromMachine []int32 // machine from which it was reached
+	machineRound       []int32
+	reachedFromGroup   []int32 // group through which the machine was reached
+	queue              []int32
+	reachedGroups      []int32 // groups of this round
 }
 
 // augment flips the shortest alternating path from p to an unassigned task.
-func (s *search) augment(p int32) bool {
+func (s *pathSearch) augment(p int32) bool {
 	s.round++
 	s.queue = append(s.queue[:0], p)
-	s.reached = s.reached[:0]
-	s.seenMachine[p] = s.round
-	s.from[p] = -1
+	s.reachedGroups = s.reachedGroups[:0]
+	s.machineRound[p] = s.round
+	s.reachedFromGroup[p] = -1
 	for head := 0; head < len(s.queue); head++ {
 		m := s.queue[head]
 		if g, ok := s.unassigned(m); ok {
-			s.via[g] = m
-			s.left[g]--
+			s.reachedFromMachine[g] = m
+			s.remaining[g]--
 			s.flip(g)
 			return true
 		}
-		for _, g := range s.near[m] {
-			if s.dead[g] || s.seenGroup[g] == s.round {
+		for _, g := range s.candidateGroups[m] {
+			if s.exhausted[g] || s.groupRound[g] == s.round {
 				continue
 			}
-			s.seenGroup[g] = s.round
-			s.via[g] = m
-			s.reached = append(s.reached, g)
-			for _, o := range s.owners[g] {
-				if o.Tasks > 0 && s.seenMachine[o.Machine] != s.round {
-					s.seenMachine[o.Machine] = s.round
-					s.from[o.Machine] = g
+			s.groupRound[g] = s.round
+			s.reachedFromMachine[g] = m
+			s.reachedGroups = append(s.reachedGroups, g)
+			for _, o := range s.assigned[g] {
+				if o.Tasks > 0 && s.machineRound[o.Machine] != s.round {
+					s.machineRound[o.Machine] = s.round
+					s.reachedFromGroup[o.Machine] = g
 					s.queue = append(s.queue, o.Machine)
 				}
 			}
@@ -101,8 +101,8 @@
 	}
 	// All that can be reached is assigned, and paths of others can't change it
 	// without reaching it: no later search need come here.
-	for _, g := range s.reached {
-		s.dead[g] = true
+	for _, g := range s.reachedGroups {
+		s.exhausted[g] = true
 	}
 	return false
 }
@@ -110,10 +110,10 @@
 // unassigned returns the first group with unassigned tasks that a machine could take. No
 // group ever gets more of them, so each is passed over once: on a large fleet most paths
 // are found here, without a search.
-func (s *search) unassigned(m int32) (int32, bool) {
-	near := s.near[m]
+func (s *pathSearch) unassigned(m int32) (int32, bool) {
+	near := s.candidateGroups[m]
 	for s.cursor[m] < int32(len(near)) {
-		if g := near[s.cursor[m]]; s.left[g] > 0 {
+		if g := near[s.cursor[m]]; s.remaining[g] > 0 {
 			return g, true
 		}
 		s.cursor[m]++
@@ -122,22 +122,22 @@
 }
 
 // flip hands a task of each group on the path to the machine that reached it.
-func (s *search) flip(g int32) {
+func (s *pathSearch) flip(g int32) {
 	for g >= 0 {
-		m := s.via[g]
+		m := s.reachedFromMachine[g]
 		s.add(g, m, 1)
-		if g = s.from[m]; g >= 0 {
+		if g = s.reachedFromGroup[m]; g >= 0 {
 			s.add(g, m, -1)
 		}
 	}
 }
 
-func (s *search) add(g, m int32, n int) {
-	for i := range s.owners[g] {
-		if o := &s.owners[g][i]; o.Machine == m {
+func (s *pathSearch) add(g, m int32, n int) {
+	for i := range s.assigned[g] {
+		if o := &s.assigned[g][i]; o.Machine == m {
 			o.Tasks += n
 			return
 		}
 	}
-	s.owners[g] = append(s.owners[g], Share{m, n})
+	s.assigned[g] = append(s.assigned[g], Share{m, n})
 }
--- a/internal/placement/asm1_test.go
+++ b/internal/placement/asm1_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// loads counts the tasks of each machine, and checks that each has an edge.
-func loads(t *testing.T, g [][]int32, owner []int32) []int {
+// machineLoads counts the tasks of each machine, and checks that each has an edge.
+func machineLoads(t *testing.T, g [][]int32, owner []int32) []int {
 	t.Helper()
 	out := make([]int, len(g))
 	for task, m := range owner {
@@ -33,8 +33,8 @@
 	return out
 }
 
-// figures returns the largest load and the total excess over the even share.
-func figures(loads []int, tasks int) (largest, excess int) {
+// loadStats returns the largest load and the total excess over the even share.
+func loadStats(loads []int, tasks int) (largest, excess int) {
 	share := (tasks + len(loads) - 1) / len(loads)
 	for _, n := range loads {
 		largest = max(largest, n)
@@ -43,8 +43,8 @@
 	return
 }
 
-// best tries every assignment.
-func best(g [][]int32, tasks, placed int) (largest, excess int) {
+// bruteForceBest tries every assignment.
+func bruteForceBest(g [][]int32, tasks, placed int) (largest, excess int) {
 	holders := make([][]int, tasks)
 	for m, list := range g {
 		for _, t := range list {
@@ -56,7 +56,7 @@
 	var try func(int)
 	try = func(t int) {
 		if t == tasks {
-			l, e := figures(load, placed)
+			l, e := loadStats(load, placed)
 			largest, excess = min(largest, l), min(excess, e)
 			return
 		}
@@ -73,8 +73,8 @@
 	return
 }
 
-// plain is the algorithm as the paper has it, over single tasks.
-func plain(n int, machines [][]int32) []int32 {
+// referenceASM1 is the algorithm as the paper has it, over single tasks.
+func referenceASM1(n int, machines [][]int32) []int32 {
 	owner := make([]int32, n)
 	for i := range owner {
 		owner[i] = -1
@@ -121,8 +121,8 @@
 	return owner
 }
 
-// grouped makes random groups, and the same tasks one by one.
-func grouped(r *rand.Rand, groups, machines, most int, p float64) (gs []Group, single [][]int32, tasks int) {
+// randomGroups makes random groups, and the same tasks one by one.
+func randomGroups(r *rand.Rand, groups, machines, most int, p float64) (gs []Group, single [][]int32, tasks int) {
 	single = make([][]int32, machines)
 	for range groups {
 		g := Group{Tasks: 1 + r.IntN(most)}
@@ -140,8 +140,8 @@
 	return
 }
 
-// ungroup turns the outcome for groups into one for single tasks.
-func ungroup(t *testing.T, gs []Group, owners [][]Share, tasks int) []int32 {
+// expandGroups turns the outcome for groups into one for single tasks.
+func expandGroups(t *testing.T, gs []Group, owners [][]Share, tasks int) []int32 {
 	t.Helper()
 	out := make([]int32, 0, tasks)
 	for g, shares := range owners {
@@ -173,21 +173,21 @@
 		if !small {
 			groups, machines, most = 1+r.IntN(30), 1+r.IntN(25), 12
 		}
-		gs, g, tasks := grouped(r, groups, machines, most, 0.1+0.6*r.Float64())
+		gs, g, tasks := randomGroups(r, groups, machines, most, 0.1+0.6*r.Float64())
 		if small && tasks > 8 {
 			continue
 		}
-		owner := ungroup(t, gs, ASM1(machines, gs), tasks)
+		owner := expandGroups(t, gs, ASM1(machines, gs), tasks)
 		placed := 0
 		for _, m := range owner {
 			if m >= 0 {
 				placed++
 			}
 		}
-		l, e := figures(loads(t, g, owner), placed)
-		bl, be := figures(loads(t, g, plain(tasks, g)), placed)
+		l, e := loadStats(machineLoads(t, g, owner), placed)
+		bl, be := loadStats(machineLoads(t, g, referenceASM1(tasks, g)), placed)
 		if small {
-			bl, be = best(g, tasks, placed)
+			bl, be = bruteForceBest(g, tasks, placed)
 		}
 		if l != bl || e != be {
 			t.Fatalf("%d tasks, %v: largest %d, excess %d; best %d, %d", tasks, gs, l, e, bl, be)
@@ -201,9 +201,9 @@
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 60 {
 		machines := 2 + r.IntN(20)
-		gs, g, tasks := grouped(r, 10+r.IntN(40), machines, 6, 3/float64(machines))
-		owner := ungroup(t, gs, ASM1(machines, gs), tasks)
-		load := loads(t, g, owner)
+		gs, g, tasks := randomGroups(r, 10+r.IntN(40), machines, 6, 3/float64(machines))
+		owner := expandGroups(t, gs, ASM1(machines, gs), tasks)
+		load := machineLoads(t, g, owner)
 		for start := range g {
 			seen := map[int]bool{start: true}
 			queue := []int{start}
--- a/internal/placement/even_test.go
+++ b/internal/placement/even_test.go
@@ -9,46 +9,46 @@
 	"opaldale/internal/jobs"
 )
 
-// holders makes a fleet of which so many machines hold the image of a job to come.
-func holders(machines, holding int) *large {
-	l := newLarge(0)
+// newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
+func newClusterWithHolders(machines, holding int) *testCluster {
+	l := newTestCluster(0)
 	for i := range machines {
-		w := l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
-		l.report(w)
+		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
+		l.heartbeat(w)
 	}
-	warm := l.submitAs("red", api.Standard, holding)
+	first := l.submitAs("red", api.Standard, holding)
 	for i := range holding {
-		l.Place(&warm.Tasks[i], l.fleet.Sorted()[i])
+		l.Place(&first.Tasks[i], l.machines.Sorted()[i])
 	}
 	l.commits.Flush()
-	for _, w := range l.fleet.Sorted() {
-		l.report(w)
+	for _, w := range l.machines.Sorted() {
+		l.heartbeat(w)
 	}
 	return l
 }
 
-// used returns the CPUs in use on the fullest and on the emptiest of the first machines.
-func used(l *large, machines int) (most, least float64) {
+// usedVCPURange returns the CPUs in use on the fullest and on the emptiest of the first machines.
+func usedVCPURange(l *testCluster, machines int) (most, least float64) {
 	least = 1e9
-	for _, w := range l.fleet.Sorted()[:machines] {
+	for _, w := range l.machines.Sorted()[:machines] {
 		most, least = max(most, w.VCPUs), min(least, w.VCPUs)
 	}
 	return most, least
 }
 
-// TestEvenSpreadsOverHolders: with even placement the tasks of a job go to its holders in
+// TestSpreadLoadOverHolders: with even placement the tasks of a job go to its holders in
 // turn; without it the first by name are filled. Neither goes to machines that would fetch.
-func TestEvenSpreadsOverHolders(t *testing.T) {
+func TestSpreadLoadOverHolders(t *testing.T) {
 	for _, even := range []bool{false, true} {
-		l := holders(12, 8)
-		l.planner.Even = func() bool { return even }
+		l := newClusterWithHolders(12, 8)
+		l.planner.SpreadLoad = func() bool { return even }
 		l.submitAs("red", api.Standard, 48)
-		l.fill()
-		most, least := used(l, 8)
+		l.dispatchAll()
+		most, least := usedVCPURange(l, 8)
 		if even && most-least > 1 || !even && most-least < 8 {
 			t.Errorf("even %v: between %v and %v CPUs are in use", even, least, most)
 		}
-		for _, w := range l.fleet.Sorted()[8:] {
+		for _, w := range l.machines.Sorted()[8:] {
 			if w.VCPUs > 0 {
 				t.Errorf("even %v: %s, which doesn't hold the image, has work", even, w.ID)
 			}
@@ -56,21 +56,21 @@
 	}
 }
 
-// TestEvenServices: replicas go to the least used holder.
-func TestEvenServices(t *testing.T) {
+// TestSpreadLoadServices: replicas go to the least used holder.
+func TestSpreadLoadServices(t *testing.T) {
 	for _, even := range []bool{false, true} {
-		l := holders(6, 6)
-		l.planner.Even = func() bool { return even }
+		l := newClusterWithHolders(6, 6)
+		l.planner.SpreadLoad = func() bool { return even }
 		j := l.submitAs("red", api.Critical, 12)
 		j.Spec.Shape = api.Service
-		l.fill()
+		l.dispatchAll()
 		held := 0
 		for i := range j.Tasks {
 			if j.Tasks[i].State != jobs.Waiting {
 				held++
 			}
 		}
-		most, least := used(l, 6)
+		most, least := usedVCPURange(l, 6)
 		if held != 12 || even && most-least > 1 || !even && most-least < 4 {
 			t.Errorf("even %v: %d replicas are placed, between %v and %v CPUs in use", even, held, least, most)
 		}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -16,29 +16,29 @@
 // joins tasks to machines one by one (paper, §2.1 and §5.2: independent tasks), and a
 // part of a gang is of no use. Kept is that holders of the image come first.
 
-// choice is where a gang's waiting tasks would go.
-type choice struct {
-	picks  []gang.Placement
-	stop   []*jobs.Task  // to make room
-	fetch  time.Duration // the slowest
-	cost   float64       // of what is stopped
-	spread int           // machines
-	wait   bool          // what is stopped saves first
+// gangPlan is where a gang's waiting tasks would go.
+type gangPlan struct {
+	picks             []gang.Placement
+	victims           []*jobs.Task  // to make room
+	fetchTime         time.Duration // the slowest
+	cost              float64       // of what is stopped
+	machines          int           // machines
+	waitForCheckpoint bool          // what is stopped saves first
 }
 
 // better says whether a gang starts sooner by a, then whether less is lost by it.
-func (a *choice) better(b *choice) bool {
-	return b == nil || cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.cost, b.cost), cmp.Compare(a.spread, b.spread)) < 0
+func (a *gangPlan) better(b *gangPlan) bool {
+	return b == nil || cmp.Or(cmp.Compare(a.fetchTime, b.fetchTime), cmp.Compare(a.cost, b.cost), cmp.Compare(a.machines, b.machines)) < 0
 }
 
 const (
-	// gangSearch bounds the machines that are looked at for work to stop for a gang, or as
+	// maxGangSearch bounds the machines that are looked at for work to stop for a gang, or as
 	// many as it has tasks.
-	gangSearch = 64
-	// gangHold is the part of MaxWait after which machines are kept for a gang that
-	// finds no place, and gangHeld bounds those machines.
-	gangHold = 8
-	gangHeld = 16
+	maxGangSearch = 64
+	// gangReserveDivisor is the part of MaxWait after which machines are kept for a gang that
+	// finds no place, and maxGangReserved bounds those machines.
+	gangReserveDivisor = 8
+	maxGangReserved    = 16
 )
 
 // placeGang finds machines for all waiting tasks of a gang at once, or for none.
@@ -53,7 +53,7 @@
 		if t.State != jobs.Waiting {
 			continue
 		}
-		if now < t.RetryAt || p.fleet.HasUnknownAttempt(t.TaskID()) {
+		if now < t.RetryAt || p.machineTable.HasUnknownAttempt(t.TaskID()) {
 			return
 		}
 		tasks = append(tasks, t)
@@ -62,51 +62,51 @@
 		return
 	}
 	if !p.teams.Allows(j.Spec, float64(len(tasks))) {
-		if p.unbegun(j) && p.blocked[j.Spec.Team] == nil {
-			p.blocked[j.Spec.Team] = j
+		if p.starved(j) && p.quotaBlocked[j.Spec.Team] == nil {
+			p.quotaBlocked[j.Spec.Team] = j
 		}
 		return
 	}
-	var best *choice
-	for _, site := range p.sites(j) {
-		if c := p.gather(j, tasks, site); c != nil && c.better(best) {
-			best = c
+	var best *gangPlan
+	for _, zone := range p.candidateZones(j) {
+		if plan := p.planGang(j, tasks, zone); plan != nil && plan.better(best) {
+			best = plan
 		}
 	}
 	if best == nil {
-		if now.Sub(j.SubmittedAt) > p.MaxWait/gangHold {
-			p.keep(j, len(tasks))
+		if now.Sub(j.SubmittedAt) > p.MaxWait/gangReserveDivisor {
+			p.reserveForGang(j, len(tasks))
 		}
 		return
 	}
-	for _, v := range best.stop {
-		p.stopVictim(v, p.fleet.Workers[v.MachineID], now)
+	for _, victim := range best.victims {
+		p.preemptVictim(victim, p.machineTable.Workers[victim.MachineID], now)
 	}
-	if best.wait {
+	if best.waitForCheckpoint {
 		for _, t := range tasks {
 			t.RetryAt = now.Add(500 * time.Millisecond)
 		}
 		return
 	}
-	for _, k := range best.picks {
-		p.account(k.Task, k.Worker)
+	for _, pick := range best.picks {
+		p.recordPlacement(pick.Task, pick.Worker)
 	}
-	for w, o := range p.reserved {
-		if o == j {
-			delete(p.reserved, w)
+	for w, reservedFor := range p.starvationReserved {
+		if reservedFor == j {
+			delete(p.starvationReserved, w)
 		}
 	}
 	p.Stats.Gangs++
-	p.act.PlaceGang(j, best.picks)
+	p.actions.PlaceGang(j, best.picks)
 }
 
-// sites lists the zones that a gang could be in; "" stands for any of them together.
-func (p *Planner) sites(j *jobs.Job) []string {
+// candidateZones lists the zones that a gang could be in; "" stands for any of them together.
+func (p *Planner) candidateZones(j *jobs.Job) []string {
 	if !j.Spec.OneZone {
 		return []string{""}
 	}
 	var out []string
-	for _, w := range p.order {
+	for _, w := range p.openMachines {
 		if !slices.Contains(out, w.Zone) {
 			out = append(out, w.Zone)
 		}
@@ -115,89 +115,89 @@
 	return out
 }
 
-// gather chooses machines for a gang's tasks in a zone: holders of the image first,
+// planGang chooses machines for a gang's tasks in a zone: holders of the image first,
 // then, if that is quicker than to fetch it, holders with work of less right; then the
 // machines with the most room, so that few must fetch; then any with such work.
-func (p *Planner) gather(j *jobs.Job, tasks []*jobs.Task, site string) *choice {
-	s := j.Spec
+func (p *Planner) planGang(j *jobs.Job, tasks []*jobs.Task, zone string) *gangPlan {
+	spec := j.Spec
 	now := p.now()
-	c := &choice{}
-	left := tasks
-	taken := map[*workers.Worker]int{}
+	plan := &gangPlan{}
+	remaining := tasks
+	used := map[*workers.Worker]int{}
 	zones := map[string]int{}
 	for z, n := range j.AllocatedByZone {
 		zones[z] = n
 	}
 	allowed := func(w *workers.Worker) bool {
-		return (site == "" || w.Zone == site) && p.may(j, w) && !p.act.GangUsed(j, w)
+		return (zone == "" || w.Zone == zone) && p.eligible(j, w) && !p.actions.GangUsedMachine(j, w)
 	}
-	take := func(w *workers.Worker, n int) {
-		if s.Spread {
-			n = min(n, (s.Tasks+1)/2-zones[w.Zone])
+	assign := func(w *workers.Worker, n int) {
+		if spec.Spread {
+			n = min(n, (spec.Tasks+1)/2-zones[w.Zone])
 		}
-		n = min(n, len(left))
+		n = min(n, len(remaining))
 		if n <= 0 {
 			return
 		}
-		for _, t := range left[:n] {
-			c.picks = append(c.picks, gang.Placement{Task: t, Worker: w})
+		for _, t := range remaining[:n] {
+			plan.picks = append(plan.picks, gang.Placement{Task: t, Worker: w})
 		}
-		left = left[n:]
+		remaining = remaining[n:]
 		zones[w.Zone] += n
-		taken[w] += n
-		c.spread++
+		used[w] += n
+		plan.machines++
 	}
-	holders, others := p.placesFor(s, allowed)
-	for _, r := range holders {
-		take(r.w, r.n)
+	holders, others := p.gangSlots(spec, allowed)
+	for _, slots := range holders {
+		assign(slots.worker, slots.tasks)
 	}
-	if len(left) > 0 && p.victims(j) && p.hasty(j) {
-		p.evict(j, &left, c, taken, allowed, take, true)
+	if len(remaining) > 0 && p.hasVictims(j) && p.fetchTooSlowForGang(j) {
+		p.planEvictions(j, &remaining, plan, used, allowed, assign, true)
 	}
-	for _, r := range others {
-		if len(left) == 0 {
+	for _, slots := range others {
+		if len(remaining) == 0 {
 			break
 		}
-		c.fetch = max(c.fetch, r.w.ImagePullTime(j.Spec))
-		take(r.w, r.n)
+		plan.fetchTime = max(plan.fetchTime, slots.worker.ImagePullTime(j.Spec))
+		assign(slots.worker, slots.tasks)
 	}
-	if len(left) > 0 && p.victims(j) && now.Sub(j.SubmittedAt) > claimAfter {
-		p.evict(j, &left, c, taken, allowed, take, false)
+	if len(remaining) > 0 && p.hasVictims(j) && now.Sub(j.SubmittedAt) > reclaimAfter {
+		p.planEvictions(j, &remaining, plan, used, allowed, assign, false)
 	}
-	if len(left) > 0 {
+	if len(remaining) > 0 {
 		return nil
 	}
-	return c
+	return plan
 }
 
-// places is how many tasks of a gang find room on a machine.
-type places struct {
-	w *workers.Worker
-	n int
+// machineSlots is how many tasks of a gang find room on a machine.
+type machineSlots struct {
+	worker *workers.Worker
+	tasks  int
 }
 
-// placesFor lists the allowed machines with room, those that hold the image and the others apart,
+// gangSlots lists the allowed machines with room, those that hold the image and the others apart,
 // the most room first.
-func (p *Planner) placesFor(s *api.Spec, allowed func(*workers.Worker) bool) (holders, others []places) {
-	for _, w := range p.roomy {
+func (p *Planner) gangSlots(s *api.Spec, allowed func(*workers.Worker) bool) (holders, others []machineSlots) {
+	for _, w := range p.machinesWithRoom {
 		if n := w.TaskCapacity(s); n > 0 && allowed(w) {
 			if w.HasImage(s.Image) {
-				holders = append(holders, places{w, n})
+				holders = append(holders, machineSlots{w, n})
 			} else {
-				others = append(others, places{w, n})
+				others = append(others, machineSlots{w, n})
 			}
 		}
 	}
-	most := func(a, b places) int { return cmp.Compare(b.n, a.n) }
+	most := func(a, b machineSlots) int { return cmp.Compare(b.tasks, a.tasks) }
 	slices.SortStableFunc(holders, most)
 	slices.SortStableFunc(others, most)
 	return holders, others
 }
 
-// evict goes on with machines where work of less right can be stopped.
-func (p *Planner) evict(j *jobs.Job, left *[]*jobs.Task, c *choice, taken map[*workers.Worker]int, allowed func(*workers.Worker) bool,
-	take func(*workers.Worker, int), holders bool) {
-	s := j.Spec
+// planEvictions goes on with machines where work of less right can be stopped.
+func (p *Planner) planEvictions(j *jobs.Job, remaining *[]*jobs.Task, plan *gangPlan, used map[*workers.Worker]int, allowed func(*workers.Worker) bool,
+	assign func(*workers.Worker, int), holdersOnly bool) {
+	spec := j.Spec
 	now := p.now()
 	type offer struct {
 		w    *workers.Worker
@@ -206,18 +206,18 @@
 		cost float64
 	}
 	var offers []offer
-	enough := max(gangSearch, s.Tasks)
-	for _, w := range p.order {
-		if len(offers) >= enough || p.searched >= p.searchLimit() {
+	enough := max(maxGangSearch, spec.Tasks)
+	for _, w := range p.openMachines {
+		if len(offers) >= enough || p.machinesSearched >= p.searchLimit() {
 			break
 		}
-		if taken[w] > 0 || holders && !w.HasImage(s.Image) || w.LowerPriorityTasks(s.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) || !allowed(w) {
+		if used[w] > 0 || holdersOnly && !w.HasImage(spec.Image) || w.LowerPriorityTasks(spec.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) || !allowed(w) {
 			continue
 		}
-		p.searched++
-		for n := len(*left); n > 0; n /= 2 {
-			need := jobs.Resources{VCPUs: float64(n) * s.VCPUs, GPUs: float64(n) * s.GPUs, MemoryGB: float64(n) * s.MemoryGB}
-			if stop, cost, ok := p.choose(w, j, need, now, true, false); ok {
+		p.machinesSearched++
+		for n := len(*remaining); n > 0; n /= 2 {
+			need := jobs.Resources{VCPUs: float64(n) * spec.VCPUs, GPUs: float64(n) * spec.GPUs, MemoryGB: float64(n) * spec.MemoryGB}
+			if stop, cost, ok := p.chooseVictims(w, j, need, now, true, false); ok {
 				offers = append(offers, offer{w, n, stop, cost})
 				break
 			}
@@ -225,63 +225,63 @@
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost/float64(a.n), b.cost/float64(b.n)) })
 	for _, o := range offers {
-		if len(*left) == 0 {
+		if len(*remaining) == 0 {
 			return
 		}
-		before := len(*left)
-		if take(o.w, o.n); len(*left) == before {
+		before := len(*remaining)
+		if assign(o.w, o.n); len(*remaining) == before {
 			continue
 		}
-		c.stop = append(c.stop, o.stop...)
-		c.cost += o.cost
-		for _, v := range o.stop {
-			c.wait = c.wait || v.Job.Spec.CanCheckpoint()
+		plan.victims = append(plan.victims, o.stop...)
+		plan.cost += o.cost
+		for _, victim := range o.stop {
+			plan.waitForCheckpoint = plan.waitForCheckpoint || victim.Job.Spec.CanCheckpoint()
 		}
-		if !o.w.HasImage(s.Image) {
-			c.fetch = max(c.fetch, o.w.ImagePullTime(j.Spec))
+		if !o.w.HasImage(spec.Image) {
+			plan.fetchTime = max(plan.fetchTime, o.w.ImagePullTime(j.Spec))
 		}
 	}
 }
 
-// hasty says whether fetching a gang's image takes longer than its users want to wait,
+// fetchTooSlowForGang says whether fetching a gang's image takes longer than its users want to wait,
 // or at least a good part of that.
-func (p *Planner) hasty(j *jobs.Job) bool {
-	limit, ok := p.waits[j.Spec.Class]
+func (p *Planner) fetchTooSlowForGang(j *jobs.Job) bool {
+	limit, ok := p.startObjectives[j.Spec.Class]
 	if !ok {
 		return false
 	}
-	for _, w := range p.order {
+	for _, w := range p.openMachines {
 		return w.ImagePullTime(j.Spec) > limit/2
 	}
 	return false
 }
 
-// keep holds machines of a zone for a gang that finds no place, as smaller tasks would
+// reserveForGang holds machines of a zone for a gang that finds no place, as smaller tasks would
 // take each time what becomes free: those with the most that ends by itself.
-func (p *Planner) keep(j *jobs.Job, n int) {
-	if len(p.reserved) > 0 {
+func (p *Planner) reserveForGang(j *jobs.Job, tasks int) {
+	if len(p.starvationReserved) > 0 {
 		return // one at a time
 	}
 	var best []*workers.Worker
-	for _, site := range p.sites(j) {
+	for _, zone := range p.candidateZones(j) {
 		var list []*workers.Worker
 		places := func(w *workers.Worker) int {
 			free := w.Type.VCPUs - w.VCPUs + w.BatchVCPUs
 			if j.Spec.VCPUs <= 0 {
-				return n
+				return tasks
 			}
-			return int((free + slack) / j.Spec.VCPUs)
+			return int((free + tolerance) / j.Spec.VCPUs)
 		}
-		for _, w := range p.order {
-			if (site == "" || w.Zone == site) && places(w) > 0 && p.may(j, w) {
+		for _, w := range p.openMachines {
+			if (zone == "" || w.Zone == zone) && places(w) > 0 && p.eligible(j, w) {
 				list = append(list, w)
 			}
 		}
 		slices.SortStableFunc(list, func(a, b *workers.Worker) int { return cmp.Compare(places(b), places(a)) })
 		sum := 0
 		for i, w := range list {
-			if sum += places(w); sum >= n {
-				if i < gangHeld && (best == nil || i+1 < len(best)) {
+			if sum += places(w); sum >= tasks {
+				if i < maxGangReserved && (best == nil || i+1 < len(best)) {
 					best = list[:i+1]
 				}
 				break
@@ -289,26 +289,26 @@
 		}
 	}
 	for _, w := range best {
-		p.reserved[w] = j
+		p.starvationReserved[w] = j
 	}
 }
 
-// stopVictim stops what must give way: a task, or the whole gang that it is of.
-func (p *Planner) stopVictim(v *jobs.Task, w *workers.Worker, now ident.MonotonicTime) {
-	if v.State != jobs.Assigned {
+// preemptVictim stops what must give way: a task, or the whole gang that it is of.
+func (p *Planner) preemptVictim(victim *jobs.Task, w *workers.Worker, now ident.MonotonicTime) {
+	if victim.State != jobs.Assigned {
 		return // stopped with its gang
 	}
 	p.Stats.Preempted++
-	v.PreemptedAt = now
-	if v.Job.IsGang() {
-		for i := range v.Job.Tasks {
-			v.Job.Tasks[i].PreemptedAt = now
+	victim.PreemptedAt = now
+	if victim.Job.IsGang() {
+		for i := range victim.Job.Tasks {
+			victim.Job.Tasks[i].PreemptedAt = now
 		}
-		p.act.StopGang(v.Job)
+		p.actions.StopGang(victim.Job)
 		return
 	}
-	p.act.Preempt(v, w, v.CheckpointGracePeriod())
+	p.actions.Preempt(victim, w, victim.CheckpointGracePeriod())
 }
 
-// arrays says whether a job's tasks are independent ones that end.
-func arrays(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
+// isBatch says whether a job's tasks are independent ones that end.
+func isBatch(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
--- a/internal/placement/guest_bench_test.go
+++ b/internal/placement/guest_bench_test.go
@@ -7,11 +7,11 @@
 	"opaldale/internal/api"
 )
 
-// BenchmarkGuestBacklog places one guaranteed job of 40 tasks on a fleet of 1,900 machines
+// BenchmarkBorrowerBacklog places one guaranteed job of 40 tasks on a fleet of 1,900 machines
 // that a team without a guarantee has filled, and of which 25,000 tasks and 800 small jobs
 // wait.
-func BenchmarkGuestBacklog(b *testing.B) {
-	l := withGuest(1900, 0)
+func BenchmarkBorrowerBacklog(b *testing.B) {
+	l := newBorrowedCluster(1900, 0)
 	l.submitAs("guest", api.BestEffort, 25_000)
 	for range 800 {
 		l.submitAs("guest", api.BestEffort, 1)
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -8,40 +8,40 @@
 	"opaldale/internal/settings"
 )
 
-// waiting is a job with what its place in the order depends on.
-type waiting struct {
-	j       *jobs.Job
-	guest   bool
-	level   int
-	urgency urgency
-	work    float64
+// queuedJob is a job with what its place in the order depends on.
+type queuedJob struct {
+	job      *jobs.Job
+	borrower bool
+	priority int
+	urgency  urgency
+	work     float64
 }
 
-func (a *waiting) before(b *waiting) bool {
+func (a *queuedJob) before(b *queuedJob) bool {
 	switch {
-	case a.guest != b.guest:
-		return b.guest
+	case a.borrower != b.borrower:
+		return b.borrower
 	case (a.urgency == overdue) != (b.urgency == overdue):
 		return a.urgency == overdue
 	case a.urgency == overdue:
-		return a.j.Seq < b.j.Seq
-	case a.j.WithinQuota != b.j.WithinQuota:
-		return a.j.WithinQuota
-	case a.level != b.level:
-		return a.level < b.level
+		return a.job.Seq < b.job.Seq
+	case a.job.WithinQuota != b.job.WithinQuota:
+		return a.job.WithinQuota
+	case a.priority != b.priority:
+		return a.priority < b.priority
 	case a.urgency != b.urgency:
 		return a.urgency < b.urgency
-	case a.urgency == reachable && a.work != b.work:
+	case a.urgency == onTrack && a.work != b.work:
 		return a.work < b.work
 	}
-	return a.j.Seq < b.j.Seq
+	return a.job.Seq < b.job.Seq
 }
 
-// Aim returns the shortest time within which jobs of a lane should be done, 0 if
+// Objective returns the shortest time within which jobs of a lane should be done, 0 if
 // nothing is said.
-func (p *Planner) Aim(lane string) time.Duration {
-	if a := p.aims[lane]; len(a) > 0 {
-		return a[0]
+func (p *Planner) Objective(class string) time.Duration {
+	if objectives := p.finishObjectives[class]; len(objectives) > 0 {
+		return objectives[0]
 	}
 	return 0
 }
@@ -52,43 +52,43 @@
 type urgency uint8
 
 const (
-	overdue   urgency = iota // waits for longer than any job may
-	pressing                 // the last aim is about to be missed
-	reachable                // the first aim can be met
-	late                     // the first aim is lost, the last is far
+	overdue      urgency = iota // waits for longer than any job may
+	deadlineNear                // the last aim is about to be missed
+	onTrack                     // the first aim can be met
+	firstMissed                 // the first aim is lost, the last is far
 )
 
 func (p *Planner) urgency(j *jobs.Job) urgency {
 	age := p.now().Sub(j.SubmittedAt)
 	// The order below puts off what is large or late for as long as other work
 	// comes; nothing else bounds how long.
-	if age > overdueFactor*p.MaxWait && arrays(j) || !arrays(j) && p.unbegun(j) {
+	if age > overdueFactor*p.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
 		return overdue
 	}
-	aims := p.aims[j.Spec.Class]
+	objectives := p.finishObjectives[j.Spec.Class]
 	if j.Spec.DeadlineS != nil {
-		aims = append(slices.Clone(aims), settings.Seconds(*j.Spec.DeadlineS))
-		slices.Sort(aims)
+		objectives = append(slices.Clone(objectives), settings.Seconds(*j.Spec.DeadlineS))
+		slices.Sort(objectives)
 	}
-	if len(aims) == 0 {
-		return reachable
+	if len(objectives) == 0 {
+		return onTrack
 	}
 	end := age + settings.Seconds(j.Spec.RuntimeS)
-	last := aims[len(aims)-1]
+	last := objectives[len(objectives)-1]
 	switch {
-	case end <= aims[0]:
-		return reachable
+	case end <= objectives[0]:
+		return onTrack
 	case end <= last && end > last*2/3:
-		return pressing
+		return deadlineNear
 	}
-	return late
+	return firstMissed
 }
 
 // overdueFactor is how many times the bound for its first task an array may take
 // before its other tasks go first as well.
 const overdueFactor = 3
 
-// work is what a job still has to start, in CPU seconds as estimated.
-func work(j *jobs.Job) float64 {
+// remainingWork is what a job still has to start, in CPU seconds as estimated.
+func remainingWork(j *jobs.Job) float64 {
 	return float64(j.WaitingCount()) * j.Spec.VCPUs * max(j.Spec.RuntimeS, 1)
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -30,15 +30,15 @@
 	began := time.Now()
 	p.Stats.Rounds++
 	p.clearPlans()
-	if !p.asm1 {
+	if !p.useASM1 {
 		return
 	}
 	d := p.demand()
-	for g, owners := range ASM1(len(p.order), d.groups) {
+	for g, owners := range ASM1(len(p.openMachines), d.groups) {
 		// Tasks come by priority, then arrival, and so does each plan.
 		at := 0
 		for _, o := range owners {
-			w := p.order[o.Machine]
+			w := p.openMachines[o.Machine]
 			for _, t := range d.tasks[g][at : at+o.Tasks] {
 				w.PlannedTasks = append(w.PlannedTasks, t)
 				t.PlannedMachine = w.ID
@@ -46,12 +46,12 @@
 			at += o.Tasks
 		}
 	}
-	p.Stats.Took += time.Since(began)
+	p.Stats.PlanTime += time.Since(began)
 }
 
 // clearPlans takes the plan before back.
 func (p *Planner) clearPlans() {
-	for _, w := range p.fleet.Workers {
+	for _, w := range p.machineTable.Workers {
 		for _, t := range w.PlannedTasks {
 			t.PlannedMachine = ""
 		}
@@ -61,32 +61,32 @@
 
 // demand gathers the waiting tasks, as many as a plan may cover and their teams' limits admit.
 func (p *Planner) demand() demand {
-	place := make(map[*workers.Worker]int32, len(p.order))
-	for i, w := range p.order {
-		place[w] = int32(i)
+	machineIndex := make(map[*workers.Worker]int32, len(p.openMachines))
+	for i, w := range p.openMachines {
+		machineIndex[w] = int32(i)
 	}
-	var d demand
-	room := map[string]int{} // by team
-	left := planLimit(len(p.order))
-	for _, j := range p.arrays {
-		admitted, ok := room[j.Spec.Team]
+	var result demand
+	quotaLeft := map[string]int{} // by team
+	remaining := planLimit(len(p.openMachines))
+	for _, j := range p.batchJobs {
+		admitted, ok := quotaLeft[j.Spec.Team]
 		if !ok {
-			admitted = p.teams.Room(j.Spec)
+			admitted = p.teams.RemainingTasks(j.Spec)
 		}
-		tasks := j.WaitingTasks(min(admitted, left))
-		room[j.Spec.Team] = admitted - len(tasks)
-		left -= len(tasks)
+		tasks := j.WaitingTasks(min(admitted, remaining))
+		quotaLeft[j.Spec.Team] = admitted - len(tasks)
+		remaining -= len(tasks)
 		if len(tasks) == 0 {
 			continue
 		}
-		g := Group{Tasks: len(tasks)}
-		for _, w := range p.holding(j.Spec.Image) {
+		group := Group{Tasks: len(tasks)}
+		for _, w := range p.holdersOf(j.Spec.Image) {
 			if w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] {
-				g.Machines = append(g.Machines, place[w])
+				group.Machines = append(group.Machines, machineIndex[w])
 			}
 		}
-		d.groups = append(d.groups, g)
-		d.tasks = append(d.tasks, tasks)
+		result.groups = append(result.groups, group)
+		result.tasks = append(result.tasks, tasks)
 	}
-	return d
+	return result
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -11,58 +11,58 @@
 	"opaldale/internal/settings"
 )
 
-// TestGaveWayIsSpared: a task that was stopped to make room is not the cheapest to
+// TestRecentlyPreemptedIsSpared: a task that was stopped to make room is not the cheapest to
 // stop again just because it has just started. (One was stopped sixty times.)
-func TestGaveWayIsSpared(t *testing.T) {
-	l := newLarge(1)
+func TestRecentlyPreemptedIsSpared(t *testing.T) {
+	l := newTestCluster(1)
 	l.submit(api.Batch, 4, 4)
-	l.fill()
-	w := l.fleet.Sorted()[0]
-	l.report(w)
+	l.dispatchAll()
+	w := l.machines.Sorted()[0]
+	l.heartbeat(w)
 	j := &jobs.Job{Spec: &api.Spec{Priority: api.Critical, VCPUs: 4, Shape: api.Service}}
 	l.now = l.now.Add(30 * time.Second)
-	first, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false)
+	first, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false)
 	if !ok || len(first) != 1 {
 		t.Fatalf("%v, %v", first, ok)
 	}
 	first[0].PreemptedAt = l.now
-	if next, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok || next[0] == first[0] {
+	if next, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok || next[0] == first[0] {
 		t.Errorf("the same task again: %v, %v", next, ok)
 	}
 	for _, v := range w.Tasks {
 		v.PreemptedAt = l.now
 	}
-	if _, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, true, false); ok {
+	if _, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, true, false); ok {
 		t.Error("a task that gave way is stopped where there is room elsewhere")
 	}
-	if _, _, ok := l.planner.choose(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok {
+	if _, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok {
 		t.Error("nothing is stopped though there is no other room")
 	}
 }
 
-// withGuest makes a fleet that a team without a guarantee has filled, but for what is
+// newBorrowedCluster makes a fleet that a team without a guarantee has filled, but for what is
 // left free on the first machine.
-func withGuest(machines, leftFree int) *large {
-	l := newLarge(0)
+func newBorrowedCluster(machines, leftFree int) *testCluster {
+	l := newTestCluster(0)
 	l.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		l.report(l.fleet.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
+		l.heartbeat(l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
 	}
-	guest := l.submitAs("guest", api.BestEffort, 16*machines+20)
+	backlog := l.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
-		l.Place(&guest.Tasks[i], l.fleet.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
+		l.Place(&backlog.Tasks[i], l.machines.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
 	}
 	l.commits.Flush()
-	for _, w := range l.fleet.Sorted() {
-		l.report(w)
+	for _, w := range l.machines.Sorted() {
+		l.heartbeat(w)
 	}
 	return l
 }
 
 // submitAs submits an array of tasks of one CPU whose image is the team's own.
-func (l *large) submitAs(team string, rank api.Priority, tasks int) *jobs.Job {
-	l.next++
-	j := l.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", l.next)), Team: team, Shape: api.Batch, Priority: rank, Tasks: tasks,
+func (l *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
+	l.jobCount++
+	j := l.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", l.jobCount)), Team: team, Shape: api.Batch, Priority: priority, Tasks: tasks,
 		VCPUs: 1, MemoryGB: 1, Image: "img-" + team, ImageGB: 1, Spot: true, RuntimeS: 60}, func() {}, nil)
 	l.commits.Flush()
 	return j
@@ -72,7 +72,7 @@
 // in one dispatch, on a fleet with more machines than a dispatch may search for each task.
 // (One task was placed in each dispatch, and the last of eighty waited for seconds.)
 func TestGuaranteedJobIsPlacedAtOnce(t *testing.T) {
-	l := withGuest(900, 0)
+	l := newBorrowedCluster(900, 0)
 	j := l.submitAs("red", api.Standard, 80)
 	l.now = l.now.Add(time.Second)
 	l.planner.Dispatch()
@@ -84,12 +84,12 @@
 	}
 }
 
-// TestGuestsComeLast: a place that becomes free on a machine with the image of a team
+// TestBorrowersComeLast: a place that becomes free on a machine with the image of a team
 // without a guarantee is taken by another team's task, though that must fetch its image;
 // the team has what is left. (Its waiting tasks were local there and took the place, and
 // were stopped for the other half a second later.)
-func TestGuestsComeLast(t *testing.T) {
-	l := withGuest(2, 3)
+func TestBorrowersComeLast(t *testing.T) {
+	l := newBorrowedCluster(2, 3)
 	j := l.submitAs("red", api.Standard, 2)
 	guest := l.jobs.Jobs["j-1"]
 	held := guest.AllocatedTasks
