--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -12,40 +12,40 @@
 	"opaldale/internal/workers"
 )
 
-// givesWay says whether a running task must give way to a job.
-func (p *Planner) givesWay(v *jobs.Task, j *jobs.Job) bool {
-	if v.State != jobs.Assigned {
+// canPreempt says whether a running task must give way to a job.
+func (p *Planner) canPreempt(victim *jobs.Task, j *jobs.Job) bool {
+	if victim.State != jobs.Assigned {
 		return false
 	}
-	if v.Job.Spec.Priority.Level() > j.Spec.Priority.Level() {
-		return !arrays(j) || j.WithinQuota || p.teams.Guest(v.Job.Spec.Team)
+	if victim.Job.Spec.Priority.Level() > j.Spec.Priority.Level() {
+		return !isBatch(j) || j.WithinQuota || p.teams.IsBorrower(victim.Job.Spec.Team)
 	}
-	return j.WithinQuota && !v.Job.WithinQuota && v.Job.Spec.Team != j.Spec.Team && arrays(v.Job)
+	return j.WithinQuota && !victim.Job.WithinQuota && victim.Job.Spec.Team != j.Spec.Team && isBatch(victim.Job)
 }
 
-// searchKey names a search for work to stop: whose tasks need room, and where it is
+// victimSearchKey names a search for work to stop: whose tasks need room, and where it is
 // looked for.
-type searchKey struct {
-	job     *jobs.Job
-	holders bool // only on machines that hold the image
-	gangs   bool // whole gangs may be stopped as well
+type victimSearchKey struct {
+	job          *jobs.Job
+	holdersOnly  bool // only on machines that hold the image
+	includeGangs bool // whole gangs may be stopped as well
 }
 
-// offer is a machine on which work can be stopped for a task.
-type offer struct {
-	worker *workers.Worker
-	stop   []*jobs.Task
-	cost   float64
+// preemption is a machine on which work can be stopped for a task.
+type preemption struct {
+	worker  *workers.Worker
+	victims []*jobs.Task
+	cost    float64
 }
 
-// offers is a heap, the cheapest first.
-type offers []*offer
+// preemptionHeap is a heap, the cheapest first.
+type preemptionHeap []*preemption
 
-func (o offers) Len() int           { return len(o) }
-func (o offers) Less(i, k int) bool { return o[i].cost < o[k].cost }
-func (o offers) Swap(i, k int)      { o[i], o[k] = o[k], o[i] }
-func (o *offers) Push(x any)        { *o = append(*o, x.(*offer)) }
-func (o *offers) Pop() any {
+func (o preemptionHeap) Len() int           { return len(o) }
+func (o preemptionHeap) Less(i, k int) bool { return o[i].cost < o[k].cost }
+func (o preemptionHeap) Swap(i, k int)      { o[i], o[k] = o[k], o[i] }
+func (o *preemptionHeap) Push(x any)        { *o = append(*o, x.(*preemption)) }
+func (o *preemptionHeap) Pop() any {
 	old := *o
 	x := old[len(old)-1]
 	*o = old[:len(old)-1]
@@ -54,21 +54,21 @@
 
 // preempt makes room for a task where least work is lost, and places it there;
 // if holders is set, only where its image is.
-func (p *Planner) preempt(t *jobs.Task, holders bool) bool {
+func (p *Planner) preempt(t *jobs.Task, holdersOnly bool) bool {
 	j := t.Job
 	now := p.now()
-	if !p.victims(j) {
+	if !p.hasVictims(j) {
 		return false
 	}
-	key := searchKey{job: j, holders: holders, gangs: !holders && now.Sub(t.StateSince) > p.GangWait}
-	best := p.cheapest(key, now)
+	key := victimSearchKey{job: j, holdersOnly: holdersOnly, includeGangs: !holdersOnly && now.Sub(t.StateSince) > p.GangWait}
+	best := p.cheapestPreemption(key, now)
 	if best == nil {
 		return false
 	}
 	wait := false
-	for _, v := range best.stop {
-		wait = wait || v.Job.Spec.CanCheckpoint()
-		p.stopVictim(v, best.worker, now)
+	for _, victim := range best.victims {
+		wait = wait || victim.Job.Spec.CanCheckpoint()
+		p.preemptVictim(victim, best.worker, now)
 	}
 	if wait {
 		// They save first; the room is there when they have gone.
@@ -77,31 +77,31 @@
 		p.place(t, best.worker)
 	}
 	// The same machine may have more to give to the job's next task.
-	if again := p.offer(key, best.worker, now); again != nil {
-		heap.Push(p.searches[key], again)
+	if again := p.preemptionOn(key, best.worker, now); again != nil {
+		heap.Push(p.victimSearches[key], again)
 	}
 	return true
 }
 
-// cheapest takes the best offer of a search. A job's tasks share one search in a
+// cheapestPreemption takes the best offer of a search. A job's tasks share one search in a
 // dispatch. (With one for each task, and a bound on the machines looked at, a dispatch
 // found room for a single task of a large fleet, and guaranteed work waited for seconds.)
-func (p *Planner) cheapest(key searchKey, now ident.MonotonicTime) *offer {
-	found := p.searches[key]
+func (p *Planner) cheapestPreemption(key victimSearchKey, now ident.MonotonicTime) *preemption {
+	found := p.victimSearches[key]
 	if found == nil {
-		if p.searched >= p.searchLimit() {
+		if p.machinesSearched >= p.searchLimit() {
 			return nil
 		}
-		found = p.search(key, now)
-		p.searches[key] = found
+		found = p.searchVictims(key, now)
+		p.victimSearches[key] = found
 	}
 	for found.Len() > 0 {
-		old := heap.Pop(found).(*offer)
+		old := heap.Pop(found).(*preemption)
 		// What was placed or stopped since may have changed it.
-		o := p.offer(key, old.worker, now)
+		o := p.preemptionOn(key, old.worker, now)
 		switch {
 		case o == nil:
-		case o.cost > old.cost+slack && found.Len() > 0 && o.cost > (*found)[0].cost:
+		case o.cost > old.cost+tolerance && found.Len() > 0 && o.cost > (*found)[0].cost:
 			heap.Push(found, o)
 		default:
 			return o
@@ -111,106 +111,106 @@
 }
 
 // searchLimit returns how many machines a dispatch may look at for work to stop.
-func (p *Planner) searchLimit() int { return max(minSearched, len(p.order)) }
+func (p *Planner) searchLimit() int { return max(minVictimSearch, len(p.openMachines)) }
 
-// maxOffers bounds the machines that a search finds for a job, beside two for each of its
+// maxPreemptions bounds the machines that a search finds for a job, beside two for each of its
 // tasks: the least work lost on so many is little more than that on all.
-const maxOffers = 100
+const maxPreemptions = 100
 
-// search looks at machines for work that must give way, as many as the dispatch may
+// searchVictims looks at machines for work that must give way, as many as the dispatch may
 // still look at: first at those that hold the image, then at the others, from where the
 // search before ended.
-func (p *Planner) search(key searchKey, now ident.MonotonicTime) *offers {
-	found := &offers{}
-	enough := maxOffers + 2*key.job.WaitingCount()
+func (p *Planner) searchVictims(key victimSearchKey, now ident.MonotonicTime) *preemptionHeap {
+	found := &preemptionHeap{}
+	enough := maxPreemptions + 2*key.job.WaitingCount()
 	look := func(w *workers.Worker) bool {
-		if p.searched >= p.searchLimit() || found.Len() >= enough {
+		if p.machinesSearched >= p.searchLimit() || found.Len() >= enough {
 			return false
 		}
-		if !p.mayOffer(key, w) {
+		if !p.worthSearching(key, w) {
 			return true
 		}
-		p.searched++
-		if o := p.offer(key, w, now); o != nil {
+		p.machinesSearched++
+		if o := p.preemptionOn(key, w, now); o != nil {
 			*found = append(*found, o)
 		}
 		return true
 	}
-	for _, w := range p.holding(key.job.Spec.Image) {
+	for _, w := range p.holdersOf(key.job.Spec.Image) {
 		if !look(w) {
 			break
 		}
 	}
-	if !key.holders {
-		p.lookAround(key.job.Spec.Image, look)
+	if !key.holdersOnly {
+		p.searchNonHolders(key.job.Spec.Image, look)
 	}
 	heap.Init(found)
 	return found
 }
 
-// lookAround shows the machines that don't hold an image to a search until it has seen
+// searchNonHolders shows the machines that don't hold an image to a search until it has seen
 // enough. The next one goes on from there.
-func (p *Planner) lookAround(image string, look func(*workers.Worker) bool) {
-	for i := range p.order {
-		at := (p.from + i) % len(p.order)
-		w := p.order[at]
+func (p *Planner) searchNonHolders(image string, look func(*workers.Worker) bool) {
+	for i := range p.openMachines {
+		at := (p.searchFrom + i) % len(p.openMachines)
+		w := p.openMachines[at]
 		if w.HasImage(image) {
 			continue
 		}
 		if !look(w) {
-			p.from = at
+			p.searchFrom = at
 			return
 		}
 	}
 }
 
-// mayOffer says whether it is worth to look at a machine for work to stop.
-func (p *Planner) mayOffer(key searchKey, w *workers.Worker) bool {
+// worthSearching says whether it is worth to look at a machine for work to stop.
+func (p *Planner) worthSearching(key victimSearchKey, w *workers.Worker) bool {
 	j := key.job
 	if w.LowerPriorityTasks(j.Spec.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) {
 		return false
 	}
-	if key.holders && !w.HasImage(j.Spec.Image) {
+	if key.holdersOnly && !w.HasImage(j.Spec.Image) {
 		return false
 	}
-	return p.may(j, w)
+	return p.eligible(j, w)
 }
 
-// offer finds what would be stopped on a machine for one task of a job, nil if that makes
+// preemptionOn finds what would be stopped on a machine for one task of a job, nil if that makes
 // no room.
-func (p *Planner) offer(key searchKey, w *workers.Worker, now ident.MonotonicTime) *offer {
-	if !p.mayOffer(key, w) {
+func (p *Planner) preemptionOn(key victimSearchKey, w *workers.Worker, now ident.MonotonicTime) *preemption {
+	if !p.worthSearching(key, w) {
 		return nil
 	}
 	j := key.job
-	stop, cost, ok := p.choose(w, j, jobs.ResourcesOf(j.Spec), now, key.holders, key.gangs)
+	stop, cost, ok := p.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), now, key.holdersOnly, key.includeGangs)
 	if !ok {
 		return nil
 	}
 	if !w.HasImage(j.Spec.Image) {
 		cost += w.ImagePullTime(j.Spec).Seconds() * 2 * max(j.Spec.VCPUs, 1)
 	}
-	return &offer{worker: w, stop: stop, cost: cost}
+	return &preemption{worker: w, victims: stop, cost: cost}
 }
 
-// victims says whether there is anything at all that must give way to a job.
-func (p *Planner) victims(j *jobs.Job) bool {
-	if p.fleet.LowerPriorityTasks(j.Spec.Priority) > 0 {
+// hasVictims says whether there is anything at all that must give way to a job.
+func (p *Planner) hasVictims(j *jobs.Job) bool {
+	if p.machineTable.LowerPriorityTasks(j.Spec.Priority) > 0 {
 		return true
 	}
-	return j.WithinQuota && p.teams.Borrow(p.jobs, j.Spec.Team)
+	return j.WithinQuota && p.teams.OthersOverGuarantee(p.jobs, j.Spec.Team)
 }
 
-// gangCost is what a gang loses by being stopped, in seconds of each of its tasks.
-const gangCost = 30
+// gangRestartSeconds is what a gang loses by being stopped, in seconds of each of its tasks.
+const gangRestartSeconds = 30
 
-// spareTime is how long a task that gave way is spared. What has just started
+// preemptionCooldown is how long a task that gave way is spared. What has just started
 // costs least to stop: the same tasks were stopped over and over, sixty times
 // within half a minute, while services started on a fleet that booted.
-const spareTime = time.Minute
+const preemptionCooldown = time.Minute
 
-func spared(t *jobs.Task, now ident.MonotonicTime) bool {
-	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < spareTime
+func recentlyPreempted(t *jobs.Task, now ident.MonotonicTime) bool {
+	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < preemptionCooldown
 }
 
 // victim is a task that may be stopped, and what is lost by it.
@@ -219,82 +219,82 @@
 	cost float64
 }
 
-// lostBy says how much work is lost when a task is stopped, in CPU seconds.
-func lostBy(t *jobs.Task, now ident.MonotonicTime) float64 {
-	ran := now.Sub(t.StateSince).Seconds()
+// lostWork says how much work is lost when a task is stopped, in CPU seconds.
+func lostWork(t *jobs.Task, now ident.MonotonicTime) float64 {
+	lost := now.Sub(t.StateSince).Seconds()
 	if t.ReportedStatus == "" || t.ReportedStatus == api.Pulling {
-		ran = 0
+		lost = 0
 	} else if t.RunningSince > 0 {
-		ran = now.Sub(t.RunningSince).Seconds()
+		lost = now.Sub(t.RunningSince).Seconds()
 	}
 	if t.Job.Spec.CanCheckpoint() {
-		ran = min(ran, t.Job.Spec.CheckpointEveryS)
+		lost = min(lost, t.Job.Spec.CheckpointEveryS)
 	}
-	if spared(t, now) {
-		ran += spareTime.Seconds()
+	if recentlyPreempted(t, now) {
+		lost += preemptionCooldown.Seconds()
 	}
 	if t.Job.IsGang() {
 		// All of its tasks save, wait for each other and start again.
-		ran = (ran + gangCost) * float64(t.Job.Spec.Tasks)
+		lost = (lost + gangRestartSeconds) * float64(t.Job.Spec.Tasks)
 	}
-	return ran * max(t.Job.Spec.VCPUs, 1)
+	return lost * max(t.Job.Spec.VCPUs, 1)
 }
 
-// choose finds the cheapest set of tasks to stop on a machine so that as much is free
+// chooseVictims finds the cheapest set of tasks to stop on a machine so that as much is free
 // for j, counting what is being stopped already as room. With spare set, what gave
 // way of late is left alone; gangs are stopped only with gangs set, and never again
 // soon.
-func (p *Planner) choose(w *workers.Worker, j *jobs.Job, need jobs.Resources, now ident.MonotonicTime, spare, gangs bool) ([]*jobs.Task, float64, bool) {
+func (p *Planner) chooseVictims(w *workers.Worker, j *jobs.Job, need jobs.Resources, now ident.MonotonicTime, skipRecent, includeGangs bool) ([]*jobs.Task, float64, bool) {
 	free := w.FreeFor(j.Spec.Priority)
-	var cand []victim
-	add := func(v *jobs.Task) { cand = append(cand, victim{v, lostBy(v, now)}) }
+	var candidates []victim
+	add := func(v *jobs.Task) { candidates = append(candidates, victim{v, lostWork(v, now)}) }
 	for _, v := range w.Tasks {
 		if v.State == jobs.Stopping && v.GracePeriod == 0 {
 			free = free.Add(jobs.ResourcesOf(v.Job.Spec))
 		} else if v.Job.IsGang() {
 			// Never a part of a gang: the whole of it, if all can be told in time.
-			if gangs && !spared(v, now) && p.givesWay(v, j) && p.act.Stoppable(v.Job) {
+			if includeGangs && !recentlyPreempted(v, now) && p.canPreempt(v, j) && p.actions.CanStopGang(v.Job) {
 				add(v)
 			}
-		} else if p.givesWay(v, j) && !(spare && spared(v, now)) {
+		} else if p.canPreempt(v, j) && !(skipRecent && recentlyPreempted(v, now)) {
 			add(v)
 		}
 	}
-	slices.SortFunc(cand, func(a, b victim) int {
+	slices.SortFunc(candidates, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.task.Job.Seq, a.task.Job.Seq), cmp.Compare(b.task.Index, a.task.Index))
 	})
 	var stop []*jobs.Task
-	sum := 0.0
-	for _, v := range cand {
+	cost := 0.0
+	for _, v := range candidates {
 		if free.Covers(need) {
 			break
 		}
 		stop = append(stop, v.task)
-		sum += v.cost
+		cost += v.cost
 		free = free.Add(jobs.ResourcesOf(v.task.Job.Spec))
 	}
-	return stop, sum, free.Covers(need)
+	return stop, cost, free.Covers(need)
 }
 
 // Guaranteed work waits this long for room before others' borrowed room is
 // taken back: long enough for tasks that end by themselves, short against the
 // aims of a few seconds.
-const claimAfter = 500 * time.Millisecond
+const reclaimAfter = 500 * time.Millisecond
 
-// claimGuarantees gives jobs within their team's guarantee what other teams have
+// reclaimGuarantees gives jobs within their team's guarantee what other teams have
 // borrowed, and others what teams without a guarantee have of less urgent work: that
 // is for hours to spare. (A vast array of a guest kept the house's jobs waiting for
 // machines to boot.)
-func (p *Planner) claimGuarantees() {
+func (p *Planner) reclaimGuarantees() {
 	now := p.now()
-	clear(p.cursor)
-	for _, j := range p.arrays {
-		if !j.WithinQuota && (p.teams.Guest(j.Spec.Team) || !p.teams.Guests()) {
+	clear(p.taskCursor)
+	for _, j := range p.batchJobs {
+		if !j.WithinQuota && (p.teams.IsBorrower(j.Spec.Team) || !p.teams.BorrowersActive()) {
 			continue
 		}
-		for j.WaitingCount() > 0 && p.placed < maxPlaced && p.teams.Allows(j.Spec, 1) {
-			t := p.next(j)
-			if t == nil || now.Sub(t.StateSince) < claimAfter || !p.preempt(t, false) {
+		for j.WaitingCount() > 0 && p.placed < maxPlacedPerDispatch && p.teams.Allows(j.Spec, 1) {
+			t := p.nextTask(j)
+			if t == nil || now.Sub(t.StateSince) < reclaimAfter || !p.preempt(t, false) {
 				break
 			}
 		}
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -9,8 +9,8 @@
 // the others, then where work of less right can be stopped.
 func (p *Planner) placeService(j *jobs.Job) {
 	holders := &holderSearch{planner: p, job: j}
-	for p.placed < maxPlaced {
-		t := p.next(j)
+	for p.placed < maxPlacedPerDispatch {
+		t := p.nextTask(j)
 		if t == nil || !p.teams.Allows(j.Spec, 1) {
 			return
 		}
@@ -18,7 +18,7 @@
 		if found == nil {
 			found = p.roomiest(j)
 			// Unless fetching would take longer than its users want to wait.
-			if found != nil && p.impatient(j, found) && p.preempt(t, true) {
+			if found != nil && p.fetchExceedsObjective(j, found) && p.preempt(t, true) {
 				p.Stats.Services++
 				continue
 			}
@@ -39,17 +39,17 @@
 type holderSearch struct {
 	planner *Planner
 	job     *jobs.Job
-	at      int // room only shrinks, so a holder that was passed over needs no second look
+	cursor  int // room only shrinks, so a holder that was passed over needs no second look
 }
 
 // next returns a holder with room, nil if there is none.
 func (s *holderSearch) next() *workers.Worker {
 	p, j := s.planner, s.job
-	if p.Even() {
+	if p.SpreadLoad() {
 		return p.leastUsedHolder(j)
 	}
-	for ; s.at < len(p.roomy); s.at++ {
-		if w := p.roomy[s.at]; w.HasImage(j.Spec.Image) && p.may(j, w) && p.fits(j, w) {
+	for ; s.cursor < len(p.machinesWithRoom); s.cursor++ {
+		if w := p.machinesWithRoom[s.cursor]; w.HasImage(j.Spec.Image) && p.eligible(j, w) && p.hasRoom(j, w) {
 			return w
 		}
 	}
@@ -60,8 +60,8 @@
 // be fetched anyway, the next tasks then find it there.
 func (p *Planner) roomiest(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range p.roomy {
-		if (found == nil || w.Type.VCPUs-w.VCPUs > found.Type.VCPUs-found.VCPUs+slack) && p.may(j, w) && p.fits(j, w) {
+	for _, w := range p.machinesWithRoom {
+		if (found == nil || w.Type.VCPUs-w.VCPUs > found.Type.VCPUs-found.VCPUs+tolerance) && p.eligible(j, w) && p.hasRoom(j, w) {
 			found = w
 		}
 	}
@@ -76,21 +76,21 @@
 		return false
 	}
 	now := p.now()
-	for _, w := range p.fleet.Sorted() {
+	for _, w := range p.machineTable.Sorted() {
 		if w == from || !w.Fits(j.Spec) || !w.Schedulable(now) || !w.Allows(j.Spec) || !w.HasImage(j.Spec.Image) {
 			continue
 		}
 		// As if it had left its zone already.
-		if w.Zone == from.Zone || zoneOK(j, w.Zone) {
+		if w.Zone == from.Zone || zoneAllows(j, w.Zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// impatient says whether a job's users want it started sooner than a machine
+// fetchExceedsObjective says whether a job's users want it started sooner than a machine
 // would have its image.
-func (p *Planner) impatient(j *jobs.Job, w *workers.Worker) bool {
-	limit, ok := p.waits[j.Spec.Class]
+func (p *Planner) fetchExceedsObjective(j *jobs.Job, w *workers.Worker) bool {
+	limit, ok := p.startObjectives[j.Spec.Class]
 	return ok && w.ImagePullTime(j.Spec) > limit
 }
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -15,11 +15,11 @@
 
 type team struct {
 	settings.Team
-	vcpus, cards float64 // of tasks that count on a machine
-	guest        bool    // without guarantee and limit
+	usedVCPUs, usedGPUs float64 // of tasks that count on a machine
+	borrower            bool    // without guarantee and limit
 }
 
-const slack = 1e-6
+const tolerance = 1e-6
 
 // unlimited is more than any fleet has, and small enough to be counted in tasks.
 const unlimited = 1e9
@@ -28,19 +28,19 @@
 func NewTeams(list []settings.Team) *Teams {
 	ts := &Teams{byName: make(map[string]*team, len(list))}
 	for _, t := range list {
-		guest := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
+		borrower := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
 			// "0 means none": a team that may use nothing at all would be no team, so it is
 			// one without a limit. (Every job of a guest team was refused with 422.)
 			t.CPUsMax, t.GPUsMax = unlimited, unlimited
 		}
-		ts.byName[t.Name] = &team{Team: t, guest: guest}
+		ts.byName[t.Name] = &team{Team: t, borrower: borrower}
 	}
 	return ts
 }
 
-// Refusal says why a job can never run within its team's limit, "" if it can.
-func (ts *Teams) Refusal(s *api.Spec) string {
+// RejectReason says why a job can never run within its team's limit, "" if it can.
+func (ts *Teams) RejectReason(s *api.Spec) string {
 	t := ts.byName[s.Team]
 	if t == nil {
 		return "desk: unknown team"
@@ -49,60 +49,60 @@
 	if s.Shape != api.Batch {
 		n = float64(s.Tasks)
 	}
-	if n*s.VCPUs > t.CPUsMax+slack || n*s.GPUs > t.GPUsMax+slack {
+	if n*s.VCPUs > t.CPUsMax+tolerance || n*s.GPUs > t.GPUsMax+tolerance {
 		return "desk: over the team's limit"
 	}
 	return ""
 }
 
-// Count adds or removes a task's use.
-func (ts *Teams) Count(s *api.Spec, sign float64) {
+// AddUsage adds or removes a task's use.
+func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
 	if t := ts.byName[s.Team]; t != nil {
-		t.vcpus += sign * s.VCPUs
-		t.cards += sign * s.GPUs
+		t.usedVCPUs += sign * s.VCPUs
+		t.usedGPUs += sign * s.GPUs
 	}
 }
 
 // Allows says whether a team may use n tasks' worth more.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
-	return t != nil && t.vcpus+n*s.VCPUs <= t.CPUsMax+slack && t.cards+n*s.GPUs <= t.GPUsMax+slack
+	return t != nil && t.usedVCPUs+n*s.VCPUs <= t.CPUsMax+tolerance && t.usedGPUs+n*s.GPUs <= t.GPUsMax+tolerance
 }
 
-// Guest says whether a team has neither guarantee nor limit.
-func (ts *Teams) Guest(name string) bool {
+// IsBorrower says whether a team has neither guarantee nor limit.
+func (ts *Teams) IsBorrower(name string) bool {
 	t := ts.byName[name]
-	return t != nil && t.guest
+	return t != nil && t.borrower
 }
 
-// Guests says whether any such team uses anything.
-func (ts *Teams) Guests() bool {
+// BorrowersActive says whether any such team uses anything.
+func (ts *Teams) BorrowersActive() bool {
 	for _, t := range ts.byName {
-		if t.guest && t.vcpus > slack {
+		if t.borrower && t.usedVCPUs > tolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// Room returns how many more tasks like s a team's limit admits.
-func (ts *Teams) Room(s *api.Spec) int {
+// RemainingTasks returns how many more tasks like s a team's limit admits.
+func (ts *Teams) RemainingTasks(s *api.Spec) int {
 	t := ts.byName[s.Team]
 	if t == nil {
 		return 0
 	}
 	n := api.MaxTasks
 	if s.VCPUs > 0 {
-		n = int(min(float64(n), (t.CPUsMax-t.vcpus+slack)/s.VCPUs))
+		n = int(min(float64(n), (t.CPUsMax-t.usedVCPUs+tolerance)/s.VCPUs))
 	}
 	if s.GPUs > 0 {
-		n = int(min(float64(n), (t.GPUsMax-t.cards+slack)/s.GPUs))
+		n = int(min(float64(n), (t.GPUsMax-t.usedGPUs+tolerance)/s.GPUs))
 	}
 	return max(n, 0)
 }
 
-// Largest returns the largest guarantee in CPUs.
-func (ts *Teams) Largest() float64 {
+// LargestGuarantee returns the largest guarantee in CPUs.
+func (ts *Teams) LargestGuarantee() float64 {
 	most := 0.0
 	for _, t := range ts.byName {
 		most = max(most, t.CPUs)
@@ -110,9 +110,9 @@
 	return most
 }
 
-// Guarantee notes which jobs fit into their team's guarantee along with the
+// UpdateGuarantees notes which jobs fit into their team's guarantee along with the
 // team's earlier unfinished jobs, for teams that have changed.
-func (ts *Teams) Guarantee(all *jobs.Table) {
+func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
 			continue
@@ -124,16 +124,16 @@
 			n := float64(j.Spec.Tasks)
 			cpus += n * j.Spec.VCPUs
 			gpus += n * j.Spec.GPUs
-			j.WithinQuota = t != nil && cpus <= t.CPUs+slack && gpus <= t.GPUs+slack
+			j.WithinQuota = t != nil && cpus <= t.CPUs+tolerance && gpus <= t.GPUs+tolerance
 		}
 	}
 }
 
-// Borrow says whether teams other than the named one run arrays beyond their
+// OthersOverGuarantee says whether teams other than the named one run arrays beyond their
 // guarantee.
-func (ts *Teams) Borrow(all *jobs.Table, but string) bool {
+func (ts *Teams) OthersOverGuarantee(all *jobs.Table, except string) bool {
 	for name, list := range all.Teams {
-		if name == but {
+		if name == except {
 			continue
 		}
 		for _, j := range slices.Backward(list.OpenJobs) {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -104,7 +104,7 @@
 			{Peer: "cloud", Direction: "outbound", Code: 1, Breaks: 15}}})
 	collectLoad(ch, controller.Snapshot{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
 		Reservations: 27, MovesHeldBack: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
-		TeamLoads: []load.TeamReport{{Team: "red", Heat: load.Hot, Ratio: 2.5}}})
+		TeamLoads: []load.TeamDemand{{Team: "red", State: load.Overloaded, Ratio: 2.5}}})
 }
 
 // goldenWorld is the world of a controller in which time stands still and the state service
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -140,7 +140,7 @@
 	}
 	for _, t := range n.TeamLoads {
 		ch <- prometheus.MustNewConstMetric(teamDemand, prometheus.GaugeValue, t.Ratio, t.Team)
-		ch <- prometheus.MustNewConstMetric(teamHeat, prometheus.GaugeValue, float64(t.Heat), t.Team)
+		ch <- prometheus.MustNewConstMetric(teamHeat, prometheus.GaugeValue, float64(t.State), t.Team)
 	}
 }
 
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -24,7 +24,7 @@
 				}
 				for _, r := range l.ctl.Snapshot().TeamLoads {
 					switch {
-					case r.Heat != load.Hot:
+					case r.State != load.Overloaded:
 					case r.Team == hotTeam && w.now > second(320):
 						w.took("never cooled")
 					case r.Team == hotTeam:
--- a/internal/standin/study_load.go
+++ b/internal/standin/study_load.go
@@ -131,7 +131,7 @@
 	hot := false
 	for _, r := range l.ctl.Snapshot().TeamLoads {
 		switch {
-		case r.Heat != load.Hot:
+		case r.State != load.Overloaded:
 		case r.Team != team:
 			return false
 		default:
