--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -14,8 +14,8 @@
 	"opaldale/internal/api"
 )
 
-// client talks to any node, once: whoever calls it decides whether to retry.
-func client() *cobra.Command {
+// clientCommand talks to any node, once: whoever calls it decides whether to retry.
+func clientCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{Use: "client", Short: "Submit, look up and cancel jobs"}
 	cmd.PersistentFlags().StringVar(&addr, "addr", "127.0.0.1:8080", "address of a node or load balancer")
--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -12,11 +12,11 @@
 // TestLinksCommand prints what a node answers, as tables and as it is.
 func TestLinksCommand(t *testing.T) {
 	report := controller.LinkReport{Node: "agent-0", Enabled: true, Authority: "deciding", Handover: "steady",
-		Links:     []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4}},
-		Rows:      []controller.RowEntry{{Origin: "agent-2", Links: []controller.RowLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}}}},
-		Handovers: []controller.HandoverEntry{{Term: 7, To: "agent-2", Reason: "a sibling is better placed", Own: 70, Standing: 100}}}
-	node := &answering{path: "/links", status: http.StatusOK, report: &report}
-	run := runAgainst(t, node, links)
+		Links:          []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4}},
+		Advertisements: []controller.AdvertisementEntry{{Origin: "agent-2", Links: []controller.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}}}},
+		Handovers:      []controller.HandoverEntry{{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100}}}
+	node := &fakeNode{path: "/links", status: http.StatusOK, report: &report}
+	run := runAgainst(t, node, linksCommand)
 	out, err := run()
 	for _, want := range []string{"agent-0: authority deciding, handover steady", "sibling agent-1  outbound   down", "damped", "refuses", "term 7", "a sibling is better placed"} {
 		if err != nil || !strings.Contains(out, want) {
--- a/cmd/opaldale/main.go
+++ b/cmd/opaldale/main.go
@@ -15,38 +15,38 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "opaldale:", err)
 		os.Exit(2)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "opaldale", Short: "A cluster scheduler for rented machines", SilenceUsage: true, SilenceErrors: true}
-	cmd.AddCommand(serve(), check(), client(), links(), moves(), version())
+	cmd.AddCommand(serveCommand(), settingsCommand(), clientCommand(), linksCommand(), movesCommand(), versionCommand())
 	return cmd
 }
 
-func serve() *cobra.Command {
-	var config, tuning string
+func serveCommand() *cobra.Command {
+	var configPath, tuningPath string
 	cmd := &cobra.Command{Use: "serve --config FILE", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			logging()
-			set, err := settings.Load(config, tuning)
+			configureLogging()
+			loaded, err := settings.Load(configPath, tuningPath)
 			if err != nil {
 				return err
 			}
-			slog.Info("starting", "node", string(set.Node), "bind", set.Bind)
-			return server.Run(set)
+			slog.Info("starting", "node", string(loaded.Node), "bind", loaded.Bind)
+			return server.Run(loaded)
 		}}
-	cmd.Flags().StringVar(&config, "config", "", "the platform's settings (TOML)")
-	cmd.Flags().StringVar(&tuning, "tuning", os.Getenv("OPALDALE_TUNING"), "the operators' settings (S-expressions)")
+	cmd.Flags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
+	cmd.Flags().StringVar(&tuningPath, "tuning", os.Getenv("OPALDALE_TUNING"), "the operators' settings (S-expressions)")
 	cmd.MarkFlagRequired("config")
 	return cmd
 }
 
-// logging writes to stderr at the level of LOG_LEVEL.
-func logging() {
+// configureLogging writes to stderr at the level of LOG_LEVEL.
+func configureLogging() {
 	level := slog.LevelInfo
 	if v := os.Getenv("LOG_LEVEL"); v != "" {
 		if err := level.UnmarshalText([]byte(v)); err != nil {
@@ -56,34 +56,34 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 }
 
-func check() *cobra.Command {
-	var tuning string
+func settingsCommand() *cobra.Command {
+	var tuningPath string
 	cmd := &cobra.Command{Use: "settings", Short: "Work with settings"}
 	sub := &cobra.Command{Use: "check FILE", Short: "Name every fault in a settings file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := settings.Load(args[0], tuning); err != nil {
+			if _, err := settings.Load(args[0], tuningPath); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "settings are in order")
 			return nil
 		}}
-	sub.Flags().StringVar(&tuning, "tuning", "", "the operators' settings (S-expressions)")
+	sub.Flags().StringVar(&tuningPath, "tuning", "", "the operators' settings (S-expressions)")
 	cmd.AddCommand(sub)
 	return cmd
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			rev := "unknown"
+			revision := "unknown"
 			if info, ok := debug.ReadBuildInfo(); ok {
 				for _, s := range info.Settings {
 					if s.Key == "vcs.revision" {
-						rev = s.Value
+						revision = s.Value
 					}
 				}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "opaldale %s (%s)\n", release, rev)
+			fmt.Fprintf(cmd.OutOrStdout(), "opaldale %s (%s)\n", release, revision)
 			return nil
 		}}
 }
--- a/cmd/opaldale/moves.go
+++ b/cmd/opaldale/moves.go
@@ -11,42 +11,42 @@
 	"opaldale/internal/settings"
 )
 
-// moves shows the moves of running tasks.
-func moves() *cobra.Command {
+// movesCommand shows the moves of running tasks.
+func movesCommand() *cobra.Command {
 	return reportCommand("moves", "Show moves of running tasks, under way and lately", writeMoves)
 }
 
 // writeMoves prints a report as a table.
-func writeMoves(out io.Writer, r controller.MoveReport) error {
-	part := "follows: moves on record"
-	if r.Leads {
-		part = "leads: moves under way and lately"
+func writeMoves(out io.Writer, report controller.MoveReport) error {
+	role := "follows: moves on record"
+	if report.Leader {
+		role = "leads: moves under way and lately"
 	}
-	fmt.Fprintf(out, "%s: rebalance %s, %s\n", r.Node, r.Mode, part)
-	if r.Mode != settings.RebalanceMove {
+	fmt.Fprintf(out, "%s: rebalance %s, %s\n", report.Node, report.Mode, role)
+	if report.Mode != settings.RebalanceMove {
 		fmt.Fprintln(out, "this node carries no moves out (docs/rebalancing-operations.md)")
 	}
-	if r.Error != "" {
-		fmt.Fprintln(out, r.Error)
+	if report.Error != "" {
+		fmt.Fprintln(out, report.Error)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\nTASK\tTEAM\tFROM\tTO\tWHY\tSTATE\tREASON\tAGE\tEXPECTED\tREALISED")
-	for _, m := range r.Moves {
+	for _, m := range report.Moves {
 		realised := "-"
 		if m.RealisedGainS != nil {
 			realised = fmt.Sprintf("%.1f s", *m.RealisedGainS)
 		}
-		why := m.Source
+		reason := m.Source
 		if m.For != "" {
-			why += " for " + m.For
+			reason += " for " + m.For
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%.1f s\t%s\n", m.Task, m.Team, m.From, m.To, why, m.State, m.Reason,
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%.1f s\t%s\n", m.Task, m.Team, m.From, m.To, reason, m.State, m.Reason,
 			m.AgeS, m.ExpectedGainS-m.CostS, realised)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if r.Truncated {
+	if report.Truncated {
 		fmt.Fprintln(out, "more is on record than is shown")
 	}
 	return nil
--- a/cmd/opaldale/moves_test.go
+++ b/cmd/opaldale/moves_test.go
@@ -12,11 +12,11 @@
 // TestMovesCommand prints what a node answers, as a table and as it is.
 func TestMovesCommand(t *testing.T) {
 	gain := 12.5
-	report := controller.MoveReport{Node: "agent-1", Mode: "move", Leads: true, Moves: []controller.MoveEntry{
+	report := controller.MoveReport{Node: "agent-1", Mode: "move", Leader: true, Moves: []controller.MoveEntry{
 		{Task: "j-000012/3", Team: "vision", From: "host-000004", To: "host-000009", For: "j-000031/0", Source: "makes room", State: "running", Reason: "arrived",
 			AgeS: 7, ExpectedGainS: 20, CostS: 4, RealisedGainS: &gain},
 		{Task: "j-000013/0", From: "host-000005", To: "host-000006", Source: "leaves a slow machine", State: "stopping"}}}
-	run := runAgainst(t, &answering{path: "/moves", status: http.StatusOK, report: &report}, moves)
+	run := runAgainst(t, &fakeNode{path: "/moves", status: http.StatusOK, report: &report}, movesCommand)
 	out, err := run()
 	for _, want := range []string{"agent-1: rebalance move, leads", "makes room for j-000031/0", "leaves a slow machine      stopping", "j-000012/3  vision", "arrived", "16.0 s", "12.5 s", "stopping"} {
 		if err != nil || !strings.Contains(out, want) {
--- a/cmd/opaldale/report.go
+++ b/cmd/opaldale/report.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// reportTime bounds the call of a node, and maxReport what is read of its answer.
-	reportTime = 5 * time.Second
-	maxReport  = 1 << 20
+	// reportTimeout bounds the call of a node, and maxReportBytes what is read of its answer.
+	reportTimeout  = 5 * time.Second
+	maxReportBytes = 1 << 20
 )
 
 // reportCommand makes a command that shows what a node answers to a question of operators: as
@@ -43,12 +43,12 @@
 }
 
 func fetchReport(addr, name string) ([]byte, error) {
-	resp, err := (&http.Client{Timeout: reportTime}).Get("http://" + addr + "/" + name)
+	resp, err := (&http.Client{Timeout: reportTimeout}).Get("http://" + addr + "/" + name)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/opaldale/report_test.go
+++ b/cmd/opaldale/report_test.go
@@ -10,14 +10,14 @@
 	"github.com/spf13/cobra"
 )
 
-// answering is a node that answers one question of operators.
-type answering struct {
+// fakeNode is a node that answers one question of operators.
+type fakeNode struct {
 	path   string
 	status int
 	report any
 }
 
-func (a *answering) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != a.path {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -27,7 +27,7 @@
 }
 
 // runAgainst has a command ask a node, and returns what it prints.
-func runAgainst(t *testing.T, node *answering, command func() *cobra.Command) func(args ...string) (string, error) {
+func runAgainst(t *testing.T, node *fakeNode, command func() *cobra.Command) func(args ...string) (string, error) {
 	web := httptest.NewServer(node)
 	t.Cleanup(web.Close)
 	return func(args ...string) (string, error) {
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -13,16 +13,16 @@
 	"opaldale/internal/workers"
 )
 
-// count keeps machines, teams and zones in step with a task that counts, or
+// adjustUsage keeps machines, teams and zones in step with a task that counts, or
 // doesn't any more.
-func (l *lead) count(t *jobs.Task, w *workers.Worker, sign int) {
+func (l *leaderTerm) adjustUsage(t *jobs.Task, w *workers.Worker, sign int) {
 	j := t.Job
 	l.teams.AddUsage(j.Spec, float64(sign))
 	if w == nil {
 		return
 	}
-	if l.loads != nil {
-		l.loads.AddUsage(w.ID, float64(sign)*j.Spec.VCPUs)
+	if l.loadModel != nil {
+		l.loadModel.AddUsage(w.ID, float64(sign)*j.Spec.VCPUs)
 	}
 	if j.Spec.OneZone || j.Spec.Spread {
 		if j.AllocatedByZone == nil {
@@ -37,23 +37,23 @@
 	}
 }
 
-func (l *lead) move(t *jobs.Task, from, to jobs.State) {
+func (l *leaderTerm) onTaskStateChange(t *jobs.Task, from, to jobs.State) {
 	w := l.workers.Workers[t.MachineID]
 	l.gangs.MarkChanged(t.Job)
 	if !from.Allocated() && to.Allocated() {
-		l.count(t, w, 1)
+		l.adjustUsage(t, w, 1)
 	}
 	if from.Allocated() && !to.Allocated() {
-		l.count(t, w, -1)
+		l.adjustUsage(t, w, -1)
 	}
 }
 
 // Place carries out a decision: it is launched once it is durable.
-func (l *lead) Place(t *jobs.Task, w *workers.Worker) {
+func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
-		"age_s", l.c.env.Now().Sub(t.Job.SubmittedAt).Seconds())
+		"age_s", l.controller.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation, func() {
-		if l.dead || !l.c.may(authority.Launch) {
+		if l.closed || !l.controller.allows(authority.Launch) {
 			return // the answer to its worker's next report launches it
 		}
 		if w.State == workers.Terminating || w.State == workers.Terminated {
@@ -64,28 +64,30 @@
 }
 
 // PlaceGang carries out the decision for all tasks of a gang that wait.
-func (l *lead) PlaceGang(j *jobs.Job, picks []gang.Placement) {
+func (l *leaderTerm) PlaceGang(j *jobs.Job, picks []gang.Placement) {
 	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.WithinGuarantee(j),
-		"age_s", l.c.env.Now().Sub(j.SubmittedAt).Seconds())
+		"age_s", l.controller.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, picks)
 }
 
 // GangUsedMachine says whether the gang's present attempt was on a machine before.
-func (l *lead) GangUsedMachine(j *jobs.Job, w *workers.Worker) bool { return l.gangs.HasUsed(j, w.ID) }
+func (l *leaderTerm) GangUsedMachine(j *jobs.Job, w *workers.Worker) bool {
+	return l.gangs.HasUsed(j, w.ID)
+}
 
 // CanStopGang says whether a gang can be stopped in order.
-func (l *lead) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
+func (l *leaderTerm) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
 // StopGang stops a whole gang so that others find room.
-func (l *lead) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
+func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
 
 // Preempt stops a task so that another finds room.
-func (l *lead) Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration) {
+func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration) {
 	slog.Info("preempting", "task", t.TaskID().String(), "host", string(w.ID))
 	l.workers.StopTask(w, t, windDown)
 }
 
-func (l *lead) stopAll(j *jobs.Job) {
+func (l *leaderTerm) stopJob(j *jobs.Job) {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Allocated() {
 			l.workers.StopTask(l.workers.Workers[t.MachineID], t, 0)
@@ -93,34 +95,34 @@
 	}
 }
 
-// drain moves the tasks of a machine that will be taken, unless they will
+// drainBeforeReclaim moves the tasks of a machine that will be taken, unless they will
 // probably complete before.
-func (l *lead) drain(w *workers.Worker) {
-	now := l.c.env.Now()
-	left := w.ReclaimAt.Sub(now)
+func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
+	now := l.controller.env.Now()
+	untilReclaim := w.ReclaimAt.Sub(now)
 	for _, t := range l.workers.SortedTasks(w) {
-		s := t.Job.Spec
+		spec := t.Job.Spec
 		if t.State != jobs.Assigned {
 			continue
 		}
-		need := settings.Seconds(s.RuntimeS)
+		remaining := settings.Seconds(spec.RuntimeS)
 		if t.RunningSince > 0 {
-			need -= now.Sub(t.RunningSince)
+			remaining -= now.Sub(t.RunningSince)
 		}
-		save := settings.Seconds(s.CheckpointS)
+		saveTime := settings.Seconds(spec.CheckpointS)
 		switch {
-		case s.Shape == api.Gang:
+		case spec.Shape == api.Gang:
 			// The whole gang, or none of it: what can't be told in time is lost anyway.
-			save += settings.Seconds(l.c.set.Cluster.Workers.GangPeerS)
-			if need > left && left < save+2*settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS) {
+			saveTime += settings.Seconds(l.controller.settings.Cluster.Workers.GangPeerS)
+			if remaining > untilReclaim && untilReclaim < saveTime+2*settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS) {
 				l.gangs.Stop(t.Job, "a machine will be taken")
 			}
-		case s.CanCheckpoint():
+		case spec.CanCheckpoint():
 			// As late as it can still save, with a report's time to spare.
-			if left < save+2*settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS) {
+			if untilReclaim < saveTime+2*settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS) {
 				l.workers.StopTask(w, t, t.CheckpointGracePeriod())
 			}
-		case s.Shape == api.Service || need > left:
+		case spec.Shape == api.Service || remaining > untilReclaim:
 			l.workers.StopTask(w, t, 0)
 		}
 	}
@@ -130,19 +132,19 @@
 // than any job may be left waiting.
 const maxBackoff = time.Minute
 
-// failed decides when and where a task that ended early is tried again.
-func (l *lead) failed(t *jobs.Task, w *workers.Worker, c api.Cause) {
-	now := l.c.env.Now()
+// onTaskFailed decides when and where a task that ended early is tried again.
+func (l *leaderTerm) onTaskFailed(t *jobs.Task, machine *workers.Worker, cause api.Cause) {
+	now := l.controller.env.Now()
 	j := t.Job
-	switch c {
+	switch cause {
 	case api.CauseError:
-		slog.Info("task failed", "task", t.TaskID().String(), "host", string(w.ID))
+		slog.Info("task failed", "task", t.TaskID().String(), "host", string(machine.ID))
 		t.ConsecutiveErrors++
 		l.jobs.NoteFailure(j)
 		if j.AvoidedMachines == nil {
 			j.AvoidedMachines = map[ident.MachineID]bool{}
 		}
-		j.AvoidedMachines[w.ID] = true
+		j.AvoidedMachines[machine.ID] = true
 		if len(j.AvoidedMachines) >= 3 {
 			// Rather the job's fault than that of so many machines.
 			clear(j.AvoidedMachines)
@@ -153,10 +155,10 @@
 			j.RetryAt = now.Add(j.Backoff)
 		}
 	case api.CauseNoCapacity:
-		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(w.ID))
-		w.QuarantinedUntil = now.Add(time.Second)
+		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(machine.ID))
+		machine.QuarantinedUntil = now.Add(time.Second)
 	case api.CauseBusy, api.CauseUnknown:
-		slog.Info("refused", "task", t.TaskID().String(), "host", string(w.ID), "cause", string(c))
+		slog.Info("refused", "task", t.TaskID().String(), "host", string(machine.ID), "cause", string(cause))
 		t.ConsecutiveErrors++
 		t.RetryAt = now.Add(min(time.Duration(t.ConsecutiveErrors)*time.Second, 10*time.Second))
 	}
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -10,96 +10,96 @@
 	"opaldale/internal/mesh"
 )
 
-// TestAnswersHaveTheirTime: what a leader says from memory holds until its leadership is
+// TestResponsesExpireWithLeaderLease: what a leader says from memory holds until its leadership is
 // not sure any more. The rim judges it again right before it goes out, since the process
 // may have stood still in between; what is final holds for ever.
-func TestAnswersHaveTheirTime(t *testing.T) {
-	c, w := alone(ident.FormatPacked)
-	if got := status(c, gangSpec()); got != http.StatusCreated {
+func TestResponsesExpireWithLeaderLease(t *testing.T) {
+	c, w := newTestLeader(ident.FormatPacked)
+	if got := submitStatus(c, gangSpecJSON()); got != http.StatusCreated {
 		t.Fatalf("submission: %d", got)
 	}
-	ask := func(v mesh.Verb) (out Reply) {
-		c.Request(v, "j-1", nil, func(r Reply) { out = r })
-		c.Settle()
+	ask := func(v mesh.Method) (out Response) {
+		c.HandleRequest(v, "j-1", nil, func(r Response) { out = r })
+		c.AfterEvent()
 		return out
 	}
-	r := ask(mesh.Poll)
-	if r.Status != http.StatusOK || r.Until != c.elect.LeaseExpiry() {
+	r := ask(mesh.GetJob)
+	if r.Status != http.StatusOK || r.ValidUntil != c.election.LeaseExpiry() {
 		t.Fatalf("a question: %+v", r)
 	}
-	if a := r.Now(r.Until.Add(-time.Millisecond)); a.Status != http.StatusOK {
+	if a := r.IfValid(r.ValidUntil.Add(-time.Millisecond)); a.Status != http.StatusOK {
 		t.Errorf("in its time: %+v", a)
 	}
-	if a := r.Now(r.Until); a.Status != http.StatusServiceUnavailable || a.Retry == 0 {
+	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
 		t.Errorf("after it: %+v", a)
 	}
-	if r = ask(mesh.Cancel); r.Status != http.StatusOK || r.Until != 0 {
+	if r = ask(mesh.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("a cancellation: %+v", r)
 	}
 	w.now = w.now.Add(time.Hour)
-	if r = ask(mesh.Poll); r.Status == http.StatusOK && r.Until != 0 {
+	if r = ask(mesh.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
 		t.Errorf("a question to a leader that stood still: %+v", r)
 	}
 }
 
-// TestMalformedAtAnyTime: a submission that lacks a field gets 400 from a node that has
+// TestMalformedSubmissionWithoutLeader: a submission that lacks a field gets 400 from a node that has
 // just lost the lead, too.
-func TestMalformedAtAnyTime(t *testing.T) {
-	c, w := alone(ident.FormatPacked)
+func TestMalformedSubmissionWithoutLeader(t *testing.T) {
+	c, w := newTestLeader(ident.FormatPacked)
 	w.now = w.now.Add(time.Hour)
-	c.Request(mesh.Submit, "", gangSpec(`"pieces":4,`, ``), func(r Reply) {
+	c.HandleRequest(mesh.SubmitJob, "", gangSpecJSON(`"pieces":4,`, ``), func(r Response) {
 		if r.Status != http.StatusBadRequest {
 			t.Errorf("%d %s", r.Status, r.Body)
 		}
 	})
 }
 
-// TestKeepersStop: a node that keeps leases without a leader stops what it knows to be
+// TestLeaseRenewalKillsCancelledTasks: a node that keeps leases without a leader stops what it knows to be
 // cancelled.
-func TestKeepersStop(t *testing.T) {
-	c, w := alone(ident.FormatPacked)
+func TestLeaseRenewalKillsCancelledTasks(t *testing.T) {
+	c, w := newTestLeader(ident.FormatPacked)
 	c.OnStoppedLeading("test")
-	c.lead = nil
+	c.leader = nil
 	w.now = w.now.Add(time.Minute)
 	c.renewer.Permit(5, w.now.Add(-5*time.Second), 20*time.Second)
-	c.cancelled.Put("j-7", struct{}{})
+	c.cancelledJobs.Put("j-7", struct{}{})
 	piece := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
 	}
 	rep := &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(5, 0),
 		Tasks: []api.TaskReport{piece("j-7"), piece("j-8")}}
-	r, ok := c.keepLease(rep)
+	r, ok := c.renewLeaseWithoutLeader(rep)
 	want := string(api.JSON(api.HeartbeatResponse{FencingToken: rep.FencingToken, Commands: []api.Command{{Verb: api.Kill, TaskID: piece("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}}}))
 	if !ok || string(r.Body) != want {
 		t.Errorf("%v %s, want %s", ok, r.Body, want)
 	}
 }
 
-// TestAllowanceShrinks: siblings may keep leases for a leader for the grace, less the age of the
+// TestLeaseAllowanceAfterCancellation: siblings may keep leases for a leader for the grace, less the age of the
 // oldest cancelled job with a task that may be on a machine; once that is proven gone, for
 // the whole of it again. A successor doesn't know when a job was cancelled: for none.
-func TestAllowanceShrinks(t *testing.T) {
-	c, w := alone(ident.FormatPacked)
-	if got := status(c, gangSpec(`"gang"`, `"batch"`)); got != http.StatusCreated {
+func TestLeaseAllowanceAfterCancellation(t *testing.T) {
+	c, w := newTestLeader(ident.FormatPacked)
+	if got := submitStatus(c, gangSpecJSON(`"gang"`, `"batch"`)); got != http.StatusCreated {
 		t.Fatalf("submission: %d", got)
 	}
-	l := c.lead
+	l := c.leader
 	j := l.jobs.Jobs["j-1"]
 	l.workers.Add("h", "m8", "a", false, w.now)
 	l.jobs.Place(&j.Tasks[0], "h", 1, func() {})
-	c.Settle()
+	c.AfterEvent()
 	want := func(what string, d time.Duration) {
 		t.Helper()
-		if got := l.allowance(w.now); got != d {
+		if got := l.leaseAllowance(w.now); got != d {
 			t.Errorf("%s: %v, want %v", what, got, d)
 		}
 	}
-	want("nothing is cancelled", c.grace)
-	l.cancel("j-1", func(Reply) {})
+	want("nothing is cancelled", c.renewalGrace)
+	l.cancel("j-1", func(Response) {})
 	w.now = w.now.Add(3 * time.Second)
-	want("3 s after a cancellation", c.grace-3*time.Second)
-	w.now = w.now.Add(c.grace)
+	want("3 s after a cancellation", c.renewalGrace-3*time.Second)
+	w.now = w.now.Add(c.renewalGrace)
 	want("long after", 0)
 	l.jobs.MarkGone(&j.Tasks[0], nil)
-	want("proven gone", c.grace)
+	want("proven gone", c.renewalGrace)
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -13,30 +13,30 @@
 	"opaldale/internal/statesvc"
 )
 
-// readCatalog takes the machine types from the state service, and failing that
+// loadCatalog takes the machine types from the state service, and failing that
 // from the cloud.
-func (l *lead) readCatalog(done func()) {
-	l.catalog = &commit.Document{Key: catalogKey}
-	l.catalog.Render = func() json.RawMessage {
-		if l.level >= ident.FormatPacked {
+func (l *leaderTerm) loadCatalog(done func()) {
+	l.catalogDoc = &commit.Document{Key: catalogKey}
+	l.catalogDoc.Render = func() json.RawMessage {
+		if l.formatLevel >= ident.FormatPacked {
 			return nil
 		}
-		return api.JSON(l.models)
+		return api.JSON(l.machineTypes)
 	}
 	known := func(models []cloud.MachineType) {
 		if len(models) == 0 {
-			l.askCatalog(done)
+			l.refreshCatalog(done)
 			return
 		}
-		l.setModels(models)
+		l.setMachineTypes(models)
 		done()
-		l.askCatalog(nil)
+		l.refreshCatalog(nil)
 	}
-	whole := func() {
-		l.read(statesvc.Request{Op: statesvc.Get, Key: catalogKey, Timeout: commitTime}, func(r statesvc.Response) {
+	readSingleKey := func() {
+		l.readWithRetry(statesvc.Request{Op: statesvc.Get, Key: catalogKey, Timeout: storeTimeout}, func(r statesvc.Response) {
 			var models []cloud.MachineType
 			if r.Outcome == statesvc.OK {
-				l.catalog.Revision = r.Revision
+				l.catalogDoc.Revision = r.Revision
 				if err := json.Unmarshal(r.Value, &models); err != nil {
 					slog.Error("unreadable catalog", "err", err)
 				}
@@ -44,107 +44,107 @@
 			known(models)
 		})
 	}
-	if l.level < ident.FormatPacked {
-		whole()
+	if l.formatLevel < ident.FormatPacked {
+		readSingleKey()
 		return
 	}
 	var pairs []statesvc.KeyValue
-	l.readAll(typesPrefix, "", &pairs, func() {
+	l.listAll(machineTypesPrefix, "", &pairs, func() {
 		var models []cloud.MachineType
 		for i, p := range pairs {
-			var m cloud.MachineType
-			if p.Key != typeKey(i) || json.Unmarshal(p.Value, &m) != nil {
+			var machineType cloud.MachineType
+			if p.Key != machineTypeKey(i) || json.Unmarshal(p.Value, &machineType) != nil {
 				slog.Error("unreadable machine type", "path", p.Key)
 				continue
 			}
-			l.typeDoc(i).Revision = p.Revision
-			models = append(models, m)
+			l.machineTypeDoc(i).Revision = p.Revision
+			models = append(models, machineType)
 		}
 		if len(models) == 0 {
-			whole()
+			readSingleKey()
 			return
 		}
 		known(models)
 	})
 }
 
-func typeKey(i int) string { return fmt.Sprintf("%s%05d", typesPrefix, i) }
+func machineTypeKey(i int) string { return fmt.Sprintf("%s%05d", machineTypesPrefix, i) }
 
-// typeDoc is the record of the i-th machine type.
-func (l *lead) typeDoc(i int) *commit.Document {
-	for k := len(l.types); k <= i; k++ {
-		d := &commit.Document{Key: typeKey(k)}
+// machineTypeDoc is the record of the i-th machine type.
+func (l *leaderTerm) machineTypeDoc(i int) *commit.Document {
+	for index := len(l.machineTypeDocs); index <= i; index++ {
+		d := &commit.Document{Key: machineTypeKey(index)}
 		d.Render = func() json.RawMessage {
-			if k >= len(l.models) {
+			if index >= len(l.machineTypes) {
 				return nil
 			}
-			b := api.JSON(l.models[k])
-			if len(b) > l.valueBytes {
-				slog.Error("a machine type is too large to be stored; the cloud tells it again", "model", l.models[k].SKU)
+			b := api.JSON(l.machineTypes[index])
+			if len(b) > l.maxValueBytes {
+				slog.Error("a machine type is too large to be stored; the cloud tells it again", "model", l.machineTypes[index].SKU)
 				return nil
 			}
 			return b
 		}
-		l.types = append(l.types, d)
+		l.machineTypeDocs = append(l.machineTypeDocs, d)
 	}
-	return l.types[i]
+	return l.machineTypeDocs[i]
 }
 
-// storeCatalog writes the machine types.
-func (l *lead) storeCatalog() {
-	if l.level >= ident.FormatPacked {
-		for i := range max(len(l.models), len(l.types)) {
-			l.commits.MarkDirty(l.typeDoc(i), nil)
+// writeCatalog writes the machine types.
+func (l *leaderTerm) writeCatalog() {
+	if l.formatLevel >= ident.FormatPacked {
+		for i := range max(len(l.machineTypes), len(l.machineTypeDocs)) {
+			l.committer.MarkDirty(l.machineTypeDoc(i), nil)
 		}
-		if l.catalog.Revision == 0 {
+		if l.catalogDoc.Revision == 0 {
 			return
 		}
 	}
-	l.commits.MarkDirty(l.catalog, nil)
+	l.committer.MarkDirty(l.catalogDoc, nil)
 }
 
-func (l *lead) setModels(models []cloud.MachineType) {
-	l.models = models
+func (l *leaderTerm) setMachineTypes(models []cloud.MachineType) {
+	l.machineTypes = models
 	for i := range models {
 		k := models[i]
-		if old := l.kinds[k.SKU]; old != nil {
+		if old := l.machineTypeBySKU[k.SKU]; old != nil {
 			*old = k // machines point to it
 		} else {
-			l.kinds[k.SKU] = &k
+			l.machineTypeBySKU[k.SKU] = &k
 		}
 	}
 }
 
-// askCatalog reads the cloud's catalog; first is called once it is known, or
+// refreshCatalog reads the cloud's catalog; first is called once it is known, or
 // nil: it is then read again in a while, since prices move.
-func (l *lead) askCatalog(first func()) {
-	l.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
-		if l.dead {
+func (l *leaderTerm) refreshCatalog(onFirst func()) {
+	l.controller.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
+		if l.closed {
 			return
 		}
-		wait := catalogEvery
+		wait := catalogInterval
 		if r.Outcome == cloud.OK && len(r.MachineTypes) > 0 {
-			same := len(r.MachineTypes) == len(l.models)
+			same := len(r.MachineTypes) == len(l.machineTypes)
 			for i := 0; same && i < len(r.MachineTypes); i++ {
-				a, b := r.MachineTypes[i], l.models[i]
+				a, b := r.MachineTypes[i], l.machineTypes[i]
 				a.SpotPrice, b.SpotPrice = 0, 0
 				same = string(api.JSON(a)) == string(api.JSON(b))
 			}
-			l.setModels(r.MachineTypes)
+			l.setMachineTypes(r.MachineTypes)
 			if !same {
-				l.storeCatalog()
+				l.writeCatalog()
 			}
-			if first != nil {
-				first()
-				first = nil
+			if onFirst != nil {
+				onFirst()
+				onFirst = nil
 			}
 		} else {
 			slog.Info("catalog unavailable", "err", r.Error)
 			wait = time.Second
 		}
-		l.c.env.After(wait, func() {
-			if !l.dead {
-				l.askCatalog(first)
+		l.controller.env.After(wait, func() {
+			if !l.closed {
+				l.refreshCatalog(onFirst)
 			}
 		})
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -32,263 +32,263 @@
 	Store(statesvc.Request, func(statesvc.Response))
 	Cloud(cloud.Request, func(cloud.Response))
 	Worker(workers.CommandCall, func(workers.CommandResult))
-	Mesh(to ident.NodeID, f *mesh.Frame)
+	SendPeer(to ident.NodeID, f *mesh.Frame)
 }
 
 // peer is a sibling as seen from here.
 type peer struct {
-	heard ident.MonotonicTime
-	ever  bool
-	beat  uint64 // the newest
+	lastHeard       ident.MonotonicTime
+	everHeard       bool
+	lastHeartbeatID uint64 // the newest
 }
 
 // Controller is one node.
 type Controller struct {
-	env   Env
-	set   *settings.Settings
-	rng   *rand.Rand
-	elect *election.Elector
-	lead  *lead             // nil while not leading
-	level ident.FormatLevel // in force, as far as this node knows
-	grace time.Duration
+	env          Env
+	settings     *settings.Settings
+	rng          *rand.Rand
+	election     *election.Elector
+	leader       *leaderTerm       // nil while not leading
+	formatLevel  ident.FormatLevel // in force, as far as this node knows
+	renewalGrace time.Duration
 
-	peers map[ident.NodeID]*peer
-	asks  map[uint64]func(Reply)
-	askID uint64
-	reads bucket
+	peers           map[ident.NodeID]*peer
+	pendingForwards map[uint64]func(Response)
+	lastForwardID   uint64
+	pollLimiter     tokenBucket
 
-	heartbeats renewal.SentHeartbeats
-	renewer    renewal.Renewer
-	// cancelled holds jobs that were durably cancelled, as this node has passed on.
-	cancelled *jobs.RecentJobs[struct{}]
-	seen      ident.MonotonicTime // when the state service last served this node
-	links     *linkView           // nil unless links are watched
-	authority authority.Tracker
+	sentHeartbeats renewal.SentHeartbeats
+	renewer        renewal.Renewer
+	// cancelledJobs holds jobs that were durably cancelled, as this node has passed on.
+	cancelledJobs   *jobs.RecentJobs[struct{}]
+	storeLastServed ident.MonotonicTime // when the state service last served this node
+	links           *linkTracker        // nil unless links are watched
+	authority       authority.Tracker
 
 	// Counters for the metrics.
 	Forwarded, Relayed, Refused, Elections, LeasesKept uint64
 }
 
 const (
-	beatEvery   = 700 * time.Millisecond
-	peerSilent  = 2500 * time.Millisecond
-	forwardTime = 1500 * time.Millisecond
-	pollTime    = 700 * time.Millisecond
-	commitTime  = time.Second
-	graceMargin = 1500 * time.Millisecond
-	// healthPatience is how long the link to the leader may be down before users had better
+	heartbeatInterval  = 700 * time.Millisecond
+	peerTimeout        = 2500 * time.Millisecond
+	forwardTimeout     = 1500 * time.Millisecond
+	pollForwardTimeout = 700 * time.Millisecond
+	storeTimeout       = time.Second
+	graceMargin        = 1500 * time.Millisecond
+	// leaderLinkGrace is how long the link to the leader may be down before users had better
 	// go to another node: longer than an election takes.
-	healthPatience = 4 * time.Second
-	// lookAfter is how long a node goes without the leader before it looks whether it
-	// still reaches the state service, and cutAfter without that before it is cut off.
-	lookAfter = 2 * time.Second
-	cutAfter  = 2 * time.Second
-	// readShare is the part of the state service's rate that polls may use, each
+	leaderLinkGrace = 4 * time.Second
+	// storeProbeAfter is how long a node goes without the leader before it looks whether it
+	// still reaches the state service, and storeCutOffAfter without that before it is cut off.
+	storeProbeAfter  = 2 * time.Second
+	storeCutOffAfter = 2 * time.Second
+	// pollReadShare is the part of the state service's rate that polls may use, each
 	// node's a like part of it.
-	readShare = 0.6
+	pollReadShare = 0.6
 )
 
 // New makes a node.
-func New(env Env, set *settings.Settings, rng *rand.Rand) *Controller {
-	w := set.Cluster.Workers
-	c := &Controller{env: env, set: set, rng: rng, peers: map[ident.NodeID]*peer{}, asks: map[uint64]func(Reply){},
-		askID: rng.Uint64(), cancelled: jobs.NewRecentJobs[struct{}](maxCancelled)}
+func New(env Env, cfg *settings.Settings, rng *rand.Rand) *Controller {
+	workerSettings := cfg.Cluster.Workers
+	c := &Controller{env: env, settings: cfg, rng: rng, peers: map[ident.NodeID]*peer{}, pendingForwards: map[uint64]func(Response){},
+		lastForwardID: rng.Uint64(), cancelledJobs: jobs.NewRecentJobs[struct{}](maxCancelledJobs)}
 	// An earlier leader may answer checkins for so long past its validity; a
 	// worker that heard it last still loses its tasks before cancel_s is over.
-	c.grace = max(0, settings.Seconds(w.CancelS-w.LeaseS*1.002)-graceMargin)
-	for _, s := range set.Peers {
+	c.renewalGrace = max(0, settings.Seconds(workerSettings.CancelS-workerSettings.LeaseS*1.002)-graceMargin)
+	for _, s := range cfg.Peers {
 		c.peers[s.Node] = &peer{}
 	}
-	rate := readShare * set.Cluster.Store.RPS / float64(max(1, set.Cluster.Nodes))
-	c.reads = bucket{tokens: rate, perSecond: rate, filled: env.Now()}
-	if set.Tuning.Links.Enabled {
-		c.links = newLinkView(c)
-		c.env = observedEnv{Env: env, view: c.links}
+	rate := pollReadShare * cfg.Cluster.Store.RPS / float64(max(1, cfg.Cluster.Nodes))
+	c.pollLimiter = tokenBucket{tokens: rate, perSecond: rate, refilledAt: env.Now()}
+	if cfg.Tuning.Links.Enabled {
+		c.links = newLinkTracker(c)
+		c.env = monitoredEnv{Env: env, tracker: c.links}
 	}
-	c.elect = election.New(c.env, c, set.Node, set.Tuning.LeaderLease, rng)
+	c.election = election.New(c.env, c, cfg.Node, cfg.Tuning.LeaderLease, rng)
 	if c.links != nil {
-		c.elect.CampaignDelay = c.links.hesitate
+		c.election.CampaignDelay = c.links.candidacyDelay
 	}
 	return c
 }
 
 // Start begins.
 func (c *Controller) Start() {
-	c.elect.Start()
-	c.beat()
+	c.election.Start()
+	c.sendHeartbeats()
 	if c.links != nil {
 		c.links.evaluate()
 	}
-	upgrade.Announce(c.env, c.rng, c.set.Node)
+	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
-// Settle is called after every event, when all its consequences are in the
+// AfterEvent is called after every event, when all its consequences are in the
 // tables: places what can be placed and writes what has changed.
-func (c *Controller) Settle() {
-	if c.lead != nil {
-		c.lead.settle()
+func (c *Controller) AfterEvent() {
+	if c.leader != nil {
+		c.leader.afterEvent()
 	}
 }
 
-// Level returns the format level in force, as far as this node knows.
-func (c *Controller) Level() ident.FormatLevel { return c.level }
+// FormatLevel returns the format level in force, as far as this node knows.
+func (c *Controller) FormatLevel() ident.FormatLevel { return c.formatLevel }
 
 // Election returns the node's part in the elections.
-func (c *Controller) Election() *election.Elector { return c.elect }
+func (c *Controller) Election() *election.Elector { return c.election }
 
-// beat tells the siblings that we live, whether we lead, and what of theirs we heard.
-func (c *Controller) beat() {
+// sendHeartbeats tells the siblings that we live, whether we lead, and what of theirs we heard.
+func (c *Controller) sendHeartbeats() {
 	now := c.env.Now()
-	f := mesh.Frame{Kind: mesh.Heartbeat, ID: c.rng.Uint64(), Life: mesh.Life{ProcessAge: mesh.Millis(now.Sub(0)), SinceLeader: mesh.None, SinceRenewal: mesh.None}}
-	if c.elect.LeaseValid() {
-		f.Node, f.Term = c.set.Node, c.elect.Term()
-		if c.lead.ready {
-			f.Life.Allowance = mesh.Millis(c.lead.allowance(now))
+	frame := mesh.Frame{Type: mesh.MsgHeartbeat, ID: c.rng.Uint64(), Heartbeat: mesh.PeerHeartbeat{UptimeMS: mesh.ToMillis(now.Sub(0)), SinceLeaderMS: mesh.Never, SinceRenewalMS: mesh.Never}}
+	if c.election.LeaseValid() {
+		frame.Node, frame.Term = c.settings.Node, c.election.Term()
+		if c.leader.loaded {
+			frame.Heartbeat.LeaseAllowanceMS = mesh.ToMillis(c.leader.leaseAllowance(now))
 		}
 	}
 	if ago, ever := c.renewer.SinceRenewal(now); ever {
-		f.Life.SinceRenewal = mesh.Millis(ago)
+		frame.Heartbeat.SinceRenewalMS = mesh.ToMillis(ago)
 	}
 	if age, ever := c.renewer.SinceLeader(now); ever {
-		f.Life.SinceLeader = mesh.Millis(age)
-		if age > lookAfter && c.lead == nil {
-			c.look()
+		frame.Heartbeat.SinceLeaderMS = mesh.ToMillis(age)
+		if age > storeProbeAfter && c.leader == nil {
+			c.probeStore()
 		}
 	}
-	c.heartbeats.Record(f.ID, now)
-	var own links.Row
+	c.sentHeartbeats.Record(frame.ID, now)
+	var ownAdvertisement links.Advertisement
 	if c.links != nil {
-		own = c.links.row(now)
+		ownAdvertisement = c.links.ownAdvertisement(now)
 	}
-	for _, s := range c.set.Peers {
-		g := f
-		g.Life.Echo = c.peers[s.Node].beat
-		c.env.Mesh(s.Node, &g)
+	for _, s := range c.settings.Peers {
+		peerFrame := frame
+		peerFrame.Heartbeat.EchoID = c.peers[s.Node].lastHeartbeatID
+		c.env.SendPeer(s.Node, &peerFrame)
 		if c.links != nil {
-			c.links.monitor.Sent(siblingLink(s.Node), now)
-			c.links.send(s.Node, own, now)
+			c.links.monitor.Sent(peerEndpoint(s.Node), now)
+			c.links.sendAdvertisements(s.Node, ownAdvertisement, now)
 		}
 	}
-	c.env.After(beatEvery, c.beat)
+	c.env.After(heartbeatInterval, c.sendHeartbeats)
 }
 
-// look asks the state service for anything, to see whether it serves this node.
-func (c *Controller) look() {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.LeaderKey, Timeout: commitTime}, func(r statesvc.Response) {
+// probeStore asks the state service for anything, to see whether it serves this node.
+func (c *Controller) probeStore() {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.LeaderKey, Timeout: storeTimeout}, func(r statesvc.Response) {
 		if r.Outcome != statesvc.NoAnswer && r.Outcome != statesvc.Unavailable && r.Outcome != statesvc.RateLimited {
-			c.seen = c.env.Now()
+			c.storeLastServed = c.env.Now()
 		}
 	})
 }
 
-// hear takes what a sibling says of itself with a beat.
-func (c *Controller) hear(from ident.NodeID, p *peer, f *mesh.Frame) {
+// handleHeartbeat takes what a sibling says of itself with a beat.
+func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *mesh.Frame) {
 	now := c.env.Now()
-	p.beat = f.ID
-	at, echoed := c.heartbeats.SentAt(f.Life.Echo)
+	sender.lastHeartbeatID = frame.ID
+	sentAt, echoed := c.sentHeartbeats.SentAt(frame.Heartbeat.EchoID)
 	if c.links != nil {
 		if echoed {
-			c.links.monitor.Echoed(siblingLink(from), at, now)
+			c.links.monitor.Echoed(peerEndpoint(from), sentAt, now)
 		}
-		if f.Node != "" {
-			c.links.history.ObserveTerm(f.Term, now)
+		if frame.Node != "" {
+			c.links.leaderHistory.ObserveTerm(frame.Term, now)
 		}
 	}
-	if echoed && f.Node == from {
-		c.renewer.Permit(f.Term, at, mesh.Duration(f.Life.Allowance))
+	if echoed && frame.Node == from {
+		c.renewer.Permit(frame.Term, sentAt, mesh.FromMillis(frame.Heartbeat.LeaseAllowanceMS))
 	}
-	if c.lead != nil {
-		w := renewal.PeerStatus{ProcessAge: mesh.Duration(f.Life.ProcessAge), SinceLeader: mesh.Duration(f.Life.SinceLeader), HasRenewed: f.Life.SinceRenewal != mesh.None, SinceRenewal: mesh.Duration(f.Life.SinceRenewal)}
-		c.lead.renewals.ObserveHeartbeat(from, now, at, echoed, w)
+	if c.leader != nil {
+		claim := renewal.PeerStatus{ProcessAge: mesh.FromMillis(frame.Heartbeat.UptimeMS), SinceLeader: mesh.FromMillis(frame.Heartbeat.SinceLeaderMS), HasRenewed: frame.Heartbeat.SinceRenewalMS != mesh.Never, SinceRenewal: mesh.FromMillis(frame.Heartbeat.SinceRenewalMS)}
+		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, claim)
 	}
 }
 
-// keepLease answers a worker while neither the leader nor the state service serves this
+// renewLeaseWithoutLeader answers a worker while neither the leader nor the state service serves this
 // node: both are cut off alike, or the leader has died and nobody can follow it. Its
 // work goes on for as long as the leader allows.
-func (c *Controller) keepLease(r *api.Heartbeat) (Reply, bool) {
+func (c *Controller) renewLeaseWithoutLeader(heartbeat *api.Heartbeat) (Response, bool) {
 	now := c.env.Now()
-	if !c.renewer.MayRenew(now, r.FencingToken) || now.Sub(c.seen) < cutAfter {
-		return Reply{}, false
+	if !c.renewer.MayRenew(now, heartbeat.FencingToken) || now.Sub(c.storeLastServed) < storeCutOffAfter {
+		return Response{}, false
 	}
 	c.renewer.RecordRenewal(now)
 	c.LeasesKept++
-	o := api.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []api.Command{}}
-	for _, p := range r.Tasks {
+	commands := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
+	for _, task := range heartbeat.Tasks {
 		// A kill is safe whoever leads; without it the task ends with the lease only.
-		if _, ok := c.cancelled.Get(p.TaskID.Job); ok && p.Status != api.Ended {
-			o.Commands = append(o.Commands, workers.KillCommand(p.TaskID, p.Attempt))
+		if _, ok := c.cancelledJobs.Get(task.TaskID.Job); ok && task.Status != api.Ended {
+			commands.Commands = append(commands.Commands, workers.KillCommand(task.TaskID, task.Attempt))
 		}
 	}
-	return answer(http.StatusOK, o), true
+	return jsonResponse(http.StatusOK, commands), true
 }
 
-// maxCancelled bounds the memory kept for jobs that are known to be cancelled: those of the
+// maxCancelledJobs bounds the memory kept for jobs that are known to be cancelled: those of the
 // last minute, were 4,000 machines each to lose several to cancellations in it.
-const maxCancelled = 20_000
+const maxCancelledJobs = 20_000
 
-// learned notes what a job is known to be: that it is cancelled is final.
-func (c *Controller) learned(id ident.JobID, status string) {
+// rememberIfCancelled notes what a job is known to be: that it is cancelled is final.
+func (c *Controller) rememberIfCancelled(id ident.JobID, status string) {
 	if status == jobs.Cancelled.String() {
-		c.cancelled.Put(id, struct{}{})
+		c.cancelledJobs.Put(id, struct{}{})
 	}
 }
 
 // OnStartedLeading begins a term.
-func (c *Controller) OnStartedLeading(t ident.Term, l ident.FormatLevel, key statesvc.Compare) {
+func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey statesvc.Compare) {
 	c.Elections++
-	c.level = max(c.level, l)
+	c.formatLevel = max(c.formatLevel, level)
 	if c.links != nil {
-		c.links.history.ObserveTerm(t, c.env.Now())
+		c.links.leaderHistory.ObserveTerm(term, c.env.Now())
 	}
-	c.lead = newLead(c, t, l, key)
-	c.lead.load()
+	c.leader = newLeaderTerm(c, term, level, leaderKey)
+	c.leader.loadState()
 }
 
 // OnStoppedLeading ends it: nothing of its memory is used again but what is final.
-func (c *Controller) OnStoppedLeading(why string) {
-	if c.lead != nil {
-		for _, j := range c.lead.jobs.Sorted() {
-			c.learned(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
+func (c *Controller) OnStoppedLeading(reason string) {
+	if c.leader != nil {
+		for _, j := range c.leader.jobs.Sorted() {
+			c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
 		}
-		c.lead.close()
-		c.lead = nil
+		c.leader.close()
+		c.leader = nil
 	}
 }
 
 // Healthy says whether the node can take requests: it leads, or hears the leader
 // to pass them to, or at least nobody is known to do better.
 func (c *Controller) Healthy() bool {
-	if c.elect.LeaseValid() {
+	if c.election.LeaseValid() {
 		return true
 	}
-	if way, known := c.leaderRoute(); known && way.to != c.set.Node {
-		return way.up || c.mayReturn(way.to)
+	if toLeader, known := c.leaderRoute(); known && toLeader.leader != c.settings.Node {
+		return toLeader.reachable || c.leaderLinkBrieflyDown(toLeader.leader)
 	}
-	return c.hears(peerSilent) || len(c.peers) == 0
+	return c.heardAnyPeerWithin(peerTimeout) || len(c.peers) == 0
 }
 
-// mayReturn says whether the link to the leader is down for so short a time that a leader
+// leaderLinkBrieflyDown says whether the link to the leader is down for so short a time that a leader
 // will be there before the load balancer could do without this node. (Links are found down
 // sooner than a lease ends: each change of the lead had all nodes taken out for seconds.)
-func (c *Controller) mayReturn(leader ident.NodeID) bool {
-	if c.links == nil || !c.heardWithin(leader, peerSilent) {
+func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
+	if c.links == nil || !c.heardWithin(leader, peerTimeout) {
 		return false
 	}
-	d, _ := c.links.downTime(leader)
-	return d <= healthPatience
+	d, _ := c.links.downDuration(leader)
+	return d <= leaderLinkGrace
 }
 
 // heardWithin says whether a sibling was heard within d.
 func (c *Controller) heardWithin(n ident.NodeID, d time.Duration) bool {
 	p := c.peers[n]
-	return p != nil && p.ever && c.env.Now().Sub(p.heard) < d
+	return p != nil && p.everHeard && c.env.Now().Sub(p.lastHeard) < d
 }
 
-// hears says whether any sibling was heard within d.
-func (c *Controller) hears(d time.Duration) bool {
+// heardAnyPeerWithin says whether any sibling was heard within d.
+func (c *Controller) heardAnyPeerWithin(d time.Duration) bool {
 	for _, p := range c.peers {
-		if p.ever && c.env.Now().Sub(p.heard) < d {
+		if p.everHeard && c.env.Now().Sub(p.lastHeard) < d {
 			return true
 		}
 	}
@@ -297,113 +297,113 @@
 
 // reachable says whether frames to a sibling probably arrive.
 func (c *Controller) reachable(n ident.NodeID) bool {
-	if c.links != nil && !c.links.monitor.Passing(siblingLink(n)) {
+	if c.links != nil && !c.links.monitor.Delivering(peerEndpoint(n)) {
 		return false // it is heard, and doesn't hear
 	}
-	return c.heardWithin(n, peerSilent)
+	return c.heardWithin(n, peerTimeout)
 }
 
-// Frame takes a sibling's message.
-func (c *Controller) Frame(from ident.NodeID, f *mesh.Frame) {
-	p := c.peers[from]
-	if p == nil {
+// HandleFrame takes a sibling's message.
+func (c *Controller) HandleFrame(from ident.NodeID, frame *mesh.Frame) {
+	sender := c.peers[from]
+	if sender == nil {
 		return
 	}
-	p.heard, p.ever = c.env.Now(), true
+	sender.lastHeard, sender.everHeard = c.env.Now(), true
 	if c.links != nil {
-		c.links.monitor.Heard(siblingLink(from), p.heard)
+		c.links.monitor.Received(peerEndpoint(from), sender.lastHeard)
 	}
-	switch f.Kind {
-	case mesh.Links:
+	switch frame.Type {
+	case mesh.MsgLinkState:
 		if c.links != nil {
-			c.links.take(f)
+			c.links.mergeAdvertisements(frame)
 		}
-	case mesh.Yield:
-		c.elect.PreferSuccessor(f.Node, f.Term)
-	case mesh.Heartbeat:
-		if f.Node != "" {
-			c.elect.PeerReportedLeader(f.Node, f.Term)
+	case mesh.MsgTransferLeader:
+		c.election.PreferSuccessor(frame.Node, frame.Term)
+	case mesh.MsgHeartbeat:
+		if frame.Node != "" {
+			c.election.PeerReportedLeader(frame.Node, frame.Term)
 		}
-		c.hear(from, p, f)
-	case mesh.Ask:
-		c.serve(f.Verb, f.Job, f.Body, false, c.tell(from, f.ID))
-	case mesh.Relay:
-		c.relayed(f, c.tell(from, f.ID))
-	case mesh.Tell:
-		if g := c.asks[f.ID]; g != nil {
-			delete(c.asks, f.ID)
-			g(Reply{Status: int(f.Status), Retry: int(f.Retry), Body: f.Body})
+		c.handleHeartbeat(from, sender, frame)
+	case mesh.MsgRequest:
+		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, c.responder(from, frame.ID))
+	case mesh.MsgRelayRequest:
+		c.serveRelayed(frame, c.responder(from, frame.ID))
+	case mesh.MsgResponse:
+		if reply := c.pendingForwards[frame.ID]; reply != nil {
+			delete(c.pendingForwards, frame.ID)
+			reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
 		}
 	}
 }
 
-// tell returns what answers a sibling's request.
-func (c *Controller) tell(to ident.NodeID, id uint64) func(Reply) {
-	return func(r Reply) {
-		c.env.Mesh(to, &mesh.Frame{Kind: mesh.Tell, ID: id, Status: uint16(r.Status), Retry: uint16(r.Retry), Body: r.Body})
+// responder returns what answers a sibling's request.
+func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
+	return func(r Response) {
+		c.env.SendPeer(to, &mesh.Frame{Type: mesh.MsgResponse, ID: id, Status: uint16(r.Status), RetryAfterS: uint16(r.RetryAfterS), Body: r.Body})
 	}
 }
 
-// serve answers as the leader, or refuses; direct requests came to this node.
-func (c *Controller) serve(v mesh.Verb, job string, body []byte, direct bool, reply func(Reply)) {
-	l := c.lead
+// serveAsLeader answers as the leader, or refuses; direct requests came to this node.
+func (c *Controller) serveAsLeader(method mesh.Method, jobID string, body []byte, direct bool, reply func(Response)) {
+	l := c.leader
 	var spec *api.Spec
-	if v == mesh.Submit {
+	if method == mesh.SubmitJob {
 		var err error
 		if spec, err = api.ParseSpec(body); err != nil {
 			// The same at every node and at any time. (Between two leaders it once got 503.)
-			reply(problem(http.StatusBadRequest, err.Error()))
+			reply(errorResponse(http.StatusBadRequest, err.Error()))
 			return
 		}
 	}
 	switch {
-	case v == mesh.Checkin:
-		c.checkin(body, direct, reply)
-	case v == mesh.Poll && !c.may(authority.ServeReads):
+	case method == mesh.WorkerHeartbeat:
+		c.handleWorkerHeartbeat(body, direct, reply)
+	case method == mesh.GetJob && !c.allows(authority.ServeReads):
 		// Past the surely valid time memory may be behind a successor's.
-		c.read(job, reply)
-	case v != mesh.Poll && !c.may(authority.AcceptSubmissions):
+		c.pollFromStore(jobID, reply)
+	case method != mesh.GetJob && !c.allows(authority.AcceptSubmissions):
 		c.Refused++
 		reply(unavailable("no leader at present"))
-	case v == mesh.Submit:
+	case method == mesh.SubmitJob:
 		l.submit(spec, reply)
-	case v == mesh.Poll:
-		l.poll(ident.JobID(job), reply)
-	case v == mesh.Cancel:
-		l.cancel(ident.JobID(job), reply)
+	case method == mesh.GetJob:
+		l.getJob(ident.JobID(jobID), reply)
+	case method == mesh.CancelJob:
+		l.cancel(ident.JobID(jobID), reply)
 	}
 }
 
-// checkin answers a worker's report.
-func (c *Controller) checkin(body []byte, direct bool, reply func(Reply)) {
-	r, err := api.ParseHeartbeat(body)
+// handleWorkerHeartbeat answers a worker's report.
+func (c *Controller) handleWorkerHeartbeat(body []byte, direct bool, reply func(Response)) {
+	heartbeat, err := api.ParseHeartbeat(body)
 	if err != nil {
-		reply(problem(http.StatusBadRequest, err.Error()))
+		reply(errorResponse(http.StatusBadRequest, err.Error()))
 		return
 	}
-	var o *api.HeartbeatResponse
-	var until ident.MonotonicTime
-	if l := c.lead; l != nil {
+	var commands *api.HeartbeatResponse
+	var validUntil ident.MonotonicTime
+	if l := c.leader; l != nil {
 		if c.links != nil {
-			c.links.reported(r, direct)
+			c.links.noteWorkerHeartbeat(heartbeat, direct)
 		}
-		if c.may(authority.CommandWorkers) {
-			o = l.workers.HandleHeartbeat(r)
-			if o != nil && api.ContainsLaunch(o.Commands) {
+		if c.allows(authority.CommandWorkers) {
+			commands = l.workers.HandleHeartbeat(heartbeat)
+			if commands != nil && api.ContainsLaunch(commands.Commands) {
 				// Should this process stand still now, a successor may have told that
 				// the job is cancelled before the answer goes out.
-				until = c.elect.LeaseExpiry()
+				validUntil = c.election.LeaseExpiry()
 			}
-			l.heard(l.workers.Workers[r.MachineID], direct)
-		} else if c.may(authority.RenewWorkerLeases) {
-			o = l.workers.RenewLeaseOnly(r)
+			l.noteWorkerHeartbeat(l.workers.Workers[heartbeat.MachineID], direct)
+		} else if c.allows(authority.RenewWorkerLeases) {
+			commands = l.workers.RenewLeaseOnly(heartbeat)
 		}
 	}
-	if o == nil {
+	if commands == nil {
 		reply(unavailable("not entitled to answer"))
 		return
 	}
-	a := answer(http.StatusOK, o)
-	a.Until = until
-	reply(a)
+	response := jsonResponse(http.StatusOK, commands)
+	response.ValidUntil = validUntil
+	reply(response)
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -14,116 +14,116 @@
 
 // route is how requests come to the leader.
 type route struct {
-	to  ident.NodeID
-	via ident.NodeID // a sibling that passes them on; empty: directly
-	up  bool         // they probably arrive
+	leader    ident.NodeID
+	via       ident.NodeID // a sibling that passes them on; empty: directly
+	reachable bool         // they probably arrive
 }
 
 // leaderRoute finds the way to the leader: directly, or by a sibling that reaches it.
-func (c *Controller) leaderRoute() (r route, known bool) {
-	r.to, known = c.elect.Leader()
+func (c *Controller) leaderRoute() (best route, known bool) {
+	best.leader, known = c.election.Leader()
 	if !known {
-		return r, false
+		return best, false
 	}
-	r.up = c.reachable(r.to)
-	if c.links == nil || r.up && !c.links.doubtful(r.to) {
-		return r, true
+	best.reachable = c.reachable(best.leader)
+	if c.links == nil || best.reachable && !c.links.countsAsDown(best.leader) {
+		return best, true
 	}
-	if via, ok := c.links.relay(r.to); ok {
-		r.via, r.up = via, true
+	if via, ok := c.links.relayFor(best.leader); ok {
+		best.via, best.reachable = via, true
 	}
-	return r, true
+	return best, true
 }
 
 // forward asks the leader; without an answer in time, lost is called.
-func (c *Controller) forward(r route, v mesh.Verb, job string, body []byte, limit time.Duration, reply func(Reply), lost func()) {
+func (c *Controller) forward(toLeader route, method mesh.Method, jobID string, body []byte, timeout time.Duration, reply func(Response), onTimeout func()) {
 	c.Forwarded++
-	c.askID++
-	id := c.askID
-	until := c.env.Now().Add(limit)
+	c.lastForwardID++
+	id := c.lastForwardID
+	deadline := c.env.Now().Add(timeout)
 	// Should this process stand still, the answer may be read before the timer runs.
-	c.asks[id] = func(a Reply) { reply(a.within(until)) }
-	frame := &mesh.Frame{Kind: mesh.Ask, ID: id, Verb: v, Job: job, Body: body}
-	if r.via != "" {
-		frame.Kind = mesh.Relay
+	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
+	frame := &mesh.Frame{Type: mesh.MsgRequest, ID: id, Method: method, JobID: jobID, Body: body}
+	if toLeader.via != "" {
+		frame.Type = mesh.MsgRelayRequest
 		c.Relayed++
-		c.env.Mesh(r.via, frame)
+		c.env.SendPeer(toLeader.via, frame)
 	} else {
-		c.env.Mesh(r.to, frame)
+		c.env.SendPeer(toLeader.leader, frame)
 	}
-	c.env.After(limit, func() {
-		if c.asks[id] != nil {
-			delete(c.asks, id)
-			lost()
+	c.env.After(timeout, func() {
+		if c.pendingForwards[id] != nil {
+			delete(c.pendingForwards, id)
+			onTimeout()
 		}
 	})
 }
 
-// Request takes a request from a user or a worker of this node.
-func (c *Controller) Request(v mesh.Verb, job string, body []byte, reply func(Reply)) {
-	if c.lead != nil {
-		c.serve(v, job, body, true, reply)
+// HandleRequest takes a request from a user or a worker of this node.
+func (c *Controller) HandleRequest(method mesh.Method, jobID string, body []byte, reply func(Response)) {
+	if c.leader != nil {
+		c.serveAsLeader(method, jobID, body, true, reply)
 		return
 	}
-	if c.links != nil && v == mesh.Checkin {
-		c.links.sample(body)
+	if c.links != nil && method == mesh.WorkerHeartbeat {
+		c.links.sampleWorkerHeartbeat(body)
 	}
-	way, known := c.leaderRoute()
-	up := way.up
-	switch v {
-	case mesh.Submit:
-		s, err := api.ParseSpec(body)
+	toLeader, known := c.leaderRoute()
+	reachable := toLeader.reachable
+	switch method {
+	case mesh.SubmitJob:
+		spec, err := api.ParseSpec(body)
 		if err != nil {
-			reply(problem(http.StatusBadRequest, err.Error()))
+			reply(errorResponse(http.StatusBadRequest, err.Error()))
 			return
 		}
-		if s.Shape == api.Gang && c.level < ident.FormatPacked {
+		if spec.Shape == api.Gang && c.formatLevel < ident.FormatPacked {
 			// A leader of an earlier version would call it malformed.
-			c.learn(func() { c.pass(way, v, job, body, reply) }, reply)
+			c.requirePackedFormat(func() { c.forwardOrRefuse(toLeader, method, jobID, body, reply) }, reply)
 			return
 		}
-	case mesh.Poll:
-		if !up {
-			c.read(job, reply)
+	case mesh.GetJob:
+		if !reachable {
+			c.pollFromStore(jobID, reply)
 			return
 		}
-		c.forward(way, v, job, nil, pollTime, func(r Reply) {
+		c.forward(toLeader, method, jobID, nil, pollForwardTimeout, func(r Response) {
 			if r.Status >= 500 {
-				c.read(job, reply)
+				c.pollFromStore(jobID, reply)
 				return
 			}
 			reply(r)
-		}, func() { c.read(job, reply) })
+		}, func() { c.pollFromStore(jobID, reply) })
 		return
-	case mesh.Checkin:
+	case mesh.WorkerHeartbeat:
 		// Otherwise read by the leader; reading it here as well doubles the cost of
 		// what comes most often.
-		if !up {
+		if !reachable {
 			r, err := api.ParseHeartbeat(body)
 			if err != nil {
-				reply(problem(http.StatusBadRequest, err.Error()))
+				reply(errorResponse(http.StatusBadRequest, err.Error()))
 				return
 			}
-			if a, ok := c.keepLease(r); ok {
+			if a, ok := c.renewLeaseWithoutLeader(r); ok {
 				reply(a)
 				return
 			}
 		}
-		if known && !up {
-			reply(answer(http.StatusMisdirectedRequest, struct {
+		if known && !reachable {
+			reply(jsonResponse(http.StatusMisdirectedRequest, struct {
 				Home ident.NodeID `json:"home"`
-			}{way.to}))
+			}{toLeader.leader}))
 			return
 		}
 	}
-	c.pass(way, v, job, body, reply)
+	c.forwardOrRefuse(toLeader, method, jobID, body, reply)
 }
 
-// learn reads the format level; then is called if gangs may be passed on. It goes with
+// requirePackedFormat reads the format level; then is called if gangs may be passed on. It goes with
 // the first format.
-func (c *Controller) learn(then func(), reply func(Reply)) {
-	c.readLevel(func() {
-		if c.level < ident.FormatPacked {
+func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
+	c.refreshFormatLevel(func() {
+		if c.formatLevel < ident.FormatPacked {
 			c.Refused++
 			reply(unavailable("some nodes may run an earlier version"))
 			return
@@ -132,30 +132,30 @@
 	})
 }
 
-// readLevel reads the format level from the state service, as far as that answers; then is
+// refreshFormatLevel reads the format level from the state service, as far as that answers; then is
 // called either way.
-func (c *Controller) readLevel(then func()) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.TermKey, Timeout: commitTime}, func(r statesvc.Response) {
+func (c *Controller) refreshFormatLevel(then func()) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.TermKey, Timeout: storeTimeout}, func(r statesvc.Response) {
 		if r.Outcome == statesvc.OK {
 			if _, l, err := election.DecodeTerm(r.Value); err == nil {
-				c.level = max(c.level, l)
+				c.formatLevel = max(c.formatLevel, l)
 			}
 		}
 		then()
 	})
 }
 
-// pass hands a request to the leader.
-func (c *Controller) pass(way route, v mesh.Verb, job string, body []byte, reply func(Reply)) {
-	if !way.up {
+// forwardOrRefuse hands a request to the leader.
+func (c *Controller) forwardOrRefuse(toLeader route, method mesh.Method, jobID string, body []byte, reply func(Response)) {
+	if !toLeader.reachable {
 		c.Refused++
 		reply(unavailable("no leader at present"))
 		return
 	}
-	c.forward(way, v, job, body, forwardTime, func(r Reply) {
+	c.forward(toLeader, method, jobID, body, forwardTimeout, func(r Response) {
 		var a api.JobStatus
-		if v == mesh.Cancel && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
-			c.learned(a.ID, a.Status)
+		if method == mesh.CancelJob && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
+			c.rememberIfCancelled(a.ID, a.Status)
 		}
 		reply(r)
 	}, func() {
@@ -164,13 +164,13 @@
 	})
 }
 
-// relayed passes a sibling's request on to the leader, or answers it as the leader. It goes
+// serveRelayed passes a sibling's request on to the leader, or answers it as the leader. It goes
 // directly from here, so that no request takes more than two steps.
-func (c *Controller) relayed(f *mesh.Frame, reply func(Reply)) {
-	if c.lead != nil {
-		c.serve(f.Verb, f.Job, f.Body, false, reply)
+func (c *Controller) serveRelayed(frame *mesh.Frame, reply func(Response)) {
+	if c.leader != nil {
+		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, reply)
 		return
 	}
-	to, known := c.elect.Leader()
-	c.pass(route{to: to, up: known && c.reachable(to)}, f.Verb, f.Job, f.Body, reply)
+	to, known := c.election.Leader()
+	c.forwardOrRefuse(route{leader: to, reachable: known && c.reachable(to)}, frame.Method, frame.JobID, frame.Body, reply)
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -28,7 +28,7 @@
 )
 
 // goldenStore is a store beside a cloud with two machine types.
-type goldenStore struct{ *store }
+type goldenStore struct{ *recordingStore }
 
 func (goldenStore) WallMS() int64 { return 1_700_000_000_123 }
 
@@ -55,8 +55,8 @@
 // settle lets time pass until everything is written.
 func (s goldenStore) settle(c *Controller) {
 	for range 50 {
-		s.pass(100 * time.Millisecond)
-		c.Settle()
+		s.advance(100 * time.Millisecond)
+		c.AfterEvent()
 	}
 }
 
@@ -70,13 +70,13 @@
 }
 
 // machinesOf lists what a leader knows of its machines and their types.
-func machinesOf(l *lead) string {
+func machinesOf(l *leaderTerm) string {
 	var b strings.Builder
 	for _, w := range l.workers.Sorted() {
 		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
-			l.c.env.Now().Sub(w.CreatedAt).Round(time.Minute))
+			l.controller.env.Now().Sub(w.CreatedAt).Round(time.Minute))
 	}
-	for _, m := range l.models {
+	for _, m := range l.machineTypes {
 		fmt.Fprintf(&b, "%s\n", api.JSON(m))
 	}
 	return b.String()
@@ -87,47 +87,47 @@
 func TestGoldenMachines(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
-		s := goldenStore{&store{world: &world{now: ident.MonotonicTime(9 * time.Hour), asked: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, limit: 16 << 10, left: 1 << 30}}
+		s := goldenStore{&recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(9 * time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, maxValueBytes: 16 << 10, txnsLeft: 1 << 30}}
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
-			w := c.lead.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
+			w := c.leader.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
 			if i != 1 {
-				c.lead.workers.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Incarnation: 1, SequenceNumber: 1})
+				c.leader.workers.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Incarnation: 1, SequenceNumber: 1})
 			}
 		}
 		s.settle(c)
 		d.Add(fmt.Sprintf("level %d", level), s.stored())
-		d.Add(fmt.Sprintf("level %d: read", level), machinesOf(s.lead(8, level).lead))
+		d.Add(fmt.Sprintf("level %d: read", level), machinesOf(s.lead(8, level).leader))
 		if level < ident.FormatPacked {
 			c = s.lead(9, ident.FormatPacked)
-			d.Add("level 0: read above it", machinesOf(c.lead))
+			d.Add("level 0: read above it", machinesOf(c.leader))
 			d.Add("level 0: written above it", s.stored())
-			c.lead.pack()
+			c.leader.enablePackedFormat()
 			s.settle(c)
 			d.Add("level 0: written as the level is raised", s.stored())
 		}
 	}
 	golden.RoundTrip(t, &d, "group", golden.Filled[groupRecord](0))
-	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, typesPrefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
+	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, machineTypesPrefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
 	d.Compare(t, "machines")
 }
 
 // asker sends requests to a node and writes the answers down.
 type asker struct {
 	c *Controller
-	w *world
+	w *fakeEnv
 	b strings.Builder
 }
 
-func (a *asker) ask(what string, v mesh.Verb, job string, body []byte) {
+func (a *asker) ask(what string, v mesh.Method, job string, body []byte) {
 	answered := false
-	a.c.Request(v, job, body, func(r Reply) {
+	a.c.HandleRequest(v, job, body, func(r Response) {
 		answered = true
-		fmt.Fprintf(&a.b, "%s: %d, retry after %d: %s\n", what, r.Status, r.Retry, r.Body)
+		fmt.Fprintf(&a.b, "%s: %d, retry after %d: %s\n", what, r.Status, r.RetryAfterS, r.Body)
 	})
-	a.c.Settle()
+	a.c.AfterEvent()
 	if !answered {
-		a.w.pass(5 * time.Second)
+		a.w.advance(5 * time.Second)
 	}
 }
 
@@ -136,7 +136,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
-		c, w := alone(level)
+		c, w := newTestLeader(level)
 		a := &asker{c: c, w: w}
 		askLeader(a)
 		d.Add(fmt.Sprintf("leader at level %d", level), a.b.String())
@@ -151,7 +151,7 @@
 
 // askLeader asks whatever a leader answers by itself.
 func askLeader(a *asker) {
-	batch := func(change ...string) []byte { return gangSpec(append(change, `"gang"`, `"batch"`)...) }
+	batch := func(change ...string) []byte { return gangSpecJSON(append(change, `"gang"`, `"batch"`)...) }
 	var many []string
 	for i := range 500 {
 		many = append(many, fmt.Sprintf("model-%04d", i))
@@ -161,39 +161,39 @@
 	a.w.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
 	a.w.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
 	a.w.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
-	a.ask("malformed submission", mesh.Submit, "", []byte("x"))
-	a.ask("field missing", mesh.Submit, "", batch(`"vcpus"`, `"x"`))
-	a.ask("gang", mesh.Submit, "", gangSpec(`"j-1"`, `"j-2"`))
-	a.ask("array", mesh.Submit, "", batch())
-	a.ask("same array", mesh.Submit, "", batch())
-	a.ask("unknown team", mesh.Submit, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
-	a.ask("over the limit", mesh.Submit, "", gangSpec(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
-	a.ask("fits no machine", mesh.Submit, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
-	a.ask("long description", mesh.Submit, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
-	a.ask("refused, and over already", mesh.Submit, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
+	a.ask("malformed submission", mesh.SubmitJob, "", []byte("x"))
+	a.ask("field missing", mesh.SubmitJob, "", batch(`"vcpus"`, `"x"`))
+	a.ask("gang", mesh.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
+	a.ask("array", mesh.SubmitJob, "", batch())
+	a.ask("same array", mesh.SubmitJob, "", batch())
+	a.ask("unknown team", mesh.SubmitJob, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
+	a.ask("over the limit", mesh.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
+	a.ask("fits no machine", mesh.SubmitJob, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
+	a.ask("long description", mesh.SubmitJob, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
+	a.ask("refused, and over already", mesh.SubmitJob, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
 	for _, id := range []string{"j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("poll "+id, mesh.Poll, id, nil)
+		a.ask("poll "+id, mesh.GetJob, id, nil)
 	}
 	for _, id := range []string{"j-1", "j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("cancel "+id, mesh.Cancel, id, nil)
+		a.ask("cancel "+id, mesh.CancelJob, id, nil)
 	}
-	a.ask("poll j-1", mesh.Poll, "j-1", nil)
-	a.ask("malformed report", mesh.Checkin, "", []byte(`{}`))
-	a.ask("report", mesh.Checkin, "", report)
+	a.ask("poll j-1", mesh.GetJob, "j-1", nil)
+	a.ask("malformed report", mesh.WorkerHeartbeat, "", []byte(`{}`))
+	a.ask("report", mesh.WorkerHeartbeat, "", report)
 	a.w.now = a.w.now.Add(time.Hour)
-	a.ask("submission to a leader that is not sure", mesh.Submit, "", batch(`"j-1"`, `"j-8"`))
-	a.ask("cancellation to a leader that is not sure", mesh.Cancel, "j-1", nil)
-	a.ask("report to a leader that is not sure", mesh.Checkin, "", report)
+	a.ask("submission to a leader that is not sure", mesh.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
+	a.ask("cancellation to a leader that is not sure", mesh.CancelJob, "j-1", nil)
+	a.ask("report to a leader that is not sure", mesh.WorkerHeartbeat, "", report)
 }
 
 // goldenFollower makes a node with a sibling that leads, if it is known.
 func goldenFollower(known bool) *asker {
-	w := &world{now: ident.MonotonicTime(1 << 40), asked: map[string]bool{}, values: map[string]string{"term": "5"}}
+	w := &fakeEnv{now: ident.MonotonicTime(1 << 40), probedAddrs: map[string]bool{}, values: map[string]string{"term": "5"}}
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
 		Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
 	if known {
-		a.c.Frame("agent-1", &mesh.Frame{Kind: mesh.Heartbeat, Node: "agent-1", Term: 5, ID: 1})
+		a.c.HandleFrame("agent-1", &mesh.Frame{Type: mesh.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 	}
 	return a
 }
@@ -204,15 +204,15 @@
 	a.w.values[jobs.LiveKey("j-80")] = live
 	a.w.values[jobs.LiveKey("j-81")] = `{}`
 	a.w.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
-	a.ask("malformed submission", mesh.Submit, "", []byte("x"))
-	a.ask("gang", mesh.Submit, "", gangSpec())
-	a.ask("array", mesh.Submit, "", gangSpec(`"gang"`, `"batch"`))
-	a.ask("cancellation", mesh.Cancel, "j-1", nil)
+	a.ask("malformed submission", mesh.SubmitJob, "", []byte("x"))
+	a.ask("gang", mesh.SubmitJob, "", gangSpecJSON())
+	a.ask("array", mesh.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
+	a.ask("cancellation", mesh.CancelJob, "j-1", nil)
 	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
-	a.ask("malformed report", mesh.Checkin, "", []byte(`{}`))
-	a.ask("report", mesh.Checkin, "", report)
+	a.ask("malformed report", mesh.WorkerHeartbeat, "", []byte(`{}`))
+	a.ask("report", mesh.WorkerHeartbeat, "", report)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
-		a.ask("poll "+id, mesh.Poll, id, nil)
+		a.ask("poll "+id, mesh.GetJob, id, nil)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	d.JSON(t, "no links", LinkReport{})
 	d.JSON(t, "no moves", MoveReport{})
-	recordedMoves := recorded(statesvc.KeyValue{Key: "moves/j-7",
+	recordedMoves := recordedMoves(statesvc.KeyValue{Key: "moves/j-7",
 		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
 	d.JSON(t, "moves on record", recordedMoves)
 	d.Compare(t, "reports")
@@ -243,16 +243,16 @@
 // TestGoldenNames pins the words of reports, of labels of metrics and of stored values.
 func TestGoldenNames(t *testing.T) {
 	var d golden.Document
-	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+links.Peer{Kind: links.Sibling, Name: "agent-1"}.String())
+	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+links.Endpoint{Kind: links.PeerNode, Name: "agent-1"}.String())
 	d.Add("directions", namesOf(links.Outbound, links.Direction.String))
 	d.Add("states of links", namesOf(links.Down, links.State.String))
 	d.Add("evidence", namesOf(links.Silence, links.Evidence.String))
-	d.Add("rows not taken", namesOf(links.Older, links.Refusal.String))
+	d.Add("rows not taken", namesOf(links.Superseded, links.MergeResult.String))
 	d.Add("authority", namesOf(authority.Active, authority.State.String))
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
 	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
-	d.Add("rounds without a plan", namesOf(restraintCount-1, restraint.String))
+	d.Add("rounds without a plan", namesOf(holdReasonCount-1, holdReason.String))
 	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
 	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
 	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
@@ -261,22 +261,22 @@
 
 // TestGoldenSnapshot pins which counters of a leader its snapshot shows.
 func TestGoldenSnapshot(t *testing.T) {
-	c, _ := alone(ident.FormatPacked)
+	c, _ := newTestLeader(ident.FormatPacked)
 	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
-	l := c.lead
+	l := c.leader
 	p := &l.planner.Stats
 	p.Planned, p.Local, p.Uncached, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.ExtraRounds = 201, 202, 203, 204, 205, 206, 207, 208, 209
 	p.FetchedGB, p.PlanTime = 210.5, 211*time.Second
 	l.fleet.Provisioned, l.fleet.Terminated, l.fleet.Fenced = 301, 302, 303
-	l.commits.Txns, l.commits.Puts, l.commits.Retries, l.commits.Rejected = 401, 402, 403, 404
+	l.committer.Txns, l.committer.Puts, l.committer.Retries, l.committer.Rejected = 401, 402, 403, 404
 	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
 	l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats = 601, 602, 603
-	s := c.Snapshot()
-	for _, pair := range [][2]uint64{{s.Forwarded, 101}, {s.Refused, 102}, {s.Elected, 103}, {s.LeasesKept, 104}, {s.Relayed, 105},
-		{s.Planned, 201}, {s.Local, 202}, {s.New, 203}, {s.Stolen, 204}, {s.Services, 205}, {s.Gangs, 206}, {s.Preempted, 207}, {s.Rounds, 208},
-		{s.ExtraRounds, 209}, {uint64(s.FetchedGB), 210}, {uint64(s.PlanSeconds), 211}, {s.Rented, 301}, {s.Returned, 302}, {s.Fenced, 303},
-		{s.Txns, 401}, {s.Puts, 402}, {s.Repeats, 403}, {s.Rejected, 404}, {s.GangsStarted, 501}, {s.GangsLost, 502}, {s.GangsReplaced, 503},
-		{s.GangsStopped, 504}, {s.Relocated, 601}, {s.Fences, 602}, {s.Stale, 603}} {
+	s := c.Stats()
+	for _, pair := range [][2]uint64{{s.Forwarded, 101}, {s.Refused, 102}, {s.TermsBegun, 103}, {s.LeasesKept, 104}, {s.Relayed, 105},
+		{s.PlacedPlanned, 201}, {s.PlacedLocal, 202}, {s.PlacedNew, 203}, {s.PlacedStolen, 204}, {s.PlacedServices, 205}, {s.PlacedGangs, 206}, {s.Preempted, 207}, {s.PlanRounds, 208},
+		{s.PlanExtraRounds, 209}, {uint64(s.FetchedGB), 210}, {uint64(s.PlanSeconds), 211}, {s.MachinesProvisioned, 301}, {s.MachinesTerminated, 302}, {s.MachinesFenced, 303},
+		{s.Txns, 401}, {s.Puts, 402}, {s.TxnRetries, 403}, {s.TxnsRejected, 404}, {s.GangsStarted, 501}, {s.GangsLost, 502}, {s.GangsReplaced, 503},
+		{s.GangsStopped, 504}, {s.TasksLost, 601}, {s.CommandFences, 602}, {s.StaleHeartbeats, 603}} {
 		if pair[0] != pair[1] {
 			t.Errorf("%d where %d is counted", pair[0], pair[1])
 		}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -21,288 +21,288 @@
 	"opaldale/internal/workers"
 )
 
-// lead is all that a leader remembers, for one term only.
-type lead struct {
-	c       *Controller
-	term    ident.Term
-	commits *commit.Committer
-	jobs    *jobs.Table
-	workers *workers.Table
-	teams   *placement.Teams
-	planner *placement.Planner
-	fleet   *fleet.Manager
+// leaderTerm is all that a leader remembers, for one term only.
+type leaderTerm struct {
+	controller *Controller
+	term       ident.Term
+	committer  *commit.Committer
+	jobs       *jobs.Table
+	workers    *workers.Table
+	teams      *placement.Teams
+	planner    *placement.Planner
+	fleet      *fleet.Manager
 
-	gangs  *gang.Table
-	raiser *upgrade.Raiser
+	gangs          *gang.Table
+	formatUpgrader *upgrade.Raiser
 
-	models  []cloud.MachineType
-	kinds   map[string]*cloud.MachineType
-	catalog *commit.Document   // of the first format
-	types   []*commit.Document // from it on: one for each machine type
+	machineTypes     []cloud.MachineType
+	machineTypeBySKU map[string]*cloud.MachineType
+	catalogDoc       *commit.Document   // of the first format
+	machineTypeDocs  []*commit.Document // from it on: one for each machine type
 
-	level      ident.FormatLevel   // the format that is written
-	valueBytes int                 // of a value, at any time
-	converted  ident.MonotonicTime // no look for jobs in the old form before
+	formatLevel      ident.FormatLevel   // the format that is written
+	maxValueBytes    int                 // of a value, at any time
+	nextConversionAt ident.MonotonicTime // no look for jobs in the old form before
 
-	groups    map[kindOf]*workers.RecordGroup // that new machines go into
-	older     []*workers.RecordGroup          // loaded, in the form of before
-	lastGroup int
+	openGroups      map[groupKey]*workers.RecordGroup // that new machines go into
+	legacyGroups    []*workers.RecordGroup            // loaded, in the form of before
+	lastGroupNumber int
 
-	ready  bool
-	dead   bool
-	began  ident.MonotonicTime
-	rested ident.MonotonicTime // no dispatch before
-	waking bool                // a timer will bring the next
-	dirty  bool                // something may be placed
-	// pending holds the users whose answers wait for the state service.
-	pending map[uint64]func(Reply)
-	lastReq uint64
+	loaded           bool
+	closed           bool
+	startedAt        ident.MonotonicTime
+	nextDispatchAt   ident.MonotonicTime // no dispatch before
+	dispatchTimerSet bool                // a timer will bring the next
+	dispatchNeeded   bool                // something may be placed
+	// pendingReplies holds the users whose answers wait for the state service.
+	pendingReplies map[uint64]func(Response)
+	lastReplyID    uint64
 
-	renewals *renewal.Registry
-	direct   ident.MonotonicTime      // when a machine last reached this node, or it one
-	missing  map[*workers.Worker]bool // alive as a sibling hears, but not reached from here since
-	probed   ident.MonotonicTime      // when one of them was last asked
+	renewals          *renewal.Registry
+	lastDirectContact ident.MonotonicTime      // when a machine last reached this node, or it one
+	unreachable       map[*workers.Worker]bool // alive as a sibling hears, but not reached from here since
+	lastReachProbe    ident.MonotonicTime      // when one of them was last asked
 
-	handover *handover.Coordinator // nil unless links are watched
-	upByZone map[string]int        // machines that should be reached
-	loads    *load.Model           // nil unless load is watched
-	mover    *mover                // nil unless load is watched
+	handover       *handover.Coordinator // nil unless links are watched
+	machinesByZone map[string]int        // machines that should be reached
+	loadModel      *load.Model           // nil unless load is watched
+	rebalancer     *rebalancer           // nil unless load is watched
 }
 
 const (
-	fleetPrefix = "fleet/"
-	catalogKey  = "catalog"
-	typesPrefix = "types/"
+	fleetPrefix        = "fleet/"
+	catalogKey         = "catalog"
+	machineTypesPrefix = "types/"
 	// convertBatch bounds the lines and headers that a tick begins to write anew in the
 	// newest form.
-	convertBatch = 50
-	convertAgain = 5 * time.Second
+	convertBatch    = 50
+	convertInterval = 5 * time.Second
 	// writeShare and opsShare leave room for lease renewals and elections.
-	writeShare   = 0.85
-	maxBacklog   = 400
-	tickEvery    = 500 * time.Millisecond
-	catalogEvery = 30 * time.Second
-	loadTime     = 3 * time.Second
-	restAfter    = 12 * time.Second
-	restFactor   = 4
-	// dispatchEvery lets what comes in short order be placed together.
-	dispatchEvery = 30 * time.Millisecond
-	aloneAfter    = 2500 * time.Millisecond
-	// maxMute bounds the machines that a leader asks at a time whether it is alone.
-	maxMute = 4
-	// directAfter is how long a leader may go without reaching a machine, or one
+	writeShare      = 0.85
+	maxBacklog      = 400
+	tickInterval    = 500 * time.Millisecond
+	catalogInterval = 30 * time.Second
+	listTimeout     = 3 * time.Second
+	candidacyPause  = 12 * time.Second
+	idleFactor      = 4
+	// dispatchInterval lets what comes in short order be placed together.
+	dispatchInterval = 30 * time.Millisecond
+	isolatedAfter    = 2500 * time.Millisecond
+	// maxIsolationProbes bounds the machines that a leader asks at a time whether it is alone.
+	maxIsolationProbes = 4
+	// directContactTimeout is how long a leader may go without reaching a machine, or one
 	// reaching it, before it suspects itself.
-	directAfter = 2 * time.Second
-	// unreached is how many machines that siblings hear must be out of its reach.
-	unreached = 3
-	// probeEvery paces the questions that find them.
-	probeEvery = 100 * time.Millisecond
+	directContactTimeout = 2 * time.Second
+	// minUnreachableMachines is how many machines that siblings hear must be out of its reach.
+	minUnreachableMachines = 3
+	// reachProbeInterval paces the questions that find them.
+	reachProbeInterval = 100 * time.Millisecond
 )
 
-func newLead(c *Controller, t ident.Term, level ident.FormatLevel, key statesvc.Compare) *lead {
-	l := &lead{c: c, term: t, level: level, began: c.env.Now(), kinds: map[string]*cloud.MachineType{}, groups: map[kindOf]*workers.RecordGroup{}, pending: map[uint64]func(Reply){},
-		renewals: renewal.NewRegistry(c.grace), direct: c.env.Now(), missing: map[*workers.Worker]bool{}, upByZone: map[string]int{}}
-	st := c.set.Cluster.Store
+func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey statesvc.Compare) *leaderTerm {
+	l := &leaderTerm{controller: c, term: term, formatLevel: level, startedAt: c.env.Now(), machineTypeBySKU: map[string]*cloud.MachineType{}, openGroups: map[groupKey]*workers.RecordGroup{}, pendingReplies: map[uint64]func(Response){},
+		renewals: renewal.NewRegistry(c.renewalGrace), lastDirectContact: c.env.Now(), unreachable: map[*workers.Worker]bool{}, machinesByZone: map[string]int{}}
+	storeSettings := c.settings.Cluster.Store
 	limits := func(s settings.StoreLimits) commit.Limits {
 		return commit.Limits{MutationsPerTxn: s.TxnOps, MutationsPerSecond: writeShare * s.WriteRPS, MaxValueBytes: int(s.ValueKB * 1024)}
 	}
-	tight := limits(st.Strictest())
-	l.valueBytes = tight.MaxValueBytes
-	l.commits = commit.New(c.env, limits(st), key, func(why string) { c.elect.Deposed(why) })
-	l.commits.ExpectLimits(tight)
-	l.commits.OnUnavailable = l.refusePending
-	l.jobs = jobs.NewTable(l.commits, limits(st).MaxValueBytes, c.env.Now, c.env.WallMS)
-	l.jobs.LimitValueBytes(l.valueBytes)
+	tight := limits(storeSettings.Strictest())
+	l.maxValueBytes = tight.MaxValueBytes
+	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(why string) { c.election.Deposed(why) })
+	l.committer.ExpectLimits(tight)
+	l.committer.OnUnavailable = l.failPendingReplies
+	l.jobs = jobs.NewTable(l.committer, limits(storeSettings).MaxValueBytes, c.env.Now, c.env.WallMS)
+	l.jobs.LimitValueBytes(l.maxValueBytes)
 	if level >= ident.FormatPacked {
-		l.commits.UseTextFormat()
+		l.committer.UseTextFormat()
 		l.jobs.UsePackedLog()
 	}
-	nodes := []ident.NodeID{c.set.Node}
-	for _, s := range c.set.Peers {
+	nodes := []ident.NodeID{c.settings.Node}
+	for _, s := range c.settings.Peers {
 		nodes = append(nodes, s.Node)
 	}
-	l.raiser = upgrade.New(c.env, t, key, nodes, l.commits.MarkDirty, l.pack)
-	l.teams = placement.NewTeams(c.set.Cluster.Teams)
-	w := c.set.Cluster.Workers
-	port := leaderPort{Env: c.env, until: c.elect.LeaseExpiry}
-	l.workers = workers.NewTable(port, l.jobs, l.workersConfig())
-	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.set.Tuning.PlanMode == "asm1", c.set.Cluster.Objectives)
-	l.planner.MaxWait, l.planner.GangWait = c.set.Tuning.StarvationTimeout, c.set.Tuning.GangPreemptAfter
+	l.formatUpgrader = upgrade.New(c.env, term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.teams = placement.NewTeams(c.settings.Cluster.Teams)
+	workerSettings := c.settings.Cluster.Workers
+	env := leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}
+	l.workers = workers.NewTable(env, l.jobs, l.workersConfig())
+	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.settings.Tuning.PlanMode == "asm1", c.settings.Cluster.Objectives)
+	l.planner.MaxWait, l.planner.GangWait = c.settings.Tuning.StarvationTimeout, c.settings.Tuning.GangPreemptAfter
 	if c.links != nil {
-		times := handover.DefaultConfig()
-		times.MinTermDuration, times.StabilizationWindow = c.set.Tuning.Links.MinLeadTime, c.set.Tuning.Links.BetterPeerFor
-		l.handover = handover.New(times, &c.links.history, c.env.Now())
+		handoverConfig := handover.DefaultConfig()
+		handoverConfig.MinTermDuration, handoverConfig.StabilizationWindow = c.settings.Tuning.Links.MinLeadTime, c.settings.Tuning.Links.BetterPeerFor
+		l.handover = handover.New(handoverConfig, &c.links.leaderHistory, c.env.Now())
 	}
-	l.watchLoad()
-	l.fleet = fleet.New(port, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
-	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.dead && c.may(authority.Launch) },
-		gang.Config{GatherTimeout: settings.Seconds(w.GangWaitS), PeerLossTimeout: settings.Seconds(w.GangPeerS), HeartbeatInterval: settings.Seconds(w.HeartbeatS)})
-	l.jobs.OnStateChange = l.move
-	l.jobs.OnWaiting = func(*jobs.Task) { l.dirty = true }
+	l.enableLoadTracking()
+	l.fleet = fleet.New(env, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
+	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.closed && c.allows(authority.Launch) },
+		gang.Config{GatherTimeout: settings.Seconds(workerSettings.GangWaitS), PeerLossTimeout: settings.Seconds(workerSettings.GangPeerS), HeartbeatInterval: settings.Seconds(workerSettings.HeartbeatS)})
+	l.jobs.OnStateChange = l.onTaskStateChange
+	l.jobs.OnWaiting = func(*jobs.Task) { l.dispatchNeeded = true }
 	return l
 }
 
 // workersConfig says what the table of machines needs of the leader.
-func (l *lead) workersConfig() workers.Config {
-	c := l.c
+func (l *leaderTerm) workersConfig() workers.Config {
+	c := l.controller
 	return workers.Config{
 		Term:              l.term,
-		LeaseDuration:     settings.Seconds(c.set.Cluster.Workers.LeaseS),
-		LeaderGrace:       c.grace,
-		Catalog:           func(m string) *cloud.MachineType { return l.kinds[m] },
-		OnDeposed:         func() { c.elect.Deposed("a worker has seen a later term") },
-		OnCapacityChanged: func() { l.dirty = true },
-		OnTaskFailed:      l.failed,
+		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
+		LeaderGrace:       c.renewalGrace,
+		Catalog:           func(m string) *cloud.MachineType { return l.machineTypeBySKU[m] },
+		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
+		OnCapacityChanged: func() { l.dispatchNeeded = true },
+		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
-			if l.mover != nil {
-				l.mover.completed(t, w)
+			if l.rebalancer != nil {
+				l.rebalancer.noteCompletion(t, w)
 			}
 		},
-		Persist:         l.commitWorker,
-		OnCommandResult: l.asked,
+		Persist:         l.commitMachine,
+		OnCommandResult: l.noteCommandOutcome,
 		LastPeerRenewal: func() ident.MonotonicTime { return l.renewals.LatestRenewal(c.env.Now()) },
 	}
 }
 
 // fleetConfig says what renting and returning needs of the leader.
-func (l *lead) fleetConfig() fleet.Config {
-	c := l.c
+func (l *leaderTerm) fleetConfig() fleet.Config {
+	c := l.controller
 	config := fleet.Config{
 		Term:             l.term,
-		Tuning:           c.set.Tuning,
-		Cloud:            c.set.Cluster.Cloud,
-		Workers:          c.set.Cluster.Workers,
-		Catalog:          func() []cloud.MachineType { return l.models },
-		ReachableViaPeer: l.reached,
-		ZonePeersSilent:  l.stranded,
-		DirectContact:    func() bool { return c.env.Now().Sub(l.direct) < directAfter },
+		Tuning:           c.settings.Tuning,
+		Cloud:            c.settings.Cluster.Cloud,
+		Workers:          c.settings.Cluster.Workers,
+		Catalog:          func() []cloud.MachineType { return l.machineTypes },
+		ReachableViaPeer: l.peersHeardOrResign,
+		ZonePeersSilent:  l.zonePeersSilent,
+		DirectContact:    func() bool { return c.env.Now().Sub(l.lastDirectContact) < directContactTimeout },
 		Objective:        l.planner.Objective,
 		Movable: func(t *jobs.Task, from *workers.Worker) bool {
-			return c.may(authority.Place) && l.planner.Movable(t, from)
+			return c.allows(authority.Place) && l.planner.Movable(t, from)
 		},
-		Drain:              l.drain,
+		Drain:              l.drainBeforeReclaim,
 		SetServiceHeadroom: func(zone string, cpus float64) { l.planner.ServiceHeadroom[zone] = cpus },
 	}
 	if c.links != nil {
-		config.ZoneUnreachable, config.LocallyUnreachable = l.unheard, l.blind
+		config.ZoneUnreachable, config.LocallyUnreachable = l.zoneUnreachable, l.zoneReachedByPeersOnly
 	}
 	return config
 }
 
-func (l *lead) close() {
-	l.dead = true
-	l.commits.Stop()
+func (l *leaderTerm) close() {
+	l.closed = true
+	l.committer.Stop()
 	l.workers.Close()
 	l.fleet.Close()
-	l.raiser.Close()
-	l.refusePending()
+	l.formatUpgrader.Close()
+	l.failPendingReplies()
 }
 
-// pack goes over to the format of ident.FormatPacked, now that it is in force. It goes with
+// enablePackedFormat goes over to the format of ident.FormatPacked, now that it is in force. It goes with
 // the first format.
-func (l *lead) pack() {
-	if l.dead {
+func (l *leaderTerm) enablePackedFormat() {
+	if l.closed {
 		return
 	}
-	l.level = ident.FormatPacked
-	l.c.level = max(l.c.level, l.level)
-	l.commits.UseTextFormat()
+	l.formatLevel = ident.FormatPacked
+	l.controller.formatLevel = max(l.controller.formatLevel, l.formatLevel)
+	l.committer.UseTextFormat()
 	l.jobs.UsePackedLog()
-	l.fitGroups()
-	l.storeCatalog()
+	l.rewriteAllGroups()
+	l.writeCatalog()
 }
 
-func (l *lead) tick() {
-	if l.dead {
+func (l *leaderTerm) tick() {
+	if l.closed {
 		return
 	}
-	next := tickEvery
-	if l.c.links != nil {
-		l.countUp()
+	delay := tickInterval
+	if l.controller.links != nil {
+		l.countMachinesByZone()
 	}
-	l.judgeLoad()
-	if l.c.links == nil && l.c.elect.LeaseValid() && l.alone() {
-		l.c.elect.Resign(restAfter, "nobody is heard")
+	l.evaluateLoad()
+	if l.controller.links == nil && l.controller.election.LeaseValid() && l.isolated() {
+		l.controller.election.Resign(candidacyPause, "nobody is heard")
 		return
 	}
-	if l.c.mayTend() {
-		began := l.c.env.Now()
+	if l.controller.mayManageFleet() {
+		began := l.controller.env.Now()
 		l.jobs.ClearProvenHealthy()
 		l.fleet.Tick()
 		l.gangs.Tick()
-		if l.level >= ident.FormatPacked && began > l.converted && l.commits.HasSpareCapacity() && !l.jobs.ConvertToLog(convertBatch) {
-			l.converted = began.Add(convertAgain)
+		if l.formatLevel >= ident.FormatPacked && began > l.nextConversionAt && l.committer.HasSpareCapacity() && !l.jobs.ConvertToLog(convertBatch) {
+			l.nextConversionAt = began.Add(convertInterval)
 		}
-		l.dirty = true
-		next = max(next, restFactor*l.c.env.Now().Sub(began))
+		l.dispatchNeeded = true
+		delay = max(delay, idleFactor*l.controller.env.Now().Sub(began))
 	}
-	l.c.env.After(next, l.tick)
+	l.controller.env.After(delay, l.tick)
 }
 
-func (l *lead) roundLater() {
-	l.c.env.After(l.c.set.Tuning.PlanInterval, func() {
-		if l.dead {
+func (l *leaderTerm) schedulePlanningRound() {
+	l.controller.env.After(l.controller.settings.Tuning.PlanInterval, func() {
+		if l.closed {
 			return
 		}
-		if l.c.may(authority.Launch) {
+		if l.controller.allows(authority.Launch) {
 			l.planner.Round()
-			if l.mover != nil {
-				l.mover.propose()
+			if l.rebalancer != nil {
+				l.rebalancer.planRound()
 			}
-			l.dirty = true
+			l.dispatchNeeded = true
 			if l.planner.Stats.Rounds%12 == 0 {
 				s := l.planner.Stats
-				waits, limited, free := l.idleness()
+				waits, limited, free := l.capacitySummary()
 				slog.Debug("room", "waiting", waits, "at_limit", limited, "free_vcpus", free)
 				slog.Debug("figures", "planned", s.Planned, "local", s.Local, "new", s.Uncached, "stolen", s.Stolen, "services", s.Services,
 					"rounds", s.Rounds, "extra", s.ExtraRounds, "fetched_gb", s.FetchedGB, "plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 			}
 		}
-		l.roundLater()
+		l.schedulePlanningRound()
 	})
 }
 
-// idleness says how many tasks wait, how many of them for their team's limit, and how
+// capacitySummary says how many tasks wait, how many of them for their team's limit, and how
 // much room there is.
-func (l *lead) idleness() (waits, limited int, free float64) {
+func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
 		n := j.WaitingCount()
-		waits += n
-		limited += n - min(n, l.teams.RemainingTasks(j.Spec))
+		waiting += n
+		atQuota += n - min(n, l.teams.RemainingTasks(j.Spec))
 	}
 	for _, w := range l.workers.Sorted() {
-		if w.Schedulable(l.c.env.Now()) && w.Type != nil {
-			free += w.Type.VCPUs - w.VCPUs
+		if w.Schedulable(l.controller.env.Now()) && w.Type != nil {
+			freeVCPUs += w.Type.VCPUs - w.VCPUs
 		}
 	}
-	return waits, limited, free
+	return waiting, atQuota, freeVCPUs
 }
 
-func (l *lead) settle() {
-	if l.dead {
+func (l *leaderTerm) afterEvent() {
+	if l.closed {
 		return
 	}
-	if l.ready {
+	if l.loaded {
 		l.gangs.ProcessChanges()
-		if l.mover != nil {
-			l.mover.advance()
+		if l.rebalancer != nil {
+			l.rebalancer.advance()
 		}
 	}
 	// While nothing gets durable nothing can be launched, and what would be stopped
 	// for it would be stopped for nothing.
-	if l.dirty && l.c.may(authority.Place) {
-		now := l.c.env.Now()
+	if l.dispatchNeeded && l.controller.allows(authority.Place) {
+		now := l.controller.env.Now()
 		switch {
-		case now >= l.rested:
-			l.dirty = l.planner.Dispatch()
+		case now >= l.nextDispatchAt:
+			l.dispatchNeeded = l.planner.Dispatch()
 			// With thousands of jobs waiting a dispatch is long. It may take a
 			// part of the time only, or the lease is not renewed for it.
-			done := l.c.env.Now()
-			l.rested = done.Add(max(dispatchEvery, restFactor*done.Sub(now)))
-		case !l.waking:
-			l.waking = true
-			l.c.env.After(l.rested.Sub(now), func() { l.waking = false })
+			done := l.controller.env.Now()
+			l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
+		case !l.dispatchTimerSet:
+			l.dispatchTimerSet = true
+			l.controller.env.After(l.nextDispatchAt.Sub(now), func() { l.dispatchTimerSet = false })
 		}
 	}
-	l.commits.Flush()
+	l.committer.Flush()
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -19,406 +19,406 @@
 )
 
 const (
-	// evaluateEvery paces the verdicts on links.
-	evaluateEvery = 250 * time.Millisecond
-	// probeStateAfter, probeMachinesAfter and probeCloudAfter are how long a link goes
+	// evaluateInterval paces the verdicts on links.
+	evaluateInterval = 250 * time.Millisecond
+	// probeStoreAfter, probeMachinesAfter and probeCloudAfter are how long a link goes
 	// without any traffic before it is probed.
-	probeStateAfter    = time.Second
+	probeStoreAfter    = time.Second
 	probeMachinesAfter = 1500 * time.Millisecond
 	probeCloudAfter    = 5 * time.Second
-	// doubtAfter is how long a machine may take to answer before others of its zone are
+	// zoneProbeOverdueAfter is how long a machine may take to answer before others of its zone are
 	// asked, so that one lost machine is not taken for a lost zone.
-	doubtAfter = 300 * time.Millisecond
-	// doubtEvery paces the questions to all witnesses of a zone while one of its machines is
+	zoneProbeOverdueAfter = 300 * time.Millisecond
+	// zoneProbeInterval paces the questions to all witnesses of a zone while one of its machines is
 	// late.
-	doubtEvery = 500 * time.Millisecond
-	// sampleEvery paces the reports that a follower reads to learn their zone.
-	sampleEvery = 500 * time.Millisecond
-	// capableEvery paces the look for siblings that can read frames about links.
-	capableEvery = 3 * time.Second
-	// hesitation is for how long a node whose own link to the state service is damped lets
+	zoneProbeInterval = 500 * time.Millisecond
+	// sampleInterval paces the reports that a follower reads to learn their zone.
+	sampleInterval = 500 * time.Millisecond
+	// capabilityCheckInterval paces the look for siblings that can read frames about links.
+	capabilityCheckInterval = 3 * time.Second
+	// dampedCandidacyDelay is for how long a node whose own link to the state service is damped lets
 	// others claim the lead first.
-	hesitation = 2 * time.Second
-	// witnessesPerZone is how many machines of each zone a leader names to its siblings.
-	witnessesPerZone = 3
-	// maxWitnessZones bounds the zones of which it does.
-	maxWitnessZones = links.MaxWitnesses / witnessesPerZone
+	dampedCandidacyDelay = 2 * time.Second
+	// probeTargetsPerZone is how many machines of each zone a leader names to its siblings.
+	probeTargetsPerZone = 3
+	// maxProbeTargetZones bounds the zones of which it does.
+	maxProbeTargetZones = links.MaxProbeTargets / probeTargetsPerZone
 )
 
 var (
-	stateLink = links.Peer{Kind: links.StateService}
-	cloudLink = links.Peer{Kind: links.Cloud}
+	storeEndpoint = links.Endpoint{Kind: links.KVStore}
+	cloudEndpoint = links.Endpoint{Kind: links.Cloud}
 )
 
-func siblingLink(n ident.NodeID) links.Peer {
-	return links.Peer{Kind: links.Sibling, Name: string(n)}
+func peerEndpoint(n ident.NodeID) links.Endpoint {
+	return links.Endpoint{Kind: links.PeerNode, Name: string(n)}
 }
 
-func machinesLink(zone string) links.Peer {
-	return links.Peer{Kind: links.Machines, Name: zone}
+func machinesEndpoint(zone string) links.Endpoint {
+	return links.Endpoint{Kind: links.Machines, Name: zone}
 }
 
-// linkView is what a node knows of its own links and of its siblings'.
-type linkView struct {
-	c           *Controller
-	monitor     *links.Monitor
-	view        *links.View
-	history     handover.History
-	incarnation uint64
-	sequence    uint64
-	capable     map[ident.NodeID]bool // siblings that can read frames about links
-	looked      ident.MonotonicTime   // when those were last looked for
-	looking     bool
-	sampled     ident.MonotonicTime // when a report was last read for its zone
-	recent      map[string][]links.Witness
-	doubted     map[string]ident.MonotonicTime // when all witnesses of a zone were last asked
-	refusals    map[links.Refusal]uint64       // rows that were not taken
-	undated     uint64                         // messages of rows that echoed nothing of this node
-	records     []HandoverRecord
-	handovers   uint64 // terms that were ended by choice
+// linkTracker is what a node knows of its own links and of its siblings'.
+type linkTracker struct {
+	controller             *Controller
+	monitor                *links.Monitor
+	advertisements         *links.Database
+	leaderHistory          handover.History
+	incarnation            uint64
+	sequence               uint64
+	linkCapable            map[ident.NodeID]bool // siblings that can read frames about links
+	capabilityCheckedAt    ident.MonotonicTime   // when those were last looked for
+	capabilityCheckPending bool
+	sampledAt              ident.MonotonicTime // when a report was last read for its zone
+	probeTargets           map[string][]links.ProbeTarget
+	zoneProbedAt           map[string]ident.MonotonicTime // when all witnesses of a zone were last asked
+	droppedByReason        map[links.MergeResult]uint64   // rows that were not taken
+	droppedUndated         uint64                         // messages of rows that echoed nothing of this node
+	handoverRecords        []HandoverRecord
+	handoverCount          uint64 // terms that were ended by choice
 }
 
-// newLinkView makes the view of a node; its own clock and the wall clock at its start tell
+// newLinkTracker makes the view of a node; its own clock and the wall clock at its start tell
 // its processes apart.
-func newLinkView(c *Controller) *linkView {
-	tuning := c.set.Tuning.Links
-	v := &linkView{
-		c:           c,
-		monitor:     links.NewMonitor(links.Config{Pause: tuning.SuspectAfter, HalfLife: tuning.PenaltyHalfLife}),
-		incarnation: uint64(max(1, c.env.WallMS())),
-		capable:     map[ident.NodeID]bool{},
-		recent:      map[string][]links.Witness{},
-		doubted:     map[string]ident.MonotonicTime{},
-		refusals:    map[links.Refusal]uint64{},
+func newLinkTracker(c *Controller) *linkTracker {
+	tuning := c.settings.Tuning.Links
+	v := &linkTracker{
+		controller:      c,
+		monitor:         links.NewMonitor(links.Config{SuspectGrace: tuning.SuspectAfter, HalfLife: tuning.PenaltyHalfLife}),
+		incarnation:     uint64(max(1, c.env.WallMS())),
+		linkCapable:     map[ident.NodeID]bool{},
+		probeTargets:    map[string][]links.ProbeTarget{},
+		zoneProbedAt:    map[string]ident.MonotonicTime{},
+		droppedByReason: map[links.MergeResult]uint64{},
 	}
-	v.view = links.NewView(c.siblings())
-	v.monitor.Watch(stateLink)
-	v.monitor.Watch(cloudLink)
-	for _, n := range c.siblings() {
-		v.monitor.Watch(siblingLink(n))
+	v.advertisements = links.NewDatabase(c.peerIDs())
+	v.monitor.Watch(storeEndpoint)
+	v.monitor.Watch(cloudEndpoint)
+	for _, n := range c.peerIDs() {
+		v.monitor.Watch(peerEndpoint(n))
 	}
 	return v
 }
 
-// siblings returns the names of the other nodes.
-func (c *Controller) siblings() []ident.NodeID {
-	out := make([]ident.NodeID, 0, len(c.set.Peers))
-	for _, s := range c.set.Peers {
+// peerIDs returns the names of the other nodes.
+func (c *Controller) peerIDs() []ident.NodeID {
+	out := make([]ident.NodeID, 0, len(c.settings.Peers))
+	for _, s := range c.settings.Peers {
 		out = append(out, s.Node)
 	}
 	return out
 }
 
-// observedEnv is the world of a node whose links are watched: what is sent and answered is
+// monitoredEnv is the world of a node whose links are watched: what is sent and answered is
 // evidence.
-type observedEnv struct {
+type monitoredEnv struct {
 	Env
-	view *linkView
+	tracker *linkTracker
 }
 
 // Store sends a request to the state service. A long poll says nothing by taking long.
-func (e observedEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (e monitoredEnv) Store(r statesvc.Request, done func(statesvc.Response)) {
 	if r.Op == statesvc.Watch {
-		e.Env.Store(r, f)
+		e.Env.Store(r, done)
 		return
 	}
 	sent := e.Now()
-	e.view.monitor.Sent(stateLink, sent)
-	e.Env.Store(r, func(a statesvc.Response) {
+	e.tracker.monitor.Sent(storeEndpoint, sent)
+	e.Env.Store(r, func(response statesvc.Response) {
 		switch {
-		case a.Outcome == statesvc.Unavailable:
-			e.view.monitor.Refused(stateLink, sent, e.Now())
-		case a.Outcome != statesvc.NoAnswer:
-			e.view.monitor.Answered(stateLink, sent, e.Now())
-		case a.ConnectionRefused:
-			e.view.monitor.Rejected(stateLink, e.Now())
+		case response.Outcome == statesvc.Unavailable:
+			e.tracker.monitor.AnsweredWithError(storeEndpoint, sent, e.Now())
+		case response.Outcome != statesvc.NoAnswer:
+			e.tracker.monitor.Answered(storeEndpoint, sent, e.Now())
+		case response.ConnectionRefused:
+			e.tracker.monitor.ConnectionRefused(storeEndpoint, e.Now())
 		}
-		f(a)
+		done(response)
 	})
 }
 
 // Cloud sends a request to the cloud.
-func (e observedEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
+func (e monitoredEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	sent := e.Now()
-	e.view.monitor.Sent(cloudLink, sent)
-	e.Env.Cloud(r, func(a cloud.Response) {
+	e.tracker.monitor.Sent(cloudEndpoint, sent)
+	e.Env.Cloud(r, func(response cloud.Response) {
 		switch {
-		case a.Outcome == cloud.NotSent:
-			e.view.monitor.Withdrawn(cloudLink, sent)
-		case a.Outcome == cloud.Unavailable:
-			e.view.monitor.Refused(cloudLink, sent, e.Now())
-		case a.Outcome != cloud.NoAnswer:
-			e.view.monitor.Answered(cloudLink, sent, e.Now())
-		case a.ConnectionRefused:
-			e.view.monitor.Rejected(cloudLink, e.Now())
+		case response.Outcome == cloud.NotSent:
+			e.tracker.monitor.Unsent(cloudEndpoint, sent)
+		case response.Outcome == cloud.Unavailable:
+			e.tracker.monitor.AnsweredWithError(cloudEndpoint, sent, e.Now())
+		case response.Outcome != cloud.NoAnswer:
+			e.tracker.monitor.Answered(cloudEndpoint, sent, e.Now())
+		case response.ConnectionRefused:
+			e.tracker.monitor.ConnectionRefused(cloudEndpoint, e.Now())
 		}
-		f(a)
+		done(response)
 	})
 }
 
 // Worker sends a command to a machine. A refused connection is that machine's matter, not
 // its zone's, and shows that the network carries both ways.
-func (e observedEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
-	if c.Zone == "" {
-		e.Env.Worker(c, f)
+func (e monitoredEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
+	if command.Zone == "" {
+		e.Env.Worker(command, done)
 		return
 	}
-	zone, sent := machinesLink(c.Zone), e.Now()
-	e.view.monitor.Sent(zone, sent)
-	e.Env.Worker(c, func(a workers.CommandResult) {
+	zone, sent := machinesEndpoint(command.Zone), e.Now()
+	e.tracker.monitor.Sent(zone, sent)
+	e.Env.Worker(command, func(response workers.CommandResult) {
 		switch {
-		case a.NotSent:
-			e.view.monitor.Withdrawn(zone, sent)
-		case a.Status != 0 || a.ConnectionRefused:
-			e.view.monitor.Answered(zone, sent, e.Now())
+		case response.NotSent:
+			e.tracker.monitor.Unsent(zone, sent)
+		case response.Status != 0 || response.ConnectionRefused:
+			e.tracker.monitor.Answered(zone, sent, e.Now())
 		}
-		f(a)
+		done(response)
 	})
 }
 
 // evaluate brings the verdicts up to date, probes what carries no traffic, and has a leader
 // compare itself with its siblings; again and again, once it is called.
-func (v *linkView) evaluate() {
-	now := v.c.env.Now()
+func (v *linkTracker) evaluate() {
+	now := v.controller.env.Now()
 	for _, change := range v.monitor.Evaluate(now) {
-		logChange(change)
+		logVerdictChange(change)
 	}
-	v.probe(now)
-	v.findCapable(now)
-	if l := v.c.lead; l != nil && l.ready {
-		l.compare(now)
+	v.probeIdleLinks(now)
+	v.refreshCapabilities(now)
+	if l := v.controller.leader; l != nil && l.loaded {
+		l.evaluateHandover(now)
 	}
-	v.c.authorityNow()
-	v.c.env.After(evaluateEvery, v.evaluate)
+	v.controller.updateAuthority()
+	v.controller.env.After(evaluateInterval, v.evaluate)
 }
 
-// logChange writes one line for each change of a verdict; those that are only a suspicion
+// logVerdictChange writes one line for each change of a verdict; those that are only a suspicion
 // matter to nobody but who looks for them.
-func logChange(c links.Change) {
+func logVerdictChange(change links.VerdictChange) {
 	level := slog.LevelInfo
-	if c.From.State != links.Down && c.To.State != links.Down {
+	if change.From.State != links.Down && change.To.State != links.Down {
 		level = slog.LevelDebug
 	}
-	slog.Log(context.Background(), level, "link", "peer", c.Peer.String(), "direction", c.Direction.String(),
-		"from", c.From.State.String(), "to", c.To.State.String(), "evidence", c.To.Evidence.String(), "damped", c.To.Damped)
+	slog.Log(context.Background(), level, "link", "peer", change.Endpoint.String(), "direction", change.Direction.String(),
+		"from", change.From.State.String(), "to", change.To.State.String(), "evidence", change.To.Evidence.String(), "damped", change.To.Damped)
 }
 
-// probe asks where there is no traffic to judge by.
-func (v *linkView) probe(now ident.MonotonicTime) {
-	if v.monitor.Idle(stateLink, now, probeStateAfter) {
-		v.c.look()
+// probeIdleLinks asks where there is no traffic to judge by.
+func (v *linkTracker) probeIdleLinks(now ident.MonotonicTime) {
+	if v.monitor.Idle(storeEndpoint, now, probeStoreAfter) {
+		v.controller.probeStore()
 	}
-	if v.monitor.Idle(cloudLink, now, probeCloudAfter) {
-		v.c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(cloud.Response) {})
+	if v.monitor.Idle(cloudEndpoint, now, probeCloudAfter) {
+		v.controller.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(cloud.Response) {})
 	}
-	byZone := v.witnesses(now)
+	byZone := v.probeTargetsByZone(now)
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		link, witnesses := machinesLink(zone), byZone[zone]
+		link, witnesses := machinesEndpoint(zone), byZone[zone]
 		switch {
 		case len(witnesses) == 0:
-		case v.monitor.Overdue(link, now) > doubtAfter:
-			if now.Sub(v.doubted[zone]) < doubtEvery {
+		case v.monitor.Overdue(link, now) > zoneProbeOverdueAfter:
+			if now.Sub(v.zoneProbedAt[zone]) < zoneProbeInterval {
 				continue
 			}
-			v.doubted[zone] = now
+			v.zoneProbedAt[zone] = now
 			for _, w := range witnesses {
-				v.ask(w)
+				v.probeMachine(w)
 			}
 		case v.monitor.Idle(link, now, probeMachinesAfter):
-			v.ask(witnesses[v.c.rng.IntN(len(witnesses))])
+			v.probeMachine(witnesses[v.controller.rng.IntN(len(witnesses))])
 		}
 	}
 }
 
-// ask sends a machine a command without orders, under no token: it is answered with a report
+// probeMachine sends a machine a command without orders, under no token: it is answered with a report
 // and carried out by nobody.
-func (v *linkView) ask(w links.Witness) {
-	command := workers.CommandCall{Addr: w.Address, Zone: w.Zone, Body: api.CommandRequest{Incarnation: 1, Commands: []api.Command{}}}
-	v.c.env.Worker(command, func(a workers.CommandResult) {
+func (v *linkTracker) probeMachine(target links.ProbeTarget) {
+	command := workers.CommandCall{Addr: target.Address, Zone: target.Zone, Body: api.CommandRequest{Incarnation: 1, Commands: []api.Command{}}}
+	v.controller.env.Worker(command, func(a workers.CommandResult) {
 		if a.Status == 0 {
-			v.drop(w)
+			v.removeProbeTarget(target)
 		}
 	})
 }
 
-// drop forgets a witness that didn't answer: it may be gone. (With one of two gone, its zone
+// removeProbeTarget forgets a witness that didn't answer: it may be gone. (With one of two gone, its zone
 // was found down for the other's being asked too seldom, and the lead moved for it.)
-func (v *linkView) drop(w links.Witness) {
-	v.recent[w.Zone] = slices.DeleteFunc(v.recent[w.Zone], func(o links.Witness) bool { return o == w })
+func (v *linkTracker) removeProbeTarget(target links.ProbeTarget) {
+	v.probeTargets[target.Zone] = slices.DeleteFunc(v.probeTargets[target.Zone], func(other links.ProbeTarget) bool { return other == target })
 }
 
-// witnesses returns, by zone, machines that this node may ask: those whose reports came
+// probeTargetsByZone returns, by zone, machines that this node may ask: those whose reports came
 // here, and those that the leader names.
-func (v *linkView) witnesses(now ident.MonotonicTime) map[string][]links.Witness {
-	out := map[string][]links.Witness{}
-	for zone, list := range v.recent {
-		out[zone] = append(out[zone], list...)
+func (v *linkTracker) probeTargetsByZone(now ident.MonotonicTime) map[string][]links.ProbeTarget {
+	byZone := map[string][]links.ProbeTarget{}
+	for zone, list := range v.probeTargets {
+		byZone[zone] = append(byZone[zone], list...)
 	}
-	if v.c.lead != nil {
-		return out
+	if v.controller.leader != nil {
+		return byZone
 	}
-	for _, r := range v.view.Rows(now) {
-		for _, w := range r.Witnesses {
-			out[w.Zone] = append(out[w.Zone], w)
+	for _, r := range v.advertisements.Advertisements(now) {
+		for _, w := range r.ProbeTargets {
+			byZone[w.Zone] = append(byZone[w.Zone], w)
 		}
 	}
-	return out
+	return byZone
 }
 
-// reported notes a machine's report; one that came from the machine itself shows that its
+// noteWorkerHeartbeat notes a machine's report; one that came from the machine itself shows that its
 // zone is heard.
-func (v *linkView) reported(r *api.Heartbeat, direct bool) {
+func (v *linkTracker) noteWorkerHeartbeat(heartbeat *api.Heartbeat, direct bool) {
 	if direct {
-		v.monitor.Heard(machinesLink(r.Zone), v.c.env.Now())
+		v.monitor.Received(machinesEndpoint(heartbeat.Zone), v.controller.env.Now())
 	}
-	w := links.Witness{Zone: r.Zone, Address: r.Addr}
-	list := v.recent[r.Zone]
-	for _, known := range list {
-		if known == w {
+	target := links.ProbeTarget{Zone: heartbeat.Zone, Address: heartbeat.Addr}
+	targets := v.probeTargets[heartbeat.Zone]
+	for _, known := range targets {
+		if known == target {
 			return
 		}
 	}
-	if len(list) >= witnessesPerZone {
-		list = list[1:]
+	if len(targets) >= probeTargetsPerZone {
+		targets = targets[1:]
 	}
-	v.recent[r.Zone] = append(list, w)
+	v.probeTargets[heartbeat.Zone] = append(targets, target)
 }
 
-// sample reads some of the reports that a follower passes on.
-func (v *linkView) sample(body []byte) {
-	now := v.c.env.Now()
-	if now.Sub(v.sampled) < sampleEvery {
+// sampleWorkerHeartbeat reads some of the reports that a follower passes on.
+func (v *linkTracker) sampleWorkerHeartbeat(body []byte) {
+	now := v.controller.env.Now()
+	if now.Sub(v.sampledAt) < sampleInterval {
 		return
 	}
-	v.sampled = now
-	if r, err := api.ParseHeartbeat(body); err == nil {
-		v.reported(r, true)
+	v.sampledAt = now
+	if heartbeat, err := api.ParseHeartbeat(body); err == nil {
+		v.noteWorkerHeartbeat(heartbeat, true)
 	}
 }
 
-// findCapable looks for siblings that can read frames about links, until all can.
-func (v *linkView) findCapable(now ident.MonotonicTime) {
-	if v.looking || len(v.capable) == len(v.c.peers) && v.c.level >= ident.FormatPacked || v.looked > 0 && now.Sub(v.looked) < capableEvery {
+// refreshCapabilities looks for siblings that can read frames about links, until all can.
+func (v *linkTracker) refreshCapabilities(now ident.MonotonicTime) {
+	if v.capabilityCheckPending || len(v.linkCapable) == len(v.controller.peers) && v.controller.formatLevel >= ident.FormatPacked || v.capabilityCheckedAt > 0 && now.Sub(v.capabilityCheckedAt) < capabilityCheckInterval {
 		return
 	}
-	v.looked, v.looking = now, true
-	v.c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: upgrade.NodeKeyPrefix, Timeout: commitTime}, func(r statesvc.Response) {
-		v.looking = false
+	v.capabilityCheckedAt, v.capabilityCheckPending = now, true
+	v.controller.env.Store(statesvc.Request{Op: statesvc.List, Prefix: upgrade.NodeKeyPrefix, Timeout: storeTimeout}, func(r statesvc.Response) {
+		v.capabilityCheckPending = false
 		if r.Outcome != statesvc.OK {
 			return
 		}
 		for n, frames := range upgrade.FrameCapabilities(r.KeyValues) {
-			if v.c.peers[n] != nil && frames >= mesh.LinksCapability {
-				v.capable[n] = true
+			if v.controller.peers[n] != nil && frames >= mesh.LinkStateCapability {
+				v.linkCapable[n] = true
 			}
 		}
 	})
-	if v.c.level < ident.FormatPacked {
-		v.c.readLevel(func() {})
+	if v.controller.formatLevel < ident.FormatPacked {
+		v.controller.refreshFormatLevel(func() {})
 	}
 }
 
-// speaks says whether a sibling can be told of links.
-func (v *linkView) speaks(n ident.NodeID) bool {
-	return v.capable[n] && v.c.level >= ident.FormatPacked
+// supportsLinks says whether a sibling can be told of links.
+func (v *linkTracker) supportsLinks(n ident.NodeID) bool {
+	return v.linkCapable[n] && v.controller.formatLevel >= ident.FormatPacked
 }
 
-// row makes this node's row.
-func (v *linkView) row(now ident.MonotonicTime) links.Row {
+// ownAdvertisement makes this node's row.
+func (v *linkTracker) ownAdvertisement(now ident.MonotonicTime) links.Advertisement {
 	v.sequence++
-	r := v.monitor.Row(v.c.set.Node, v.incarnation, v.sequence)
-	r.Links = r.Links[:min(len(r.Links), links.MaxLinks)]
-	if v.c.lead == nil {
-		return r
+	advertisement := v.monitor.Advertisement(v.controller.settings.Node, v.incarnation, v.sequence)
+	advertisement.Links = advertisement.Links[:min(len(advertisement.Links), links.MaxLinks)]
+	if v.controller.leader == nil {
+		return advertisement
 	}
-	zones := slices.Sorted(maps.Keys(v.recent))
-	for _, zone := range zones[:min(len(zones), maxWitnessZones)] {
-		r.Witnesses = append(r.Witnesses, v.recent[zone]...)
+	zones := slices.Sorted(maps.Keys(v.probeTargets))
+	for _, zone := range zones[:min(len(zones), maxProbeTargetZones)] {
+		advertisement.ProbeTargets = append(advertisement.ProbeTargets, v.probeTargets[zone]...)
 	}
-	return r
+	return advertisement
 }
 
-// send tells a sibling this node's row, and those of the others.
-func (v *linkView) send(n ident.NodeID, own links.Row, now ident.MonotonicTime) {
-	if !v.speaks(n) {
+// sendAdvertisements tells a sibling this node's row, and those of the others.
+func (v *linkTracker) sendAdvertisements(peerID ident.NodeID, ownAdvertisement links.Advertisement, now ident.MonotonicTime) {
+	if !v.supportsLinks(peerID) {
 		return
 	}
-	rows := []links.Row{own}
-	for _, r := range v.view.Rows(now) {
-		if r.Origin != n && len(rows) < links.MaxRows {
-			r.Witnesses = nil
-			rows = append(rows, r)
+	advertisements := []links.Advertisement{ownAdvertisement}
+	for _, received := range v.advertisements.Advertisements(now) {
+		if received.Origin != peerID && len(advertisements) < links.MaxAdvertisements {
+			received.ProbeTargets = nil
+			advertisements = append(advertisements, received)
 		}
 	}
-	v.c.env.Mesh(n, &mesh.Frame{Kind: mesh.Links, ID: v.c.peers[n].beat, Rows: rows})
+	v.controller.env.SendPeer(peerID, &mesh.Frame{Type: mesh.MsgLinkState, ID: v.controller.peers[peerID].lastHeartbeatID, LinkState: advertisements})
 }
 
-// take merges the rows that a sibling sends. They were made after it had heard the heartbeat
+// mergeAdvertisements merges the rows that a sibling sends. They were made after it had heard the heartbeat
 // that it names; without one of ours of late there is nothing to date them by.
-func (v *linkView) take(f *mesh.Frame) {
-	now := v.c.env.Now()
-	at, ok := v.c.heartbeats.SentAt(f.ID)
+func (v *linkTracker) mergeAdvertisements(frame *mesh.Frame) {
+	now := v.controller.env.Now()
+	sentAt, ok := v.controller.sentHeartbeats.SentAt(frame.ID)
 	if !ok {
-		v.undated++
+		v.droppedUndated++
 		return
 	}
-	for _, r := range f.Rows {
-		r.Age += now.Sub(at)
-		if refusal := v.view.Merge(r, now); refusal != links.Taken && r.Origin != v.c.set.Node {
-			v.refusals[refusal]++
+	for _, advertisement := range frame.LinkState {
+		advertisement.Age += now.Sub(sentAt)
+		if result := v.advertisements.Merge(advertisement, now); result != links.Accepted && advertisement.Origin != v.controller.settings.Node {
+			v.droppedByReason[result]++
 		}
 	}
 }
 
-// hesitate returns for how long others may claim the lead first.
-func (v *linkView) hesitate() time.Duration {
-	if v.monitor.Verdict(stateLink, links.Outbound).Damped {
-		return hesitation
+// candidacyDelay returns for how long others may claim the lead first.
+func (v *linkTracker) candidacyDelay() time.Duration {
+	if v.monitor.Verdict(storeEndpoint, links.Outbound).Damped {
+		return dampedCandidacyDelay
 	}
 	return 0
 }
 
-// relay returns a sibling that reaches a node which this one doesn't, by its own word.
-func (v *linkView) relay(to ident.NodeID) (ident.NodeID, bool) {
-	now := v.c.env.Now()
-	for _, r := range v.view.Rows(now) {
-		if r.Origin == to || !v.speaks(r.Origin) || !v.c.reachable(r.Origin) || v.doubtful(r.Origin) {
+// relayFor returns a sibling that reaches a node which this one doesn't, by its own word.
+func (v *linkTracker) relayFor(to ident.NodeID) (ident.NodeID, bool) {
+	now := v.controller.env.Now()
+	for _, r := range v.advertisements.Advertisements(now) {
+		if r.Origin == to || !v.supportsLinks(r.Origin) || !v.controller.reachable(r.Origin) || v.countsAsDown(r.Origin) {
 			continue
 		}
-		if l := r.Link(siblingLink(to)); l.In == links.Up && l.Out == links.Up {
+		if l := r.Link(peerEndpoint(to)); l.In == links.Up && l.Out == links.Up {
 			return r.Origin, true
 		}
 	}
 	return "", false
 }
 
-// downTime returns for how long the link to a sibling has counted as down in either
+// downDuration returns for how long the link to a sibling has counted as down in either
 // direction, and whether it does.
-func (v *linkView) downTime(n ident.NodeID) (longest time.Duration, down bool) {
-	now := v.c.env.Now()
+func (v *linkTracker) downDuration(n ident.NodeID) (longest time.Duration, down bool) {
+	now := v.controller.env.Now()
 	for _, direction := range []links.Direction{links.Inbound, links.Outbound} {
-		if verdict := v.monitor.Verdict(siblingLink(n), direction); verdict.State == links.Down {
+		if verdict := v.monitor.Verdict(peerEndpoint(n), direction); verdict.State == links.Down {
 			longest, down = max(longest, now.Sub(verdict.Since)), true
 		}
 	}
 	return longest, down
 }
 
-// doubtful says whether the link to a sibling counts as down, though it may pass messages at
+// countsAsDown says whether the link to a sibling counts as down, though it may pass messages at
 // this moment: it may be damped for breaking again and again.
-func (v *linkView) doubtful(n ident.NodeID) bool {
-	_, down := v.downTime(n)
+func (v *linkTracker) countsAsDown(n ident.NodeID) bool {
+	_, down := v.downDuration(n)
 	return down
 }
 
-// forgetEmpty forgets the links to zones without machines: the last command to the last one
+// forgetEmptyZones forgets the links to zones without machines: the last command to the last one
 // was not answered since that was being returned, and says nothing of the next one. (The zone
 // was found down when its next machine came, and the lead moved for it.)
-func (v *linkView) forgetEmpty(machines map[string]int) {
-	for _, p := range v.monitor.Peers() {
+func (v *linkTracker) forgetEmptyZones(machines map[string]int) {
+	for _, p := range v.monitor.Endpoints() {
 		if p.Kind == links.Machines && machines[p.Name] == 0 {
 			v.monitor.Forget(p)
-			delete(v.recent, p.Name)
+			delete(v.probeTargets, p.Name)
 		}
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -13,78 +13,78 @@
 	"opaldale/internal/workers"
 )
 
-// load reads what earlier terms left; only then does the leader act.
-func (l *lead) load() {
-	began := l.c.env.Now()
-	left := 4
-	var live, log, machines, moves []statesvc.KeyValue
-	if l.mover != nil {
-		left++
+// loadState reads what earlier terms left; only then does the leader act.
+func (l *leaderTerm) loadState() {
+	began := l.controller.env.Now()
+	remainingReads := 4
+	var liveJobs, taskLog, machineGroups, moves []statesvc.KeyValue
+	if l.rebalancer != nil {
+		remainingReads++
 	}
 	done := func() {
-		if left--; left > 0 {
+		if remainingReads--; remainingReads > 0 {
 			return
 		}
-		var faults []error
-		for _, p := range machines {
-			faults = append(faults, l.restoreGroup(p))
+		var errs []error
+		for _, p := range machineGroups {
+			errs = append(errs, l.restoreGroup(p))
 		}
-		for _, p := range live {
-			faults = append(faults, l.jobs.Load(p.Key, p.Value, p.Revision))
+		for _, p := range liveJobs {
+			errs = append(errs, l.jobs.Load(p.Key, p.Value, p.Revision))
 		}
-		faults = append(faults, l.jobs.LoadLog(log))
-		if err := errors.Join(faults...); err != nil {
+		errs = append(errs, l.jobs.LoadLog(taskLog))
+		if err := errors.Join(errs...); err != nil {
 			// On half a state a leader would forget jobs, or start tasks that run.
 			slog.Error("unreadable record", "err", err)
-			l.c.elect.Resign(restAfter, "unreadable record")
+			l.controller.election.Resign(candidacyPause, "unreadable record")
 			return
 		}
 		for _, p := range moves {
-			l.mover.history.Load(p.Key, p.Value, p.Revision)
+			l.rebalancer.history.Load(p.Key, p.Value, p.Revision)
 		}
 		slog.Info("loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
-			"took_ms", l.c.env.Now().Sub(began).Milliseconds())
-		l.begin()
+			"took_ms", l.controller.env.Now().Sub(began).Milliseconds())
+		l.takeOver()
 	}
-	l.readAll(jobs.LivePrefix, "", &live, done)
-	l.readAll(commit.LogPrefix, "", &log, done)
-	l.readAll(fleetPrefix, "", &machines, done)
-	l.readCatalog(done)
-	if l.mover != nil {
-		l.readAll(migration.Prefix, "", &moves, done)
+	l.listAll(jobs.LivePrefix, "", &liveJobs, done)
+	l.listAll(commit.LogPrefix, "", &taskLog, done)
+	l.listAll(fleetPrefix, "", &machineGroups, done)
+	l.loadCatalog(done)
+	if l.rebalancer != nil {
+		l.listAll(migration.Prefix, "", &moves, done)
 	}
 }
 
-func (l *lead) readAll(prefix, since string, into *[]statesvc.KeyValue, done func()) {
-	l.read(statesvc.Request{Op: statesvc.List, Prefix: prefix, StartAfter: since, Timeout: loadTime}, func(r statesvc.Response) {
+func (l *leaderTerm) listAll(prefix, startAfter string, into *[]statesvc.KeyValue, done func()) {
+	l.readWithRetry(statesvc.Request{Op: statesvc.List, Prefix: prefix, StartAfter: startAfter, Timeout: listTimeout}, func(r statesvc.Response) {
 		*into = append(*into, r.KeyValues...)
 		if r.Truncated && len(r.KeyValues) > 0 {
-			l.readAll(prefix, r.KeyValues[len(r.KeyValues)-1].Key, into, done)
+			l.listAll(prefix, r.KeyValues[len(r.KeyValues)-1].Key, into, done)
 			return
 		}
 		done()
 	})
 }
 
-// read asks the state service until it answers.
-func (l *lead) read(r statesvc.Request, f func(statesvc.Response)) {
-	l.c.env.Store(r, func(a statesvc.Response) {
+// readWithRetry asks the state service until it answers.
+func (l *leaderTerm) readWithRetry(r statesvc.Request, done func(statesvc.Response)) {
+	l.controller.env.Store(r, func(response statesvc.Response) {
 		switch {
-		case l.dead:
-		case a.Outcome == statesvc.OK || a.Outcome == statesvc.NotFound:
-			f(a)
+		case l.closed:
+		case response.Outcome == statesvc.OK || response.Outcome == statesvc.NotFound:
+			done(response)
 		default:
-			l.c.env.After(200*time.Millisecond, func() {
-				if !l.dead {
-					l.read(r, f)
+			l.controller.env.After(200*time.Millisecond, func() {
+				if !l.closed {
+					l.readWithRetry(r, done)
 				}
 			})
 		}
 	})
 }
 
-// begin takes over from the term before.
-func (l *lead) begin() {
+// takeOver takes over from the term before.
+func (l *leaderTerm) takeOver() {
 	for _, j := range l.jobs.Sorted() {
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
@@ -95,10 +95,10 @@
 			if w == nil {
 				// Its machine's record was deleted: it is surely gone, which its
 				// return proves.
-				w = l.workers.Add(t.MachineID, "", "", false, l.c.env.Now())
+				w = l.workers.Add(t.MachineID, "", "", false, l.controller.env.Now())
 				l.fleet.Terminate(w, "not on record")
 			}
-			l.count(t, w, 1)
+			l.adjustUsage(t, w, 1)
 		}
 	}
 	l.jobs.FinishLoading()
@@ -110,51 +110,51 @@
 			l.fleet.RecordArrival(j.Spec, j.SubmittedAt)
 		}
 		if j.Phase == jobs.Cancelled {
-			l.stopAll(j)
+			l.stopJob(j)
 		}
 		l.gangs.Adopt(j)
 	}
-	if l.mover != nil {
-		l.mover.adopt()
+	if l.rebalancer != nil {
+		l.rebalancer.takeOver()
 	}
-	l.ready, l.dirty = true, true
-	if l.level < ident.NewestFormatLevel {
-		l.raiser.Poll()
+	l.loaded, l.dispatchNeeded = true, true
+	if l.formatLevel < ident.NewestFormatLevel {
+		l.formatUpgrader.Poll()
 	} else {
-		l.fitLoaded()
+		l.rewriteLegacyGroups()
 	}
-	l.ask()
+	l.probeUnreportedMachines()
 	l.tick()
-	l.roundLater()
+	l.schedulePlanningRound()
 }
 
-// ask probes machines of the term before that have not reported yet, a few at a
+// probeUnreportedMachines probes machines of the term before that have not reported yet, a few at a
 // time: nothing is placed on them until they are heard, and all at once would be a
 // storm.
-func (l *lead) ask() {
-	if l.dead {
+func (l *leaderTerm) probeUnreportedMachines() {
+	if l.closed {
 		return
 	}
-	n := maxAsked
+	budget := maxMachineProbes
 	for _, replicas := range []bool{true, false} { // users miss those first
 		for _, w := range l.workers.Sorted() {
 			if w.State != workers.Up || w.HeardThisTerm() || w.MissedResponses() > 0 || (w.ServiceVCPUs > 0) != replicas {
 				continue
 			}
-			if n == 0 {
-				l.c.env.After(askEvery, l.ask)
+			if budget == 0 {
+				l.controller.env.After(machineProbeInterval, l.probeUnreportedMachines)
 				return
 			}
 			// One that has not answered yet takes nobody's turn: with a rack silent,
 			// sixteen of it kept all others from being asked.
 			if l.workers.Probe(w) {
-				n--
+				budget--
 			}
 		}
 	}
 }
 
 const (
-	maxAsked = 16
-	askEvery = 200 * time.Millisecond
+	maxMachineProbes     = 16
+	machineProbeInterval = 200 * time.Millisecond
 )
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -19,210 +19,210 @@
 
 // groupRecord is the value of a key of machines, all of one kind.
 type groupRecord struct {
-	Model  string          `json:"model"`
-	Zone   string          `json:"site"`
-	Spot   bool            `json:"standby,omitempty"`
-	Hosts  []machineRecord `json:"hosts,omitempty"` // of the first format
-	Text   string          `json:"text,omitempty"`  // from it on: host, address and birth of each
-	BaseMS int64           `json:"base,omitempty"`  // from which births are counted, in seconds
+	Model    string          `json:"model"`
+	Zone     string          `json:"site"`
+	Spot     bool            `json:"standby,omitempty"`
+	Machines []machineRecord `json:"hosts,omitempty"` // of the first format
+	Packed   string          `json:"text,omitempty"`  // from it on: host, address and birth of each
+	BaseMS   int64           `json:"base,omitempty"`  // from which births are counted, in seconds
 }
 
 type machineRecord struct {
-	Host   ident.MachineID `json:"h"`
-	Addr   string          `json:"a,omitempty"`
-	BornMS int64           `json:"b"`
+	ID        ident.MachineID `json:"h"`
+	Addr      string          `json:"a,omitempty"`
+	CreatedMS int64           `json:"b"`
 }
 
 const (
-	// groupSize bounds the machines on record under one key: what one request rents.
-	groupSize = 50
-	// groupBytes, plainBytes and packedBytes bound what a record takes beside the names
-	// in it, and what a machine does in either format; addrBytes is kept for an address.
-	groupBytes  = 100
-	plainBytes  = 40
-	packedBytes = 14
-	addrBytes   = 21
+	// maxGroupMachines bounds the machines on record under one key: what one request rents.
+	maxGroupMachines = 50
+	// groupOverheadBytes, plainMachineBytes and packedMachineBytes bound what a record takes beside the names
+	// in it, and what a machine does in either format; minAddressBytes is kept for an address.
+	groupOverheadBytes = 100
+	plainMachineBytes  = 40
+	packedMachineBytes = 14
+	minAddressBytes    = 21
 )
 
-// pack puts machines into text.
-func (r *groupRecord) pack(list []machineRecord) {
-	for i, m := range list {
-		if i == 0 || m.BornMS < r.BaseMS {
-			r.BaseMS = m.BornMS
+// encode puts machines into text.
+func (r *groupRecord) encode(machines []machineRecord) {
+	for i, m := range machines {
+		if i == 0 || m.CreatedMS < r.BaseMS {
+			r.BaseMS = m.CreatedMS
 		}
 	}
 	var b strings.Builder
-	for i, m := range list {
+	for i, m := range machines {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.Host)), url.PathEscape(m.Addr), (m.BornMS-r.BaseMS)/1000)
+		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.ID)), url.PathEscape(m.Addr), (m.CreatedMS-r.BaseMS)/1000)
 	}
-	r.Text = b.String()
+	r.Packed = b.String()
 }
 
-// machines returns the machines of a record in either format.
-func (r *groupRecord) machines() ([]machineRecord, error) {
-	out := r.Hosts
-	for _, f := range strings.Fields(r.Text) {
-		p := strings.Split(f, ",")
-		if len(p) != 3 {
-			return nil, fmt.Errorf("malformed machine %q", f)
+// decode returns the machines of a record in either format.
+func (r *groupRecord) decode() ([]machineRecord, error) {
+	records := r.Machines
+	for _, field := range strings.Fields(r.Packed) {
+		parts := strings.Split(field, ",")
+		if len(parts) != 3 {
+			return nil, fmt.Errorf("malformed machine %q", field)
 		}
-		host, err := url.PathUnescape(p[0])
+		id, err := url.PathUnescape(parts[0])
 		if err != nil {
 			return nil, err
 		}
-		addr, err := url.PathUnescape(p[1])
+		addr, err := url.PathUnescape(parts[1])
 		if err != nil {
 			return nil, err
 		}
-		age, err := strconv.ParseInt(p[2], 10, 64)
+		age, err := strconv.ParseInt(parts[2], 10, 64)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, machineRecord{ident.MachineID(host), addr, r.BaseMS + age*1000})
+		records = append(records, machineRecord{ident.MachineID(id), addr, r.BaseMS + age*1000})
 	}
-	return out, nil
+	return records, nil
 }
 
-// kindOf names what the machines of a group have in common.
-type kindOf struct {
-	model, site string
-	standby     bool
+// groupKey names what the machines of a group have in common.
+type groupKey struct {
+	model, zone string
+	spot        bool
 }
 
 // groupFits says whether a group's record stays within the limits that may come, with
 // so many machines more.
-func (l *lead) groupFits(g *workers.RecordGroup, k kindOf, more ...*workers.Worker) bool {
-	size := groupBytes + len(k.model) + len(k.site)
-	per := plainBytes
-	if l.level >= ident.FormatPacked {
-		per = packedBytes
+func (l *leaderTerm) groupFits(group *workers.RecordGroup, key groupKey, more ...*workers.Worker) bool {
+	size := groupOverheadBytes + len(key.model) + len(key.zone)
+	perMachine := plainMachineBytes
+	if l.formatLevel >= ident.FormatPacked {
+		perMachine = packedMachineBytes
 	}
-	for _, list := range [][]*workers.Worker{g.Members, more} {
+	for _, list := range [][]*workers.Worker{group.Members, more} {
 		for _, w := range list {
-			size += per + len(w.ID) + max(len(w.Addr), addrBytes)
+			size += perMachine + len(w.ID) + max(len(w.Addr), minAddressBytes)
 		}
 	}
-	return size <= l.valueBytes && len(g.Members)+len(more) <= groupSize
+	return size <= l.maxValueBytes && len(group.Members)+len(more) <= maxGroupMachines
 }
 
-// commitWorker writes a machine's record, new or changed. A new machine is waited
+// commitMachine writes a machine's record, new or changed. A new machine is waited
 // for, as a successor must know it before anything runs there; the rest has time.
-func (l *lead) commitWorker(w *workers.Worker) {
-	fresh := w.Group == nil
-	if fresh {
-		k := kindOf{w.Model, w.Zone, w.Spot}
-		g := l.groups[k]
-		if g == nil || g.Deleted || !l.groupFits(g, k, w) {
-			g = l.nextGroup(k)
-			l.groups[k] = g
+func (l *leaderTerm) commitMachine(machine *workers.Worker) {
+	isNew := machine.Group == nil
+	if isNew {
+		key := groupKey{machine.Model, machine.Zone, machine.Spot}
+		group := l.openGroups[key]
+		if group == nil || group.Deleted || !l.groupFits(group, key, machine) {
+			group = l.nextGroup(key)
+			l.openGroups[key] = group
 		}
-		w.Group = g
-		g.Members = append(g.Members, w)
+		machine.Group = group
+		group.Members = append(group.Members, machine)
 	}
-	if w.State == workers.Terminated {
-		g := w.Group
-		g.Members = slices.DeleteFunc(slices.Clone(g.Members), func(o *workers.Worker) bool { return o == w })
-		l.commits.MarkDirtyLazily(g.Doc, func() { w.Persisted = false })
+	if machine.State == workers.Terminated {
+		group := machine.Group
+		group.Members = slices.DeleteFunc(slices.Clone(group.Members), func(o *workers.Worker) bool { return o == machine })
+		l.committer.MarkDirtyLazily(group.Doc, func() { machine.Persisted = false })
 		return
 	}
-	if fresh {
-		l.commits.MarkDirty(w.Group.Doc, func() {
-			if w.State != workers.Terminated {
-				w.Persisted = true
-				l.dirty = true
+	if isNew {
+		l.committer.MarkDirty(machine.Group.Doc, func() {
+			if machine.State != workers.Terminated {
+				machine.Persisted = true
+				l.dispatchNeeded = true
 			}
 		})
 		return
 	}
-	l.commits.MarkDirtyLazily(w.Group.Doc, nil)
+	l.committer.MarkDirtyLazily(machine.Group.Doc, nil)
 }
 
-func (l *lead) nextGroup(k kindOf) *workers.RecordGroup {
-	l.lastGroup++
-	return l.newGroup(fmt.Sprintf("%s%d-%d", fleetPrefix, l.term, l.lastGroup), k)
+func (l *leaderTerm) nextGroup(k groupKey) *workers.RecordGroup {
+	l.lastGroupNumber++
+	return l.newGroup(fmt.Sprintf("%s%d-%d", fleetPrefix, l.term, l.lastGroupNumber), k)
 }
 
-func (l *lead) newGroup(path string, k kindOf) *workers.RecordGroup {
-	g := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
-	g.Doc.Render = func() json.RawMessage {
-		members := slices.Concat(g.Members, g.Leaving)
+func (l *leaderTerm) newGroup(path string, key groupKey) *workers.RecordGroup {
+	group := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
+	group.Doc.Render = func() json.RawMessage {
+		members := slices.Concat(group.Members, group.Leaving)
 		if len(members) == 0 {
 			// Deleted, and not used again.
-			g.Deleted = true
+			group.Deleted = true
 			return nil
 		}
-		r := groupRecord{Model: k.model, Zone: k.site, Spot: k.standby}
+		record := groupRecord{Model: key.model, Zone: key.zone, Spot: key.spot}
 		var list []machineRecord
 		for _, w := range members {
-			list = append(list, machineRecord{w.ID, w.Addr, l.c.env.WallMS() - l.c.env.Now().Sub(w.CreatedAt).Milliseconds()})
+			list = append(list, machineRecord{w.ID, w.Addr, l.controller.env.WallMS() - l.controller.env.Now().Sub(w.CreatedAt).Milliseconds()})
 		}
-		if l.level >= ident.FormatPacked {
-			r.pack(list)
+		if l.formatLevel >= ident.FormatPacked {
+			record.encode(list)
 		} else {
-			r.Hosts = list
+			record.Machines = list
 		}
-		b := api.JSON(r)
+		b := api.JSON(record)
 		// Those that leave have their address in their next group; of longer addresses
 		// than expected, reports tell again.
-		for _, from := range []int{len(g.Members), 0} {
-			if len(b) > l.valueBytes && l.level >= ident.FormatPacked {
+		for _, from := range []int{len(group.Members), 0} {
+			if len(b) > l.maxValueBytes && l.formatLevel >= ident.FormatPacked {
 				for i := range list[from:] {
 					list[from+i].Addr = ""
 				}
-				r.pack(list)
-				b = api.JSON(r)
+				record.encode(list)
+				b = api.JSON(record)
 			}
 		}
 		return b
 	}
-	return g
+	return group
 }
 
-func (l *lead) restoreGroup(p statesvc.KeyValue) error {
-	var r groupRecord
-	if err := json.Unmarshal(p.Value, &r); err != nil {
-		return fmt.Errorf("%s: %w", p.Key, err)
+func (l *leaderTerm) restoreGroup(pair statesvc.KeyValue) error {
+	var record groupRecord
+	if err := json.Unmarshal(pair.Value, &record); err != nil {
+		return fmt.Errorf("%s: %w", pair.Key, err)
 	}
-	list, err := r.machines()
+	list, err := record.decode()
 	if err != nil {
-		return fmt.Errorf("%s: %w", p.Key, err)
+		return fmt.Errorf("%s: %w", pair.Key, err)
 	}
-	k := kindOf{r.Model, r.Zone, r.Spot}
-	g := l.newGroup(p.Key, k)
-	g.Doc.Revision = p.Revision
-	now := l.c.env.Now()
+	key := groupKey{record.Model, record.Zone, record.Spot}
+	group := l.newGroup(pair.Key, key)
+	group.Doc.Revision = pair.Revision
+	now := l.controller.env.Now()
 	for _, m := range list {
-		if w := l.workers.Workers[m.Host]; w != nil {
+		if w := l.workers.Workers[m.ID]; w != nil {
 			// On its way from one group to another when a term ended.
 			l.workers.RestoreAddress(w, m.Addr)
-			l.commits.MarkDirtyLazily(g.Doc, nil)
+			l.committer.MarkDirtyLazily(group.Doc, nil)
 			continue
 		}
-		age := time.Duration(l.c.env.WallMS()-m.BornMS) * time.Millisecond
-		w := l.workers.Restore(m.Host, r.Model, r.Zone, r.Spot, now.Add(-max(0, age)), m.Addr, g)
-		g.Members = append(g.Members, w)
+		age := time.Duration(l.controller.env.WallMS()-m.CreatedMS) * time.Millisecond
+		w := l.workers.Restore(m.ID, record.Model, record.Zone, record.Spot, now.Add(-max(0, age)), m.Addr, group)
+		group.Members = append(group.Members, w)
 	}
-	if l.level >= ident.FormatPacked && r.Text == "" {
-		l.older = append(l.older, g)
+	if l.formatLevel >= ident.FormatPacked && record.Packed == "" {
+		l.legacyGroups = append(l.legacyGroups, group)
 	}
 	return nil
 }
 
-// fitLoaded brings machines' records that an earlier term left in the first format to
+// rewriteLegacyGroups brings machines' records that an earlier term left in the first format to
 // the present one. It goes with the first format.
-func (l *lead) fitLoaded() {
-	for _, g := range l.older {
-		l.fit(g)
+func (l *leaderTerm) rewriteLegacyGroups() {
+	for _, g := range l.legacyGroups {
+		l.rewriteGroup(g)
 	}
-	l.older = nil
+	l.legacyGroups = nil
 }
 
-// fitGroups splits the groups that were put under larger limits: none must have to be
+// rewriteAllGroups splits the groups that were put under larger limits: none must have to be
 // put again when it is too large.
-func (l *lead) fitGroups() {
+func (l *leaderTerm) rewriteAllGroups() {
 	seen := map[*workers.RecordGroup]bool{}
 	for _, w := range l.workers.Sorted() {
 		g := w.Group
@@ -230,46 +230,46 @@
 			continue
 		}
 		seen[g] = true
-		l.fit(g)
+		l.rewriteGroup(g)
 	}
 }
 
-func (l *lead) fit(g *workers.RecordGroup) {
-	if len(g.Members) == 0 {
+func (l *leaderTerm) rewriteGroup(group *workers.RecordGroup) {
+	if len(group.Members) == 0 {
 		return
 	}
-	w := g.Members[0]
-	k := kindOf{w.Model, w.Zone, w.Spot}
-	if l.groupFits(g, k) {
-		l.commits.MarkDirtyLazily(g.Doc, nil)
+	w := group.Members[0]
+	key := groupKey{w.Model, w.Zone, w.Spot}
+	if l.groupFits(group, key) {
+		l.committer.MarkDirtyLazily(group.Doc, nil)
 	} else {
-		l.split(g, k)
+		l.splitGroup(group, key)
 	}
 }
 
-// split moves machines to other groups. They leave the old one when the new record is
+// splitGroup moves machines to other groups. They leave the old one when the new record is
 // durable, so that a successor finds each in at least one of both.
-func (l *lead) split(g *workers.RecordGroup, k kindOf) {
-	slog.Info("splitting a record of machines", "path", g.Doc.Key, "machines", len(g.Members))
-	for !l.groupFits(g, k) && len(g.Members) > 1 {
-		n := l.nextGroup(k)
-		for len(g.Members) > 1 && l.groupFits(n, k, g.Members[len(g.Members)-1]) {
-			w := g.Members[len(g.Members)-1]
-			g.Members = g.Members[:len(g.Members)-1]
-			g.Leaving = append(g.Leaving, w)
-			n.Members = append(n.Members, w)
-			w.Group = n
-			if l.groupFits(g, k) {
+func (l *leaderTerm) splitGroup(group *workers.RecordGroup, key groupKey) {
+	slog.Info("splitting a record of machines", "path", group.Doc.Key, "machines", len(group.Members))
+	for !l.groupFits(group, key) && len(group.Members) > 1 {
+		target := l.nextGroup(key)
+		for len(group.Members) > 1 && l.groupFits(target, key, group.Members[len(group.Members)-1]) {
+			machine := group.Members[len(group.Members)-1]
+			group.Members = group.Members[:len(group.Members)-1]
+			group.Leaving = append(group.Leaving, machine)
+			target.Members = append(target.Members, machine)
+			machine.Group = target
+			if l.groupFits(group, key) {
 				break
 			}
 		}
-		if len(n.Members) == 0 {
+		if len(target.Members) == 0 {
 			return
 		}
-		moved := slices.Clone(n.Members)
-		l.commits.MarkDirty(n.Doc, func() {
-			g.Leaving = slices.DeleteFunc(g.Leaving, func(w *workers.Worker) bool { return slices.Contains(moved, w) })
-			l.commits.MarkDirtyLazily(g.Doc, nil)
+		moved := slices.Clone(target.Members)
+		l.committer.MarkDirty(target.Doc, func() {
+			group.Leaving = slices.DeleteFunc(group.Leaving, func(machine *workers.Worker) bool { return slices.Contains(moved, machine) })
+			l.committer.MarkDirtyLazily(group.Doc, nil)
 		})
 	}
 }
--- a/internal/controller/move_picture.go
+++ b/internal/controller/move_picture.go
@@ -12,12 +12,12 @@
 	"opaldale/internal/workers"
 )
 
-// waiting lists the first waiting task of each job that has waited for long enough, in the
+// waitingTasks lists the first waiting task of each job that has waited for long enough, in the
 // order of arrival.
-func (m *mover) waiting(now ident.MonotonicTime) []rebalance.WaitingTask {
-	l := m.lead
+func (m *rebalancer) waitingTasks(now ident.MonotonicTime) []rebalance.WaitingTask {
+	l := m.leader
 	var list []rebalance.WaitingTask
-	booting := l.booting()
+	booting := l.bootingMachines()
 	for _, j := range l.jobs.Sorted() {
 		if j.WaitingCount() == 0 || j.IsGang() || j.Suspect || now < j.RetryAt || j.Spec.OneZone || j.Spec.Spread || !l.teams.Allows(j.Spec, 1) {
 			continue
@@ -32,18 +32,18 @@
 			Need:          jobs.ResourcesOf(j.Spec),
 			PriorityLevel: j.Spec.Priority.Level(),
 			WaitedFor:     now.Sub(t.StateSince),
-			BootRemaining: arriving(booting, j.Spec, now),
-			Allowed: func(k *rebalance.Machine) bool {
-				w := l.workers.Workers[k.ID]
-				return w.Allows(j.Spec) && !j.AvoidedMachines[k.ID]
+			BootRemaining: nextMachineETA(booting, j.Spec, now),
+			Allowed: func(candidate *rebalance.Machine) bool {
+				w := l.workers.Workers[candidate.ID]
+				return w.Allows(j.Spec) && !j.AvoidedMachines[candidate.ID]
 			},
 		})
 	}
 	return list
 }
 
-// booting lists the machines that boot.
-func (l *lead) booting() []*workers.Worker {
+// bootingMachines lists the machines that boot.
+func (l *leaderTerm) bootingMachines() []*workers.Worker {
 	var list []*workers.Worker
 	for _, w := range l.workers.Sorted() {
 		if w.State == workers.Booting {
@@ -53,9 +53,9 @@
 	return list
 }
 
-// arriving estimates when the next of the machines that boot and may take a job is there; 0:
+// nextMachineETA estimates when the next of the machines that boot and may take a job is there; 0:
 // none is on its way.
-func arriving(booting []*workers.Worker, s *api.Spec, now ident.MonotonicTime) time.Duration {
+func nextMachineETA(booting []*workers.Worker, s *api.Spec, now ident.MonotonicTime) time.Duration {
 	soonest := time.Duration(0)
 	for _, w := range booting {
 		if !w.Allows(s) {
@@ -69,48 +69,48 @@
 	return soonest
 }
 
-// picture is the cluster as a plan of moves sees it.
-func (m *mover) picture(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
-	l := m.lead
-	p := &rebalance.Cluster{Waiting: waiting, Fits: m.fits}
+// planInput is the cluster as a plan of moves sees it.
+func (m *rebalancer) planInput(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
+	l := m.leader
+	input := &rebalance.Cluster{Waiting: waiting, Fits: m.fetchTimeIfFits}
 	for _, w := range l.workers.Sorted() {
 		switch {
-		case w.Type == nil || !l.zoneClear(w.Zone):
-		case w.Slow && m.heard(w):
-			p.SlowMachines = append(p.SlowMachines, &rebalance.SlowMachine{Machine: *m.machine(w, now), Slowness: m.speeds.Slowness(w.ID)})
+		case w.Type == nil || !l.zoneLinksHealthy(w.Zone):
+		case w.Slow && m.recentlyHeard(w):
+			input.SlowMachines = append(input.SlowMachines, &rebalance.SlowMachine{Machine: *m.machineInput(w, now), Slowness: m.speedTracker.Slowness(w.ID)})
 		case m.usable(w) && !l.planner.IsReserved(w):
-			p.Machines = append(p.Machines, m.machine(w, now))
+			input.Machines = append(input.Machines, m.machineInput(w, now))
 		}
 	}
-	for _, x := range m.table.Active() {
-		p.ActiveMoves = append(p.ActiveMoves, m.active(x))
+	for _, move := range m.moves.Active() {
+		input.ActiveMoves = append(input.ActiveMoves, m.activeMove(move))
 	}
-	return p
+	return input
 }
 
-func (m *mover) active(x *migration.Move) rebalance.ActiveMove {
-	a := rebalance.ActiveMove{Job: x.Task.Job, Team: x.Team, From: x.From, To: x.To, BeneficiaryID: x.BeneficiaryID}
-	if w := m.lead.workers.Workers[x.From]; w != nil {
+func (m *rebalancer) activeMove(move *migration.Move) rebalance.ActiveMove {
+	a := rebalance.ActiveMove{Job: move.Task.Job, Team: move.Team, From: move.From, To: move.To, BeneficiaryID: move.BeneficiaryID}
+	if w := m.leader.workers.Workers[move.From]; w != nil {
 		a.Zone = w.Zone
 	}
 	return a
 }
 
-func (m *mover) machine(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
-	k := &rebalance.Machine{ID: w.ID, Zone: w.Zone, Free: w.Free()}
-	for _, t := range m.lead.workers.SortedTasks(w) {
-		if left := timeLeft(t, now); left > 0 {
-			k.Completions = append(k.Completions, rebalance.Completion{Remaining: left, Frees: jobs.ResourcesOf(t.Job.Spec)})
+func (m *rebalancer) machineInput(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
+	input := &rebalance.Machine{ID: w.ID, Zone: w.Zone, Free: w.Free()}
+	for _, t := range m.leader.workers.SortedTasks(w) {
+		if left := remainingRuntime(t, now); left > 0 {
+			input.Completions = append(input.Completions, rebalance.Completion{Remaining: left, Frees: jobs.ResourcesOf(t.Job.Spec)})
 		}
 		if m.movable(t) {
-			k.Tasks = append(k.Tasks, m.running(t, now))
+			input.Tasks = append(input.Tasks, m.runningTask(t, now))
 		}
 	}
-	return k
+	return input
 }
 
-// timeLeft estimates how long a task stays on its machine; 0: nobody knows.
-func timeLeft(t *jobs.Task, now ident.MonotonicTime) time.Duration {
+// remainingRuntime estimates how long a task stays on its machine; 0: nobody knows.
+func remainingRuntime(t *jobs.Task, now ident.MonotonicTime) time.Duration {
 	runtime := settings.Seconds(t.Job.Spec.RuntimeS)
 	switch {
 	case t.State == jobs.Stopping:
@@ -125,7 +125,7 @@
 
 // movable says whether a task runs, and may be stopped by itself and started in any place that
 // its job allows.
-func (m *mover) movable(t *jobs.Task) bool {
+func (m *rebalancer) movable(t *jobs.Task) bool {
 	s := t.Job.Spec
 	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect || s.OneZone || s.Spread || m.history.IsBarred(s.ID) {
 		return false
@@ -133,7 +133,7 @@
 	return s.Shape != api.Service || t.Job.RunningTasks > 1 // a lone replica would be missed
 }
 
-func (m *mover) running(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
+func (m *rebalancer) runningTask(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
 	s := t.Job.Spec
 	return rebalance.Task{
 		ID:                 t.TaskID(),
@@ -141,7 +141,7 @@
 		Need:               jobs.ResourcesOf(s),
 		PriorityLevel:      s.Priority.Level(),
 		RunningFor:         now.Sub(t.RunningSince),
-		Remaining:          timeLeft(t, now),
+		Remaining:          remainingRuntime(t, now),
 		EstimatedRuntime:   settings.Seconds(s.RuntimeS),
 		CheckpointInterval: settings.Seconds(s.CheckpointEveryS),
 		CheckpointTime:     settings.Seconds(s.CheckpointS),
@@ -150,11 +150,11 @@
 	}
 }
 
-// fits says whether a running task may go to a machine, and how long the fetch of its image
+// fetchTimeIfFits says whether a running task may go to a machine, and how long the fetch of its image
 // takes there.
-func (m *mover) fits(t *rebalance.Task, k *rebalance.Machine) (time.Duration, bool) {
-	l := m.lead
-	j, w := l.jobs.Jobs[t.ID.Job], l.workers.Workers[k.ID]
+func (m *rebalancer) fetchTimeIfFits(t *rebalance.Task, candidate *rebalance.Machine) (time.Duration, bool) {
+	l := m.leader
+	j, w := l.jobs.Jobs[t.ID.Job], l.workers.Workers[candidate.ID]
 	if j == nil || w == nil || !w.Allows(j.Spec) || j.AvoidedMachines[w.ID] || w.Faulty() {
 		return 0, false
 	}
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -15,10 +15,10 @@
 type MoveReport struct {
 	Node ident.NodeID       `json:"node"`
 	Mode settings.Rebalance `json:"mode"`
-	// Leads says that the node leads, and knows where each move stands. Another one shows
+	// Leader says that the node leads, and knows where each move stands. Another one shows
 	// what the state service has on record of the jobs that are not over.
-	Leads bool        `json:"leads"`
-	Moves []MoveEntry `json:"moves"`
+	Leader bool        `json:"leads"`
+	Moves  []MoveEntry `json:"moves"`
 	// Truncated says that more is on record than is shown.
 	Truncated bool `json:"truncated,omitempty"`
 	// Error says why nothing is shown.
@@ -42,37 +42,37 @@
 	RealisedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
 
-// recordedState stands for the state of a move that another node carries out.
-const recordedState = "recorded"
+// stateRecorded stands for the state of a move that another node carries out.
+const stateRecorded = "recorded"
 
 // MoveReport tells what this node knows of moves; reply is called once.
 func (c *Controller) MoveReport(reply func(MoveReport)) {
-	r := MoveReport{Node: c.set.Node, Mode: c.set.Tuning.Rebalance, Moves: []MoveEntry{}}
-	if l := c.lead; l != nil && l.ready && l.mover != nil {
-		r.Leads = true
-		r.Moves = l.mover.entries(c.env.Now())
-		reply(r)
+	report := MoveReport{Node: c.settings.Node, Mode: c.settings.Tuning.Rebalance, Moves: []MoveEntry{}}
+	if l := c.leader; l != nil && l.loaded && l.rebalancer != nil {
+		report.Leader = true
+		report.Moves = l.rebalancer.moveEntries(c.env.Now())
+		reply(report)
 		return
 	}
-	if !c.reads.take(c.env.Now(), 1) {
-		r.Error = "too many questions at present"
-		reply(r)
+	if !c.pollLimiter.allow(c.env.Now(), 1) {
+		report.Error = "too many questions at present"
+		reply(report)
 		return
 	}
-	c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: migration.Prefix, Timeout: commitTime}, func(a statesvc.Response) {
+	c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: migration.Prefix, Timeout: storeTimeout}, func(a statesvc.Response) {
 		if a.Outcome != statesvc.OK {
-			r.Error = errState.Error()
+			report.Error = errStoreUnavailable.Error()
 		}
-		r.Truncated = a.Truncated
+		report.Truncated = a.Truncated
 		for _, p := range a.KeyValues {
-			r.Moves = append(r.Moves, recorded(p, c.env.WallMS())...)
+			report.Moves = append(report.Moves, recordedMoves(p, c.env.WallMS())...)
 		}
-		reply(r)
+		reply(report)
 	})
 }
 
-// recorded lists the moves of one key.
-func recorded(p statesvc.KeyValue, nowMS int64) []MoveEntry {
+// recordedMoves lists the moves of one key.
+func recordedMoves(p statesvc.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(p.Value)
 	if err != nil {
 		slog.Error("unreadable record of moves", "path", p.Key, "err", err)
@@ -88,7 +88,7 @@
 			To:            e.To,
 			For:           e.BeneficiaryID,
 			Source:        e.Purpose,
-			State:         recordedState,
+			State:         stateRecorded,
 			AgeS:          age.Seconds(),
 			ExpectedGainS: e.GainS,
 			CostS:         e.CostS,
@@ -97,25 +97,25 @@
 	return out
 }
 
-// entries lists the moves under way, and those that have ended of late.
-func (m *mover) entries(now ident.MonotonicTime) []MoveEntry {
+// moveEntries lists the moves under way, and those that have ended of late.
+func (m *rebalancer) moveEntries(now ident.MonotonicTime) []MoveEntry {
 	out := []MoveEntry{}
-	for _, x := range slices.Concat(m.table.Active(), m.table.Recent()) {
+	for _, move := range slices.Concat(m.moves.Active(), m.moves.Recent()) {
 		e := MoveEntry{
-			Task:          x.Task.String(),
-			Team:          x.Team,
-			From:          x.From,
-			To:            x.To,
-			For:           x.Beneficiary(),
-			Source:        x.Purpose.String(),
-			State:         x.State.String(),
-			Reason:        x.Reason.String(),
-			AgeS:          now.Sub(x.StartedAt).Seconds(),
-			ExpectedGainS: x.Gain.Seconds(),
-			CostS:         x.Cost.Seconds(),
+			Task:          move.Task.String(),
+			Team:          move.Team,
+			From:          move.From,
+			To:            move.To,
+			For:           move.Beneficiary(),
+			Source:        move.Purpose.String(),
+			State:         move.State.String(),
+			Reason:        move.Reason.String(),
+			AgeS:          now.Sub(move.StartedAt).Seconds(),
+			ExpectedGainS: move.Gain.Seconds(),
+			CostS:         move.Cost.Seconds(),
 		}
-		if x.State.Ended() {
-			gain := x.RealizedGain().Seconds()
+		if move.State.Ended() {
+			gain := move.RealizedGain().Seconds()
 			e.RealisedGainS = &gain
 		}
 		out = append(out, e)
@@ -123,21 +123,21 @@
 	return out
 }
 
-// counts fills in the counters of moves.
-func (m *mover) counts(s *Snapshot) {
-	s.MovesProposed, s.MoveGainSeconds = m.proposed, m.gain.Seconds()
-	s.SlowMachines = m.slow
-	s.MovesActive, s.MovesEnded = len(m.table.Active()), m.table.ByReason()
-	s.MoveRealisedSeconds = m.table.TotalGain.Seconds()
-	s.MovesHeldBack = map[string]uint64{}
-	for why, n := range m.heldBack {
+// fillStats fills in the counters of moves.
+func (m *rebalancer) fillStats(stats *Stats) {
+	stats.MovesProposed, stats.MoveGainSeconds = m.proposedMoves, m.proposedGain.Seconds()
+	stats.SlowMachines = m.slowMachines
+	stats.MovesActive, stats.MovesEnded = len(m.moves.Active()), m.moves.ByReason()
+	stats.MoveRealisedSeconds = m.moves.TotalGain.Seconds()
+	stats.MoveRoundsSkipped = map[string]uint64{}
+	for hold, n := range m.skippedRounds {
 		if n > 0 {
-			s.MovesHeldBack[restraint(why).String()] = n
+			stats.MoveRoundsSkipped[holdReason(hold).String()] = n
 		}
 	}
-	for _, w := range m.lead.workers.Sorted() {
+	for _, w := range m.leader.workers.Sorted() {
 		if w.HasReservation() {
-			s.Reservations++
+			stats.Reservations++
 		}
 	}
 }
--- a/internal/controller/move_restraint.go
+++ b/internal/controller/move_restraint.go
@@ -8,56 +8,56 @@
 	"opaldale/internal/workers"
 )
 
-// restraint says why no move is proposed at a moment.
-type restraint uint8
+// holdReason says why no move is proposed at a moment.
+type holdReason uint8
 
 const (
-	unrestrained    restraint = iota
-	withoutTime               // the last plan took its share of the time
-	withoutRights             // the node has no authority to place tasks
-	settling                  // the term has just begun
-	writing                   // what was decided is still being written
-	teamCooled                // a hot team has just cooled
-	machinesLeaving           // machines are silent, emptied or returned in numbers
-	nobodyWaits               // no task has waited for long enough
-	restraintCount
+	holdNone           holdReason = iota
+	holdPlanBudget                // the last plan took its share of the time
+	holdNoAuthority               // the node has no authority to place tasks
+	holdNewTerm                   // the term has just begun
+	holdWriteBacklog              // what was decided is still being written
+	holdTeamCooled                // a hot team has just cooled
+	holdFleetUnstable             // machines are silent, emptied or returned in numbers
+	holdNothingWaiting            // no task has waited for long enough
+	holdReasonCount
 )
 
-var restraintNames = [restraintCount]string{"none", "plans take their share of the time", "no authority", "settling", "writes wait", "a hot team has cooled",
+var holdReasonNames = [holdReasonCount]string{"none", "plans take their share of the time", "no authority", "settling", "writes wait", "a hot team has cooled",
 	"machines leave", "nobody waits"}
 
-func (r restraint) String() string {
-	if r < restraintCount {
-		return restraintNames[r]
+func (r holdReason) String() string {
+	if r < holdReasonCount {
+		return holdReasonNames[r]
 	}
 	return fmt.Sprintf("restraint %d", uint8(r))
 }
 
-// restrained says why this is no time to move work: an election of late, something in doubt,
+// currentHold says why this is no time to move work: an election of late, something in doubt,
 // or machines that leave in numbers.
-func (m *mover) restrained(now ident.MonotonicTime) restraint {
-	l := m.lead
+func (m *rebalancer) currentHold(now ident.MonotonicTime) holdReason {
+	l := m.leader
 	switch {
-	case now < m.notBefore:
-		return withoutTime
-	case !m.carries:
-		return unrestrained // nothing comes of it
-	case !l.c.may(authority.Place):
-		return withoutRights
-	case now.Sub(m.readyAt) < l.c.set.Tuning.Migration.LeaderSettleTime:
-		return settling // machines of the term before are still being heard of
-	case l.commits.Backlog() > 0:
-		return writing
-	case m.cooledAt > 0 && now.Sub(m.cooledAt) < calmTime:
-		return teamCooled
-	case l.unsettled():
-		return machinesLeaving
+	case now < m.nextPlanAt:
+		return holdPlanBudget
+	case !m.executesMoves:
+		return holdNone // nothing comes of it
+	case !l.controller.allows(authority.Place):
+		return holdNoAuthority
+	case now.Sub(m.tookOverAt) < l.controller.settings.Tuning.Migration.LeaderSettleTime:
+		return holdNewTerm // machines of the term before are still being heard of
+	case l.committer.Backlog() > 0:
+		return holdWriteBacklog
+	case m.teamCooledAt > 0 && now.Sub(m.teamCooledAt) < cooldownAfterHotTeam:
+		return holdTeamCooled
+	case l.fleetUnstable():
+		return holdFleetUnstable
 	}
-	return unrestrained
+	return holdNone
 }
 
-// unsettled says whether machines are silent, emptied, returned or about to be taken in numbers.
-func (l *lead) unsettled() bool {
+// fleetUnstable says whether machines are silent, emptied, returned or about to be taken in numbers.
+func (l *leaderTerm) fleetUnstable() bool {
 	leaving, all := 0, 0
 	for _, w := range l.workers.Sorted() {
 		switch {
@@ -68,5 +68,5 @@
 			all++
 		}
 	}
-	return leaving > max(unsettledLeast, all/unsettledPart)
+	return leaving > max(minUnstableMachines, all/unstableFleetDivisor)
 }
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	// calmTime is how long nothing is proposed after a hot team has cooled.
-	calmTime = 5 * time.Second
-	// planShare bounds the part of the time that plans of moves take: one in so many.
-	planShare = 50
-	// unsettledPart and unsettledLeast are how many machines may be silent, returned, or about
+	// cooldownAfterHotTeam is how long nothing is proposed after a hot team has cooled.
+	cooldownAfterHotTeam = 5 * time.Second
+	// planTimeDivisor bounds the part of the time that plans of moves take: one in so many.
+	planTimeDivisor = 50
+	// unstableFleetDivisor and minUnstableMachines are how many machines may be silent, returned, or about
 	// to be taken while moves are proposed: one in so many, and a few in a small fleet.
-	unsettledPart  = 20
-	unsettledLeast = 2
-	// promiseTime is how long the room that a move makes is kept for the task that waits.
-	promiseTime = 10 * time.Second
-	// maxProposals bounds the proposals remembered.
-	maxProposals = 10_000
+	unstableFleetDivisor = 20
+	minUnstableMachines  = 2
+	// freedRoomHold is how long the room that a move makes is kept for the task that waits.
+	freedRoomHold = 10 * time.Second
+	// maxCountedProposals bounds the proposals remembered.
+	maxCountedProposals = 10_000
 )
 
-// mover is a leader's part in moving running tasks, for one term.
-type mover struct {
-	lead    *lead
-	carries bool // moves are carried out, not only reported
-	config  rebalance.Config
-	speeds  *load.SlownessEstimator
-	table   *migration.Table
-	history *migration.History
-	// held holds the machines on which room is kept, by move.
-	held map[*migration.Move]*workers.Worker
+// rebalancer is a leader's part in moving running tasks, for one term.
+type rebalancer struct {
+	leader        *leaderTerm
+	executesMoves bool // moves are carried out, not only reported
+	config        rebalance.Config
+	speedTracker  *load.SlownessEstimator
+	moves         *migration.Table
+	history       *migration.History
+	// reservedMachines holds the machines on which room is kept, by move.
+	reservedMachines map[*migration.Move]*workers.Worker
 
-	slow      int // machines that are called slow
-	readyAt   ident.MonotonicTime
-	cooledAt  ident.MonotonicTime // when a hot team last cooled; 0: none did
-	notBefore ident.MonotonicTime // no plan earlier
-	proposed  uint64
-	gain      time.Duration
-	heldBack  [restraintCount]uint64 // how often no plan was made, by why
-	seen      map[proposal]bool      // proposals of the present term, not to be counted twice
+	slowMachines     int // machines that are called slow
+	tookOverAt       ident.MonotonicTime
+	teamCooledAt     ident.MonotonicTime // when a hot team last cooled; 0: none did
+	nextPlanAt       ident.MonotonicTime // no plan earlier
+	proposedMoves    uint64
+	proposedGain     time.Duration
+	skippedRounds    [holdReasonCount]uint64 // how often no plan was made, by why
+	countedProposals map[proposal]bool       // proposals of the present term, not to be counted twice
 }
 
 // proposal tells moves apart.
@@ -56,33 +56,33 @@
 	task, waiting ident.TaskID
 }
 
-func newMover(l *lead) *mover {
-	tuning := &l.c.set.Tuning
+func newRebalancer(l *leaderTerm) *rebalancer {
+	tuning := &l.controller.settings.Tuning
 	config := rebalance.DefaultConfig()
 	config.GainMargin = tuning.Migration.MinGainFactor
 	config.Budgets.Cluster, config.Budgets.Zone = tuning.Migration.Cluster, tuning.Migration.Zone
 	config.Budgets.Team = tuning.Migration.Team
 	config.MinWait, config.MinRuntime = tuning.Migration.MinTaskWait, tuning.Migration.MinRunTime
-	return &mover{
-		lead:    l,
-		carries: tuning.Rebalance == settings.RebalanceMove,
-		config:  config,
-		speeds:  load.NewSlownessEstimator(),
-		table:   migration.NewTable(migration.DefaultConfig(settings.Seconds(l.c.set.Cluster.Workers.HeartbeatS))),
-		history: migration.NewHistory(l.commits, l.c.env.WallMS),
-		held:    map[*migration.Move]*workers.Worker{},
-		seen:    map[proposal]bool{},
+	return &rebalancer{
+		leader:           l,
+		executesMoves:    tuning.Rebalance == settings.RebalanceMove,
+		config:           config,
+		speedTracker:     load.NewSlownessEstimator(),
+		moves:            migration.NewTable(migration.DefaultConfig(settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS))),
+		history:          migration.NewHistory(l.committer, l.controller.env.WallMS),
+		reservedMachines: map[*migration.Move]*workers.Worker{},
+		countedProposals: map[proposal]bool{},
 	}
 }
 
-// adopt takes over from the term before. A move that was under way goes the ordinary way: its
+// takeOver takes over from the term before. A move that was under way goes the ordinary way: its
 // task runs on where it is, or is placed anew once it is proven to have left.
-func (m *mover) adopt() {
-	l := m.lead
-	m.readyAt = l.c.env.Now()
+func (m *rebalancer) takeOver() {
+	l := m.leader
+	m.tookOverAt = l.controller.env.Now()
 	m.history.Prune(func(id ident.JobID) bool { return l.jobs.Jobs[id] != nil })
 	for _, id := range m.history.Interrupted(func(id ident.TaskID) (ident.Attempt, bool) {
-		t := l.task(id)
+		t := l.findTask(id)
 		if t == nil || t.State == jobs.Completed {
 			return 0, false
 		}
@@ -92,8 +92,8 @@
 	}
 }
 
-// task returns a task of a job that is not over, nil if there is none.
-func (l *lead) task(id ident.TaskID) *jobs.Task {
+// findTask returns a task of a job that is not over, nil if there is none.
+func (l *leaderTerm) findTask(id ident.TaskID) *jobs.Task {
 	j := l.jobs.Jobs[id.Job]
 	if j == nil || id.Index >= len(j.Tasks) {
 		return nil
@@ -101,147 +101,147 @@
 	return &j.Tasks[id.Index]
 }
 
-// propose makes a plan, and takes up the moves that pay, or only tells of them.
-func (m *mover) propose() {
-	l := m.lead
-	now := l.c.env.Now()
-	waiting, why := m.waitingNow(now)
-	if why != unrestrained {
-		m.heldBack[why]++
-		slog.Debug("no plan of moves", "why", why.String())
+// planRound makes a plan, and takes up the moves that pay, or only tells of them.
+func (m *rebalancer) planRound() {
+	l := m.leader
+	now := l.controller.env.Now()
+	waiting, hold := m.beneficiaries(now)
+	if hold != holdNone {
+		m.skippedRounds[hold]++
+		slog.Debug("no plan of moves", "why", hold.String())
 		return
 	}
-	moves := rebalance.Plan(m.config, m.picture(waiting, now))
-	done := l.c.env.Now()
-	m.notBefore = done.Add(planShare * done.Sub(now))
+	moves := rebalance.Plan(m.config, m.planInput(waiting, now))
+	done := l.controller.env.Now()
+	m.nextPlanAt = done.Add(planTimeDivisor * done.Sub(now))
 	slog.Debug("plan of moves", "waiting", len(waiting), "moves", len(moves), "took_ms", done.Sub(now).Seconds()*1000)
-	for _, p := range moves {
-		m.count(p)
-		if m.carries {
-			m.begin(p, done)
+	for _, move := range moves {
+		m.countProposal(move)
+		if m.executesMoves {
+			m.startMove(move, done)
 		}
 	}
 }
 
-// waitingNow lists the tasks that others could be moved for, or says why none is.
-func (m *mover) waitingNow(now ident.MonotonicTime) ([]rebalance.WaitingTask, restraint) {
-	if why := m.restrained(now); why != unrestrained {
-		return nil, why
+// beneficiaries lists the tasks that others could be moved for, or says why none is.
+func (m *rebalancer) beneficiaries(now ident.MonotonicTime) ([]rebalance.WaitingTask, holdReason) {
+	if hold := m.currentHold(now); hold != holdNone {
+		return nil, hold
 	}
-	waiting := m.waiting(now)
-	if len(waiting) == 0 && m.slow == 0 {
-		return nil, nobodyWaits
+	waiting := m.waitingTasks(now)
+	if len(waiting) == 0 && m.slowMachines == 0 {
+		return nil, holdNothingWaiting
 	}
-	return waiting, unrestrained
+	return waiting, holdNone
 }
 
-// count notes a proposal, once.
-func (m *mover) count(p rebalance.Move) {
-	key := proposal{p.Task, p.BeneficiaryID}
-	if m.seen[key] {
+// countProposal notes a proposal, once.
+func (m *rebalancer) countProposal(move rebalance.Move) {
+	key := proposal{move.Task, move.BeneficiaryID}
+	if m.countedProposals[key] {
 		return
 	}
-	if len(m.seen) >= maxProposals {
-		clear(m.seen)
+	if len(m.countedProposals) >= maxCountedProposals {
+		clear(m.countedProposals)
 	}
-	m.seen[key] = true
-	m.proposed++
-	m.gain += p.Gain - p.Cost
-	logMove("a move would pay", p)
+	m.countedProposals[key] = true
+	m.proposedMoves++
+	m.proposedGain += move.Gain - move.Cost
+	logMove("a move would pay", move)
 }
 
 // logMove tells of a move that is proposed or begun.
-func logMove(what string, p rebalance.Move) {
-	slog.Info(what, "task", p.Task.String(), "source", p.Purpose.String(), "team", p.Team, "from", string(p.From), "to", string(p.To),
-		"for", p.Beneficiary(), "gain_s", p.Gain.Seconds(), "cost_s", p.Cost.Seconds())
+func logMove(message string, move rebalance.Move) {
+	slog.Info(message, "task", move.Task.String(), "source", move.Purpose.String(), "team", move.Team, "from", string(move.From), "to", string(move.To),
+		"for", move.Beneficiary(), "gain_s", move.Gain.Seconds(), "cost_s", move.Cost.Seconds())
 }
 
-// begin takes up a proposed move: its room is kept, and it is recorded. The task is stopped
+// startMove takes up a proposed move: its room is kept, and it is recorded. The task is stopped
 // once that is durable.
-func (m *mover) begin(p rebalance.Move, now ident.MonotonicTime) {
-	l := m.lead
-	t, to := l.task(p.Task), l.workers.Workers[p.To]
-	if t == nil || to == nil || !to.Reserve(workers.Reservation{Resources: p.Need, Priority: t.Job.Spec.Priority}) {
+func (m *rebalancer) startMove(planned rebalance.Move, now ident.MonotonicTime) {
+	l := m.leader
+	t, destination := l.findTask(planned.Task), l.workers.Workers[planned.To]
+	if t == nil || destination == nil || !destination.Reserve(workers.Reservation{Resources: planned.Need, Priority: t.Job.Spec.Priority}) {
 		return
 	}
-	x := m.table.Begin(p, t.Attempt, now)
-	m.held[x] = to
-	logMove("move begins", p)
-	m.history.RecordMove(x, func() {
-		if !l.dead {
-			m.table.Recorded(x)
+	move := m.moves.Begin(planned, t.Attempt, now)
+	m.reservedMachines[move] = destination
+	logMove("move begins", planned)
+	m.history.RecordMove(move, func() {
+		if !l.closed {
+			m.moves.Recorded(move)
 		}
 	})
 }
 
 // advance brings all moves up to date and carries out what follows from that.
-func (m *mover) advance() {
-	for _, e := range m.table.Advance(m.lead.c.env.Now(), m.observe) {
-		switch e.Kind {
+func (m *rebalancer) advance() {
+	for _, effect := range m.moves.Advance(m.leader.controller.env.Now(), m.observe) {
+		switch effect.Kind {
 		case migration.StopTask:
-			m.stop(e.Move)
+			m.stopTask(effect.Move)
 		case migration.PlaceTask:
-			m.place(e.Move)
+			m.placeTask(effect.Move)
 		case migration.ReleaseReservation:
-			m.release(e.Move)
+			m.releaseReservation(effect.Move)
 		case migration.ReportEnd:
-			m.report(e.Move)
+			m.logMoveEnded(effect.Move)
 		}
 	}
 }
 
 // observe gathers what is so of a move's task and machines.
-func (m *mover) observe(x *migration.Move) migration.Observation {
-	l := m.lead
-	o := migration.Observation{
-		HasAuthority:      l.c.may(authority.Place),
-		LinksHealthy:      m.linksClear(x),
-		DemandRecovered:   m.cooledAt > x.StartedAt,
-		Destination:       m.destination(x),
-		ReportedElsewhere: l.workers.HasUnknownAttempt(x.Task),
+func (m *rebalancer) observe(move *migration.Move) migration.Observation {
+	l := m.leader
+	observation := migration.Observation{
+		HasAuthority:      l.controller.allows(authority.Place),
+		LinksHealthy:      m.linksHealthy(move),
+		DemandRecovered:   m.teamCooledAt > move.StartedAt,
+		Destination:       m.destinationState(move),
+		ReportedElsewhere: l.workers.HasUnknownAttempt(move.Task),
 	}
-	if t := l.task(x.Task); t != nil {
-		o.JobOpen = t.Job.Phase == jobs.Open
-		o.Task, o.Attempt, o.TaskRunning = t.State, t.Attempt, t.SeenRunning()
+	if t := l.findTask(move.Task); t != nil {
+		observation.JobOpen = t.Job.Phase == jobs.Open
+		observation.Task, observation.Attempt, observation.TaskRunning = t.State, t.Attempt, t.SeenRunning()
 		if t.State.Allocated() {
-			o.Machine = t.MachineID
+			observation.Machine = t.MachineID
 		}
-		o.TeamAllows = l.teams.Allows(t.Job.Spec, 1)
+		observation.TeamAllows = l.teams.Allows(t.Job.Spec, 1)
 	}
-	if x.Purpose == rebalance.LeavesSlowMachine {
-		o.BeneficiaryWaiting = true // it is for the moved task itself
-	} else if t := l.task(x.BeneficiaryID); t != nil {
-		o.BeneficiaryWaiting = t.Job.Phase == jobs.Open && t.State == jobs.Waiting
-		o.BeneficiaryPlaced = t.State.Allocated() && t.MachineID == x.From
+	if move.Purpose == rebalance.LeavesSlowMachine {
+		observation.BeneficiaryWaiting = true // it is for the moved task itself
+	} else if t := l.findTask(move.BeneficiaryID); t != nil {
+		observation.BeneficiaryWaiting = t.Job.Phase == jobs.Open && t.State == jobs.Waiting
+		observation.BeneficiaryPlaced = t.State.Allocated() && t.MachineID == move.From
 	}
-	return o
+	return observation
 }
 
-// linksClear says whether no link to the zone of either machine is in doubt.
-func (m *mover) linksClear(x *migration.Move) bool {
-	l := m.lead
-	from, to := l.workers.Workers[x.From], l.workers.Workers[x.To]
-	return from != nil && to != nil && l.zoneClear(from.Zone) && l.zoneClear(to.Zone)
+// linksHealthy says whether no link to the zone of either machine is in doubt.
+func (m *rebalancer) linksHealthy(move *migration.Move) bool {
+	l := m.leader
+	from, to := l.workers.Workers[move.From], l.workers.Workers[move.To]
+	return from != nil && to != nil && l.zoneLinksHealthy(from.Zone) && l.zoneLinksHealthy(to.Zone)
 }
 
-// zoneClear says whether nothing speaks against the links to a zone's machines, as far as
+// zoneLinksHealthy says whether nothing speaks against the links to a zone's machines, as far as
 // links are watched.
-func (l *lead) zoneClear(zone string) bool {
-	if l.c.links == nil {
+func (l *leaderTerm) zoneLinksHealthy(zone string) bool {
+	if l.controller.links == nil {
 		return true
 	}
 	for _, direction := range []links.Direction{links.Inbound, links.Outbound} {
-		v := l.c.links.monitor.Verdict(machinesLink(zone), direction)
-		if v.Damped || v.State == links.Suspect || v.State == links.Down {
+		verdict := l.controller.links.monitor.Verdict(machinesEndpoint(zone), direction)
+		if verdict.Damped || verdict.State == links.Suspect || verdict.State == links.Down {
 			return false
 		}
 	}
 	return true
 }
 
-// destination says whether a move's destination still has the room that was kept on it.
-func (m *mover) destination(x *migration.Move) migration.DestinationStatus {
-	w := m.held[x]
+// destinationState says whether a move's destination still has the room that was kept on it.
+func (m *rebalancer) destinationState(move *migration.Move) migration.DestinationStatus {
+	w := m.reservedMachines[move]
 	if w == nil || !m.usable(w) {
 		return migration.DestinationUnschedulable
 	}
@@ -252,49 +252,49 @@
 }
 
 // usable says whether a machine takes work, and was heard of late.
-func (m *mover) usable(w *workers.Worker) bool {
-	return w.Schedulable(m.lead.c.env.Now()) && m.heard(w)
+func (m *rebalancer) usable(w *workers.Worker) bool {
+	return w.Schedulable(m.leader.controller.env.Now()) && m.recentlyHeard(w)
 }
 
-// heard says whether a machine was heard of late, and hears this node.
-func (m *mover) heard(w *workers.Worker) bool {
-	late := 2*settings.Seconds(m.lead.c.set.Cluster.Workers.HeartbeatS) + time.Second
-	return m.lead.workers.Reachable(w.ID, late)
+// recentlyHeard says whether a machine was heard of late, and hears this node.
+func (m *rebalancer) recentlyHeard(w *workers.Worker) bool {
+	late := 2*settings.Seconds(m.leader.controller.settings.Cluster.Workers.HeartbeatS) + time.Second
+	return m.leader.workers.Reachable(w.ID, late)
 }
 
-// stop tells the task to stop, and keeps the room that it leaves for the one that waits.
-func (m *mover) stop(x *migration.Move) {
-	l := m.lead
-	t, from := l.task(x.Task), l.workers.Workers[x.From]
+// stopTask tells the task to stop, and keeps the room that it leaves for the one that waits.
+func (m *rebalancer) stopTask(move *migration.Move) {
+	l := m.leader
+	t, from := l.findTask(move.Task), l.workers.Workers[move.From]
 	windDown := t.CheckpointGracePeriod()
-	if j := l.jobs.Jobs[x.BeneficiaryID.Job]; j != nil {
-		l.planner.ReserveFor(from, j, l.c.env.Now().Add(windDown+promiseTime))
+	if j := l.jobs.Jobs[move.BeneficiaryID.Job]; j != nil {
+		l.planner.ReserveFor(from, j, l.controller.env.Now().Add(windDown+freedRoomHold))
 	}
 	l.workers.StopTask(from, t, windDown)
 }
 
-// place places the task where room was kept for it.
-func (m *mover) place(x *migration.Move) {
-	w := m.held[x]
-	m.release(x)
-	m.lead.Place(m.lead.task(x.Task), w)
+// placeTask places the task where room was kept for it.
+func (m *rebalancer) placeTask(move *migration.Move) {
+	w := m.reservedMachines[move]
+	m.releaseReservation(move)
+	m.leader.Place(m.leader.findTask(move.Task), w)
 }
 
-// release gives up what is kept for a move.
-func (m *mover) release(x *migration.Move) {
-	l := m.lead
-	if w := m.held[x]; w != nil {
+// releaseReservation gives up what is kept for a move.
+func (m *rebalancer) releaseReservation(move *migration.Move) {
+	l := m.leader
+	if w := m.reservedMachines[move]; w != nil {
 		w.ReleaseReservation()
-		delete(m.held, x)
+		delete(m.reservedMachines, move)
 	}
-	if from, j := l.workers.Workers[x.From], l.jobs.Jobs[x.BeneficiaryID.Job]; x.State == migration.Abandoned && x.StoppedAt == 0 && from != nil && j != nil {
+	if from, j := l.workers.Workers[move.From], l.jobs.Jobs[move.BeneficiaryID.Job]; move.State == migration.Abandoned && move.StoppedAt == 0 && from != nil && j != nil {
 		l.planner.ReleaseReservation(from, j)
 	}
-	l.dirty = true
+	l.dispatchNeeded = true
 }
 
-// report tells of the end of a move.
-func (m *mover) report(x *migration.Move) {
-	slog.Info("move ended", "task", x.Task.String(), "team", x.Team, "from", string(x.From), "to", string(x.To), "state", x.State.String(),
-		"reason", x.Reason.String(), "took_s", m.lead.c.env.Now().Sub(x.StartedAt).Seconds())
+// logMoveEnded tells of the end of a move.
+func (m *rebalancer) logMoveEnded(move *migration.Move) {
+	slog.Info("move ended", "task", move.Task.String(), "team", move.Team, "from", string(move.From), "to", string(move.To), "state", move.State.String(),
+		"reason", move.Reason.String(), "took_s", m.leader.controller.env.Now().Sub(move.StartedAt).Seconds())
 }
--- a/internal/controller/read.go
+++ b/internal/controller/read.go
@@ -11,15 +11,15 @@
 	"opaldale/internal/statesvc"
 )
 
-// bucket bounds the state service requests that polls cause.
-type bucket struct {
+// tokenBucket bounds the state service requests that polls cause.
+type tokenBucket struct {
 	tokens, perSecond float64
-	filled            ident.MonotonicTime
+	refilledAt        ident.MonotonicTime
 }
 
-func (b *bucket) take(now ident.MonotonicTime, n float64) bool {
-	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.filled).Seconds())
-	b.filled = now
+func (b *tokenBucket) allow(now ident.MonotonicTime, n float64) bool {
+	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < n {
 		return false
 	}
@@ -27,69 +27,69 @@
 	return true
 }
 
-// read answers a poll from the state service. A job only ever moves from live to
+// pollFromStore answers a poll from the state service. A job only ever moves from live to
 // over, so reading in this order can't miss it.
-func (c *Controller) read(job string, reply func(Reply)) {
-	id := ident.JobID(job)
-	until, later := c.env.Now().Add(2*commitTime), reply
-	reply = func(r Reply) { later(r.within(until)) }
-	if !c.reads.take(c.env.Now(), 2) {
+func (c *Controller) pollFromStore(jobID string, reply func(Response)) {
+	id := ident.JobID(jobID)
+	deadline, unbounded := c.env.Now().Add(2*storeTimeout), reply
+	reply = func(r Response) { unbounded(r.limitValidity(deadline)) }
+	if !c.pollLimiter.allow(c.env.Now(), 2) {
 		c.Refused++
 		reply(unavailable("too many polls at present"))
 		return
 	}
-	c.get(jobs.LiveKey(id), reply, func(r statesvc.Response) {
+	c.storeGet(jobs.LiveKey(id), reply, func(r statesvc.Response) {
 		v, err := jobs.ParseLiveView(r.Value)
 		if err != nil {
-			slog.Error("unreadable job", "id", job, "err", err)
+			slog.Error("unreadable job", "id", jobID, "err", err)
 			reply(unavailable("unreadable job"))
 			return
 		}
-		c.learned(v.ID, v.Status)
-		reply(answer(http.StatusOK, v))
-	}, func() { c.readOver(id, reply) })
+		c.rememberIfCancelled(v.ID, v.Status)
+		reply(jsonResponse(http.StatusOK, v))
+	}, func() { c.pollFinished(id, reply) })
 }
 
-// readOver answers a poll for a job that is not live.
-func (c *Controller) readOver(id ident.JobID, reply func(Reply)) {
-	c.over(id, func(e jobs.ArchivedJob, found bool, err error) {
+// pollFinished answers a poll for a job that is not live.
+func (c *Controller) pollFinished(id ident.JobID, reply func(Response)) {
+	c.lookUpFinished(id, func(ended jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
 		case !found:
-			reply(problem(http.StatusNotFound, "no such job"))
+			reply(errorResponse(http.StatusNotFound, "no such job"))
 		default:
-			c.learned(id, e.Phase.String())
-			reply(answer(http.StatusOK, e.View(id)))
+			c.rememberIfCancelled(id, ended.Phase.String())
+			reply(jsonResponse(http.StatusOK, ended.View(id)))
 		}
 	})
 }
 
-// errState says that the state service gave no clear answer.
-var errState = errors.New("state service unavailable")
+// errStoreUnavailable says that the state service gave no clear answer.
+var errStoreUnavailable = errors.New("state service unavailable")
 
-// over looks a job up among those that are over.
-func (c *Controller) over(id ident.JobID, f func(e jobs.ArchivedJob, found bool, err error)) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.ArchiveKey(id), Timeout: commitTime}, func(r statesvc.Response) {
-		var e jobs.ArchivedJob
+// lookUpFinished looks a job up among those that are over.
+func (c *Controller) lookUpFinished(id ident.JobID, done func(ended jobs.ArchivedJob, found bool, err error)) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}, func(r statesvc.Response) {
+		var ended jobs.ArchivedJob
 		switch r.Outcome {
 		case statesvc.OK:
-			if err := json.Unmarshal(r.Value, &e); err != nil {
+			if err := json.Unmarshal(r.Value, &ended); err != nil {
 				slog.Error("unreadable job", "id", string(id), "err", err)
-				f(e, false, err)
+				done(ended, false, err)
 				return
 			}
-			f(e, true, nil)
+			done(ended, true, nil)
 		case statesvc.NotFound:
-			f(e, false, nil)
+			done(ended, false, nil)
 		default:
-			f(e, false, errState)
+			done(ended, false, errStoreUnavailable)
 		}
 	})
 }
 
-func (c *Controller) get(path string, reply func(Reply), found func(statesvc.Response), missing func()) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: path, Timeout: commitTime}, func(r statesvc.Response) {
+func (c *Controller) storeGet(path string, reply func(Response), found func(statesvc.Response), missing func()) {
+	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: path, Timeout: storeTimeout}, func(r statesvc.Response) {
 		switch r.Outcome {
 		case statesvc.OK:
 			found(r)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -13,98 +13,98 @@
 	"opaldale/internal/workers"
 )
 
-// refusePending answers those who wait for a state service that doesn't answer:
+// failPendingReplies answers those who wait for a state service that doesn't answer:
 // they are not kept waiting for it.
-func (l *lead) refusePending() {
-	for _, id := range slices.Sorted(maps.Keys(l.pending)) {
-		reply := l.pending[id]
-		delete(l.pending, id)
-		l.c.Refused++
+func (l *leaderTerm) failPendingReplies() {
+	for _, id := range slices.Sorted(maps.Keys(l.pendingReplies)) {
+		reply := l.pendingReplies[id]
+		delete(l.pendingReplies, id)
+		l.controller.Refused++
 		reply(unavailable("state service unavailable"))
 	}
 }
 
-// wait makes a reply that is refused when the state service doesn't answer in
+// withStoreTimeout makes a reply that is refused when the state service doesn't answer in
 // time; the returned function answers unless that has happened.
-func (l *lead) wait(reply func(Reply)) func(Reply) {
-	l.lastReq++
-	id := l.lastReq
-	l.pending[id] = reply
-	l.c.env.After(commitTime, func() {
-		if l.pending[id] != nil {
-			delete(l.pending, id)
-			l.c.Refused++
+func (l *leaderTerm) withStoreTimeout(reply func(Response)) func(Response) {
+	l.lastReplyID++
+	id := l.lastReplyID
+	l.pendingReplies[id] = reply
+	l.controller.env.After(storeTimeout, func() {
+		if l.pendingReplies[id] != nil {
+			delete(l.pendingReplies, id)
+			l.controller.Refused++
 			reply(unavailable("state service is slow"))
 		}
 	})
-	return func(r Reply) {
-		if l.pending[id] != nil {
-			delete(l.pending, id)
+	return func(r Response) {
+		if l.pendingReplies[id] != nil {
+			delete(l.pendingReplies, id)
 			reply(r)
 		}
 	}
 }
 
 // submit takes a job in.
-func (l *lead) submit(s *api.Spec, reply func(Reply)) {
-	known := func(v api.JobView) { reply(ack(v)) }
-	if j := l.jobs.Jobs[s.ID]; j != nil {
-		l.told(j, reply, ack)
+func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
+	replyKnown := func(v api.JobView) { reply(ackResponse(v)) }
+	if j := l.jobs.Jobs[spec.ID]; j != nil {
+		l.replyWhenDurable(j, reply, ackResponse)
 		return
 	}
-	if e, ok := l.jobs.LookupArchived(s.ID); ok {
-		known(e.View(s.ID))
+	if e, ok := l.jobs.LookupArchived(spec.ID); ok {
+		replyKnown(e.View(spec.ID))
 		return
 	}
-	if why := l.refusal(s); why != "" {
+	if reason := l.rejectionReason(spec); reason != "" {
 		// Unless it was accepted, by other rules, and is over.
-		l.ended(s.ID, reply, known, func() { reply(problem(http.StatusUnprocessableEntity, why)) })
+		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(errorResponse(http.StatusUnprocessableEntity, reason)) })
 		return
 	}
 	// A gang, or a header that the first format has no room for, waits for the level.
-	size, most := l.jobs.HeaderSize(s)
-	if size > most {
-		why := fmt.Sprintf("the description takes %d bytes, and %d can be kept", size, most)
-		l.ended(s.ID, reply, known, func() { reply(problem(http.StatusUnprocessableEntity, why)) })
+	size, maxSize := l.jobs.HeaderSize(spec)
+	if size > maxSize {
+		reason := fmt.Sprintf("the description takes %d bytes, and %d can be kept", size, maxSize)
+		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(errorResponse(http.StatusUnprocessableEntity, reason)) })
 		return
 	}
-	if l.level < ident.FormatPacked && (s.Shape == api.Gang || size > jobs.HeaderSpecBytes) {
-		l.c.Refused++
+	if l.formatLevel < ident.FormatPacked && (spec.Shape == api.Gang || size > jobs.HeaderSpecBytes) {
+		l.controller.Refused++
 		reply(unavailable("some nodes still run an earlier version"))
 		return
 	}
-	if l.commits.StoreUnavailable() || l.commits.Backlog() > maxBacklog {
-		l.c.Refused++
+	if l.committer.StoreUnavailable() || l.committer.Backlog() > maxBacklog {
+		l.controller.Refused++
 		reply(unavailable("state service unavailable"))
 		return
 	}
-	reply = l.wait(reply)
+	reply = l.withStoreTimeout(reply)
 	var j *jobs.Job
-	j = l.jobs.Add(s, func() {
-		l.fleet.RecordArrival(s, l.c.env.Now())
+	j = l.jobs.Add(spec, func() {
+		l.fleet.RecordArrival(spec, l.controller.env.Now())
 		if j.Phase != jobs.Open {
 			// Its user cancelled it meanwhile.
-			l.told(j, reply, ack)
+			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		reply(l.fresh(answer(http.StatusCreated, api.JobStatus{ID: s.ID, Status: "queued"})))
+		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})))
 	}, func() {
-		l.ended(s.ID, reply, known, func() { reply(unavailable("try again")) })
+		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(unavailable("try again")) })
 	})
 }
 
-// refusal says why a job can never run.
-func (l *lead) refusal(s *api.Spec) string {
-	if why := l.teams.RejectReason(s); why != "" {
-		return why
-	}
-	for i := range l.models {
-		k := &l.models[i]
-		if !workers.AllowsModel(s, k.SKU) || !workers.FitsEmpty(k, s) {
+// rejectionReason says why a job can never run.
+func (l *leaderTerm) rejectionReason(spec *api.Spec) string {
+	if reason := l.teams.RejectReason(spec); reason != "" {
+		return reason
+	}
+	for i := range l.machineTypes {
+		machineType := &l.machineTypes[i]
+		if !workers.AllowsModel(spec, machineType.SKU) || !workers.FitsEmpty(machineType, spec) {
 			continue
 		}
-		for _, z := range k.Zones {
-			if s.Zone == nil || *s.Zone == z {
+		for _, zone := range machineType.Zones {
+			if spec.Zone == nil || *spec.Zone == zone {
 				return ""
 			}
 		}
@@ -112,9 +112,9 @@
 	return "models: no machine type fits"
 }
 
-// ended looks for a job that went over in an earlier term.
-func (l *lead) ended(id ident.JobID, reply func(Reply), found func(api.JobView), missing func()) {
-	l.c.over(id, func(e jobs.ArchivedJob, ok bool, err error) {
+// lookUpFinished looks for a job that went over in an earlier term.
+func (l *leaderTerm) lookUpFinished(id ident.JobID, reply func(Response), found func(api.JobView), missing func()) {
+	l.controller.lookUpFinished(id, func(e jobs.ArchivedJob, ok bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
@@ -127,68 +127,68 @@
 	})
 }
 
-// told answers with a job's view, once that is what every node would say.
-func (l *lead) told(j *jobs.Job, reply func(Reply), as func(api.JobView) Reply) {
-	say := func() {
-		r := as(j.View())
+// replyWhenDurable answers with a job's view, once that is what every node would say.
+func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
+	respond := func() {
+		r := render(j.View())
 		if j.DurablePhase == jobs.Open {
-			r = l.fresh(r)
+			r = l.limitToLeaderLease(r)
 		}
 		reply(r)
 	}
 	if !j.ViewSettled() {
-		reply = l.wait(reply)
+		reply = l.withStoreTimeout(reply)
 	}
-	j.WhenViewSettled(say)
+	j.WhenViewSettled(respond)
 }
 
-// fresh bounds an answer from memory by the time for which leadership is sure: it is
+// limitToLeaderLease bounds an answer from memory by the time for which leadership is sure: it is
 // judged once more right before the answer goes out, as the process may stand still
 // meanwhile.
-func (l *lead) fresh(r Reply) Reply {
-	if l.dead || !l.c.may(authority.ServeReads) {
+func (l *leaderTerm) limitToLeaderLease(r Response) Response {
+	if l.closed || !l.controller.allows(authority.ServeReads) {
 		return unavailable("no leader at present")
 	}
-	return r.within(l.c.elect.LeaseExpiry())
+	return r.limitValidity(l.controller.election.LeaseExpiry())
 }
 
-// poll answers from memory.
-func (l *lead) poll(id ident.JobID, reply func(Reply)) {
+// getJob answers from memory.
+func (l *leaderTerm) getJob(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
-		l.told(j, reply, func(v api.JobView) Reply { return answer(http.StatusOK, v) })
+		l.replyWhenDurable(j, reply, func(v api.JobView) Response { return jsonResponse(http.StatusOK, v) })
 		return
 	}
 	if e, ok := l.jobs.LookupArchived(id); ok {
-		reply(answer(http.StatusOK, e.View(id)))
+		reply(jsonResponse(http.StatusOK, e.View(id)))
 		return
 	}
-	if !l.c.reads.take(l.c.env.Now(), 1) {
-		l.c.Refused++
+	if !l.controller.pollLimiter.allow(l.controller.env.Now(), 1) {
+		l.controller.Refused++
 		reply(unavailable("too many polls at present"))
 		return
 	}
-	l.ended(id, reply, func(v api.JobView) { reply(answer(http.StatusOK, v)) },
-		func() { reply(problem(http.StatusNotFound, "no such job")) })
+	l.lookUpFinished(id, reply, func(v api.JobView) { reply(jsonResponse(http.StatusOK, v)) },
+		func() { reply(errorResponse(http.StatusNotFound, "no such job")) })
 }
 
 // cancel ends a job. Its tasks are stopped at once; nobody has any use for them.
-func (l *lead) cancel(id ident.JobID, reply func(Reply)) {
+func (l *leaderTerm) cancel(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
 		if j.DurablePhase != jobs.Open {
-			reply(ack(j.View()))
+			reply(ackResponse(j.View()))
 			return
 		}
-		reply = l.wait(reply)
-		l.jobs.Cancel(j, func() { reply(ack(j.View())) })
+		reply = l.withStoreTimeout(reply)
+		l.jobs.Cancel(j, func() { reply(ackResponse(j.View())) })
 		if j.Phase == jobs.Cancelled {
-			l.stopAll(j)
+			l.stopJob(j)
 		}
 		return
 	}
-	say := func(v api.JobView) { reply(ack(v)) }
+	replyAck := func(v api.JobView) { reply(ackResponse(v)) }
 	if e, ok := l.jobs.LookupArchived(id); ok {
-		say(e.View(id))
+		replyAck(e.View(id))
 		return
 	}
-	l.ended(id, reply, say, func() { reply(problem(http.StatusNotFound, "no such job")) })
+	l.lookUpFinished(id, reply, replyAck, func() { reply(errorResponse(http.StatusNotFound, "no such job")) })
 }
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -7,33 +7,33 @@
 	"opaldale/internal/workers"
 )
 
-// completed notes how long a task ran, if that was from its beginning: one that has saved before
+// noteCompletion notes how long a task ran, if that was from its beginning: one that has saved before
 // needs less, and of one that an earlier term placed the beginning is not known.
-func (m *mover) completed(t *jobs.Task, w *workers.Worker) {
+func (m *rebalancer) noteCompletion(t *jobs.Task, w *workers.Worker) {
 	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
 	}
-	m.speeds.RecordRun(t.Job.Spec.ID, w.Model, w.ID, m.lead.c.env.Now().Sub(t.RunningSince))
+	m.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, m.leader.controller.env.Now().Sub(t.RunningSince))
 }
 
-// judgeSpeeds looks for machines that are much slower than others. Nothing more is placed on
+// detectSlowMachines looks for machines that are much slower than others. Nothing more is placed on
 // them; what is there ends or is moved, and an empty one is returned.
-func (m *mover) judgeSpeeds() {
-	if !m.carries {
+func (m *rebalancer) detectSlowMachines() {
+	if !m.executesMoves {
 		return
 	}
-	m.slow = 0
-	all := m.lead.workers.Sorted()
+	m.slowMachines = 0
+	all := m.leader.workers.Sorted()
 	for _, w := range all {
 		switch {
 		case w.State == workers.Terminated:
-			m.speeds.RemoveMachine(w.ID)
-		case w.State == workers.Up && m.speeds.IsSlow(w.ID, len(all)):
-			m.slow++
+			m.speedTracker.RemoveMachine(w.ID)
+		case w.State == workers.Up && m.speedTracker.IsSlow(w.ID, len(all)):
+			m.slowMachines++
 			if !w.Slow {
 				w.Slow = true
-				slog.Info("machine is slow", "host", string(w.ID), "times", m.speeds.Slowness(w.ID), "tasks", len(w.Tasks))
+				slog.Info("machine is slow", "host", string(w.ID), "times", m.speedTracker.Slowness(w.ID), "tasks", len(w.Tasks))
 			}
 		}
 	}
