--- a/internal/controller/takeover_bench_test.go
+++ b/internal/controller/takeover_bench_test.go
@@ -16,9 +16,9 @@
 	"opaldale/internal/statesvc"
 )
 
-// fleetOnRecord is a state service's content: machines in groups, and three running tasks
+// storedFleet is a state service's content: machines in groups, and three running tasks
 // on each, in the newest format.
-func fleetOnRecord(machines int) []statesvc.KeyValue {
+func storedFleet(machines int) []statesvc.KeyValue {
 	var pairs []statesvc.KeyValue
 	put := func(path string, v any) {
 		b, err := json.Marshal(v)
@@ -28,13 +28,13 @@
 		pairs = append(pairs, statesvc.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
 	}
 	host := func(i int) string { return fmt.Sprintf("host-%06d", i) }
-	for at := 0; at < machines; at += groupSize {
+	for at := 0; at < machines; at += maxGroupMachines {
 		g := groupRecord{Model: "m8", Zone: "a"}
 		var list []machineRecord
-		for i := at; i < min(at+groupSize, machines); i++ {
-			list = append(list, machineRecord{Host: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+		for i := at; i < min(at+maxGroupMachines, machines); i++ {
+			list = append(list, machineRecord{ID: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
 		}
-		g.pack(list)
+		g.encode(list)
 		put(fmt.Sprintf("%s1-%d", fleetPrefix, at), g)
 	}
 	type record struct {
@@ -56,26 +56,26 @@
 	return pairs
 }
 
-// BenchmarkTakeover loads what a term left, until the next leader may place.
-func BenchmarkTakeover(b *testing.B) {
+// BenchmarkFailover loads what a term left, until the next leader may place.
+func BenchmarkFailover(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, machines := range []int{500, 1000, 2000, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
-			pairs := fleetOnRecord(machines)
+			pairs := storedFleet(machines)
 			set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 				Teams:   []settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}},
 				Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
 				Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.CloudLimits{RPS: 5}}}
 			for b.Loop() {
-				w := &world{now: ident.MonotonicTime(time.Hour), asked: map[string]bool{}, keys: pairs,
+				w := &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}, listed: pairs,
 					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
 				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
 				c.OnStartedLeading(2, ident.NewestFormatLevel, statesvc.Compare{Key: "leader", Revision: 9})
-				if c.lead == nil || !c.lead.ready || len(c.lead.workers.Workers) != machines {
+				if c.leader == nil || !c.leader.loaded || len(c.leader.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
 				}
 				held := 0
-				for _, j := range c.lead.jobs.Jobs {
+				for _, j := range c.leader.jobs.Jobs {
 					held += j.AllocatedTasks
 				}
 				if held == 0 {
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -12,7 +12,7 @@
 // until the penalty has fallen below reuseAt.
 type damper struct {
 	penalty    float64
-	at         ident.MonotonicTime // when the penalty was worked out
+	updatedAt  ident.MonotonicTime // when the penalty was worked out
 	suppressed bool
 }
 
@@ -30,17 +30,17 @@
 
 // decay brings the penalty up to date.
 func (d *damper) decay(now ident.MonotonicTime, halfLife time.Duration) {
-	if now > d.at && d.penalty > 0 {
-		d.penalty *= math.Exp2(-float64(now.Sub(d.at)) / float64(halfLife))
+	if now > d.updatedAt && d.penalty > 0 {
+		d.penalty *= math.Exp2(-float64(now.Sub(d.updatedAt)) / float64(halfLife))
 	}
-	d.at = max(d.at, now)
+	d.updatedAt = max(d.updatedAt, now)
 	if d.suppressed && d.penalty < reuseAt {
 		d.suppressed = false
 	}
 }
 
-// broke notes a break.
-func (d *damper) broke(now ident.MonotonicTime, halfLife time.Duration) {
+// recordBreak notes a break.
+func (d *damper) recordBreak(now ident.MonotonicTime, halfLife time.Duration) {
 	d.decay(now, halfLife)
 	d.penalty = min(maxPenalty, d.penalty+breakPenalty)
 	if d.penalty >= suppressAt {
--- a/internal/links/detector.go
+++ b/internal/links/detector.go
@@ -39,15 +39,15 @@
 
 // level returns -log10 of the probability that something overdue for so long is still to
 // come, with the delays normally distributed. A pause is granted on top.
-func (d *detector) level(overdue, pause time.Duration) float64 {
+func (d *detector) level(overdue, grace time.Duration) float64 {
 	if d.samples == 0 {
 		return 0
 	}
 	deviation := max(d.deviation, minDeviation, minRelativeDeviation*d.mean)
-	z := ((overdue - pause).Seconds() - d.mean) / deviation
-	later := math.Erfc(z/math.Sqrt2) / 2
-	if later <= 0 {
+	deviations := ((overdue - grace).Seconds() - d.mean) / deviation
+	tailProbability := math.Erfc(deviations/math.Sqrt2) / 2
+	if tailProbability <= 0 {
 		return maxLevel
 	}
-	return min(maxLevel, max(0, -math.Log10(later)))
+	return min(maxLevel, max(0, -math.Log10(tailProbability)))
 }
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -9,8 +9,8 @@
 
 // Config holds a monitor's times.
 type Config struct {
-	// Pause is granted beyond a link's usual delays before it is suspected.
-	Pause time.Duration
+	// SuspectGrace is granted beyond a link's usual delays before it is suspected.
+	SuspectGrace time.Duration
 	// HalfLife is that of the penalty for breaks.
 	HalfLife time.Duration
 }
@@ -20,13 +20,13 @@
 	// suspect, and down.
 	suspectLevel = 2
 	downLevel    = 8
-	// recoverProofs is how many signs of a working link, none later than recoverGap after
+	// recoverySuccesses is how many signs of a working link, none later than recoveryMaxGap after
 	// the one before, end a break: of a link that loses most of what is sent, now and then
 	// one message passes.
-	recoverProofs = 3
-	recoverGap    = 3 * time.Second
-	// rejections is how many refused connections in a row count as a break.
-	rejections = 3
+	recoverySuccesses = 3
+	recoveryMaxGap    = 3 * time.Second
+	// maxConnectionRefusals is how many refused connections in a row count as a break.
+	maxConnectionRefusals = 3
 )
 
 // Verdict is what is known of one direction of a link.
@@ -39,50 +39,50 @@
 	Breaks   uint64
 }
 
-// Change is a change of a verdict.
-type Change struct {
-	Peer      Peer
+// VerdictChange is a change of a verdict.
+type VerdictChange struct {
+	Endpoint  Endpoint
 	Direction Direction
 	From, To  Verdict
 }
 
-// way is one direction of a link.
-type way struct {
-	detector detector
-	damper   damper
-	instant  State // by the detector alone
-	raw      State // without damping
-	proofs   int   // signs of a working link since it was down
-	verdict  Verdict
-	newest   ident.MonotonicTime // time of the newest good evidence
-	ever     bool
+// directionState is one direction of a link.
+type directionState struct {
+	detector    detector
+	damper      damper
+	detected    State // by the detector alone
+	undamped    State // without damping
+	successes   int   // signs of a working link since it was down
+	verdict     Verdict
+	lastSuccess ident.MonotonicTime // time of the newest good evidence
+	hasSuccess  bool
 }
 
 // link is both directions, and the requests that are open.
 type link struct {
-	in, out  way
-	pending  ident.MonotonicTime // when the oldest message without a sign of arrival was sent
-	waits    bool                // there is such a message
-	refusing bool                // the newest answers were refusals
-	rejected int                 // connections refused in a row
-	stamp    ident.MonotonicTime // of the newest evidence or message sent
+	in, out       directionState
+	oldestUnacked ident.MonotonicTime // when the oldest message without a sign of arrival was sent
+	hasUnacked    bool                // there is such a message
+	refusing      bool                // the newest answers were refusals
+	refusedConns  int                 // connections refused in a row
+	lastActivity  ident.MonotonicTime // of the newest evidence or message sent
 }
 
 // Monitor judges the links of one node.
 type Monitor struct {
 	config Config
-	links  map[Peer]*link
+	links  map[Endpoint]*link
 }
 
 // NewMonitor makes a monitor without links.
 func NewMonitor(config Config) *Monitor {
-	return &Monitor{config: config, links: map[Peer]*link{}}
+	return &Monitor{config: config, links: map[Endpoint]*link{}}
 }
 
 // Watch makes a link known before there is evidence.
-func (m *Monitor) Watch(p Peer) { m.link(p) }
+func (m *Monitor) Watch(p Endpoint) { m.link(p) }
 
-func (m *Monitor) link(p Peer) *link {
+func (m *Monitor) link(p Endpoint) *link {
 	l := m.links[p]
 	if l == nil {
 		l = &link{}
@@ -92,134 +92,136 @@
 }
 
 // Sent notes a message whose arrival will show: a request, or a heartbeat that is echoed.
-func (m *Monitor) Sent(p Peer, now ident.MonotonicTime) {
+func (m *Monitor) Sent(p Endpoint, now ident.MonotonicTime) {
 	l := m.link(p)
-	l.stamp = max(l.stamp, now)
-	if !l.waits {
-		l.pending, l.waits = now, true
+	l.lastActivity = max(l.lastActivity, now)
+	if !l.hasUnacked {
+		l.oldestUnacked, l.hasUnacked = now, true
 	}
 }
 
-// Withdrawn notes that a message was not sent after all.
-func (m *Monitor) Withdrawn(p Peer, sent ident.MonotonicTime) {
-	if l := m.link(p); l.waits && l.pending == sent {
-		l.waits = false
+// Unsent notes that a message was not sent after all.
+func (m *Monitor) Unsent(p Endpoint, sent ident.MonotonicTime) {
+	if l := m.link(p); l.hasUnacked && l.oldestUnacked == sent {
+		l.hasUnacked = false
 	}
 }
 
 // Overdue returns for how long something that was sent shows no sign of arrival, 0 if
 // nothing does.
-func (m *Monitor) Overdue(p Peer, now ident.MonotonicTime) time.Duration {
-	if l := m.links[p]; l != nil && l.waits {
-		return now.Sub(l.pending)
+func (m *Monitor) Overdue(p Endpoint, now ident.MonotonicTime) time.Duration {
+	if l := m.links[p]; l != nil && l.hasUnacked {
+		return now.Sub(l.oldestUnacked)
 	}
 	return 0
 }
 
-// Heard notes that something came from the peer.
-func (m *Monitor) Heard(p Peer, now ident.MonotonicTime) { m.heard(m.link(p), now, Message) }
+// Received notes that something came from the peer.
+func (m *Monitor) Received(p Endpoint, now ident.MonotonicTime) {
+	m.recordInbound(m.link(p), now, Message)
+}
 
-func (m *Monitor) heard(l *link, now ident.MonotonicTime, e Evidence) {
+func (m *Monitor) recordInbound(l *link, now ident.MonotonicTime, e Evidence) {
 	w := &l.in
-	if w.ever && w.raw != Down {
-		w.detector.sample(now.Sub(w.newest))
+	if w.hasSuccess && w.undamped != Down {
+		w.detector.sample(now.Sub(w.lastSuccess))
 	}
-	w.good(now, e)
-	l.stamp = max(l.stamp, now)
+	w.recordSuccess(now, e)
+	l.lastActivity = max(l.lastActivity, now)
 }
 
-// arrived notes that what was sent at a time has come to the peer.
-func (m *Monitor) arrived(l *link, sent, now ident.MonotonicTime, e Evidence) {
-	l.rejected = 0
-	l.stamp = max(l.stamp, now)
-	if l.out.ever && sent <= l.out.newest {
+// recordDelivery notes that what was sent at a time has come to the peer.
+func (m *Monitor) recordDelivery(l *link, sent, now ident.MonotonicTime, e Evidence) {
+	l.refusedConns = 0
+	l.lastActivity = max(l.lastActivity, now)
+	if l.out.hasSuccess && sent <= l.out.lastSuccess {
 		return // known before: a sibling repeats the newest heartbeat that it has heard
 	}
 	l.out.detector.sample(now.Sub(sent))
-	l.out.good(sent, e)
-	if l.waits && sent >= l.pending {
-		l.waits = false
+	l.out.recordSuccess(sent, e)
+	if l.hasUnacked && sent >= l.oldestUnacked {
+		l.hasUnacked = false
 	}
 }
 
-// good notes evidence that the direction worked at a time.
-func (w *way) good(at ident.MonotonicTime, e Evidence) {
-	if at.Sub(w.newest) > recoverGap {
-		w.proofs = 0
+// recordSuccess notes evidence that the direction worked at a time.
+func (w *directionState) recordSuccess(at ident.MonotonicTime, e Evidence) {
+	if at.Sub(w.lastSuccess) > recoveryMaxGap {
+		w.successes = 0
 	}
-	w.proofs++
-	w.newest, w.ever = max(w.newest, at), true
+	w.successes++
+	w.lastSuccess, w.hasSuccess = max(w.lastSuccess, at), true
 	w.verdict.Evidence = e
 }
 
 // Answered notes the answer to a request.
-func (m *Monitor) Answered(p Peer, sent, now ident.MonotonicTime) {
+func (m *Monitor) Answered(p Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.refusing = false
-	m.heard(l, now, Answer)
-	m.arrived(l, sent, now, Answer)
+	m.recordInbound(l, now, Response)
+	m.recordDelivery(l, sent, now, Response)
 }
 
 // Echoed notes that the peer has repeated what was sent to it at a time.
-func (m *Monitor) Echoed(p Peer, sent, now ident.MonotonicTime) {
-	m.arrived(m.link(p), sent, now, Echo)
+func (m *Monitor) Echoed(p Endpoint, sent, now ident.MonotonicTime) {
+	m.recordDelivery(m.link(p), sent, now, Echo)
 }
 
-// Refused notes an answer that says only that the peer doesn't serve this node.
-func (m *Monitor) Refused(p Peer, sent, now ident.MonotonicTime) {
+// AnsweredWithError notes an answer that says only that the peer doesn't serve this node.
+func (m *Monitor) AnsweredWithError(p Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(p)
 	l.refusing = true
-	m.heard(l, now, ErrorAnswer)
-	m.arrived(l, sent, now, ErrorAnswer)
+	m.recordInbound(l, now, ErrorResponse)
+	m.recordDelivery(l, sent, now, ErrorResponse)
 }
 
-// Rejected notes that a connection to the peer was refused. Alone that shows nothing: a host
+// ConnectionRefused notes that a connection to the peer was refused. Alone that shows nothing: a host
 // without free sockets refuses as well.
-func (m *Monitor) Rejected(p Peer, now ident.MonotonicTime) {
+func (m *Monitor) ConnectionRefused(p Endpoint, now ident.MonotonicTime) {
 	l := m.link(p)
-	l.rejected++
-	l.out.verdict.Evidence = Rejected
-	l.stamp = max(l.stamp, now)
+	l.refusedConns++
+	l.out.verdict.Evidence = ConnectionRefused
+	l.lastActivity = max(l.lastActivity, now)
 }
 
 // Idle says whether there was neither evidence nor a message for so long, so that only a
 // probe can tell.
-func (m *Monitor) Idle(p Peer, now ident.MonotonicTime, d time.Duration) bool {
-	return now.Sub(m.link(p).stamp) >= d
+func (m *Monitor) Idle(p Endpoint, now ident.MonotonicTime, d time.Duration) bool {
+	return now.Sub(m.link(p).lastActivity) >= d
 }
 
 // Evaluate brings all verdicts up to date and returns those that have changed, in order.
-func (m *Monitor) Evaluate(now ident.MonotonicTime) []Change {
-	var changes []Change
-	for _, p := range m.Peers() {
+func (m *Monitor) Evaluate(now ident.MonotonicTime) []VerdictChange {
+	var changes []VerdictChange
+	for _, p := range m.Endpoints() {
 		l := m.links[p]
-		in, out := m.judgeInbound(p, l, now), m.judgeOutbound(l, now)
+		in, out := m.evaluateInbound(p, l, now), m.evaluateOutbound(l, now)
 		if p.roundTrip() {
 			in = out
 		}
 		for _, v := range []struct {
 			direction Direction
-			way       *way
+			way       *directionState
 			raw       State
 		}{{Inbound, &l.in, in}, {Outbound, &l.out, out}} {
 			before := v.way.verdict
-			v.way.settle(v.raw, now, m.config.HalfLife)
+			v.way.apply(v.raw, now, m.config.HalfLife)
 			if after := v.way.verdict; after.State != before.State || after.Damped != before.Damped {
-				changes = append(changes, Change{p, v.direction, before, after})
+				changes = append(changes, VerdictChange{p, v.direction, before, after})
 			}
 		}
 	}
 	return changes
 }
 
-// judgeInbound returns the state of the inbound direction. Siblings send heartbeats all the
+// evaluateInbound returns the state of the inbound direction. Siblings send heartbeats all the
 // time; machines report to one node at a time, so their silence shows nothing.
-func (m *Monitor) judgeInbound(p Peer, l *link, now ident.MonotonicTime) State {
+func (m *Monitor) evaluateInbound(p Endpoint, l *link, now ident.MonotonicTime) State {
 	w := &l.in
-	if !w.ever {
+	if !w.hasSuccess {
 		return Unknown
 	}
-	w.verdict.Level = w.detector.level(now.Sub(w.newest), m.config.Pause)
+	w.verdict.Level = w.detector.level(now.Sub(w.lastSuccess), m.config.SuspectGrace)
 	state := stateOf(w.verdict.Level)
 	if w.detector.samples == 0 {
 		state = Up
@@ -233,30 +235,30 @@
 	return state
 }
 
-// judgeOutbound returns the state of the outbound direction: it is in doubt only while
+// evaluateOutbound returns the state of the outbound direction: it is in doubt only while
 // something that was sent shows no sign of arrival.
-func (m *Monitor) judgeOutbound(l *link, now ident.MonotonicTime) State {
+func (m *Monitor) evaluateOutbound(l *link, now ident.MonotonicTime) State {
 	w := &l.out
 	w.verdict.Level = 0
-	if l.rejected >= rejections {
+	if l.refusedConns >= maxConnectionRefusals {
 		return Down
 	}
-	if !l.waits {
-		if !w.ever {
+	if !l.hasUnacked {
+		if !w.hasSuccess {
 			return Unknown
 		}
 		return Up
 	}
-	overdue := now.Sub(l.pending)
+	overdue := now.Sub(l.oldestUnacked)
 	if w.detector.samples == 0 {
 		// Nothing ever arrived: no delays are known to judge by.
-		if overdue > firstAnswer {
+		if overdue > firstResponseTimeout {
 			w.verdict.Evidence = Silence
 			return Down
 		}
 		return Unknown
 	}
-	w.verdict.Level = w.detector.level(overdue, m.config.Pause)
+	w.verdict.Level = w.detector.level(overdue, m.config.SuspectGrace)
 	state := stateOf(w.verdict.Level)
 	if state != Up {
 		w.verdict.Evidence = Silence
@@ -264,8 +266,8 @@
 	return state
 }
 
-// firstAnswer is how long the first message to a peer may go without a sign of arrival.
-const firstAnswer = 5 * time.Second
+// firstResponseTimeout is how long the first message to a peer may go without a sign of arrival.
+const firstResponseTimeout = 5 * time.Second
 
 func stateOf(level float64) State {
 	switch {
@@ -277,21 +279,21 @@
 	return Up
 }
 
-// settle is the one place where a direction changes its state.
-func (w *way) settle(instant State, now ident.MonotonicTime, halfLife time.Duration) {
+// apply is the one place where a direction changes its state.
+func (w *directionState) apply(instant State, now ident.MonotonicTime, halfLife time.Duration) {
 	w.damper.decay(now, halfLife)
-	if instant == Down && w.instant != Down {
-		w.damper.broke(now, halfLife)
+	if instant == Down && w.detected != Down {
+		w.damper.recordBreak(now, halfLife)
 		w.verdict.Breaks++
 	}
-	w.instant = instant
+	w.detected = instant
 	switch {
-	case instant == Down && w.raw != Down:
-		w.raw, w.proofs = Down, 0
-	case w.raw != Down || w.proofs >= recoverProofs:
-		w.raw = instant
+	case instant == Down && w.undamped != Down:
+		w.undamped, w.successes = Down, 0
+	case w.undamped != Down || w.successes >= recoverySuccesses:
+		w.undamped = instant
 	}
-	state := w.raw
+	state := w.undamped
 	if w.damper.suppressed {
 		state = Down
 	}
@@ -301,28 +303,28 @@
 	}
 }
 
-// Passing says whether what is sent to the peer seems to arrive at this moment, without
+// Delivering says whether what is sent to the peer seems to arrive at this moment, without
 // regard to how often that has changed.
-func (m *Monitor) Passing(p Peer) bool {
+func (m *Monitor) Delivering(p Endpoint) bool {
 	l := m.links[p]
-	return l == nil || l.out.instant != Down
+	return l == nil || l.out.detected != Down
 }
 
 // Forget drops all that is known of a link: its far end is there no more.
-func (m *Monitor) Forget(p Peer) { delete(m.links, p) }
+func (m *Monitor) Forget(p Endpoint) { delete(m.links, p) }
 
-// Peers returns the far ends of all links, in order.
-func (m *Monitor) Peers() []Peer {
-	out := make([]Peer, 0, len(m.links))
+// Endpoints returns the far ends of all links, in order.
+func (m *Monitor) Endpoints() []Endpoint {
+	out := make([]Endpoint, 0, len(m.links))
 	for p := range m.links {
 		out = append(out, p)
 	}
-	slices.SortFunc(out, Peer.compare)
+	slices.SortFunc(out, Endpoint.compare)
 	return out
 }
 
 // Verdict returns what is known of one direction of a link.
-func (m *Monitor) Verdict(p Peer, d Direction) Verdict {
+func (m *Monitor) Verdict(p Endpoint, d Direction) Verdict {
 	l := m.links[p]
 	switch {
 	case l == nil:
@@ -334,14 +336,14 @@
 }
 
 // Refusing says whether the peer's newest answers were refusals.
-func (m *Monitor) Refusing(p Peer) bool {
+func (m *Monitor) Refusing(p Endpoint) bool {
 	l := m.links[p]
 	return l != nil && l.refusing
 }
 
 // Usable says whether requests to the peer are served, as far as is known: it is reached,
 // and neither suppressed nor refusing. Nothing known counts as usable.
-func (m *Monitor) Usable(p Peer) bool {
+func (m *Monitor) Usable(p Endpoint) bool {
 	l := m.links[p]
 	return l == nil || l.out.verdict.State != Down && l.in.verdict.State != Down && !l.refusing
 }
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -9,36 +9,36 @@
 	"opaldale/internal/ident"
 )
 
-var testConfig = Config{Pause: time.Second, HalfLife: 15 * time.Second}
-
-// line plays heartbeats with echoes over one link, and evaluates as a node does.
-type line struct {
-	m       *Monitor
-	peer    Peer
-	now     ident.MonotonicTime
-	beat    ident.MonotonicTime // the next
-	delay   time.Duration
-	down    func(ident.MonotonicTime) bool // whether the peer's messages are lost
-	changes int                            // between down and any other state, inbound
+var testConfig = Config{SuspectGrace: time.Second, HalfLife: 15 * time.Second}
+
+// simulatedLink plays heartbeats with echoes over one link, and evaluates as a node does.
+type simulatedLink struct {
+	m             *Monitor
+	peer          Endpoint
+	now           ident.MonotonicTime
+	nextHeartbeat ident.MonotonicTime // the next
+	delay         time.Duration
+	down          func(ident.MonotonicTime) bool // whether the peer's messages are lost
+	changes       int                            // between down and any other state, inbound
 }
 
 const (
-	beatEvery = 700 * time.Millisecond
-	stepEvery = 50 * time.Millisecond
+	heartbeatInterval = 700 * time.Millisecond
+	stepEvery         = 50 * time.Millisecond
 )
 
-func newLine(delay time.Duration) *line {
-	return &line{m: NewMonitor(testConfig), peer: Peer{Sibling, "agent-1"}, now: ident.MonotonicTime(time.Hour), delay: delay,
+func newSimulatedLink(delay time.Duration) *simulatedLink {
+	return &simulatedLink{m: NewMonitor(testConfig), peer: Endpoint{PeerNode, "agent-1"}, now: ident.MonotonicTime(time.Hour), delay: delay,
 		down: func(ident.MonotonicTime) bool { return false }}
 }
 
-func (l *line) play(d time.Duration) {
+func (l *simulatedLink) run(d time.Duration) {
 	for end := l.now.Add(d); l.now < end; l.now = l.now.Add(stepEvery) {
-		if l.now >= l.beat {
-			l.beat = l.now.Add(beatEvery)
+		if l.now >= l.nextHeartbeat {
+			l.nextHeartbeat = l.now.Add(heartbeatInterval)
 			l.m.Sent(l.peer, l.now)
 			if !l.down(l.now) {
-				l.m.Heard(l.peer, l.now)
+				l.m.Received(l.peer, l.now)
 				l.m.Echoed(l.peer, l.now.Add(-l.delay), l.now)
 			}
 		}
@@ -50,26 +50,26 @@
 	}
 }
 
-func (l *line) state(d Direction) State { return l.m.Verdict(l.peer, d).State }
+func (l *simulatedLink) state(d Direction) State { return l.m.Verdict(l.peer, d).State }
 
-// TestBreakIsNoticed: a link that works is up whatever its delay, and down within a bound
+// TestBreakIsDetected: a link that works is up whatever its delay, and down within a bound
 // after it breaks; one short break is over when the link is back.
-func TestBreakIsNoticed(t *testing.T) {
+func TestBreakIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delay := time.Duration(rapid.IntRange(1, 900).Draw(t, "delay_ms")) * time.Millisecond
-		l := newLine(delay)
-		l.play(time.Duration(rapid.IntRange(10, 40).Draw(t, "steady_s")) * time.Second)
+		l := newSimulatedLink(delay)
+		l.run(time.Duration(rapid.IntRange(10, 40).Draw(t, "steady_s")) * time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
 			t.Fatalf("a working link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
 		}
 		broke := l.now
 		l.down = func(at ident.MonotonicTime) bool { return at >= broke }
-		l.play(2*time.Second + 2*beatEvery + 3*delay)
+		l.run(2*time.Second + 2*heartbeatInterval + 3*delay)
 		if l.state(Inbound) != Down || l.state(Outbound) != Down {
 			t.Fatalf("a broken link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
-		l.play((recoverProofs + 1) * beatEvery)
+		l.run((recoverySuccesses + 1) * heartbeatInterval)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
 			t.Fatalf("the link is back, and %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
 		}
@@ -85,13 +85,13 @@
 		period := time.Duration(rapid.IntRange(1000, 6000).Draw(t, "period_ms")) * time.Millisecond
 		share := rapid.Float64Range(0.2, 0.9).Draw(t, "share")
 		down := time.Duration(float64(period) * share)
-		l := newLine(5 * time.Millisecond)
-		l.play(20 * time.Second)
+		l := newSimulatedLink(5 * time.Millisecond)
+		l.run(20 * time.Second)
 		began := l.now
 		l.down = func(at ident.MonotonicTime) bool { return at.Sub(began)%period < down }
-		l.play(settled)
+		l.run(settled)
 		l.changes = 0
-		l.play(2 * time.Minute)
+		l.run(2 * time.Minute)
 		noticed := down >= noticedAfter
 		if l.changes > mostChanges || noticed && l.changes > 0 {
 			t.Fatalf("%d changes after %v of flapping with period %v, down for %v", l.changes, settled, period, down)
@@ -100,7 +100,7 @@
 			t.Fatalf("down for %v of %v, and %v", down, period, l.state(Inbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
-		l.play(MaxSuppression(testConfig.HalfLife) + 3*time.Second)
+		l.run(MaxSuppression(testConfig.HalfLife) + 3*time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
 			t.Fatalf("steady for %v, and %v inbound", MaxSuppression(testConfig.HalfLife), l.state(Inbound))
 		}
@@ -117,11 +117,11 @@
 	mostChanges = 22
 )
 
-// TestSlowBesideDead: delays to which a link has been used are no reason to suspect it, and
+// TestSlowLinkIsNotSuspected: delays to which a link has been used are no reason to suspect it, and
 // the same silence on a fast one is.
-func TestSlowBesideDead(t *testing.T) {
+func TestSlowLinkIsNotSuspected(t *testing.T) {
 	m := NewMonitor(testConfig)
-	slow, fast := Peer{Sibling, "slow"}, Peer{Sibling, "fast"}
+	slow, fast := Endpoint{PeerNode, "slow"}, Endpoint{PeerNode, "fast"}
 	now := ident.MonotonicTime(time.Hour)
 	for range 30 {
 		m.Sent(slow, now)
@@ -143,17 +143,17 @@
 	}
 }
 
-// TestDirectionsApart: to hear a sibling doesn't show that it hears us, though it goes on to
+// TestDirectionsAreIndependent: to hear a sibling doesn't show that it hears us, though it goes on to
 // echo the last heartbeat that it has heard. (Each echo was taken for a longer delay, to
 // which the link was used then.)
-func TestDirectionsApart(t *testing.T) {
-	l := newLine(5 * time.Millisecond)
-	l.play(10 * time.Second)
-	last := l.m.link(l.peer).out.newest
+func TestDirectionsAreIndependent(t *testing.T) {
+	l := newSimulatedLink(5 * time.Millisecond)
+	l.run(10 * time.Second)
+	last := l.m.link(l.peer).out.lastSuccess
 	for range 20 {
-		l.now = l.now.Add(beatEvery)
+		l.now = l.now.Add(heartbeatInterval)
 		l.m.Sent(l.peer, l.now)
-		l.m.Heard(l.peer, l.now)
+		l.m.Received(l.peer, l.now)
 		l.m.Echoed(l.peer, last, l.now) // of a heartbeat long ago, again and again
 		l.m.Evaluate(l.now)
 	}
@@ -164,7 +164,7 @@
 
 // TestEvidence: a refusal, a refused connection and silence are told apart.
 func TestEvidence(t *testing.T) {
-	state, now := Peer{Kind: StateService}, ident.MonotonicTime(time.Hour)
+	state, now := Endpoint{Kind: KVStore}, ident.MonotonicTime(time.Hour)
 	fresh := func() *Monitor {
 		m := NewMonitor(testConfig)
 		for range 10 {
@@ -182,12 +182,16 @@
 		state    State
 		usable   bool
 	}{
-		{"answers", func(m *Monitor) { m.Sent(state, now); m.Answered(state, now, now) }, Answer, Up, true},
-		{"refusals", func(m *Monitor) { m.Sent(state, now); m.Refused(state, now, now) }, ErrorAnswer, Up, false},
-		{"one refused connection", func(m *Monitor) { m.Rejected(state, now) }, Rejected, Up, true},
-		{"three refused connections", func(m *Monitor) { m.Rejected(state, now); m.Rejected(state, now); m.Rejected(state, now) }, Rejected, Down, false},
+		{"answers", func(m *Monitor) { m.Sent(state, now); m.Answered(state, now, now) }, Response, Up, true},
+		{"refusals", func(m *Monitor) { m.Sent(state, now); m.AnsweredWithError(state, now, now) }, ErrorResponse, Up, false},
+		{"one refused connection", func(m *Monitor) { m.ConnectionRefused(state, now) }, ConnectionRefused, Up, true},
+		{"three refused connections", func(m *Monitor) {
+			m.ConnectionRefused(state, now)
+			m.ConnectionRefused(state, now)
+			m.ConnectionRefused(state, now)
+		}, ConnectionRefused, Down, false},
 		{"silence", func(m *Monitor) { m.Sent(state, now); now = now.Add(3 * time.Second) }, Silence, Down, false},
-		{"a request that was not sent", func(m *Monitor) { m.Sent(state, now); m.Withdrawn(state, now); now = now.Add(time.Minute) }, Answer, Up, true},
+		{"a request that was not sent", func(m *Monitor) { m.Sent(state, now); m.Unsent(state, now); now = now.Add(time.Minute) }, Response, Up, true},
 	} {
 		m := fresh()
 		c.happens(m)
@@ -199,12 +203,12 @@
 	}
 }
 
-// TestMachinesMayBeSilent: machines report to one node at a time, so that a node which hears
+// TestSilentZoneIsUnknown: machines report to one node at a time, so that a node which hears
 // none of a zone knows nothing of the link.
-func TestMachinesMayBeSilent(t *testing.T) {
-	m, zone, now := NewMonitor(testConfig), Peer{Machines, "east"}, ident.MonotonicTime(time.Hour)
+func TestSilentZoneIsUnknown(t *testing.T) {
+	m, zone, now := NewMonitor(testConfig), Endpoint{Machines, "east"}, ident.MonotonicTime(time.Hour)
 	for range 10 {
-		m.Heard(zone, now)
+		m.Received(zone, now)
 		now = now.Add(time.Second)
 		m.Evaluate(now)
 	}
--- a/internal/links/peer.go
+++ b/internal/links/peer.go
@@ -17,19 +17,19 @@
 
 // The kinds of peers.
 const (
-	StateService Kind = iota + 1
+	KVStore Kind = iota + 1
 	Cloud
-	Sibling
+	PeerNode
 	Machines
 )
 
 func (k Kind) String() string {
 	switch k {
-	case StateService:
+	case KVStore:
 		return "state service"
 	case Cloud:
 		return "cloud"
-	case Sibling:
+	case PeerNode:
 		return "sibling"
 	case Machines:
 		return "machines"
@@ -37,13 +37,13 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Peer is the far end of a link.
-type Peer struct {
+// Endpoint is the far end of a link.
+type Endpoint struct {
 	Kind Kind
 	Name string // the sibling's node, or the machines' zone; empty for the services
 }
 
-func (p Peer) String() string {
+func (p Endpoint) String() string {
 	if p.Name == "" {
 		return p.Kind.String()
 	}
@@ -51,13 +51,13 @@
 }
 
 // compare orders peers by kind, then name.
-func (p Peer) compare(o Peer) int {
-	return cmp.Or(cmp.Compare(p.Kind, o.Kind), cmp.Compare(p.Name, o.Name))
+func (p Endpoint) compare(other Endpoint) int {
+	return cmp.Or(cmp.Compare(p.Kind, other.Kind), cmp.Compare(p.Name, other.Name))
 }
 
 // roundTrip says whether the link carries requests of this node alone. An answer then shows
 // that both directions work, and its absence doesn't tell which one is broken.
-func (p Peer) roundTrip() bool { return p.Kind == StateService || p.Kind == Cloud }
+func (p Endpoint) roundTrip() bool { return p.Kind == KVStore || p.Kind == Cloud }
 
 // Direction is one of the two ways of a link.
 type Direction uint8
@@ -98,13 +98,13 @@
 
 // The kinds of evidence, from the strongest sign of a working link to none.
 const (
-	NoEvidence  Evidence = iota
-	Answer               // a request was answered
-	Echo                 // the peer repeated something that this node had sent
-	Message              // something came from the peer
-	ErrorAnswer          // a request was answered with a refusal: the link works, the peer doesn't serve
-	Rejected             // a connection was refused: the peer's host is there, or a filter before it
-	Silence              // nothing came for longer than usual
+	NoEvidence        Evidence = iota
+	Response                   // a request was answered
+	Echo                       // the peer repeated something that this node had sent
+	Message                    // something came from the peer
+	ErrorResponse              // a request was answered with a refusal: the link works, the peer doesn't serve
+	ConnectionRefused          // a connection was refused: the peer's host is there, or a filter before it
+	Silence                    // nothing came for longer than usual
 )
 
 func (e Evidence) String() string {
--- a/internal/links/row.go
+++ b/internal/links/row.go
@@ -9,7 +9,7 @@
 
 // LinkState is what a row says of one link of its origin.
 type LinkState struct {
-	Peer     Peer
+	Endpoint Endpoint
 	In, Out  State
 	Refusing bool
 	Damped   bool // either direction
@@ -21,83 +21,83 @@
 // broken says whether the link surely doesn't.
 func (l LinkState) broken() bool { return l.Out == Down || l.In == Down || l.Refusing }
 
-// Witness is a machine that siblings may ask in order to judge their own link to its zone.
-type Witness struct {
+// ProbeTarget is a machine that siblings may ask in order to judge their own link to its zone.
+type ProbeTarget struct {
 	Zone    string
 	Address string
 }
 
-// Row is one node's view of its own links.
-type Row struct {
+// Advertisement is one node's view of its own links.
+type Advertisement struct {
 	Origin ident.NodeID
 	// Incarnation tells the processes of a node apart: the later one has the larger.
 	Incarnation uint64
 	// Sequence rises with each row of a process.
 	Sequence uint64
 	// Age is the most that may have passed since the row was made.
-	Age       time.Duration
-	Links     []LinkState
-	Witnesses []Witness // of a leader
+	Age          time.Duration
+	Links        []LinkState
+	ProbeTargets []ProbeTarget // of a leader
 }
 
 // Link returns what a row says of a link; both directions are unknown if it says nothing.
-func (r *Row) Link(p Peer) LinkState {
+func (r *Advertisement) Link(p Endpoint) LinkState {
 	for _, l := range r.Links {
-		if l.Peer == p {
+		if l.Endpoint == p {
 			return l
 		}
 	}
-	return LinkState{Peer: p}
+	return LinkState{Endpoint: p}
 }
 
 // newer says whether a row was made after another one of the same origin.
-func (r *Row) newer(o *Row) bool {
-	if r.Incarnation != o.Incarnation {
-		return r.Incarnation > o.Incarnation
+func (r *Advertisement) newer(other *Advertisement) bool {
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
-	return r.Sequence > o.Sequence
+	return r.Sequence > other.Sequence
 }
 
-// Row makes the row of the node that the monitor belongs to.
-func (m *Monitor) Row(origin ident.NodeID, incarnation, sequence uint64) Row {
-	r := Row{Origin: origin, Incarnation: incarnation, Sequence: sequence}
-	for _, p := range m.Peers() {
+// Advertisement makes the row of the node that the monitor belongs to.
+func (m *Monitor) Advertisement(origin ident.NodeID, incarnation, sequence uint64) Advertisement {
+	r := Advertisement{Origin: origin, Incarnation: incarnation, Sequence: sequence}
+	for _, p := range m.Endpoints() {
 		in, out := m.Verdict(p, Inbound), m.Verdict(p, Outbound)
-		r.Links = append(r.Links, LinkState{Peer: p, In: in.State, Out: out.State, Refusing: m.Refusing(p), Damped: in.Damped || out.Damped})
+		r.Links = append(r.Links, LinkState{Endpoint: p, In: in.State, Out: out.State, Refusing: m.Refusing(p), Damped: in.Damped || out.Damped})
 	}
 	return r
 }
 
-// RowLifetime is the age at which a row says nothing any more.
-const RowLifetime = 4 * time.Second
+// AdvertisementLifetime is the age at which a row says nothing any more.
+const AdvertisementLifetime = 4 * time.Second
 
-// Refusal says why a row was not taken.
-type Refusal uint8
+// MergeResult says why a row was not taken.
+type MergeResult uint8
 
 // The outcomes of View.Merge.
 const (
-	Taken   Refusal = iota
-	Foreign         // of this node itself, or of one that isn't in the settings
-	Expired         // too old, or of unknown age
-	Older           // than the row that is held
+	Accepted      MergeResult = iota
+	UnknownOrigin             // of this node itself, or of one that isn't in the settings
+	Expired                   // too old, or of unknown age
+	Superseded                // than the row that is held
 )
 
-func (r Refusal) String() string { return [...]string{"taken", "foreign", "expired", "older"}[r] }
+func (r MergeResult) String() string { return [...]string{"taken", "foreign", "expired", "older"}[r] }
 
-// View is what a node knows of the rows of its siblings.
-type View struct {
+// Database is what a node knows of the rows of its siblings.
+type Database struct {
 	members map[ident.NodeID]bool
-	rows    map[ident.NodeID]heldRow
+	entries map[ident.NodeID]dbEntry
 }
 
-type heldRow struct {
-	row  Row
-	made ident.MonotonicTime // not made before that, by this node's clock
+type dbEntry struct {
+	advertisement Advertisement
+	notBefore     ident.MonotonicTime // not made before that, by this node's clock
 }
 
-// NewView makes a view of the siblings named.
-func NewView(siblings []ident.NodeID) *View {
-	v := &View{members: map[ident.NodeID]bool{}, rows: map[ident.NodeID]heldRow{}}
+// NewDatabase makes a view of the siblings named.
+func NewDatabase(siblings []ident.NodeID) *Database {
+	v := &Database{members: map[ident.NodeID]bool{}, entries: map[ident.NodeID]dbEntry{}}
 	for _, n := range siblings {
 		v.members[n] = true
 	}
@@ -107,47 +107,47 @@
 // Merge takes a row, from its origin or passed on. Its age must hold at the time now: it is
 // counted from what the sender has echoed of this node, so that a copy which was held up on
 // its way is known to be old, whatever its clock says.
-func (v *View) Merge(r Row, now ident.MonotonicTime) Refusal {
-	if !v.members[r.Origin] {
-		return Foreign
+func (v *Database) Merge(advertisement Advertisement, now ident.MonotonicTime) MergeResult {
+	if !v.members[advertisement.Origin] {
+		return UnknownOrigin
 	}
-	if r.Age >= RowLifetime || r.Age < 0 {
+	if advertisement.Age >= AdvertisementLifetime || advertisement.Age < 0 {
 		return Expired
 	}
-	held, ok := v.rows[r.Origin]
-	if ok && now.Sub(held.made) < RowLifetime && !r.newer(&held.row) {
-		return Older
+	held, ok := v.entries[advertisement.Origin]
+	if ok && now.Sub(held.notBefore) < AdvertisementLifetime && !advertisement.newer(&held.advertisement) {
+		return Superseded
 	}
-	v.rows[r.Origin] = heldRow{row: r, made: now.Add(-r.Age)}
-	return Taken
+	v.entries[advertisement.Origin] = dbEntry{advertisement: advertisement, notBefore: now.Add(-advertisement.Age)}
+	return Accepted
 }
 
-// Row returns a sibling's row, if it is not too old, with its age.
-func (v *View) Row(n ident.NodeID, now ident.MonotonicTime) (Row, bool) {
-	held, ok := v.rows[n]
-	age := now.Sub(held.made)
-	if !ok || age >= RowLifetime {
-		return Row{}, false
+// Advertisement returns a sibling's row, if it is not too old, with its age.
+func (v *Database) Advertisement(origin ident.NodeID, now ident.MonotonicTime) (Advertisement, bool) {
+	held, ok := v.entries[origin]
+	age := now.Sub(held.notBefore)
+	if !ok || age >= AdvertisementLifetime {
+		return Advertisement{}, false
 	}
-	r := held.row
+	r := held.advertisement
 	r.Age = age
 	return r, true
 }
 
-// Rows returns all rows that are not too old, in the order of their origins.
-func (v *View) Rows(now ident.MonotonicTime) []Row {
-	var out []Row
+// Advertisements returns all rows that are not too old, in the order of their origins.
+func (v *Database) Advertisements(now ident.MonotonicTime) []Advertisement {
+	var out []Advertisement
 	for _, n := range v.origins() {
-		if r, ok := v.Row(n, now); ok {
+		if r, ok := v.Advertisement(n, now); ok {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (v *View) origins() []ident.NodeID {
-	out := make([]ident.NodeID, 0, len(v.rows))
-	for n := range v.rows {
+func (v *Database) origins() []ident.NodeID {
+	out := make([]ident.NodeID, 0, len(v.entries))
+	for n := range v.entries {
 		out = append(out, n)
 	}
 	slices.Sort(out)
--- a/internal/links/wire.go
+++ b/internal/links/wire.go
@@ -11,14 +11,14 @@
 
 // Bounds of a message of rows. A message with more is malformed.
 const (
-	MaxRows      = 16
-	MaxLinks     = 64
-	MaxWitnesses = 32
-	MaxName      = 200
+	MaxAdvertisements = 16
+	MaxLinks          = 64
+	MaxProbeTargets   = 32
+	MaxName           = 200
 )
 
-// ErrRows is returned for what is not a well-formed message of rows.
-var ErrRows = errors.New("malformed rows of links")
+// ErrMalformedAdvertisements is returned for what is not a well-formed message of rows.
+var ErrMalformedAdvertisements = errors.New("malformed rows of links")
 
 // wireVersion begins each message of rows.
 const wireVersion = 1
@@ -30,10 +30,10 @@
 	knownFlags = flagRefusing | flagDamped
 )
 
-// AppendRows writes rows behind b: a version, their number, and each row with its links and
+// AppendAdvertisements writes rows behind b: a version, their number, and each row with its links and
 // witnesses. Integers are big-endian; names have their length in a byte, ages are in
 // milliseconds.
-func AppendRows(b []byte, rows []Row) []byte {
+func AppendAdvertisements(b []byte, rows []Advertisement) []byte {
 	b = append(b, wireVersion, byte(len(rows)))
 	for i := range rows {
 		b = rows[i].append(b)
@@ -41,7 +41,7 @@
 	return b
 }
 
-func (r *Row) append(b []byte) []byte {
+func (r *Advertisement) append(b []byte) []byte {
 	b = appendName(b, string(r.Origin))
 	b = binary.BigEndian.AppendUint64(b, r.Incarnation)
 	b = binary.BigEndian.AppendUint64(b, r.Sequence)
@@ -55,12 +55,12 @@
 		if l.Damped {
 			flags |= flagDamped
 		}
-		b = append(b, byte(l.Peer.Kind))
-		b = appendName(b, l.Peer.Name)
+		b = append(b, byte(l.Endpoint.Kind))
+		b = appendName(b, l.Endpoint.Name)
 		b = append(b, byte(l.In), byte(l.Out), flags)
 	}
-	b = append(b, byte(len(r.Witnesses)))
-	for _, w := range r.Witnesses {
+	b = append(b, byte(len(r.ProbeTargets)))
+	for _, w := range r.ProbeTargets {
 		b = appendName(b, w.Zone)
 		b = appendName(b, w.Address)
 	}
@@ -72,33 +72,33 @@
 	return append(append(b, byte(len(s))), s...)
 }
 
-// DecodeRows reads what AppendRows wrote. The age of each row is checked to be possible by
+// DecodeAdvertisements reads what AppendAdvertisements wrote. The age of each row is checked to be possible by
 // View.Merge, which knows when the message can have been made.
-func DecodeRows(b []byte) ([]Row, error) {
+func DecodeAdvertisements(b []byte) ([]Advertisement, error) {
 	d := &decoder{rest: b}
 	if v := d.byte(); v != wireVersion {
-		return nil, fmt.Errorf("%w: version %d", ErrRows, v)
+		return nil, fmt.Errorf("%w: version %d", ErrMalformedAdvertisements, v)
 	}
-	n := d.count(MaxRows)
-	rows := make([]Row, 0, n)
+	n := d.count(MaxAdvertisements)
+	rows := make([]Advertisement, 0, n)
 	for range n {
-		rows = append(rows, d.row())
+		rows = append(rows, d.advertisement())
 	}
-	if d.bad || len(d.rest) > 0 {
-		return nil, ErrRows
+	if d.malformed || len(d.rest) > 0 {
+		return nil, ErrMalformedAdvertisements
 	}
 	return rows, nil
 }
 
 // decoder takes fields off the front, and remembers whether one was short or impossible.
 type decoder struct {
-	rest []byte
-	bad  bool
+	rest      []byte
+	malformed bool
 }
 
-func (d *decoder) take(n int) []byte {
-	if d.bad || n > len(d.rest) {
-		d.bad = true
+func (d *decoder) next(n int) []byte {
+	if d.malformed || n > len(d.rest) {
+		d.malformed = true
 		return nil
 	}
 	out := d.rest[:n]
@@ -107,33 +107,33 @@
 }
 
 func (d *decoder) byte() byte {
-	if b := d.take(1); b != nil {
+	if b := d.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
 func (d *decoder) uint64() uint64 {
-	if b := d.take(8); b != nil {
+	if b := d.next(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
 }
 
 func (d *decoder) uint32() uint32 {
-	if b := d.take(4); b != nil {
+	if b := d.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
 // count reads a number of things; more than there may be is malformed.
-func (d *decoder) count(most int) int {
+func (d *decoder) count(limit int) int {
 	n := int(d.byte())
-	if n > most {
-		d.bad = true
+	if n > limit {
+		d.malformed = true
 	}
-	if d.bad {
+	if d.malformed {
 		return 0
 	}
 	return n
@@ -142,43 +142,43 @@
 func (d *decoder) name() string {
 	n := int(d.byte())
 	if n > MaxName {
-		d.bad = true
+		d.malformed = true
 		return ""
 	}
-	return string(d.take(n))
+	return string(d.next(n))
 }
 
 func (d *decoder) state() State {
 	s := State(d.byte())
 	if s > Down {
-		d.bad = true
+		d.malformed = true
 	}
 	return s
 }
 
-func (d *decoder) row() Row {
-	r := Row{Origin: ident.NodeID(d.name()), Incarnation: d.uint64(), Sequence: d.uint64()}
-	r.Age = time.Duration(d.uint32()) * time.Millisecond
-	if r.Origin == "" {
-		d.bad = true
+func (d *decoder) advertisement() Advertisement {
+	advertisement := Advertisement{Origin: ident.NodeID(d.name()), Incarnation: d.uint64(), Sequence: d.uint64()}
+	advertisement.Age = time.Duration(d.uint32()) * time.Millisecond
+	if advertisement.Origin == "" {
+		d.malformed = true
 	}
 	links := d.count(MaxLinks)
 	for range links {
-		r.Links = append(r.Links, d.link())
+		advertisement.Links = append(advertisement.Links, d.link())
 	}
-	witnesses := d.count(MaxWitnesses)
+	witnesses := d.count(MaxProbeTargets)
 	for range witnesses {
-		r.Witnesses = append(r.Witnesses, Witness{Zone: d.name(), Address: d.name()})
+		advertisement.ProbeTargets = append(advertisement.ProbeTargets, ProbeTarget{Zone: d.name(), Address: d.name()})
 	}
-	return r
+	return advertisement
 }
 
 func (d *decoder) link() LinkState {
-	l := LinkState{Peer: Peer{Kind: Kind(d.byte()), Name: d.name()}}
+	l := LinkState{Endpoint: Endpoint{Kind: Kind(d.byte()), Name: d.name()}}
 	l.In, l.Out = d.state(), d.state()
 	flags := d.byte()
-	if l.Peer.Kind < StateService || l.Peer.Kind > Machines || flags&^knownFlags != 0 {
-		d.bad = true
+	if l.Endpoint.Kind < KVStore || l.Endpoint.Kind > Machines || flags&^knownFlags != 0 {
+		d.malformed = true
 	}
 	l.Refusing, l.Damped = flags&flagRefusing != 0, flags&flagDamped != 0
 	return l
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -17,18 +17,18 @@
 	name  string
 	frame Frame
 }{
-	{"hello", Frame{Kind: Hello, Node: "agent-1"}},
-	{"heartbeat", Frame{Kind: Heartbeat, Node: "agent-2", Term: 0x1101, ID: 0x1102,
-		Life: Life{Echo: 0x1103, ProcessAge: 0x1104, Allowance: 0x1105, SinceLeader: 0x1106, SinceRenewal: None}}},
-	{"submission passed on", Frame{Kind: Ask, ID: 0x2201, Verb: Submit, Body: []byte("body")}},
-	{"poll passed on", Frame{Kind: Ask, ID: 0x2202, Verb: Poll, Job: "j-1", Body: []byte{}}},
-	{"cancellation passed on", Frame{Kind: Ask, ID: 0x2203, Verb: Cancel, Job: "j-2", Body: []byte{}}},
-	{"report passed on", Frame{Kind: Ask, ID: 0x2204, Verb: Checkin, Body: []byte("report")}},
-	{"answer", Frame{Kind: Tell, ID: 0x3301, Status: 0x3302, Retry: 0x3303, Body: []byte("answer")}},
-	{"links", Frame{Kind: Links, ID: 0x4401, Rows: []links.Row{{Origin: "agent-3", Incarnation: 0x4402, Sequence: 0x4403, Age: 0x4404 * time.Millisecond,
-		Links: []links.LinkState{{Peer: links.Peer{Kind: links.Sibling, Name: "agent-4"}, In: links.Up, Out: links.Down, Damped: true}}}}}},
-	{"handover", Frame{Kind: Yield, Node: "agent-5", Term: 0x5501}},
-	{"request to be passed on", Frame{Kind: Relay, ID: 0x6601, Verb: Cancel, Job: "j-3", Body: []byte("relayed")}},
+	{"hello", Frame{Type: MsgHello, Node: "agent-1"}},
+	{"heartbeat", Frame{Type: MsgHeartbeat, Node: "agent-2", Term: 0x1101, ID: 0x1102,
+		Heartbeat: PeerHeartbeat{EchoID: 0x1103, UptimeMS: 0x1104, LeaseAllowanceMS: 0x1105, SinceLeaderMS: 0x1106, SinceRenewalMS: Never}}},
+	{"submission passed on", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
+	{"poll passed on", Frame{Type: MsgRequest, ID: 0x2202, Method: GetJob, JobID: "j-1", Body: []byte{}}},
+	{"cancellation passed on", Frame{Type: MsgRequest, ID: 0x2203, Method: CancelJob, JobID: "j-2", Body: []byte{}}},
+	{"report passed on", Frame{Type: MsgRequest, ID: 0x2204, Method: WorkerHeartbeat, Body: []byte("report")}},
+	{"answer", Frame{Type: MsgResponse, ID: 0x3301, Status: 0x3302, RetryAfterS: 0x3303, Body: []byte("answer")}},
+	{"links", Frame{Type: MsgLinkState, ID: 0x4401, LinkState: []links.Advertisement{{Origin: "agent-3", Incarnation: 0x4402, Sequence: 0x4403, Age: 0x4404 * time.Millisecond,
+		Links: []links.LinkState{{Endpoint: links.Endpoint{Kind: links.PeerNode, Name: "agent-4"}, In: links.Up, Out: links.Down, Damped: true}}}}}},
+	{"handover", Frame{Type: MsgTransferLeader, Node: "agent-5", Term: 0x5501}},
+	{"request to be passed on", Frame{Type: MsgRelayRequest, ID: 0x6601, Method: CancelJob, JobID: "j-3", Body: []byte("relayed")}},
 }
 
 // TestGoldenFrames pins the bytes of each kind of frame.
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -17,27 +17,27 @@
 	"opaldale/internal/links"
 )
 
-var samples = []*Frame{
-	{Kind: Hello, Node: "agent-0"},
-	{Kind: Heartbeat},
-	{Kind: Heartbeat, Node: "agent-1", Term: 1<<63 + 5, ID: 1 << 60, Life: Life{Echo: 9, ProcessAge: 1, Allowance: 24_000, SinceLeader: None, SinceRenewal: 3}},
-	{Kind: Ask, ID: 7, Verb: Poll, Job: "j-000412", Body: []byte{}},
-	{Kind: Ask, ID: 1<<64 - 1, Verb: Submit, Body: []byte(`{"id":"j-1"}`)},
-	{Kind: Tell, ID: 9, Status: 503, Retry: 2, Body: []byte("{}")},
-	{Kind: Relay, ID: 8, Verb: Cancel, Job: "j-000412", Body: []byte{}},
-	{Kind: Yield, Node: "agent-2", Term: 12},
-	{Kind: Links, ID: 5, Rows: []links.Row{{Origin: "agent-0", Incarnation: 3, Sequence: 4, Age: time.Second,
-		Links:     []links.LinkState{{Peer: links.Peer{Kind: links.Sibling, Name: "agent-1"}, In: links.Up, Out: links.Down, Damped: true}},
-		Witnesses: []links.Witness{{Zone: "east", Address: "10.1.0.1:9000"}}}}},
+var sampleFrames = []*Frame{
+	{Type: MsgHello, Node: "agent-0"},
+	{Type: MsgHeartbeat},
+	{Type: MsgHeartbeat, Node: "agent-1", Term: 1<<63 + 5, ID: 1 << 60, Heartbeat: PeerHeartbeat{EchoID: 9, UptimeMS: 1, LeaseAllowanceMS: 24_000, SinceLeaderMS: Never, SinceRenewalMS: 3}},
+	{Type: MsgRequest, ID: 7, Method: GetJob, JobID: "j-000412", Body: []byte{}},
+	{Type: MsgRequest, ID: 1<<64 - 1, Method: SubmitJob, Body: []byte(`{"id":"j-1"}`)},
+	{Type: MsgResponse, ID: 9, Status: 503, RetryAfterS: 2, Body: []byte("{}")},
+	{Type: MsgRelayRequest, ID: 8, Method: CancelJob, JobID: "j-000412", Body: []byte{}},
+	{Type: MsgTransferLeader, Node: "agent-2", Term: 12},
+	{Type: MsgLinkState, ID: 5, LinkState: []links.Advertisement{{Origin: "agent-0", Incarnation: 3, Sequence: 4, Age: time.Second,
+		Links:        []links.LinkState{{Endpoint: links.Endpoint{Kind: links.PeerNode, Name: "agent-1"}, In: links.Up, Out: links.Down, Damped: true}},
+		ProbeTargets: []links.ProbeTarget{{Zone: "east", Address: "10.1.0.1:9000"}}}}},
 }
 
 func TestRoundTrip(t *testing.T) {
 	var all []byte
-	for _, f := range samples {
+	for _, f := range sampleFrames {
 		all = f.Append(all)
 	}
 	r := bytes.NewReader(all)
-	for _, f := range samples {
+	for _, f := range sampleFrames {
 		g, err := Read(r)
 		if err != nil || !reflect.DeepEqual(f, g) {
 			t.Errorf("%+v came back as %+v, %v", f, g, err)
@@ -47,18 +47,18 @@
 
 // TestMalformed: whatever is not a frame of this version is refused.
 func TestMalformed(t *testing.T) {
-	good := samples[4].Append(nil)[4:]
+	good := sampleFrames[4].Append(nil)[4:]
 	other := append([]byte{Version + 1}, good[1:]...)
 	for name, b := range map[string][]byte{"empty": nil, "other version": other, "unknown kind": {Version, 99},
 		"cut short": good[:len(good)-1], "too long": append(good[:len(good):len(good)], 0),
-		"rows cut short": {Version, byte(Links), 0, 0, 0, 0, 0, 0, 0, 1, 1, 5}, "links without rows": {Version, byte(Links), 0, 0, 0, 0, 0, 0, 0, 1},
-		"unknown verb": {Version, byte(Ask), 0, 0, 0, 0, 0, 0, 0, 1, 77, 0, 0, 0, 0, 0, 0}} {
-		if _, err := Decode(b); !errors.Is(err, ErrFrame) {
+		"rows cut short": {Version, byte(MsgLinkState), 0, 0, 0, 0, 0, 0, 0, 1, 1, 5}, "links without rows": {Version, byte(MsgLinkState), 0, 0, 0, 0, 0, 0, 0, 1},
+		"unknown verb": {Version, byte(MsgRequest), 0, 0, 0, 0, 0, 0, 0, 1, 77, 0, 0, 0, 0, 0, 0}} {
+		if _, err := Decode(b); !errors.Is(err, ErrMalformedFrame) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
-	if _, err := Read(bytes.NewReader(huge)); !errors.Is(err, ErrFrame) {
+	if _, err := Read(bytes.NewReader(huge)); !errors.Is(err, ErrMalformedFrame) {
 		t.Errorf("oversized: %v", err)
 	}
 }
@@ -66,7 +66,7 @@
 // FuzzDecode: the decoder never panics, and what it accepts is what would be
 // written again.
 func FuzzDecode(f *testing.F) {
-	for _, s := range samples {
+	for _, s := range sampleFrames {
 		f.Add(s.Append(nil)[4:])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -88,24 +88,24 @@
 	}
 	defer l.Close()
 	got := make(chan *Frame, 10)
-	b := NewTransport("b", func(from ident.NodeID, f *Frame) {
+	b := New("b", func(from ident.NodeID, f *Frame) {
 		if from != "a" {
 			t.Errorf("frame from %s", from)
 		}
 		got <- f
 	})
-	b.known["a"] = true
+	b.peers["a"] = true
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() { defer wg.Done(); b.Serve(l) }()
 
-	a := NewTransport("a", func(ident.NodeID, *Frame) {})
+	a := New("a", func(ident.NodeID, *Frame) {})
 	a.Connect("b", l.Addr().String())
 	for {
-		a.Send("b", samples[4])
+		a.Send("b", sampleFrames[4])
 		select {
 		case f := <-got:
-			if !reflect.DeepEqual(f, samples[4]) {
+			if !reflect.DeepEqual(f, sampleFrames[4]) {
 				t.Errorf("got %+v", f)
 			}
 		case <-time.After(50 * time.Millisecond):
@@ -113,8 +113,8 @@
 		}
 		break
 	}
-	for name, raw := range map[string][]byte{"unknown node": (&Frame{Kind: Hello, Node: "x"}).Append(nil),
-		"no hello": samples[4].Append(nil), "garbage": {0, 0, 0, 2, 99, 99}} {
+	for name, raw := range map[string][]byte{"unknown node": (&Frame{Type: MsgHello, Node: "x"}).Append(nil),
+		"no hello": sampleFrames[4].Append(nil), "garbage": {0, 0, 0, 2, 99, 99}} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -132,20 +132,20 @@
 	wg.Wait()
 }
 
-// TestProductionFrames: what the version in production sends is read, and what is sent
+// TestWireCompatibility: what the version in production sends is read, and what is sent
 // now is the same to the byte, as it refuses every other frame. testdata/production.hex
 // was written by that version (deploy/service.toml) with the frames below.
-func TestProductionFrames(t *testing.T) {
+func TestWireCompatibility(t *testing.T) {
 	b, err := os.ReadFile("testdata/production.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Fields(string(b))
-	frames := []*Frame{{Kind: Hello, Node: "agent-1"},
-		{Kind: Heartbeat, Node: "agent-2", Term: 7, ID: 99, Life: Life{Echo: 5, ProcessAge: 1000, Allowance: 2000, SinceLeader: None, SinceRenewal: 3}},
-		{Kind: Ask, ID: 12, Verb: Submit, Body: []byte(`{"id":"j-1"}`)}, {Kind: Ask, ID: 13, Verb: Checkin, Body: []byte(`{}`)},
-		{Kind: Ask, ID: 14, Verb: Poll, Job: "j-000412"}, {Kind: Ask, ID: 15, Verb: Cancel, Job: "j-000412"},
-		{Kind: Tell, ID: 12, Status: 503, Retry: 1, Body: []byte(`{"error":"no leader at present"}`)}}
+	frames := []*Frame{{Type: MsgHello, Node: "agent-1"},
+		{Type: MsgHeartbeat, Node: "agent-2", Term: 7, ID: 99, Heartbeat: PeerHeartbeat{EchoID: 5, UptimeMS: 1000, LeaseAllowanceMS: 2000, SinceLeaderMS: Never, SinceRenewalMS: 3}},
+		{Type: MsgRequest, ID: 12, Method: SubmitJob, Body: []byte(`{"id":"j-1"}`)}, {Type: MsgRequest, ID: 13, Method: WorkerHeartbeat, Body: []byte(`{}`)},
+		{Type: MsgRequest, ID: 14, Method: GetJob, JobID: "j-000412"}, {Type: MsgRequest, ID: 15, Method: CancelJob, JobID: "j-000412"},
+		{Type: MsgResponse, ID: 12, Status: 503, RetryAfterS: 1, Body: []byte(`{"error":"no leader at present"}`)}}
 	if len(lines) != len(frames) {
 		t.Fatalf("%d frames, want %d", len(lines), len(frames))
 	}
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	dialTime  = time.Second
-	writeTime = 2 * time.Second
-	// quietTime closes a connection on which nothing comes: both sides send or
+	dialTimeout  = time.Second
+	writeTimeout = 2 * time.Second
+	// idleTimeout closes a connection on which nothing comes: both sides send or
 	// echo beats far more often.
-	quietTime = 4 * time.Second
-	redial    = 300 * time.Millisecond
-	// maxQueued and maxQueuedBytes bound what waits for a sibling: the reports that a fleet
+	idleTimeout = 4 * time.Second
+	redialDelay = 300 * time.Millisecond
+	// maxQueuedFrames and maxQueuedBytes bound what waits for a sibling: the reports that a fleet
 	// of some thousand machines sends within a few seconds of a connection's silence.
-	maxQueued      = 8192
-	maxQueuedBytes = 16 << 20
-	// readBuffer takes in several reports with one call of the system.
-	readBuffer = 32 << 10
-	// maxInbound bounds the connections of siblings.
-	maxInbound = 32
+	maxQueuedFrames = 8192
+	maxQueuedBytes  = 16 << 20
+	// readBufferSize takes in several reports with one call of the system.
+	readBufferSize = 32 << 10
+	// maxInboundConns bounds the connections of siblings.
+	maxInboundConns = 32
 )
 
 // Transport keeps a connection to every sibling for what is sent, and accepts
 // theirs for what is received.
 type Transport struct {
-	self  ident.NodeID
-	out   map[ident.NodeID]*outbox
-	known map[ident.NodeID]bool
-	take  func(from ident.NodeID, f *Frame)
-	slots chan struct{}
-	done  chan struct{} // closed with the transport
+	self         ident.NodeID
+	outboxes     map[ident.NodeID]*outbox
+	peers        map[ident.NodeID]bool
+	handle       func(from ident.NodeID, f *Frame)
+	inboundSlots chan struct{}
+	done         chan struct{} // closed with the transport
 
 	// Dial opens connections to siblings; net.DialTimeout unless it is set before the first.
 	Dial func(network, addr string, timeout time.Duration) (net.Conn, error)
@@ -48,15 +48,15 @@
 	Malformed atomic.Uint64
 
 	mu     sync.Mutex
-	open   map[net.Conn]bool
+	conns  map[net.Conn]bool
 	closed bool
 }
 
-// NewTransport makes the transport of a node; take is called for every frame
+// New makes the transport of a node; take is called for every frame
 // received, from several goroutines.
-func NewTransport(self ident.NodeID, take func(ident.NodeID, *Frame)) *Transport {
-	return &Transport{self: self, out: map[ident.NodeID]*outbox{}, known: map[ident.NodeID]bool{}, take: take,
-		slots: make(chan struct{}, maxInbound), done: make(chan struct{}), Dial: net.DialTimeout, open: map[net.Conn]bool{}}
+func New(self ident.NodeID, handle func(ident.NodeID, *Frame)) *Transport {
+	return &Transport{self: self, outboxes: map[ident.NodeID]*outbox{}, peers: map[ident.NodeID]bool{}, handle: handle,
+		inboundSlots: make(chan struct{}, maxInboundConns), done: make(chan struct{}), Dial: net.DialTimeout, conns: map[net.Conn]bool{}}
 }
 
 // Close ends all connections; nothing is sent or received any more.
@@ -68,28 +68,28 @@
 	}
 	t.closed = true
 	close(t.done)
-	for conn := range t.open {
+	for conn := range t.conns {
 		conn.Close()
 	}
 }
 
-// hold counts a connection among those that end with the transport, and says whether that
+// track counts a connection among those that end with the transport, and says whether that
 // is still open.
-func (t *Transport) hold(conn net.Conn) bool {
+func (t *Transport) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		conn.Close()
 		return false
 	}
-	t.open[conn] = true
+	t.conns[conn] = true
 	return true
 }
 
-// release closes a connection.
-func (t *Transport) release(conn net.Conn) {
+// closeConn closes a connection.
+func (t *Transport) closeConn(conn net.Conn) {
 	t.mu.Lock()
-	delete(t.open, conn)
+	delete(t.conns, conn)
 	t.mu.Unlock()
 	conn.Close()
 }
@@ -97,59 +97,59 @@
 // Connect keeps a connection to a sibling from now on.
 func (t *Transport) Connect(n ident.NodeID, addr string) {
 	o := newOutbox()
-	t.out[n] = o
-	t.known[n] = true
-	go t.keep(addr, o)
+	t.outboxes[n] = o
+	t.peers[n] = true
+	go t.maintainConn(addr, o)
 }
 
 // Send queues a frame; what doesn't fit is dropped, as if lost on the way.
 func (t *Transport) Send(n ident.NodeID, f *Frame) {
-	if o := t.out[n]; o != nil {
+	if o := t.outboxes[n]; o != nil {
 		o.put(f)
 	}
 }
 
-func (t *Transport) keep(addr string, o *outbox) {
+func (t *Transport) maintainConn(addr string, o *outbox) {
 	for {
-		if conn, err := t.Dial("tcp", addr, dialTime); err == nil && t.hold(conn) {
-			t.write(conn, o)
-			t.release(conn)
+		if conn, err := t.Dial("tcp", addr, dialTimeout); err == nil && t.track(conn) {
+			t.sendLoop(conn, o)
+			t.closeConn(conn)
 		}
 		select {
 		case <-t.done:
 			return
-		case <-time.After(redial + rand.N(redial)):
+		case <-time.After(redialDelay + rand.N(redialDelay)):
 		}
 		// What waited for the connection is too old by now.
 		o.drain()
 	}
 }
 
-func (t *Transport) write(conn net.Conn, o *outbox) {
-	broken := make(chan struct{})
+func (t *Transport) sendLoop(conn net.Conn, o *outbox) {
+	peerClosed := make(chan struct{})
 	go func() {
-		defer close(broken)
+		defer close(peerClosed)
 		rd := bufio.NewReader(conn)
 		for {
-			conn.SetReadDeadline(time.Now().Add(quietTime))
+			conn.SetReadDeadline(time.Now().Add(idleTimeout))
 			if _, err := Read(rd); err != nil {
 				return
 			}
 		}
 	}()
-	buf := (&Frame{Kind: Hello, Node: t.self}).Append(nil)
+	buf := (&Frame{Type: MsgHello, Node: t.self}).Append(nil)
 	for {
-		conn.SetWriteDeadline(time.Now().Add(writeTime))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := conn.Write(buf); err != nil {
 			return
 		}
 		select {
 		case f := <-o.frames:
-			buf = o.taken(f).Append(buf[:0])
+			buf = o.dequeued(f).Append(buf[:0])
 			for n := len(o.frames); n > 0 && len(buf) < MaxFrame; n-- {
-				buf = o.taken(<-o.frames).Append(buf)
+				buf = o.dequeued(<-o.frames).Append(buf)
 			}
-		case <-broken:
+		case <-peerClosed:
 			return
 		case <-t.done:
 			return
@@ -170,14 +170,14 @@
 			continue
 		}
 		select {
-		case t.slots <- struct{}{}:
+		case t.inboundSlots <- struct{}{}:
 			go func() {
-				defer func() { <-t.slots }()
-				if !t.hold(conn) {
+				defer func() { <-t.inboundSlots }()
+				if !t.track(conn) {
 					return
 				}
-				defer t.release(conn)
-				t.receive(conn)
+				defer t.closeConn(conn)
+				t.receiveLoop(conn)
 			}()
 		default:
 			conn.Close()
@@ -185,15 +185,15 @@
 	}
 }
 
-func (t *Transport) receive(conn net.Conn) {
-	echo := (&Frame{Kind: Heartbeat}).Append(nil)
+func (t *Transport) receiveLoop(conn net.Conn) {
+	echo := (&Frame{Type: MsgHeartbeat}).Append(nil)
 	var from ident.NodeID
-	rd := bufio.NewReaderSize(conn, readBuffer)
+	rd := bufio.NewReaderSize(conn, readBufferSize)
 	for {
-		conn.SetReadDeadline(time.Now().Add(quietTime))
+		conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		f, err := Read(rd)
 		if err != nil {
-			if errors.Is(err, ErrFrame) {
+			if errors.Is(err, ErrMalformedFrame) {
 				t.Malformed.Add(1)
 				slog.Error("mesh connection closed", "from", string(from), "err", err)
 			} else if !errors.Is(err, io.EOF) {
@@ -202,9 +202,9 @@
 			return
 		}
 		switch {
-		case f.Kind == Hello:
+		case f.Type == MsgHello:
 			from = f.Node
-			if !t.known[from] {
+			if !t.peers[from] {
 				slog.Error("mesh connection of an unknown node", "node", string(from))
 				return
 			}
@@ -212,12 +212,12 @@
 		case from == "":
 			slog.Error("mesh connection without a hello", "remote", conn.RemoteAddr().String())
 			return
-		case f.Kind == Heartbeat:
-			conn.SetWriteDeadline(time.Now().Add(writeTime))
+		case f.Type == MsgHeartbeat:
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := conn.Write(echo); err != nil {
 				return
 			}
 		}
-		t.take(from, f)
+		t.handle(from, f)
 	}
 }
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -13,74 +13,74 @@
 // admission refuses requests of users while a node is overloaded, the least important
 // kinds first, so that it keeps its lease and its workers.
 type admission struct {
-	reports  atomic.Int64 // under way
-	requests atomic.Int64 // of users, under way
-	lag      func() time.Duration
-	// reportLimit bounds the reports under way, by the connections that a node takes;
-	// minReports where that is less or unknown.
-	reportLimit int64
+	heartbeatsInFlight   atomic.Int64 // under way
+	userRequestsInFlight atomic.Int64 // of users, under way
+	lag                  func() time.Duration
+	// heartbeatLimit bounds the reports under way, by the connections that a node takes;
+	// minHeartbeatLimit where that is less or unknown.
+	heartbeatLimit int64
 }
 
-// minReports is the least bound on reports under way.
-const minReports = 1200
+// minHeartbeatLimit is the least bound on reports under way.
+const minHeartbeatLimit = 1200
 
-// limit bounds one kind of request.
-type limit struct {
-	inflight int64         // that are under way: reports, or users' requests of all kinds
-	lag      time.Duration // of the loop; 0: refused for none
+// admissionLimit bounds one kind of request.
+type admissionLimit struct {
+	maxInFlight int64         // that are under way: reports, or users' requests of all kinds
+	maxLag      time.Duration // of the loop; 0: refused for none
 }
 
-// limitOf returns the bounds for a kind of request. Workers' reports come before
+// limitFor returns the bounds for a kind of request. Workers' reports come before
 // cancellations, for losing them loses work; those before polls, and polls before
 // submissions, which cost most and are only the beginning of more work.
-func (a *admission) limitOf(v mesh.Verb) limit {
-	switch v {
-	case mesh.Checkin:
-		return limit{inflight: max(minReports, a.reportLimit)}
-	case mesh.Cancel:
-		return limit{inflight: 800, lag: 1500 * time.Millisecond}
-	case mesh.Poll:
-		return limit{inflight: 600, lag: 700 * time.Millisecond}
+func (a *admission) limitFor(method mesh.Method) admissionLimit {
+	switch method {
+	case mesh.WorkerHeartbeat:
+		return admissionLimit{maxInFlight: max(minHeartbeatLimit, a.heartbeatLimit)}
+	case mesh.CancelJob:
+		return admissionLimit{maxInFlight: 800, maxLag: 1500 * time.Millisecond}
+	case mesh.GetJob:
+		return admissionLimit{maxInFlight: 600, maxLag: 700 * time.Millisecond}
 	default:
-		return limit{inflight: 400, lag: 400 * time.Millisecond}
+		return admissionLimit{maxInFlight: 400, maxLag: 400 * time.Millisecond}
 	}
 }
 
 // inflight returns the count that a kind of request belongs to. Reports have their own:
 // thousands of them wait together while a leader is elected.
-func (a *admission) inflight(v mesh.Verb) *atomic.Int64 {
-	if v == mesh.Checkin {
-		return &a.reports
+func (a *admission) inflight(method mesh.Method) *atomic.Int64 {
+	if method == mesh.WorkerHeartbeat {
+		return &a.heartbeatsInFlight
 	}
-	return &a.requests
+	return &a.userRequestsInFlight
 }
 
 // admits says whether a request may begin now.
-func (a *admission) admits(v mesh.Verb) bool {
-	l := a.limitOf(v)
-	if a.inflight(v).Load() >= l.inflight {
+func (a *admission) admits(method mesh.Method) bool {
+	l := a.limitFor(method)
+	if a.inflight(method).Load() >= l.maxInFlight {
 		return false
 	}
-	return l.lag == 0 || a.lag() <= l.lag
+	return l.maxLag == 0 || a.lag() <= l.maxLag
 }
 
-// begin counts a request that is admitted; end is called when it is answered.
-func (a *admission) begin(v mesh.Verb) bool {
-	if !a.admits(v) {
+// acquire counts a request that is admitted; end is called when it is answered.
+func (a *admission) acquire(method mesh.Method) bool {
+	if !a.admits(method) {
 		return false
 	}
-	a.inflight(v).Add(1)
+	a.inflight(method).Add(1)
 	return true
 }
 
-func (a *admission) end(v mesh.Verb) { a.inflight(v).Add(-1) }
+func (a *admission) release(method mesh.Method) { a.inflight(method).Add(-1) }
 
-// overloadRetry is when refused clients should come back, in seconds.
-const overloadRetry = 2
+// overloadRetryAfterS is when refused clients should come back, in seconds.
+const overloadRetryAfterS = 2
 
-// overloaded is the answer to a request that is not admitted.
-var overloaded = controller.Reply{
-	Status: http.StatusServiceUnavailable,
-	Retry:  overloadRetry,
-	Body:   api.JSON(api.ErrorResponse{Error: "overloaded"}),
+// overloadedResponse is the answer to a request that is not admitted.
+var overloadedResponse = controller.Response{
+	Status:      http.StatusServiceUnavailable,
+	RetryAfterS: overloadRetryAfterS,
+	Body:        api.JSON(api.ErrorResponse{Error: "overloaded"}),
 }
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -8,12 +8,12 @@
 	"opaldale/internal/mesh"
 )
 
-// TestOverloadOrder: the more a node lags behind, or has under way, the fewer kinds of
+// TestAdmissionPriority: the more a node lags behind, or has under way, the fewer kinds of
 // requests it takes; reports go last. (Submissions and polls were refused alike, and only
 // after their bodies were read.)
-func TestOverloadOrder(t *testing.T) {
-	kinds := []mesh.Verb{mesh.Submit, mesh.Poll, mesh.Cancel, mesh.Checkin}
-	taken := func(a *admission) (out []mesh.Verb) {
+func TestAdmissionPriority(t *testing.T) {
+	kinds := []mesh.Method{mesh.SubmitJob, mesh.GetJob, mesh.CancelJob, mesh.WorkerHeartbeat}
+	taken := func(a *admission) (out []mesh.Method) {
 		for _, v := range kinds {
 			if a.admits(v) {
 				out = append(out, v)
@@ -25,7 +25,7 @@
 		lag      time.Duration
 		requests int64
 		reports  int64
-		want     []mesh.Verb
+		want     []mesh.Method
 	}{
 		{0, 0, 0, kinds},
 		{500 * time.Millisecond, 0, 0, kinds[1:]},
@@ -38,31 +38,31 @@
 		{0, 800, 1200, nil},
 	} {
 		a := &admission{lag: func() time.Duration { return c.lag }}
-		a.requests.Store(c.requests)
-		a.reports.Store(c.reports)
+		a.userRequestsInFlight.Store(c.requests)
+		a.heartbeatsInFlight.Store(c.reports)
 		if got := taken(a); !slices.Equal(got, c.want) {
 			t.Errorf("lag %v, %d and %d under way: takes %v, want %v", c.lag, c.requests, c.reports, got, c.want)
 		}
 	}
 }
 
-// TestUrgentFirst: what leadership and workers depend on passes all that users have asked
+// TestUrgentEventsRunFirst: what leadership and workers depend on passes all that users have asked
 // before, and a node that has caught up doesn't think that it still lags.
-func TestUrgentFirst(t *testing.T) {
-	l := newLoop()
+func TestUrgentEventsRunFirst(t *testing.T) {
+	l := newEventLoop()
 	var order []string
 	for range 100 {
-		l.events <- event{func() { order = append(order, "user") }, time.Now().Add(-time.Minute)}
+		l.userEvents <- event{func() { order = append(order, "user") }, time.Now().Add(-time.Minute)}
 	}
 	l.postUrgent(func() { order = append(order, "renewal") })
-	if n := l.drain(batch); n != batch || order[0] != "renewal" {
+	if n := l.drain(maxBatch); n != maxBatch || order[0] != "renewal" {
 		t.Errorf("%d events, first %q", n, order[0])
 	}
 	if l.Lag() < time.Minute {
 		t.Errorf("lag %v with users' requests a minute old", l.Lag())
 	}
 	for range 4 {
-		l.drain(batch)
+		l.drain(maxBatch)
 	}
 	if len(order) != 101 || l.Lag() != 0 {
 		t.Errorf("%d events run, lag %v with none left", len(order), l.Lag())
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -47,12 +47,12 @@
 // TestGoldenInterface pins status, headers and body of the answers of a node without a leader
 // and a state service, and of one that is overloaded.
 func TestGoldenInterface(t *testing.T) {
-	s := alone(t, 1000)
+	s := newTestServer(t, 1000)
 	h := s.handler()
 	var d golden.Document
 	const report = `{"host":"h","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":1}`
 	requests := []struct{ method, path, body string }{
-		{"POST", "/v2/runs", job},
+		{"POST", "/v2/runs", jobSpecJSON},
 		{"GET", "/v2/runs/j-000001", ""},
 		{"POST", "/v2/runs/j-000001/cancel", ""},
 		{"POST", "/checkin", report},
@@ -71,8 +71,8 @@
 	for _, r := range requests {
 		d.Add(r.method+" "+r.path+" "+r.body[:min(len(r.body), 10)], askHandler(h, r.method, r.path, r.body))
 	}
-	s.admission.requests.Store(1 << 20)
-	s.admission.reports.Store(1 << 20)
+	s.admission.userRequestsInFlight.Store(1 << 20)
+	s.admission.heartbeatsInFlight.Store(1 << 20)
 	for _, r := range requests[:4] {
 		d.Add("overloaded: "+r.method+" "+r.path, askHandler(h, r.method, r.path, r.body))
 	}
@@ -84,8 +84,8 @@
 	var d golden.Document
 	report := golden.Filled[api.Heartbeat](0)
 	transport := &golden.Transport{Status: http.StatusConflict, Body: string(api.JSON(report))}
-	s := &Server{loop: newLoop(), worker: &http.Client{Transport: transport}, commands: make(chan struct{}, 1)}
-	answer := s.command(workers.CommandCall{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.CommandRequest](0)})
+	s := &Server{loop: newEventLoop(), workerClient: &http.Client{Transport: transport}, commandSlots: make(chan struct{}, 1)}
+	answer := s.sendCommand(workers.CommandCall{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.CommandRequest](0)})
 	d.Add("commands", transport.Saw)
 	if want := (workers.CommandResult{Status: http.StatusConflict, Heartbeat: &report}); !reflect.DeepEqual(answer, want) {
 		t.Errorf("%+v, want %+v", answer, want)
@@ -100,27 +100,27 @@
 
 func (goldenCollector) Collect(ch chan<- prometheus.Metric) {
 	collectLinks(ch, controller.LinkReport{Enabled: true, Authority: "deciding", HandoverCount: 11, Dropped: map[string]uint64{"expired": 12, "undated": 13},
-		Links: []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", Code: 3, Damped: true, Breaks: 14},
-			{Peer: "cloud", Direction: "outbound", Code: 1, Breaks: 15}}})
-	collectLoad(ch, controller.Snapshot{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
-		Reservations: 27, MovesHeldBack: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
+		Links: []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
+			{Peer: "cloud", Direction: "outbound", StateCode: 1, Breaks: 15}}})
+	collectLoad(ch, controller.Stats{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
+		Reservations: 27, MoveRoundsSkipped: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
 		TeamLoads: []load.TeamDemand{{Team: "red", State: load.Overloaded, Ratio: 2.5}}})
 }
 
-// goldenWorld is the world of a controller in which time stands still and the state service
+// goldenEnv is the world of a controller in which time stands still and the state service
 // answers at once.
-type goldenWorld struct{ *statetest.MemoryStore }
+type goldenEnv struct{ *statetest.MemoryStore }
 
-func (goldenWorld) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
-func (goldenWorld) WallMS() int64                                           { return 0 }
-func (goldenWorld) After(time.Duration, func())                             {}
-func (goldenWorld) Worker(workers.CommandCall, func(workers.CommandResult)) {}
-func (goldenWorld) Mesh(ident.NodeID, *mesh.Frame)                          {}
-func (goldenWorld) Cloud(_ cloud.Request, f func(cloud.Response)) {
+func (goldenEnv) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
+func (goldenEnv) WallMS() int64                                           { return 0 }
+func (goldenEnv) After(time.Duration, func())                             {}
+func (goldenEnv) Worker(workers.CommandCall, func(workers.CommandResult)) {}
+func (goldenEnv) SendPeer(ident.NodeID, *mesh.Frame)                      {}
+func (goldenEnv) Cloud(_ cloud.Request, f func(cloud.Response)) {
 	f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
 }
 
-func (w goldenWorld) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (w goldenEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
 	switch r.Op {
 	case statesvc.Get:
 		f(w.Get(r.Key))
@@ -156,10 +156,10 @@
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newLoop(), sockets: newSockets(100), mesh: mesh.NewTransport("agent-0", func(ident.NodeID, *mesh.Frame) {})}
-	s.ctl = controller.New(goldenWorld{statetest.New(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
-	s.loop.settle = func() {}
-	s.loop.post(s.ctl.Start)
+	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(100), transport: mesh.New("agent-0", func(ident.NodeID, *mesh.Frame) {})}
+	s.controller = controller.New(goldenEnv{statetest.New(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
+	s.loop.afterBatch = func() {}
+	s.loop.post(s.controller.Start)
 	go s.loop.run()
 	t.Cleanup(func() { close(s.loop.done) })
 	return s
@@ -168,17 +168,17 @@
 // TestGoldenMetrics pins names, types, labels and help of the metrics, and which counters of
 // the node they show.
 func TestGoldenMetrics(t *testing.T) {
-	s := alone(t, 1000)
+	s := newTestServer(t, 1000)
 	m := newMetrics(s)
-	for i, v := range []mesh.Verb{mesh.Submit, mesh.Poll, mesh.Cancel, mesh.Checkin} {
+	for i, v := range []mesh.Method{mesh.SubmitJob, mesh.GetJob, mesh.CancelJob, mesh.WorkerHeartbeat} {
 		m.observe(v, 200+i, time.Duration(i+1)*30*time.Millisecond)
-		m.shed.WithLabelValues(verbNames[v]).Add(float64(31 + i))
+		m.shed.WithLabelValues(methodNames[v]).Add(float64(31 + i))
 	}
-	s.sockets.evicted.Store(41)
-	s.sockets.refused.Store(42)
-	s.mesh.Malformed.Store(43)
-	ask(s.loop, s.loop.post, func() bool {
-		s.ctl.Forwarded, s.ctl.Relayed, s.ctl.Refused, s.ctl.Elections, s.ctl.LeasesKept = 51, 52, 53, 54, 55
+	s.connLimiter.evicted.Store(41)
+	s.connLimiter.refused.Store(42)
+	s.transport.Malformed.Store(43)
+	query(s.loop, s.loop.post, func() bool {
+		s.controller.Forwarded, s.controller.Relayed, s.controller.Refused, s.controller.Elections, s.controller.LeasesKept = 51, 52, 53, 54, 55
 		return true
 	})
 	var d golden.Document
--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -13,8 +13,8 @@
 	"opaldale/internal/mesh"
 )
 
-// lastAnswer bounds every request, whatever becomes of it.
-const lastAnswer = 4 * time.Second
+// requestTimeout bounds every request, whatever becomes of it.
+const requestTimeout = 4 * time.Second
 
 // frontend serves users, workers and health checks.
 type frontend struct {
@@ -26,10 +26,10 @@
 func (s *Server) handler() http.Handler {
 	f := &frontend{server: s, metrics: newMetrics(s)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v2/runs", f.admit(mesh.Submit, f.withBody(mesh.Submit)))
-	mux.HandleFunc("GET /v2/runs/{id}", f.admit(mesh.Poll, f.withJob(mesh.Poll)))
-	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.admit(mesh.Cancel, f.withJob(mesh.Cancel)))
-	mux.HandleFunc("POST /checkin", f.admit(mesh.Checkin, f.withBody(mesh.Checkin)))
+	mux.HandleFunc("POST /v2/runs", f.admit(mesh.SubmitJob, f.forwardBody(mesh.SubmitJob)))
+	mux.HandleFunc("GET /v2/runs/{id}", f.admit(mesh.GetJob, f.forwardJobID(mesh.GetJob)))
+	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.admit(mesh.CancelJob, f.forwardJobID(mesh.CancelJob)))
+	mux.HandleFunc("POST /checkin", f.admit(mesh.WorkerHeartbeat, f.forwardBody(mesh.WorkerHeartbeat)))
 	mux.HandleFunc("GET /up", f.health)
 	mux.HandleFunc("GET /links", f.links)
 	mux.HandleFunc("GET /moves", f.moves)
@@ -38,21 +38,21 @@
 }
 
 // admit refuses what a node that is overloaded can't take, before it is read.
-func (f *frontend) admit(v mesh.Verb, next http.HandlerFunc) http.HandlerFunc {
+func (f *frontend) admit(method mesh.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !admission.begin(v) {
-			f.metrics.shed.WithLabelValues(verbNames[v]).Inc()
-			writeReply(w, overloaded)
+		if !admission.acquire(method) {
+			f.metrics.shed.WithLabelValues(methodNames[method]).Inc()
+			writeResponse(w, overloadedResponse)
 			return
 		}
-		defer admission.end(v)
+		defer admission.release(method)
 		next(w, r)
 	}
 }
 
-// withBody passes on a request whose body says what it is about.
-func (f *frontend) withBody(v mesh.Verb) http.HandlerFunc {
+// forwardBody passes on a request whose body says what it is about.
+func (f *frontend) forwardBody(method mesh.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
 		if err != nil {
@@ -64,63 +64,63 @@
 			writeJSON(w, http.StatusBadRequest, api.ErrorResponse{Error: text})
 			return
 		}
-		f.ask(v, w, "", body)
+		f.serve(method, w, "", body)
 	}
 }
 
-// withJob passes on a request about the job that the path names, and answers 404 for
+// forwardJobID passes on a request about the job that the path names, and answers 404 for
 // what can't be a job.
-func (f *frontend) withJob(v mesh.Verb) http.HandlerFunc {
+func (f *frontend) forwardJobID(method mesh.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
 		if err != nil {
 			writeJSON(w, http.StatusNotFound, api.ErrorResponse{Error: "no such job"})
 			return
 		}
-		f.ask(v, w, string(id), nil)
+		f.serve(method, w, string(id), nil)
 	}
 }
 
-// ask passes a request to the controller and writes its answer.
-func (f *frontend) ask(v mesh.Verb, w http.ResponseWriter, job string, body []byte) {
-	began := time.Now()
-	a := f.answer(v, job, body)
+// serve passes a request to the controller and writes its answer.
+func (f *frontend) serve(method mesh.Method, w http.ResponseWriter, jobID string, body []byte) {
+	start := time.Now()
+	response := f.dispatch(method, jobID, body)
 	// Judged once more right before it goes out: the process may have stood still.
-	a = a.Now(f.server.loop.now())
-	if v == mesh.Checkin && f.server.sockets.crowded() {
+	response = response.IfValid(f.server.loop.now())
+	if method == mesh.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
 		// The next report makes a connection of its own: most are idle for most of
 		// the time between two.
 		w.Header().Set("Connection", "close")
 	}
-	writeReply(w, a)
-	f.metrics.observe(v, a.Status, time.Since(began))
+	writeResponse(w, response)
+	f.metrics.observe(method, response.Status, time.Since(start))
 }
 
-// answer has the loop handle a request and waits for its answer.
-func (f *frontend) answer(v mesh.Verb, job string, body []byte) controller.Reply {
-	replies := make(chan controller.Reply, 1)
+// dispatch has the loop handle a request and waits for its answer.
+func (f *frontend) dispatch(method mesh.Method, jobID string, body []byte) controller.Response {
+	responses := make(chan controller.Response, 1)
 	post := f.server.loop.post
-	if v == mesh.Checkin || v == mesh.Cancel {
+	if method == mesh.WorkerHeartbeat || method == mesh.CancelJob {
 		post = f.server.loop.postUrgent
 	}
 	post(func() {
-		f.server.ctl.Request(v, job, body, func(a controller.Reply) {
+		f.server.controller.HandleRequest(method, jobID, body, func(a controller.Response) {
 			select {
-			case replies <- a:
+			case responses <- a:
 			default:
 			}
 		})
 	})
-	timer := time.NewTimer(lastAnswer)
+	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
 	select {
-	case a := <-replies:
+	case a := <-responses:
 		return a
 	case <-timer.C:
-		return controller.Reply{
-			Status: http.StatusServiceUnavailable,
-			Retry:  1,
-			Body:   api.JSON(api.ErrorResponse{Error: "no answer in time"}),
+		return controller.Response{
+			Status:      http.StatusServiceUnavailable,
+			RetryAfterS: 1,
+			Body:        api.JSON(api.ErrorResponse{Error: "no answer in time"}),
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // health answers the load balancer's probes.
 func (f *frontend) health(w http.ResponseWriter, _ *http.Request) {
 	loop := f.server.loop
-	if !ask(loop, loop.postUrgent, f.server.ctl.Healthy) {
+	if !query(loop, loop.postUrgent, f.server.controller.Healthy) {
 		writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{Error: "cut off"})
 		return
 	}
@@ -150,14 +150,14 @@
 	writeJSON(w, http.StatusOK, report)
 }
 
-// writeReply writes an answer of the controller.
-func writeReply(w http.ResponseWriter, a controller.Reply) {
+// writeResponse writes an answer of the controller.
+func writeResponse(w http.ResponseWriter, response controller.Response) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	if a.Retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(a.Retry))
+	h.Set("Content-Length", strconv.Itoa(len(response.Body)))
+	if response.RetryAfterS > 0 {
+		h.Set("Retry-After", strconv.Itoa(response.RetryAfterS))
 	}
-	w.WriteHeader(a.Status)
-	w.Write(a.Body)
+	w.WriteHeader(response.Status)
+	w.Write(response.Body)
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -12,56 +12,58 @@
 
 // event is something to be done by the loop, and when it was asked for.
 type event struct {
-	run func()
-	at  time.Time
+	run      func()
+	postedAt time.Time
 }
 
-// loop runs everything that touches the controller, one event at a time.
-type loop struct {
-	start  time.Time
-	urgent chan event // what leadership and workers depend on
-	events chan event // what users ask
-	timers timerHeap
-	seq    uint64
-	settle func()
-	lag    atomic.Int64 // nanoseconds that the newest event of users waited
-	done   chan struct{}
+// eventLoop runs everything that touches the controller, one event at a time.
+type eventLoop struct {
+	start        time.Time
+	urgentEvents chan event // what leadership and workers depend on
+	userEvents   chan event // what users ask
+	timers       timerHeap
+	timerSeq     uint64
+	afterBatch   func()
+	lag          atomic.Int64 // nanoseconds that the newest event of users waited
+	done         chan struct{}
 }
 
-// maxEvents bounds what waits for the loop of either kind; beyond it, posting blocks. It
+// eventQueueSize bounds what waits for the loop of either kind; beyond it, posting blocks. It
 // stands above what workers of a fleet of 4,000 can have under way together, reports and
 // answers to commands, so that siblings' frames never wait for room.
-const maxEvents = 16_384
+const eventQueueSize = 16_384
 
-func newLoop() *loop {
-	return &loop{start: time.Now(), urgent: make(chan event, maxEvents), events: make(chan event, maxEvents), done: make(chan struct{})}
+func newEventLoop() *eventLoop {
+	return &eventLoop{start: time.Now(), urgentEvents: make(chan event, eventQueueSize), userEvents: make(chan event, eventQueueSize), done: make(chan struct{})}
 }
 
 // now returns the steady clock's reading.
-func (l *loop) now() ident.MonotonicTime { return ident.MonotonicTime(time.Since(l.start)) }
+func (l *eventLoop) now() ident.MonotonicTime { return ident.MonotonicTime(time.Since(l.start)) }
 
-// past says whether a time limit is over; 0 is none.
-func (l *loop) past(limit ident.MonotonicTime) bool { return limit > 0 && l.now() >= limit }
+// expired says whether a time limit is over; 0 is none.
+func (l *eventLoop) expired(deadline ident.MonotonicTime) bool {
+	return deadline > 0 && l.now() >= deadline
+}
 
 // post has f run by the loop; for other goroutines.
-func (l *loop) post(f func()) { l.put(l.events, f) }
+func (l *eventLoop) post(f func()) { l.enqueue(l.userEvents, f) }
 
 // postUrgent has f run by the loop before anything that was only posted.
-func (l *loop) postUrgent(f func()) { l.put(l.urgent, f) }
+func (l *eventLoop) postUrgent(f func()) { l.enqueue(l.urgentEvents, f) }
 
-// put queues an event, unless the loop has ended.
-func (l *loop) put(queue chan event, f func()) {
+// enqueue queues an event, unless the loop has ended.
+func (l *eventLoop) enqueue(queue chan event, f func()) {
 	select {
 	case queue <- event{f, time.Now()}:
 	case <-l.done:
 	}
 }
 
-// ask has the loop work something out and waits for it; without the loop it returns the zero
+// query has the loop work something out and waits for it; without the loop it returns the zero
 // value.
-func ask[T any](l *loop, post func(func()), f func() T) T {
+func query[T any](l *eventLoop, post func(func()), compute func() T) T {
 	answer := make(chan T, 1)
-	post(func() { answer <- f() })
+	post(func() { answer <- compute() })
 	select {
 	case v := <-answer:
 		return v
@@ -72,35 +74,35 @@
 }
 
 // after has f run by the loop later; only for the loop itself.
-func (l *loop) after(d time.Duration, f func()) {
-	l.seq++
-	heap.Push(&l.timers, timer{l.now().Add(d), l.seq, f})
+func (l *eventLoop) after(d time.Duration, f func()) {
+	l.timerSeq++
+	heap.Push(&l.timers, timer{l.now().Add(d), l.timerSeq, f})
 }
 
 // Lag returns how long users' events wait at present.
-func (l *loop) Lag() time.Duration { return time.Duration(l.lag.Load()) }
+func (l *eventLoop) Lag() time.Duration { return time.Duration(l.lag.Load()) }
 
-// batch bounds the events between two settlings.
-const batch = 32
+// maxBatch bounds the events between two settlings.
+const maxBatch = 32
 
-func (l *loop) run() {
-	t := time.NewTimer(time.Hour)
+func (l *eventLoop) run() {
+	wakeUp := time.NewTimer(time.Hour)
 	for {
 		wait := time.Hour
 		if len(l.timers) > 0 {
-			wait = max(0, l.timers[0].at.Sub(l.now()))
+			wait = max(0, l.timers[0].due.Sub(l.now()))
 		}
-		n := 0
+		ran := 0
 		if wait > 0 {
-			t.Reset(wait)
+			wakeUp.Reset(wait)
 			select {
-			case e := <-l.urgent:
+			case e := <-l.urgentEvents:
 				e.run()
-				n++
-			case e := <-l.events:
-				l.do(e)
-				n++
-			case <-t.C:
+				ran++
+			case e := <-l.userEvents:
+				l.runUserEvent(e)
+				ran++
+			case <-wakeUp.C:
 			case <-l.done:
 				return
 			}
@@ -110,25 +112,25 @@
 			return
 		default:
 		}
-		for now := l.now(); len(l.timers) > 0 && l.timers[0].at <= now && n < batch; n++ {
+		for now := l.now(); len(l.timers) > 0 && l.timers[0].due <= now && ran < maxBatch; ran++ {
 			heap.Pop(&l.timers).(timer).run()
 		}
-		n += l.drain(batch - n)
-		if n > 0 {
-			l.settle()
+		ran += l.drain(maxBatch - ran)
+		if ran > 0 {
+			l.afterBatch()
 		}
 	}
 }
 
 // drain runs up to so many events that wait, the urgent ones first.
-func (l *loop) drain(most int) int {
+func (l *eventLoop) drain(limit int) int {
 	n := 0
-	for ; n < most; n++ {
+	for ; n < limit; n++ {
 		switch {
-		case len(l.urgent) > 0:
-			(<-l.urgent).run()
-		case len(l.events) > 0:
-			l.do(<-l.events)
+		case len(l.urgentEvents) > 0:
+			(<-l.urgentEvents).run()
+		case len(l.userEvents) > 0:
+			l.runUserEvent(<-l.userEvents)
 		default:
 			l.lag.Store(0)
 			return n
@@ -137,14 +139,14 @@
 	return n
 }
 
-// do runs an event of a user.
-func (l *loop) do(e event) {
-	l.lag.Store(int64(time.Since(e.at)))
+// runUserEvent runs an event of a user.
+func (l *eventLoop) runUserEvent(e event) {
+	l.lag.Store(int64(time.Since(e.postedAt)))
 	e.run()
 }
 
 type timer struct {
-	at  ident.MonotonicTime
+	due ident.MonotonicTime
 	seq uint64
 	run func()
 }
@@ -153,8 +155,8 @@
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, k int) bool {
-	if h[i].at != h[k].at {
-		return h[i].at < h[k].at
+	if h[i].due != h[k].due {
+		return h[i].due < h[k].due
 	}
 	return h[i].seq < h[k].seq
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,44 +23,44 @@
 )
 
 const (
-	dialTime    = time.Second
-	commandTime = 1200 * time.Millisecond // a worker answers within milliseconds, or after a lost packet
-	maxReport   = 1 << 20
-	memoryShare = 0.65
+	dialTimeout       = time.Second
+	commandTimeout    = 1200 * time.Millisecond // a worker answers within milliseconds, or after a lost packet
+	maxHeartbeatBytes = 1 << 20
+	memoryShare       = 0.65
 )
 
 // Server is one node with its sockets.
 type Server struct {
-	set    *settings.Settings
-	loop   *loop
-	ctl    *controller.Controller
-	state  *statesvc.Client
-	cloud  *cloud.Client
-	worker *http.Client
-	// commands has room for the commands to workers that are under way.
-	commands chan struct{}
-	sockets  *sockets
-	mesh     *mesh.Transport
+	settings     *settings.Settings
+	loop         *eventLoop
+	controller   *controller.Controller
+	store        *statesvc.Client
+	cloud        *cloud.Client
+	workerClient *http.Client
+	// commandSlots has room for the commands to workers that are under way.
+	commandSlots chan struct{}
+	connLimiter  *connLimiter
+	transport    *mesh.Transport
 	// admission bounds the requests that are taken, from users and workers or passed on
 	// by siblings.
 	admission admission
 
-	listener, meshListener net.Listener
-	web                    *http.Server
-	transports             []*http.Transport
-	closing                sync.Once
+	listener, peerListener net.Listener
+	httpServer             *http.Server
+	httpTransports         []*http.Transport
+	closeOnce              sync.Once
 }
 
 // Dialer opens a connection, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Run serves until the process is killed, or a socket can't be had.
-func Run(set *settings.Settings) error {
+func Run(cfg *settings.Settings) error {
 	// A node has a small share of one core; more threads only cost.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(memoryShare * set.Cluster.Resources.MemoryMB * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * (1 << 20)))
 	debug.SetGCPercent(300)
-	s, err := New(set, (&net.Dialer{Timeout: dialTime}).DialContext)
+	s, err := New(cfg, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 	if err != nil {
 		return err
 	}
@@ -68,12 +68,12 @@
 }
 
 // New makes a node and takes its addresses. Every connection that it opens is by dial.
-func New(set *settings.Settings, dial Dialer) (*Server, error) {
-	s := &Server{set: set, loop: newLoop(), sockets: newSockets(set.Cluster.Resources.Sockets)}
+func New(cfg *settings.Settings, dial Dialer) (*Server, error) {
+	s := &Server{settings: cfg, loop: newEventLoop(), connLimiter: newConnLimiter(cfg.Cluster.Resources.Sockets)}
 	s.admission.lag = s.loop.Lag
 	// A report under way has a connection, so more can't come.
-	s.admission.reportLimit = int64(s.sockets.limit)
-	transport := func(perHost, idle int) *http.Transport {
+	s.admission.heartbeatLimit = int64(s.connLimiter.limit)
+	newHTTPTransport := func(perHost, idle int) *http.Transport {
 		t := &http.Transport{
 			DialContext:         dial,
 			MaxIdleConnsPerHost: perHost,
@@ -81,20 +81,20 @@
 			MaxIdleConns:        idle,
 			DisableCompression:  true,
 		}
-		s.transports = append(s.transports, t)
+		s.httpTransports = append(s.httpTransports, t)
 		return t
 	}
-	s.state = statesvc.NewClient(set.Endpoints.Store, transport(8, 0))
-	s.cloud = cloud.NewClient(set.Endpoints.Cloud, transport(4, 0))
+	s.store = statesvc.NewClient(cfg.Endpoints.Store, newHTTPTransport(8, 0))
+	s.cloud = cloud.NewClient(cfg.Endpoints.Cloud, newHTTPTransport(4, 0))
 	// A connection kept to each machine, beside those they report on, would take
 	// more sockets than there are.
-	commands := max(8, int(commandPart*float64(set.Cluster.Resources.Sockets)))
-	s.worker = &http.Client{Transport: transport(1, commands)}
-	s.commands = make(chan struct{}, commands)
-	s.mesh = mesh.NewTransport(set.Node, func(from ident.NodeID, f *mesh.Frame) {
-		s.frame(from, f)
+	maxCommands := max(8, int(commandShare*float64(cfg.Cluster.Resources.Sockets)))
+	s.workerClient = &http.Client{Transport: newHTTPTransport(1, maxCommands)}
+	s.commandSlots = make(chan struct{}, maxCommands)
+	s.transport = mesh.New(cfg.Node, func(from ident.NodeID, f *mesh.Frame) {
+		s.handlePeerFrame(from, f)
 	})
-	s.mesh.Dial = func(network, addr string, timeout time.Duration) (net.Conn, error) {
+	s.transport.Dial = func(network, addr string, timeout time.Duration) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		return dial(ctx, network, addr)
@@ -102,142 +102,142 @@
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	s.ctl = controller.New(env{s}, set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	s.loop.settle = s.ctl.Settle
+	s.controller = controller.New(controllerEnv{s}, cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	s.loop.afterBatch = s.controller.AfterEvent
 	return s, nil
 }
 
 // listen takes the node's addresses.
 func (s *Server) listen() error {
 	var err error
-	if s.meshListener, err = net.Listen("tcp4", s.set.TransportAddr); err != nil {
+	if s.peerListener, err = net.Listen("tcp4", s.settings.TransportAddr); err != nil {
 		return err
 	}
-	if s.listener, err = net.Listen("tcp4", s.set.Bind); err != nil {
-		s.meshListener.Close()
+	if s.listener, err = net.Listen("tcp4", s.settings.Bind); err != nil {
+		s.peerListener.Close()
 		return err
 	}
-	s.web = &http.Server{
+	s.httpServer = &http.Server{
 		Handler:           s.handler(),
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       10 * time.Second,
 		WriteTimeout:      15 * time.Second,
 		IdleTimeout:       2 * time.Minute,
 		MaxHeaderBytes:    8 << 10,
-		ConnState:         s.sockets.state,
+		ConnState:         s.connLimiter.onConnState,
 	}
 	return nil
 }
 
 // Serve runs the node until it is closed, or a socket fails.
 func (s *Server) Serve() error {
-	for _, p := range s.set.Peers {
-		s.mesh.Connect(p.Node, p.Address)
+	for _, p := range s.settings.Peers {
+		s.transport.Connect(p.Node, p.Address)
 	}
 	errs := make(chan error, 2)
-	go func() { errs <- s.mesh.Serve(s.meshListener) }()
-	go func() { errs <- s.web.Serve(s.sockets.listen(s.listener)) }()
-	s.loop.post(s.ctl.Start)
+	go func() { errs <- s.transport.Serve(s.peerListener) }()
+	go func() { errs <- s.httpServer.Serve(s.connLimiter.limitListener(s.listener)) }()
+	s.loop.post(s.controller.Start)
 	go s.loop.run()
 	return <-errs
 }
 
 // Close ends the node at once, as if its process were killed: nothing is handed over.
 func (s *Server) Close() {
-	s.closing.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.loop.done)
-		s.meshListener.Close()
-		s.web.Close()
-		s.mesh.Close()
-		for _, t := range s.transports {
+		s.peerListener.Close()
+		s.httpServer.Close()
+		s.transport.Close()
+		for _, t := range s.httpTransports {
 			t.CloseIdleConnections()
 		}
 	})
 }
 
-// frame takes a sibling's message. What it passes on for users waits like users' own
+// handlePeerFrame takes a sibling's message. What it passes on for users waits like users' own
 // requests here, and is refused like them.
-func (s *Server) frame(from ident.NodeID, f *mesh.Frame) {
-	take := func() { s.ctl.Frame(from, f) }
-	if f.Kind != mesh.Ask && f.Kind != mesh.Relay || f.Verb == mesh.Checkin || f.Verb == mesh.Cancel {
-		s.loop.postUrgent(take)
+func (s *Server) handlePeerFrame(from ident.NodeID, frame *mesh.Frame) {
+	handle := func() { s.controller.HandleFrame(from, frame) }
+	if frame.Type != mesh.MsgRequest && frame.Type != mesh.MsgRelayRequest || frame.Method == mesh.WorkerHeartbeat || frame.Method == mesh.CancelJob {
+		s.loop.postUrgent(handle)
 		return
 	}
-	if !s.admission.admits(f.Verb) {
-		s.mesh.Send(from, &mesh.Frame{Kind: mesh.Tell, ID: f.ID, Status: uint16(overloaded.Status), Retry: uint16(overloaded.Retry), Body: overloaded.Body})
+	if !s.admission.admits(frame.Method) {
+		s.transport.Send(from, &mesh.Frame{Type: mesh.MsgResponse, ID: frame.ID, Status: uint16(overloadedResponse.Status), RetryAfterS: uint16(overloadedResponse.RetryAfterS), Body: overloadedResponse.Body})
 		return
 	}
-	s.loop.post(take)
+	s.loop.post(handle)
 }
 
-// env is the world as a controller sees it. All but the calls' own goroutines is
+// controllerEnv is the world as a controller sees it. All but the calls' own goroutines is
 // run by the loop.
-type env struct{ s *Server }
+type controllerEnv struct{ server *Server }
 
-func (e env) Now() ident.MonotonicTime            { return e.s.loop.now() }
-func (e env) WallMS() int64                       { return time.Now().UnixMilli() }
-func (e env) After(d time.Duration, f func())     { e.s.loop.after(d, f) }
-func (e env) Mesh(to ident.NodeID, f *mesh.Frame) { e.s.mesh.Send(to, f) }
+func (e controllerEnv) Now() ident.MonotonicTime                { return e.server.loop.now() }
+func (e controllerEnv) WallMS() int64                           { return time.Now().UnixMilli() }
+func (e controllerEnv) After(d time.Duration, f func())         { e.server.loop.after(d, f) }
+func (e controllerEnv) SendPeer(to ident.NodeID, f *mesh.Frame) { e.server.transport.Send(to, f) }
 
-func (e env) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (e controllerEnv) Store(r statesvc.Request, done func(statesvc.Response)) {
 	go func() {
-		a := e.s.state.Do(r)
-		e.s.loop.postUrgent(func() { f(a) })
+		response := e.server.store.Do(r)
+		e.server.loop.postUrgent(func() { done(response) })
 	}()
 }
 
-func (e env) Cloud(r cloud.Request, f func(cloud.Response)) {
+func (e controllerEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	go func() {
-		a := cloud.Response{Outcome: cloud.NotSent}
-		if !e.s.loop.past(r.NotAfter) {
-			a = e.s.cloud.Do(r)
+		response := cloud.Response{Outcome: cloud.NotSent}
+		if !e.server.loop.expired(r.NotAfter) {
+			response = e.server.cloud.Do(r)
 		}
-		e.s.loop.postUrgent(func() { f(a) })
+		e.server.loop.postUrgent(func() { done(response) })
 	}()
 }
 
-func (e env) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+func (e controllerEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	go func() {
-		a := e.s.command(c)
-		e.s.loop.postUrgent(func() { f(a) })
+		response := e.server.sendCommand(command)
+		e.server.loop.postUrgent(func() { done(response) })
 	}()
 }
 
-// command sends orders to a worker.
-func (s *Server) command(c workers.CommandCall) workers.CommandResult {
-	s.commands <- struct{}{}
-	defer func() { <-s.commands }()
-	if s.loop.past(c.NotAfter) {
+// sendCommand sends orders to a worker.
+func (s *Server) sendCommand(command workers.CommandCall) workers.CommandResult {
+	s.commandSlots <- struct{}{}
+	defer func() { <-s.commandSlots }()
+	if s.loop.expired(command.NotAfter) {
 		return workers.CommandResult{NotSent: true}
 	}
-	status, b, err := httpcall.Do(s.worker, commandTime, http.MethodPost, "http://"+c.Addr+"/commands", c.Body, maxReport)
+	status, b, err := httpcall.Do(s.workerClient, commandTimeout, http.MethodPost, "http://"+command.Addr+"/commands", command.Body, maxHeartbeatBytes)
 	if err != nil {
 		return workers.CommandResult{ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
-	r, err := api.ParseHeartbeat(b)
+	heartbeat, err := api.ParseHeartbeat(b)
 	if err != nil {
 		return workers.CommandResult{}
 	}
-	return workers.CommandResult{Status: status, Heartbeat: r}
+	return workers.CommandResult{Status: status, Heartbeat: heartbeat}
 }
 
-// snapshot asks the loop for the counters.
-func (s *Server) snapshot() controller.Snapshot {
-	return ask(s.loop, s.loop.post, s.ctl.Snapshot)
+// stats asks the loop for the counters.
+func (s *Server) stats() controller.Stats {
+	return query(s.loop, s.loop.post, s.controller.Stats)
 }
 
 // linkReport asks the loop what is known of the links.
 func (s *Server) linkReport() controller.LinkReport {
-	return ask(s.loop, s.loop.post, s.ctl.LinkReport)
+	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
 // moveReport asks the loop what is known of moves, for a while: a node that doesn't lead asks
 // the state service.
 func (s *Server) moveReport(ctx context.Context) (controller.MoveReport, bool) {
-	ctx, cancel := context.WithTimeout(ctx, moveReportTime)
+	ctx, cancel := context.WithTimeout(ctx, moveReportTimeout)
 	defer cancel()
 	answer := make(chan controller.MoveReport, 1)
-	s.loop.post(func() { s.ctl.MoveReport(func(r controller.MoveReport) { answer <- r }) })
+	s.loop.post(func() { s.controller.MoveReport(func(r controller.MoveReport) { answer <- r }) })
 	select {
 	case r := <-answer:
 		return r, true
@@ -246,8 +246,8 @@
 	}
 }
 
-// moveReportTime bounds the wait for it.
-const moveReportTime = 2 * time.Second
+// moveReportTimeout bounds the wait for it.
+const moveReportTimeout = 2 * time.Second
 
 // writeJSON answers with a message of the API.
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -24,11 +24,11 @@
 	_ "opaldale/internal/statetest"
 )
 
-const job = `{"id":"j-000001","lane":"l","desk":"red","shape":"batch","rank":"high","pieces":1,"vcpus":1,"cards":0,"memory_gb":1,
+const jobSpecJSON = `{"id":"j-000001","lane":"l","desk":"red","shape":"batch","rank":"high","pieces":1,"vcpus":1,"cards":0,"memory_gb":1,
  "bundle":"img","image_gb":1,"one_zone":false,"apart":false,"standby":true,"runtime_s":1,"snapshot_every_s":0,"snapshot_s":0}`
 
-// alone makes a node that has no leader and no state service.
-func alone(t *testing.T, socketsGiven int) *Server {
+// newTestServer makes a node that has no leader and no state service.
+func newTestServer(t *testing.T, socketsGiven int) *Server {
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -38,20 +38,20 @@
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newLoop(), sockets: newSockets(socketsGiven), state: statesvc.NewClient(addr, http.DefaultTransport),
-		cloud: cloud.NewClient(addr, http.DefaultTransport), worker: http.DefaultClient,
-		mesh: mesh.NewTransport("agent-0", func(ident.NodeID, *mesh.Frame) {})}
+	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(socketsGiven), store: statesvc.NewClient(addr, http.DefaultTransport),
+		cloud: cloud.NewClient(addr, http.DefaultTransport), workerClient: http.DefaultClient,
+		transport: mesh.New("agent-0", func(ident.NodeID, *mesh.Frame) {})}
 	s.admission.lag = s.loop.Lag
-	s.ctl = controller.New(env{s}, set, rand.New(rand.NewPCG(1, 2)))
-	s.loop.settle = s.ctl.Settle
-	s.loop.post(s.ctl.Start)
+	s.controller = controller.New(controllerEnv{s}, set, rand.New(rand.NewPCG(1, 2)))
+	s.loop.afterBatch = s.controller.AfterEvent
+	s.loop.post(s.controller.Start)
 	go s.loop.run()
 	return s
 }
 
-// TestInterface asks a node that has no leader and no state service.
-func TestInterface(t *testing.T) {
-	s := alone(t, 1000)
+// TestHTTPAPIWithoutLeader asks a node that has no leader and no state service.
+func TestHTTPAPIWithoutLeader(t *testing.T) {
+	s := newTestServer(t, 1000)
 	web := httptest.NewServer(s.handler())
 	defer web.Close()
 
@@ -60,10 +60,10 @@
 		status             int
 		says               string
 	}{
-		{"POST", "/v2/runs", job, 503, "no leader"},
+		{"POST", "/v2/runs", jobSpecJSON, 503, "no leader"},
 		{"POST", "/v2/runs", "nonsense", 400, "body"},
-		{"POST", "/v2/runs", strings.Replace(job, `"pieces":1`, `"pieces":-1`, 1), 400, "pieces"},
-		{"POST", "/v2/runs", job + strings.Repeat(" ", 64<<10), 400, "64 KiB"},
+		{"POST", "/v2/runs", strings.Replace(jobSpecJSON, `"pieces":1`, `"pieces":-1`, 1), 400, "pieces"},
+		{"POST", "/v2/runs", jobSpecJSON + strings.Repeat(" ", 64<<10), 400, "64 KiB"},
 		{"GET", "/v2/runs", "", 405, ""},
 		{"DELETE", "/v2/runs/j-000001", "", 405, ""},
 		{"GET", "/v2/runs/j-000001", "", 503, "state service"},
@@ -96,23 +96,23 @@
 	}
 }
 
-// TestMoreWorkersThanSockets: three times as many workers as a node takes connections
+// TestMoreWorkersThanConnections: three times as many workers as a node takes connections
 // all report, users on new connections are answered meanwhile, idle connections make
 // room, and none of it takes threads. Beyond the bound, connections were once closed as
 // they came: workers lost their leases, and /up failed.
-func TestMoreWorkersThanSockets(t *testing.T) {
-	s := alone(t, 160)
+func TestMoreWorkersThanConnections(t *testing.T) {
+	s := newTestServer(t, 160)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	web := &http.Server{Handler: s.handler(), ConnState: s.sockets.state}
-	go web.Serve(s.sockets.listen(l))
+	web := &http.Server{Handler: s.handler(), ConnState: s.connLimiter.onConnState}
+	go web.Serve(s.connLimiter.limitListener(l))
 	defer web.Close()
 	url := "http://" + l.Addr().String()
 
 	// Three quarters of the room are taken by connections that stay open and do nothing.
-	for range 3 * s.sockets.limit / 4 {
+	for range 3 * s.connLimiter.limit / 4 {
 		c, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 	}
 	var wg sync.WaitGroup
 	var lost, most atomic.Int64
-	for i := range 3 * s.sockets.limit {
+	for i := range 3 * s.connLimiter.limit {
 		wg.Go(func() {
 			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer c.CloseIdleConnections()
@@ -143,7 +143,7 @@
 				if !answered {
 					lost.Add(1)
 				}
-				if n := int64(s.sockets.count()); n > most.Load() {
+				if n := int64(s.connLimiter.count()); n > most.Load() {
 					most.Store(n)
 				}
 			}
@@ -161,12 +161,12 @@
 	}
 	wg.Wait()
 	if lost.Load() > 0 || failed > 5 {
-		t.Errorf("%d reports and %d users without an answer; %d connections refused", lost.Load(), failed, s.sockets.refused.Load())
+		t.Errorf("%d reports and %d users without an answer; %d connections refused", lost.Load(), failed, s.connLimiter.refused.Load())
 	}
-	if n := int(most.Load()); n > s.sockets.limit {
-		t.Errorf("%d connections of %d", n, s.sockets.limit)
+	if n := int(most.Load()); n > s.connLimiter.limit {
+		t.Errorf("%d connections of %d", n, s.connLimiter.limit)
 	}
-	if s.sockets.evicted.Load() == 0 {
+	if s.connLimiter.evicted.Load() == 0 {
 		t.Error("no idle connection made room: the test shows nothing")
 	}
 	if n := pprof.Lookup("threadcreate").Count(); n > 100 {
--- a/internal/server/sockets.go
+++ b/internal/server/sockets.go
@@ -12,17 +12,17 @@
 // A node's sockets, as parts of what the settings give it. The rest is for the state
 // service, the cloud, the siblings and whatever else the process has open.
 const (
-	listenPart  = 0.75 // users, workers and probes, who come by themselves
-	commandPart = 0.2  // commands to workers
-	// crowdedPart of the first is how many may stay open while workers' connections are
+	inboundShare = 0.75 // users, workers and probes, who come by themselves
+	commandShare = 0.2  // commands to workers
+	// keepAliveShare of the first is how many may stay open while workers' connections are
 	// kept between reports. What is above is for those who come meanwhile: a fleet may
 	// have more machines than a node has sockets.
-	crowdedPart = 0.75
+	keepAliveShare = 0.75
 )
 
-// sockets bounds the connections that others open. When there are too many, the one
+// connLimiter bounds the connections that others open. When there are too many, the one
 // that has been idle for longest makes room for the new one, whoever's it is.
-type sockets struct {
+type connLimiter struct {
 	limit   int
 	mu      sync.Mutex
 	open    int
@@ -32,15 +32,15 @@
 	refused atomic.Uint64
 }
 
-func newSockets(all int) *sockets {
-	return &sockets{limit: max(4, int(listenPart*float64(all))), idle: list.New(), room: make(chan struct{}, 1)}
+func newConnLimiter(totalSockets int) *connLimiter {
+	return &connLimiter{limit: max(4, int(inboundShare*float64(totalSockets))), idle: list.New(), room: make(chan struct{}, 1)}
 }
 
-// roomWait is how long a new connection waits for room: requests take milliseconds.
-const roomWait = 300 * time.Millisecond
+// acquireTimeout is how long a new connection waits for room: requests take milliseconds.
+const acquireTimeout = 300 * time.Millisecond
 
-// freed tells the one that waits.
-func (s *sockets) freed() {
+// signalRoom tells the one that waits.
+func (s *connLimiter) signalRoom() {
 	select {
 	case s.room <- struct{}{}:
 	default:
@@ -48,17 +48,17 @@
 }
 
 // count returns how many connections are open.
-func (s *sockets) count() int {
+func (s *connLimiter) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// crowded says whether workers' connections are closed after each report.
-func (s *sockets) crowded() bool { return float64(s.count()) > crowdedPart*float64(s.limit) }
+// nearLimit says whether workers' connections are closed after each report.
+func (s *connLimiter) nearLimit() bool { return float64(s.count()) > keepAliveShare*float64(s.limit) }
 
-// take counts a new connection, if there is room or an idle one makes some.
-func (s *sockets) take() bool {
+// tryAcquire counts a new connection, if there is room or an idle one makes some.
+func (s *connLimiter) tryAcquire() bool {
 	s.mu.Lock()
 	if s.open < s.limit {
 		s.open++
@@ -71,21 +71,21 @@
 		return false
 	}
 	s.evicted.Add(1)
-	e.Value.(*socket).Close()
-	return s.take()
+	e.Value.(*trackedConn).Close()
+	return s.tryAcquire()
 }
 
-// add is take with some patience: those who come wait in the system's queue.
-func (s *sockets) add() bool {
-	if s.take() {
+// acquire is take with some patience: those who come wait in the system's queue.
+func (s *connLimiter) acquire() bool {
+	if s.tryAcquire() {
 		return true
 	}
-	t := time.NewTimer(roomWait)
+	t := time.NewTimer(acquireTimeout)
 	defer t.Stop()
 	for {
 		select {
 		case <-s.room:
-			if s.take() {
+			if s.tryAcquire() {
 				return true
 			}
 		case <-t.C:
@@ -94,67 +94,67 @@
 	}
 }
 
-// state follows the HTTP server's view of a connection.
-func (s *sockets) state(c net.Conn, st http.ConnState) {
-	k, ok := c.(*socket)
+// onConnState follows the HTTP server's view of a connection.
+func (s *connLimiter) onConnState(c net.Conn, connState http.ConnState) {
+	conn, ok := c.(*trackedConn)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k.leave()
-	if st == http.StateIdle && !k.closed {
-		k.idle = s.idle.PushBack(k)
-		s.freed()
+	conn.removeFromIdle()
+	if connState == http.StateIdle && !conn.closed {
+		conn.idleElement = s.idle.PushBack(conn)
+		s.signalRoom()
 	}
 }
 
-// listen bounds a listener's connections.
-func (s *sockets) listen(l net.Listener) net.Listener { return &bounded{l, s} }
+// limitListener bounds a listener's connections.
+func (s *connLimiter) limitListener(l net.Listener) net.Listener { return &limitedListener{l, s} }
 
-type bounded struct {
+type limitedListener struct {
 	net.Listener
-	sockets *sockets
+	limiter *connLimiter
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := b.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if b.sockets.add() {
-			return &socket{Conn: c, owner: b.sockets}, nil
+		if b.limiter.acquire() {
+			return &trackedConn{Conn: c, limiter: b.limiter}, nil
 		}
-		b.sockets.refused.Add(1)
+		b.limiter.refused.Add(1)
 		c.Close()
 	}
 }
 
-// socket is a connection that counts. Its fields belong to the owner's lock.
-type socket struct {
+// trackedConn is a connection that counts. Its fields belong to the owner's lock.
+type trackedConn struct {
 	net.Conn
-	owner  *sockets
-	closed bool
-	idle   *list.Element // nil while it isn't
+	limiter     *connLimiter
+	closed      bool
+	idleElement *list.Element // nil while it isn't
 }
 
-// leave takes it out of the idle ones.
-func (k *socket) leave() {
-	if k.idle != nil {
-		k.owner.idle.Remove(k.idle)
-		k.idle = nil
+// removeFromIdle takes it out of the idle ones.
+func (k *trackedConn) removeFromIdle() {
+	if k.idleElement != nil {
+		k.limiter.idle.Remove(k.idleElement)
+		k.idleElement = nil
 	}
 }
 
-func (k *socket) Close() error {
-	k.owner.mu.Lock()
+func (k *trackedConn) Close() error {
+	k.limiter.mu.Lock()
 	if !k.closed {
 		k.closed = true
-		k.owner.open--
-		k.leave()
-		k.owner.freed()
+		k.limiter.open--
+		k.removeFromIdle()
+		k.limiter.signalRoom()
 	}
-	k.owner.mu.Unlock()
+	k.limiter.mu.Unlock()
 	return k.Conn.Close()
 }
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -27,20 +27,20 @@
 // the version in production would close the connection on one.
 func (w *World) linkFrame(from, to *node, f *mesh.Frame) bool {
 	way := to.name + " " + from.name
-	switch f.Kind {
-	case mesh.Heartbeat:
+	switch f.Type {
+	case mesh.MsgHeartbeat:
 		w.newest[from.name+" "+to.name] = f.ID
-	case mesh.Links, mesh.Yield, mesh.Relay:
+	case mesh.MsgLinkState, mesh.MsgTransferLeader, mesh.MsgRelayRequest:
 		if to.alive && to.env.old || from.env.old {
 			w.broken("%s sent a frame about links to %s, of which one is old", from.name, to.name)
 			return false
 		}
 	}
-	switch f.Kind {
-	case mesh.Links:
+	switch f.Type {
+	case mesh.MsgLinkState:
 		w.took("rows sent")
 		w.copyRows(from, to, way, f)
-	case mesh.Yield:
+	case mesh.MsgTransferLeader:
 		if !w.announced[f.Term] {
 			w.announced[f.Term] = true
 			w.took("handover announced")
@@ -61,7 +61,7 @@
 		return
 	}
 	late := *f
-	late.Rows = slices.Clone(f.Rows[:1]) // that of the sender
+	late.LinkState = slices.Clone(f.LinkState[:1]) // that of the sender
 	w.at(w.oldRows, func() {
 		if !to.alive {
 			return
@@ -69,9 +69,9 @@
 		w.took("old rows")
 		if w.cfg.Mutation == UndatedRows {
 			late.ID = w.newest[way]
-			late.Rows[0].Sequence += undatedBy
+			late.LinkState[0].Sequence += undatedBy
 		}
-		to.when(to.life, func() { to.ctl.Frame(ident.NodeID(from.name), &late) })
+		to.when(to.life, func() { to.ctl.HandleFrame(ident.NodeID(from.name), &late) })
 	})
 }
 
@@ -84,17 +84,17 @@
 }
 
 // wrongRows says of one node that all its links work, and of the others that none does.
-func wrongRows(w *World, best *node) []links.Row {
-	var rows []links.Row
+func wrongRows(w *World, best *node) []links.Advertisement {
+	var rows []links.Advertisement
 	for _, n := range w.nodes {
-		r := links.Row{Origin: ident.NodeID(n.name), Incarnation: 1 << 60, Sequence: w.seq}
+		r := links.Advertisement{Origin: ident.NodeID(n.name), Incarnation: 1 << 60, Sequence: w.seq}
 		state := links.Down
 		if n == best {
 			state = links.Up
 		}
-		peers := []links.Peer{{Kind: links.StateService}, {Kind: links.Cloud}, {Kind: links.Machines, Name: "east"}, {Kind: links.Machines, Name: "west"}}
+		peers := []links.Endpoint{{Kind: links.KVStore}, {Kind: links.Cloud}, {Kind: links.Machines, Name: "east"}, {Kind: links.Machines, Name: "west"}}
 		for _, p := range peers {
-			r.Links = append(r.Links, links.LinkState{Peer: p, In: state, Out: state})
+			r.Links = append(r.Links, links.LinkState{Endpoint: p, In: state, Out: state})
 		}
 		rows = append(rows, r)
 	}
--- a/internal/standin/links_test.go
+++ b/internal/standin/links_test.go
@@ -86,7 +86,7 @@
 			if !n.alive {
 				continue
 			}
-			fenced := n.ctl.Snapshot().Fenced
+			fenced := n.ctl.Stats().MachinesFenced
 			for range fenced - min(fenced, counts[i]) {
 				w.took("fenced meanwhile")
 			}
@@ -97,7 +97,7 @@
 		}
 	}
 	for i, n := range w.nodes {
-		counts[i] = n.ctl.Snapshot().Fenced
+		counts[i] = n.ctl.Stats().MachinesFenced
 	}
 	look()
 }
@@ -290,7 +290,7 @@
 					})
 				}
 				w.at(55*time.Second, func() {
-					for range f.ctl.Snapshot().Relayed {
+					for range f.ctl.Stats().Relayed {
 						w.took("relayed")
 					}
 				})
@@ -587,6 +587,6 @@
 // lie has a node hear from another that it is the best placed of all, and the others worst.
 func (w *World) lie(from, to *node) {
 	w.took("lie")
-	f := &mesh.Frame{Kind: mesh.Links, ID: w.newest[to.name+" "+from.name], Rows: wrongRows(w, from)}
-	to.when(to.life, func() { to.ctl.Frame(ident.NodeID(from.name), f) })
+	f := &mesh.Frame{Type: mesh.MsgLinkState, ID: w.newest[to.name+" "+from.name], LinkState: wrongRows(w, from)}
+	to.when(to.life, func() { to.ctl.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -22,7 +22,7 @@
 				if l == nil {
 					return
 				}
-				for _, r := range l.ctl.Snapshot().TeamLoads {
+				for _, r := range l.ctl.Stats().TeamLoads {
 					switch {
 					case r.State != load.Overloaded:
 					case r.Team == hotTeam && w.now > second(320):
--- a/internal/standin/moves.go
+++ b/internal/standin/moves.go
@@ -110,7 +110,7 @@
 // checkReservations checks, now and then, that no room is kept for longer than for a move.
 func (w *World) checkReservations() {
 	if l := w.leader(); l != nil {
-		if s := l.ctl.Snapshot(); s.Reservations > s.MovesActive {
+		if s := l.ctl.Stats(); s.Reservations > s.MovesActive {
 			w.broken("room is kept on %d machines for %d moves", s.Reservations, s.MovesActive)
 		}
 	}
@@ -123,7 +123,7 @@
 		return nil
 	}
 	n.ctl.MoveReport(func(r controller.MoveReport) {
-		if r.Leads {
+		if r.Leader {
 			out = r.Moves
 		}
 	})
--- a/internal/standin/moves_load_test.go
+++ b/internal/standin/moves_load_test.go
@@ -257,7 +257,7 @@
 			w.others(l, func(n *node) {
 				n.ctl.MoveReport(func(r controller.MoveReport) {
 					for _, e := range r.Moves {
-						if !r.Leads && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
+						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
 							w.took("shown by another")
 						}
 					}
--- a/internal/standin/mutation.go
+++ b/internal/standin/mutation.go
@@ -13,18 +13,18 @@
 )
 
 // mutateCheckin is what mutations make of an answer to a report.
-func (w *World) mutateCheckin(n *node, body []byte, r *controller.Reply) *controller.Reply {
+func (w *World) mutateCheckin(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
 	case w.cfg.Mutation == RenewOn && !n.ctl.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
-			return &controller.Reply{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
+			return &controller.Response{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
 	case w.cfg.Mutation == NoKills && r.Status == 200:
 		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
 			o.Commands = withoutKills(o.Commands)
-			return &controller.Reply{Status: 200, Body: api.JSON(o)}
+			return &controller.Response{Status: 200, Body: api.JSON(o)}
 		}
 	}
 	return r
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -45,7 +45,7 @@
 	default:
 		n.halts.begin(n.w)
 		f()
-		n.ctl.Settle()
+		n.ctl.AfterEvent()
 		n.halts.end()
 	}
 }
@@ -88,7 +88,7 @@
 	n.env, n.halts = e, halts{}
 	n.ctl = controller.New(e, set, rand.New(rand.NewPCG(n.w.rng.Uint64(), 1)))
 	n.ctl.Start()
-	n.ctl.Settle()
+	n.ctl.AfterEvent()
 }
 
 func (n *node) kill(back time.Duration) {
@@ -239,7 +239,7 @@
 	})
 }
 
-func (e *nodeEnv) Mesh(to ident.NodeID, f *mesh.Frame) {
+func (e *nodeEnv) SendPeer(to ident.NodeID, f *mesh.Frame) {
 	w := e.w()
 	for _, o := range w.nodes {
 		if o.name != string(to) {
@@ -250,8 +250,8 @@
 		if err != nil {
 			panic(err)
 		}
-		if w.cfg.Mutation == KeepLeasesOn && g.Kind == mesh.Heartbeat && g.Life.Allowance > 0 {
-			g.Life.Allowance = mesh.Millis(time.Hour)
+		if w.cfg.Mutation == KeepLeasesOn && g.Type == mesh.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
+			g.Heartbeat.LeaseAllowanceMS = mesh.ToMillis(time.Hour)
 		}
 		if !w.linkFrame(e.n, o, g) {
 			return
@@ -259,40 +259,40 @@
 		life := o.life
 		e.afterHalt(func() {
 			w.deliver(e.n.name, o.name, func() {
-				o.when(life, func() { o.ctl.Frame(ident.NodeID(e.n.name), g) })
+				o.when(life, func() { o.ctl.HandleFrame(ident.NodeID(e.n.name), g) })
 			})
 		})()
 	}
 }
 
 // request is a request of a user or a worker to a node.
-func (w *World) request(from string, n *node, v mesh.Verb, job string, body []byte, limit time.Duration, done func(*controller.Reply)) {
+func (w *World) request(from string, n *node, v mesh.Method, job string, body []byte, limit time.Duration, done func(*controller.Response)) {
 	if !n.alive {
 		w.at(time.Millisecond, func() { done(nil) })
 		return
 	}
 	life := n.life
 	key := n.name + " " + job
-	if v == mesh.Submit && w.cfg.Mutation == LoseZone {
+	if v == mesh.SubmitJob && w.cfg.Mutation == LoseZone {
 		body = loseZone(body)
 	}
 	w.call(from, n.name, limit, func(reply func(any)) {
 		n.when(life, func() {
-			if c := n.cache[key]; v == mesh.Poll && w.cfg.Mutation == CacheAnswers && c.body != nil && w.now.Sub(c.at) < cacheTime {
-				reply(&controller.Reply{Status: 200, Body: c.body})
+			if c := n.cache[key]; v == mesh.GetJob && w.cfg.Mutation == CacheAnswers && c.body != nil && w.now.Sub(c.at) < cacheTime {
+				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
-			n.ctl.Request(v, job, body, func(r controller.Reply) {
+			n.ctl.HandleRequest(v, job, body, func(r controller.Response) {
 				n.env.afterHalt(func() {
 					if w.cfg.Mutation != IgnoreLimits {
-						r = r.Now(n.env.clock())
+						r = r.IfValid(n.env.clock())
 					}
 					switch v {
-					case mesh.Poll:
+					case mesh.GetJob:
 						if w.cfg.Mutation == CacheAnswers && r.Status == 200 {
 							n.cache[key] = cached{w.now, r.Body}
 						}
-					case mesh.Checkin:
+					case mesh.WorkerHeartbeat:
 						reply(w.mutateCheckin(n, body, &r))
 						return
 					}
@@ -304,7 +304,7 @@
 		if a == nil {
 			done(nil)
 		} else {
-			done(a.(*controller.Reply))
+			done(a.(*controller.Response))
 		}
 	})
 }
--- a/internal/standin/play_test.go
+++ b/internal/standin/play_test.go
@@ -76,7 +76,7 @@
 // serving calls f once a node that leads has loaded, and can answer.
 func (w *World) serving(n *node, f func()) {
 	leads := func() bool { return n.alive && n.ctl.Election().LeaseValid() }
-	w.await(func() bool { return !leads() || n.ctl.Snapshot().Jobs > 0 }, func() {
+	w.await(func() bool { return !leads() || n.ctl.Stats().Jobs > 0 }, func() {
 		if leads() {
 			f()
 		}
--- a/internal/standin/slow_test.go
+++ b/internal/standin/slow_test.go
@@ -67,7 +67,7 @@
 	found := ident.Never
 	var look func()
 	look = func() {
-		if l := w.leader(); found == ident.Never && l != nil && l.ctl.Snapshot().SlowMachines > 0 {
+		if l := w.leader(); found == ident.Never && l != nil && l.ctl.Stats().SlowMachines > 0 {
 			found = w.now.Add(2 * time.Second)
 		}
 		for id, attempts := range k.pieces {
@@ -89,7 +89,7 @@
 		w := slowDay(seed, settings.RebalanceMove, 0)
 		for s := 20.0; s < 150; s += 5 {
 			w.when(s, func() {
-				if l := w.leader(); l != nil && l.ctl.Snapshot().SlowMachines > 0 {
+				if l := w.leader(); l != nil && l.ctl.Stats().SlowMachines > 0 {
 					w.broken("a machine is called slow")
 				}
 			})
--- a/internal/standin/study_load.go
+++ b/internal/standin/study_load.go
@@ -72,8 +72,8 @@
 	}
 	for _, n := range w.nodes {
 		if n.alive {
-			out.FetchedGB += n.ctl.Snapshot().FetchedGB
-			out.Moves += n.ctl.Snapshot().MovesProposed
+			out.FetchedGB += n.ctl.Stats().FetchedGB
+			out.Moves += n.ctl.Stats().MovesProposed
 		}
 	}
 	out.Machines, out.Broken, out.Undone = len(w.cloud.machines), len(w.Broken), len(w.Undone)
@@ -129,7 +129,7 @@
 		return false
 	}
 	hot := false
-	for _, r := range l.ctl.Snapshot().TeamLoads {
+	for _, r := range l.ctl.Stats().TeamLoads {
 		switch {
 		case r.State != load.Overloaded:
 		case r.Team != team:
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -127,7 +127,7 @@
 	if w.cfg.Mutation == TrustCopies {
 		c.SequenceNumber += 1000
 	}
-	w.request("copies", n, mesh.Checkin, "", api.JSON(&c), 4*time.Second, func(*controller.Reply) {})
+	w.request("copies", n, mesh.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
 }
 
 // copyReport has copies of a report come to all nodes again.
@@ -266,7 +266,7 @@
 		Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
 		w.took("odd request")
-		w.request("users", n, mesh.Submit, "", body, 5*time.Second, func(r *controller.Reply) {
+		w.request("users", n, mesh.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
 			if r != nil && !ok(r.Status) {
 				w.broken("%s got %d %s", what, r.Status, r.Body)
 			}
@@ -292,7 +292,7 @@
 		for _, id := range w.order {
 			if j := w.jobs[id]; j.told == "done" && w.rng.IntN(3) == 0 {
 				w.took("done job cancelled")
-				w.request("users", n, mesh.Cancel, string(id), nil, 5*time.Second, func(r *controller.Reply) {
+				w.request("users", n, mesh.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
 					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
 						w.broken("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
@@ -308,7 +308,7 @@
 				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
 				asked := w.now
 				w.took("other body")
-				w.request("users", n, mesh.Submit, "", api.JSON(o), 5*time.Second, func(r *controller.Reply) {
+				w.request("users", n, mesh.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
 					switch {
 					case r == nil || r.Status == 503:
 					case r.Status == 200 || r.Status == 201:
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -188,7 +188,7 @@
 func (w *World) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.sent = true
 	asked := w.now
-	w.request("users", n, mesh.Submit, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Reply) {
+	w.request("users", n, mesh.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, w.now
@@ -223,7 +223,7 @@
 	})
 	if w.rng.IntN(20) == 0 {
 		id := fmt.Sprintf("j-9%05d", w.rng.IntN(1000))
-		w.request("users", w.some(), mesh.Poll, id, nil, 2*time.Second, func(r *controller.Reply) {
+		w.request("users", w.some(), mesh.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
 			if r != nil && r.Status == 200 {
 				w.broken("invented: %s got 200", id)
 			}
@@ -236,7 +236,7 @@
 
 func (w *World) ask(j *userJob, n *node, then func()) {
 	asked := w.now
-	w.request("users", n, mesh.Poll, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Reply) {
+	w.request("users", n, mesh.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
 		if r != nil {
 			if r.Status == 404 {
 				w.broken("forgotten: %s got 404", j.spec.ID)
@@ -259,7 +259,7 @@
 	if n == nil {
 		n = w.some()
 	}
-	w.request("users", n, mesh.Cancel, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Reply) {
+	w.request("users", n, mesh.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
 		if r != nil && r.Status == 200 {
 			w.hear(j, r, asked)
 			return
@@ -273,7 +273,7 @@
 
 // hear checks an answer against what the user knew when asking: requests that
 // overlap have no order.
-func (w *World) hear(j *userJob, r *controller.Reply, asked ident.MonotonicTime) {
+func (w *World) hear(j *userJob, r *controller.Response, asked ident.MonotonicTime) {
 	var v api.JobView
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
 		w.broken("%s: unreadable answer %s", j.spec.ID, r.Body)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -140,7 +140,7 @@
 	m := k.message()
 	k.copied(m)
 	k.w.copyReport(m)
-	k.w.request(string(k.host), n, mesh.Checkin, "", api.JSON(m), 4*time.Second, func(r *controller.Reply) {
+	k.w.request(string(k.host), n, mesh.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
 		if k.dead {
 			return
 		}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -30,7 +30,7 @@
 }
 
 // ownAnnouncement is what this program can read.
-var ownAnnouncement = announcement{Level: ident.NewestFormatLevel, FrameCapability: mesh.LinksCapability}
+var ownAnnouncement = announcement{Level: ident.NewestFormatLevel, FrameCapability: mesh.LinkStateCapability}
 
 // covers says whether a node can read all that another notice names.
 func (n announcement) covers(other announcement) bool {
