--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -29,7 +29,7 @@
 			fmt.Fprintln(out, "| mode | imbalance (p50, p90, max) | hot team's arrays done after, s (p50, p90, max) | others' | fetched GB a day | machines a day | hot, of 81 s | moves that would pay |")
 			fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 			for _, mode := range []settings.Rebalance{settings.RebalanceReport, settings.RebalancePlace, settings.RebalanceMove} {
-				if err := flood(out, mode, seeds); err != nil {
+				if err := runFlood(out, mode, seeds); err != nil {
 					return err
 				}
 			}
@@ -39,34 +39,34 @@
 	return cmd
 }
 
-// flood prints one row.
-func flood(out io.Writer, mode settings.Rebalance, seeds int) error {
+// runFlood prints one row.
+func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
 	outcomes := make([]standin.LoadOutcome, seeds)
 	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
+	slots := make(chan struct{}, runtime.NumCPU())
 	for seed := range seeds {
 		all.Go(func() {
-			turns <- struct{}{}
+			slots <- struct{}{}
 			outcomes[seed] = standin.StudyFlood(uint64(seed), mode)
-			<-turns
+			<-slots
 		})
 	}
 	all.Wait()
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMost, histogramDigits) }
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
 	imbalance, hot, others := h(), h(), h()
-	fetched, machines, faults, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
+	fetched, machines, problems, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
 	for _, o := range outcomes {
 		for _, x := range o.Imbalance {
 			if err := imbalance.RecordValue(int64(x * perMille)); err != nil {
 				return err
 			}
 		}
-		for _, d := range o.HotDone {
+		for _, d := range o.HotTeamLatencies {
 			if err := hot.RecordValue(d.Milliseconds()); err != nil {
 				return err
 			}
 		}
-		for _, d := range o.OtherDone {
+		for _, d := range o.OtherTeamLatencies {
 			if err := others.RecordValue(d.Milliseconds()); err != nil {
 				return err
 			}
@@ -75,13 +75,13 @@
 		machines += o.Machines
 		hotSeconds += o.HotSeconds
 		moves += o.Moves
-		faults += o.Broken + o.Undone
+		problems += o.Violations + o.Unfinished
 	}
 	fmt.Fprintf(out, "| %s | %.2f, %.2f, %.2f | %s | %s | %.0f | %.1f | %.0f | %.1f |\n", mode,
 		float64(imbalance.ValueAtQuantile(50))/perMille, float64(imbalance.ValueAtQuantile(90))/perMille, float64(imbalance.Max())/perMille,
-		seconds(hot), seconds(others), fetched/float64(seeds), float64(machines)/float64(seeds), float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
-	if faults > 0 {
-		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", faults)
+		formatQuantiles(hot), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds), float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
+	if problems > 0 {
+		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", problems)
 	}
 	return nil
 }
--- a/cmd/study/golden_test.go
+++ b/cmd/study/golden_test.go
@@ -43,7 +43,7 @@
 // TestGoldenOutcomes pins the record and the table of moves, with all of their fields set.
 func TestGoldenOutcomes(t *testing.T) {
 	day := golden.Filled[standin.MovesOutcome](0)
-	day.Mode, day.Broken, day.Undone = settings.RebalanceMove, 0, 0
+	day.Mode, day.Violations, day.Unfinished = settings.RebalanceMove, 0, 0
 	path := filepath.Join(t.TempDir(), "moves.json")
 	if err := recordMoves(path, []standin.MovesOutcome{day}); err != nil {
 		t.Fatal(err)
@@ -54,11 +54,11 @@
 	}
 	var d golden.Document
 	d.Add("record", string(body))
-	day.Broken, day.Undone = 101, 102
+	day.Violations, day.Unfinished = 101, 102
 	d.JSON(t, "rules broken", day)
 	var table strings.Builder
 	other := day
-	other.Slow, other.Estimate = 0, 1.5
+	other.SlowMachines, other.Estimate = 0, 1.5
 	if err := writeMoves(&table, []standin.MovesOutcome{day, other}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -16,48 +16,48 @@
 
 // linkStudy is how a link is broken, and for how long.
 type linkStudy struct {
-	name           string
-	broken, period time.Duration
+	name             string
+	duration, period time.Duration
 }
 
-// tally gathers the outcomes of one link over all seeds.
-type tally struct {
-	lastDecision, nextPlaces *hdrhistogram.Histogram // in ms
-	changes                  *hdrhistogram.Histogram
-	notFollowed              int
-	late, submitted, lost    int
-	broken, undone           int
+// linkTotals gathers the outcomes of one link over all seeds.
+type linkTotals struct {
+	lastDecision, nextPlacement             *hdrhistogram.Histogram // in ms
+	leaderChanges                           *hdrhistogram.Histogram
+	noNextPlacement                         int
+	lateSubmissions, submissions, tasksLost int
+	violations, unfinished                  int
 }
 
 const (
-	// histogramMost is the largest time in a histogram, in ms, and histogramDigits its
+	// histogramMax is the largest time in a histogram, in ms, and histogramDigits its
 	// precision.
-	histogramMost   = 3_600_000
+	histogramMax    = 3_600_000
 	histogramDigits = 3
 )
 
-func newTally() *tally {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMost, histogramDigits) }
-	return &tally{lastDecision: h(), nextPlaces: h(), changes: h()}
+func newLinkTotals() *linkTotals {
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
+	return &linkTotals{lastDecision: h(), nextPlacement: h(), leaderChanges: h()}
 }
 
-func (t *tally) add(o standin.LinkOutcome) error {
+func (t *linkTotals) add(o standin.LinkOutcome) error {
 	if err := t.lastDecision.RecordValue(o.LastDecision.Milliseconds()); err != nil {
 		return err
 	}
-	if o.NextPlaces < 0 {
-		t.notFollowed++
-	} else if err := t.nextPlaces.RecordValue(o.NextPlaces.Milliseconds()); err != nil {
+	if o.NextPlacement < 0 {
+		t.noNextPlacement++
+	} else if err := t.nextPlacement.RecordValue(o.NextPlacement.Milliseconds()); err != nil {
 		return err
 	}
-	if err := t.changes.RecordValue(int64(o.Changes)); err != nil {
+	if err := t.leaderChanges.RecordValue(int64(o.LeaderChanges)); err != nil {
 		return err
 	}
-	t.late += o.Late
-	t.submitted += o.Submitted
-	t.lost += o.Lost
-	t.broken += o.Broken
-	t.undone += o.Undone
+	t.lateSubmissions += o.LateSubmissions
+	t.submissions += o.Submissions
+	t.tasksLost += o.TasksLost
+	t.violations += o.Violations
+	t.unfinished += o.Unfinished
 	return nil
 }
 
@@ -70,10 +70,10 @@
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			for _, s := range []linkStudy{
-				{name: "broken for a minute", broken: time.Minute},
-				{name: "flapping for ten minutes, down for 2.4 of every 4 s", broken: 10 * time.Minute, period: 4 * time.Second},
+				{name: "broken for a minute", duration: time.Minute},
+				{name: "flapping for ten minutes, down for 2.4 of every 4 s", duration: 10 * time.Minute, period: 4 * time.Second},
 			} {
-				if err := s.play(cmd.OutOrStdout(), seeds); err != nil {
+				if err := s.run(cmd.OutOrStdout(), seeds); err != nil {
 					return err
 				}
 			}
@@ -83,38 +83,38 @@
 	return cmd
 }
 
-// play prints a table with a row for each link, off and on.
-func (s linkStudy) play(out io.Writer, seeds int) error {
+// run prints a table with a row for each link, off and on.
+func (s linkStudy) run(out io.Writer, seeds int) error {
 	fmt.Fprintf(out, "### %s, %d seeds\n\n", s.name, seeds)
 	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) | another places after, s (p50, p90, max) | never | changes of the lead (p50, max) | late submissions | tasks lost with leases |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, link := range standin.StudiedLinks {
-		for _, watched := range []bool{false, true} {
-			t, err := s.tally(link, watched, seeds)
+		for _, monitored := range []bool{false, true} {
+			t, err := s.runSeeds(link, monitored, seeds)
 			if err != nil {
 				return err
 			}
-			t.print(out, link, watched)
+			t.printRow(out, link, monitored)
 		}
 	}
 	fmt.Fprintln(out)
 	return nil
 }
 
-// tally plays all seeds, as many at a time as there are cores.
-func (s linkStudy) tally(link standin.LinkEnds, watched bool, seeds int) (*tally, error) {
+// runSeeds plays all seeds, as many at a time as there are cores.
+func (s linkStudy) runSeeds(link standin.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
 	outcomes := make([]standin.LinkOutcome, seeds)
 	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
+	slots := make(chan struct{}, runtime.NumCPU())
 	for seed := range seeds {
 		all.Go(func() {
-			turns <- struct{}{}
-			outcomes[seed] = standin.StudyLink(uint64(seed), watched, link, s.broken, s.period)
-			<-turns
+			slots <- struct{}{}
+			outcomes[seed] = standin.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
+			<-slots
 		})
 	}
 	all.Wait()
-	t := newTally()
+	t := newLinkTotals()
 	for _, o := range outcomes {
 		if err := t.add(o); err != nil {
 			return nil, err
@@ -123,18 +123,18 @@
 	return t, nil
 }
 
-func (t *tally) print(out io.Writer, link standin.LinkEnds, watched bool) {
-	view := map[bool]string{false: "off", true: "on"}[watched]
+func (t *linkTotals) printRow(out io.Writer, link standin.DirectedLink, monitored bool) {
+	view := map[bool]string{false: "off", true: "on"}[monitored]
 	fmt.Fprintf(out, "| %s to %s | %s | %s | %s | %d | %d, %d | %d of %d | %d |\n", link.From, link.To, view,
-		seconds(t.lastDecision), seconds(t.nextPlaces), t.notFollowed, t.changes.ValueAtQuantile(50), t.changes.Max(),
-		t.late, t.submitted, t.lost)
-	if t.broken+t.undone > 0 {
-		fmt.Fprintf(out, "\nRULES BROKEN: %d, work left undone: %d\n\n", t.broken, t.undone)
+		formatQuantiles(t.lastDecision), formatQuantiles(t.nextPlacement), t.noNextPlacement, t.leaderChanges.ValueAtQuantile(50), t.leaderChanges.Max(),
+		t.lateSubmissions, t.submissions, t.tasksLost)
+	if t.violations+t.unfinished > 0 {
+		fmt.Fprintf(out, "\nRULES BROKEN: %d, work left undone: %d\n\n", t.violations, t.unfinished)
 	}
 }
 
-// seconds tells the middle, the ninth tenth and the largest of a histogram of milliseconds.
-func seconds(h *hdrhistogram.Histogram) string {
+// formatQuantiles tells the middle, the ninth tenth and the largest of a histogram of milliseconds.
+func formatQuantiles(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -27,8 +27,8 @@
 //go:embed moves.schema.json
 var movesSchema []byte
 
-// movesStudy is what is played: modes, and estimates of run times as multiples of what is true.
-var movesStudy = []struct {
+// moveCases is what is played: modes, and estimates of run times as multiples of what is true.
+var moveCases = []struct {
 	mode     settings.Rebalance
 	estimate float64
 	slow     bool // a machine is slow, instead of wide tasks
@@ -40,58 +40,58 @@
 
 func movesCommand() *cobra.Command {
 	var seeds int
-	var record, picture string
+	var recordPath, plotPath string
 	cmd := &cobra.Command{Use: "moves", Short: "Have wide tasks come to a fragmented fleet, with moves off and on", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
-			outcomes := playMoves(seeds)
+			outcomes := runMoves(seeds)
 			if err := writeMoves(cmd.OutOrStdout(), outcomes); err != nil {
 				return err
 			}
-			if record != "" {
-				if err := recordMoves(record, outcomes); err != nil {
+			if recordPath != "" {
+				if err := recordMoves(recordPath, outcomes); err != nil {
 					return err
 				}
 			}
-			if picture != "" {
-				return plotMoves(picture, outcomes)
+			if plotPath != "" {
+				return plotMoves(plotPath, outcomes)
 			}
 			return nil
 		}}
 	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
-	cmd.Flags().StringVar(&record, "record", "", "file for the outcomes, as JSON")
-	cmd.Flags().StringVar(&picture, "plot", "", "file for a plot of the waits of wide tasks, .png or .svg")
+	cmd.Flags().StringVar(&recordPath, "record", "", "file for the outcomes, as JSON")
+	cmd.Flags().StringVar(&plotPath, "plot", "", "file for a plot of the waits of wide tasks, .png or .svg")
 	return cmd
 }
 
-// playMoves plays all days, as many at a time as there are cores.
-func playMoves(seeds int) []standin.MovesOutcome {
-	outcomes := make([]standin.MovesOutcome, seeds*len(movesStudy))
+// runMoves plays all days, as many at a time as there are cores.
+func runMoves(seeds int) []standin.MovesOutcome {
+	outcomes := make([]standin.MovesOutcome, seeds*len(moveCases))
 	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
+	slots := make(chan struct{}, runtime.NumCPU())
 	for i := range outcomes {
 		all.Go(func() {
-			turns <- struct{}{}
-			kind := movesStudy[i/seeds]
-			if seed := uint64(i % seeds); kind.slow {
-				outcomes[i] = standin.StudySlow(seed, kind.mode)
+			slots <- struct{}{}
+			study := moveCases[i/seeds]
+			if seed := uint64(i % seeds); study.slow {
+				outcomes[i] = standin.StudySlow(seed, study.mode)
 			} else {
-				outcomes[i] = standin.StudyMoves(seed, kind.mode, kind.estimate)
+				outcomes[i] = standin.StudyMoves(seed, study.mode, study.estimate)
 			}
-			<-turns
+			<-slots
 		})
 	}
 	all.Wait()
 	return outcomes
 }
 
-// kindOf names the kind of a day.
-func kindOf(o standin.MovesOutcome) string {
+// caseName names the kind of a day.
+func caseName(o standin.MovesOutcome) string {
 	switch {
-	case o.Slow > 0:
+	case o.SlowMachines > 0:
 		return string(o.Mode) + ", a slow machine"
 	case o.Estimate == 1:
 		return string(o.Mode)
@@ -104,12 +104,12 @@
 	fmt.Fprintln(out, "| mode | wide tasks wait, s (p50, p90, max) | other jobs done after, s (p50, p90, max) | CPU s thrown away a day | moves a day | arrived | gain of those, s, expected and realised (mean) | most stops of a job |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for len(outcomes) > 0 {
-		kind := kindOf(outcomes[0])
-		n := slices.IndexFunc(outcomes, func(o standin.MovesOutcome) bool { return kindOf(o) != kind })
+		kind := caseName(outcomes[0])
+		n := slices.IndexFunc(outcomes, func(o standin.MovesOutcome) bool { return caseName(o) != kind })
 		if n < 0 {
 			n = len(outcomes)
 		}
-		if err := writeKind(out, kind, outcomes[:n]); err != nil {
+		if err := writeCase(out, kind, outcomes[:n]); err != nil {
 			return err
 		}
 		outcomes = outcomes[n:]
@@ -117,15 +117,15 @@
 	return nil
 }
 
-func writeKind(out io.Writer, kind string, days []standin.MovesOutcome) error {
-	wide, narrow := newMillis(), newMillis()
-	moves, arrived, most, faults := 0, 0, 0, 0
+func writeCase(out io.Writer, name string, outcomes []standin.MovesOutcome) error {
+	wide, narrow := newHistogram(), newHistogram()
+	moves, arrived, most, problems := 0, 0, 0, 0
 	lost, expected, realised := 0.0, 0.0, 0.0
-	for _, o := range days {
-		if err := record(wide, o.WideWaitS); err != nil {
+	for _, o := range outcomes {
+		if err := recordSeconds(wide, o.WideWaitS); err != nil {
 			return err
 		}
-		if err := record(narrow, o.NarrowDoneS); err != nil {
+		if err := recordSeconds(narrow, o.NarrowDoneS); err != nil {
 			return err
 		}
 		moves += o.Moves
@@ -134,23 +134,23 @@
 		lost += o.LostCPUS
 		expected += sum(o.ExpectedS)
 		realised += sum(o.RealisedS)
-		faults += o.Broken + o.Undone
+		problems += o.Violations + o.Unfinished
 	}
-	n := float64(len(days))
-	fmt.Fprintf(out, "| %s | %s | %s | %.0f | %.1f | %.1f | %.1f and %.1f | %d |\n", kind, seconds(wide), seconds(narrow), lost/n, float64(moves)/n,
+	n := float64(len(outcomes))
+	fmt.Fprintf(out, "| %s | %s | %s | %.0f | %.1f | %.1f | %.1f and %.1f | %d |\n", name, formatQuantiles(wide), formatQuantiles(narrow), lost/n, float64(moves)/n,
 		float64(arrived)/n, expected/max(1, float64(arrived)), realised/max(1, float64(arrived)), most)
-	if faults > 0 {
-		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", faults)
+	if problems > 0 {
+		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", problems)
 	}
 	return nil
 }
 
-func newMillis() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, histogramMost, histogramDigits)
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, histogramMax, histogramDigits)
 }
 
-// record adds seconds to a histogram of milliseconds.
-func record(h *hdrhistogram.Histogram, list []float64) error {
+// recordSeconds adds seconds to a histogram of milliseconds.
+func recordSeconds(h *hdrhistogram.Histogram, list []float64) error {
 	for _, s := range list {
 		if err := h.RecordValue(int64(s * 1000)); err != nil {
 			return err
@@ -173,14 +173,14 @@
 	if err != nil {
 		return err
 	}
-	if err := checkMoves(body); err != nil {
+	if err := validateMoves(body); err != nil {
 		return err
 	}
 	return os.WriteFile(path, body, 0o644)
 }
 
-// checkMoves says what is wrong with recorded outcomes.
-func checkMoves(body []byte) error {
+// validateMoves says what is wrong with recorded outcomes.
+func validateMoves(body []byte) error {
 	const name = "moves.schema.json"
 	schema, err := jsonschema.UnmarshalJSON(bytes.NewReader(movesSchema))
 	if err != nil {
@@ -209,7 +209,7 @@
 	waits := map[string][]float64{}
 	var kinds []string
 	for _, o := range outcomes {
-		kind := kindOf(o)
+		kind := caseName(o)
 		if waits[kind] == nil && len(o.WideWaitS) > 0 {
 			kinds = append(kinds, kind)
 		}
--- a/cmd/study/moves_test.go
+++ b/cmd/study/moves_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
-	if err != nil || checkMoves(body) != nil {
-		t.Errorf("%v, %v", err, checkMoves(body))
+	if err != nil || validateMoves(body) != nil {
+		t.Errorf("%v, %v", err, validateMoves(body))
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() == 0 {
 		t.Errorf("plot: %v", err)
@@ -37,7 +37,7 @@
 		t.Errorf("nothing was moved: %+v", day)
 	}
 	for _, change := range []func(*standin.MovesOutcome){
-		func(o *standin.MovesOutcome) { o.Broken = 1 },
+		func(o *standin.MovesOutcome) { o.Violations = 1 },
 		func(o *standin.MovesOutcome) { o.Mode = "sometimes" },
 		func(o *standin.MovesOutcome) { o.WideWaitS = []float64{-1} },
 		func(o *standin.MovesOutcome) { o.Estimate = 0 },
@@ -45,7 +45,7 @@
 		bad := day
 		change(&bad)
 		body, err := json.Marshal([]standin.MovesOutcome{bad})
-		if err != nil || checkMoves(body) == nil {
+		if err != nil || validateMoves(body) == nil {
 			t.Errorf("%v: taken: %s", err, body)
 		}
 	}
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -95,7 +95,7 @@
 // called once.
 func TestAtMostOnce(t *testing.T) {
 	for seed := range uint64(60) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		called := map[string]int{}
@@ -112,7 +112,7 @@
 				c.MarkDirty(docs[i], func() {
 					called[fmt.Sprint(i, "/", v)]++
 					var have int
-					json.Unmarshal(f.Keys[docs[i].Key].Value, &have)
+					json.Unmarshal(f.Entries[docs[i].Key].Value, &have)
 					if have < v {
 						t.Errorf("seed %d: %s is called durable at %d, is %d", seed, docs[i].Key, v, have)
 					}
@@ -122,11 +122,11 @@
 		}
 		f.run(10 * time.Minute)
 		for i, d := range docs {
-			if got := string(f.Keys[d.Key].Value); values[i] > 0 && got != fmt.Sprint(values[i]) {
+			if got := string(f.Entries[d.Key].Value); values[i] > 0 && got != fmt.Sprint(values[i]) {
 				t.Errorf("seed %d: %s ends as %s, want %d", seed, d.Key, got, values[i])
 			}
-			if d.Revision != f.Keys[d.Key].Revision || !d.Idle() {
-				t.Errorf("seed %d: %s: stamp %d, is %d", seed, d.Key, d.Revision, f.Keys[d.Key].Revision)
+			if d.Revision != f.Entries[d.Key].Revision || !d.Idle() {
+				t.Errorf("seed %d: %s: stamp %d, is %d", seed, d.Key, d.Revision, f.Entries[d.Key].Revision)
 			}
 			last := 0
 			for _, p := range f.puts[d.Key] {
@@ -157,7 +157,7 @@
 // TestOtherLeader: once the leader key has changed nothing is written, and the
 // term ends.
 func TestOtherLeader(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
 	lost := 0
 	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) { lost++ })
 	c.MarkDirty(&Document{Key: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
@@ -171,7 +171,7 @@
 // TestExists: a key that must be absent fails its own document alone; the others
 // of the transaction are written.
 func TestExists(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}, statesvc.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}, statesvc.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
 	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	exists, stored := 0, 0
 	render := func() json.RawMessage { return json.RawMessage("1") }
@@ -213,7 +213,7 @@
 		Values [parts]int
 	}
 	for seed := range uint64(5) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
@@ -234,14 +234,14 @@
 		}
 		load := func() (out [docs]whole, records int) {
 			for d := range docs {
-				json.Unmarshal(f.Keys[fmt.Sprintf("d/%d", d)].Value, &out[d])
+				json.Unmarshal(f.Entries[fmt.Sprintf("d/%d", d)].Value, &out[d])
 			}
 			type rec struct {
 				N uint64
 				L []testLine
 			}
 			var recs []rec
-			for k, p := range f.Keys {
+			for k, p := range f.Entries {
 				if strings.HasPrefix(k, LogPrefix) {
 					var r rec
 					json.Unmarshal(p.Value, &r)
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -13,13 +13,13 @@
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.Queue
+	*statetest.SteppedStore
 	requests strings.Builder
 }
 
 func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
-	r.Queue.Store(q, f)
+	r.SteppedStore.Store(q, f)
 }
 
 // goldenEntry is a small part of a document.
@@ -39,7 +39,7 @@
 func TestGoldenTransactions(t *testing.T) {
 	var d golden.Document
 	for _, packed := range []bool{false, true} {
-		r := &recorder{Queue: statetest.NewQueue(statetest.New())}
+		r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
 		r.Revision = 100
 		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 17}, func(why string) { t.Error(why) })
 		if packed {
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -42,7 +42,7 @@
 // the next limits announced or not. What came before a 400 may still be carried out.
 func TestLowerLimits(t *testing.T) {
 	for seed := range uint64(40) {
-		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
@@ -86,7 +86,7 @@
 		}
 		got := readText(f.flakyStore)
 		for d := range docs {
-			if s := string(f.Keys[list[d].Key].Value); values[d] > 0 && s != fmt.Sprint(values[d]) {
+			if s := string(f.Entries[list[d].Key].Value); values[d] > 0 && s != fmt.Sprint(values[d]) {
 				t.Errorf("seed %d: %s ends as %s, want %d", seed, list[d].Key, s, values[d])
 			}
 			for n, p := range all[d] {
@@ -105,7 +105,7 @@
 		T string `json:"t"`
 	}
 	out, newest := map[string]int{}, map[string]uint64{}
-	for k, p := range f.Keys {
+	for k, p := range f.Entries {
 		var r rec
 		if !strings.HasPrefix(k, LogPrefix) || json.Unmarshal(p.Value, &r) != nil {
 			continue
@@ -128,7 +128,7 @@
 // entries that are released hold nothing.
 func TestPackedLog(t *testing.T) {
 	for seed := range uint64(2) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, statesvc.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
@@ -173,7 +173,7 @@
 		if c.liveSlots != 0 || held == 0 || c.pinnedEntries != 0 {
 			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.liveSlots)
 		}
-		for k, p := range f.Keys {
+		for k, p := range f.Entries {
 			if len(p.Value) > 256 {
 				t.Errorf("seed %d: %s has %d bytes", seed, k, len(p.Value))
 			}
@@ -183,7 +183,7 @@
 
 // TestLongLogIsCompacted: records of which little is still held don't pile up.
 func TestLongLogIsCompacted(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.New(statesvc.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
+	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
 	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -113,8 +113,8 @@
 		tb.UsePackedLog()
 	}
 	var log []statesvc.KeyValue
-	for _, path := range sortedKeys(k.Keys) {
-		p := k.Keys[path]
+	for _, path := range sortedKeys(k.Entries) {
+		p := k.Entries[path]
 		switch {
 		case strings.HasPrefix(path, LivePrefix):
 			if err := tb.Load(path, p.Value, p.Revision); err != nil {
@@ -132,9 +132,9 @@
 }
 
 func (g golden) store() *fakeStore {
-	k := newFakeStore(statetest.New())
+	k := newFakeStore(statetest.NewMemoryStore())
 	for _, p := range g.Pairs {
-		k.Keys[p.Key] = p
+		k.Entries[p.Key] = p
 		k.Revision = max(k.Revision, uint64(p.Revision))
 	}
 	return k
@@ -178,7 +178,7 @@
 	assertSameJobs(t, "converted", tb, g)
 	next, _ := loadTable(t, k, true)
 	assertSameJobs(t, "loaded again", next, g)
-	for path, p := range k.Keys {
+	for path, p := range k.Entries {
 		if strings.HasPrefix(path, LivePrefix) && len(p.Value) > 2048 {
 			t.Errorf("%s has %d bytes", path, len(p.Value))
 		}
@@ -201,16 +201,16 @@
 // does, so that an old leader reads it, keeps all of it and writes it again.
 func TestFirstFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
-	k := newFakeStore(statetest.New())
+	k := newFakeStore(statetest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	runScript(k, tb, c)
 	assertSameJobs(t, "in memory", tb, g)
-	if len(k.Keys) != len(g.Pairs) {
-		t.Errorf("%d keys, want %d", len(k.Keys), len(g.Pairs))
+	if len(k.Entries) != len(g.Pairs) {
+		t.Errorf("%d keys, want %d", len(k.Entries), len(g.Pairs))
 	}
 	for _, p := range g.Pairs {
 		var got, want map[string]any
-		if err := json.Unmarshal(k.Keys[p.Key].Value, &got); err != nil {
+		if err := json.Unmarshal(k.Entries[p.Key].Value, &got); err != nil {
 			t.Errorf("%s: %v", p.Key, err)
 			continue
 		}
@@ -222,7 +222,7 @@
 			got["lsn"] = want["lsn"]
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %s, want %s", p.Key, k.Keys[p.Key].Value, p.Value)
+			t.Errorf("%s: %s, want %s", p.Key, k.Entries[p.Key].Value, p.Value)
 		}
 	}
 }
@@ -231,10 +231,10 @@
 // that record never came to be, and the next term gave its number out again. What the
 // new record says must not be passed over for it.
 func TestReusedLogSequenceNumber(t *testing.T) {
-	k := newFakeStore(statetest.New())
+	k := newFakeStore(statetest.NewMemoryStore())
 	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open","lsn":9,"tasks":[{},{}]}`
-	k.Keys["live/j-1"] = statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
-	k.Keys["log/00000"] = statesvc.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
+	k.Entries["live/j-1"] = statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
+	k.Entries["log/00000"] = statesvc.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
 	k.Revision = 40
 	for _, packed := range []bool{false, true} {
 		tb, _ := loadTable(t, k, packed)
@@ -242,7 +242,7 @@
 			t.Errorf("packed %v: the placement is passed over: %q", packed, got)
 		}
 	}
-	delete(k.Keys, "log/00000")
+	delete(k.Entries, "log/00000")
 	tb, c := loadTable(t, k, false)
 	tb.Place(&tb.Jobs["j-1"].Tasks[1], "host-2", 1, func() {})
 	c.Flush()
@@ -250,7 +250,7 @@
 	var r struct {
 		N uint64 `json:"n"`
 	}
-	if err := json.Unmarshal(k.Keys["log/00000"].Value, &r); err != nil || r.N <= 9 {
+	if err := json.Unmarshal(k.Entries["log/00000"].Value, &r); err != nil || r.N <= 9 {
 		t.Errorf("record %d after a header that has taken over 9 (%v)", r.N, err)
 	}
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -108,8 +108,8 @@
 // stored lists the keys and values of a state service.
 func stored(k *fakeStore) string {
 	var b strings.Builder
-	for _, path := range sortedKeys(k.Keys) {
-		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Keys[path].Revision, k.Keys[path].Value)
+	for _, path := range sortedKeys(k.Entries) {
+		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Entries[path].Revision, k.Entries[path].Value)
 	}
 	return b.String()
 }
@@ -118,9 +118,9 @@
 func views(t *testing.T, k *fakeStore) string {
 	t.Helper()
 	var b strings.Builder
-	for _, path := range sortedKeys(k.Keys) {
+	for _, path := range sortedKeys(k.Entries) {
 		if strings.HasPrefix(path, LivePrefix) && strings.Count(path, "/") == 1 {
-			view, err := ParseLiveView(k.Keys[path].Value)
+			view, err := ParseLiveView(k.Entries[path].Value)
 			fmt.Fprintf(&b, "%s, %v\n", api.JSON(view), err)
 		}
 	}
@@ -132,7 +132,7 @@
 func TestGoldenStorage(t *testing.T) {
 	var d goldenfile.Document
 	for _, s := range storages {
-		r := &recorder{fakeStore: newFakeStore(statetest.New())}
+		r := &recorder{fakeStore: newFakeStore(statetest.NewMemoryStore())}
 		tb, c := s.open(r)
 		play(r, tb, c)
 		d.Add(s.name+": requests", r.requests.String())
@@ -152,7 +152,7 @@
 // TestGoldenConversion pins what is written when jobs of the first format are brought to the
 // packed one.
 func TestGoldenConversion(t *testing.T) {
-	r := &recorder{fakeStore: newFakeStore(statetest.New())}
+	r := &recorder{fakeStore: newFakeStore(statetest.NewMemoryStore())}
 	tb, c := storages[1].open(r)
 	play(r, tb, c)
 	next, c := loadTable(t, r.fakeStore, true)
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -15,9 +15,11 @@
 
 // fakeStore is a state service that carries everything out in order, and takes no larger values than
 // the service does.
-type fakeStore struct{ *statetest.Queue }
+type fakeStore struct{ *statetest.SteppedStore }
 
-func newFakeStore(s *statetest.MemoryStore) *fakeStore { return &fakeStore{statetest.NewQueue(s)} }
+func newFakeStore(s *statetest.MemoryStore) *fakeStore {
+	return &fakeStore{statetest.NewSteppedStore(s)}
+}
 
 func (k *fakeStore) State(r statesvc.Request, f func(statesvc.Response)) {
 	for _, c := range r.Mutations {
@@ -25,7 +27,7 @@
 			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
 		}
 	}
-	k.Queue.Store(r, f)
+	k.SteppedStore.Store(r, f)
 }
 
 func (k *fakeStore) run() { k.Run() }
@@ -39,7 +41,7 @@
 // leader task by task, and goes over as a whole.
 func TestSegments(t *testing.T) {
 	for _, tasks := range []int{1, 100, 5000} {
-		k := newFakeStore(statetest.New())
+		k := newFakeStore(statetest.NewMemoryStore())
 		tb, c := newTestTable(k)
 		s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 		accepted := false
@@ -63,12 +65,12 @@
 
 		successor, successorCommits := newTestTable(k)
 		var log []statesvc.KeyValue
-		for _, p := range sortedKeys(k.Keys) { // as the state service lists them
+		for _, p := range sortedKeys(k.Entries) { // as the state service lists them
 			if strings.HasPrefix(p, commit.LogPrefix) {
-				log = append(log, k.Keys[p])
+				log = append(log, k.Entries[p])
 				continue
 			}
-			if err := successor.Load(p, k.Keys[p].Value, k.Keys[p].Revision); err != nil {
+			if err := successor.Load(p, k.Entries[p].Value, k.Entries[p].Revision); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -80,7 +82,7 @@
 		if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 || j.Tasks[tasks-1].MachineID != "host-999999" || j.Tasks[tasks-1].Incarnation != 1<<40 {
 			t.Fatalf("%d pieces: loaded %d done, %d held", tasks, j.CompletedTasks, j.AllocatedTasks)
 		}
-		if v, err := ParseLiveView(k.Keys["live/j-1"].Value); err != nil || v.ID != "j-1" {
+		if v, err := ParseLiveView(k.Entries["live/j-1"].Value); err != nil || v.ID != "j-1" {
 			t.Errorf("%+v, %v", v, err)
 		}
 		for i := range j.Tasks {
@@ -90,14 +92,14 @@
 		}
 		successorCommits.Flush()
 		k.run()
-		for p := range k.Keys {
+		for p := range k.Entries {
 			if strings.HasPrefix(p, commit.LogPrefix) {
-				delete(k.Keys, p) // slots are kept, and used again
+				delete(k.Entries, p) // slots are kept, and used again
 			}
 		}
 		var e ArchivedJob
-		if len(k.Keys) != 1 || json.Unmarshal(k.Keys["over/j-1"].Value, &e) != nil || e.Phase != Done {
-			t.Errorf("%d pieces: %d keys are left, over: %+v", tasks, len(k.Keys), e)
+		if len(k.Entries) != 1 || json.Unmarshal(k.Entries["over/j-1"].Value, &e) != nil || e.Phase != Done {
+			t.Errorf("%d pieces: %d keys are left, over: %+v", tasks, len(k.Entries), e)
 		}
 	}
 }
@@ -105,7 +107,7 @@
 // TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone,
 // so that a successor knows of them, but is told as cancelled at once.
 func TestCancelledJobStaysLiveUntilTasksGone(t *testing.T) {
-	k := newFakeStore(statetest.New())
+	k := newFakeStore(statetest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
 	c.Flush()
@@ -116,21 +118,21 @@
 	told, over := "", 0
 	tb.OnArchived = func(id ident.JobID) {
 		over++
-		if id != "j-1" || k.Keys["over/j-1"].Revision == 0 {
+		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
 			t.Errorf("%s is called over before that is durable", id)
 		}
 	}
 	tb.Cancel(j, func() { told = j.View().Status })
 	c.Flush()
 	k.run()
-	if told != "cancelled" || k.Keys["over/j-1"].Revision != 0 || k.Keys["live/j-1"].Revision == 0 {
-		t.Fatalf("told %q, keys %v", told, k.Keys)
+	if told != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
+		t.Fatalf("told %q, keys %v", told, k.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
 	c.Flush()
 	k.run()
-	if k.Keys["over/j-1"].Revision == 0 || k.Keys["live/j-1"].Revision != 0 || over != 1 {
-		t.Errorf("keys %v, called over %d times", k.Keys, over)
+	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || over != 1 {
+		t.Errorf("keys %v, called over %d times", k.Entries, over)
 	}
 }
 
@@ -162,7 +164,7 @@
 // not, so this one tells neither. (The answer to a cancellation's transaction was lost; a
 // follower read "cancelled", and the leader still said "running".)
 func TestViewWithheldUntilSettled(t *testing.T) {
-	k := newFakeStore(statetest.New())
+	k := newFakeStore(statetest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	var j *Job
 	told := ""
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -27,32 +27,32 @@
 	cluster  *Cluster
 	capacity int // of a zone and kind
 
-	mu       sync.Mutex
-	last     int
-	requests map[string][]ident.MachineID
-	machines map[ident.MachineID]*machine
+	mu                sync.Mutex
+	lastMachineNumber int
+	provisioned       map[string][]ident.MachineID
+	machines          map[ident.MachineID]*machine
 }
 
 type machine struct {
-	zone   string
-	spot   bool
-	born   time.Time
-	worker *worker // nil while it boots
+	zone      string
+	spot      bool
+	createdAt time.Time
+	worker    *worker // nil while it boots
 }
 
 func newProvider(c *Cluster, capacity int) *provider {
 	if capacity == 0 {
 		capacity = zoneCapacity
 	}
-	return &provider{cluster: c, capacity: capacity, requests: map[string][]ident.MachineID{}, machines: map[ident.MachineID]*machine{}}
+	return &provider{cluster: c, capacity: capacity, provisioned: map[string][]ident.MachineID{}, machines: map[ident.MachineID]*machine{}}
 }
 
 func (p *provider) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", p.catalog)
-	mux.HandleFunc("POST /machines", p.rent)
-	mux.HandleFunc("POST /machines/return", p.giveBack)
-	mux.HandleFunc("GET /machines", p.list)
+	mux.HandleFunc("POST /machines", p.provisionMachines)
+	mux.HandleFunc("POST /machines/return", p.terminateMachines)
+	mux.HandleFunc("GET /machines", p.listMachines)
 	return mux
 }
 
@@ -61,7 +61,7 @@
 		PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 1, Zones: zones}}})
 }
 
-func (p *provider) rent(w http.ResponseWriter, r *http.Request) {
+func (p *provider) provisionMachines(w http.ResponseWriter, r *http.Request) {
 	var q cloud.Request
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -69,7 +69,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hosts, known := p.requests[q.RequestID]
+	hosts, known := p.provisioned[q.RequestID]
 	if !known {
 		have := 0
 		for _, m := range p.machines {
@@ -84,21 +84,21 @@
 			answer(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 			return
 		}
-		p.requests[q.RequestID] = hosts
+		p.provisioned[q.RequestID] = hosts
 	}
 	answer(w, http.StatusOK, map[string]any{"hosts": hosts})
 }
 
 // boot starts a machine, whose worker is up a little later.
 func (p *provider) boot(zone string, spot bool) ident.MachineID {
-	p.last++
-	host := ident.MachineID(fmt.Sprintf("host-%06d", p.last))
-	m := &machine{zone: zone, spot: spot, born: time.Now()}
+	p.lastMachineNumber++
+	host := ident.MachineID(fmt.Sprintf("host-%06d", p.lastMachineNumber))
+	m := &machine{zone: zone, spot: spot, createdAt: time.Now()}
 	p.machines[host] = m
 	time.AfterFunc(bootTime, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.machines[host] != m || p.cluster.ended() {
+		if p.machines[host] != m || p.cluster.stopped() {
 			return
 		}
 		if k, err := newWorker(p.cluster, host, zone, spot); err == nil {
@@ -108,7 +108,7 @@
 	return host
 }
 
-func (p *provider) giveBack(w http.ResponseWriter, r *http.Request) {
+func (p *provider) terminateMachines(w http.ResponseWriter, r *http.Request) {
 	var q struct {
 		Hosts []ident.MachineID `json:"hosts"`
 	}
@@ -117,23 +117,23 @@
 		return
 	}
 	for _, h := range q.Hosts {
-		p.remove(h)
+		p.terminate(h)
 	}
 	answer(w, http.StatusOK, struct{}{})
 }
 
-// remove ends a machine.
-func (p *provider) remove(h ident.MachineID) {
+// terminate ends a machine.
+func (p *provider) terminate(h ident.MachineID) {
 	p.mu.Lock()
 	m := p.machines[h]
 	delete(p.machines, h)
 	p.mu.Unlock()
 	if m != nil && m.worker != nil {
-		m.worker.end()
+		m.worker.terminate()
 	}
 }
 
-func (p *provider) list(w http.ResponseWriter, r *http.Request) {
+func (p *provider) listMachines(w http.ResponseWriter, r *http.Request) {
 	since := ident.MachineID(r.URL.Query().Get("since"))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,7 +142,7 @@
 		if h <= since {
 			continue
 		}
-		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting", AgeS: time.Since(m.born).Seconds()}
+		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting", AgeS: time.Since(m.createdAt).Seconds()}
 		if m.worker != nil {
 			l.Status, l.Addr = "running", m.worker.addr
 		}
@@ -152,8 +152,8 @@
 	answer(w, http.StatusOK, map[string]any{"hosts": hosts, "truncated": false})
 }
 
-// hosts lists the machines that are up, with nothing in use.
-func (p *provider) hosts() map[ident.MachineID]float64 {
+// runningMachines lists the machines that are up, with nothing in use.
+func (p *provider) runningMachines() map[ident.MachineID]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	up := map[ident.MachineID]float64{}
@@ -187,8 +187,8 @@
 	return ""
 }
 
-// endAll ends all machines.
-func (p *provider) endAll() {
+// terminateAll ends all machines.
+func (p *provider) terminateAll() {
 	p.mu.Lock()
 	var hosts []ident.MachineID
 	for h := range p.machines {
@@ -196,6 +196,6 @@
 	}
 	p.mu.Unlock()
 	for _, h := range hosts {
-		p.remove(h)
+		p.terminate(h)
 	}
 }
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -25,24 +25,24 @@
 
 // The ends of links beside nodes and zones.
 const (
-	State = "state"
+	Store = "state"
 	Cloud = "cloud"
 )
 
 // Cluster is a cluster on the loopback interface.
 type Cluster struct {
-	Switches *Switches
-	Record   *Record
+	Network  *Network
+	Recorder *Recorder
 
 	provider *provider
 	services []*http.Server
 	client   *http.Client
 
-	mu    sync.Mutex
-	nodes []*node
-	names map[string]string // who is at an address
-	jobs  map[ident.JobID]Work
-	over  bool
+	mu       sync.Mutex
+	nodes    []*node
+	parties  map[string]string // who is at an address
+	jobs     map[ident.JobID]Workload
+	stopping bool
 }
 
 // Options say what a cluster is like.
@@ -54,11 +54,11 @@
 	Tune func(*settings.Settings)
 }
 
-// Work is what the tasks of a job do.
-type Work struct {
-	First time.Duration // how long the first task runs; 0: a replica
-	Step  time.Duration // by which each task runs longer than the one before
-	CPUs  float64       // of each
+// Workload is what the tasks of a job do.
+type Workload struct {
+	FirstDuration time.Duration // how long the first task runs; 0: a replica
+	DurationStep  time.Duration // by which each task runs longer than the one before
+	CPUs          float64       // of each
 }
 
 // node is one controller; its process, a server, comes and goes.
@@ -70,12 +70,12 @@
 
 // Start brings a cluster up.
 func Start(o Options) (*Cluster, error) {
-	c := &Cluster{Switches: NewSwitches(), Record: newRecord(), names: map[string]string{}, jobs: map[ident.JobID]Work{},
+	c := &Cluster{Network: NewNetwork(), Recorder: newRecorder(), parties: map[string]string{}, jobs: map[ident.JobID]Workload{},
 		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	c.provider = newProvider(c, o.ZoneCapacity)
-	state := newStateService()
-	state.onChange = c.Record.changed
-	stateAddr, err := c.serve(State, state.handler())
+	kv := newStore()
+	kv.onChange = c.Recorder.recordChange
+	stateAddr, err := c.serve(Store, kv.handler())
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.plan(o.Nodes, stateAddr, cloudAddr, o.Tune); err != nil {
+	if err := c.configureNodes(o.Nodes, stateAddr, cloudAddr, o.Tune); err != nil {
 		return nil, err
 	}
 	for i := range c.nodes {
@@ -102,7 +102,7 @@
 	}
 	web := &http.Server{Handler: h}
 	c.services = append(c.services, web)
-	c.names[listener.Addr().String()] = name
+	c.parties[listener.Addr().String()] = name
 	go web.Serve(listener)
 	return listener.Addr().String(), nil
 }
@@ -117,8 +117,8 @@
 	return listener.Addr().String(), nil
 }
 
-// plan makes the nodes' settings.
-func (c *Cluster) plan(nodes int, stateAddr, cloudAddr string, tune func(*settings.Settings)) error {
+// configureNodes makes the nodes' settings.
+func (c *Cluster) configureNodes(nodes int, stateAddr, cloudAddr string, tune func(*settings.Settings)) error {
 	for i := range nodes {
 		bind, err := freeAddr()
 		if err != nil {
@@ -141,7 +141,7 @@
 		}}
 		n.settings.Node = ident.NodeID(n.name)
 		tune(n.settings)
-		c.names[bind], c.names[mesh] = n.name, n.name
+		c.parties[bind], c.parties[mesh] = n.name, n.name
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
@@ -154,10 +154,10 @@
 	return nil
 }
 
-// nameOf tells who is at an address: a node, a service, or the zone of a machine.
-func (c *Cluster) nameOf(addr string) string {
+// partyAt tells who is at an address: a node, a service, or the zone of a machine.
+func (c *Cluster) partyAt(addr string) string {
 	c.mu.Lock()
-	name, ok := c.names[addr]
+	name, ok := c.parties[addr]
 	c.mu.Unlock()
 	if ok {
 		return name
@@ -177,7 +177,7 @@
 // Restart brings a node's next process up.
 func (c *Cluster) Restart(i int) error {
 	n := c.nodes[i]
-	s, err := server.New(n.settings, c.Switches.Dialer(n.name, c.nameOf))
+	s, err := server.New(n.settings, c.Network.Dialer(n.name, c.partyAt))
 	if err != nil {
 		return err
 	}
@@ -198,56 +198,56 @@
 
 // Stop ends everything.
 func (c *Cluster) Stop() {
-	c.Switches.HealAll()
+	c.Network.HealAll()
 	c.mu.Lock()
-	c.over = true
+	c.stopping = true
 	c.mu.Unlock()
 	for i := range c.nodes {
 		c.Kill(i)
 	}
-	c.provider.endAll()
+	c.provider.terminateAll()
 	for _, s := range c.services {
 		s.Close()
 	}
 }
 
-func (c *Cluster) ended() bool {
+func (c *Cluster) stopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.over
+	return c.stopping
 }
 
 func (c *Cluster) nodeAddr(i int) string {
 	return c.nodes[i%len(c.nodes)].settings.Bind
 }
 
-func (c *Cluster) hash(h ident.MachineID) uint32 {
+func (c *Cluster) homeNode(h ident.MachineID) uint32 {
 	f := fnv.New32()
 	io.WriteString(f, string(h))
 	return f.Sum32() % uint32(len(c.nodes))
 }
 
-func (c *Cluster) reportTime() time.Duration {
+func (c *Cluster) heartbeatInterval() time.Duration {
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.HeartbeatS)
 }
 
-func (c *Cluster) leaseTime() time.Duration {
+func (c *Cluster) leaseDuration() time.Duration {
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.LeaseS)
 }
 
-// CancelTime is how long a cancelled job's tasks may still be there.
-func (c *Cluster) CancelTime() time.Duration {
+// CancelDeadline is how long a cancelled job's tasks may still be there.
+func (c *Cluster) CancelDeadline() time.Duration {
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.CancelS)
 }
 
-// holds says whether a machine may still run what it did.
-func (c *Cluster) holds(h ident.MachineID) bool {
+// mayStillRun says whether a machine may still run what it did.
+func (c *Cluster) mayStillRun(h ident.MachineID) bool {
 	w := c.provider.worker(h)
-	return w != nil && w.holds()
+	return w != nil && w.mayStillRun()
 }
 
-// work tells what a job's tasks do.
-func (c *Cluster) work(id ident.JobID) (Work, bool) {
+// workload tells what a job's tasks do.
+func (c *Cluster) workload(id ident.JobID) (Workload, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w, ok := c.jobs[id]
@@ -261,7 +261,7 @@
 }
 
 // Submit asks a node to run a job whose tasks do that work.
-func (c *Cluster) Submit(i int, s api.Spec, w Work) Answer {
+func (c *Cluster) Submit(i int, s api.Spec, w Workload) Answer {
 	w.CPUs = s.VCPUs
 	c.mu.Lock()
 	c.jobs[s.ID] = w
@@ -300,19 +300,19 @@
 	return a
 }
 
-// Broken returns the rules that were broken, by the workers' own record.
-func (c *Cluster) Broken() []string {
-	c.Record.mu.Lock()
-	defer c.Record.mu.Unlock()
-	return slices.Clone(c.Record.broken)
+// Violations returns the rules that were broken, by the workers' own record.
+func (c *Cluster) Violations() []string {
+	c.Recorder.mu.Lock()
+	defer c.Recorder.mu.Unlock()
+	return slices.Clone(c.Recorder.violations)
 }
 
 // Moves counts the moves of running tasks that were recorded.
 func (c *Cluster) Moves() int {
-	c.Record.mu.Lock()
-	defer c.Record.mu.Unlock()
+	c.Recorder.mu.Lock()
+	defer c.Recorder.mu.Unlock()
 	total := 0
-	for _, n := range c.Record.moves {
+	for _, n := range c.Recorder.moves {
 		total += n
 	}
 	return total
@@ -321,11 +321,11 @@
 // Load returns how many machines run tasks, how many tasks those are, and the imbalance: the
 // coefficient of variation of the CPUs in use on all machines that are up.
 func (c *Cluster) Load() (machines, tasks int, imbalance float64) {
-	used := c.provider.hosts()
-	for host, list := range c.Record.running() {
+	used := c.provider.runningMachines()
+	for host, list := range c.Recorder.running() {
 		machines++
 		for _, task := range list {
-			w, _ := c.work(task.Job)
+			w, _ := c.workload(task.Job)
 			used[host] += w.CPUs
 			tasks++
 		}
@@ -343,9 +343,9 @@
 	return machines, tasks, math.Sqrt(max(0, square/n-mean*mean)) / mean
 }
 
-// Started counts the starts of tasks.
-func (c *Cluster) Started() int {
-	c.Record.mu.Lock()
-	defer c.Record.mu.Unlock()
-	return c.Record.started
+// StartCount counts the starts of tasks.
+func (c *Cluster) StartCount() int {
+	c.Recorder.mu.Lock()
+	defer c.Recorder.mu.Unlock()
+	return c.Recorder.startCount
 }
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -21,11 +21,11 @@
 	narrowTasks = 4
 	wideCPUs    = 4
 	wideJobs    = 30
-	// narrowRuns is how long the tasks run that fill the machines, but for the first of each job:
+	// narrowTaskDuration is how long the tasks run that fill the machines, but for the first of each job:
 	// longer than the test on the busiest machine, so that its course doesn't depend on that.
-	narrowRuns = time.Hour
-	// evenBound is the imbalance that the fleet must fall below.
-	evenBound = 0.35
+	narrowTaskDuration = time.Hour
+	// maxImbalance is the imbalance that the fleet must fall below.
+	maxImbalance = 0.35
 )
 
 // tuneFleet has moves begin soon, as everything here is short.
@@ -53,11 +53,11 @@
 		Tasks: tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime, CheckpointEveryS: 1, CheckpointS: 0.1}
 }
 
-// insist asks nodes in turn until one gives an answer that counts.
-func (f *fleet) insist(t *testing.T, ask func(node int) Answer, counts func(Answer) bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+// askUntil asks nodes in turn until one gives an answer that counts.
+func (f *fleet) askUntil(t *testing.T, ask func(node int) Answer, accepted func(Answer) bool) bool {
+	for end := time.Now().Add(userTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for node := range fleetNodes {
-			if a := ask(node); counts(a) {
+			if a := ask(node); accepted(a) {
 				return true
 			}
 		}
@@ -66,8 +66,8 @@
 	return false
 }
 
-func (f *fleet) submit(t *testing.T, s api.Spec, w Work) {
-	f.insist(t, func(n int) Answer { return f.Submit(n, s, w) }, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
+func (f *fleet) submit(t *testing.T, s api.Spec, w Workload) {
+	f.askUntil(t, func(n int) Answer { return f.Submit(n, s, w) }, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
 }
 
 // fill fills all machines with jobs whose first tasks end soon: each machine then has room for
@@ -75,21 +75,21 @@
 func (f *fleet) fill(t *testing.T) []ident.JobID {
 	var jobs []ident.JobID
 	for range fleetWorkers {
-		s := f.spec("blue", narrowTasks, narrowCPUs, narrowRuns.Seconds())
+		s := f.spec("blue", narrowTasks, narrowCPUs, narrowTaskDuration.Seconds())
 		jobs = append(jobs, s.ID)
-		f.submit(t, s, Work{First: 8 * time.Second, Step: narrowRuns})
+		f.submit(t, s, Workload{FirstDuration: 8 * time.Second, DurationStep: narrowTaskDuration})
 	}
-	f.until(t, func() bool {
+	f.waitUntil(t, func() bool {
 		machines, tasks, _ := f.Load()
 		return machines >= fleetWorkers && tasks >= fleetWorkers*(narrowTasks-1)
 	})
 	return jobs
 }
 
-// until waits for something; how long that takes is no verdict.
-func (f *fleet) until(t *testing.T, so func() bool) {
+// waitUntil waits for something; how long that takes is no verdict.
+func (f *fleet) waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(userTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			machines, tasks, imbalance := f.Load()
 			t.Fatalf("%d machines with %d tasks, imbalance %.2f, %d moves", machines, tasks, imbalance, f.Moves())
@@ -97,18 +97,18 @@
 	}
 }
 
-// leastDisturbed is how many controllers are ended, and how many links broken, at the least.
-const leastDisturbed = 3
+// minFaults is how many controllers are ended, and how many links broken, at the least.
+const minFaults = 3
 
-// disturb ends controllers one after the other, each back in half a second, and breaks links
+// injectFaults ends controllers one after the other, each back in half a second, and breaks links
 // in between, until it is told to stop and has done enough of either.
-func (f *fleet) disturb(t *testing.T, stop <-chan struct{}) (killed, broken int) {
+func (f *fleet) injectFaults(t *testing.T, stop <-chan struct{}) (killed, broken int) {
 	names := f.Names()
 	for {
 		select {
 		case <-stop:
-			if killed >= leastDisturbed && broken >= leastDisturbed {
-				f.Switches.HealAll()
+			if killed >= minFaults && broken >= minFaults {
+				f.Network.HealAll()
 				return killed, broken
 			}
 		default:
@@ -124,22 +124,22 @@
 			killed++
 			continue
 		}
-		from, to := names[f.rng.IntN(fleetNodes)], append([]string{State}, zones...)[f.rng.IntN(1+len(zones))]
+		from, to := names[f.rng.IntN(fleetNodes)], append([]string{Store}, zones...)[f.rng.IntN(1+len(zones))]
 		if f.rng.IntN(2) == 0 {
 			from, to = to, from
 		}
-		f.Switches.Break(from, to)
+		f.Network.Break(from, to)
 		time.Sleep(time.Duration(200+f.rng.IntN(1500)) * time.Millisecond)
-		f.Switches.Heal(from, to)
+		f.Network.Heal(from, to)
 		broken++
 	}
 }
 
-// TestFleetEvensOut: three real controllers and fifty workers on sockets. One team floods with
+// TestFleetLoadConverges: three real controllers and fifty workers on sockets. One team floods with
 // wide tasks that find no room on any machine, while controllers end and links break: running
 // tasks are moved for them, all of them complete, no job is moved more than twice, no task is
 // in two places by the workers' own record, and the load evens out.
-func TestFleetEvensOut(t *testing.T) {
+func TestFleetLoadConverges(t *testing.T) {
 	t.Parallel()
 	const seed = 1
 	c, err := Start(Options{Nodes: fleetNodes, ZoneCapacity: 13, Tune: tuneFleet})
@@ -151,30 +151,30 @@
 	narrow := f.fill(t)
 	stop, disturbed := make(chan struct{}), sync.WaitGroup{}
 	killed, broken := 0, 0
-	disturbed.Go(func() { killed, broken = f.disturb(t, stop) })
+	disturbed.Go(func() { killed, broken = f.injectFaults(t, stop) })
 	var wide []ident.JobID
 	for range wideJobs {
 		s := f.spec("red", 1, wideCPUs, 4)
 		wide = append(wide, s.ID)
-		f.submit(t, s, Work{First: 4 * time.Second})
+		f.submit(t, s, Workload{FirstDuration: 4 * time.Second})
 	}
-	f.until(t, func() bool { return f.Moves() > 0 })
+	f.waitUntil(t, func() bool { return f.Moves() > 0 })
 	for _, id := range wide {
-		f.insist(t, func(n int) Answer { return f.Get(n, id) }, func(a Answer) bool { return a.Job.Status == "done" })
-		if !f.Record.complete(id, 1) {
+		f.askUntil(t, func(n int) Answer { return f.Get(n, id) }, func(a Answer) bool { return a.Job.Status == "done" })
+		if !f.Recorder.complete(id, 1) {
 			t.Errorf("%s is called done, and is not", id)
 		}
 	}
 	close(stop)
 	disturbed.Wait()
-	f.until(t, func() bool {
+	f.waitUntil(t, func() bool {
 		_, tasks, imbalance := f.Load()
-		return tasks >= fleetWorkers*(narrowTasks-1) && imbalance < evenBound
+		return tasks >= fleetWorkers*(narrowTasks-1) && imbalance < maxImbalance
 	})
 	for _, id := range narrow {
-		f.insist(t, func(n int) Answer { return f.Cancel(n, id) }, func(a Answer) bool { return a.Job.Status == "cancelled" })
+		f.askUntil(t, func(n int) Answer { return f.Cancel(n, id) }, func(a Answer) bool { return a.Job.Status == "cancelled" })
 	}
-	if rules := c.Broken(); len(rules) > 0 {
+	if rules := c.Violations(); len(rules) > 0 {
 		t.Errorf("rules broken: %v", rules)
 	}
 	t.Logf("%d moves, %d controllers ended, %d links broken", c.Moves(), killed, broken)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -18,35 +18,35 @@
 
 // user submits a job, follows it to its end, and remembers what it was told.
 type user struct {
-	id        ident.JobID
-	tasks     int
-	cancels   bool
-	accepted  bool
-	told      string    // the first final state
-	cancelled time.Time // when that was confirmed
-	faults    []string
+	id                ident.JobID
+	tasks             int
+	cancels           bool
+	accepted          bool
+	finalStatus       string    // the first final state
+	cancelConfirmedAt time.Time // when that was confirmed
+	violations        []string
 }
 
-// patience bounds how long a user asks on. It is no verdict on how fast the cluster is: all
+// userTimeout bounds how long a user asks on. It is no verdict on how fast the cluster is: all
 // links heal long before.
-const patience = 4 * time.Minute
+const userTimeout = 4 * time.Minute
 
-func (u *user) fault(format string, args ...any) {
-	u.faults = append(u.faults, fmt.Sprintf(format, args...))
+func (u *user) reportViolation(format string, args ...any) {
+	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// live plays the user. rng is its own.
-func (u *user) live(c *Cluster, rng *rand.Rand, nodes int) {
+// run plays the user. rng is its own.
+func (u *user) run(c *Cluster, rng *rand.Rand, nodes int) {
 	spec := api.Spec{ID: u.id, Class: "render", Team: []string{"red", "blue"}[rng.IntN(2)], Shape: api.Batch, Priority: api.Standard,
 		Tasks: u.tasks, VCPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 0.1, Spot: rng.IntN(2) == 0, RuntimeS: 1}
 	runs := time.Duration(300+rng.IntN(1500)) * time.Millisecond
-	end := time.Now().Add(patience)
+	end := time.Now().Add(userTimeout)
 	for !u.accepted && time.Now().Before(end) {
-		switch a := c.Submit(rng.IntN(nodes), spec, Work{First: runs}); a.Status {
+		switch a := c.Submit(rng.IntN(nodes), spec, Workload{FirstDuration: runs}); a.Status {
 		case 200, 201:
 			u.accepted = true
 		case 400, 422:
-			u.fault("a submission that is in order got %d", a.Status)
+			u.reportViolation("a submission that is in order got %d", a.Status)
 			return
 		default:
 			time.Sleep(200 * time.Millisecond)
@@ -55,53 +55,53 @@
 	if u.cancels {
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	}
-	for u.told == "" && time.Now().Before(end) {
+	for u.finalStatus == "" && time.Now().Before(end) {
 		var a Answer
 		if u.cancels {
 			a = c.Cancel(rng.IntN(nodes), u.id)
 		} else {
 			a = c.Get(rng.IntN(nodes), u.id)
 		}
-		u.hear(a)
+		u.checkAnswer(a)
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
-// hear takes an answer about the job.
-func (u *user) hear(a Answer) {
+// checkAnswer takes an answer about the job.
+func (u *user) checkAnswer(a Answer) {
 	switch {
 	case a.Status == 404:
-		u.fault("forgotten: 404")
+		u.reportViolation("forgotten: 404")
 	case a.Status != 200:
 	case a.Job.Status == "cancelled" && !u.cancels:
-		u.fault("cancelled by nobody")
+		u.reportViolation("cancelled by nobody")
 	case a.Job.Status == "done" || a.Job.Status == "cancelled":
-		if u.told != "" && u.told != a.Job.Status {
-			u.fault("went back: %s, then %s", u.told, a.Job.Status)
+		if u.finalStatus != "" && u.finalStatus != a.Job.Status {
+			u.reportViolation("went back: %s, then %s", u.finalStatus, a.Job.Status)
 		}
-		if u.told == "" {
-			u.told = a.Job.Status
-			if u.told == "cancelled" {
-				u.cancelled = time.Now()
+		if u.finalStatus == "" {
+			u.finalStatus = a.Job.Status
+			if u.finalStatus == "cancelled" {
+				u.cancelConfirmedAt = time.Now()
 			}
 		}
-	case u.told != "":
-		u.fault("went back: %s, then %s", u.told, a.Job.Status)
+	case u.finalStatus != "":
+		u.reportViolation("went back: %s, then %s", u.finalStatus, a.Job.Status)
 	}
 }
 
-// check compares what the user was told with what workers ran.
-func (u *user) check(c *Cluster) {
-	switch u.told {
+// checkOutcome compares what the user was told with what workers ran.
+func (u *user) checkOutcome(c *Cluster) {
+	switch u.finalStatus {
 	case "":
-		u.fault("no final result")
+		u.reportViolation("no final result")
 	case "done":
-		if !c.Record.complete(u.id, u.tasks) {
-			u.fault("done, though not all its tasks have completed")
+		if !c.Recorder.complete(u.id, u.tasks) {
+			u.reportViolation("done, though not all its tasks have completed")
 		}
 	case "cancelled":
-		if n := c.Record.startedAfter(u.id, u.cancelled.Add(c.CancelTime())); n > 0 {
-			u.fault("%d tasks started after the time of its cancellation", n)
+		if n := c.Recorder.startsAfter(u.id, u.cancelConfirmedAt.Add(c.CancelDeadline())); n > 0 {
+			u.reportViolation("%d tasks started after the time of its cancellation", n)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	broken := 0
 	for time.Now().Before(over) {
 		n := names[rng.IntN(len(names))]
-		ends := append([]string{State, State, Cloud}, zones...)
+		ends := append([]string{Store, Store, Cloud}, zones...)
 		ends = append(ends, names...)
 		other := ends[rng.IntN(len(ends))]
 		if other == n {
@@ -124,29 +124,29 @@
 			from, to = to, from
 		}
 		broken++
-		c.Switches.Break(from, to)
+		c.Network.Break(from, to)
 		time.Sleep(time.Duration(300+rng.IntN(2500)) * time.Millisecond)
-		c.Switches.Heal(from, to)
+		c.Network.Heal(from, to)
 		time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 	}
-	c.Switches.HealAll()
+	c.Network.HealAll()
 	return broken
 }
 
-// TestDroppedLinks: real controllers on real sockets, whose directed links break one at a
+// TestUnidirectionalPartitionsOnSockets: real controllers on real sockets, whose directed links break one at a
 // time under steady submissions and cancellations, one of them being killed as well: every
 // job has one final result, nothing starts after its cancellation, and no two nodes act for
 // one term, by the record of workers and users.
-func TestDroppedLinks(t *testing.T) {
+func TestUnidirectionalPartitionsOnSockets(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
 			t.Parallel()
-			dropLinks(t, nodes, uint64(nodes))
+			runWithPartitions(t, nodes, uint64(nodes))
 		})
 	}
 }
 
-func dropLinks(t *testing.T, nodes int, seed uint64) {
+func runWithPartitions(t *testing.T, nodes int, seed uint64) {
 	c, err := Start(Options{Nodes: nodes, Tune: func(s *settings.Settings) { s.Tuning.Links.Enabled = true }})
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 		own := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * breaking / jobs)
-			users[i].live(c, own, nodes)
+			users[i].run(c, own, nodes)
 		})
 	}
 	all.Go(func() {
@@ -177,21 +177,21 @@
 	done := 0
 	for _, u := range users {
 		for i := range nodes { // and no node says otherwise
-			u.hear(c.Get(i, u.id))
+			u.checkAnswer(c.Get(i, u.id))
 		}
-		u.check(c)
-		if len(u.faults) > 0 {
-			t.Errorf("%s: %v", u.id, u.faults)
+		u.checkOutcome(c)
+		if len(u.violations) > 0 {
+			t.Errorf("%s: %v", u.id, u.violations)
 		}
-		if u.told == "done" {
+		if u.finalStatus == "done" {
 			done++
 		}
 	}
-	if rules := c.Broken(); len(rules) > 0 {
+	if rules := c.Violations(); len(rules) > 0 {
 		t.Errorf("rules broken: %v", rules)
 	}
-	if broken == 0 || c.Switches.Held() == 0 || done < jobs/2 || c.Started() < jobs/2 || c.Record.commands == 0 {
+	if broken == 0 || c.Network.HeldCount() == 0 || done < jobs/2 || c.StartCount() < jobs/2 || c.Recorder.commandCount == 0 {
 		t.Errorf("%d links were broken, %d messages held up, %d jobs done, %d tasks started, %d commands: the test shows nothing",
-			broken, c.Switches.Held(), done, c.Started(), c.Record.commands)
+			broken, c.Network.HeldCount(), done, c.StartCount(), c.Recorder.commandCount)
 	}
 }
--- a/internal/loopback/record_test.go
+++ b/internal/loopback/record_test.go
@@ -11,52 +11,52 @@
 	"opaldale/internal/ident"
 )
 
-// TestRecordNotices: the record can fail.
-func TestRecordNotices(t *testing.T) {
-	r := newRecord()
+// TestRecorderDetectsViolations: the record can fail.
+func TestRecorderDetectsViolations(t *testing.T) {
+	r := newRecorder()
 	task := ident.TaskID{Job: "j-1"}
 	alive := func(ident.MachineID) bool { return true }
-	first := r.begin(task, "host-1", alive)
-	if r.begin(task, "host-2", func(ident.MachineID) bool { return false }); len(r.broken) != 0 {
-		t.Errorf("a task whose machine's lease is over counts: %v", r.broken)
+	first := r.recordStart(task, "host-1", alive)
+	if r.recordStart(task, "host-2", func(ident.MachineID) bool { return false }); len(r.violations) != 0 {
+		t.Errorf("a task whose machine's lease is over counts: %v", r.violations)
 	}
-	if r.begin(task, "host-3", alive); len(r.broken) == 0 {
+	if r.recordStart(task, "host-3", alive); len(r.violations) == 0 {
 		t.Error("a task that runs twice is not noticed")
 	}
-	before := len(r.broken)
-	r.acted("agent-0", ident.MakeFencingToken(4, 1))
-	r.acted("agent-0", ident.MakeFencingToken(4, 2))
-	r.acted("agent-1", ident.MakeFencingToken(5, 0))
-	if len(r.broken) != before {
-		t.Errorf("one node a term is a fault: %v", r.broken)
+	before := len(r.violations)
+	r.recordCommand("agent-0", ident.MakeFencingToken(4, 1))
+	r.recordCommand("agent-0", ident.MakeFencingToken(4, 2))
+	r.recordCommand("agent-1", ident.MakeFencingToken(5, 0))
+	if len(r.violations) != before {
+		t.Errorf("one node a term is a fault: %v", r.violations)
 	}
-	if r.acted("agent-1", ident.MakeFencingToken(4, 3)); len(r.broken) == before {
+	if r.recordCommand("agent-1", ident.MakeFencingToken(4, 3)); len(r.violations) == before {
 		t.Error("two nodes in one term are not noticed")
 	}
 	if r.complete("j-1", 1) {
 		t.Error("complete before it is done")
 	}
-	if r.finish(first, true); !r.complete("j-1", 1) || r.complete("j-1", 2) {
+	if r.recordEnd(first, true); !r.complete("j-1", 1) || r.complete("j-1", 2) {
 		t.Error("completion is not told by tasks")
 	}
-	if r.startedAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startedAfter("j-1", time.Now()) != 0 {
+	if r.startsAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startsAfter("j-1", time.Now()) != 0 {
 		t.Error("starts are not told by time")
 	}
 	for _, told := range []Answer{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
 		u := &user{id: "j-1"}
-		if u.hear(told); len(u.faults) == 0 {
+		if u.checkAnswer(told); len(u.violations) == 0 {
 			t.Errorf("%+v is no fault", told)
 		}
 	}
-	u := &user{id: "j-1", told: "done"}
-	if u.hear(Answer{Status: 200, Job: api.JobView{Status: "running"}}); len(u.faults) == 0 {
+	u := &user{id: "j-1", finalStatus: "done"}
+	if u.checkAnswer(Answer{Status: 200, Job: api.JobView{Status: "running"}}); len(u.violations) == 0 {
 		t.Error("an answer that went back is no fault")
 	}
 }
 
-// TestSwitchesHold: a broken direction holds up what is sent and lets the other pass; what
+// TestBrokenLinkHoldsTraffic: a broken direction holds up what is sent and lets the other pass; what
 // was held is delivered when it heals, and a deadline ends the wait.
-func TestSwitchesHold(t *testing.T) {
+func TestBrokenLinkHoldsTraffic(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 			conn.Write(b)
 		}
 	}()
-	s := NewSwitches()
+	s := NewNetwork()
 	conn, err := s.Dialer("a", func(string) string { return "b" })(context.Background(), "tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		t.Errorf("after it healed: %v", err)
 	}
-	if s.Held() < 2 || s.owner(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
-		t.Errorf("%d were held up, the connection is of %q", s.Held(), s.owner(conn.LocalAddr().String(), conn.RemoteAddr().String()))
+	if s.HeldCount() < 2 || s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
+		t.Errorf("%d were held up, the connection is of %q", s.HeldCount(), s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
 	}
 }
--- a/internal/loopback/state.go
+++ b/internal/loopback/state.go
@@ -14,26 +14,26 @@
 	"opaldale/internal/statesvc"
 )
 
-// stateService is a state service by its protocol, in memory.
-type stateService struct {
+// store is a state service by its protocol, in memory.
+type store struct {
 	mu        sync.Mutex
 	revision  uint64
-	entries   map[string]stateEntry
-	leases    map[uint64]*stateLease
+	entries   map[string]storeEntry
+	leases    map[uint64]*storeLease
 	lastLease uint64
-	changes   []statesvc.WatchEvent
+	history   []statesvc.WatchEvent
 	changed   chan struct{} // closed at the next change
 	onChange  func(statesvc.Mutation)
 }
 
-type stateEntry struct {
+type storeEntry struct {
 	Path  string          `json:"path"`
 	Value json.RawMessage `json:"value"`
 	Stamp ident.Revision  `json:"stamp"`
 	Grant uint64          `json:"grant,omitempty"`
 }
 
-type stateLease struct {
+type storeLease struct {
 	ttl time.Duration
 	end time.Time
 }
@@ -41,19 +41,19 @@
 // pageSize is how many entries a list returns at the most.
 const pageSize = 1000
 
-func newStateService() *stateService {
-	return &stateService{entries: map[string]stateEntry{}, leases: map[uint64]*stateLease{}, changed: make(chan struct{})}
+func newStore() *store {
+	return &store{entries: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{})}
 }
 
-func (s *stateService) handler() http.Handler {
+func (s *store) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys", s.list)
 	mux.HandleFunc("GET /keys/{path...}", s.get)
-	mux.HandleFunc("POST /txn", s.transaction)
-	mux.HandleFunc("POST /leases", s.grant)
-	mux.HandleFunc("POST /leases/{id}/extend", s.extend)
-	mux.HandleFunc("DELETE /leases/{id}", s.revoke)
-	mux.HandleFunc("GET /follow", s.follow)
+	mux.HandleFunc("POST /txn", s.transact)
+	mux.HandleFunc("POST /leases", s.grantLease)
+	mux.HandleFunc("POST /leases/{id}/extend", s.renewLease)
+	mux.HandleFunc("DELETE /leases/{id}", s.revokeLease)
+	mux.HandleFunc("GET /follow", s.watch)
 	return mux
 }
 
@@ -63,8 +63,8 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// expire ends leases whose time is over. It is called before each request is served.
-func (s *stateService) expire() {
+// expireLeases ends leases whose time is over. It is called before each request is served.
+func (s *store) expireLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
 		if now.After(lease.end) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *stateService) endLease(id uint64) {
+func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
 	var gone []statesvc.Mutation
 	for path, e := range s.entries {
@@ -86,25 +86,25 @@
 	}
 }
 
-func (s *stateService) apply(changes []statesvc.Mutation) {
+func (s *store) apply(changes []statesvc.Mutation) {
 	s.revision++
 	for _, c := range changes {
 		s.onChange(c)
 		if c.Put != "" {
-			s.entries[c.Put] = stateEntry{Path: c.Put, Value: c.Value, Stamp: ident.Revision(s.revision), Grant: c.LeaseID}
+			s.entries[c.Put] = storeEntry{Path: c.Put, Value: c.Value, Stamp: ident.Revision(s.revision), Grant: c.LeaseID}
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.changes = append(s.changes, statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
+		s.history = append(s.history, statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *stateService) get(w http.ResponseWriter, r *http.Request) {
+func (s *store) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	if e, ok := s.entries[r.PathValue("path")]; ok {
 		answer(w, http.StatusOK, e)
 		return
@@ -112,23 +112,23 @@
 	answer(w, http.StatusNotFound, statesvc.Response{StoreRevision: s.revision})
 }
 
-func (s *stateService) list(w http.ResponseWriter, r *http.Request) {
+func (s *store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	prefix, since := r.URL.Query().Get("starts"), r.URL.Query().Get("since")
-	page := []stateEntry{}
+	page := []storeEntry{}
 	for path, e := range s.entries {
 		if strings.HasPrefix(path, prefix) && path > since {
 			page = append(page, e)
 		}
 	}
-	slices.SortFunc(page, func(a, b stateEntry) int { return cmp.Compare(a.Path, b.Path) })
+	slices.SortFunc(page, func(a, b storeEntry) int { return cmp.Compare(a.Path, b.Path) })
 	truncated := len(page) > pageSize
 	answer(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated, "ledger": s.revision})
 }
 
-func (s *stateService) transaction(w http.ResponseWriter, r *http.Request) {
+func (s *store) transact(w http.ResponseWriter, r *http.Request) {
 	var t struct {
 		If   []statesvc.Compare  `json:"if"`
 		Then []statesvc.Mutation `json:"then"`
@@ -139,7 +139,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	for _, c := range t.Then {
 		if c.Put != "" && c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
 			answer(w, http.StatusBadRequest, statesvc.Response{Error: "no such lease"})
@@ -160,7 +160,7 @@
 	answer(w, http.StatusOK, statesvc.Response{StoreRevision: s.revision})
 }
 
-func (s *stateService) grant(w http.ResponseWriter, r *http.Request) {
+func (s *store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -172,12 +172,12 @@
 	defer s.mu.Unlock()
 	s.lastLease++
 	ttl := time.Duration(body.TTL) * time.Millisecond
-	s.leases[s.lastLease] = &stateLease{ttl: ttl, end: time.Now().Add(ttl)}
+	s.leases[s.lastLease] = &storeLease{ttl: ttl, end: time.Now().Add(ttl)}
 	answer(w, http.StatusOK, statesvc.Response{LeaseID: s.lastLease})
 }
 
-func (s *stateService) lease(r *http.Request) (uint64, *stateLease) {
-	s.expire()
+func (s *store) requestedLease(r *http.Request) (uint64, *storeLease) {
+	s.expireLeases()
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
 		return 0, nil
@@ -185,10 +185,10 @@
 	return id, s.leases[id]
 }
 
-func (s *stateService) extend(w http.ResponseWriter, r *http.Request) {
+func (s *store) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, lease := s.lease(r); lease != nil {
+	if _, lease := s.requestedLease(r); lease != nil {
 		lease.end = time.Now().Add(lease.ttl)
 		answer(w, http.StatusOK, statesvc.Response{})
 		return
@@ -196,27 +196,27 @@
 	answer(w, http.StatusNotFound, statesvc.Response{})
 }
 
-func (s *stateService) revoke(w http.ResponseWriter, r *http.Request) {
+func (s *store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if id, lease := s.lease(r); lease != nil {
+	if id, lease := s.requestedLease(r); lease != nil {
 		s.endLease(id)
 	}
 	answer(w, http.StatusOK, statesvc.Response{})
 }
 
-// followEvery is how often a watch looks for leases that have ended.
-const followEvery = 20 * time.Millisecond
+// watchPollInterval is how often a watch looks for leases that have ended.
+const watchPollInterval = 20 * time.Millisecond
 
-func (s *stateService) follow(w http.ResponseWriter, r *http.Request) {
+func (s *store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
 	block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 	over := time.After(time.Duration(block) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		s.expire()
-		news := s.since(query.Get("starts"), since)
+		s.expireLeases()
+		news := s.changesSince(query.Get("starts"), since)
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(news) > 0 {
@@ -225,7 +225,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(followEvery):
+		case <-time.After(watchPollInterval):
 		case <-r.Context().Done():
 			return
 		case <-over:
@@ -235,10 +235,10 @@
 	}
 }
 
-// since returns the changes of keys with a prefix after a revision.
-func (s *stateService) since(prefix string, revision uint64) []statesvc.WatchEvent {
+// changesSince returns the changes of keys with a prefix after a revision.
+func (s *store) changesSince(prefix string, revision uint64) []statesvc.WatchEvent {
 	var news []statesvc.WatchEvent
-	for _, n := range s.changes {
+	for _, n := range s.history {
 		if uint64(n.Revision) > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
 			news = append(news, n)
 		}
--- a/internal/loopback/switch.go
+++ b/internal/loopback/switch.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Switches holds the links that are broken, by their two ends in the direction of what is
+// Network holds the links that are broken, by their two ends in the direction of what is
 // sent.
-type Switches struct {
-	mu    sync.Mutex
-	gates map[[2]string]chan struct{} // of a broken link, closed when it heals
-	held  int
-	// owners tells which party opened a connection.
-	owners map[connection]string
+type Network struct {
+	mu     sync.Mutex
+	broken map[[2]string]chan struct{} // of a broken link, closed when it heals
+	held   int
+	// dialers tells which party opened a connection.
+	dialers map[connection]string
 }
 
 // connection names a connection by both addresses: a local port may be in use for several, to
@@ -28,59 +28,59 @@
 	from, to string
 }
 
-// NewSwitches makes links that all work.
-func NewSwitches() *Switches {
-	return &Switches{gates: map[[2]string]chan struct{}{}, owners: map[connection]string{}}
+// NewNetwork makes links that all work.
+func NewNetwork() *Network {
+	return &Network{broken: map[[2]string]chan struct{}{}, dialers: map[connection]string{}}
 }
 
 // Break holds up all that is sent from one party to another until the link heals.
-func (s *Switches) Break(from, to string) {
+func (s *Network) Break(from, to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k := [2]string{from, to}; s.gates[k] == nil {
-		s.gates[k] = make(chan struct{})
+	if k := [2]string{from, to}; s.broken[k] == nil {
+		s.broken[k] = make(chan struct{})
 	}
 }
 
 // Heal delivers what was held up.
-func (s *Switches) Heal(from, to string) {
+func (s *Network) Heal(from, to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if gate := s.gates[[2]string{from, to}]; gate != nil {
+	if gate := s.broken[[2]string{from, to}]; gate != nil {
 		close(gate)
-		delete(s.gates, [2]string{from, to})
+		delete(s.broken, [2]string{from, to})
 	}
 }
 
 // HealAll heals all links.
-func (s *Switches) HealAll() {
+func (s *Network) HealAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, gate := range s.gates {
+	for k, gate := range s.broken {
 		close(gate)
-		delete(s.gates, k)
+		delete(s.broken, k)
 	}
 }
 
-// Held counts how often something was held up.
-func (s *Switches) Held() int {
+// HeldCount counts how often something was held up.
+func (s *Network) HeldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held
 }
 
-// owner tells which party opened a connection from an address to another, empty if none of
+// dialedFrom tells which party opened a connection from an address to another, empty if none of
 // these did.
-func (s *Switches) owner(from, to string) string {
+func (s *Network) dialedFrom(from, to string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.owners[connection{from, to}]
+	return s.dialers[connection{from, to}]
 }
 
-func (s *Switches) gate(from, to string) chan struct{} {
+func (s *Network) gate(from, to string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gate := s.gates[[2]string{from, to}]
+	gate := s.broken[[2]string{from, to}]
 	if gate != nil {
 		s.held++
 	}
@@ -88,7 +88,7 @@
 }
 
 // Dialer opens connections of one party; names tells who is at an address.
-func (s *Switches) Dialer(self string, names func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (s *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, addr)
@@ -96,18 +96,18 @@
 			return nil, err
 		}
 		s.mu.Lock()
-		s.owners[connection{conn.LocalAddr().String(), conn.RemoteAddr().String()}] = self
+		s.dialers[connection{conn.LocalAddr().String(), conn.RemoteAddr().String()}] = party
 		s.mu.Unlock()
-		return &gatedConn{Conn: conn, switches: s, self: self, peer: names(addr), done: make(chan struct{})}, nil
+		return &gatedConn{Conn: conn, network: s, self: party, peer: nameOf(addr), done: make(chan struct{})}, nil
 	}
 }
 
 // gatedConn is a connection whose bytes wait while their direction is broken.
 type gatedConn struct {
 	net.Conn
-	switches   *Switches
+	network    *Network
 	self, peer string
-	closing    sync.Once
+	closeOnce  sync.Once
 	done       chan struct{}
 
 	mu            sync.Mutex
@@ -121,10 +121,10 @@
 	return *which
 }
 
-// wait returns when the direction works.
-func (c *gatedConn) wait(from, to string, which *time.Time) error {
+// waitUntilHealed returns when the direction works.
+func (c *gatedConn) waitUntilHealed(from, to string, which *time.Time) error {
 	for {
-		gate := c.switches.gate(from, to)
+		gate := c.network.gate(from, to)
 		if gate == nil {
 			return nil
 		}
@@ -145,7 +145,7 @@
 }
 
 func (c *gatedConn) Write(b []byte) (int, error) {
-	if err := c.wait(c.self, c.peer, &c.writeDeadline); err != nil {
+	if err := c.waitUntilHealed(c.self, c.peer, &c.writeDeadline); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -153,7 +153,7 @@
 
 func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if gateErr := c.wait(c.peer, c.self, &c.readDeadline); gateErr != nil {
+	if gateErr := c.waitUntilHealed(c.peer, c.self, &c.readDeadline); gateErr != nil {
 		return 0, gateErr
 	}
 	return n, err
@@ -181,6 +181,6 @@
 }
 
 func (c *gatedConn) Close() error {
-	c.closing.Do(func() { close(c.done) })
+	c.closeOnce.Do(func() { close(c.done) })
 	return c.Conn.Close()
 }
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -19,7 +19,7 @@
 // worker is a machine and the worker on it.
 type worker struct {
 	cluster *Cluster
-	host    ident.MachineID
+	id      ident.MachineID
 	zone    string
 	spot    bool
 	server  *http.Server
@@ -27,26 +27,26 @@
 	client  *http.Client
 	stop    context.CancelFunc
 
-	mu      sync.Mutex
-	session ident.Incarnation
-	serial  ident.SequenceNumber
-	token   ident.FencingToken
-	lease   time.Time // when the last answered report was sent
-	tasks   map[taskKey]*task
-	wake    chan struct{}
-	gone    bool
+	mu             sync.Mutex
+	incarnation    ident.Incarnation
+	sequence       ident.SequenceNumber
+	token          ident.FencingToken
+	leaseRenewedAt time.Time // when the last answered report was sent
+	tasks          map[taskKey]*task
+	heartbeatNow   chan struct{}
+	terminated     bool
 }
 
 type taskKey struct {
-	piece   ident.TaskID
+	task    ident.TaskID
 	attempt ident.Attempt
 }
 
 type task struct {
-	status api.TaskStatus
-	cause  api.Cause
-	run    *run
-	timer  *time.Timer
+	status    api.TaskStatus
+	cause     api.Cause
+	execution *execution
+	timer     *time.Timer
 }
 
 func newWorker(c *Cluster, host ident.MachineID, zone string, spot bool) (*worker, error) {
@@ -54,33 +54,33 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{cluster: c, host: host, zone: zone, spot: spot, addr: listener.Addr().String(), session: 1, lease: time.Now(),
-		tasks: map[taskKey]*task{}, wake: make(chan struct{}, 1)}
+	w := &worker{cluster: c, id: host, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1, leaseRenewedAt: time.Now(),
+		tasks: map[taskKey]*task{}, heartbeatNow: make(chan struct{}, 1)}
 	// All machines of a zone are one end of a link.
-	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Switches.Dialer(zone, c.nameOf)}}
+	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /commands", w.commands)
-	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) { answer(rw, http.StatusOK, w.report()) })
+	mux.HandleFunc("POST /commands", w.handleCommands)
+	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) { answer(rw, http.StatusOK, w.currentHeartbeat()) })
 	w.server = &http.Server{Handler: mux}
 	go w.server.Serve(listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
-	go w.reportLoop(ctx)
+	go w.heartbeatLoop(ctx)
 	return w, nil
 }
 
-// end takes the machine away with all that is on it.
-func (w *worker) end() {
+// terminate takes the machine away with all that is on it.
+func (w *worker) terminate() {
 	w.stop()
 	w.server.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gone = true
-	w.forget()
+	w.terminated = true
+	w.endAllTasks()
 }
 
-// forget ends all tasks.
-func (w *worker) forget() {
+// endAllTasks ends all tasks.
+func (w *worker) endAllTasks() {
 	for _, t := range w.tasks {
 		t.end(w, api.CauseStopped)
 	}
@@ -95,42 +95,42 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	if t.run != nil {
-		w.cluster.Record.finish(t.run, cause == api.CauseDone)
+	if t.execution != nil {
+		w.cluster.Recorder.recordEnd(t.execution, cause == api.CauseDone)
 	}
 }
 
-// expire ends the session when its lease is over. Called with the lock.
-func (w *worker) expire() {
-	if time.Since(w.lease) > w.cluster.leaseTime() {
-		w.forget()
-		w.session++
-		w.serial = 0
-		w.lease = time.Now()
+// checkLease ends the session when its lease is over. Called with the lock.
+func (w *worker) checkLease() {
+	if time.Since(w.leaseRenewedAt) > w.cluster.leaseDuration() {
+		w.endAllTasks()
+		w.incarnation++
+		w.sequence = 0
+		w.leaseRenewedAt = time.Now()
 	}
 }
 
-// holds says whether a task may still be on the machine, as its lease is not over.
-func (w *worker) holds() bool {
+// mayStillRun says whether a task may still be on the machine, as its lease is not over.
+func (w *worker) mayStillRun() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.gone && time.Since(w.lease) <= w.cluster.leaseTime()
+	return !w.terminated && time.Since(w.leaseRenewedAt) <= w.cluster.leaseDuration()
 }
 
-func (w *worker) report() *api.Heartbeat {
+func (w *worker) currentHeartbeat() *api.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire()
-	return w.message()
+	w.checkLease()
+	return w.buildHeartbeat()
 }
 
-// message makes a report. Called with the lock.
-func (w *worker) message() *api.Heartbeat {
-	w.serial++
-	r := &api.Heartbeat{MachineID: w.host, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.session,
-		SequenceNumber: w.serial, FencingToken: w.token, Tasks: []api.TaskReport{}}
+// buildHeartbeat makes a report. Called with the lock.
+func (w *worker) buildHeartbeat() *api.Heartbeat {
+	w.sequence++
+	r := &api.Heartbeat{MachineID: w.id, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation,
+		SequenceNumber: w.sequence, FencingToken: w.token, Tasks: []api.TaskReport{}}
 	for k, t := range w.tasks {
-		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: k.piece, Attempt: k.attempt, Status: t.status, Cause: t.cause})
+		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: k.task, Attempt: k.attempt, Status: t.status, Cause: t.cause})
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
 		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index), cmp.Compare(a.Attempt, b.Attempt))
@@ -138,7 +138,7 @@
 	return r
 }
 
-func (w *worker) commands(rw http.ResponseWriter, r *http.Request) {
+func (w *worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var c api.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
@@ -146,19 +146,19 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire()
-	if w.gone || c.Incarnation != w.session || c.FencingToken < w.token {
-		answer(rw, http.StatusConflict, w.message())
+	w.checkLease()
+	if w.terminated || c.Incarnation != w.incarnation || c.FencingToken < w.token {
+		answer(rw, http.StatusConflict, w.buildHeartbeat())
 		return
 	}
-	w.cluster.Record.acted(w.cluster.Switches.owner(r.RemoteAddr, w.addr), c.FencingToken)
+	w.cluster.Recorder.recordCommand(w.cluster.Network.dialedFrom(r.RemoteAddr, w.addr), c.FencingToken)
 	w.token = c.FencingToken
-	w.obey(c.Commands)
-	answer(rw, http.StatusOK, w.message())
+	w.execute(c.Commands)
+	answer(rw, http.StatusOK, w.buildHeartbeat())
 }
 
-// obey carries out orders. Called with the lock.
-func (w *worker) obey(orders []api.Command) {
+// execute carries out orders. Called with the lock.
+func (w *worker) execute(orders []api.Command) {
 	for _, o := range orders {
 		k := taskKey{o.TaskID, o.Attempt}
 		t := w.tasks[k]
@@ -179,7 +179,7 @@
 	}
 	if len(orders) > 0 {
 		select {
-		case w.wake <- struct{}{}:
+		case w.heartbeatNow <- struct{}{}:
 		default:
 		}
 	}
@@ -189,59 +189,59 @@
 	t := &task{status: api.Running}
 	w.tasks[k] = t
 	for other, o := range w.tasks {
-		if other.piece == k.piece && o != t && o.status != api.Ended {
+		if other.task == k.task && o != t && o.status != api.Ended {
 			t.status, t.cause = api.Ended, api.CauseBusy
 			return
 		}
 	}
-	work, known := w.cluster.work(k.piece.Job)
+	work, known := w.cluster.workload(k.task.Job)
 	if !known {
 		t.status, t.cause = api.Ended, api.CauseUnknown
 		return
 	}
-	t.run = w.cluster.Record.begin(k.piece, w.host, w.cluster.holds)
-	if work.First == 0 {
+	t.execution = w.cluster.Recorder.recordStart(k.task, w.id, w.cluster.mayStillRun)
+	if work.FirstDuration == 0 {
 		return // a replica
 	}
-	runs := work.First + time.Duration(k.piece.Index)*work.Step
-	session := w.session
+	runs := work.FirstDuration + time.Duration(k.task.Index)*work.DurationStep
+	incarnation := w.incarnation
 	t.timer = time.AfterFunc(runs, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.expire()
-		if w.session == session && w.tasks[k] == t {
+		w.checkLease()
+		if w.incarnation == incarnation && w.tasks[k] == t {
 			t.end(w, api.CauseDone)
 			select {
-			case w.wake <- struct{}{}:
+			case w.heartbeatNow <- struct{}{}:
 			default:
 			}
 		}
 	})
 }
 
-// reportLoop reports to one node after another, and stays with the one that answers.
-func (w *worker) reportLoop(ctx context.Context) {
-	node := int(w.cluster.hash(w.host))
+// heartbeatLoop reports to one node after another, and stays with the one that answers.
+func (w *worker) heartbeatLoop(ctx context.Context) {
+	node := int(w.cluster.homeNode(w.id))
 	for ctx.Err() == nil {
-		if !w.send(ctx, w.cluster.nodeAddr(node)) {
+		if !w.sendHeartbeat(ctx, w.cluster.nodeAddr(node)) {
 			node++
-			sleep(ctx, retryTime)
+			sleep(ctx, retryInterval)
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-w.wake:
-			sleep(ctx, minReport)
-		case <-time.After(w.cluster.reportTime()):
+		case <-w.heartbeatNow:
+			sleep(ctx, minHeartbeatInterval)
+		case <-time.After(w.cluster.heartbeatInterval()):
 		}
 	}
 }
 
 const (
-	retryTime = 200 * time.Millisecond
-	minReport = 50 * time.Millisecond
-	// answerTime is how long a report waits for its answer.
-	answerTime = 2 * time.Second
+	retryInterval        = 200 * time.Millisecond
+	minHeartbeatInterval = 50 * time.Millisecond
+	// heartbeatTimeout is how long a report waits for its answer.
+	heartbeatTimeout = 2 * time.Second
 )
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -251,14 +251,14 @@
 	}
 }
 
-// send makes one report and carries out the answer.
-func (w *worker) send(ctx context.Context, addr string) bool {
-	sent := time.Now()
-	body, err := json.Marshal(w.report())
+// sendHeartbeat makes one report and carries out the answer.
+func (w *worker) sendHeartbeat(ctx context.Context, addr string) bool {
+	sentAt := time.Now()
+	body, err := json.Marshal(w.currentHeartbeat())
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/checkin", bytes.NewReader(body))
 	if err != nil {
@@ -279,12 +279,12 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	session := w.session
-	w.expire()
-	if w.gone || session != w.session || orders.FencingToken < w.token {
+	incarnation := w.incarnation
+	w.checkLease()
+	if w.terminated || incarnation != w.incarnation || orders.FencingToken < w.token {
 		return true
 	}
-	w.token, w.lease = orders.FencingToken, sent
-	w.obey(orders.Commands)
+	w.token, w.leaseRenewedAt = orders.FencingToken, sentAt
+	w.execute(orders.Commands)
 	return true
 }
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -15,18 +15,18 @@
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.Queue
+	*statetest.SteppedStore
 	requests strings.Builder
 }
 
 func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
 	r.requests.WriteString(statetest.Describe(q))
-	r.Queue.Store(q, f)
+	r.SteppedStore.Store(q, f)
 }
 
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
-	r := &recorder{Queue: statetest.NewQueue(statetest.New())}
+	r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
 	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -12,10 +12,10 @@
 )
 
 // newTermHistory makes the history of a term, with what is stored.
-func newTermHistory(t *testing.T, s *statetest.Queue) (*History, *commit.Committer) {
+func newTermHistory(t *testing.T, s *statetest.SteppedStore) (*History, *commit.Committer) {
 	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1000 })
-	for path, p := range s.Keys {
+	for path, p := range s.Entries {
 		if strings.HasPrefix(path, Prefix) {
 			h.Load(path, p.Value, p.Revision)
 		}
@@ -25,7 +25,7 @@
 
 // TestHistory: moves are counted by every later term, and forgotten once their job is over.
 func TestHistory(t *testing.T) {
-	s := statetest.NewQueue(statetest.New())
+	s := statetest.NewSteppedStore(statetest.NewMemoryStore())
 	h, c := newTermHistory(t, s)
 	move := &Move{Move: proposal(), Attempt: 3}
 	for n := range 2 {
@@ -43,7 +43,7 @@
 			t.Errorf("the next term knows of %d moves, want %d", h.MoveCount("j-1"), n+1)
 		}
 	}
-	if n := len(s.Keys[Key("j-1")].Value); n > 1024 {
+	if n := len(s.Entries[Key("j-1")].Value); n > 1024 {
 		t.Errorf("two moves take %d bytes", n)
 	}
 	attempt := ident.Attempt(3)
@@ -61,8 +61,8 @@
 	}
 	h.Prune(func(ident.JobID) bool { return false })
 	c.Flush()
-	if s.Run(); len(s.Keys) != 0 || h.MoveCount("j-1") != 0 {
-		t.Errorf("left: %v", s.Keys)
+	if s.Run(); len(s.Entries) != 0 || h.MoveCount("j-1") != 0 {
+		t.Errorf("left: %v", s.Entries)
 	}
 }
 
@@ -70,19 +70,19 @@
 // is over.
 func TestUnreadable(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
-		s := statetest.NewQueue(statetest.New())
-		s.Keys[Key("j-1")] = statesvc.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
+		s := statetest.NewSteppedStore(statetest.NewMemoryStore())
+		s.Entries[Key("j-1")] = statesvc.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
 		h, c := newTermHistory(t, s)
 		if !h.IsBarred("j-1") || h.IsBarred("j-2") {
 			t.Errorf("%s: barred %v, another %v", value, h.IsBarred("j-1"), h.IsBarred("j-2"))
 		}
 		c.Flush()
-		if s.Run(); string(s.Keys[Key("j-1")].Value) != value {
-			t.Errorf("%s has become %s", value, s.Keys[Key("j-1")].Value)
+		if s.Run(); string(s.Entries[Key("j-1")].Value) != value {
+			t.Errorf("%s has become %s", value, s.Entries[Key("j-1")].Value)
 		}
 		h.Forget("j-1")
 		c.Flush()
-		if s.Run(); len(s.Keys) != 0 {
+		if s.Run(); len(s.Entries) != 0 {
 			t.Errorf("%s is left", value)
 		}
 	}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -126,9 +126,9 @@
 		f(w.Get(r.Key))
 	case statesvc.List:
 		a := statesvc.Response{Outcome: statesvc.OK}
-		for _, path := range slices.Sorted(maps.Keys(w.Keys)) {
+		for _, path := range slices.Sorted(maps.Keys(w.Entries)) {
 			if strings.HasPrefix(path, r.Prefix) {
-				a.KeyValues = append(a.KeyValues, w.Keys[path])
+				a.KeyValues = append(a.KeyValues, w.Entries[path])
 			}
 		}
 		f(a)
@@ -157,7 +157,7 @@
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}
 	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(100), transport: mesh.New("agent-0", func(ident.NodeID, *mesh.Frame) {})}
-	s.controller = controller.New(goldenEnv{statetest.New(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
+	s.controller = controller.New(goldenEnv{statetest.NewMemoryStore(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
 	s.loop.afterBatch = func() {}
 	s.loop.post(s.controller.Start)
 	go s.loop.run()
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -6,75 +6,75 @@
 	"opaldale/internal/ident"
 )
 
-// fault lets something go wrong, again and again until the calm.
-func (w *World) fault() {
-	if w.now > ident.MonotonicTime(w.cfg.Length) {
+// injectFault lets something go wrong, again and again until the calm.
+func (w *Simulation) injectFault() {
+	if w.now > ident.MonotonicTime(w.cfg.ActiveDuration) {
 		return
 	}
 	sec := func(a, b int) time.Duration { return time.Duration(a+w.rng.IntN(b-a)) * time.Second }
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
-		if o.alive && o.ctl.Election().LeaseValid() && w.rng.IntN(2) == 0 {
+		if o.alive && o.controller.Election().LeaseValid() && w.rng.IntN(2) == 0 {
 			n = o
 		}
 	}
 	hold := w.rng.IntN(2) == 0
-	back := sec(2, 8)
+	restartAfter := sec(2, 8)
 	if w.rng.IntN(3) == 0 {
-		back = 200 * time.Millisecond
+		restartAfter = 200 * time.Millisecond
 	}
 	k := w.anyWorker()
 	kinds := 20
-	if w.cfg.Meet {
+	if w.cfg.ConcurrentFaults {
 		kinds = 35
 	}
-	if w.cfg.Links && w.rng.IntN(3) == 0 {
-		w.oneWayFault(n)
-		w.at(time.Duration(1000+w.rng.IntN(14_000))*time.Millisecond, w.fault)
+	if w.cfg.LinkMonitoring && w.rng.IntN(3) == 0 {
+		w.injectOneWayFault(n)
+		w.schedule(time.Duration(1000+w.rng.IntN(14_000))*time.Millisecond, w.injectFault)
 		return
 	}
 	switch kind := w.rng.IntN(kinds); kind {
 	case 0, 1:
-		n.kill(back)
+		n.crash(restartAfter)
 	case 2:
 		for _, o := range w.nodes {
-			o.kill(back)
+			o.crash(restartAfter)
 		}
 	case 3:
 		w.logf("state service down")
 		w.store.downUntil = w.now.Add(sec(3, 30))
 	case 4:
-		w.sever(n.name, "state", hold, sec(2, 20))
+		w.disconnect(n.name, "state", hold, sec(2, 20))
 	case 5:
-		w.sever(n.name, "*", hold, sec(3, 30))
+		w.disconnect(n.name, "*", hold, sec(3, 30))
 	case 6:
 		for _, o := range w.nodes {
 			if o != n {
-				w.sever(n.name, o.name, hold, sec(3, 20))
+				w.disconnect(n.name, o.name, hold, sec(3, 20))
 			}
 		}
 	case 7:
-		w.sever(n.name, machines, hold, sec(5, 45))
+		w.disconnect(n.name, machines, hold, sec(5, 45))
 	case 8, 9:
 		if k != nil {
-			w.sever(string(k.host), "*", hold, sec(3, 50))
+			w.disconnect(string(k.id), "*", hold, sec(3, 50))
 		}
 	case 10:
 		if k != nil {
-			k.hang(sec(3, 40))
+			k.hangFor(sec(3, 40))
 		}
 	case 11:
-		w.cloud.wave(0.5)
+		w.cloud.reclaimSpot(0.5)
 	case 12:
 		w.logf("state service refuses %s", n.name)
-		w.store.refuses[n.name] = w.now.Add(sec(3, 20))
+		w.store.rejectUntil[n.name] = w.now.Add(sec(3, 20))
 	case 13:
 		w.logf("cloud trouble")
 		w.cloud.downUntil = w.now.Add(sec(3, 20))
 	case 14:
 		if k != nil {
-			w.logf("nothing reaches %s", k.host)
-			w.deaf[string(k.host)] = w.now.Add(sec(3, 50))
+			w.logf("nothing reaches %s", k.id)
+			w.inboundBlockedUntil[string(k.id)] = w.now.Add(sec(3, 50))
 		}
 	case 15, 16:
 		// Its workers still reach it.
@@ -84,65 +84,65 @@
 			k.restart()
 		}
 	case 19:
-		n.freeze(sec(3, 45))
+		n.pauseFor(sec(3, 45))
 	case 18:
-		w.cutZone(w.set.Zones[w.rng.IntN(2)], hold, sec(5, 60))
+		w.partitionZone(w.settings.Zones[w.rng.IntN(2)], hold, sec(5, 60))
 	default:
-		w.meetingFault(kind, n, k)
+		w.injectConcurrentFault(kind, n, k)
 	}
 	pause := 14000
-	if w.cfg.Meet {
+	if w.cfg.ConcurrentFaults {
 		pause = 7000 // two or three at once
 	}
-	w.at(time.Duration(1000+w.rng.IntN(pause))*time.Millisecond, w.fault)
+	w.schedule(time.Duration(1000+w.rng.IntN(pause))*time.Millisecond, w.injectFault)
 }
 
-// meetingFault lets one of the operators' further troubles happen, which may meet others.
-func (w *World) meetingFault(kind int, n *node, k *worker) {
+// injectConcurrentFault lets one of the operators' further troubles happen, which may meet others.
+func (w *Simulation) injectConcurrentFault(kind int, n *node, k *worker) {
 	sec := func(a, b int) time.Duration { return time.Duration(a+w.rng.IntN(b-a)) * time.Second }
-	spellOf := func(share float64) spell { return spell{share, w.now.Add(sec(5, 30))} }
+	window := func(share float64) faultWindow { return faultWindow{share, w.now.Add(sec(5, 30))} }
 	switch kind {
 	case 20:
-		w.lateWrites = spellOf(0.4)
+		w.delayedWrites = window(0.4)
 	case 21:
-		w.lostAnswers = spellOf(0.5)
+		w.droppedReplies = window(0.5)
 	case 22:
-		w.lateReports = spellOf(0.3)
+		w.delayedHeartbeats = window(0.3)
 	case 23:
-		w.keepReports(0.3, sec(5, 30))
+		w.holdHeartbeatsForNextLeader(0.3, sec(5, 30))
 	case 24:
-		w.slowState = spellOf(0.8)
+		w.slowStore = window(0.8)
 	case 25:
-		w.slowLinks = spellOf(0.7)
+		w.slowLinks = window(0.7)
 	case 26:
-		w.heldOrders = spellOf(0.4)
+		w.delayedCommands = window(0.4)
 	case 27:
-		w.quickBoots = spellOf(1)
+		w.fastBoots = window(1)
 	case 28:
-		w.lastMoment = spellOf(0.7)
+		w.cancelAtCompletion = window(0.7)
 	case 29:
-		w.closeLooks = spellOf(1)
+		w.probeAfterAnswer = window(1)
 	case 30:
 		if k != nil {
-			w.silence(k, sec(3, 40))
+			w.blockOutbound(k, sec(3, 40))
 		}
 	case 31:
-		w.cancelNow(1+w.rng.IntN(3), time.Duration(w.rng.IntN(2))*sec(2, 19))
+		w.cancelRunning(1+w.rng.IntN(3), time.Duration(w.rng.IntN(2))*sec(2, 19))
 	case 32:
-		w.odd(w.now.Add(10 * time.Second))
+		w.sendEdgeCaseRequests(w.now.Add(10 * time.Second))
 	case 34:
-		n.halts.spell = spellOf(0.01)
+		n.eventPause.window = window(0.01)
 	case 33:
 		// The leader alone is refused, then everybody for longer than cancel_s.
 		if l := w.leader(); l != nil {
-			w.store.refuses[l.name] = w.now.Add(14 * time.Second)
-			w.at(sec(1, 5), func() { w.store.downUntil = w.now.Add(seconds(w.set.Workers.CancelS) + sec(1, 12)) })
+			w.store.rejectUntil[l.name] = w.now.Add(14 * time.Second)
+			w.schedule(sec(1, 5), func() { w.store.downUntil = w.now.Add(seconds(w.settings.Workers.CancelS) + sec(1, 12)) })
 		}
 	}
 }
 
-// oneWayFault breaks one direction of a node's links, for a while or again and again.
-func (w *World) oneWayFault(n *node) {
+// injectOneWayFault breaks one direction of a node's links, for a while or again and again.
+func (w *Simulation) injectOneWayFault(n *node) {
 	o := w.nodes[w.rng.IntN(len(w.nodes))]
 	ends := []string{"state", "cloud", machines}
 	if o != n {
@@ -152,11 +152,11 @@
 	if w.rng.IntN(2) == 0 {
 		from, to = to, from
 	}
-	whole := time.Duration(5+w.rng.IntN(40)) * time.Second
+	total := time.Duration(5+w.rng.IntN(40)) * time.Second
 	if w.rng.IntN(2) == 0 {
-		w.severWay(from, to, w.rng.IntN(3) == 0, whole)
+		w.disconnectOneWay(from, to, w.rng.IntN(3) == 0, total)
 		return
 	}
 	period := time.Duration(1000+w.rng.IntN(5000)) * time.Millisecond
-	w.flap(from, to, period*time.Duration(3+w.rng.IntN(5))/10, period, whole)
+	w.flapLink(from, to, period*time.Duration(3+w.rng.IntN(5))/10, period, total)
 }
--- a/internal/standin/healthy_test.go
+++ b/internal/standin/healthy_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// TestHealthyThroughAnElection: while a leader that was killed is followed, no node tells the
+// TestNodesStayHealthyDuringElection: while a leader that was killed is followed, no node tells the
 // load balancer that it can't take requests, as that would be without all of them for seconds.
-func TestHealthyThroughAnElection(t *testing.T) {
+func TestNodesStayHealthyDuringElection(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(Config{Seed: seed, Links: true, Length: 120 * time.Second})
-		w.leaderAt(breakAt, func(l *node) { l.kill(8 * time.Second) })
+		w := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 120 * time.Second})
+		w.withLeaderAt(faultAt, func(l *node) { l.crash(8 * time.Second) })
 		for ms := 0; ms < 7000; ms += 50 {
-			w.at(second(breakAt).Sub(0)+time.Duration(ms)*time.Millisecond, func() {
+			w.schedule(timeAt(faultAt).Sub(0)+time.Duration(ms)*time.Millisecond, func() {
 				for _, n := range w.nodes {
-					if n.alive && !n.ctl.Healthy() {
-						w.took("unhealthy")
+					if n.alive && !n.controller.Healthy() {
+						w.countEvent("unhealthy")
 					}
 				}
 			})
 		}
 		w.Run()
-		if len(w.Broken) > 0 || len(w.Undone) > 0 || w.seen["unhealthy"] > 0 {
-			t.Errorf("seed %d: %v %v %v", seed, w.Broken, w.Undone, w.seen)
+		if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["unhealthy"] > 0 {
+			t.Errorf("seed %d: %v %v %v", seed, w.Violations, w.Unfinished, w.eventCounts)
 		}
 	}
 }
--- a/internal/standin/links_test.go
+++ b/internal/standin/links_test.go
@@ -10,74 +10,74 @@
 	"opaldale/internal/mesh"
 )
 
-// TestRulesHoldWithLinks plays days of trouble, with links that break in one direction
+// TestInvariantsHoldWithLinkMonitoring plays days of trouble, with links that break in one direction
 // among them, with nodes that watch their links: every rule holds and all work ends.
-func TestRulesHoldWithLinks(t *testing.T) {
+func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		w := New(Config{Seed: seed, Faults: true, Meet: seed%2 == 1, Links: true, Length: 300 * time.Second})
+		w := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true, ActiveDuration: 300 * time.Second})
 		w.Run()
-		if len(w.Broken) > 0 || len(w.Undone) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, w.Broken, w.Undone, w.Tail(30))
+		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(30))
 		}
-		if w.Starts < 20 || w.lostOneWay == 0 {
-			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, w.Starts, w.lostOneWay)
+		if w.TaskStarts < 20 || w.blockedOneWay == 0 {
+			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, w.TaskStarts, w.blockedOneWay)
 		}
 	}
 }
 
-// linkCase is a way in which links break, and what must come of it.
-type linkCase struct {
-	name   string
-	nodes  int // 0: three
-	old    bool
-	play   func(w *World)
-	took   map[string]int // what must have taken place, so often at the least
-	most   map[string]int // and at the most
-	seeds  uint64         // 0: three
-	length time.Duration  // 0: 200 s
+// linkScenario is a way in which links break, and what must come of it.
+type linkScenario struct {
+	name           string
+	nodes          int // 0: three
+	rollingUpgrade bool
+	inject         func(w *Simulation)
+	minEvents      map[string]int // what must have taken place, so often at the least
+	maxEvents      map[string]int // and at the most
+	seeds          uint64         // 0: three
+	length         time.Duration  // 0: 200 s
 }
 
-// breakAt is when the links of the cases break, and breakFor for how long.
+// faultAt is when the links of the cases break, and faultDuration for how long.
 const (
-	breakAt  = 60
-	breakFor = 60 * time.Second
+	faultAt       = 60
+	faultDuration = 60 * time.Second
 )
 
-// leaderAt calls f with the leader of a moment.
-func (w *World) leaderAt(s float64, f func(l *node)) {
-	w.when(s, func() {
+// withLeaderAt calls f with the leader of a moment.
+func (w *Simulation) withLeaderAt(s float64, f func(l *node)) {
+	w.scheduleAt(s, func() {
 		if l := w.leader(); l != nil {
 			f(l)
 		} else {
-			w.took("no leader")
+			w.countEvent("no leader")
 		}
 	})
 }
 
-// followed notes who leads so long after a moment, and whether it is another.
-func (w *World) followed(l *node, d time.Duration) {
-	w.at(d, func() {
+// recordLeaderAfter notes who leads so long after a moment, and whether it is another.
+func (w *Simulation) recordLeaderAfter(l *node, d time.Duration) {
+	w.schedule(d, func() {
 		switch n := w.leader(); {
 		case n == nil:
-			w.took("nobody leads")
+			w.countEvent("nobody leads")
 		case n == l:
-			w.took("the same leads")
+			w.countEvent("the same leads")
 		default:
-			w.took("another leads")
+			w.countEvent("another leads")
 		}
 	})
 }
 
-// steadily submits and cancels work throughout.
-func (w *World) steadily() {
-	w.load(6)
-	w.stream(20, 150, 1.5, 20*time.Second)
+// submitContinuously submits and cancels work throughout.
+func (w *Simulation) submitContinuously() {
+	w.submitBaseLoad(6)
+	w.submitStream(20, 150, 1.5, 20*time.Second)
 }
 
-// fencedWithin notes how many machines the node that is the leader, or those that follow,
+// countFencedWithin notes how many machines the node that is the leader, or those that follow,
 // fence within a time.
-func (w *World) fencedWithin(d time.Duration) {
+func (w *Simulation) countFencedWithin(d time.Duration) {
 	var counts [8]uint64 // by node, in its present term
 	var look func()
 	until := w.now.Add(d)
@@ -86,24 +86,24 @@
 			if !n.alive {
 				continue
 			}
-			fenced := n.ctl.Stats().MachinesFenced
+			fenced := n.controller.Stats().MachinesFenced
 			for range fenced - min(fenced, counts[i]) {
-				w.took("fenced meanwhile")
+				w.countEvent("fenced meanwhile")
 			}
 			counts[i] = fenced
 		}
 		if w.now < until {
-			w.at(200*time.Millisecond, look)
+			w.schedule(200*time.Millisecond, look)
 		}
 	}
 	for i, n := range w.nodes {
-		counts[i] = n.ctl.Stats().MachinesFenced
+		counts[i] = n.controller.Stats().MachinesFenced
 	}
 	look()
 }
 
-// otherThan returns a node that is none of those.
-func (w *World) otherThan(not ...*node) *node {
+// nodeOtherThan returns a node that is none of those.
+func (w *Simulation) nodeOtherThan(not ...*node) *node {
 	for _, n := range w.nodes {
 		found := false
 		for _, o := range not {
@@ -116,285 +116,285 @@
 	return nil
 }
 
-var linkCases = []linkCase{
+var linkScenarios = []linkScenario{
 	{
 		name: "answers of the cloud are lost",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay("cloud", l.name, false, breakFor)
-				w.followed(l, 12*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay("cloud", l.name, false, faultDuration)
+				w.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
-		most: map[string]int{"nobody leads": 0},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		maxEvents: map[string]int{"nobody leads": 0},
 	},
 	{
 		name: "commands reach no machine",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(l.name, machines, false, breakFor)
-				w.followed(l, 12*time.Second)
-				w.fencedWithin(breakFor)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(l.name, machines, false, faultDuration)
+				w.recordLeaderAfter(l, 12*time.Second)
+				w.countFencedWithin(faultDuration)
 			})
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
-		most: map[string]int{"fenced meanwhile": 0},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		maxEvents: map[string]int{"fenced meanwhile": 0},
 	},
 	{
 		name: "machines reach the leader's siblings only",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(machines, l.name, false, breakFor)
-				w.followed(l, 15*time.Second)
-				w.fencedWithin(breakFor)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(machines, l.name, false, faultDuration)
+				w.recordLeaderAfter(l, 15*time.Second)
+				w.countFencedWithin(faultDuration)
 			})
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
-		most: map[string]int{"fenced meanwhile": 0},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		maxEvents: map[string]int{"fenced meanwhile": 0},
 	},
 	{
 		name: "answers of the state service are lost",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay("state", l.name, false, breakFor)
-				w.followed(l, 6*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay("state", l.name, false, faultDuration)
+				w.recordLeaderAfter(l, 6*time.Second)
 			})
 		},
-		took: map[string]int{"another leads": 1},
+		minEvents: map[string]int{"another leads": 1},
 	},
 	{
 		name: "a leader with machines and no state service, a sibling with the state service and no machines",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				b := w.otherThan(l)
-				w.otherThan(l, b).kill(breakFor)
-				w.severWay("state", l.name, false, breakFor)
-				w.sever(b.name, machines, false, breakFor)
-				w.followed(l, 10*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				b := w.nodeOtherThan(l)
+				w.nodeOtherThan(l, b).crash(faultDuration)
+				w.disconnectOneWay("state", l.name, false, faultDuration)
+				w.disconnect(b.name, machines, false, faultDuration)
+				w.recordLeaderAfter(l, 10*time.Second)
 				starts := 0
-				w.at(15*time.Second, func() { starts = w.Starts })
-				w.at(55*time.Second, func() {
-					for range w.Starts - starts {
-						w.took("started meanwhile")
+				w.schedule(15*time.Second, func() { starts = w.TaskStarts })
+				w.schedule(55*time.Second, func() {
+					for range w.TaskStarts - starts {
+						w.countEvent("started meanwhile")
 					}
 				})
 			})
 		},
-		took: map[string]int{"another leads": 1, "started meanwhile": 5},
+		minEvents: map[string]int{"another leads": 1, "started meanwhile": 5},
 	},
 	{
 		name: "no controller hears machines that are running",
-		play: func(w *World) {
-			w.when(breakAt, func() {
+		inject: func(w *Simulation) {
+			w.scheduleAt(faultAt, func() {
 				for _, n := range w.nodes {
-					w.sever(n.name, machines, false, breakFor)
+					w.disconnect(n.name, machines, false, faultDuration)
 				}
-				w.cancelNow(2, 0)
+				w.cancelRunning(2, 0)
 				rented := len(w.cloud.machines)
-				w.at(breakFor, func() {
+				w.schedule(faultDuration, func() {
 					for range len(w.cloud.machines) - rented {
-						w.took("rented meanwhile")
+						w.countEvent("rented meanwhile")
 					}
 				})
 			})
 		},
-		took: map[string]int{"cancelled while it ran": 1},
-		most: map[string]int{"rented meanwhile": 12},
+		minEvents: map[string]int{"cancelled while it ran": 1},
+		maxEvents: map[string]int{"rented meanwhile": 12},
 	},
 	{
 		name: "a slow link beside a dead one",
-		play: func(w *World) {
-			w.slowLinks = spell{1, second(breakAt).Add(breakFor)}
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(l.name, machines, false, breakFor)
-				w.followed(l, 20*time.Second)
+		inject: func(w *Simulation) {
+			w.slowLinks = faultWindow{1, timeAt(faultAt).Add(faultDuration)}
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(l.name, machines, false, faultDuration)
+				w.recordLeaderAfter(l, 20*time.Second)
 			})
 		},
-		took: map[string]int{"slow link": 50, "handover announced": 1, "another leads": 1},
+		minEvents: map[string]int{"slow link": 50, "handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "the leader freezes in the midst of its handover and wakes later",
-		play: func(w *World) {
-			w.onYield = func(from *node, _ ident.NodeID) {
-				w.took("frozen while it yields")
-				w.at(time.Millisecond, func() { from.freeze(20 * time.Second) })
-				w.followed(from, 8*time.Second)
+		inject: func(w *Simulation) {
+			w.onHandover = func(from *node, _ ident.NodeID) {
+				w.countEvent("frozen while it yields")
+				w.schedule(time.Millisecond, func() { from.pauseFor(20 * time.Second) })
+				w.recordLeaderAfter(from, 8*time.Second)
 			}
-			w.leaderAt(breakAt, func(l *node) { w.severWay(l.name, machines, false, breakFor) })
+			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		took: map[string]int{"frozen while it yields": 1, "another leads": 1},
+		minEvents: map[string]int{"frozen while it yields": 1, "another leads": 1},
 	},
 	{
 		name: "the successor dies between the terms",
-		play: func(w *World) {
-			w.onYield = func(from *node, to ident.NodeID) {
+		inject: func(w *Simulation) {
+			w.onHandover = func(from *node, to ident.NodeID) {
 				for _, n := range w.nodes {
 					if n.name == string(to) {
-						w.took("successor killed")
-						n.kill(20 * time.Second)
+						w.countEvent("successor killed")
+						n.crash(20 * time.Second)
 					}
 				}
-				w.followed(from, 5*time.Second)
+				w.recordLeaderAfter(from, 5*time.Second)
 			}
-			w.leaderAt(breakAt, func(l *node) { w.severWay(l.name, machines, false, breakFor) })
+			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		took: map[string]int{"successor killed": 1, "another leads": 1},
+		minEvents: map[string]int{"successor killed": 1, "another leads": 1},
 	},
 	{
 		name: "the successor is cut off between the terms",
-		play: func(w *World) {
-			w.onYield = func(from *node, to ident.NodeID) {
-				w.took("successor cut off")
-				w.sever(string(to), "state", true, 20*time.Second)
-				w.followed(from, 6*time.Second)
+		inject: func(w *Simulation) {
+			w.onHandover = func(from *node, to ident.NodeID) {
+				w.countEvent("successor cut off")
+				w.disconnect(string(to), "state", true, 20*time.Second)
+				w.recordLeaderAfter(from, 6*time.Second)
 			}
-			w.leaderAt(breakAt, func(l *node) { w.severWay(l.name, machines, false, breakFor) })
+			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		took: map[string]int{"successor cut off": 1, "another leads": 1},
+		minEvents: map[string]int{"successor cut off": 1, "another leads": 1},
 	},
 	{
 		name: "the announcement is lost",
-		play: func(w *World) {
-			w.onYield = func(from *node, _ ident.NodeID) {
-				w.others(from, func(n *node) { w.severWay(from.name, n.name, false, 3*time.Second) })
-				w.followed(from, 5*time.Second)
+		inject: func(w *Simulation) {
+			w.onHandover = func(from *node, _ ident.NodeID) {
+				w.forEachPeer(from, func(n *node) { w.disconnectOneWay(from.name, n.name, false, 3*time.Second) })
+				w.recordLeaderAfter(from, 5*time.Second)
 			}
-			w.leaderAt(breakAt, func(l *node) { w.severWay(l.name, machines, false, breakFor) })
+			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "a leader that only the state service hears",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.others(l, func(n *node) { w.sever(l.name, n.name, false, breakFor) })
-				w.sever(l.name, machines, false, breakFor)
-				w.followed(l, 9*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.forEachPeer(l, func(n *node) { w.disconnect(l.name, n.name, false, faultDuration) })
+				w.disconnect(l.name, machines, false, faultDuration)
+				w.recordLeaderAfter(l, 9*time.Second)
 			})
 		},
-		took: map[string]int{"another leads": 1},
+		minEvents: map[string]int{"another leads": 1},
 	},
 	{
 		name: "a follower reaches the leader by the third node only",
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				f := w.otherThan(l)
-				w.severWay(f.name, l.name, false, breakFor)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				f := w.nodeOtherThan(l)
+				w.disconnectOneWay(f.name, l.name, false, faultDuration)
 				for s := 10; s < 50; s++ {
-					w.at(time.Duration(s)*time.Second, func() {
-						j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Second)
-						w.submitAt(j, f)
-						if f.ctl.Healthy() {
-							w.took("healthy")
+					w.schedule(time.Duration(s)*time.Second, func() {
+						j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Second)
+						w.resubmitAt(j, f)
+						if f.controller.Healthy() {
+							w.countEvent("healthy")
 						}
 					})
 				}
-				w.at(55*time.Second, func() {
-					for range f.ctl.Stats().Relayed {
-						w.took("relayed")
+				w.schedule(55*time.Second, func() {
+					for range f.controller.Stats().Relayed {
+						w.countEvent("relayed")
 					}
 				})
 			})
 		},
-		took: map[string]int{"relayed": 40, "healthy": 40},
+		minEvents: map[string]int{"relayed": 40, "healthy": 40},
 	},
 	{
 		name: "late copies of rows", // of when the sibling was well placed
-		play: func(w *World) {
-			w.oldRows = 8 * time.Second
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(l.name, machines, false, breakFor)
-				w.others(l, func(n *node) { w.severWay(n.name, "state", false, breakFor) })
-				w.followed(l, 7*time.Second)
+		inject: func(w *Simulation) {
+			w.staleRowDelay = 8 * time.Second
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(l.name, machines, false, faultDuration)
+				w.forEachPeer(l, func(n *node) { w.disconnectOneWay(n.name, "state", false, faultDuration) })
+				w.recordLeaderAfter(l, 7*time.Second)
 			})
 		},
-		took: map[string]int{"old rows": 20, "the same leads": 1},
-		most: map[string]int{"handover announced": 0},
+		minEvents: map[string]int{"old rows": 20, "the same leads": 1},
+		maxEvents: map[string]int{"handover announced": 0},
 	},
 	{
 		name: "two nodes", nodes: 2,
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(l.name, machines, false, breakFor)
-				w.followed(l, 12*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(l.name, machines, false, faultDuration)
+				w.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "two nodes, the link between them broken one way", nodes: 2,
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				w.severWay(l.name, w.otherThan(l).name, false, breakFor)
-				w.severWay(l.name, machines, false, 20*time.Second)
-				w.took("cut")
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.disconnectOneWay(l.name, w.nodeOtherThan(l).name, false, faultDuration)
+				w.disconnectOneWay(l.name, machines, false, 20*time.Second)
+				w.countEvent("cut")
 			})
 		},
-		took: map[string]int{"cut": 1},
+		minEvents: map[string]int{"cut": 1},
 	},
 	{
 		name: "five nodes, two dead and one cut off", nodes: 5,
-		play: func(w *World) {
-			w.leaderAt(breakAt, func(l *node) {
-				b := w.otherThan(l)
-				c := w.otherThan(l, b)
-				d := w.otherThan(l, b, c)
-				b.kill(breakFor)
-				c.kill(breakFor)
-				w.sever(d.name, "*", true, breakFor)
-				w.severWay("cloud", l.name, false, breakFor)
-				w.followed(l, 15*time.Second)
+		inject: func(w *Simulation) {
+			w.withLeaderAt(faultAt, func(l *node) {
+				b := w.nodeOtherThan(l)
+				c := w.nodeOtherThan(l, b)
+				d := w.nodeOtherThan(l, b, c)
+				b.crash(faultDuration)
+				c.crash(faultDuration)
+				w.disconnect(d.name, "*", true, faultDuration)
+				w.disconnectOneWay("cloud", l.name, false, faultDuration)
+				w.recordLeaderAfter(l, 15*time.Second)
 			})
 		},
-		took: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
-		name: "an upgrade in which old nodes lead", old: true, length: 260 * time.Second,
-		play: func(w *World) {
-			w.leaderAt(70, func(l *node) { w.severWay(l.name, machines, false, 20*time.Second) })
-			w.when(200, func() {
+		name: "an upgrade in which old nodes lead", rollingUpgrade: true, length: 260 * time.Second,
+		inject: func(w *Simulation) {
+			w.withLeaderAt(70, func(l *node) { w.disconnectOneWay(l.name, machines, false, 20*time.Second) })
+			w.scheduleAt(200, func() {
 				if l := w.leader(); l != nil {
-					w.severWay(l.name, machines, false, 40*time.Second)
-					w.followed(l, 15*time.Second)
+					w.disconnectOneWay(l.name, machines, false, 40*time.Second)
+					w.recordLeaderAfter(l, 15*time.Second)
 				}
 			})
 		},
-		took: map[string]int{"rows sent": 20, "another leads": 1},
+		minEvents: map[string]int{"rows sent": 20, "another leads": 1},
 	},
 }
 
-func (c linkCase) run(seed uint64, m Mutation) *World {
+func (c linkScenario) run(seed uint64, m Mutation) *Simulation {
 	if c.length == 0 {
 		c.length = 200 * time.Second
 	}
-	w := New(Config{Seed: seed, Mutation: m, Links: true, Nodes: c.nodes, Old: c.old, Quiet: true, Length: c.length})
-	w.steadily()
-	c.play(w)
+	w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade, NoArrivals: true, ActiveDuration: c.length})
+	w.submitContinuously()
+	c.inject(w)
 	w.Run()
 	return w
 }
 
-// TestHalfBrokenLinks plays the cases: every rule holds, all work ends, and the lead goes
+// TestUnidirectionalPartitions plays the cases: every rule holds, all work ends, and the lead goes
 // where it should.
-func TestHalfBrokenLinks(t *testing.T) {
+func TestUnidirectionalPartitions(t *testing.T) {
 	t.Parallel()
-	for _, c := range linkCases {
+	for _, c := range linkScenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			seeds := max(c.seeds, 3)
 			for seed := range seeds {
 				w := c.run(seed, None)
-				if len(w.Broken) > 0 || len(w.Undone) > 0 {
-					t.Errorf("seed %d: %v %v\n%s", seed, w.Broken, w.Undone, w.Tail(30))
+				if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
+					t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(30))
 				}
-				for what, n := range c.took {
-					if w.seen[what] < n {
-						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, w.seen[what], n, w.seen)
+				for what, n := range c.minEvents {
+					if w.eventCounts[what] < n {
+						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, w.eventCounts[what], n, w.eventCounts)
 					}
 				}
-				for what, n := range c.most {
-					if w.seen[what] > n {
-						t.Errorf("seed %d: %s: %d times, at the most %d", seed, what, w.seen[what], n)
+				for what, n := range c.maxEvents {
+					if w.eventCounts[what] > n {
+						t.Errorf("seed %d: %s: %d times, at the most %d", seed, what, w.eventCounts[what], n)
 					}
 				}
 			}
@@ -402,37 +402,37 @@
 	}
 }
 
-// flapping plays a link of the leader that breaks for a part of every period, for two
+// leaderChangesWhileFlapping plays a link of the leader that breaks for a part of every period, for two
 // minutes, and returns the changes of the lead in that time.
-func flapping(t *testing.T, link int, seed uint64) int {
-	w := New(Config{Seed: seed, Links: true, Length: 200 * time.Second})
-	w.leaderAt(40, func(l *node) {
+func leaderChangesWhileFlapping(t *testing.T, link int, seed uint64) int {
+	w := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
+	w.withLeaderAt(40, func(l *node) {
 		var others []string
-		w.others(l, func(n *node) { others = append(others, n.name) })
-		k := oneWayLinks(l.name, others)[link]
+		w.forEachPeer(l, func(n *node) { others = append(others, n.name) })
+		k := leaderLinks(l.name, others)[link]
 		period := time.Duration(1+(link+int(seed)*2)%5) * time.Second
-		w.flap(k[0], k[1], period*7/10, period, 120*time.Second)
-		w.countTerms("change")
+		w.flapLink(k[0], k[1], period*7/10, period, 120*time.Second)
+		w.countLeaderChanges("change")
 	})
 	w.Run()
-	if len(w.Broken) > 0 || len(w.Undone) > 0 {
-		t.Errorf("%v %v\n%s", w.Broken, w.Undone, w.Tail(30))
+	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
+		t.Errorf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(30))
 	}
-	if w.lostOneWay == 0 {
+	if w.blockedOneWay == 0 {
 		t.Error("the link did not flap")
 	}
-	return w.seen["change"]
+	return w.eventCounts["change"]
 }
 
-// TestFlapsDontMoveTheLead: one link of the leader flaps, in either direction, with any
+// TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any
 // period: the lead moves away from it at the most, and not to and fro.
-func TestFlapsDontMoveTheLead(t *testing.T) {
+func TestFlappingLinkBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
 	for link := range 10 {
 		t.Run(fmt.Sprint("link ", link), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(5) {
-				if n := flapping(t, link, seed); n > 2 {
+				if n := leaderChangesWhileFlapping(t, link, seed); n > 2 {
 					t.Errorf("seed %d: the lead changed %d times in two minutes", seed, n)
 				}
 			}
@@ -440,49 +440,49 @@
 	}
 }
 
-// TestSiblingFlapsKeepTheLead: the link to one sibling flaps for ten minutes, while machines of
+// TestFlappingPeerLinkKeepsLeader: the link to one sibling flaps for ten minutes, while machines of
 // small zones come and go. The lead stays, and submissions at that sibling pass by the third
 // node. (The last command to the last machine of a zone counted against its next one, and the
 // lead moved in a fifth of the days.)
-func TestSiblingFlapsKeepTheLead(t *testing.T) {
+func TestFlappingPeerLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		o := StudyLink(seed, true, LinkEnds{From: Leader, To: Sibling}, 10*time.Minute, 4*time.Second)
-		if o.Changes > 0 || o.Late > o.Submitted/50 || o.Broken+o.Undone > 0 {
+		o := StudyLink(seed, true, DirectedLink{From: Leader, To: Peer}, 10*time.Minute, 4*time.Second)
+		if o.LeaderChanges > 0 || o.LateSubmissions > o.Submissions/50 || o.Violations+o.Unfinished > 0 {
 			t.Errorf("seed %d: %+v", seed, o)
 		}
 	}
 }
 
-// pingPong has the links of each leader to the machines break in turn, and returns the
+// leaderChangesUnderAlternatingFaults has the links of each leader to the machines break in turn, and returns the
 // changes of the lead in two minutes.
-func pingPong(seed uint64, m Mutation) int {
-	w := New(Config{Seed: seed, Mutation: m, Links: true, Quiet: true, Length: 200 * time.Second})
-	w.steadily()
-	w.when(40, func() { w.countTerms("change") })
+func leaderChangesUnderAlternatingFaults(seed uint64, m Mutation) int {
+	w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
+	w.submitContinuously()
+	w.scheduleAt(40, func() { w.countLeaderChanges("change") })
 	for s := 40.0; s < 160; s += 8 {
-		w.leaderAt(s, func(l *node) { w.severWay(l.name, machines, false, 8*time.Second) })
+		w.withLeaderAt(s, func(l *node) { w.disconnectOneWay(l.name, machines, false, 8*time.Second) })
 	}
 	w.Run()
-	if len(w.Broken) > 0 {
+	if len(w.Violations) > 0 {
 		return -1
 	}
-	return w.seen["change"]
+	return w.eventCounts["change"]
 }
 
-// TestLeadIsKept: whoever leads is soon worse placed than another. The lead moves no more
+// TestHandoverHoldBoundsLeaderChanges: whoever leads is soon worse placed than another. The lead moves no more
 // often than the hold allows, and without the hold this is noticed.
-func TestLeadIsKept(t *testing.T) {
+func TestHandoverHoldBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
 	const most = 6 // 15, 15, 30 and 60 s, and what the first hold had already passed
-	noticed := false
+	detected := false
 	for seed := range uint64(3) {
-		if n := pingPong(seed, None); n < 1 || n > most {
+		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > most {
 			t.Errorf("seed %d: the lead changed %d times in two minutes", seed, n)
 		}
-		noticed = noticed || pingPong(seed, EndlessHandovers) > most
+		detected = detected || leaderChangesUnderAlternatingFaults(seed, UnboundedHandovers) > most
 	}
-	if !noticed {
+	if !detected {
 		t.Error("handovers without end were not noticed")
 	}
 }
@@ -492,40 +492,40 @@
 // good as any between two breaks, and it stays.
 func TestFlappingLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
-	noticed := false
+	detected := false
 	for seed := range uint64(3) {
-		for _, m := range []Mutation{None, NoDamping} {
-			w := New(Config{Seed: seed, Mutation: m, Links: true, Quiet: true, Length: 200 * time.Second})
-			w.steadily()
-			w.leaderAt(breakAt, func(l *node) {
-				w.flap("state", l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
-				w.followed(l, 40*time.Second)
+		for _, m := range []Mutation{None, NoFlapDamping} {
+			w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
+			w.submitContinuously()
+			w.withLeaderAt(faultAt, func(l *node) {
+				w.flapLink("state", l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
+				w.recordLeaderAfter(l, 40*time.Second)
 			})
 			w.Run()
-			if len(w.Broken) > 0 || len(w.Undone) > 0 {
-				t.Errorf("seed %d: %v %v", seed, w.Broken, w.Undone)
+			if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
+				t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
 			}
-			if m == None && w.seen["another leads"] == 0 {
-				t.Errorf("seed %d: the leader is not replaced: %v", seed, w.seen)
+			if m == None && w.eventCounts["another leads"] == 0 {
+				t.Errorf("seed %d: the leader is not replaced: %v", seed, w.eventCounts)
 			}
-			noticed = noticed || m == NoDamping && w.seen["another leads"] == 0
+			detected = detected || m == NoFlapDamping && w.eventCounts["another leads"] == 0
 		}
 	}
-	if !noticed {
+	if !detected {
 		t.Error("no seed noticed that nothing was damped")
 	}
 }
 
-// TestUndatedRowsAreNoticed: were late copies of rows taken for new ones, a leader would hand
+// TestStaleRowsMutationIsDetected: were late copies of rows taken for new ones, a leader would hand
 // over to a node that can't write.
-func TestUndatedRowsAreNoticed(t *testing.T) {
+func TestStaleRowsMutationIsDetected(t *testing.T) {
 	t.Parallel()
-	for _, c := range linkCases {
+	for _, c := range linkScenarios {
 		if c.name != "late copies of rows" {
 			continue
 		}
 		for seed := range uint64(3) {
-			if w := c.run(seed, UndatedRows); w.seen["handover announced"] > 0 {
+			if w := c.run(seed, FreshenStaleRows); w.eventCounts["handover announced"] > 0 {
 				return
 			}
 		}
@@ -533,60 +533,60 @@
 	t.Error("no seed noticed")
 }
 
-// TestCutInEachStepOfACommit breaks the leader's link to the state service, in one direction,
+// TestPartitionAtEachCommitStep breaks the leader's link to the state service, in one direction,
 // around a transaction with a submission: whatever came of it, the job has one end.
-func TestCutInEachStepOfACommit(t *testing.T) {
+func TestPartitionAtEachCommitStep(t *testing.T) {
 	t.Parallel()
 	for step := range 12 {
 		for _, way := range []bool{false, true} {
-			w := New(Config{Seed: uint64(step), Links: true, Quiet: true, Length: 160 * time.Second})
-			w.steadily()
-			w.leaderAt(breakAt, func(l *node) {
-				j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 1 }, 10*time.Second)
-				w.submitAt(j, l)
-				w.at(time.Duration(step)*500*time.Microsecond, func() {
-					w.took("cut in a commit")
+			w := New(Config{Seed: uint64(step), LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
+			w.submitContinuously()
+			w.withLeaderAt(faultAt, func(l *node) {
+				j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 1 }, 10*time.Second)
+				w.resubmitAt(j, l)
+				w.schedule(time.Duration(step)*500*time.Microsecond, func() {
+					w.countEvent("cut in a commit")
 					if way {
-						w.severWay(l.name, "state", step%2 == 0, 20*time.Second)
+						w.disconnectOneWay(l.name, "state", step%2 == 0, 20*time.Second)
 					} else {
-						w.severWay("state", l.name, step%2 == 0, 20*time.Second)
+						w.disconnectOneWay("state", l.name, step%2 == 0, 20*time.Second)
 					}
 				})
 			})
 			w.Run()
-			if len(w.Broken) > 0 || len(w.Undone) > 0 || w.seen["cut in a commit"] == 0 {
-				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, w.Broken, w.Undone, w.seen, w.Tail(30))
+			if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["cut in a commit"] == 0 {
+				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, w.Violations, w.Unfinished, w.eventCounts, w.LogTail(30))
 			}
 		}
 	}
 }
 
-// TestWrongRows: a sibling that says of itself whatever it likes may get the lead, and no
+// TestForgedRowsViolateNothing: a sibling that says of itself whatever it likes may get the lead, and no
 // rule is broken by it.
-func TestWrongRows(t *testing.T) {
+func TestForgedRowsViolateNothing(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 2, Links: true, Quiet: true, Length: 160 * time.Second})
-	w.steadily()
-	w.when(breakAt, func() {
+	w := New(Config{Seed: 2, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
+	w.submitContinuously()
+	w.scheduleAt(faultAt, func() {
 		for i := range 40 {
-			w.at(time.Duration(i)*time.Second, func() {
+			w.schedule(time.Duration(i)*time.Second, func() {
 				for _, n := range w.nodes {
 					if n.alive {
-						w.others(n, func(o *node) { w.lie(o, n) })
+						w.forEachPeer(n, func(o *node) { w.sendForgedRows(o, n) })
 					}
 				}
 			})
 		}
 	})
 	w.Run()
-	if len(w.Broken) > 0 || len(w.Undone) > 0 || w.seen["lie"] < 40 {
-		t.Errorf("%v %v, %d lies\n%s", w.Broken, w.Undone, w.seen["lie"], w.Tail(30))
+	if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["lie"] < 40 {
+		t.Errorf("%v %v, %d lies\n%s", w.Violations, w.Unfinished, w.eventCounts["lie"], w.LogTail(30))
 	}
 }
 
-// lie has a node hear from another that it is the best placed of all, and the others worst.
-func (w *World) lie(from, to *node) {
-	w.took("lie")
-	f := &mesh.Frame{Type: mesh.MsgLinkState, ID: w.newest[to.name+" "+from.name], LinkState: wrongRows(w, from)}
-	to.when(to.life, func() { to.ctl.HandleFrame(ident.NodeID(from.name), f) })
+// sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
+func (w *Simulation) sendForgedRows(from, to *node) {
+	w.countEvent("lie")
+	f := &mesh.Frame{Type: mesh.MsgLinkState, ID: w.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(w, from)}
+	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -8,369 +8,369 @@
 	"opaldale/internal/api"
 )
 
-// meeting is two or more troubles at once, in which schedulers have broken rules.
-type meeting struct {
-	name   string
-	guards string // against what
-	play   func(w *World)
-	took   map[string]int // what must have come of it, so often at the least
-	caught []Mutation     // safeguards without which some seed breaks a rule
-	seeds  uint64         // 0: three
-	crowd  bool
-	length time.Duration // 0: 130 s
+// concurrentFaults is two or more troubles at once, in which schedulers have broken rules.
+type concurrentFaults struct {
+	name              string
+	guardsAgainst     string // against what
+	inject            func(w *Simulation)
+	expectedEvents    map[string]int // what must have come of it, so often at the least
+	detectedMutations []Mutation     // safeguards without which some seed breaks a rule
+	seeds             uint64         // 0: three
+	overload          bool
+	length            time.Duration // 0: 130 s
 }
 
-// meetings are those of the operators' page, in its order.
-var meetings = []meeting{
+// concurrentFaultScenarios are those of the operators' page, in its order.
+var concurrentFaultScenarios = []concurrentFaults{
 	{
-		name: "workers reach no controller, commands reach them", guards: "machines that answer commands being thought to keep their leases by that, and work started elsewhere before they are over",
-		play: func(w *World) {
-			w.load(6)
-			w.when(60, func() {
+		name: "workers reach no controller, commands reach them", guardsAgainst: "machines that answer commands being thought to keep their leases by that, and work started elsewhere before they are over",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(6)
+			w.scheduleAt(60, func() {
 				for i, k := range w.sortedWorkers() {
 					if i%3 > 0 {
-						w.silence(k, time.Duration(10+w.rng.IntN(22))*time.Second)
+						w.blockOutbound(k, time.Duration(10+w.rng.IntN(22))*time.Second)
 					}
 				}
 			})
-			w.when(64, func() { w.cancelNow(3, 0) })
-			w.when(70, func() { w.depose(4 * time.Second) })
+			w.scheduleAt(64, func() { w.cancelRunning(3, 0) })
+			w.scheduleAt(70, func() { w.crashLeader(4 * time.Second) })
 		},
-		took:   map[string]int{"command to a mute machine": 2, "cancelled while it ran": 1, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"command to a mute machine": 2, "cancelled while it ran": 1, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "teams at their limit, cancelled machines away, leader changes", guards: "cancelled tasks that may still run not being counted by the next leader",
-		play: func(w *World) {
-			w.full()
-			w.when(60, func() {
-				for i, j := range w.running() {
+		name: "teams at their limit, cancelled machines away, leader changes", guardsAgainst: "cancelled tasks that may still run not being counted by the next leader",
+		inject: func(w *Simulation) {
+			w.saturateTeams()
+			w.scheduleAt(60, func() {
+				for i, j := range w.runningJobs() {
 					if i%2 == 1 {
 						continue
 					}
-					for _, k := range w.hosts(j) {
+					for _, k := range w.workersOf(j) {
 						if w.cfg.Seed%2 == 0 {
-							w.sever(string(k.host), "*", false, 14*time.Second)
+							w.disconnect(string(k.id), "*", false, 14*time.Second)
 						} else {
-							k.hang(14 * time.Second)
+							k.hangFor(14 * time.Second)
 						}
 					}
-					w.took("cancelled while it ran")
-					w.callOff(j, nil)
+					w.countEvent("cancelled while it ran")
+					w.cancelWhenAccepted(j, nil)
 				}
 			})
-			w.when(61, func() { w.depose(3 * time.Second) })
+			w.scheduleAt(61, func() { w.crashLeader(3 * time.Second) })
 		},
-		took:   map[string]int{"team at its limit": 2, "cancelled while it ran": 2, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"team at its limit": 2, "cancelled while it ran": 2, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "hand-overs and back within a second", guards: "a term's unfinished acts, or a node's former key, being taken for the present one's",
-		play: func(w *World) {
-			w.load(6)
+		name: "hand-overs and back within a second", guardsAgainst: "a term's unfinished acts, or a node's former key, being taken for the present one's",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(6)
 			for s := 50.0; s < 80; s += 6 {
-				w.burst(s-0.4, s)
-				w.when(s, func() { w.depose(200 * time.Millisecond) })
-				w.when(s+0.9, func() { w.depose(100 * time.Millisecond) })
+				w.submitBurst(s-0.4, s)
+				w.scheduleAt(s, func() { w.crashLeader(200 * time.Millisecond) })
+				w.scheduleAt(s+0.9, func() { w.crashLeader(100 * time.Millisecond) })
 			}
-			w.when(84, func() {
+			w.scheduleAt(84, func() {
 				for i, n := range w.nodes {
 					if n.alive {
-						n.kill(time.Duration(100+8000*i) * time.Millisecond)
+						n.crash(time.Duration(100+8000*i) * time.Millisecond)
 					}
 				}
-				w.took("all end")
+				w.countEvent("all end")
 			})
 		},
-		took:   map[string]int{"new term": 6, "all end": 1},
-		caught: []Mutation{LaunchFirst},
+		expectedEvents:    map[string]int{"new term": 6, "all end": 1},
+		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
-		name: "machines up at once while writes lag, and the leader ends", guards: "work on a machine that no successor knows of",
-		play: func(w *World) {
-			w.when(1, func() { w.quickBoots = spell{1, second(100)} })
-			w.load(3)
-			w.when(40, func() { w.lateWrites = spell{0.4, second(70)} })
+		name: "machines up at once while writes lag, and the leader ends", guardsAgainst: "work on a machine that no successor knows of",
+		inject: func(w *Simulation) {
+			w.scheduleAt(1, func() { w.fastBoots = faultWindow{1, timeAt(100)} })
+			w.submitBaseLoad(3)
+			w.scheduleAt(40, func() { w.delayedWrites = faultWindow{0.4, timeAt(70)} })
 			for s := 41.0; s < 60; s += 2 {
-				w.when(s, func() { w.job(nil, 30*time.Second) })
+				w.scheduleAt(s, func() { w.submitJob(nil, 30*time.Second) })
 			}
-			w.when(45, func() { w.depose(2 * time.Second) })
-			w.burst(44.5, 45)
-			w.burst(56.5, 57)
-			w.when(57, func() { w.depose(200 * time.Millisecond) })
-			w.when(61, func() {
+			w.scheduleAt(45, func() { w.crashLeader(2 * time.Second) })
+			w.submitBurst(44.5, 45)
+			w.submitBurst(56.5, 57)
+			w.scheduleAt(57, func() { w.crashLeader(200 * time.Millisecond) })
+			w.scheduleAt(61, func() {
 				for _, m := range w.cloud.machines {
-					if k := w.workers[m.host]; k != nil && m.born > second(40) && m.up.Sub(m.born) < 2*time.Second && len(k.pieces) > 0 {
-						w.took("new machine has work")
+					if k := w.workers[m.id]; k != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(k.tasks) > 0 {
+						w.countEvent("new machine has work")
 					}
 				}
 			})
 		},
-		took:   map[string]int{"new machine has work": 1, "new term": 2, "late write after newer ones": 1},
-		caught: []Mutation{LaunchFirst},
+		expectedEvents:    map[string]int{"new machine has work": 1, "new term": 2, "late write after newer ones": 1},
+		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
-		name: "old reports after newer ones", guards: "a copy of an earlier session or attempt proving that a task is gone",
-		play: func(w *World) {
-			w.load(5)
-			w.when(30, func() { w.lateReports = spell{0.6, second(100)} })
+		name: "old reports after newer ones", guardsAgainst: "a copy of an earlier session or attempt proving that a task is gone",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(5)
+			w.scheduleAt(30, func() { w.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
 			for s := 40.0; s < 100; s += 12 {
-				w.when(s, func() {
+				w.scheduleAt(s, func() {
 					if k := w.anyWorker(); k != nil {
 						k.restart()
 					}
 				})
-				w.when(s+3, func() { w.job(nil, 20*time.Second) })
+				w.scheduleAt(s+3, func() { w.submitJob(nil, 20*time.Second) })
 			}
-			w.when(70, func() { w.depose(time.Second) })
+			w.scheduleAt(70, func() { w.crashLeader(time.Second) })
 		},
-		took:   map[string]int{"copy after newer reports": 20, "copy of an earlier session": 3},
-		caught: []Mutation{TrustCopies},
+		expectedEvents:    map[string]int{"copy after newer reports": 20, "copy of an earlier session": 3},
+		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "one-task jobs four a second, a quarter cancelled", guards: "the backlog of ends and cancellations, and elections with hundreds of ended jobs",
-		play: func(w *World) {
-			w.when(1, func() { w.closeLooks = spell{1, second(90)} })
+		name: "one-task jobs four a second, a quarter cancelled", guardsAgainst: "the backlog of ends and cancellations, and elections with hundreds of ended jobs",
+		inject: func(w *Simulation) {
+			w.scheduleAt(1, func() { w.probeAfterAnswer = faultWindow{1, timeAt(90)} })
 			for s := 5.0; s < 105; s += 0.25 {
-				w.when(s, func() {
-					j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 0.5 }, time.Duration(2+w.rng.IntN(6))*time.Second)
+				w.scheduleAt(s, func() {
+					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 0.5 }, time.Duration(2+w.rng.IntN(6))*time.Second)
 					if w.rng.IntN(4) == 0 {
-						w.at(time.Duration(w.rng.IntN(9000))*time.Millisecond, func() {
-							if j.accepted && !finalStatus(j.told) {
-								w.took("one of many cancelled")
-								w.callOff(j, nil)
+						w.schedule(time.Duration(w.rng.IntN(9000))*time.Millisecond, func() {
+							if j.accepted && !isTerminal(j.lastStatus) {
+								w.countEvent("one of many cancelled")
+								w.cancelWhenAccepted(j, nil)
 							}
 						})
 					}
 				})
 			}
-			w.when(60, func() { w.depose(4 * time.Second) })
+			w.scheduleAt(60, func() { w.crashLeader(4 * time.Second) })
 		},
-		took:   map[string]int{"one of many cancelled": 40, "another leads": 1, "close look": 1000},
-		caught: []Mutation{CacheAnswers},
+		expectedEvents:    map[string]int{"one of many cancelled": 40, "another leads": 1, "close look": 1000},
+		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "cancelled as the leader alone is refused, then an outage", guards: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
-		play: gap, seeds: 12,
-		took:   map[string]int{"another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
-		caught: []Mutation{RenewOn},
+		name: "cancelled as the leader alone is refused, then an outage", guardsAgainst: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
+		inject: cancelDuringFailoverAndOutage, seeds: 12,
+		expectedEvents:    map[string]int{"another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
+		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
-		name: "commands and answers held up, and the machine goes on", guards: "a command of before, carried out late, meeting what has replaced it; tokens are switched off in TestMutationsAreCaught, where more seeds show it",
-		play: func(w *World) {
-			w.load(6)
-			w.when(30, func() { w.heldOrders = spell{0.7, second(100)} })
+		name: "commands and answers held up, and the machine goes on", guardsAgainst: "a command of before, carried out late, meeting what has replaced it; tokens are switched off in TestMutationsAreCaught, where more seeds show it",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(6)
+			w.scheduleAt(30, func() { w.delayedCommands = faultWindow{0.7, timeAt(100)} })
 			for s := 39.5; s < 100; s += 7 {
-				w.burst(s-0.5, s)
-				w.when(s, func() {
+				w.submitBurst(s-0.5, s)
+				w.scheduleAt(s, func() {
 					if k := w.anyWorker(); k != nil {
-						k.hang(time.Duration(2+w.rng.IntN(6)) * time.Second)
+						k.hangFor(time.Duration(2+w.rng.IntN(6)) * time.Second)
 					}
-					w.cancelNow(1, 0)
-					w.job(nil, 20*time.Second)
+					w.cancelRunning(1, 0)
+					w.submitJob(nil, 20*time.Second)
 				})
 			}
 			for s := 46.5; s < 100; s += 14 {
-				w.when(s, func() { w.depose(4 * time.Second) })
+				w.scheduleAt(s, func() { w.crashLeader(4 * time.Second) })
 			}
 		},
-		took:   map[string]int{"held order": 50, "cancelled while it ran": 3, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"held order": 50, "cancelled while it ran": 3, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "leaders change ten times in two minutes, in an outage too", guards: "tasks and answers lost between terms",
-		play: func(w *World) {
-			w.load(2)
+		name: "leaders change ten times in two minutes, in an outage too", guardsAgainst: "tasks and answers lost between terms",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(2)
 			for s := 20.0; s < 130; s += 9 {
 				back := 150 * time.Millisecond
 				if w.rng.IntN(2) == 0 {
 					back = 3200 * time.Millisecond
 				}
-				w.when(s-0.2, func() {
+				w.scheduleAt(s-0.2, func() {
 					for i, k := range w.sortedWorkers() {
-						if i%2 == 0 && len(k.pieces) > 0 {
-							w.sever(string(k.host), "*", false, 6*time.Second)
+						if i%2 == 0 && len(k.tasks) > 0 {
+							w.disconnect(string(k.id), "*", false, 6*time.Second)
 						}
 					}
 				})
-				w.when(s, func() { w.depose(back) })
-				w.burst(s-0.4, s)
+				w.scheduleAt(s, func() { w.crashLeader(back) })
+				w.submitBurst(s-0.4, s)
 			}
-			w.when(73, func() { w.store.downUntil = w.now.Add(12 * time.Second) })
-			w.when(140, func() {
-				if w.terms() >= 10 {
-					w.took("ten terms")
+			w.scheduleAt(73, func() { w.store.downUntil = w.now.Add(12 * time.Second) })
+			w.scheduleAt(140, func() {
+				if w.newestTerm() >= 10 {
+					w.countEvent("ten terms")
 				}
 			})
 		},
-		length: 150 * time.Second,
-		took:   map[string]int{"ten terms": 1, "new term": 8, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		length:            150 * time.Second,
+		expectedEvents:    map[string]int{"ten terms": 1, "new term": 8, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "only the answers of transactions are lost, others read", guards: "a leader telling what it remembers while another node reads what is",
-		play: func(w *World) {
-			w.load(4)
-			w.when(30, func() {
-				w.lostAnswers, w.closeLooks = spell{0.6, second(100)}, spell{1, second(110)}
+		name: "only the answers of transactions are lost, others read", guardsAgainst: "a leader telling what it remembers while another node reads what is",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(4)
+			w.scheduleAt(30, func() {
+				w.droppedReplies, w.probeAfterAnswer = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
 				if l := w.leader(); l != nil { // the others read for themselves
-					w.others(l, func(n *node) { w.sever(l.name, n.name, false, 60*time.Second) })
+					w.forEachPeer(l, func(n *node) { w.disconnect(l.name, n.name, false, 60*time.Second) })
 				}
 			})
 			for s := 31.0; s < 90; s += 1.5 {
-				w.when(s, func() {
-					j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Duration(1+w.rng.IntN(8))*time.Second)
+				w.scheduleAt(s, func() {
+					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Duration(1+w.rng.IntN(8))*time.Second)
 					if w.rng.IntN(2) == 0 {
-						w.at(time.Duration(500+w.rng.IntN(6000))*time.Millisecond, func() {
+						w.schedule(time.Duration(500+w.rng.IntN(6000))*time.Millisecond, func() {
 							if j.accepted {
-								w.callOff(j, nil)
+								w.cancelWhenAccepted(j, nil)
 							}
 						})
 					}
 				})
 			}
 			for s := 31.0; s < 95; s += 0.1 { // in between as well: who reads first tells first
-				w.when(s, func() {
-					for _, id := range w.order[max(0, len(w.order)-6):] {
+				w.scheduleAt(s, func() {
+					for _, id := range w.jobOrder[max(0, len(w.jobOrder)-6):] {
 						if j := w.jobs[id]; j.accepted {
-							w.pollAt(j, w.nodes[w.rng.IntN(3)])
+							w.pollNode(j, w.nodes[w.rng.IntN(3)])
 						}
 					}
 				})
 			}
 		},
-		took:   map[string]int{"lost answer": 10, "close look": 100},
-		caught: []Mutation{CacheAnswers},
+		expectedEvents:    map[string]int{"lost answer": 10, "close look": 100},
+		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "more work than room, urgent and not, over slow links", guards: "large jobs and teams without a guarantee never having their turn",
-		crowd: true, length: 400 * time.Second, seeds: 1,
-		play: func(w *World) {
-			w.when(20, func() { w.slowLinks = spell{0.7, second(400)} })
+		name: "more work than room, urgent and not, over slow links", guardsAgainst: "large jobs and teams without a guarantee never having their turn",
+		overload: true, length: 400 * time.Second, seeds: 1,
+		inject: func(w *Simulation) {
+			w.scheduleAt(20, func() { w.slowLinks = faultWindow{0.7, timeAt(400)} })
 			for s := 30.0; s < 400; s += 10 {
-				w.when(s, func() {
-					j := w.job(func(s *api.Spec) {
+				w.scheduleAt(s, func() {
+					j := w.submitJob(func(s *api.Spec) {
 						s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1, "blue"
 					}, 0)
-					w.at(30*time.Second, func() { w.callOff(j, nil) })
+					w.schedule(30*time.Second, func() { w.cancelWhenAccepted(j, nil) })
 				})
 			}
 		},
-		took:   map[string]int{"slow link": 100},
-		caught: []Mutation{NoMaxWait},
+		expectedEvents:    map[string]int{"slow link": 100},
+		detectedMutations: []Mutation{NoMaxWait},
 	},
 	{
-		name: "users ask at all nodes right after what they are told", guards: "a node being behind another",
-		play: func(w *World) {
-			w.when(5, func() { w.closeLooks = spell{1, second(125)} })
-			w.load(3)
+		name: "users ask at all nodes right after what they are told", guardsAgainst: "a node being behind another",
+		inject: func(w *Simulation) {
+			w.scheduleAt(5, func() { w.probeAfterAnswer = faultWindow{1, timeAt(125)} })
+			w.submitBaseLoad(3)
 			for s := 20.0; s < 110; s += 1.2 {
-				w.when(s, func() {
-					j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(5))*time.Second)
+				w.scheduleAt(s, func() {
+					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(5))*time.Second)
 					switch w.rng.IntN(4) {
 					case 0:
-						w.at(time.Duration(w.rng.IntN(60))*time.Millisecond, func() { w.callOff(j, nil) })
+						w.schedule(time.Duration(w.rng.IntN(60))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
 					case 1:
-						w.at(time.Duration(1000+w.rng.IntN(5000))*time.Millisecond, func() { w.callOff(j, nil) })
+						w.schedule(time.Duration(1000+w.rng.IntN(5000))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
 					}
 				})
 			}
-			w.when(60, func() { w.depose(3 * time.Second) })
-			w.when(80, func() { w.odd(second(110)) })
+			w.scheduleAt(60, func() { w.crashLeader(3 * time.Second) })
+			w.scheduleAt(80, func() { w.sendEdgeCaseRequests(timeAt(110)) })
 		},
-		took:   map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1, "done job cancelled": 1},
-		caught: []Mutation{CacheAnswers},
+		expectedEvents:    map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1, "done job cancelled": 1},
+		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "a leader keeps only workers and users, jobs cancelled through the next", guards: "the old leader keeping the leases of what the new one has cancelled",
-		play: func(w *World) {
-			w.load(8)
-			w.when(60, func() {
+		name: "a leader keeps only workers and users, jobs cancelled through the next", guardsAgainst: "the old leader keeping the leases of what the new one has cancelled",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(8)
+			w.scheduleAt(60, func() {
 				old := w.leader()
 				if old == nil {
 					return
 				}
 				hold := w.cfg.Seed%2 == 0
-				for _, j := range w.running() {
-					w.flock(j, old)
+				for _, j := range w.runningJobs() {
+					w.redirectHeartbeats(j, old)
 				}
 				w.isolate(old, hold, 58*time.Second)
-				w.next(old, func(n *node) {
-					for _, j := range w.running() { // the new one's commands are lost
-						for _, k := range w.hosts(j) {
-							w.sever(n.name, string(k.host), false, 56*time.Second)
+				w.onNextLeader(old, func(n *node) {
+					for _, j := range w.runningJobs() { // the new one's commands are lost
+						for _, k := range w.workersOf(j) {
+							w.disconnect(n.name, string(k.id), false, 56*time.Second)
 						}
 					}
-					w.serving(n, func() { w.confirm(n, 4) })
+					w.onceServing(n, func() { w.cancelAndConfirm(n, 4) })
 				})
 			})
-			w.when(70, func() {
+			w.scheduleAt(70, func() {
 				for _, k := range w.sortedWorkers() {
-					if len(k.pieces) > 0 && w.now.Sub(k.leaseAt) < 4*time.Second {
-						w.took("lease kept by the old leader")
+					if len(k.tasks) > 0 && w.now.Sub(k.leaseRenewedAt) < 4*time.Second {
+						w.countEvent("lease kept by the old leader")
 					}
 				}
 			})
 		},
-		took:   map[string]int{"another leads": 1, "confirmed by another": 1, "lease kept by the old leader": 1},
-		caught: []Mutation{RenewOn},
+		expectedEvents:    map[string]int{"another leads": 1, "confirmed by another": 1, "lease kept by the old leader": 1},
+		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
-		name: "the leader ends while machines can't be reached or don't hear", guards: "a successor starting elsewhere what goes on there",
-		play: func(w *World) {
-			w.load(7)
-			w.when(60, func() {
+		name: "the leader ends while machines can't be reached or don't hear", guardsAgainst: "a successor starting elsewhere what goes on there",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(7)
+			w.scheduleAt(60, func() {
 				for i, k := range w.sortedWorkers() {
-					if len(k.pieces) == 0 {
+					if len(k.tasks) == 0 {
 						continue
 					}
 					switch i % 3 {
 					case 0:
-						w.took("machine away")
-						w.sever(string(k.host), "*", w.cfg.Seed%2 == 0, time.Duration(8+w.rng.IntN(20))*time.Second)
+						w.countEvent("machine away")
+						w.disconnect(string(k.id), "*", w.cfg.Seed%2 == 0, time.Duration(8+w.rng.IntN(20))*time.Second)
 					case 1:
-						w.took("machine deaf")
-						w.deaf[string(k.host)] = w.now.Add(time.Duration(8+w.rng.IntN(20)) * time.Second)
+						w.countEvent("machine deaf")
+						w.inboundBlockedUntil[string(k.id)] = w.now.Add(time.Duration(8+w.rng.IntN(20)) * time.Second)
 					}
 				}
 			})
-			w.when(61, func() { w.depose(5 * time.Second) })
+			w.scheduleAt(61, func() { w.crashLeader(5 * time.Second) })
 		},
-		took:   map[string]int{"machine away": 1, "machine deaf": 1, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"machine away": 1, "machine deaf": 1, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "transactions are carried out late, after newer ones", guards: "something old being written over something new",
-		play: func(w *World) {
-			w.load(4)
-			w.when(20, func() { w.lateWrites = spell{0.4, second(100)} })
+		name: "transactions are carried out late, after newer ones", guardsAgainst: "something old being written over something new",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(4)
+			w.scheduleAt(20, func() { w.delayedWrites = faultWindow{0.4, timeAt(100)} })
 			for s := 21.0; s < 100; s += 3 {
-				w.when(s, func() {
-					j := w.job(nil, time.Duration(5+w.rng.IntN(15))*time.Second)
+				w.scheduleAt(s, func() {
+					j := w.submitJob(nil, time.Duration(5+w.rng.IntN(15))*time.Second)
 					if w.rng.IntN(3) == 0 {
-						w.at(time.Duration(1000+w.rng.IntN(9000))*time.Millisecond, func() { w.callOff(j, nil) })
+						w.schedule(time.Duration(1000+w.rng.IntN(9000))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
 					}
 				})
 			}
-			w.when(70, func() { w.depose(4 * time.Second) })
+			w.scheduleAt(70, func() { w.crashLeader(4 * time.Second) })
 		},
-		took:   map[string]int{"late write after newer ones": 10, "another leads": 1},
-		caught: []Mutation{IgnoreStamps},
+		expectedEvents:    map[string]int{"late write after newer ones": 10, "another leads": 1},
+		detectedMutations: []Mutation{IgnoreRevisions},
 	},
 	{
-		name: "a zone with workers and a controller is cut off for longer than a lease", guards: "leases kept inside for jobs cancelled outside",
-		play: func(w *World) {
-			w.load(8)
-			w.when(60, func() {
+		name: "a zone with workers and a controller is cut off for longer than a lease", guardsAgainst: "leases kept inside for jobs cancelled outside",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(8)
+			w.scheduleAt(60, func() {
 				zone := w.nodes[1].zone
-				w.cutZone(zone, w.cfg.Seed%2 == 0, 60*time.Second)
-				w.took("zone cut off")
-				w.at(4*time.Second, func() {
-					for _, j := range w.running() {
-						for _, k := range w.hosts(j) {
-							if k.m.site == zone {
-								w.took("cancelled inside")
-								w.callOff(j, nil)
+				w.partitionZone(zone, w.cfg.Seed%2 == 0, 60*time.Second)
+				w.countEvent("zone cut off")
+				w.schedule(4*time.Second, func() {
+					for _, j := range w.runningJobs() {
+						for _, k := range w.workersOf(j) {
+							if k.machine.zone == zone {
+								w.countEvent("cancelled inside")
+								w.cancelWhenAccepted(j, nil)
 								break
 							}
 						}
@@ -378,221 +378,223 @@
 				})
 			})
 		},
-		took:   map[string]int{"zone cut off": 1, "cancelled inside": 1},
-		caught: []Mutation{KeepLeasesOn}, seeds: 4,
+		expectedEvents:    map[string]int{"zone cut off": 1, "cancelled inside": 1},
+		detectedMutations: []Mutation{KeepLeasesForever}, seeds: 4,
 	},
 	{
-		name: "a job's tasks end far apart, across a change of leader", guards: "an end of the term before being forgotten, or a task that goes on started again",
-		play: func(w *World) {
-			w.when(5, func() {
+		name: "a job's tasks end far apart, across a change of leader", guardsAgainst: "an end of the term before being forgotten, or a task that goes on started again",
+		inject: func(w *Simulation) {
+			w.scheduleAt(5, func() {
 				for range 6 {
-					j := w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 2+w.rng.IntN(2), 2 }, 25*time.Second)
-					j.step = 25 * time.Second
+					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2+w.rng.IntN(2), 2 }, 25*time.Second)
+					j.durationStep = 25 * time.Second
 				}
 			})
-			w.when(51, func() {
+			w.scheduleAt(51, func() {
 				for i, k := range w.sortedWorkers() {
 					if i%2 == 0 {
-						w.sever(string(k.host), "*", false, 8*time.Second)
+						w.disconnect(string(k.id), "*", false, 8*time.Second)
 					}
 				}
 			})
-			w.when(52, func() { w.depose(4 * time.Second) })
-			w.when(56, func() {
-				for _, j := range w.running() {
+			w.scheduleAt(52, func() { w.crashLeader(4 * time.Second) })
+			w.scheduleAt(56, func() {
+				for _, j := range w.runningJobs() {
 					for i, d := range j.done {
 						if d && i < j.spec.Tasks {
-							w.took("ended before, others go on")
+							w.countEvent("ended before, others go on")
 							break
 						}
 					}
 				}
 			})
 		},
-		took:   map[string]int{"ended before, others go on": 1, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"ended before, others go on": 1, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "old reports reach every node as a new leader begins", guards: "the first report of a term being taken for the newest",
-		play: func(w *World) {
-			w.load(6)
-			w.when(30, func() { w.keepReports(0.5, 60*time.Second) })
+		name: "old reports reach every node as a new leader begins", guardsAgainst: "the first report of a term being taken for the newest",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(6)
+			w.scheduleAt(30, func() { w.holdHeartbeatsForNextLeader(0.5, 60*time.Second) })
 			for s := 45.0; s < 90; s += 15 {
-				w.when(s, func() { w.depose(4 * time.Second) })
-				w.when(s-5, func() { w.job(nil, 20*time.Second) })
+				w.scheduleAt(s, func() { w.crashLeader(4 * time.Second) })
+				w.scheduleAt(s-5, func() { w.submitJob(nil, 20*time.Second) })
 			}
 		},
-		took:   map[string]int{"copy for the next leader": 20, "another leads": 2},
-		caught: []Mutation{TrustCopies},
+		expectedEvents:    map[string]int{"copy for the next leader": 20, "another leads": 2},
+		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "called off, asked and submitted again as the last task ends", guards: "a job being cancelled for one node and done for another",
-		play: func(w *World) {
-			w.when(5, func() { w.lastMoment, w.closeLooks = spell{0.7, second(120)}, spell{1, second(125)} })
-			w.load(2)
+		name: "called off, asked and submitted again as the last task ends", guardsAgainst: "a job being cancelled for one node and done for another",
+		inject: func(w *Simulation) {
+			w.scheduleAt(5, func() {
+				w.cancelAtCompletion, w.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
+			})
+			w.submitBaseLoad(2)
 			for s := 10.0; s < 110; s += 1 {
-				w.when(s, func() {
-					w.job(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(4))*time.Second)
+				w.scheduleAt(s, func() {
+					w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(4))*time.Second)
 				})
 			}
 		},
-		took:   map[string]int{"called off at the end": 30, "close look": 300},
-		caught: []Mutation{CacheAnswers},
+		expectedEvents:    map[string]int{"called off at the end": 30, "close look": 300},
+		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "the state service is slow, refuses the leader, then everybody", guards: "cancellations confirmed and questions answered on the way into an outage",
-		play: func(w *World) {
-			w.when(30, func() { w.slowState = spell{0.8, second(60)} })
+		name: "the state service is slow, refuses the leader, then everybody", guardsAgainst: "cancellations confirmed and questions answered on the way into an outage",
+		inject: func(w *Simulation) {
+			w.scheduleAt(30, func() { w.slowStore = faultWindow{0.8, timeAt(60)} })
 			for s := 31.0; s < 60; s += 4 {
-				w.when(s, func() { w.cancelNow(1, 0) })
+				w.scheduleAt(s, func() { w.cancelRunning(1, 0) })
 			}
-			gap(w)
-			w.when(50, func() { w.job(nil, 60*time.Second); w.job(nil, 60*time.Second) })
+			cancelDuringFailoverAndOutage(w)
+			w.scheduleAt(50, func() { w.submitJob(nil, 60*time.Second); w.submitJob(nil, 60*time.Second) })
 		},
-		took:   map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
-		caught: []Mutation{RenewOn}, seeds: 6,
+		expectedEvents:    map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
+		detectedMutations: []Mutation{RenewWithoutLeadership}, seeds: 6,
 	},
 	{
-		name: "jobs bound to one zone lose machines", guards: "a lost task's place being chosen without the others",
-		play: func(w *World) {
-			w.when(3, func() {
+		name: "jobs bound to one zone lose machines", guardsAgainst: "a lost task's place being chosen without the others",
+		inject: func(w *Simulation) {
+			w.scheduleAt(3, func() {
 				for range 4 {
-					w.job(func(s *api.Spec) { s.OneZone, s.VCPUs, s.Tasks = true, 3, 4 }, 60*time.Second)
-					w.job(func(s *api.Spec) { s.Zone, s.VCPUs = &w.set.Zones[1], 3 }, 60*time.Second)
+					w.submitJob(func(s *api.Spec) { s.OneZone, s.VCPUs, s.Tasks = true, 3, 4 }, 60*time.Second)
+					w.submitJob(func(s *api.Spec) { s.Zone, s.VCPUs = &w.settings.Zones[1], 3 }, 60*time.Second)
 				}
 			})
 			for s := 40.0; s < 70; s += 5 {
-				w.when(s, func() {
-					for _, j := range w.running() {
-						if list := w.hosts(j); (j.spec.OneZone || j.spec.Zone != nil) && len(list) > 0 {
-							w.took("machine lost")
-							w.cloud.take(list[w.rng.IntN(len(list))].m)
+				w.scheduleAt(s, func() {
+					for _, j := range w.runningJobs() {
+						if list := w.workersOf(j); (j.spec.OneZone || j.spec.Zone != nil) && len(list) > 0 {
+							w.countEvent("machine lost")
+							w.cloud.terminate(list[w.rng.IntN(len(list))].machine)
 							return
 						}
 					}
 				})
 			}
-			w.when(52, func() { w.depose(4 * time.Second) })
+			w.scheduleAt(52, func() { w.crashLeader(4 * time.Second) })
 		},
-		took:   map[string]int{"machine lost": 3, "another leads": 1},
-		caught: []Mutation{LoseZone},
+		expectedEvents:    map[string]int{"machine lost": 3, "another leads": 1},
+		detectedMutations: []Mutation{DropZoneConstraint},
 	},
 	{
-		name: "cancelled while one controller's work changes hands", guards: "a cancellation that neither leader carries out",
-		play: func(w *World) {
-			w.load(8)
-			w.when(60, func() { w.depose(4 * time.Second) })
+		name: "cancelled while one controller's work changes hands", guardsAgainst: "a cancellation that neither leader carries out",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(8)
+			w.scheduleAt(60, func() { w.crashLeader(4 * time.Second) })
 			for s := 58.5; s < 64; s += 0.7 {
-				w.when(s, func() { w.cancelNow(1, 0) })
+				w.scheduleAt(s, func() { w.cancelRunning(1, 0) })
 			}
 		},
-		took:   map[string]int{"cancelled while it ran": 4, "another leads": 1},
-		caught: []Mutation{NoKills},
+		expectedEvents:    map[string]int{"cancelled while it ran": 4, "another leads": 1},
+		detectedMutations: []Mutation{DropStopCommands},
 	},
 	{
-		name: "reports held back until a new leader has acted", guards: "what a new leader has done being undone by an older report",
-		play: func(w *World) {
-			w.load(6)
-			w.when(56, func() {
+		name: "reports held back until a new leader has acted", guardsAgainst: "what a new leader has done being undone by an older report",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(6)
+			w.scheduleAt(56, func() {
 				for i, k := range w.sortedWorkers() {
 					if i%2 == 0 {
-						w.sever(string(k.host), "*", true, 9*time.Second)
-						w.took("reports held back")
+						w.disconnect(string(k.id), "*", true, 9*time.Second)
+						w.countEvent("reports held back")
 					}
 				}
-				w.keepReports(0.8, 10*time.Second)
+				w.holdHeartbeatsForNextLeader(0.8, 10*time.Second)
 			})
-			w.when(59, func() { w.depose(5 * time.Second) })
-			w.when(62, func() { w.cancelNow(2, 0); w.job(nil, 20*time.Second) })
+			w.scheduleAt(59, func() { w.crashLeader(5 * time.Second) })
+			w.scheduleAt(62, func() { w.cancelRunning(2, 0); w.submitJob(nil, 20*time.Second) })
 		},
-		took:   map[string]int{"reports held back": 2, "copy for the next leader": 1, "another leads": 1},
-		caught: []Mutation{TrustCopies},
+		expectedEvents:    map[string]int{"reports held back": 2, "copy for the next leader": 1, "another leads": 1},
+		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "all controllers are away for longer than a lease", guards: "what may still be on machines being started elsewhere",
-		play: func(w *World) {
-			w.load(7)
-			w.when(60, func() {
+		name: "all controllers are away for longer than a lease", guardsAgainst: "what may still be on machines being started elsewhere",
+		inject: func(w *Simulation) {
+			w.submitBaseLoad(7)
+			w.scheduleAt(60, func() {
 				back := time.Duration(14+4*w.cfg.Seed%24) * time.Second
 				for i, k := range w.sortedWorkers() {
 					if i%2 == 0 { // within its lease it goes on
-						k.hang(back + time.Duration(w.rng.IntN(4))*time.Second)
+						k.hangFor(back + time.Duration(w.rng.IntN(4))*time.Second)
 					}
 				}
 				for _, n := range w.nodes {
-					n.kill(back)
+					n.crash(back)
 				}
-				w.took("all away")
+				w.countEvent("all away")
 			})
 		},
-		took:   map[string]int{"all away": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"all away": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "a team at its limit, machines not asked, leader changes, a cancellation", guards: "room of the limit given away before its machine is heard",
-		play: func(w *World) {
-			w.full()
-			w.when(59, func() {
+		name: "a team at its limit, machines not asked, leader changes, a cancellation", guardsAgainst: "room of the limit given away before its machine is heard",
+		inject: func(w *Simulation) {
+			w.saturateTeams()
+			w.scheduleAt(59, func() {
 				for i, k := range w.sortedWorkers() {
-					if i%2 == 0 && len(k.pieces) > 0 {
-						w.took("machine deaf")
-						w.deaf[string(k.host)] = w.now.Add(time.Duration(6+w.rng.IntN(12)) * time.Second)
+					if i%2 == 0 && len(k.tasks) > 0 {
+						w.countEvent("machine deaf")
+						w.inboundBlockedUntil[string(k.id)] = w.now.Add(time.Duration(6+w.rng.IntN(12)) * time.Second)
 					}
 				}
 			})
-			w.when(60, func() { w.depose(3 * time.Second) })
-			w.when(60.5, func() { w.cancelNow(2, 0) })
-			w.when(63, func() { w.cancelNow(2, 5*time.Second) })
+			w.scheduleAt(60, func() { w.crashLeader(3 * time.Second) })
+			w.scheduleAt(60.5, func() { w.cancelRunning(2, 0) })
+			w.scheduleAt(63, func() { w.cancelRunning(2, 5*time.Second) })
 		},
-		took:   map[string]int{"team at its limit": 2, "machine deaf": 2, "cancelled while it ran": 2, "another leads": 1},
-		caught: []Mutation{ForgetPlacements},
+		expectedEvents:    map[string]int{"team at its limit": 2, "machine deaf": 2, "cancelled while it ran": 2, "another leads": 1},
+		detectedMutations: []Mutation{ForgetPlacements},
 	},
 }
 
-func (m *meeting) run(seed uint64, without Mutation) *World {
+func (m *concurrentFaults) run(seed uint64, without Mutation) *Simulation {
 	length := cmp.Or(m.length, 130*time.Second)
-	w := New(Config{Seed: seed, Mutation: without, Length: length, Quiet: !m.crowd, Crowd: m.crowd})
-	m.play(w)
+	w := New(Config{Seed: seed, Mutation: without, ActiveDuration: length, NoArrivals: !m.overload, Overload: m.overload})
+	m.inject(w)
 	w.Run()
 	return w
 }
 
-// undone says whether anything was left undone. Where more is asked for than there is
+// unfinished says whether anything was left undone. Where more is asked for than there is
 // room, that is only whether the largest jobs began in time.
-func (m *meeting) undone(w *World) bool {
-	if !m.crowd {
-		return len(w.Undone) > 0
+func (m *concurrentFaults) unfinished(w *Simulation) bool {
+	if !m.overload {
+		return len(w.Unfinished) > 0
 	}
-	ids, n := late(w)
+	ids, n := largeJobsStartedLate(w)
 	return len(ids) > 0 || n < 10
 }
 
-// TestMeetings plays the meetings of troubles, each from a few seeds: no rule breaks and
+// TestConcurrentFaults plays the meetings of troubles, each from a few seeds: no rule breaks and
 // every job comes to its end. A run in which the meeting did not take place fails. Each
 // is played without the safeguards that it rests on as well, which some seed must notice.
-func TestMeetings(t *testing.T) {
-	for _, m := range meetings {
+func TestConcurrentFaults(t *testing.T) {
+	for _, m := range concurrentFaultScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			seeds := cmp.Or(m.seeds, 3)
 			for seed := range seeds {
 				w := m.run(seed, None)
-				if len(w.Broken) > 0 || m.undone(w) {
-					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guards, seed, w.Broken, w.Undone, w.Tail(40))
+				if len(w.Violations) > 0 || m.unfinished(w) {
+					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, w.Violations, w.Unfinished, w.LogTail(40))
 				}
-				for what, n := range m.took {
-					if w.seen[what] < n {
-						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, w.seen[what], n, w.seen)
+				for what, n := range m.expectedEvents {
+					if w.eventCounts[what] < n {
+						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, w.eventCounts[what], n, w.eventCounts)
 					}
 				}
 			}
-			for _, x := range m.caught {
-				caught := false
-				for seed := uint64(0); seed < 20 && !caught; seed++ {
+			for _, x := range m.detectedMutations {
+				detected := false
+				for seed := uint64(0); seed < 20 && !detected; seed++ {
 					w := m.run(seed, x)
-					caught = len(w.Broken) > 0 || x == NoMaxWait && m.undone(w)
+					detected = len(w.Violations) > 0 || x == NoMaxWait && m.unfinished(w)
 				}
-				if !caught {
+				if !detected {
 					t.Errorf("no seed notices that safeguard %d is off", x)
 				}
 			}
--- a/internal/standin/mistake_test.go
+++ b/internal/standin/mistake_test.go
@@ -7,22 +7,22 @@
 	"opaldale/internal/api"
 )
 
-// mistake is a way in which jobs that fail on every machine come.
-type mistake struct {
+// failingJobs is a way in which jobs that fail on every machine come.
+type failingJobs struct {
 	name   string
 	jobs   int
 	change func(s *api.Spec)
-	// tries bounds the starts of all their tasks in a minute and a half.
-	tries int
+	// maxFailures bounds the starts of all their tasks in a minute and a half.
+	maxFailures int
 }
 
-// TestMistakesOfEveryShape: jobs that fail on every machine come as a vast array, as
+// TestAlwaysFailingJobsOfEveryShape: jobs that fail on every machine come as a vast array, as
 // services, as gangs and many at once; the leader ends meanwhile. Their tries stay few, no
 // sound machine is returned as faulty for them, jobs beside them start as always, and once
 // cancelled they are gone in time.
-func TestMistakesOfEveryShape(t *testing.T) {
+func TestAlwaysFailingJobsOfEveryShape(t *testing.T) {
 	t.Parallel()
-	for _, m := range []mistake{
+	for _, m := range []failingJobs{
 		{"vast array", 1, func(s *api.Spec) { s.Tasks, s.VCPUs = 2000, 0.25 }, 400},
 		{"services", 3, func(s *api.Spec) { s.Shape, s.Priority, s.RuntimeS, s.Spot = api.Service, api.Critical, 0, false }, 250},
 		{"gangs", 2, func(s *api.Spec) { s.Shape, s.Tasks, s.VCPUs, s.OneZone = api.Gang, 4, 1, true }, 250},
@@ -31,41 +31,41 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				w := New(Config{Seed: seed, Quiet: true, Length: 170 * time.Second})
-				w.load(2)
+				w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
+				w.submitBaseLoad(2)
 				var list, beside []*userJob
-				w.when(40, func() {
+				w.scheduleAt(40, func() {
 					for range m.jobs {
-						j := w.job(m.change, 10*time.Second)
-						j.mistaken = true
+						j := w.submitJob(m.change, 10*time.Second)
+						j.alwaysFails = true
 						list = append(list, j)
 					}
 				})
 				for s := 45.0; s < 125; s += 4 {
-					w.when(s, func() {
-						beside = append(beside, w.job(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1 }, 3*time.Second))
+					w.scheduleAt(s, func() {
+						beside = append(beside, w.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1 }, 3*time.Second))
 					})
 				}
-				w.when(80, func() { w.depose(3 * time.Second) })
-				w.when(130, func() {
+				w.scheduleAt(80, func() { w.crashLeader(3 * time.Second) })
+				w.scheduleAt(130, func() {
 					for _, j := range list {
-						w.callOff(j, nil)
+						w.cancelWhenAccepted(j, nil)
 					}
 				})
 				w.Run()
-				whole(t, seed, w)
+				requireClean(t, seed, w)
 				tries := 0
 				for _, j := range list {
-					tries += j.tries
-					if j.told != "cancelled" {
-						t.Errorf("seed %d: %s ended as %q", seed, j.spec.ID, j.told)
+					tries += j.failures
+					if j.lastStatus != "cancelled" {
+						t.Errorf("seed %d: %s ended as %q", seed, j.spec.ID, j.lastStatus)
 					}
 				}
-				if tries < 4 || tries > m.tries {
+				if tries < 4 || tries > m.maxFailures {
 					t.Errorf("seed %d: %d tries in 90 s", seed, tries)
 				}
 				for _, j := range beside {
-					if wait := j.begunAt.Sub(j.sentAt); j.begunAt == 0 || wait > 25*time.Second {
+					if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 25*time.Second {
 						t.Errorf("seed %d: %s beside them began after %v", seed, j.spec.ID, wait)
 					}
 				}
--- a/internal/standin/moves.go
+++ b/internal/standin/moves.go
@@ -12,13 +12,13 @@
 	"opaldale/internal/statesvc"
 )
 
-// maxMovesOfJob is how often the tasks of a job may be moved in its life.
-const maxMovesOfJob = 2
+// maxMovesPerJob is how often the tasks of a job may be moved in its life.
+const maxMovesPerJob = 2
 
-// checkMoves checks what is written about moves: a job's record only grows, to two moves at
+// checkMoveRecord checks what is written about moves: a job's record only grows, to two moves at
 // the most, until the job is over.
-func (w *World) checkMoves(c statesvc.Mutation) {
-	id, ok := movesKey(c.Put + c.Delete)
+func (w *Simulation) checkMoveRecord(c statesvc.Mutation) {
+	id, ok := jobOfMoveKey(c.Put + c.Delete)
 	if !ok {
 		return
 	}
@@ -30,18 +30,18 @@
 	}
 	if c.Delete != "" {
 		if w.store.keys["live/"+id] != nil {
-			w.broken("the moves of %s are forgotten before it is over", id)
+			w.reportViolation("the moves of %s are forgotten before it is over", id)
 		}
 		return
 	}
 	r, err := migration.ReadRecord(c.Value)
 	switch {
 	case err != nil:
-		w.broken("%s: %v", c.Put, err)
+		w.reportViolation("%s: %v", c.Put, err)
 	case len(r.Moves) < before:
-		w.broken("%s: %d moves on record, %d before", id, len(r.Moves), before)
-	case len(r.Moves) > maxMovesOfJob:
-		w.broken("%s is moved %d times", id, len(r.Moves))
+		w.reportViolation("%s: %d moves on record, %d before", id, len(r.Moves), before)
+	case len(r.Moves) > maxMovesPerJob:
+		w.reportViolation("%s is moved %d times", id, len(r.Moves))
 	}
 	w.Moves += len(r.Moves) - before
 	w.logf("move of %s on record, its %d.", id, len(r.Moves))
@@ -49,80 +49,80 @@
 
 // Times of the scenario in which moves pay.
 const (
-	// firstEnds is how long the first task of a job runs, and nextEnds how much longer each
+	// firstTaskDuration is how long the first task of a job runs, and taskDurationStep how much longer each
 	// further one does.
-	firstEnds = 28 * time.Second
-	nextEnds  = 60 * time.Second
-	wideRuns  = 25 * time.Second
-	// wideAt is when the wide tasks come, once the first tasks have left.
-	wideAt = 50.0
+	firstTaskDuration = 28 * time.Second
+	taskDurationStep  = 60 * time.Second
+	wideTaskDuration  = 25 * time.Second
+	// wideTasksAt is when the wide tasks come, once the first tasks have left.
+	wideTasksAt = 50.0
 )
 
-// movingConfig sets up a small fleet that can't grow, whose nodes move running tasks.
-func movingConfig(seed uint64) Config {
+// rebalancingConfig sets up a small fleet that can't grow, whose nodes move running tasks.
+func rebalancingConfig(seed uint64) Config {
 	var teams []settings.Team
 	for _, name := range []string{"red", "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: 100, CPUsMax: 200})
 	}
-	return Config{Seed: seed, Rebalance: settings.RebalanceMove, Quiet: true, Capacity: 2, Teams: teams, Length: 150 * time.Second}
+	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: teams, ActiveDuration: 150 * time.Second}
 }
 
-// fragment fills the machines with jobs of four tasks, of which one ends early, and then asks
+// fragmentFleet fills the machines with jobs of four tasks, of which one ends early, and then asks
 // for room for wide tasks: each machine has room for half of one.
-func (w *World) fragment(wide int) {
+func (w *Simulation) fragmentFleet(wide int) {
 	w.checkReservations()
-	w.when(2, func() {
-		for range 4 * w.cfg.Capacity {
-			j := w.job(w.narrow, firstEnds)
-			j.step = nextEnds
+	w.scheduleAt(2, func() {
+		for range 4 * w.cfg.ZoneCapacity {
+			j := w.submitJob(w.makeNarrow, firstTaskDuration)
+			j.durationStep = taskDurationStep
 		}
 	})
-	w.when(wideAt, func() {
+	w.scheduleAt(wideTasksAt, func() {
 		for range wide {
-			w.job(func(s *api.Spec) {
-				w.narrow(s)
-				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
-			}, wideRuns)
+			w.submitJob(func(s *api.Spec) {
+				w.makeNarrow(s)
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
+			}, wideTaskDuration)
 		}
 	})
 }
 
-// wideNowAndThen submits a wide task every few seconds of a run.
-func (w *World) wideNowAndThen(from, to float64) {
+// submitWideTasks submits a wide task every few seconds of a run.
+func (w *Simulation) submitWideTasks(from, to float64) {
 	const pace = 4
 	for s := from; s < to; s += pace {
-		w.when(s, func() {
-			w.job(func(s *api.Spec) {
-				w.narrow(s)
+		w.scheduleAt(s, func() {
+			w.submitJob(func(s *api.Spec) {
+				w.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, float64(3+w.rng.IntN(4)), 0, 12
 			}, 12*time.Second)
 		})
 	}
 }
 
-// narrow makes a job of four tasks of 2 CPUs that save when they are stopped.
-func (w *World) narrow(s *api.Spec) {
+// makeNarrow makes a job of four tasks of 2 CPUs that save when they are stopped.
+func (w *Simulation) makeNarrow(s *api.Spec) {
 	s.Tasks, s.VCPUs, s.Spot, s.Image = 4, 2, true, "img-0"
 	s.CheckpointEveryS, s.CheckpointS = 5, 1
-	s.RuntimeS = (firstEnds + 3*nextEnds).Seconds()
+	s.RuntimeS = (firstTaskDuration + 3*taskDurationStep).Seconds()
 }
 
 // checkReservations checks, now and then, that no room is kept for longer than for a move.
-func (w *World) checkReservations() {
+func (w *Simulation) checkReservations() {
 	if l := w.leader(); l != nil {
-		if s := l.ctl.Stats(); s.Reservations > s.MovesActive {
-			w.broken("room is kept on %d machines for %d moves", s.Reservations, s.MovesActive)
+		if s := l.controller.Stats(); s.Reservations > s.MovesActive {
+			w.reportViolation("room is kept on %d machines for %d moves", s.Reservations, s.MovesActive)
 		}
 	}
-	w.at(time.Second, w.checkReservations)
+	w.schedule(time.Second, w.checkReservations)
 }
 
-// movesOf lists the moves that a leader knows of.
-func movesOf(n *node) (out []controller.MoveEntry) {
-	if n == nil || !n.alive || !n.ctl.Election().LeaseValid() {
+// activeMoves lists the moves that a leader knows of.
+func activeMoves(n *node) (out []controller.MoveEntry) {
+	if n == nil || !n.alive || !n.controller.Election().LeaseValid() {
 		return nil
 	}
-	n.ctl.MoveReport(func(r controller.MoveReport) {
+	n.controller.MoveReport(func(r controller.MoveReport) {
 		if r.Leader {
 			out = r.Moves
 		}
@@ -130,31 +130,31 @@
 	return out
 }
 
-// onMove calls f once, as soon as a leader has a move in a state.
-func (w *World) onMove(state migration.State, f func(l *node, m controller.MoveEntry)) {
-	w.watchMoves(time.Millisecond, func(l *node, m controller.MoveEntry) bool {
+// onMoveState calls f once, as soon as a leader has a move in a state.
+func (w *Simulation) onMoveState(state migration.State, f func(l *node, m controller.MoveEntry)) {
+	w.pollMoves(time.Millisecond, func(l *node, m controller.MoveEntry) bool {
 		if m.State != state.String() {
 			return false
 		}
-		w.took("move " + m.State)
+		w.countEvent("move " + m.State)
 		f(l, m)
 		return true
 	})
 }
 
-// watchMoves looks at the leader's moves again and again until f says that it has seen enough.
-func (w *World) watchMoves(every time.Duration, f func(l *node, m controller.MoveEntry) bool) {
+// pollMoves looks at the leader's moves again and again until f says that it has seen enough.
+func (w *Simulation) pollMoves(every time.Duration, f func(l *node, m controller.MoveEntry) bool) {
 	l := w.leader()
-	for _, m := range movesOf(l) {
+	for _, m := range activeMoves(l) {
 		if f(l, m) {
 			return
 		}
 	}
-	w.at(every, func() { w.watchMoves(every, f) })
+	w.schedule(every, func() { w.pollMoves(every, f) })
 }
 
-// countMoves notes how the moves of each leader end.
-func (w *World) countMoves() {
+// countMoveOutcomes notes how the moves of each leader end.
+func (w *Simulation) countMoveOutcomes() {
 	type key struct {
 		node string
 		life int
@@ -162,51 +162,51 @@
 		from ident.MachineID
 	}
 	seen := map[key]bool{}
-	w.watchMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
-		k := key{l.name, l.life, m.Task, m.From}
+	w.pollMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
+		k := key{l.name, l.incarnation, m.Task, m.From}
 		if m.Reason != "" && !seen[k] {
 			seen[k] = true
-			w.took("ended: " + m.Reason)
+			w.countEvent("ended: " + m.Reason)
 		}
 		return false
 	})
 }
 
-// machine returns the worker of a name, nil if it is gone.
-func (w *World) machine(h ident.MachineID) *worker { return w.workers[h] }
+// workerByID returns the worker of a name, nil if it is gone.
+func (w *Simulation) workerByID(h ident.MachineID) *worker { return w.workers[h] }
 
-// movesKey returns the job of a key of moves.
-func movesKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
+// jobOfMoveKey returns the job of a key of moves.
+func jobOfMoveKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
 
-// shortTasks submits arrays of short tasks that differ by half in either direction, every two
+// submitShortTasks submits arrays of short tasks that differ by half in either direction, every two
 // seconds of a run.
-func (w *World) shortTasks(from, to float64) {
+func (w *Simulation) submitShortTasks(from, to float64) {
 	const pace = 2
 	for s := from; s < to; s += pace {
-		w.when(s, func() {
-			j := w.job(func(s *api.Spec) {
-				w.narrow(s)
+		w.scheduleAt(s, func() {
+			j := w.submitJob(func(s *api.Spec) {
+				w.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 8, 1, 0, 10
 			}, 6*time.Second)
-			j.step = time.Second
+			j.durationStep = time.Second
 		})
 	}
 }
 
-// slowLong is how long the long tasks of a day with a slow machine take elsewhere.
-const slowLong = 160 * time.Second
+// longTaskDuration is how long the long tasks of a day with a slow machine take elsewhere.
+const longTaskDuration = 160 * time.Second
 
-// slowDay sets up a fleet with one slow machine, long tasks beside room on most machines, and
+// slowMachineScenario sets up a fleet with one slow machine, long tasks beside room on most machines, and
 // arrays of short tasks by which the slow one is found.
-func slowDay(seed uint64, mode settings.Rebalance, slow int) *World {
-	cfg := movingConfig(seed)
-	cfg.Rebalance, cfg.Slow, cfg.Calm = mode, slow, 700*time.Second
+func slowMachineScenario(seed uint64, mode settings.Rebalance, slow int) *Simulation {
+	cfg := rebalancingConfig(seed)
+	cfg.Rebalance, cfg.SlowMachines, cfg.QuiescentDuration = mode, slow, 700*time.Second
 	w := New(cfg)
-	w.when(2, func() {
+	w.scheduleAt(2, func() {
 		for range 6 {
-			w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, slowLong.Seconds() }, slowLong)
+			w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds() }, longTaskDuration)
 		}
 	})
-	w.shortTasks(8, 140)
+	w.submitShortTasks(8, 140)
 	return w
 }
