--- a/internal/standin/moves_load_test.go
+++ b/internal/standin/moves_load_test.go
@@ -13,50 +13,50 @@
 	"opaldale/internal/statesvc"
 )
 
-// playMoves plays days of one kind and checks each; it returns how many moves were recorded.
-func playMoves(t *testing.T, seeds uint64, play func(w *World)) (moves int) {
+// runMoveScenario plays days of one kind and checks each; it returns how many moves were recorded.
+func runMoveScenario(t *testing.T, seeds uint64, inject func(w *Simulation)) (moves int) {
 	t.Helper()
 	for seed := range seeds {
-		w := New(movingConfig(seed))
-		play(w)
+		w := New(rebalancingConfig(seed))
+		inject(w)
 		w.Run()
-		whole(t, seed, w)
-		movesKept(t, seed, w)
+		requireClean(t, seed, w)
+		checkStopCounts(t, seed, w)
 		moves += w.Moves
 	}
 	return moves
 }
 
-// eager has moves made as often as can be.
-func eager(t *settings.Tuning) {
+// tuneForFrequentMoves has moves made as often as can be.
+func tuneForFrequentMoves(t *settings.Tuning) {
 	t.PlanInterval = time.Second
 	t.Migration.LeaderSettleTime, t.Migration.MinTaskWait, t.Migration.MinRunTime = time.Second, 500*time.Millisecond, 0
 	t.Migration.Cluster, t.Migration.Zone, t.Migration.Team, t.Migration.MinGainFactor = 20, 20, 20, 1
 }
 
-// TestMovesInDaysOfTrouble plays days on which moves pay amid faults of all kinds, several at
+// TestMovesUnderFaults plays days on which moves pay amid faults of all kinds, several at
 // once, with jobs that come and are cancelled: every rule holds, no job is moved a third time,
 // and all work ends.
-func TestMovesInDaysOfTrouble(t *testing.T) {
+func TestMovesUnderFaults(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(24) {
-		cfg := movingConfig(seed)
-		cfg.Capacity = 4 // with fewer, arrays may wait beside the room that is kept for services
-		cfg.Faults, cfg.Meet, cfg.Links, cfg.Quiet = true, seed%2 == 1, seed%4 > 1, false
+		cfg := rebalancingConfig(seed)
+		cfg.ZoneCapacity = 4 // with fewer, arrays may wait beside the room that is kept for services
+		cfg.Faults, cfg.ConcurrentFaults, cfg.LinkMonitoring, cfg.NoArrivals = true, seed%2 == 1, seed%4 > 1, false
 		if seed%3 > 0 {
-			cfg.Tune = eager
+			cfg.Tune = tuneForFrequentMoves
 		}
-		cfg.Length, cfg.Calm = 200*time.Second, 450*time.Second // the long tasks may begin anew late
-		if cfg.Slow = int(seed % 2); cfg.Slow > 0 {
-			cfg.Calm = 20 * time.Minute // or end on the slow machine
+		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // the long tasks may begin anew late
+		if cfg.SlowMachines = int(seed % 2); cfg.SlowMachines > 0 {
+			cfg.QuiescentDuration = 20 * time.Minute // or end on the slow machine
 		}
 		w := New(cfg)
-		w.fragment(4)
-		w.wideNowAndThen(wideAt, 180)
-		w.shortTasks(30, 150)
+		w.fragmentFleet(4)
+		w.submitWideTasks(wideTasksAt, 180)
+		w.submitShortTasks(30, 150)
 		w.Run()
-		whole(t, seed, w)
+		requireClean(t, seed, w)
 		moves += w.Moves
 	}
 	t.Logf("%d moves", moves)
@@ -66,145 +66,145 @@
 }
 
 const (
-	// evenWithin is within what time of a flood's beginning the load must have evened out, and
-	// evenBound what imbalance counts as even then, on average over half a minute.
-	evenWithin = time.Minute
-	evenBound  = 0.45
+	// convergenceTime is within what time of a flood's beginning the load must have evened out, and
+	// maxImbalance what imbalance counts as even then, on average over half a minute.
+	convergenceTime = time.Minute
+	maxImbalance    = 0.45
 )
 
-// TestLoadEvensOut: fifty machines, one team that floods while the others submit small and
+// TestLoadConverges: fifty machines, one team that floods while the others submit small and
 // large work, with the settings of deploy/moves.sexp: within a minute the load has evened out,
 // though a controller dies meanwhile, and no job is moved more than twice.
-func TestLoadEvensOut(t *testing.T) {
+func TestLoadConverges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		cfg := floodConfig(seed, settings.RebalanceMove)
-		cfg.Links = true
+		cfg.LinkMonitoring = true
 		w := New(cfg)
-		w.steadyTeams()
-		w.at(floodFrom, func() { w.flood(w.now.Add(floodFor)) })
-		w.at(floodFrom+10*time.Second, func() { w.depose(4 * time.Second) })
+		w.submitSteadyLoad()
+		w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
+		w.schedule(floodStart+10*time.Second, func() { w.crashLeader(4 * time.Second) })
 		sum, n := 0.0, 0
-		for d := evenWithin; d < evenWithin+30*time.Second; d += time.Second {
-			w.at(floodFrom+d, func() {
+		for d := convergenceTime; d < convergenceTime+30*time.Second; d += time.Second {
+			w.schedule(floodStart+d, func() {
 				sum += w.imbalance()
 				n++
 			})
 		}
 		w.Run()
-		whole(t, seed, w)
-		if mean := sum / float64(n); mean > evenBound {
+		requireClean(t, seed, w)
+		if mean := sum / float64(n); mean > maxImbalance {
 			t.Errorf("seed %d: imbalance %.2f a minute after the flood began", seed, mean)
 		}
 	}
 }
 
-// TestHotTeamCoolsAsMovesBegin: the flood ends at the moment in which the first move begins.
+// TestFloodEndsAsMovesBegin: the flood ends at the moment in which the first move begins.
 // Whatever was not stopped yet stays where it is, and nothing swings back.
-func TestHotTeamCoolsAsMovesBegin(t *testing.T) {
+func TestFloodEndsAsMovesBegin(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := New(movingConfig(seed))
-		w.fragment(0)
+		w := New(rebalancingConfig(seed))
+		w.fragmentFleet(0)
 		var wide []*userJob
-		w.when(wideAt, func() {
+		w.scheduleAt(wideTasksAt, func() {
 			for range 6 {
-				wide = append(wide, w.job(func(s *api.Spec) {
-					w.narrow(s)
-					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideRuns.Seconds()
-				}, wideRuns))
+				wide = append(wide, w.submitJob(func(s *api.Spec) {
+					w.makeNarrow(s)
+					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideTaskDuration.Seconds()
+				}, wideTaskDuration))
 			}
-			w.onMove(migration.Proposed, func(*node, controller.MoveEntry) {
+			w.onMoveState(migration.Proposed, func(*node, controller.MoveEntry) {
 				for _, j := range wide {
-					w.callOff(j, nil)
+					w.cancelWhenAccepted(j, nil)
 				}
-				w.took("cooled")
+				w.countEvent("cooled")
 			})
 		})
 		recorded := 0
-		w.when(wideAt+20, func() { recorded = w.Moves })
+		w.scheduleAt(wideTasksAt+20, func() { recorded = w.Moves })
 		w.Run()
-		whole(t, seed, w)
-		movesKept(t, seed, w)
-		if w.seen["cooled"] == 0 || w.Moves > recorded {
-			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, w.Moves, w.Moves-recorded, w.seen)
+		requireClean(t, seed, w)
+		checkStopCounts(t, seed, w)
+		if w.eventCounts["cooled"] == 0 || w.Moves > recorded {
+			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, w.Moves, w.Moves-recorded, w.eventCounts)
 		}
 	}
 }
 
-// TestNothingMoves: where no move can pay, nothing is moved.
-func TestNothingMoves(t *testing.T) {
+// TestNoMovesWithoutGain: where no move can pay, nothing is moved.
+func TestNoMovesWithoutGain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		play func(w *World)
+		play func(w *Simulation)
 	}{
-		{"all machines are hot", func(w *World) {
-			w.when(2, func() {
-				for range 4 * w.cfg.Capacity {
-					w.job(w.narrow, 150*time.Second)
+		{"all machines are hot", func(w *Simulation) {
+			w.scheduleAt(2, func() {
+				for range 4 * w.cfg.ZoneCapacity {
+					w.submitJob(w.makeNarrow, 150*time.Second)
 				}
 			})
-			w.when(wideAt, func() {
+			w.scheduleAt(wideTasksAt, func() {
 				for range 4 {
-					w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideRuns)
+					w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
 				}
 			})
 		}},
-		{"tasks that never save have run for long", func(w *World) {
-			w.when(2, func() {
-				for range 4 * w.cfg.Capacity {
-					j := w.job(func(s *api.Spec) { w.narrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstEnds)
-					j.step = nextEnds
+		{"tasks that never save have run for long", func(w *Simulation) {
+			w.scheduleAt(2, func() {
+				for range 4 * w.cfg.ZoneCapacity {
+					j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstTaskDuration)
+					j.durationStep = taskDurationStep
 				}
 			})
-			w.when(100, func() { w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideRuns) })
+			w.scheduleAt(100, func() { w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration) })
 		}},
-		{"the wide job fails everywhere", func(w *World) {
-			w.fragment(0)
-			w.when(wideAt, func() {
-				j := w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideRuns)
-				j.mistaken = true
-				w.at(60*time.Second, func() { w.callOff(j, nil) })
+		{"the wide job fails everywhere", func(w *Simulation) {
+			w.fragmentFleet(0)
+			w.scheduleAt(wideTasksAt, func() {
+				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideTaskDuration)
+				j.alwaysFails = true
+				w.schedule(60*time.Second, func() { w.cancelWhenAccepted(j, nil) })
 			})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if n := playMoves(t, 2, c.play); n > 0 {
+			if n := runMoveScenario(t, 2, c.play); n > 0 {
 				t.Errorf("%d moves", n)
 			}
 		})
 	}
 }
 
-// TestPulsingLoad: wide work comes and goes at the period of the planner, with estimates that
+// TestPulsingLoadDoesNotOscillate: wide work comes and goes at the period of the planner, with estimates that
 // are wrong by half in either direction. No job is moved more than twice, and no task comes
 // back to a machine that a move took it from.
-func TestPulsingLoad(t *testing.T) {
+func TestPulsingLoadDoesNotOscillate(t *testing.T) {
 	t.Parallel()
-	moves := playMoves(t, 6, func(w *World) {
-		w.when(2, func() {
-			for i := range 4 * w.cfg.Capacity {
+	moves := runMoveScenario(t, 6, func(w *Simulation) {
+		w.scheduleAt(2, func() {
+			for i := range 4 * w.cfg.ZoneCapacity {
 				factor := []float64{0.5, 1, 1.5}[(i+int(w.cfg.Seed))%3]
-				j := w.job(func(s *api.Spec) { w.narrow(s); s.RuntimeS *= factor }, firstEnds)
-				j.step = nextEnds
+				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
+				j.durationStep = taskDurationStep
 			}
 		})
-		for s := wideAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
-			w.when(s, func() {
-				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
+		for s := wideTasksAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
+			w.scheduleAt(s, func() {
+				w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
 		left := map[string]map[ident.MachineID]bool{}
-		w.when(wideAt, func() {
-			w.watchMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
+		w.scheduleAt(wideTasksAt, func() {
+			w.pollMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 				if left[m.Task] == nil {
 					left[m.Task] = map[ident.MachineID]bool{}
 				}
 				left[m.Task][m.From] = true
 				if m.To != "" && left[m.Task][m.To] {
-					w.broken("%s goes back to %s", m.Task, m.To)
+					w.reportViolation("%s goes back to %s", m.Task, m.To)
 				}
 				return false
 			})
@@ -215,50 +215,50 @@
 	}
 }
 
-// TestNoThirdMove: jobs that were moved twice in earlier terms are not moved by the next leader,
+// TestMoveLimitHoldsAcrossTerms: jobs that were moved twice in earlier terms are not moved by the next leader,
 // and those that were moved once are moved once more.
-func TestNoThirdMove(t *testing.T) {
+func TestMoveLimitHoldsAcrossTerms(t *testing.T) {
 	t.Parallel()
 	for before, moves := range map[int]bool{0: true, 1: true, 2: false} {
 		for seed := range uint64(3) {
-			w := New(movingConfig(seed))
-			w.fragment(4)
-			w.when(30, func() {
+			w := New(rebalancingConfig(seed))
+			w.fragmentFleet(4)
+			w.scheduleAt(30, func() {
 				var r migration.Record
 				for n := range before {
 					r.Moves = append(r.Moves, migration.Entry{Index: n, Attempt: 1, From: "host-a", To: "host-b"})
 				}
-				for _, id := range w.order {
+				for _, id := range w.jobOrder {
 					if before > 0 {
 						w.store.apply([]statesvc.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
 					}
 				}
 				w.Moves = 0
-				w.depose(2 * time.Second)
+				w.crashLeader(2 * time.Second)
 			})
 			w.Run()
-			whole(t, seed, w)
-			movesKept(t, seed, w)
-			if moves != (w.Moves > 0) || w.seen["new term"] == 0 {
-				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, w.Moves, w.seen)
+			requireClean(t, seed, w)
+			checkStopCounts(t, seed, w)
+			if moves != (w.Moves > 0) || w.eventCounts["new term"] == 0 {
+				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, w.Moves, w.eventCounts)
 			}
 		}
 	}
 }
 
-// TestMovesAreShownAnywhere: the leader tells of a move under way, and each other node of what is
+// TestEveryNodeReportsMoves: the leader tells of a move under way, and each other node of what is
 // on record of it.
-func TestMovesAreShownAnywhere(t *testing.T) {
+func TestEveryNodeReportsMoves(t *testing.T) {
 	t.Parallel()
-	w := New(movingConfig(1))
-	w.fragment(4)
-	w.when(wideAt, func() {
-		w.onMove(migration.Stopping, func(l *node, m controller.MoveEntry) {
-			w.others(l, func(n *node) {
-				n.ctl.MoveReport(func(r controller.MoveReport) {
+	w := New(rebalancingConfig(1))
+	w.fragmentFleet(4)
+	w.scheduleAt(wideTasksAt, func() {
+		w.onMoveState(migration.Stopping, func(l *node, m controller.MoveEntry) {
+			w.forEachPeer(l, func(n *node) {
+				n.controller.MoveReport(func(r controller.MoveReport) {
 					for _, e := range r.Moves {
 						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
-							w.took("shown by another")
+							w.countEvent("shown by another")
 						}
 					}
 				})
@@ -266,30 +266,30 @@
 		})
 	})
 	w.Run()
-	whole(t, 1, w)
-	if w.seen["shown by another"] != 2 {
-		t.Errorf("%v", w.seen)
+	requireClean(t, 1, w)
+	if w.eventCounts["shown by another"] != 2 {
+		t.Errorf("%v", w.eventCounts)
 	}
 }
 
-// TestNoMovesAfterElection: a leader moves nothing until it has led for as long as the settings
+// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for as long as the settings
 // say, and does so then.
-func TestNoMovesAfterElection(t *testing.T) {
+func TestNoMovesSoonAfterElection(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(3) {
-		cfg := movingConfig(seed)
+		cfg := rebalancingConfig(seed)
 		cfg.Tune = func(t *settings.Tuning) { t.Migration.MinRunTime, t.Migration.LeaderSettleTime = 0, 25*time.Second }
 		w := New(cfg)
-		w.fragment(4)
-		w.when(wideAt+3, func() { w.depose(2 * time.Second) })
+		w.fragmentFleet(4)
+		w.scheduleAt(wideTasksAt+3, func() { w.crashLeader(2 * time.Second) })
 		early := 0
-		w.when(wideAt+3+25, func() { early = w.Moves })
+		w.scheduleAt(wideTasksAt+3+25, func() { early = w.Moves })
 		w.Run()
-		whole(t, seed, w)
+		requireClean(t, seed, w)
 		moves += w.Moves
-		if early > 0 || w.seen["new term"] == 0 {
-			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, w.Moves, early, w.seen)
+		if early > 0 || w.eventCounts["new term"] == 0 {
+			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, w.Moves, early, w.eventCounts)
 		}
 	}
 	if moves == 0 {
@@ -297,22 +297,22 @@
 	}
 }
 
-// TestRoomGoesToWhomItIsMadeFor: while small tasks that would fit into the room that a move
+// TestReservedCapacityGoesToItsTask: while small tasks that would fit into the room that a move
 // makes come all the time, the task that it was made for gets it.
-func TestRoomGoesToWhomItIsMadeFor(t *testing.T) {
+func TestReservedCapacityGoesToItsTask(t *testing.T) {
 	t.Parallel()
 	arrived := 0
 	for seed := range uint64(4) {
-		w := New(movingConfig(seed))
-		w.fragment(4)
-		for s := wideAt; s < wideAt+40; s += 0.7 {
-			w.when(s, func() {
-				w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
+		w := New(rebalancingConfig(seed))
+		w.fragmentFleet(4)
+		for s := wideTasksAt; s < wideTasksAt+40; s += 0.7 {
+			w.scheduleAt(s, func() {
+				w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
 			})
 		}
-		gains := w.gatherGains()
+		gains := w.collectFinishedMoves()
 		w.Run()
-		whole(t, seed, w)
+		requireClean(t, seed, w)
 		for _, m := range *gains {
 			if m.Reason != migration.Arrived.String() {
 				continue
@@ -332,21 +332,21 @@
 // fetches an image and costs another one its place. Nothing is moved to and fro for it.
 func TestImagesEvictEachOther(t *testing.T) {
 	t.Parallel()
-	moves := playMoves(t, 4, func(w *World) {
+	moves := runMoveScenario(t, 4, func(w *Simulation) {
 		image := func(s *api.Spec, n int) { s.Image = fmt.Sprintf("img-%d", n%4) }
-		w.when(2, func() {
-			for n := range 4 * w.cfg.Capacity {
-				j := w.job(func(s *api.Spec) { w.narrow(s); image(s, n) }, firstEnds)
-				j.step = nextEnds
+		w.scheduleAt(2, func() {
+			for n := range 4 * w.cfg.ZoneCapacity {
+				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); image(s, n) }, firstTaskDuration)
+				j.durationStep = taskDurationStep
 			}
 		})
-		for s := wideAt; s < 110; s += 6 {
-			w.when(s, func() {
-				w.job(func(s *api.Spec) {
-					w.narrow(s)
-					image(s, w.nextJob)
-					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()
-				}, wideRuns)
+		for s := wideTasksAt; s < 110; s += 6 {
+			w.scheduleAt(s, func() {
+				w.submitJob(func(s *api.Spec) {
+					w.makeNarrow(s)
+					image(s, w.lastJobNumber)
+					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
+				}, wideTaskDuration)
 			})
 		}
 	})
@@ -355,50 +355,50 @@
 	}
 }
 
-// TestUnreadableMoves: a record of moves that can't be read keeps its job from being moved, and
+// TestUnreadableMoveRecord: a record of moves that can't be read keeps its job from being moved, and
 // the leader leads on.
-func TestUnreadableMoves(t *testing.T) {
+func TestUnreadableMoveRecord(t *testing.T) {
 	t.Parallel()
-	w := New(movingConfig(1))
-	w.fragment(4)
-	w.when(40, func() {
-		for _, id := range w.order {
-			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), stamp: ident.Revision(w.store.ledger)}
+	w := New(rebalancingConfig(1))
+	w.fragmentFleet(4)
+	w.scheduleAt(40, func() {
+		for _, id := range w.jobOrder {
+			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(w.store.revision)}
 		}
 		l := w.leader()
-		l.kill(time.Second)
+		l.crash(time.Second)
 	})
-	w.when(wideAt+30, func() {
+	w.scheduleAt(wideTasksAt+30, func() {
 		if w.leader() != nil {
-			w.took("leads on")
+			w.countEvent("leads on")
 		}
 	})
 	w.Run()
-	whole(t, 1, w)
-	if w.Moves > 0 || w.seen["leads on"] == 0 {
-		t.Errorf("%d moves, %v", w.Moves, w.seen)
+	requireClean(t, 1, w)
+	if w.Moves > 0 || w.eventCounts["leads on"] == 0 {
+		t.Errorf("%d moves, %v", w.Moves, w.eventCounts)
 	}
 	for path := range w.store.keys {
-		if id, ok := movesKey(path); ok && w.store.keys["live/"+id] == nil {
+		if id, ok := jobOfMoveKey(path); ok && w.store.keys["live/"+id] == nil {
 			t.Errorf("%s is left", path)
 		}
 	}
 }
 
-// TestMovesAreForgotten: the records of jobs that are over are deleted, by later terms as well,
+// TestMoveRecordsAreDeleted: the records of jobs that are over are deleted, by later terms as well,
 // and by none before.
-func TestMovesAreForgotten(t *testing.T) {
+func TestMoveRecordsAreDeleted(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(3) {
-		w := New(movingConfig(seed))
-		w.fragment(4)
-		w.when(wideAt+25, func() { w.depose(2 * time.Second) })
+		w := New(rebalancingConfig(seed))
+		w.fragmentFleet(4)
+		w.scheduleAt(wideTasksAt+25, func() { w.crashLeader(2 * time.Second) })
 		w.Run()
-		whole(t, seed, w)
+		requireClean(t, seed, w)
 		moves += w.Moves
 		for path := range w.store.keys {
-			if id, ok := movesKey(path); ok {
+			if id, ok := jobOfMoveKey(path); ok {
 				t.Errorf("seed %d: the moves of %s are left", seed, id)
 			}
 		}
--- a/internal/standin/mutation.go
+++ b/internal/standin/mutation.go
@@ -12,25 +12,25 @@
 	"opaldale/internal/statesvc"
 )
 
-// mutateCheckin is what mutations make of an answer to a report.
-func (w *World) mutateCheckin(n *node, body []byte, r *controller.Response) *controller.Response {
+// mutateHeartbeatReply is what mutations make of an answer to a report.
+func (w *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
-	case w.cfg.Mutation == RenewOn && !n.ctl.Election().LeaseValid():
+	case w.cfg.Mutation == RenewWithoutLeadership && !n.controller.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
 			return &controller.Response{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
-	case w.cfg.Mutation == NoKills && r.Status == 200:
+	case w.cfg.Mutation == DropStopCommands && r.Status == 200:
 		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
-			o.Commands = withoutKills(o.Commands)
+			o.Commands = withoutStops(o.Commands)
 			return &controller.Response{Status: 200, Body: api.JSON(o)}
 		}
 	}
 	return r
 }
 
-func withoutKills(list []api.Command) []api.Command {
+func withoutStops(list []api.Command) []api.Command {
 	out := []api.Command{}
 	for _, o := range list {
 		if o.Verb != api.Kill {
@@ -40,13 +40,13 @@
 	return out
 }
 
-// cached is the mutation that has nodes answer questions from memory for a while.
-type cached struct {
+// cachedAnswer is the mutation that has nodes answer questions from memory for a while.
+type cachedAnswer struct {
 	at   ident.MonotonicTime
 	body []byte
 }
 
-const cacheTime = 3 * time.Second
+const cacheTTL = 3 * time.Second
 
 // forgetPlacements is the mutation in which a new leader doesn't know where tasks are.
 func forgetPlacements(a statesvc.Response) statesvc.Response {
@@ -75,9 +75,9 @@
 	return a
 }
 
-// loseZone is the mutation in which the controllers don't know that a job is bound to
+// dropZoneConstraint is the mutation in which the controllers don't know that a job is bound to
 // one zone.
-func loseZone(body []byte) []byte {
+func dropZoneConstraint(body []byte) []byte {
 	var s api.Spec
 	if json.Unmarshal(body, &s) != nil {
 		return body
@@ -91,26 +91,26 @@
 
 // The mutations.
 const (
-	None             Mutation = iota
-	LaunchFirst               // launches are sent before the placement is durable
-	IgnoreEpochs              // workers carry out commands with any token
-	IgnoreStamps              // transactions are carried out whatever their stamps
-	StarvePolls               // polls for some jobs get no answer
-	TrustCopies               // late copies of reports have new serials, as if they were sent now
-	NoMaxWait                 // nothing bounds how long a job waits for its first task
-	KeepLeasesOn              // nodes that are cut off with workers answer them for as long as it lasts
-	StopPart                  // only the first task of a gang hears that it should save and stop
-	HideGathering             // reports don't tell of tasks that wait for their gang
-	OneTry                    // every attempt of a gang has the same number
-	RaiseEarly                // the format level is raised while old nodes are there
-	WriteEarly                // new fields are written below the level
-	RenewOn                   // nodes that don't surely lead renew every lease for ever
-	NoKills                   // no order to stop a task reaches a machine
-	CacheAnswers              // nodes answer questions from memory for a while
-	ForgetPlacements          // a new leader doesn't know which machines tasks are on
-	LoseZone                  // the controllers don't know that a job is bound to one zone
-	IgnoreLimits              // what a node decided goes out however long after
-	UndatedRows               // late copies of what siblings say of their links look new
-	EndlessHandovers          // nothing bounds how often the lead is given up
-	NoDamping                 // a link that broke a moment ago is as good as any
+	None                   Mutation = iota
+	LaunchBeforeCommit              // launches are sent before the placement is durable
+	IgnoreFencingTokens             // workers carry out commands with any token
+	IgnoreRevisions                 // transactions are carried out whatever their stamps
+	StarvePolls                     // polls for some jobs get no answer
+	AcceptStaleHeartbeats           // late copies of reports have new serials, as if they were sent now
+	NoMaxWait                       // nothing bounds how long a job waits for its first task
+	KeepLeasesForever               // nodes that are cut off with workers answer them for as long as it lasts
+	StopPartOfGang                  // only the first task of a gang hears that it should save and stop
+	HideWaitingGangTasks            // reports don't tell of tasks that wait for their gang
+	ReuseGangAttempt                // every attempt of a gang has the same number
+	RaiseFormatEarly                // the format level is raised while old nodes are there
+	WriteNewFieldsEarly             // new fields are written below the level
+	RenewWithoutLeadership          // nodes that don't surely lead renew every lease for ever
+	DropStopCommands                // no order to stop a task reaches a machine
+	CacheStatusAnswers              // nodes answer questions from memory for a while
+	ForgetPlacements                // a new leader doesn't know which machines tasks are on
+	DropZoneConstraint              // the controllers don't know that a job is bound to one zone
+	IgnoreSendDeadlines             // what a node decided goes out however long after
+	FreshenStaleRows                // late copies of what siblings say of their links look new
+	UnboundedHandovers              // nothing bounds how often the lead is given up
+	NoFlapDamping                   // a link that broke a moment ago is as good as any
 )
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -16,126 +16,126 @@
 
 // node is a controller's machine; its process comes and goes.
 type node struct {
-	w     *World
-	name  string
-	zone  string
-	ctl   *controller.Controller
-	life  int // counts the processes
-	alive bool
-	old   bool                // its next process is of the version in production
-	still ident.MonotonicTime // its process stands still until then, though its clocks run on
-	env   *nodeEnv            // of the present process
-	halts halts               // within an event
-	cache map[string]cached   // of the mutation CacheAnswers
+	sim         *Simulation
+	name        string
+	zone        string
+	controller  *controller.Controller
+	incarnation int // counts the processes
+	alive       bool
+	legacy      bool                    // its next process is of the version in production
+	pausedUntil ident.MonotonicTime     // its process stands still until then, though its clocks run on
+	env         *nodeEnv                // of the present process
+	eventPause  eventPause              // within an event
+	cache       map[string]cachedAnswer // of the mutation CacheStatusAnswers
 }
 
-// freeze has the node's process stand still.
-func (n *node) freeze(d time.Duration) {
-	n.w.logf("%s stands still for %v", n.name, d)
-	n.still = max(n.still, n.w.now.Add(d))
+// pauseFor has the node's process stand still.
+func (n *node) pauseFor(d time.Duration) {
+	n.sim.logf("%s stands still for %v", n.name, d)
+	n.pausedUntil = max(n.pausedUntil, n.sim.now.Add(d))
 }
 
-// when runs f in the process of that life once it doesn't stand still: what comes
+// whenResponsive runs f in the process of that life once it doesn't stand still: what comes
 // meanwhile waits, in its order.
-func (n *node) when(life int, f func()) {
+func (n *node) whenResponsive(incarnation int, f func()) {
 	switch {
-	case !n.alive || n.life != life:
-	case n.w.now < n.still:
-		n.w.at(n.still.Sub(n.w.now), func() { n.when(life, f) })
+	case !n.alive || n.incarnation != incarnation:
+	case n.sim.now < n.pausedUntil:
+		n.sim.schedule(n.pausedUntil.Sub(n.sim.now), func() { n.whenResponsive(incarnation, f) })
 	default:
-		n.halts.begin(n.w)
+		n.eventPause.beginEvent(n.sim)
 		f()
-		n.ctl.AfterEvent()
-		n.halts.end()
+		n.controller.AfterEvent()
+		n.eventPause.endEvent()
 	}
 }
 
 func (n *node) start() {
-	n.life++
+	n.incarnation++
 	n.alive = true
-	n.still = 0
-	n.cache = map[string]cached{}
-	set := &settings.Settings{Node: ident.NodeID(n.name), Zone: n.zone, Cluster: n.w.set, Tuning: settings.DefaultTuning()}
-	set.Tuning.Links.Enabled = n.w.cfg.Links
-	if n.w.cfg.Rebalance != "" && !n.old {
-		set.Tuning.Rebalance = n.w.cfg.Rebalance
+	n.pausedUntil = 0
+	n.cache = map[string]cachedAnswer{}
+	set := &settings.Settings{Node: ident.NodeID(n.name), Zone: n.zone, Cluster: n.sim.settings, Tuning: settings.DefaultTuning()}
+	set.Tuning.Links.Enabled = n.sim.cfg.LinkMonitoring
+	if n.sim.cfg.Rebalance != "" && !n.legacy {
+		set.Tuning.Rebalance = n.sim.cfg.Rebalance
 	}
-	if n.w.cfg.Tune != nil {
-		n.w.cfg.Tune(&set.Tuning)
+	if n.sim.cfg.Tune != nil {
+		n.sim.cfg.Tune(&set.Tuning)
 	}
-	if n.w.cfg.Mutation == NoDamping {
+	if n.sim.cfg.Mutation == NoFlapDamping {
 		set.Tuning.Links.PenaltyHalfLife = time.Millisecond
 	}
-	if n.w.cfg.Mutation == EndlessHandovers {
+	if n.sim.cfg.Mutation == UnboundedHandovers {
 		set.Tuning.Links.MinLeadTime, set.Tuning.Links.BetterPeerFor = 0, 0
 	}
-	if n.w.cfg.Mutation == NoMaxWait {
+	if n.sim.cfg.Mutation == NoMaxWait {
 		set.Tuning.StarvationTimeout = 24 * time.Hour
 	}
-	for _, o := range n.w.nodes {
+	for _, o := range n.sim.nodes {
 		if o != n {
 			set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(o.name), Zone: o.zone})
 		}
 	}
 	if len(set.Peers) == 0 {
-		for i := range n.w.set.Nodes {
+		for i := range n.sim.settings.Nodes {
 			if name := fmt.Sprintf("agent-%d", i); name != n.name {
 				set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(name)})
 			}
 		}
 	}
-	e := &nodeEnv{n: n, life: n.life, old: n.old, start: n.w.now, rate: 1 + (n.w.rng.Float64()-0.5)*0.001}
-	n.env, n.halts = e, halts{}
-	n.ctl = controller.New(e, set, rand.New(rand.NewPCG(n.w.rng.Uint64(), 1)))
-	n.ctl.Start()
-	n.ctl.AfterEvent()
+	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now, clockRate: 1 + (n.sim.rng.Float64()-0.5)*0.001}
+	n.env, n.eventPause = e, eventPause{}
+	n.controller = controller.New(e, set, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1)))
+	n.controller.Start()
+	n.controller.AfterEvent()
 }
 
-func (n *node) kill(back time.Duration) {
+func (n *node) crash(restartAfter time.Duration) {
 	if !n.alive {
 		return
 	}
-	n.w.logf("%s is killed, back in %v", n.name, back)
+	n.sim.logf("%s is killed, back in %v", n.name, restartAfter)
 	n.alive = false
-	n.life++
-	n.w.at(back, n.start)
+	n.incarnation++
+	n.sim.schedule(restartAfter, n.start)
 }
 
 // nodeEnv is the world as one process sees it.
 type nodeEnv struct {
-	n     *node
-	life  int
-	old   bool // the process is of the version in production
-	start ident.MonotonicTime
-	rate  float64 // of its steady clock
+	node        *node
+	incarnation int
+	legacy      bool // the process is of the version in production
+	startedAt   ident.MonotonicTime
+	clockRate   float64 // of its steady clock
 }
 
-func (e *nodeEnv) w() *World { return e.n.w }
+func (e *nodeEnv) sim() *Simulation { return e.node.sim }
 
 func (e *nodeEnv) Now() ident.MonotonicTime {
-	e.mayHalt()
-	return ident.MonotonicTime(float64(e.w().now.Add(e.n.halts.halted)-e.start) * e.rate)
+	e.maybePause()
+	return ident.MonotonicTime(float64(e.sim().now.Add(e.node.eventPause.paused)-e.startedAt) * e.clockRate)
 }
 
-func (e *nodeEnv) WallMS() int64 { return 1_700_000_000_000 + e.w().now.Sub(0).Milliseconds() }
+func (e *nodeEnv) WallMS() int64 { return 1_700_000_000_000 + e.sim().now.Sub(0).Milliseconds() }
 
-// in runs f if the process still lives.
-func (e *nodeEnv) in(f func()) func() {
-	return func() { e.n.when(e.life, f) }
+// ifAlive runs f if the process still lives.
+func (e *nodeEnv) ifAlive(f func()) func() {
+	return func() { e.node.whenResponsive(e.incarnation, f) }
 }
 
 func (e *nodeEnv) After(d time.Duration, f func()) {
-	e.mayHalt()
-	e.w().at(e.n.halts.halted+max(0, time.Duration(float64(d)/e.rate)+time.Microsecond), e.in(f))
+	e.maybePause()
+	e.sim().schedule(e.node.eventPause.paused+max(0, time.Duration(float64(d)/e.clockRate)+time.Microsecond), e.ifAlive(f))
 }
 
 func (e *nodeEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
-	w := e.w()
+	w := e.sim()
 	ok := true
-	if e.old {
-		f, ok = e.asOld(r, f)
+	if e.legacy {
+		f, ok = e.legacyRequest(r, f)
 	} else {
-		r, ok = w.tamper(r, e.reply(f))
+		r, ok = w.mutateRequest(r, e.replyIfAlive(f))
 	}
 	if !ok {
 		return
@@ -144,11 +144,11 @@
 		g := f
 		f = func(a statesvc.Response) { g(forgetPlacements(a)) }
 	}
-	w.wrote(e.n.name, r)
-	w.noteTxn(e.n, r)
+	w.recordPlacement(e.node.name, r)
+	w.recordTransaction(e.node, r)
 	send := func() {
-		w.call(e.n.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.n.name, r, reply) }, func(a any) {
-			e.in(func() {
+		w.call(e.node.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.node.name, r, reply) }, func(a any) {
+			e.ifAlive(func() {
 				if a == nil {
 					f(statesvc.Response{Outcome: statesvc.NoAnswer})
 				} else {
@@ -157,29 +157,29 @@
 			})()
 		})
 	}
-	send = e.afterHalt(send)
-	if w.cfg.Mutation == LaunchFirst && r.Op == statesvc.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
-		w.launchPlaced(e.n.name, r)
-		w.at(400*time.Millisecond, e.in(send))
+	send = e.afterPause(send)
+	if w.cfg.Mutation == LaunchBeforeCommit && r.Op == statesvc.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
+		w.launchBeforeCommit(e.node.name, r)
+		w.schedule(400*time.Millisecond, e.ifAlive(send))
 		return
 	}
 	send()
 }
 
-// reply has an answer come to the process, if it still lives.
-func (e *nodeEnv) reply(f func(statesvc.Response)) func(statesvc.Response) {
-	return func(a statesvc.Response) { e.in(func() { f(a) })() }
+// replyIfAlive has an answer come to the process, if it still lives.
+func (e *nodeEnv) replyIfAlive(f func(statesvc.Response)) func(statesvc.Response) {
+	return func(a statesvc.Response) { e.ifAlive(func() { f(a) })() }
 }
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
-	w := e.w()
-	answer := func(a cloud.Response) { e.in(func() { f(a) })() }
-	e.afterHalt(func() {
-		if e.past(r.NotAfter) {
-			w.at(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
+	w := e.sim()
+	answer := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
+	e.afterPause(func() {
+		if e.deadlinePassed(r.NotAfter) {
+			w.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
 			return
 		}
-		w.call(e.n.name, "cloud", 4*time.Second, func(reply func(any)) { w.cloud.serve(r, reply) }, func(a any) {
+		w.call(e.node.name, "cloud", 4*time.Second, func(reply func(any)) { w.cloud.serve(r, reply) }, func(a any) {
 			if a == nil {
 				a = cloud.Response{Outcome: cloud.NoAnswer}
 			}
@@ -189,48 +189,48 @@
 }
 
 func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
-	e.afterHalt(func() { e.command(c, f) })()
+	e.afterPause(func() { e.command(c, f) })()
 }
 
 func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
-	w := e.w()
-	answer := func(a workers.CommandResult) { e.in(func() { f(a) })() }
-	w.commanded(e.n.name, c)
-	if c.Launches() && w.yielding(e.n) {
-		w.broken("%s starts a task while it hands the lead over", e.n.name)
+	w := e.sim()
+	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
+	w.recordLaunch(e.node.name, c)
+	if c.Launches() && w.handingOver(e.node) {
+		w.reportViolation("%s starts a task while it hands the lead over", e.node.name)
 	}
-	if c.Launches() && !e.past(c.NotAfter) && !e.leads() {
-		w.took("launch without leadership")
+	if c.Launches() && !e.deadlinePassed(c.NotAfter) && !e.leads() {
+		w.countEvent("launch without leadership")
 	}
-	k := w.workers[ident.MachineID(c.Addr)]
+	target := w.workers[ident.MachineID(c.Addr)]
 	switch {
-	case e.past(c.NotAfter):
-		w.at(0, func() { answer(workers.CommandResult{NotSent: true}) })
+	case e.deadlinePassed(c.NotAfter):
+		w.schedule(0, func() { answer(workers.CommandResult{NotSent: true}) })
 		return
-	case k == nil:
-		w.at(0, func() { answer(workers.CommandResult{}) })
+	case target == nil:
+		w.schedule(0, func() { answer(workers.CommandResult{}) })
 		return
 	}
-	if w.cfg.Mutation == NoKills {
-		c.Body.Commands = withoutKills(c.Body.Commands)
+	if w.cfg.Mutation == DropStopCommands {
+		c.Body.Commands = withoutStops(c.Body.Commands)
 	}
-	w.call(e.n.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
-		carry := func() {
-			k.when(func() {
-				k.commands(c.Body, func(a any) {
-					if d := w.heldUp(); d > 0 {
-						w.at(d, func() { reply(a) })
+	w.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
+		deliverCommand := func() {
+			target.whenResponsive(func() {
+				target.handleCommands(c.Body, func(a any) {
+					if d := w.commandDelay(); d > 0 {
+						w.schedule(d, func() { reply(a) })
 						return
 					}
 					reply(a)
 				})
 			})
 		}
-		if d := w.heldUp(); d > 0 {
-			w.at(d, carry)
+		if d := w.commandDelay(); d > 0 {
+			w.schedule(d, deliverCommand)
 			return
 		}
-		carry()
+		deliverCommand()
 	}, func(a any) {
 		if a == nil {
 			a = workers.CommandResult{}
@@ -240,7 +240,7 @@
 }
 
 func (e *nodeEnv) SendPeer(to ident.NodeID, f *mesh.Frame) {
-	w := e.w()
+	w := e.sim()
 	for _, o := range w.nodes {
 		if o.name != string(to) {
 			continue
@@ -250,50 +250,50 @@
 		if err != nil {
 			panic(err)
 		}
-		if w.cfg.Mutation == KeepLeasesOn && g.Type == mesh.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
+		if w.cfg.Mutation == KeepLeasesForever && g.Type == mesh.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
 			g.Heartbeat.LeaseAllowanceMS = mesh.ToMillis(time.Hour)
 		}
-		if !w.linkFrame(e.n, o, g) {
+		if !w.observeFrame(e.node, o, g) {
 			return
 		}
-		life := o.life
-		e.afterHalt(func() {
-			w.deliver(e.n.name, o.name, func() {
-				o.when(life, func() { o.ctl.HandleFrame(ident.NodeID(e.n.name), g) })
+		incarnation := o.incarnation
+		e.afterPause(func() {
+			w.deliver(e.node.name, o.name, func() {
+				o.whenResponsive(incarnation, func() { o.controller.HandleFrame(ident.NodeID(e.node.name), g) })
 			})
 		})()
 	}
 }
 
 // request is a request of a user or a worker to a node.
-func (w *World) request(from string, n *node, v mesh.Method, job string, body []byte, limit time.Duration, done func(*controller.Response)) {
+func (w *Simulation) request(from string, n *node, v mesh.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
 	if !n.alive {
-		w.at(time.Millisecond, func() { done(nil) })
+		w.schedule(time.Millisecond, func() { done(nil) })
 		return
 	}
-	life := n.life
+	incarnation := n.incarnation
 	key := n.name + " " + job
-	if v == mesh.SubmitJob && w.cfg.Mutation == LoseZone {
-		body = loseZone(body)
+	if v == mesh.SubmitJob && w.cfg.Mutation == DropZoneConstraint {
+		body = dropZoneConstraint(body)
 	}
-	w.call(from, n.name, limit, func(reply func(any)) {
-		n.when(life, func() {
-			if c := n.cache[key]; v == mesh.GetJob && w.cfg.Mutation == CacheAnswers && c.body != nil && w.now.Sub(c.at) < cacheTime {
+	w.call(from, n.name, timeout, func(reply func(any)) {
+		n.whenResponsive(incarnation, func() {
+			if c := n.cache[key]; v == mesh.GetJob && w.cfg.Mutation == CacheStatusAnswers && c.body != nil && w.now.Sub(c.at) < cacheTTL {
 				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
-			n.ctl.HandleRequest(v, job, body, func(r controller.Response) {
-				n.env.afterHalt(func() {
-					if w.cfg.Mutation != IgnoreLimits {
+			n.controller.HandleRequest(v, job, body, func(r controller.Response) {
+				n.env.afterPause(func() {
+					if w.cfg.Mutation != IgnoreSendDeadlines {
 						r = r.IfValid(n.env.clock())
 					}
 					switch v {
 					case mesh.GetJob:
-						if w.cfg.Mutation == CacheAnswers && r.Status == 200 {
-							n.cache[key] = cached{w.now, r.Body}
+						if w.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
+							n.cache[key] = cachedAnswer{w.now, r.Body}
 						}
 					case mesh.WorkerHeartbeat:
-						reply(w.mutateCheckin(n, body, &r))
+						reply(w.mutateHeartbeatReply(n, body, &r))
 						return
 					}
 					reply(&r)
--- a/internal/standin/old.go
+++ b/internal/standin/old.go
@@ -14,37 +14,37 @@
 // What follows stands for nodes of the version in production (deploy/service.toml):
 // its formats, frozen, and what it refuses. It can go with package upgrade.
 
-type oldRecord struct {
+type legacyRecord struct {
 	Attempt ident.Attempt     `json:"t,omitempty"`
 	Host    ident.MachineID   `json:"h,omitempty"`
 	Session ident.Incarnation `json:"n,omitempty"`
 	Done    bool              `json:"d,omitempty"`
 }
 
-type oldHeader struct {
+type legacyHeader struct {
 	Spec  json.RawMessage `json:"spec"`
 	Seq   uint64          `json:"seq"`
 	AtMS  int64           `json:"at_ms"`
 	Phase string          `json:"phase"`
 	LSN   uint64          `json:"lsn,omitempty"`
-	Tasks []oldRecord     `json:"tasks,omitempty"`
+	Tasks []legacyRecord  `json:"tasks,omitempty"`
 }
 
-type oldSegment struct {
-	LSN   uint64      `json:"lsn,omitempty"`
-	Tasks []oldRecord `json:"tasks"`
+type legacySegment struct {
+	LSN   uint64         `json:"lsn,omitempty"`
+	Tasks []legacyRecord `json:"tasks"`
 }
 
-type oldLog struct {
+type legacyLog struct {
 	LSN   uint64 `json:"n"`
 	Lines []struct {
 		Job   ident.JobID `json:"j"`
 		Index int         `json:"i,omitempty"`
-		oldRecord
+		legacyRecord
 	} `json:"l"`
 }
 
-type oldGroup struct {
+type legacyGroup struct {
 	Model string `json:"model"`
 	Zone  string `json:"site"`
 	Spot  bool   `json:"standby,omitempty"`
@@ -55,22 +55,22 @@
 	} `json:"hosts"`
 }
 
-// readOld reads a value as the old version does, which keeps nothing that it doesn't
+// checkLegacyValue reads a value as the old version does, which keeps nothing that it doesn't
 // know when it puts the value again: what it doesn't know must not be there.
-func readOld(path string, value json.RawMessage) error {
+func checkLegacyValue(path string, value json.RawMessage) error {
 	var v any
 	prefix, rest, _ := strings.Cut(path, "/")
 	switch {
 	case prefix == "term":
 		v = new(ident.Term)
 	case prefix == "live" && strings.Contains(rest, "/"):
-		v = new(oldSegment)
+		v = new(legacySegment)
 	case prefix == "live":
-		v = new(oldHeader)
+		v = new(legacyHeader)
 	case prefix == "log":
-		v = new(oldLog)
+		v = new(legacyLog)
 	case prefix == "fleet":
-		v = new(oldGroup)
+		v = new(legacyGroup)
 	default:
 		return nil
 	}
@@ -79,7 +79,7 @@
 	if err := d.Decode(v); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if h, ok := v.(*oldHeader); ok {
+	if h, ok := v.(*legacyHeader); ok {
 		var spec struct {
 			Shape string `json:"shape"`
 		}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// asOld has a request of an old node answered as that one sees it.
-func (e *nodeEnv) asOld(r statesvc.Request, f func(statesvc.Response)) (func(statesvc.Response), bool) {
+// legacyRequest has a request of an old node answered as that one sees it.
+func (e *nodeEnv) legacyRequest(r statesvc.Request, f func(statesvc.Response)) (func(statesvc.Response), bool) {
 	if r.Prefix == upgrade.NodeKeyPrefix || strings.HasPrefix(r.Key, upgrade.NodeKeyPrefix) {
 		return nil, false // it knows of no such thing
 	}
@@ -101,25 +101,25 @@
 			pairs = []statesvc.KeyValue{{Key: r.Key, Value: a.Value}}
 		}
 		for _, p := range pairs {
-			if err := readOld(p.Key, p.Value); err != nil {
-				e.w().broken("an old node can't read, or would not keep: %v", err)
+			if err := checkLegacyValue(p.Key, p.Value); err != nil {
+				e.sim().reportViolation("an old node can't read, or would not keep: %v", err)
 			}
 		}
 		f(a)
 	}, true
 }
 
-// tamper is what the mutations of a rollout do to the requests of a new node.
-func (w *World) tamper(r statesvc.Request, f func(statesvc.Response)) (statesvc.Request, bool) {
-	if w.cfg.Mutation == RaiseEarly && r.Prefix == upgrade.NodeKeyPrefix {
+// mutateRequest is what the mutations of a rollout do to the requests of a new node.
+func (w *Simulation) mutateRequest(r statesvc.Request, f func(statesvc.Response)) (statesvc.Request, bool) {
+	if w.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
 		out := statesvc.Response{Outcome: statesvc.OK}
 		for _, n := range w.nodes {
 			out.KeyValues = append(out.KeyValues, statesvc.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
 		}
-		w.at(0, func() { f(out) })
+		w.schedule(0, func() { f(out) })
 		return r, false
 	}
-	if w.cfg.Mutation == WriteEarly && r.Op == statesvc.Txn {
+	if w.cfg.Mutation == WriteNewFieldsEarly && r.Op == statesvc.Txn {
 		then := append([]statesvc.Mutation(nil), r.Mutations...)
 		for i, c := range then {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
@@ -131,25 +131,25 @@
 	return r, true
 }
 
-// rollout replaces the nodes by new ones, one after the other.
-func (w *World) rollout(i int) {
+// rollingUpgrade replaces the nodes by new ones, one after the other.
+func (w *Simulation) rollingUpgrade(i int) {
 	if i == len(w.nodes) {
 		return
 	}
 	n := w.nodes[i]
 	if !n.alive {
-		w.at(rollEvery/4, func() { w.rollout(i) })
+		w.schedule(upgradeInterval/4, func() { w.rollingUpgrade(i) })
 		return
 	}
-	n.old = false
-	n.kill(rollEvery / 4)
-	w.at(rollEvery, func() { w.rollout(i + 1) })
+	n.legacy = false
+	n.crash(upgradeInterval / 4)
+	w.schedule(upgradeInterval, func() { w.rollingUpgrade(i + 1) })
 }
 
-// gangsWelcome says whether users may ask for what only new nodes know.
-func (w *World) gangsWelcome() bool {
+// gangsSupported says whether users may ask for what only new nodes know.
+func (w *Simulation) gangsSupported() bool {
 	for _, n := range w.nodes {
-		if n.old {
+		if n.legacy {
 			return false
 		}
 	}
--- a/internal/standin/study_load.go
+++ b/internal/standin/study_load.go
@@ -13,21 +13,21 @@
 // LoadOutcome is what came of a flood by one team.
 type LoadOutcome struct {
 	Imbalance []float64 // of the machines' use in each second of the flood, by the workers' own record
-	// HotDone and OtherDone are from the submission of an array to its end, for the hot team
+	// HotTeamLatencies and OtherTeamLatencies are from the submission of an array to its end, for the hot team
 	// and for the others.
-	HotDone, OtherDone []time.Duration
-	FetchedGB          float64
-	Machines           int    // rented in all
-	Moves              uint64 // that would pay, by the last leader
-	HotSeconds         int    // in which the leader called the flooding team, and it alone, hot
-	Broken, Undone     int
+	HotTeamLatencies, OtherTeamLatencies []time.Duration
+	FetchedGB                            float64
+	Machines                             int    // rented in all
+	Moves                                uint64 // that would pay, by the last leader
+	HotSeconds                           int    // in which the leader called the flooding team, and it alone, hot
+	Violations, Unfinished               int
 }
 
 const (
-	floodFrom  = 60 * time.Second
-	floodFor   = 90 * time.Second
-	floodFleet = 50
-	hotTeam    = "red"
+	floodStart     = 60 * time.Second
+	floodDuration  = 90 * time.Second
+	floodFleetSize = 50
+	hotTeam        = "red"
 )
 
 // floodConfig sets up fifty machines and three teams that are entitled to a part of them each.
@@ -36,55 +36,55 @@
 	for _, name := range []string{hotTeam, "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: 60, CPUsMax: 400})
 	}
-	return Config{Seed: seed, Rebalance: mode, Quiet: true, Fleet: floodFleet, Teams: teams,
-		Length: floodFrom + floodFor + 20*time.Second, Calm: 200 * time.Second}
+	return Config{Seed: seed, Rebalance: mode, NoArrivals: true, FleetSize: floodFleetSize, Teams: teams,
+		ActiveDuration: floodStart + floodDuration + 20*time.Second, QuiescentDuration: 200 * time.Second}
 }
 
 // StudyFlood plays a day on which one team floods the cluster with arrays while the others
 // submit steadily.
 func StudyFlood(seed uint64, mode settings.Rebalance) LoadOutcome {
 	w := New(floodConfig(seed, mode))
-	w.steadyTeams()
-	w.at(floodFrom, func() { w.flood(w.now.Add(floodFor)) })
+	w.submitSteadyLoad()
+	w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
 	var out LoadOutcome
 	var sample func()
 	sample = func() {
 		out.Imbalance = append(out.Imbalance, w.imbalance())
-		if w.onlyHot(hotTeam) {
+		if w.isOnlyHotTeam(hotTeam) {
 			out.HotSeconds++
 		}
-		if w.now < ident.MonotonicTime(floodFrom+floodFor) {
-			w.at(time.Second, sample)
+		if w.now < ident.MonotonicTime(floodStart+floodDuration) {
+			w.schedule(time.Second, sample)
 		}
 	}
-	w.at(floodFrom+10*time.Second, sample)
+	w.schedule(floodStart+10*time.Second, sample)
 	w.Run()
-	for _, id := range w.order {
+	for _, id := range w.jobOrder {
 		j := w.jobs[id]
-		if j.told != "done" || j.sentAt < ident.MonotonicTime(floodFrom) {
+		if j.lastStatus != "done" || j.submittedAt < ident.MonotonicTime(floodStart) {
 			continue
 		}
-		if took := j.toldAt.Sub(j.sentAt); j.spec.Team == hotTeam {
-			out.HotDone = append(out.HotDone, took)
+		if latency := j.lastStatusAt.Sub(j.submittedAt); j.spec.Team == hotTeam {
+			out.HotTeamLatencies = append(out.HotTeamLatencies, latency)
 		} else {
-			out.OtherDone = append(out.OtherDone, took)
+			out.OtherTeamLatencies = append(out.OtherTeamLatencies, latency)
 		}
 	}
 	for _, n := range w.nodes {
 		if n.alive {
-			out.FetchedGB += n.ctl.Stats().FetchedGB
-			out.Moves += n.ctl.Stats().MovesProposed
+			out.FetchedGB += n.controller.Stats().FetchedGB
+			out.Moves += n.controller.Stats().MovesProposed
 		}
 	}
-	out.Machines, out.Broken, out.Undone = len(w.cloud.machines), len(w.Broken), len(w.Undone)
+	out.Machines, out.Violations, out.Unfinished = len(w.cloud.machines), len(w.Violations), len(w.Unfinished)
 	return out
 }
 
-// steadyTeams has the other teams submit small arrays throughout, and a few services.
-func (w *World) steadyTeams() {
-	for s := 2.0; s < (floodFrom + floodFor).Seconds(); s += 0.8 {
-		w.when(s, func() {
-			w.job(func(s *api.Spec) {
+// submitSteadyLoad has the other teams submit small arrays throughout, and a few services.
+func (w *Simulation) submitSteadyLoad() {
+	for s := 2.0; s < (floodStart + floodDuration).Seconds(); s += 0.8 {
+		w.scheduleAt(s, func() {
+			w.submitJob(func(s *api.Spec) {
 				s.Team = []string{"blue", "grey"}[w.rng.IntN(2)]
 				s.Tasks, s.VCPUs, s.Spot = 1+w.rng.IntN(4), 1, true
 				if w.rng.IntN(5) == 0 {
@@ -96,21 +96,21 @@
 }
 
 // flood has the hot team submit arrays one after the other.
-func (w *World) flood(until ident.MonotonicTime) {
+func (w *Simulation) flood(until ident.MonotonicTime) {
 	if w.now > until {
 		return
 	}
-	w.job(func(s *api.Spec) {
+	w.submitJob(func(s *api.Spec) {
 		s.Team, s.Tasks, s.VCPUs, s.Spot = hotTeam, 3, float64(1+w.rng.IntN(3)), true
 	}, time.Duration(6+w.rng.IntN(10))*time.Second)
-	w.at(time.Duration(150+w.rng.IntN(200))*time.Millisecond, func() { w.flood(until) })
+	w.schedule(time.Duration(150+w.rng.IntN(200))*time.Millisecond, func() { w.flood(until) })
 }
 
 // imbalance is the coefficient of variation of the machines' use, by what workers run.
-func (w *World) imbalance() float64 {
+func (w *Simulation) imbalance() float64 {
 	n, sum, square := 0.0, 0.0, 0.0
 	for _, k := range w.sortedWorkers() {
-		share := k.taken() / w.cloud.models[0].VCPUs
+		share := k.usedCPUs() / w.cloud.models[0].VCPUs
 		n++
 		sum += share
 		square += share * share
@@ -122,14 +122,14 @@
 	return math.Sqrt(max(0, square/n-mean*mean)) / mean
 }
 
-// onlyHot says whether the leader calls a team hot, and no other.
-func (w *World) onlyHot(team string) bool {
+// isOnlyHotTeam says whether the leader calls a team hot, and no other.
+func (w *Simulation) isOnlyHotTeam(team string) bool {
 	l := w.leader()
 	if l == nil {
 		return false
 	}
 	hot := false
-	for _, r := range l.ctl.Stats().TeamLoads {
+	for _, r := range l.controller.Stats().TeamLoads {
 		switch {
 		case r.State != load.Overloaded:
 		case r.Team != team:
--- a/internal/standin/study_moves.go
+++ b/internal/standin/study_moves.go
@@ -11,10 +11,10 @@
 
 // MovesOutcome is what came of a day on which wide tasks find no room on a fragmented fleet.
 type MovesOutcome struct {
-	Seed     uint64             `json:"seed"`
-	Mode     settings.Rebalance `json:"mode"`
-	Estimate float64            `json:"estimate"` // of run times, as a multiple of what is true
-	Slow     int                `json:"slow"`     // machines that are much slower than the others
+	Seed         uint64             `json:"seed"`
+	Mode         settings.Rebalance `json:"mode"`
+	Estimate     float64            `json:"estimate"` // of run times, as a multiple of what is true
+	SlowMachines int                `json:"slow"`     // machines that are much slower than the others
 	// WideWaitS is from the submission of each wide task to its start, and NarrowDoneS from the
 	// submission of each other job to its end.
 	WideWaitS   []float64 `json:"wide_wait_s"`
@@ -24,79 +24,79 @@
 	Moves    int            `json:"moves"`
 	Ended    map[string]int `json:"ended"`
 	// ExpectedS and RealisedS are the gains, less the costs, of the moves that arrived.
-	ExpectedS []float64 `json:"expected_s"`
-	RealisedS []float64 `json:"realised_s"`
-	MostMoved int       `json:"most_moved"` // how often the job that was moved most was
-	Broken    int       `json:"broken"`
-	Undone    int       `json:"undone"`
+	ExpectedS  []float64 `json:"expected_s"`
+	RealisedS  []float64 `json:"realised_s"`
+	MostMoved  int       `json:"most_moved"` // how often the job that was moved most was
+	Violations int       `json:"broken"`
+	Unfinished int       `json:"undone"`
 }
 
 const (
-	// studiedCapacity is how many machines of each zone and kind the cloud has.
-	studiedCapacity = 6
-	studiedWideFor  = 50.0
-	studiedWidePace = 2.0
+	// studyZoneCapacity is how many machines of each zone and kind the cloud has.
+	studyZoneCapacity   = 6
+	wideArrivalSeconds  = 50.0
+	wideArrivalInterval = 2.0
 )
 
 // StudyMoves plays a day on which a fleet is fragmented by tasks of which one on each machine
 // ends early, and wide tasks come every few seconds; a controller dies meanwhile.
 func StudyMoves(seed uint64, mode settings.Rebalance, estimate float64) MovesOutcome {
-	cfg := movingConfig(seed)
-	cfg.Rebalance, cfg.Capacity, cfg.Calm = mode, studiedCapacity, 400*time.Second
+	cfg := rebalancingConfig(seed)
+	cfg.Rebalance, cfg.ZoneCapacity, cfg.QuiescentDuration = mode, studyZoneCapacity, 400*time.Second
 	w := New(cfg)
 	var wide, narrow []*userJob
-	w.when(2, func() {
-		for range 4 * cfg.Capacity {
-			j := w.job(func(s *api.Spec) { w.narrow(s); s.RuntimeS *= estimate }, firstEnds)
-			j.step = nextEnds
+	w.scheduleAt(2, func() {
+		for range 4 * cfg.ZoneCapacity {
+			j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.RuntimeS *= estimate }, firstTaskDuration)
+			j.durationStep = taskDurationStep
 			narrow = append(narrow, j)
 		}
 	})
-	for s := wideAt; s < wideAt+studiedWideFor; s += studiedWidePace {
-		w.when(s, func() {
-			wide = append(wide, w.job(func(s *api.Spec) {
-				w.narrow(s)
-				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideRuns.Seconds()*estimate
-			}, wideRuns))
+	for s := wideTasksAt; s < wideTasksAt+wideArrivalSeconds; s += wideArrivalInterval {
+		w.scheduleAt(s, func() {
+			wide = append(wide, w.submitJob(func(s *api.Spec) {
+				w.makeNarrow(s)
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()*estimate
+			}, wideTaskDuration))
 		})
 	}
-	w.when(wideAt+35, func() {
+	w.scheduleAt(wideTasksAt+35, func() {
 		if l := w.leader(); l != nil {
-			l.kill(3 * time.Second)
+			l.crash(3 * time.Second)
 		}
 	})
-	return w.movesOutcome(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
+	return w.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
 }
 
 // StudySlow plays a day on which one machine of eight takes four times as long as the others; its
 // narrow jobs are the long ones.
 func StudySlow(seed uint64, mode settings.Rebalance) MovesOutcome {
-	w := slowDay(seed, mode, 1)
+	w := slowMachineScenario(seed, mode, 1)
 	var long []*userJob
-	w.when(3, func() {
-		for _, id := range w.order {
-			if j := w.jobs[id]; j.runs == slowLong {
+	w.scheduleAt(3, func() {
+		for _, id := range w.jobOrder {
+			if j := w.jobs[id]; j.duration == longTaskDuration {
 				long = append(long, j)
 			}
 		}
 	})
-	return w.movesOutcome(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, Slow: 1}, &[]*userJob{}, &long)
+	return w.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, SlowMachines: 1}, &[]*userJob{}, &long)
 }
 
-// movesOutcome plays a day and gathers what comes of it.
-func (w *World) movesOutcome(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
+// runMovesStudy plays a day and gathers what comes of it.
+func (w *Simulation) runMovesStudy(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
 	out.Ended, out.ExpectedS, out.RealisedS = map[string]int{}, []float64{}, []float64{}
 	out.WideWaitS, out.NarrowDoneS = []float64{}, []float64{}
-	gains := w.gatherGains()
+	gains := w.collectFinishedMoves()
 	w.Run()
 	for _, j := range *wide {
-		out.WideWaitS = append(out.WideWaitS, j.begunAt.Sub(j.sentAt).Seconds())
+		out.WideWaitS = append(out.WideWaitS, j.firstStartAt.Sub(j.submittedAt).Seconds())
 	}
 	for _, j := range *narrow {
-		if j.told == "done" {
-			out.NarrowDoneS = append(out.NarrowDoneS, j.toldAt.Sub(j.sentAt).Seconds())
+		if j.lastStatus == "done" {
+			out.NarrowDoneS = append(out.NarrowDoneS, j.lastStatusAt.Sub(j.submittedAt).Seconds())
 		}
-		out.LostCPUS += j.lost.Seconds() * j.spec.VCPUs
+		out.LostCPUS += j.lostWork.Seconds() * j.spec.VCPUs
 		out.MostMoved = max(out.MostMoved, j.stopCount())
 	}
 	for _, m := range *gains {
@@ -106,17 +106,17 @@
 			out.RealisedS = append(out.RealisedS, *m.RealisedGainS)
 		}
 	}
-	out.Moves, out.Broken, out.Undone = w.Moves, len(w.Broken), len(w.Undone)
+	out.Moves, out.Violations, out.Unfinished = w.Moves, len(w.Violations), len(w.Unfinished)
 	return out
 }
 
-// gatherGains collects the moves that have ended, as they are told last by the leader that
+// collectFinishedMoves collects the moves that have ended, as they are told last by the leader that
 // carried them out.
-func (w *World) gatherGains() *[]controller.MoveEntry {
+func (w *Simulation) collectFinishedMoves() *[]controller.MoveEntry {
 	var all []controller.MoveEntry
 	same := func(a, b controller.MoveEntry) bool { return a.Task == b.Task && a.From == b.From && a.To == b.To }
-	w.when(wideAt, func() {
-		w.watchMoves(250*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
+	w.scheduleAt(wideTasksAt, func() {
+		w.pollMoves(250*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 			if m.Reason == "" {
 				return false
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -19,78 +19,78 @@
 
 // worker is a machine's worker.
 type worker struct {
-	w       *World
-	m       *rented
-	host    ident.MachineID
-	dead    bool
-	hung    ident.MonotonicTime
-	tenure  ident.Incarnation
-	serial  ident.SequenceNumber
-	epoch   ident.FencingToken
-	leaseAt ident.MonotonicTime
-	doomed  ident.MonotonicTime
-	node    int
-	pieces  map[ident.TaskID]map[ident.Attempt]*piece
-	images  map[string]bool
-	flying  bool // a report is under way
-	last    ident.MonotonicTime
-	faulty  bool
-	pace    float64 // how many times as long arrays' tasks take
+	sim               *Simulation
+	machine           *machine
+	id                ident.MachineID
+	dead              bool
+	hungUntil         ident.MonotonicTime
+	incarnation       ident.Incarnation
+	sequence          ident.SequenceNumber
+	token             ident.FencingToken
+	leaseRenewedAt    ident.MonotonicTime
+	reclaimAt         ident.MonotonicTime
+	nodeIndex         int
+	tasks             map[ident.TaskID]map[ident.Attempt]*task
+	images            map[string]bool
+	heartbeatInFlight bool // a report is under way
+	lastHeartbeat     ident.MonotonicTime
+	faulty            bool
+	slowdown          float64 // how many times as long arrays' tasks take
 }
 
-type piece struct {
-	id     ident.TaskID
-	try    ident.Attempt
-	status api.TaskStatus
-	cause  api.Cause
-	stored bool
-	alike  bool // of the mutation OneTry
-	gen    int
-	began  ident.MonotonicTime // when it started to run
+type task struct {
+	id            ident.TaskID
+	attempt       ident.Attempt
+	status        api.TaskStatus
+	cause         api.Cause
+	stored        bool
+	reusesAttempt bool // of the mutation ReuseGangAttempt
+	generation    int
+	startedAt     ident.MonotonicTime // when it started to run
 }
 
-// slowPace is that of slow machines.
-const slowPace = 4
+// slowFactor is that of slow machines.
+const slowFactor = 4
 
-func newWorker(w *World, m *rented) *worker {
-	k := &worker{w: w, m: m, host: m.host, tenure: 1, leaseAt: w.now, node: w.rng.IntN(len(w.nodes)),
-		pieces: map[ident.TaskID]map[ident.Attempt]*piece{}, images: map[string]bool{}, faulty: w.cfg.Faults && w.rng.IntN(25) == 0, pace: 1}
-	if len(w.workers) < w.cfg.Slow && w.slowUp < w.cfg.Slow {
-		w.slowUp++
-		k.pace = slowPace
+func newWorker(w *Simulation, m *machine) *worker {
+	k := &worker{sim: w, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: w.now, nodeIndex: w.rng.IntN(len(w.nodes)),
+		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: w.cfg.Faults && w.rng.IntN(25) == 0, slowdown: 1}
+	if len(w.workers) < w.cfg.SlowMachines && w.slowMachineCount < w.cfg.SlowMachines {
+		w.slowMachineCount++
+		k.slowdown = slowFactor
 	}
-	w.workers[m.host] = k
-	w.sorted = nil
+	w.workers[m.id] = k
+	w.sortedByID = nil
 	k.tick()
 	return k
 }
 
-// when runs f once the machine doesn't hang.
-func (k *worker) when(f func()) {
+// whenResponsive runs f once the machine doesn't hang.
+func (k *worker) whenResponsive(f func()) {
 	if k.dead {
 		return
 	}
-	if k.w.now < k.hung {
-		k.w.at(k.hung.Sub(k.w.now)+time.Millisecond, func() { k.when(f) })
+	if k.sim.now < k.hungUntil {
+		k.sim.schedule(k.hungUntil.Sub(k.sim.now)+time.Millisecond, func() { k.whenResponsive(f) })
 		return
 	}
-	k.lease()
+	k.checkLease()
 	f()
 }
 
-func (k *worker) hang(d time.Duration) {
-	k.w.logf("%s hangs for %v", k.host, d)
-	k.hung = max(k.hung, k.w.now.Add(d))
+func (k *worker) hangFor(d time.Duration) {
+	k.sim.logf("%s hangs for %v", k.id, d)
+	k.hungUntil = max(k.hungUntil, k.sim.now.Add(d))
 }
 
-func (k *worker) doom(d time.Duration) { k.doomed = k.w.now.Add(d) }
+func (k *worker) announceReclaim(d time.Duration) { k.reclaimAt = k.sim.now.Add(d) }
 
-// lease ends the session when its time is over.
-func (k *worker) lease() {
-	if k.w.now.Sub(k.leaseAt) > time.Duration(k.w.set.Workers.LeaseS*float64(time.Second)) {
-		k.w.logf("%s: lease over, with %d tasks", k.host, len(k.pieces))
-		k.w.LeasesLost += len(k.pieces)
-		k.session()
+// checkLease ends the session when its time is over.
+func (k *worker) checkLease() {
+	if k.sim.now.Sub(k.leaseRenewedAt) > time.Duration(k.sim.settings.Workers.LeaseS*float64(time.Second)) {
+		k.sim.logf("%s: lease over, with %d tasks", k.id, len(k.tasks))
+		k.sim.TasksLostWithLease += len(k.tasks)
+		k.beginIncarnation()
 	}
 }
 
@@ -99,31 +99,33 @@
 	if k.dead {
 		return
 	}
-	k.when(func() {
-		if !k.flying && k.w.now.Sub(k.last) >= time.Duration(k.w.set.Workers.HeartbeatS*900)*time.Millisecond {
-			k.report()
+	k.whenResponsive(func() {
+		if !k.heartbeatInFlight && k.sim.now.Sub(k.lastHeartbeat) >= time.Duration(k.sim.settings.Workers.HeartbeatS*900)*time.Millisecond {
+			k.sendHeartbeat()
 		}
 	})
-	k.w.at(250*time.Millisecond, k.tick)
+	k.sim.schedule(250*time.Millisecond, k.tick)
 }
 
-// changed brings the next report forward.
-func (k *worker) changed() { k.last = min(k.last, k.w.now.Add(-2500*time.Millisecond)) }
+// expediteHeartbeat brings the next report forward.
+func (k *worker) expediteHeartbeat() {
+	k.lastHeartbeat = min(k.lastHeartbeat, k.sim.now.Add(-2500*time.Millisecond))
+}
 
-func (k *worker) message() *api.Heartbeat {
-	k.serial++
-	r := &api.Heartbeat{MachineID: k.host, Addr: string(k.host), Model: "m8", Zone: k.m.site, Spot: k.m.standby,
-		Incarnation: k.tenure, SequenceNumber: k.serial, FencingToken: k.epoch}
-	if k.doomed > 0 {
-		s := k.doomed.Sub(k.w.now).Seconds()
+func (k *worker) buildHeartbeat() *api.Heartbeat {
+	k.sequence++
+	r := &api.Heartbeat{MachineID: k.id, Addr: string(k.id), Model: "m8", Zone: k.machine.zone, Spot: k.machine.spot,
+		Incarnation: k.incarnation, SequenceNumber: k.sequence, FencingToken: k.token}
+	if k.reclaimAt > 0 {
+		s := k.reclaimAt.Sub(k.sim.now).Seconds()
 		r.ReclaimNoticeS = &s
 	}
-	for _, tries := range k.pieces {
+	for _, tries := range k.tasks {
 		for _, p := range tries {
-			if k.w.cfg.Mutation == HideGathering && p.status == api.Gathering {
+			if k.sim.cfg.Mutation == HideWaitingGangTasks && p.status == api.Gathering {
 				continue
 			}
-			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: p.id, Attempt: p.try, Status: p.status, Cause: p.cause, CheckpointStored: p.stored})
+			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: p.id, Attempt: p.attempt, Status: p.status, Cause: p.cause, CheckpointStored: p.stored})
 		}
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
@@ -132,28 +134,28 @@
 	return r
 }
 
-func (k *worker) report() {
-	k.flying = true
-	k.last = k.w.now
-	sent, tenure := k.w.now, k.tenure
-	n := k.w.nodes[k.node]
-	m := k.message()
-	k.copied(m)
-	k.w.copyReport(m)
-	k.w.request(string(k.host), n, mesh.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
+func (k *worker) sendHeartbeat() {
+	k.heartbeatInFlight = true
+	k.lastHeartbeat = k.sim.now
+	sentAt, incarnation := k.sim.now, k.incarnation
+	n := k.sim.nodes[k.nodeIndex]
+	m := k.buildHeartbeat()
+	k.duplicateLate(m)
+	k.sim.duplicateHeartbeat(m)
+	k.sim.request(string(k.id), n, mesh.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
 		if k.dead {
 			return
 		}
 		// A hanging machine comes back to the answer later.
-		k.when(func() {
-			if r != nil && r.Status == 200 && k.w.now.Sub(sent) <= 4*time.Second {
-				k.flying = false
+		k.whenResponsive(func() {
+			if r != nil && r.Status == 200 && k.sim.now.Sub(sentAt) <= 4*time.Second {
+				k.heartbeatInFlight = false
 				var o api.HeartbeatResponse
-				if json.Unmarshal(r.Body, &o) != nil || tenure != k.tenure || !k.entitled(o.FencingToken) {
+				if json.Unmarshal(r.Body, &o) != nil || incarnation != k.incarnation || !k.acceptToken(o.FencingToken) {
 					return
 				}
-				k.leaseAt = sent
-				k.obey(o.Commands)
+				k.leaseRenewedAt = sentAt
+				k.execute(o.Commands)
 				return
 			}
 			if r != nil && r.Status == 421 {
@@ -161,83 +163,83 @@
 					Home string `json:"home"`
 				}
 				json.Unmarshal(r.Body, &home)
-				for i, o := range k.w.nodes {
-					if o.name == home.Home && i != k.node {
-						k.node = i
-						k.flying = false
-						k.last = 0
+				for i, o := range k.sim.nodes {
+					if o.name == home.Home && i != k.nodeIndex {
+						k.nodeIndex = i
+						k.heartbeatInFlight = false
+						k.lastHeartbeat = 0
 						return
 					}
 				}
 			}
-			k.w.at(time.Second, func() {
-				k.node = (k.node + 1) % len(k.w.nodes)
-				k.flying = false
-				k.last = 0
+			k.sim.schedule(time.Second, func() {
+				k.nodeIndex = (k.nodeIndex + 1) % len(k.sim.nodes)
+				k.heartbeatInFlight = false
+				k.lastHeartbeat = 0
 			})
 		})
 	})
 }
 
-// copied has a copy of a report come late now and then, up to twice the lease,
+// duplicateLate has a copy of a report come late now and then, up to twice the lease,
 // whatever has become of the machine. Nobody waits for its answer.
-func (k *worker) copied(m *api.Heartbeat) {
-	w := k.w
-	if !w.cfg.Faults || w.now > ident.MonotonicTime(w.cfg.Length) || w.rng.IntN(30) > 0 {
+func (k *worker) duplicateLate(m *api.Heartbeat) {
+	w := k.sim
+	if !w.cfg.Faults || w.now > ident.MonotonicTime(w.cfg.ActiveDuration) || w.rng.IntN(30) > 0 {
 		return
 	}
-	late := time.Duration(w.rng.Float64() * 2 * w.set.Workers.LeaseS * float64(time.Second))
-	w.at(late, func() { w.resend(m, w.nodes[w.rng.IntN(len(w.nodes))]) })
+	late := time.Duration(w.rng.Float64() * 2 * w.settings.Workers.LeaseS * float64(time.Second))
+	w.schedule(late, func() { w.deliverStaleHeartbeat(m, w.nodes[w.rng.IntN(len(w.nodes))]) })
 }
 
 // restart ends the worker with all its tasks; it is back at once, in its next
 // session.
 func (k *worker) restart() {
-	k.w.logf("%s restarts", k.host)
-	k.session()
-	k.last = 0
+	k.sim.logf("%s restarts", k.id)
+	k.beginIncarnation()
+	k.lastHeartbeat = 0
 }
 
-// session begins the next one, without any task.
-func (k *worker) session() {
-	k.pieces = map[ident.TaskID]map[ident.Attempt]*piece{}
+// beginIncarnation begins the next one, without any task.
+func (k *worker) beginIncarnation() {
+	k.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
 	k.images = map[string]bool{}
-	k.tenure++
-	k.serial = 0
-	k.leaseAt = k.w.now
+	k.incarnation++
+	k.sequence = 0
+	k.leaseRenewedAt = k.sim.now
 }
 
-// entitled checks and notes a token.
-func (k *worker) entitled(e ident.FencingToken) bool {
-	if e < k.epoch && k.w.cfg.Mutation != IgnoreEpochs {
+// acceptToken checks and notes a token.
+func (k *worker) acceptToken(e ident.FencingToken) bool {
+	if e < k.token && k.sim.cfg.Mutation != IgnoreFencingTokens {
 		return false
 	}
-	if e > k.epoch {
-		k.epoch = e
-		k.changed()
+	if e > k.token {
+		k.token = e
+		k.expediteHeartbeat()
 	}
 	return true
 }
 
-func (k *worker) commands(c api.CommandRequest, reply func(any)) {
-	if k.w.now < k.w.mute[string(k.host)] {
-		k.w.took("command to a mute machine")
+func (k *worker) handleCommands(c api.CommandRequest, reply func(any)) {
+	if k.sim.now < k.sim.outboundBlockedUntil[string(k.id)] {
+		k.sim.countEvent("command to a mute machine")
 	}
-	if c.Incarnation != k.tenure || !k.entitled(c.FencingToken) {
-		reply(workers.CommandResult{Status: 409, Heartbeat: k.message()})
+	if c.Incarnation != k.incarnation || !k.acceptToken(c.FencingToken) {
+		reply(workers.CommandResult{Status: 409, Heartbeat: k.buildHeartbeat()})
 		return
 	}
-	k.obey(c.Commands)
-	reply(workers.CommandResult{Status: 200, Heartbeat: k.message()})
+	k.execute(c.Commands)
+	reply(workers.CommandResult{Status: 200, Heartbeat: k.buildHeartbeat()})
 }
 
-func (k *worker) obey(orders []api.Command) {
+func (k *worker) execute(orders []api.Command) {
 	for _, o := range orders {
-		p := k.pieces[o.TaskID][o.Attempt]
+		p := k.tasks[o.TaskID][o.Attempt]
 		switch o.Verb {
 		case api.Launch:
-			if j := k.w.jobs[o.TaskID.Job]; k.w.cfg.Mutation == OneTry && j != nil && j.spec.Shape == api.Gang {
-				k.obeyOneTry(o)
+			if j := k.sim.jobs[o.TaskID.Job]; k.sim.cfg.Mutation == ReuseGangAttempt && j != nil && j.spec.Shape == api.Gang {
+				k.executeReusingAttempt(o)
 				continue
 			}
 			if p == nil {
@@ -249,19 +251,19 @@
 			}
 		case api.Clear:
 			if p != nil && p.status == api.Ended {
-				delete(k.pieces[o.TaskID], o.Attempt)
-				if len(k.pieces[o.TaskID]) == 0 {
-					delete(k.pieces, o.TaskID)
+				delete(k.tasks[o.TaskID], o.Attempt)
+				if len(k.tasks[o.TaskID]) == 0 {
+					delete(k.tasks, o.TaskID)
 				}
 			}
 		}
-		k.changed()
+		k.expediteHeartbeat()
 	}
 }
 
 // kill stops a task; one that saves is ended by a second kill without time for it.
-func (k *worker) kill(p *piece, windDown *float64) {
-	j := k.w.jobs[p.id.Job]
+func (k *worker) kill(p *task, windDown *float64) {
+	j := k.sim.jobs[p.id.Job]
 	d := 0.0
 	if windDown != nil {
 		d = *windDown
@@ -273,52 +275,52 @@
 	if p.status == api.Flushing && d > 0 {
 		return // it saves already
 	}
-	if k.w.cfg.Mutation == StopPart && d > 0 && p.id.Index > 0 {
+	if k.sim.cfg.Mutation == StopPartOfGang && d > 0 && p.id.Index > 0 {
 		return
 	}
-	k.w.gang(j, p.try).kill(k, p, d)
+	k.sim.gang(j, p.attempt).kill(k, p, d)
 }
 
 // stop ends a task of an array or a service; one of an array that has the time for it saves
 // its progress first.
-func (k *worker) stop(p *piece, j *userJob, windDown float64) {
+func (k *worker) stop(p *task, j *userJob, windDown float64) {
 	if j != nil {
-		j.noteStop(p)
+		j.recordStop(p)
 	}
 	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || p.status == api.Pulling {
 		if j != nil && p.status == api.Running {
-			j.lost += k.w.now.Sub(p.began)
+			j.lostWork += k.sim.now.Sub(p.startedAt)
 		}
-		k.end(p, api.CauseStopped)
+		k.endTask(p, api.CauseStopped)
 		return
 	}
 	if p.status == api.Flushing {
 		return // it saves already
 	}
-	ran := time.Duration(float64(k.w.now.Sub(p.began)) / k.pace)
+	ran := time.Duration(float64(k.sim.now.Sub(p.startedAt)) / k.slowdown)
 	p.status = api.Flushing
-	p.gen++
-	k.changed()
-	k.step(p, seconds(j.spec.CheckpointS), func() {
-		j.kept[p.id.Index] += ran
+	p.generation++
+	k.expediteHeartbeat()
+	k.scheduleStep(p, seconds(j.spec.CheckpointS), func() {
+		j.checkpointed[p.id.Index] += ran
 		p.stored = true
-		k.end(p, api.CauseStopped)
+		k.endTask(p, api.CauseStopped)
 	})
 }
 
-func (k *worker) end(p *piece, c api.Cause) {
+func (k *worker) endTask(p *task, c api.Cause) {
 	p.status, p.cause = api.Ended, c
-	p.gen++
-	k.changed()
+	p.generation++
+	k.expediteHeartbeat()
 }
 
-// taken returns the CPUs of the tasks that have not exited.
-func (k *worker) taken() float64 {
+// usedCPUs returns the CPUs of the tasks that have not exited.
+func (k *worker) usedCPUs() float64 {
 	cpus := 0.0
-	for _, tries := range k.pieces {
+	for _, tries := range k.tasks {
 		for _, o := range tries {
 			if o.status != api.Ended {
-				cpus += k.w.jobs[o.id.Job].spec.VCPUs
+				cpus += k.sim.jobs[o.id.Job].spec.VCPUs
 			}
 		}
 	}
@@ -326,90 +328,90 @@
 }
 
 func (k *worker) launch(id ident.TaskID, try ident.Attempt) {
-	p := &piece{id: id, try: try, status: api.Pulling}
+	p := &task{id: id, attempt: try, status: api.Pulling}
 	busy := false
-	for _, o := range k.pieces[id] {
+	for _, o := range k.tasks[id] {
 		busy = busy || o.status != api.Ended
 	}
-	cpus := k.taken()
-	if k.pieces[id] == nil {
-		k.pieces[id] = map[ident.Attempt]*piece{}
+	cpus := k.usedCPUs()
+	if k.tasks[id] == nil {
+		k.tasks[id] = map[ident.Attempt]*task{}
 	}
-	k.pieces[id][try] = p
-	j := k.w.jobs[id.Job]
+	k.tasks[id][try] = p
+	j := k.sim.jobs[id.Job]
 	switch {
 	case j == nil || id.Index >= j.spec.Tasks:
-		k.end(p, api.CauseUnknown)
+		k.endTask(p, api.CauseUnknown)
 	case busy:
-		k.end(p, api.CauseBusy)
-	case cpus+j.spec.VCPUs > k.w.cloud.models[0].VCPUs+1e-6:
-		k.end(p, api.CauseNoCapacity)
+		k.endTask(p, api.CauseBusy)
+	case cpus+j.spec.VCPUs > k.sim.cloud.models[0].VCPUs+1e-6:
+		k.endTask(p, api.CauseNoCapacity)
 	default:
 		d := time.Millisecond
 		if !k.images[j.spec.Image] {
-			d = time.Duration(500+k.w.rng.IntN(3000)) * time.Millisecond
+			d = time.Duration(500+k.sim.rng.IntN(3000)) * time.Millisecond
 		}
-		k.step(p, d, func() {
+		k.scheduleStep(p, d, func() {
 			k.images[j.spec.Image] = true
 			if j.spec.Shape == api.Gang && !k.faulty {
-				try := p.try
-				if p.alike {
+				try := p.attempt
+				if p.reusesAttempt {
 					try = 1
 				}
-				k.w.gang(j, try).join(k, p)
+				k.sim.gang(j, try).join(k, p)
 				return
 			}
-			p.status, p.began = api.Running, k.w.now
-			k.changed()
-			k.w.started(k, p)
+			p.status, p.startedAt = api.Running, k.sim.now
+			k.expediteHeartbeat()
+			k.sim.checkTaskStart(k, p)
 			if j.done[id.Index] {
-				k.step(p, time.Millisecond, func() { k.end(p, api.CauseDone) })
+				k.scheduleStep(p, time.Millisecond, func() { k.endTask(p, api.CauseDone) })
 				return
 			}
-			if k.faulty || j.mistaken {
-				j.tries++
-				k.step(p, time.Second, func() { k.end(p, api.CauseError) })
+			if k.faulty || j.alwaysFails {
+				j.failures++
+				k.scheduleStep(p, time.Second, func() { k.endTask(p, api.CauseError) })
 				return
 			}
 			if j.spec.Shape == api.Batch {
-				left := float64(j.runOf(id.Index) - j.kept[id.Index])
-				k.step(p, max(time.Millisecond, time.Duration(left*k.pace)), func() {
+				left := float64(j.durationOf(id.Index) - j.checkpointed[id.Index])
+				k.scheduleStep(p, max(time.Millisecond, time.Duration(left*k.slowdown)), func() {
 					j.done[id.Index] = true
-					k.end(p, api.CauseDone)
-					k.w.ended(j)
+					k.endTask(p, api.CauseDone)
+					k.sim.onTaskCompleted(j)
 				})
 			}
 		})
 	}
 }
 
-// obeyOneTry is the mutation that numbers every attempt of a gang alike.
-func (k *worker) obeyOneTry(o api.Command) {
-	if p := k.pieces[o.TaskID][o.Attempt]; p != nil {
+// executeReusingAttempt is the mutation that numbers every attempt of a gang alike.
+func (k *worker) executeReusingAttempt(o api.Command) {
+	if p := k.tasks[o.TaskID][o.Attempt]; p != nil {
 		return
 	}
 	k.launch(o.TaskID, o.Attempt)
-	if p := k.pieces[o.TaskID][o.Attempt]; p != nil && p.status != api.Ended {
-		p.alike = true
+	if p := k.tasks[o.TaskID][o.Attempt]; p != nil && p.status != api.Ended {
+		p.reusesAttempt = true
 	}
 }
 
-// step does something with a task later, unless it or its session ends before.
-func (k *worker) step(p *piece, d time.Duration, f func()) {
-	gen, tenure := p.gen, k.tenure
-	k.w.at(d, func() {
-		k.when(func() {
-			if !k.dead && k.tenure == tenure && p.gen == gen && p.status != api.Ended {
+// scheduleStep does something with a task later, unless it or its session ends before.
+func (k *worker) scheduleStep(p *task, d time.Duration, f func()) {
+	gen, incarnation := p.generation, k.incarnation
+	k.sim.schedule(d, func() {
+		k.whenResponsive(func() {
+			if !k.dead && k.incarnation == incarnation && p.generation == gen && p.status != api.Ended {
 				f()
 			}
 		})
 	})
 }
 
-// count returns how many tasks of a job are on the machine.
-func (k *worker) count(id ident.JobID) int {
+// taskCount returns how many tasks of a job are on the machine.
+func (k *worker) taskCount(id ident.JobID) int {
 	n := 0
-	for p, tries := range k.pieces {
+	for p, tries := range k.tasks {
 		for _, o := range tries {
 			if p.Job == id && o.onMachine() {
 				n++
@@ -420,13 +422,13 @@
 }
 
 // onMachine is the protocol's word: from the image until the exit.
-func (p *piece) onMachine() bool {
+func (p *task) onMachine() bool {
 	return p.status == api.Running || p.status == api.Flushing || p.status == api.Gathering
 }
 
-// launchPlaced is the mutation that launches what a transaction is only about to
+// launchBeforeCommit is the mutation that launches what a transaction is only about to
 // make durable.
-func (w *World) launchPlaced(from string, r statesvc.Request) {
+func (w *Simulation) launchBeforeCommit(from string, r statesvc.Request) {
 	for _, c := range r.Mutations {
 		var v struct {
 			Text string `json:"t"`
@@ -437,21 +439,21 @@
 		commit.ParseText(v.Text, func(id, line string) error {
 			var i int
 			var try ident.Attempt
-			var tenure ident.Incarnation
+			var incarnation ident.Incarnation
 			f := strings.Split(line, ",")
 			if len(f) != 4 {
 				return nil
 			}
-			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &tenure)
+			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation)
 			k := w.workers[ident.MachineID(f[2])]
 			if k == nil {
 				return nil
 			}
 			w.deliver(from, f[2], func() {
-				k.when(func() {
-					piece := ident.TaskID{Job: ident.JobID(id), Index: i}
-					if k.tenure == tenure && k.pieces[piece][try] == nil {
-						k.launch(piece, try)
+				k.whenResponsive(func() {
+					taskID := ident.TaskID{Job: ident.JobID(id), Index: i}
+					if k.incarnation == incarnation && k.tasks[taskID][try] == nil {
+						k.launch(taskID, try)
 					}
 				})
 			})
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -18,29 +18,29 @@
 
 // Config sets a run up.
 type Config struct {
-	Seed     uint64
-	Mutation Mutation
-	Faults   bool
-	Length   time.Duration // of the part with faults and arrivals
-	Old      bool          // all nodes are of the version in production at first, and replaced one by one
-	Gangs    bool          // more gangs than otherwise
-	Crowd    bool          // small jobs of one team all the time, and large ones now and then
-	Quiet    bool          // no jobs come by themselves
-	Meet     bool          // the faults are those of the page on two at once as well
-	Links    bool          // the nodes watch their links
+	Seed             uint64
+	Mutation         Mutation
+	Faults           bool
+	ActiveDuration   time.Duration // of the part with faults and arrivals
+	RollingUpgrade   bool          // all nodes are of the version in production at first, and replaced one by one
+	MoreGangs        bool          // more gangs than otherwise
+	Overload         bool          // small jobs of one team all the time, and large ones now and then
+	NoArrivals       bool          // no jobs come by themselves
+	ConcurrentFaults bool          // the faults are those of the page on two at once as well
+	LinkMonitoring   bool          // the nodes watch their links
 	// Rebalance is what the nodes do about uneven load.
 	Rebalance settings.Rebalance
 	// Tune changes the tuning of each node; nil: nothing more.
-	Tune     func(*settings.Tuning)
-	Nodes    int // controllers; 0: three
-	OldNodes int // so many of them are of the version in production, until they are replaced
-	Capacity int // machines of each zone and kind that the cloud has; 0: by Fleet
-	Fleet    int // machines that the cloud has in all, with limits of teams to match; 0: a small one
-	// Slow is how many of the first machines are much slower than the others.
-	Slow int
+	Tune         func(*settings.Tuning)
+	Nodes        int // controllers; 0: three
+	LegacyNodes  int // so many of them are of the version in production, until they are replaced
+	ZoneCapacity int // machines of each zone and kind that the cloud has; 0: by Fleet
+	FleetSize    int // machines that the cloud has in all, with limits of teams to match; 0: a small one
+	// SlowMachines is how many of the first machines are much slower than the others.
+	SlowMachines int
 	// Teams are those of the cluster; nil: four of different kinds.
-	Teams []settings.Team
-	Calm  time.Duration // after the faults; 0: calm
+	Teams             []settings.Team
+	QuiescentDuration time.Duration // after the faults; 0: calm
 }
 
 // nodeCount returns how many controllers there are.
@@ -51,49 +51,49 @@
 	return 3
 }
 
-// World is one run.
-type World struct {
-	cfg   Config
-	rng   *rand.Rand
-	now   ident.MonotonicTime
-	queue eventHeap
-	seq   uint64
-
-	set     settings.Cluster
-	nodes   []*node
-	store   *store
-	cloud   *provider
-	workers map[ident.MachineID]*worker
-	jobs    map[ident.JobID]*userJob
-	gangs   map[gangKey]*gangRun
-	order   []ident.JobID
-	cuts    map[[2]string]*cut
-	oneWay  map[[2]string]*cut             // links broken in one direction, from the first to the second
-	sorted  []*worker                      // the workers by name, nil when they have changed
-	zones   map[string]*cut                // zones cut off from everything outside
-	deaf    map[string]ident.MonotonicTime // machines that nothing reaches until then
-	nextJob int
-	troubles
-	linkEvents
-
-	// Broken lists the rules broken, in words; Undone what was not brought to its
+// Simulation is one run.
+type Simulation struct {
+	cfg           Config
+	rng           *rand.Rand
+	now           ident.MonotonicTime
+	events        eventHeap
+	eventSequence uint64
+
+	settings            settings.Cluster
+	nodes               []*node
+	store               *store
+	cloud               *provider
+	workers             map[ident.MachineID]*worker
+	jobs                map[ident.JobID]*userJob
+	gangs               map[gangKey]*gangAttempt
+	jobOrder            []ident.JobID
+	partitions          map[[2]string]*networkPartition
+	directedPartitions  map[[2]string]*networkPartition // links broken in one direction, from the first to the second
+	sortedByID          []*worker                       // the workers by name, nil when they have changed
+	zonePartitions      map[string]*networkPartition    // zones cut off from everything outside
+	inboundBlockedUntil map[string]ident.MonotonicTime  // machines that nothing reaches until then
+	lastJobNumber       int
+	activeFaults
+	linkMonitor
+
+	// Violations lists the rules broken, in words; Undone what was not brought to its
 	// end in the calm; Log what happened.
-	Broken []string
-	Undone []string
-	Log    []string
-	Starts int
+	Violations []string
+	Unfinished []string
+	Log        []string
+	TaskStarts int
 	// GangRuns and GangStops count what gangs did.
 	GangRuns, GangStops int
-	// lostOneWay counts the messages that a link broken in one direction has held up.
-	lostOneWay int
-	// LeasesLost counts the tasks that ended with their machines' leases.
-	LeasesLost int
-	study      study
-	slowUp     int // machines that are slow, so far
+	// blockedOneWay counts the messages that a link broken in one direction has held up.
+	blockedOneWay int
+	// TasksLostWithLease counts the tasks that ended with their machines' leases.
+	TasksLostWithLease int
+	linkStudy          linkStudy
+	slowMachineCount   int // machines that are slow, so far
 	// Moves counts the moves of running tasks that were recorded.
 	Moves int
-	// TooLarge counts the transactions that the state service refused for its limits.
-	TooLarge int
+	// OversizedTransactions counts the transactions that the state service refused for its limits.
+	OversizedTransactions int
 }
 
 type event struct {
@@ -118,12 +118,12 @@
 }
 
 // New makes a world of three controllers in two zones.
-func New(cfg Config) *World {
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangRun{}, cuts: map[[2]string]*cut{}, oneWay: map[[2]string]*cut{}, zones: map[string]*cut{}, deaf: map[string]ident.MonotonicTime{},
-		linkEvents: linkEvents{announced: map[ident.Term]bool{}, newest: map[string]uint64{}, yields: map[string]int{}, sentBefore: map[string]bool{}},
-		troubles:   troubles{mute: map[string]ident.MonotonicTime{}, seen: map[string]int{}}}
-	w.set = settings.Cluster{
+func New(cfg Config) *Simulation {
+	w := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
+		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{}, directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{}, inboundBlockedUntil: map[string]ident.MonotonicTime{},
+		linkMonitor:  linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{}, handovers: map[string]int{}, sentTransactions: map[string]bool{}},
+		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[string]int{}}}
+	w.settings = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
 			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: "guest"}},
@@ -133,16 +133,16 @@
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 4},
 		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
 	}
-	if cfg.Fleet > 0 {
-		w.enlarge()
+	if cfg.FleetSize > 0 {
+		w.configureLargeFleet()
 	}
 	if cfg.Teams != nil {
-		w.set.Teams = cfg.Teams
+		w.settings.Teams = cfg.Teams
 	}
 	w.store = newStore(w)
 	w.cloud = newProvider(w)
-	for i := range w.set.Nodes {
-		n := &node{w: w, old: cfg.Old || i >= w.set.Nodes-cfg.OldNodes, name: fmt.Sprintf("agent-%d", i), zone: w.set.Zones[i%2]}
+	for i := range w.settings.Nodes {
+		n := &node{sim: w, legacy: cfg.RollingUpgrade || i >= w.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i), zone: w.settings.Zones[i%2]}
 		w.nodes = append(w.nodes, n)
 	}
 	for _, n := range w.nodes {
@@ -151,97 +151,97 @@
 	return w
 }
 
-// enlarge sets the cluster up for a large fleet: as on the operators' largest, reports come
+// configureLargeFleet sets the cluster up for a large fleet: as on the operators' largest, reports come
 // less often.
-func (w *World) enlarge() {
-	for i := range w.set.Teams {
-		w.set.Teams[i].CPUs *= float64(w.cfg.Fleet)
-		w.set.Teams[i].CPUsMax *= float64(w.cfg.Fleet)
+func (w *Simulation) configureLargeFleet() {
+	for i := range w.settings.Teams {
+		w.settings.Teams[i].CPUs *= float64(w.cfg.FleetSize)
+		w.settings.Teams[i].CPUsMax *= float64(w.cfg.FleetSize)
 	}
-	w.set.Workers.HeartbeatS, w.set.Workers.LeaseS, w.set.Workers.CancelS = 8, 36, 70
+	w.settings.Workers.HeartbeatS, w.settings.Workers.LeaseS, w.settings.Workers.CancelS = 8, 36, 70
 }
 
-func (w *World) at(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now.Add(d), w.seq, f})
+func (w *Simulation) schedule(d time.Duration, f func()) {
+	w.eventSequence++
+	heap.Push(&w.events, event{w.now.Add(d), w.eventSequence, f})
 }
 
-func (w *World) logf(format string, a ...any) {
+func (w *Simulation) logf(format string, a ...any) {
 	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (w *World) broken(format string, a ...any) {
+func (w *Simulation) reportViolation(format string, a ...any) {
 	w.logf("BROKEN: "+format, a...)
-	w.Broken = append(w.Broken, fmt.Sprintf("%.3f: ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
+	w.Violations = append(w.Violations, fmt.Sprintf("%.3f: ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
 // Run plays the world: cfg.Length with arrivals and faults, then a while of calm
 // in which everything must come to its end.
-func (w *World) Run() {
+func (w *Simulation) Run() {
 	switch {
-	case w.cfg.Crowd:
-		w.crowd()
-	case !w.cfg.Quiet:
-		w.arrive()
+	case w.cfg.Overload:
+		w.generateOverload()
+	case !w.cfg.NoArrivals:
+		w.generateArrivals()
 	}
-	w.idleBeside()
+	w.checkIdleCapacity()
 	if w.cfg.Faults {
-		w.at(10*time.Second, w.fault)
+		w.schedule(10*time.Second, w.injectFault)
 	}
-	lower := limitsAt
-	if w.cfg.Old {
-		w.at(rollAt, func() { w.rollout(0) })
-		lower += rollAt
+	limitChange := limitChangeDelay
+	if w.cfg.RollingUpgrade {
+		w.schedule(upgradeStart, func() { w.rollingUpgrade(0) })
+		limitChange += upgradeStart
 	}
-	w.at(lower, w.store.lower)
-	quiet := calm
-	if w.cfg.Calm > 0 {
-		quiet = w.cfg.Calm
+	w.schedule(limitChange, w.store.lowerLimits)
+	quiescence := defaultQuiescence
+	if w.cfg.QuiescentDuration > 0 {
+		quiescence = w.cfg.QuiescentDuration
 	}
-	end := ident.MonotonicTime(w.cfg.Length + quiet)
-	for len(w.queue) > 0 && len(w.Broken) == 0 {
-		e := heap.Pop(&w.queue).(event)
+	end := ident.MonotonicTime(w.cfg.ActiveDuration + quiescence)
+	for len(w.events) > 0 && len(w.Violations) == 0 {
+		e := heap.Pop(&w.events).(event)
 		if e.at > end {
 			break
 		}
 		w.now = e.at
 		e.run()
 	}
-	if len(w.Broken) == 0 {
-		w.finish()
+	if len(w.Violations) == 0 {
+		w.checkCompletion()
 	}
 }
 
 const (
-	rollAt    = 40 * time.Second
-	rollEvery = 20 * time.Second
-	// limitsAt is when the state service lowers its limits, or so long after an upgrade
+	upgradeStart    = 40 * time.Second
+	upgradeInterval = 20 * time.Second
+	// limitChangeDelay is when the state service lowers its limits, or so long after an upgrade
 	// has begun.
-	limitsAt = 90 * time.Second
+	limitChangeDelay = 90 * time.Second
 )
 
 // leader returns the node that surely leads, nil if none does.
-func (w *World) leader() *node {
+func (w *Simulation) leader() *node {
 	for _, n := range w.nodes {
-		if n.alive && n.ctl.Election().LeaseValid() {
+		if n.alive && n.controller.Election().LeaseValid() {
 			return n
 		}
 	}
 	return nil
 }
 
-func (w *World) sortedWorkers() []*worker {
-	if w.sorted == nil {
-		w.sorted = make([]*worker, 0, len(w.workers))
+func (w *Simulation) sortedWorkers() []*worker {
+	if w.sortedByID == nil {
+		w.sortedByID = make([]*worker, 0, len(w.workers))
 		for _, k := range w.workers {
-			w.sorted = append(w.sorted, k)
+			w.sortedByID = append(w.sortedByID, k)
 		}
-		sort.Slice(w.sorted, func(i, k int) bool { return w.sorted[i].host < w.sorted[k].host })
+		sort.Slice(w.sortedByID, func(i, k int) bool { return w.sortedByID[i].id < w.sortedByID[k].id })
 	}
-	return w.sorted
+	return w.sortedByID
 }
 
-func (w *World) anyWorker() *worker {
+func (w *Simulation) anyWorker() *worker {
 	all := w.sortedWorkers()
 	if len(all) == 0 {
 		return nil
@@ -249,7 +249,7 @@
 	return all[w.rng.IntN(len(all))]
 }
 
-// Tail returns the end of the log.
-func (w *World) Tail(n int) string {
+// LogTail returns the end of the log.
+func (w *Simulation) LogTail(n int) string {
 	return strings.Join(w.Log[max(0, len(w.Log)-n):], "\n")
 }
--- a/internal/statetest/statetest.go
+++ b/internal/statetest/statetest.go
@@ -13,15 +13,15 @@
 
 // MemoryStore holds keys as the state service does.
 type MemoryStore struct {
-	Keys     map[string]statesvc.KeyValue
+	Entries  map[string]statesvc.KeyValue
 	Revision uint64
 }
 
-// New makes a store with those keys, the newest of them changed last.
-func New(pairs ...statesvc.KeyValue) *MemoryStore {
-	s := &MemoryStore{Keys: map[string]statesvc.KeyValue{}}
+// NewMemoryStore makes a store with those keys, the newest of them changed last.
+func NewMemoryStore(pairs ...statesvc.KeyValue) *MemoryStore {
+	s := &MemoryStore{Entries: map[string]statesvc.KeyValue{}}
 	for _, p := range pairs {
-		s.Keys[p.Key] = p
+		s.Entries[p.Key] = p
 		s.Revision = max(s.Revision, uint64(p.Revision))
 	}
 	return s
@@ -29,7 +29,7 @@
 
 // Get reads a key.
 func (s *MemoryStore) Get(path string) statesvc.Response {
-	p, ok := s.Keys[path]
+	p, ok := s.Entries[path]
 	if !ok {
 		return statesvc.Response{Outcome: statesvc.NotFound}
 	}
@@ -39,7 +39,7 @@
 // FailedKeys names the conditions that don't hold.
 func (s *MemoryStore) FailedKeys(list []statesvc.Compare) (failed []string) {
 	for _, c := range list {
-		if s.Keys[c.Key].Revision != c.Revision {
+		if s.Entries[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -51,9 +51,9 @@
 	s.Revision++
 	for _, c := range changes {
 		if c.Put != "" {
-			s.Keys[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
+			s.Entries[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
 		} else {
-			delete(s.Keys, c.Delete)
+			delete(s.Entries, c.Delete)
 		}
 	}
 	return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.Revision}
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -16,7 +16,7 @@
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.Queue
+	*statetest.SteppedStore
 	requests strings.Builder
 }
 
@@ -26,7 +26,7 @@
 	case statesvc.Get:
 		f(r.Get(q.Key))
 	case statesvc.List:
-		f(statesvc.Response{Outcome: statesvc.OK, KeyValues: []statesvc.KeyValue{r.Keys[NodeKeyPrefix+"agent-1"], r.Keys[NodeKeyPrefix+"agent-2"]}})
+		f(statesvc.Response{Outcome: statesvc.OK, KeyValues: []statesvc.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}})
 	default:
 		f(r.Apply(q.Mutations))
 	}
@@ -38,9 +38,9 @@
 	var d golden.Document
 	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
 	for _, before := range []string{"", `{"level":1}`, `{"level":1,"frames":1}`} {
-		r := &recorder{Queue: statetest.NewQueue(statetest.New())}
+		r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
 		if before != "" {
-			r.Keys[NodeKeyPrefix+"agent-1"] = statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
+			r.Entries[NodeKeyPrefix+"agent-1"] = statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
 		}
 		Announce(r, rand.New(rand.NewPCG(1, 2)), "agent-1")
 		d.Add("announced before: "+before, r.requests.String())
@@ -56,7 +56,7 @@
 	newest := statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
 	other.Key = NodeKeyPrefix + "agent-2"
-	r := &recorder{Queue: statetest.NewQueue(statetest.New(newest, other))}
+	r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore(newest, other))}
 	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	done := false
 	raiser := New(r, 41, statesvc.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
