--- a/internal/fleet/unheard_test.go
+++ b/internal/fleet/unheard_test.go
@@ -13,9 +13,9 @@
 
 // runSilentZone plays a zone of 30 machines with replicas that all fall silent, for five
 // leases, and counts what was returned of them, and what was rented.
-func runSilentZone(unheard bool) (returned, rented int, r *harness) {
+func runSilentZone(unreachable bool) (terminated, provisioned int, r *harness) {
 	r = newReplicaHarness(30, func(int) bool { return true })
-	r.manager.cfg.ZoneUnreachable = func(string) bool { return unheard }
+	r.manager.cfg.ZoneUnreachable = func(string) bool { return unreachable }
 	names := 1000
 	r.reply = func(q cloud.Request) cloud.Response {
 		a := cloud.Response{Outcome: cloud.OK}
@@ -23,7 +23,7 @@
 			for range q.Count {
 				names++
 				a.Provisioned = append(a.Provisioned, ident.MachineID(time.Duration(names).String()))
-				rented++
+				provisioned++
 			}
 		}
 		return a
@@ -33,12 +33,12 @@
 		if c.Op == cloud.Terminate {
 			for _, h := range c.MachineIDs {
 				if strings.HasPrefix(string(h), "host-") { // not a scout that never came up
-					returned++
+					terminated++
 				}
 			}
 		}
 	}
-	return returned, rented, r
+	return terminated, provisioned, r
 }
 
 // TestUnreachableZoneIsKept: machines of a zone that no node hears may be alive behind a broken
--- a/internal/links/row.go
+++ b/internal/links/row.go
@@ -96,9 +96,9 @@
 }
 
 // NewDatabase makes a view of the siblings named.
-func NewDatabase(siblings []ident.NodeID) *Database {
+func NewDatabase(peers []ident.NodeID) *Database {
 	v := &Database{members: map[ident.NodeID]bool{}, entries: map[ident.NodeID]dbEntry{}}
-	for _, n := range siblings {
+	for _, n := range peers {
 		v.members[n] = true
 	}
 	return v
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -80,10 +80,10 @@
 
 // Load takes in what an earlier term recorded. A record that can't be read bars its job from
 // being moved, and ends no term: nothing but moves depends on it.
-func (h *History) Load(path string, value json.RawMessage, stamp ident.Revision) {
+func (h *History) Load(path string, value json.RawMessage, revision ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
 	j := h.addJob(id)
-	j.doc.Revision = stamp
+	j.doc.Revision = revision
 	r, err := ReadRecord(value)
 	if err != nil {
 		slog.Error("unreadable record of moves: the job is not moved", "path", path, "err", err)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -181,9 +181,9 @@
 	l.commits.Flush()
 }
 
-// BenchmarkCheckin reads and answers the report of a machine with four tasks that
+// BenchmarkHeartbeat reads and answers the report of a machine with four tasks that
 // has nothing new to say.
-func BenchmarkCheckin(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
 			l := newTestCluster(n)
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -76,16 +76,16 @@
 					}
 				})
 				lastID++
-				peerBeatID, echoOfLeader := lastID, lastAtPeer
+				peerHeartbeatID, echoOfLeader := lastID, lastAtPeer
 				peerNow := peer.now(now)
-				peer.Record(peerBeatID, peerNow)
+				peer.Record(peerHeartbeatID, peerNow)
 				status := PeerStatus{ProcessAge: peerNow.Sub(0), SinceLeader: time.Hour}
 				if age, ok := peer.SinceLeader(peerNow); ok {
 					status.SinceLeader = age
 				}
 				status.SinceRenewal, status.HasRenewed = peer.SinceRenewal(peerNow)
 				send(func(at ident.MonotonicTime) {
-					lastAtLeader = peerBeatID
+					lastAtLeader = peerHeartbeatID
 					sent, ok := leaderHeartbeats.SentAt(echoOfLeader)
 					registry.ObserveHeartbeat("s", at, sent, ok, status)
 				})
