--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"opaldale/internal/settings"
-	"opaldale/internal/standin"
+	"opaldale/internal/simulator"
 )
 
 // perMille is the unit in which imbalance is kept in histograms.
@@ -41,13 +41,13 @@
 
 // runFlood prints one row.
 func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
-	outcomes := make([]standin.LoadOutcome, seeds)
+	outcomes := make([]simulator.LoadOutcome, seeds)
 	var all sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
 	for seed := range seeds {
 		all.Go(func() {
 			slots <- struct{}{}
-			outcomes[seed] = standin.StudyFlood(uint64(seed), mode)
+			outcomes[seed] = simulator.StudyFlood(uint64(seed), mode)
 			<-slots
 		})
 	}
--- a/cmd/study/golden_test.go
+++ b/cmd/study/golden_test.go
@@ -10,7 +10,7 @@
 
 	"opaldale/internal/golden"
 	"opaldale/internal/settings"
-	"opaldale/internal/standin"
+	"opaldale/internal/simulator"
 )
 
 // runMain has the test's own program run the command instead of the tests.
@@ -42,10 +42,10 @@
 
 // TestGoldenOutcomes pins the record and the table of moves, with all of their fields set.
 func TestGoldenOutcomes(t *testing.T) {
-	day := golden.Filled[standin.MovesOutcome](0)
+	day := golden.Filled[simulator.MovesOutcome](0)
 	day.Mode, day.Violations, day.Unfinished = settings.RebalanceMove, 0, 0
 	path := filepath.Join(t.TempDir(), "moves.json")
-	if err := recordMoves(path, []standin.MovesOutcome{day}); err != nil {
+	if err := recordMoves(path, []simulator.MovesOutcome{day}); err != nil {
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
@@ -59,7 +59,7 @@
 	var table strings.Builder
 	other := day
 	other.SlowMachines, other.Estimate = 0, 1.5
-	if err := writeMoves(&table, []standin.MovesOutcome{day, other}); err != nil {
+	if err := writeMoves(&table, []simulator.MovesOutcome{day, other}); err != nil {
 		t.Fatal(err)
 	}
 	d.Add("table", table.String())
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"opaldale/internal/standin"
+	"opaldale/internal/simulator"
 )
 
 // linkStudy is how a link is broken, and for how long.
@@ -41,7 +41,7 @@
 	return &linkTotals{lastDecision: h(), nextPlacement: h(), leaderChanges: h()}
 }
 
-func (t *linkTotals) add(o standin.LinkOutcome) error {
+func (t *linkTotals) add(o simulator.LinkOutcome) error {
 	if err := t.lastDecision.RecordValue(o.LastDecision.Milliseconds()); err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	fmt.Fprintf(out, "### %s, %d seeds\n\n", s.name, seeds)
 	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) | another places after, s (p50, p90, max) | never | changes of the lead (p50, max) | late submissions | tasks lost with leases |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, link := range standin.StudiedLinks {
+	for _, link := range simulator.StudiedLinks {
 		for _, monitored := range []bool{false, true} {
 			t, err := s.runSeeds(link, monitored, seeds)
 			if err != nil {
@@ -102,14 +102,14 @@
 }
 
 // runSeeds plays all seeds, as many at a time as there are cores.
-func (s linkStudy) runSeeds(link standin.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
-	outcomes := make([]standin.LinkOutcome, seeds)
+func (s linkStudy) runSeeds(link simulator.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
+	outcomes := make([]simulator.LinkOutcome, seeds)
 	var all sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
 	for seed := range seeds {
 		all.Go(func() {
 			slots <- struct{}{}
-			outcomes[seed] = standin.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
+			outcomes[seed] = simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
 			<-slots
 		})
 	}
@@ -123,7 +123,7 @@
 	return t, nil
 }
 
-func (t *linkTotals) printRow(out io.Writer, link standin.DirectedLink, monitored bool) {
+func (t *linkTotals) printRow(out io.Writer, link simulator.DirectedLink, monitored bool) {
 	view := map[bool]string{false: "off", true: "on"}[monitored]
 	fmt.Fprintf(out, "| %s to %s | %s | %s | %s | %d | %d, %d | %d of %d | %d |\n", link.From, link.To, view,
 		formatQuantiles(t.lastDecision), formatQuantiles(t.nextPlacement), t.noNextPlacement, t.leaderChanges.ValueAtQuantile(50), t.leaderChanges.Max(),
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"opaldale/internal/settings"
-	"opaldale/internal/standin"
+	"opaldale/internal/simulator"
 )
 
 //go:embed moves.schema.json
@@ -68,8 +68,8 @@
 }
 
 // runMoves plays all days, as many at a time as there are cores.
-func runMoves(seeds int) []standin.MovesOutcome {
-	outcomes := make([]standin.MovesOutcome, seeds*len(moveCases))
+func runMoves(seeds int) []simulator.MovesOutcome {
+	outcomes := make([]simulator.MovesOutcome, seeds*len(moveCases))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
 	for i := range outcomes {
@@ -77,9 +77,9 @@
 			slots <- struct{}{}
 			study := moveCases[i/seeds]
 			if seed := uint64(i % seeds); study.slow {
-				outcomes[i] = standin.StudySlow(seed, study.mode)
+				outcomes[i] = simulator.StudySlow(seed, study.mode)
 			} else {
-				outcomes[i] = standin.StudyMoves(seed, study.mode, study.estimate)
+				outcomes[i] = simulator.StudyMoves(seed, study.mode, study.estimate)
 			}
 			<-slots
 		})
@@ -89,7 +89,7 @@
 }
 
 // caseName names the kind of a day.
-func caseName(o standin.MovesOutcome) string {
+func caseName(o simulator.MovesOutcome) string {
 	switch {
 	case o.SlowMachines > 0:
 		return string(o.Mode) + ", a slow machine"
@@ -100,12 +100,12 @@
 }
 
 // writeMoves prints a row for each kind of day.
-func writeMoves(out io.Writer, outcomes []standin.MovesOutcome) error {
+func writeMoves(out io.Writer, outcomes []simulator.MovesOutcome) error {
 	fmt.Fprintln(out, "| mode | wide tasks wait, s (p50, p90, max) | other jobs done after, s (p50, p90, max) | CPU s thrown away a day | moves a day | arrived | gain of those, s, expected and realised (mean) | most stops of a job |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for len(outcomes) > 0 {
 		kind := caseName(outcomes[0])
-		n := slices.IndexFunc(outcomes, func(o standin.MovesOutcome) bool { return caseName(o) != kind })
+		n := slices.IndexFunc(outcomes, func(o simulator.MovesOutcome) bool { return caseName(o) != kind })
 		if n < 0 {
 			n = len(outcomes)
 		}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func writeCase(out io.Writer, name string, outcomes []standin.MovesOutcome) error {
+func writeCase(out io.Writer, name string, outcomes []simulator.MovesOutcome) error {
 	wide, narrow := newHistogram(), newHistogram()
 	moves, arrived, most, problems := 0, 0, 0, 0
 	lost, expected, realised := 0.0, 0.0, 0.0
@@ -168,7 +168,7 @@
 }
 
 // recordMoves writes the outcomes, once they are in the form of moves.schema.json.
-func recordMoves(path string, outcomes []standin.MovesOutcome) error {
+func recordMoves(path string, outcomes []simulator.MovesOutcome) error {
 	body, err := json.MarshalIndent(outcomes, "", " ")
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 }
 
 // plotMoves draws which part of the wide tasks has started within which time.
-func plotMoves(path string, outcomes []standin.MovesOutcome) error {
+func plotMoves(path string, outcomes []simulator.MovesOutcome) error {
 	p := plot.New()
 	p.Title.Text = "Wide tasks on a fragmented fleet (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = "wait, s", "part of the tasks that have started"
--- a/cmd/study/moves_test.go
+++ b/cmd/study/moves_test.go
@@ -8,18 +8,18 @@
 	"testing"
 
 	"opaldale/internal/settings"
-	"opaldale/internal/standin"
+	"opaldale/internal/simulator"
 )
 
 // TestMovesRecord: outcomes are recorded, plotted and printed; one that breaks a rule, or isn't
 // in the form of the schema, is not recorded.
 func TestMovesRecord(t *testing.T) {
-	day := standin.StudyMoves(1, settings.RebalanceMove, 1)
+	day := simulator.StudyMoves(1, settings.RebalanceMove, 1)
 	path, picture := filepath.Join(t.TempDir(), "moves.json"), filepath.Join(t.TempDir(), "moves.svg")
-	if err := recordMoves(path, []standin.MovesOutcome{day}); err != nil {
+	if err := recordMoves(path, []simulator.MovesOutcome{day}); err != nil {
 		t.Fatal(err)
 	}
-	if err := plotMoves(picture, []standin.MovesOutcome{day}); err != nil {
+	if err := plotMoves(picture, []simulator.MovesOutcome{day}); err != nil {
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
@@ -30,21 +30,21 @@
 		t.Errorf("plot: %v", err)
 	}
 	var table strings.Builder
-	if err := writeMoves(&table, []standin.MovesOutcome{day}); err != nil || !strings.Contains(table.String(), "| move |") {
+	if err := writeMoves(&table, []simulator.MovesOutcome{day}); err != nil || !strings.Contains(table.String(), "| move |") {
 		t.Errorf("%v: %s", err, table.String())
 	}
 	if day.Moves == 0 || len(day.RealisedS) == 0 {
 		t.Errorf("nothing was moved: %+v", day)
 	}
-	for _, change := range []func(*standin.MovesOutcome){
-		func(o *standin.MovesOutcome) { o.Violations = 1 },
-		func(o *standin.MovesOutcome) { o.Mode = "sometimes" },
-		func(o *standin.MovesOutcome) { o.WideWaitS = []float64{-1} },
-		func(o *standin.MovesOutcome) { o.Estimate = 0 },
+	for _, change := range []func(*simulator.MovesOutcome){
+		func(o *simulator.MovesOutcome) { o.Violations = 1 },
+		func(o *simulator.MovesOutcome) { o.Mode = "sometimes" },
+		func(o *simulator.MovesOutcome) { o.WideWaitS = []float64{-1} },
+		func(o *simulator.MovesOutcome) { o.Estimate = 0 },
 	} {
 		bad := day
 		change(&bad)
-		body, err := json.Marshal([]standin.MovesOutcome{bad})
+		body, err := json.Marshal([]simulator.MovesOutcome{bad})
 		if err != nil || validateMoves(body) == nil {
 			t.Errorf("%v: taken: %s", err, body)
 		}
--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strings"
 
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // queuedEntry is an entry in a record that is under way.
@@ -16,13 +16,13 @@
 // txnDraft is a transaction while it is put together.
 type txnDraft struct {
 	txn       *txn
-	compares  []statesvc.Compare
-	mutations []statesvc.Mutation
+	compares  []kvstore.Compare
+	mutations []kvstore.Mutation
 	size      int
 }
 
 func (c *Committer) buildTxn() *txn {
-	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []statesvc.Compare{c.leaderCompare}}
+	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []kvstore.Compare{c.leaderCompare}}
 	draft.txn.textFormat = c.textFormat
 	c.addLogRecords(draft)
 	c.urgentQueue = c.addDocuments(draft, c.urgentQueue, urgent)
@@ -32,7 +32,7 @@
 	if len(draft.txn.documents) == 0 && len(draft.txn.slots) == 0 {
 		return nil
 	}
-	draft.txn.request = statesvc.Request{Op: statesvc.Txn, Compares: draft.compares, Mutations: draft.mutations, Timeout: txnTimeout}
+	draft.txn.request = kvstore.Request{Op: kvstore.Txn, Compares: draft.compares, Mutations: draft.mutations, Timeout: txnTimeout}
 	return draft.txn
 }
 
@@ -68,8 +68,8 @@
 		c.inFlightLSNs[c.lastLSN] = true
 		draft.txn.slots = append(draft.txn.slots, slot)
 		draft.txn.entries = append(draft.txn.entries, queued)
-		draft.compares = append(draft.compares, statesvc.Compare{Key: slot.key, Revision: slot.revision})
-		draft.mutations = append(draft.mutations, statesvc.Mutation{Put: slot.key, Value: value})
+		draft.compares = append(draft.compares, kvstore.Compare{Key: slot.key, Revision: slot.revision})
+		draft.mutations = append(draft.mutations, kvstore.Mutation{Put: slot.key, Value: value})
 		draft.size += len(value) + mutationOverheadBytes
 	}
 	if len(c.pendingEntries) == 0 {
@@ -134,14 +134,14 @@
 			taken++ // went with the other queue
 			continue
 		}
-		var mutations []statesvc.Mutation
+		var mutations []kvstore.Mutation
 		value := d.Render()
 		if value == nil {
 			if d.Revision != 0 {
-				mutations = append(mutations, statesvc.Mutation{Delete: d.Key})
+				mutations = append(mutations, kvstore.Mutation{Delete: d.Key})
 			}
 		} else {
-			mutations = append(mutations, statesvc.Mutation{Put: d.Key, Value: value})
+			mutations = append(mutations, kvstore.Mutation{Put: d.Key, Value: value})
 		}
 		if d.ExtraMutations != nil {
 			mutations = append(mutations, d.ExtraMutations()...)
@@ -153,9 +153,9 @@
 		}
 		taken++
 		draft.size += added
-		draft.compares = append(draft.compares, statesvc.Compare{Key: d.Key, Revision: d.Revision})
+		draft.compares = append(draft.compares, kvstore.Compare{Key: d.Key, Revision: d.Revision})
 		for _, key := range d.MustNotExist {
-			draft.compares = append(draft.compares, statesvc.Compare{Key: key})
+			draft.compares = append(draft.compares, kvstore.Compare{Key: key})
 		}
 		draft.mutations = append(draft.mutations, mutations...)
 		d.inFlightCallbacks, d.pendingCallbacks = d.pendingCallbacks, nil
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -13,14 +13,14 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // Port is what the committer needs of the world.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
-	Store(statesvc.Request, func(statesvc.Response))
+	Store(kvstore.Request, func(kvstore.Response))
 }
 
 // Limits are those of the state service, already reduced by what other requests
@@ -60,9 +60,9 @@
 type Committer struct {
 	port           Port
 	limits         Limits
-	expectedLimits Limits           // what the service may come to
-	textFormat     bool             // the log is in its own format
-	leaderCompare  statesvc.Compare // holds as long as we are the leader
+	expectedLimits Limits          // what the service may come to
+	textFormat     bool            // the log is in its own format
+	leaderCompare  kvstore.Compare // holds as long as we are the leader
 	onTermLost     func(why string)
 
 	urgentQueue           []*Document // urgent
@@ -96,7 +96,7 @@
 
 // New makes the committer of a term. onTermLost is called when the leader key is not
 // ours any more, or when the service contradicts what we know.
-func New(port Port, limits Limits, leaderCompare statesvc.Compare, onTermLost func(string)) *Committer {
+func New(port Port, limits Limits, leaderCompare kvstore.Compare, onTermLost func(string)) *Committer {
 	return &Committer{port: port, limits: limits, expectedLimits: limits, leaderCompare: leaderCompare, onTermLost: onTermLost,
 		rateTokens: limits.MutationsPerSecond, refilledAt: port.Now(), lastRecordAt: port.Now().Add(-time.Hour), entryCallbacks: map[Entry][]func(){}, inFlightLSNs: map[uint64]bool{}}
 }
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // flakyStore is a state service whose answers get lost and whose requests are carried
@@ -21,7 +21,7 @@
 	rng    *rand.Rand
 	now    time.Duration
 	events []scheduledEvent
-	*statetest.MemoryStore
+	*kvstoretest.MemoryStore
 	puts map[string][]string // the values each key went through
 }
 
@@ -36,30 +36,30 @@
 	f.events = append(f.events, scheduledEvent{f.now + d, run})
 }
 
-func (f *flakyStore) Store(r statesvc.Request, done func(statesvc.Response)) {
-	answer := func(a statesvc.Response) { f.After(time.Millisecond, func() { done(a) }) }
+func (f *flakyStore) Store(r kvstore.Request, done func(kvstore.Response)) {
+	answer := func(a kvstore.Response) { f.After(time.Millisecond, func() { done(a) }) }
 	switch f.rng.IntN(5) {
 	case 0: // never carried out
-		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
+		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
 	case 1: // carried out now, the answer lost
 		f.serve(r)
-		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
+		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
 	case 2: // carried out later
 		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
-		answer(statesvc.Response{Outcome: statesvc.NoAnswer})
+		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
 	case 3:
-		answer(statesvc.Response{Outcome: statesvc.Unavailable})
+		answer(kvstore.Response{Outcome: kvstore.Unavailable})
 	default:
 		answer(f.serve(r))
 	}
 }
 
-func (f *flakyStore) serve(r statesvc.Request) statesvc.Response {
-	if r.Op == statesvc.Get {
+func (f *flakyStore) serve(r kvstore.Request) kvstore.Response {
+	if r.Op == kvstore.Get {
 		return f.Get(r.Key)
 	}
 	if failed := f.FailedKeys(r.Compares); failed != nil {
-		return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: failed}
+		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}
 	}
 	if len(r.Mutations) > 8 {
 		f.t.Errorf("%d changes in a transaction", len(r.Mutations))
@@ -95,9 +95,9 @@
 // called once.
 func TestAtMostOnce(t *testing.T) {
 	for seed := range uint64(60) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		called := map[string]int{}
 		values := make([]int, 12)
 		docs := make([]*Document, 12)
@@ -149,7 +149,7 @@
 // reliableStore carries everything out at once.
 type reliableStore struct{ *flakyStore }
 
-func (s reliableStore) Store(r statesvc.Request, done func(statesvc.Response)) {
+func (s reliableStore) Store(r kvstore.Request, done func(kvstore.Response)) {
 	a := s.serve(r)
 	s.After(time.Millisecond, func() { done(a) })
 }
@@ -157,9 +157,9 @@
 // TestOtherLeader: once the leader key has changed nothing is written, and the
 // term ends.
 func TestOtherLeader(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
+	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
 	lost := 0
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(string) { lost++ })
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(string) { lost++ })
 	c.MarkDirty(&Document{Key: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
 	c.Flush()
 	f.run(time.Minute)
@@ -171,8 +171,8 @@
 // TestExists: a key that must be absent fails its own document alone; the others
 // of the transaction are written.
 func TestExists(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}, statesvc.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}, kvstore.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	exists, stored := 0, 0
 	render := func() json.RawMessage { return json.RawMessage("1") }
 	c.MarkDirty(&Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}, func() { t.Error("called durable") })
@@ -213,9 +213,9 @@
 		Values [parts]int
 	}
 	for seed := range uint64(5) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, statesvc.Compare{Key: "leader", Revision: 1},
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, kvstore.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		var all [docs][parts]*testEntry
 		for d := range docs {
--- a/internal/commit/document.go
+++ b/internal/commit/document.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // documentState is where a document stands between memory and the state service.
@@ -32,10 +32,10 @@
 	Revision ident.Revision // of the last change known to be carried out
 	LSN      uint64         // records of the log up to it are part of what was put
 
-	Render         func() json.RawMessage     // the value to put; nil deletes the key
-	ExtraMutations func() []statesvc.Mutation // further changes of the same transaction, may be nil
-	MustNotExist   []string                   // keys that must not exist; only for a first put
-	OnExists       func()                     // called if one of Absent does exist: nothing was put
+	Render         func() json.RawMessage    // the value to put; nil deletes the key
+	ExtraMutations func() []kvstore.Mutation // further changes of the same transaction, may be nil
+	MustNotExist   []string                  // keys that must not exist; only for a first put
+	OnExists       func()                    // called if one of Absent does exist: nothing was put
 
 	state             documentState
 	queuedAs          urgency
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -7,18 +7,18 @@
 	"testing"
 
 	"opaldale/internal/golden"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.SteppedStore
+	*kvstoretest.SteppedStore
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
-	r.requests.WriteString(statetest.Describe(q))
+func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+	r.requests.WriteString(kvstoretest.Describe(q))
 	r.SteppedStore.Store(q, f)
 }
 
@@ -39,9 +39,9 @@
 func TestGoldenTransactions(t *testing.T) {
 	var d golden.Document
 	for _, packed := range []bool{false, true} {
-		r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
+		r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
 		r.Revision = 100
-		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 17}, func(why string) { t.Error(why) })
+		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 17}, func(why string) { t.Error(why) })
 		if packed {
 			c.UseTextFormat()
 		}
@@ -52,8 +52,8 @@
 		value := json.RawMessage(`{"first":1}`)
 		first := &Document{Key: "docs/1", MustNotExist: []string{"over/1"}, Render: func() json.RawMessage { return value }}
 		second := &Document{Key: "docs/2", Revision: 23, Render: func() json.RawMessage { return nil }}
-		second.ExtraMutations = func() []statesvc.Mutation {
-			return []statesvc.Mutation{{Put: "over/2", Value: json.RawMessage(`"second"`)}}
+		second.ExtraMutations = func() []kvstore.Mutation {
+			return []kvstore.Mutation{{Put: "over/2", Value: json.RawMessage(`"second"`)}}
 		}
 		c.MarkDirty(first, nil)
 		c.MarkDirty(second, nil)
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // limitedStore is a flaky state service that refuses what is too large, from some moment on,
@@ -21,17 +21,17 @@
 	rejected                    int
 }
 
-func (s *limitedStore) Store(r statesvc.Request, done func(statesvc.Response)) {
+func (s *limitedStore) Store(r kvstore.Request, done func(kvstore.Response)) {
 	large := len(r.Mutations) > s.maxMutations
 	for _, c := range r.Mutations {
 		large = large || len(c.Value) > s.maxValueBytes
 	}
 	switch {
-	case r.Op == statesvc.Txn && s.rng.IntN(20) == 0:
-		s.After(time.Millisecond, func() { done(statesvc.Response{Outcome: statesvc.RateLimited}) })
-	case r.Op == statesvc.Txn && s.now >= s.enforcedFrom && large:
+	case r.Op == kvstore.Txn && s.rng.IntN(20) == 0:
+		s.After(time.Millisecond, func() { done(kvstore.Response{Outcome: kvstore.RateLimited}) })
+	case r.Op == kvstore.Txn && s.now >= s.enforcedFrom && large:
 		s.rejected++
-		s.After(time.Millisecond, func() { done(statesvc.Response{Outcome: statesvc.Invalid, Error: "too large"}) })
+		s.After(time.Millisecond, func() { done(kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}) })
 	default:
 		s.flakyStore.Store(r, done)
 	}
@@ -42,9 +42,9 @@
 // the next limits announced or not. What came before a 400 may still be carried out.
 func TestLowerLimits(t *testing.T) {
 	for seed := range uint64(40) {
-		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, statesvc.Compare{Key: "leader", Revision: 1},
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, kvstore.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		c.textFormat = true
 		if seed%2 == 0 {
@@ -128,9 +128,9 @@
 // entries that are released hold nothing.
 func TestPackedLog(t *testing.T) {
 	for seed := range uint64(2) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}),
+		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, statesvc.Compare{Key: "leader", Revision: 1},
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, kvstore.Compare{Key: "leader", Revision: 1},
 			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
 		c.UseTextFormat()
 		var all []*testEntry
@@ -183,8 +183,8 @@
 
 // TestLongLogIsCompacted: records of which little is still held don't pile up.
 func TestLongLogIsCompacted(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: statetest.NewMemoryStore(statesvc.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
 	var idle []*testEntry // each in a record of its own, among others that change again and again
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // txn is one transaction on its way. Its content never changes: a repeat is the
@@ -15,7 +15,7 @@
 	slots      []*logSlot
 	entries    [][]queuedEntry // by slot
 	textFormat bool            // records are in the log's own format
-	request    statesvc.Request
+	request    kvstore.Request
 	uncertain  bool // a copy may have been carried out, or may yet be
 	retryDelay time.Duration
 }
@@ -28,27 +28,27 @@
 }
 
 func (c *Committer) attempt(t *txn) {
-	c.port.Store(t.request, func(response statesvc.Response) {
+	c.port.Store(t.request, func(response kvstore.Response) {
 		if c.stopped {
 			return
 		}
 		switch response.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			c.noteAvailability(true)
 			c.handleCommitted(t, ident.Revision(response.StoreRevision))
-		case statesvc.Conflict:
+		case kvstore.Conflict:
 			c.noteAvailability(true)
 			c.handleConflict(t, response.FailedKeys)
-		case statesvc.RateLimited:
+		case kvstore.RateLimited:
 			// A lower rate than we know of. Nothing was carried out by this copy.
 			c.TightenLimits()
 			c.rateTokens = 0
 			c.retry(t, func() { c.attempt(t) })
-		case statesvc.Invalid:
+		case kvstore.Invalid:
 			c.noteAvailability(true)
 			c.handleRejected(t, response.Error)
-		case statesvc.NoAnswer, statesvc.Unavailable:
-			if response.Outcome == statesvc.NoAnswer {
+		case kvstore.NoAnswer, kvstore.Unavailable:
+			if response.Outcome == kvstore.NoAnswer {
 				t.uncertain = true
 			}
 			c.noteAvailability(false)
@@ -184,14 +184,14 @@
 		return
 	}
 	key := failed[0]
-	c.port.Store(statesvc.Request{Op: statesvc.Get, Key: key, Timeout: txnTimeout}, func(response statesvc.Response) {
+	c.port.Store(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: txnTimeout}, func(response kvstore.Response) {
 		var revision ident.Revision
 		switch {
 		case c.stopped:
 			return
-		case response.Outcome == statesvc.OK:
+		case response.Outcome == kvstore.OK:
 			revision = response.Revision
-		case response.Outcome != statesvc.NotFound:
+		case response.Outcome != kvstore.NotFound:
 			c.retry(t, func() { c.refreshRevisions(t, failed) })
 			return
 		}
@@ -256,12 +256,12 @@
 		c.handleCommitted(t, 0)
 		return
 	}
-	c.port.Store(statesvc.Request{Op: statesvc.Get, Key: key, Timeout: txnTimeout}, func(response statesvc.Response) {
+	c.port.Store(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: txnTimeout}, func(response kvstore.Response) {
 		switch {
 		case c.stopped:
-		case response.Outcome == statesvc.OK:
+		case response.Outcome == kvstore.OK:
 			c.handleCommitted(t, response.Revision)
-		case response.Outcome == statesvc.NoAnswer || response.Outcome == statesvc.Unavailable || response.Outcome == statesvc.RateLimited:
+		case response.Outcome == kvstore.NoAnswer || response.Outcome == kvstore.Unavailable || response.Outcome == kvstore.RateLimited:
 			c.retry(t, func() { c.recoverRevision(t) })
 		default:
 			c.failTerm("lost " + key)
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // loadCatalog takes the machine types from the state service, and failing that
@@ -33,9 +33,9 @@
 		l.refreshCatalog(nil)
 	}
 	readSingleKey := func() {
-		l.readWithRetry(statesvc.Request{Op: statesvc.Get, Key: catalogKey, Timeout: storeTimeout}, func(r statesvc.Response) {
+		l.readWithRetry(kvstore.Request{Op: kvstore.Get, Key: catalogKey, Timeout: storeTimeout}, func(r kvstore.Response) {
 			var models []cloud.MachineType
-			if r.Outcome == statesvc.OK {
+			if r.Outcome == kvstore.OK {
 				l.catalogDoc.Revision = r.Revision
 				if err := json.Unmarshal(r.Value, &models); err != nil {
 					slog.Error("unreadable catalog", "err", err)
@@ -48,7 +48,7 @@
 		readSingleKey()
 		return
 	}
-	var pairs []statesvc.KeyValue
+	var pairs []kvstore.KeyValue
 	l.listAll(machineTypesPrefix, "", &pairs, func() {
 		var models []cloud.MachineType
 		for i, p := range pairs {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,11 +14,11 @@
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
-	"opaldale/internal/mesh"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 	"opaldale/internal/upgrade"
 	"opaldale/internal/workers"
 )
@@ -29,10 +29,10 @@
 	Now() ident.MonotonicTime
 	WallMS() int64
 	After(time.Duration, func())
-	Store(statesvc.Request, func(statesvc.Response))
+	Store(kvstore.Request, func(kvstore.Response))
 	Cloud(cloud.Request, func(cloud.Response))
 	Worker(workers.CommandCall, func(workers.CommandResult))
-	SendPeer(to ident.NodeID, f *mesh.Frame)
+	SendPeer(to ident.NodeID, f *transport.Frame)
 }
 
 // peer is a sibling as seen from here.
@@ -139,18 +139,18 @@
 // sendHeartbeats tells the siblings that we live, whether we lead, and what of theirs we heard.
 func (c *Controller) sendHeartbeats() {
 	now := c.env.Now()
-	frame := mesh.Frame{Type: mesh.MsgHeartbeat, ID: c.rng.Uint64(), Heartbeat: mesh.PeerHeartbeat{UptimeMS: mesh.ToMillis(now.Sub(0)), SinceLeaderMS: mesh.Never, SinceRenewalMS: mesh.Never}}
+	frame := transport.Frame{Type: transport.MsgHeartbeat, ID: c.rng.Uint64(), Heartbeat: transport.PeerHeartbeat{UptimeMS: transport.ToMillis(now.Sub(0)), SinceLeaderMS: transport.Never, SinceRenewalMS: transport.Never}}
 	if c.election.LeaseValid() {
 		frame.Node, frame.Term = c.settings.Node, c.election.Term()
 		if c.leader.loaded {
-			frame.Heartbeat.LeaseAllowanceMS = mesh.ToMillis(c.leader.leaseAllowance(now))
+			frame.Heartbeat.LeaseAllowanceMS = transport.ToMillis(c.leader.leaseAllowance(now))
 		}
 	}
 	if ago, ever := c.renewer.SinceRenewal(now); ever {
-		frame.Heartbeat.SinceRenewalMS = mesh.ToMillis(ago)
+		frame.Heartbeat.SinceRenewalMS = transport.ToMillis(ago)
 	}
 	if age, ever := c.renewer.SinceLeader(now); ever {
-		frame.Heartbeat.SinceLeaderMS = mesh.ToMillis(age)
+		frame.Heartbeat.SinceLeaderMS = transport.ToMillis(age)
 		if age > storeProbeAfter && c.leader == nil {
 			c.probeStore()
 		}
@@ -174,15 +174,15 @@
 
 // probeStore asks the state service for anything, to see whether it serves this node.
 func (c *Controller) probeStore() {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.LeaderKey, Timeout: storeTimeout}, func(r statesvc.Response) {
-		if r.Outcome != statesvc.NoAnswer && r.Outcome != statesvc.Unavailable && r.Outcome != statesvc.RateLimited {
+	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: election.LeaderKey, Timeout: storeTimeout}, func(r kvstore.Response) {
+		if r.Outcome != kvstore.NoAnswer && r.Outcome != kvstore.Unavailable && r.Outcome != kvstore.RateLimited {
 			c.storeLastServed = c.env.Now()
 		}
 	})
 }
 
 // handleHeartbeat takes what a sibling says of itself with a beat.
-func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *mesh.Frame) {
+func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
 	now := c.env.Now()
 	sender.lastHeartbeatID = frame.ID
 	sentAt, echoed := c.sentHeartbeats.SentAt(frame.Heartbeat.EchoID)
@@ -195,10 +195,10 @@
 		}
 	}
 	if echoed && frame.Node == from {
-		c.renewer.Permit(frame.Term, sentAt, mesh.FromMillis(frame.Heartbeat.LeaseAllowanceMS))
+		c.renewer.Permit(frame.Term, sentAt, transport.FromMillis(frame.Heartbeat.LeaseAllowanceMS))
 	}
 	if c.leader != nil {
-		claim := renewal.PeerStatus{ProcessAge: mesh.FromMillis(frame.Heartbeat.UptimeMS), SinceLeader: mesh.FromMillis(frame.Heartbeat.SinceLeaderMS), HasRenewed: frame.Heartbeat.SinceRenewalMS != mesh.Never, SinceRenewal: mesh.FromMillis(frame.Heartbeat.SinceRenewalMS)}
+		claim := renewal.PeerStatus{ProcessAge: transport.FromMillis(frame.Heartbeat.UptimeMS), SinceLeader: transport.FromMillis(frame.Heartbeat.SinceLeaderMS), HasRenewed: frame.Heartbeat.SinceRenewalMS != transport.Never, SinceRenewal: transport.FromMillis(frame.Heartbeat.SinceRenewalMS)}
 		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, claim)
 	}
 }
@@ -235,7 +235,7 @@
 }
 
 // OnStartedLeading begins a term.
-func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey statesvc.Compare) {
+func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) {
 	c.Elections++
 	c.formatLevel = max(c.formatLevel, level)
 	if c.links != nil {
@@ -304,7 +304,7 @@
 }
 
 // HandleFrame takes a sibling's message.
-func (c *Controller) HandleFrame(from ident.NodeID, frame *mesh.Frame) {
+func (c *Controller) HandleFrame(from ident.NodeID, frame *transport.Frame) {
 	sender := c.peers[from]
 	if sender == nil {
 		return
@@ -314,22 +314,22 @@
 		c.links.monitor.Received(peerEndpoint(from), sender.lastHeard)
 	}
 	switch frame.Type {
-	case mesh.MsgLinkState:
+	case transport.MsgLinkState:
 		if c.links != nil {
 			c.links.mergeAdvertisements(frame)
 		}
-	case mesh.MsgTransferLeader:
+	case transport.MsgTransferLeader:
 		c.election.PreferSuccessor(frame.Node, frame.Term)
-	case mesh.MsgHeartbeat:
+	case transport.MsgHeartbeat:
 		if frame.Node != "" {
 			c.election.PeerReportedLeader(frame.Node, frame.Term)
 		}
 		c.handleHeartbeat(from, sender, frame)
-	case mesh.MsgRequest:
+	case transport.MsgRequest:
 		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, c.responder(from, frame.ID))
-	case mesh.MsgRelayRequest:
+	case transport.MsgRelayRequest:
 		c.serveRelayed(frame, c.responder(from, frame.ID))
-	case mesh.MsgResponse:
+	case transport.MsgResponse:
 		if reply := c.pendingForwards[frame.ID]; reply != nil {
 			delete(c.pendingForwards, frame.ID)
 			reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
@@ -340,15 +340,15 @@
 // responder returns what answers a sibling's request.
 func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
 	return func(r Response) {
-		c.env.SendPeer(to, &mesh.Frame{Type: mesh.MsgResponse, ID: id, Status: uint16(r.Status), RetryAfterS: uint16(r.RetryAfterS), Body: r.Body})
+		c.env.SendPeer(to, &transport.Frame{Type: transport.MsgResponse, ID: id, Status: uint16(r.Status), RetryAfterS: uint16(r.RetryAfterS), Body: r.Body})
 	}
 }
 
 // serveAsLeader answers as the leader, or refuses; direct requests came to this node.
-func (c *Controller) serveAsLeader(method mesh.Method, jobID string, body []byte, direct bool, reply func(Response)) {
+func (c *Controller) serveAsLeader(method transport.Method, jobID string, body []byte, direct bool, reply func(Response)) {
 	l := c.leader
 	var spec *api.Spec
-	if method == mesh.SubmitJob {
+	if method == transport.SubmitJob {
 		var err error
 		if spec, err = api.ParseSpec(body); err != nil {
 			// The same at every node and at any time. (Between two leaders it once got 503.)
@@ -357,19 +357,19 @@
 		}
 	}
 	switch {
-	case method == mesh.WorkerHeartbeat:
+	case method == transport.WorkerHeartbeat:
 		c.handleWorkerHeartbeat(body, direct, reply)
-	case method == mesh.GetJob && !c.allows(authority.ServeReads):
+	case method == transport.GetJob && !c.allows(authority.ServeReads):
 		// Past the surely valid time memory may be behind a successor's.
 		c.pollFromStore(jobID, reply)
-	case method != mesh.GetJob && !c.allows(authority.AcceptSubmissions):
+	case method != transport.GetJob && !c.allows(authority.AcceptSubmissions):
 		c.Refused++
 		reply(unavailable("no leader at present"))
-	case method == mesh.SubmitJob:
+	case method == transport.SubmitJob:
 		l.submit(spec, reply)
-	case method == mesh.GetJob:
+	case method == transport.GetJob:
 		l.getJob(ident.JobID(jobID), reply)
-	case method == mesh.CancelJob:
+	case method == transport.CancelJob:
 		l.cancel(ident.JobID(jobID), reply)
 	}
 }
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -12,20 +12,20 @@
 
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // storedFleet is a state service's content: machines in groups, and three running tasks
 // on each, in the newest format.
-func storedFleet(machines int) []statesvc.KeyValue {
-	var pairs []statesvc.KeyValue
+func storedFleet(machines int) []kvstore.KeyValue {
+	var pairs []kvstore.KeyValue
 	put := func(path string, v any) {
 		b, err := json.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
-		pairs = append(pairs, statesvc.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
+		pairs = append(pairs, kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
 	}
 	host := func(i int) string { return fmt.Sprintf("host-%06d", i) }
 	for at := 0; at < machines; at += maxGroupMachines {
@@ -70,7 +70,7 @@
 				w := &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}, listed: pairs,
 					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
 				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
-				c.OnStartedLeading(2, ident.NewestFormatLevel, statesvc.Compare{Key: "leader", Revision: 9})
+				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
 				if c.leader == nil || !c.leader.loaded || len(c.leader.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
 				}
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/api"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/transport"
 )
 
 // route is how requests come to the leader.
@@ -36,16 +36,16 @@
 }
 
 // forward asks the leader; without an answer in time, lost is called.
-func (c *Controller) forward(toLeader route, method mesh.Method, jobID string, body []byte, timeout time.Duration, reply func(Response), onTimeout func()) {
+func (c *Controller) forward(toLeader route, method transport.Method, jobID string, body []byte, timeout time.Duration, reply func(Response), onTimeout func()) {
 	c.Forwarded++
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
 	// Should this process stand still, the answer may be read before the timer runs.
 	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
-	frame := &mesh.Frame{Type: mesh.MsgRequest, ID: id, Method: method, JobID: jobID, Body: body}
+	frame := &transport.Frame{Type: transport.MsgRequest, ID: id, Method: method, JobID: jobID, Body: body}
 	if toLeader.via != "" {
-		frame.Type = mesh.MsgRelayRequest
+		frame.Type = transport.MsgRelayRequest
 		c.Relayed++
 		c.env.SendPeer(toLeader.via, frame)
 	} else {
@@ -60,18 +60,18 @@
 }
 
 // HandleRequest takes a request from a user or a worker of this node.
-func (c *Controller) HandleRequest(method mesh.Method, jobID string, body []byte, reply func(Response)) {
+func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
 	if c.leader != nil {
 		c.serveAsLeader(method, jobID, body, true, reply)
 		return
 	}
-	if c.links != nil && method == mesh.WorkerHeartbeat {
+	if c.links != nil && method == transport.WorkerHeartbeat {
 		c.links.sampleWorkerHeartbeat(body)
 	}
 	toLeader, known := c.leaderRoute()
 	reachable := toLeader.reachable
 	switch method {
-	case mesh.SubmitJob:
+	case transport.SubmitJob:
 		spec, err := api.ParseSpec(body)
 		if err != nil {
 			reply(errorResponse(http.StatusBadRequest, err.Error()))
@@ -82,7 +82,7 @@
 			c.requirePackedFormat(func() { c.forwardOrRefuse(toLeader, method, jobID, body, reply) }, reply)
 			return
 		}
-	case mesh.GetJob:
+	case transport.GetJob:
 		if !reachable {
 			c.pollFromStore(jobID, reply)
 			return
@@ -95,7 +95,7 @@
 			reply(r)
 		}, func() { c.pollFromStore(jobID, reply) })
 		return
-	case mesh.WorkerHeartbeat:
+	case transport.WorkerHeartbeat:
 		// Otherwise read by the leader; reading it here as well doubles the cost of
 		// what comes most often.
 		if !reachable {
@@ -135,8 +135,8 @@
 // refreshFormatLevel reads the format level from the state service, as far as that answers; then is
 // called either way.
 func (c *Controller) refreshFormatLevel(then func()) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: election.TermKey, Timeout: storeTimeout}, func(r statesvc.Response) {
-		if r.Outcome == statesvc.OK {
+	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}, func(r kvstore.Response) {
+		if r.Outcome == kvstore.OK {
 			if _, l, err := election.DecodeTerm(r.Value); err == nil {
 				c.formatLevel = max(c.formatLevel, l)
 			}
@@ -146,7 +146,7 @@
 }
 
 // forwardOrRefuse hands a request to the leader.
-func (c *Controller) forwardOrRefuse(toLeader route, method mesh.Method, jobID string, body []byte, reply func(Response)) {
+func (c *Controller) forwardOrRefuse(toLeader route, method transport.Method, jobID string, body []byte, reply func(Response)) {
 	if !toLeader.reachable {
 		c.Refused++
 		reply(unavailable("no leader at present"))
@@ -154,7 +154,7 @@
 	}
 	c.forward(toLeader, method, jobID, body, forwardTimeout, func(r Response) {
 		var a api.JobStatus
-		if method == mesh.CancelJob && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
+		if method == transport.CancelJob && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
 			c.rememberIfCancelled(a.ID, a.Status)
 		}
 		reply(r)
@@ -166,7 +166,7 @@
 
 // serveRelayed passes a sibling's request on to the leader, or answers it as the leader. It goes
 // directly from here, so that no request takes more than two steps.
-func (c *Controller) serveRelayed(frame *mesh.Frame, reply func(Response)) {
+func (c *Controller) serveRelayed(frame *transport.Frame, reply func(Response)) {
 	if c.leader != nil {
 		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, reply)
 		return
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/api"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
 	"opaldale/internal/settings"
+	"opaldale/internal/transport"
 )
 
 // newTestLeader makes a leader without siblings at a format level, and its world.
@@ -87,12 +87,12 @@
 		set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
 			Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 		c := New(w, set, rand.New(rand.NewPCG(1, 2)))
-		c.HandleFrame("agent-1", &mesh.Frame{Type: mesh.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
+		c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 		got := ""
 		w.frames = nil
-		c.HandleRequest(mesh.SubmitJob, "", gangSpecJSON(), func(r Response) { got = fmt.Sprint(r.Status) })
+		c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(), func(r Response) { got = fmt.Sprint(r.Status) })
 		for _, f := range w.frames {
-			if f.Type == mesh.MsgRequest {
+			if f.Type == transport.MsgRequest {
 				got = "passed on"
 			}
 		}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -17,13 +17,13 @@
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
 	"opaldale/internal/load"
-	"opaldale/internal/mesh"
 	"opaldale/internal/migration"
 	"opaldale/internal/rebalance"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -47,7 +47,7 @@
 		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
 		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud:   settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.OnStartedLeading(term, level, statesvc.Compare{Key: "leader", Revision: 9})
+	c.OnStartedLeading(term, level, kvstore.Compare{Key: "leader", Revision: 9})
 	s.settle(c)
 	return c
 }
@@ -87,7 +87,7 @@
 func TestGoldenMachines(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
-		s := goldenStore{&recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(9 * time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, maxValueBytes: 16 << 10, txnsLeft: 1 << 30}}
+		s := goldenStore{&recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(9 * time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 16 << 10, txnsLeft: 1 << 30}}
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.leader.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
@@ -119,7 +119,7 @@
 	b strings.Builder
 }
 
-func (a *asker) ask(what string, v mesh.Method, job string, body []byte) {
+func (a *asker) ask(what string, v transport.Method, job string, body []byte) {
 	answered := false
 	a.c.HandleRequest(v, job, body, func(r Response) {
 		answered = true
@@ -161,29 +161,29 @@
 	a.w.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
 	a.w.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
 	a.w.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
-	a.ask("malformed submission", mesh.SubmitJob, "", []byte("x"))
-	a.ask("field missing", mesh.SubmitJob, "", batch(`"vcpus"`, `"x"`))
-	a.ask("gang", mesh.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
-	a.ask("array", mesh.SubmitJob, "", batch())
-	a.ask("same array", mesh.SubmitJob, "", batch())
-	a.ask("unknown team", mesh.SubmitJob, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
-	a.ask("over the limit", mesh.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
-	a.ask("fits no machine", mesh.SubmitJob, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
-	a.ask("long description", mesh.SubmitJob, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
-	a.ask("refused, and over already", mesh.SubmitJob, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
+	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
+	a.ask("field missing", transport.SubmitJob, "", batch(`"vcpus"`, `"x"`))
+	a.ask("gang", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
+	a.ask("array", transport.SubmitJob, "", batch())
+	a.ask("same array", transport.SubmitJob, "", batch())
+	a.ask("unknown team", transport.SubmitJob, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
+	a.ask("over the limit", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
+	a.ask("fits no machine", transport.SubmitJob, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
+	a.ask("long description", transport.SubmitJob, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
+	a.ask("refused, and over already", transport.SubmitJob, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
 	for _, id := range []string{"j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("poll "+id, mesh.GetJob, id, nil)
+		a.ask("poll "+id, transport.GetJob, id, nil)
 	}
 	for _, id := range []string{"j-1", "j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("cancel "+id, mesh.CancelJob, id, nil)
+		a.ask("cancel "+id, transport.CancelJob, id, nil)
 	}
-	a.ask("poll j-1", mesh.GetJob, "j-1", nil)
-	a.ask("malformed report", mesh.WorkerHeartbeat, "", []byte(`{}`))
-	a.ask("report", mesh.WorkerHeartbeat, "", report)
+	a.ask("poll j-1", transport.GetJob, "j-1", nil)
+	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
+	a.ask("report", transport.WorkerHeartbeat, "", report)
 	a.w.now = a.w.now.Add(time.Hour)
-	a.ask("submission to a leader that is not sure", mesh.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
-	a.ask("cancellation to a leader that is not sure", mesh.CancelJob, "j-1", nil)
-	a.ask("report to a leader that is not sure", mesh.WorkerHeartbeat, "", report)
+	a.ask("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
+	a.ask("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
+	a.ask("report to a leader that is not sure", transport.WorkerHeartbeat, "", report)
 }
 
 // goldenFollower makes a node with a sibling that leads, if it is known.
@@ -193,7 +193,7 @@
 		Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
 	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
 	if known {
-		a.c.HandleFrame("agent-1", &mesh.Frame{Type: mesh.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
+		a.c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 	}
 	return a
 }
@@ -204,15 +204,15 @@
 	a.w.values[jobs.LiveKey("j-80")] = live
 	a.w.values[jobs.LiveKey("j-81")] = `{}`
 	a.w.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
-	a.ask("malformed submission", mesh.SubmitJob, "", []byte("x"))
-	a.ask("gang", mesh.SubmitJob, "", gangSpecJSON())
-	a.ask("array", mesh.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
-	a.ask("cancellation", mesh.CancelJob, "j-1", nil)
+	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
+	a.ask("gang", transport.SubmitJob, "", gangSpecJSON())
+	a.ask("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
+	a.ask("cancellation", transport.CancelJob, "j-1", nil)
 	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
-	a.ask("malformed report", mesh.WorkerHeartbeat, "", []byte(`{}`))
-	a.ask("report", mesh.WorkerHeartbeat, "", report)
+	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
+	a.ask("report", transport.WorkerHeartbeat, "", report)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
-		a.ask("poll "+id, mesh.GetJob, id, nil)
+		a.ask("poll "+id, transport.GetJob, id, nil)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	d.JSON(t, "no links", LinkReport{})
 	d.JSON(t, "no moves", MoveReport{})
-	recordedMoves := recordedMoves(statesvc.KeyValue{Key: "moves/j-7",
+	recordedMoves := recordedMoves(kvstore.KeyValue{Key: "moves/j-7",
 		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
 	d.JSON(t, "moves on record", recordedMoves)
 	d.Compare(t, "reports")
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -8,7 +8,7 @@
 
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // tokenBucket bounds the state service requests that polls cause.
@@ -38,7 +38,7 @@
 		reply(unavailable("too many polls at present"))
 		return
 	}
-	c.storeGet(jobs.LiveKey(id), reply, func(r statesvc.Response) {
+	c.storeGet(jobs.LiveKey(id), reply, func(r kvstore.Response) {
 		v, err := jobs.ParseLiveView(r.Value)
 		if err != nil {
 			slog.Error("unreadable job", "id", jobID, "err", err)
@@ -70,17 +70,17 @@
 
 // lookUpFinished looks a job up among those that are over.
 func (c *Controller) lookUpFinished(id ident.JobID, done func(ended jobs.ArchivedJob, found bool, err error)) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}, func(r statesvc.Response) {
+	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}, func(r kvstore.Response) {
 		var ended jobs.ArchivedJob
 		switch r.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			if err := json.Unmarshal(r.Value, &ended); err != nil {
 				slog.Error("unreadable job", "id", string(id), "err", err)
 				done(ended, false, err)
 				return
 			}
 			done(ended, true, nil)
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 			done(ended, false, nil)
 		default:
 			done(ended, false, errStoreUnavailable)
@@ -88,12 +88,12 @@
 	})
 }
 
-func (c *Controller) storeGet(path string, reply func(Response), found func(statesvc.Response), missing func()) {
-	c.env.Store(statesvc.Request{Op: statesvc.Get, Key: path, Timeout: storeTimeout}, func(r statesvc.Response) {
+func (c *Controller) storeGet(path string, reply func(Response), found func(kvstore.Response), missing func()) {
+	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: path, Timeout: storeTimeout}, func(r kvstore.Response) {
 		switch r.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			found(r)
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 			missing()
 		default:
 			c.Refused++
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/links"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -66,7 +66,7 @@
 	l.failPendingReplies()
 	for _, n := range l.controller.peerIDs() {
 		if tracker.supportsLinks(n) {
-			l.controller.env.SendPeer(n, &mesh.Frame{Type: mesh.MsgTransferLeader, Node: to, Term: l.term})
+			l.controller.env.SendPeer(n, &transport.Frame{Type: transport.MsgTransferLeader, Node: to, Term: l.term})
 		}
 	}
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -12,11 +12,11 @@
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/load"
 	"opaldale/internal/placement"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 	"opaldale/internal/upgrade"
 	"opaldale/internal/workers"
 )
@@ -99,7 +99,7 @@
 	reachProbeInterval = 100 * time.Millisecond
 )
 
-func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey statesvc.Compare) *leaderTerm {
+func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
 	l := &leaderTerm{controller: c, term: term, formatLevel: level, startedAt: c.env.Now(), machineTypeBySKU: map[string]*cloud.MachineType{}, openGroups: map[groupKey]*workers.RecordGroup{}, pendingReplies: map[uint64]func(Response){},
 		renewals: renewal.NewRegistry(c.renewalGrace), lastDirectContact: c.env.Now(), unreachable: map[*workers.Worker]bool{}, machinesByZone: map[string]int{}}
 	storeSettings := c.settings.Cluster.Store
--- a/internal/controller/leader_term_test.go
+++ b/internal/controller/leader_term_test.go
@@ -14,10 +14,10 @@
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/mesh"
+	"opaldale/internal/kvstore"
+	_ "opaldale/internal/kvstoretest"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
-	_ "opaldale/internal/statetest"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -25,10 +25,10 @@
 type fakeEnv struct {
 	now         ident.MonotonicTime
 	timers      []timer
-	listed      []statesvc.KeyValue
+	listed      []kvstore.KeyValue
 	probedAddrs map[string]bool
-	values      map[string]string // of single keys
-	frames      []*mesh.Frame     // sent to siblings
+	values      map[string]string  // of single keys
+	frames      []*transport.Frame // sent to siblings
 	revision    uint64
 }
 
@@ -43,29 +43,29 @@
 	w.timers = append(w.timers, timer{w.now.Add(d), f})
 }
 func (w *fakeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {}
-func (w *fakeEnv) SendPeer(_ ident.NodeID, f *mesh.Frame)        { w.frames = append(w.frames, f) }
+func (w *fakeEnv) SendPeer(_ ident.NodeID, f *transport.Frame)   { w.frames = append(w.frames, f) }
 
-func (w *fakeEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (w *fakeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	switch r.Op {
-	case statesvc.Txn:
+	case kvstore.Txn:
 		w.revision++
-		f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: w.revision})
-	case statesvc.Get:
+		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: w.revision})
+	case kvstore.Get:
 		if v, ok := w.values[r.Key]; ok {
-			f(statesvc.Response{Outcome: statesvc.OK, Value: json.RawMessage(v)})
+			f(kvstore.Response{Outcome: kvstore.OK, Value: json.RawMessage(v)})
 			return
 		}
 		if strings.HasPrefix(r.Key, jobs.ArchivePrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
-			f(statesvc.Response{Outcome: statesvc.NotFound})
+			f(kvstore.Response{Outcome: kvstore.NotFound})
 			return
 		}
 		if r.Key == catalogKey {
-			f(statesvc.Response{Outcome: statesvc.OK, Value: api.JSON([]cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
+			f(kvstore.Response{Outcome: kvstore.OK, Value: api.JSON([]cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
 		}
-	case statesvc.GrantLease, statesvc.RenewLease:
-		f(statesvc.Response{Outcome: statesvc.OK, LeaseID: 1})
-	case statesvc.List:
-		out := statesvc.Response{Outcome: statesvc.OK}
+	case kvstore.GrantLease, kvstore.RenewLease:
+		f(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
+	case kvstore.List:
+		out := kvstore.Response{Outcome: kvstore.OK}
 		for _, p := range w.listed {
 			if strings.HasPrefix(p.Key, r.Prefix) {
 				out.KeyValues = append(out.KeyValues, p)
@@ -117,13 +117,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.listed = []statesvc.KeyValue{{Key: fleetPrefix + "1-1", Value: b, Revision: 3}}
+	w.listed = []kvstore.KeyValue{{Key: fleetPrefix + "1-1", Value: b, Revision: 3}}
 	job := `{"spec":{"id":"j-1","desk":"red","shape":"service","pieces":1,"vcpus":1},"seq":1,"phase":"open","tasks":[{"t":1,"h":"host-000007","n":1}]}`
-	w.listed = append(w.listed, statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
+	w.listed = append(w.listed, kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.OnStartedLeading(2, 0, statesvc.Compare{Key: "leader", Revision: 9})
+	c.OnStartedLeading(2, 0, kvstore.Compare{Key: "leader", Revision: 9})
 	w.advance(4 * machineProbeInterval)
 	if len(w.probedAddrs) != machines {
 		t.Errorf("%d of %d machines were asked", len(w.probedAddrs), machines)
--- a/internal/controller/link_tracker.go
+++ b/internal/controller/link_tracker.go
@@ -11,9 +11,9 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 	"opaldale/internal/upgrade"
 	"opaldale/internal/workers"
 )
@@ -117,18 +117,18 @@
 }
 
 // Store sends a request to the state service. A long poll says nothing by taking long.
-func (e monitoredEnv) Store(r statesvc.Request, done func(statesvc.Response)) {
-	if r.Op == statesvc.Watch {
+func (e monitoredEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
+	if r.Op == kvstore.Watch {
 		e.Env.Store(r, done)
 		return
 	}
 	sent := e.Now()
 	e.tracker.monitor.Sent(storeEndpoint, sent)
-	e.Env.Store(r, func(response statesvc.Response) {
+	e.Env.Store(r, func(response kvstore.Response) {
 		switch {
-		case response.Outcome == statesvc.Unavailable:
+		case response.Outcome == kvstore.Unavailable:
 			e.tracker.monitor.AnsweredWithError(storeEndpoint, sent, e.Now())
-		case response.Outcome != statesvc.NoAnswer:
+		case response.Outcome != kvstore.NoAnswer:
 			e.tracker.monitor.Answered(storeEndpoint, sent, e.Now())
 		case response.ConnectionRefused:
 			e.tracker.monitor.ConnectionRefused(storeEndpoint, e.Now())
@@ -302,13 +302,13 @@
 		return
 	}
 	v.capabilityCheckedAt, v.capabilityCheckPending = now, true
-	v.controller.env.Store(statesvc.Request{Op: statesvc.List, Prefix: upgrade.NodeKeyPrefix, Timeout: storeTimeout}, func(r statesvc.Response) {
+	v.controller.env.Store(kvstore.Request{Op: kvstore.List, Prefix: upgrade.NodeKeyPrefix, Timeout: storeTimeout}, func(r kvstore.Response) {
 		v.capabilityCheckPending = false
-		if r.Outcome != statesvc.OK {
+		if r.Outcome != kvstore.OK {
 			return
 		}
 		for n, frames := range upgrade.FrameCapabilities(r.KeyValues) {
-			if v.controller.peers[n] != nil && frames >= mesh.LinkStateCapability {
+			if v.controller.peers[n] != nil && frames >= transport.LinkStateCapability {
 				v.linkCapable[n] = true
 			}
 		}
@@ -350,12 +350,12 @@
 			advertisements = append(advertisements, received)
 		}
 	}
-	v.controller.env.SendPeer(peerID, &mesh.Frame{Type: mesh.MsgLinkState, ID: v.controller.peers[peerID].lastHeartbeatID, LinkState: advertisements})
+	v.controller.env.SendPeer(peerID, &transport.Frame{Type: transport.MsgLinkState, ID: v.controller.peers[peerID].lastHeartbeatID, LinkState: advertisements})
 }
 
 // mergeAdvertisements merges the rows that a sibling sends. They were made after it had heard the heartbeat
 // that it names; without one of ours of late there is nothing to date them by.
-func (v *linkTracker) mergeAdvertisements(frame *mesh.Frame) {
+func (v *linkTracker) mergeAdvertisements(frame *transport.Frame) {
 	now := v.controller.env.Now()
 	sentAt, ok := v.controller.sentHeartbeats.SentAt(frame.ID)
 	if !ok {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/workers"
 )
 
@@ -181,7 +181,7 @@
 	return group
 }
 
-func (l *leaderTerm) restoreGroup(pair statesvc.KeyValue) error {
+func (l *leaderTerm) restoreGroup(pair kvstore.KeyValue) error {
 	var record groupRecord
 	if err := json.Unmarshal(pair.Value, &record); err != nil {
 		return fmt.Errorf("%s: %w", pair.Key, err)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -11,8 +11,8 @@
 
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // recordingStore keeps what a leader writes, beside its world; with left at 0 nothing more is
@@ -20,15 +20,15 @@
 type recordingStore struct {
 	*fakeEnv
 	t             *testing.T
-	pairs         map[string]statesvc.KeyValue
+	pairs         map[string]kvstore.KeyValue
 	maxValueBytes int
 	txnsLeft      int
 	txnToLose     int // counts down to it
 }
 
-func (s *recordingStore) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	switch r.Op {
-	case statesvc.Txn:
+	case kvstore.Txn:
 		if s.txnsLeft == 0 {
 			return
 		}
@@ -42,26 +42,26 @@
 				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
 			}
 			if c.Put != "" {
-				s.pairs[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.revision)}
+				s.pairs[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.revision)}
 			} else {
 				delete(s.pairs, c.Delete)
 			}
 		}
-		f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision})
-	case statesvc.Get:
+		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision})
+	case kvstore.Get:
 		if p, ok := s.pairs[r.Key]; ok {
-			f(statesvc.Response{Outcome: statesvc.OK, Value: p.Value, Revision: p.Revision})
+			f(kvstore.Response{Outcome: kvstore.OK, Value: p.Value, Revision: p.Revision})
 			return
 		}
-		f(statesvc.Response{Outcome: statesvc.NotFound})
-	case statesvc.List:
-		out := statesvc.Response{Outcome: statesvc.OK}
+		f(kvstore.Response{Outcome: kvstore.NotFound})
+	case kvstore.List:
+		out := kvstore.Response{Outcome: kvstore.OK}
 		for k, p := range s.pairs {
 			if strings.HasPrefix(k, r.Prefix) {
 				out.KeyValues = append(out.KeyValues, p)
 			}
 		}
-		slices.SortFunc(out.KeyValues, func(a, b statesvc.KeyValue) int { return strings.Compare(a.Key, b.Key) })
+		slices.SortFunc(out.KeyValues, func(a, b kvstore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 		f(out)
 	}
 }
@@ -79,7 +79,7 @@
 		Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
 			Announced: &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}},
 		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
-	c.OnStartedLeading(term, ident.FormatPacked, statesvc.Compare{Key: "leader", Revision: 9})
+	c.OnStartedLeading(term, ident.FormatPacked, kvstore.Compare{Key: "leader", Revision: 9})
 	for _, w := range c.leader.workers.Sorted() {
 		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
 	}
@@ -100,7 +100,7 @@
 		if run%2 == 1 {
 			left, lose = 1<<30, run/2
 		}
-		s := &recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]statesvc.KeyValue{}, maxValueBytes: 1536, txnsLeft: left, txnToLose: lose}
+		s := &recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 1536, txnsLeft: left, txnToLose: lose}
 		s.revision = 50
 		for g := range 3 {
 			r := groupRecord{Model: "m8", Zone: "a", Spot: g == 2}
@@ -112,7 +112,7 @@
 				t.Fatal(err)
 			}
 			path := fmt.Sprintf("%s1-%d", fleetPrefix, g)
-			s.pairs[path] = statesvc.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
+			s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
 		}
 		s.startLeader(2) // ends with its last transaction
 		s.txnsLeft, s.txnToLose = 1<<30, 0
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/migration"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // MoveReport is what operators are shown of moves of running tasks.
@@ -59,8 +59,8 @@
 		reply(report)
 		return
 	}
-	c.env.Store(statesvc.Request{Op: statesvc.List, Prefix: migration.Prefix, Timeout: storeTimeout}, func(a statesvc.Response) {
-		if a.Outcome != statesvc.OK {
+	c.env.Store(kvstore.Request{Op: kvstore.List, Prefix: migration.Prefix, Timeout: storeTimeout}, func(a kvstore.Response) {
+		if a.Outcome != kvstore.OK {
 			report.Error = errStoreUnavailable.Error()
 		}
 		report.Truncated = a.Truncated
@@ -72,7 +72,7 @@
 }
 
 // recordedMoves lists the moves of one key.
-func recordedMoves(p statesvc.KeyValue, nowMS int64) []MoveEntry {
+func recordedMoves(p kvstore.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(p.Value)
 	if err != nil {
 		slog.Error("unreadable record of moves", "path", p.Key, "err", err)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/migration"
-	"opaldale/internal/statesvc"
 	"opaldale/internal/workers"
 )
 
@@ -17,7 +17,7 @@
 func (l *leaderTerm) loadState() {
 	began := l.controller.env.Now()
 	remainingReads := 4
-	var liveJobs, taskLog, machineGroups, moves []statesvc.KeyValue
+	var liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
 	if l.rebalancer != nil {
 		remainingReads++
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-func (l *leaderTerm) listAll(prefix, startAfter string, into *[]statesvc.KeyValue, done func()) {
-	l.readWithRetry(statesvc.Request{Op: statesvc.List, Prefix: prefix, StartAfter: startAfter, Timeout: listTimeout}, func(r statesvc.Response) {
+func (l *leaderTerm) listAll(prefix, startAfter string, into *[]kvstore.KeyValue, done func()) {
+	l.readWithRetry(kvstore.Request{Op: kvstore.List, Prefix: prefix, StartAfter: startAfter, Timeout: listTimeout}, func(r kvstore.Response) {
 		*into = append(*into, r.KeyValues...)
 		if r.Truncated && len(r.KeyValues) > 0 {
 			l.listAll(prefix, r.KeyValues[len(r.KeyValues)-1].Key, into, done)
@@ -67,11 +67,11 @@
 }
 
 // readWithRetry asks the state service until it answers.
-func (l *leaderTerm) readWithRetry(r statesvc.Request, done func(statesvc.Response)) {
-	l.controller.env.Store(r, func(response statesvc.Response) {
+func (l *leaderTerm) readWithRetry(r kvstore.Request, done func(kvstore.Response)) {
+	l.controller.env.Store(r, func(response kvstore.Response) {
 		switch {
 		case l.closed:
-		case response.Outcome == statesvc.OK || response.Outcome == statesvc.NotFound:
+		case response.Outcome == kvstore.OK || response.Outcome == kvstore.NotFound:
 			done(response)
 		default:
 			l.controller.env.After(200*time.Millisecond, func() {
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -7,7 +7,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // TestResponsesExpireWithLeaderLease: what a leader says from memory holds until its leadership is
@@ -18,12 +18,12 @@
 	if got := submitStatus(c, gangSpecJSON()); got != http.StatusCreated {
 		t.Fatalf("submission: %d", got)
 	}
-	ask := func(v mesh.Method) (out Response) {
+	ask := func(v transport.Method) (out Response) {
 		c.HandleRequest(v, "j-1", nil, func(r Response) { out = r })
 		c.AfterEvent()
 		return out
 	}
-	r := ask(mesh.GetJob)
+	r := ask(transport.GetJob)
 	if r.Status != http.StatusOK || r.ValidUntil != c.election.LeaseExpiry() {
 		t.Fatalf("a question: %+v", r)
 	}
@@ -33,11 +33,11 @@
 	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
 		t.Errorf("after it: %+v", a)
 	}
-	if r = ask(mesh.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
+	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("a cancellation: %+v", r)
 	}
 	w.now = w.now.Add(time.Hour)
-	if r = ask(mesh.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
+	if r = ask(transport.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
 		t.Errorf("a question to a leader that stood still: %+v", r)
 	}
 }
@@ -47,7 +47,7 @@
 func TestMalformedSubmissionWithoutLeader(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
 	w.now = w.now.Add(time.Hour)
-	c.HandleRequest(mesh.SubmitJob, "", gangSpecJSON(`"pieces":4,`, ``), func(r Response) {
+	c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(`"pieces":4,`, ``), func(r Response) {
 		if r.Status != http.StatusBadRequest {
 			t.Errorf("%d %s", r.Status, r.Body)
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // The keys of an election. The term outlives every leader.
@@ -89,13 +89,13 @@
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
-	Store(statesvc.Request, func(statesvc.Response))
+	Store(kvstore.Request, func(kvstore.Response))
 }
 
 // Callbacks are told to the owner, one call at a time.
 type Callbacks interface {
 	// OnStartedLeading begins a term, with the format level in force.
-	OnStartedLeading(t ident.Term, l ident.FormatLevel, key statesvc.Compare)
+	OnStartedLeading(t ident.Term, l ident.FormatLevel, key kvstore.Compare)
 	// OnStoppedLeading ends it.
 	OnStoppedLeading(why string)
 }
@@ -129,7 +129,7 @@
 	knownLeader     leaderRecord
 	knownLeaderGone bool // the known leader's key is gone
 
-	leaderKey       statesvc.Compare // the leader key, while it is ours
+	leaderKey       kvstore.Compare // the leader key, while it is ours
 	preferred       successorPreference
 	campaignDelayed bool // since somebody was last known to lead
 	// CampaignDelay returns for how long the node lets others claim first, 0 for not at all; it
@@ -195,7 +195,7 @@
 		return
 	}
 	e.abstainUntil = e.port.Now().Add(abstain)
-	e.port.Store(statesvc.Request{Op: statesvc.RevokeLease, LeaseID: e.leaseID, Timeout: callTimeout}, func(statesvc.Response) {})
+	e.port.Store(kvstore.Request{Op: kvstore.RevokeLease, LeaseID: e.leaseID, Timeout: callTimeout}, func(kvstore.Response) {})
 	e.stepDown(why)
 }
 
@@ -215,9 +215,9 @@
 }
 
 // callStore sends a request whose answer counts only while the state stays the same.
-func (e *Elector) callStore(r statesvc.Request, onResponse func(statesvc.Response)) {
+func (e *Elector) callStore(r kvstore.Request, onResponse func(kvstore.Response)) {
 	generation := e.generation
-	e.port.Store(r, func(response statesvc.Response) {
+	e.port.Store(r, func(response kvstore.Response) {
 		if e.generation == generation {
 			onResponse(response)
 		}
@@ -236,9 +236,9 @@
 // checkLeader reads the leader key.
 func (e *Elector) checkLeader() {
 	e.setState(Following, "look")
-	e.callStore(statesvc.Request{Op: statesvc.Get, Key: LeaderKey, Timeout: callTimeout}, func(response statesvc.Response) {
+	e.callStore(kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}, func(response kvstore.Response) {
 		switch response.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			var rec leaderRecord
 			if err := json.Unmarshal(response.Value, &rec); err != nil {
 				slog.Error("leader key is malformed", "err", err)
@@ -253,7 +253,7 @@
 			}
 			e.observeLeader(rec)
 			e.watchLeader(uint64(response.Revision))
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 			e.campaign(0)
 		default:
 			e.checkLeaderLater()
@@ -270,9 +270,9 @@
 
 // watchLeader waits for the leader key to change.
 func (e *Elector) watchLeader(fromRevision uint64) {
-	e.callStore(statesvc.Request{Op: statesvc.Watch, Prefix: LeaderKey, Revision: fromRevision, Block: watchBlock,
-		Timeout: watchBlock + 2*time.Second}, func(response statesvc.Response) {
-		if response.Outcome != statesvc.OK {
+	e.callStore(kvstore.Request{Op: kvstore.Watch, Prefix: LeaderKey, Revision: fromRevision, Block: watchBlock,
+		Timeout: watchBlock + 2*time.Second}, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
 			e.checkLeaderLater()
 			return
 		}
@@ -322,8 +322,8 @@
 			e.claim(staleRevision, leaseID, term+1, level, termRevision, sentAt)
 		}
 	}
-	e.callStore(statesvc.Request{Op: statesvc.GrantLease, TTL: e.leaseTTL, Timeout: callTimeout}, func(response statesvc.Response) {
-		if response.Outcome != statesvc.OK {
+	e.callStore(kvstore.Request{Op: kvstore.GrantLease, TTL: e.leaseTTL, Timeout: callTimeout}, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
 			e.setState(Following, "no lease")
 			e.checkLeaderLater()
 			return
@@ -331,9 +331,9 @@
 		leaseID = response.LeaseID
 		claimWhenReady()
 	})
-	e.callStore(statesvc.Request{Op: statesvc.Get, Key: TermKey, Timeout: callTimeout}, func(response statesvc.Response) {
+	e.callStore(kvstore.Request{Op: kvstore.Get, Key: TermKey, Timeout: callTimeout}, func(response kvstore.Response) {
 		switch response.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			var err error
 			if term, level, err = DecodeTerm(response.Value); err != nil {
 				slog.Error("term key is malformed", "err", err)
@@ -342,7 +342,7 @@
 				return
 			}
 			termRevision = response.Revision
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 		default:
 			e.setState(Following, "no term")
 			e.checkLeaderLater()
@@ -355,15 +355,15 @@
 func (e *Elector) claim(staleRevision ident.Revision, leaseID uint64, term ident.Term, level ident.FormatLevel, termRevision ident.Revision, sentAt ident.MonotonicTime) {
 	e.setState(Claiming, "lease granted")
 	value, _ := json.Marshal(leaderRecord{Node: e.self, Term: term, Nonce: e.nonce})
-	e.callStore(statesvc.Request{Op: statesvc.Txn, Timeout: callTimeout,
-		Compares:  []statesvc.Compare{{Key: LeaderKey, Revision: staleRevision}, {Key: TermKey, Revision: termRevision}},
-		Mutations: []statesvc.Mutation{{Put: LeaderKey, Value: value, LeaseID: leaseID}, {Put: TermKey, Value: EncodeTerm(term, level)}},
-	}, func(response statesvc.Response) {
-		if response.Outcome != statesvc.OK {
+	e.callStore(kvstore.Request{Op: kvstore.Txn, Timeout: callTimeout,
+		Compares:  []kvstore.Compare{{Key: LeaderKey, Revision: staleRevision}, {Key: TermKey, Revision: termRevision}},
+		Mutations: []kvstore.Mutation{{Put: LeaderKey, Value: value, LeaseID: leaseID}, {Put: TermKey, Value: EncodeTerm(term, level)}},
+	}, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
 			// Lost: if it was carried out, look finds our own name and claims
 			// again, in a later term.
-			if response.Outcome == statesvc.Conflict {
-				e.port.Store(statesvc.Request{Op: statesvc.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}, func(statesvc.Response) {})
+			if response.Outcome == kvstore.Conflict {
+				e.port.Store(kvstore.Request{Op: kvstore.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}, func(kvstore.Response) {})
 			}
 			e.setState(Following, "claim "+response.Outcome.String())
 			e.checkLeaderLater()
@@ -371,7 +371,7 @@
 		}
 		e.setState(Leading, "claim carried out")
 		e.term, e.leaseID = term, leaseID
-		e.leaderKey = statesvc.Compare{Key: LeaderKey, Revision: ident.Revision(response.StoreRevision)}
+		e.leaderKey = kvstore.Compare{Key: LeaderKey, Revision: ident.Revision(response.StoreRevision)}
 		e.preferred, e.campaignDelayed = successorPreference{}, false
 		e.renewalUnanswered = false
 		e.extendValidity(sentAt)
@@ -416,12 +416,12 @@
 	if !e.renewalUnanswered {
 		e.renewalUnanswered, e.unansweredSince = true, sentAt
 	}
-	e.callStore(statesvc.Request{Op: statesvc.RenewLease, LeaseID: e.leaseID, Timeout: e.leaseTTL}, func(response statesvc.Response) {
-		e.renewalUnanswered = e.renewalUnanswered && response.Outcome == statesvc.NoAnswer
+	e.callStore(kvstore.Request{Op: kvstore.RenewLease, LeaseID: e.leaseID, Timeout: e.leaseTTL}, func(response kvstore.Response) {
+		e.renewalUnanswered = e.renewalUnanswered && response.Outcome == kvstore.NoAnswer
 		switch response.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			e.extendValidity(sentAt)
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 			e.stepDown("lease has ended")
 		}
 	})
@@ -430,13 +430,13 @@
 // confirmLeadership reads the leader key, and extends the lease if that is answered and the key is
 // still ours.
 func (e *Elector) confirmLeadership() {
-	e.callStore(statesvc.Request{Op: statesvc.Get, Key: LeaderKey, Timeout: callTimeout}, func(response statesvc.Response) {
+	e.callStore(kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}, func(response kvstore.Response) {
 		switch {
-		case response.Outcome == statesvc.OK && response.Revision == e.leaderKey.Revision:
+		case response.Outcome == kvstore.OK && response.Revision == e.leaderKey.Revision:
 			e.sendRenewal()
-		case response.Outcome == statesvc.OK, response.Outcome == statesvc.NotFound:
+		case response.Outcome == kvstore.OK, response.Outcome == kvstore.NotFound:
 			e.stepDown("the leader key is not ours")
-		case response.Outcome != statesvc.NoAnswer:
+		case response.Outcome != kvstore.NoAnswer:
 			e.renewalUnanswered = false
 		}
 	})
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -9,8 +9,8 @@
 
 	"opaldale/internal/golden"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // recordingStage is a stage that keeps the requests that came, in words.
@@ -19,8 +19,8 @@
 	requests strings.Builder
 }
 
-func (s *recordingStage) State(r statesvc.Request, f func(statesvc.Response)) {
-	s.requests.WriteString(statetest.Describe(r))
+func (s *recordingStage) State(r kvstore.Request, f func(kvstore.Response)) {
+	s.requests.WriteString(kvstoretest.Describe(r))
 	s.fakeStore.Store(r, f)
 }
 
@@ -40,7 +40,7 @@
 		s := &recordingStage{fakeStore: newFakeStore()}
 		s.revision = 200
 		if c.term != "" {
-			s.keys[TermKey] = statesvc.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
+			s.keys[TermKey] = kvstore.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
 		}
 		m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 		m.Start()
@@ -56,7 +56,7 @@
 func TestGoldenLeaderKey(t *testing.T) {
 	s := &recordingStage{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
-	s.keys[LeaderKey] = statesvc.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
+	s.keys[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
 	m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	m.Start()
 	s.advance(50 * time.Millisecond)
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // successorPreference is a leader's word on who should follow it.
@@ -26,14 +26,14 @@
 		return
 	}
 	e.abstainUntil = e.port.Now().Add(abstain)
-	request := statesvc.Request{
-		Op:        statesvc.Txn,
-		Compares:  []statesvc.Compare{e.leaderKey},
-		Mutations: []statesvc.Mutation{{Delete: e.leaderKey.Key}},
+	request := kvstore.Request{
+		Op:        kvstore.Txn,
+		Compares:  []kvstore.Compare{e.leaderKey},
+		Mutations: []kvstore.Mutation{{Delete: e.leaderKey.Key}},
 		Timeout:   callTimeout,
 	}
 	term := e.term
-	e.port.Store(request, func(response statesvc.Response) {
+	e.port.Store(request, func(response kvstore.Response) {
 		slog.Info("term was ended", "term", uint64(term), "outcome", response.Outcome.String())
 	})
 	e.stepDown(why)
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // fakeStore is a state service and a clock for the machines of an election.
 type fakeStore struct {
 	now         ident.MonotonicTime
 	timers      []fakeTimer
-	keys        map[string]statesvc.KeyValue
+	keys        map[string]kvstore.KeyValue
 	revision    uint64
 	leaseCount  uint64
 	loseDeletes bool // transactions on the leader key are lost
@@ -30,7 +30,7 @@
 	s.timers = append(s.timers, fakeTimer{s.now.Add(d), f})
 }
 
-func (s *fakeStore) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (s *fakeStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	s.After(time.Millisecond, func() {
 		if a, ok := s.serve(r); ok {
 			f(a)
@@ -38,23 +38,23 @@
 	})
 }
 
-func (s *fakeStore) serve(r statesvc.Request) (statesvc.Response, bool) {
+func (s *fakeStore) serve(r kvstore.Request) (kvstore.Response, bool) {
 	switch r.Op {
-	case statesvc.Get:
+	case kvstore.Get:
 		if p, ok := s.keys[r.Key]; ok {
-			return statesvc.Response{Outcome: statesvc.OK, Value: p.Value, Revision: p.Revision}, true
+			return kvstore.Response{Outcome: kvstore.OK, Value: p.Value, Revision: p.Revision}, true
 		}
-		return statesvc.Response{Outcome: statesvc.NotFound}, true
-	case statesvc.GrantLease:
+		return kvstore.Response{Outcome: kvstore.NotFound}, true
+	case kvstore.GrantLease:
 		s.leaseCount++
-		return statesvc.Response{Outcome: statesvc.OK, LeaseID: s.leaseCount}, true
-	case statesvc.Txn:
+		return kvstore.Response{Outcome: kvstore.OK, LeaseID: s.leaseCount}, true
+	case kvstore.Txn:
 		if s.loseDeletes && r.Mutations[0].Delete != "" {
-			return statesvc.Response{}, false
+			return kvstore.Response{}, false
 		}
 		for _, c := range r.Compares {
 			if s.keys[c.Key].Revision != c.Revision {
-				return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: []string{c.Key}}, true
+				return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: []string{c.Key}}, true
 			}
 		}
 		s.revision++
@@ -62,14 +62,14 @@
 			if c.Delete != "" {
 				delete(s.keys, c.Delete)
 			} else {
-				s.keys[c.Put] = statesvc.KeyValue{Value: c.Value, Revision: ident.Revision(s.revision)}
+				s.keys[c.Put] = kvstore.KeyValue{Value: c.Value, Revision: ident.Revision(s.revision)}
 			}
 		}
-		return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision}, true
-	case statesvc.Watch:
-		return statesvc.Response{}, false // followers are told by look alone
+		return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}, true
+	case kvstore.Watch:
+		return kvstore.Response{}, false // followers are told by look alone
 	}
-	return statesvc.Response{Outcome: statesvc.OK}, true
+	return kvstore.Response{Outcome: kvstore.OK}, true
 }
 
 func (s *fakeStore) advance(d time.Duration) {
@@ -88,11 +88,11 @@
 
 type noCallbacks struct{}
 
-func (noCallbacks) OnStartedLeading(ident.Term, ident.FormatLevel, statesvc.Compare) {}
-func (noCallbacks) OnStoppedLeading(string)                                          {}
+func (noCallbacks) OnStartedLeading(ident.Term, ident.FormatLevel, kvstore.Compare) {}
+func (noCallbacks) OnStoppedLeading(string)                                         {}
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{now: ident.MonotonicTime(time.Hour), keys: map[string]statesvc.KeyValue{}}
+	return &fakeStore{now: ident.MonotonicTime(time.Hour), keys: map[string]kvstore.KeyValue{}}
 }
 
 func (s *fakeStore) newElector(name string) *Elector {
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
-	_ "opaldale/internal/statetest"
+	_ "opaldale/internal/kvstoretest"
 	"opaldale/internal/workers"
 )
 
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/statesvc"
-	_ "opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	_ "opaldale/internal/kvstoretest"
 	"opaldale/internal/workers"
 )
 
@@ -35,9 +35,9 @@
 
 func (r *harness) Now() ident.MonotonicTime        { return r.now }
 func (r *harness) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
-func (r *harness) Store(_ statesvc.Request, f func(statesvc.Response)) {
+func (r *harness) Store(_ kvstore.Request, f func(kvstore.Response)) {
 	r.revision++
-	a := statesvc.Response{Outcome: statesvc.OK, StoreRevision: r.revision}
+	a := kvstore.Response{Outcome: kvstore.OK, StoreRevision: r.revision}
 	if r.holdResponses {
 		r.heldResponses = append(r.heldResponses, func() { f(a) })
 		return
@@ -78,7 +78,7 @@
 func newHarness(t *testing.T) *harness {
 	r := &harness{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Command{}, unresponsive: map[string]bool{}}
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.UsePackedLog()
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -13,15 +13,15 @@
 	"opaldale/internal/api"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // golden is testdata/production.json: what the version in production (the commit in
 // deploy/service.toml) wrote in the test script of scripted below, and what it held in
 // memory then. It can go with the format of before ident.FormatPacked.
 type golden struct {
-	Pairs []statesvc.KeyValue
+	Pairs []kvstore.KeyValue
 	Jobs  map[string]goldenJob
 }
 
@@ -112,7 +112,7 @@
 		c.UseTextFormat()
 		tb.UsePackedLog()
 	}
-	var log []statesvc.KeyValue
+	var log []kvstore.KeyValue
 	for _, path := range sortedKeys(k.Entries) {
 		p := k.Entries[path]
 		switch {
@@ -132,7 +132,7 @@
 }
 
 func (g golden) store() *fakeStore {
-	k := newFakeStore(statetest.NewMemoryStore())
+	k := newFakeStore(kvstoretest.NewMemoryStore())
 	for _, p := range g.Pairs {
 		k.Entries[p.Key] = p
 		k.Revision = max(k.Revision, uint64(p.Revision))
@@ -201,7 +201,7 @@
 // does, so that an old leader reads it, keeps all of it and writes it again.
 func TestFirstFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
-	k := newFakeStore(statetest.NewMemoryStore())
+	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	runScript(k, tb, c)
 	assertSameJobs(t, "in memory", tb, g)
@@ -231,10 +231,10 @@
 // that record never came to be, and the next term gave its number out again. What the
 // new record says must not be passed over for it.
 func TestReusedLogSequenceNumber(t *testing.T) {
-	k := newFakeStore(statetest.NewMemoryStore())
+	k := newFakeStore(kvstoretest.NewMemoryStore())
 	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open","lsn":9,"tasks":[{},{}]}`
-	k.Entries["live/j-1"] = statesvc.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
-	k.Entries["log/00000"] = statesvc.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
+	k.Entries["live/j-1"] = kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
+	k.Entries["log/00000"] = kvstore.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
 	k.Revision = 40
 	for _, packed := range []bool{false, true} {
 		tb, _ := loadTable(t, k, packed)
@@ -255,4 +255,4 @@
 	}
 }
 
-func sortedKeys(keys map[string]statesvc.KeyValue) []string { return slices.Sorted(maps.Keys(keys)) }
+func sortedKeys(keys map[string]kvstore.KeyValue) []string { return slices.Sorted(maps.Keys(keys)) }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/commit"
 	goldenfile "opaldale/internal/golden"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // recorder is a state service that keeps the requests that came, in words.
@@ -19,8 +19,8 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
-	r.requests.WriteString(statetest.Describe(q))
+func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+	r.requests.WriteString(kvstoretest.Describe(q))
 	r.fakeStore.State(q, f)
 }
 
@@ -40,7 +40,7 @@
 // open makes a table that writes in that way.
 func (s storage) open(r *recorder) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	c := commit.New(r, limits, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
 	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
 	if s.packed {
 		c.UseTextFormat()
@@ -132,7 +132,7 @@
 func TestGoldenStorage(t *testing.T) {
 	var d goldenfile.Document
 	for _, s := range storages {
-		r := &recorder{fakeStore: newFakeStore(statetest.NewMemoryStore())}
+		r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
 		tb, c := s.open(r)
 		play(r, tb, c)
 		d.Add(s.name+": requests", r.requests.String())
@@ -152,7 +152,7 @@
 // TestGoldenConversion pins what is written when jobs of the first format are brought to the
 // packed one.
 func TestGoldenConversion(t *testing.T) {
-	r := &recorder{fakeStore: newFakeStore(statetest.NewMemoryStore())}
+	r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
 	tb, c := storages[1].open(r)
 	play(r, tb, c)
 	next, c := loadTable(t, r.fakeStore, true)
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // Load takes in what an earlier term left. Pairs come in the order of keys, so a
@@ -139,7 +139,7 @@
 }
 
 // LoadLog takes in the records of the log, after all jobs.
-func (tb *Table) LoadLog(pairs []statesvc.KeyValue) error {
+func (tb *Table) LoadLog(pairs []kvstore.KeyValue) error {
 	type rec struct {
 		LSN   uint64    `json:"n"`
 		Lines []logLine `json:"l"`
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -9,19 +9,19 @@
 	"opaldale/internal/api"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // fakeStore is a state service that carries everything out in order, and takes no larger values than
 // the service does.
-type fakeStore struct{ *statetest.SteppedStore }
+type fakeStore struct{ *kvstoretest.SteppedStore }
 
-func newFakeStore(s *statetest.MemoryStore) *fakeStore {
-	return &fakeStore{statetest.NewSteppedStore(s)}
+func newFakeStore(s *kvstoretest.MemoryStore) *fakeStore {
+	return &fakeStore{kvstoretest.NewSteppedStore(s)}
 }
 
-func (k *fakeStore) State(r statesvc.Request, f func(statesvc.Response)) {
+func (k *fakeStore) State(r kvstore.Request, f func(kvstore.Response)) {
 	for _, c := range r.Mutations {
 		if len(c.Value) > 16<<10 {
 			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
@@ -33,7 +33,7 @@
 func (k *fakeStore) run() { k.Run() }
 
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
-	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
@@ -41,7 +41,7 @@
 // leader task by task, and goes over as a whole.
 func TestSegments(t *testing.T) {
 	for _, tasks := range []int{1, 100, 5000} {
-		k := newFakeStore(statetest.NewMemoryStore())
+		k := newFakeStore(kvstoretest.NewMemoryStore())
 		tb, c := newTestTable(k)
 		s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 		accepted := false
@@ -64,7 +64,7 @@
 		}
 
 		successor, successorCommits := newTestTable(k)
-		var log []statesvc.KeyValue
+		var log []kvstore.KeyValue
 		for _, p := range sortedKeys(k.Entries) { // as the state service lists them
 			if strings.HasPrefix(p, commit.LogPrefix) {
 				log = append(log, k.Entries[p])
@@ -107,7 +107,7 @@
 // TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone,
 // so that a successor knows of them, but is told as cancelled at once.
 func TestCancelledJobStaysLiveUntilTasksGone(t *testing.T) {
-	k := newFakeStore(statetest.NewMemoryStore())
+	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
 	c.Flush()
@@ -164,7 +164,7 @@
 // not, so this one tells neither. (The answer to a cancellation's transaction was lost; a
 // follower read "cancelled", and the leader still said "running".)
 func TestViewWithheldUntilSettled(t *testing.T) {
-	k := newFakeStore(statetest.NewMemoryStore())
+	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	var j *Job
 	told := ""
--- a/internal/jobs/transitions.go
+++ b/internal/jobs/transitions.go
@@ -6,7 +6,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // NoteFailure notes that a task of a job has failed: it is to be seen whether that is the job's
@@ -211,8 +211,8 @@
 	if j.Phase == Done {
 		archived.CompletedTasks = archived.Tasks
 	}
-	j.headerDoc.ExtraMutations = func() []statesvc.Mutation {
-		return []statesvc.Mutation{{Put: ArchiveKey(j.Spec.ID), Value: api.JSON(archived)}}
+	j.headerDoc.ExtraMutations = func() []kvstore.Mutation {
+		return []kvstore.Mutation{{Put: ArchiveKey(j.Spec.ID), Value: api.JSON(archived)}}
 	}
 	onSubmitted := j.onSubmitted
 	j.onSubmitted = nil
--- a/internal/statesvc/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -1,4 +1,4 @@
-package statesvc
+package kvstore
 
 import (
 	"io"
--- a/internal/statesvc/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,6 +1,6 @@
-// Package statesvc speaks to the state service, the only place where
+// Package kvstore speaks to the state service, the only place where
 // controllers keep anything.
-package statesvc
+package kvstore
 
 import (
 	"encoding/json"
--- a/internal/statetest/describe.go
+++ b/internal/kvstoretest/describe.go
@@ -1,33 +1,33 @@
-package statetest
+package kvstoretest
 
 import (
 	"fmt"
 	"strings"
 
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // Describe puts a request into words: a line for the operation, and one for each condition and
 // change of a transaction.
-func Describe(r statesvc.Request) string {
+func Describe(r kvstore.Request) string {
 	switch r.Op {
-	case statesvc.Get:
+	case kvstore.Get:
 		return fmt.Sprintf("get %s\n", r.Key)
-	case statesvc.List:
+	case kvstore.List:
 		return fmt.Sprintf("list %s\n", r.Prefix)
-	case statesvc.GrantLease:
+	case kvstore.GrantLease:
 		return fmt.Sprintf("grant %v\n", r.TTL)
-	case statesvc.RenewLease:
+	case kvstore.RenewLease:
 		return fmt.Sprintf("extend %d\n", r.LeaseID)
-	case statesvc.RevokeLease:
+	case kvstore.RevokeLease:
 		return fmt.Sprintf("revoke %d\n", r.LeaseID)
-	case statesvc.Watch:
+	case kvstore.Watch:
 		return fmt.Sprintf("follow %s from %d for %v\n", r.Prefix, r.Revision, r.Block)
 	}
 	return describeTransaction(r)
 }
 
-func describeTransaction(r statesvc.Request) string {
+func describeTransaction(r kvstore.Request) string {
 	var b strings.Builder
 	b.WriteString("transaction\n")
 	for _, c := range r.Compares {
--- a/internal/statetest/memory_store.go
+++ b/internal/kvstoretest/memory_store.go
@@ -1,25 +1,25 @@
-// Package statetest is what several packages' tests share: a state service in memory,
+// Package kvstoretest is what several packages' tests share: a state service in memory,
 // and silence. Nothing but tests may import it, as importing it discards the log.
-package statetest
+package kvstoretest
 
 import (
 	"log/slog"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 func init() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
 
 // MemoryStore holds keys as the state service does.
 type MemoryStore struct {
-	Entries  map[string]statesvc.KeyValue
+	Entries  map[string]kvstore.KeyValue
 	Revision uint64
 }
 
 // NewMemoryStore makes a store with those keys, the newest of them changed last.
-func NewMemoryStore(pairs ...statesvc.KeyValue) *MemoryStore {
-	s := &MemoryStore{Entries: map[string]statesvc.KeyValue{}}
+func NewMemoryStore(pairs ...kvstore.KeyValue) *MemoryStore {
+	s := &MemoryStore{Entries: map[string]kvstore.KeyValue{}}
 	for _, p := range pairs {
 		s.Entries[p.Key] = p
 		s.Revision = max(s.Revision, uint64(p.Revision))
@@ -28,16 +28,16 @@
 }
 
 // Get reads a key.
-func (s *MemoryStore) Get(path string) statesvc.Response {
+func (s *MemoryStore) Get(path string) kvstore.Response {
 	p, ok := s.Entries[path]
 	if !ok {
-		return statesvc.Response{Outcome: statesvc.NotFound}
+		return kvstore.Response{Outcome: kvstore.NotFound}
 	}
-	return statesvc.Response{Outcome: statesvc.OK, Revision: p.Revision, Value: p.Value}
+	return kvstore.Response{Outcome: kvstore.OK, Revision: p.Revision, Value: p.Value}
 }
 
 // FailedKeys names the conditions that don't hold.
-func (s *MemoryStore) FailedKeys(list []statesvc.Compare) (failed []string) {
+func (s *MemoryStore) FailedKeys(list []kvstore.Compare) (failed []string) {
 	for _, c := range list {
 		if s.Entries[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
@@ -47,14 +47,14 @@
 }
 
 // Apply carries changes out, whatever the conditions.
-func (s *MemoryStore) Apply(changes []statesvc.Mutation) statesvc.Response {
+func (s *MemoryStore) Apply(changes []kvstore.Mutation) kvstore.Response {
 	s.Revision++
 	for _, c := range changes {
 		if c.Put != "" {
-			s.Entries[c.Put] = statesvc.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
+			s.Entries[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
 		} else {
 			delete(s.Entries, c.Delete)
 		}
 	}
-	return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.Revision}
+	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.Revision}
 }
--- a/internal/statetest/stepped_store.go
+++ b/internal/kvstoretest/stepped_store.go
@@ -1,10 +1,10 @@
-package statetest
+package kvstoretest
 
 import (
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // SteppedStore is a state service that carries everything out at once and in order, and answers, like
@@ -30,7 +30,7 @@
 }
 
 // Store carries a request's changes out; the answer comes in its turn.
-func (q *SteppedStore) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (q *SteppedStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	answer := q.Apply(r.Mutations)
 	q.Pending = append(q.Pending, func() { f(answer) })
 }
--- a/internal/loopback/recorder.go
+++ b/internal/loopback/recorder.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/migration"
-	"opaldale/internal/statesvc"
 )
 
 // execution is one time that a task was on a machine.
@@ -85,7 +85,7 @@
 const maxMovesPerJob = 2
 
 // recordChange notes a change in the state service: the moves of a job only become more, to two.
-func (r *Recorder) recordChange(c statesvc.Mutation) {
+func (r *Recorder) recordChange(c kvstore.Mutation) {
 	id, ok := strings.CutPrefix(c.Put, migration.Prefix)
 	if !ok {
 		return
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // store is a state service by its protocol, in memory.
@@ -21,9 +21,9 @@
 	entries   map[string]storeEntry
 	leases    map[uint64]*storeLease
 	lastLease uint64
-	history   []statesvc.WatchEvent
+	history   []kvstore.WatchEvent
 	changed   chan struct{} // closed at the next change
-	onChange  func(statesvc.Mutation)
+	onChange  func(kvstore.Mutation)
 }
 
 type storeEntry struct {
@@ -75,10 +75,10 @@
 
 func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
-	var gone []statesvc.Mutation
+	var gone []kvstore.Mutation
 	for path, e := range s.entries {
 		if e.Grant == id {
-			gone = append(gone, statesvc.Mutation{Delete: path})
+			gone = append(gone, kvstore.Mutation{Delete: path})
 		}
 	}
 	if len(gone) > 0 {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *store) apply(changes []statesvc.Mutation) {
+func (s *store) apply(changes []kvstore.Mutation) {
 	s.revision++
 	for _, c := range changes {
 		s.onChange(c)
@@ -95,7 +95,7 @@
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.history = append(s.history, statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
+		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -109,7 +109,7 @@
 		answer(w, http.StatusOK, e)
 		return
 	}
-	answer(w, http.StatusNotFound, statesvc.Response{StoreRevision: s.revision})
+	answer(w, http.StatusNotFound, kvstore.Response{StoreRevision: s.revision})
 }
 
 func (s *store) list(w http.ResponseWriter, r *http.Request) {
@@ -130,11 +130,11 @@
 
 func (s *store) transact(w http.ResponseWriter, r *http.Request) {
 	var t struct {
-		If   []statesvc.Compare  `json:"if"`
-		Then []statesvc.Mutation `json:"then"`
+		If   []kvstore.Compare  `json:"if"`
+		Then []kvstore.Mutation `json:"then"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
-		answer(w, http.StatusBadRequest, statesvc.Response{Error: err.Error()})
+		answer(w, http.StatusBadRequest, kvstore.Response{Error: err.Error()})
 		return
 	}
 	s.mu.Lock()
@@ -142,7 +142,7 @@
 	s.expireLeases()
 	for _, c := range t.Then {
 		if c.Put != "" && c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
-			answer(w, http.StatusBadRequest, statesvc.Response{Error: "no such lease"})
+			answer(w, http.StatusBadRequest, kvstore.Response{Error: "no such lease"})
 			return
 		}
 	}
@@ -153,11 +153,11 @@
 		}
 	}
 	if failed != nil {
-		answer(w, http.StatusConflict, statesvc.Response{FailedKeys: failed, StoreRevision: s.revision})
+		answer(w, http.StatusConflict, kvstore.Response{FailedKeys: failed, StoreRevision: s.revision})
 		return
 	}
 	s.apply(t.Then)
-	answer(w, http.StatusOK, statesvc.Response{StoreRevision: s.revision})
+	answer(w, http.StatusOK, kvstore.Response{StoreRevision: s.revision})
 }
 
 func (s *store) grantLease(w http.ResponseWriter, r *http.Request) {
@@ -165,7 +165,7 @@
 		TTL int64 `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.TTL <= 0 {
-		answer(w, http.StatusBadRequest, statesvc.Response{Error: "ttl_ms"})
+		answer(w, http.StatusBadRequest, kvstore.Response{Error: "ttl_ms"})
 		return
 	}
 	s.mu.Lock()
@@ -173,7 +173,7 @@
 	s.lastLease++
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	s.leases[s.lastLease] = &storeLease{ttl: ttl, end: time.Now().Add(ttl)}
-	answer(w, http.StatusOK, statesvc.Response{LeaseID: s.lastLease})
+	answer(w, http.StatusOK, kvstore.Response{LeaseID: s.lastLease})
 }
 
 func (s *store) requestedLease(r *http.Request) (uint64, *storeLease) {
@@ -190,10 +190,10 @@
 	defer s.mu.Unlock()
 	if _, lease := s.requestedLease(r); lease != nil {
 		lease.end = time.Now().Add(lease.ttl)
-		answer(w, http.StatusOK, statesvc.Response{})
+		answer(w, http.StatusOK, kvstore.Response{})
 		return
 	}
-	answer(w, http.StatusNotFound, statesvc.Response{})
+	answer(w, http.StatusNotFound, kvstore.Response{})
 }
 
 func (s *store) revokeLease(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +202,7 @@
 	if id, lease := s.requestedLease(r); lease != nil {
 		s.endLease(id)
 	}
-	answer(w, http.StatusOK, statesvc.Response{})
+	answer(w, http.StatusOK, kvstore.Response{})
 }
 
 // watchPollInterval is how often a watch looks for leases that have ended.
@@ -220,7 +220,7 @@
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(news) > 0 {
-			answer(w, http.StatusOK, statesvc.Response{StoreRevision: revision, Events: news})
+			answer(w, http.StatusOK, kvstore.Response{StoreRevision: revision, Events: news})
 			return
 		}
 		select {
@@ -229,15 +229,15 @@
 		case <-r.Context().Done():
 			return
 		case <-over:
-			answer(w, http.StatusOK, statesvc.Response{StoreRevision: revision})
+			answer(w, http.StatusOK, kvstore.Response{StoreRevision: revision})
 			return
 		}
 	}
 }
 
 // changesSince returns the changes of keys with a prefix after a revision.
-func (s *store) changesSince(prefix string, revision uint64) []statesvc.WatchEvent {
-	var news []statesvc.WatchEvent
+func (s *store) changesSince(prefix string, revision uint64) []kvstore.WatchEvent {
+	var news []kvstore.WatchEvent
 	for _, n := range s.history {
 		if uint64(n.Revision) > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
 			news = append(news, n)
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -8,26 +8,26 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/golden"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 	"opaldale/internal/rebalance"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
 )
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.SteppedStore
+	*kvstoretest.SteppedStore
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
-	r.requests.WriteString(statetest.Describe(q))
+func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+	r.requests.WriteString(kvstoretest.Describe(q))
 	r.SteppedStore.Store(q, f)
 }
 
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
-	r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
 		Purpose:        rebalance.FreesCapacity,
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -7,13 +7,13 @@
 
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // newTermHistory makes the history of a term, with what is stored.
-func newTermHistory(t *testing.T, s *statetest.SteppedStore) (*History, *commit.Committer) {
-	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+func newTermHistory(t *testing.T, s *kvstoretest.SteppedStore) (*History, *commit.Committer) {
+	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Entries {
 		if strings.HasPrefix(path, Prefix) {
@@ -25,7 +25,7 @@
 
 // TestHistory: moves are counted by every later term, and forgotten once their job is over.
 func TestHistory(t *testing.T) {
-	s := statetest.NewSteppedStore(statetest.NewMemoryStore())
+	s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
 	h, c := newTermHistory(t, s)
 	move := &Move{Move: proposal(), Attempt: 3}
 	for n := range 2 {
@@ -70,8 +70,8 @@
 // is over.
 func TestUnreadable(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
-		s := statetest.NewSteppedStore(statetest.NewMemoryStore())
-		s.Entries[Key("j-1")] = statesvc.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
+		s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
+		s.Entries[Key("j-1")] = kvstore.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
 		h, c := newTermHistory(t, s)
 		if !h.IsBarred("j-1") || h.IsBarred("j-2") {
 			t.Errorf("%s: barred %v, another %v", value, h.IsBarred("j-1"), h.IsBarred("j-2"))
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -7,7 +7,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // admission refuses requests of users while a node is overloaded, the least important
@@ -33,13 +33,13 @@
 // limitFor returns the bounds for a kind of request. Workers' reports come before
 // cancellations, for losing them loses work; those before polls, and polls before
 // submissions, which cost most and are only the beginning of more work.
-func (a *admission) limitFor(method mesh.Method) admissionLimit {
+func (a *admission) limitFor(method transport.Method) admissionLimit {
 	switch method {
-	case mesh.WorkerHeartbeat:
+	case transport.WorkerHeartbeat:
 		return admissionLimit{maxInFlight: max(minHeartbeatLimit, a.heartbeatLimit)}
-	case mesh.CancelJob:
+	case transport.CancelJob:
 		return admissionLimit{maxInFlight: 800, maxLag: 1500 * time.Millisecond}
-	case mesh.GetJob:
+	case transport.GetJob:
 		return admissionLimit{maxInFlight: 600, maxLag: 700 * time.Millisecond}
 	default:
 		return admissionLimit{maxInFlight: 400, maxLag: 400 * time.Millisecond}
@@ -48,15 +48,15 @@
 
 // inflight returns the count that a kind of request belongs to. Reports have their own:
 // thousands of them wait together while a leader is elected.
-func (a *admission) inflight(method mesh.Method) *atomic.Int64 {
-	if method == mesh.WorkerHeartbeat {
+func (a *admission) inflight(method transport.Method) *atomic.Int64 {
+	if method == transport.WorkerHeartbeat {
 		return &a.heartbeatsInFlight
 	}
 	return &a.userRequestsInFlight
 }
 
 // admits says whether a request may begin now.
-func (a *admission) admits(method mesh.Method) bool {
+func (a *admission) admits(method transport.Method) bool {
 	l := a.limitFor(method)
 	if a.inflight(method).Load() >= l.maxInFlight {
 		return false
@@ -65,7 +65,7 @@
 }
 
 // acquire counts a request that is admitted; end is called when it is answered.
-func (a *admission) acquire(method mesh.Method) bool {
+func (a *admission) acquire(method transport.Method) bool {
 	if !a.admits(method) {
 		return false
 	}
@@ -73,7 +73,7 @@
 	return true
 }
 
-func (a *admission) release(method mesh.Method) { a.inflight(method).Add(-1) }
+func (a *admission) release(method transport.Method) { a.inflight(method).Add(-1) }
 
 // overloadRetryAfterS is when refused clients should come back, in seconds.
 const overloadRetryAfterS = 2
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // TestAdmissionPriority: the more a node lags behind, or has under way, the fewer kinds of
 // requests it takes; reports go last. (Submissions and polls were refused alike, and only
 // after their bodies were read.)
 func TestAdmissionPriority(t *testing.T) {
-	kinds := []mesh.Method{mesh.SubmitJob, mesh.GetJob, mesh.CancelJob, mesh.WorkerHeartbeat}
-	taken := func(a *admission) (out []mesh.Method) {
+	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
+	taken := func(a *admission) (out []transport.Method) {
 		for _, v := range kinds {
 			if a.admits(v) {
 				out = append(out, v)
@@ -25,7 +25,7 @@
 		lag      time.Duration
 		requests int64
 		reports  int64
-		want     []mesh.Method
+		want     []transport.Method
 	}{
 		{0, 0, 0, kinds},
 		{500 * time.Millisecond, 0, 0, kinds[1:]},
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // requestTimeout bounds every request, whatever becomes of it.
@@ -26,10 +26,10 @@
 func (s *Server) handler() http.Handler {
 	f := &frontend{server: s, metrics: newMetrics(s)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v2/runs", f.admit(mesh.SubmitJob, f.forwardBody(mesh.SubmitJob)))
-	mux.HandleFunc("GET /v2/runs/{id}", f.admit(mesh.GetJob, f.forwardJobID(mesh.GetJob)))
-	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.admit(mesh.CancelJob, f.forwardJobID(mesh.CancelJob)))
-	mux.HandleFunc("POST /checkin", f.admit(mesh.WorkerHeartbeat, f.forwardBody(mesh.WorkerHeartbeat)))
+	mux.HandleFunc("POST /v2/runs", f.admit(transport.SubmitJob, f.forwardBody(transport.SubmitJob)))
+	mux.HandleFunc("GET /v2/runs/{id}", f.admit(transport.GetJob, f.forwardJobID(transport.GetJob)))
+	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.admit(transport.CancelJob, f.forwardJobID(transport.CancelJob)))
+	mux.HandleFunc("POST /checkin", f.admit(transport.WorkerHeartbeat, f.forwardBody(transport.WorkerHeartbeat)))
 	mux.HandleFunc("GET /up", f.health)
 	mux.HandleFunc("GET /links", f.links)
 	mux.HandleFunc("GET /moves", f.moves)
@@ -38,7 +38,7 @@
 }
 
 // admit refuses what a node that is overloaded can't take, before it is read.
-func (f *frontend) admit(method mesh.Method, next http.HandlerFunc) http.HandlerFunc {
+func (f *frontend) admit(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !admission.acquire(method) {
@@ -52,7 +52,7 @@
 }
 
 // forwardBody passes on a request whose body says what it is about.
-func (f *frontend) forwardBody(method mesh.Method) http.HandlerFunc {
+func (f *frontend) forwardBody(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
 		if err != nil {
@@ -70,7 +70,7 @@
 
 // forwardJobID passes on a request about the job that the path names, and answers 404 for
 // what can't be a job.
-func (f *frontend) forwardJobID(method mesh.Method) http.HandlerFunc {
+func (f *frontend) forwardJobID(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
 		if err != nil {
@@ -82,12 +82,12 @@
 }
 
 // serve passes a request to the controller and writes its answer.
-func (f *frontend) serve(method mesh.Method, w http.ResponseWriter, jobID string, body []byte) {
+func (f *frontend) serve(method transport.Method, w http.ResponseWriter, jobID string, body []byte) {
 	start := time.Now()
 	response := f.dispatch(method, jobID, body)
 	// Judged once more right before it goes out: the process may have stood still.
 	response = response.IfValid(f.server.loop.now())
-	if method == mesh.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
+	if method == transport.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
 		// The next report makes a connection of its own: most are idle for most of
 		// the time between two.
 		w.Header().Set("Connection", "close")
@@ -97,10 +97,10 @@
 }
 
 // dispatch has the loop handle a request and waits for its answer.
-func (f *frontend) dispatch(method mesh.Method, jobID string, body []byte) controller.Response {
+func (f *frontend) dispatch(method transport.Method, jobID string, body []byte) controller.Response {
 	responses := make(chan controller.Response, 1)
 	post := f.server.loop.post
-	if method == mesh.WorkerHeartbeat || method == mesh.CancelJob {
+	if method == transport.WorkerHeartbeat || method == transport.CancelJob {
 		post = f.server.loop.postUrgent
 	}
 	post(func() {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -21,12 +21,12 @@
 	"opaldale/internal/controller"
 	"opaldale/internal/golden"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 	"opaldale/internal/load"
-	"opaldale/internal/mesh"
 	"opaldale/internal/migration"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -109,31 +109,31 @@
 
 // goldenEnv is the world of a controller in which time stands still and the state service
 // answers at once.
-type goldenEnv struct{ *statetest.MemoryStore }
+type goldenEnv struct{ *kvstoretest.MemoryStore }
 
 func (goldenEnv) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
 func (goldenEnv) WallMS() int64                                           { return 0 }
 func (goldenEnv) After(time.Duration, func())                             {}
 func (goldenEnv) Worker(workers.CommandCall, func(workers.CommandResult)) {}
-func (goldenEnv) SendPeer(ident.NodeID, *mesh.Frame)                      {}
+func (goldenEnv) SendPeer(ident.NodeID, *transport.Frame)                 {}
 func (goldenEnv) Cloud(_ cloud.Request, f func(cloud.Response)) {
 	f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
 }
 
-func (w goldenEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (w goldenEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	switch r.Op {
-	case statesvc.Get:
+	case kvstore.Get:
 		f(w.Get(r.Key))
-	case statesvc.List:
-		a := statesvc.Response{Outcome: statesvc.OK}
+	case kvstore.List:
+		a := kvstore.Response{Outcome: kvstore.OK}
 		for _, path := range slices.Sorted(maps.Keys(w.Entries)) {
 			if strings.HasPrefix(path, r.Prefix) {
 				a.KeyValues = append(a.KeyValues, w.Entries[path])
 			}
 		}
 		f(a)
-	case statesvc.GrantLease:
-		f(statesvc.Response{Outcome: statesvc.OK, LeaseID: 1})
+	case kvstore.GrantLease:
+		f(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
 	default:
 		f(w.Apply(r.Mutations))
 	}
@@ -143,21 +143,21 @@
 func goldenLeader(t *testing.T) *Server {
 	t.Helper()
 	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
-	var pairs []statesvc.KeyValue
+	var pairs []kvstore.KeyValue
 	for path, value := range map[string]string{
 		"term":      `{"term":41,"level":1}`,
 		"fleet/1-1": `{"model":"m8","site":"a","text":"host-1,10.1.0.1:9000,0 host-2,10.1.0.2:9000,0 host-3,10.1.0.3:9000,0 host-4,,0 host-5,,0"}`,
 		"live/j-1":  `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":7,"vcpus":1},"seq":1,"phase":"open",` + tasks + `}`,
 		"live/j-2":  `{"spec":{"id":"j-2","desk":"red","shape":"batch","pieces":1,"vcpus":1},"seq":2,"phase":"open","tasks":[{}]}`,
 	} {
-		pairs = append(pairs, statesvc.KeyValue{Key: path, Value: json.RawMessage(value), Revision: 5})
+		pairs = append(pairs, kvstore.KeyValue{Key: path, Value: json.RawMessage(value), Revision: 5})
 	}
 	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(100), transport: mesh.New("agent-0", func(ident.NodeID, *mesh.Frame) {})}
-	s.controller = controller.New(goldenEnv{statetest.NewMemoryStore(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
+	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(100), transport: transport.New("agent-0", func(ident.NodeID, *transport.Frame) {})}
+	s.controller = controller.New(goldenEnv{kvstoretest.NewMemoryStore(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
 	s.loop.afterBatch = func() {}
 	s.loop.post(s.controller.Start)
 	go s.loop.run()
@@ -170,7 +170,7 @@
 func TestGoldenMetrics(t *testing.T) {
 	s := newTestServer(t, 1000)
 	m := newMetrics(s)
-	for i, v := range []mesh.Method{mesh.SubmitJob, mesh.GetJob, mesh.CancelJob, mesh.WorkerHeartbeat} {
+	for i, v := range []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat} {
 		m.observe(v, 200+i, time.Duration(i+1)*30*time.Millisecond)
 		m.shed.WithLabelValues(methodNames[v]).Add(float64(31 + i))
 	}
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"opaldale/internal/controller"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // metrics are the node's counters, for GET /metrics.
@@ -32,9 +32,9 @@
 	return m
 }
 
-var methodNames = map[mesh.Method]string{mesh.SubmitJob: "submit", mesh.GetJob: "poll", mesh.CancelJob: "cancel", mesh.WorkerHeartbeat: "checkin"}
+var methodNames = map[transport.Method]string{transport.SubmitJob: "submit", transport.GetJob: "poll", transport.CancelJob: "cancel", transport.WorkerHeartbeat: "checkin"}
 
-func (m *metrics) observe(method mesh.Method, status int, d time.Duration) {
+func (m *metrics) observe(method transport.Method, status int, d time.Duration) {
 	m.requests.WithLabelValues(methodNames[method], strconv.Itoa(status)).Observe(d.Seconds())
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -16,9 +16,9 @@
 	"opaldale/internal/controller"
 	"opaldale/internal/httpcall"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -34,13 +34,13 @@
 	settings     *settings.Settings
 	loop         *eventLoop
 	controller   *controller.Controller
-	store        *statesvc.Client
+	store        *kvstore.Client
 	cloud        *cloud.Client
 	workerClient *http.Client
 	// commandSlots has room for the commands to workers that are under way.
 	commandSlots chan struct{}
 	connLimiter  *connLimiter
-	transport    *mesh.Transport
+	transport    *transport.Transport
 	// admission bounds the requests that are taken, from users and workers or passed on
 	// by siblings.
 	admission admission
@@ -84,14 +84,14 @@
 		s.httpTransports = append(s.httpTransports, t)
 		return t
 	}
-	s.store = statesvc.NewClient(cfg.Endpoints.Store, newHTTPTransport(8, 0))
+	s.store = kvstore.NewClient(cfg.Endpoints.Store, newHTTPTransport(8, 0))
 	s.cloud = cloud.NewClient(cfg.Endpoints.Cloud, newHTTPTransport(4, 0))
 	// A connection kept to each machine, beside those they report on, would take
 	// more sockets than there are.
 	maxCommands := max(8, int(commandShare*float64(cfg.Cluster.Resources.Sockets)))
 	s.workerClient = &http.Client{Transport: newHTTPTransport(1, maxCommands)}
 	s.commandSlots = make(chan struct{}, maxCommands)
-	s.transport = mesh.New(cfg.Node, func(from ident.NodeID, f *mesh.Frame) {
+	s.transport = transport.New(cfg.Node, func(from ident.NodeID, f *transport.Frame) {
 		s.handlePeerFrame(from, f)
 	})
 	s.transport.Dial = func(network, addr string, timeout time.Duration) (net.Conn, error) {
@@ -157,14 +157,14 @@
 
 // handlePeerFrame takes a sibling's message. What it passes on for users waits like users' own
 // requests here, and is refused like them.
-func (s *Server) handlePeerFrame(from ident.NodeID, frame *mesh.Frame) {
+func (s *Server) handlePeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
-	if frame.Type != mesh.MsgRequest && frame.Type != mesh.MsgRelayRequest || frame.Method == mesh.WorkerHeartbeat || frame.Method == mesh.CancelJob {
+	if frame.Type != transport.MsgRequest && frame.Type != transport.MsgRelayRequest || frame.Method == transport.WorkerHeartbeat || frame.Method == transport.CancelJob {
 		s.loop.postUrgent(handle)
 		return
 	}
 	if !s.admission.admits(frame.Method) {
-		s.transport.Send(from, &mesh.Frame{Type: mesh.MsgResponse, ID: frame.ID, Status: uint16(overloadedResponse.Status), RetryAfterS: uint16(overloadedResponse.RetryAfterS), Body: overloadedResponse.Body})
+		s.transport.Send(from, &transport.Frame{Type: transport.MsgResponse, ID: frame.ID, Status: uint16(overloadedResponse.Status), RetryAfterS: uint16(overloadedResponse.RetryAfterS), Body: overloadedResponse.Body})
 		return
 	}
 	s.loop.post(handle)
@@ -174,12 +174,12 @@
 // run by the loop.
 type controllerEnv struct{ server *Server }
 
-func (e controllerEnv) Now() ident.MonotonicTime                { return e.server.loop.now() }
-func (e controllerEnv) WallMS() int64                           { return time.Now().UnixMilli() }
-func (e controllerEnv) After(d time.Duration, f func())         { e.server.loop.after(d, f) }
-func (e controllerEnv) SendPeer(to ident.NodeID, f *mesh.Frame) { e.server.transport.Send(to, f) }
+func (e controllerEnv) Now() ident.MonotonicTime                     { return e.server.loop.now() }
+func (e controllerEnv) WallMS() int64                                { return time.Now().UnixMilli() }
+func (e controllerEnv) After(d time.Duration, f func())              { e.server.loop.after(d, f) }
+func (e controllerEnv) SendPeer(to ident.NodeID, f *transport.Frame) { e.server.transport.Send(to, f) }
 
-func (e controllerEnv) Store(r statesvc.Request, done func(statesvc.Response)) {
+func (e controllerEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	go func() {
 		response := e.server.store.Do(r)
 		e.server.loop.postUrgent(func() { done(response) })
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -18,10 +18,10 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/kvstore"
+	_ "opaldale/internal/kvstoretest"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
-	_ "opaldale/internal/statetest"
+	"opaldale/internal/transport"
 )
 
 const jobSpecJSON = `{"id":"j-000001","lane":"l","desk":"red","shape":"batch","rank":"high","pieces":1,"vcpus":1,"cards":0,"memory_gb":1,
@@ -38,9 +38,9 @@
 		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(socketsGiven), store: statesvc.NewClient(addr, http.DefaultTransport),
+	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(socketsGiven), store: kvstore.NewClient(addr, http.DefaultTransport),
 		cloud: cloud.NewClient(addr, http.DefaultTransport), workerClient: http.DefaultClient,
-		transport: mesh.New("agent-0", func(ident.NodeID, *mesh.Frame) {})}
+		transport: transport.New("agent-0", func(ident.NodeID, *transport.Frame) {})}
 	s.admission.lag = s.loop.Lag
 	s.controller = controller.New(controllerEnv{s}, set, rand.New(rand.NewPCG(1, 2)))
 	s.loop.afterBatch = s.controller.AfterEvent
--- a/internal/standin/faults.go
+++ b/internal/simulator/faults.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/transport"
 )
 
 // faultWindow is a trouble that befalls a share of what it is about until a time.
@@ -78,7 +78,7 @@
 
 // interceptTransaction has a transaction carried out late, or at once without an answer. It says
 // whether that is so.
-func (s *store) interceptTransaction(r statesvc.Request, reply func(any)) bool {
+func (s *store) interceptTransaction(r kvstore.Request, reply func(any)) bool {
 	w := s.sim
 	switch {
 	case w.faultStrikes(w.droppedReplies):
@@ -129,7 +129,7 @@
 	if w.cfg.Mutation == AcceptStaleHeartbeats {
 		c.SequenceNumber += 1000
 	}
-	w.request("copies", n, mesh.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
+	w.request("copies", n, transport.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
 }
 
 // duplicateHeartbeat has copies of a report come to all nodes again.
@@ -268,7 +268,7 @@
 		Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
 		w.countEvent("odd request")
-		w.request("users", n, mesh.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
+		w.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
 			if r != nil && !ok(r.Status) {
 				w.reportViolation("%s got %d %s", what, r.Status, r.Body)
 			}
@@ -294,7 +294,7 @@
 		for _, id := range w.jobOrder {
 			if j := w.jobs[id]; j.lastStatus == "done" && w.rng.IntN(3) == 0 {
 				w.countEvent("done job cancelled")
-				w.request("users", n, mesh.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
+				w.request("users", n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
 					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
 						w.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
@@ -310,7 +310,7 @@
 				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
 				asked := w.now
 				w.countEvent("other body")
-				w.request("users", n, mesh.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
+				w.request("users", n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
 					switch {
 					case r == nil || r.Status == 503:
 					case r.Status == 200 || r.Status == 201:
--- a/internal/standin/legacy_node.go
+++ b/internal/simulator/legacy_node.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strings"
 
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/upgrade"
 )
 
@@ -91,14 +91,14 @@
 }
 
 // legacyRequest has a request of an old node answered as that one sees it.
-func (e *nodeEnv) legacyRequest(r statesvc.Request, f func(statesvc.Response)) (func(statesvc.Response), bool) {
+func (e *nodeEnv) legacyRequest(r kvstore.Request, f func(kvstore.Response)) (func(kvstore.Response), bool) {
 	if r.Prefix == upgrade.NodeKeyPrefix || strings.HasPrefix(r.Key, upgrade.NodeKeyPrefix) {
 		return nil, false // it knows of no such thing
 	}
-	return func(a statesvc.Response) {
+	return func(a kvstore.Response) {
 		pairs := a.KeyValues
-		if r.Op == statesvc.Get && a.Outcome == statesvc.OK {
-			pairs = []statesvc.KeyValue{{Key: r.Key, Value: a.Value}}
+		if r.Op == kvstore.Get && a.Outcome == kvstore.OK {
+			pairs = []kvstore.KeyValue{{Key: r.Key, Value: a.Value}}
 		}
 		for _, p := range pairs {
 			if err := checkLegacyValue(p.Key, p.Value); err != nil {
@@ -110,17 +110,17 @@
 }
 
 // mutateRequest is what the mutations of a rollout do to the requests of a new node.
-func (w *Simulation) mutateRequest(r statesvc.Request, f func(statesvc.Response)) (statesvc.Request, bool) {
+func (w *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
 	if w.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
-		out := statesvc.Response{Outcome: statesvc.OK}
+		out := kvstore.Response{Outcome: kvstore.OK}
 		for _, n := range w.nodes {
-			out.KeyValues = append(out.KeyValues, statesvc.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
+			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
 		}
 		w.schedule(0, func() { f(out) })
 		return r, false
 	}
-	if w.cfg.Mutation == WriteNewFieldsEarly && r.Op == statesvc.Txn {
-		then := append([]statesvc.Mutation(nil), r.Mutations...)
+	if w.cfg.Mutation == WriteNewFieldsEarly && r.Op == kvstore.Txn {
+		then := append([]kvstore.Mutation(nil), r.Mutations...)
 		for i, c := range then {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
 				then[i].Value = append([]byte(`{"early":1,`), c.Value[1:]...)
--- a/internal/standin/links.go
+++ b/internal/simulator/links.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 )
 
 // linkMonitor is what the stand-in does when nodes speak of their links.
@@ -25,22 +25,22 @@
 
 // observeFrame takes note of a frame about links before it is sent; false drops it. A node of
 // the version in production would close the connection on one.
-func (w *Simulation) observeFrame(from, to *node, f *mesh.Frame) bool {
+func (w *Simulation) observeFrame(from, to *node, f *transport.Frame) bool {
 	reversePath := to.name + " " + from.name
 	switch f.Type {
-	case mesh.MsgHeartbeat:
+	case transport.MsgHeartbeat:
 		w.newestHeartbeat[from.name+" "+to.name] = f.ID
-	case mesh.MsgLinkState, mesh.MsgTransferLeader, mesh.MsgRelayRequest:
+	case transport.MsgLinkState, transport.MsgTransferLeader, transport.MsgRelayRequest:
 		if to.alive && to.env.legacy || from.env.legacy {
 			w.reportViolation("%s sent a frame about links to %s, of which one is old", from.name, to.name)
 			return false
 		}
 	}
 	switch f.Type {
-	case mesh.MsgLinkState:
+	case transport.MsgLinkState:
 		w.countEvent("rows sent")
 		w.redeliverRows(from, to, reversePath, f)
-	case mesh.MsgTransferLeader:
+	case transport.MsgTransferLeader:
 		if !w.announcedTerms[f.Term] {
 			w.announcedTerms[f.Term] = true
 			w.countEvent("handover announced")
@@ -56,7 +56,7 @@
 
 // redeliverRows has a copy of a message of rows come late. Of the mutation FreshenStaleRows, it names
 // the receiver's newest heartbeat, as if it had been made just before.
-func (w *Simulation) redeliverRows(from, to *node, reversePath string, f *mesh.Frame) {
+func (w *Simulation) redeliverRows(from, to *node, reversePath string, f *transport.Frame) {
 	if w.staleRowDelay == 0 {
 		return
 	}
@@ -113,8 +113,8 @@
 
 // checkHandoverWrites checks that a node which hands the lead over writes nothing new but the end of
 // its term, and starts nothing. Repeats of what was under way come with it.
-func (w *Simulation) checkHandoverWrites(n *node, r statesvc.Request) {
-	if r.Op != statesvc.Txn || !w.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
+func (w *Simulation) checkHandoverWrites(n *node, r kvstore.Request) {
+	if r.Op != kvstore.Txn || !w.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
 		return
 	}
 	if !w.sentTransactions[transactionKey(n, r)] {
@@ -123,13 +123,13 @@
 }
 
 // transactionKey names a transaction of a process: a repeat is the same.
-func transactionKey(n *node, r statesvc.Request) string {
+func transactionKey(n *node, r kvstore.Request) string {
 	return fmt.Sprint(n.name, n.incarnation, r.Compares, len(r.Mutations), r.Mutations[0].Put, r.Mutations[0].Delete)
 }
 
 // recordTransaction remembers a transaction, for its repeats to be known.
-func (w *Simulation) recordTransaction(n *node, r statesvc.Request) {
-	if w.cfg.LinkMonitoring && r.Op == statesvc.Txn && len(r.Mutations) > 0 {
+func (w *Simulation) recordTransaction(n *node, r kvstore.Request) {
+	if w.cfg.LinkMonitoring && r.Op == kvstore.Txn && len(r.Mutations) > 0 {
 		w.checkHandoverWrites(n, r)
 		w.sentTransactions[transactionKey(n, r)] = true
 	}
--- a/internal/standin/links_test.go
+++ b/internal/simulator/links_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // TestInvariantsHoldWithLinkMonitoring plays days of trouble, with links that break in one direction
@@ -587,6 +587,6 @@
 // sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
 func (w *Simulation) sendForgedRows(from, to *node) {
 	w.countEvent("lie")
-	f := &mesh.Frame{Type: mesh.MsgLinkState, ID: w.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(w, from)}
+	f := &transport.Frame{Type: transport.MsgLinkState, ID: w.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(w, from)}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- /dev/null
+++ b/internal/simulator/main_test.go
@@ -0,0 +1,3 @@
+package simulator
+
+import _ "opaldale/internal/kvstoretest"
--- a/internal/standin/moves.go
+++ b/internal/simulator/moves.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"strings"
@@ -7,9 +7,9 @@
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/migration"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // maxMovesPerJob is how often the tasks of a job may be moved in its life.
@@ -17,7 +17,7 @@
 
 // checkMoveRecord checks what is written about moves: a job's record only grows, to two moves at
 // the most, until the job is over.
-func (w *Simulation) checkMoveRecord(c statesvc.Mutation) {
+func (w *Simulation) checkMoveRecord(c kvstore.Mutation) {
 	id, ok := jobOfMoveKey(c.Put + c.Delete)
 	if !ok {
 		return
--- a/internal/standin/mutation.go
+++ b/internal/simulator/mutation.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 )
 
 // mutateHeartbeatReply is what mutations make of an answer to a report.
@@ -49,8 +49,8 @@
 const cacheTTL = 3 * time.Second
 
 // forgetPlacements is the mutation in which a new leader doesn't know where tasks are.
-func forgetPlacements(a statesvc.Response) statesvc.Response {
-	pairs := append([]statesvc.KeyValue(nil), a.KeyValues...)
+func forgetPlacements(a kvstore.Response) kvstore.Response {
+	pairs := append([]kvstore.KeyValue(nil), a.KeyValues...)
 	for i, p := range pairs {
 		var v struct {
 			LSN  uint64 `json:"n"`
--- a/internal/standin/node.go
+++ b/internal/simulator/node.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -129,7 +129,7 @@
 	e.sim().schedule(e.node.eventPause.paused+max(0, time.Duration(float64(d)/e.clockRate)+time.Microsecond), e.ifAlive(f))
 }
 
-func (e *nodeEnv) Store(r statesvc.Request, f func(statesvc.Response)) {
+func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	w := e.sim()
 	ok := true
 	if e.legacy {
@@ -140,9 +140,9 @@
 	if !ok {
 		return
 	}
-	if w.cfg.Mutation == ForgetPlacements && r.Op == statesvc.List {
+	if w.cfg.Mutation == ForgetPlacements && r.Op == kvstore.List {
 		g := f
-		f = func(a statesvc.Response) { g(forgetPlacements(a)) }
+		f = func(a kvstore.Response) { g(forgetPlacements(a)) }
 	}
 	w.recordPlacement(e.node.name, r)
 	w.recordTransaction(e.node, r)
@@ -150,15 +150,15 @@
 		w.call(e.node.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.node.name, r, reply) }, func(a any) {
 			e.ifAlive(func() {
 				if a == nil {
-					f(statesvc.Response{Outcome: statesvc.NoAnswer})
+					f(kvstore.Response{Outcome: kvstore.NoAnswer})
 				} else {
-					f(a.(statesvc.Response))
+					f(a.(kvstore.Response))
 				}
 			})()
 		})
 	}
 	send = e.afterPause(send)
-	if w.cfg.Mutation == LaunchBeforeCommit && r.Op == statesvc.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
+	if w.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
 		w.launchBeforeCommit(e.node.name, r)
 		w.schedule(400*time.Millisecond, e.ifAlive(send))
 		return
@@ -167,8 +167,8 @@
 }
 
 // replyIfAlive has an answer come to the process, if it still lives.
-func (e *nodeEnv) replyIfAlive(f func(statesvc.Response)) func(statesvc.Response) {
-	return func(a statesvc.Response) { e.ifAlive(func() { f(a) })() }
+func (e *nodeEnv) replyIfAlive(f func(kvstore.Response)) func(kvstore.Response) {
+	return func(a kvstore.Response) { e.ifAlive(func() { f(a) })() }
 }
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
@@ -239,19 +239,19 @@
 	})
 }
 
-func (e *nodeEnv) SendPeer(to ident.NodeID, f *mesh.Frame) {
+func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
 	w := e.sim()
 	for _, o := range w.nodes {
 		if o.name != string(to) {
 			continue
 		}
 		// Through the wire format, as between processes.
-		g, err := mesh.Decode(f.Append(nil)[4:])
+		g, err := transport.Decode(f.Append(nil)[4:])
 		if err != nil {
 			panic(err)
 		}
-		if w.cfg.Mutation == KeepLeasesForever && g.Type == mesh.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
-			g.Heartbeat.LeaseAllowanceMS = mesh.ToMillis(time.Hour)
+		if w.cfg.Mutation == KeepLeasesForever && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
+			g.Heartbeat.LeaseAllowanceMS = transport.ToMillis(time.Hour)
 		}
 		if !w.observeFrame(e.node, o, g) {
 			return
@@ -266,19 +266,19 @@
 }
 
 // request is a request of a user or a worker to a node.
-func (w *Simulation) request(from string, n *node, v mesh.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
+func (w *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
 	if !n.alive {
 		w.schedule(time.Millisecond, func() { done(nil) })
 		return
 	}
 	incarnation := n.incarnation
 	key := n.name + " " + job
-	if v == mesh.SubmitJob && w.cfg.Mutation == DropZoneConstraint {
+	if v == transport.SubmitJob && w.cfg.Mutation == DropZoneConstraint {
 		body = dropZoneConstraint(body)
 	}
 	w.call(from, n.name, timeout, func(reply func(any)) {
 		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == mesh.GetJob && w.cfg.Mutation == CacheStatusAnswers && c.body != nil && w.now.Sub(c.at) < cacheTTL {
+			if c := n.cache[key]; v == transport.GetJob && w.cfg.Mutation == CacheStatusAnswers && c.body != nil && w.now.Sub(c.at) < cacheTTL {
 				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
@@ -288,11 +288,11 @@
 						r = r.IfValid(n.env.clock())
 					}
 					switch v {
-					case mesh.GetJob:
+					case transport.GetJob:
 						if w.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
 							n.cache[key] = cachedAnswer{w.now, r.Body}
 						}
-					case mesh.WorkerHeartbeat:
+					case transport.WorkerHeartbeat:
 						reply(w.mutateHeartbeatReply(n, body, &r))
 						return
 					}
--- a/internal/standin/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/migration"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // runMoveScenario plays days of one kind and checks each; it returns how many moves were recorded.
@@ -230,7 +230,7 @@
 				}
 				for _, id := range w.jobOrder {
 					if before > 0 {
-						w.store.apply([]statesvc.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
+						w.store.apply([]kvstore.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
 					}
 				}
 				w.Moves = 0
--- a/internal/standin/services.go
+++ b/internal/simulator/services.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/statesvc"
 )
 
 // store is the state service.
@@ -24,7 +24,7 @@
 	leaseTTLs   map[uint64]time.Duration
 	lastLeaseID uint64
 	watchers    []*watcher
-	history     []statesvc.WatchEvent
+	history     []kvstore.WatchEvent
 	downUntil   ident.MonotonicTime
 	rejectUntil map[string]ident.MonotonicTime
 	limits      settings.StoreLimits
@@ -67,10 +67,10 @@
 
 func (s *store) endLease(leaseID uint64) {
 	delete(s.leases, leaseID)
-	var gone []statesvc.Mutation
+	var gone []kvstore.Mutation
 	for k, e := range s.keys {
 		if e.leaseID == leaseID {
-			gone = append(gone, statesvc.Mutation{Delete: k})
+			gone = append(gone, kvstore.Mutation{Delete: k})
 		}
 	}
 	if len(gone) > 0 {
@@ -79,10 +79,10 @@
 	}
 }
 
-func (s *store) apply(changes []statesvc.Mutation) {
+func (s *store) apply(changes []kvstore.Mutation) {
 	s.revision++
 	for _, c := range changes {
-		n := statesvc.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
+		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
 		s.sim.checkMoveRecord(c)
 		if c.Put != "" {
 			s.keys[c.Put] = &entry{c.Value, ident.Revision(s.revision), c.LeaseID}
@@ -101,7 +101,7 @@
 	if w.done {
 		return
 	}
-	out := statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision}
+	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 	for _, n := range s.history {
 		if uint64(n.Revision) > w.afterRevision && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
 			out.Events = append(out.Events, n)
@@ -113,21 +113,21 @@
 	}
 }
 
-func (s *store) serve(from string, r statesvc.Request, reply func(any)) {
+func (s *store) serve(from string, r kvstore.Request, reply func(any)) {
 	if s.sim.now < s.downUntil || s.sim.now < s.rejectUntil[from] {
-		reply(statesvc.Response{Outcome: statesvc.Unavailable})
+		reply(kvstore.Response{Outcome: kvstore.Unavailable})
 		return
 	}
-	out := statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision}
+	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 	switch r.Op {
-	case statesvc.Get:
+	case kvstore.Get:
 		e := s.keys[r.Key]
 		if e == nil {
-			out.Outcome = statesvc.NotFound
+			out.Outcome = kvstore.NotFound
 			break
 		}
 		out.Value, out.Revision, out.LeaseID = e.value, e.revision, e.leaseID
-	case statesvc.List:
+	case kvstore.List:
 		var names []string
 		for k := range s.keys {
 			if strings.HasPrefix(k, r.Prefix) && k > r.StartAfter {
@@ -140,29 +140,29 @@
 				out.Truncated = true
 				break
 			}
-			out.KeyValues = append(out.KeyValues, statesvc.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
+			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
 		}
-	case statesvc.Txn:
+	case kvstore.Txn:
 		if s.interceptTransaction(r, reply) {
 			return
 		}
 		out = s.transact(r)
-	case statesvc.GrantLease:
+	case kvstore.GrantLease:
 		s.lastLeaseID++
 		s.leaseTTLs[s.lastLeaseID] = r.TTL
 		s.leases[s.lastLeaseID] = s.sim.now.Add(r.TTL)
 		out.LeaseID = s.lastLeaseID
-	case statesvc.RenewLease:
+	case kvstore.RenewLease:
 		if _, ok := s.leases[r.LeaseID]; !ok {
-			out.Outcome = statesvc.NotFound
+			out.Outcome = kvstore.NotFound
 			break
 		}
 		s.leases[r.LeaseID] = s.sim.now.Add(s.leaseTTLs[r.LeaseID])
-	case statesvc.RevokeLease:
+	case kvstore.RevokeLease:
 		if _, ok := s.leases[r.LeaseID]; ok {
 			s.endLease(r.LeaseID)
 		}
-	case statesvc.Watch:
+	case kvstore.Watch:
 		w := &watcher{prefix: r.Prefix, afterRevision: r.Revision, reply: reply}
 		s.watchers = append(s.watchers, w)
 		s.notify(w, false)
@@ -181,14 +181,14 @@
 	s.sim.logf("the state service has its new limits")
 }
 
-func (s *store) transact(r statesvc.Request) statesvc.Response {
-	reject := func(format string, a ...any) statesvc.Response {
+func (s *store) transact(r kvstore.Request) kvstore.Response {
+	reject := func(format string, a ...any) kvstore.Response {
 		s.sim.OversizedTransactions++
 		s.sim.logf(format, a...)
 		if s.limits == s.sim.settings.Store {
 			s.sim.reportViolation(format, a...)
 		}
-		return statesvc.Response{Outcome: statesvc.Invalid, Error: "too large"}
+		return kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}
 	}
 	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
 		return reject("transaction over the limits: %d changes, %d conditions", len(r.Mutations), len(r.Compares))
@@ -201,7 +201,7 @@
 		}
 		if c.Put != "" && c.LeaseID != 0 {
 			if _, ok := s.leases[c.LeaseID]; !ok {
-				return statesvc.Response{Outcome: statesvc.Invalid, Error: "no such lease"}
+				return kvstore.Response{Outcome: kvstore.Invalid, Error: "no such lease"}
 			}
 		}
 	}
@@ -221,11 +221,11 @@
 			}
 		}
 		if failed != nil {
-			return statesvc.Response{Outcome: statesvc.Conflict, FailedKeys: failed, StoreRevision: s.revision}
+			return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed, StoreRevision: s.revision}
 		}
 	}
 	s.apply(r.Mutations)
-	return statesvc.Response{Outcome: statesvc.OK, StoreRevision: s.revision}
+	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 }
 
 // provider is the cloud.
--- a/internal/standin/simulation.go
+++ b/internal/simulator/simulation.go
@@ -1,8 +1,8 @@
-// Package standin is a small world for tests, written from the protocol: a state
+// Package simulator is a small world for tests, written from the protocol: a state
 // service, a cloud, workers, users and a network with cuts, losses and late
 // deliveries, all in simulated time and from a seed. It checks every rule at
 // every step.
-package standin
+package simulator
 
 import (
 	"container/heap"
--- a/internal/standin/study_links.go
+++ b/internal/simulator/study_links.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
 	"opaldale/internal/workers"
 )
 
@@ -62,9 +62,9 @@
 }
 
 // recordPlacement notes a transaction of a node: a record of the log is a placement, or the end of one.
-func (w *Simulation) recordPlacement(node string, r statesvc.Request) {
+func (w *Simulation) recordPlacement(node string, r kvstore.Request) {
 	s := &w.linkStudy
-	if !s.active(w.now) || r.Op != statesvc.Txn {
+	if !s.active(w.now) || r.Op != kvstore.Txn {
 		return
 	}
 	for _, c := range r.Mutations {
--- a/internal/standin/study_load.go
+++ b/internal/simulator/study_load.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"math"
--- a/internal/standin/users.go
+++ b/internal/simulator/users.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
+	"opaldale/internal/transport"
 )
 
 // userJob is a job with its user, who remembers what it was told.
@@ -192,7 +192,7 @@
 func (w *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.submitted = true
 	asked := w.now
-	w.request("users", n, mesh.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
+	w.request("users", n, transport.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, w.now
@@ -227,7 +227,7 @@
 	})
 	if w.rng.IntN(20) == 0 {
 		id := fmt.Sprintf("j-9%05d", w.rng.IntN(1000))
-		w.request("users", w.randomNode(), mesh.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
+		w.request("users", w.randomNode(), transport.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
 			if r != nil && r.Status == 200 {
 				w.reportViolation("invented: %s got 200", id)
 			}
@@ -240,7 +240,7 @@
 
 func (w *Simulation) queryStatus(j *userJob, n *node, then func()) {
 	asked := w.now
-	w.request("users", n, mesh.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
+	w.request("users", n, transport.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
 		if r != nil {
 			if r.Status == 404 {
 				w.reportViolation("forgotten: %s got 404", j.spec.ID)
@@ -263,7 +263,7 @@
 	if n == nil {
 		n = w.randomNode()
 	}
-	w.request("users", n, mesh.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
+	w.request("users", n, transport.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
 		if r != nil && r.Status == 200 {
 			w.checkAnswer(j, r, asked)
 			return
--- a/internal/standin/worker.go
+++ b/internal/simulator/worker.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
@@ -142,7 +142,7 @@
 	m := k.buildHeartbeat()
 	k.duplicateLate(m)
 	k.sim.duplicateHeartbeat(m)
-	k.sim.request(string(k.id), n, mesh.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
+	k.sim.request(string(k.id), n, transport.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
 		if k.dead {
 			return
 		}
@@ -428,7 +428,7 @@
 
 // launchBeforeCommit is the mutation that launches what a transaction is only about to
 // make durable.
-func (w *Simulation) launchBeforeCommit(from string, r statesvc.Request) {
+func (w *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
 	for _, c := range r.Mutations {
 		var v struct {
 			Text string `json:"t"`
--- a/internal/standin/main_test.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package standin
-
-import _ "opaldale/internal/statetest"
--- a/internal/mesh/frame.go
+++ b/internal/transport/frame.go
@@ -1,10 +1,10 @@
-// Package mesh carries the nodes' own messages to one another, in a binary
+// Package transport carries the nodes' own messages to one another, in a binary
 // format written by hand.
 //
 // A frame is its length in four bytes, then a version, a kind and the fields of
 // that kind. Integers are big-endian; strings have their length in two bytes,
 // bodies in four.
-package mesh
+package transport
 
 import (
 	"encoding/binary"
--- a/internal/mesh/transport.go
+++ b/internal/transport/transport.go
@@ -1,4 +1,4 @@
-package mesh
+package transport
 
 import (
 	"bufio"
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -10,23 +10,23 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/golden"
 	"opaldale/internal/ident"
-	"opaldale/internal/statesvc"
-	"opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // recorder is a state service that keeps the requests that came, in words.
 type recorder struct {
-	*statetest.SteppedStore
+	*kvstoretest.SteppedStore
 	requests strings.Builder
 }
 
-func (r *recorder) State(q statesvc.Request, f func(statesvc.Response)) {
-	r.requests.WriteString(statetest.Describe(q))
+func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+	r.requests.WriteString(kvstoretest.Describe(q))
 	switch q.Op {
-	case statesvc.Get:
+	case kvstore.Get:
 		f(r.Get(q.Key))
-	case statesvc.List:
-		f(statesvc.Response{Outcome: statesvc.OK, KeyValues: []statesvc.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}})
+	case kvstore.List:
+		f(kvstore.Response{Outcome: kvstore.OK, KeyValues: []kvstore.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}})
 	default:
 		f(r.Apply(q.Mutations))
 	}
@@ -38,14 +38,14 @@
 	var d golden.Document
 	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
 	for _, before := range []string{"", `{"level":1}`, `{"level":1,"frames":1}`} {
-		r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore())}
+		r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
 		if before != "" {
-			r.Entries[NodeKeyPrefix+"agent-1"] = statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
+			r.Entries[NodeKeyPrefix+"agent-1"] = kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
 		}
 		Announce(r, rand.New(rand.NewPCG(1, 2)), "agent-1")
 		d.Add("announced before: "+before, r.requests.String())
 	}
-	frames := FrameCapabilities([]statesvc.KeyValue{{Key: "nodes/agent-1", Value: json.RawMessage(`{"level":2,"frames":3}`)},
+	frames := FrameCapabilities([]kvstore.KeyValue{{Key: "nodes/agent-1", Value: json.RawMessage(`{"level":2,"frames":3}`)},
 		{Key: "nodes/agent-2", Value: json.RawMessage(`{"level":1}`)}})
 	d.Add("frames", fmt.Sprint(frames))
 	d.Compare(t, "announcements")
@@ -53,13 +53,13 @@
 
 // TestGoldenRaise pins what is asked and written to raise the level.
 func TestGoldenRaise(t *testing.T) {
-	newest := statesvc.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
+	newest := kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
 	other.Key = NodeKeyPrefix + "agent-2"
-	r := &recorder{SteppedStore: statetest.NewSteppedStore(statetest.NewMemoryStore(newest, other))}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, statesvc.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore(newest, other))}
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
 	done := false
-	raiser := New(r, 41, statesvc.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
+	raiser := New(r, 41, kvstore.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
 	raiser.Poll()
 	c.Flush()
 	if !done || raiser.State() != Raised {
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -15,8 +15,8 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
-	"opaldale/internal/mesh"
-	"opaldale/internal/statesvc"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/transport"
 )
 
 // NodeKeyPrefix is where nodes announce themselves. Versions before the first level never
@@ -30,7 +30,7 @@
 }
 
 // ownAnnouncement is what this program can read.
-var ownAnnouncement = announcement{Level: ident.NewestFormatLevel, FrameCapability: mesh.LinkStateCapability}
+var ownAnnouncement = announcement{Level: ident.NewestFormatLevel, FrameCapability: transport.LinkStateCapability}
 
 // covers says whether a node can read all that another notice names.
 func (n announcement) covers(other announcement) bool {
@@ -46,7 +46,7 @@
 // Port is what the package needs of the world.
 type Port interface {
 	After(time.Duration, func())
-	Store(statesvc.Request, func(statesvc.Response))
+	Store(kvstore.Request, func(kvstore.Response))
 }
 
 // Announce says in the state service that a node runs this program, and repeats
@@ -57,14 +57,14 @@
 	retryLater := func() {
 		port.After(announceRetryInterval+time.Duration(rng.Int64N(int64(announceRetryInterval))), func() { Announce(port, rng, node) })
 	}
-	port.Store(statesvc.Request{Op: statesvc.Get, Key: nodeKey, Timeout: callTimeout}, func(r statesvc.Response) {
+	port.Store(kvstore.Request{Op: kvstore.Get, Key: nodeKey, Timeout: callTimeout}, func(r kvstore.Response) {
 		switch r.Outcome {
-		case statesvc.OK:
+		case kvstore.OK:
 			var announced announcement
 			if json.Unmarshal(r.Value, &announced) == nil && announced.covers(ownAnnouncement) {
 				return
 			}
-		case statesvc.NotFound:
+		case kvstore.NotFound:
 			r.Revision = 0
 		default:
 			retryLater()
@@ -74,9 +74,9 @@
 		if err != nil {
 			panic(err)
 		}
-		port.Store(statesvc.Request{Op: statesvc.Txn, Timeout: callTimeout, Compares: []statesvc.Compare{{Key: nodeKey, Revision: r.Revision}},
-			Mutations: []statesvc.Mutation{{Put: nodeKey, Value: value}}}, func(r statesvc.Response) {
-			if r.Outcome != statesvc.OK {
+		port.Store(kvstore.Request{Op: kvstore.Txn, Timeout: callTimeout, Compares: []kvstore.Compare{{Key: nodeKey, Revision: r.Revision}},
+			Mutations: []kvstore.Mutation{{Put: nodeKey, Value: value}}}, func(r kvstore.Response) {
+			if r.Outcome != kvstore.OK {
 				retryLater() // to see whether it was carried out
 			}
 		})
@@ -85,7 +85,7 @@
 
 // FrameCapabilities returns, of the nodes that have announced themselves, what optional frames they
 // can read.
-func FrameCapabilities(pairs []statesvc.KeyValue) map[ident.NodeID]int {
+func FrameCapabilities(pairs []kvstore.KeyValue) map[ident.NodeID]int {
 	frames := map[ident.NodeID]int{}
 	for _, p := range pairs {
 		var announced announcement
@@ -123,7 +123,7 @@
 // New makes the raiser of a term. The term's key was last written with the leader
 // key; write makes a document durable, compared against that; done is called once
 // the level is in force.
-func New(port Port, term ident.Term, leaderKey statesvc.Compare, nodes []ident.NodeID, persist func(*commit.Document, func()), onRaised func()) *Raiser {
+func New(port Port, term ident.Term, leaderKey kvstore.Compare, nodes []ident.NodeID, persist func(*commit.Document, func()), onRaised func()) *Raiser {
 	return &Raiser{port: port, nodes: nodes, persist: persist, onRaised: onRaised, document: &commit.Document{Key: election.TermKey, Revision: leaderKey.Revision,
 		Render: func() json.RawMessage { return election.EncodeTerm(term, ident.NewestFormatLevel) }}}
 }
@@ -146,11 +146,11 @@
 	if r.closed || r.state != Mixed {
 		return
 	}
-	r.port.Store(statesvc.Request{Op: statesvc.List, Prefix: NodeKeyPrefix, Timeout: callTimeout}, func(response statesvc.Response) {
+	r.port.Store(kvstore.Request{Op: kvstore.List, Prefix: NodeKeyPrefix, Timeout: callTimeout}, func(response kvstore.Response) {
 		if r.closed || r.state != Mixed {
 			return
 		}
-		if response.Outcome == statesvc.OK && r.allAnnounced(response.KeyValues) {
+		if response.Outcome == kvstore.OK && r.allAnnounced(response.KeyValues) {
 			r.setState(Raising, "all nodes can read it")
 			r.persist(r.document, func() {
 				r.setState(Raised, "durable")
@@ -163,7 +163,7 @@
 }
 
 // allAnnounced says whether every node of the settings is among those announced.
-func (r *Raiser) allAnnounced(pairs []statesvc.KeyValue) bool {
+func (r *Raiser) allAnnounced(pairs []kvstore.KeyValue) bool {
 	capable := map[string]bool{}
 	for _, p := range pairs {
 		var n announcement
--- a/internal/workers/table_test.go
+++ b/internal/workers/table_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/statesvc"
-	_ "opaldale/internal/statetest"
+	"opaldale/internal/kvstore"
+	_ "opaldale/internal/kvstoretest"
 )
 
 // fakeEnvironment lets the test decide when a transaction is carried out and what becomes
@@ -31,8 +31,8 @@
 		f()
 	})
 }
-func (w *fakeEnvironment) Store(r statesvc.Request, f func(statesvc.Response)) {
-	w.txns = append(w.txns, func() { f(statesvc.Response{Outcome: statesvc.OK, StoreRevision: 9}) })
+func (w *fakeEnvironment) Store(r kvstore.Request, f func(kvstore.Response)) {
+	w.txns = append(w.txns, func() { f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 9}) })
 }
 func (w *fakeEnvironment) Worker(c CommandCall, f func(CommandResult)) {
 	w.sent = append(w.sent, c.Body)
@@ -63,7 +63,7 @@
 func newHarness(t *testing.T) *harness {
 	r := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, statesvc.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.tb = NewTable(r, r.jobs, Config{Term: term, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
 		Catalog: func(string) *cloud.MachineType { return &kind }, OnCommandResult: func(*Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }, OnDeposed: func() { t.Error("deposed") }, OnCapacityChanged: func() {},
