--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -13,13 +13,13 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recordingStage is a stage that keeps the requests that came, in words.
-type recordingStage struct {
+// recordingStore is a stage that keeps the requests that came, in words.
+type recordingStore struct {
 	*fakeStore
 	requests strings.Builder
 }
 
-func (s *recordingStage) State(r kvstore.Request, f func(kvstore.Response)) {
+func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	s.requests.WriteString(kvstoretest.Describe(r))
 	s.fakeStore.Store(r, f)
 }
@@ -37,7 +37,7 @@
 		{"term without a level", "41", func(m *Elector) { m.Resign(time.Minute, "test") }},
 		{"term with a level", `{"term":41,"level":1}`, func(m *Elector) { m.HandOver(time.Minute, "test") }},
 	} {
-		s := &recordingStage{fakeStore: newFakeStore()}
+		s := &recordingStore{fakeStore: newFakeStore()}
 		s.revision = 200
 		if c.term != "" {
 			s.keys[TermKey] = kvstore.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
@@ -54,7 +54,7 @@
 
 // TestGoldenLeaderKey pins what a node that follows makes of the leader key, and asks.
 func TestGoldenLeaderKey(t *testing.T) {
-	s := &recordingStage{fakeStore: newFakeStore()}
+	s := &recordingStore{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
 	s.keys[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
 	m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -19,9 +19,9 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+func (r *recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
 	r.requests.WriteString(kvstoretest.Describe(q))
-	r.fakeStore.State(q, f)
+	r.fakeStore.Store(q, f)
 }
 
 // storage is a way to keep tasks in the state service.
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -21,7 +21,7 @@
 	return &fakeStore{kvstoretest.NewSteppedStore(s)}
 }
 
-func (k *fakeStore) State(r kvstore.Request, f func(kvstore.Response)) {
+func (k *fakeStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	for _, c := range r.Mutations {
 		if len(c.Value) > 16<<10 {
 			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -19,7 +19,7 @@
 	requests strings.Builder
 }
 
-func (r *recorder) State(q kvstore.Request, f func(kvstore.Response)) {
+func (r *recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
 	r.requests.WriteString(kvstoretest.Describe(q))
 	r.SteppedStore.Store(q, f)
 }
