--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -63,13 +63,13 @@
 	w.now = w.now.Add(time.Minute)
 	c.renewer.Permit(5, w.now.Add(-5*time.Second), 20*time.Second)
 	c.cancelledJobs.Put("j-7", struct{}{})
-	piece := func(id string) api.TaskReport {
+	taskReport := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
 	}
 	rep := &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(5, 0),
-		Tasks: []api.TaskReport{piece("j-7"), piece("j-8")}}
+		Tasks: []api.TaskReport{taskReport("j-7"), taskReport("j-8")}}
 	r, ok := c.renewLeaseWithoutLeader(rep)
-	want := string(api.JSON(api.HeartbeatResponse{FencingToken: rep.FencingToken, Commands: []api.Command{{Verb: api.Kill, TaskID: piece("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}}}))
+	want := string(api.JSON(api.HeartbeatResponse{FencingToken: rep.FencingToken, Commands: []api.Command{{Verb: api.Kill, TaskID: taskReport("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}}}))
 	if !ok || string(r.Body) != want {
 		t.Errorf("%v %s, want %s", ok, r.Body, want)
 	}
--- a/internal/fleet/manager.go
+++ b/internal/fleet/manager.go
@@ -48,7 +48,7 @@
 	// silence is rather our fault.
 	DirectContact func() bool
 	// ZonePeersSilent says whether all siblings in a zone are silent, and there are some.
-	ZonePeersSilent func(site string) bool
+	ZonePeersSilent func(zone string) bool
 	// ZoneUnreachable says whether no node reaches the machines of a zone, so that they may all be
 	// alive behind a broken link; nil if nobody can tell.
 	ZoneUnreachable func(zone string) bool
@@ -57,13 +57,13 @@
 	LocallyUnreachable func(zone string) bool
 	// Objective is the shortest time within which jobs of a lane should be done, 0 if
 	// nothing is said.
-	Objective func(lane string) time.Duration
+	Objective func(class string) time.Duration
 	// Movable is asked whether a replica would find room, and its image, elsewhere.
 	Movable func(t *jobs.Task, from *workers.Worker) bool
 	// Drain is called for machines that will be taken.
 	Drain func(w *workers.Worker)
 	// Room is called when it changed how much arrays must leave free.
-	SetServiceHeadroom func(site string, cpus float64)
+	SetServiceHeadroom func(zone string, cpus float64)
 }
 
 // Manager holds one term's dealings with the cloud.
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -27,10 +27,10 @@
 }
 
 type storeEntry struct {
-	Path  string          `json:"path"`
-	Value json.RawMessage `json:"value"`
-	Stamp ident.Revision  `json:"stamp"`
-	Grant uint64          `json:"grant,omitempty"`
+	Key      string          `json:"path"`
+	Value    json.RawMessage `json:"value"`
+	Revision ident.Revision  `json:"stamp"`
+	LeaseID  uint64          `json:"grant,omitempty"`
 }
 
 type storeLease struct {
@@ -77,7 +77,7 @@
 	delete(s.leases, id)
 	var gone []kvstore.Mutation
 	for path, e := range s.entries {
-		if e.Grant == id {
+		if e.LeaseID == id {
 			gone = append(gone, kvstore.Mutation{Delete: path})
 		}
 	}
@@ -91,7 +91,7 @@
 	for _, c := range changes {
 		s.onChange(c)
 		if c.Put != "" {
-			s.entries[c.Put] = storeEntry{Path: c.Put, Value: c.Value, Stamp: ident.Revision(s.revision), Grant: c.LeaseID}
+			s.entries[c.Put] = storeEntry{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.revision), LeaseID: c.LeaseID}
 		} else {
 			delete(s.entries, c.Delete)
 		}
@@ -123,7 +123,7 @@
 			page = append(page, e)
 		}
 	}
-	slices.SortFunc(page, func(a, b storeEntry) int { return cmp.Compare(a.Path, b.Path) })
+	slices.SortFunc(page, func(a, b storeEntry) int { return cmp.Compare(a.Key, b.Key) })
 	truncated := len(page) > pageSize
 	answer(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated, "ledger": s.revision})
 }
@@ -148,7 +148,7 @@
 	}
 	var failed []string
 	for _, c := range t.If {
-		if s.entries[c.Key].Stamp != c.Revision {
+		if s.entries[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -91,11 +91,11 @@
 func TestBorrowersComeLast(t *testing.T) {
 	l := newBorrowedCluster(2, 3)
 	j := l.submitAs("red", api.Standard, 2)
-	guest := l.jobs.Jobs["j-1"]
-	held := guest.AllocatedTasks
+	borrower := l.jobs.Jobs["j-1"]
+	held := borrower.AllocatedTasks
 	l.planner.Round()
 	l.planner.Dispatch()
-	if j.AllocatedTasks != 2 || guest.AllocatedTasks != held+1 {
-		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.AllocatedTasks, guest.AllocatedTasks-held)
+	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != held+1 {
+		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.AllocatedTasks, borrower.AllocatedTasks-held)
 	}
 }
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -26,7 +26,7 @@
 // restarted and keeps leases whenever it may: the leader's bound is never below what it
 // did, and it never does so later than the grace after a moment of sure leadership.
 func TestRegistry(t *testing.T) {
-	type beat struct {
+	type heartbeat struct {
 		at   ident.MonotonicTime
 		f    func(now ident.MonotonicTime)
 		seen bool
@@ -36,7 +36,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		registry := NewRegistry(grace)
 		var leaderHeartbeats SentHeartbeats
-		var inTransit []beat
+		var inTransit []heartbeat
 		startPeer := func(at ident.MonotonicTime) *peerProcess {
 			return &peerProcess{startedAt: at, clockRate: 1 + (rng.Float64()-0.5)*0.001}
 		}
@@ -59,7 +59,7 @@
 					}
 					d = max(cutUntil.Sub(now), 0) + time.Duration(rng.IntN(2000))*time.Millisecond
 				}
-				inTransit = append(inTransit, beat{at: now.Add(d), f: f})
+				inTransit = append(inTransit, heartbeat{at: now.Add(d), f: f})
 			}
 			if int64(now)%int64(700*time.Millisecond) == 0 {
 				lastID++
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -19,7 +19,7 @@
 	until       ident.MonotonicTime
 }
 
-func (w *Simulation) faultStrikes(s faultWindow) bool {
+func (w *Simulation) faultHits(s faultWindow) bool {
 	return w.now < s.until && w.rng.Float64() < s.probability
 }
 
@@ -57,10 +57,10 @@
 func (w *Simulation) extraLatency(from, to string) time.Duration {
 	node := func(s string) bool { return strings.HasPrefix(s, "agent-") }
 	switch {
-	case node(from) && node(to) && w.faultStrikes(w.slowLinks):
+	case node(from) && node(to) && w.faultHits(w.slowLinks):
 		w.countEvent("slow link")
 		return time.Duration(100+w.rng.IntN(400)) * time.Millisecond
-	case (from == "state" || to == "state") && w.faultStrikes(w.slowStore):
+	case (from == "state" || to == "state") && w.faultHits(w.slowStore):
 		w.countEvent("slow state")
 		return time.Duration(50+w.rng.IntN(450)) * time.Millisecond
 	}
@@ -69,7 +69,7 @@
 
 // commandDelay is for how long a command to a machine, or its answer, is held up.
 func (w *Simulation) commandDelay() time.Duration {
-	if !w.faultStrikes(w.delayedCommands) {
+	if !w.faultHits(w.delayedCommands) {
 		return 0
 	}
 	w.countEvent("held order")
@@ -81,11 +81,11 @@
 func (s *store) interceptTransaction(r kvstore.Request, reply func(any)) bool {
 	w := s.sim
 	switch {
-	case w.faultStrikes(w.droppedReplies):
+	case w.faultHits(w.droppedReplies):
 		w.countEvent("lost answer")
 		s.transact(r)
 		return true
-	case w.faultStrikes(w.delayedWrites):
+	case w.faultHits(w.delayedWrites):
 		before := s.revision
 		w.schedule(time.Duration(2000+w.rng.IntN(10_000))*time.Millisecond, func() {
 			if w.now < s.downUntil {
@@ -140,9 +140,9 @@
 		}
 	}
 	switch {
-	case w.faultStrikes(w.delayedHeartbeats):
+	case w.faultHits(w.delayedHeartbeats):
 		deliverCopies(time.Duration(2000+w.rng.Float64()*2000*w.settings.Workers.LeaseS) * time.Millisecond)
-	case w.faultStrikes(w.heldHeartbeats):
+	case w.faultHits(w.heldHeartbeats):
 		w.heldDeliveries = append(w.heldDeliveries, func() { deliverCopies(time.Duration(w.rng.IntN(4000)) * time.Millisecond) })
 	}
 }
@@ -227,7 +227,7 @@
 			return
 		}
 	}
-	if j.spec.Shape == api.Service || !w.faultStrikes(w.cancelAtCompletion) {
+	if j.spec.Shape == api.Service || !w.faultHits(w.cancelAtCompletion) {
 		return
 	}
 	w.countEvent("called off at the end")
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -21,7 +21,7 @@
 
 // beginEvent begins an event, which may be one in which the process stands still.
 func (h *eventPause) beginEvent(w *Simulation) {
-	if w.faultStrikes(h.window) {
+	if w.faultHits(h.window) {
 		h.stepsUntilPause = 1 + w.rng.IntN(maxStepsBeforePause)
 	}
 }
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -327,14 +327,14 @@
 	if w.rng.IntN(15) == 0 {
 		boot *= 4
 	}
-	if w.faultStrikes(w.fastBoots) {
+	if w.faultHits(w.fastBoots) {
 		boot = time.Duration(300+w.rng.IntN(1500)) * time.Millisecond
 	}
 	switch {
-	case w.faultStrikes(w.failedBoots):
+	case w.faultHits(w.failedBoots):
 		w.countEvent("machine never up")
 		m.neverBoots = true
-	case w.faultStrikes(w.slowBoots):
+	case w.faultHits(w.slowBoots):
 		w.countEvent("machine up late")
 		boot *= 6
 	}
