--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"runtime"
-	"sync"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
@@ -42,16 +40,7 @@
 // flood prints one row.
 func flood(out io.Writer, mode settings.Rebalance, seeds int) error {
 	outcomes := make([]standin.LoadOutcome, seeds)
-	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
-	for seed := range seeds {
-		all.Go(func() {
-			turns <- struct{}{}
-			outcomes[seed] = standin.StudyFlood(uint64(seed), mode)
-			<-turns
-		})
-	}
-	all.Wait()
+	inParallel(seeds, func(seed int) { outcomes[seed] = standin.StudyFlood(uint64(seed), mode) })
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMost, histogramDigits) }
 	imbalance, hot, others := h(), h(), h()
 	fetched, machines, faults, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"runtime"
-	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -104,16 +102,9 @@
 // tally plays all seeds, as many at a time as there are cores.
 func (s linkStudy) tally(link standin.LinkEnds, watched bool, seeds int) (*tally, error) {
 	outcomes := make([]standin.LinkOutcome, seeds)
-	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
-	for seed := range seeds {
-		all.Go(func() {
-			turns <- struct{}{}
-			outcomes[seed] = standin.StudyLink(uint64(seed), watched, link, s.broken, s.period)
-			<-turns
-		})
-	}
-	all.Wait()
+	inParallel(seeds, func(seed int) {
+		outcomes[seed] = standin.StudyLink(uint64(seed), watched, link, s.broken, s.period)
+	})
 	t := newTally()
 	for _, o := range outcomes {
 		if err := t.add(o); err != nil {
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -8,9 +8,7 @@
 	"io"
 	"log/slog"
 	"os"
-	"runtime"
 	"slices"
-	"sync"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -70,21 +68,14 @@
 // playMoves plays all days, as many at a time as there are cores.
 func playMoves(seeds int) []standin.MovesOutcome {
 	outcomes := make([]standin.MovesOutcome, seeds*len(movesStudy))
-	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
-	for i := range outcomes {
-		all.Go(func() {
-			turns <- struct{}{}
-			kind := movesStudy[i/seeds]
-			if seed := uint64(i % seeds); kind.slow {
-				outcomes[i] = standin.StudySlow(seed, kind.mode)
-			} else {
-				outcomes[i] = standin.StudyMoves(seed, kind.mode, kind.estimate)
-			}
-			<-turns
-		})
-	}
-	all.Wait()
+	inParallel(len(outcomes), func(i int) {
+		kind := movesStudy[i/seeds]
+		if seed := uint64(i % seeds); kind.slow {
+			outcomes[i] = standin.StudySlow(seed, kind.mode)
+		} else {
+			outcomes[i] = standin.StudyMoves(seed, kind.mode, kind.estimate)
+		}
+	})
 	return outcomes
 }
 
--- /dev/null
+++ b/cmd/study/replay_test.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"opaldale/internal/standin"
+)
+
+// TestReplay: a line for each day, in the order of the seeds, with the digest that the day has
+// when it is played alone.
+func TestReplay(t *testing.T) {
+	const seed, days = 9, 4
+	var want strings.Builder
+	for i := range uint64(days) {
+		o := standin.Replay(seed + i)
+		fmt.Fprintf(&want, "%d %s %s\n", seed+i, o.Scenario, o.Digest)
+	}
+	cmd := replayCommand()
+	var out strings.Builder
+	cmd.SetOut(&out)
+	cmd.SetArgs([]string{"--seed", fmt.Sprint(seed), "--days", fmt.Sprint(days)})
+	if err := cmd.Execute(); err != nil {
+		t.Fatal(err)
+	}
+	if out.String() != want.String() {
+		t.Errorf("got\n%s, want\n%s", out.String(), want.String())
+	}
+	for i, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+		if f := strings.Fields(line); len(f) != 3 || f[0] != fmt.Sprint(seed+i) || len(f[2]) != 64 {
+			t.Errorf("line %d: %q", i, line)
+		}
+	}
+}
+
+// TestReplayRefusesNoDays: at least one day must be asked for.
+func TestReplayRefusesNoDays(t *testing.T) {
+	cmd := replayCommand()
+	cmd.SilenceUsage, cmd.SilenceErrors = true, true
+	cmd.SetArgs([]string{"--days", "0"})
+	if err := cmd.Execute(); err == nil || errors.Is(err, errRulesBroken) {
+		t.Errorf("%v", err)
+	}
+}
--- /dev/null
+++ b/internal/standin/digest.go
@@ -0,0 +1,189 @@
+package standin
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"hash"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/controller"
+	"opaldale/internal/ident"
+	"opaldale/internal/mesh"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/workers"
+)
+
+// Digest hashes what the controllers of a run send: requests to the state service and the
+// cloud, commands to workers, frames to other controllers, and answers to users and workers,
+// in order, each with its simulated time, sender and addressee. A nil Digest records nothing.
+//
+// Two builds with the same digest for a seed have behaved alike on that day. The encoding is
+// made of the labels below and of wire formats only, so that no renaming of a type, a field
+// or a constant changes it. Log lines and metrics are no part of it.
+type Digest struct {
+	hash   hash.Hash
+	record []byte         // the one that is being encoded
+	counts map[string]int // records by kind
+}
+
+// The kinds of records.
+const (
+	stateRecord   = "state"
+	cloudRecord   = "cloud"
+	commandRecord = "command"
+	frameRecord   = "frame"
+	answerRecord  = "answer"
+)
+
+// The parties of a run that have no name of their own.
+const (
+	stateParty = "state service"
+	cloudParty = "cloud"
+)
+
+var stateLabels = map[statesvc.Op]string{
+	statesvc.Get: "get", statesvc.List: "list", statesvc.Txn: "txn", statesvc.Grant: "grant",
+	statesvc.Extend: "extend", statesvc.Revoke: "revoke", statesvc.Follow: "follow",
+}
+
+var cloudLabels = map[cloud.Op]string{
+	cloud.Catalog: "catalog", cloud.Rent: "rent", cloud.Return: "return", cloud.List: "list",
+}
+
+var requestLabels = map[mesh.Verb]string{
+	mesh.Submit: "submit", mesh.Poll: "poll", mesh.Cancel: "cancel", mesh.Checkin: "report",
+}
+
+// NewDigest returns the digest of a run in which nothing has been sent yet.
+func NewDigest() *Digest { return &Digest{hash: sha256.New(), counts: map[string]int{}} }
+
+// Sum returns the digest of all records so far, in hexadecimal.
+func (d *Digest) Sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
+
+// stateRequest records a request of a controller to the state service.
+func (d *Digest) stateRequest(now ident.Mono, from string, r statesvc.Request) {
+	if d == nil {
+		return
+	}
+	d.begin(stateRecord, now, from, stateParty)
+	d.text("operation", stateLabels[r.Op])
+	d.text("key", r.Path)
+	d.text("prefix", r.Starts)
+	d.text("after", r.Since)
+	d.number("revision", r.Ledger)
+	d.number("conditions", uint64(len(r.If)))
+	for _, c := range r.If {
+		d.text("key", c.Path)
+		d.number("revision", uint64(c.Stamp))
+	}
+	d.number("changes", uint64(len(r.Then)))
+	for _, c := range r.Then {
+		d.text("put", c.Put)
+		d.text("value", string(c.Value))
+		d.number("lease", c.Grant)
+		d.text("delete", c.Delete)
+	}
+	d.number("ttl", uint64(r.TTL))
+	d.number("lease", r.Grant)
+	d.number("block", uint64(r.Block))
+	d.number("timeout", uint64(r.Timeout))
+	d.end()
+}
+
+// cloudRequest records a request of a controller to the cloud.
+func (d *Digest) cloudRequest(now ident.Mono, from string, r cloud.Request) {
+	if d == nil {
+		return
+	}
+	d.begin(cloudRecord, now, from, cloudParty)
+	d.text("operation", cloudLabels[r.Op])
+	d.text("request", r.Hire)
+	d.text("model", r.Model)
+	d.text("zone", r.Zone)
+	d.flag("spot", r.Spot)
+	d.number("number", uint64(r.Number))
+	d.number("machines", uint64(len(r.Hosts)))
+	for _, h := range r.Hosts {
+		d.text("machine", string(h))
+	}
+	d.text("after", string(r.Since))
+	d.number("not after", uint64(r.NotAfter))
+	d.end()
+}
+
+// command records a call of a worker.
+func (d *Digest) command(now ident.Mono, from string, c workers.Command) {
+	if d == nil {
+		return
+	}
+	d.begin(commandRecord, now, from, c.Addr)
+	d.text("zone", c.Zone)
+	d.number("not after", uint64(c.NotAfter))
+	d.text("body", string(api.JSON(c.Body)))
+	d.end()
+}
+
+// frame records an encoded frame from one controller to another.
+func (d *Digest) frame(now ident.Mono, from, to string, encoded []byte) {
+	if d == nil {
+		return
+	}
+	d.begin(frameRecord, now, from, to)
+	d.text("frame", string(encoded))
+	d.end()
+}
+
+// answer records the answer of a controller to a request of a user or a worker.
+func (d *Digest) answer(now ident.Mono, from, to string, v mesh.Verb, job string, r controller.Reply) {
+	if d == nil {
+		return
+	}
+	d.begin(answerRecord, now, from, to)
+	d.text("request", requestLabels[v])
+	d.text("job", job)
+	d.number("status", uint64(r.Status))
+	d.number("retry after", uint64(r.Retry))
+	d.text("body", string(r.Body))
+	d.end()
+}
+
+// begin starts a record.
+func (d *Digest) begin(kind string, now ident.Mono, from, to string) {
+	d.counts[kind]++
+	d.record = d.record[:0]
+	d.text("record", kind)
+	d.number("time", uint64(now))
+	d.text("from", from)
+	d.text("to", to)
+}
+
+// end hashes the record with its length before it.
+func (d *Digest) end() {
+	d.hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(d.record))))
+	d.hash.Write(d.record)
+}
+
+// text appends a field, label and value each with its length before it.
+func (d *Digest) text(label, value string) {
+	for _, s := range []string{label, value} {
+		d.record = binary.AppendUvarint(d.record, uint64(len(s)))
+		d.record = append(d.record, s...)
+	}
+}
+
+// number appends a field that is a number.
+func (d *Digest) number(label string, value uint64) {
+	d.text(label, "")
+	d.record = binary.BigEndian.AppendUint64(d.record, value)
+}
+
+// flag appends a field that is true or false.
+func (d *Digest) flag(label string, value bool) {
+	n := uint64(0)
+	if value {
+		n = 1
+	}
+	d.number(label, n)
+}
--- /dev/null
+++ b/internal/standin/digest_test.go
@@ -0,0 +1,199 @@
+package standin
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/controller"
+	"opaldale/internal/ident"
+	"opaldale/internal/mesh"
+	"opaldale/internal/statesvc"
+	"opaldale/internal/workers"
+)
+
+// sumOf returns the digest of what f records.
+func sumOf(f func(d *Digest)) string {
+	d := NewDigest()
+	f(d)
+	return d.Sum()
+}
+
+// fill sets every field that can be reached from v, with one element in each list.
+func fill(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i))
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem())
+	default:
+		alter(v)
+	}
+}
+
+// alter gives a plain value another one.
+func alter(v reflect.Value) {
+	switch {
+	case v.Kind() == reflect.String:
+		v.SetString(v.String() + "x")
+	case v.Kind() == reflect.Bool:
+		v.SetBool(!v.Bool())
+	case v.CanInt():
+		v.SetInt(v.Int() + 1)
+	case v.CanUint():
+		v.SetUint(v.Uint() + 1)
+	case v.CanFloat():
+		v.SetFloat(v.Float() + 1)
+	default:
+		panic("no other value of " + v.Type().String())
+	}
+}
+
+// alterEach alters one plain value after the other that can be reached from v, and the length of
+// each list, calls f each time, and takes the change back.
+func alterEach(v reflect.Value, path string, f func(path string)) {
+	before := reflect.New(v.Type()).Elem()
+	before.Set(v)
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			alterEach(v.Field(i), path+"."+v.Type().Field(i).Name, f)
+		}
+	case reflect.Slice:
+		v.Set(reflect.Append(v.Slice(0, 1), v.Index(0)))
+		f(path + " with an element more")
+		v.Set(before)
+		alterEach(v.Index(0), path+"[0]", f)
+	case reflect.Pointer:
+		alterEach(v.Elem(), path, f)
+	default:
+		alter(v)
+		f(path)
+		v.Set(before)
+	}
+}
+
+// checkFields checks that each field of a message changes its digest.
+func checkFields[T any](t *testing.T, message T, record func(*Digest, T)) {
+	t.Helper()
+	v := reflect.ValueOf(&message).Elem()
+	fill(v)
+	sum := func() string { return sumOf(func(d *Digest) { record(d, message) }) }
+	before, changed := sum(), 0
+	if before != sum() {
+		t.Error("one message has two digests")
+	}
+	alterEach(v, "", func(path string) {
+		changed++
+		if sum() == before {
+			t.Errorf("%T: %s does not count", message, path)
+		}
+	})
+	if before != sum() || changed < v.NumField() {
+		t.Errorf("%T: %d changes were tried, not all taken back", message, changed)
+	}
+}
+
+// sentReply is the part of an answer that is sent.
+type sentReply struct {
+	Status, Retry int
+	Body          []byte
+}
+
+// TestEveryFieldCounts: whichever field of a request, a command, a frame or an answer is another,
+// the digest is another.
+func TestEveryFieldCounts(t *testing.T) {
+	t.Parallel()
+	at := second(1)
+	checkFields(t, statesvc.Request{}, func(d *Digest, r statesvc.Request) { d.stateRequest(at, "agent-0", r) })
+	checkFields(t, cloud.Request{}, func(d *Digest, r cloud.Request) { d.cloudRequest(at, "agent-0", r) })
+	checkFields(t, workers.Command{}, func(d *Digest, c workers.Command) { d.command(at, "agent-0", c) })
+	checkFields(t, sentReply{}, func(d *Digest, r sentReply) {
+		d.answer(at, "agent-0", "users", mesh.Poll, "j-1", controller.Reply{Status: r.Status, Retry: r.Retry, Body: r.Body})
+	})
+	for _, kind := range []mesh.Kind{mesh.Hello, mesh.Heartbeat, mesh.Ask, mesh.Tell, mesh.Yield} {
+		one, other := mesh.Frame{Kind: kind}, mesh.Frame{Kind: kind, Node: "agent-1", ID: 1}
+		sum := func(f mesh.Frame) string {
+			return sumOf(func(d *Digest) { d.frame(at, "agent-0", "agent-1", f.Append(nil)) })
+		}
+		if sum(one) == sum(other) {
+			t.Errorf("frames of kind %d count alike", kind)
+		}
+	}
+}
+
+// TestEveryOperationHasALabel: no two operations count alike.
+func TestEveryOperationHasALabel(t *testing.T) {
+	t.Parallel()
+	seen := map[string]string{}
+	check := func(what string, f func(d *Digest)) {
+		sum := sumOf(f)
+		if seen[sum] != "" {
+			t.Errorf("%s counts as %s", what, seen[sum])
+		}
+		seen[sum] = what
+	}
+	check("nothing", func(*Digest) {})
+	for op := statesvc.Get; op <= statesvc.Follow; op++ {
+		check("state "+stateLabels[op], func(d *Digest) { d.stateRequest(0, "a", statesvc.Request{Op: op}) })
+	}
+	for op := cloud.Catalog; op <= cloud.List; op++ {
+		check("cloud "+cloudLabels[op], func(d *Digest) { d.cloudRequest(0, "a", cloud.Request{Op: op}) })
+	}
+	for v := mesh.Submit; v <= mesh.Checkin; v++ {
+		check("answer "+requestLabels[v], func(d *Digest) { d.answer(0, "a", "b", v, "", controller.Reply{}) })
+	}
+	check("command", func(d *Digest) { d.command(0, "a", workers.Command{}) })
+	check("frame", func(d *Digest) { d.frame(0, "a", "b", nil) })
+}
+
+// TestTimeOrderAndPartiesCount: the same messages at another time, from or to another party, or in
+// another order give another digest.
+func TestTimeOrderAndPartiesCount(t *testing.T) {
+	t.Parallel()
+	frame := func(at ident.Mono, from, to, text string) func(d *Digest) {
+		return func(d *Digest) { d.frame(at, from, to, []byte(text)) }
+	}
+	one, other := frame(1, "a", "b", "one"), frame(1, "a", "b", "other")
+	sums := map[string]bool{}
+	for _, f := range []func(d *Digest){
+		one, other, frame(2, "a", "b", "one"), frame(1, "b", "b", "one"), frame(1, "a", "a", "one"), frame(1, "ab", "", "one"),
+		func(d *Digest) { one(d); other(d) }, func(d *Digest) { other(d); one(d) }, func(d *Digest) { one(d); one(d) },
+		func(d *Digest) {
+			d.command(1, "a", workers.Command{Addr: "b", Body: api.Commands{Orders: []api.Order{}}})
+		},
+		func(d *Digest) { d.command(1, "a", workers.Command{Addr: "b"}) }, // null on the wire
+	} {
+		sums[sumOf(f)] = true
+	}
+	if len(sums) != 11 {
+		t.Errorf("%d digests of 11", len(sums))
+	}
+}
+
+// TestRecordingChangesNothing: a day is the same whether it is recorded or not.
+func TestRecordingChangesNothing(t *testing.T) {
+	t.Parallel()
+	cfg := Config{Seed: 6, Faults: true, Meet: true, Links: true, Length: 120 * time.Second, Calm: replayCalm}
+	plain := New(cfg)
+	plain.Run()
+	cfg.Digest = NewDigest()
+	recorded := New(cfg)
+	recorded.Run()
+	if plain.Tail(len(plain.Log)) != recorded.Tail(len(recorded.Log)) {
+		t.Error("a recorded day went another way")
+	}
+	for _, kind := range []string{stateRecord, cloudRecord, commandRecord, frameRecord, answerRecord} {
+		if cfg.Digest.counts[kind] == 0 {
+			t.Errorf("no record of kind %s: %v", kind, cfg.Digest.counts)
+		}
+	}
+}
--- a/internal/standin/moves.go
+++ b/internal/standin/moves.go
@@ -196,17 +196,27 @@
 // slowLong is how long the long tasks of a day with a slow machine take elsewhere.
 const slowLong = 160 * time.Second
 
-// slowDay sets up a fleet with one slow machine, long tasks beside room on most machines, and
-// arrays of short tasks by which the slow one is found.
+// slowDay sets up a fleet with one slow machine, and the work by which it is found.
 func slowDay(seed uint64, mode settings.Rebalance, slow int) *World {
+	w := New(slowConfig(seed, mode, slow))
+	w.workBesideSlow()
+	return w
+}
+
+// slowConfig sets up a small fleet of which some machines are slow.
+func slowConfig(seed uint64, mode settings.Rebalance, slow int) Config {
 	cfg := movingConfig(seed)
 	cfg.Rebalance, cfg.Slow, cfg.Calm = mode, slow, 700*time.Second
-	w := New(cfg)
+	return cfg
+}
+
+// workBesideSlow submits long tasks beside room on most machines, and arrays of short tasks by
+// which a slow machine is found.
+func (w *World) workBesideSlow() {
 	w.when(2, func() {
 		for range 6 {
 			w.job(func(s *api.Spec) { w.narrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, slowLong.Seconds() }, slowLong)
 		}
 	})
 	w.shortTasks(8, 140)
-	return w
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -131,6 +131,7 @@
 
 func (e *nodeEnv) State(r statesvc.Request, f func(statesvc.Reply)) {
 	w := e.w()
+	w.cfg.Digest.stateRequest(w.now, e.n.name, r)
 	ok := true
 	if e.old {
 		f, ok = e.asOld(r, f)
@@ -173,6 +174,7 @@
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Reply)) {
 	w := e.w()
+	w.cfg.Digest.cloudRequest(w.now, e.n.name, r)
 	answer := func(a cloud.Reply) { e.in(func() { f(a) })() }
 	e.afterHalt(func() {
 		if e.past(r.NotAfter) {
@@ -189,6 +191,7 @@
 }
 
 func (e *nodeEnv) Worker(c workers.Command, f func(workers.Answer)) {
+	e.w().cfg.Digest.command(e.w().now, e.n.name, c)
 	e.afterHalt(func() { e.command(c, f) })()
 }
 
@@ -246,7 +249,9 @@
 			continue
 		}
 		// Through the wire format, as between processes.
-		g, err := mesh.Decode(f.Append(nil)[4:])
+		encoded := f.Append(nil)
+		w.cfg.Digest.frame(w.now, e.n.name, o.name, encoded)
+		g, err := mesh.Decode(encoded[4:])
 		if err != nil {
 			panic(err)
 		}
@@ -287,6 +292,7 @@
 					if w.cfg.Mutation != IgnoreLimits {
 						r = r.Now(n.env.clock())
 					}
+					w.cfg.Digest.answer(w.now, n.name, from, v, job, r)
 					switch v {
 					case mesh.Poll:
 						if w.cfg.Mutation == CacheAnswers && r.Status == 200 {
--- /dev/null
+++ b/internal/standin/replay_test.go
@@ -0,0 +1,108 @@
+package standin
+
+import (
+	"slices"
+	"testing"
+
+	"opaldale/internal/election"
+	"opaldale/internal/ident"
+)
+
+// replayedDays is how many days of each kind the test plays.
+const replayedDays = 3
+
+// aim is what days of a kind must have come to, in all.
+type aim struct {
+	what  string
+	count func(w *World) int
+	least int
+}
+
+// took counts what happened under a name.
+func took(what string, least int) aim {
+	return aim{what, func(w *World) int { return w.seen[what] }, least}
+}
+
+var (
+	leaderChange = took("new term", 2*replayedDays) // the first and one more each day
+	gangRan      = aim{"gang ran", func(w *World) int { return w.GangRuns }, 1}
+	moveRecorded = aim{"move on record", func(w *World) int { return w.Moves }, 1}
+	lostOneWay   = aim{"message lost one way", func(w *World) int { return w.lostOneWay }, 1}
+	tasksStarted = aim{"task started", func(w *World) int { return w.Starts }, 20 * replayedDays}
+	upgraded     = aim{"format level raised", upgradesOf, replayedDays}
+)
+
+// upgradesOf returns 1 if the newest format is in use at the end.
+func upgradesOf(w *World) int {
+	if _, level, err := election.ReadTerm(w.store.keys[election.TermKey].value); err != nil || level != ident.NewestLevel {
+		return 0
+	}
+	return 1
+}
+
+// replayAims are what the kinds of days are for.
+var replayAims = map[string][]aim{
+	"faults":   {leaderChange},
+	"meetings": {leaderChange},
+	"gangs": {gangRan, took("new term", 1), took("spot notice", 1),
+		{"gang stopped in order", func(w *World) int { return w.GangStops }, 1}},
+	"links":    {took("rows sent", 100), lostOneWay, leaderChange},
+	"handover": {took("handover announced", 1), lostOneWay},
+	"moves": {moveRecorded, took("ended: arrived", 1), took("trouble in a move", replayedDays),
+		took("rows sent", 100), leaderChange},
+	"slow-machine": {moveRecorded, {"slow machine", func(w *World) int { return w.slowUp }, replayedDays}},
+	"upgrade":      {took("old node", 3*replayedDays-1), upgraded, gangRan, leaderChange},
+	"fleet":        {took("machine of the fleet", 900), took("outage", replayedDays), leaderChange},
+	"outage": {took("outage", replayedDays), took("slow state", 20), took("limits lower than announced", 1),
+		{"transaction too large", func(w *World) int { return w.TooLarge }, 1}, leaderChange},
+	"failover": {took("leader killed", 5*replayedDays), took("all end", 1), took("new term", 8*replayedDays)},
+	"partitions": {took("partition", 4*replayedDays), took("close look", 50),
+		took("machine up late", 1), leaderChange},
+	"flood":    {took("hot team", 1), leaderChange},
+	"mistakes": {took("failed try", 10), leaderChange},
+	"guests":   {took("guest", 70*replayedDays), leaderChange},
+	"crowd":    {took("slow link", 50)},
+}
+
+// TestReplayScenarios: a day of each kind comes to what it is for and breaks no rule; played
+// again it has the same digest, and no other day has it.
+func TestReplayScenarios(t *testing.T) {
+	t.Parallel()
+	kinds := uint64(len(replayScenarios))
+	for kind := range kinds {
+		name := replayScenarios[kind].name
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			aims := slices.Concat(replayAims[name], []aim{tasksStarted})
+			totals := make([]int, len(aims))
+			sums := map[string]bool{}
+			for day := range uint64(replayedDays) {
+				seed := kind + day*kinds
+				_, w := replayDay(seed)
+				w.Run()
+				if len(w.Broken) > 0 {
+					t.Errorf("seed %d: %v\n%s", seed, w.Broken, w.Tail(30))
+				}
+				for i, a := range aims {
+					totals[i] += a.count(w)
+				}
+				sum := w.cfg.Digest.Sum()
+				if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
+					t.Errorf("seed %d: %+v, before it was %s", seed, again, sum)
+				}
+				sums[sum] = true
+			}
+			if len(sums) != replayedDays {
+				t.Errorf("%d digests of %d days", len(sums), replayedDays)
+			}
+			if len(aims) == 1 {
+				t.Error("nothing says what these days are for")
+			}
+			for i, a := range aims {
+				if totals[i] < a.least {
+					t.Errorf("%s: %d times, want %d", a.what, totals[i], a.least)
+				}
+			}
+		})
+	}
+}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -41,6 +41,8 @@
 	// Teams are those of the cluster; nil: four of different kinds.
 	Teams []settings.Team
 	Calm  time.Duration // after the faults; 0: calm
+	// Digest records what the controllers send; nil: nothing is recorded.
+	Digest *Digest
 }
 
 // nodeCount returns how many controllers there are.
