--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"runtime"
-	"sync"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
@@ -42,16 +40,7 @@
 // runFlood prints one row.
 func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
 	outcomes := make([]simulator.LoadOutcome, seeds)
-	var all sync.WaitGroup
-	slots := make(chan struct{}, runtime.NumCPU())
-	for seed := range seeds {
-		all.Go(func() {
-			slots <- struct{}{}
-			outcomes[seed] = simulator.StudyFlood(uint64(seed), mode)
-			<-slots
-		})
-	}
-	all.Wait()
+	inParallel(seeds, func(seed int) { outcomes[seed] = simulator.StudyFlood(uint64(seed), mode) })
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
 	imbalance, hot, others := h(), h(), h()
 	fetched, machines, problems, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"runtime"
-	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -104,16 +102,9 @@
 // runSeeds plays all seeds, as many at a time as there are cores.
 func (s linkStudy) runSeeds(link simulator.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
 	outcomes := make([]simulator.LinkOutcome, seeds)
-	var all sync.WaitGroup
-	slots := make(chan struct{}, runtime.NumCPU())
-	for seed := range seeds {
-		all.Go(func() {
-			slots <- struct{}{}
-			outcomes[seed] = simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
-			<-slots
-		})
-	}
-	all.Wait()
+	inParallel(seeds, func(seed int) {
+		outcomes[seed] = simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
+	})
 	t := newLinkTotals()
 	for _, o := range outcomes {
 		if err := t.add(o); err != nil {
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -8,9 +8,7 @@
 	"io"
 	"log/slog"
 	"os"
-	"runtime"
 	"slices"
-	"sync"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -70,21 +68,14 @@
 // runMoves plays all days, as many at a time as there are cores.
 func runMoves(seeds int) []simulator.MovesOutcome {
 	outcomes := make([]simulator.MovesOutcome, seeds*len(moveCases))
-	var all sync.WaitGroup
-	slots := make(chan struct{}, runtime.NumCPU())
-	for i := range outcomes {
-		all.Go(func() {
-			slots <- struct{}{}
-			study := moveCases[i/seeds]
-			if seed := uint64(i % seeds); study.slow {
-				outcomes[i] = simulator.StudySlow(seed, study.mode)
-			} else {
-				outcomes[i] = simulator.StudyMoves(seed, study.mode, study.estimate)
-			}
-			<-slots
-		})
-	}
-	all.Wait()
+	inParallel(len(outcomes), func(i int) {
+		study := moveCases[i/seeds]
+		if seed := uint64(i % seeds); study.slow {
+			outcomes[i] = simulator.StudySlow(seed, study.mode)
+		} else {
+			outcomes[i] = simulator.StudyMoves(seed, study.mode, study.estimate)
+		}
+	})
 	return outcomes
 }
 
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -196,17 +196,27 @@
 // longTaskDuration is how long the long tasks of a day with a slow machine take elsewhere.
 const longTaskDuration = 160 * time.Second
 
-// slowMachineScenario sets up a fleet with one slow machine, long tasks beside room on most machines, and
-// arrays of short tasks by which the slow one is found.
+// slowMachineScenario sets up a fleet with one slow machine, and the work by which it is found.
 func slowMachineScenario(seed uint64, mode settings.Rebalance, slow int) *Simulation {
+	w := New(slowConfig(seed, mode, slow))
+	w.workBesideSlow()
+	return w
+}
+
+// slowConfig sets up a small fleet of which some machines are slow.
+func slowConfig(seed uint64, mode settings.Rebalance, slow int) Config {
 	cfg := rebalancingConfig(seed)
 	cfg.Rebalance, cfg.SlowMachines, cfg.QuiescentDuration = mode, slow, 700*time.Second
-	w := New(cfg)
+	return cfg
+}
+
+// workBesideSlow submits long tasks beside room on most machines, and arrays of short tasks by
+// which a slow machine is found.
+func (w *Simulation) workBesideSlow() {
 	w.scheduleAt(2, func() {
 		for range 6 {
 			w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds() }, longTaskDuration)
 		}
 	})
 	w.submitShortTasks(8, 140)
-	return w
 }
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -131,6 +131,7 @@
 
 func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	w := e.sim()
+	w.cfg.Digest.stateRequest(w.now, e.node.name, r)
 	ok := true
 	if e.legacy {
 		f, ok = e.legacyRequest(r, f)
@@ -173,6 +174,7 @@
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	w := e.sim()
+	w.cfg.Digest.cloudRequest(w.now, e.node.name, r)
 	answer := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
 	e.afterPause(func() {
 		if e.deadlinePassed(r.NotAfter) {
@@ -189,6 +191,7 @@
 }
 
 func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+	e.sim().cfg.Digest.command(e.sim().now, e.node.name, c)
 	e.afterPause(func() { e.command(c, f) })()
 }
 
@@ -246,7 +249,9 @@
 			continue
 		}
 		// Through the wire format, as between processes.
-		g, err := transport.Decode(f.Append(nil)[4:])
+		encoded := f.Append(nil)
+		w.cfg.Digest.frame(w.now, e.node.name, o.name, encoded)
+		g, err := transport.Decode(encoded[4:])
 		if err != nil {
 			panic(err)
 		}
@@ -287,6 +292,7 @@
 					if w.cfg.Mutation != IgnoreSendDeadlines {
 						r = r.IfValid(n.env.clock())
 					}
+					w.cfg.Digest.answer(w.now, n.name, from, v, job, r)
 					switch v {
 					case transport.GetJob:
 						if w.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
