--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -9,10 +9,10 @@
 // updateAuthority returns what this node may decide at this moment.
 func (c *Controller) updateAuthority() authority.State {
 	facts := authority.Facts{IsLeader: c.leader != nil}
-	if l := c.leader; l != nil && !l.closed {
+	if l := c.leader; l != nil && !l.closed() {
 		facts.LeaseValid = c.election.LeaseValid()
 		facts.WithinGrace = c.election.WithinGrace(c.renewalGrace)
-		facts.StateLoaded = l.loaded
+		facts.StateLoaded = l.loaded()
 		facts.StoreWritable = !l.committer.StoreUnavailable()
 		facts.HandingOver = l.handover != nil && l.handover.Begun()
 	}
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -118,8 +118,8 @@
 // refreshCatalog reads the cloud's catalog; first is called once it is known, or
 // nil: it is then read again in a while, since prices move.
 func (l *leaderTerm) refreshCatalog(onFirst func()) {
-	l.controller.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
-		if l.closed {
+	l.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
+		if l.closed() {
 			return
 		}
 		wait := catalogInterval
@@ -142,8 +142,8 @@
 			slog.Info("catalog unavailable", "err", r.Error)
 			wait = time.Second
 		}
-		l.controller.env.After(wait, func() {
-			if !l.closed {
+		l.env.After(wait, func() {
+			if !l.closed() {
 				l.refreshCatalog(onFirst)
 			}
 		})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -142,7 +142,7 @@
 	frame := transport.Frame{Type: transport.MsgHeartbeat, ID: c.rng.Uint64(), Heartbeat: transport.PeerHeartbeat{UptimeMS: transport.ToMillis(now.Sub(0)), SinceLeaderMS: transport.Never, SinceRenewalMS: transport.Never}}
 	if c.election.LeaseValid() {
 		frame.Node, frame.Term = c.settings.Node, c.election.Term()
-		if c.leader.loaded {
+		if c.leader.loaded() {
 			frame.Heartbeat.LeaseAllowanceMS = transport.ToMillis(c.leader.leaseAllowance(now))
 		}
 	}
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -71,7 +71,7 @@
 					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
 				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
 				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
-				if c.leader == nil || !c.leader.loaded || len(c.leader.workers.Workers) != machines {
+				if c.leader == nil || !c.leader.loaded() || len(c.leader.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
 				}
 				held := 0
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -74,7 +74,7 @@
 	var b strings.Builder
 	for _, w := range l.workers.Sorted() {
 		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
-			l.controller.env.Now().Sub(w.CreatedAt).Round(time.Minute))
+			l.env.Now().Sub(w.CreatedAt).Round(time.Minute))
 	}
 	for _, m := range l.machineTypes {
 		fmt.Fprintf(&b, "%s\n", api.JSON(m))
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -30,7 +30,7 @@
 	l.lastReplyID++
 	id := l.lastReplyID
 	l.pendingReplies[id] = reply
-	l.controller.env.After(storeTimeout, func() {
+	l.env.After(storeTimeout, func() {
 		if l.pendingReplies[id] != nil {
 			delete(l.pendingReplies, id)
 			l.controller.Refused++
@@ -81,7 +81,7 @@
 	reply = l.withStoreTimeout(reply)
 	var j *jobs.Job
 	j = l.jobs.Add(spec, func() {
-		l.fleet.RecordArrival(spec, l.controller.env.Now())
+		l.fleet.RecordArrival(spec, l.env.Now())
 		if j.Phase != jobs.Open {
 			// Its user cancelled it meanwhile.
 			l.replyWhenDurable(j, reply, ackResponse)
@@ -146,7 +146,7 @@
 // judged once more right before the answer goes out, as the process may stand still
 // meanwhile.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
-	if l.closed || !l.controller.allows(authority.ServeReads) {
+	if l.closed() || !l.controller.allows(authority.ServeReads) {
 		return unavailable("no leader at present")
 	}
 	return r.limitValidity(l.controller.election.LeaseExpiry())
@@ -162,7 +162,7 @@
 		reply(jsonResponse(http.StatusOK, e.View(id)))
 		return
 	}
-	if !l.controller.pollLimiter.allow(l.controller.env.Now(), 1) {
+	if !l.controller.pollLimiter.allow(l.env.Now(), 1) {
 		l.controller.Refused++
 		reply(unavailable("too many polls at present"))
 		return
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -66,7 +66,7 @@
 	l.failPendingReplies()
 	for _, n := range l.controller.peerIDs() {
 		if tracker.supportsLinks(n) {
-			l.controller.env.SendPeer(n, &transport.Frame{Type: transport.MsgTransferLeader, Node: to, Term: l.term})
+			l.env.SendPeer(n, &transport.Frame{Type: transport.MsgTransferLeader, Node: to, Term: l.term})
 		}
 	}
 }
@@ -102,7 +102,7 @@
 
 // anyPeerReaches says whether some sibling has a link that works in either direction.
 func (l *leaderTerm) anyPeerReaches(endpoint links.Endpoint) bool {
-	for _, advertisement := range l.controller.links.advertisements.Advertisements(l.controller.env.Now()) {
+	for _, advertisement := range l.controller.links.advertisements.Advertisements(l.env.Now()) {
 		if s := advertisement.Link(endpoint); s.Out == links.Up || s.In == links.Up {
 			return true
 		}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -24,6 +24,7 @@
 // leaderTerm is all that a leader remembers, for one term only.
 type leaderTerm struct {
 	controller *Controller
+	env        Env // which bounds what only a leader may do by its lease
 	term       ident.Term
 	committer  *commit.Committer
 	jobs       *jobs.Table
@@ -48,12 +49,9 @@
 	legacyGroups    []*workers.RecordGroup            // loaded, in the form of before
 	lastGroupNumber int
 
-	loaded           bool
-	closed           bool
-	startedAt        ident.MonotonicTime
-	nextDispatchAt   ident.MonotonicTime // no dispatch before
-	dispatchTimerSet bool                // a timer will bring the next
-	dispatchNeeded   bool                // something may be placed
+	state          termState
+	startedAt      ident.MonotonicTime
+	nextDispatchAt ident.MonotonicTime // no dispatch before
 	// pendingReplies holds the users whose answers wait for the state service.
 	pendingReplies map[uint64]func(Response)
 	lastReplyID    uint64
@@ -100,7 +98,7 @@
 )
 
 func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
-	l := &leaderTerm{controller: c, term: term, formatLevel: level, startedAt: c.env.Now(), machineTypeBySKU: map[string]*cloud.MachineType{}, openGroups: map[groupKey]*workers.RecordGroup{}, pendingReplies: map[uint64]func(Response){},
+	l := &leaderTerm{controller: c, env: leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}, term: term, formatLevel: level, startedAt: c.env.Now(), machineTypeBySKU: map[string]*cloud.MachineType{}, openGroups: map[groupKey]*workers.RecordGroup{}, pendingReplies: map[uint64]func(Response){},
 		renewals: renewal.NewRegistry(c.renewalGrace), lastDirectContact: c.env.Now(), unreachable: map[*workers.Worker]bool{}, machinesByZone: map[string]int{}}
 	storeSettings := c.settings.Cluster.Store
 	limits := func(s settings.StoreLimits) commit.Limits {
@@ -124,8 +122,7 @@
 	l.formatUpgrader = upgrade.New(c.env, term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
 	l.teams = placement.NewTeams(c.settings.Cluster.Teams)
 	workerSettings := c.settings.Cluster.Workers
-	env := leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}
-	l.workers = workers.NewTable(env, l.jobs, l.workersConfig())
+	l.workers = workers.NewTable(l.env, l.jobs, l.workersConfig())
 	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.settings.Tuning.PlanMode == "asm1", c.settings.Cluster.Objectives)
 	l.planner.MaxWait, l.planner.GangWait = c.settings.Tuning.StarvationTimeout, c.settings.Tuning.GangPreemptAfter
 	if c.links != nil {
@@ -134,11 +131,11 @@
 		l.handover = handover.New(handoverConfig, &c.links.leaderHistory, c.env.Now())
 	}
 	l.enableLoadTracking()
-	l.fleet = fleet.New(env, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
-	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.closed && c.allows(authority.Launch) },
+	l.fleet = fleet.New(l.env, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
+	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.closed() && c.allows(authority.Launch) },
 		gang.Config{GatherTimeout: settings.Seconds(workerSettings.GangWaitS), PeerLossTimeout: settings.Seconds(workerSettings.GangPeerS), HeartbeatInterval: settings.Seconds(workerSettings.HeartbeatS)})
 	l.jobs.OnStateChange = l.onTaskStateChange
-	l.jobs.OnWaiting = func(*jobs.Task) { l.dispatchNeeded = true }
+	l.jobs.OnWaiting = func(*jobs.Task) { l.requestDispatch() }
 	return l
 }
 
@@ -151,7 +148,7 @@
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           func(m string) *cloud.MachineType { return l.machineTypeBySKU[m] },
 		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
-		OnCapacityChanged: func() { l.dispatchNeeded = true },
+		OnCapacityChanged: func() { l.requestDispatch() },
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
 			if l.rebalancer != nil {
@@ -190,7 +187,7 @@
 }
 
 func (l *leaderTerm) close() {
-	l.closed = true
+	l.handle(termEnded) // first: what is stopped below calls back
 	l.committer.Stop()
 	l.workers.Close()
 	l.fleet.Close()
@@ -201,7 +198,7 @@
 // enablePackedFormat goes over to the format of ident.FormatPacked, now that it is in force. It goes with
 // the first format.
 func (l *leaderTerm) enablePackedFormat() {
-	if l.closed {
+	if l.closed() {
 		return
 	}
 	l.formatLevel = ident.FormatPacked
@@ -213,7 +210,7 @@
 }
 
 func (l *leaderTerm) tick() {
-	if l.closed {
+	if l.closed() {
 		return
 	}
 	delay := tickInterval
@@ -226,22 +223,22 @@
 		return
 	}
 	if l.controller.mayManageFleet() {
-		began := l.controller.env.Now()
+		began := l.env.Now()
 		l.jobs.ClearProvenHealthy()
 		l.fleet.Tick()
 		l.gangs.Tick()
 		if l.formatLevel >= ident.FormatPacked && began > l.nextConversionAt && l.committer.HasSpareCapacity() && !l.jobs.ConvertToLog(convertBatch) {
 			l.nextConversionAt = began.Add(convertInterval)
 		}
-		l.dispatchNeeded = true
-		delay = max(delay, idleFactor*l.controller.env.Now().Sub(began))
+		l.requestDispatch()
+		delay = max(delay, idleFactor*l.env.Now().Sub(began))
 	}
-	l.controller.env.After(delay, l.tick)
+	l.env.After(delay, l.tick)
 }
 
 func (l *leaderTerm) schedulePlanningRound() {
-	l.controller.env.After(l.controller.settings.Tuning.PlanInterval, func() {
-		if l.closed {
+	l.env.After(l.controller.settings.Tuning.PlanInterval, func() {
+		if l.closed() {
 			return
 		}
 		if l.controller.allows(authority.Launch) {
@@ -249,7 +246,7 @@
 			if l.rebalancer != nil {
 				l.rebalancer.planRound()
 			}
-			l.dispatchNeeded = true
+			l.requestDispatch()
 			if l.planner.Stats.Rounds%12 == 0 {
 				s := l.planner.Stats
 				waits, limited, free := l.capacitySummary()
@@ -271,7 +268,7 @@
 		atQuota += n - min(n, l.teams.RemainingTasks(j.Spec))
 	}
 	for _, w := range l.workers.Sorted() {
-		if w.Schedulable(l.controller.env.Now()) && w.Type != nil {
+		if w.Schedulable(l.env.Now()) && w.Type != nil {
 			freeVCPUs += w.Type.VCPUs - w.VCPUs
 		}
 	}
@@ -279,30 +276,40 @@
 }
 
 func (l *leaderTerm) afterEvent() {
-	if l.closed {
+	if l.closed() {
 		return
 	}
-	if l.loaded {
+	if l.loaded() {
 		l.gangs.ProcessChanges()
 		if l.rebalancer != nil {
 			l.rebalancer.advance()
 		}
 	}
-	// While nothing gets durable nothing can be launched, and what would be stopped
-	// for it would be stopped for nothing.
-	if l.dispatchNeeded && l.controller.allows(authority.Place) {
-		now := l.controller.env.Now()
-		switch {
-		case now >= l.nextDispatchAt:
-			l.dispatchNeeded = l.planner.Dispatch()
-			// With thousands of jobs waiting a dispatch is long. It may take a
-			// part of the time only, or the lease is not renewed for it.
-			done := l.controller.env.Now()
-			l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
-		case !l.dispatchTimerSet:
-			l.dispatchTimerSet = true
-			l.controller.env.After(l.nextDispatchAt.Sub(now), func() { l.dispatchTimerSet = false })
-		}
+	if l.state.dispatchDue() && l.controller.allows(authority.Place) {
+		l.dispatch()
 	}
 	l.committer.Flush()
 }
+
+// dispatch places what waits, or sets the wake-up timer if the last dispatch is too recent. It is called with
+// authority to place only: while nothing becomes durable nothing can be launched, and what would be
+// preempted for it would be preempted for nothing.
+func (l *leaderTerm) dispatch() {
+	now := l.env.Now()
+	if now < l.nextDispatchAt {
+		if !l.state.timerSet() {
+			l.handle(dispatchPostponed)
+			l.env.After(l.nextDispatchAt.Sub(now), func() { l.handle(wakeUpTimerFired) })
+		}
+		return
+	}
+	result := dispatchCompleted
+	if l.planner.Dispatch() {
+		result = dispatchTruncated
+	}
+	l.handle(result)
+	// With thousands of jobs waiting a dispatch is long. It may take a part of the time only, or the
+	// lease is not renewed for it.
+	done := l.env.Now()
+	l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
+}
--- a/internal/controller/link_tracker.go
+++ b/internal/controller/link_tracker.go
@@ -185,7 +185,7 @@
 	}
 	v.probeIdleLinks(now)
 	v.refreshCapabilities(now)
-	if l := v.controller.leader; l != nil && l.loaded {
+	if l := v.controller.leader; l != nil && l.loaded() {
 		l.evaluateHandover(now)
 	}
 	v.controller.updateAuthority()
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -132,7 +132,7 @@
 		l.committer.MarkDirty(machine.Group.Doc, func() {
 			if machine.State != workers.Terminated {
 				machine.Persisted = true
-				l.dispatchNeeded = true
+				l.requestDispatch()
 			}
 		})
 		return
@@ -157,7 +157,7 @@
 		record := groupRecord{Model: key.model, Zone: key.zone, Spot: key.spot}
 		var list []machineRecord
 		for _, w := range members {
-			list = append(list, machineRecord{w.ID, w.Addr, l.controller.env.WallMS() - l.controller.env.Now().Sub(w.CreatedAt).Milliseconds()})
+			list = append(list, machineRecord{w.ID, w.Addr, l.env.WallMS() - l.env.Now().Sub(w.CreatedAt).Milliseconds()})
 		}
 		if l.formatLevel >= ident.FormatPacked {
 			record.encode(list)
@@ -193,7 +193,7 @@
 	key := groupKey{record.Model, record.Zone, record.Spot}
 	group := l.newGroup(pair.Key, key)
 	group.Doc.Revision = pair.Revision
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	for _, m := range list {
 		if w := l.workers.Workers[m.ID]; w != nil {
 			// On its way from one group to another when a term ended.
@@ -201,7 +201,7 @@
 			l.committer.MarkDirtyLazily(group.Doc, nil)
 			continue
 		}
-		age := time.Duration(l.controller.env.WallMS()-m.CreatedMS) * time.Millisecond
+		age := time.Duration(l.env.WallMS()-m.CreatedMS) * time.Millisecond
 		w := l.workers.Restore(m.ID, record.Model, record.Zone, record.Spot, now.Add(-max(0, age)), m.Addr, group)
 		group.Members = append(group.Members, w)
 	}
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -48,7 +48,7 @@
 // MoveReport tells what this node knows of moves; reply is called once.
 func (c *Controller) MoveReport(reply func(MoveReport)) {
 	report := MoveReport{Node: c.settings.Node, Mode: c.settings.Tuning.Rebalance, Moves: []MoveEntry{}}
-	if l := c.leader; l != nil && l.loaded && l.rebalancer != nil {
+	if l := c.leader; l != nil && l.loaded() && l.rebalancer != nil {
 		report.Leader = true
 		report.Moves = l.rebalancer.moveEntries(c.env.Now())
 		reply(report)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -12,7 +12,7 @@
 // none of them either: a leader cut off from all but the state service would keep
 // its lease, and the cluster, for as long as the cut lasts.
 func (l *leaderTerm) isolated() bool {
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	if len(l.controller.settings.Peers) == 0 || now.Sub(l.startedAt) < isolatedAfter {
 		return false
 	}
@@ -41,7 +41,7 @@
 // noteWorkerHeartbeat notes that a machine's report arrived here, or by a sibling. A leader that
 // reaches no machine itself asks those that siblings hear.
 func (l *leaderTerm) noteWorkerHeartbeat(machine *workers.Worker, direct bool) {
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	switch {
 	case direct:
 		l.noteDirectContact()
@@ -54,7 +54,7 @@
 
 // noteDirectContact notes that a machine reached this node, or it one.
 func (l *leaderTerm) noteDirectContact() {
-	l.lastDirectContact = l.controller.env.Now()
+	l.lastDirectContact = l.env.Now()
 	clear(l.unreachable)
 }
 
@@ -64,7 +64,7 @@
 // with all its replicas. (A leader that had lost the workers alone fenced every
 // machine with replicas within five seconds.)
 func (l *leaderTerm) noteCommandOutcome(machine *workers.Worker, answered bool) {
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	if answered {
 		l.noteDirectContact()
 		return
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -69,7 +69,7 @@
 		config:           config,
 		speedTracker:     load.NewSlownessEstimator(),
 		moves:            migration.NewTable(migration.DefaultConfig(settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS))),
-		history:          migration.NewHistory(l.committer, l.controller.env.WallMS),
+		history:          migration.NewHistory(l.committer, l.env.WallMS),
 		reservedMachines: map[*migration.Move]*workers.Worker{},
 		countedProposals: map[proposal]bool{},
 	}
@@ -79,7 +79,7 @@
 // task runs on where it is, or is placed anew once it is proven to have left.
 func (m *rebalancer) takeOver() {
 	l := m.leader
-	m.tookOverAt = l.controller.env.Now()
+	m.tookOverAt = l.env.Now()
 	m.history.Prune(func(id ident.JobID) bool { return l.jobs.Jobs[id] != nil })
 	for _, id := range m.history.Interrupted(func(id ident.TaskID) (ident.Attempt, bool) {
 		t := l.findTask(id)
@@ -104,7 +104,7 @@
 // planRound makes a plan, and takes up the moves that pay, or only tells of them.
 func (m *rebalancer) planRound() {
 	l := m.leader
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	waiting, hold := m.beneficiaries(now)
 	if hold != holdNone {
 		m.skippedRounds[hold]++
@@ -112,7 +112,7 @@
 		return
 	}
 	moves := rebalance.Plan(m.config, m.planInput(waiting, now))
-	done := l.controller.env.Now()
+	done := l.env.Now()
 	m.nextPlanAt = done.Add(planTimeDivisor * done.Sub(now))
 	slog.Debug("plan of moves", "waiting", len(waiting), "moves", len(moves), "took_ms", done.Sub(now).Seconds()*1000)
 	for _, move := range moves {
@@ -168,7 +168,7 @@
 	m.reservedMachines[move] = destination
 	logMove("move begins", planned)
 	m.history.RecordMove(move, func() {
-		if !l.closed {
+		if !l.closed() {
 			m.moves.Recorded(move)
 		}
 	})
@@ -176,7 +176,7 @@
 
 // advance brings all moves up to date and carries out what follows from that.
 func (m *rebalancer) advance() {
-	for _, effect := range m.moves.Advance(m.leader.controller.env.Now(), m.observe) {
+	for _, effect := range m.moves.Advance(m.leader.env.Now(), m.observe) {
 		switch effect.Kind {
 		case migration.StopTask:
 			m.stopTask(effect.Move)
@@ -253,7 +253,7 @@
 
 // usable says whether a machine takes work, and was heard of late.
 func (m *rebalancer) usable(w *workers.Worker) bool {
-	return w.Schedulable(m.leader.controller.env.Now()) && m.recentlyHeard(w)
+	return w.Schedulable(m.leader.env.Now()) && m.recentlyHeard(w)
 }
 
 // recentlyHeard says whether a machine was heard of late, and hears this node.
@@ -268,7 +268,7 @@
 	t, from := l.findTask(move.Task), l.workers.Workers[move.From]
 	windDown := t.CheckpointGracePeriod()
 	if j := l.jobs.Jobs[move.BeneficiaryID.Job]; j != nil {
-		l.planner.ReserveFor(from, j, l.controller.env.Now().Add(windDown+freedRoomHold))
+		l.planner.ReserveFor(from, j, l.env.Now().Add(windDown+freedRoomHold))
 	}
 	l.workers.StopTask(from, t, windDown)
 }
@@ -290,11 +290,11 @@
 	if from, j := l.workers.Workers[move.From], l.jobs.Jobs[move.BeneficiaryID.Job]; move.State == migration.Abandoned && move.StoppedAt == 0 && from != nil && j != nil {
 		l.planner.ReleaseReservation(from, j)
 	}
-	l.dispatchNeeded = true
+	l.requestDispatch()
 }
 
 // logMoveEnded tells of the end of a move.
 func (m *rebalancer) logMoveEnded(move *migration.Move) {
 	slog.Info("move ended", "task", move.Task.String(), "team", move.Team, "from", string(move.From), "to", string(move.To), "state", move.State.String(),
-		"reason", move.Reason.String(), "took_s", m.leader.controller.env.Now().Sub(move.StartedAt).Seconds())
+		"reason", move.Reason.String(), "took_s", m.leader.env.Now().Sub(move.StartedAt).Seconds())
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -15,7 +15,7 @@
 
 // loadState reads what earlier terms left; only then does the leader act.
 func (l *leaderTerm) loadState() {
-	began := l.controller.env.Now()
+	began := l.env.Now()
 	remainingReads := 4
 	var liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
 	if l.rebalancer != nil {
@@ -43,7 +43,7 @@
 			l.rebalancer.history.Load(p.Key, p.Value, p.Revision)
 		}
 		slog.Info("loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
-			"took_ms", l.controller.env.Now().Sub(began).Milliseconds())
+			"took_ms", l.env.Now().Sub(began).Milliseconds())
 		l.takeOver()
 	}
 	l.listAll(jobs.LivePrefix, "", &liveJobs, done)
@@ -68,14 +68,14 @@
 
 // readWithRetry asks the state service until it answers.
 func (l *leaderTerm) readWithRetry(r kvstore.Request, done func(kvstore.Response)) {
-	l.controller.env.Store(r, func(response kvstore.Response) {
+	l.env.Store(r, func(response kvstore.Response) {
 		switch {
-		case l.closed:
+		case l.closed():
 		case response.Outcome == kvstore.OK || response.Outcome == kvstore.NotFound:
 			done(response)
 		default:
-			l.controller.env.After(200*time.Millisecond, func() {
-				if !l.closed {
+			l.env.After(200*time.Millisecond, func() {
+				if !l.closed() {
 					l.readWithRetry(r, done)
 				}
 			})
@@ -95,7 +95,7 @@
 			if w == nil {
 				// Its machine's record was deleted: it is surely gone, which its
 				// return proves.
-				w = l.workers.Add(t.MachineID, "", "", false, l.controller.env.Now())
+				w = l.workers.Add(t.MachineID, "", "", false, l.env.Now())
 				l.fleet.Terminate(w, "not on record")
 			}
 			l.adjustUsage(t, w, 1)
@@ -117,7 +117,7 @@
 	if l.rebalancer != nil {
 		l.rebalancer.takeOver()
 	}
-	l.loaded, l.dispatchNeeded = true, true
+	l.handle(stateLoaded)
 	if l.formatLevel < ident.NewestFormatLevel {
 		l.formatUpgrader.Poll()
 	} else {
@@ -132,7 +132,7 @@
 // time: nothing is placed on them until they are heard, and all at once would be a
 // storm.
 func (l *leaderTerm) probeUnreportedMachines() {
-	if l.closed {
+	if l.closed() {
 		return
 	}
 	budget := maxMachineProbes
@@ -142,7 +142,7 @@
 				continue
 			}
 			if budget == 0 {
-				l.controller.env.After(machineProbeInterval, l.probeUnreportedMachines)
+				l.env.After(machineProbeInterval, l.probeUnreportedMachines)
 				return
 			}
 			// One that has not answered yet takes nobody's turn: with a rack silent,
--- a/internal/controller/slow_machines.go
+++ b/internal/controller/slow_machines.go
@@ -14,7 +14,7 @@
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
 	}
-	m.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, m.leader.controller.env.Now().Sub(t.RunningSince))
+	m.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, m.leader.env.Now().Sub(t.RunningSince))
 }
 
 // detectSlowMachines looks for machines that are much slower than others. Nothing more is placed on
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -41,7 +41,7 @@
 	stats := Stats{Leading: c.leader != nil, LeadershipValid: c.election.LeaseValid(), Term: uint64(c.election.Term()), Machines: map[string]int{},
 		Forwarded: c.Forwarded, Refused: c.Refused, TermsBegun: c.Elections, LeasesKept: c.LeasesKept, Relayed: c.Relayed, FormatLevel: uint8(c.formatLevel)}
 	l := c.leader
-	if l == nil || !l.loaded {
+	if l == nil || !l.loaded() {
 		return stats
 	}
 	stats.Jobs = len(l.jobs.Jobs)
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -51,9 +51,9 @@
 // Place carries out a decision: it is launched once it is durable.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
-		"age_s", l.controller.env.Now().Sub(t.Job.SubmittedAt).Seconds())
+		"age_s", l.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation, func() {
-		if l.closed || !l.controller.allows(authority.Launch) {
+		if l.closed() || !l.controller.allows(authority.Launch) {
 			return // the answer to its worker's next report launches it
 		}
 		if w.State == workers.Terminating || w.State == workers.Terminated {
@@ -66,7 +66,7 @@
 // PlaceGang carries out the decision for all tasks of a gang that wait.
 func (l *leaderTerm) PlaceGang(j *jobs.Job, picks []gang.Placement) {
 	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.WithinGuarantee(j),
-		"age_s", l.controller.env.Now().Sub(j.SubmittedAt).Seconds())
+		"age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, picks)
 }
 
@@ -98,7 +98,7 @@
 // drainBeforeReclaim moves the tasks of a machine that will be taken, unless they will
 // probably complete before.
 func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	untilReclaim := w.ReclaimAt.Sub(now)
 	for _, t := range l.workers.SortedTasks(w) {
 		spec := t.Job.Spec
@@ -134,7 +134,7 @@
 
 // onTaskFailed decides when and where a task that ended early is tried again.
 func (l *leaderTerm) onTaskFailed(t *jobs.Task, machine *workers.Worker, cause api.Cause) {
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	j := t.Job
 	switch cause {
 	case api.CauseError:
--- a/internal/controller/team_load.go
+++ b/internal/controller/team_load.go
@@ -42,7 +42,7 @@
 		}
 	}
 	l.rebalancer.detectSlowMachines()
-	now := l.controller.env.Now()
+	now := l.env.Now()
 	for name, team := range l.jobs.Teams {
 		cpus := 0.0
 		for _, j := range team.OpenJobs {
--- /dev/null
+++ b/internal/controller/term_state.go
@@ -0,0 +1,120 @@
+package controller
+
+// termState is the state of a leader's term: whether it has loaded what earlier terms stored, and
+// whether a dispatch of waiting tasks is due.
+type termState uint8
+
+const (
+	// termLoading: the records of earlier terms are being read.
+	termLoading termState = iota
+	// termIdle: nothing has happened since the last dispatch that could make a task placeable.
+	termIdle
+	// termCoolingDown: as termIdle, and the wake-up timer of an earlier dispatch is still set.
+	termCoolingDown
+	// termDispatchDue: a waiting task may be placeable.
+	termDispatchDue
+	// termDispatchScheduled: as termDispatchDue, and a timer will wake the node up for it.
+	termDispatchScheduled
+	// termClosed: the term has ended. The state is final.
+	termClosed
+
+	termStateCount
+)
+
+var termStateNames = [termStateCount]string{
+	"loading", "idle", "cooling down", "dispatch due", "dispatch scheduled", "closed",
+}
+
+func (s termState) String() string { return termStateNames[s] }
+
+// termEvent is what changes the state of a term.
+type termEvent uint8
+
+const (
+	// stateLoaded: all records of earlier terms have been taken over.
+	stateLoaded termEvent = iota
+	// dispatchRequested: something has happened that could make a waiting task placeable.
+	dispatchRequested
+	// dispatchPostponed: the last dispatch is too recent, and the wake-up timer was set.
+	dispatchPostponed
+	// wakeUpTimerFired: that timer has fired.
+	wakeUpTimerFired
+	// dispatchCompleted: a dispatch has placed all that it could.
+	dispatchCompleted
+	// dispatchTruncated: a dispatch has used up its time with tasks left to look at.
+	dispatchTruncated
+	// termEnded: the node doesn't lead any more.
+	termEnded
+
+	termEventCount
+)
+
+var termEventNames = [termEventCount]string{
+	"state loaded", "dispatch requested", "dispatch postponed", "wake-up timer fired", "dispatch completed",
+	"dispatch truncated", "term ended",
+}
+
+func (e termEvent) String() string { return termEventNames[e] }
+
+// next returns the state that follows on an event. An event that means nothing in a state leaves it
+// unchanged.
+func (s termState) next(event termEvent) termState {
+	switch {
+	case s == termClosed || event == termEnded:
+		return termClosed
+	case s == termLoading:
+		if event == stateLoaded {
+			return termDispatchDue
+		}
+		return termLoading
+	}
+	switch event {
+	case dispatchRequested, dispatchTruncated:
+		return s.withDispatchDue(true)
+	case dispatchCompleted:
+		// The result of a dispatch supersedes what was requested while it ran.
+		return s.withDispatchDue(false)
+	case dispatchPostponed:
+		return s.withTimerSet(true)
+	case wakeUpTimerFired:
+		return s.withTimerSet(false)
+	}
+	return s
+}
+
+// withDispatchDue returns the state of a loaded term with a dispatch due or not, its timer as it is.
+func (s termState) withDispatchDue(due bool) termState { return runningState(due, s.timerSet()) }
+
+// withTimerSet returns the state of a loaded term with the wake-up timer set or not.
+func (s termState) withTimerSet(set bool) termState { return runningState(s.dispatchDue(), set) }
+
+// runningState returns the state of a loaded term.
+func runningState(dispatchDue, timerSet bool) termState {
+	switch {
+	case dispatchDue && timerSet:
+		return termDispatchScheduled
+	case dispatchDue:
+		return termDispatchDue
+	case timerSet:
+		return termCoolingDown
+	}
+	return termIdle
+}
+
+// dispatchDue reports whether a waiting task may be placeable.
+func (s termState) dispatchDue() bool { return s == termDispatchDue || s == termDispatchScheduled }
+
+// timerSet reports whether the wake-up timer is set.
+func (s termState) timerSet() bool { return s == termDispatchScheduled || s == termCoolingDown }
+
+// handle takes an event; every change of the term's state passes through here.
+func (l *leaderTerm) handle(event termEvent) { l.state = l.state.next(event) }
+
+// loaded reports whether what earlier terms stored has been taken over.
+func (l *leaderTerm) loaded() bool { return l.state != termLoading }
+
+// closed reports whether the term has ended.
+func (l *leaderTerm) closed() bool { return l.state == termClosed }
+
+// requestDispatch has waiting tasks looked at after the present event.
+func (l *leaderTerm) requestDispatch() { l.handle(dispatchRequested) }
