--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,21 +1,20 @@
-// Package controller joins the duties into one node: it takes requests of users
-// and workers, passes them to the leader, and leads when elected. It does no
-// I/O: events and time come in, and what is to be done goes out by Env.
+// Package controller is one node of the replicated controller: it takes requests of users and heartbeats of
+// workers, forwards them to the leader, and schedules the cluster while it is the leader itself.
+//
+// It does no I/O of its own. Events and the time come in by its methods and callbacks, and whatever is to be
+// done goes out by Env. It is not safe for concurrent use: all calls come from one event loop.
 package controller
 
 import (
 	"math/rand/v2"
-	"net/http"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/authority"
 	"opaldale/internal/cloud"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
-	"opaldale/internal/links"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
@@ -23,11 +22,11 @@
 	"opaldale/internal/workers"
 )
 
-// Env is the world around a controller. Its callbacks come one at a time, each
-// followed by Settle.
+// Env is what a controller needs of its process: clocks, timers, and the services and nodes that it calls.
+// Callbacks run one at a time in the event loop, each followed by Controller.AfterEvent.
 type Env interface {
 	Now() ident.MonotonicTime
-	WallMS() int64
+	WallMS() int64 // the wall clock, in milliseconds since the epoch
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
 	Cloud(cloud.Request, func(cloud.Response))
@@ -35,13 +34,6 @@
 	SendPeer(to ident.NodeID, f *transport.Frame)
 }
 
-// peer is a sibling as seen from here.
-type peer struct {
-	lastHeard       ident.MonotonicTime
-	everHeard       bool
-	lastHeartbeatID uint64 // the newest
-}
-
 // Controller is one node.
 type Controller struct {
 	env          Env
@@ -50,7 +42,7 @@
 	election     *election.Elector
 	leader       *leaderTerm       // nil while not leading
 	formatLevel  ident.FormatLevel // in force, as far as this node knows
-	renewalGrace time.Duration
+	renewalGrace time.Duration     // see renewalGrace
 
 	peers           map[ident.NodeID]*peer
 	pendingForwards map[uint64]func(Response)
@@ -59,9 +51,9 @@
 
 	sentHeartbeats renewal.SentHeartbeats
 	renewer        renewal.Renewer
-	// cancelledJobs holds jobs that were durably cancelled, as this node has passed on.
+	// cancelledJobs holds jobs that this node knows to be durably cancelled.
 	cancelledJobs   *jobs.RecentJobs[struct{}]
-	storeLastServed ident.MonotonicTime // when the state service last served this node
+	storeLastServed ident.MonotonicTime // when the store last served this node
 	links           *linkTracker        // nil unless links are watched
 	authority       authority.Tracker
 
@@ -70,32 +62,28 @@
 }
 
 const (
-	heartbeatInterval  = 700 * time.Millisecond
-	peerTimeout        = 2500 * time.Millisecond
-	forwardTimeout     = 1500 * time.Millisecond
-	pollForwardTimeout = 700 * time.Millisecond
-	storeTimeout       = time.Second
-	graceMargin        = 1500 * time.Millisecond
-	// leaderLinkGrace is how long the link to the leader may be down before users had better
-	// go to another node: longer than an election takes.
-	leaderLinkGrace = 4 * time.Second
-	// storeProbeAfter is how long a node goes without the leader before it looks whether it
-	// still reaches the state service, and storeCutOffAfter without that before it is cut off.
-	storeProbeAfter  = 2 * time.Second
-	storeCutOffAfter = 2 * time.Second
-	// pollReadShare is the part of the state service's rate that polls may use, each
-	// node's a like part of it.
+	storeTimeout = time.Second
+	// pollReadShare is the share of the store's request rate that polls may use; each node has an
+	// equal part of it.
 	pollReadShare = 0.6
+	// maxClockDrift is the largest factor between the clocks of a worker and of a node.
+	maxClockDrift = 1.002
+	// graceMargin is kept between the last lease that a node may grant and the end of cancel_s.
+	graceMargin = 1500 * time.Millisecond
 )
 
-// New makes a node.
+// New returns a node that takes no part in the cluster until Start.
 func New(env Env, cfg *settings.Settings, rng *rand.Rand) *Controller {
-	workerSettings := cfg.Cluster.Workers
-	c := &Controller{env: env, settings: cfg, rng: rng, peers: map[ident.NodeID]*peer{}, pendingForwards: map[uint64]func(Response){},
-		lastForwardID: rng.Uint64(), cancelledJobs: jobs.NewRecentJobs[struct{}](maxCancelledJobs)}
-	// An earlier leader may answer checkins for so long past its validity; a
-	// worker that heard it last still loses its tasks before cancel_s is over.
-	c.renewalGrace = max(0, settings.Seconds(workerSettings.CancelS-workerSettings.LeaseS*1.002)-graceMargin)
+	c := &Controller{
+		env:             env,
+		settings:        cfg,
+		rng:             rng,
+		renewalGrace:    renewalGrace(cfg.Cluster.Workers),
+		peers:           map[ident.NodeID]*peer{},
+		pendingForwards: map[uint64]func(Response){},
+		lastForwardID:   rng.Uint64(),
+		cancelledJobs:   jobs.NewRecentJobs[struct{}](maxCancelledJobs),
+	}
 	for _, s := range cfg.Peers {
 		c.peers[s.Node] = &peer{}
 	}
@@ -112,7 +100,13 @@
 	return c
 }
 
-// Start begins.
+// renewalGrace returns for how long past the validity of its leadership a leader may renew leases of workers: a
+// worker whose lease was renewed last at the end of it still loses its tasks before cancel_s is over.
+func renewalGrace(times settings.WorkerTimes) time.Duration {
+	return max(0, settings.Seconds(times.CancelS-times.LeaseS*maxClockDrift)-graceMargin)
+}
+
+// Start joins the cluster: the node takes part in elections and sends heartbeats to its peers.
 func (c *Controller) Start() {
 	c.election.Start()
 	c.sendHeartbeats()
@@ -122,8 +116,8 @@
 	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
-// AfterEvent is called after every event, when all its consequences are in the
-// tables: places what can be placed and writes what has changed.
+// AfterEvent is called after every event, when all its consequences are in the tables: a leader places
+// what can be placed and writes what has changed.
 func (c *Controller) AfterEvent() {
 	if c.leader != nil {
 		c.leader.afterEvent()
@@ -136,105 +130,7 @@
 // Election returns the node's part in the elections.
 func (c *Controller) Election() *election.Elector { return c.election }
 
-// sendHeartbeats tells the siblings that we live, whether we lead, and what of theirs we heard.
-func (c *Controller) sendHeartbeats() {
-	now := c.env.Now()
-	frame := transport.Frame{Type: transport.MsgHeartbeat, ID: c.rng.Uint64(), Heartbeat: transport.PeerHeartbeat{UptimeMS: transport.ToMillis(now.Sub(0)), SinceLeaderMS: transport.Never, SinceRenewalMS: transport.Never}}
-	if c.election.LeaseValid() {
-		frame.Node, frame.Term = c.settings.Node, c.election.Term()
-		if c.leader.loaded() {
-			frame.Heartbeat.LeaseAllowanceMS = transport.ToMillis(c.leader.leaseAllowance(now))
-		}
-	}
-	if ago, ever := c.renewer.SinceRenewal(now); ever {
-		frame.Heartbeat.SinceRenewalMS = transport.ToMillis(ago)
-	}
-	if age, ever := c.renewer.SinceLeader(now); ever {
-		frame.Heartbeat.SinceLeaderMS = transport.ToMillis(age)
-		if age > storeProbeAfter && c.leader == nil {
-			c.probeStore()
-		}
-	}
-	c.sentHeartbeats.Record(frame.ID, now)
-	var ownAdvertisement links.Advertisement
-	if c.links != nil {
-		ownAdvertisement = c.links.ownAdvertisement(now)
-	}
-	for _, s := range c.settings.Peers {
-		peerFrame := frame
-		peerFrame.Heartbeat.EchoID = c.peers[s.Node].lastHeartbeatID
-		c.env.SendPeer(s.Node, &peerFrame)
-		if c.links != nil {
-			c.links.monitor.Sent(peerEndpoint(s.Node), now)
-			c.links.sendAdvertisements(s.Node, ownAdvertisement, now)
-		}
-	}
-	c.env.After(heartbeatInterval, c.sendHeartbeats)
-}
-
-// probeStore asks the state service for anything, to see whether it serves this node.
-func (c *Controller) probeStore() {
-	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: election.LeaderKey, Timeout: storeTimeout}, func(r kvstore.Response) {
-		if r.Outcome != kvstore.NoAnswer && r.Outcome != kvstore.Unavailable && r.Outcome != kvstore.RateLimited {
-			c.storeLastServed = c.env.Now()
-		}
-	})
-}
-
-// handleHeartbeat takes what a sibling says of itself with a beat.
-func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
-	now := c.env.Now()
-	sender.lastHeartbeatID = frame.ID
-	sentAt, echoed := c.sentHeartbeats.SentAt(frame.Heartbeat.EchoID)
-	if c.links != nil {
-		if echoed {
-			c.links.monitor.Echoed(peerEndpoint(from), sentAt, now)
-		}
-		if frame.Node != "" {
-			c.links.leaderHistory.ObserveTerm(frame.Term, now)
-		}
-	}
-	if echoed && frame.Node == from {
-		c.renewer.Permit(frame.Term, sentAt, transport.FromMillis(frame.Heartbeat.LeaseAllowanceMS))
-	}
-	if c.leader != nil {
-		claim := renewal.PeerStatus{ProcessAge: transport.FromMillis(frame.Heartbeat.UptimeMS), SinceLeader: transport.FromMillis(frame.Heartbeat.SinceLeaderMS), HasRenewed: frame.Heartbeat.SinceRenewalMS != transport.Never, SinceRenewal: transport.FromMillis(frame.Heartbeat.SinceRenewalMS)}
-		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, claim)
-	}
-}
-
-// renewLeaseWithoutLeader answers a worker while neither the leader nor the state service serves this
-// node: both are cut off alike, or the leader has died and nobody can follow it. Its
-// work goes on for as long as the leader allows.
-func (c *Controller) renewLeaseWithoutLeader(heartbeat *api.Heartbeat) (Response, bool) {
-	now := c.env.Now()
-	if !c.renewer.MayRenew(now, heartbeat.FencingToken) || now.Sub(c.storeLastServed) < storeCutOffAfter {
-		return Response{}, false
-	}
-	c.renewer.RecordRenewal(now)
-	c.LeasesKept++
-	commands := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
-	for _, task := range heartbeat.Tasks {
-		// A kill is safe whoever leads; without it the task ends with the lease only.
-		if _, ok := c.cancelledJobs.Get(task.TaskID.Job); ok && task.Status != api.Ended {
-			commands.Commands = append(commands.Commands, workers.KillCommand(task.TaskID, task.Attempt))
-		}
-	}
-	return jsonResponse(http.StatusOK, commands), true
-}
-
-// maxCancelledJobs bounds the memory kept for jobs that are known to be cancelled: those of the
-// last minute, were 4,000 machines each to lose several to cancellations in it.
-const maxCancelledJobs = 20_000
-
-// rememberIfCancelled notes what a job is known to be: that it is cancelled is final.
-func (c *Controller) rememberIfCancelled(id ident.JobID, status string) {
-	if status == jobs.Cancelled.String() {
-		c.cancelledJobs.Put(id, struct{}{})
-	}
-}
-
-// OnStartedLeading begins a term.
+// OnStartedLeading begins a term: it implements election.Callbacks.
 func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) {
 	c.Elections++
 	c.formatLevel = max(c.formatLevel, level)
@@ -245,19 +141,21 @@
 	c.leader.loadState()
 }
 
-// OnStoppedLeading ends it: nothing of its memory is used again but what is final.
-func (c *Controller) OnStoppedLeading(reason string) {
-	if c.leader != nil {
-		for _, j := range c.leader.jobs.Sorted() {
-			c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
-		}
-		c.leader.close()
-		c.leader = nil
+// OnStoppedLeading ends the term: it implements election.Callbacks. Of what the term knew only what is final
+// is used again.
+func (c *Controller) OnStoppedLeading(string) {
+	if c.leader == nil {
+		return
 	}
+	for _, j := range c.leader.jobs.Sorted() {
+		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // a durable cancellation is final
+	}
+	c.leader.close()
+	c.leader = nil
 }
 
-// Healthy says whether the node can take requests: it leads, or hears the leader
-// to pass them to, or at least nobody is known to do better.
+// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the
+// leader, or nobody is known to be better off.
 func (c *Controller) Healthy() bool {
 	if c.election.LeaseValid() {
 		return true
@@ -267,143 +165,3 @@
 	}
 	return c.heardAnyPeerWithin(peerTimeout) || len(c.peers) == 0
 }
-
-// leaderLinkBrieflyDown says whether the link to the leader is down for so short a time that a leader
-// will be there before the load balancer could do without this node. (Links are found down
-// sooner than a lease ends: each change of the lead had all nodes taken out for seconds.)
-func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
-	if c.links == nil || !c.heardWithin(leader, peerTimeout) {
-		return false
-	}
-	d, _ := c.links.downDuration(leader)
-	return d <= leaderLinkGrace
-}
-
-// heardWithin says whether a sibling was heard within d.
-func (c *Controller) heardWithin(n ident.NodeID, d time.Duration) bool {
-	p := c.peers[n]
-	return p != nil && p.everHeard && c.env.Now().Sub(p.lastHeard) < d
-}
-
-// heardAnyPeerWithin says whether any sibling was heard within d.
-func (c *Controller) heardAnyPeerWithin(d time.Duration) bool {
-	for _, p := range c.peers {
-		if p.everHeard && c.env.Now().Sub(p.lastHeard) < d {
-			return true
-		}
-	}
-	return false
-}
-
-// reachable says whether frames to a sibling probably arrive.
-func (c *Controller) reachable(n ident.NodeID) bool {
-	if c.links != nil && !c.links.monitor.Delivering(peerEndpoint(n)) {
-		return false // it is heard, and doesn't hear
-	}
-	return c.heardWithin(n, peerTimeout)
-}
-
-// HandleFrame takes a sibling's message.
-func (c *Controller) HandleFrame(from ident.NodeID, frame *transport.Frame) {
-	sender := c.peers[from]
-	if sender == nil {
-		return
-	}
-	sender.lastHeard, sender.everHeard = c.env.Now(), true
-	if c.links != nil {
-		c.links.monitor.Received(peerEndpoint(from), sender.lastHeard)
-	}
-	switch frame.Type {
-	case transport.MsgLinkState:
-		if c.links != nil {
-			c.links.mergeAdvertisements(frame)
-		}
-	case transport.MsgTransferLeader:
-		c.election.PreferSuccessor(frame.Node, frame.Term)
-	case transport.MsgHeartbeat:
-		if frame.Node != "" {
-			c.election.PeerReportedLeader(frame.Node, frame.Term)
-		}
-		c.handleHeartbeat(from, sender, frame)
-	case transport.MsgRequest:
-		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, c.responder(from, frame.ID))
-	case transport.MsgRelayRequest:
-		c.serveRelayed(frame, c.responder(from, frame.ID))
-	case transport.MsgResponse:
-		if reply := c.pendingForwards[frame.ID]; reply != nil {
-			delete(c.pendingForwards, frame.ID)
-			reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
-		}
-	}
-}
-
-// responder returns what answers a sibling's request.
-func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
-	return func(r Response) {
-		c.env.SendPeer(to, &transport.Frame{Type: transport.MsgResponse, ID: id, Status: uint16(r.Status), RetryAfterS: uint16(r.RetryAfterS), Body: r.Body})
-	}
-}
-
-// serveAsLeader answers as the leader, or refuses; direct requests came to this node.
-func (c *Controller) serveAsLeader(method transport.Method, jobID string, body []byte, direct bool, reply func(Response)) {
-	l := c.leader
-	var spec *api.Spec
-	if method == transport.SubmitJob {
-		var err error
-		if spec, err = api.ParseSpec(body); err != nil {
-			// The same at every node and at any time. (Between two leaders it once got 503.)
-			reply(errorResponse(http.StatusBadRequest, err.Error()))
-			return
-		}
-	}
-	switch {
-	case method == transport.WorkerHeartbeat:
-		c.handleWorkerHeartbeat(body, direct, reply)
-	case method == transport.GetJob && !c.allows(authority.ServeReads):
-		// Past the surely valid time memory may be behind a successor's.
-		c.pollFromStore(jobID, reply)
-	case method != transport.GetJob && !c.allows(authority.AcceptSubmissions):
-		c.Refused++
-		reply(unavailable("no leader at present"))
-	case method == transport.SubmitJob:
-		l.submit(spec, reply)
-	case method == transport.GetJob:
-		l.getJob(ident.JobID(jobID), reply)
-	case method == transport.CancelJob:
-		l.cancel(ident.JobID(jobID), reply)
-	}
-}
-
-// handleWorkerHeartbeat answers a worker's report.
-func (c *Controller) handleWorkerHeartbeat(body []byte, direct bool, reply func(Response)) {
-	heartbeat, err := api.ParseHeartbeat(body)
-	if err != nil {
-		reply(errorResponse(http.StatusBadRequest, err.Error()))
-		return
-	}
-	var commands *api.HeartbeatResponse
-	var validUntil ident.MonotonicTime
-	if l := c.leader; l != nil {
-		if c.links != nil {
-			c.links.noteWorkerHeartbeat(heartbeat, direct)
-		}
-		if c.allows(authority.CommandWorkers) {
-			commands = l.workers.HandleHeartbeat(heartbeat)
-			if commands != nil && api.ContainsLaunch(commands.Commands) {
-				// Should this process stand still now, a successor may have told that
-				// the job is cancelled before the answer goes out.
-				validUntil = c.election.LeaseExpiry()
-			}
-			l.noteWorkerHeartbeat(l.workers.Workers[heartbeat.MachineID], direct)
-		} else if c.allows(authority.RenewWorkerLeases) {
-			commands = l.workers.RenewLeaseOnly(heartbeat)
-		}
-	}
-	if commands == nil {
-		reply(unavailable("not entitled to answer"))
-		return
-	}
-	response := jsonResponse(http.StatusOK, commands)
-	response.ValidUntil = validUntil
-	reply(response)
-}
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -12,14 +12,20 @@
 	"opaldale/internal/transport"
 )
 
+const (
+	forwardTimeout = 1500 * time.Millisecond
+	// pollForwardTimeout is shorter, since the store answers polls as well.
+	pollForwardTimeout = 700 * time.Millisecond
+)
+
 // route is how requests come to the leader.
 type route struct {
 	leader    ident.NodeID
-	via       ident.NodeID // a sibling that passes them on; empty: directly
+	via       ident.NodeID // the peer that relays them; empty: directly
 	reachable bool         // they probably arrive
 }
 
-// leaderRoute finds the way to the leader: directly, or by a sibling that reaches it.
+// leaderRoute returns the route to the leader: directly, or by a peer that reaches it.
 func (c *Controller) leaderRoute() (best route, known bool) {
 	best.leader, known = c.election.Leader()
 	if !known {
@@ -35,21 +41,27 @@
 	return best, true
 }
 
-// forward asks the leader; without an answer in time, lost is called.
-func (c *Controller) forward(toLeader route, method transport.Method, jobID string, body []byte, timeout time.Duration, reply func(Response), onTimeout func()) {
+// forward sends a request to the leader; without an answer in time, onTimeout is called in place of reply.
+func (c *Controller) forward(r request, to route, timeout time.Duration, reply func(Response), onTimeout func()) {
 	c.Forwarded++
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
-	// Should this process stand still, the answer may be read before the timer runs.
+	// Should this process pause, the answer may be read before the timer runs.
 	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
-	frame := &transport.Frame{Type: transport.MsgRequest, ID: id, Method: method, JobID: jobID, Body: body}
-	if toLeader.via != "" {
+	frame := &transport.Frame{
+		Type:   transport.MsgRequest,
+		ID:     id,
+		Method: r.method,
+		JobID:  string(r.jobID),
+		Body:   r.body,
+	}
+	if to.via != "" {
 		frame.Type = transport.MsgRelayRequest
 		c.Relayed++
-		c.env.SendPeer(toLeader.via, frame)
+		c.env.SendPeer(to.via, frame)
 	} else {
-		c.env.SendPeer(toLeader.leader, frame)
+		c.env.SendPeer(to.leader, frame)
 	}
 	c.env.After(timeout, func() {
 		if c.pendingForwards[id] != nil {
@@ -59,68 +71,90 @@
 	})
 }
 
-// HandleRequest takes a request from a user or a worker of this node.
+// HandleRequest takes a request of a user or a worker that came to this node. reply is called once, now or
+// in a later event.
 func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
+	r := request{method: method, jobID: ident.JobID(jobID), body: body, direct: true}
 	if c.leader != nil {
-		c.serveAsLeader(method, jobID, body, true, reply)
+		c.serveAsLeader(r, reply)
 		return
 	}
 	if c.links != nil && method == transport.WorkerHeartbeat {
 		c.links.sampleWorkerHeartbeat(body)
 	}
 	toLeader, known := c.leaderRoute()
-	reachable := toLeader.reachable
 	switch method {
 	case transport.SubmitJob:
-		spec, err := api.ParseSpec(body)
-		if err != nil {
-			reply(errorResponse(http.StatusBadRequest, err.Error()))
-			return
-		}
-		if spec.Shape == api.Gang && c.formatLevel < ident.FormatPacked {
-			// A leader of an earlier version would call it malformed.
-			c.requirePackedFormat(func() { c.forwardOrRefuse(toLeader, method, jobID, body, reply) }, reply)
-			return
-		}
+		c.forwardSubmission(r, toLeader, reply)
 	case transport.GetJob:
-		if !reachable {
-			c.pollFromStore(jobID, reply)
-			return
-		}
-		c.forward(toLeader, method, jobID, nil, pollForwardTimeout, func(r Response) {
-			if r.Status >= 500 {
-				c.pollFromStore(jobID, reply)
-				return
-			}
-			reply(r)
-		}, func() { c.pollFromStore(jobID, reply) })
-		return
+		c.forwardPoll(r, toLeader, reply)
 	case transport.WorkerHeartbeat:
-		// Otherwise read by the leader; reading it here as well doubles the cost of
-		// what comes most often.
-		if !reachable {
-			r, err := api.ParseHeartbeat(body)
-			if err != nil {
-				reply(errorResponse(http.StatusBadRequest, err.Error()))
-				return
-			}
-			if a, ok := c.renewLeaseWithoutLeader(r); ok {
-				reply(a)
-				return
-			}
-		}
-		if known && !reachable {
-			reply(jsonResponse(http.StatusMisdirectedRequest, struct {
-				Home ident.NodeID `json:"home"`
-			}{toLeader.leader}))
+		c.forwardWorkerHeartbeat(r, toLeader, known, reply)
+	default:
+		c.forwardOrRefuse(r, toLeader, reply)
+	}
+}
+
+// forwardSubmission forwards a submission, unless it is malformed. A gang is forwarded only if the format
+// level is known to be raised, since a leader of an earlier version would call it malformed.
+func (c *Controller) forwardSubmission(r request, toLeader route, reply func(Response)) {
+	spec, err := api.ParseSpec(r.body)
+	if err != nil {
+		reply(errorResponse(http.StatusBadRequest, err.Error()))
+		return
+	}
+	if spec.Shape == api.Gang && c.formatLevel < ident.FormatPacked {
+		c.requirePackedFormat(func() { c.forwardOrRefuse(r, toLeader, reply) }, reply)
+		return
+	}
+	c.forwardOrRefuse(r, toLeader, reply)
+}
+
+// forwardPoll forwards a poll, and answers it from the store if the leader can't.
+func (c *Controller) forwardPoll(r request, toLeader route, reply func(Response)) {
+	fallBack := func() { c.pollFromStore(r.jobID, reply) }
+	if !toLeader.reachable {
+		fallBack()
+		return
+	}
+	poll := request{method: r.method, jobID: r.jobID}
+	c.forward(poll, toLeader, pollForwardTimeout, func(response Response) {
+		if response.Status >= http.StatusInternalServerError {
+			fallBack()
 			return
 		}
+		reply(response)
+	}, fallBack)
+}
+
+// forwardWorkerHeartbeat forwards a worker's heartbeat. If the leader is out of reach, this node renews the
+// lease itself where it may, or refers the worker to the leader. The heartbeat is parsed only then: it is the
+// most frequent request, and the leader parses it as well.
+func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, known bool, reply func(Response)) {
+	if toLeader.reachable {
+		c.forwardOrRefuse(r, toLeader, reply)
+		return
 	}
-	c.forwardOrRefuse(toLeader, method, jobID, body, reply)
+	heartbeat, err := api.ParseHeartbeat(r.body)
+	if err != nil {
+		reply(errorResponse(http.StatusBadRequest, err.Error()))
+		return
+	}
+	if response, ok := c.renewLeaseWithoutLeader(heartbeat); ok {
+		reply(response)
+		return
+	}
+	if known {
+		reply(jsonResponse(http.StatusMisdirectedRequest, struct {
+			Home ident.NodeID `json:"home"`
+		}{toLeader.leader}))
+		return
+	}
+	c.forwardOrRefuse(r, toLeader, reply)
 }
 
-// requirePackedFormat reads the format level; then is called if gangs may be passed on. It goes with
-// the first format.
+// requirePackedFormat reads the format level, and calls then if gangs may be forwarded. To be removed with the
+// first format.
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
@@ -132,45 +166,52 @@
 	})
 }
 
-// refreshFormatLevel reads the format level from the state service, as far as that answers; then is
-// called either way.
+// refreshFormatLevel reads the format level from the store, as far as that answers, and calls then either way.
 func (c *Controller) refreshFormatLevel(then func()) {
-	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}, func(r kvstore.Response) {
+	read := kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}
+	c.env.Store(read, func(r kvstore.Response) {
 		if r.Outcome == kvstore.OK {
-			if _, l, err := election.DecodeTerm(r.Value); err == nil {
-				c.formatLevel = max(c.formatLevel, l)
+			if _, level, err := election.DecodeTerm(r.Value); err == nil {
+				c.formatLevel = max(c.formatLevel, level)
 			}
 		}
 		then()
 	})
 }
 
-// forwardOrRefuse hands a request to the leader.
-func (c *Controller) forwardOrRefuse(toLeader route, method transport.Method, jobID string, body []byte, reply func(Response)) {
+// forwardOrRefuse forwards a request, or refuses it if the leader is out of reach or doesn't answer in time.
+func (c *Controller) forwardOrRefuse(r request, toLeader route, reply func(Response)) {
 	if !toLeader.reachable {
 		c.Refused++
 		reply(unavailable("no leader at present"))
 		return
 	}
-	c.forward(toLeader, method, jobID, body, forwardTimeout, func(r Response) {
-		var a api.JobStatus
-		if method == transport.CancelJob && r.Status == http.StatusOK && json.Unmarshal(r.Body, &a) == nil {
-			c.rememberIfCancelled(a.ID, a.Status)
+	c.forward(r, toLeader, forwardTimeout, func(response Response) {
+		if r.method == transport.CancelJob {
+			c.rememberCancellation(response)
 		}
-		reply(r)
+		reply(response)
 	}, func() {
 		c.Refused++
 		reply(unavailable("the leader did not answer"))
 	})
 }
 
-// serveRelayed passes a sibling's request on to the leader, or answers it as the leader. It goes
-// directly from here, so that no request takes more than two steps.
-func (c *Controller) serveRelayed(frame *transport.Frame, reply func(Response)) {
+// rememberCancellation records the job that the leader acknowledges as cancelled.
+func (c *Controller) rememberCancellation(response Response) {
+	var status api.JobStatus
+	if response.Status == http.StatusOK && json.Unmarshal(response.Body, &status) == nil {
+		c.rememberIfCancelled(status.ID, status.Status)
+	}
+}
+
+// serveRelayed forwards a peer's request to the leader, or answers it as the leader. It takes the direct route
+// from here, so that no request takes more than two hops.
+func (c *Controller) serveRelayed(r request, reply func(Response)) {
 	if c.leader != nil {
-		c.serveAsLeader(frame.Method, frame.JobID, frame.Body, false, reply)
+		c.serveAsLeader(r, reply)
 		return
 	}
-	to, known := c.election.Leader()
-	c.forwardOrRefuse(route{leader: to, reachable: known && c.reachable(to)}, frame.Method, frame.JobID, frame.Body, reply)
+	leader, known := c.election.Leader()
+	c.forwardOrRefuse(r, route{leader: leader, reachable: known && c.reachable(leader)}, reply)
 }
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -29,8 +29,7 @@
 
 // pollFromStore answers a poll from the state service. A job only ever moves from live to
 // over, so reading in this order can't miss it.
-func (c *Controller) pollFromStore(jobID string, reply func(Response)) {
-	id := ident.JobID(jobID)
+func (c *Controller) pollFromStore(id ident.JobID, reply func(Response)) {
 	deadline, unbounded := c.env.Now().Add(2*storeTimeout), reply
 	reply = func(r Response) { unbounded(r.limitValidity(deadline)) }
 	if !c.pollLimiter.allow(c.env.Now(), 2) {
@@ -41,7 +40,7 @@
 	c.storeGet(jobs.LiveKey(id), reply, func(r kvstore.Response) {
 		v, err := jobs.ParseLiveView(r.Value)
 		if err != nil {
-			slog.Error("unreadable job", "id", jobID, "err", err)
+			slog.Error("unreadable job", "job", string(id), "err", err)
 			reply(unavailable("unreadable job"))
 			return
 		}
--- a/internal/controller/link_tracker.go
+++ b/internal/controller/link_tracker.go
@@ -100,15 +100,6 @@
 	return v
 }
 
-// peerIDs returns the names of the other nodes.
-func (c *Controller) peerIDs() []ident.NodeID {
-	out := make([]ident.NodeID, 0, len(c.settings.Peers))
-	for _, s := range c.settings.Peers {
-		out = append(out, s.Node)
-	}
-	return out
-}
-
 // monitoredEnv is the world of a node whose links are watched: what is sent and answered is
 // evidence.
 type monitoredEnv struct {
--- /dev/null
+++ b/internal/controller/peers.go
@@ -0,0 +1,168 @@
+package controller
+
+import (
+	"time"
+
+	"opaldale/internal/election"
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/links"
+	"opaldale/internal/renewal"
+	"opaldale/internal/transport"
+)
+
+const (
+	heartbeatInterval = 700 * time.Millisecond
+	peerTimeout       = 2500 * time.Millisecond
+	// leaderLinkGrace is how long the link to the leader may be down before the load balancer should use
+	// another node: longer than an election takes.
+	leaderLinkGrace = 4 * time.Second
+	// storeProbeAfter is how long a node goes without hearing of the leader before it probes the store.
+	storeProbeAfter = 2 * time.Second
+)
+
+// peer is another controller as seen from this node.
+type peer struct {
+	lastHeard       ident.MonotonicTime
+	everHeard       bool
+	lastHeartbeatID uint64 // of the newest heartbeat
+}
+
+// heardWithin reports whether anything has come from the peer within d before now.
+func (p *peer) heardWithin(d time.Duration, now ident.MonotonicTime) bool {
+	return p.everHeard && now.Sub(p.lastHeard) < d
+}
+
+// sendHeartbeats sends a heartbeat to each peer: that this node lives, whether it leads, and which heartbeat
+// it received last.
+func (c *Controller) sendHeartbeats() {
+	now := c.env.Now()
+	frame := c.heartbeatFrame(now)
+	c.sentHeartbeats.Record(frame.ID, now)
+	var ownAdvertisement links.Advertisement
+	if c.links != nil {
+		ownAdvertisement = c.links.ownAdvertisement(now)
+	}
+	for _, s := range c.settings.Peers {
+		peerFrame := frame
+		peerFrame.Heartbeat.EchoID = c.peers[s.Node].lastHeartbeatID
+		c.env.SendPeer(s.Node, &peerFrame)
+		if c.links != nil {
+			c.links.monitor.Sent(peerEndpoint(s.Node), now)
+			c.links.sendAdvertisements(s.Node, ownAdvertisement, now)
+		}
+	}
+	c.env.After(heartbeatInterval, c.sendHeartbeats)
+}
+
+// heartbeatFrame returns the heartbeat of this moment without an echo. A follower that has not heard of the
+// leader for a while probes the store as well: both being silent is what lets it renew leases by itself.
+func (c *Controller) heartbeatFrame(now ident.MonotonicTime) transport.Frame {
+	frame := transport.Frame{
+		Type: transport.MsgHeartbeat,
+		ID:   c.rng.Uint64(),
+		Heartbeat: transport.PeerHeartbeat{
+			UptimeMS:       transport.ToMillis(now.Sub(0)),
+			SinceLeaderMS:  transport.Never,
+			SinceRenewalMS: transport.Never,
+		},
+	}
+	if c.election.LeaseValid() {
+		frame.Node, frame.Term = c.settings.Node, c.election.Term()
+		if c.leader.loaded() {
+			frame.Heartbeat.LeaseAllowanceMS = transport.ToMillis(c.leader.leaseAllowance(now))
+		}
+	}
+	if age, ever := c.renewer.SinceRenewal(now); ever {
+		frame.Heartbeat.SinceRenewalMS = transport.ToMillis(age)
+	}
+	if age, ever := c.renewer.SinceLeader(now); ever {
+		frame.Heartbeat.SinceLeaderMS = transport.ToMillis(age)
+		if age > storeProbeAfter && c.leader == nil {
+			c.probeStore()
+		}
+	}
+	return frame
+}
+
+// probeStore reads a key from the store, to see whether it serves this node.
+func (c *Controller) probeStore() {
+	request := kvstore.Request{Op: kvstore.Get, Key: election.LeaderKey, Timeout: storeTimeout}
+	c.env.Store(request, func(r kvstore.Response) {
+		if r.Outcome != kvstore.NoAnswer && r.Outcome != kvstore.Unavailable && r.Outcome != kvstore.RateLimited {
+			c.storeLastServed = c.env.Now()
+		}
+	})
+}
+
+// handleHeartbeat takes in a peer's heartbeat.
+func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
+	now := c.env.Now()
+	sender.lastHeartbeatID = frame.ID
+	heartbeat := &frame.Heartbeat
+	sentAt, echoed := c.sentHeartbeats.SentAt(heartbeat.EchoID)
+	if c.links != nil {
+		if echoed {
+			c.links.monitor.Echoed(peerEndpoint(from), sentAt, now)
+		}
+		if frame.Node != "" {
+			c.links.leaderHistory.ObserveTerm(frame.Term, now)
+		}
+	}
+	if echoed && frame.Node == from {
+		c.renewer.Permit(frame.Term, sentAt, transport.FromMillis(heartbeat.LeaseAllowanceMS))
+	}
+	if c.leader != nil {
+		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, renewal.PeerStatus{
+			ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
+			SinceLeader:  transport.FromMillis(heartbeat.SinceLeaderMS),
+			HasRenewed:   heartbeat.SinceRenewalMS != transport.Never,
+			SinceRenewal: transport.FromMillis(heartbeat.SinceRenewalMS),
+		})
+	}
+}
+
+// leaderLinkBrieflyDown reports whether the link to the leader has been down for less time than a load
+// balancer needs to drop this node. A link is found down sooner than a lease ends, so every change of
+// leader would otherwise take all nodes out of service for seconds.
+func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
+	if c.links == nil || !c.heardWithin(leader, peerTimeout) {
+		return false
+	}
+	d, _ := c.links.downDuration(leader)
+	return d <= leaderLinkGrace
+}
+
+// heardWithin reports whether a peer was heard within d.
+func (c *Controller) heardWithin(n ident.NodeID, d time.Duration) bool {
+	p := c.peers[n]
+	return p != nil && p.heardWithin(d, c.env.Now())
+}
+
+// heardAnyPeerWithin reports whether any peer was heard within d.
+func (c *Controller) heardAnyPeerWithin(d time.Duration) bool {
+	now := c.env.Now()
+	for _, p := range c.peers {
+		if p.heardWithin(d, now) {
+			return true
+		}
+	}
+	return false
+}
+
+// reachable reports whether frames to a peer probably arrive.
+func (c *Controller) reachable(n ident.NodeID) bool {
+	if c.links != nil && !c.links.monitor.Delivering(peerEndpoint(n)) {
+		return false // it is heard, but cannot receive
+	}
+	return c.heardWithin(n, peerTimeout)
+}
+
+// peerIDs returns the names of the other nodes.
+func (c *Controller) peerIDs() []ident.NodeID {
+	ids := make([]ident.NodeID, 0, len(c.settings.Peers))
+	for _, s := range c.settings.Peers {
+		ids = append(ids, s.Node)
+	}
+	return ids
+}
