--- /dev/null
+++ b/internal/catalog/catalog.go
@@ -0,0 +1,249 @@
+// Package catalog keeps a leader's list of the machine types that the cloud offers. It is read from the cloud
+// again and again, since prices change, and kept in the store, so that a new leader has it while the cloud
+// is out of reach.
+package catalog
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/commit"
+	"opaldale/internal/kvstore"
+)
+
+const (
+	// Key holds all machine types in one value, in the first format.
+	Key = "catalog"
+	// Prefix is that of the keys with one machine type each, in the packed format.
+	Prefix = "types/"
+
+	refreshInterval = 30 * time.Second
+	retryInterval   = time.Second
+)
+
+// Env is what the catalog needs of its process.
+type Env interface {
+	After(time.Duration, func())
+	Cloud(cloud.Request, func(cloud.Response))
+}
+
+// Reader reads from the store until it answers.
+type Reader interface {
+	Get(key string, done func(kvstore.Response))
+	ListAll(prefix string, done func([]kvstore.KeyValue))
+}
+
+// Config is what the catalog needs of the leader.
+type Config struct {
+	Packed        bool        // the packed format is in force
+	MaxValueBytes int         // of a value in the store
+	Closed        func() bool // the term has ended
+}
+
+// Catalog is a leader's list of machine types, for one term.
+type Catalog struct {
+	config    Config
+	env       Env
+	reader    Reader
+	committer *commit.Committer
+
+	types     []cloud.MachineType
+	bySKU     map[string]*cloud.MachineType
+	singleDoc *commit.Document   // of the first format
+	typeDocs  []*commit.Document // of the packed format, one for each machine type
+}
+
+// New returns an empty catalog.
+func New(config Config, env Env, reader Reader, committer *commit.Committer) *Catalog {
+	c := &Catalog{
+		config:    config,
+		env:       env,
+		reader:    reader,
+		committer: committer,
+		bySKU:     map[string]*cloud.MachineType{},
+		singleDoc: &commit.Document{Key: Key},
+	}
+	c.singleDoc.Render = c.renderSingle
+	return c
+}
+
+// Types lists the machine types.
+func (c *Catalog) Types() []cloud.MachineType { return c.types }
+
+// Type returns a machine type by its SKU, also one that is no longer offered; nil if it was never known. The
+// pointer stays valid, and what it points to follows the catalog.
+func (c *Catalog) Type(sku string) *cloud.MachineType { return c.bySKU[sku] }
+
+// Load reads the machine types from the store, and failing that from the cloud. done is called once they are
+// known; from then on they follow the cloud.
+func (c *Catalog) Load(done func()) {
+	if c.config.Packed {
+		c.loadPacked(done)
+	} else {
+		c.loadSingle(done)
+	}
+}
+
+func (c *Catalog) loadPacked(done func()) {
+	c.reader.ListAll(Prefix, func(pairs []kvstore.KeyValue) {
+		var types []cloud.MachineType
+		for i, p := range pairs {
+			var machineType cloud.MachineType
+			if p.Key != typeKey(i) || json.Unmarshal(p.Value, &machineType) != nil {
+				slog.Error("invalid machine type in store", "path", p.Key)
+				continue
+			}
+			c.typeDoc(i).Revision = p.Revision
+			types = append(types, machineType)
+		}
+		if len(types) == 0 {
+			c.loadSingle(done)
+			return
+		}
+		c.loaded(types, done)
+	})
+}
+
+func (c *Catalog) loadSingle(done func()) {
+	c.reader.Get(Key, func(r kvstore.Response) {
+		var types []cloud.MachineType
+		if r.Outcome == kvstore.OK {
+			c.singleDoc.Revision = r.Revision
+			if err := json.Unmarshal(r.Value, &types); err != nil {
+				slog.Error("invalid machine catalog in store", "path", Key, "err", err)
+			}
+		}
+		c.loaded(types, done)
+	})
+}
+
+// loaded takes over what the store has, and begins to follow the cloud.
+func (c *Catalog) loaded(types []cloud.MachineType, done func()) {
+	if len(types) == 0 {
+		c.refresh(done)
+		return
+	}
+	c.setTypes(types)
+	done()
+	c.refresh(nil)
+}
+
+// UsePackedFormat goes over to the packed format, now that it is in force.
+func (c *Catalog) UsePackedFormat() {
+	c.config.Packed = true
+	c.write()
+}
+
+// write has the machine types written to the store.
+func (c *Catalog) write() {
+	if c.config.Packed {
+		for i := range max(len(c.types), len(c.typeDocs)) {
+			c.committer.MarkDirty(c.typeDoc(i), nil)
+		}
+		if c.singleDoc.Revision == 0 {
+			return
+		}
+	}
+	c.committer.MarkDirty(c.singleDoc, nil)
+}
+
+// renderSingle returns the value of the first format, nil once the packed format is in force.
+func (c *Catalog) renderSingle() json.RawMessage {
+	if c.config.Packed {
+		return nil
+	}
+	return api.JSON(c.types)
+}
+
+func typeKey(i int) string { return fmt.Sprintf("%s%05d", Prefix, i) }
+
+// typeDoc returns the document of the i-th machine type.
+func (c *Catalog) typeDoc(i int) *commit.Document {
+	for index := len(c.typeDocs); index <= i; index++ {
+		d := &commit.Document{Key: typeKey(index)}
+		d.Render = func() json.RawMessage { return c.renderType(index) }
+		c.typeDocs = append(c.typeDocs, d)
+	}
+	return c.typeDocs[i]
+}
+
+// renderType returns the value of a machine type, nil if there is none or it is too large to be stored: a new
+// leader reads it from the cloud then.
+func (c *Catalog) renderType(i int) json.RawMessage {
+	if i >= len(c.types) {
+		return nil
+	}
+	b := api.JSON(c.types[i])
+	if len(b) > c.config.MaxValueBytes {
+		slog.Error("machine type too large to store", "model", c.types[i].SKU, "bytes", len(b))
+		return nil
+	}
+	return b
+}
+
+func (c *Catalog) setTypes(types []cloud.MachineType) {
+	c.types = types
+	for i := range types {
+		current := types[i]
+		if known := c.bySKU[current.SKU]; known != nil {
+			*known = current // machines point to it
+		} else {
+			c.bySKU[current.SKU] = &current
+		}
+	}
+}
+
+// refresh reads the cloud's catalog now and from then on at intervals. onFirst, if not nil, is called once the
+// machine types are known.
+func (c *Catalog) refresh(onFirst func()) {
+	c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
+		if c.config.Closed() {
+			return
+		}
+		wait := refreshInterval
+		if r.Outcome == cloud.OK && len(r.MachineTypes) > 0 {
+			c.update(r.MachineTypes)
+			if onFirst != nil {
+				onFirst()
+				onFirst = nil
+			}
+		} else {
+			slog.Info("cloud catalog unavailable", "err", r.Error)
+			wait = retryInterval
+		}
+		c.env.After(wait, func() {
+			if !c.config.Closed() {
+				c.refresh(onFirst)
+			}
+		})
+	})
+}
+
+// update takes over what the cloud offers. Prices alone are not worth a write: they change all the time, and
+// a new leader reads them from the cloud.
+func (c *Catalog) update(types []cloud.MachineType) {
+	changed := !sameExceptPrices(types, c.types)
+	c.setTypes(types)
+	if changed {
+		c.write()
+	}
+}
+
+// sameExceptPrices reports whether two lists of machine types differ at most in their spot prices.
+func sameExceptPrices(a, b []cloud.MachineType) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for i := range a {
+		left, right := a[i], b[i]
+		left.SpotPrice, right.SpotPrice = 0, 0
+		if string(api.JSON(left)) != string(api.JSON(right)) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -10,9 +10,11 @@
 	"testing"
 	"time"
 
+	"opaldale/internal/catalog"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/settings"
 )
 
@@ -28,14 +30,14 @@
 		pairs = append(pairs, kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
 	}
 	host := func(i int) string { return fmt.Sprintf("host-%06d", i) }
-	for at := 0; at < machines; at += maxGroupMachines {
-		g := groupRecord{Model: "m8", Zone: "a"}
-		var list []machineRecord
-		for i := at; i < min(at+maxGroupMachines, machines); i++ {
-			list = append(list, machineRecord{ID: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+	for at := 0; at < machines; at += machinestore.MaxGroupMachines {
+		g := machinestore.GroupRecord{Model: "m8", Zone: "a"}
+		var list []machinestore.MachineRecord
+		for i := at; i < min(at+machinestore.MaxGroupMachines, machines); i++ {
+			list = append(list, machinestore.MachineRecord{ID: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
 		}
-		g.encode(list)
-		put(fmt.Sprintf("%s1-%d", fleetPrefix, at), g)
+		g.Encode(list)
+		put(fmt.Sprintf("%s1-%d", machinestore.Prefix, at), g)
 	}
 	type record struct {
 		LSN  uint64 `json:"n"`
@@ -68,7 +70,7 @@
 				Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.CloudLimits{RPS: 5}}}
 			for b.Loop() {
 				w := &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}, listed: pairs,
-					values: map[string]string{catalogKey: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
+					values: map[string]string{catalog.Key: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
 				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
 				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
 				if c.leader == nil || !c.leader.loaded() || len(c.leader.workers.Workers) != machines {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -12,6 +12,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/authority"
+	"opaldale/internal/catalog"
 	"opaldale/internal/cloud"
 	"opaldale/internal/golden"
 	"opaldale/internal/handover"
@@ -20,6 +21,7 @@
 	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
 	"opaldale/internal/load"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/migration"
 	"opaldale/internal/rebalance"
 	"opaldale/internal/settings"
@@ -76,7 +78,7 @@
 		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
 			l.env.Now().Sub(w.CreatedAt).Round(time.Minute))
 	}
-	for _, m := range l.machineTypes {
+	for _, m := range l.catalog.Types() {
 		fmt.Fprintf(&b, "%s\n", api.JSON(m))
 	}
 	return b.String()
@@ -107,8 +109,8 @@
 			d.Add("level 0: written as the level is raised", s.stored())
 		}
 	}
-	golden.RoundTrip(t, &d, "group", golden.Filled[groupRecord](0))
-	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, machineTypesPrefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
+	golden.RoundTrip(t, &d, "group", golden.Filled[machinestore.GroupRecord](0))
+	d.Add("prefixes", strings.Join([]string{machinestore.Prefix, catalog.Key, catalog.Prefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
 	d.Compare(t, "machines")
 }
 
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -13,6 +13,9 @@
 	"opaldale/internal/workers"
 )
 
+// maxBacklog bounds the writes that may wait while submissions are accepted.
+const maxBacklog = 400
+
 // failPendingReplies answers those who wait for a state service that doesn't answer:
 // they are not kept waiting for it.
 func (l *leaderTerm) failPendingReplies() {
@@ -98,8 +101,9 @@
 	if reason := l.teams.RejectReason(spec); reason != "" {
 		return reason
 	}
-	for i := range l.machineTypes {
-		machineType := &l.machineTypes[i]
+	types := l.catalog.Types()
+	for i := range types {
+		machineType := &types[i]
 		if !workers.AllowsModel(spec, machineType.SKU) || !workers.FitsEmpty(machineType, spec) {
 			continue
 		}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"opaldale/internal/authority"
-	"opaldale/internal/cloud"
+	"opaldale/internal/catalog"
 	"opaldale/internal/commit"
 	"opaldale/internal/fleet"
 	"opaldale/internal/gang"
@@ -14,154 +14,198 @@
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/load"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/placement"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
+	"opaldale/internal/storereader"
 	"opaldale/internal/upgrade"
 	"opaldale/internal/workers"
 )
 
-// leaderTerm is all that a leader remembers, for one term only.
+const (
+	// convertBatch bounds the lines and headers that one tick begins to rewrite in the newest format, and
+	// convertInterval is how long after the last one it looks for more.
+	convertBatch    = 50
+	convertInterval = 5 * time.Second
+	// writeShare leaves part of the store's write rate for lease renewals and elections.
+	writeShare   = 0.85
+	tickInterval = 500 * time.Millisecond
+	// idleFactor bounds the share of the time that ticks and dispatches take: after one that was long, the next
+	// comes no sooner than so many times as long.
+	idleFactor = 4
+	// dispatchInterval has what arrives at short intervals placed together.
+	dispatchInterval = 30 * time.Millisecond
+	// statsLogRounds is how many planning rounds go by between two log lines of statistics.
+	statsLogRounds = 12
+	// planModeASM1 is the plan mode that packs machines by the first assignment method.
+	planModeASM1 = "asm1"
+)
+
+// leaderTerm is all that a leader knows, for one term only.
 type leaderTerm struct {
 	controller *Controller
-	env        Env // which bounds what only a leader may do by its lease
+	env        Env // bounds by the lease what only a leader may do
 	term       ident.Term
-	committer  *commit.Committer
-	jobs       *jobs.Table
-	workers    *workers.Table
-	teams      *placement.Teams
-	planner    *placement.Planner
-	fleet      *fleet.Manager
+	state      termState
+	startedAt  ident.MonotonicTime
 
-	gangs          *gang.Table
-	formatUpgrader *upgrade.Raiser
-
-	machineTypes     []cloud.MachineType
-	machineTypeBySKU map[string]*cloud.MachineType
-	catalogDoc       *commit.Document   // of the first format
-	machineTypeDocs  []*commit.Document // from it on: one for each machine type
+	committer *commit.Committer
+	reader    *storereader.Reader
+	jobs      *jobs.Table
+	workers   *workers.Table
+	machines  *machinestore.Store
+	catalog   *catalog.Catalog
+	teams     *placement.Teams
+	planner   *placement.Planner
+	fleet     *fleet.Manager
+	gangs     *gang.Table
 
+	formatUpgrader   *upgrade.Raiser
 	formatLevel      ident.FormatLevel   // the format that is written
-	maxValueBytes    int                 // of a value, at any time
-	nextConversionAt ident.MonotonicTime // no look for jobs in the old form before
-
-	openGroups      map[groupKey]*workers.RecordGroup // that new machines go into
-	legacyGroups    []*workers.RecordGroup            // loaded, in the form of before
-	lastGroupNumber int
+	nextConversionAt ident.MonotonicTime // no look for records in the first format before
+	nextDispatchAt   ident.MonotonicTime // no dispatch before
 
-	state          termState
-	startedAt      ident.MonotonicTime
-	nextDispatchAt ident.MonotonicTime // no dispatch before
-	// pendingReplies holds the users whose answers wait for the state service.
+	// pendingReplies holds the users whose answers wait for the store.
 	pendingReplies map[uint64]func(Response)
 	lastReplyID    uint64
 
 	renewals          *renewal.Registry
-	lastDirectContact ident.MonotonicTime      // when a machine last reached this node, or it one
-	unreachable       map[*workers.Worker]bool // alive as a sibling hears, but not reached from here since
-	lastReachProbe    ident.MonotonicTime      // when one of them was last asked
+	lastDirectContact ident.MonotonicTime      // when a machine last reached this node, or this node it
+	unreachable       map[*workers.Worker]bool // heard by peers, and not reached from here since
+	lastReachProbe    ident.MonotonicTime      // when one of them was last probed
 
 	handover       *handover.Coordinator // nil unless links are watched
-	machinesByZone map[string]int        // machines that should be reached
+	machinesByZone map[string]int        // machines that should be reachable
 	loadModel      *load.Model           // nil unless load is watched
 	rebalancer     *rebalancer           // nil unless load is watched
 }
 
-const (
-	fleetPrefix        = "fleet/"
-	catalogKey         = "catalog"
-	machineTypesPrefix = "types/"
-	// convertBatch bounds the lines and headers that a tick begins to write anew in the
-	// newest form.
-	convertBatch    = 50
-	convertInterval = 5 * time.Second
-	// writeShare and opsShare leave room for lease renewals and elections.
-	writeShare      = 0.85
-	maxBacklog      = 400
-	tickInterval    = 500 * time.Millisecond
-	catalogInterval = 30 * time.Second
-	listTimeout     = 3 * time.Second
-	candidacyPause  = 12 * time.Second
-	idleFactor      = 4
-	// dispatchInterval lets what comes in short order be placed together.
-	dispatchInterval = 30 * time.Millisecond
-	isolatedAfter    = 2500 * time.Millisecond
-	// maxIsolationProbes bounds the machines that a leader asks at a time whether it is alone.
-	maxIsolationProbes = 4
-	// directContactTimeout is how long a leader may go without reaching a machine, or one
-	// reaching it, before it suspects itself.
-	directContactTimeout = 2 * time.Second
-	// minUnreachableMachines is how many machines that siblings hear must be out of its reach.
-	minUnreachableMachines = 3
-	// reachProbeInterval paces the questions that find them.
-	reachProbeInterval = 100 * time.Millisecond
-)
-
+// newLeaderTerm returns a term that has loaded nothing yet.
 func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
-	l := &leaderTerm{controller: c, env: leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}, term: term, formatLevel: level, startedAt: c.env.Now(), machineTypeBySKU: map[string]*cloud.MachineType{}, openGroups: map[groupKey]*workers.RecordGroup{}, pendingReplies: map[uint64]func(Response){},
-		renewals: renewal.NewRegistry(c.renewalGrace), lastDirectContact: c.env.Now(), unreachable: map[*workers.Worker]bool{}, machinesByZone: map[string]int{}}
-	storeSettings := c.settings.Cluster.Store
-	limits := func(s settings.StoreLimits) commit.Limits {
-		return commit.Limits{MutationsPerTxn: s.TxnOps, MutationsPerSecond: writeShare * s.WriteRPS, MaxValueBytes: int(s.ValueKB * 1024)}
-	}
-	tight := limits(storeSettings.Strictest())
-	l.maxValueBytes = tight.MaxValueBytes
-	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(why string) { c.election.Deposed(why) })
-	l.committer.ExpectLimits(tight)
-	l.committer.OnUnavailable = l.failPendingReplies
-	l.jobs = jobs.NewTable(l.committer, limits(storeSettings).MaxValueBytes, c.env.Now, c.env.WallMS)
-	l.jobs.LimitValueBytes(l.maxValueBytes)
-	if level >= ident.FormatPacked {
-		l.committer.UseTextFormat()
-		l.jobs.UsePackedLog()
-	}
-	nodes := []ident.NodeID{c.settings.Node}
-	for _, s := range c.settings.Peers {
-		nodes = append(nodes, s.Node)
+	now := c.env.Now()
+	l := &leaderTerm{
+		controller:        c,
+		env:               leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry},
+		term:              term,
+		startedAt:         now,
+		formatLevel:       level,
+		pendingReplies:    map[uint64]func(Response){},
+		renewals:          renewal.NewRegistry(c.renewalGrace),
+		lastDirectContact: now,
+		unreachable:       map[*workers.Worker]bool{},
+		machinesByZone:    map[string]int{},
 	}
-	l.formatUpgrader = upgrade.New(c.env, term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.openStore(leaderKey)
 	l.teams = placement.NewTeams(c.settings.Cluster.Teams)
-	workerSettings := c.settings.Cluster.Workers
 	l.workers = workers.NewTable(l.env, l.jobs, l.workersConfig())
-	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.settings.Tuning.PlanMode == "asm1", c.settings.Cluster.Objectives)
-	l.planner.MaxWait, l.planner.GangWait = c.settings.Tuning.StarvationTimeout, c.settings.Tuning.GangPreemptAfter
+	l.machines = machinestore.New(l.machineStoreConfig(), l.committer, l.workers)
+	l.planner = l.newPlanner()
 	if c.links != nil {
-		handoverConfig := handover.DefaultConfig()
-		handoverConfig.MinTermDuration, handoverConfig.StabilizationWindow = c.settings.Tuning.Links.MinLeadTime, c.settings.Tuning.Links.BetterPeerFor
-		l.handover = handover.New(handoverConfig, &c.links.leaderHistory, c.env.Now())
+		l.handover = l.newHandover()
 	}
 	l.enableLoadTracking()
 	l.fleet = fleet.New(l.env, l.workers, l.jobs, l.teams, c.rng, l.fleetConfig())
-	l.gangs = gang.NewTable(l.jobs, l.workers, c.env.Now, func() bool { return !l.closed() && c.allows(authority.Launch) },
-		gang.Config{GatherTimeout: settings.Seconds(workerSettings.GangWaitS), PeerLossTimeout: settings.Seconds(workerSettings.GangPeerS), HeartbeatInterval: settings.Seconds(workerSettings.HeartbeatS)})
+	l.gangs = l.newGangTable()
 	l.jobs.OnStateChange = l.onTaskStateChange
 	l.jobs.OnWaiting = func(*jobs.Task) { l.requestDispatch() }
 	return l
 }
 
-// workersConfig says what the table of machines needs of the leader.
+// commitLimits returns the limits for writes that the limits of the store allow.
+func commitLimits(s settings.StoreLimits) commit.Limits {
+	return commit.Limits{
+		MutationsPerTxn:    s.TxnOps,
+		MutationsPerSecond: writeShare * s.WriteRPS,
+		MaxValueBytes:      int(s.ValueKB * 1024),
+	}
+}
+
+// strictestLimits returns the limits for writes under every limit of the store that is announced.
+func (l *leaderTerm) strictestLimits() commit.Limits {
+	return commitLimits(l.controller.settings.Cluster.Store.Strictest())
+}
+
+// openStore makes the components that read and write the store, at the term's format level.
+func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
+	c := l.controller
+	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
+	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(reason) })
+	l.committer.ExpectLimits(strictest)
+	l.committer.OnUnavailable = l.failPendingReplies
+	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
+	l.jobs.LimitValueBytes(strictest.MaxValueBytes)
+	packed := l.formatLevel >= ident.FormatPacked
+	if packed {
+		l.committer.UseTextFormat()
+		l.jobs.UsePackedLog()
+	}
+	nodes := append([]ident.NodeID{c.settings.Node}, c.peerIDs()...)
+	l.formatUpgrader = upgrade.New(l.env, l.term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.reader = storereader.New(l.env, l.closed)
+	catalogConfig := catalog.Config{Packed: packed, MaxValueBytes: strictest.MaxValueBytes, Closed: l.closed}
+	l.catalog = catalog.New(catalogConfig, l.env, l.reader, l.committer)
+}
+
+func (l *leaderTerm) machineStoreConfig() machinestore.Config {
+	return machinestore.Config{
+		Term:          l.term,
+		Packed:        l.formatLevel >= ident.FormatPacked,
+		MaxValueBytes: l.strictestLimits().MaxValueBytes,
+		Now:           l.env.Now,
+		WallMS:        l.env.WallMS,
+		OnPersisted:   l.requestDispatch,
+	}
+}
+
 func (l *leaderTerm) workersConfig() workers.Config {
 	c := l.controller
 	return workers.Config{
 		Term:              l.term,
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
-		Catalog:           func(m string) *cloud.MachineType { return l.machineTypeBySKU[m] },
+		Catalog:           l.catalog.Type,
 		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
-		OnCapacityChanged: func() { l.requestDispatch() },
+		OnCapacityChanged: l.requestDispatch,
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
 			if l.rebalancer != nil {
 				l.rebalancer.noteCompletion(t, w)
 			}
 		},
-		Persist:         l.commitMachine,
+		Persist:         func(w *workers.Worker) { l.machines.Commit(w) },
 		OnCommandResult: l.noteCommandOutcome,
-		LastPeerRenewal: func() ident.MonotonicTime { return l.renewals.LatestRenewal(c.env.Now()) },
+		LastPeerRenewal: func() ident.MonotonicTime { return l.renewals.LatestRenewal(l.env.Now()) },
 	}
 }
 
-// fleetConfig says what renting and returning needs of the leader.
+func (l *leaderTerm) newPlanner() *placement.Planner {
+	cfg := l.controller.settings
+	useASM1 := cfg.Tuning.PlanMode == planModeASM1
+	planner := placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, useASM1, cfg.Cluster.Objectives)
+	planner.MaxWait = cfg.Tuning.StarvationTimeout
+	planner.GangWait = cfg.Tuning.GangPreemptAfter
+	return planner
+}
+
+func (l *leaderTerm) newHandover() *handover.Coordinator {
+	tuning := l.controller.settings.Tuning.Links
+	config := handover.DefaultConfig()
+	config.MinTermDuration = tuning.MinLeadTime
+	config.StabilizationWindow = tuning.BetterPeerFor
+	return handover.New(config, &l.controller.links.leaderHistory, l.env.Now())
+}
+
+func (l *leaderTerm) newGangTable() *gang.Table {
+	times := l.controller.settings.Cluster.Workers
+	mayLaunch := func() bool { return !l.closed() && l.controller.allows(authority.Launch) }
+	return gang.NewTable(l.jobs, l.workers, l.env.Now, mayLaunch, gang.Config{
+		GatherTimeout:     settings.Seconds(times.GangWaitS),
+		PeerLossTimeout:   settings.Seconds(times.GangPeerS),
+		HeartbeatInterval: settings.Seconds(times.HeartbeatS),
+	})
+}
+
 func (l *leaderTerm) fleetConfig() fleet.Config {
 	c := l.controller
 	config := fleet.Config{
@@ -169,10 +213,10 @@
 		Tuning:           c.settings.Tuning,
 		Cloud:            c.settings.Cluster.Cloud,
 		Workers:          c.settings.Cluster.Workers,
-		Catalog:          func() []cloud.MachineType { return l.machineTypes },
-		ReachableViaPeer: l.peersHeardOrResign,
+		Catalog:          l.catalog.Types,
+		ReachableViaPeer: l.requireHeartbeatSource,
 		ZonePeersSilent:  l.zonePeersSilent,
-		DirectContact:    func() bool { return c.env.Now().Sub(l.lastDirectContact) < directContactTimeout },
+		DirectContact:    func() bool { return l.hasDirectContact(l.env.Now()) },
 		Objective:        l.planner.Objective,
 		Movable: func(t *jobs.Task, from *workers.Worker) bool {
 			return c.allows(authority.Place) && l.planner.Movable(t, from)
@@ -186,8 +230,9 @@
 	return config
 }
 
+// close ends the term. The state changes first: what is stopped below calls back, and must find the term closed.
 func (l *leaderTerm) close() {
-	l.handle(termEnded) // first: what is stopped below calls back
+	l.handle(termEnded)
 	l.committer.Stop()
 	l.workers.Close()
 	l.fleet.Close()
@@ -195,8 +240,8 @@
 	l.failPendingReplies()
 }
 
-// enablePackedFormat goes over to the format of ident.FormatPacked, now that it is in force. It goes with
-// the first format.
+// enablePackedFormat goes over to the packed format, now that it is in force. To be removed with the first
+// format.
 func (l *leaderTerm) enablePackedFormat() {
 	if l.closed() {
 		return
@@ -205,62 +250,88 @@
 	l.controller.formatLevel = max(l.controller.formatLevel, l.formatLevel)
 	l.committer.UseTextFormat()
 	l.jobs.UsePackedLog()
-	l.rewriteAllGroups()
-	l.writeCatalog()
+	l.machines.UsePackedFormat()
+	l.catalog.UsePackedFormat()
 }
 
+// tick does what is due at intervals: it judges the leader's own links and the load, scales the fleet, and
+// retries gangs.
 func (l *leaderTerm) tick() {
 	if l.closed() {
 		return
 	}
-	delay := tickInterval
 	if l.controller.links != nil {
 		l.countMachinesByZone()
 	}
 	l.evaluateLoad()
 	if l.controller.links == nil && l.controller.election.LeaseValid() && l.isolated() {
-		l.controller.election.Resign(candidacyPause, "nobody is heard")
+		l.resign(leaderIsolated)
 		return
 	}
+	delay := tickInterval
 	if l.controller.mayManageFleet() {
-		began := l.env.Now()
-		l.jobs.ClearProvenHealthy()
-		l.fleet.Tick()
-		l.gangs.Tick()
-		if l.formatLevel >= ident.FormatPacked && began > l.nextConversionAt && l.committer.HasSpareCapacity() && !l.jobs.ConvertToLog(convertBatch) {
-			l.nextConversionAt = began.Add(convertInterval)
-		}
-		l.requestDispatch()
-		delay = max(delay, idleFactor*l.env.Now().Sub(began))
+		delay = max(delay, idleFactor*l.manageFleet())
 	}
 	l.env.After(delay, l.tick)
 }
 
+// manageFleet does the part of a tick that changes the cluster, and returns how long it took.
+func (l *leaderTerm) manageFleet() time.Duration {
+	began := l.env.Now()
+	l.jobs.ClearProvenHealthy()
+	l.fleet.Tick()
+	l.gangs.Tick()
+	l.convertRecords(began)
+	l.requestDispatch()
+	return l.env.Now().Sub(began)
+}
+
+// convertRecords rewrites some of the records that are still in the first format, while writes have capacity to
+// spare.
+func (l *leaderTerm) convertRecords(now ident.MonotonicTime) {
+	if l.formatLevel < ident.FormatPacked || now <= l.nextConversionAt || !l.committer.HasSpareCapacity() {
+		return
+	}
+	if !l.jobs.ConvertToLog(convertBatch) {
+		l.nextConversionAt = now.Add(convertInterval)
+	}
+}
+
+// schedulePlanningRound has the next planning round run after the plan interval, and all that follow.
 func (l *leaderTerm) schedulePlanningRound() {
 	l.env.After(l.controller.settings.Tuning.PlanInterval, func() {
 		if l.closed() {
 			return
 		}
 		if l.controller.allows(authority.Launch) {
-			l.planner.Round()
-			if l.rebalancer != nil {
-				l.rebalancer.planRound()
-			}
-			l.requestDispatch()
-			if l.planner.Stats.Rounds%12 == 0 {
-				s := l.planner.Stats
-				waits, limited, free := l.capacitySummary()
-				slog.Debug("room", "waiting", waits, "at_limit", limited, "free_vcpus", free)
-				slog.Debug("figures", "planned", s.Planned, "local", s.Local, "new", s.Uncached, "stolen", s.Stolen, "services", s.Services,
-					"rounds", s.Rounds, "extra", s.ExtraRounds, "fetched_gb", s.FetchedGB, "plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
-			}
+			l.planningRound()
 		}
 		l.schedulePlanningRound()
 	})
 }
 
-// capacitySummary says how many tasks wait, how many of them for their team's limit, and how
-// much room there is.
+// planningRound plans placements, and moves of running tasks.
+func (l *leaderTerm) planningRound() {
+	l.planner.Round()
+	if l.rebalancer != nil {
+		l.rebalancer.planRound()
+	}
+	l.requestDispatch()
+	if l.planner.Stats.Rounds%statsLogRounds == 0 {
+		l.logPlannerStats()
+	}
+}
+
+func (l *leaderTerm) logPlannerStats() {
+	waiting, atQuota, freeVCPUs := l.capacitySummary()
+	slog.Debug("capacity", "waiting_tasks", waiting, "tasks_at_quota", atQuota, "free_vcpus", freeVCPUs)
+	s := l.planner.Stats
+	slog.Debug("planner statistics", "planned", s.Planned, "local", s.Local, "new", s.Uncached, "stolen", s.Stolen,
+		"services", s.Services, "rounds", s.Rounds, "extra_rounds", s.ExtraRounds, "fetched_gb", s.FetchedGB,
+		"plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
+}
+
+// capacitySummary returns how many tasks wait, how many of them for their team's quota, and how much CPU is free.
 func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
 		n := j.WaitingCount()
@@ -275,6 +346,7 @@
 	return waiting, atQuota, freeVCPUs
 }
 
+// afterEvent acts on what an event has changed, and writes it.
 func (l *leaderTerm) afterEvent() {
 	if l.closed() {
 		return
@@ -308,8 +380,8 @@
 		result = dispatchTruncated
 	}
 	l.handle(result)
-	// With thousands of jobs waiting a dispatch is long. It may take a part of the time only, or the
-	// lease is not renewed for it.
+	// With thousands of jobs waiting a dispatch is long. It may take part of the time only, or the lease would
+	// not be renewed.
 	done := l.env.Now()
 	l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
 }
--- a/internal/controller/leader_term_test.go
+++ b/internal/controller/leader_term_test.go
@@ -10,12 +10,14 @@
 	"time"
 
 	"opaldale/internal/api"
+	"opaldale/internal/catalog"
 	"opaldale/internal/cloud"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
 	_ "opaldale/internal/kvstoretest"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 	"opaldale/internal/workers"
@@ -59,7 +61,7 @@
 			f(kvstore.Response{Outcome: kvstore.NotFound})
 			return
 		}
-		if r.Key == catalogKey {
+		if r.Key == catalog.Key {
 			f(kvstore.Response{Outcome: kvstore.OK, Value: api.JSON([]cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}})})
 		}
 	case kvstore.GrantLease, kvstore.RenewLease:
@@ -107,17 +109,17 @@
 // on record.
 func TestUnansweredProbesFreeTheirSlot(t *testing.T) {
 	w := &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}}
-	var g groupRecord
+	var g machinestore.GroupRecord
 	g.Model, g.Zone = "m8", "a"
 	const machines = 3 * maxMachineProbes
 	for i := range machines {
-		g.Machines = append(g.Machines, machineRecord{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprint("addr-", i)})
+		g.Machines = append(g.Machines, machinestore.MachineRecord{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Addr: fmt.Sprint("addr-", i)})
 	}
 	b, err := json.Marshal(g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.listed = []kvstore.KeyValue{{Key: fleetPrefix + "1-1", Value: b, Revision: 3}}
+	w.listed = []kvstore.KeyValue{{Key: machinestore.Prefix + "1-1", Value: b, Revision: 3}}
 	job := `{"spec":{"id":"j-1","desk":"red","shape":"service","pieces":1,"vcpus":1},"seq":1,"phase":"open","tasks":[{"t":1,"h":"host-000007","n":1}]}`
 	w.listed = append(w.listed, kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
 	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -12,6 +12,7 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/settings"
 )
 
@@ -103,15 +104,15 @@
 		s := &recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 1536, txnsLeft: left, txnToLose: lose}
 		s.revision = 50
 		for g := range 3 {
-			r := groupRecord{Model: "m8", Zone: "a", Spot: g == 2}
+			r := machinestore.GroupRecord{Model: "m8", Zone: "a", Spot: g == 2}
 			for i := range 50 {
-				r.Machines = append(r.Machines, machineRecord{ID: ident.MachineID(fmt.Sprintf("host-%06d", 50*g+i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", g, i), CreatedMS: int64(-1000 * i)})
+				r.Machines = append(r.Machines, machinestore.MachineRecord{ID: ident.MachineID(fmt.Sprintf("host-%06d", 50*g+i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", g, i), CreatedMS: int64(-1000 * i)})
 			}
 			b, err := json.Marshal(r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			path := fmt.Sprintf("%s1-%d", fleetPrefix, g)
+			path := fmt.Sprintf("%s1-%d", machinestore.Prefix, g)
 			s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
 		}
 		s.startLeader(2) // ends with its last transaction
@@ -122,14 +123,14 @@
 		}
 		seen := map[ident.MachineID]string{}
 		for path, p := range s.pairs {
-			if !strings.HasPrefix(path, fleetPrefix) {
+			if !strings.HasPrefix(path, machinestore.Prefix) {
 				continue
 			}
-			var r groupRecord
+			var r machinestore.GroupRecord
 			if err := json.Unmarshal(p.Value, &r); err != nil {
 				t.Fatal(err)
 			}
-			list, err := r.decode()
+			list, err := r.Decode()
 			if err != nil || len(r.Machines) > 0 || len(p.Value) > s.maxValueBytes {
 				t.Errorf("%s: %v, %d in the old form, %d bytes", path, err, len(r.Machines), len(p.Value))
 			}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -8,9 +8,50 @@
 	"opaldale/internal/workers"
 )
 
-// isolated says whether this node hears no sibling and, with several machines up,
-// none of them either: a leader cut off from all but the state service would keep
-// its lease, and the cluster, for as long as the cut lasts.
+const (
+	// isolatedAfter is how long a leader may hear neither peers nor machines before it resigns.
+	isolatedAfter = 2500 * time.Millisecond
+	// maxIsolationProbes bounds the machines that a leader probes at a time to learn whether it is isolated.
+	maxIsolationProbes = 4
+	// minUnansweredProbes is how many machines must have left a probe unanswered before a leader counts as isolated.
+	minUnansweredProbes = 2
+	// directContactTimeout is how long a leader may go without an exchange with any machine itself before it
+	// suspects its own links.
+	directContactTimeout = 2 * time.Second
+	// minUnreachableMachines is how many machines that peers hear must be out of the leader's reach before it resigns.
+	minUnreachableMachines = 3
+	// reachProbeInterval paces the probes that find them.
+	reachProbeInterval = 100 * time.Millisecond
+	// resignationPause is how long a node that has resigned is no candidate.
+	resignationPause = 12 * time.Second
+)
+
+// resignReason says why a leader gives up its term by itself.
+type resignReason uint8
+
+const (
+	unreadableRecord     resignReason = iota // a stored record of an earlier term can't be read
+	leaderIsolated                           // neither peers nor machines are heard
+	machinesHeardByPeers                     // machines are heard by peers, and don't answer this node
+	noHeartbeatSource                        // heartbeats come neither from machines nor by peers
+	resignReasonCount                        // must be last
+)
+
+var resignReasonNames = [resignReasonCount]string{
+	"unreadable record", "isolated", "machines are heard by peers only", "no source of heartbeats",
+}
+
+func (r resignReason) String() string { return resignReasonNames[r] }
+
+// resign ends the term and leaves leadership to a peer.
+func (l *leaderTerm) resign(reason resignReason) {
+	l.controller.election.Resign(resignationPause, reason.String())
+}
+
+// isolated reports whether this node hears no peer and, with several machines up, none of them either. A
+// leader that is cut off from everything but the store would keep its lease, and the cluster, for as long
+// as the partition lasts. Machines that have been silent for long are probed: in a small fleet heartbeats leave longer
+// gaps than isolatedAfter.
 func (l *leaderTerm) isolated() bool {
 	now := l.env.Now()
 	if len(l.controller.settings.Peers) == 0 || now.Sub(l.startedAt) < isolatedAfter {
@@ -30,59 +71,63 @@
 		case w.MissedResponses() > 0:
 			unanswered++
 		case probed < maxIsolationProbes && l.workers.Probe(w):
-			// Where few machines are, reports leave longer gaps than this. (A leader of
-			// two resigned between the reports of one of them, and nobody else was left.)
 			probed++
 		}
 	}
-	return !l.controller.heardAnyPeerWithin(peerTimeout) && now.Sub(lastHeard) >= isolatedAfter && unanswered >= 2
+	return !l.controller.heardAnyPeerWithin(peerTimeout) && now.Sub(lastHeard) >= isolatedAfter &&
+		unanswered >= minUnansweredProbes
 }
 
-// noteWorkerHeartbeat notes that a machine's report arrived here, or by a sibling. A leader that
-// reaches no machine itself asks those that siblings hear.
+// noteWorkerHeartbeat notes that a machine's heartbeat arrived, directly or by a peer. A leader without any
+// direct contact of late probes the machines that its peers hear.
 func (l *leaderTerm) noteWorkerHeartbeat(machine *workers.Worker, direct bool) {
-	now := l.env.Now()
-	switch {
-	case direct:
+	if direct {
 		l.noteDirectContact()
-	case machine != nil && now.Sub(l.lastDirectContact) > directContactTimeout && now.Sub(l.lastReachProbe) > reachProbeInterval:
-		if l.workers.Probe(machine) {
-			l.lastReachProbe = now
-		}
+		return
+	}
+	now := l.env.Now()
+	probeDue := now.Sub(l.lastDirectContact) > directContactTimeout && now.Sub(l.lastReachProbe) > reachProbeInterval
+	if machine != nil && probeDue && l.workers.Probe(machine) {
+		l.lastReachProbe = now
 	}
 }
 
-// noteDirectContact notes that a machine reached this node, or it one.
+// noteDirectContact notes an exchange between this node and a machine.
 func (l *leaderTerm) noteDirectContact() {
 	l.lastDirectContact = l.env.Now()
 	clear(l.unreachable)
 }
 
-// noteCommandOutcome takes the outcome of a command. Machines that siblings hear and this node
-// doesn't reach show that it is cut off from them, not they from the cluster. It
-// leaves the lead to a sibling: fenced for their silence, the fleet would be gone
-// with all its replicas. (A leader that had lost the workers alone fenced every
-// machine with replicas within five seconds.)
+// hasDirectContact reports whether this node has had an exchange with any machine of late.
+func (l *leaderTerm) hasDirectContact(now ident.MonotonicTime) bool {
+	return now.Sub(l.lastDirectContact) < directContactTimeout
+}
+
+// noteCommandOutcome notes whether a machine answered a command. Machines that peers hear and this node doesn't
+// reach show that the leader is cut off from them, not they from the cluster. It must leave leadership to a
+// peer rather than fence them for their silence, which would take the whole fleet with all its replicas.
 func (l *leaderTerm) noteCommandOutcome(machine *workers.Worker, answered bool) {
-	now := l.env.Now()
 	if answered {
 		l.noteDirectContact()
 		return
 	}
-	if now.Sub(l.lastDirectContact) < directContactTimeout || !machine.HeardThisTerm() || now.Sub(machine.LastContact()) > 2*directContactTimeout {
+	now := l.env.Now()
+	heardByPeers := machine.HeardThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
+	if l.hasDirectContact(now) || !heardByPeers {
 		return
 	}
 	if l.controller.links != nil {
-		return // a sibling that is better placed shows by its row
+		return // the handover to a better placed peer takes care of it
 	}
-	if l.unreachable[machine] = true; len(l.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
-		l.controller.election.Resign(candidacyPause, "machines are heard by siblings only")
+	l.unreachable[machine] = true
+	if len(l.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
+		l.resign(machinesHeardByPeers)
 	}
 }
 
-// leaseAllowance is how long siblings may keep leases for this leader from now on. A lease given
-// by them at the very end must be over before cancel_s is, for every job that was
-// cancelled and is not surely gone.
+// leaseAllowance returns for how long from now on peers may renew leases of workers for this leader. A lease
+// that is renewed at the very end of it must expire before cancel_s is over, for each cancelled job that may
+// still have tasks on machines.
 func (l *leaderTerm) leaseAllowance(now ident.MonotonicTime) time.Duration {
 	left := l.controller.renewalGrace
 	for _, j := range l.jobs.Jobs {
@@ -93,7 +138,7 @@
 	return max(0, left)
 }
 
-// zonePeersSilent says whether all siblings in a zone are silent, and there are some.
+// zonePeersSilent reports whether there are peers in a zone, and all of them are silent.
 func (l *leaderTerm) zonePeersSilent(zone string) bool {
 	silentPeers := 0
 	for _, s := range l.controller.settings.Peers {
@@ -108,15 +153,20 @@
 	return silentPeers > 0
 }
 
-// peersHeardOrResign says whether a sibling is heard, which would pass workers' reports on.
-// A leader that hears neither workers nor siblings leaves the lead to one that
-// may.
-func (l *leaderTerm) peersHeardOrResign() bool {
-	if l.controller.heardAnyPeerWithin(peerTimeout) || len(l.controller.settings.Peers) == 0 {
+// hasHeartbeatSource reports whether a peer is heard that would forward heartbeats of workers, or there are no
+// peers at all.
+func (l *leaderTerm) hasHeartbeatSource() bool {
+	return l.controller.heardAnyPeerWithin(peerTimeout) || len(l.controller.settings.Peers) == 0
+}
+
+// requireHeartbeatSource is hasHeartbeatSource for a leader that hears no machine either. Without a source of
+// heartbeats it resigns, since a peer may have one; with links watched the handover takes care of that.
+func (l *leaderTerm) requireHeartbeatSource() bool {
+	if l.hasHeartbeatSource() {
 		return true
 	}
 	if l.controller.links == nil {
-		l.controller.election.Resign(candidacyPause, "neither machines nor siblings are heard")
+		l.resign(noHeartbeatSource)
 	}
 	return false
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -9,98 +9,77 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/migration"
 	"opaldale/internal/workers"
 )
 
-// loadState reads what earlier terms left; only then does the leader act.
+const (
+	// maxMachineProbes bounds the machines of earlier terms that a new leader probes at a time.
+	maxMachineProbes     = 16
+	machineProbeInterval = 200 * time.Millisecond
+)
+
+// storedState is what earlier terms left in the store, as it was read.
+type storedState struct {
+	liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
+}
+
+// loadState reads what earlier terms left; the leader acts only after that.
 func (l *leaderTerm) loadState() {
 	began := l.env.Now()
-	remainingReads := 4
-	var liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
+	var stored storedState
+	pendingReads := 4
 	if l.rebalancer != nil {
-		remainingReads++
+		pendingReads++
 	}
-	done := func() {
-		if remainingReads--; remainingReads > 0 {
-			return
+	readDone := func() {
+		if pendingReads--; pendingReads == 0 {
+			l.restore(&stored, began)
 		}
-		var errs []error
-		for _, p := range machineGroups {
-			errs = append(errs, l.restoreGroup(p))
-		}
-		for _, p := range liveJobs {
-			errs = append(errs, l.jobs.Load(p.Key, p.Value, p.Revision))
-		}
-		errs = append(errs, l.jobs.LoadLog(taskLog))
-		if err := errors.Join(errs...); err != nil {
-			// On half a state a leader would forget jobs, or start tasks that run.
-			slog.Error("unreadable record", "err", err)
-			l.controller.election.Resign(candidacyPause, "unreadable record")
-			return
-		}
-		for _, p := range moves {
-			l.rebalancer.history.Load(p.Key, p.Value, p.Revision)
-		}
-		slog.Info("loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
-			"took_ms", l.env.Now().Sub(began).Milliseconds())
-		l.takeOver()
 	}
-	l.listAll(jobs.LivePrefix, "", &liveJobs, done)
-	l.listAll(commit.LogPrefix, "", &taskLog, done)
-	l.listAll(fleetPrefix, "", &machineGroups, done)
-	l.loadCatalog(done)
+	list := func(prefix string, into *[]kvstore.KeyValue) {
+		l.reader.ListAll(prefix, func(pairs []kvstore.KeyValue) {
+			*into = pairs
+			readDone()
+		})
+	}
+	list(jobs.LivePrefix, &stored.liveJobs)
+	list(commit.LogPrefix, &stored.taskLog)
+	list(machinestore.Prefix, &stored.machineGroups)
+	l.catalog.Load(readDone)
 	if l.rebalancer != nil {
-		l.listAll(migration.Prefix, "", &moves, done)
+		list(migration.Prefix, &stored.moves)
 	}
 }
 
-func (l *leaderTerm) listAll(prefix, startAfter string, into *[]kvstore.KeyValue, done func()) {
-	l.readWithRetry(kvstore.Request{Op: kvstore.List, Prefix: prefix, StartAfter: startAfter, Timeout: listTimeout}, func(r kvstore.Response) {
-		*into = append(*into, r.KeyValues...)
-		if r.Truncated && len(r.KeyValues) > 0 {
-			l.listAll(prefix, r.KeyValues[len(r.KeyValues)-1].Key, into, done)
-			return
-		}
-		done()
-	})
-}
-
-// readWithRetry asks the state service until it answers.
-func (l *leaderTerm) readWithRetry(r kvstore.Request, done func(kvstore.Response)) {
-	l.env.Store(r, func(response kvstore.Response) {
-		switch {
-		case l.closed():
-		case response.Outcome == kvstore.OK || response.Outcome == kvstore.NotFound:
-			done(response)
-		default:
-			l.env.After(200*time.Millisecond, func() {
-				if !l.closed() {
-					l.readWithRetry(r, done)
-				}
-			})
-		}
-	})
+// restore rebuilds the tables from what was read. On part of the state a leader would forget jobs, or start
+// tasks that run already: it resigns if it can't read any of the records.
+func (l *leaderTerm) restore(stored *storedState, began ident.MonotonicTime) {
+	var errs []error
+	for _, p := range stored.machineGroups {
+		errs = append(errs, l.machines.Restore(p))
+	}
+	for _, p := range stored.liveJobs {
+		errs = append(errs, l.jobs.Load(p.Key, p.Value, p.Revision))
+	}
+	errs = append(errs, l.jobs.LoadLog(stored.taskLog))
+	if err := errors.Join(errs...); err != nil {
+		slog.Error("unreadable record in store; resigning", "term", uint64(l.term), "err", err)
+		l.resign(unreadableRecord)
+		return
+	}
+	for _, p := range stored.moves {
+		l.rebalancer.history.Load(p.Key, p.Value, p.Revision)
+	}
+	slog.Info("state loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
+		"took_ms", l.env.Now().Sub(began).Milliseconds())
+	l.takeOver()
 }
 
-// takeOver takes over from the term before.
+// takeOver continues what earlier terms left, and begins to lead.
 func (l *leaderTerm) takeOver() {
-	for _, j := range l.jobs.Sorted() {
-		for i := range j.Tasks {
-			t := &j.Tasks[i]
-			if !t.State.Allocated() {
-				continue
-			}
-			w := l.workers.Workers[t.MachineID]
-			if w == nil {
-				// Its machine's record was deleted: it is surely gone, which its
-				// return proves.
-				w = l.workers.Add(t.MachineID, "", "", false, l.env.Now())
-				l.fleet.Terminate(w, "not on record")
-			}
-			l.adjustUsage(t, w, 1)
-		}
-	}
+	l.takeOverTasks()
 	l.jobs.FinishLoading()
 	if l.jobs.Seq > 0 {
 		l.fleet.ResumeFromPriorTerm()
@@ -121,32 +100,51 @@
 	if l.formatLevel < ident.NewestFormatLevel {
 		l.formatUpgrader.Poll()
 	} else {
-		l.rewriteLegacyGroups()
+		l.machines.RewriteLegacy()
 	}
 	l.probeUnreportedMachines()
 	l.tick()
 	l.schedulePlanningRound()
 }
 
-// probeUnreportedMachines probes machines of the term before that have not reported yet, a few at a
-// time: nothing is placed on them until they are heard, and all at once would be a
-// storm.
+// takeOverTasks counts the allocated tasks of earlier terms on their machines.
+func (l *leaderTerm) takeOverTasks() {
+	for _, j := range l.jobs.Sorted() {
+		for i := range j.Tasks {
+			t := &j.Tasks[i]
+			if !t.State.Allocated() {
+				continue
+			}
+			w := l.workers.Workers[t.MachineID]
+			if w == nil {
+				// The record of its machine was deleted, so the machine is certainly gone; terminating it
+				// again proves that.
+				w = l.workers.Add(t.MachineID, "", "", false, l.env.Now())
+				l.fleet.Terminate(w, "not on record")
+			}
+			l.adjustUsage(t, w, 1)
+		}
+	}
+}
+
+// probeUnreportedMachines probes machines of earlier terms that have not reported in this one, those with
+// replicas of services first: nothing is placed on a machine until it is heard. Only a few are probed at
+// a time, and a machine that has not answered yet takes no part of that budget, so that a silent rack doesn't
+// keep all others from being probed.
 func (l *leaderTerm) probeUnreportedMachines() {
 	if l.closed() {
 		return
 	}
 	budget := maxMachineProbes
-	for _, replicas := range []bool{true, false} { // users miss those first
+	for _, withReplicas := range []bool{true, false} {
 		for _, w := range l.workers.Sorted() {
-			if w.State != workers.Up || w.HeardThisTerm() || w.MissedResponses() > 0 || (w.ServiceVCPUs > 0) != replicas {
+			if !awaitsFirstReport(w) || (w.ServiceVCPUs > 0) != withReplicas {
 				continue
 			}
 			if budget == 0 {
 				l.env.After(machineProbeInterval, l.probeUnreportedMachines)
 				return
 			}
-			// One that has not answered yet takes nobody's turn: with a rack silent,
-			// sixteen of it kept all others from being asked.
 			if l.workers.Probe(w) {
 				budget--
 			}
@@ -154,7 +152,8 @@
 	}
 }
 
-const (
-	maxMachineProbes     = 16
-	machineProbeInterval = 200 * time.Millisecond
-)
+// awaitsFirstReport reports whether a machine should be up, but has neither been heard in this term nor failed to
+// answer.
+func awaitsFirstReport(w *workers.Worker) bool {
+	return w.State == workers.Up && !w.HeardThisTerm() && w.MissedResponses() == 0
+}
--- /dev/null
+++ b/internal/machinestore/machinestore.go
@@ -0,0 +1,271 @@
+// Package machinestore keeps a leader's machines on record in the key-value store. Machines of one type share
+// keys, a group of machines each: with a key for each machine, a fleet would take too many writes.
+package machinestore
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/commit"
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/workers"
+)
+
+const (
+	// Prefix is that of the keys of all groups.
+	Prefix = "fleet/"
+	// MaxGroupMachines bounds the machines on record under one key: as many as one request provisions.
+	MaxGroupMachines = 50
+
+	// groupOverheadBytes, plainMachineBytes and packedMachineBytes bound the size of a record without the
+	// names in it, and of a machine in either format; minAddressBytes is reserved for an address.
+	groupOverheadBytes = 100
+	plainMachineBytes  = 40
+	packedMachineBytes = 14
+	minAddressBytes    = 21
+)
+
+// Config is what the store needs of the leader.
+type Config struct {
+	Term          ident.Term
+	Packed        bool // the packed format is in force
+	MaxValueBytes int  // of a value, at any time of the term
+	Now           func() ident.MonotonicTime
+	WallMS        func() int64
+	// OnPersisted is called when a new machine's record is durable, so that tasks can be placed there.
+	OnPersisted func()
+}
+
+// Store keeps machines on record, for one term.
+type Store struct {
+	config    Config
+	committer *commit.Committer
+	workers   *workers.Table
+
+	openGroups      map[groupKey]*workers.RecordGroup // that new machines are added to
+	legacyGroups    []*workers.RecordGroup            // restored from the first format while the packed one is in force
+	lastGroupNumber int
+}
+
+// groupKey is what the machines of a group have in common.
+type groupKey struct {
+	model, zone string
+	spot        bool
+}
+
+// New returns a store without any groups.
+func New(config Config, committer *commit.Committer, table *workers.Table) *Store {
+	return &Store{
+		config:     config,
+		committer:  committer,
+		workers:    table,
+		openGroups: map[groupKey]*workers.RecordGroup{},
+	}
+}
+
+// Commit has a machine's record written, new or changed. A new machine's is written at once, since a successor
+// must know the machine before anything runs there; a changed one may wait.
+func (s *Store) Commit(machine *workers.Worker) {
+	isNew := machine.Group == nil
+	if isNew {
+		s.addToGroup(machine)
+	}
+	group := machine.Group
+	switch {
+	case machine.State == workers.Terminated:
+		isMachine := func(member *workers.Worker) bool { return member == machine }
+		group.Members = slices.DeleteFunc(slices.Clone(group.Members), isMachine)
+		s.committer.MarkDirtyLazily(group.Doc, func() { machine.Persisted = false })
+	case isNew:
+		s.committer.MarkDirty(group.Doc, func() {
+			if machine.State != workers.Terminated {
+				machine.Persisted = true
+				s.config.OnPersisted()
+			}
+		})
+	default:
+		s.committer.MarkDirtyLazily(group.Doc, nil)
+	}
+}
+
+// addToGroup puts a new machine into the open group of its kind, or into a new one if that is full.
+func (s *Store) addToGroup(machine *workers.Worker) {
+	key := groupKey{machine.Model, machine.Zone, machine.Spot}
+	group := s.openGroups[key]
+	if group == nil || group.Deleted || !s.fits(group, key, machine) {
+		group = s.nextGroup(key)
+		s.openGroups[key] = group
+	}
+	machine.Group = group
+	group.Members = append(group.Members, machine)
+}
+
+// fits reports whether a group's record stays within the size limit with more machines in it.
+func (s *Store) fits(group *workers.RecordGroup, key groupKey, more ...*workers.Worker) bool {
+	size := groupOverheadBytes + len(key.model) + len(key.zone)
+	perMachine := plainMachineBytes
+	if s.config.Packed {
+		perMachine = packedMachineBytes
+	}
+	for _, list := range [][]*workers.Worker{group.Members, more} {
+		for _, w := range list {
+			size += perMachine + len(w.ID) + max(len(w.Addr), minAddressBytes)
+		}
+	}
+	return size <= s.config.MaxValueBytes && len(group.Members)+len(more) <= MaxGroupMachines
+}
+
+// nextGroup returns an empty group under a key that no term has used before.
+func (s *Store) nextGroup(key groupKey) *workers.RecordGroup {
+	s.lastGroupNumber++
+	return s.newGroup(fmt.Sprintf("%s%d-%d", Prefix, s.config.Term, s.lastGroupNumber), key)
+}
+
+func (s *Store) newGroup(path string, key groupKey) *workers.RecordGroup {
+	group := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
+	group.Doc.Render = func() json.RawMessage { return s.render(group, key) }
+	return group
+}
+
+// render returns the value of a group's record. An empty group is deleted, and not used again.
+func (s *Store) render(group *workers.RecordGroup, key groupKey) json.RawMessage {
+	members := slices.Concat(group.Members, group.Leaving)
+	if len(members) == 0 {
+		group.Deleted = true
+		return nil
+	}
+	record := GroupRecord{Model: key.model, Zone: key.zone, Spot: key.spot}
+	machines := make([]MachineRecord, 0, len(members))
+	for _, w := range members {
+		createdMS := s.config.WallMS() - s.config.Now().Sub(w.CreatedAt).Milliseconds()
+		machines = append(machines, MachineRecord{ID: w.ID, Addr: w.Addr, CreatedMS: createdMS})
+	}
+	if !s.config.Packed {
+		record.Machines = machines
+		return api.JSON(record)
+	}
+	record.Encode(machines)
+	value := api.JSON(record)
+	// If addresses are longer than was reserved for them, they are left out: first those of machines that
+	// leave, which are on record in their next group too, then all. Heartbeats bring them back.
+	for _, from := range []int{len(group.Members), 0} {
+		if len(value) > s.config.MaxValueBytes {
+			for i := range machines[from:] {
+				machines[from+i].Addr = ""
+			}
+			record.Encode(machines)
+			value = api.JSON(record)
+		}
+	}
+	return value
+}
+
+// Restore takes over a group that an earlier term left.
+func (s *Store) Restore(pair kvstore.KeyValue) error {
+	var record GroupRecord
+	if err := json.Unmarshal(pair.Value, &record); err != nil {
+		return fmt.Errorf("%s: %w", pair.Key, err)
+	}
+	machines, err := record.Decode()
+	if err != nil {
+		return fmt.Errorf("%s: %w", pair.Key, err)
+	}
+	group := s.newGroup(pair.Key, groupKey{record.Model, record.Zone, record.Spot})
+	group.Doc.Revision = pair.Revision
+	now := s.config.Now()
+	for _, m := range machines {
+		if w := s.workers.Workers[m.ID]; w != nil {
+			// It was on its way from one group to another when the term ended.
+			s.workers.RestoreAddress(w, m.Addr)
+			s.committer.MarkDirtyLazily(group.Doc, nil)
+			continue
+		}
+		age := time.Duration(s.config.WallMS()-m.CreatedMS) * time.Millisecond
+		createdAt := now.Add(-max(0, age))
+		w := s.workers.Restore(m.ID, record.Model, record.Zone, record.Spot, createdAt, m.Addr, group)
+		group.Members = append(group.Members, w)
+	}
+	if s.config.Packed && record.Packed == "" {
+		s.legacyGroups = append(s.legacyGroups, group)
+	}
+	return nil
+}
+
+// RewriteLegacy rewrites in the packed format what earlier terms left in the first one. To be removed with the
+// first format.
+func (s *Store) RewriteLegacy() {
+	for _, g := range s.legacyGroups {
+		s.rewrite(g)
+	}
+	s.legacyGroups = nil
+}
+
+// UsePackedFormat goes over to the packed format, now that it is in force: all groups are rewritten, and those
+// that were written under larger limits are split, so that none is found too large later.
+func (s *Store) UsePackedFormat() {
+	s.config.Packed = true
+	seen := map[*workers.RecordGroup]bool{}
+	for _, w := range s.workers.Sorted() {
+		g := w.Group
+		if g == nil || seen[g] {
+			continue
+		}
+		seen[g] = true
+		s.rewrite(g)
+	}
+}
+
+// rewrite has a group's record written again, split if it is too large.
+func (s *Store) rewrite(group *workers.RecordGroup) {
+	if len(group.Members) == 0 {
+		return
+	}
+	first := group.Members[0]
+	key := groupKey{first.Model, first.Zone, first.Spot}
+	if s.fits(group, key) {
+		s.committer.MarkDirtyLazily(group.Doc, nil)
+	} else {
+		s.split(group, key)
+	}
+}
+
+// split moves machines to other groups. They leave the old one when the new record is durable, so that a
+// successor finds each machine in at least one of both.
+func (s *Store) split(group *workers.RecordGroup, key groupKey) {
+	slog.Info("splitting machine group record", "path", group.Doc.Key, "machines", len(group.Members))
+	for !s.fits(group, key) && len(group.Members) > 1 {
+		target := s.nextGroup(key)
+		s.moveMembers(group, target, key)
+		if len(target.Members) == 0 {
+			return
+		}
+		moved := slices.Clone(target.Members)
+		isMoved := func(machine *workers.Worker) bool { return slices.Contains(moved, machine) }
+		s.committer.MarkDirty(target.Doc, func() {
+			group.Leaving = slices.DeleteFunc(group.Leaving, isMoved)
+			s.committer.MarkDirtyLazily(group.Doc, nil)
+		})
+	}
+}
+
+// moveMembers moves machines from the end of a group to another one, until the first one fits or the other is full.
+func (s *Store) moveMembers(from, to *workers.RecordGroup, key groupKey) {
+	for len(from.Members) > 1 {
+		machine := from.Members[len(from.Members)-1]
+		if !s.fits(to, key, machine) {
+			return
+		}
+		from.Members = from.Members[:len(from.Members)-1]
+		from.Leaving = append(from.Leaving, machine)
+		to.Members = append(to.Members, machine)
+		machine.Group = to
+		if s.fits(from, key) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/storereader/storereader.go
@@ -0,0 +1,70 @@
+// Package storereader reads from the key-value store with retries, for a caller that can't go on without
+// the answer.
+package storereader
+
+import (
+	"time"
+
+	"opaldale/internal/kvstore"
+)
+
+const (
+	getTimeout    = time.Second
+	listTimeout   = 3 * time.Second
+	retryInterval = 200 * time.Millisecond
+)
+
+// Env is what a reader needs of its process.
+type Env interface {
+	After(time.Duration, func())
+	Store(kvstore.Request, func(kvstore.Response))
+}
+
+// Reader reads until the store answers, or its owner is closed.
+type Reader struct {
+	env    Env
+	closed func() bool
+}
+
+// New returns a reader. Once closed returns true, nothing more is read and no callback runs.
+func New(env Env, closed func() bool) *Reader { return &Reader{env: env, closed: closed} }
+
+// Get reads a key. The outcome that done gets is kvstore.OK or kvstore.NotFound.
+func (r *Reader) Get(key string, done func(kvstore.Response)) {
+	r.read(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: getTimeout}, done)
+}
+
+// ListAll reads all keys with a prefix, page by page.
+func (r *Reader) ListAll(prefix string, done func([]kvstore.KeyValue)) {
+	var all []kvstore.KeyValue
+	var listAfter func(lastKey string)
+	listAfter = func(lastKey string) {
+		request := kvstore.Request{Op: kvstore.List, Prefix: prefix, StartAfter: lastKey, Timeout: listTimeout}
+		r.read(request, func(page kvstore.Response) {
+			all = append(all, page.KeyValues...)
+			if page.Truncated && len(page.KeyValues) > 0 {
+				listAfter(page.KeyValues[len(page.KeyValues)-1].Key)
+				return
+			}
+			done(all)
+		})
+	}
+	listAfter("")
+}
+
+// read sends a request again and again until the store answers it.
+func (r *Reader) read(request kvstore.Request, done func(kvstore.Response)) {
+	r.env.Store(request, func(response kvstore.Response) {
+		switch {
+		case r.closed():
+		case response.Outcome == kvstore.OK || response.Outcome == kvstore.NotFound:
+			done(response)
+		default:
+			r.env.After(retryInterval, func() {
+				if !r.closed() {
+					r.read(request, done)
+				}
+			})
+		}
+	})
+}
