--- a/cmd/opaldale/golden_test.go
+++ b/cmd/opaldale/golden_test.go
@@ -13,6 +13,7 @@
 
 	"opaldale/internal/controller"
 	"opaldale/internal/golden"
+	"opaldale/internal/linktracker"
 )
 
 // runMain has the test's own program run the command instead of the tests.
@@ -140,7 +141,7 @@
 	var d golden.Document
 	var b strings.Builder
 	for v := range golden.BoolVariants {
-		links, moves := golden.Filled[controller.LinkReport](v), golden.Filled[controller.MoveReport](v)
+		links, moves := golden.Filled[linktracker.Report](v), golden.Filled[controller.MoveReport](v)
 		links.Enabled = true
 		if err := writeLinks(&b, links); err != nil {
 			t.Error(err)
--- a/cmd/opaldale/links.go
+++ b/cmd/opaldale/links.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 )
 
 // linksCommand shows what a node knows of its links and of its siblings'.
@@ -16,7 +16,7 @@
 }
 
 // writeLinks prints a report as tables.
-func writeLinks(out io.Writer, report controller.LinkReport) error {
+func writeLinks(out io.Writer, report linktracker.Report) error {
 	fmt.Fprintf(out, "%s: authority %s", report.Node, report.Authority)
 	if report.Handover != "" {
 		fmt.Fprintf(out, ", handover %s", report.Handover)
--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -6,15 +6,15 @@
 	"strings"
 	"testing"
 
-	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 )
 
 // TestLinksCommand prints what a node answers, as tables and as it is.
 func TestLinksCommand(t *testing.T) {
-	report := controller.LinkReport{Node: "agent-0", Enabled: true, Authority: "deciding", Handover: "steady",
-		Links:          []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4}},
-		Advertisements: []controller.AdvertisementEntry{{Origin: "agent-2", Links: []controller.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}}}},
-		Handovers:      []controller.HandoverEntry{{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100}}}
+	report := linktracker.Report{Node: "agent-0", Enabled: true, Authority: "deciding", Handover: "steady",
+		Links:          []linktracker.LinkEntry{{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4}},
+		Advertisements: []linktracker.AdvertisementEntry{{Origin: "agent-2", Links: []linktracker.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}}}},
+		Handovers:      []linktracker.HandoverEntry{{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100}}}
 	node := &fakeNode{path: "/links", status: http.StatusOK, report: &report}
 	run := runAgainst(t, node, linksCommand)
 	out, err := run()
@@ -24,7 +24,7 @@
 		}
 	}
 	out, err = run("--json")
-	var again controller.LinkReport
+	var again linktracker.Report
 	if err != nil || json.Unmarshal([]byte(out), &again) != nil || again.Handovers[0].To != "agent-2" {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -18,8 +18,8 @@
 	}
 	before, changed := c.authority.Update(facts)
 	after := c.authority.State()
-	if changed && c.links != nil {
-		slog.Info("authority", "from", before.String(), "to", after.String())
+	if changed && c.links.Enabled() {
+		slog.Info("authority changed", "from", before.String(), "to", after.String())
 	}
 	return after
 }
@@ -32,5 +32,5 @@
 // that can't record goes on to rent and to fence.
 func (c *Controller) mayManageFleet() bool {
 	state := c.updateAuthority()
-	return state.Allows(authority.Scale) || c.links == nil && state == authority.StoreDown
+	return state.Allows(authority.Scale) || !c.links.Enabled() && state == authority.StoreDown
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,6 +15,7 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
@@ -53,8 +54,8 @@
 	renewer        renewal.Renewer
 	// cancelledJobs holds jobs that this node knows to be durably cancelled.
 	cancelledJobs   *jobs.RecentJobs[struct{}]
-	storeLastServed ident.MonotonicTime // when the store last served this node
-	links           *linkTracker        // nil unless links are watched
+	storeLastServed ident.MonotonicTime  // when the store last served this node
+	links           *linktracker.Tracker // nil unless links are watched
 	authority       authority.Tracker
 
 	// Counters for the metrics.
@@ -89,13 +90,13 @@
 	}
 	rate := pollReadShare * cfg.Cluster.Store.RPS / float64(max(1, cfg.Cluster.Nodes))
 	c.pollLimiter = tokenBucket{tokens: rate, perSecond: rate, refilledAt: env.Now()}
-	if cfg.Tuning.Links.Enabled {
-		c.links = newLinkTracker(c)
-		c.env = monitoredEnv{Env: env, tracker: c.links}
+	c.links = newLinkTracker(c)
+	if c.links.Enabled() {
+		c.env = c.links.Env()
 	}
 	c.election = election.New(c.env, c, cfg.Node, cfg.Tuning.LeaderLease, rng)
-	if c.links != nil {
-		c.election.CampaignDelay = c.links.candidacyDelay
+	if c.links.Enabled() {
+		c.election.CampaignDelay = c.links.CandidacyDelay
 	}
 	return c
 }
@@ -110,9 +111,7 @@
 func (c *Controller) Start() {
 	c.election.Start()
 	c.sendHeartbeats()
-	if c.links != nil {
-		c.links.evaluate()
-	}
+	c.links.Start()
 	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
@@ -134,9 +133,7 @@
 func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) {
 	c.Elections++
 	c.formatLevel = max(c.formatLevel, level)
-	if c.links != nil {
-		c.links.leaderHistory.ObserveTerm(term, c.env.Now())
-	}
+	c.links.ObserveTerm(term, c.env.Now())
 	c.leader = newLeaderTerm(c, term, level, leaderKey)
 	c.leader.loadState()
 }
--- a/internal/controller/dispatch.go
+++ b/internal/controller/dispatch.go
@@ -29,14 +29,10 @@
 		return
 	}
 	sender.lastHeard, sender.everHeard = c.env.Now(), true
-	if c.links != nil {
-		c.links.monitor.Received(peerEndpoint(from), sender.lastHeard)
-	}
+	c.links.FrameReceived(from, sender.lastHeard)
 	switch frame.Type {
 	case transport.MsgLinkState:
-		if c.links != nil {
-			c.links.mergeAdvertisements(frame)
-		}
+		c.links.MergeAdvertisements(frame)
 	case transport.MsgTransferLeader:
 		c.election.PreferSuccessor(frame.Node, frame.Term)
 	case transport.MsgHeartbeat:
@@ -118,9 +114,7 @@
 	var commands *api.HeartbeatResponse
 	var validUntil ident.MonotonicTime
 	if l := c.leader; l != nil {
-		if c.links != nil {
-			c.links.noteWorkerHeartbeat(heartbeat, r.direct)
-		}
+		c.links.NoteWorkerHeartbeat(heartbeat, r.direct)
 		if c.allows(authority.CommandWorkers) {
 			commands = l.workers.HandleHeartbeat(heartbeat)
 			if commands != nil && api.ContainsLaunch(commands.Commands) {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -32,10 +32,10 @@
 		return best, false
 	}
 	best.reachable = c.reachable(best.leader)
-	if c.links == nil || best.reachable && !c.links.countsAsDown(best.leader) {
+	if best.reachable && !c.links.PeerDown(best.leader) {
 		return best, true
 	}
-	if via, ok := c.links.relayFor(best.leader); ok {
+	if via, ok := c.links.RelayFor(best.leader); ok {
 		best.via, best.reachable = via, true
 	}
 	return best, true
@@ -79,8 +79,8 @@
 		c.serveAsLeader(r, reply)
 		return
 	}
-	if c.links != nil && method == transport.WorkerHeartbeat {
-		c.links.sampleWorkerHeartbeat(body)
+	if method == transport.WorkerHeartbeat {
+		c.links.SampleWorkerHeartbeat(body)
 	}
 	toLeader, known := c.leaderRoute()
 	switch method {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,6 +20,7 @@
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/load"
 	"opaldale/internal/machinestore"
 	"opaldale/internal/migration"
@@ -222,10 +223,10 @@
 func TestGoldenReports(t *testing.T) {
 	var d golden.Document
 	for v := range golden.BoolVariants {
-		d.JSON(t, fmt.Sprintf("links %d", v), golden.Filled[LinkReport](v))
+		d.JSON(t, fmt.Sprintf("links %d", v), golden.Filled[linktracker.Report](v))
 		golden.RoundTrip(t, &d, fmt.Sprintf("moves %d", v), golden.Filled[MoveReport](v))
 	}
-	d.JSON(t, "no links", LinkReport{})
+	d.JSON(t, "no links", linktracker.Report{})
 	d.JSON(t, "no moves", MoveReport{})
 	recordedMoves := recordedMoves(kvstore.KeyValue{Key: "moves/j-7",
 		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -101,7 +101,7 @@
 	l.workers = workers.NewTable(l.env, l.jobs, l.workersConfig())
 	l.machines = machinestore.New(l.machineStoreConfig(), l.committer, l.workers)
 	l.planner = l.newPlanner()
-	if c.links != nil {
+	if c.links.Enabled() {
 		l.handover = l.newHandover()
 	}
 	l.enableLoadTracking()
@@ -193,7 +193,7 @@
 	config := handover.DefaultConfig()
 	config.MinTermDuration = tuning.MinLeadTime
 	config.StabilizationWindow = tuning.BetterPeerFor
-	return handover.New(config, &l.controller.links.leaderHistory, l.env.Now())
+	return handover.New(config, l.controller.links.LeaderHistory(), l.env.Now())
 }
 
 func (l *leaderTerm) newGangTable() *gang.Table {
@@ -224,8 +224,9 @@
 		Drain:              l.drainBeforeReclaim,
 		SetServiceHeadroom: func(zone string, cpus float64) { l.planner.ServiceHeadroom[zone] = cpus },
 	}
-	if c.links != nil {
-		config.ZoneUnreachable, config.LocallyUnreachable = l.zoneUnreachable, l.zoneReachedByPeersOnly
+	if c.links.Enabled() {
+		config.ZoneUnreachable = c.links.ZoneUnreachable
+		config.LocallyUnreachable = c.links.ZoneReachedByPeersOnly
 	}
 	return config
 }
@@ -260,11 +261,11 @@
 	if l.closed() {
 		return
 	}
-	if l.controller.links != nil {
+	if l.controller.links.Enabled() {
 		l.countMachinesByZone()
 	}
 	l.evaluateLoad()
-	if l.controller.links == nil && l.controller.election.LeaseValid() && l.isolated() {
+	if !l.controller.links.Enabled() && l.controller.election.LeaseValid() && l.isolated() {
 		l.resign(leaderIsolated)
 		return
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -40,16 +40,16 @@
 	frame := c.heartbeatFrame(now)
 	c.sentHeartbeats.Record(frame.ID, now)
 	var ownAdvertisement links.Advertisement
-	if c.links != nil {
-		ownAdvertisement = c.links.ownAdvertisement(now)
+	if c.links.Enabled() {
+		ownAdvertisement = c.links.OwnAdvertisement()
 	}
 	for _, s := range c.settings.Peers {
 		peerFrame := frame
 		peerFrame.Heartbeat.EchoID = c.peers[s.Node].lastHeartbeatID
 		c.env.SendPeer(s.Node, &peerFrame)
-		if c.links != nil {
-			c.links.monitor.Sent(peerEndpoint(s.Node), now)
-			c.links.sendAdvertisements(s.Node, ownAdvertisement, now)
+		if c.links.Enabled() {
+			c.links.HeartbeatSent(s.Node, now)
+			c.links.SendAdvertisements(s.Node, ownAdvertisement, now)
 		}
 	}
 	c.env.After(heartbeatInterval, c.sendHeartbeats)
@@ -101,13 +101,11 @@
 	sender.lastHeartbeatID = frame.ID
 	heartbeat := &frame.Heartbeat
 	sentAt, echoed := c.sentHeartbeats.SentAt(heartbeat.EchoID)
-	if c.links != nil {
-		if echoed {
-			c.links.monitor.Echoed(peerEndpoint(from), sentAt, now)
-		}
-		if frame.Node != "" {
-			c.links.leaderHistory.ObserveTerm(frame.Term, now)
-		}
+	if echoed {
+		c.links.HeartbeatEchoed(from, sentAt, now)
+	}
+	if frame.Node != "" {
+		c.links.ObserveTerm(frame.Term, now)
 	}
 	if echoed && frame.Node == from {
 		c.renewer.Permit(frame.Term, sentAt, transport.FromMillis(heartbeat.LeaseAllowanceMS))
@@ -126,10 +124,10 @@
 // balancer needs to drop this node. A link is found down sooner than a lease ends, so every change of
 // leader would otherwise take all nodes out of service for seconds.
 func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
-	if c.links == nil || !c.heardWithin(leader, peerTimeout) {
+	if !c.links.Enabled() || !c.heardWithin(leader, peerTimeout) {
 		return false
 	}
-	d, _ := c.links.downDuration(leader)
+	d, _ := c.links.PeerDownFor(leader)
 	return d <= leaderLinkGrace
 }
 
@@ -152,7 +150,7 @@
 
 // reachable reports whether frames to a peer probably arrive.
 func (c *Controller) reachable(n ident.NodeID) bool {
-	if c.links != nil && !c.links.monitor.Delivering(peerEndpoint(n)) {
+	if !c.links.PeerDelivering(n) {
 		return false // it is heard, but cannot receive
 	}
 	return c.heardWithin(n, peerTimeout)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -116,7 +116,7 @@
 	if l.hasDirectContact(now) || !heardByPeers {
 		return
 	}
-	if l.controller.links != nil {
+	if l.controller.links.Enabled() {
 		return // the handover to a better placed peer takes care of it
 	}
 	l.unreachable[machine] = true
@@ -165,7 +165,7 @@
 	if l.hasHeartbeatSource() {
 		return true
 	}
-	if l.controller.links == nil {
+	if !l.controller.links.Enabled() {
 		l.resign(noHeartbeatSource)
 	}
 	return false
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -7,7 +7,6 @@
 	"opaldale/internal/authority"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/links"
 	"opaldale/internal/load"
 	"opaldale/internal/migration"
 	"opaldale/internal/rebalance"
@@ -221,22 +220,7 @@
 func (m *rebalancer) linksHealthy(move *migration.Move) bool {
 	l := m.leader
 	from, to := l.workers.Workers[move.From], l.workers.Workers[move.To]
-	return from != nil && to != nil && l.zoneLinksHealthy(from.Zone) && l.zoneLinksHealthy(to.Zone)
-}
-
-// zoneLinksHealthy says whether nothing speaks against the links to a zone's machines, as far as
-// links are watched.
-func (l *leaderTerm) zoneLinksHealthy(zone string) bool {
-	if l.controller.links == nil {
-		return true
-	}
-	for _, direction := range []links.Direction{links.Inbound, links.Outbound} {
-		verdict := l.controller.links.monitor.Verdict(machinesEndpoint(zone), direction)
-		if verdict.Damped || verdict.State == links.Suspect || verdict.State == links.Down {
-			return false
-		}
-	}
-	return true
+	return from != nil && to != nil && l.controller.links.ZoneHealthy(from.Zone) && l.controller.links.ZoneHealthy(to.Zone)
 }
 
 // destinationState says whether a move's destination still has the room that was kept on it.
--- a/internal/controller/rebalancer_input.go
+++ b/internal/controller/rebalancer_input.go
@@ -75,7 +75,7 @@
 	input := &rebalance.Cluster{Waiting: waiting, Fits: m.fetchTimeIfFits}
 	for _, w := range l.workers.Sorted() {
 		switch {
-		case w.Type == nil || !l.zoneLinksHealthy(w.Zone):
+		case w.Type == nil || !l.controller.links.ZoneHealthy(w.Zone):
 		case w.Slow && m.recentlyHeard(w):
 			input.SlowMachines = append(input.SlowMachines, &rebalance.SlowMachine{Machine: *m.machineInput(w, now), Slowness: m.speedTracker.Slowness(w.ID)})
 		case m.usable(w) && !l.planner.IsReserved(w):
--- a/internal/controller/link_report.go
+++ b/internal/linktracker/report.go
@@ -1,14 +1,16 @@
-package controller
+package linktracker
 
 import (
+	"slices"
 	"time"
 
+	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/links"
 )
 
-// LinkReport is what operators are shown of a node's links.
-type LinkReport struct {
+// Report is what operators are shown of a node's links.
+type Report struct {
 	Node           ident.NodeID         `json:"node"`
 	Enabled        bool                 `json:"enabled"`
 	Authority      string               `json:"authority"`
@@ -16,7 +18,7 @@
 	Links          []LinkEntry          `json:"links"`
 	Advertisements []AdvertisementEntry `json:"rows"`
 	Handovers      []HandoverEntry      `json:"handovers"`
-	// HandoverCount counts all of them, also those that are not listed any more.
+	// HandoverCount counts all handovers, also those that are not listed any more.
 	HandoverCount uint64            `json:"handover_count"`
 	Dropped       map[string]uint64 `json:"dropped"`
 }
@@ -35,14 +37,14 @@
 	Breaks    uint64  `json:"breaks"`
 }
 
-// AdvertisementEntry is a sibling's view of its links, as it is known here.
+// AdvertisementEntry is a peer's account of its links, as it is known here.
 type AdvertisementEntry struct {
 	Origin ident.NodeID     `json:"origin"`
 	AgeS   float64          `json:"age_s"`
 	Links  []AdvertisedLink `json:"links"`
 }
 
-// AdvertisedLink is one link of a sibling.
+// AdvertisedLink is one link of a peer.
 type AdvertisedLink struct {
 	Peer     string `json:"peer"`
 	Inbound  string `json:"inbound"`
@@ -51,7 +53,7 @@
 	Damped   bool   `json:"damped,omitempty"`
 }
 
-// HandoverEntry is one lead that was given up.
+// HandoverEntry is one term that the node has ended by its own choice.
 type HandoverEntry struct {
 	Term           uint64       `json:"term"`
 	AgoS           float64      `json:"ago_s"`
@@ -61,46 +63,56 @@
 	SuccessorScore int          `json:"successor_standing"`
 }
 
-// LinkReport tells what is known of the node's links.
-func (c *Controller) LinkReport() LinkReport {
-	report := LinkReport{
-		Node:           c.settings.Node,
-		Enabled:        c.links != nil,
-		Authority:      c.updateAuthority().String(),
-		Links:          []LinkEntry{},
-		Advertisements: []AdvertisementEntry{},
-		Handovers:      []HandoverEntry{},
-		Dropped:        map[string]uint64{},
-	}
-	if c.links == nil {
-		return report
-	}
-	if c.leader != nil {
-		report.Handover = c.leader.handover.State().String()
+// HandoverRecord is one term that this node has ended by its own choice.
+type HandoverRecord struct {
+	Term           ident.Term
+	At             ident.MonotonicTime
+	To             ident.NodeID
+	Reason         handover.Reason
+	OwnScore       links.Score
+	SuccessorScore links.Score
+}
+
+// maxHandoverRecords bounds the handovers remembered for operators.
+const maxHandoverRecords = 8
+
+// RecordHandover remembers a handover that has been announced.
+func (t *Tracker) RecordHandover(record HandoverRecord) {
+	t.handovers = append(t.handovers, record)
+	if len(t.handovers) > maxHandoverRecords {
+		t.handovers = slices.Delete(t.handovers, 0, len(t.handovers)-maxHandoverRecords)
 	}
-	now := c.env.Now()
-	tracker := c.links
-	report.Links = tracker.linkEntries(now)
-	for _, r := range tracker.advertisements.Advertisements(now) {
-		report.Advertisements = append(report.Advertisements, advertisementEntry(r))
+}
+
+// CountHandover counts a term that has ended by a handover.
+func (t *Tracker) CountHandover() { t.handoverCount++ }
+
+// FillReport puts what is known of the links into a report.
+func (t *Tracker) FillReport(report *Report) {
+	now := t.env.Now()
+	report.Links = t.linkEntries(now)
+	for _, advertisement := range t.advertisements.Advertisements(now) {
+		report.Advertisements = append(report.Advertisements, advertisementEntry(advertisement))
 	}
-	for _, h := range tracker.handoverRecords {
-		report.Handovers = append(report.Handovers, handoverEntry(h, now))
+	for _, record := range t.handovers {
+		report.Handovers = append(report.Handovers, handoverEntry(record, now))
 	}
-	report.HandoverCount = tracker.handoverCount
-	for reason, n := range tracker.droppedByReason {
+	report.HandoverCount = t.handoverCount
+	for reason, n := range t.dropped.byReason {
 		report.Dropped[reason.String()] = n
 	}
-	report.Dropped["undated"] = tracker.droppedUndated
-	return report
+	report.Dropped[undatedLabel] = t.dropped.undated
 }
 
+// undatedLabel stands for advertisements that could not be dated, beside the reasons of links.MergeResult.
+const undatedLabel = "undated"
+
 // linkEntries lists the verdicts on all directions of the node's links.
-func (v *linkTracker) linkEntries(now ident.MonotonicTime) []LinkEntry {
+func (t *Tracker) linkEntries(now ident.MonotonicTime) []LinkEntry {
 	entries := []LinkEntry{}
-	for _, p := range v.monitor.Endpoints() {
-		for _, d := range []links.Direction{links.Inbound, links.Outbound} {
-			verdict := v.monitor.Verdict(p, d)
+	for _, p := range t.monitor.Endpoints() {
+		for _, d := range directions {
+			verdict := t.monitor.Verdict(p, d)
 			entries = append(entries, LinkEntry{
 				Peer:      p.String(),
 				Direction: d.String(),
@@ -110,7 +122,7 @@
 				Level:     verdict.Level,
 				DurationS: roundSeconds(now.Sub(verdict.Since)),
 				Damped:    verdict.Damped,
-				Refusing:  v.monitor.Refusing(p),
+				Refusing:  t.monitor.Refusing(p),
 				Breaks:    verdict.Breaks,
 			})
 		}
@@ -143,5 +155,5 @@
 	}
 }
 
-// roundSeconds gives a duration in seconds, to the millisecond.
+// roundSeconds returns a duration in seconds, to the millisecond.
 func roundSeconds(d time.Duration) float64 { return d.Round(time.Millisecond).Seconds() }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -23,6 +23,7 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/kvstoretest"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/load"
 	"opaldale/internal/migration"
 	"opaldale/internal/settings"
@@ -99,8 +100,8 @@
 func (goldenCollector) Describe(chan<- *prometheus.Desc) {}
 
 func (goldenCollector) Collect(ch chan<- prometheus.Metric) {
-	collectLinks(ch, controller.LinkReport{Enabled: true, Authority: "deciding", HandoverCount: 11, Dropped: map[string]uint64{"expired": 12, "undated": 13},
-		Links: []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
+	collectLinks(ch, linktracker.Report{Enabled: true, Authority: "deciding", HandoverCount: 11, Dropped: map[string]uint64{"expired": 12, "undated": 13},
+		Links: []linktracker.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
 			{Peer: "cloud", Direction: "outbound", StateCode: 1, Breaks: 15}}})
 	collectLoad(ch, controller.Stats{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
 		Reservations: 27, MoveRoundsSkipped: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -9,6 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/transport"
 )
 
@@ -161,7 +162,7 @@
 )
 
 // collectLinks shows what the node knows of its links.
-func collectLinks(ch chan<- prometheus.Metric, report controller.LinkReport) {
+func collectLinks(ch chan<- prometheus.Metric, report linktracker.Report) {
 	ch <- prometheus.MustNewConstMetric(authorityState, prometheus.GaugeValue, 1, report.Authority)
 	if !report.Enabled {
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,6 +17,7 @@
 	"opaldale/internal/httpcall"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 	"opaldale/internal/workers"
@@ -227,7 +228,7 @@
 }
 
 // linkReport asks the loop what is known of the links.
-func (s *Server) linkReport() controller.LinkReport {
+func (s *Server) linkReport() linktracker.Report {
 	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
