--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -25,6 +25,7 @@
 	"opaldale/internal/machinestore"
 	"opaldale/internal/migration"
 	"opaldale/internal/rebalance"
+	"opaldale/internal/rebalancer"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 	"opaldale/internal/workers"
@@ -255,7 +256,7 @@
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
 	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
-	d.Add("rounds without a plan", namesOf(holdReasonCount-1, holdReason.String))
+	d.Add("rounds without a plan", namesOf(rebalancer.HoldNothingWaiting, rebalancer.HoldReason.String))
 	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
 	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
 	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -16,6 +16,7 @@
 	"opaldale/internal/load"
 	"opaldale/internal/machinestore"
 	"opaldale/internal/placement"
+	"opaldale/internal/rebalancer"
 	"opaldale/internal/renewal"
 	"opaldale/internal/settings"
 	"opaldale/internal/storereader"
@@ -75,10 +76,10 @@
 	unreachable       map[*workers.Worker]bool // heard by peers, and not reached from here since
 	lastReachProbe    ident.MonotonicTime      // when one of them was last probed
 
-	handover       *handover.Coordinator // nil unless links are watched
-	machinesByZone map[string]int        // machines that should be reachable
-	loadModel      *load.Model           // nil unless load is watched
-	rebalancer     *rebalancer           // nil unless load is watched
+	handover       *handover.Coordinator  // nil unless links are watched
+	machinesByZone map[string]int         // machines that should be reachable
+	loadModel      *load.Model            // nil unless load is watched
+	rebalancer     *rebalancer.Rebalancer // nil unless load is watched
 }
 
 // newLeaderTerm returns a term that has loaded nothing yet.
@@ -170,7 +171,7 @@
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
 			if l.rebalancer != nil {
-				l.rebalancer.noteCompletion(t, w)
+				l.rebalancer.NoteCompletion(t, w)
 			}
 		},
 		Persist:         func(w *workers.Worker) { l.machines.Commit(w) },
@@ -315,7 +316,7 @@
 func (l *leaderTerm) planningRound() {
 	l.planner.Round()
 	if l.rebalancer != nil {
-		l.rebalancer.planRound()
+		l.rebalancer.PlanRound()
 	}
 	l.requestDispatch()
 	if l.planner.Stats.Rounds%statsLogRounds == 0 {
@@ -355,7 +356,7 @@
 	if l.loaded() {
 		l.gangs.ProcessChanges()
 		if l.rebalancer != nil {
-			l.rebalancer.advance()
+			l.rebalancer.Advance()
 		}
 	}
 	if l.state.dispatchDue() && l.controller.allows(authority.Place) {
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"slices"
 	"time"
 
 	"opaldale/internal/ident"
@@ -15,8 +14,8 @@
 type MoveReport struct {
 	Node ident.NodeID       `json:"node"`
 	Mode settings.Rebalance `json:"mode"`
-	// Leader says that the node leads, and knows where each move stands. Another one shows
-	// what the state service has on record of the jobs that are not over.
+	// Leader says that the node leads, and knows the state of each move. Another node shows what the
+	// store has on record of the jobs that are not over.
 	Leader bool        `json:"leads"`
 	Moves  []MoveEntry `json:"moves"`
 	// Truncated says that more is on record than is shown.
@@ -42,15 +41,15 @@
 	RealisedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
 
-// stateRecorded stands for the state of a move that another node carries out.
+// stateRecorded is shown as the state of a move that another node carries out.
 const stateRecorded = "recorded"
 
-// MoveReport tells what this node knows of moves; reply is called once.
+// MoveReport reports what this node knows of moves. reply is called once, now or in a later event.
 func (c *Controller) MoveReport(reply func(MoveReport)) {
 	report := MoveReport{Node: c.settings.Node, Mode: c.settings.Tuning.Rebalance, Moves: []MoveEntry{}}
 	if l := c.leader; l != nil && l.loaded() && l.rebalancer != nil {
 		report.Leader = true
-		report.Moves = l.rebalancer.moveEntries(c.env.Now())
+		report.Moves = moveEntries(l.rebalancer.Moves(), c.env.Now())
 		reply(report)
 		return
 	}
@@ -59,12 +58,13 @@
 		reply(report)
 		return
 	}
-	c.env.Store(kvstore.Request{Op: kvstore.List, Prefix: migration.Prefix, Timeout: storeTimeout}, func(a kvstore.Response) {
-		if a.Outcome != kvstore.OK {
+	list := kvstore.Request{Op: kvstore.List, Prefix: migration.Prefix, Timeout: storeTimeout}
+	c.env.Store(list, func(r kvstore.Response) {
+		if r.Outcome != kvstore.OK {
 			report.Error = errStoreUnavailable.Error()
 		}
-		report.Truncated = a.Truncated
-		for _, p := range a.KeyValues {
+		report.Truncated = r.Truncated
+		for _, p := range r.KeyValues {
 			report.Moves = append(report.Moves, recordedMoves(p, c.env.WallMS())...)
 		}
 		reply(report)
@@ -75,7 +75,7 @@
 func recordedMoves(p kvstore.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(p.Value)
 	if err != nil {
-		slog.Error("unreadable record of moves", "path", p.Key, "err", err)
+		slog.Error("unreadable move record in store", "path", p.Key, "err", err)
 		return nil
 	}
 	job := ident.JobID(p.Key[len(migration.Prefix):])
@@ -97,11 +97,11 @@
 	return out
 }
 
-// moveEntries lists the moves under way, and those that have ended of late.
-func (m *rebalancer) moveEntries(now ident.MonotonicTime) []MoveEntry {
+// moveEntries lists moves that this node knows.
+func moveEntries(moves []*migration.Move, now ident.MonotonicTime) []MoveEntry {
 	out := []MoveEntry{}
-	for _, move := range slices.Concat(m.moves.Active(), m.moves.Recent()) {
-		e := MoveEntry{
+	for _, move := range moves {
+		entry := MoveEntry{
 			Task:          move.Task.String(),
 			Team:          move.Team,
 			From:          move.From,
@@ -116,28 +116,9 @@
 		}
 		if move.State.Ended() {
 			gain := move.RealizedGain().Seconds()
-			e.RealisedGainS = &gain
+			entry.RealisedGainS = &gain
 		}
-		out = append(out, e)
+		out = append(out, entry)
 	}
 	return out
 }
-
-// fillStats fills in the counters of moves.
-func (m *rebalancer) fillStats(stats *Stats) {
-	stats.MovesProposed, stats.MoveGainSeconds = m.proposedMoves, m.proposedGain.Seconds()
-	stats.SlowMachines = m.slowMachines
-	stats.MovesActive, stats.MovesEnded = len(m.moves.Active()), m.moves.ByReason()
-	stats.MoveRealisedSeconds = m.moves.TotalGain.Seconds()
-	stats.MoveRoundsSkipped = map[string]uint64{}
-	for hold, n := range m.skippedRounds {
-		if n > 0 {
-			stats.MoveRoundsSkipped[holdReason(hold).String()] = n
-		}
-	}
-	for _, w := range m.leader.workers.Sorted() {
-		if w.HasReservation() {
-			stats.Reservations++
-		}
-	}
-}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, p := range stored.moves {
-		l.rebalancer.history.Load(p.Key, p.Value, p.Revision)
+		l.rebalancer.Restore(p)
 	}
 	slog.Info("state loaded", "term", uint64(l.term), "jobs", len(l.jobs.Jobs), "machines", len(l.workers.Workers),
 		"took_ms", l.env.Now().Sub(began).Milliseconds())
@@ -94,7 +94,7 @@
 		l.gangs.Adopt(j)
 	}
 	if l.rebalancer != nil {
-		l.rebalancer.takeOver()
+		l.rebalancer.TakeOver()
 	}
 	l.handle(stateLoaded)
 	if l.formatLevel < ident.NewestFormatLevel {
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -5,45 +5,73 @@
 	"opaldale/internal/migration"
 )
 
-// Stats is what the metrics show of a node.
+// Stats are the counters and gauges that the metrics show of a node. Those that concern the cluster are zero unless the
+// node leads.
 type Stats struct {
-	Leading, LeadershipValid                                bool
-	Term                                                    uint64
-	Jobs, TasksHeld, TasksWaiting                           int
-	Machines                                                map[string]int
-	PlacedPlanned, PlacedLocal, PlacedNew, PlacedStolen     uint64
-	PlacedServices, PlacedGangs, Preempted                  uint64
-	PlanRounds, PlanExtraRounds                             uint64
-	FetchedGB, PlanSeconds                                  float64
+	Leading         bool // also past the validity of the lease
+	LeadershipValid bool
+	Term            uint64
+	TermsBegun      uint64
+	FormatLevel     uint8
+
+	// Requests of users and workers at this node.
+	Forwarded, Refused  uint64
+	LeasesKept, Relayed uint64
+
+	Jobs, TasksHeld, TasksWaiting int
+	Machines                      map[string]int // by state
+
+	// Placement.
+	PlacedPlanned, PlacedLocal, PlacedNew, PlacedStolen uint64
+	PlacedServices, PlacedGangs, Preempted              uint64
+	PlanRounds, PlanExtraRounds                         uint64
+	FetchedGB, PlanSeconds                              float64
+	GangsStarted, GangsLost                             uint64
+	GangsReplaced, GangsStopped                         uint64
+
+	// Machines and their workers.
 	MachinesProvisioned, MachinesTerminated, MachinesFenced uint64
-	Txns, Puts, TxnRetries                                  uint64
 	TasksLost, CommandFences, StaleHeartbeats               uint64
-	Forwarded, Refused, TermsBegun                          uint64
-	LeasesKept, Relayed                                     uint64
-	FormatLevel                                             uint8
-	TxnsRejected                                            uint64
-	GangsStarted, GangsLost                                 uint64
-	GangsReplaced, GangsStopped                             uint64
-	Imbalance                                               float64 // of the machines' use, while load is watched
-	TeamLoads                                               []load.TeamDemand
-	MovesProposed                                           uint64
-	MoveGainSeconds                                         float64
-	MovesActive                                             int               // under way
-	MoveRoundsSkipped                                       map[string]uint64 // rounds without a plan of moves, by why
-	MovesEnded                                              []migration.Outcome
-	SlowMachines                                            int // on which nothing more is placed
-	Reservations                                            int // machines on which room is kept for a move
-	MoveRealisedSeconds                                     float64
+
+	// Writes to the store.
+	Txns, Puts, TxnRetries, TxnsRejected uint64
+
+	// Load and moves of running tasks, while load is watched.
+	Imbalance           float64 // of the machines' use
+	TeamLoads           []load.TeamDemand
+	MovesProposed       uint64
+	MoveGainSeconds     float64
+	MovesActive         int
+	MoveRoundsSkipped   map[string]uint64 // rounds without a plan of moves, by reason
+	MovesEnded          []migration.Outcome
+	SlowMachines        int // on which nothing more is placed
+	Reservations        int // machines on which room is reserved for a move
+	MoveRealisedSeconds float64
 }
 
-// Stats reads the node's counters.
+// Stats returns the node's counters.
 func (c *Controller) Stats() Stats {
-	stats := Stats{Leading: c.leader != nil, LeadershipValid: c.election.LeaseValid(), Term: uint64(c.election.Term()), Machines: map[string]int{},
-		Forwarded: c.Forwarded, Refused: c.Refused, TermsBegun: c.Elections, LeasesKept: c.LeasesKept, Relayed: c.Relayed, FormatLevel: uint8(c.formatLevel)}
-	l := c.leader
-	if l == nil || !l.loaded() {
-		return stats
+	stats := Stats{
+		Leading:         c.leader != nil,
+		LeadershipValid: c.election.LeaseValid(),
+		Term:            uint64(c.election.Term()),
+		TermsBegun:      c.Elections,
+		FormatLevel:     uint8(c.formatLevel),
+		Forwarded:       c.Forwarded,
+		Refused:         c.Refused,
+		LeasesKept:      c.LeasesKept,
+		Relayed:         c.Relayed,
+		Machines:        map[string]int{},
+	}
+	if l := c.leader; l != nil && l.loaded() {
+		l.fillTableStats(&stats)
+		l.fillPlacementStats(&stats)
+		l.fillLoadStats(&stats)
 	}
+	return stats
+}
+
+func (l *leaderTerm) fillTableStats(stats *Stats) {
 	stats.Jobs = len(l.jobs.Jobs)
 	for _, j := range l.jobs.Jobs {
 		stats.TasksHeld += j.AllocatedTasks
@@ -52,18 +80,50 @@
 	for _, w := range l.workers.Workers {
 		stats.Machines[w.State.String()]++
 	}
-	placed := l.planner.Stats
-	stats.PlacedPlanned, stats.PlacedLocal, stats.PlacedNew, stats.PlacedStolen = placed.Planned, placed.Local, placed.Uncached, placed.Stolen
-	stats.PlacedServices, stats.PlacedGangs, stats.Preempted, stats.PlanRounds, stats.PlanExtraRounds = placed.Services, placed.Gangs, placed.Preempted, placed.Rounds, placed.ExtraRounds
-	stats.FetchedGB, stats.PlanSeconds = placed.FetchedGB, placed.PlanTime.Seconds()
-	stats.MachinesProvisioned, stats.MachinesTerminated, stats.MachinesFenced = l.fleet.Provisioned, l.fleet.Terminated, l.fleet.Fenced
-	stats.Txns, stats.Puts, stats.TxnRetries = l.committer.Txns, l.committer.Puts, l.committer.Retries
+	stats.MachinesProvisioned = l.fleet.Provisioned
+	stats.MachinesTerminated = l.fleet.Terminated
+	stats.MachinesFenced = l.fleet.Fenced
+	stats.TasksLost = l.workers.LostTasks
+	stats.CommandFences = l.workers.FencedCommands
+	stats.StaleHeartbeats = l.workers.StaleHeartbeats
+	stats.Txns = l.committer.Txns
+	stats.Puts = l.committer.Puts
+	stats.TxnRetries = l.committer.Retries
 	stats.TxnsRejected = l.committer.Rejected
-	stats.GangsStarted, stats.GangsLost, stats.GangsReplaced, stats.GangsStopped = l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped
-	if l.loadModel != nil {
-		l.rebalancer.fillStats(&stats)
-		stats.Imbalance, stats.TeamLoads = l.loadModel.Imbalance(), l.loadModel.Teams(c.env.Now())
+}
+
+func (l *leaderTerm) fillPlacementStats(stats *Stats) {
+	placed := l.planner.Stats
+	stats.PlacedPlanned = placed.Planned
+	stats.PlacedLocal = placed.Local
+	stats.PlacedNew = placed.Uncached
+	stats.PlacedStolen = placed.Stolen
+	stats.PlacedServices = placed.Services
+	stats.PlacedGangs = placed.Gangs
+	stats.Preempted = placed.Preempted
+	stats.PlanRounds = placed.Rounds
+	stats.PlanExtraRounds = placed.ExtraRounds
+	stats.FetchedGB = placed.FetchedGB
+	stats.PlanSeconds = placed.PlanTime.Seconds()
+	stats.GangsStarted = l.gangs.Started
+	stats.GangsLost = l.gangs.Lost
+	stats.GangsReplaced = l.gangs.Replaced
+	stats.GangsStopped = l.gangs.Stopped
+}
+
+func (l *leaderTerm) fillLoadStats(stats *Stats) {
+	if l.loadModel == nil {
+		return
 	}
-	stats.TasksLost, stats.CommandFences, stats.StaleHeartbeats = l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats
-	return stats
+	stats.Imbalance = l.loadModel.Imbalance()
+	stats.TeamLoads = l.loadModel.Teams(l.env.Now())
+	moves := l.rebalancer.Stats()
+	stats.MovesProposed = moves.Proposed
+	stats.MoveGainSeconds = moves.ProposedGain.Seconds()
+	stats.MovesActive = moves.Active
+	stats.MoveRoundsSkipped = moves.SkippedRounds
+	stats.MovesEnded = moves.Ended
+	stats.SlowMachines = moves.SlowMachines
+	stats.Reservations = moves.Reservations
+	stats.MoveRealisedSeconds = moves.RealizedGain.Seconds()
 }
--- /dev/null
+++ b/internal/rebalancer/hold.go
@@ -0,0 +1,93 @@
+package rebalancer
+
+import (
+	"fmt"
+	"time"
+
+	"opaldale/internal/ident"
+	"opaldale/internal/workers"
+)
+
+// HoldReason says why no move is proposed at a moment.
+type HoldReason uint8
+
+// The reasons. Their names are labels of a metric.
+const (
+	HoldNone           HoldReason = iota
+	HoldPlanBudget                // planning has used up its share of the time
+	HoldNoAuthority               // the leader has no authority to place tasks
+	HoldNewTerm                   // the term has just begun
+	HoldWriteBacklog              // decisions are still being written
+	HoldTeamCooled                // an overloaded team has just cooled
+	HoldFleetUnstable             // many machines are silent, drained or being terminated
+	HoldNothingWaiting            // no task has waited for long enough
+	holdReasonCount
+)
+
+var holdReasonNames = [holdReasonCount]string{
+	"none", "plans take their share of the time", "no authority", "settling", "writes wait", "a hot team has cooled",
+	"machines leave", "nobody waits",
+}
+
+func (r HoldReason) String() string {
+	if r < holdReasonCount {
+		return holdReasonNames[r]
+	}
+	return fmt.Sprintf("restraint %d", uint8(r))
+}
+
+const (
+	// cooldownAfterHotTeam is how long nothing is proposed after an overloaded team has cooled.
+	cooldownAfterHotTeam = 5 * time.Second
+	// unstableFleetDivisor and minUnstableMachines bound the machines that may be leaving while moves are proposed:
+	// one in so many, and a few in a small fleet.
+	unstableFleetDivisor = 20
+	minUnstableMachines  = 2
+)
+
+// currentHold says why this is no time to move tasks: a recent election, something in doubt, or machines that leave
+// in numbers. What is only reported needs no more than the time to plan it.
+func (r *Rebalancer) currentHold(now ident.MonotonicTime) HoldReason {
+	switch {
+	case now < r.nextPlanAt:
+		return HoldPlanBudget
+	case !r.config.Execute:
+		return HoldNone
+	case !r.leader.MayPlace():
+		return HoldNoAuthority
+	case now.Sub(r.tookOverAt) < r.config.Limits.LeaderSettleTime:
+		return HoldNewTerm // machines of earlier terms may not have reported yet
+	case r.committer.Backlog() > 0:
+		return HoldWriteBacklog
+	case r.teamCooledAt > 0 && now.Sub(r.teamCooledAt) < cooldownAfterHotTeam:
+		return HoldTeamCooled
+	case r.fleetUnstable():
+		return HoldFleetUnstable
+	}
+	return HoldNone
+}
+
+// fleetUnstable reports whether many machines are silent, drained, or being terminated or reclaimed.
+func (r *Rebalancer) fleetUnstable() bool {
+	leaving, all := 0, 0
+	for _, w := range r.workers.Sorted() {
+		switch {
+		case isLeaving(w):
+			leaving++
+			all++
+		case w.State == workers.Up:
+			all++
+		}
+	}
+	return leaving > max(minUnstableMachines, all/unstableFleetDivisor)
+}
+
+func isLeaving(w *workers.Worker) bool {
+	switch w.State {
+	case workers.Unreachable, workers.Terminating:
+		return true
+	case workers.Up:
+		return w.ReclaimAt > 0 || w.Cordoned
+	}
+	return false
+}
--- /dev/null
+++ b/internal/rebalancer/slow_machines.go
@@ -0,0 +1,45 @@
+package rebalancer
+
+import (
+	"log/slog"
+
+	"opaldale/internal/jobs"
+	"opaldale/internal/workers"
+)
+
+// NoteCompletion notes how long a task ran, if that is comparable with its siblings: a task that has resumed from a
+// checkpoint needs less, and of one that an earlier term placed the start is not known.
+func (r *Rebalancer) NoteCompletion(t *jobs.Task, w *workers.Worker) {
+	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
+	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
+		return
+	}
+	r.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, r.leader.Now().Sub(t.RunningSince))
+}
+
+// DetectSlowMachines looks for machines that are much slower than others. Nothing more is placed on them; their tasks
+// end or are moved, and an empty one is terminated.
+func (r *Rebalancer) DetectSlowMachines() {
+	if !r.config.Execute {
+		return
+	}
+	r.slowMachines = 0
+	all := r.workers.Sorted()
+	for _, w := range all {
+		switch {
+		case w.State == workers.Terminated:
+			r.speedTracker.RemoveMachine(w.ID)
+		case w.State == workers.Up && r.speedTracker.IsSlow(w.ID, len(all)):
+			r.slowMachines++
+			r.markSlow(w)
+		}
+	}
+}
+
+func (r *Rebalancer) markSlow(w *workers.Worker) {
+	if w.Slow {
+		return
+	}
+	w.Slow = true
+	slog.Info("machine is slow", "machine", string(w.ID), "slowness", r.speedTracker.Slowness(w.ID), "tasks", len(w.Tasks))
+}
