--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -95,8 +95,8 @@
 
 // rejectionReason says why a job can never run.
 func (l *leaderTerm) rejectionReason(spec *api.Spec) string {
-	if reason := l.teams.RejectReason(spec); reason != "" {
-		return reason
+	if err := l.teams.Validate(spec); err != nil {
+		return err.Error()
 	}
 	for i := range l.machineTypes {
 		machineType := &l.machineTypes[i]
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -126,8 +126,12 @@
 	workerSettings := c.settings.Cluster.Workers
 	env := leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}
 	l.workers = workers.NewTable(env, l.jobs, l.workersConfig())
-	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, c.settings.Tuning.PlanMode == "asm1", c.settings.Cluster.Objectives)
-	l.planner.MaxWait, l.planner.GangWait = c.settings.Tuning.StarvationTimeout, c.settings.Tuning.GangPreemptAfter
+	l.planner = placement.NewPlanner(l.teams, l.jobs, l.workers, l, c.env.Now, placement.Config{
+		UseASM1:    c.settings.Tuning.PlanMode == "asm1",
+		Objectives: c.settings.Cluster.Objectives,
+		MaxWait:    c.settings.Tuning.StarvationTimeout,
+		GangWait:   c.settings.Tuning.GangPreemptAfter,
+	})
 	if c.links != nil {
 		handoverConfig := handover.DefaultConfig()
 		handoverConfig.MinTermDuration, handoverConfig.StabilizationWindow = c.settings.Tuning.Links.MinLeadTime, c.settings.Tuning.Links.BetterPeerFor
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -50,7 +50,7 @@
 
 // Place carries out a decision: it is launched once it is durable.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
-	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
+	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", t.Job.WithinQuota,
 		"age_s", l.controller.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation, func() {
 		if l.closed || !l.controller.allows(authority.Launch) {
@@ -65,7 +65,7 @@
 
 // PlaceGang carries out the decision for all tasks of a gang that wait.
 func (l *leaderTerm) PlaceGang(j *jobs.Job, picks []gang.Placement) {
-	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.WithinGuarantee(j),
+	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", j.WithinQuota,
 		"age_s", l.controller.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, picks)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -71,7 +71,7 @@
 		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
 		Persist: func(w *workers.Worker) { w.Persisted = true }, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }})
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
-	l.planner = NewPlanner(teams, l.jobs, l.machines, l, l.Now, true, nil)
+	l.planner = NewPlanner(teams, l.jobs, l.machines, l, l.Now, Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour})
 	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
 		w := l.machines.Workers[t.MachineID]
 		if !from.Allocated() && to.Allocated() {
--- a/internal/placement/first_task.go
+++ b/internal/placement/first_task.go
@@ -14,7 +14,7 @@
 // usual order.
 func (p *Planner) placeFirstTasks() {
 	for _, j := range p.starvedJobs() {
-		if begun, ok := p.lastFirstTask[j.Spec.Team]; ok && p.now().Sub(begun) < p.MaxWait/firstTaskPacing {
+		if begun, ok := p.lastFirstTask[j.Spec.Team]; ok && p.now().Sub(begun) < p.config.MaxWait/firstTaskPacing {
 			continue
 		}
 		if !p.teams.Allows(j.Spec, 1) {
@@ -92,7 +92,7 @@
 
 // starved says whether a job has waited too long for its first task.
 func (p *Planner) starved(j *jobs.Job) bool {
-	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.MaxWait
+	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
 }
 
 // hasReservation says whether a machine is kept for the job already.
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if best == nil {
-		if now.Sub(j.SubmittedAt) > p.MaxWait/gangReserveDivisor {
+		if now.Sub(j.SubmittedAt) > p.config.MaxWait/gangReserveDivisor {
 			p.reserveForGang(j, len(tasks))
 		}
 		return
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -111,7 +111,7 @@
 // though smaller tasks would fill each gap.
 func TestGangsDontStarve(t *testing.T) {
 	l := newTwoZoneCluster(2, 0)
-	l.planner.MaxWait = 40 * time.Second
+	l.planner.config.MaxWait = 40 * time.Second
 	for range 8 {
 		l.submit(api.Batch, 1, 4)
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -30,7 +30,7 @@
 	began := time.Now()
 	p.Stats.Rounds++
 	p.clearPlans()
-	if !p.useASM1 {
+	if !p.config.UseASM1 {
 		return
 	}
 	d := p.demand()
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -32,9 +32,9 @@
 	machineTable     *workers.Table
 	actions          Actions
 	now              func() ident.MonotonicTime
-	useASM1          bool
-	finishObjectives map[string][]time.Duration // by lane: within which times jobs should be done, ascending
-	startObjectives  map[string]time.Duration   // by lane: within which time tasks should start
+	config           Config
+	finishObjectives map[string][]time.Duration // by class: within which times jobs should be done, ascending
+	startObjectives  map[string]time.Duration   // by class: within which time tasks should start
 
 	// ServiceHeadroom is the room in CPUs that arrays leave free on the ordinary
 	// machines of a zone, for services to come.
@@ -43,13 +43,6 @@
 	// SpreadLoad says whether the work of equal holders is spread over them, the least used first,
 	// rather than taken by name.
 	SpreadLoad func() bool
-	// MaxWait is how long a job may wait for its first task before it goes first.
-	MaxWait time.Duration
-
-	// GangWait is how long other work waits for room before a gang is stopped for it.
-	// (Gangs were stopped at once when a rack was lost, and again before they had their
-	// images, for replicas that found room within seconds.)
-	GangWait time.Duration
 
 	Stats Stats
 
@@ -99,15 +92,56 @@
 	PlanTime                         time.Duration
 }
 
+// Config holds the settings of a planner.
+type Config struct {
+	// UseASM1 makes each round assign the waiting batch tasks with ASM1. Without it idle
+	// machines take work from the queue alone.
+	UseASM1 bool
+	// Objectives are the service-level objectives by class of work.
+	Objectives []settings.Objective
+	// MaxWait is how long a job may wait for its first task before it goes first.
+	MaxWait time.Duration
+	// GangWait is how long other work waits for room before a gang is preempted for it. It
+	// exceeds the time in which most work finds room by itself, for instance after the loss of
+	// a rack or while a gang pulls its images.
+	GangWait time.Duration
+}
+
+// The kinds of service-level objectives.
+const (
+	objectiveFinish = "finished" // a job is done within a time
+	objectiveStart  = "wait"     // a task starts within a time
+)
+
 // NewPlanner makes a planner without a plan.
-func NewPlanner(teams *Teams, jobTable *jobs.Table, machineTable *workers.Table, actions Actions, now func() ident.MonotonicTime, useASM1 bool, objectives []settings.Objective) *Planner {
-	p := &Planner{teams: teams, jobs: jobTable, machineTable: machineTable, actions: actions, now: now, useASM1: useASM1, ServiceHeadroom: map[string]float64{}, MaxWait: time.Hour, GangWait: time.Hour, SpreadLoad: func() bool { return false },
-		starvationReserved: map[*workers.Worker]*jobs.Job{}, reservations: map[*workers.Worker]reservation{}, lastFirstTask: map[string]ident.MonotonicTime{}, finishObjectives: map[string][]time.Duration{}, startObjectives: map[string]time.Duration{}}
-	for _, o := range objectives {
+func NewPlanner(
+	teams *Teams,
+	jobTable *jobs.Table,
+	machineTable *workers.Table,
+	actions Actions,
+	now func() ident.MonotonicTime,
+	config Config,
+) *Planner {
+	p := &Planner{
+		teams:              teams,
+		jobs:               jobTable,
+		machineTable:       machineTable,
+		actions:            actions,
+		now:                now,
+		config:             config,
+		ServiceHeadroom:    map[string]float64{},
+		SpreadLoad:         func() bool { return false },
+		starvationReserved: map[*workers.Worker]*jobs.Job{},
+		reservations:       map[*workers.Worker]reservation{},
+		lastFirstTask:      map[string]ident.MonotonicTime{},
+		finishObjectives:   map[string][]time.Duration{},
+		startObjectives:    map[string]time.Duration{},
+	}
+	for _, o := range config.Objectives {
 		switch o.Kind {
-		case "finished":
+		case objectiveFinish:
 			p.finishObjectives[o.Class] = append(p.finishObjectives[o.Class], settings.Seconds(o.WithinS))
-		case "wait":
+		case objectiveStart:
 			p.startObjectives[o.Class] = settings.Seconds(o.WithinS)
 		}
 	}
@@ -243,6 +277,3 @@
 	p.ReleaseReservation(w, t.Job)
 	p.placed++
 }
-
-// WithinGuarantee says whether a job lay within its team's guarantee at the last dispatch.
-func (p *Planner) WithinGuarantee(j *jobs.Job) bool { return j.WithinQuota }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -60,7 +60,7 @@
 	if !p.hasVictims(j) {
 		return false
 	}
-	key := victimSearchKey{job: j, holdersOnly: holdersOnly, includeGangs: !holdersOnly && now.Sub(t.StateSince) > p.GangWait}
+	key := victimSearchKey{job: j, holdersOnly: holdersOnly, includeGangs: !holdersOnly && now.Sub(t.StateSince) > p.config.GangWait}
 	best := p.cheapestPreemption(key, now)
 	if best == nil {
 		return false
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -62,7 +62,7 @@
 	age := p.now().Sub(j.SubmittedAt)
 	// The order below puts off what is large or late for as long as other work
 	// comes; nothing else bounds how long.
-	if age > overdueFactor*p.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
+	if age > overdueFactor*p.config.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
 		return overdue
 	}
 	objectives := p.finishObjectives[j.Spec.Class]
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"errors"
 	"slices"
 
 	"opaldale/internal/api"
@@ -39,20 +40,28 @@
 	return ts
 }
 
-// RejectReason says why a job can never run within its team's limit, "" if it can.
-func (ts *Teams) RejectReason(s *api.Spec) string {
+// The errors of Teams.Validate. Their texts are sent to the user who submitted the job.
+var (
+	// ErrUnknownTeam says that the settings have no such team.
+	ErrUnknownTeam = errors.New("desk: unknown team")
+	// ErrOverQuota says that the job needs more than its team may ever use.
+	ErrOverQuota = errors.New("desk: over the team's limit")
+)
+
+// Validate returns ErrUnknownTeam or ErrOverQuota if a job can never run within its team's limit.
+func (ts *Teams) Validate(s *api.Spec) error {
 	t := ts.byName[s.Team]
 	if t == nil {
-		return "desk: unknown team"
+		return ErrUnknownTeam
 	}
 	n := 1.0
 	if s.Shape != api.Batch {
 		n = float64(s.Tasks)
 	}
 	if n*s.VCPUs > t.CPUsMax+tolerance || n*s.GPUs > t.GPUsMax+tolerance {
-		return "desk: over the team's limit"
+		return ErrOverQuota
 	}
-	return ""
+	return nil
 }
 
 // AddUsage adds or removes a task's use.
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -12,16 +12,16 @@
 func TestBorrowerHasNoLimit(t *testing.T) {
 	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "guest"}})
 	bigJob := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
-	if why := ts.RejectReason(bigJob); why != "" {
-		t.Error(why)
+	if err := ts.Validate(bigJob); err != nil {
+		t.Error(err)
 	}
 	ts.AddUsage(bigJob, 5000)
 	if !ts.Allows(bigJob, 1) || ts.RemainingTasks(bigJob) != api.MaxTasks {
 		t.Errorf("room for %d", ts.RemainingTasks(bigJob))
 	}
 	house := &api.Spec{Team: "house", Shape: api.Batch, Tasks: 1, VCPUs: 2}
-	if ts.RemainingTasks(house) != 8 || ts.RejectReason(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 17}) == "" ||
-		ts.RejectReason(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 1, GPUs: 1}) == "" {
+	if ts.RemainingTasks(house) != 8 || ts.Validate(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 17}) != ErrOverQuota ||
+		ts.Validate(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 1, GPUs: 1}) != ErrOverQuota {
 		t.Errorf("a team with a limit: room for %d", ts.RemainingTasks(house))
 	}
 }
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -200,7 +200,7 @@
 		}
 	}
 	// Steal. Without a plan, from the waiting tasks at large.
-	if !p.useASM1 {
+	if !p.config.UseASM1 {
 		for _, j := range p.batchJobs[p.activeRange.from:p.activeRange.to] {
 			if p.canTakeAnyOf(j, w) {
 				return p.nextTask(j), &p.Stats.Stolen
@@ -214,7 +214,7 @@
 // hasStrandedTask says whether a waiting task that is in no plan, of an image that is
 // held, could be taken by a machine with room.
 func (p *Planner) hasStrandedTask() bool {
-	if !p.useASM1 {
+	if !p.config.UseASM1 {
 		return false
 	}
 	clear(p.taskCursor)
