--- a/internal/placement/first_task.go
+++ b/internal/placement/first_task.go
@@ -7,39 +7,42 @@
 	"opaldale/internal/workers"
 )
 
-// placeFirstTasks gives arrays that wait too long for their first task a place for it, and
-// sees to it that there is one: smaller tasks would take each time what becomes
-// free, of a machine or of the team's limit, before it is enough. The largest jobs
-// come first, since one task of each is all they take here; their others go in the
-// usual order.
-func (p *Planner) placeFirstTasks() {
-	for _, j := range p.starvedJobs() {
-		if begun, ok := p.lastFirstTask[j.Spec.Team]; ok && p.now().Sub(begun) < p.config.MaxWait/firstTaskPacing {
+// firstTaskPacing paces first tasks that go before all others: so many in each team within
+// MaxWait. In a backlog every job waits too long; if each got its first task at once, there would
+// be hardly any room for the other tasks, and few jobs would ever be done.
+const firstTaskPacing = 24
+
+// placeFirstTasks gives each starved batch job a place for its first task, or else reserves a
+// machine or the team's quota for it: smaller tasks would take each time what becomes free before
+// it is enough. The largest jobs come first, since one task of each is all they take here; their
+// other tasks go in the usual order.
+func (d *dispatch) placeFirstTasks() {
+	for _, j := range d.starvedJobs() {
+		team := j.Spec.Team
+		if last, ok := d.lastFirstTask[team]; ok && d.now().Sub(last) < d.config.MaxWait/firstTaskPacing {
 			continue
 		}
-		if !p.teams.Allows(j.Spec, 1) {
-			if p.quotaBlocked[j.Spec.Team] == nil {
-				p.quotaBlocked[j.Spec.Team] = j
-			}
+		if !d.teams.Allows(j.Spec, 1) {
+			d.blockQuota(j)
 			continue
 		}
-		if w := p.machineForFirstTask(j); w != nil {
-			p.lastFirstTask[j.Spec.Team] = p.now()
-			p.place(p.nextTask(j), w)
+		if w := d.machineForFirstTask(j); w != nil {
+			d.lastFirstTask[team] = d.now()
+			d.place(d.nextTask(j), w)
 			continue
 		}
-		if len(p.starvationReserved) < maxStarvationReserved && !p.hasReservation(j) {
-			p.reserveRoomiestFor(j)
+		if d.reservations.starvedCount() < maxStarvationReserved && !d.reservations.hasMachineFor(j) {
+			d.reserveRoomiestFor(j)
 		}
 	}
 }
 
-// starvedJobs lists the arrays that have waited too long for their first task, the largest
+// starvedJobs lists the batch jobs that have waited too long for their first task, the largest
 // first.
-func (p *Planner) starvedJobs() []*jobs.Job {
+func (d *dispatch) starvedJobs() []*jobs.Job {
 	var starved []*jobs.Job
-	for _, j := range p.batchJobs {
-		if p.starved(j) && p.nextTask(j) != nil {
+	for _, j := range d.batchJobs {
+		if d.starved(j) && d.nextTask(j) != nil {
 			starved = append(starved, j)
 		}
 	}
@@ -53,12 +56,12 @@
 	return starved
 }
 
-// machineForFirstTask returns a machine with room for a job's first task, one that holds its image if
-// there is one; nil if none has room.
-func (p *Planner) machineForFirstTask(j *jobs.Job) *workers.Worker {
+// machineForFirstTask returns a machine with room for a job's first task, one that holds its image
+// if there is one; nil if none has room.
+func (d *dispatch) machineForFirstTask(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range p.machinesWithRoom {
-		if !p.hasRoom(j, w) || !p.eligible(j, w) {
+	for _, w := range d.machinesWithRoom {
+		if !d.canRunOn(j, w) {
 			continue
 		}
 		if w.HasImage(j.Spec.Image) {
@@ -71,36 +74,18 @@
 	return found
 }
 
-// reserveRoomiestFor keeps the machine with the most room for a job.
-func (p *Planner) reserveRoomiestFor(j *jobs.Job) {
+// reserveRoomiestFor reserves the machine with the most room for a starved job.
+func (d *dispatch) reserveRoomiestFor(j *jobs.Job) {
 	var best *workers.Worker
-	room := func(w *workers.Worker) float64 { return w.Type.VCPUs - w.VCPUs }
-	for _, w := range p.openMachines {
-		if p.starvationReserved[w] == nil && p.eligible(j, w) && (best == nil || room(w) > room(best)+tolerance) {
+	for _, w := range d.openMachines {
+		if d.reservations.hasStarved(w) || !d.eligible(j, w) {
+			continue
+		}
+		if best == nil || unusedVCPUs(w) > unusedVCPUs(best)+tolerance {
 			best = w
 		}
 	}
 	if best != nil {
-		p.starvationReserved[best] = j
-	}
-}
-
-// firstTaskPacing paces first tasks that come before all others: so many in each team
-// within MaxWait. In a backlog every job waits too long; giving each its first task
-// at once left hardly any room for the others, and few jobs were ever done.
-const firstTaskPacing = 24
-
-// starved says whether a job has waited too long for its first task.
-func (p *Planner) starved(j *jobs.Job) bool {
-	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
-}
-
-// hasReservation says whether a machine is kept for the job already.
-func (p *Planner) hasReservation(j *jobs.Job) bool {
-	for _, o := range p.starvationReserved {
-		if o == j {
-			return true
-		}
+		d.reservations.reserveStarved(best, j)
 	}
-	return false
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -3,110 +3,118 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
-	"opaldale/internal/api"
-	"opaldale/internal/gang"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/workers"
 )
 
-// Gangs are the one kind of work that neither the plan nor first-fit covers: the plan
-// joins tasks to machines one by one (paper, §2.1 and §5.2: independent tasks), and a
-// part of a gang is of no use. Kept is that holders of the image come first.
-
-// gangPlan is where a gang's waiting tasks would go.
-type gangPlan struct {
-	picks             []gang.Placement
-	victims           []*jobs.Task  // to make room
-	fetchTime         time.Duration // the slowest
-	cost              float64       // of what is stopped
-	machines          int           // machines
-	waitForCheckpoint bool          // what is stopped saves first
-}
-
-// better says whether a gang starts sooner by a, then whether less is lost by it.
-func (a *gangPlan) better(b *gangPlan) bool {
-	return b == nil || cmp.Or(cmp.Compare(a.fetchTime, b.fetchTime), cmp.Compare(a.cost, b.cost), cmp.Compare(a.machines, b.machines)) < 0
-}
+// Gangs are the one kind of work that neither the plan nor first-fit covers: the plan assigns
+// tasks to machines one by one (paper, §2.1 and §5.2: independent tasks), and a part of a gang is
+// of no use. What remains of the plan's preference is that machines that hold the image come
+// first.
 
 const (
-	// maxGangSearch bounds the machines that are looked at for work to stop for a gang, or as
-	// many as it has tasks.
-	maxGangSearch = 64
-	// gangReserveDivisor is the part of MaxWait after which machines are kept for a gang that
+	// minGangSearch bounds the machines that are offered for preemption by a gang; the bound is
+	// the number of its tasks where that is larger.
+	minGangSearch = 64
+	// gangReserveDivisor is the part of MaxWait after which machines are reserved for a gang that
 	// finds no place, and maxGangReserved bounds those machines.
 	gangReserveDivisor = 8
 	maxGangReserved    = 16
+	// gangFetchDivisor is the part of the start objective that the pull of a gang's image may take
+	// before victims are sought on the machines that hold it.
+	gangFetchDivisor = 2
 )
 
 // placeGang finds machines for all waiting tasks of a gang at once, or for none.
-func (p *Planner) placeGang(j *jobs.Job) {
+func (d *dispatch) placeGang(j *jobs.Job) {
 	if j.AllocatedTasks > 0 && !j.AcceptsReplacements {
 		return
 	}
-	now := p.now()
+	tasks := d.placeableGangTasks(j)
+	if len(tasks) == 0 {
+		return
+	}
+	if !d.teams.Allows(j.Spec, float64(len(tasks))) {
+		if d.starved(j) {
+			d.blockQuota(j)
+		}
+		return
+	}
+	plan := d.bestGangPlan(j, tasks)
+	if plan != nil {
+		d.carryOutGangPlan(j, tasks, plan)
+		return
+	}
+	if d.now().Sub(j.SubmittedAt) > d.config.MaxWait/gangReserveDivisor {
+		d.reserveForGang(j, len(tasks))
+	}
+}
+
+// placeableGangTasks lists the waiting tasks of a gang, none if one of them may not be placed yet.
+func (d *dispatch) placeableGangTasks(j *jobs.Job) []*jobs.Task {
+	now := d.now()
 	var tasks []*jobs.Task
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.State != jobs.Waiting {
 			continue
 		}
-		if now < t.RetryAt || p.machineTable.HasUnknownAttempt(t.TaskID()) {
-			return
+		if now < t.RetryAt || d.machineTable.HasUnknownAttempt(t.TaskID()) {
+			return nil
 		}
 		tasks = append(tasks, t)
 	}
-	if len(tasks) == 0 {
-		return
-	}
-	if !p.teams.Allows(j.Spec, float64(len(tasks))) {
-		if p.starved(j) && p.quotaBlocked[j.Spec.Team] == nil {
-			p.quotaBlocked[j.Spec.Team] = j
-		}
-		return
-	}
+	return tasks
+}
+
+// bestGangPlan returns the best plan for a gang over the zones that it could be in, nil if there
+// is none.
+func (d *dispatch) bestGangPlan(j *jobs.Job, tasks []*jobs.Task) *gangPlan {
 	var best *gangPlan
-	for _, zone := range p.candidateZones(j) {
-		if plan := p.planGang(j, tasks, zone); plan != nil && plan.better(best) {
+	for _, zone := range d.candidateZones(j) {
+		if plan := d.planGang(j, tasks, zone); plan != nil && plan.better(best) {
 			best = plan
 		}
 	}
-	if best == nil {
-		if now.Sub(j.SubmittedAt) > p.config.MaxWait/gangReserveDivisor {
-			p.reserveForGang(j, len(tasks))
-		}
-		return
-	}
-	for _, victim := range best.victims {
-		p.preemptVictim(victim, p.machineTable.Workers[victim.MachineID], now)
+	return best
+}
+
+// carryOutGangPlan preempts the victims of a plan and places the gang, or lets it wait while the
+// victims write their checkpoints.
+func (d *dispatch) carryOutGangPlan(j *jobs.Job, tasks []*jobs.Task, plan *gangPlan) {
+	now := d.now()
+	for _, victim := range plan.victims {
+		d.preemptVictim(victim, d.machineTable.Workers[victim.MachineID], now)
 	}
-	if best.waitForCheckpoint {
+	if plan.waitForCheckpoint {
 		for _, t := range tasks {
-			t.RetryAt = now.Add(500 * time.Millisecond)
+			t.RetryAt = now.Add(preemptionRetry)
 		}
 		return
 	}
-	for _, pick := range best.picks {
-		p.recordPlacement(pick.Task, pick.Worker)
+	for _, pick := range plan.picks {
+		d.recordPlacement(pick.Task, pick.Worker)
 	}
-	for w, reservedFor := range p.starvationReserved {
-		if reservedFor == j {
-			delete(p.starvationReserved, w)
-		}
-	}
-	p.Stats.Gangs++
-	p.actions.PlaceGang(j, best.picks)
+	d.reservations.releaseStarved(j)
+	d.Stats.Gangs++
+	d.actions.PlaceGang(j, plan.picks)
 }
 
-// candidateZones lists the zones that a gang could be in; "" stands for any of them together.
-func (p *Planner) candidateZones(j *jobs.Job) []string {
+// anyZone stands for all zones together.
+const anyZone = ""
+
+// inZone says whether a machine is in a zone, or the zone is anyZone.
+func inZone(w *workers.Worker, zone string) bool { return zone == anyZone || w.Zone == zone }
+
+// candidateZones lists the zones that a gang could be in, anyZone alone if it may be in several
+// at once.
+func (d *dispatch) candidateZones(j *jobs.Job) []string {
 	if !j.Spec.OneZone {
-		return []string{""}
+		return []string{anyZone}
 	}
 	var out []string
-	for _, w := range p.openMachines {
+	for _, w := range d.openMachines {
 		if !slices.Contains(out, w.Zone) {
 			out = append(out, w.Zone)
 		}
@@ -115,200 +123,49 @@
 	return out
 }
 
-// planGang chooses machines for a gang's tasks in a zone: holders of the image first,
-// then, if that is quicker than to fetch it, holders with work of less right; then the
-// machines with the most room, so that few must fetch; then any with such work.
-func (p *Planner) planGang(j *jobs.Job, tasks []*jobs.Task, zone string) *gangPlan {
-	spec := j.Spec
-	now := p.now()
-	plan := &gangPlan{}
-	remaining := tasks
-	used := map[*workers.Worker]int{}
-	zones := map[string]int{}
-	for z, n := range j.AllocatedByZone {
-		zones[z] = n
-	}
-	allowed := func(w *workers.Worker) bool {
-		return (zone == "" || w.Zone == zone) && p.eligible(j, w) && !p.actions.GangUsedMachine(j, w)
-	}
-	assign := func(w *workers.Worker, n int) {
-		if spec.Spread {
-			n = min(n, (spec.Tasks+1)/2-zones[w.Zone])
-		}
-		n = min(n, len(remaining))
-		if n <= 0 {
-			return
-		}
-		for _, t := range remaining[:n] {
-			plan.picks = append(plan.picks, gang.Placement{Task: t, Worker: w})
-		}
-		remaining = remaining[n:]
-		zones[w.Zone] += n
-		used[w] += n
-		plan.machines++
-	}
-	holders, others := p.gangSlots(spec, allowed)
-	for _, slots := range holders {
-		assign(slots.worker, slots.tasks)
-	}
-	if len(remaining) > 0 && p.hasVictims(j) && p.fetchTooSlowForGang(j) {
-		p.planEvictions(j, &remaining, plan, used, allowed, assign, true)
-	}
-	for _, slots := range others {
-		if len(remaining) == 0 {
-			break
-		}
-		plan.fetchTime = max(plan.fetchTime, slots.worker.ImagePullTime(j.Spec))
-		assign(slots.worker, slots.tasks)
-	}
-	if len(remaining) > 0 && p.hasVictims(j) && now.Sub(j.SubmittedAt) > reclaimAfter {
-		p.planEvictions(j, &remaining, plan, used, allowed, assign, false)
-	}
-	if len(remaining) > 0 {
-		return nil
-	}
-	return plan
-}
-
-// machineSlots is how many tasks of a gang find room on a machine.
-type machineSlots struct {
-	worker *workers.Worker
-	tasks  int
-}
-
-// gangSlots lists the allowed machines with room, those that hold the image and the others apart,
-// the most room first.
-func (p *Planner) gangSlots(s *api.Spec, allowed func(*workers.Worker) bool) (holders, others []machineSlots) {
-	for _, w := range p.machinesWithRoom {
-		if n := w.TaskCapacity(s); n > 0 && allowed(w) {
-			if w.HasImage(s.Image) {
-				holders = append(holders, machineSlots{w, n})
-			} else {
-				others = append(others, machineSlots{w, n})
-			}
-		}
-	}
-	most := func(a, b machineSlots) int { return cmp.Compare(b.tasks, a.tasks) }
-	slices.SortStableFunc(holders, most)
-	slices.SortStableFunc(others, most)
-	return holders, others
-}
-
-// planEvictions goes on with machines where work of less right can be stopped.
-func (p *Planner) planEvictions(j *jobs.Job, remaining *[]*jobs.Task, plan *gangPlan, used map[*workers.Worker]int, allowed func(*workers.Worker) bool,
-	assign func(*workers.Worker, int), holdersOnly bool) {
-	spec := j.Spec
-	now := p.now()
-	type offer struct {
-		w    *workers.Worker
-		n    int
-		stop []*jobs.Task
-		cost float64
-	}
-	var offers []offer
-	enough := max(maxGangSearch, spec.Tasks)
-	for _, w := range p.openMachines {
-		if len(offers) >= enough || p.machinesSearched >= p.searchLimit() {
-			break
-		}
-		if used[w] > 0 || holdersOnly && !w.HasImage(spec.Image) || w.LowerPriorityTasks(spec.Priority) == 0 && (!j.WithinQuota || w.BatchVCPUs == 0) || !allowed(w) {
-			continue
-		}
-		p.machinesSearched++
-		for n := len(*remaining); n > 0; n /= 2 {
-			need := jobs.Resources{VCPUs: float64(n) * spec.VCPUs, GPUs: float64(n) * spec.GPUs, MemoryGB: float64(n) * spec.MemoryGB}
-			if stop, cost, ok := p.chooseVictims(w, j, need, now, true, false); ok {
-				offers = append(offers, offer{w, n, stop, cost})
-				break
-			}
-		}
+// reserveForGang reserves machines of a zone for a gang that finds no place, as smaller tasks
+// would take whatever becomes free each time: as few machines as possible, those with the most
+// work that ends by itself. One gang has reservations at a time.
+func (d *dispatch) reserveForGang(j *jobs.Job, tasks int) {
+	if d.reservations.starvedCount() > 0 {
+		return
 	}
-	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost/float64(a.n), b.cost/float64(b.n)) })
-	for _, o := range offers {
-		if len(*remaining) == 0 {
-			return
-		}
-		before := len(*remaining)
-		if assign(o.w, o.n); len(*remaining) == before {
+	var best []*workers.Worker
+	for _, zone := range d.candidateZones(j) {
+		machines := d.fewestMachinesFor(j, zone, tasks)
+		if machines == nil || len(machines) > maxGangReserved {
 			continue
 		}
-		plan.victims = append(plan.victims, o.stop...)
-		plan.cost += o.cost
-		for _, victim := range o.stop {
-			plan.waitForCheckpoint = plan.waitForCheckpoint || victim.Job.Spec.CanCheckpoint()
+		if best == nil || len(machines) < len(best) {
+			best = machines
 		}
-		if !o.w.HasImage(spec.Image) {
-			plan.fetchTime = max(plan.fetchTime, o.w.ImagePullTime(j.Spec))
-		}
-	}
-}
-
-// fetchTooSlowForGang says whether fetching a gang's image takes longer than its users want to wait,
-// or at least a good part of that.
-func (p *Planner) fetchTooSlowForGang(j *jobs.Job) bool {
-	limit, ok := p.startObjectives[j.Spec.Class]
-	if !ok {
-		return false
 	}
-	for _, w := range p.openMachines {
-		return w.ImagePullTime(j.Spec) > limit/2
+	for _, w := range best {
+		d.reservations.reserveStarved(w, j)
 	}
-	return false
 }
 
-// reserveForGang holds machines of a zone for a gang that finds no place, as smaller tasks would
-// take each time what becomes free: those with the most that ends by itself.
-func (p *Planner) reserveForGang(j *jobs.Job, tasks int) {
-	if len(p.starvationReserved) > 0 {
-		return // one at a time
-	}
-	var best []*workers.Worker
-	for _, zone := range p.candidateZones(j) {
-		var list []*workers.Worker
-		places := func(w *workers.Worker) int {
-			free := w.Type.VCPUs - w.VCPUs + w.BatchVCPUs
-			if j.Spec.VCPUs <= 0 {
-				return tasks
-			}
-			return int((free + tolerance) / j.Spec.VCPUs)
-		}
-		for _, w := range p.openMachines {
-			if (zone == "" || w.Zone == zone) && places(w) > 0 && p.eligible(j, w) {
-				list = append(list, w)
-			}
-		}
-		slices.SortStableFunc(list, func(a, b *workers.Worker) int { return cmp.Compare(places(b), places(a)) })
-		sum := 0
-		for i, w := range list {
-			if sum += places(w); sum >= tasks {
-				if i < maxGangReserved && (best == nil || i+1 < len(best)) {
-					best = list[:i+1]
-				}
-				break
-			}
+// fewestMachinesFor returns as few machines of a zone as have room for so many tasks of a gang
+// once their batch tasks have ended, nil if all of them together have not.
+func (d *dispatch) fewestMachinesFor(j *jobs.Job, zone string, tasks int) []*workers.Worker {
+	slots := func(w *workers.Worker) int {
+		if j.Spec.VCPUs <= 0 {
+			return tasks
 		}
+		return int((unusedVCPUs(w) + w.BatchVCPUs + tolerance) / j.Spec.VCPUs)
 	}
-	for _, w := range best {
-		p.starvationReserved[w] = j
-	}
-}
-
-// preemptVictim stops what must give way: a task, or the whole gang that it is of.
-func (p *Planner) preemptVictim(victim *jobs.Task, w *workers.Worker, now ident.MonotonicTime) {
-	if victim.State != jobs.Assigned {
-		return // stopped with its gang
+	var list []*workers.Worker
+	for _, w := range d.openMachines {
+		if inZone(w, zone) && slots(w) > 0 && d.eligible(j, w) {
+			list = append(list, w)
+		}
 	}
-	p.Stats.Preempted++
-	victim.PreemptedAt = now
-	if victim.Job.IsGang() {
-		for i := range victim.Job.Tasks {
-			victim.Job.Tasks[i].PreemptedAt = now
+	slices.SortStableFunc(list, func(a, b *workers.Worker) int { return cmp.Compare(slots(b), slots(a)) })
+	sum := 0
+	for i, w := range list {
+		if sum += slots(w); sum >= tasks {
+			return list[:i+1]
 		}
-		p.actions.StopGang(victim.Job)
-		return
 	}
-	p.actions.Preempt(victim, w, victim.CheckpointGracePeriod())
+	return nil
 }
-
-// isBatch says whether a job's tasks are independent ones that end.
-func isBatch(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
--- a/internal/placement/least_used.go
+++ b/internal/placement/least_used.go
@@ -7,10 +7,10 @@
 	"opaldale/internal/workers"
 )
 
-// leastUsedHeap is a heap of machines, the least used first, by name where they are alike.
+// leastUsedHeap is a heap.Interface of machines, the least used first, then by name.
 type leastUsedHeap []*workers.Worker
 
-// utilization is the part of a machine's CPUs that is in use.
+// utilization is the fraction of a machine's CPUs that is in use.
 func utilization(w *workers.Worker) float64 { return w.VCPUs / w.Type.VCPUs }
 
 func (l leastUsedHeap) Len() int { return len(l) }
@@ -30,25 +30,25 @@
 }
 
 // fillLeastUsedFirst lets the machines of a kind take planned and local tasks one at a time, the
-// least used machine next, so that the work of equal holders doesn't pile up on the first of
-// them. What must be fetched isn't spread: each machine more would fetch it as well.
-func (p *Planner) fillLeastUsedFirst(spot bool, need jobs.Resources) {
+// least used machine next, so that work doesn't pile up on the first of the machines that hold its
+// image. Tasks whose image must be pulled are not spread: each further machine would pull it too.
+func (d *dispatch) fillLeastUsedFirst(spot bool, need jobs.Resources) {
 	queue := leastUsedHeap{}
-	for _, w := range p.machinesWithRoom {
+	for _, w := range d.machinesWithRoom {
 		if w.Spot == spot && w.HasRoom(need) {
 			queue = append(queue, w)
 		}
 	}
 	heap.Init(&queue)
-	for len(queue) > 0 && p.placed < maxPlacedPerDispatch {
+	for len(queue) > 0 && !d.full() {
 		w := queue[0]
-		t, counter := p.localTask(w)
+		t, rule := d.localTask(w)
 		if t == nil {
 			heap.Pop(&queue)
 			continue
 		}
-		*counter++
-		p.place(t, w)
+		d.Stats.countBatchTask(rule)
+		d.place(t, w)
 		if !w.HasRoom(need) {
 			heap.Pop(&queue)
 			continue
@@ -59,13 +59,13 @@
 
 // leastUsedHolder returns the least used machine that holds a service's image and has room
 // for one of its tasks, nil if there is none.
-func (p *Planner) leastUsedHolder(j *jobs.Job) *workers.Worker {
+func (d *dispatch) leastUsedHolder(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range p.machinesWithRoom {
+	for _, w := range d.machinesWithRoom {
 		if found != nil && utilization(w) >= utilization(found) {
 			continue
 		}
-		if w.HasImage(j.Spec.Image) && p.eligible(j, w) && p.hasRoom(j, w) {
+		if w.HasImage(j.Spec.Image) && d.canRunOn(j, w) {
 			found = w
 		}
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/workers"
 )
 
-// The bound on the tasks that a plan covers, and with it on its time: so many, or a few
-// for each machine where the fleet is larger.
+// The bound on the tasks that a plan covers, and with it on the time for making it: so many, or a
+// few for each machine where the fleet is larger.
 const (
 	minPlanned        = 4000
 	plannedPerMachine = 2
@@ -17,41 +17,41 @@
 // planLimit returns the number of tasks that a plan may cover.
 func planLimit(machines int) int { return max(minPlanned, plannedPerMachine*machines) }
 
-// demand is what a plan is made for: tasks of jobs, each group with the machines that hold its
-// image.
+// demand is what a plan is made for: the bipartite graph of waiting tasks, in groups with the same
+// edges, and of the machines that hold their images.
 type demand struct {
 	groups []Group
 	tasks  [][]*jobs.Task // of each group
 }
 
-// plan joins the waiting array tasks within their teams' limits to the machines
-// that hold their image and could fit them, and runs ASM1.
-func (p *Planner) plan() {
+// plan joins the waiting batch tasks within their teams' quota to the machines that hold their
+// image, and runs ASM1 on that graph.
+func (d *dispatch) plan() {
 	began := time.Now()
-	p.Stats.Rounds++
-	p.clearPlans()
-	if !p.config.UseASM1 {
+	d.Stats.Rounds++
+	d.clearPlans()
+	if !d.config.UseASM1 {
 		return
 	}
-	d := p.demand()
-	for g, owners := range ASM1(len(p.openMachines), d.groups) {
-		// Tasks come by priority, then arrival, and so does each plan.
-		at := 0
-		for _, o := range owners {
-			w := p.openMachines[o.Machine]
-			for _, t := range d.tasks[g][at : at+o.Tasks] {
+	waiting := d.demand()
+	for g, shares := range ASM1(len(d.openMachines), waiting.groups) {
+		// Groups come by precedence, and so do the tasks of each machine's plan.
+		tasks := waiting.tasks[g]
+		for _, share := range shares {
+			w := d.openMachines[share.Machine]
+			for _, t := range tasks[:share.Tasks] {
 				w.PlannedTasks = append(w.PlannedTasks, t)
 				t.PlannedMachine = w.ID
 			}
-			at += o.Tasks
+			tasks = tasks[share.Tasks:]
 		}
 	}
-	p.Stats.PlanTime += time.Since(began)
+	d.Stats.PlanTime += time.Since(began)
 }
 
-// clearPlans takes the plan before back.
-func (p *Planner) clearPlans() {
-	for _, w := range p.machineTable.Workers {
+// clearPlans withdraws the previous plan.
+func (d *dispatch) clearPlans() {
+	for _, w := range d.machineTable.Workers {
 		for _, t := range w.PlannedTasks {
 			t.PlannedMachine = ""
 		}
@@ -59,19 +59,19 @@
 	}
 }
 
-// demand gathers the waiting tasks, as many as a plan may cover and their teams' limits admit.
-func (p *Planner) demand() demand {
-	machineIndex := make(map[*workers.Worker]int32, len(p.openMachines))
-	for i, w := range p.openMachines {
+// demand gathers the waiting tasks, as many as a plan may cover and their teams' quotas admit.
+func (d *dispatch) demand() demand {
+	machineIndex := make(map[*workers.Worker]int32, len(d.openMachines))
+	for i, w := range d.openMachines {
 		machineIndex[w] = int32(i)
 	}
 	var result demand
 	quotaLeft := map[string]int{} // by team
-	remaining := planLimit(len(p.openMachines))
-	for _, j := range p.batchJobs {
+	remaining := planLimit(len(d.openMachines))
+	for _, j := range d.batchJobs {
 		admitted, ok := quotaLeft[j.Spec.Team]
 		if !ok {
-			admitted = p.teams.RemainingTasks(j.Spec)
+			admitted = d.teams.RemainingTasks(j.Spec)
 		}
 		tasks := j.WaitingTasks(min(admitted, remaining))
 		quotaLeft[j.Spec.Team] = admitted - len(tasks)
@@ -80,8 +80,8 @@
 			continue
 		}
 		group := Group{Tasks: len(tasks)}
-		for _, w := range p.holdersOf(j.Spec.Image) {
-			if w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] {
+		for _, w := range d.holdersOf(j.Spec.Image) {
+			if allows(w, j) {
 				group.Machines = append(group.Machines, machineIndex[w])
 			}
 		}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"opaldale/internal/api"
 	"opaldale/internal/gang"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
@@ -11,21 +12,25 @@
 	"opaldale/internal/workers"
 )
 
-// Actions carry out what the planner decides. Both take effect at once in the
-// tables, so that the next decision sees them.
+// Actions carry out what the planner decides. Each takes effect in the tables of jobs and
+// machines at once, so that the next decision sees it.
 type Actions interface {
+	// Place assigns a waiting task to a machine.
 	Place(t *jobs.Task, w *workers.Worker)
-	Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration)
-	// PlaceGang places all waiting tasks of a gang; GangUsedMachine says whether its present
-	// attempt was on a machine before.
+	// Preempt stops a task on its machine, with the grace period that it has for a checkpoint.
+	Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration)
+	// PlaceGang places all waiting tasks of a gang.
 	PlaceGang(j *jobs.Job, picks []gang.Placement)
+	// GangUsedMachine says whether the present attempt of a gang was on a machine before.
 	GangUsedMachine(j *jobs.Job, w *workers.Worker) bool
-	// CanStopGang says whether a whole gang can be stopped in order; StopGang does it.
+	// CanStopGang says whether all tasks of a gang can be stopped together.
 	CanStopGang(j *jobs.Job) bool
+	// StopGang stops all tasks of a gang, and returns false if that is impossible.
 	StopGang(j *jobs.Job) bool
 }
 
-// Planner holds the plan between rounds.
+// Planner assigns waiting tasks to machines. It keeps the plan, the reservations and the
+// statistics; what is known for the time of one dispatch only is in dispatch.
 type Planner struct {
 	teams            *Teams
 	jobs             *jobs.Table
@@ -36,60 +41,57 @@
 	finishObjectives map[string][]time.Duration // by class: within which times jobs should be done, ascending
 	startObjectives  map[string]time.Duration   // by class: within which time tasks should start
 
-	// ServiceHeadroom is the room in CPUs that arrays leave free on the ordinary
-	// machines of a zone, for services to come.
+	// ServiceHeadroom is the room in CPUs that batch jobs leave free on the on-demand machines of
+	// a zone, for services to come.
 	ServiceHeadroom map[string]float64
 
-	// SpreadLoad says whether the work of equal holders is spread over them, the least used first,
-	// rather than taken by name.
+	// SpreadLoad says whether work is spread over the machines that hold its image, the least
+	// used first, rather than given to them in the order of their names.
 	SpreadLoad func() bool
 
+	// Stats counts the decisions since the planner was made.
 	Stats Stats
 
-	// What follows is of one dispatch.
-	openMachines       []*workers.Worker // the open machines, by name
-	machinesWithRoom   []*workers.Worker // those in which some waiting task fits
-	batchJobs          []*jobs.Job       // with tasks to place, in the order of their right
-	firstBorrower      int               // the place in arrays of the first job of a team without a guarantee
-	activeRange        jobRange          // the places in arrays of the jobs whose turn it is
-	byImage            map[string][]int  // their places in arrays
-	firstByImage       map[string]int    // the first of an image that may still have something to place
-	uncachedJobs       []*jobs.Job       // whose image no machine holds that may take them, oldest first
-	holdersByImage     map[string][]*workers.Worker
-	imageCached        map[*jobs.Job]bool
-	taskCursor         map[*jobs.Job]int
-	plans              []*planQueue       // fullest first
-	freeOnDemand       map[string]float64 // free CPUs of ordinary machines, by zone
-	starvationReserved map[*workers.Worker]*jobs.Job
-	reservations       map[*workers.Worker]reservation
-	lastFirstTask      map[string]ident.MonotonicTime // when a team's job was last begun for having waited
-	quotaBlocked       map[string]*jobs.Job           // jobs that wait too long for their team's limit
-	victimSearches     map[victimSearchKey]*preemptionHeap
-	placed             int
-	machinesSearched   int // machines looked at for work to stop
-	searchFrom         int // where the next such search begins
+	reservations  reservations
+	lastFirstTask map[string]ident.MonotonicTime // by team: when a starved job last got its first task
+	searchFrom    int                            // index of the open machine at which the next victim search begins
+	freeOnDemand  map[string]float64             // free CPUs of on-demand machines by zone, as of the last dispatch
+	storage       dispatchStorage
 }
 
 const (
-	// maxPlacedPerDispatch bounds what one dispatch places, and with it for how long reports
-	// and the renewal of the lease wait for it.
+	// maxPlacedPerDispatch bounds the tasks that one dispatch places, and with it the time for
+	// which heartbeats and the renewal of the leader lease wait for it.
 	maxPlacedPerDispatch = 300
-	// minVictimSearch bounds the machines that a dispatch looks at for work to stop, or the
-	// whole fleet where it is larger.
+	// minVictimSearch bounds the machines that a dispatch searches for victims; the bound is the
+	// number of open machines where that is larger.
 	minVictimSearch = 1000
-	// maxPlansSearched bounds the plans that a machine looks into for something to steal.
+	// maxPlansSearched bounds the plans that an idle machine searches for a task to steal.
 	maxPlansSearched = 64
-	// maxStarvationReserved bounds the machines kept free for jobs that wait too long.
+	// maxStarvationReserved bounds the machines reserved for starved batch jobs.
 	maxStarvationReserved = 4
+	// preemptionRetry is when the placement of a task is tried again after victims were told to
+	// write a checkpoint and leave.
+	preemptionRetry = 500 * time.Millisecond
 )
 
-// Stats counts what the planner did.
+// Stats counts the decisions of a planner.
 type Stats struct {
-	Rounds, ExtraRounds              uint64
-	Planned, Local, Uncached, Stolen uint64 // array tasks by the rule that placed them
-	Services, Gangs, Preempted       uint64
-	FetchedGB                        float64 // images placed where they were not held
-	PlanTime                         time.Duration
+	Rounds      uint64 // plans made
+	ExtraRounds uint64 // of those, made during a dispatch for tasks that no plan named
+
+	// Batch tasks by the rule that placed them.
+	Planned  uint64 // on the machine that the plan names
+	Local    uint64 // on a machine that holds the image, outside the plan
+	Uncached uint64 // of an image that no eligible machine holds
+	Stolen   uint64 // taken by an idle machine from the plan of another one
+
+	Services  uint64 // service tasks
+	Gangs     uint64 // whole gangs
+	Preempted uint64 // tasks, or whole gangs, stopped to make room
+
+	FetchedGB float64       // size of the images that placements had to pull
+	PlanTime  time.Duration // spent on plans
 }
 
 // Config holds the settings of a planner.
@@ -123,19 +125,18 @@
 	config Config,
 ) *Planner {
 	p := &Planner{
-		teams:              teams,
-		jobs:               jobTable,
-		machineTable:       machineTable,
-		actions:            actions,
-		now:                now,
-		config:             config,
-		ServiceHeadroom:    map[string]float64{},
-		SpreadLoad:         func() bool { return false },
-		starvationReserved: map[*workers.Worker]*jobs.Job{},
-		reservations:       map[*workers.Worker]reservation{},
-		lastFirstTask:      map[string]ident.MonotonicTime{},
-		finishObjectives:   map[string][]time.Duration{},
-		startObjectives:    map[string]time.Duration{},
+		teams:            teams,
+		jobs:             jobTable,
+		machineTable:     machineTable,
+		actions:          actions,
+		now:              now,
+		config:           config,
+		finishObjectives: map[string][]time.Duration{},
+		startObjectives:  map[string]time.Duration{},
+		ServiceHeadroom:  map[string]float64{},
+		SpreadLoad:       func() bool { return false },
+		reservations:     newReservations(),
+		lastFirstTask:    map[string]ident.MonotonicTime{},
 	}
 	for _, o := range config.Objectives {
 		switch o.Kind {
@@ -151,129 +152,25 @@
 	return p
 }
 
-// Dispatch places what can be placed now. Nothing waits for a round that could
-// start at once. It returns true if it stopped early: there may be more to place.
-func (p *Planner) Dispatch() bool {
-	services, gangs := p.prepareDispatch()
-	for _, j := range services {
-		if p.placed >= maxPlacedPerDispatch {
-			return true
-		}
-		p.placeService(j)
-	}
-	for _, j := range gangs {
-		if p.placed >= maxPlacedPerDispatch {
-			return true
-		}
-		p.placeGang(j)
-	}
-	if len(p.batchJobs) == 0 {
-		return false
-	}
-	p.placeFirstTasks()
-	p.fillIdleMachines()
-	if p.placed < maxPlacedPerDispatch && p.hasStrandedTask() {
-		// Waiting tasks whose holders are full and that no plan names yet could
-		// not be stolen: an extra round lets the idle machines have them.
-		p.Stats.ExtraRounds++
-		p.plan()
-		p.fillIdleMachines()
-	}
-	p.reclaimGuarantees()
-	return p.placed >= maxPlacedPerDispatch
-}
+// Dispatch places what can be placed now: work that could start at once does not wait for the
+// next round. It returns true if it stopped at maxPlacedPerDispatch, and there may be more to
+// place.
+func (p *Planner) Dispatch() bool { return p.newDispatch().run() }
 
 // Round makes a new plan.
-func (p *Planner) Round() {
-	p.prepareDispatch()
-	p.plan()
-}
-
-// nextTask returns the job's first waiting task that may be placed now.
-func (p *Planner) nextTask(j *jobs.Job) *jobs.Task {
-	now := p.now()
-	if j.PlaceableCount() == 0 {
-		return nil
-	}
-	for i := p.taskCursor[j]; i < len(j.Tasks); i++ {
-		t := &j.Tasks[i]
-		if t.State == jobs.Waiting && now >= t.RetryAt && !p.machineTable.HasUnknownAttempt(t.TaskID()) {
-			p.taskCursor[j] = i
-			return t
-		}
-	}
-	p.taskCursor[j] = len(j.Tasks)
-	return nil
-}
-
-// isImageCached says whether a machine that may take the job's tasks holds its image. A
-// holder in another zone, or one that is not open, must not keep an idle
-// machine from fetching: the tasks would wait for ever.
-func (p *Planner) isImageCached(j *jobs.Job) bool {
-	held, ok := p.imageCached[j]
-	if !ok {
-		for _, w := range p.holdersOf(j.Spec.Image) {
-			if w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] && zoneAllows(j, w.Zone) {
-				held = true
-				break
-			}
-		}
-		p.imageCached[j] = held
-	}
-	return held
-}
+func (p *Planner) Round() { p.newDispatch().plan() }
 
-// zoneAllows checks one_zone and apart against the job's other tasks.
-func zoneAllows(j *jobs.Job, zone string) bool {
-	s := j.Spec
-	if s.OneZone {
-		for z, n := range j.AllocatedByZone {
-			if n > 0 && z != zone {
-				return false
-			}
-		}
-	}
-	return !s.Spread || j.AllocatedByZone[zone] < (s.Tasks+1)/2
-}
-
-// eligible checks everything but room.
-func (p *Planner) eligible(j *jobs.Job, w *workers.Worker) bool {
-	if o := p.reservedFor(w); o != nil && o != j {
-		return false
-	}
-	if o := p.quotaBlocked[j.Spec.Team]; o != nil && o != j && isBatch(j) {
-		return false
-	}
-	return w.Allows(j.Spec) && !j.AvoidedMachines[w.ID] && zoneAllows(j, w.Zone) && p.teams.Allows(j.Spec, 1)
+// starved says whether a job has waited too long for its first task.
+func (p *Planner) starved(j *jobs.Job) bool {
+	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
 }
 
-// hasRoom checks the room, and for arrays what is kept for services.
-func (p *Planner) hasRoom(j *jobs.Job, w *workers.Worker) bool {
-	return w.Fits(j.Spec) && p.KeepsServiceHeadroom(j, w)
+// fetchExceedsObjective says whether a machine needs longer to pull a job's image than the part
+// 1/divisor of the time within which tasks of its class should start.
+func (p *Planner) fetchExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
+	limit, ok := p.startObjectives[j.Spec.Class]
+	return ok && w.ImagePullTime(j.Spec) > limit/divisor
 }
 
-// KeepsServiceHeadroom says whether a task more on a machine leaves what arrays must leave free for
-// services.
-func (p *Planner) KeepsServiceHeadroom(j *jobs.Job, w *workers.Worker) bool {
-	return w.Spot || !isBatch(j) || p.freeOnDemand[w.Zone]-j.Spec.VCPUs >= p.ServiceHeadroom[w.Zone]-tolerance
-}
-
-func (p *Planner) place(t *jobs.Task, w *workers.Worker) {
-	p.recordPlacement(t, w)
-	p.actions.Place(t, w)
-}
-
-// recordPlacement notes what a placement takes.
-func (p *Planner) recordPlacement(t *jobs.Task, w *workers.Worker) {
-	if !w.HasImage(t.Job.Spec.Image) && !w.IsPullingImage(t.Job.Spec.Image) {
-		p.Stats.FetchedGB += t.Job.Spec.ImageGB
-	}
-	if !w.Spot {
-		p.freeOnDemand[w.Zone] -= t.Job.Spec.VCPUs
-	}
-	if p.starvationReserved[w] == t.Job {
-		delete(p.starvationReserved, w)
-	}
-	p.ReleaseReservation(w, t.Job)
-	p.placed++
-}
+// isBatch says whether a job's tasks are independent of each other and end by themselves.
+func isBatch(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -21,21 +21,24 @@
 	l.heartbeat(w)
 	j := &jobs.Job{Spec: &api.Spec{Priority: api.Critical, VCPUs: 4, Shape: api.Service}}
 	l.now = l.now.Add(30 * time.Second)
-	first, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false)
-	if !ok || len(first) != 1 {
-		t.Fatalf("%v, %v", first, ok)
+	request := victimRequest{job: j, need: jobs.ResourcesOf(j.Spec), now: l.now}
+	first := l.planner.chooseVictims(w, request)
+	if first == nil || len(first.victims) != 1 {
+		t.Fatalf("%+v", first)
 	}
-	first[0].PreemptedAt = l.now
-	if next, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok || next[0] == first[0] {
-		t.Errorf("the same task again: %v, %v", next, ok)
+	first.victims[0].PreemptedAt = l.now
+	if next := l.planner.chooseVictims(w, request); next == nil || next.victims[0] == first.victims[0] {
+		t.Errorf("the same task again: %+v", next)
 	}
 	for _, v := range w.Tasks {
 		v.PreemptedAt = l.now
 	}
-	if _, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, true, false); ok {
+	sparing := request
+	sparing.skipRecent = true
+	if l.planner.chooseVictims(w, sparing) != nil {
 		t.Error("a task that gave way is stopped where there is room elsewhere")
 	}
-	if _, _, ok := l.planner.chooseVictims(w, j, jobs.ResourcesOf(j.Spec), l.now, false, false); !ok {
+	if l.planner.chooseVictims(w, request) == nil {
 		t.Error("nothing is stopped though there is no other room")
 	}
 }
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -2,13 +2,14 @@
 
 import (
 	"slices"
+	"sort"
 	"time"
 
 	"opaldale/internal/jobs"
 	"opaldale/internal/settings"
 )
 
-// queuedJob is a job with what its place in the order depends on.
+// queuedJob is a job with what its precedence depends on.
 type queuedJob struct {
 	job      *jobs.Job
 	borrower bool
@@ -17,6 +18,20 @@
 	work     float64
 }
 
+// newQueuedJob works out what the precedence of a job depends on.
+func (p *Planner) newQueuedJob(j *jobs.Job) queuedJob {
+	return queuedJob{
+		job:      j,
+		borrower: p.teams.IsBorrower(j.Spec.Team),
+		priority: j.Spec.Priority.Level(),
+		urgency:  p.urgency(j),
+		work:     remainingWork(j),
+	}
+}
+
+// before says whether a job precedes another. Teams with a guarantee precede those without; then
+// overdue jobs come in the order of submission; then jobs within their guarantee, by priority, and
+// by urgency. Among those on track, the shortest goes first.
 func (a *queuedJob) before(b *queuedJob) bool {
 	switch {
 	case a.borrower != b.borrower:
@@ -37,8 +52,24 @@
 	return a.job.Seq < b.job.Seq
 }
 
-// Objective returns the shortest time within which jobs of a lane should be done, 0 if
-// nothing is said.
+// sortServices sorts services by precedence. Priority goes before all else, except between a
+// service that is overdue and one that is not.
+func sortServices(list []queuedJob) {
+	sort.Slice(list, func(i, k int) bool {
+		a, b := &list[i], &list[k]
+		if a.priority != b.priority && (a.urgency == overdue) == (b.urgency == overdue) {
+			return a.priority < b.priority
+		}
+		return a.before(b)
+	})
+}
+
+func sortByPrecedence(list []queuedJob) {
+	sort.Slice(list, func(i, k int) bool { return list[i].before(&list[k]) })
+}
+
+// Objective returns the shortest time within which jobs of a class should be done, 0 if there is
+// no such objective.
 func (p *Planner) Objective(class string) time.Duration {
 	if objectives := p.finishObjectives[class]; len(objectives) > 0 {
 		return objectives[0]
@@ -46,22 +77,23 @@
 	return 0
 }
 
-// urgency orders jobs of one priority by what can still be reached. In the order
-// of arrival alone, a backlog of half a minute makes every job late, while
-// starting the late ones later costs them nothing that counts.
+// urgency orders jobs of one priority by the objectives that can still be met. If jobs went in the
+// order of submission alone, a short backlog would make every job miss its objective, while jobs
+// that have missed it already lose nothing by starting later.
 type urgency uint8
 
 const (
-	overdue      urgency = iota // waits for longer than any job may
-	deadlineNear                // the last aim is about to be missed
-	onTrack                     // the first aim can be met
-	firstMissed                 // the first aim is lost, the last is far
+	overdue      urgency = iota // has waited longer than any job may
+	deadlineNear                // the last objective is about to be missed
+	onTrack                     // the first objective can be met
+	firstMissed                 // the first objective can't be met, the last is far
 )
 
+// urgency works out the urgency of a job.
 func (p *Planner) urgency(j *jobs.Job) urgency {
 	age := p.now().Sub(j.SubmittedAt)
-	// The order below puts off what is large or late for as long as other work
-	// comes; nothing else bounds how long.
+	// The other levels put off what is large or late for as long as other work comes. This one
+	// bounds how long.
 	if age > overdueFactor*p.config.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
 		return overdue
 	}
@@ -78,14 +110,13 @@
 	switch {
 	case end <= objectives[0]:
 		return onTrack
-	case end <= last && end > last*2/3:
+	case end <= last && end > last*2/3: // in the last third of the time
 		return deadlineNear
 	}
 	return firstMissed
 }
 
-// overdueFactor is how many times the bound for its first task an array may take
-// before its other tasks go first as well.
+// overdueFactor is how many times MaxWait a batch job may take before all of its tasks go first.
 const overdueFactor = 3
 
 // remainingWork is what a job still has to start, in CPU seconds as estimated.
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -6,41 +6,101 @@
 	"opaldale/internal/workers"
 )
 
-// reservation keeps the room that a move makes on a machine for the job that it is made for, until
-// a time: smaller tasks would take it otherwise as soon as it is there.
-type reservation struct {
+// reservations are the machines whose room only one job may take. Without them smaller tasks
+// would take whatever becomes free before it is enough for a larger one.
+type reservations struct {
+	starved map[*workers.Worker]*jobs.Job        // for a job that has waited too long, until it gets a task
+	timed   map[*workers.Worker]timedReservation // for the beneficiary of a migration, until a time
+}
+
+// timedReservation keeps the room on a machine for a job until a time.
+type timedReservation struct {
 	job   *jobs.Job
 	until ident.MonotonicTime
 }
 
-// ReserveFor keeps what becomes free on a machine for a job until a time.
-func (p *Planner) ReserveFor(w *workers.Worker, j *jobs.Job, until ident.MonotonicTime) {
-	p.reservations[w] = reservation{j, until}
+func newReservations() reservations {
+	return reservations{
+		starved: map[*workers.Worker]*jobs.Job{},
+		timed:   map[*workers.Worker]timedReservation{},
+	}
 }
 
-// ReleaseReservation ends the promise of a machine, if there is one to the job.
-func (p *Planner) ReleaseReservation(w *workers.Worker, j *jobs.Job) {
-	if p.reservations[w].job == j {
-		delete(p.reservations, w)
+// jobOn returns the job that alone may take a machine's room, nil if any may. A starved job has
+// precedence over the beneficiary of a migration.
+func (r *reservations) jobOn(w *workers.Worker) *jobs.Job {
+	if j := r.starved[w]; j != nil {
+		return j
 	}
+	return r.timed[w].job
 }
 
-// IsReserved says whether a machine's room is kept for some job.
-func (p *Planner) IsReserved(w *workers.Worker) bool { return p.reservedFor(w) != nil }
+// hasStarved says whether a machine is reserved for a starved job.
+func (r *reservations) hasStarved(w *workers.Worker) bool { return r.starved[w] != nil }
 
-// reservedFor returns the job that alone may use a machine's room at present, nil if any may.
-func (p *Planner) reservedFor(w *workers.Worker) *jobs.Job {
-	if j := p.starvationReserved[w]; j != nil {
-		return j
+// starvedCount is how many machines are reserved for starved jobs.
+func (r *reservations) starvedCount() int { return len(r.starved) }
+
+// hasMachineFor says whether a machine is reserved for a starved job already.
+func (r *reservations) hasMachineFor(j *jobs.Job) bool {
+	for _, o := range r.starved {
+		if o == j {
+			return true
+		}
+	}
+	return false
+}
+
+// reserveStarved reserves a machine for a starved job.
+func (r *reservations) reserveStarved(w *workers.Worker, j *jobs.Job) { r.starved[w] = j }
+
+// use ends the reservations of a machine for a job of which a task is placed there.
+func (r *reservations) use(w *workers.Worker, j *jobs.Job) {
+	if r.starved[w] == j {
+		delete(r.starved, w)
 	}
-	return p.reservations[w].job
+	r.releaseTimed(w, j)
 }
 
-// expireReservations drops what is not needed any more, or has lasted for long enough.
-func (p *Planner) expireReservations(now ident.MonotonicTime) {
-	for w, entry := range p.reservations {
+// releaseStarved ends all reservations for a starved job.
+func (r *reservations) releaseStarved(j *jobs.Job) {
+	for w, o := range r.starved {
+		if o == j {
+			delete(r.starved, w)
+		}
+	}
+}
+
+// releaseTimed ends the timed reservation of a machine if it is for the job.
+func (r *reservations) releaseTimed(w *workers.Worker, j *jobs.Job) {
+	if r.timed[w].job == j {
+		delete(r.timed, w)
+	}
+}
+
+// expire drops the reservations that are no longer needed, or have lasted long enough.
+func (r *reservations) expire(now ident.MonotonicTime) {
+	for w, j := range r.starved {
+		if j.WaitingCount() == 0 || j.AllocatedTasks > 0 || !w.Schedulable(now) {
+			delete(r.starved, w)
+		}
+	}
+	for w, entry := range r.timed {
 		if now >= entry.until || entry.job.WaitingCount() == 0 || !w.Schedulable(now) {
-			delete(p.reservations, w)
+			delete(r.timed, w)
 		}
 	}
 }
+
+// ReserveFor keeps what becomes free on a machine for a job until a time.
+func (p *Planner) ReserveFor(w *workers.Worker, j *jobs.Job, until ident.MonotonicTime) {
+	p.reservations.timed[w] = timedReservation{job: j, until: until}
+}
+
+// ReleaseReservation ends a reservation made by ReserveFor, if it is for the job.
+func (p *Planner) ReleaseReservation(w *workers.Worker, j *jobs.Job) {
+	p.reservations.releaseTimed(w, j)
+}
+
+// IsReserved says whether a machine's room is kept for some job.
+func (p *Planner) IsReserved(w *workers.Worker) bool { return p.reservations.jobOn(w) != nil }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -5,71 +5,72 @@
 	"opaldale/internal/workers"
 )
 
-// placeService goes first-fit: over the machines that hold the image, then over
-// the others, then where work of less right can be stopped.
-func (p *Planner) placeService(j *jobs.Job) {
-	holders := &holderSearch{planner: p, job: j}
-	for p.placed < maxPlacedPerDispatch {
-		t := p.nextTask(j)
-		if t == nil || !p.teams.Allows(j.Spec, 1) {
+// placeService places the tasks of a service first-fit: on the machines that hold the image, then
+// on the others, then where work of lower precedence can be preempted.
+func (d *dispatch) placeService(j *jobs.Job) {
+	holders := &holderSearch{dispatch: d, job: j}
+	for !d.full() {
+		t := d.nextTask(j)
+		if t == nil || !d.teams.Allows(j.Spec, 1) || !d.placeServiceTask(t, holders) {
 			return
 		}
-		found := holders.next()
-		if found == nil {
-			found = p.roomiest(j)
-			// Unless fetching would take longer than its users want to wait.
-			if found != nil && p.fetchExceedsObjective(j, found) && p.preempt(t, true) {
-				p.Stats.Services++
-				continue
-			}
-		}
-		if found != nil {
-			p.Stats.Services++
-			p.place(t, found)
-			continue
-		}
-		if !p.preempt(t, false) {
-			return
-		}
-		p.Stats.Services++
+		d.Stats.Services++
+	}
+}
+
+// placeServiceTask places one task of a service, and returns false if there is no room to be had.
+func (d *dispatch) placeServiceTask(t *jobs.Task, holders *holderSearch) bool {
+	if w := holders.next(); w != nil {
+		d.place(t, w)
+		return true
+	}
+	w := d.roomiest(t.Job)
+	if w == nil {
+		return d.preemptAnywhere(t)
 	}
+	if d.fetchExceedsObjective(t.Job, w, 1) && d.preemptOnHolder(t) {
+		return true
+	}
+	d.place(t, w)
+	return true
 }
 
 // holderSearch finds machines that hold a service's image, for one of its tasks after another.
 type holderSearch struct {
-	planner *Planner
-	job     *jobs.Job
-	cursor  int // room only shrinks, so a holder that was passed over needs no second look
+	*dispatch
+	job    *jobs.Job
+	cursor int // room only shrinks, so a machine that was passed over needs no second look
 }
 
-// next returns a holder with room, nil if there is none.
+// next returns a machine that holds the image and has room, nil if there is none.
 func (s *holderSearch) next() *workers.Worker {
-	p, j := s.planner, s.job
-	if p.SpreadLoad() {
-		return p.leastUsedHolder(j)
+	if s.SpreadLoad() {
+		return s.leastUsedHolder(s.job)
 	}
-	for ; s.cursor < len(p.machinesWithRoom); s.cursor++ {
-		if w := p.machinesWithRoom[s.cursor]; w.HasImage(j.Spec.Image) && p.eligible(j, w) && p.hasRoom(j, w) {
+	for ; s.cursor < len(s.machinesWithRoom); s.cursor++ {
+		if w := s.machinesWithRoom[s.cursor]; w.HasImage(s.job.Spec.Image) && s.canRunOn(s.job, w) {
 			return w
 		}
 	}
 	return nil
 }
 
-// roomiest returns the machine with the most room, nil if none has enough. Where the image must
-// be fetched anyway, the next tasks then find it there.
-func (p *Planner) roomiest(j *jobs.Job) *workers.Worker {
+// roomiest returns the machine with the most room, nil if none has enough. Where the image must be
+// pulled anyway, the next tasks then find it there.
+func (d *dispatch) roomiest(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range p.machinesWithRoom {
-		if (found == nil || w.Type.VCPUs-w.VCPUs > found.Type.VCPUs-found.VCPUs+tolerance) && p.eligible(j, w) && p.hasRoom(j, w) {
+	for _, w := range d.machinesWithRoom {
+		if found != nil && unusedVCPUs(w) <= unusedVCPUs(found)+tolerance {
+			continue
+		}
+		if d.canRunOn(j, w) {
 			found = w
 		}
 	}
 	return found
 }
 
-// Movable says whether a replica would find room on another machine that holds
-// its image.
+// Movable says whether a replica would find room on another machine that holds its image.
 func (p *Planner) Movable(t *jobs.Task, from *workers.Worker) bool {
 	j := t.Job
 	if !p.teams.Allows(j.Spec, 0) {
@@ -80,17 +81,10 @@
 		if w == from || !w.Fits(j.Spec) || !w.Schedulable(now) || !w.Allows(j.Spec) || !w.HasImage(j.Spec.Image) {
 			continue
 		}
-		// As if it had left its zone already.
+		// In its own zone it takes its own place.
 		if w.Zone == from.Zone || zoneAllows(j, w.Zone) {
 			return true
 		}
 	}
 	return false
 }
-
-// fetchExceedsObjective says whether a job's users want it started sooner than a machine
-// would have its image.
-func (p *Planner) fetchExceedsObjective(j *jobs.Job, w *workers.Worker) bool {
-	limit, ok := p.startObjectives[j.Spec.Class]
-	return ok && w.ImagePullTime(j.Spec) > limit
-}
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -8,223 +8,298 @@
 	"opaldale/internal/workers"
 )
 
-// planQueue is a machine's plan while others steal from it.
-type planQueue struct {
-	owner     *workers.Worker
-	remaining int
-	next      int // earlier tasks of the plan are placed
+// placementRule says by which rule a batch task was chosen for a machine.
+type placementRule uint8
+
+const (
+	rulePlanned  placementRule = iota // the plan names the machine
+	ruleLocal                         // the machine holds the image
+	ruleUncached                      // no eligible machine holds the image
+	ruleStolen                        // taken from the plan of another machine
+)
+
+// countBatchTask counts a batch task by the rule that placed it.
+func (s *Stats) countBatchTask(rule placementRule) {
+	switch rule {
+	case rulePlanned:
+		s.Planned++
+	case ruleLocal:
+		s.Local++
+	case ruleUncached:
+		s.Uncached++
+	case ruleStolen:
+		s.Stolen++
+	}
 }
 
-// jobRange is a part of the arrays that wait: from one place to before another.
+// spotFirst lists the two kinds of machines, spot or not, as they are filled.
+var spotFirst = [...]bool{true, false}
+
+// jobRange is a range of batch jobs by precedence, from an index to before another.
 type jobRange struct{ from, to int }
 
 // fillIdleMachines lets every machine with room take work. Teams without a guarantee have what the
-// others leave: their tasks were local to the machines that they had filled, and took each
-// place there that became free before guaranteed work, which then had to stop others.
-func (p *Planner) fillIdleMachines() {
-	p.fillFrom(jobRange{0, p.firstBorrower})
-	if p.firstBorrower < len(p.batchJobs) {
-		p.fillFrom(jobRange{p.firstBorrower, len(p.batchJobs)})
-	}
-}
-
-// fillFrom lets every machine with room take work of some of the arrays, the cheap machines
-// first.
-func (p *Planner) fillFrom(active jobRange) {
-	p.activeRange = active
-	clear(p.taskCursor)
-	clear(p.firstByImage)
-	p.uncachedJobs = p.uncachedJobs[:0]
-	for _, j := range p.batchJobs[active.from:active.to] {
-		if j.WaitingCount() > 0 && !p.isImageCached(j) {
-			p.uncachedJobs = append(p.uncachedJobs, j)
-		}
-	}
-	sort.Slice(p.uncachedJobs, func(i, k int) bool { return p.uncachedJobs[i].Seq < p.uncachedJobs[k].Seq })
-	p.sortPlans()
-	need := p.minNeed(active)
-	// What machines with room have the images of comes first on all of them: else the
-	// first one by name takes a task, and fetches, that another has the image of.
-	for i, choose := range []func(*workers.Worker) (*jobs.Task, *uint64){p.localTask, p.chooseTask} {
-		for _, spot := range []bool{true, false} {
-			if local := i == 0; local && p.SpreadLoad() {
-				p.fillLeastUsedFirst(spot, need)
-				continue
-			}
-			for _, w := range p.machinesWithRoom {
-				if w.Spot != spot {
-					continue
-				}
-				for w.HasRoom(need) && p.placed < maxPlacedPerDispatch {
-					t, counter := choose(w)
-					if t == nil {
-						break
-					}
-					*counter++
-					p.place(t, w)
-				}
-			}
-		}
-		clear(p.taskCursor)
-		clear(p.firstByImage)
+// others leave: since their tasks are local to the machines that they fill, they would otherwise
+// take each place there that becomes free before guaranteed work, which then had to preempt.
+func (d *dispatch) fillIdleMachines() {
+	d.fillFrom(jobRange{0, d.firstBorrower})
+	if d.firstBorrower < len(d.batchJobs) {
+		d.fillFrom(jobRange{d.firstBorrower, len(d.batchJobs)})
 	}
 }
 
-// minNeed returns the least that any waiting task of some arrays needs.
-func (p *Planner) minNeed(within jobRange) jobs.Resources {
-	need := jobs.UnboundedResources()
-	for _, j := range p.batchJobs[within.from:within.to] {
-		if j.WaitingCount() > 0 && p.teams.Allows(j.Spec, 1) {
-			need.LowerTo(j.Spec)
+// fillFrom lets every machine with room take tasks of a range of the batch jobs. Tasks whose image
+// a machine with room holds go first on all machines: the first machine by name would otherwise
+// take, and pull the image for, a task that is local to another.
+func (d *dispatch) fillFrom(active jobRange) {
+	d.activeRange = active
+	d.resetCursors()
+	d.listUncachedJobs()
+	d.sortPlans()
+	need := d.minNeed(active)
+	for _, spot := range spotFirst {
+		if d.SpreadLoad() {
+			d.fillLeastUsedFirst(spot, need)
+		} else {
+			d.fillInOrder(spot, need, d.localTask)
 		}
 	}
-	return need
+	d.resetCursors()
+	for _, spot := range spotFirst {
+		d.fillInOrder(spot, need, d.chooseTask)
+	}
+	d.resetCursors()
 }
 
-// sortPlans sorts the plans for those who steal from them.
-func (p *Planner) sortPlans() {
-	p.plans = p.plans[:0]
-	for _, w := range p.openMachines {
-		n := 0
-		for _, t := range w.PlannedTasks {
-			if t.State == jobs.Waiting {
-				n++
-			}
+// fillInOrder lets the machines of a kind take tasks in the order of their names, each as many as
+// it has room for.
+func (d *dispatch) fillInOrder(spot bool, need jobs.Resources, choose func(*workers.Worker) (*jobs.Task, placementRule)) {
+	for _, w := range d.machinesWithRoom {
+		if w.Spot != spot {
+			continue
 		}
-		if n > 0 {
-			p.plans = append(p.plans, &planQueue{owner: w, remaining: n})
+		for w.HasRoom(need) && !d.full() {
+			t, rule := choose(w)
+			if t == nil {
+				break
+			}
+			d.Stats.countBatchTask(rule)
+			d.place(t, w)
 		}
 	}
-	sort.SliceStable(p.plans, func(i, k int) bool { return p.plans[i].remaining > p.plans[k].remaining })
 }
 
-// steal finds a task for a machine in the fullest plan that has one, looking into
-// so many plans at the most.
-func (p *Planner) steal(w *workers.Worker) *jobs.Task {
-	looked := 0
-	for i := 0; i < len(p.plans) && looked < maxPlansSearched; i++ {
-		queue := p.plans[i]
-		if queue.owner == w || queue.remaining <= 0 {
-			continue
-		}
-		looked++
-		plan := queue.owner.PlannedTasks
-		for queue.next < len(plan) && plan[queue.next].State != jobs.Waiting {
-			queue.next++
+// resetCursors makes the searches for tasks start over.
+func (d *dispatch) resetCursors() {
+	clear(d.taskCursor)
+	clear(d.firstByImage)
+}
+
+// listUncachedJobs lists the active jobs whose image no eligible machine holds.
+func (d *dispatch) listUncachedJobs() {
+	d.uncachedJobs = d.uncachedJobs[:0]
+	for _, j := range d.activeJobs() {
+		if j.WaitingCount() > 0 && !d.isImageCached(j) {
+			d.uncachedJobs = append(d.uncachedJobs, j)
 		}
-		for _, t := range plan[queue.next:] {
-			if !p.inActiveRange(t) {
-				break // plans have the tasks in the order of their right
-			}
-			if !p.canTakeTask(t, w) {
-				continue
-			}
-			// One less, and back to its place in the order.
-			queue.remaining--
-			for k := i + 1; k < len(p.plans) && p.plans[k].remaining > queue.remaining; k++ {
-				p.plans[k-1], p.plans[k] = p.plans[k], queue
-			}
-			return t
+	}
+	sort.Slice(d.uncachedJobs, func(i, k int) bool { return d.uncachedJobs[i].Seq < d.uncachedJobs[k].Seq })
+}
+
+// activeJobs are the batch jobs whose turn it is.
+func (d *dispatch) activeJobs() []*jobs.Job { return d.batchJobs[d.activeRange.from:d.activeRange.to] }
+
+// minNeed returns the least that any waiting task of a range of the batch jobs needs.
+func (d *dispatch) minNeed(within jobRange) jobs.Resources {
+	need := jobs.UnboundedResources()
+	for _, j := range d.batchJobs[within.from:within.to] {
+		if j.WaitingCount() > 0 && d.teams.Allows(j.Spec, 1) {
+			need.LowerTo(j.Spec)
 		}
 	}
-	return nil
+	return need
 }
 
-// inActiveRange says whether a task's job is one of those whose turn it is, or of an earlier one.
-func (p *Planner) inActiveRange(t *jobs.Task) bool {
-	return p.activeRange.to > p.firstBorrower || !p.teams.IsBorrower(t.Job.Spec.Team)
+// inActiveRange says whether a task's job is one of those whose turn it is, or precedes them.
+func (d *dispatch) inActiveRange(t *jobs.Task) bool {
+	return d.activeRange.to > d.firstBorrower || !d.teams.IsBorrower(t.Job.Spec.Team)
 }
 
 // canTakeTask says whether a machine may have a task now.
-func (p *Planner) canTakeTask(t *jobs.Task, w *workers.Worker) bool {
-	now := p.now()
-	return t.State == jobs.Waiting && t.Job.Phase == jobs.Open && t.Job.PlaceableCount() > 0 && now >= t.RetryAt && now >= t.Job.RetryAt &&
-		p.hasRoom(t.Job, w) && p.eligible(t.Job, w) && !p.machineTable.HasUnknownAttempt(t.TaskID())
+func (d *dispatch) canTakeTask(t *jobs.Task, w *workers.Worker) bool {
+	if t.State != jobs.Waiting || t.Job.Phase != jobs.Open || t.Job.PlaceableCount() <= 0 {
+		return false
+	}
+	now := d.now()
+	if now < t.RetryAt || now < t.Job.RetryAt {
+		return false
+	}
+	return d.canRunOn(t.Job, w) && !d.machineTable.HasUnknownAttempt(t.TaskID())
 }
 
 // canTakeAnyOf says whether a machine may have any task of a job now.
-func (p *Planner) canTakeAnyOf(j *jobs.Job, w *workers.Worker) bool {
-	return j.WaitingCount() > 0 && p.hasRoom(j, w) && p.eligible(j, w) && p.nextTask(j) != nil
+func (d *dispatch) canTakeAnyOf(j *jobs.Job, w *workers.Worker) bool {
+	return j.WaitingCount() > 0 && d.canRunOn(j, w) && d.nextTask(j) != nil
 }
 
-// localTask chooses an array task for a machine without a fetch: what is planned for it,
-// then what it holds the image of.
-func (p *Planner) localTask(w *workers.Worker) (*jobs.Task, *uint64) {
-	if j := p.reservedFor(w); j != nil {
-		// Kept for a gang: that is placed as a whole. (Its first task was taken alone.)
-		if t := p.nextTask(j); t != nil && !j.IsGang() && p.canTakeTask(t, w) {
-			return t, &p.Stats.Local
-		}
-		return nil, nil
+// localTask chooses a batch task for a machine that need not pull its image: what is planned for
+// the machine, then the first by precedence whose image it holds. It returns nil if there is none.
+func (d *dispatch) localTask(w *workers.Worker) (*jobs.Task, placementRule) {
+	if j := d.reservations.jobOn(w); j != nil {
+		return d.reservedTask(j, w), ruleLocal
 	}
 	for _, t := range w.PlannedTasks {
-		if !p.inActiveRange(t) {
+		if !d.inActiveRange(t) {
 			break
 		}
-		if p.canTakeTask(t, w) {
-			return t, &p.Stats.Planned
+		if d.canTakeTask(t, w) {
+			return t, rulePlanned
 		}
 	}
-	best := p.activeRange.to
+	if j := d.firstCachedJob(w); j != nil {
+		return d.nextTask(j), ruleLocal
+	}
+	return nil, ruleLocal
+}
+
+// reservedTask returns the next task of the job that a machine is reserved for, nil if the machine
+// can't take it. The tasks of a gang are placed together, never one by one.
+func (d *dispatch) reservedTask(j *jobs.Job, w *workers.Worker) *jobs.Task {
+	t := d.nextTask(j)
+	if t == nil || j.IsGang() || !d.canTakeTask(t, w) {
+		return nil
+	}
+	return t
+}
+
+// firstCachedJob returns the first active job by precedence whose image a machine holds and whose
+// tasks it may take, nil if there is none.
+func (d *dispatch) firstCachedJob(w *workers.Worker) *jobs.Job {
+	best := d.activeRange.to
 	for _, image := range w.CachedImages() {
-		list := p.byImage[image.Name]
-		first := p.firstByImage[image.Name]
-		for first < len(list) && p.batchJobs[list[first]].WaitingCount() == 0 {
+		list := d.byImage[image.Name]
+		first := d.firstByImage[image.Name]
+		for first < len(list) && d.batchJobs[list[first]].WaitingCount() == 0 {
 			first++
 		}
-		p.firstByImage[image.Name] = first
+		d.firstByImage[image.Name] = first
 		for _, i := range list[first:] {
 			if i >= best {
 				break
 			}
-			if p.canTakeAnyOf(p.batchJobs[i], w) {
+			if d.canTakeAnyOf(d.batchJobs[i], w) {
 				best = i
 			}
 		}
 	}
-	if best < p.activeRange.to {
-		return p.nextTask(p.batchJobs[best]), &p.Stats.Local
+	if best == d.activeRange.to {
+		return nil
 	}
-	return nil, nil
+	return d.batchJobs[best]
 }
 
-// chooseTask chooses an array task for a machine: a local one, then the oldest whose image
-// nobody holds, then one from the fullest plan.
-func (p *Planner) chooseTask(w *workers.Worker) (*jobs.Task, *uint64) {
-	if t, counter := p.localTask(w); t != nil || p.reservedFor(w) != nil {
-		return t, counter
+// chooseTask chooses a batch task for a machine: a local one, then the oldest whose image no
+// eligible machine holds, then one stolen from the fullest plan. It returns nil if there is none.
+func (d *dispatch) chooseTask(w *workers.Worker) (*jobs.Task, placementRule) {
+	if t, rule := d.localTask(w); t != nil || d.IsReserved(w) {
+		return t, rule
 	}
-	for _, j := range p.uncachedJobs {
-		if p.canTakeAnyOf(j, w) {
-			return p.nextTask(j), &p.Stats.Uncached
+	for _, j := range d.uncachedJobs {
+		if d.canTakeAnyOf(j, w) {
+			return d.nextTask(j), ruleUncached
+		}
+	}
+	if d.config.UseASM1 {
+		return d.steal(w), ruleStolen
+	}
+	// Without plans, an idle machine steals from the queue.
+	for _, j := range d.activeJobs() {
+		if d.canTakeAnyOf(j, w) {
+			return d.nextTask(j), ruleStolen
+		}
+	}
+	return nil, ruleStolen
+}
+
+// planQueue is a machine's plan while others steal from it.
+type planQueue struct {
+	owner     *workers.Worker
+	remaining int
+	next      int // earlier tasks of the plan are placed
+}
+
+// waiting returns what is left of the plan, from its first task that still waits.
+func (q *planQueue) waiting() []*jobs.Task {
+	plan := q.owner.PlannedTasks
+	for q.next < len(plan) && plan[q.next].State != jobs.Waiting {
+		q.next++
+	}
+	return plan[q.next:]
+}
+
+// sortPlans sorts the plans for the machines that steal from them.
+func (d *dispatch) sortPlans() {
+	d.plans = d.plans[:0]
+	for _, w := range d.openMachines {
+		n := 0
+		for _, t := range w.PlannedTasks {
+			if t.State == jobs.Waiting {
+				n++
+			}
+		}
+		if n > 0 {
+			d.plans = append(d.plans, &planQueue{owner: w, remaining: n})
 		}
 	}
-	// Steal. Without a plan, from the waiting tasks at large.
-	if !p.config.UseASM1 {
-		for _, j := range p.batchJobs[p.activeRange.from:p.activeRange.to] {
-			if p.canTakeAnyOf(j, w) {
-				return p.nextTask(j), &p.Stats.Stolen
+	sort.SliceStable(d.plans, func(i, k int) bool { return d.plans[i].remaining > d.plans[k].remaining })
+}
+
+// steal finds a task for a machine in the fullest plan of another machine that has one, among the
+// maxPlansSearched fullest. It returns nil if there is none.
+func (d *dispatch) steal(w *workers.Worker) *jobs.Task {
+	searched := 0
+	for i := 0; i < len(d.plans) && searched < maxPlansSearched; i++ {
+		queue := d.plans[i]
+		if queue.owner == w || queue.remaining <= 0 {
+			continue
+		}
+		searched++
+		for _, t := range queue.waiting() {
+			if !d.inActiveRange(t) {
+				break // plans have their tasks by precedence
+			}
+			if d.canTakeTask(t, w) {
+				d.shrinkPlan(i)
+				return t
 			}
 		}
-		return nil, nil
 	}
-	return p.steal(w), &p.Stats.Stolen
+	return nil
+}
+
+// shrinkPlan takes a task off a plan, and brings the plan back to its place in the order.
+func (d *dispatch) shrinkPlan(i int) {
+	queue := d.plans[i]
+	queue.remaining--
+	for k := i + 1; k < len(d.plans) && d.plans[k].remaining > queue.remaining; k++ {
+		d.plans[k-1], d.plans[k] = d.plans[k], queue
+	}
 }
 
-// hasStrandedTask says whether a waiting task that is in no plan, of an image that is
-// held, could be taken by a machine with room.
-func (p *Planner) hasStrandedTask() bool {
-	if !p.config.UseASM1 {
+// hasStrandedTask says whether a waiting task that is in no plan, of an image that is cached, could
+// be taken by a machine with room.
+func (d *dispatch) hasStrandedTask() bool {
+	if !d.config.UseASM1 {
 		return false
 	}
-	clear(p.taskCursor)
+	clear(d.taskCursor)
 	planned := map[ident.MachineID]bool{}
-	for _, s := range p.plans {
+	for _, s := range d.plans {
 		planned[s.owner.ID] = true
 	}
-	need := p.minNeed(jobRange{0, len(p.batchJobs)})
+	need := d.minNeed(jobRange{0, len(d.batchJobs)})
 	var withRoom []*workers.Worker
-	for _, w := range p.machinesWithRoom {
+	for _, w := range d.machinesWithRoom {
 		if w.HasRoom(need) {
 			withRoom = append(withRoom, w)
 		}
@@ -232,18 +307,26 @@
 	if len(withRoom) == 0 {
 		return false
 	}
-	for _, j := range p.batchJobs {
-		if j.WaitingCount() == 0 || !p.teams.Allows(j.Spec, 1) || !p.isImageCached(j) {
+	for _, j := range d.batchJobs {
+		if j.WaitingCount() == 0 || !d.teams.Allows(j.Spec, 1) || !d.isImageCached(j) {
 			continue
 		}
-		t := p.nextTask(j)
+		t := d.nextTask(j)
 		if t == nil || planned[t.PlannedMachine] {
 			continue
 		}
-		for _, w := range withRoom {
-			if p.hasRoom(j, w) && p.eligible(j, w) {
-				return true
-			}
+		if d.canRunOnAny(j, withRoom) {
+			return true
+		}
+	}
+	return false
+}
+
+// canRunOnAny says whether one of some machines may take a task of a job, and has room for it.
+func (d *dispatch) canRunOnAny(j *jobs.Job, machines []*workers.Worker) bool {
+	for _, w := range machines {
+		if d.canRunOn(j, w) {
+			return true
 		}
 	}
 	return false
