--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -9,30 +9,34 @@
 	"opaldale/internal/settings"
 )
 
-// Teams keeps what each team uses against its limit and its guarantee.
+// Teams keeps what each team uses against its quota: a guarantee, within which its jobs can take
+// back room that other teams have borrowed, and a limit, which it never exceeds.
 type Teams struct {
 	byName map[string]*team
 }
 
 type team struct {
 	settings.Team
-	usedVCPUs, usedGPUs float64 // of tasks that count on a machine
-	borrower            bool    // without guarantee and limit
+	usedVCPUs, usedGPUs float64 // of allocated tasks
+	borrower            bool    // has neither guarantee nor limit
 }
 
-const tolerance = 1e-6
-
-// unlimited is more than any fleet has, and small enough to be counted in tasks.
-const unlimited = 1e9
+const (
+	// tolerance allows for rounding in sums of CPUs, GPUs and costs.
+	tolerance = 1e-6
+	// unlimited is the limit of borrowers in CPUs and GPUs: more than any cluster has, and small
+	// enough to be converted to a number of tasks.
+	unlimited = 1e9
+)
 
-// NewTeams makes the teams of the settings, none using anything.
+// NewTeams makes the teams of the settings, none of which uses anything.
 func NewTeams(list []settings.Team) *Teams {
 	ts := &Teams{byName: make(map[string]*team, len(list))}
 	for _, t := range list {
 		borrower := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
-			// "0 means none": a team that may use nothing at all would be no team, so it is
-			// one without a limit. (Every job of a guest team was refused with 422.)
+			// In the settings 0 means that there is no limit: a team that may use nothing at all
+			// would be of no use.
 			t.CPUsMax, t.GPUsMax = unlimited, unlimited
 		}
 		ts.byName[t.Name] = &team{Team: t, borrower: borrower}
@@ -64,7 +68,7 @@
 	return nil
 }
 
-// AddUsage adds or removes a task's use.
+// AddUsage adds what a task uses if sign is 1, and removes it if sign is -1.
 func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
 	if t := ts.byName[s.Team]; t != nil {
 		t.usedVCPUs += sign * s.VCPUs
@@ -72,7 +76,7 @@
 	}
 }
 
-// Allows says whether a team may use n tasks' worth more.
+// Allows says whether a team's limit has room for n more tasks like s.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
 	return t != nil && t.usedVCPUs+n*s.VCPUs <= t.CPUsMax+tolerance && t.usedGPUs+n*s.GPUs <= t.GPUsMax+tolerance
@@ -84,7 +88,7 @@
 	return t != nil && t.borrower
 }
 
-// BorrowersActive says whether any such team uses anything.
+// BorrowersActive says whether any team without guarantee and limit uses anything.
 func (ts *Teams) BorrowersActive() bool {
 	for _, t := range ts.byName {
 		if t.borrower && t.usedVCPUs > tolerance {
@@ -94,7 +98,7 @@
 	return false
 }
 
-// RemainingTasks returns how many more tasks like s a team's limit admits.
+// RemainingTasks returns for how many more tasks like s a team's limit has room.
 func (ts *Teams) RemainingTasks(s *api.Spec) int {
 	t := ts.byName[s.Team]
 	if t == nil {
@@ -110,17 +114,17 @@
 	return max(n, 0)
 }
 
-// LargestGuarantee returns the largest guarantee in CPUs.
+// LargestGuarantee returns the largest guarantee of a team in CPUs.
 func (ts *Teams) LargestGuarantee() float64 {
-	most := 0.0
+	largest := 0.0
 	for _, t := range ts.byName {
-		most = max(most, t.CPUs)
+		largest = max(largest, t.CPUs)
 	}
-	return most
+	return largest
 }
 
-// UpdateGuarantees notes which jobs fit into their team's guarantee along with the
-// team's earlier unfinished jobs, for teams that have changed.
+// UpdateGuarantees sets WithinQuota on the jobs of teams that have changed: it is true for those
+// that fit into their team's guarantee together with the team's earlier unfinished jobs.
 func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
@@ -138,7 +142,7 @@
 	}
 }
 
-// OthersOverGuarantee says whether teams other than the named one run arrays beyond their
+// OthersOverGuarantee says whether teams other than the named one run batch jobs beyond their
 // guarantee.
 func (ts *Teams) OthersOverGuarantee(all *jobs.Table, except string) bool {
 	for name, list := range all.Teams {
