--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -13,11 +13,12 @@
 	"opaldale/internal/ident"
 )
 
-// Prefix is where the moves of jobs are recorded, a key for each job that has any. Versions
-// without moves never read it, and treat a task that is being moved as one that was stopped.
+// Prefix is the prefix of the keys under which the moves of jobs are recorded, one key for each job
+// that has any. Versions without migration never read it, and treat a task that is being moved as
+// one that was stopped.
 const Prefix = "moves/"
 
-// Key is the key of a job's moves.
+// Key returns the key under which a job's moves are recorded.
 func Key(id ident.JobID) string { return Prefix + string(id) }
 
 // Entry is one recorded move.
@@ -61,32 +62,32 @@
 type jobHistory struct {
 	record     Record
 	doc        *commit.Document
-	unreadable bool // what is stored can't be read, and stays as it is
+	unreadable bool // the stored value can't be decoded, and is kept as it is
 	deleted    bool
 }
 
-// History keeps how often each job was moved, in the state service: a move is recorded before
-// its task is stopped, so that no change of leader forgets it.
+// History keeps how often each job was moved, in the key-value store: a move is recorded before its
+// task is stopped, so that it outlasts a failover.
 type History struct {
 	commits     *commit.Committer
 	wallClockMS func() int64 // time of day in milliseconds
 	jobs        map[ident.JobID]*jobHistory
 }
 
-// NewHistory makes an empty history for a term.
+// NewHistory makes an empty history for a leader's term.
 func NewHistory(commits *commit.Committer, wallClockMS func() int64) *History {
 	return &History{commits: commits, wallClockMS: wallClockMS, jobs: map[ident.JobID]*jobHistory{}}
 }
 
-// Load takes in what an earlier term recorded. A record that can't be read bars its job from
-// being moved, and ends no term: nothing but moves depends on it.
+// Load takes over what an earlier term recorded. A record that can't be decoded bars its job from
+// being moved; it is no reason to give up leadership, since only moves depend on it.
 func (h *History) Load(path string, value json.RawMessage, revision ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
 	j := h.addJob(id)
 	j.doc.Revision = revision
 	r, err := ReadRecord(value)
 	if err != nil {
-		slog.Error("unreadable record of moves: the job is not moved", "path", path, "err", err)
+		slog.Error("cannot decode move history, job will not be migrated", "job", string(id), "path", path, "err", err)
 		j.unreadable = true
 		return
 	}
@@ -113,13 +114,13 @@
 	return 0
 }
 
-// IsBarred says whether a job may not be moved as its record can't be read.
+// IsBarred says whether a job may not be moved because its record can't be decoded.
 func (h *History) IsBarred(id ident.JobID) bool {
 	j := h.jobs[id]
 	return j != nil && j.unreadable
 }
 
-// RecordMove records a move; then is called once that is durable.
+// RecordMove records a move, and calls durable once the record is.
 func (h *History) RecordMove(m *Move, durable func()) {
 	j := h.jobs[m.Task.Job]
 	if j == nil {
@@ -139,7 +140,7 @@
 	h.commits.MarkDirty(j.doc, durable)
 }
 
-// Forget deletes the record of a job that is over, when there is room to spare.
+// Forget deletes the record of a job that is over, with the next write that has room for it.
 func (h *History) Forget(id ident.JobID) {
 	j := h.jobs[id]
 	if j == nil {
@@ -150,8 +151,8 @@
 	h.commits.MarkDirtyLazily(j.doc, nil)
 }
 
-// Prune forgets the jobs that are over, as an earlier term, or a version without moves, has
-// left them.
+// Prune forgets the jobs that are over, whose records an earlier term or a version without migration
+// has left.
 func (h *History) Prune(live func(ident.JobID) bool) {
 	for id := range h.jobs {
 		if !live(id) {
@@ -160,8 +161,8 @@
 	}
 }
 
-// Interrupted lists the tasks whose last recorded move may not have ended, by the attempt that
-// each was in.
+// Interrupted lists the tasks whose last recorded move may not have ended: those that are still in
+// the attempt that was to be moved.
 func (h *History) Interrupted(attempt func(ident.TaskID) (ident.Attempt, bool)) []ident.TaskID {
 	var out []ident.TaskID
 	for id, j := range h.jobs {
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -1,33 +1,43 @@
-// Package migration carries moves of running tasks out. A move is an ordinary stop whose next
-// placement is chosen beforehand: room is reserved at the destination, the move is recorded,
-// the task is stopped, and once it is proven to have left its machine it is placed where the
-// room was kept. At any point a move may be abandoned, and the task then goes the ordinary
-// way. The package is pure: observations and times come in, effects go out.
+// Package migration carries out moves of running tasks. A move is a graceful stop whose next placement
+// is chosen beforehand: room is reserved at the destination, the move is recorded, the task is
+// stopped, and once it is proven to have left its machine it is placed where the room was reserved.
+// A move can be abandoned at any point; the task is then placed as any waiting task is.
+//
+// Table is a state machine that does no I/O and reads no clock: observations and times come in,
+// effects go out. History keeps the durable record of moves.
 package migration
 
 import "fmt"
 
-// State is where a move stands.
+// State is the state of a move.
 type State uint8
 
 // The states of a move.
 const (
-	// Proposed: it is being recorded, and nothing has been stopped.
+	// Proposed: the move is being recorded, and nothing has been stopped.
 	Proposed State = iota
-	// Stopping: the task was told to stop, and may still be on its machine.
+	// Stopping: the task was commanded to stop, and may still be on its machine.
 	Stopping
 	// Stopped: the task is proven to have left its machine.
 	Stopped
-	// Placing: the destination was chosen for the task's next attempt.
+	// Placing: the task's next attempt was assigned to the destination.
 	Placing
 	// Running: the task was seen to run at the destination, or has completed there.
 	Running
-	// Abandoned: the task goes the ordinary way.
+	// Abandoned: the move was given up.
 	Abandoned
 )
 
-var stateNames = [...]string{"proposed", "stopping", "stopped", "placing", "running", "abandoned"}
+var stateNames = [...]string{
+	Proposed:  "proposed",
+	Stopping:  "stopping",
+	Stopped:   "stopped",
+	Placing:   "placing",
+	Running:   "running",
+	Abandoned: "abandoned",
+}
 
+// String returns the name of a state as metrics and logs have it.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -47,26 +57,43 @@
 	Arrived                  // the task runs at the destination
 	TaskCompleted            // the task completed before it was stopped
 	JobClosed                // the job was cancelled, or is done
-	NotNeeded                // what the move would make room for waits no more
-	TeamRecovered            // a hot team cooled before the task was stopped
-	AuthorityLost            // the node could not record decisions any more
-	LinkSuspected            // a link to one of both zones is in doubt
+	NotNeeded                // the beneficiary waits no longer
+	TeamRecovered            // an overloaded team recovered before the task was stopped
+	AuthorityLost            // the node can't record decisions any more
+	LinkSuspected            // a link to the zone of either machine is suspected to be broken
 	RecordOverdue            // the record was not durable in time
 	TaskChanged              // the task was stopped, lost or placed by something else
 	StopOverdue              // the task was not proven to have left in time
 	DestinationClosed        // the destination takes no work any more
 	DestinationTaken         // work of higher priority took the room
 	TeamAtLimit              // the team's limit has no room for the task
-	PlacementOverdue         // the destination could not be chosen in time
+	PlacementOverdue         // the task could not be placed in time
 	StartOverdue             // the task was not seen to run at the destination in time
-	LostAtDestination        // the task was lost before it ran there
+	LostAtDestination        // the task was lost before it ran at the destination
 	reasonCount
 )
 
-var reasonNames = [...]string{"", "arrived", "task completed", "job closed", "not needed", "team cooled", "authority lost", "link suspected",
-	"record overdue", "task changed", "stop overdue", "destination closed", "destination taken", "team at its limit", "placement overdue",
-	"start overdue", "lost at destination"}
+var reasonNames = [reasonCount]string{
+	NotEnded:          "",
+	Arrived:           "arrived",
+	TaskCompleted:     "task completed",
+	JobClosed:         "job closed",
+	NotNeeded:         "not needed",
+	TeamRecovered:     "team cooled",
+	AuthorityLost:     "authority lost",
+	LinkSuspected:     "link suspected",
+	RecordOverdue:     "record overdue",
+	TaskChanged:       "task changed",
+	StopOverdue:       "stop overdue",
+	DestinationClosed: "destination closed",
+	DestinationTaken:  "destination taken",
+	TeamAtLimit:       "team at its limit",
+	PlacementOverdue:  "placement overdue",
+	StartOverdue:      "start overdue",
+	LostAtDestination: "lost at destination",
+}
 
+// String returns the name of a reason as metrics and logs have it.
 func (r Reason) String() string {
 	if r < reasonCount {
 		return reasonNames[r]
