--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -1,7 +1,9 @@
-// Package rebalance decides which running tasks are worth moving: a task that waits for room
-// on one machine, where no machine has enough, may start at once if a smaller one goes
-// elsewhere; and a task on a slow machine may end sooner on another one. It is pure: a picture of the cluster comes in, proposals come out, and nothing is
-// stopped by it; package migration carries proposals out.
+// Package rebalance decides which running tasks are worth moving. A task that waits because no
+// machine has enough room may start at once if a smaller one goes elsewhere, and a task on a slow
+// machine may end sooner on another one.
+//
+// Plan is a pure function: the state of the cluster comes in, proposals come out. Package migration
+// carries the proposals out.
 package rebalance
 
 import (
@@ -17,15 +19,14 @@
 	ID                 ident.TaskID
 	Team               string
 	Need               jobs.Resources
-	PriorityLevel      int           // of its priority, 0 the highest
+	PriorityLevel      int           // 0 is the highest priority
 	RunningFor         time.Duration // since its last start
-	Remaining          time.Duration // by its owner's estimate; 0: nothing is known, or it runs until it is cancelled
-	EstimatedRuntime   time.Duration // run time by its owner's estimate; 0: nothing is known
-	CheckpointInterval time.Duration // interval of its checkpoints, 0: it never saves
-	CheckpointTime     time.Duration // time to save when it is stopped
-	// Replica says that it serves as long as it runs, so that a move costs its absence.
-	Replica   bool
-	MoveCount int // how often its job's tasks have been moved
+	Remaining          time.Duration // by its owner's estimate; 0 if unknown, or if it runs until it is cancelled
+	EstimatedRuntime   time.Duration // by its owner's estimate; 0 if unknown
+	CheckpointInterval time.Duration // 0 if it writes no checkpoints
+	CheckpointTime     time.Duration // for a checkpoint when it is stopped
+	Replica            bool          // serves as long as it runs, so that a move costs the time of its absence
+	MoveCount          int           // moves of its job's tasks so far
 }
 
 // Machine is a machine that takes work.
@@ -33,10 +34,10 @@
 	ID          ident.MachineID
 	Zone        string
 	Free        jobs.Resources
-	Tasks       []Task       // those on it that may be moved
-	Completions []Completion // of what is on it and has an end in sight, in any order
+	Tasks       []Task       // of those on it, the ones that may be moved
+	Completions []Completion // of those on it, the ones that are expected to end, in any order
 
-	completionsSorted bool // Ends are in the order of time
+	completionsSorted bool // Completions are in the order of time
 }
 
 // Completion is when a task is expected to leave its machine, and what it frees.
@@ -45,22 +46,22 @@
 	Frees     jobs.Resources
 }
 
-// SlowMachine is a machine that is much slower than others. It takes no work, and what is on it may be
+// SlowMachine is a machine that is much slower than others. It takes no work, and its tasks may be
 // worth moving.
 type SlowMachine struct {
 	Machine
-	Slowness float64 // how many times as long tasks take there
+	Slowness float64 // run time of tasks as a multiple of what they take elsewhere
 }
 
 // WaitingTask is a task that finds no room.
 type WaitingTask struct {
 	ID            ident.TaskID
 	Need          jobs.Resources
-	PriorityLevel int           // of its priority, 0 the highest
+	PriorityLevel int           // 0 is the highest priority
 	WaitedFor     time.Duration // so far
-	// BootRemaining is when a machine that boots may have room for it; 0: none is on its way.
+	// BootRemaining is the time until a machine that boots may have room for it, 0 if none boots.
 	BootRemaining time.Duration
-	Allowed       func(*Machine) bool // whether it may run there
+	Allowed       func(*Machine) bool // whether it may run on a machine, apart from room
 }
 
 // ActiveMove is a move under way, which counts in the budgets.
@@ -69,21 +70,22 @@
 	Team          string
 	From, To      ident.MachineID
 	Zone          string       // of the machine that it leaves
-	BeneficiaryID ident.TaskID // which waits for it
+	BeneficiaryID ident.TaskID // the waiting task that gets the room
 }
 
-// Cluster is what a plan is made from.
+// Cluster is the state of the cluster that a plan is computed from.
 type Cluster struct {
 	Machines     []*Machine
-	Waiting      []WaitingTask  // in the order of their right
-	SlowMachines []*SlowMachine // not among the machines
+	Waiting      []WaitingTask  // by precedence
+	SlowMachines []*SlowMachine // not among Machines
 	ActiveMoves  []ActiveMove
-	// Fits says whether a running task may go to a machine, and how long its image would
-	// take to come there.
+	// Fits says whether a running task may move to a machine, and how long the pull of its image
+	// would take there.
 	Fits func(*Task, *Machine) (fetch time.Duration, ok bool)
 }
 
-// Budgets bound the moves under way at once, and those of a job in its life.
+// Budgets bound the moves under way at once in the cluster, from a zone, of a team and from or to a
+// machine, and the moves of a job in its lifetime.
 type Budgets struct {
 	Cluster, Zone, Team, Machine int
 	Job                          int
@@ -92,19 +94,21 @@
 // Config holds what is needed to judge a move.
 type Config struct {
 	Budgets Budgets
-	// GainMargin is how many times its cost a move must gain: estimates are often wrong by half.
+	// GainMargin is the gain that a move must have as a multiple of its cost: estimates are often
+	// wrong by half.
 	GainMargin float64
-	// StartOverhead is how long a command and its confirmation take beside fetch and saving.
+	// StartOverhead is how long a command and its confirmation take beside the pull of the image
+	// and the checkpoint.
 	StartOverhead time.Duration
-	// MinWait is how long a task waits before others are moved for it: most find room
-	// sooner by what ends anyway.
+	// MinWait is how long a task must have waited before others are moved for it: most find room
+	// sooner, as other tasks end.
 	MinWait time.Duration
-	// MinRuntime is how long a task has run before it is moved: one that has just started is
-	// missed by its user most, and mostly has just been stopped elsewhere.
+	// MinRuntime is how long a task must have run before it is moved: one that has just started has
+	// mostly just been stopped elsewhere.
 	MinRuntime time.Duration
 }
 
-// DefaultConfig returns what is used where the operators name nothing.
+// DefaultConfig returns the values that are used if the settings have none.
 func DefaultConfig() Config {
 	return Config{
 		Budgets:       Budgets{Cluster: 4, Zone: 2, Team: 2, Machine: 1, Job: 2},
@@ -115,41 +119,45 @@
 	}
 }
 
-// Purpose says what a move gains by.
+// Purpose says what is gained by a move.
 type Purpose uint8
 
-// The sources of gain.
+// The purposes of moves.
 const (
-	FreesCapacity     Purpose = iota // for a task that waits
-	LeavesSlowMachine                // the task ends sooner elsewhere
+	FreesCapacity     Purpose = iota // makes room for a task that waits
+	LeavesSlowMachine                // lets the task end sooner elsewhere
 	purposeCount
 )
 
-var purposeNames = [purposeCount]string{"makes room", "leaves a slow machine"}
+var purposeNames = [purposeCount]string{
+	FreesCapacity:     "makes room",
+	LeavesSlowMachine: "leaves a slow machine",
+}
 
-func (s Purpose) String() string {
-	if s < purposeCount {
-		return purposeNames[s]
+// String returns the name of a purpose as records, metrics and logs have it.
+func (p Purpose) String() string {
+	if p < purposeCount {
+		return purposeNames[p]
 	}
-	return fmt.Sprintf("source %d", uint8(s))
+	return fmt.Sprintf("source %d", uint8(p))
 }
 
-// Move is a proposal.
+// Move is a proposed move of a running task.
 type Move struct {
 	Purpose        Purpose
 	Task           ident.TaskID
 	Team           string
 	Need           jobs.Resources
 	From, To       ident.MachineID
-	BeneficiaryID  ident.TaskID  // which can start then, if room is made
-	ExpectedWait   time.Duration // which that would have waited without it
-	Gain           time.Duration // by which that starts sooner, or the moved task ends sooner
+	BeneficiaryID  ident.TaskID  // the waiting task that gets the room, if the purpose is FreesCapacity
+	ExpectedWait   time.Duration // of the beneficiary without the move
+	Gain           time.Duration // by which the beneficiary starts sooner, or the moved task ends sooner
 	Cost           time.Duration // work lost and time spent
-	CheckpointTime time.Duration // time given to the task to save; 0: it is ended at once
-	FetchTime      time.Duration // of its image, at the destination
+	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is ended at once
+	FetchTime      time.Duration // for the pull of the image at the destination
 }
 
-// Beneficiary names the task that a move makes room for, if it does.
+// Beneficiary names the task that a move makes room for, "" if that is not its purpose.
 func (m *Move) Beneficiary() string {
 	if m.Purpose != FreesCapacity {
 		return ""
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxWaiting bounds the waiting tasks that one plan looks at: the next plan has the next.
+	// maxWaiting bounds the waiting tasks that one plan considers.
 	maxWaiting = 32
-	// maxCandidates bounds the cheapest moves off a machine for which a destination is looked
-	// for, and maxDestinations the machines with room that are looked at for each.
+	// maxCandidates bounds the tasks, the cheapest to move, for which a destination is searched, and
+	// maxDestinations the machines with room that are searched for each.
 	maxCandidates   = 32
 	maxDestinations = 64
-	// unknownWait stands for a wait whose end nobody knows.
+	// unknownWait stands for a wait whose end is unknown.
 	unknownWait = 5 * time.Minute
 )
 
@@ -27,72 +27,50 @@
 	byFree        []*Machine // most room first
 	moves         []Move
 	usage         budgetUse
-	beneficiaries map[ident.TaskID]bool // waiting tasks that a move is for
+	beneficiaries map[ident.TaskID]bool // waiting tasks that a move makes room for
 }
 
-// budgetUse is what of the budgets is in use.
-type budgetUse struct {
-	cluster  int
-	machines map[ident.MachineID]int // moves from and to a machine
-	zones    map[string]int
-	teams    map[string]int
-	jobs     map[ident.JobID]int
-}
-
-// Plan proposes the moves that pay, in the order of the tasks that wait. The same picture has
-// the same plan; it is used up by that. Its cost grows with the machines and their tasks, for
-// each task that waits.
+// Plan proposes the moves that pay: first those that make room, in the order of the waiting tasks,
+// then those off slow machines. The same cluster has the same plan. The cluster is changed along
+// with the plan and must not be used again. The time for a plan grows with the machines and their
+// tasks, for each waiting task.
 func Plan(config Config, cluster *Cluster) []Move {
-	x := newPlanner(config, cluster)
+	p := newPlanner(config, cluster)
 	for i := range cluster.Waiting[:min(len(cluster.Waiting), maxWaiting)] {
-		if x.usage.cluster >= config.Budgets.Cluster {
+		if p.usage.clusterFull() {
 			break
 		}
 		w := &cluster.Waiting[i]
-		if w.WaitedFor < config.MinWait || x.beneficiaries[w.ID] {
+		if w.WaitedFor < config.MinWait || p.beneficiaries[w.ID] {
 			continue
 		}
-		if best, ok := x.cheapestMove(w); ok {
-			x.applyRoomMove(best)
+		if best, ok := p.cheapestMove(w); ok {
+			p.applyRoomMove(best)
 		}
 	}
-	x.planSlowMachines()
-	return x.moves
+	p.planSlowMachines()
+	return p.moves
 }
 
 func newPlanner(config Config, cluster *Cluster) *planner {
-	x := &planner{
+	p := &planner{
 		config:        config,
 		cluster:       cluster,
 		byFree:        slices.Clone(cluster.Machines),
 		beneficiaries: map[ident.TaskID]bool{},
-		usage:         newBudgetUse(),
+		usage:         newBudgetUse(config.Budgets),
 	}
 	for _, a := range cluster.ActiveMoves {
-		x.usage.count(a)
-		x.beneficiaries[a.BeneficiaryID] = true
+		p.usage.count(a)
+		p.beneficiaries[a.BeneficiaryID] = true
 	}
-	x.sortByFree()
-	return x
-}
-
-func newBudgetUse() budgetUse {
-	return budgetUse{machines: map[ident.MachineID]int{}, zones: map[string]int{}, teams: map[string]int{}, jobs: map[ident.JobID]int{}}
+	p.sortByFree()
+	return p
 }
 
-// count takes a move under way, or one that is proposed, into account.
-func (u *budgetUse) count(a ActiveMove) {
-	u.cluster++
-	u.machines[a.From]++
-	u.machines[a.To]++
-	u.zones[a.Zone]++
-	u.teams[a.Team]++
-	u.jobs[a.Job]++
-}
-
-// sortByFree brings the machines into the order of their room.
-func (x *planner) sortByFree() {
-	slices.SortFunc(x.byFree, func(a, b *Machine) int {
+// sortByFree sorts the machines by their room, the most first.
+func (p *planner) sortByFree() {
+	slices.SortFunc(p.byFree, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.Free.VCPUs, a.Free.VCPUs), cmp.Compare(a.ID, b.ID))
 	})
 }
@@ -102,26 +80,26 @@
 	task         *Task
 	from         *Machine
 	expectedWait time.Duration // of the waiting task, without the move
-	remaining    time.Duration // until the task ends by itself; 0: that doesn't matter
+	remaining    time.Duration // until the task ends by itself; 0 if that doesn't matter
 	gain         time.Duration
-	cost         time.Duration // without the fetch at the destination
+	cost         time.Duration // without the pull at the destination
 }
 
-// cheapestMove finds the move that lets a waiting task start for the least cost, if there is one that
+// cheapestMove finds the move of least cost that makes room for a waiting task, if there is one that
 // pays and no machine has room without it.
-func (x *planner) cheapestMove(w *WaitingTask) (Move, bool) {
-	for _, m := range x.byFree {
+func (p *planner) cheapestMove(w *WaitingTask) (Move, bool) {
+	for _, m := range p.byFree {
 		if m.Free.Covers(w.Need) && w.Allowed(m) {
 			return Move{}, false
 		}
 	}
 	var found Move
 	ok := false
-	for _, c := range x.candidates(w) {
+	for _, c := range p.candidates(w) {
 		if ok && found.Cost <= c.cost {
-			break // a fetch only adds to the cost
+			break // a pull only adds to the cost
 		}
-		if m, pays := x.bestDestination(c); pays && (!ok || m.Cost < found.Cost) {
+		if m, pays := p.bestDestination(c); pays && (!ok || m.Cost < found.Cost) {
 			found, ok = m, true
 			found.BeneficiaryID = w.ID
 		}
@@ -129,24 +107,31 @@
 	return found, ok
 }
 
-// candidates lists the tasks by whose leaving a waiting one would find room, the cheapest first.
-func (x *planner) candidates(w *WaitingTask) []candidate {
+// candidates lists the tasks whose moves would make room for a waiting one, the cheapest first.
+func (p *planner) candidates(w *WaitingTask) []candidate {
 	var list []candidate
-	for _, m := range x.byFree {
-		if x.usage.machines[m.ID] >= x.config.Budgets.Machine || x.usage.zones[m.Zone] >= x.config.Budgets.Zone || !w.Allowed(m) {
+	for _, m := range p.byFree {
+		if !p.usage.allowsSource(m) || !w.Allowed(m) {
 			continue
 		}
-		wait := time.Duration(-1) // not worked out yet
+		wait := time.Duration(-1) // not known yet
 		for i := range m.Tasks {
 			t := &m.Tasks[i]
-			if !x.wouldMakeRoom(w, m, t) {
+			if !p.wouldMakeRoom(w, m, t) {
 				continue
 			}
 			if wait < 0 {
-				wait = x.expectedWait(w, m)
+				wait = p.expectedWait(w, m)
+			}
+			c := candidate{
+				task:         t,
+				from:         m,
+				expectedWait: wait,
+				remaining:    t.Remaining,
+				gain:         wait - t.CheckpointTime - p.config.StartOverhead,
+				cost:         p.moveCost(t),
 			}
-			c := candidate{task: t, from: m, expectedWait: wait, remaining: t.Remaining, gain: wait - t.CheckpointTime - x.config.StartOverhead, cost: x.moveCost(t)}
-			if x.pays(c.gain, c.cost) {
+			if p.pays(c.gain, c.cost) {
 				list = insertCheapest(list, c)
 			}
 		}
@@ -154,11 +139,15 @@
 	return list
 }
 
-// insertCheapest keeps the cheapest candidates in their order.
+// insertCheapest inserts a candidate in the order of cost, and drops what exceeds maxCandidates.
 func insertCheapest(list []candidate, c candidate) []candidate {
 	at, _ := slices.BinarySearchFunc(list, c, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.from.ID, b.from.ID), cmp.Compare(a.task.ID.Job, b.task.ID.Job),
-			cmp.Compare(a.task.ID.Index, b.task.ID.Index))
+		return cmp.Or(
+			cmp.Compare(a.cost, b.cost),
+			cmp.Compare(a.from.ID, b.from.ID),
+			cmp.Compare(a.task.ID.Job, b.task.ID.Job),
+			cmp.Compare(a.task.ID.Index, b.task.ID.Index),
+		)
 	})
 	if at >= maxCandidates {
 		return list
@@ -167,51 +156,53 @@
 	return list[:min(len(list), maxCandidates)]
 }
 
-// wouldMakeRoom says whether a task may be moved for a waiting one, and makes enough room by it.
-func (x *planner) wouldMakeRoom(w *WaitingTask, from *Machine, t *Task) bool {
-	budgets := x.config.Budgets
+// wouldMakeRoom says whether a task may be moved for a waiting one, and its move makes enough room.
+func (p *planner) wouldMakeRoom(w *WaitingTask, from *Machine, t *Task) bool {
 	switch {
 	case t.Need.VCPUs <= 0 || !from.Free.Add(t.Need).Covers(w.Need):
 		return false
 	case t.Need.Covers(w.Need):
 		return false // it would need no less room elsewhere
-	case t.ID.Job == w.ID.Job || t.PriorityLevel < w.PriorityLevel || t.RunningFor < x.config.MinRuntime:
+	case t.ID.Job == w.ID.Job || t.PriorityLevel < w.PriorityLevel || t.RunningFor < p.config.MinRuntime:
 		return false
 	}
-	return x.usage.teams[t.Team] < budgets.Team && t.MoveCount+x.usage.jobs[t.ID.Job] < budgets.Job
+	return p.usage.allowsTask(t)
 }
 
-func (x *planner) pays(gain, cost time.Duration) bool {
-	return float64(gain) >= x.config.GainMargin*float64(cost)
+// pays says whether a gain is worth its cost.
+func (p *planner) pays(gain, cost time.Duration) bool {
+	return float64(gain) >= p.config.GainMargin*float64(cost)
 }
 
-// bestDestination finds the machine to which a task goes with the least to fetch, if that pays.
-func (x *planner) bestDestination(c candidate) (best Move, found bool) {
-	looked := 0
-	for _, to := range x.byFree {
-		if to.Free.VCPUs < c.task.Need.VCPUs || looked >= maxDestinations {
+// bestDestination finds the move of a task to the machine with the shortest pull of its image, if
+// that pays.
+func (p *planner) bestDestination(c candidate) (best Move, found bool) {
+	searched := 0
+	for _, to := range p.byFree {
+		if to.Free.VCPUs < c.task.Need.VCPUs || searched >= maxDestinations {
 			break // none after it has more
 		}
-		if to == c.from || x.usage.machines[to.ID] >= x.config.Budgets.Machine || !to.Free.Covers(c.task.Need) {
+		if to == c.from || !p.usage.allowsMachine(to) || !to.Free.Covers(c.task.Need) {
 			continue
 		}
-		looked++
-		fetch, ok := x.cluster.Fits(c.task, to)
-		if !ok || found && fetch >= best.FetchTime || !x.pays(c.gain, c.cost+fetch) {
+		searched++
+		fetch, ok := p.cluster.Fits(c.task, to)
+		if !ok || found && fetch >= best.FetchTime || !p.pays(c.gain, c.cost+fetch) {
 			continue
 		}
-		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+fetch+x.config.StartOverhead {
+		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+fetch+p.config.StartOverhead {
 			continue // it ends before the move does
 		}
-		best, found = x.newMove(c, to, fetch), true
+		best, found = p.newMove(c, to, fetch), true
 	}
 	return best, found
 }
 
-func (x *planner) newMove(c candidate, to *Machine, fetch time.Duration) Move {
-	save := time.Duration(0)
+// newMove makes a proposal from a candidate and its destination.
+func (p *planner) newMove(c candidate, to *Machine, fetch time.Duration) Move {
+	checkpointTime := time.Duration(0)
 	if c.task.CheckpointInterval > 0 {
-		save = c.task.CheckpointTime
+		checkpointTime = c.task.CheckpointTime
 	}
 	return Move{
 		Task:           c.task.ID,
@@ -222,14 +213,14 @@
 		ExpectedWait:   c.expectedWait,
 		Gain:           c.gain,
 		Cost:           c.cost + fetch,
-		CheckpointTime: save,
+		CheckpointTime: checkpointTime,
 		FetchTime:      fetch,
 	}
 }
 
-// expectedWait estimates for how long a task goes on waiting for a machine without a move: until
-// enough of what runs there has ended by itself, or a machine that boots is there.
-func (x *planner) expectedWait(w *WaitingTask, m *Machine) time.Duration {
+// expectedWait estimates how much longer a task waits for room on a machine without a move: until
+// enough tasks there have ended by themselves, or a machine has booted.
+func (p *planner) expectedWait(w *WaitingTask, m *Machine) time.Duration {
 	wait := unknownWait
 	free := m.Free
 	for _, e := range m.sortedCompletions() {
@@ -244,7 +235,7 @@
 	return wait
 }
 
-// sortedCompletions lists what will leave a machine, the next to end first.
+// sortedCompletions lists the expected completions on a machine, the next one first.
 func (m *Machine) sortedCompletions() []Completion {
 	if !m.completionsSorted {
 		slices.SortFunc(m.Completions, func(a, b Completion) int { return cmp.Compare(a.Remaining, b.Remaining) })
@@ -253,36 +244,38 @@
 	return m.Completions
 }
 
-// moveCost is what a move loses beside the fetch: work since the last checkpoint, or all of it,
-// the time to save and to start. A replica loses no work, and is missed for as long as it is
-// away.
-func (x *planner) moveCost(t *Task) time.Duration {
+// moveCost is what a move costs apart from the pull: the work that is lost if the task writes no
+// checkpoints, and the time for the checkpoint and the start. A replica loses no work, but serves
+// nobody for that time.
+func (p *planner) moveCost(t *Task) time.Duration {
 	lost := t.RunningFor
 	if t.Replica || t.CheckpointInterval > 0 {
-		lost = 0 // it has no progress, or saves it when it is stopped
+		lost = 0 // it has no progress, or writes a checkpoint when it is stopped
 	}
-	return lost + t.CheckpointTime + x.config.StartOverhead
+	return lost + t.CheckpointTime + p.config.StartOverhead
 }
 
-// applyRoomMove carries a move over into the picture, so that the next one sees it.
-func (x *planner) applyRoomMove(m Move) {
-	from := x.machine(m.From)
-	x.addMove(m, from.Zone)
-	x.beneficiaries[m.BeneficiaryID] = true
-	from.Free = jobs.Resources{} // kept for the task that waits
+// applyRoomMove adds a move that makes room to the plan. The room is kept for the beneficiary, and
+// no other task is moved off the machine.
+func (p *planner) applyRoomMove(m Move) {
+	from := p.machine(m.From)
+	p.addMove(m, from.Zone)
+	p.beneficiaries[m.BeneficiaryID] = true
+	from.Free = jobs.Resources{}
 	from.Tasks = nil
-	x.sortByFree()
+	p.sortByFree()
 }
 
-// addMove adds a move to the plan, and takes its room.
-func (x *planner) addMove(m Move, zone string) {
-	x.moves = append(x.moves, m)
-	x.usage.count(ActiveMove{Job: m.Task.Job, Team: m.Team, From: m.From, To: m.To, Zone: zone})
-	to := x.machine(m.To)
+// addMove adds a move to the plan and takes its room at the destination.
+func (p *planner) addMove(m Move, zone string) {
+	p.moves = append(p.moves, m)
+	p.usage.count(ActiveMove{Job: m.Task.Job, Team: m.Team, From: m.From, To: m.To, Zone: zone})
+	to := p.machine(m.To)
 	to.Free = to.Free.Sub(m.Need)
 }
 
-func (x *planner) machine(h ident.MachineID) *Machine {
-	i := slices.IndexFunc(x.byFree, func(m *Machine) bool { return m.ID == h })
-	return x.byFree[i]
+// machine returns the machine of an ID that is in the cluster.
+func (p *planner) machine(id ident.MachineID) *Machine {
+	i := slices.IndexFunc(p.byFree, func(m *Machine) bool { return m.ID == id })
+	return p.byFree[i]
 }
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -84,7 +84,7 @@
 			t.Fatalf("%+v, then %+v", moves, again)
 		}
 		planned += len(moves)
-		used := newBudgetUse()
+		used := newBudgetUse(c.Budgets)
 		served := map[ident.TaskID]bool{}
 		for _, a := range p.ActiveMoves {
 			used.count(a)
--- a/internal/rebalance/slow_machines.go
+++ b/internal/rebalance/slow_machines.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// planSlowMachines proposes moves of tasks off slow machines, for the largest gain on each.
-func (x *planner) planSlowMachines() {
-	budgets := x.config.Budgets
-	for _, s := range x.cluster.SlowMachines {
-		if x.usage.cluster >= budgets.Cluster {
+// planSlowMachines proposes moves of tasks off slow machines, on each the one with the largest net
+// gain.
+func (p *planner) planSlowMachines() {
+	for _, s := range p.cluster.SlowMachines {
+		if p.usage.clusterFull() {
 			return
 		}
-		if x.usage.machines[s.ID] >= budgets.Machine || x.usage.zones[s.Zone] >= budgets.Zone {
+		if !p.usage.allowsSource(&s.Machine) {
 			continue
 		}
-		if m, ok := x.bestMoveOff(s); ok {
-			x.addMove(m, s.Zone)
-			x.sortByFree()
+		if m, ok := p.bestMoveOff(s); ok {
+			p.addMove(m, s.Zone)
+			p.sortByFree()
 		}
 	}
 }
 
-// bestMoveOff finds the task on a slow machine that gains most by going elsewhere, if any gains
+// bestMoveOff finds the task on a slow machine that gains most by moving elsewhere, if any gains
 // enough.
-func (x *planner) bestMoveOff(s *SlowMachine) (best Move, found bool) {
-	budgets := x.config.Budgets
+func (p *planner) bestMoveOff(s *SlowMachine) (best Move, found bool) {
 	for i := range s.Tasks {
 		t := &s.Tasks[i]
-		if t.EstimatedRuntime <= 0 || t.RunningFor < x.config.MinRuntime || x.usage.teams[t.Team] >= budgets.Team || t.MoveCount+x.usage.jobs[t.ID.Job] >= budgets.Job {
+		if t.EstimatedRuntime <= 0 || t.RunningFor < p.config.MinRuntime || !p.usage.allowsTask(t) {
 			continue
 		}
-		// What is lost of a task that doesn't save is in the gain: it begins anew.
-		c := candidate{task: t, from: &s.Machine, gain: t.timeSaved(s.Slowness), cost: t.CheckpointTime + x.config.StartOverhead}
-		m, ok := x.bestDestination(c)
+		c := candidate{
+			task: t,
+			from: &s.Machine,
+			gain: t.timeSaved(s.Slowness), // accounts for work lost without checkpoints
+			cost: t.CheckpointTime + p.config.StartOverhead,
+		}
+		m, ok := p.bestDestination(c)
 		if ok && (!found || m.Gain-m.Cost > best.Gain-best.Cost) {
 			best, found = m, true
 			best.Purpose = LeavesSlowMachine
@@ -39,8 +42,8 @@
 	return best, found
 }
 
-// timeSaved estimates by how much a task would end sooner on a usual machine, the move itself
-// aside.
+// timeSaved estimates by how much a task would end sooner on a machine of usual speed, apart from
+// the time for the move. Without checkpoints it starts over there.
 func (t *Task) timeSaved(slowness float64) time.Duration {
 	here := time.Duration(float64(t.EstimatedRuntime)*slowness) - t.RunningFor
 	there := t.EstimatedRuntime
