--- a/internal/controller/slow_machines.go
+++ b/internal/controller/slow_machines.go
@@ -29,7 +29,7 @@
 		switch {
 		case w.State == workers.Terminated:
 			m.speedTracker.RemoveMachine(w.ID)
-		case w.State == workers.Up && m.speedTracker.IsSlow(w.ID, len(all)):
+		case w.State == workers.Up && m.speedTracker.DetectSlow(w.ID, len(all)):
 			m.slowMachines++
 			if !w.Slow {
 				w.Slow = true
--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -8,42 +8,49 @@
 	"opaldale/internal/ident"
 )
 
-// DemandState is how far a team's demand is beyond what it is entitled to.
+// DemandState says how far a team's demand is beyond what the team is entitled to.
 type DemandState uint8
 
-// The states of a team. Each lasts for a while before the next one.
+// The states of a team's demand. Rising and Recovering last for Config.MinDuration before the next
+// state, so that short changes of the demand have no effect.
 const (
-	Normal     DemandState = iota // within what it is entitled to, or little beyond
-	Rising                        // far beyond, for not long enough yet
-	Overloaded                    // far beyond
-	Recovering                    // was hot, and isn't beyond any more, for not long enough yet
+	Normal     DemandState = iota // below Config.OverloadAt
+	Rising                        // at or above Config.OverloadAt, for less than MinDuration
+	Overloaded                    // was at or above Config.OverloadAt for MinDuration
+	Recovering                    // was overloaded, and is below Config.RecoverAt, for less than MinDuration
 )
 
-func (h DemandState) String() string {
-	if int(h) < len(demandStateNames) {
-		return demandStateNames[h]
-	}
-	return fmt.Sprintf("heat %d", uint8(h))
+var demandStateNames = [...]string{
+	Normal:     "cool",
+	Rising:     "warming",
+	Overloaded: "hot",
+	Recovering: "cooling",
 }
 
-var demandStateNames = [...]string{"cool", "warming", "hot", "cooling"}
+// String returns the name of a state as metrics and logs have it.
+func (s DemandState) String() string {
+	if int(s) < len(demandStateNames) {
+		return demandStateNames[s]
+	}
+	return fmt.Sprintf("heat %d", uint8(s))
+}
 
-// team is one team's demand.
+// team is the demand of one team.
 type team struct {
-	entitled float64
-	demand   Average
+	entitled float64 // CPUs
+	demand   Average // CPUs
 	state    DemandState
-	since    ident.MonotonicTime
+	since    ident.MonotonicTime // of the state
 }
 
-// DemandStateChange is a change of a team's state.
+// DemandStateChange is a change of the state of a team's demand.
 type DemandStateChange struct {
 	Team     string
 	From, To DemandState
 	Ratio    float64 // of demand to what the team is entitled to
 }
 
-// SetDemand notes how many CPUs a team's tasks use and wait for together.
+// SetDemand notes how many CPUs a team's running and waiting tasks need together.
 func (m *Model) SetDemand(name string, cpus float64, now ident.MonotonicTime) {
 	t := m.teams[name]
 	if t == nil {
@@ -53,8 +60,8 @@
 	t.demand.Set(cpus, now, m.config.HalfLife)
 }
 
-// ratio returns a team's demand as a multiple of what it is entitled to. One that is
-// entitled to nothing is measured by an equal share of all machines.
+// ratio returns a team's demand as a multiple of what it is entitled to. For a team that is entitled
+// to nothing that is an equal share of all machines.
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
 	entitled := t.entitled
 	if entitled <= 0 {
@@ -107,7 +114,7 @@
 	}
 }
 
-// transition is the one place where a team's state changes.
+// transition changes the state of a team. Nothing else does.
 func (m *Model) transition(t *team, state DemandState, now ident.MonotonicTime) {
 	if t.overloaded() {
 		m.overloadedTeams--
@@ -118,26 +125,27 @@
 	}
 }
 
-// overloaded says whether the team counts as hot: one that cools does until it has cooled.
+// overloaded says whether the team counts as overloaded. One that recovers does until it is back to
+// normal.
 func (t *team) overloaded() bool { return t.state == Overloaded || t.state == Recovering }
 
-// AnyOverloaded says whether any team is hot.
+// AnyOverloaded says whether any team counts as overloaded.
 func (m *Model) AnyOverloaded() bool { return m.overloadedTeams > 0 }
 
-// IsOverloaded says whether a team is.
+// IsOverloaded says whether a team counts as overloaded.
 func (m *Model) IsOverloaded(name string) bool {
 	t := m.teams[name]
 	return t != nil && t.overloaded()
 }
 
-// TeamDemand is what is known of a team.
+// TeamDemand is the demand of a team at one time.
 type TeamDemand struct {
 	Team  string
 	State DemandState
-	Ratio float64
+	Ratio float64 // of demand to what the team is entitled to
 }
 
-// Teams reports on all teams, in the order of their names.
+// Teams returns the demand of all teams, in the order of their names.
 func (m *Model) Teams(now ident.MonotonicTime) []TeamDemand {
 	var out []TeamDemand
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,8 @@
-// Package load keeps the load of machines, zones and teams: how even the use of the machines
-// is, and which teams ask for far more than they are entitled to. It is pure: changes and
-// times come in, by updates alone, and nothing walks over the machines.
+// Package load tracks the load of machines, zones and teams: how evenly the machines are used, which
+// teams demand far more than they are entitled to, and which machines are slow.
+//
+// It does no I/O and reads no clock. The sums are kept up to date by each change, so that no query
+// walks over the machines.
 package load
 
 import (
@@ -10,15 +12,16 @@
 	"opaldale/internal/ident"
 )
 
-// Average is the decayed average of a level that changes in steps: what lay one half-life
-// ago counts half.
+// Average is the exponentially decayed average of a level that changes in steps: what was one
+// half-life ago counts half.
 type Average struct {
-	current, mean float64
-	updated       ident.MonotonicTime
-	initialized   bool
+	current     float64 // level since updated
+	mean        float64 // average at updated
+	updated     ident.MonotonicTime
+	initialized bool
 }
 
-// Set notes that the level changes at a time. The first level is the average.
+// Set notes that the level changes at a time. The first level is the average as well.
 func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
 	if !a.initialized {
 		*a = Average{current: level, mean: level, updated: now, initialized: true}
@@ -38,54 +41,62 @@
 
 // Config holds the times and bounds of a model.
 type Config struct {
-	// HalfLife is that of all averages.
+	// HalfLife is the half-life of all averages.
 	HalfLife time.Duration
-	// OverloadAt is the demand, as a multiple of what a team is entitled to, from which it is
-	// hot, and RecoverAt that below which it isn't any more.
+	// OverloadAt is the demand, as a multiple of what a team is entitled to, from which the team is
+	// overloaded. RecoverAt is the demand below which it recovers.
 	OverloadAt, RecoverAt float64
-	// MinDuration is for how long a team must be beyond either bound.
+	// MinDuration is for how long the demand of a team must be beyond either bound before its state
+	// changes.
 	MinDuration time.Duration
 }
 
-// DefaultConfig returns the values used where the operators name none.
+// DefaultConfig returns the values that are used if the settings have none.
 func DefaultConfig() Config {
-	return Config{HalfLife: 10 * time.Second, OverloadAt: 2, RecoverAt: 1.2, MinDuration: 5 * time.Second}
+	return Config{
+		HalfLife:    10 * time.Second,
+		OverloadAt:  2,
+		RecoverAt:   1.2,
+		MinDuration: 5 * time.Second,
+	}
 }
 
-// machineUse is one machine's use.
+// machineUse is the use of one machine.
 type machineUse struct {
 	zone string
-	cpus float64 // 0 while its size is not known
-	used float64
+	cpus float64 // 0 while the size of the machine is unknown
+	used float64 // CPUs
 }
 
+// utilization is the fraction of the machine's CPUs that is in use.
 func (m *machineUse) utilization() float64 { return m.used / m.cpus }
 
-// distribution is what the imbalance of some machines is worked out from.
+// distribution keeps the sums from which the imbalance of a set of machines follows.
 type distribution struct {
 	machines        int
-	sum, sumSquares float64 // of the shares in use
+	sum, sumSquares float64 // of the utilizations
 }
 
-func (s *distribution) add(share float64, sign float64) {
-	s.machines += int(sign)
-	s.sum += sign * share
-	s.sumSquares += sign * share * share
+// add adds the utilization of a machine if sign is 1, and removes it if sign is -1.
+func (d *distribution) add(utilization float64, sign float64) {
+	d.machines += int(sign)
+	d.sum += sign * utilization
+	d.sumSquares += sign * utilization * utilization
 }
 
-// Imbalance returns the coefficient of variation of the shares in use: the standard
-// deviation as a part of the mean; 0 if all are alike, or nothing is in use.
-func (s *distribution) imbalance() float64 {
-	if s.machines < 2 || s.sum < negligible {
+// imbalance returns the coefficient of variation of the utilizations: the standard deviation divided
+// by the mean; 0 if all are equal, or nothing is in use.
+func (d *distribution) imbalance() float64 {
+	if d.machines < 2 || d.sum < negligible {
 		return 0
 	}
-	n := float64(s.machines)
-	mean := s.sum / n
-	variance := max(0, s.sumSquares/n-mean*mean)
+	n := float64(d.machines)
+	mean := d.sum / n
+	variance := max(0, d.sumSquares/n-mean*mean)
 	return math.Sqrt(variance) / mean
 }
 
-// negligible forgives rounding in sums of shares.
+// negligible allows for rounding in sums.
 const negligible = 1e-9
 
 // Model is the load of a cluster.
@@ -95,13 +106,18 @@
 	cluster         distribution
 	zones           map[string]*distribution
 	teams           map[string]*team
-	overloadedTeams int     // teams
+	overloadedTeams int     // number of teams that are overloaded or recovering
 	totalCPUs       float64 // of all machines
 }
 
-// New makes a model without machines. entitled says how many CPUs each team may count on.
+// New makes a model without machines. entitled has the CPUs that each team is entitled to.
 func New(config Config, entitled map[string]float64) *Model {
-	m := &Model{config: config, machines: map[ident.MachineID]*machineUse{}, zones: map[string]*distribution{}, teams: map[string]*team{}}
+	m := &Model{
+		config:   config,
+		machines: map[ident.MachineID]*machineUse{},
+		zones:    map[string]*distribution{},
+		teams:    map[string]*team{},
+	}
 	for name, cpus := range entitled {
 		m.teams[name] = &team{entitled: cpus}
 	}
@@ -115,6 +131,7 @@
 	m.addToTotals(machine, 1)
 }
 
+// addToTotals adds a machine to the sums if sign is 1, and removes it if sign is -1.
 func (m *Model) addToTotals(machine *machineUse, sign float64) {
 	if machine.cpus <= 0 {
 		return
@@ -129,6 +146,7 @@
 	z.add(machine.utilization(), sign)
 }
 
+// ensureMachine returns the use of a machine, and adds it if it is new.
 func (m *Model) ensureMachine(id ident.MachineID) *machineUse {
 	machine := m.machines[id]
 	if machine == nil {
@@ -138,7 +156,7 @@
 	return machine
 }
 
-// SetMachine notes that a machine is there, with its size.
+// SetMachine sets the zone and the size of a machine, and adds it if it is new.
 func (m *Model) SetMachine(id ident.MachineID, zone string, cpus float64) {
 	machine := m.ensureMachine(id)
 	if machine.zone == zone && machine.cpus == cpus {
@@ -147,7 +165,7 @@
 	m.update(machine, func() { machine.zone, machine.cpus = zone, cpus })
 }
 
-// RemoveMachine notes that a machine is gone.
+// RemoveMachine removes a machine that is gone.
 func (m *Model) RemoveMachine(id ident.MachineID) {
 	if machine := m.machines[id]; machine != nil {
 		m.addToTotals(machine, -1)
@@ -155,8 +173,8 @@
 	}
 }
 
-// AddUsage notes that tasks of so many CPUs have come to a machine, or left it. What leaves a
-// machine that is gone changes nothing.
+// AddUsage adds the CPUs of a task to the use of a machine; negative CPUs are those of a task that
+// has left. A task that leaves a machine after the machine is gone changes nothing.
 func (m *Model) AddUsage(id ident.MachineID, cpus float64) {
 	if m.machines[id] == nil && cpus < 0 {
 		return
@@ -169,10 +187,10 @@
 	})
 }
 
-// Imbalance returns how uneven the use of all machines is.
+// Imbalance returns the coefficient of variation of the utilizations of all machines.
 func (m *Model) Imbalance() float64 { return m.cluster.imbalance() }
 
-// ZoneImbalance returns how uneven the use of a zone's machines is.
+// ZoneImbalance returns the coefficient of variation of the utilizations of a zone's machines.
 func (m *Model) ZoneImbalance(zone string) float64 {
 	if z := m.zones[zone]; z != nil {
 		return z.imbalance()
--- a/internal/load/slowness.go
+++ b/internal/load/slowness.go
@@ -9,65 +9,71 @@
 )
 
 const (
-	// minRunTime is the shortest run that says something: ends are heard of up to a second late.
+	// minRunTime is the shortest run that is taken into account: the end of a task is reported up to
+	// a second late.
 	minRunTime = 5 * time.Second
-	// minComparisonRuns is how many tasks of a job must have ended on other machines for one to be
-	// compared with them, and maxRunsKept how many are remembered.
+	// minComparisonRuns is how many tasks of a job must have ended on other machines for a run to be
+	// compared with them, and maxRunsKept how many are kept.
 	minComparisonRuns = 4
 	maxRunsKept       = 64
-	// minSamples is how many tasks must have ended on a machine before it may be called slow:
-	// the run times of a job's tasks differ by themselves.
+	// minSamples is how many tasks must have ended on a machine before it may count as slow: the run
+	// times of a job's tasks differ by themselves.
 	minSamples = 5
-	// sampleWeight is what the newest sample counts for in the average of a machine.
+	// sampleWeight is the weight of the newest sample in the average of a machine.
 	sampleWeight = 0.2
-	// slowFactor is how many times as long as elsewhere tasks must take on a slow machine.
+	// slowFactor is the run time of tasks on a slow machine, as a multiple of that elsewhere, from
+	// which the machine counts as slow.
 	slowFactor = 2
-	// maxSlowFraction is the part of the machines that may be called slow at a time: where more seem
-	// to be, it is the measure that is wrong.
+	// maxSlowFraction is the fraction of the machines that may count as slow at a time: if more seem
+	// to be slow, the estimate is wrong.
 	maxSlowFraction = 0.02
-	// maxRunGroups bounds the jobs that are remembered.
+	// maxRunGroups bounds the jobs whose runs are kept.
 	maxRunGroups = 10_000
 )
 
-// SlownessEstimator estimates how fast machines are, by how long tasks of the same job take on machines of
-// the same type. It is pure.
+// SlownessEstimator estimates how slow machines are, by how long tasks of the same job take on
+// machines of the same type.
 type SlownessEstimator struct {
 	runsByGroup map[runGroup]*runHistory
 	paces       map[ident.MachineID]*pace
-	slow        map[ident.MachineID]bool
+	slow        map[ident.MachineID]bool // machines that count as slow
 }
 
-// runGroup are tasks that should take alike.
+// runGroup identifies tasks that should take equally long: those of a job on a type of machine.
 type runGroup struct {
 	job   ident.JobID
 	model string
 }
 
-// run is how long a task took on a machine.
+// run is the time that a task took on a machine.
 type run struct {
 	machine ident.MachineID
 	took    time.Duration
 }
 
-// runHistory are the newest runs of tasks that should take alike.
+// runHistory is a ring buffer of the newest runs of a group.
 type runHistory struct {
 	list   []run
-	oldest int // where the next one goes, once there are as many as are remembered
+	oldest int // index of the run that the next one replaces, once there are maxRunsKept
 }
 
-// pace is how long tasks take on a machine, as a multiple of what they take elsewhere.
+// pace is the average of how long tasks take on a machine, as a multiple of what they take elsewhere.
 type pace struct {
 	samples int
-	mean    float64 // of the logarithms
+	mean    float64 // of the logarithms of the multiples
 }
 
-// NewSlownessEstimator makes an estimate that knows nothing.
+// NewSlownessEstimator makes an estimator without runs.
 func NewSlownessEstimator() *SlownessEstimator {
-	return &SlownessEstimator{runsByGroup: map[runGroup]*runHistory{}, paces: map[ident.MachineID]*pace{}, slow: map[ident.MachineID]bool{}}
+	return &SlownessEstimator{
+		runsByGroup: map[runGroup]*runHistory{},
+		paces:       map[ident.MachineID]*pace{},
+		slow:        map[ident.MachineID]bool{},
+	}
 }
 
-// RecordRun notes that a task of a job ran on a machine of a type from its beginning to its end.
-func (s *SlownessEstimator) RecordRun(job ident.JobID, model string, host ident.MachineID, took time.Duration) {
+// RecordRun records that a task of a job ran on a machine of a type from its beginning to its end.
+func (s *SlownessEstimator) RecordRun(job ident.JobID, model string, machine ident.MachineID, took time.Duration) {
 	if took < minRunTime {
 		return
 	}
@@ -80,13 +86,13 @@
 		r = &runHistory{}
 		s.runsByGroup[key] = r
 	}
-	if usual, ok := r.medianElsewhere(host); ok {
-		s.addSample(host, math.Log(took.Seconds()/usual.Seconds()))
+	if usual, ok := r.medianElsewhere(machine); ok {
+		s.addSample(machine, math.Log(took.Seconds()/usual.Seconds()))
 	}
-	r.add(run{host, took})
+	r.add(run{machine: machine, took: took})
 }
 
-// add remembers a run in place of the oldest.
+// add keeps a run in place of the oldest.
 func (r *runHistory) add(newest run) {
 	if len(r.list) < maxRunsKept {
 		r.list = append(r.list, newest)
@@ -96,11 +102,11 @@
 	r.oldest = (r.oldest + 1) % maxRunsKept
 }
 
-// medianElsewhere returns the median of the runs on other machines than one.
-func (r *runHistory) medianElsewhere(host ident.MachineID) (time.Duration, bool) {
+// medianElsewhere returns the median of the runs on other machines, and false if those are too few.
+func (r *runHistory) medianElsewhere(machine ident.MachineID) (time.Duration, bool) {
 	var others []time.Duration
 	for _, other := range r.list {
-		if other.machine != host {
+		if other.machine != machine {
 			others = append(others, other.took)
 		}
 	}
@@ -111,42 +117,44 @@
 	return others[len(others)/2], true
 }
 
-func (s *SlownessEstimator) addSample(host ident.MachineID, logRatio float64) {
-	p := s.paces[host]
+// addSample adds the logarithm of a run time, as a multiple of that elsewhere, to the average of a
+// machine.
+func (s *SlownessEstimator) addSample(machine ident.MachineID, logRatio float64) {
+	p := s.paces[machine]
 	if p == nil {
 		p = &pace{}
-		s.paces[host] = p
+		s.paces[machine] = p
 	}
 	p.samples++
-	// The first few count alike.
+	// The first few have equal weights.
 	p.mean += (logRatio - p.mean) * max(sampleWeight, 1/float64(p.samples))
 }
 
-// Slowness returns how many times as long as elsewhere tasks take on a machine, 1 if nothing is
-// known.
-func (s *SlownessEstimator) Slowness(host ident.MachineID) float64 {
-	p := s.paces[host]
+// Slowness returns the run time of tasks on a machine as a multiple of that elsewhere, 1 if it is
+// unknown.
+func (s *SlownessEstimator) Slowness(machine ident.MachineID) float64 {
+	p := s.paces[machine]
 	if p == nil || p.samples < minSamples {
 		return 1
 	}
 	return math.Exp(p.mean)
 }
 
-// IsSlow says whether a machine is much slower than others; all is how many machines there are. One
-// that was called slow stays so.
-func (s *SlownessEstimator) IsSlow(host ident.MachineID, machines int) bool {
-	if s.slow[host] {
+// DetectSlow says whether a machine counts as slow, where machines is how many there are. Once it does
+// it keeps that state until RemoveMachine.
+func (s *SlownessEstimator) DetectSlow(machine ident.MachineID, machines int) bool {
+	if s.slow[machine] {
 		return true
 	}
-	if s.Slowness(host) < slowFactor || len(s.slow) >= max(1, int(maxSlowFraction*float64(machines))) {
+	if s.Slowness(machine) < slowFactor || len(s.slow) >= max(1, int(maxSlowFraction*float64(machines))) {
 		return false
 	}
-	s.slow[host] = true
+	s.slow[machine] = true
 	return true
 }
 
-// RemoveMachine forgets a machine.
-func (s *SlownessEstimator) RemoveMachine(host ident.MachineID) {
-	delete(s.paces, host)
-	delete(s.slow, host)
+// RemoveMachine drops what is known of a machine.
+func (s *SlownessEstimator) RemoveMachine(machine ident.MachineID) {
+	delete(s.paces, machine)
+	delete(s.slow, machine)
 }
--- a/internal/load/slowness_test.go
+++ b/internal/load/slowness_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	for i := range machines {
-		if s.IsSlow(host(i), machines) {
+		if s.DetectSlow(host(i), machines) {
 			slow[i] = true
 		}
 	}
@@ -70,13 +70,13 @@
 	for range minSamples - 1 {
 		s.RecordRun("j-1", "m8", "late", time.Minute)
 	}
-	if s.Slowness("late") != 1 || s.IsSlow("late", 100) {
+	if s.Slowness("late") != 1 || s.DetectSlow("late", 100) {
 		t.Errorf("few ends: %v", s.Slowness("late"))
 	}
-	if s.RecordRun("j-1", "m8", "late", time.Minute); s.Slowness("late") < 5 || !s.IsSlow("late", 100) {
+	if s.RecordRun("j-1", "m8", "late", time.Minute); s.Slowness("late") < 5 || !s.DetectSlow("late", 100) {
 		t.Errorf("enough ends: %v", s.Slowness("late"))
 	}
-	if s.RemoveMachine("late"); s.IsSlow("late", 100) {
+	if s.RemoveMachine("late"); s.DetectSlow("late", 100) {
 		t.Error("a machine that is gone is slow")
 	}
 	s = NewSlownessEstimator()
@@ -86,7 +86,7 @@
 		s.RecordRun("j-1", "m8", "late", time.Minute)
 		s.RecordRun("j-2", "m16", "late", time.Minute)
 	}
-	if s.IsSlow("late", 100) {
+	if s.DetectSlow("late", 100) {
 		t.Error("slow beside short runs, another type, or nothing")
 	}
 }
