--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -12,6 +12,7 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/authority"
+	"opaldale/internal/catalog"
 	"opaldale/internal/cloud"
 	"opaldale/internal/golden"
 	"opaldale/internal/handover"
@@ -19,9 +20,12 @@
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/links"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/load"
+	"opaldale/internal/machinestore"
 	"opaldale/internal/migration"
 	"opaldale/internal/rebalance"
+	"opaldale/internal/rebalancer"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 	"opaldale/internal/workers"
@@ -74,9 +78,9 @@
 	var b strings.Builder
 	for _, w := range l.workers.Sorted() {
 		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
-			l.controller.env.Now().Sub(w.CreatedAt).Round(time.Minute))
+			l.env.Now().Sub(w.CreatedAt).Round(time.Minute))
 	}
-	for _, m := range l.machineTypes {
+	for _, m := range l.catalog.Types() {
 		fmt.Fprintf(&b, "%s\n", api.JSON(m))
 	}
 	return b.String()
@@ -107,8 +111,8 @@
 			d.Add("level 0: written as the level is raised", s.stored())
 		}
 	}
-	golden.RoundTrip(t, &d, "group", golden.Filled[groupRecord](0))
-	d.Add("prefixes", strings.Join([]string{fleetPrefix, catalogKey, machineTypesPrefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
+	golden.RoundTrip(t, &d, "group", golden.Filled[machinestore.GroupRecord](0))
+	d.Add("prefixes", strings.Join([]string{machinestore.Prefix, catalog.Key, catalog.Prefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
 	d.Compare(t, "machines")
 }
 
@@ -220,10 +224,10 @@
 func TestGoldenReports(t *testing.T) {
 	var d golden.Document
 	for v := range golden.BoolVariants {
-		d.JSON(t, fmt.Sprintf("links %d", v), golden.Filled[LinkReport](v))
+		d.JSON(t, fmt.Sprintf("links %d", v), golden.Filled[linktracker.Report](v))
 		golden.RoundTrip(t, &d, fmt.Sprintf("moves %d", v), golden.Filled[MoveReport](v))
 	}
-	d.JSON(t, "no links", LinkReport{})
+	d.JSON(t, "no links", linktracker.Report{})
 	d.JSON(t, "no moves", MoveReport{})
 	recordedMoves := recordedMoves(kvstore.KeyValue{Key: "moves/j-7",
 		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
@@ -252,7 +256,7 @@
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
 	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
-	d.Add("rounds without a plan", namesOf(holdReasonCount-1, holdReason.String))
+	d.Add("rounds without a plan", namesOf(rebalancer.HoldNothingWaiting, rebalancer.HoldReason.String))
 	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
 	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
 	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
