--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -182,11 +182,12 @@
 
 func (l *leaderTerm) newPlanner() *placement.Planner {
 	cfg := l.controller.settings
-	useASM1 := cfg.Tuning.PlanMode == planModeASM1
-	planner := placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, useASM1, cfg.Cluster.Objectives)
-	planner.MaxWait = cfg.Tuning.StarvationTimeout
-	planner.GangWait = cfg.Tuning.GangPreemptAfter
-	return planner
+	return placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, placement.Config{
+		UseASM1:    cfg.Tuning.PlanMode == planModeASM1,
+		Objectives: cfg.Cluster.Objectives,
+		MaxWait:    cfg.Tuning.StarvationTimeout,
+		GangWait:   cfg.Tuning.GangPreemptAfter,
+	})
 }
 
 func (l *leaderTerm) newHandover() *handover.Coordinator {
