--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -90,30 +90,34 @@
 	return int(s) < len(permissions) && a < actionCount && permissions[s]&(1<<a) != 0
 }
 
+// Leadership is how sure a node can be that no other node leads.
+type Leadership uint8
+
+// The degrees of leadership, from none to full.
+const (
+	NotLeader    Leadership = iota // the node leads no term, or its term has ended
+	LeaseExpired                   // it led, and the grace after the expiry of its lease is over
+	LeaseInGrace                   // its lease has expired at most the grace ago
+	LeaseValid                     // no other node can lead at this moment
+)
+
 // Facts are what a node's authority follows from.
 type Facts struct {
-	IsLeader      bool // the node has won an election, and the term has not been ended
-	LeaseValid    bool // nobody else can lead at this moment
-	WithinGrace   bool // leadership was sure until at most the grace ago
-	StateLoaded   bool // what earlier terms left has been read
-	StoreWritable bool // the state service takes what is written
+	Leadership    Leadership
+	StateLoaded   bool // what earlier terms stored has been read
+	StoreWritable bool // the key-value store accepts writes
 	HandingOver   bool // a handover has begun
 }
 
 // Evaluate returns the state that follows from the facts.
 func Evaluate(f Facts) State {
 	switch {
-	case !f.IsLeader:
-		return None
-	case !f.StateLoaded:
-		if f.LeaseValid {
-			return Loading
-		}
-		return None
-	case !f.LeaseValid && f.WithinGrace:
+	case f.Leadership == LeaseInGrace && f.StateLoaded:
 		return Grace
-	case !f.LeaseValid:
+	case f.Leadership != LeaseValid:
 		return None
+	case !f.StateLoaded:
+		return Loading
 	case f.HandingOver:
 		return HandingOver
 	case !f.StoreWritable:
@@ -130,10 +134,9 @@
 // State returns the state that was last moved to.
 func (t *Tracker) State() State { return t.state }
 
-// Update is the one place where the state changes. It returns the state before, and whether
-// it has changed.
-func (t *Tracker) Update(f Facts) (before State, changed bool) {
-	before = t.state
+// Update is the one place where the state changes. It returns the states before and after.
+func (t *Tracker) Update(f Facts) (from, to State) {
+	from = t.state
 	t.state = Evaluate(f)
-	return before, t.state != before
+	return from, t.state
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -8,8 +8,10 @@
 
 func drawFacts(t *rapid.T) Facts {
 	return Facts{
-		IsLeader: rapid.Bool().Draw(t, "leads"), LeaseValid: rapid.Bool().Draw(t, "sure"), WithinGrace: rapid.Bool().Draw(t, "in grace"),
-		StateLoaded: rapid.Bool().Draw(t, "loaded"), StoreWritable: rapid.Bool().Draw(t, "recording"), HandingOver: rapid.Bool().Draw(t, "yields"),
+		Leadership:    Leadership(rapid.IntRange(int(NotLeader), int(LeaseValid)).Draw(t, "leadership")),
+		StateLoaded:   rapid.Bool().Draw(t, "state loaded"),
+		StoreWritable: rapid.Bool().Draw(t, "store writable"),
+		HandingOver:   rapid.Bool().Draw(t, "handing over"),
 	}
 }
 
@@ -19,12 +21,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		s := Evaluate(f)
-		sure := f.IsLeader && f.StateLoaded && f.LeaseValid
+		sure := f.StateLoaded && f.Leadership == LeaseValid
 		for a := Place; a < actionCount; a++ {
 			allowed := s.Allows(a)
 			switch {
 			case !allowed:
-			case a == RenewWorkerLeases && f.IsLeader && f.StateLoaded && (f.LeaseValid || f.WithinGrace):
+			case a == RenewWorkerLeases && f.StateLoaded && f.Leadership >= LeaseInGrace:
 			case !sure:
 				t.Fatalf("%+v: %v may %v without sure leadership", f, s, a)
 			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
@@ -45,16 +47,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		fewer := f
-		switch rapid.IntRange(0, 4).Draw(t, "lost") {
+		switch rapid.IntRange(0, 3).Draw(t, "lost") {
 		case 0:
-			fewer.IsLeader = false
+			fewer.Leadership = Leadership(rapid.IntRange(int(NotLeader), int(f.Leadership)).Draw(t, "fewer leadership"))
 		case 1:
-			fewer.LeaseValid = false
-		case 2:
 			fewer.StateLoaded = false
-		case 3:
+		case 2:
 			fewer.StoreWritable = false
-		case 4:
+		case 3:
 			fewer.HandingOver = true
 		}
 		for a := Place; a < actionCount; a++ {
@@ -68,11 +68,11 @@
 // TestTracker tells each change once.
 func TestTracker(t *testing.T) {
 	var tracker Tracker
-	all := Facts{IsLeader: true, LeaseValid: true, StateLoaded: true, StoreWritable: true}
-	if before, changed := tracker.Update(all); before != None || !changed || tracker.State() != Active {
-		t.Errorf("from %v, changed %v, now %v", before, changed, tracker.State())
+	all := Facts{Leadership: LeaseValid, StateLoaded: true, StoreWritable: true}
+	if from, to := tracker.Update(all); from != None || to != Active || tracker.State() != Active {
+		t.Errorf("from %v to %v, now %v", from, to, tracker.State())
 	}
-	if _, changed := tracker.Update(all); changed {
+	if from, to := tracker.Update(all); from != to {
 		t.Error("the same facts are a change")
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -8,20 +8,35 @@
 
 // updateAuthority returns what this node may decide at this moment.
 func (c *Controller) updateAuthority() authority.State {
-	facts := authority.Facts{IsLeader: c.leader != nil}
-	if l := c.leader; l != nil && !l.closed {
-		facts.LeaseValid = c.election.LeaseValid()
-		facts.WithinGrace = c.election.WithinGrace(c.renewalGrace)
-		facts.StateLoaded = l.loaded
-		facts.StoreWritable = !l.committer.StoreUnavailable()
-		facts.HandingOver = l.handover != nil && l.handover.Begun()
+	from, to := c.authority.Update(c.authorityFacts())
+	if from != to && c.links != nil {
+		slog.Info("authority", "from", from.String(), "to", to.String())
 	}
-	before, changed := c.authority.Update(facts)
-	after := c.authority.State()
-	if changed && c.links != nil {
-		slog.Info("authority", "from", before.String(), "to", after.String())
+	return to
+}
+
+func (c *Controller) authorityFacts() authority.Facts {
+	l := c.leader
+	if l == nil || l.closed {
+		return authority.Facts{Leadership: authority.NotLeader}
+	}
+	return authority.Facts{
+		Leadership:    c.leadership(),
+		StateLoaded:   l.loaded,
+		StoreWritable: !l.committer.StoreUnavailable(),
+		HandingOver:   l.handover != nil && l.handover.Begun(),
+	}
+}
+
+// leadership returns how sure the node can be of its leadership, in a term that has not been closed.
+func (c *Controller) leadership() authority.Leadership {
+	switch {
+	case c.election.LeaseValid():
+		return authority.LeaseValid
+	case c.election.WithinGrace(c.renewalGrace):
+		return authority.LeaseInGrace
 	}
-	return after
+	return authority.LeaseExpired
 }
 
 // allows says whether this node may do something at this moment. All decisions of a leader, and
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -199,7 +199,11 @@
 	}
 	if c.leader != nil {
 		claim := renewal.PeerStatus{ProcessAge: transport.FromMillis(frame.Heartbeat.UptimeMS), SinceLeader: transport.FromMillis(frame.Heartbeat.SinceLeaderMS), HasRenewed: frame.Heartbeat.SinceRenewalMS != transport.Never, SinceRenewal: transport.FromMillis(frame.Heartbeat.SinceRenewalMS)}
-		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, claim)
+		if echoed {
+			c.leader.renewals.ObserveEcho(from, now, sentAt, claim)
+		} else {
+			c.leader.renewals.ObserveHeartbeat(from, now)
+		}
 	}
 }
 
@@ -246,7 +250,7 @@
 }
 
 // OnStoppedLeading ends it: nothing of its memory is used again but what is final.
-func (c *Controller) OnStoppedLeading(reason string) {
+func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader != nil {
 		for _, j := range c.leader.jobs.Sorted() {
 			c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 
+	"opaldale/internal/election"
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/links"
@@ -33,11 +34,10 @@
 	cluster := links.Cluster{Peers: l.controller.peerIDs(), Machines: l.machinesByZone}
 	assessment := cluster.Assess(tracker.ownAdvertisement(now), tracker.advertisements, now)
 	step := l.handover.Handle(handover.Event{
-		Now:              now,
-		PeerBetterPlaced: assessment.Worse(),
-		Successor:        assessment.BestPeer,
-		Isolated:         assessment.Isolated,
-		WritesDrained:    l.committer.Drained(),
+		Now:           now,
+		Successor:     assessment.Successor(),
+		Isolated:      assessment.Isolated,
+		WritesDrained: l.committer.Drained(),
 		// At this moment: a link that flaps is down most of the time by its verdict, and a
 		// transaction passes all the same.
 		StoreWritable: tracker.monitor.Delivering(storeEndpoint) && !tracker.monitor.Refusing(storeEndpoint) && !l.committer.StoreUnavailable(),
@@ -47,26 +47,26 @@
 		l.announceHandover(assessment, now)
 	case handover.EndTerm:
 		tracker.handoverCount++
-		_, reason := l.handover.Successor()
-		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason.String())
+		reason := election.StepDownReason(l.handover.Decision().Reason.String())
+		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason)
 	}
 }
 
 // announceHandover stops deciding and says who should follow.
 func (l *leaderTerm) announceHandover(assessment links.Assessment, now ident.MonotonicTime) {
 	tracker := l.controller.links
-	to, reason := l.handover.Successor()
-	tracker.handoverRecords = append(tracker.handoverRecords, HandoverRecord{Term: l.term, At: now, To: to, Reason: reason, OwnScore: assessment.OwnScore, SuccessorScore: assessment.BestScore})
+	decision := l.handover.Decision()
+	tracker.handoverRecords = append(tracker.handoverRecords, HandoverRecord{Term: l.term, At: now, To: decision.Successor, Reason: decision.Reason, OwnScore: assessment.OwnScore, SuccessorScore: assessment.BestScore})
 	if len(tracker.handoverRecords) > maxHandoverRecords {
 		tracker.handoverRecords = slices.Delete(tracker.handoverRecords, 0, len(tracker.handoverRecords)-maxHandoverRecords)
 	}
-	slog.Info("handing the lead over", "term", uint64(l.term), "to", string(to), "why", reason.String(),
+	slog.Info("handing the lead over", "term", uint64(l.term), "to", string(decision.Successor), "reason", decision.Reason.String(),
 		"standing", int(assessment.OwnScore), "successor", int(assessment.BestScore))
 	l.committer.Quiesce()
 	l.failPendingReplies()
 	for _, n := range l.controller.peerIDs() {
 		if tracker.supportsLinks(n) {
-			l.controller.env.SendPeer(n, &transport.Frame{Type: transport.MsgTransferLeader, Node: to, Term: l.term})
+			l.controller.env.SendPeer(n, &transport.Frame{Type: transport.MsgTransferLeader, Node: decision.Successor, Term: l.term})
 		}
 	}
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -7,6 +7,7 @@
 	"opaldale/internal/authority"
 	"opaldale/internal/cloud"
 	"opaldale/internal/commit"
+	"opaldale/internal/election"
 	"opaldale/internal/fleet"
 	"opaldale/internal/gang"
 	"opaldale/internal/handover"
@@ -108,7 +109,7 @@
 	}
 	tight := limits(storeSettings.Strictest())
 	l.maxValueBytes = tight.MaxValueBytes
-	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(why string) { c.election.Deposed(why) })
+	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(reason string) { c.election.Deposed(election.StepDownReason(reason)) })
 	l.committer.ExpectLimits(tight)
 	l.committer.OnUnavailable = l.failPendingReplies
 	l.jobs = jobs.NewTable(l.committer, limits(storeSettings).MaxValueBytes, c.env.Now, c.env.WallMS)
@@ -121,7 +122,14 @@
 	for _, s := range c.settings.Peers {
 		nodes = append(nodes, s.Node)
 	}
-	l.formatUpgrader = upgrade.New(c.env, term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.formatUpgrader = upgrade.New(upgrade.Config{
+		Port:      c.env,
+		Term:      term,
+		LeaderKey: leaderKey,
+		Nodes:     nodes,
+		Persist:   l.committer.MarkDirty,
+		OnRaised:  l.enablePackedFormat,
+	})
 	l.teams = placement.NewTeams(c.settings.Cluster.Teams)
 	workerSettings := c.settings.Cluster.Workers
 	env := leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry}
@@ -150,7 +158,7 @@
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           func(m string) *cloud.MachineType { return l.machineTypeBySKU[m] },
-		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
+		OnDeposed:         func() { c.election.Deposed(laterTermSeen) },
 		OnCapacityChanged: func() { l.dispatchNeeded = true },
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
@@ -222,7 +230,7 @@
 	}
 	l.evaluateLoad()
 	if l.controller.links == nil && l.controller.election.LeaseValid() && l.isolated() {
-		l.controller.election.Resign(candidacyPause, "nobody is heard")
+		l.controller.election.Resign(candidacyPause, noHeartbeats)
 		return
 	}
 	if l.controller.mayManageFleet() {
--- a/internal/controller/link_report.go
+++ b/internal/controller/link_report.go
@@ -107,7 +107,7 @@
 				State:     verdict.State.String(),
 				StateCode: int(verdict.State),
 				Evidence:  verdict.Evidence.String(),
-				Level:     verdict.Level,
+				Level:     verdict.Suspicion,
 				DurationS: roundSeconds(now.Sub(verdict.Since)),
 				Damped:    verdict.Damped,
 				Refusing:  v.monitor.Refusing(p),
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -76,7 +76,7 @@
 		return // a sibling that is better placed shows by its row
 	}
 	if l.unreachable[machine] = true; len(l.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
-		l.controller.election.Resign(candidacyPause, "machines are heard by siblings only")
+		l.controller.election.Resign(candidacyPause, machinesReachPeersOnly)
 	}
 }
 
@@ -116,7 +116,7 @@
 		return true
 	}
 	if l.controller.links == nil {
-		l.controller.election.Resign(candidacyPause, "neither machines nor siblings are heard")
+		l.controller.election.Resign(candidacyPause, isolated)
 	}
 	return false
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -36,7 +36,7 @@
 		if err := errors.Join(errs...); err != nil {
 			// On half a state a leader would forget jobs, or start tasks that run.
 			slog.Error("unreadable record", "err", err)
-			l.controller.election.Resign(candidacyPause, "unreadable record")
+			l.controller.election.Resign(candidacyPause, unreadableRecord)
 			return
 		}
 		for _, p := range moves {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -85,7 +85,17 @@
 	watchBlock      = 10 * time.Second
 )
 
-// Port is what an election needs of the world.
+// StepDownReason says why a node stopped leading. The owner of an Elector adds reasons of its own.
+type StepDownReason string
+
+// The reasons found by the election itself.
+const (
+	LaterTermKnown StepDownReason = "a later term is known"
+	LeaseLost      StepDownReason = "the lease has expired"
+	LeaderKeyLost  StepDownReason = "the leader key is gone or held by another node"
+)
+
+// Port is what an election needs of its environment.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
@@ -97,7 +107,7 @@
 	// OnStartedLeading begins a term, with the format level in force.
 	OnStartedLeading(t ident.Term, l ident.FormatLevel, key kvstore.Compare)
 	// OnStoppedLeading ends it.
-	OnStoppedLeading(why string)
+	OnStoppedLeading(reason StepDownReason)
 }
 
 // leaderRecord is the value of the leader key.
@@ -182,7 +192,7 @@
 // PeerReportedLeader takes a sibling's word that somebody leads in a term.
 func (e *Elector) PeerReportedLeader(node ident.NodeID, term ident.Term) {
 	if e.state == Leading && term > e.term {
-		e.stepDown("a later term is known")
+		e.stepDown(LaterTermKnown)
 	}
 	if term > e.knownLeader.Term {
 		e.knownLeader, e.knownLeaderGone = leaderRecord{Node: node, Term: term}, false
@@ -190,27 +200,27 @@
 }
 
 // Resign gives leadership up and takes no part for a while.
-func (e *Elector) Resign(abstain time.Duration, why string) {
+func (e *Elector) Resign(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
 	}
 	e.abstainUntil = e.port.Now().Add(abstain)
 	e.port.Store(kvstore.Request{Op: kvstore.RevokeLease, LeaseID: e.leaseID, Timeout: callTimeout}, func(kvstore.Response) {})
-	e.stepDown(why)
+	e.stepDown(reason)
 }
 
 // Deposed is called by the owner when it learns that the term is over.
-func (e *Elector) Deposed(why string) {
+func (e *Elector) Deposed(reason StepDownReason) {
 	if e.state == Leading {
-		e.stepDown(why)
+		e.stepDown(reason)
 	}
 }
 
-func (e *Elector) stepDown(why string) {
-	slog.Info("leadership ends", "term", uint64(e.term), "why", why)
-	e.setState(Following, why)
+func (e *Elector) stepDown(reason StepDownReason) {
+	slog.Info("stepped down", "term", uint64(e.term), "reason", string(reason))
+	e.setState(Following, string(reason))
 	e.knownLeader, e.knownLeaderGone = leaderRecord{}, false
-	e.callbacks.OnStoppedLeading(why)
+	e.callbacks.OnStoppedLeading(reason)
 	e.checkLeader()
 }
 
@@ -422,7 +432,7 @@
 		case kvstore.OK:
 			e.extendValidity(sentAt)
 		case kvstore.NotFound:
-			e.stepDown("lease has ended")
+			e.stepDown(LeaseLost)
 		}
 	})
 }
@@ -435,7 +445,7 @@
 		case response.Outcome == kvstore.OK && response.Revision == e.leaderKey.Revision:
 			e.sendRenewal()
 		case response.Outcome == kvstore.OK, response.Outcome == kvstore.NotFound:
-			e.stepDown("the leader key is not ours")
+			e.stepDown(LeaderKeyLost)
 		case response.Outcome != kvstore.NoAnswer:
 			e.renewalUnanswered = false
 		}
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -21,7 +21,7 @@
 // HandOver ends the term in one transaction, after which anybody may claim the lead, and
 // takes no part for a while. Nothing is decided in this term any more from the call on,
 // whatever becomes of the transaction: without it the term ends with its lease.
-func (e *Elector) HandOver(abstain time.Duration, why string) {
+func (e *Elector) HandOver(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
 	}
@@ -36,7 +36,7 @@
 	e.port.Store(request, func(response kvstore.Response) {
 		slog.Info("term was ended", "term", uint64(term), "outcome", response.Outcome.String())
 	})
-	e.stepDown(why)
+	e.stepDown(reason)
 }
 
 // PreferSuccessor takes the word of the leader of a term on who should follow it; nobody, if the node
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -89,7 +89,7 @@
 type noCallbacks struct{}
 
 func (noCallbacks) OnStartedLeading(ident.Term, ident.FormatLevel, kvstore.Compare) {}
-func (noCallbacks) OnStoppedLeading(string)                                         {}
+func (noCallbacks) OnStoppedLeading(StepDownReason)                                 {}
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{now: ident.MonotonicTime(time.Hour), keys: map[string]kvstore.KeyValue{}}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -73,12 +73,11 @@
 
 // Event is what a handover is decided by.
 type Event struct {
-	Now              ident.MonotonicTime
-	PeerBetterPlaced bool         // a sibling is better placed by a clear margin
-	Successor        ident.NodeID // that sibling
-	Isolated         bool
-	WritesDrained    bool // no write is in flight
-	StoreWritable    bool // the state service takes what is written
+	Now           ident.MonotonicTime
+	Successor     ident.NodeID // the peer that is better placed by a clear margin, "" if none is
+	Isolated      bool
+	WritesDrained bool // no write is in flight
+	StoreWritable bool // the state service takes what is written
 }
 
 // Step is what the caller has to do.
@@ -91,6 +90,12 @@
 	EndTerm       // end the term in one transaction
 )
 
+// Decision is who should lead next, and why leadership is given up. It is zero while nothing is decided.
+type Decision struct {
+	Successor ident.NodeID // "" if any node may follow
+	Reason    Reason
+}
+
 // Coordinator takes one term of a node through a handover.
 type Coordinator struct {
 	config     Config
@@ -98,8 +103,7 @@
 	startedAt  ident.MonotonicTime
 	state      State
 	stateSince ident.MonotonicTime // of the state
-	successor  ident.NodeID
-	reason     Reason
+	decision   Decision
 }
 
 // New makes the machine of a term that began at a time.
@@ -110,8 +114,8 @@
 // State returns where the handover stands.
 func (c *Coordinator) State() State { return c.state }
 
-// Successor returns who should follow, and why; empty while nobody is chosen.
-func (c *Coordinator) Successor() (ident.NodeID, Reason) { return c.successor, c.reason }
+// Decision returns what was decided when the handover began.
+func (c *Coordinator) Decision() Decision { return c.decision }
 
 // Begun says whether a handover has begun: nothing may be decided any more.
 func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
@@ -140,9 +144,8 @@
 
 // evaluate decides whether a handover begins.
 func (c *Coordinator) evaluate(e Event) Step {
-	peerBetter := e.PeerBetterPlaced && e.Successor != ""
 	switch {
-	case !peerBetter && !e.Isolated:
+	case e.Successor == "" && !e.Isolated:
 		c.setState(Steady, e.Now)
 		return NoStep
 	case c.state == Steady:
@@ -156,9 +159,9 @@
 	case e.Now.Sub(c.startedAt) < c.history.MinTermDuration(c.config.MinTermDuration, e.Now):
 		return NoStep
 	}
-	c.successor, c.reason = e.Successor, BetterPlaced
-	if !peerBetter {
-		c.successor, c.reason = "", Isolated
+	c.decision = Decision{Successor: e.Successor, Reason: BetterPlaced}
+	if e.Successor == "" {
+		c.decision.Reason = Isolated
 	}
 	c.setState(Draining, e.Now)
 	return Announce
@@ -169,7 +172,7 @@
 	if c.Begun() {
 		return NoStep
 	}
-	c.successor, c.reason = successor, Requested
+	c.decision = Decision{Successor: successor, Reason: Requested}
 	c.setState(Draining, now)
 	return Announce
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,10 +21,14 @@
 		worseSince := ident.MonotonicTime(0)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 1500).Draw(t, "pause_ms")) * time.Millisecond)
-			e := Event{Now: now, PeerBetterPlaced: rapid.IntRange(0, 9).Draw(t, "worse") > 0, Successor: "agent-1",
+			successor := ident.NodeID("")
+			if rapid.IntRange(0, 9).Draw(t, "worse") > 0 {
+				successor = "agent-1"
+			}
+			e := Event{Now: now, Successor: successor,
 				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, WritesDrained: rapid.Bool().Draw(t, "idle"),
 				StoreWritable: rapid.IntRange(0, 3).Draw(t, "can write") > 0}
-			warranted := e.PeerBetterPlaced || e.Isolated
+			warranted := e.Successor != "" || e.Isolated
 			switch {
 			case !warranted:
 				worseSince = 0
@@ -36,8 +40,8 @@
 				if announced > 0 || !warranted || !e.StoreWritable || now.Sub(began) < config.MinTermDuration || now.Sub(worseSince) < config.StabilizationWindow {
 					t.Fatalf("announced at %v after the begin, %v after a sibling was better placed: %+v", now.Sub(began), now.Sub(worseSince), e)
 				}
-				if to, reason := coordinator.Successor(); e.PeerBetterPlaced != (to != "") || reason == NoReason {
-					t.Fatalf("to %q for %v: %+v", to, reason, e)
+				if d := coordinator.Decision(); d.Successor != e.Successor || d.Reason == NoReason {
+					t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, e)
 				}
 				announced = now
 			case EndTerm:
@@ -74,7 +78,7 @@
 		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			if coordinator.Handle(Event{Now: now, PeerBetterPlaced: true, Successor: "x", WritesDrained: true, StoreWritable: true}) == EndTerm {
+			if coordinator.Handle(Event{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
@@ -89,8 +93,8 @@
 					n++
 				}
 			}
-			if n > MaxPerMinute(config) {
-				t.Fatalf("%d handovers within a minute, the bound is %d", n, MaxPerMinute(config))
+			if n > maxPerMinute(config) {
+				t.Fatalf("%d handovers within a minute, the bound is %d", n, maxPerMinute(config))
 			}
 		}
 		if len(times) == 0 || len(times) > 12 {
@@ -99,6 +103,11 @@
 	})
 }
 
+// maxPerMinute returns how many times in a minute leadership can be handed over at the
+// most in a cluster whose nodes see each other's terms: each leader keeps it for the minimum
+// duration first.
+func maxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
+
 // TestRequested: a node that is being stopped hands over at once, and once.
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
@@ -106,8 +115,8 @@
 	if coordinator.Request(now, "agent-1") != Announce || coordinator.Request(now, "agent-2") != NoStep {
 		t.Error("a request is announced once")
 	}
-	if to, reason := coordinator.Successor(); to != "agent-1" || reason != Requested {
-		t.Errorf("to %q for %v", to, reason)
+	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
+		t.Errorf("to %q for %v", d.Successor, d.Reason)
 	}
 	if coordinator.Handle(Event{Now: now, WritesDrained: true}) != EndTerm || coordinator.Handle(Event{Now: now, WritesDrained: true}) != NoStep {
 		t.Error("the term is ended once")
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -66,8 +66,3 @@
 	doublings := min(max(0, h.RecentChanges(now)-uncountedChanges), maxDoublings)
 	return base << doublings
 }
-
-// MaxPerMinute returns how many times in a minute the lead can be given up by choice, at
-// the most, in a cluster whose nodes see each other's terms: each holder keeps it for the
-// least time first.
-func MaxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
--- a/internal/links/detector.go
+++ b/internal/links/detector.go
@@ -37,9 +37,9 @@
 	d.mean += meanGain * (s - d.mean)
 }
 
-// level returns -log10 of the probability that something overdue for so long is still to
+// suspicion returns -log10 of the probability that something overdue for so long is still to
 // come, with the delays normally distributed. A pause is granted on top.
-func (d *detector) level(overdue, grace time.Duration) float64 {
+func (d *detector) suspicion(overdue, grace time.Duration) float64 {
 	if d.samples == 0 {
 		return 0
 	}
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -31,12 +31,12 @@
 
 // Verdict is what is known of one direction of a link.
 type Verdict struct {
-	State    State
-	Since    ident.MonotonicTime // of the state
-	Evidence Evidence            // the newest
-	Level    float64             // of the detector, at the last evaluation
-	Damped   bool                // counts as down for having broken too often
-	Breaks   uint64
+	State     State
+	Since     ident.MonotonicTime // of the state
+	Evidence  Evidence            // the newest
+	Suspicion float64             // of the detector, at the last evaluation
+	Damped    bool                // counts as down for having broken too often
+	Breaks    uint64
 }
 
 // VerdictChange is a change of a verdict.
@@ -221,8 +221,8 @@
 	if !w.hasSuccess {
 		return Unknown
 	}
-	w.verdict.Level = w.detector.level(now.Sub(w.lastSuccess), m.config.SuspectGrace)
-	state := stateOf(w.verdict.Level)
+	w.verdict.Suspicion = w.detector.suspicion(now.Sub(w.lastSuccess), m.config.SuspectGrace)
+	state := stateOf(w.verdict.Suspicion)
 	if w.detector.samples == 0 {
 		state = Up
 	}
@@ -239,7 +239,7 @@
 // something that was sent shows no sign of arrival.
 func (m *Monitor) evaluateOutbound(l *link, now ident.MonotonicTime) State {
 	w := &l.out
-	w.verdict.Level = 0
+	w.verdict.Suspicion = 0
 	if l.refusedConns >= maxConnectionRefusals {
 		return Down
 	}
@@ -258,8 +258,8 @@
 		}
 		return Unknown
 	}
-	w.verdict.Level = w.detector.level(overdue, m.config.SuspectGrace)
-	state := stateOf(w.verdict.Level)
+	w.verdict.Suspicion = w.detector.suspicion(overdue, m.config.SuspectGrace)
+	state := stateOf(w.verdict.Suspicion)
 	if state != Up {
 		w.verdict.Evidence = Silence
 	}
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -99,6 +99,14 @@
 // Worse says whether a sibling is better placed by a clear margin.
 func (a Assessment) Worse() bool { return a.BestPeer != "" && a.BestScore >= a.OwnScore+MinScoreMargin }
 
+// Successor returns the best placed peer if it is better placed by a clear margin, and "" otherwise.
+func (a Assessment) Successor() ident.NodeID {
+	if !a.Worse() {
+		return ""
+	}
+	return a.BestPeer
+}
+
 // Assess compares a node's own row with those of its siblings.
 func (c *Cluster) Assess(own Advertisement, database *Database, now ident.MonotonicTime) Assessment {
 	a := Assessment{OwnScore: c.score(&own, true), Isolated: c.isolated(&own)}
--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -21,6 +21,9 @@
 // clocks drift apart by at most 0.05%.
 const driftMargin = 0.001
 
+// shorten returns the least time that passes on any node's clock while d passes on another's.
+func shorten(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - driftMargin)) }
+
 // SentHeartbeats remembers when the newest beats were sent.
 type SentHeartbeats struct {
 	ids   [64]uint64
@@ -71,7 +74,7 @@
 // token of a later term is a successor's.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	age := now.Sub(r.leaderSeenAt)
-	return r.permitted && age > MinLeaderSilence && age < time.Duration(float64(r.allowance)*(1-driftMargin)) && token != 0 && token.Term() <= r.term
+	return r.permitted && age > MinLeaderSilence && age < shorten(r.allowance) && token != 0 && token.Term() <= r.term
 }
 
 // RecordRenewal notes that a lease was renewed.
@@ -107,27 +110,37 @@
 	return &Registry{grace: grace, peers: map[ident.NodeID]*peerEntry{}}
 }
 
-// ObserveHeartbeat takes a sibling's beat; sent is when we sent the beat that it echoes, if it
-// echoes one of ours.
-func (r *Registry) ObserveHeartbeat(from ident.NodeID, now, sentAt ident.MonotonicTime, echoed bool, status PeerStatus) {
-	e := r.peers[from]
-	if e == nil {
-		e = &peerEntry{}
-		r.peers[from] = e
+// ObserveHeartbeat notes a peer's heartbeat that echoes none of this process. It may have been
+// delayed for any time, so that nothing in it dates the peer's renewals.
+func (r *Registry) ObserveHeartbeat(from ident.NodeID, now ident.MonotonicTime) {
+	r.entry(from).lastHeard = now
+}
+
+// ObserveEcho notes a peer's heartbeat that echoes one which this process sent at sentAt: the
+// peer's status was true at some time between sentAt and now.
+func (r *Registry) ObserveEcho(from ident.NodeID, now, sentAt ident.MonotonicTime, status PeerStatus) {
+	e := r.entry(from)
+	if startedAt := now.Add(-status.ProcessAge); startedAt > e.knownUntil && e.lastHeard > 0 {
+		// An earlier process of the peer may have renewed leases after the last time known.
+		e.lastRenewal = max(e.lastRenewal, min(startedAt, e.latestPossibleRenewal(r)))
 	}
-	if echoed {
-		if startedAt := now.Add(-status.ProcessAge); startedAt > e.knownUntil && e.lastHeard > 0 {
-			// A process that we knew less of was there before it.
-			e.lastRenewal = max(e.lastRenewal, min(startedAt, e.latestPossibleRenewal(r)))
-		}
-		if status.HasRenewed {
-			e.lastRenewal = max(e.lastRenewal, now.Add(-time.Duration(float64(status.SinceRenewal)*(1-driftMargin))))
-		}
-		e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, time.Duration(float64(MinLeaderSilence-status.SinceLeader)*(1-driftMargin)))))
+	if status.HasRenewed {
+		e.lastRenewal = max(e.lastRenewal, now.Add(-shorten(status.SinceRenewal)))
 	}
+	silenceLeft := MinLeaderSilence - status.SinceLeader
+	e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, shorten(silenceLeft))))
 	e.lastHeard = now
 }
 
+func (r *Registry) entry(peer ident.NodeID) *peerEntry {
+	e := r.peers[peer]
+	if e == nil {
+		e = &peerEntry{}
+		r.peers[peer] = e
+	}
+	return e
+}
+
 func (e *peerEntry) latestPossibleRenewal(r *Registry) ident.MonotonicTime {
 	return e.lastHeard.Add(r.grace)
 }
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -87,7 +87,11 @@
 				send(func(at ident.MonotonicTime) {
 					lastAtLeader = peerHeartbeatID
 					sent, ok := leaderHeartbeats.SentAt(echoOfLeader)
-					registry.ObserveHeartbeat("s", at, sent, ok, status)
+					if ok {
+						registry.ObserveEcho("s", at, sent, status)
+					} else {
+						registry.ObserveHeartbeat("s", at)
+					}
 				})
 			}
 			for i := range inTransit {
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -57,9 +57,18 @@
 	other := newest
 	other.Key = NodeKeyPrefix + "agent-2"
 	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore(newest, other))}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	leaderKey := kvstore.Compare{Key: "leader", Revision: 61}
+	limits := commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
+	c := commit.New(r, limits, leaderKey, func(reason string) { t.Error(reason) })
 	done := false
-	raiser := New(r, 41, kvstore.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
+	raiser := New(Config{
+		Port:      r,
+		Term:      41,
+		LeaderKey: leaderKey,
+		Nodes:     []ident.NodeID{"agent-1", "agent-2"},
+		Persist:   c.MarkDirty,
+		OnRaised:  func() { done = true },
+	})
 	raiser.Poll()
 	c.Flush()
 	if !done || raiser.State() != Raised {
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -109,23 +109,37 @@
 
 func (s State) String() string { return [...]string{"mixed", "raising", "raised"}[s] }
 
-// Raiser is a leader's part: it lives for one term.
+// Config is what a Raiser needs of the term that it belongs to.
+type Config struct {
+	Port      Port
+	Term      ident.Term
+	LeaderKey kvstore.Compare // as written when the term began
+	Nodes     []ident.NodeID  // all nodes of the cluster
+	// Persist makes a document durable and calls the function once it is.
+	Persist func(*commit.Document, func())
+	// OnRaised is called once the new level is in force.
+	OnRaised func()
+}
+
+// Raiser raises the format level on behalf of a leader. It lives for one term.
 type Raiser struct {
-	port     Port
-	nodes    []ident.NodeID
+	config   Config
 	document *commit.Document
-	persist  func(*commit.Document, func())
-	onRaised func()
 	state    State
 	closed   bool
 }
 
-// New makes the raiser of a term. The term's key was last written with the leader
-// key; write makes a document durable, compared against that; done is called once
-// the level is in force.
-func New(port Port, term ident.Term, leaderKey kvstore.Compare, nodes []ident.NodeID, persist func(*commit.Document, func()), onRaised func()) *Raiser {
-	return &Raiser{port: port, nodes: nodes, persist: persist, onRaised: onRaised, document: &commit.Document{Key: election.TermKey, Revision: leaderKey.Revision,
-		Render: func() json.RawMessage { return election.EncodeTerm(term, ident.NewestFormatLevel) }}}
+// New returns the raiser of a term. Poll starts it.
+func New(config Config) *Raiser {
+	return &Raiser{
+		config: config,
+		document: &commit.Document{
+			Key: election.TermKey,
+			// The election writes the term key and the leader key in one transaction.
+			Revision: config.LeaderKey.Revision,
+			Render:   func() json.RawMessage { return election.EncodeTerm(config.Term, ident.NewestFormatLevel) },
+		},
+	}
 }
 
 // State returns where it stands.
@@ -146,19 +160,19 @@
 	if r.closed || r.state != Mixed {
 		return
 	}
-	r.port.Store(kvstore.Request{Op: kvstore.List, Prefix: NodeKeyPrefix, Timeout: callTimeout}, func(response kvstore.Response) {
+	r.config.Port.Store(kvstore.Request{Op: kvstore.List, Prefix: NodeKeyPrefix, Timeout: callTimeout}, func(response kvstore.Response) {
 		if r.closed || r.state != Mixed {
 			return
 		}
 		if response.Outcome == kvstore.OK && r.allAnnounced(response.KeyValues) {
 			r.setState(Raising, "all nodes can read it")
-			r.persist(r.document, func() {
+			r.config.Persist(r.document, func() {
 				r.setState(Raised, "durable")
-				r.onRaised()
+				r.config.OnRaised()
 			})
 			return
 		}
-		r.port.After(pollInterval, r.Poll)
+		r.config.Port.After(pollInterval, r.Poll)
 	})
 }
 
@@ -171,7 +185,7 @@
 			capable[p.Key] = true
 		}
 	}
-	for _, n := range r.nodes {
+	for _, n := range r.config.Nodes {
 		if !capable[NodeKeyPrefix+string(n)] {
 			return false
 		}
