--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -30,10 +30,12 @@
 
 // leadership returns how sure the node can be of its leadership, in a term that has not been closed.
 func (c *Controller) leadership() authority.Leadership {
+	valid := c.election.LeaseValid()
+	withinGrace := c.election.WithinGrace(c.renewalGrace)
 	switch {
-	case c.election.LeaseValid():
+	case valid:
 		return authority.LeaseValid
-	case c.election.WithinGrace(c.renewalGrace):
+	case withinGrace:
 		return authority.LeaseInGrace
 	}
 	return authority.LeaseExpired
--- /dev/null
+++ b/internal/election/campaign.go
@@ -0,0 +1,143 @@
+package election
+
+import (
+	"log/slog"
+
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+)
+
+// candidacy is what one attempt to become leader has gathered.
+type candidacy struct {
+	// staleRevision is the leader key's when it was found to be free: 0 if it did not exist.
+	staleRevision ident.Revision
+	// startedAt is before the lease was granted, and so before its TTL began.
+	startedAt ident.MonotonicTime
+	// pending counts the responses that are still awaited.
+	pending int
+
+	leaseID      uint64
+	lastTerm     ident.Term
+	level        ident.FormatLevel
+	termRevision ident.Revision // the term key's, 0 if it does not exist
+}
+
+// awaitedResponses is how many responses a candidacy needs: the lease and the last term.
+const awaitedResponses = 2
+
+// campaign tries to become leader. staleRevision is the revision of a leader key that may be
+// overwritten, 0 if there is none.
+//
+// A lease granted to a candidacy that fails before its claim is left to expire.
+func (e *Elector) campaign(staleRevision ident.Revision) {
+	if e.port.Now() < e.abstainUntil {
+		e.retryLater(abstaining)
+		return
+	}
+	if e.deferToOthers() {
+		return
+	}
+	e.setState(RequestingLease, leaderKeyFree)
+	c := &candidacy{staleRevision: staleRevision, startedAt: e.port.Now(), pending: awaitedResponses}
+	e.requestLease(c)
+	e.readTerm(c)
+}
+
+func (e *Elector) requestLease(c *candidacy) {
+	request := kvstore.Request{Op: kvstore.GrantLease, TTL: e.leaseTTL, Timeout: callTimeout}
+	e.callStore(request, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
+			e.retryLater(leaseNotGranted)
+			return
+		}
+		c.leaseID = response.LeaseID
+		e.claimWhenReady(c)
+	})
+}
+
+func (e *Elector) readTerm(c *candidacy) {
+	request := kvstore.Request{Op: kvstore.Get, Key: TermKey, Timeout: callTimeout}
+	e.callStore(request, func(response kvstore.Response) {
+		if !c.setTerm(response) {
+			e.retryLater(termNotRead)
+			return
+		}
+		e.claimWhenReady(c)
+	})
+}
+
+// setTerm takes the last term from the term key, and reports whether it is known.
+func (c *candidacy) setTerm(response kvstore.Response) bool {
+	switch response.Outcome {
+	case kvstore.OK:
+		var err error
+		if c.lastTerm, c.level, err = DecodeTerm(response.Value); err != nil {
+			slog.Error("cannot decode term key", "err", err)
+			return false
+		}
+		c.termRevision = response.Revision
+		return true
+	case kvstore.NotFound:
+		return true
+	}
+	return false
+}
+
+// claimWhenReady takes note of a response, and claims after the last one.
+func (e *Elector) claimWhenReady(c *candidacy) {
+	c.pending--
+	if c.pending == 0 {
+		e.claim(c)
+	}
+}
+
+// claim writes the leader key and the next term in one transaction.
+func (e *Elector) claim(c *candidacy) {
+	e.setState(Claiming, candidacyReady)
+	term := c.lastTerm + 1
+	record := leaderRecord{Node: e.self, Term: term, Nonce: e.nonce}
+	request := kvstore.Request{
+		Op: kvstore.Txn,
+		Compares: []kvstore.Compare{
+			{Key: LeaderKey, Revision: c.staleRevision},
+			{Key: TermKey, Revision: c.termRevision},
+		},
+		Mutations: []kvstore.Mutation{
+			{Put: LeaderKey, Value: mustMarshal(record), LeaseID: c.leaseID},
+			{Put: TermKey, Value: EncodeTerm(term, c.level)},
+		},
+		Timeout: callTimeout,
+	}
+	e.callStore(request, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
+			e.claimFailed(c, response.Outcome)
+			return
+		}
+		e.startLeading(c, term, ident.Revision(response.StoreRevision))
+	})
+}
+
+// claimFailed gives up a candidacy. If the claim was applied and only its response was lost, the
+// next check finds this node's own record, and the node campaigns for a later term.
+func (e *Elector) claimFailed(c *candidacy, outcome kvstore.Outcome) {
+	if outcome == kvstore.Conflict {
+		e.revokeLease(c.leaseID)
+	}
+	e.retryLater(transitionReason("claim: " + outcome.String()))
+}
+
+// startLeading begins a term whose claim was applied at a revision of the leader key.
+func (e *Elector) startLeading(c *candidacy, term ident.Term, revision ident.Revision) {
+	e.setState(Leading, claimSucceeded)
+	e.term = term
+	e.leaseID = c.leaseID
+	e.leaderKey = kvstore.Compare{Key: LeaderKey, Revision: revision}
+	e.preferred = successorPreference{}
+	e.campaignDelayed = false
+	e.knownLeader = knownLeader{}
+	e.unansweredSince = ident.Never
+	e.extendValidity(c.startedAt)
+	slog.Info("elected leader", "term", uint64(term), "format_level", uint8(c.level))
+	e.scheduleRenewal()
+	e.callbacks.OnStartedLeading(term, c.level, e.leaderKey)
+}
--- /dev/null
+++ b/internal/election/follow.go
@@ -0,0 +1,121 @@
+package election
+
+import (
+	"encoding/json"
+	"log/slog"
+	"time"
+
+	"opaldale/internal/kvstore"
+)
+
+const (
+	// minRecheckDelay is the least time before the leader key is read again after a failure; a
+	// random time up to as long is added.
+	minRecheckDelay = 300 * time.Millisecond
+	// watchBlock is how long the store may hold a watch open without a change, and
+	// watchTimeoutMargin how much later its response may arrive.
+	watchBlock         = 10 * time.Second
+	watchTimeoutMargin = 2 * time.Second
+)
+
+// retryLater makes the node follow, and read the leader key again after a while.
+func (e *Elector) retryLater(reason transitionReason) {
+	e.setState(Following, reason)
+	e.checkLeaderLater()
+}
+
+func (e *Elector) checkLeaderLater() {
+	jitter := time.Duration(e.rng.Int64N(int64(minRecheckDelay)))
+	e.afterInState(minRecheckDelay+jitter, e.checkLeader)
+}
+
+// checkLeader reads the leader key, and follows its holder or campaigns.
+func (e *Elector) checkLeader() {
+	e.setState(Following, checkingLeader)
+	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
+	e.callStore(request, func(response kvstore.Response) {
+		switch response.Outcome {
+		case kvstore.OK:
+			e.handleLeaderKey(response)
+		case kvstore.NotFound:
+			e.campaign(0)
+		default:
+			e.checkLeaderLater()
+		}
+	})
+}
+
+// handleLeaderKey acts on a leader key that was read.
+func (e *Elector) handleLeaderKey(response kvstore.Response) {
+	var record leaderRecord
+	if err := json.Unmarshal(response.Value, &record); err != nil {
+		slog.Error("cannot decode leader key", "err", err)
+		e.checkLeaderLater()
+		return
+	}
+	if record.Node == e.self {
+		// Written by an earlier process of this node, which cannot be running any more, or by
+		// a claim of this process whose response was lost.
+		e.campaign(response.Revision)
+		return
+	}
+	e.observeLeader(record)
+	e.watchLeader(uint64(response.Revision))
+}
+
+func (e *Elector) observeLeader(record leaderRecord) {
+	e.campaignDelayed = false
+	if record.Term >= e.knownLeader.Term {
+		e.knownLeader = knownLeader{leaderRecord: record}
+	}
+}
+
+// watchLeader waits for changes of the leader key after a revision of the store.
+func (e *Elector) watchLeader(fromRevision uint64) {
+	request := kvstore.Request{
+		Op:       kvstore.Watch,
+		Prefix:   LeaderKey,
+		Revision: fromRevision,
+		Block:    watchBlock,
+		Timeout:  watchBlock + watchTimeoutMargin,
+	}
+	e.callStore(request, func(response kvstore.Response) {
+		if response.Outcome != kvstore.OK {
+			e.checkLeaderLater()
+			return
+		}
+		e.handleWatchEvents(response.Events, max(response.StoreRevision, fromRevision))
+	})
+}
+
+// handleWatchEvents acts on the changes up to a revision of the store.
+func (e *Elector) handleWatchEvents(events []kvstore.WatchEvent, revision uint64) {
+	deleted := false
+	for _, event := range events {
+		switch {
+		case event.Delete == LeaderKey:
+			deleted = true
+		case event.Put == LeaderKey:
+			deleted = false
+			record, ok := e.decodePeerRecord(event.Value)
+			if !ok {
+				e.checkLeader()
+				return
+			}
+			e.observeLeader(record)
+		}
+	}
+	if deleted {
+		e.knownLeader.gone = true
+		e.campaign(0)
+		return
+	}
+	e.watchLeader(revision)
+}
+
+// decodePeerRecord returns the leader record of another node, false for anything else.
+func (e *Elector) decodePeerRecord(value []byte) (leaderRecord, bool) {
+	var record leaderRecord
+	err := json.Unmarshal(value, &record)
+	return record, err == nil && record.Node != e.self
+}
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recordingStore is a stage that keeps the requests that came, in words.
+// recordingStore is a fakeStore that keeps a description of each request.
 type recordingStore struct {
 	*fakeStore
 	requests strings.Builder
@@ -24,8 +24,8 @@
 	s.fakeStore.Store(r, f)
 }
 
-// TestGoldenElection pins the requests of a node that takes the lead, keeps it and gives it up,
-// by what the key of the term has held before.
+// TestGoldenElection pins the requests of a node that is elected, renews its lease and steps down,
+// for each form of the term key's earlier value.
 func TestGoldenElection(t *testing.T) {
 	var d golden.Document
 	for _, c := range []struct {
@@ -33,40 +33,40 @@
 		term string
 		end  func(*Elector)
 	}{
-		{"first term", "", func(m *Elector) { m.Resign(time.Minute, "test") }},
-		{"term without a level", "41", func(m *Elector) { m.Resign(time.Minute, "test") }},
-		{"term with a level", `{"term":41,"level":1}`, func(m *Elector) { m.HandOver(time.Minute, "test") }},
+		{"first term", "", func(e *Elector) { e.Resign(time.Minute, "test") }},
+		{"term without a level", "41", func(e *Elector) { e.Resign(time.Minute, "test") }},
+		{"term with a level", `{"term":41,"level":1}`, func(e *Elector) { e.HandOver(time.Minute, "test") }},
 	} {
 		s := &recordingStore{fakeStore: newFakeStore()}
 		s.revision = 200
 		if c.term != "" {
 			s.keys[TermKey] = kvstore.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
 		}
-		m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-		m.Start()
+		e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
+		e.Start()
 		s.advance(700 * time.Millisecond)
-		c.end(m)
+		c.end(e)
 		s.advance(50 * time.Millisecond)
 		d.Add(c.name, s.requests.String())
 	}
 	d.Compare(t, "election")
 }
 
-// TestGoldenLeaderKey pins what a node that follows makes of the leader key, and asks.
+// TestGoldenLeaderKey pins how a follower decodes the leader key, and its requests.
 func TestGoldenLeaderKey(t *testing.T) {
 	s := &recordingStore{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
 	s.keys[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
-	m := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-	m.Start()
+	e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
+	e.Start()
 	s.advance(50 * time.Millisecond)
-	if node, known := m.Leader(); node != "agent-7" || !known || m.knownLeader.Term != 43 || m.knownLeader.Nonce != 99 {
-		t.Errorf("%+v", m.knownLeader)
+	if node, known := e.Leader(); node != "agent-7" || !known || e.knownLeader.Term != 43 || e.knownLeader.Nonce != 99 {
+		t.Errorf("%+v", e.knownLeader)
 	}
 	golden.Compare(t, "follower", s.requests.String())
 }
 
-// TestGoldenRecords pins the values of the leader's and the term's keys.
+// TestGoldenRecords pins the values of the leader key and of the term key.
 func TestGoldenRecords(t *testing.T) {
 	var d golden.Document
 	golden.RoundTrip(t, &d, "leader", golden.Filled[leaderRecord](0))
--- /dev/null
+++ b/internal/election/lease.go
@@ -0,0 +1,87 @@
+package election
+
+import (
+	"time"
+
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+)
+
+const (
+	// maxClockDrift bounds the share by which two nodes' monotonic clocks differ in rate: each
+	// is off by at most 0.05%.
+	maxClockDrift = 0.001
+	// renewalsPerTTL is how many renewals are sent within the TTL of a lease.
+	renewalsPerTTL = 4
+)
+
+// extendValidity takes note that the lease was granted or renewed at some time after sentAt. The
+// store counts the TTL from then on, and this node from sentAt by the slower clock possible, so
+// that the lease outlasts the validity.
+func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
+	shortest := time.Duration(float64(e.leaseTTL) * (1 - maxClockDrift))
+	e.validUntil = max(e.validUntil, sentAt.Add(shortest))
+}
+
+func (e *Elector) scheduleRenewal() {
+	e.afterInState(e.leaseTTL/renewalsPerTTL, func() {
+		e.renew()
+		e.scheduleRenewal()
+	})
+}
+
+// renew extends the lease. Once renewals have had no response for half of the TTL, the leader key
+// is read first, to see whether responses arrive at all. If requests are applied while their
+// responses are lost, renewals alone would keep a lease alive whose holder cannot know it, and
+// the cluster would have no leader for as long as that lasts.
+func (e *Elector) renew() {
+	if e.unansweredSince != ident.Never && e.port.Now().Sub(e.unansweredSince) >= e.leaseTTL/2 {
+		e.confirmLeadership()
+		return
+	}
+	e.sendRenewal()
+}
+
+func (e *Elector) sendRenewal() {
+	sentAt := e.port.Now()
+	e.unansweredSince = min(e.unansweredSince, sentAt)
+	request := kvstore.Request{Op: kvstore.RenewLease, LeaseID: e.leaseID, Timeout: e.leaseTTL}
+	e.callStore(request, func(response kvstore.Response) {
+		if response.Outcome != kvstore.NoAnswer {
+			e.unansweredSince = ident.Never
+		}
+		switch response.Outcome {
+		case kvstore.OK:
+			e.extendValidity(sentAt)
+		case kvstore.NotFound:
+			e.stepDown(LeaseLost)
+		}
+	})
+}
+
+// confirmLeadership reads the leader key, and renews the lease if the response shows that the key
+// is still this node's.
+func (e *Elector) confirmLeadership() {
+	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
+	e.callStore(request, func(response kvstore.Response) {
+		switch response.Outcome {
+		case kvstore.OK:
+			if response.Revision != e.leaderKey.Revision {
+				e.stepDown(LeaderKeyLost)
+				return
+			}
+			e.sendRenewal()
+		case kvstore.NotFound:
+			e.stepDown(LeaderKeyLost)
+		case kvstore.NoAnswer:
+		default:
+			e.unansweredSince = ident.Never
+		}
+	})
+}
+
+// revokeLease ends a lease without waiting for the response: if it is lost, the lease expires.
+func (e *Elector) revokeLease(leaseID uint64) {
+	request := kvstore.Request{Op: kvstore.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}
+	e.port.Store(request, func(kvstore.Response) {})
+}
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -7,9 +7,9 @@
 	"opaldale/internal/ident"
 )
 
-// TestTermCarriesFormatLevel: below the first level the term's key is what every version
-// reads; from it on a program that knows no levels must fail to read it, and so does
-// this one with a level of later.
+// TestTermCarriesFormatLevel: below the first level every version decodes the term key. From it
+// on, a version that knows no levels must fail to decode it, and so must this one for a later
+// level.
 func TestTermCarriesFormatLevel(t *testing.T) {
 	for _, l := range []ident.FormatLevel{0, ident.NewestFormatLevel} {
 		term, level, err := DecodeTerm(EncodeTerm(41, l))
@@ -17,16 +17,16 @@
 			t.Errorf("level %d: %d, %d, %v", l, term, level, err)
 		}
 	}
-	var old ident.Term // as the version in production reads it
+	var old ident.Term // as a version without levels decodes it
 	if err := json.Unmarshal(EncodeTerm(41, 0), &old); err != nil || old != 41 {
-		t.Errorf("an old node reads %d, %v", old, err)
+		t.Errorf("a version without levels reads %d, %v", old, err)
 	}
 	if err := json.Unmarshal(EncodeTerm(41, ident.FormatPacked), &old); err == nil {
-		t.Error("an old node could lead above its level")
+		t.Error("a version without levels could lead above its level")
 	}
 	for _, bad := range []string{`{}`, `"x"`, `{"term":0,"level":1}`, `{"term":5}`, `{"term":5,"level":99}`, `null x`} {
 		if _, _, err := DecodeTerm([]byte(bad)); err == nil {
-			t.Errorf("%s is read", bad)
+			t.Errorf("%s is decoded", bad)
 		}
 	}
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -149,8 +149,8 @@
 func (r *Raiser) Close() { r.closed = true }
 
 // setState is the one place where the state changes.
-func (r *Raiser) setState(s State, why string) {
-	slog.Info("format level", "from", r.state.String(), "to", s.String(), "why", why)
+func (r *Raiser) setState(s State, reason string) {
+	slog.Info("format level state changed", "from", r.state.String(), "to", s.String(), "reason", reason)
 	r.state = s
 }
 
