--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -11,27 +11,58 @@
 	"opaldale/internal/links"
 )
 
-// goldenFrames has a frame of each kind, with every field that the kind carries set to another
-// value.
+// goldenFrames has a frame of each message type, with a different value in each field that the type
+// carries.
 var goldenFrames = []struct {
 	name  string
 	frame Frame
 }{
 	{"hello", Frame{Type: MsgHello, Node: "agent-1"}},
-	{"heartbeat", Frame{Type: MsgHeartbeat, Node: "agent-2", Term: 0x1101, ID: 0x1102,
-		Heartbeat: PeerHeartbeat{EchoID: 0x1103, UptimeMS: 0x1104, LeaseAllowanceMS: 0x1105, SinceLeaderMS: 0x1106, SinceRenewalMS: Never}}},
+	{"heartbeat", Frame{
+		Type: MsgHeartbeat,
+		Node: "agent-2",
+		Term: 0x1101,
+		ID:   0x1102,
+		Heartbeat: PeerHeartbeat{
+			EchoID:           0x1103,
+			UptimeMS:         0x1104,
+			LeaseAllowanceMS: 0x1105,
+			SinceLeaderMS:    0x1106,
+			SinceRenewalMS:   Never,
+		},
+	}},
 	{"submission passed on", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
 	{"poll passed on", Frame{Type: MsgRequest, ID: 0x2202, Method: GetJob, JobID: "j-1", Body: []byte{}}},
 	{"cancellation passed on", Frame{Type: MsgRequest, ID: 0x2203, Method: CancelJob, JobID: "j-2", Body: []byte{}}},
 	{"report passed on", Frame{Type: MsgRequest, ID: 0x2204, Method: WorkerHeartbeat, Body: []byte("report")}},
 	{"answer", Frame{Type: MsgResponse, ID: 0x3301, Status: 0x3302, RetryAfterS: 0x3303, Body: []byte("answer")}},
-	{"links", Frame{Type: MsgLinkState, ID: 0x4401, LinkState: []links.Advertisement{{Origin: "agent-3", Incarnation: 0x4402, Sequence: 0x4403, Age: 0x4404 * time.Millisecond,
-		Links: []links.LinkState{{Endpoint: links.Endpoint{Kind: links.PeerNode, Name: "agent-4"}, In: links.Up, Out: links.Down, Damped: true}}}}}},
+	{"links", Frame{
+		Type: MsgLinkState,
+		ID:   0x4401,
+		LinkState: []links.Advertisement{{
+			Origin:      "agent-3",
+			Incarnation: 0x4402,
+			Sequence:    0x4403,
+			Age:         0x4404 * time.Millisecond,
+			Links: []links.LinkState{{
+				Endpoint: links.Endpoint{Kind: links.PeerNode, Name: "agent-4"},
+				In:       links.Up,
+				Out:      links.Down,
+				Damped:   true,
+			}},
+		}},
+	}},
 	{"handover", Frame{Type: MsgTransferLeader, Node: "agent-5", Term: 0x5501}},
-	{"request to be passed on", Frame{Type: MsgRelayRequest, ID: 0x6601, Method: CancelJob, JobID: "j-3", Body: []byte("relayed")}},
+	{"request to be passed on", Frame{
+		Type:   MsgRelayRequest,
+		ID:     0x6601,
+		Method: CancelJob,
+		JobID:  "j-3",
+		Body:   []byte("relayed"),
+	}},
 }
 
-// TestGoldenFrames pins the bytes of each kind of frame.
+// TestGoldenFrames pins the bytes of each message type.
 func TestGoldenFrames(t *testing.T) {
 	var d golden.Document
 	for _, c := range goldenFrames {
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// TestOutboxBounds: reports of some thousand machines wait together, large bodies are
-// bounded by their bytes, and what is taken makes room again.
+// TestOutboxBounds: the queue holds the heartbeats of some thousand machines, large bodies are
+// bounded by their bytes, and each frame taken makes room for another.
 func TestOutboxBounds(t *testing.T) {
-	small, large := &Frame{Type: MsgRequest, Body: make([]byte, 1500)}, &Frame{Type: MsgRequest, Body: make([]byte, 64<<10)}
+	small := &Frame{Type: MsgRequest, Body: make([]byte, 1500)}
+	large := &Frame{Type: MsgRequest, Body: make([]byte, 64<<10)}
 	for _, c := range []struct {
 		name  string
 		frame *Frame
 		want  int
 	}{
-		{"reports of a fleet", small, maxQueuedFrames},
+		{"heartbeats of a fleet", small, maxQueuedFrames},
 		{"largest bodies", large, maxQueuedBytes / (64 << 10)},
 	} {
 		o := newOutbox()
@@ -24,11 +25,11 @@
 		}
 		o.dequeued(<-o.frames)
 		if !o.put(c.frame) || o.put(c.frame) {
-			t.Errorf("%s: one that is taken makes room for one", c.name)
+			t.Errorf("%s: a frame that is taken must make room for one", c.name)
 		}
 		o.drain()
 		if o.queuedBytes.Load() != 0 || !o.put(c.frame) {
-			t.Errorf("%s: after a drain %d bytes are counted", c.name, o.queuedBytes.Load())
+			t.Errorf("%s: after drain %d bytes are counted", c.name, o.queuedBytes.Load())
 		}
 	}
 }
--- /dev/null
+++ b/internal/wire/reader.go
@@ -0,0 +1,73 @@
+// Package wire decodes the fields of binary messages. Integers are big-endian.
+package wire
+
+import "encoding/binary"
+
+// Reader takes fields off the front of a message. After a field that is cut short, or after
+// Fail, it is malformed for good and returns zero values. The zero Reader is at the end of an
+// empty message.
+type Reader struct {
+	rest      []byte
+	malformed bool
+}
+
+// NewReader returns a reader of a message. Byte slices that it returns share the message's memory.
+func NewReader(message []byte) *Reader { return &Reader{rest: message} }
+
+// Fail marks the message as malformed.
+func (r *Reader) Fail() { r.malformed = true }
+
+// Malformed reports whether a field was cut short or Fail was called.
+func (r *Reader) Malformed() bool { return r.malformed }
+
+// Complete reports whether the message is well-formed and was read to its end.
+func (r *Reader) Complete() bool { return !r.malformed && len(r.rest) == 0 }
+
+// Bytes returns the next n bytes, nil if there are fewer.
+func (r *Reader) Bytes(n int) []byte {
+	if r.malformed || n > len(r.rest) {
+		r.malformed = true
+		return nil
+	}
+	field := r.rest[:n:n]
+	r.rest = r.rest[n:]
+	return field
+}
+
+// Rest returns all bytes that are left.
+func (r *Reader) Rest() []byte { return r.Bytes(len(r.rest)) }
+
+// String returns the next n bytes as a string.
+func (r *Reader) String(n int) string { return string(r.Bytes(n)) }
+
+// Uint8 returns the next byte.
+func (r *Reader) Uint8() uint8 {
+	if field := r.Bytes(1); field != nil {
+		return field[0]
+	}
+	return 0
+}
+
+// Uint16 returns the integer in the next two bytes.
+func (r *Reader) Uint16() uint16 {
+	if field := r.Bytes(2); field != nil {
+		return binary.BigEndian.Uint16(field)
+	}
+	return 0
+}
+
+// Uint32 returns the integer in the next four bytes.
+func (r *Reader) Uint32() uint32 {
+	if field := r.Bytes(4); field != nil {
+		return binary.BigEndian.Uint32(field)
+	}
+	return 0
+}
+
+// Uint64 returns the integer in the next eight bytes.
+func (r *Reader) Uint64() uint64 {
+	if field := r.Bytes(8); field != nil {
+		return binary.BigEndian.Uint64(field)
+	}
+	return 0
+}
