--- a/internal/links/codec.go
+++ b/internal/links/codec.go
@@ -4,182 +4,165 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"math"
 	"time"
 
 	"opaldale/internal/ident"
+	"opaldale/internal/wire"
 )
 
-// Bounds of a message of rows. A message with more is malformed.
+// Bounds of an encoded list of advertisements. A list that exceeds one of them is malformed.
 const (
 	MaxAdvertisements = 16
-	MaxLinks          = 64
-	MaxProbeTargets   = 32
-	MaxName           = 200
+	MaxLinks          = 64  // of an advertisement
+	MaxProbeTargets   = 32  // of an advertisement
+	MaxName           = 200 // bytes of a name or an address
 )
 
-// ErrMalformedAdvertisements is returned for what is not a well-formed message of rows.
-var ErrMalformedAdvertisements = errors.New("malformed rows of links")
+// ErrMalformedAdvertisements is returned for whatever is not an encoded list of advertisements.
+var ErrMalformedAdvertisements = errors.New("malformed link state advertisements")
 
-// wireVersion begins each message of rows.
+// wireVersion is the version of the encoding.
 const wireVersion = 1
 
-// Flags of a link.
+// The flags of a link.
 const (
 	flagRefusing = 1 << iota
 	flagDamped
 	knownFlags = flagRefusing | flagDamped
 )
 
-// AppendAdvertisements writes rows behind b: a version, their number, and each row with its links and
-// witnesses. Integers are big-endian; names have their length in a byte, ages are in
-// milliseconds.
-func AppendAdvertisements(b []byte, rows []Advertisement) []byte {
-	b = append(b, wireVersion, byte(len(rows)))
-	for i := range rows {
-		b = rows[i].append(b)
+// AppendAdvertisements appends an encoded list to b: the version, the number of advertisements,
+// and each advertisement with its links and probe targets. Integers are big-endian; counts and the
+// lengths of names take one byte; ages are in milliseconds.
+func AppendAdvertisements(b []byte, advertisements []Advertisement) []byte {
+	b = append(b, wireVersion, byte(len(advertisements)))
+	for i := range advertisements {
+		b = advertisements[i].append(b)
 	}
 	return b
 }
 
-func (r *Advertisement) append(b []byte) []byte {
-	b = appendName(b, string(r.Origin))
-	b = binary.BigEndian.AppendUint64(b, r.Incarnation)
-	b = binary.BigEndian.AppendUint64(b, r.Sequence)
-	b = binary.BigEndian.AppendUint32(b, uint32(min(max(0, r.Age.Milliseconds()), 1<<32-1)))
-	b = append(b, byte(len(r.Links)))
-	for _, l := range r.Links {
-		flags := byte(0)
-		if l.Refusing {
-			flags |= flagRefusing
-		}
-		if l.Damped {
-			flags |= flagDamped
-		}
-		b = append(b, byte(l.Endpoint.Kind))
-		b = appendName(b, l.Endpoint.Name)
-		b = append(b, byte(l.In), byte(l.Out), flags)
-	}
-	b = append(b, byte(len(r.ProbeTargets)))
-	for _, w := range r.ProbeTargets {
-		b = appendName(b, w.Zone)
-		b = appendName(b, w.Address)
+func (a *Advertisement) append(b []byte) []byte {
+	b = appendName(b, string(a.Origin))
+	b = binary.BigEndian.AppendUint64(b, a.Incarnation)
+	b = binary.BigEndian.AppendUint64(b, a.Sequence)
+	b = binary.BigEndian.AppendUint32(b, uint32(min(max(0, a.Age.Milliseconds()), math.MaxUint32)))
+	b = append(b, byte(len(a.Links)))
+	for _, l := range a.Links {
+		b = l.append(b)
+	}
+	b = append(b, byte(len(a.ProbeTargets)))
+	for _, target := range a.ProbeTargets {
+		b = appendName(b, target.Zone)
+		b = appendName(b, target.Address)
 	}
 	return b
 }
 
-func appendName(b []byte, s string) []byte {
-	s = s[:min(len(s), MaxName)]
-	return append(append(b, byte(len(s))), s...)
+func (l LinkState) append(b []byte) []byte {
+	b = append(b, byte(l.Endpoint.Kind))
+	b = appendName(b, l.Endpoint.Name)
+	return append(b, byte(l.In), byte(l.Out), l.flags())
+}
+
+func (l LinkState) flags() byte {
+	var flags byte
+	if l.Refusing {
+		flags |= flagRefusing
+	}
+	if l.Damped {
+		flags |= flagDamped
+	}
+	return flags
+}
+
+// appendName appends a name, cut to MaxName bytes.
+func appendName(b []byte, name string) []byte {
+	name = name[:min(len(name), MaxName)]
+	b = append(b, byte(len(name)))
+	return append(b, name...)
 }
 
-// DecodeAdvertisements reads what AppendAdvertisements wrote. The age of each row is checked to be possible by
-// View.Merge, which knows when the message can have been made.
+// DecodeAdvertisements decodes what AppendAdvertisements has appended, with nothing behind it. An
+// age is only what the sender claims; see Database.Merge. Errors are ErrMalformedAdvertisements.
 func DecodeAdvertisements(b []byte) ([]Advertisement, error) {
-	d := &decoder{rest: b}
-	if v := d.byte(); v != wireVersion {
+	d := decoder{wire.NewReader(b)}
+	if v := d.Uint8(); v != wireVersion {
 		return nil, fmt.Errorf("%w: version %d", ErrMalformedAdvertisements, v)
 	}
 	n := d.count(MaxAdvertisements)
-	rows := make([]Advertisement, 0, n)
+	advertisements := make([]Advertisement, 0, n)
 	for range n {
-		rows = append(rows, d.advertisement())
+		advertisements = append(advertisements, d.advertisement())
 	}
-	if d.malformed || len(d.rest) > 0 {
+	if !d.Complete() {
 		return nil, ErrMalformedAdvertisements
 	}
-	return rows, nil
+	return advertisements, nil
 }
 
-// decoder takes fields off the front, and remembers whether one was short or impossible.
-type decoder struct {
-	rest      []byte
-	malformed bool
-}
+// decoder decodes the parts of an advertisement.
+type decoder struct{ *wire.Reader }
 
-func (d *decoder) next(n int) []byte {
-	if d.malformed || n > len(d.rest) {
-		d.malformed = true
-		return nil
+func (d decoder) advertisement() Advertisement {
+	a := Advertisement{
+		Origin:      ident.NodeID(d.name()),
+		Incarnation: d.Uint64(),
+		Sequence:    d.Uint64(),
+		Age:         time.Duration(d.Uint32()) * time.Millisecond,
 	}
-	out := d.rest[:n]
-	d.rest = d.rest[n:]
-	return out
-}
-
-func (d *decoder) byte() byte {
-	if b := d.next(1); b != nil {
-		return b[0]
+	if a.Origin == "" {
+		d.Fail()
 	}
-	return 0
-}
-
-func (d *decoder) uint64() uint64 {
-	if b := d.next(8); b != nil {
-		return binary.BigEndian.Uint64(b)
+	for range d.count(MaxLinks) {
+		a.Links = append(a.Links, d.link())
 	}
-	return 0
-}
-
-func (d *decoder) uint32() uint32 {
-	if b := d.next(4); b != nil {
-		return binary.BigEndian.Uint32(b)
+	for range d.count(MaxProbeTargets) {
+		a.ProbeTargets = append(a.ProbeTargets, ProbeTarget{Zone: d.name(), Address: d.name()})
 	}
-	return 0
+	return a
 }
 
-// count reads a number of things; more than there may be is malformed.
-func (d *decoder) count(limit int) int {
-	n := int(d.byte())
-	if n > limit {
-		d.malformed = true
+func (d decoder) link() LinkState {
+	l := LinkState{
+		Endpoint: Endpoint{Kind: Kind(d.Uint8()), Name: d.name()},
+		In:       d.state(),
+		Out:      d.state(),
 	}
-	if d.malformed {
-		return 0
-	}
-	return n
-}
-
-func (d *decoder) name() string {
-	n := int(d.byte())
-	if n > MaxName {
-		d.malformed = true
-		return ""
+	flags := d.Uint8()
+	if !l.Endpoint.Kind.valid() || flags&^knownFlags != 0 {
+		d.Fail()
 	}
-	return string(d.next(n))
+	l.Refusing = flags&flagRefusing != 0
+	l.Damped = flags&flagDamped != 0
+	return l
 }
 
-func (d *decoder) state() State {
-	s := State(d.byte())
+func (d decoder) state() State {
+	s := State(d.Uint8())
 	if s > Down {
-		d.malformed = true
+		d.Fail()
 	}
 	return s
 }
 
-func (d *decoder) advertisement() Advertisement {
-	advertisement := Advertisement{Origin: ident.NodeID(d.name()), Incarnation: d.uint64(), Sequence: d.uint64()}
-	advertisement.Age = time.Duration(d.uint32()) * time.Millisecond
-	if advertisement.Origin == "" {
-		d.malformed = true
-	}
-	links := d.count(MaxLinks)
-	for range links {
-		advertisement.Links = append(advertisement.Links, d.link())
-	}
-	witnesses := d.count(MaxProbeTargets)
-	for range witnesses {
-		advertisement.ProbeTargets = append(advertisement.ProbeTargets, ProbeTarget{Zone: d.name(), Address: d.name()})
+func (d decoder) name() string {
+	n := int(d.Uint8())
+	if n > MaxName {
+		d.Fail()
 	}
-	return advertisement
+	return d.String(n)
 }
 
-func (d *decoder) link() LinkState {
-	l := LinkState{Endpoint: Endpoint{Kind: Kind(d.byte()), Name: d.name()}}
-	l.In, l.Out = d.state(), d.state()
-	flags := d.byte()
-	if l.Endpoint.Kind < KVStore || l.Endpoint.Kind > Machines || flags&^knownFlags != 0 {
-		d.malformed = true
+// count returns the length of a list, 0 if the message is malformed.
+func (d decoder) count(limit int) int {
+	n := int(d.Uint8())
+	if n > limit {
+		d.Fail()
 	}
-	l.Refusing, l.Damped = flags&flagRefusing != 0, flags&flagDamped != 0
-	return l
+	if d.Malformed() {
+		return 0
+	}
+	return n
 }
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -7,12 +7,12 @@
 	"opaldale/internal/ident"
 )
 
-// damper is route flap damping (RFC 2439) for one direction of a link: each break adds to a
-// penalty that decays by half in each half-life. Above suppressAt the link counts as down
-// until the penalty has fallen below reuseAt.
+// damper is route flap damping (RFC 2439) for one direction of a link. Each break adds to a
+// penalty that decays exponentially. From suppressAt on the direction is suppressed, until the
+// penalty is below reuseAt.
 type damper struct {
 	penalty    float64
-	updatedAt  ident.MonotonicTime // when the penalty was worked out
+	updatedAt  ident.MonotonicTime // when the penalty was brought up to date
 	suppressed bool
 }
 
@@ -23,7 +23,7 @@
 	maxPenalty   = 4000.0
 )
 
-// MaxSuppression returns for how long a link that stays up can at most remain suppressed.
+// MaxSuppression returns how long a link that stays up remains suppressed at the most.
 func MaxSuppression(halfLife time.Duration) time.Duration {
 	return time.Duration(math.Log2(maxPenalty/reuseAt) * float64(halfLife))
 }
@@ -34,12 +34,12 @@
 		d.penalty *= math.Exp2(-float64(now.Sub(d.updatedAt)) / float64(halfLife))
 	}
 	d.updatedAt = max(d.updatedAt, now)
-	if d.suppressed && d.penalty < reuseAt {
+	if d.penalty < reuseAt {
 		d.suppressed = false
 	}
 }
 
-// recordBreak notes a break.
+// recordBreak adds the penalty of a break.
 func (d *damper) recordBreak(now ident.MonotonicTime, halfLife time.Duration) {
 	d.decay(now, halfLife)
 	d.penalty = min(maxPenalty, d.penalty+breakPenalty)
--- /dev/null
+++ b/internal/links/database.go
@@ -0,0 +1,113 @@
+package links
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"opaldale/internal/ident"
+)
+
+// AdvertisementLifetime is the age from which an advertisement is ignored.
+const AdvertisementLifetime = 4 * time.Second
+
+// MergeResult says whether an advertisement was accepted, or why not.
+type MergeResult uint8
+
+// The results of Database.Merge.
+const (
+	Accepted      MergeResult = iota
+	UnknownOrigin             // its origin is not a peer
+	Expired                   // its age is AdvertisementLifetime or more, or is unknown
+	Superseded                // it is not newer than the one in the database
+)
+
+// String returns the result's name in metrics.
+func (r MergeResult) String() string {
+	if int(r) < len(mergeResultNames) {
+		return mergeResultNames[r]
+	}
+	return fmt.Sprintf("merge result %d", uint8(r))
+}
+
+var mergeResultNames = [...]string{"taken", "foreign", "expired", "older"}
+
+// Database is a link state database: the newest advertisement of each peer.
+type Database struct {
+	peers   map[ident.NodeID]bool
+	entries map[ident.NodeID]databaseEntry
+}
+
+type databaseEntry struct {
+	advertisement Advertisement
+	// madeAfter is the earliest time, by this node's clock, at which the advertisement can have
+	// been made.
+	madeAfter ident.MonotonicTime
+}
+
+// age returns the most that may have passed since the advertisement was made.
+func (e databaseEntry) age(now ident.MonotonicTime) time.Duration { return now.Sub(e.madeAfter) }
+
+// NewDatabase returns an empty database for the advertisements of some peers.
+func NewDatabase(peers []ident.NodeID) *Database {
+	database := &Database{peers: map[ident.NodeID]bool{}, entries: map[ident.NodeID]databaseEntry{}}
+	for _, peer := range peers {
+		database.peers[peer] = true
+	}
+	return database
+}
+
+// Merge adds an advertisement, received from its origin or from another peer. Its age must hold at
+// the time now: the caller counts it from the message of this node that the sender has echoed, so
+// that an advertisement which was delayed on its way is known to be old whatever the sender's
+// clock says. A negative age is unknown.
+func (d *Database) Merge(advertisement Advertisement, now ident.MonotonicTime) MergeResult {
+	if !d.peers[advertisement.Origin] {
+		return UnknownOrigin
+	}
+	if advertisement.Age < 0 || advertisement.Age >= AdvertisementLifetime {
+		return Expired
+	}
+	held, ok := d.entries[advertisement.Origin]
+	if ok && held.age(now) < AdvertisementLifetime && !advertisement.newer(&held.advertisement) {
+		return Superseded
+	}
+	d.entries[advertisement.Origin] = databaseEntry{
+		advertisement: advertisement,
+		madeAfter:     now.Add(-advertisement.Age),
+	}
+	return Accepted
+}
+
+// Advertisement returns a peer's newest advertisement with its present age, unless it has expired.
+func (d *Database) Advertisement(origin ident.NodeID, now ident.MonotonicTime) (Advertisement, bool) {
+	held, ok := d.entries[origin]
+	if !ok || held.age(now) >= AdvertisementLifetime {
+		return Advertisement{}, false
+	}
+	advertisement := held.advertisement
+	advertisement.Age = held.age(now)
+	return advertisement, true
+}
+
+// Advertisements returns the newest advertisements of all peers that have not expired, ordered by
+// origin.
+func (d *Database) Advertisements(now ident.MonotonicTime) []Advertisement {
+	var current []Advertisement
+	for _, origin := range d.origins() {
+		if advertisement, ok := d.Advertisement(origin, now); ok {
+			current = append(current, advertisement)
+		}
+	}
+	return current
+}
+
+// origins returns the peers in the database, in order.
+func (d *Database) origins() []ident.NodeID {
+	origins := make([]ident.NodeID, 0, len(d.entries))
+	for origin := range d.entries {
+		origins = append(origins, origin)
+	}
+	slices.Sort(origins)
+	return origins
+}
--- a/internal/links/detector.go
+++ b/internal/links/detector.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// detector is an accrual failure detector (Hayashibara et al., 2004) for one series of
-// delays: the longer something is overdue, measured by the delays seen so far, the higher
-// its level. Mean and deviation are the moving averages of RFC 6298.
+// detector is an accrual failure detector (Hayashibara et al., 2004) for one series of delays: the
+// longer a message is overdue, measured by the delays so far, the higher the suspicion. Mean and
+// deviation are the moving averages of RFC 6298.
 type detector struct {
 	mean, deviation float64 // seconds
 	samples         int
@@ -17,15 +17,15 @@
 	// meanGain and deviationGain are the weights of a new sample (RFC 6298).
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// minDeviation and minRelativeDeviation keep the level of a very regular series from
+	// minDeviation and minRelativeDeviation keep the suspicion on a very regular series from
 	// rising within one scheduling delay.
 	minDeviation         = 0.05 // seconds
 	minRelativeDeviation = 0.25 // of the mean
-	// maxLevel bounds the level where the probability underflows.
-	maxLevel = 40
+	// maxSuspicion bounds the suspicion where the probability underflows.
+	maxSuspicion = 40
 )
 
-// sample takes a delay that was seen.
+// sample adds a delay to the series.
 func (d *detector) sample(delay time.Duration) {
 	s := max(0, delay.Seconds())
 	d.samples++
@@ -37,8 +37,8 @@
 	d.mean += meanGain * (s - d.mean)
 }
 
-// suspicion returns -log10 of the probability that something overdue for so long is still to
-// come, with the delays normally distributed. A pause is granted on top.
+// suspicion returns -log10 of the probability that a message overdue for so long will still
+// arrive, if the delays are normally distributed and grace is added to each.
 func (d *detector) suspicion(overdue, grace time.Duration) float64 {
 	if d.samples == 0 {
 		return 0
@@ -47,7 +47,7 @@
 	deviations := ((overdue - grace).Seconds() - d.mean) / deviation
 	tailProbability := math.Erfc(deviations/math.Sqrt2) / 2
 	if tailProbability <= 0 {
-		return maxLevel
+		return maxSuspicion
 	}
-	return min(maxLevel, max(0, -math.Log10(tailProbability)))
+	return min(maxSuspicion, max(0, -math.Log10(tailProbability)))
 }
--- a/internal/links/endpoint.go
+++ b/internal/links/endpoint.go
@@ -1,10 +1,13 @@
-// Package links judges, for every directed link of a node, whether messages still pass: to
-// and from the state service, the cloud, each sibling, and the machines of each zone.
+// Package links judges, for every directed link of a node, whether messages pass: to and from the
+// key-value store, the cloud, each peer, and the machines of each zone.
 //
-// A Monitor turns evidence from traffic into a verdict for each direction, with an accrual
-// failure detector whose thresholds follow the link's own delays, and with flap damping. A
-// View holds what the siblings say of their own links, and Assess compares how well nodes
-// are placed to lead. The package is pure: events and times come in, verdicts go out.
+// A Monitor turns evidence from traffic into a verdict for each direction, by an accrual failure
+// detector whose thresholds follow the link's own delays, and by flap damping. Nodes exchange
+// their verdicts as link state advertisements; a Database holds those of the peers, and
+// Cluster.Assess compares how well the nodes are placed to lead.
+//
+// The package is pure: it neither sends messages nor reads a clock. Its types are not safe for
+// concurrent use.
 package links
 
 import (
@@ -12,17 +15,18 @@
 	"fmt"
 )
 
-// Kind says what a link leads to.
+// Kind says what is at the far end of a link. Its values are part of the wire format.
 type Kind uint8
 
-// The kinds of peers.
+// The kinds of endpoints.
 const (
-	KVStore Kind = iota + 1
-	Cloud
-	PeerNode
-	Machines
+	KVStore  Kind = iota + 1 // the key-value store
+	Cloud                    // the cloud provider
+	PeerNode                 // another node of the cluster
+	Machines                 // all machines of a zone
 )
 
+// String returns the kind's name in reports and metrics, where it must not change.
 func (k Kind) String() string {
 	switch k {
 	case KVStore:
@@ -37,50 +41,62 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
+func (k Kind) valid() bool { return k >= KVStore && k <= Machines }
+
 // Endpoint is the far end of a link.
 type Endpoint struct {
 	Kind Kind
-	Name string // the sibling's node, or the machines' zone; empty for the services
+	Name string // the peer's node or the machines' zone; "" for the key-value store and the cloud
 }
 
-func (p Endpoint) String() string {
-	if p.Name == "" {
-		return p.Kind.String()
+// String returns the endpoint's name in reports and metrics.
+func (e Endpoint) String() string {
+	if e.Name == "" {
+		return e.Kind.String()
 	}
-	return p.Kind.String() + " " + p.Name
+	return e.Kind.String() + " " + e.Name
 }
 
-// compare orders peers by kind, then name.
-func (p Endpoint) compare(other Endpoint) int {
-	return cmp.Or(cmp.Compare(p.Kind, other.Kind), cmp.Compare(p.Name, other.Name))
+// compare orders endpoints by kind, then name.
+func (e Endpoint) compare(other Endpoint) int {
+	return cmp.Or(cmp.Compare(e.Kind, other.Kind), cmp.Compare(e.Name, other.Name))
 }
 
-// roundTrip says whether the link carries requests of this node alone. An answer then shows
-// that both directions work, and its absence doesn't tell which one is broken.
-func (p Endpoint) roundTrip() bool { return p.Kind == KVStore || p.Kind == Cloud }
+// roundTrip reports whether the link carries nothing but this node's requests and their responses.
+// A response then shows that both directions work, and its absence does not tell which is broken.
+func (e Endpoint) roundTrip() bool { return e.Kind == KVStore || e.Kind == Cloud }
 
-// Direction is one of the two ways of a link.
+// Direction is one of the two directions of a link, as seen from this node.
 type Direction uint8
 
-// The directions, as seen from this node.
+// The directions.
 const (
-	Inbound  Direction = iota // what the peer sends arrives here
-	Outbound                  // what this node sends arrives there
+	Inbound  Direction = iota // from the endpoint to this node
+	Outbound                  // from this node to the endpoint
 )
 
-func (d Direction) String() string { return [...]string{"inbound", "outbound"}[d] }
+// String returns the direction's name in reports and metrics.
+func (d Direction) String() string {
+	if int(d) < len(directionNames) {
+		return directionNames[d]
+	}
+	return fmt.Sprintf("direction %d", uint8(d))
+}
+
+var directionNames = [...]string{"inbound", "outbound"}
 
-// State is the verdict on one direction of a link.
+// State is the verdict on one direction of a link. Its values are part of the wire format.
 type State uint8
 
 // The states of a direction.
 const (
-	Unknown State = iota // no evidence yet, or none was to be expected
+	Unknown State = iota // there is no evidence yet, or none is to be expected
 	Up                   // messages pass
-	Suspect              // later than usual
-	Down                 // so late that a break is all but certain
+	Suspect              // messages are later than usual
+	Down                 // messages are so late that a break is all but certain
 )
 
+// String returns the state's name in reports and metrics.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -90,23 +106,24 @@
 
 var stateNames = [...]string{"unknown", "up", "suspect", "down"}
 
-// MarshalText writes the state's name.
+// MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Evidence is what a verdict rests on.
 type Evidence uint8
 
-// The kinds of evidence, from the strongest sign of a working link to none.
+// The kinds of evidence, from the strongest sign of a working link to the weakest.
 const (
 	NoEvidence        Evidence = iota
-	Response                   // a request was answered
-	Echo                       // the peer repeated something that this node had sent
-	Message                    // something came from the peer
-	ErrorResponse              // a request was answered with a refusal: the link works, the peer doesn't serve
-	ConnectionRefused          // a connection was refused: the peer's host is there, or a filter before it
-	Silence                    // nothing came for longer than usual
+	Response                   // the endpoint answered a request
+	Echo                       // the endpoint repeated the ID of a message from this node
+	Message                    // the endpoint sent a message
+	ErrorResponse              // the endpoint answered that it does not serve this node
+	ConnectionRefused          // a connection was refused, by the endpoint's machine or a firewall before it
+	Silence                    // no message came for longer than usual
 )
 
+// String returns the evidence's name in reports.
 func (e Evidence) String() string {
 	if int(e) < len(evidenceNames) {
 		return evidenceNames[e]
@@ -116,5 +133,5 @@
 
 var evidenceNames = [...]string{"none", "answer", "echo", "message", "error answer", "connection refused", "silence"}
 
-// MarshalText writes the evidence's name.
+// MarshalText returns the evidence's name.
 func (e Evidence) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -11,12 +11,12 @@
 
 var testConfig = Config{SuspectGrace: time.Second, HalfLife: 15 * time.Second}
 
-// simulatedLink plays heartbeats with echoes over one link, and evaluates as a node does.
+// simulatedLink exchanges heartbeats with echoes over one link, and evaluates it as a node does.
 type simulatedLink struct {
-	m             *Monitor
+	monitor       *Monitor
 	peer          Endpoint
 	now           ident.MonotonicTime
-	nextHeartbeat ident.MonotonicTime // the next
+	nextHeartbeat ident.MonotonicTime // when it is sent
 	delay         time.Duration
 	down          func(ident.MonotonicTime) bool // whether the peer's messages are lost
 	changes       int                            // between down and any other state, inbound
@@ -28,21 +28,26 @@
 )
 
 func newSimulatedLink(delay time.Duration) *simulatedLink {
-	return &simulatedLink{m: NewMonitor(testConfig), peer: Endpoint{PeerNode, "agent-1"}, now: ident.MonotonicTime(time.Hour), delay: delay,
-		down: func(ident.MonotonicTime) bool { return false }}
+	return &simulatedLink{
+		monitor: NewMonitor(testConfig),
+		peer:    Endpoint{PeerNode, "agent-1"},
+		now:     ident.MonotonicTime(time.Hour),
+		delay:   delay,
+		down:    func(ident.MonotonicTime) bool { return false },
+	}
 }
 
 func (l *simulatedLink) run(d time.Duration) {
 	for end := l.now.Add(d); l.now < end; l.now = l.now.Add(stepEvery) {
 		if l.now >= l.nextHeartbeat {
 			l.nextHeartbeat = l.now.Add(heartbeatInterval)
-			l.m.Sent(l.peer, l.now)
+			l.monitor.Sent(l.peer, l.now)
 			if !l.down(l.now) {
-				l.m.Received(l.peer, l.now)
-				l.m.Echoed(l.peer, l.now.Add(-l.delay), l.now)
+				l.monitor.Received(l.peer, l.now)
+				l.monitor.Echoed(l.peer, l.now.Add(-l.delay), l.now)
 			}
 		}
-		for _, c := range l.m.Evaluate(l.now) {
+		for _, c := range l.monitor.Evaluate(l.now) {
 			if c.Direction == Inbound && (c.From.State == Down) != (c.To.State == Down) {
 				l.changes++
 			}
@@ -50,10 +55,10 @@
 	}
 }
 
-func (l *simulatedLink) state(d Direction) State { return l.m.Verdict(l.peer, d).State }
+func (l *simulatedLink) state(d Direction) State { return l.monitor.Verdict(l.peer, d).State }
 
-// TestBreakIsDetected: a link that works is up whatever its delay, and down within a bound
-// after it breaks; one short break is over when the link is back.
+// TestBreakIsDetected: a link that works is up whatever its delay, is down within a bounded time after
+// it breaks, and is up again soon after one short break.
 func TestBreakIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delay := time.Duration(rapid.IntRange(1, 900).Draw(t, "delay_ms")) * time.Millisecond
@@ -76,10 +81,10 @@
 	})
 }
 
-// TestFlapsAreDamped: a link that breaks for a part of every few seconds, long enough to be
-// noticed, ends in one verdict. With shorter breaks, of which some are noticed, the verdict
-// changes no more often than the damping allows. Either way the link is up within a bounded
-// time once it is steady.
+// TestFlapsAreDamped: a link that breaks for a part of every few seconds, long enough for each break to
+// be detected, settles at one verdict. With shorter breaks, some of which are detected, the verdict
+// changes no more often than damping allows. In both cases the link is up within a bounded time
+// once it is steady.
 func TestFlapsAreDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1000, 6000).Draw(t, "period_ms")) * time.Millisecond
@@ -89,14 +94,14 @@
 		l.run(20 * time.Second)
 		began := l.now
 		l.down = func(at ident.MonotonicTime) bool { return at.Sub(began)%period < down }
-		l.run(settled)
+		l.run(settlingTime)
 		l.changes = 0
 		l.run(2 * time.Minute)
-		noticed := down >= noticedAfter
-		if l.changes > mostChanges || noticed && l.changes > 0 {
-			t.Fatalf("%d changes after %v of flapping with period %v, down for %v", l.changes, settled, period, down)
+		detected := down >= detectableBreak
+		if l.changes > maxChanges || detected && l.changes > 0 {
+			t.Fatalf("%d changes after %v of flapping with period %v, down for %v", l.changes, settlingTime, period, down)
 		}
-		if noticed && (l.state(Inbound) != Down || !l.m.Verdict(l.peer, Inbound).Damped) {
+		if detected && (l.state(Inbound) != Down || !l.monitor.Verdict(l.peer, Inbound).Damped) {
 			t.Fatalf("down for %v of %v, and %v", down, period, l.state(Inbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
@@ -108,17 +113,17 @@
 }
 
 const (
-	// settled is how long a flapping link may take to come to one verdict.
-	settled = 40 * time.Second
-	// noticedAfter is a break that every heartbeat link notices.
-	noticedAfter = 3500 * time.Millisecond
-	// mostChanges is what damping leaves of changes in two minutes: breaks 11 s apart add
+	// settlingTime is how long a flapping link may take to settle at one verdict.
+	settlingTime = 40 * time.Second
+	// detectableBreak is the length from which a break of a link with heartbeats is always detected.
+	detectableBreak = 3500 * time.Millisecond
+	// maxChanges is what damping leaves of changes in two minutes: breaks 11 s apart add
 	// up to less than the penalty from which a link is suppressed.
-	mostChanges = 22
+	maxChanges = 22
 )
 
-// TestSlowLinkIsNotSuspected: delays to which a link has been used are no reason to suspect it, and
-// the same silence on a fast one is.
+// TestSlowLinkIsNotSuspected: a silence within the usual delays of a slow link is no reason to suspect
+// it; on a fast link the same silence is.
 func TestSlowLinkIsNotSuspected(t *testing.T) {
 	m := NewMonitor(testConfig)
 	slow, fast := Endpoint{PeerNode, "slow"}, Endpoint{PeerNode, "fast"}
@@ -136,40 +141,39 @@
 	now = now.Add(2 * time.Second)
 	m.Evaluate(now)
 	if s := m.Verdict(slow, Outbound).State; s != Up {
-		t.Errorf("an answer that is due by now: the slow link is %v", s)
+		t.Errorf("slow link is %v after a usual delay", s)
 	}
 	if s := m.Verdict(fast, Outbound).State; s != Down {
-		t.Errorf("no answer for 200 times the usual delay: the fast link is %v", s)
+		t.Errorf("fast link is %v after 200 times the usual delay", s)
 	}
 }
 
-// TestDirectionsAreIndependent: to hear a sibling doesn't show that it hears us, though it goes on to
-// echo the last heartbeat that it has heard. (Each echo was taken for a longer delay, to
-// which the link was used then.)
+// TestDirectionsAreIndependent: messages from a peer do not show that it receives this node's, also
+// if they echo the last heartbeat that it has received. A repeated echo is no sample of the delay.
 func TestDirectionsAreIndependent(t *testing.T) {
 	l := newSimulatedLink(5 * time.Millisecond)
 	l.run(10 * time.Second)
-	last := l.m.link(l.peer).out.lastSuccess
+	last := l.monitor.link(l.peer).out.lastSuccess
 	for range 20 {
 		l.now = l.now.Add(heartbeatInterval)
-		l.m.Sent(l.peer, l.now)
-		l.m.Received(l.peer, l.now)
-		l.m.Echoed(l.peer, last, l.now) // of a heartbeat long ago, again and again
-		l.m.Evaluate(l.now)
+		l.monitor.Sent(l.peer, l.now)
+		l.monitor.Received(l.peer, l.now)
+		l.monitor.Echoed(l.peer, last, l.now) // of a heartbeat long ago
+		l.monitor.Evaluate(l.now)
 	}
 	if in, out := l.state(Inbound), l.state(Outbound); in != Up || out != Down {
 		t.Errorf("inbound %v, outbound %v", in, out)
 	}
 }
 
-// TestEvidence: a refusal, a refused connection and silence are told apart.
+// TestEvidence: error responses, refused connections and silence are told apart.
 func TestEvidence(t *testing.T) {
-	state, now := Endpoint{Kind: KVStore}, ident.MonotonicTime(time.Hour)
+	store, now := Endpoint{Kind: KVStore}, ident.MonotonicTime(time.Hour)
 	fresh := func() *Monitor {
 		m := NewMonitor(testConfig)
 		for range 10 {
-			m.Sent(state, now)
-			m.Answered(state, now, now.Add(5*time.Millisecond))
+			m.Sent(store, now)
+			m.Answered(store, now, now.Add(5*time.Millisecond))
 			now = now.Add(500 * time.Millisecond)
 			m.Evaluate(now)
 		}
@@ -182,29 +186,49 @@
 		state    State
 		usable   bool
 	}{
-		{"answers", func(m *Monitor) { m.Sent(state, now); m.Answered(state, now, now) }, Response, Up, true},
-		{"refusals", func(m *Monitor) { m.Sent(state, now); m.AnsweredWithError(state, now, now) }, ErrorResponse, Up, false},
-		{"one refused connection", func(m *Monitor) { m.ConnectionRefused(state, now) }, ConnectionRefused, Up, true},
+		{"responses", func(m *Monitor) {
+			m.Sent(store, now)
+			m.Answered(store, now, now)
+		}, Response, Up, true},
+		{"error responses", func(m *Monitor) {
+			m.Sent(store, now)
+			m.AnsweredWithError(store, now, now)
+		}, ErrorResponse, Up, false},
+		{"one refused connection", func(m *Monitor) { m.ConnectionRefused(store, now) }, ConnectionRefused, Up, true},
 		{"three refused connections", func(m *Monitor) {
-			m.ConnectionRefused(state, now)
-			m.ConnectionRefused(state, now)
-			m.ConnectionRefused(state, now)
+			m.ConnectionRefused(store, now)
+			m.ConnectionRefused(store, now)
+			m.ConnectionRefused(store, now)
 		}, ConnectionRefused, Down, false},
-		{"silence", func(m *Monitor) { m.Sent(state, now); now = now.Add(3 * time.Second) }, Silence, Down, false},
-		{"a request that was not sent", func(m *Monitor) { m.Sent(state, now); m.Unsent(state, now); now = now.Add(time.Minute) }, Response, Up, true},
+		{"silence", func(m *Monitor) {
+			m.Sent(store, now)
+			now = now.Add(3 * time.Second)
+		}, Silence, Down, false},
+		{"a request that was not sent", func(m *Monitor) {
+			m.Sent(store, now)
+			m.Unsent(store, now)
+			now = now.Add(time.Minute)
+		}, Response, Up, true},
 	} {
 		m := fresh()
 		c.happens(m)
 		m.Evaluate(now)
-		v := m.Verdict(state, Outbound)
-		if v.Evidence != c.evidence || v.State != c.state || m.Usable(state) != c.usable {
-			t.Errorf("%s: %v by %v, usable %v", c.name, v.State, v.Evidence, m.Usable(state))
+		v := m.Verdict(store, Outbound)
+		if v.Evidence != c.evidence || v.State != c.state || usable(m, store) != c.usable {
+			t.Errorf("%s: %v by %v, usable %v", c.name, v.State, v.Evidence, usable(m, store))
 		}
 	}
 }
 
-// TestSilentZoneIsUnknown: machines report to one node at a time, so that a node which hears
-// none of a zone knows nothing of the link.
+// usable reports whether requests to the endpoint are served, as far as is known.
+func usable(m *Monitor, endpoint Endpoint) bool {
+	in := m.Verdict(endpoint, Inbound).State
+	out := m.Verdict(endpoint, Outbound).State
+	return in != Down && out != Down && !m.Refusing(endpoint)
+}
+
+// TestSilentZoneIsUnknown: a machine sends its heartbeats to one node at a time, so that the silence of
+// a zone is no evidence on the link.
 func TestSilentZoneIsUnknown(t *testing.T) {
 	m, zone, now := NewMonitor(testConfig), Endpoint{Machines, "east"}, ident.MonotonicTime(time.Hour)
 	for range 10 {
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -6,11 +6,11 @@
 	"opaldale/internal/ident"
 )
 
-// Score tells how well a node is placed to lead, from 0, not at all, to 100.
+// Score tells how well a node is placed to lead, from 0 to 100.
 type Score int
 
-// The parts of a standing. Without the state service a node can record nothing, so it has
-// none of the others either.
+// The parts of a score: each is earned by working links to the endpoints of one kind. Without the
+// key-value store a leader can record nothing, so that the other parts do not count either.
 const (
 	storeScore    = 30
 	machinesScore = 30
@@ -18,85 +18,90 @@
 	cloudScore    = 15
 )
 
-// MinScoreMargin is the difference in standing that is worth a change of leader: the loss of
-// one part that can't be made up for by a sibling.
-const MinScoreMargin Score = 15
+// MinScoreMargin is the difference in scores that warrants a change of leader: the smallest part
+// of a score.
+const MinScoreMargin Score = cloudScore
 
-// Cluster is what the standing of a node is judged by.
+// Cluster is what the scores of its nodes depend on, beside their advertisements.
 type Cluster struct {
-	Peers    []ident.NodeID // of the node that judges, itself left out
-	Machines map[string]int // by zone, those that are up
+	Peers    []ident.NodeID // all nodes but the one that assesses
+	Machines map[string]int // the machines that are up, by zone
 }
 
-// nodes returns how many nodes there are.
-func (c *Cluster) nodes() int { return len(c.Peers) + 1 }
+// linkTest reports whether a node's link to an endpoint counts as working.
+type linkTest func(Endpoint) bool
 
-// score judges a row. What is unknown counts in favour where the benefit of the doubt is
-// given: a leader gives it to itself and not to those who would take its place.
-func (c *Cluster) score(advertisement *Advertisement, assumeUp bool) Score {
-	works := func(p Endpoint) bool {
-		l := advertisement.Link(p)
-		if l.Damped {
-			return false
-		}
-		if assumeUp {
-			return !l.broken()
-		}
-		return l.usable()
-	}
+// scoreOwn returns the score of the node that assesses. Unknown links count as working.
+func (c *Cluster) scoreOwn(advertisement *Advertisement) Score {
+	return c.score(advertisement, func(endpoint Endpoint) bool {
+		l := advertisement.Link(endpoint)
+		return !l.Damped && !l.broken()
+	})
+}
+
+// scorePeer returns the score of a peer that may become leader. Unknown links count as broken.
+func (c *Cluster) scorePeer(advertisement *Advertisement) Score {
+	return c.score(advertisement, func(endpoint Endpoint) bool {
+		l := advertisement.Link(endpoint)
+		return !l.Damped && l.usable()
+	})
+}
+
+func (c *Cluster) score(advertisement *Advertisement, works linkTest) Score {
 	if !works(Endpoint{Kind: KVStore}) {
 		return 0
 	}
-	score := storeScore + c.machineScore(works) + c.peerScore(advertisement, works)
+	score := storeScore + c.machinesPart(works) + peersPart(advertisement, works)
 	if works(Endpoint{Kind: Cloud}) {
 		score += cloudScore
 	}
 	return Score(score)
 }
 
-// machineScore weighs each zone by its machines.
-func (c *Cluster) machineScore(works func(Endpoint) bool) int {
-	all, reached := 0, 0
+// machinesPart weighs each zone by its machines.
+func (c *Cluster) machinesPart(works linkTest) int {
+	total, reached := 0, 0
 	for zone, n := range c.Machines {
-		all += n
+		total += n
 		if works(Endpoint{Machines, zone}) {
 			reached += n
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return machinesScore
 	}
-	return machinesScore * reached / all
+	return machinesScore * reached / total
 }
 
-func (c *Cluster) peerScore(r *Advertisement, works func(Endpoint) bool) int {
-	peers, reached := 0, 0
-	for _, l := range r.Links {
+// peersPart weighs all links to other nodes alike.
+func peersPart(advertisement *Advertisement, works linkTest) int {
+	total, reached := 0, 0
+	for _, l := range advertisement.Links {
 		if l.Endpoint.Kind != PeerNode {
 			continue
 		}
-		peers++
+		total++
 		if works(l.Endpoint) {
 			reached++
 		}
 	}
-	if peers == 0 {
+	if total == 0 {
 		return peersScore
 	}
-	return peersScore * reached / peers
+	return peersScore * reached / total
 }
 
-// Assessment compares a leader with its siblings.
+// Assessment compares a leader with its peers.
 type Assessment struct {
 	OwnScore  Score
-	BestPeer  ident.NodeID // the best placed sibling, empty if none is known
-	BestScore Score
-	// Isolated says that neither siblings nor machines are reached, in either direction:
-	// nobody can be reached to hand the lead over to.
+	BestPeer  ident.NodeID // the peer with the highest score, "" if no peer's score is known
+	BestScore Score        // of BestPeer
+	// Isolated says that the links to all peers and all machines are broken. No peer can be
+	// named as successor then.
 	Isolated bool
 }
 
-// Worse says whether a sibling is better placed by a clear margin.
+// Worse reports whether a peer is better placed by a clear margin.
 func (a Assessment) Worse() bool { return a.BestPeer != "" && a.BestScore >= a.OwnScore+MinScoreMargin }
 
 // Successor returns the best placed peer if it is better placed by a clear margin, and "" otherwise.
@@ -107,44 +112,40 @@
 	return a.BestPeer
 }
 
-// Assess compares a node's own row with those of its siblings.
+// Assess compares a node's own advertisement with those of its peers.
 func (c *Cluster) Assess(own Advertisement, database *Database, now ident.MonotonicTime) Assessment {
-	a := Assessment{OwnScore: c.score(&own, true), Isolated: c.isolated(&own)}
-	peers := slices.Clone(c.Peers)
-	slices.Sort(peers)
-	for _, n := range peers {
-		advertisement, ok := database.Advertisement(n, now)
+	assessment := Assessment{OwnScore: c.scoreOwn(&own), Isolated: c.isolated(&own)}
+	// Of peers with the same score, the first by name is the best.
+	for _, peer := range slices.Sorted(slices.Values(c.Peers)) {
+		advertisement, ok := database.Advertisement(peer, now)
 		if !ok {
 			continue
 		}
-		if score := c.score(&advertisement, false); a.BestPeer == "" || score > a.BestScore {
-			a.BestPeer, a.BestScore = n, score
+		score := c.scorePeer(&advertisement)
+		if assessment.BestPeer == "" || score > assessment.BestScore {
+			assessment.BestPeer, assessment.BestScore = peer, score
 		}
 	}
-	return a
+	return assessment
 }
 
-// isolated says whether all links to siblings and machines are broken.
+// isolated reports whether the links to all peers are broken, and those to all machines are down
+// outbound. A cluster of one node, or without machines, is never isolated.
 func (c *Cluster) isolated(advertisement *Advertisement) bool {
-	if c.nodes() == 1 {
+	if len(c.Peers) == 0 {
 		return false
 	}
-	machines := 0
+	zonesDown := 0
 	for _, l := range advertisement.Links {
-		switch l.Endpoint.Kind {
-		case PeerNode:
-			if !l.broken() {
-				return false
-			}
-		case Machines:
-			if c.Machines[l.Endpoint.Name] == 0 {
-				continue
-			}
-			machines++
+		switch {
+		case l.Endpoint.Kind == PeerNode && !l.broken():
+			return false
+		case l.Endpoint.Kind == Machines && c.Machines[l.Endpoint.Name] > 0:
 			if l.Out != Down {
 				return false
 			}
+			zonesDown++
 		}
 	}
-	return machines > 0
+	return zonesDown > 0
 }
--- /dev/null
+++ b/internal/links/verdict.go
@@ -0,0 +1,200 @@
+package links
+
+import (
+	"time"
+
+	"opaldale/internal/ident"
+)
+
+const (
+	// suspectSuspicion and downSuspicion are the detector's levels from which a direction is
+	// Suspect, and Down.
+	suspectSuspicion = 2
+	downSuspicion    = 8
+	// recoverySuccesses is how many signs of a working direction, each within recoveryMaxGap of
+	// the one before, end a break. A single message passes now and then also on a link that loses
+	// most of them.
+	recoverySuccesses = 3
+	recoveryMaxGap    = 3 * time.Second
+	// firstResponseTimeout is how long the first message to an endpoint may show no sign of
+	// arrival.
+	firstResponseTimeout = 5 * time.Second
+)
+
+// Verdict is what is known of one direction of a link.
+type Verdict struct {
+	State     State
+	Since     ident.MonotonicTime // when State last changed
+	Evidence  Evidence            // the newest
+	Suspicion float64             // the failure detector's level at the last evaluation
+	Damped    bool                // State is Down because of breaks that are too frequent
+	Breaks    uint64              // all breaks so far
+}
+
+// VerdictChange is a verdict that differs in State or Damped from the one before.
+type VerdictChange struct {
+	Endpoint  Endpoint
+	Direction Direction
+	From, To  Verdict
+}
+
+// directionState is one direction of a link. Evidence and silence determine the detected state.
+// Recovery after a break is delayed, which gives the undamped state, and flap damping overrides
+// that, which gives the verdict's.
+type directionState struct {
+	detector detector
+	damper   damper
+
+	detected State // by the failure detector alone
+	undamped State // with delayed recovery, without flap damping
+	verdict  Verdict
+
+	successes   int                 // signs of a working direction since it was Down
+	lastSuccess ident.MonotonicTime // the newest time at which it is known to have worked
+	hasSuccess  bool                // whether there is a lastSuccess
+}
+
+// recordSuccess takes evidence that the direction worked at a time.
+func (d *directionState) recordSuccess(at ident.MonotonicTime, evidence Evidence) {
+	if at.Sub(d.lastSuccess) > recoveryMaxGap {
+		d.successes = 0
+	}
+	d.successes++
+	d.lastSuccess, d.hasSuccess = max(d.lastSuccess, at), true
+	d.verdict.Evidence = evidence
+}
+
+// evaluation is the detected state of one direction, before it is applied.
+type evaluation struct {
+	direction Direction
+	state     *directionState
+	detected  State
+}
+
+// Evaluate brings all verdicts up to date and returns those that have changed, ordered by endpoint
+// and direction.
+func (m *Monitor) Evaluate(now ident.MonotonicTime) []VerdictChange {
+	var changes []VerdictChange
+	for _, endpoint := range m.Endpoints() {
+		l := m.links[endpoint]
+		in := m.detectInbound(endpoint, l, now)
+		out := m.detectOutbound(l, now)
+		if endpoint.roundTrip() {
+			in = out
+		}
+		for _, e := range []evaluation{{Inbound, &l.in, in}, {Outbound, &l.out, out}} {
+			from := e.state.verdict
+			e.state.apply(e.detected, now, m.config.HalfLife)
+			to := e.state.verdict
+			if to.State != from.State || to.Damped != from.Damped {
+				changes = append(changes, VerdictChange{endpoint, e.direction, from, to})
+			}
+		}
+	}
+	return changes
+}
+
+// detectInbound returns the detected state of the inbound direction. Peers send heartbeats all the
+// time. A machine sends its heartbeats to one node at a time, so that the silence of a zone is no
+// evidence.
+func (m *Monitor) detectInbound(endpoint Endpoint, l *link, now ident.MonotonicTime) State {
+	d := &l.in
+	if !d.hasSuccess {
+		return Unknown
+	}
+	d.verdict.Suspicion = d.detector.suspicion(now.Sub(d.lastSuccess), m.config.SuspectGrace)
+	if d.detector.samples == 0 {
+		return Up
+	}
+	state := stateOf(d.verdict.Suspicion)
+	if state == Up {
+		return Up
+	}
+	if endpoint.Kind == Machines {
+		return Unknown
+	}
+	d.verdict.Evidence = Silence
+	return state
+}
+
+// detectOutbound returns the detected state of the outbound direction.
+func (m *Monitor) detectOutbound(l *link, now ident.MonotonicTime) State {
+	d := &l.out
+	d.verdict.Suspicion = 0
+	switch {
+	case l.refusedConns >= maxConnectionRefusals:
+		return Down
+	case l.hasUnacked:
+		return m.detectOverdue(d, now.Sub(l.oldestUnacked))
+	case d.hasSuccess:
+		return Up
+	}
+	return Unknown
+}
+
+// detectOverdue returns the detected state of an outbound direction on which a message has shown
+// no sign of arrival for some time.
+func (m *Monitor) detectOverdue(d *directionState, overdue time.Duration) State {
+	if d.detector.samples == 0 {
+		return detectFirstOverdue(d, overdue)
+	}
+	d.verdict.Suspicion = d.detector.suspicion(overdue, m.config.SuspectGrace)
+	state := stateOf(d.verdict.Suspicion)
+	if state != Up {
+		d.verdict.Evidence = Silence
+	}
+	return state
+}
+
+// detectFirstOverdue is detectOverdue for a direction on which nothing has ever arrived, so that no
+// usual delay is known.
+func detectFirstOverdue(d *directionState, overdue time.Duration) State {
+	if overdue <= firstResponseTimeout {
+		return Unknown
+	}
+	d.verdict.Evidence = Silence
+	return Down
+}
+
+// stateOf returns the state for a level of the failure detector.
+func stateOf(suspicion float64) State {
+	switch {
+	case suspicion >= downSuspicion:
+		return Down
+	case suspicion >= suspectSuspicion:
+		return Suspect
+	}
+	return Up
+}
+
+// apply is the one place where a direction's state changes.
+func (d *directionState) apply(detected State, now ident.MonotonicTime, halfLife time.Duration) {
+	d.damper.decay(now, halfLife)
+	if detected == Down && d.detected != Down {
+		d.damper.recordBreak(now, halfLife)
+		d.verdict.Breaks++
+	}
+	d.detected = detected
+	d.applyRecovery()
+
+	state := d.undamped
+	if d.damper.suppressed {
+		state = Down
+	}
+	d.verdict.Damped = d.damper.suppressed
+	if state != d.verdict.State {
+		d.verdict.State, d.verdict.Since = state, now
+	}
+}
+
+// applyRecovery moves the undamped state to the detected one, out of a break only after enough
+// signs of a working direction.
+func (d *directionState) applyRecovery() {
+	switch {
+	case d.detected == Down && d.undamped != Down:
+		d.undamped = Down
+		d.successes = 0
+	case d.undamped != Down || d.successes >= recoverySuccesses:
+		d.undamped = d.detected
+	}
+}
