--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,6 +1,7 @@
-// Package authority says what a node may decide at a moment, in one place: from its part in
-// the election, from whether what it decides can be recorded, and from a handover that is
-// under way. It is pure: facts come in, a state with its permissions comes out.
+// Package authority derives what a node may decide at a moment: from its leadership, from whether
+// its decisions can be recorded, and from a handover under way.
+//
+// The package is pure: facts come in, a state with its permissions comes out.
 package authority
 
 import "fmt"
@@ -8,16 +9,18 @@
 // State is the extent of a node's authority.
 type State uint8
 
-// The states, from none to all.
+// The states, from no authority to all.
 const (
-	None        State = iota // the node doesn't lead, or its grace is over
-	Grace                    // its leadership is not sure any more, but workers' leases may be kept
-	Loading                  // it leads, and has not read what earlier terms left
-	HandingOver              // it leads, and hands the lead over
-	StoreDown                // it leads, and can't record what it would decide
+	None        State = iota // the node does not lead, or its lease expired longer than the grace ago
+	Grace                    // its lease has expired, and only worker leases may be renewed
+	Loading                  // it leads, and has not read the stored state yet
+	HandingOver              // it leads, and hands over to another node
+	StoreDown                // it leads, and the key-value store does not accept its writes
 	Active                   // it leads
 )
 
+// String returns the state's name in reports and metrics, where it must not change. It differs from
+// the constant's name.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -32,27 +35,27 @@
 
 // The actions.
 const (
-	// Place chooses machines for tasks, stops others for them, and writes that down.
+	// Place assigns tasks to machines, preempts other tasks for them, and records both.
 	Place Action = iota
 	// Launch sends the command that starts a task whose placement is durable.
 	Launch
-	// AcceptSubmissions takes submissions and cancellations, which are durable before they are
-	// confirmed.
+	// AcceptSubmissions accepts submissions and cancellations, and confirms them once durable.
 	AcceptSubmissions
-	// ServeReads tells users what is in memory.
+	// ServeReads answers users' queries from memory.
 	ServeReads
-	// CommandWorkers answers workers' reports with commands that start and stop tasks.
+	// CommandWorkers answers workers' heartbeats with commands that start and stop tasks.
 	CommandWorkers
-	// RenewWorkerLeases answers workers' reports without starting anything.
+	// RenewWorkerLeases answers workers' heartbeats without starting anything.
 	RenewWorkerLeases
-	// Scale asks the cloud for machines, and returns those that nobody needs.
+	// Scale provisions machines, and terminates those that are not needed.
 	Scale
-	// Fence returns machines for their silence.
+	// Fence terminates machines that have stopped sending heartbeats.
 	Fence
 
 	actionCount
 )
 
+// String returns the action's name.
 func (a Action) String() string {
 	if int(a) < len(actionNames) {
 		return actionNames[a]
@@ -65,17 +68,19 @@
 // actionSet is a set of actions.
 type actionSet uint16
 
-func newActionSet(list ...Action) actionSet {
-	result := actionSet(0)
-	for _, a := range list {
-		result |= 1 << a
+func newActionSet(actions ...Action) actionSet {
+	var set actionSet
+	for _, a := range actions {
+		set |= 1 << a
 	}
-	return result
+	return set
 }
 
-// permissions is the whole of what each state allows. What is stopped or kept alive in
-// Yielding and Holding needs nothing recorded: a command to stop a task is safe whoever
-// leads, and one to start a task is for a placement that is durable.
+func (s actionSet) contains(a Action) bool { return a < actionCount && s&(1<<a) != 0 }
+
+// permissions are the actions that each state allows. Commands to workers need nothing recorded,
+// and are allowed in HandingOver and StoreDown as well: one that stops a task is safe whichever
+// node leads, and one that starts a task is for a placement that is durable.
 var permissions = [...]actionSet{
 	None:        newActionSet(),
 	Grace:       newActionSet(RenewWorkerLeases),
@@ -85,9 +90,9 @@
 	Active:      newActionSet(Place, Launch, AcceptSubmissions, ServeReads, RenewWorkerLeases, CommandWorkers, Scale, Fence),
 }
 
-// Allows says whether a node in that state may do something.
+// Allows reports whether a node in this state may do something.
 func (s State) Allows(a Action) bool {
-	return int(s) < len(permissions) && a < actionCount && permissions[s]&(1<<a) != 0
+	return int(s) < len(permissions) && permissions[s].contains(a)
 }
 
 // Leadership is how sure a node can be that no other node leads.
@@ -101,7 +106,7 @@
 	LeaseValid                     // no other node can lead at this moment
 )
 
-// Facts are what a node's authority follows from.
+// Facts are what a node's authority is derived from.
 type Facts struct {
 	Leadership    Leadership
 	StateLoaded   bool // what earlier terms stored has been read
@@ -109,7 +114,7 @@
 	HandingOver   bool // a handover has begun
 }
 
-// Evaluate returns the state that follows from the facts.
+// Evaluate returns the state that the facts result in.
 func Evaluate(f Facts) State {
 	switch {
 	case f.Leadership == LeaseInGrace && f.StateLoaded:
@@ -126,12 +131,12 @@
 	return Active
 }
 
-// Tracker follows a node's authority from one state to the next.
+// Tracker holds a node's present state. The zero Tracker is in None.
 type Tracker struct {
 	state State
 }
 
-// State returns the state that was last moved to.
+// State returns the state after the last Update.
 func (t *Tracker) State() State { return t.state }
 
 // Update is the one place where the state changes. It returns the states before and after.
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestNothingUnconfirmed: whatever the facts, a node decides only what it is sure of, has
-// loaded and can record, and nothing while it hands the lead over.
+// TestNothingUnconfirmed: whatever the facts, a node takes only actions for which its leadership is
+// sure enough, its state is loaded and its writes are accepted, and places nothing during a handover.
 func TestNothingUnconfirmed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
@@ -30,9 +30,9 @@
 			case !sure:
 				t.Fatalf("%+v: %v may %v without sure leadership", f, s, a)
 			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
-				t.Fatalf("%+v: %v may %v while it yields", f, s, a)
+				t.Fatalf("%+v: %v may %v during a handover", f, s, a)
 			case !f.StoreWritable && (a == Place || a == Scale || a == Fence):
-				t.Fatalf("%+v: %v may %v without recording it", f, s, a)
+				t.Fatalf("%+v: %v may %v while the store is down", f, s, a)
 			}
 		}
 		if sure && f.StoreWritable && !f.HandingOver && s != Active {
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestMoreFactsMoreAuthority: to lose a fact never gives a permission, but for keeping
-// leases, which grace has as well.
+// TestMoreFactsMoreAuthority: worse facts never give a permission, but for the renewal of worker
+// leases, which Grace allows as well.
 func TestMoreFactsMoreAuthority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
@@ -65,7 +65,7 @@
 	})
 }
 
-// TestTracker tells each change once.
+// TestTracker: an update returns the states before and after.
 func TestTracker(t *testing.T) {
 	var tracker Tracker
 	all := Facts{Leadership: LeaseValid, StateLoaded: true, StoreWritable: true}
@@ -73,7 +73,7 @@
 		t.Errorf("from %v to %v, now %v", from, to, tracker.State())
 	}
 	if from, to := tracker.Update(all); from != to {
-		t.Error("the same facts are a change")
+		t.Error("the same facts changed the state")
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
 		t.Error("an impossible state or action is allowed")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,11 +1,12 @@
-// Package handover decides when a leader gives its lead to a sibling that is better placed,
-// and takes it through the steps: it stops deciding, says to whom the lead should go, lets
-// its writes end, and ends its term. The package is pure: assessments and times come in,
-// steps come out.
+// Package handover decides when a leader hands over to a peer that is better placed to lead, and
+// takes it through the steps: it stops making decisions, announces its successor, drains its
+// writes, and ends its term.
 //
-// Each step is safe if it is the last one: nothing but the end of the term, which is a
-// transaction on the leader key, takes the lead from the node, and whoever claims it next
-// goes through an election. The wish for a successor only shortens that.
+// The process may stop after any step: the leader loses its leadership only by the transaction on
+// the leader key that ends the term, and the next leader is elected. The announced successor only
+// makes the election shorter.
+//
+// The package is pure: assessments and times come in, steps come out.
 package handover
 
 import (
@@ -15,17 +16,18 @@
 	"opaldale/internal/ident"
 )
 
-// State is where a handover stands.
+// State is the progress of a handover.
 type State uint8
 
 // The states of a handover.
 const (
-	Steady      State = iota // the node leads, and nobody is better placed
-	Considering              // a sibling is, for not long enough yet
-	Draining                 // nothing is decided any more; writes in flight end
+	Steady      State = iota // there is no reason for a handover
+	Considering              // there is a reason, but a handover is not allowed yet
+	Draining                 // the successor is announced, and writes in flight complete
 	Ended                    // the term has been ended
 )
 
+// String returns the state's name in reports, where it must not change.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -35,17 +37,18 @@
 
 var stateNames = [...]string{"steady", "worse", "draining", "ended"}
 
-// Reason says why a lead is given up.
+// Reason says why a leader hands over.
 type Reason uint8
 
 // The reasons.
 const (
 	NoReason     Reason = iota
-	BetterPlaced        // a sibling is better placed by a clear margin
-	Isolated            // neither siblings nor machines are reached
+	BetterPlaced        // a peer is better placed by a clear margin
+	Isolated            // the links to all peers and machines are broken
 	Requested           // the node is being stopped
 )
 
+// String returns the reason in reports, where it must not change.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -57,122 +60,152 @@
 
 // Config holds the times of a handover.
 type Config struct {
-	// MinTermDuration is the least time that a lead is kept before it is given up by choice. It
-	// doubles with each change of leader of the last minutes.
+	// MinTermDuration is how long a node leads at the least before it hands over. It doubles with
+	// each recent change of leader; see History.MinTermDuration.
 	MinTermDuration time.Duration
-	// StabilizationWindow is for how long a sibling must be better placed.
+	// StabilizationWindow is how long the reason for a handover must have lasted.
 	StabilizationWindow time.Duration
-	// DrainTimeout is how long writes in flight may take to end.
+	// DrainTimeout is how long writes in flight may take to complete.
 	DrainTimeout time.Duration
 }
 
-// DefaultConfig returns the times used where the operators name none.
+// DefaultConfig returns the times used unless the settings have others.
 func DefaultConfig() Config {
-	return Config{MinTermDuration: 15 * time.Second, StabilizationWindow: 3 * time.Second, DrainTimeout: time.Second}
+	return Config{
+		MinTermDuration:     15 * time.Second,
+		StabilizationWindow: 3 * time.Second,
+		DrainTimeout:        time.Second,
+	}
 }
 
-// Event is what a handover is decided by.
+// Event is a leader's situation at a time.
 type Event struct {
 	Now           ident.MonotonicTime
-	Successor     ident.NodeID // the peer that is better placed by a clear margin, "" if none is
-	Isolated      bool
-	WritesDrained bool // no write is in flight
-	StoreWritable bool // the state service takes what is written
+	Successor     ident.NodeID // the peer that is better placed by a clear margin, "" for none
+	Isolated      bool         // the links to all peers and machines are broken
+	WritesDrained bool         // no write is in flight
+	StoreWritable bool         // the key-value store accepts writes
+}
+
+// reason returns why the leader should hand over.
+func (e Event) reason() Reason {
+	switch {
+	case e.Successor != "":
+		return BetterPlaced
+	case e.Isolated:
+		return Isolated
+	}
+	return NoReason
 }
 
-// Step is what the caller has to do.
+// Step is what the caller must do.
 type Step uint8
 
 // The steps.
 const (
 	NoStep   Step = iota
-	Announce      // stop deciding, and tell all siblings who should follow
+	Announce      // stop making decisions, and announce the successor to all peers
 	EndTerm       // end the term in one transaction
 )
 
-// Decision is who should lead next, and why leadership is given up. It is zero while nothing is decided.
+// Decision is what a handover is for. It is zero until a handover has begun.
 type Decision struct {
-	Successor ident.NodeID // "" if any node may follow
+	Successor ident.NodeID // "" if no peer is preferred
 	Reason    Reason
 }
 
-// Coordinator takes one term of a node through a handover.
+// Coordinator takes a node through the handover that ends one of its terms.
 type Coordinator struct {
 	config     Config
 	history    *History
 	startedAt  ident.MonotonicTime
 	state      State
-	stateSince ident.MonotonicTime // of the state
+	stateSince ident.MonotonicTime
 	decision   Decision
 }
 
-// New makes the machine of a term that began at a time.
+// New returns the coordinator of a term that began at startedAt. The history is the node's, for
+// all of its terms.
 func New(config Config, history *History, startedAt ident.MonotonicTime) *Coordinator {
 	return &Coordinator{config: config, history: history, startedAt: startedAt, stateSince: startedAt}
 }
 
-// State returns where the handover stands.
+// State returns the progress of the handover.
 func (c *Coordinator) State() State { return c.state }
 
 // Decision returns what was decided when the handover began.
 func (c *Coordinator) Decision() Decision { return c.decision }
 
-// Begun says whether a handover has begun: nothing may be decided any more.
+// Begun reports whether a handover has begun: the leader must not make decisions any more.
 func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
 
 // setState is the one place where the state changes.
-func (c *Coordinator) setState(s State, now ident.MonotonicTime) {
-	if c.state != s {
-		c.state, c.stateSince = s, now
+func (c *Coordinator) setState(next State, now ident.MonotonicTime) {
+	if c.state != next {
+		c.state, c.stateSince = next, now
 	}
 }
 
-// Handle takes an event and returns the step that follows from it.
+// Handle takes an event and returns the step that it results in.
 func (c *Coordinator) Handle(e Event) Step {
 	switch c.state {
 	case Steady, Considering:
-		return c.evaluate(e)
+		return c.consider(e)
 	case Draining:
-		if e.WritesDrained || e.Now.Sub(c.stateSince) >= c.config.DrainTimeout {
-			c.setState(Ended, e.Now)
-			c.history.RecordHandover(e.Now)
-			return EndTerm
-		}
+		return c.drain(e)
 	}
 	return NoStep
 }
 
-// evaluate decides whether a handover begins.
-func (c *Coordinator) evaluate(e Event) Step {
+// consider decides whether a handover begins.
+func (c *Coordinator) consider(e Event) Step {
+	reason := e.reason()
 	switch {
-	case e.Successor == "" && !e.Isolated:
+	case reason == NoReason:
 		c.setState(Steady, e.Now)
 		return NoStep
 	case c.state == Steady:
 		c.setState(Considering, e.Now)
 		return NoStep
-	case e.Now.Sub(c.stateSince) < c.config.StabilizationWindow:
+	case !c.mayBegin(e):
 		return NoStep
-	case !e.StoreWritable:
-		// The term can't be ended by a transaction: it ends with its lease.
-		return NoStep
-	case e.Now.Sub(c.startedAt) < c.history.MinTermDuration(c.config.MinTermDuration, e.Now):
-		return NoStep
-	}
-	c.decision = Decision{Successor: e.Successor, Reason: BetterPlaced}
-	if e.Successor == "" {
-		c.decision.Reason = Isolated
 	}
-	c.setState(Draining, e.Now)
+	c.begin(Decision{Successor: e.Successor, Reason: reason}, e.Now)
 	return Announce
 }
 
-// Request begins a handover because the node is being stopped; to may be empty.
+// mayBegin reports whether a handover that is being considered may begin.
+func (c *Coordinator) mayBegin(e Event) bool {
+	if e.Now.Sub(c.stateSince) < c.config.StabilizationWindow {
+		return false
+	}
+	if !e.StoreWritable {
+		return false // the transaction would fail; the term ends when its lease expires
+	}
+	return e.Now.Sub(c.startedAt) >= c.history.MinTermDuration(c.config.MinTermDuration, e.Now)
+}
+
+// drain ends the term once no write is in flight, or after a timeout.
+func (c *Coordinator) drain(e Event) Step {
+	if !e.WritesDrained && e.Now.Sub(c.stateSince) < c.config.DrainTimeout {
+		return NoStep
+	}
+	c.setState(Ended, e.Now)
+	c.history.RecordHandover(e.Now)
+	return EndTerm
+}
+
+// Request begins a handover because the node is being stopped. successor is "" if no peer is
+// preferred.
 func (c *Coordinator) Request(now ident.MonotonicTime, successor ident.NodeID) Step {
 	if c.Begun() {
 		return NoStep
 	}
-	c.decision = Decision{Successor: successor, Reason: Requested}
-	c.setState(Draining, now)
+	c.begin(Decision{Successor: successor, Reason: Requested}, now)
 	return Announce
 }
+
+func (c *Coordinator) begin(decision Decision, now ident.MonotonicTime) {
+	c.decision = decision
+	c.setState(Draining, now)
+}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -9,59 +9,92 @@
 	"opaldale/internal/ident"
 )
 
-// TestSteps drives a term with random events: the steps come in order, each once, and never
-// without what they need.
+// TestSteps drives a term with random events: the steps come in order, each once, and only when
+// their conditions hold.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config, now := DefaultConfig(), ident.MonotonicTime(time.Hour)
-		history := &History{}
-		history.ObserveTerm(1, now)
-		coordinator := New(config, history, now)
-		began, announced, ended := now, ident.MonotonicTime(0), false
-		worseSince := ident.MonotonicTime(0)
+		m := newTermModel()
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(50, 1500).Draw(t, "pause_ms")) * time.Millisecond)
-			successor := ident.NodeID("")
-			if rapid.IntRange(0, 9).Draw(t, "worse") > 0 {
-				successor = "agent-1"
-			}
-			e := Event{Now: now, Successor: successor,
-				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, WritesDrained: rapid.Bool().Draw(t, "idle"),
-				StoreWritable: rapid.IntRange(0, 3).Draw(t, "can write") > 0}
-			warranted := e.Successor != "" || e.Isolated
-			switch {
-			case !warranted:
-				worseSince = 0
-			case worseSince == 0:
-				worseSince = now
-			}
-			switch step := coordinator.Handle(e); step {
-			case Announce:
-				if announced > 0 || !warranted || !e.StoreWritable || now.Sub(began) < config.MinTermDuration || now.Sub(worseSince) < config.StabilizationWindow {
-					t.Fatalf("announced at %v after the begin, %v after a sibling was better placed: %+v", now.Sub(began), now.Sub(worseSince), e)
-				}
-				if d := coordinator.Decision(); d.Successor != e.Successor || d.Reason == NoReason {
-					t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, e)
-				}
-				announced = now
-			case EndTerm:
-				if announced == 0 || ended || !e.WritesDrained && now.Sub(announced) < config.DrainTimeout {
-					t.Fatalf("ended %v after the announcement: %+v", now.Sub(announced), e)
-				}
-				ended = true
-			}
-			if coordinator.Begun() != (announced > 0) {
-				t.Fatalf("yields %v, announced %v", coordinator.Begun(), announced > 0)
-			}
-			if announced > 0 && !ended && now.Sub(announced) >= 2*config.DrainTimeout+1500*time.Millisecond {
-				t.Fatal("an announced handover does not end")
-			}
+			m.handle(t, m.drawEvent(t))
 		}
 	})
 }
 
-// TestHandoversAreBounded: nodes that each find another better placed all the time hand the
-// lead on no more often than the bound, and less and less.
+// termModel is a coordinator with what the test has seen of its term.
+type termModel struct {
+	config         Config
+	coordinator    *Coordinator
+	now            ident.MonotonicTime
+	began          ident.MonotonicTime
+	warrantedSince ident.MonotonicTime // 0 while there is no reason for a handover
+	announced      ident.MonotonicTime // 0 until then
+	ended          bool
+}
+
+func newTermModel() *termModel {
+	config, now := DefaultConfig(), ident.MonotonicTime(time.Hour)
+	history := &History{}
+	history.ObserveTerm(1, now)
+	return &termModel{config: config, coordinator: New(config, history, now), now: now, began: now}
+}
+
+// drawEvent returns an event some time after the one before.
+func (m *termModel) drawEvent(t *rapid.T) Event {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(50, 1500).Draw(t, "pause_ms")) * time.Millisecond)
+	successor := ident.NodeID("")
+	if rapid.IntRange(0, 9).Draw(t, "better placed") > 0 {
+		successor = "agent-1"
+	}
+	e := Event{
+		Now:           m.now,
+		Successor:     successor,
+		Isolated:      rapid.IntRange(0, 9).Draw(t, "isolated") == 0,
+		WritesDrained: rapid.Bool().Draw(t, "writes drained"),
+		StoreWritable: rapid.IntRange(0, 3).Draw(t, "store writable") > 0,
+	}
+	switch warranted := e.Successor != "" || e.Isolated; {
+	case !warranted:
+		m.warrantedSince = 0
+	case m.warrantedSince == 0:
+		m.warrantedSince = m.now
+	}
+	return e
+}
+
+// handle passes an event to the coordinator, and checks the step that follows.
+func (m *termModel) handle(t *rapid.T, e Event) {
+	switch m.coordinator.Handle(e) {
+	case Announce:
+		m.checkAnnounce(t, e)
+		m.announced = m.now
+	case EndTerm:
+		if m.announced == 0 || m.ended || !e.WritesDrained && m.now.Sub(m.announced) < m.config.DrainTimeout {
+			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announced), e)
+		}
+		m.ended = true
+	}
+	if m.coordinator.Begun() != (m.announced > 0) {
+		t.Fatalf("begun %v, announced %v", m.coordinator.Begun(), m.announced > 0)
+	}
+	if m.announced > 0 && !m.ended && m.now.Sub(m.announced) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
+		t.Fatal("an announced handover does not end")
+	}
+}
+
+func (m *termModel) checkAnnounce(t *rapid.T, e Event) {
+	if m.announced > 0 || m.warrantedSince == 0 || !e.StoreWritable ||
+		m.now.Sub(m.began) < m.config.MinTermDuration ||
+		m.now.Sub(m.warrantedSince) < m.config.StabilizationWindow {
+		t.Fatalf("announced %v into the term, %v after a handover was warranted: %+v",
+			m.now.Sub(m.began), m.now.Sub(m.warrantedSince), e)
+	}
+	if d := m.coordinator.Decision(); d.Successor != e.Successor || d.Reason == NoReason {
+		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, e)
+	}
+}
+
+// TestHandoversAreBounded: nodes of which each always finds another one better placed hand over no
+// more often than the bound, and ever less often.
 func TestHandoversAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, start := DefaultConfig(), ident.MonotonicTime(time.Hour)
@@ -78,7 +111,8 @@
 		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			if coordinator.Handle(Event{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}) == EndTerm {
+			e := Event{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
+			if coordinator.Handle(e) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
@@ -108,7 +142,7 @@
 // duration first.
 func maxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
 
-// TestRequested: a node that is being stopped hands over at once, and once.
+// TestRequested: a node that is being stopped hands over at once, and only once.
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
 	coordinator := New(DefaultConfig(), &History{}, now)
@@ -118,7 +152,8 @@
 	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
 		t.Errorf("to %q for %v", d.Successor, d.Reason)
 	}
-	if coordinator.Handle(Event{Now: now, WritesDrained: true}) != EndTerm || coordinator.Handle(Event{Now: now, WritesDrained: true}) != NoStep {
+	drained := Event{Now: now, WritesDrained: true}
+	if coordinator.Handle(drained) != EndTerm || coordinator.Handle(drained) != NoStep {
 		t.Error("the term is ended once")
 	}
 }
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -7,9 +7,8 @@
 	"opaldale/internal/ident"
 )
 
-// History is what a node remembers of changes of the lead, from one term to the next. It
-// bounds how often the lead is given up by choice: the time for which it is kept at least
-// doubles with each change of the last minutes.
+// History holds the recent changes of leader that a node has seen. It bounds how often nodes hand
+// over: the minimum duration of a term doubles with each recent change. The zero History is empty.
 type History struct {
 	changes []leaderChange
 }
@@ -20,18 +19,18 @@
 }
 
 const (
-	// changeWindow is how long a change of the lead counts.
+	// changeWindow is how long a change counts as recent.
 	changeWindow = 5 * time.Minute
-	// maxDoublings bounds the hold to sixteen times the configured one.
+	// maxDoublings bounds the minimum duration of a term to sixteen times the configured one.
 	maxDoublings = 4
-	// maxChanges bounds the changes remembered.
+	// maxChanges bounds the history's length.
 	maxChanges = 64
-	// uncountedChanges is how many changes of the window are of no consequence: the one that
-	// made the present leader, and one before.
+	// uncountedChanges is how many recent changes do not double the duration: the one that began
+	// the present term, and one before it.
 	uncountedChanges = 2
 )
 
-// ObserveTerm notes a term that somebody leads in.
+// ObserveTerm records that some node leads a term. Terms not later than the newest are ignored.
 func (h *History) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 && term <= h.changes[n-1].term {
 		return
@@ -42,15 +41,15 @@
 	}
 }
 
-// RecordHandover notes that this node has given the lead up by choice.
+// RecordHandover records that this node has handed over.
 func (h *History) RecordHandover(now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 {
-		// Counts again, beside the term that ends.
+		// Counts as a change of its own, beside the beginning of the term that ends.
 		h.changes = append(h.changes, leaderChange{h.changes[n-1].term, now})
 	}
 }
 
-// RecentChanges counts the changes of the window.
+// RecentChanges returns the number of recent changes.
 func (h *History) RecentChanges(now ident.MonotonicTime) int {
 	n := 0
 	for _, c := range h.changes {
@@ -61,7 +60,8 @@
 	return n
 }
 
-// MinTermDuration returns for how long a lead is kept at the least.
+// MinTermDuration returns how long a node leads at the least before it hands over, if base is the
+// duration without recent changes.
 func (h *History) MinTermDuration(base time.Duration, now ident.MonotonicTime) time.Duration {
 	doublings := min(max(0, h.RecentChanges(now)-uncountedChanges), maxDoublings)
 	return base << doublings
