--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -9,20 +9,20 @@
 // updateAuthority returns what this node may decide at this moment.
 func (c *Controller) updateAuthority() authority.State {
 	from, to := c.authority.Update(c.authorityFacts())
-	if from != to && c.links != nil {
-		slog.Info("authority", "from", from.String(), "to", to.String())
+	if from != to && c.links.Enabled() {
+		slog.Info("authority changed", "from", from.String(), "to", to.String())
 	}
 	return to
 }
 
 func (c *Controller) authorityFacts() authority.Facts {
 	l := c.leader
-	if l == nil || l.closed {
+	if l == nil || l.closed() {
 		return authority.Facts{Leadership: authority.NotLeader}
 	}
 	return authority.Facts{
 		Leadership:    c.leadership(),
-		StateLoaded:   l.loaded,
+		StateLoaded:   l.loaded(),
 		StoreWritable: !l.committer.StoreUnavailable(),
 		HandingOver:   l.handover != nil && l.handover.Begun(),
 	}
@@ -49,5 +49,5 @@
 // that can't record goes on to rent and to fence.
 func (c *Controller) mayManageFleet() bool {
 	state := c.updateAuthority()
-	return state.Allows(authority.Scale) || c.links == nil && state == authority.StoreDown
+	return state.Allows(authority.Scale) || !c.links.Enabled() && state == authority.StoreDown
 }
