--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -154,10 +154,21 @@
 // CanCheckpoint says whether a task of the job can keep its progress when stopped.
 func (s *Spec) CanCheckpoint() bool { return s.CheckpointEveryS > 0 && s.Shape != Service }
 
+// Status is the state of a job as its user sees it.
+type Status string
+
+// The states of a job. StatusDone and StatusCancelled are final.
+const (
+	StatusQueued    Status = "queued"    // no task runs
+	StatusRunning   Status = "running"   // at least one task runs
+	StatusDone      Status = "done"      // all tasks have completed
+	StatusCancelled Status = "cancelled" // its user has cancelled it
+)
+
 // JobView is the answer to a user about a job.
 type JobView struct {
 	ID      ident.JobID `json:"id"`
-	Status  string      `json:"status"`
+	Status  Status      `json:"status"`
 	Done    int         `json:"done"`
 	Running int         `json:"running"`
 }
@@ -165,7 +176,7 @@
 // JobStatus is the short answer to a submission or a cancellation.
 type JobStatus struct {
 	ID     ident.JobID `json:"id"`
-	Status string      `json:"status"`
+	Status Status      `json:"status"`
 }
 
 // ErrorResponse is the body of every refusal.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -228,8 +228,8 @@
 const maxCancelledJobs = 20_000
 
 // rememberIfCancelled notes what a job is known to be: that it is cancelled is final.
-func (c *Controller) rememberIfCancelled(id ident.JobID, status string) {
-	if status == jobs.Cancelled.String() {
+func (c *Controller) rememberIfCancelled(id ident.JobID, status api.Status) {
+	if status == api.StatusCancelled {
 		c.cancelledJobs.Put(id, struct{}{})
 	}
 }
@@ -249,7 +249,7 @@
 func (c *Controller) OnStoppedLeading(reason string) {
 	if c.leader != nil {
 		for _, j := range c.leader.jobs.Sorted() {
-			c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // what is final can't change any more
+			c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status()) // what is final can't change any more
 		}
 		c.leader.close()
 		c.leader = nil
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -90,7 +90,8 @@
 		s := goldenStore{&recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(9 * time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 16 << 10, txnsLeft: 1 << 30}}
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
-			w := c.leader.workers.Add(h, "m8", []string{"a", "a", "b", "a"}[i], i == 3, s.now.Add(-time.Duration(i)*time.Hour))
+			w := c.leader.workers.Add(workers.MachineInfo{ID: h, Model: "m8", Zone: []string{"a", "a", "b", "a"}[i], Spot: i == 3,
+				CreatedAt: s.now.Add(-time.Duration(i) * time.Hour)})
 			if i != 1 {
 				c.leader.workers.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Incarnation: 1, SequenceNumber: 1})
 			}
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -59,7 +59,7 @@
 		case !found:
 			reply(errorResponse(http.StatusNotFound, "no such job"))
 		default:
-			c.rememberIfCancelled(id, ended.Phase.String())
+			c.rememberIfCancelled(id, ended.Phase.Status())
 			reply(jsonResponse(http.StatusOK, ended.View(id)))
 		}
 	})
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -87,7 +87,7 @@
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})))
+		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: api.StatusQueued})))
 	}, func() {
 		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(unavailable("try again")) })
 	})
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -202,7 +202,8 @@
 			continue
 		}
 		age := time.Duration(l.controller.env.WallMS()-m.CreatedMS) * time.Millisecond
-		w := l.workers.Restore(m.ID, record.Model, record.Zone, record.Spot, now.Add(-max(0, age)), m.Addr, group)
+		w := l.workers.Restore(workers.MachineInfo{ID: m.ID, Model: record.Model, Zone: record.Zone, Spot: record.Spot,
+			CreatedAt: now.Add(-max(0, age))}, m.Addr, group)
 		group.Members = append(group.Members, w)
 	}
 	if l.formatLevel >= ident.FormatPacked && record.Packed == "" {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -95,8 +95,8 @@
 			if w == nil {
 				// Its machine's record was deleted: it is surely gone, which its
 				// return proves.
-				w = l.workers.Add(t.MachineID, "", "", false, l.controller.env.Now())
-				l.fleet.Terminate(w, "not on record")
+				w = l.workers.Add(workers.MachineInfo{ID: t.MachineID, CreatedAt: l.controller.env.Now()})
+				l.fleet.Terminate(w, workers.ReasonNotOnRecord)
 			}
 			l.adjustUsage(t, w, 1)
 		}
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -8,6 +8,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
 	"opaldale/internal/transport"
+	"opaldale/internal/workers"
 )
 
 // TestResponsesExpireWithLeaderLease: what a leader says from memory holds until its leadership is
@@ -85,7 +86,7 @@
 	}
 	l := c.leader
 	j := l.jobs.Jobs["j-1"]
-	l.workers.Add("h", "m8", "a", false, w.now)
+	l.workers.Add(workers.MachineInfo{ID: "h", Model: "m8", Zone: "a", CreatedAt: w.now})
 	l.jobs.Place(&j.Tasks[0], "h", 1, func() {})
 	c.AfterEvent()
 	want := func(what string, d time.Duration) {
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -79,7 +79,7 @@
 func (l *leaderTerm) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
 // StopGang stops a whole gang so that others find room.
-func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
+func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, gang.ReasonPreempted) }
 
 // Preempt stops a task so that another finds room.
 func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration) {
@@ -115,7 +115,7 @@
 			// The whole gang, or none of it: what can't be told in time is lost anyway.
 			saveTime += settings.Seconds(l.controller.settings.Cluster.Workers.GangPeerS)
 			if remaining > untilReclaim && untilReclaim < saveTime+2*settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS) {
-				l.gangs.Stop(t.Job, "a machine will be taken")
+				l.gangs.Stop(t.Job, gang.ReasonReclaimNotice)
 			}
 		case spec.CanCheckpoint():
 			// As late as it can still save, with a report's time to spare.
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -113,7 +113,7 @@
 
 func (r *harness) addMachines(n int) {
 	for i := range n {
-		w := r.table.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m8", "east", false, r.now)
+		w := r.table.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m8", Zone: "east", CreatedAt: r.now})
 		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 1})
 	}
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -114,7 +114,7 @@
 	}
 	m.machines.ExpireLease(w)
 	if m.machines.TimeSinceContact(w) > partitionLeases*settings.Seconds(m.cfg.Workers.LeaseS) {
-		m.Terminate(w, "zone is cut off")
+		m.Terminate(w, workers.ReasonZonePartition)
 	}
 }
 
@@ -157,7 +157,7 @@
 	case workers.Booting:
 		startup := m.bootTime(w)
 		if now.Sub(w.CreatedAt) > time.Duration(m.cfg.Tuning.BootTimeoutFactor*float64(startup)) && now.Sub(w.StateSince) > startup {
-			m.Terminate(w, "never came up")
+			m.Terminate(w, workers.ReasonBootTimeout)
 		}
 	case workers.Up, workers.Unreachable:
 		if m.partitionedZones[w.Zone] {
@@ -197,21 +197,21 @@
 	}
 	switch {
 	case w.ReclaimAt > 0 && now > w.ReclaimAt && silence > m.fenceTimeout/2:
-		m.Terminate(w, "taken")
+		m.Terminate(w, workers.ReasonReclaimed)
 	case silence > limit && w.MissedResponses() > 1 || silence > m.fenceTimeout && w.MissedResponses() > 0,
 		inboundSilence > m.fenceTimeout && w.MissedResponses() > 1:
 		sweep.silent = append(sweep.silent, w)
 	case w.Faulty():
-		m.Terminate(w, "faulty")
+		m.Terminate(w, workers.ReasonFaulty)
 	case w.Slow && len(w.Tasks) == 0:
-		m.Terminate(w, "slow")
+		m.Terminate(w, workers.ReasonSlow)
 	case w.ReclaimAt > 0:
 		m.cfg.Drain(w)
 	}
 	if m.machines.LeaseExpired(w) {
 		m.machines.ExpireLease(w)
 		if m.mayTerminateSilent(w, now) {
-			m.Terminate(w, "lease over")
+			m.Terminate(w, workers.ReasonLeaseExpired)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		}
 		m.Fenced++
 		m.recentFences = append(m.recentFences, now)
-		m.Terminate(w, "silent")
+		m.Terminate(w, workers.ReasonUnresponsive)
 	}
 }
 
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -62,8 +62,7 @@
 	}
 	count, uncordoned := packing.capacity.allocate(b, spec, count)
 	for _, w := range uncordoned {
-		w.Cordoned = false
-		m.machines.NotifyCapacityChanged()
+		m.machines.Uncordon(w)
 	}
 	packing.tasksByZone[b.pool.zone] += count
 	packing.remaining -= count
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -25,11 +25,11 @@
 
 // Terminate gives a machine back. Its tasks count on it until the cloud has
 // answered.
-func (m *Manager) Terminate(w *workers.Worker, reason string) {
+func (m *Manager) Terminate(w *workers.Worker, reason workers.Reason) {
 	if w.State == workers.Terminating || w.State == workers.Terminated {
 		return
 	}
-	slog.Info("returning machine", "host", string(w.ID), "why", reason, "tasks", len(w.Tasks))
+	slog.Info("returning machine", "host", string(w.ID), "reason", string(reason), "tasks", len(w.Tasks))
 	m.machines.MarkTerminating(w, reason)
 	m.terminating = append(m.terminating, w)
 }
@@ -66,7 +66,7 @@
 		}
 		for _, w := range batch {
 			m.Terminated++
-			m.machines.MarkTerminated(w, "returned")
+			m.machines.MarkTerminated(w, workers.ReasonTerminated)
 		}
 	})
 }
@@ -123,7 +123,8 @@
 			return
 		}
 		slog.Info("adopting machine", "host", string(listed.ID), "status", listed.Status, "age_s", listed.AgeS)
-		w = m.machines.Add(listed.ID, listed.Model, listed.Zone, listed.Spot, m.port.Now().Add(-settings.Seconds(listed.AgeS)))
+		w = m.machines.Add(workers.MachineInfo{ID: listed.ID, Model: listed.Model, Zone: listed.Zone, Spot: listed.Spot,
+			CreatedAt: m.port.Now().Add(-settings.Seconds(listed.AgeS))})
 		if w.Addr == "" {
 			w.Addr = listed.Addr
 		}
@@ -131,7 +132,7 @@
 	// A failed machine has stopped, and nothing runs on it; but what proves it
 	// is the answer to its return.
 	if listed.Status == "failed" {
-		m.Terminate(w, "failed")
+		m.Terminate(w, workers.ReasonFailedToStart)
 	}
 }
 
@@ -162,7 +163,7 @@
 			state.pending -= request.Count
 			for _, id := range reply.Provisioned {
 				m.Provisioned++
-				m.machines.Add(id, p.model, p.zone, p.spot, requested)
+				m.machines.Add(workers.MachineInfo{ID: id, Model: p.model, Zone: p.zone, Spot: p.spot, CreatedAt: requested})
 			}
 			state.backoff = 0
 			if len(reply.Provisioned) < request.Count {
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -144,7 +144,7 @@
 		return
 	}
 	if len(w.Tasks) == 0 {
-		m.Terminate(w, "not needed")
+		m.Terminate(w, workers.ReasonNotNeeded)
 		return
 	}
 	for _, t := range m.machines.SortedTasks(w) {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -84,12 +84,13 @@
 )
 
 // setState is the one place where an attempt changes its state.
-func (tb *Table) setState(a *attempt, next State, reason string) {
+func (tb *Table) setState(a *attempt, next State, reason Reason) {
 	if a.state == next {
 		return
 	}
 	now := tb.now()
-	slog.Debug("gang", "id", string(a.job.Spec.ID), "try", uint64(a.number), "from", a.state.String(), "to", next.String(), "why", reason,
+	slog.Debug("gang state changed", "job", string(a.job.Spec.ID), "attempt", uint64(a.number),
+		"from", a.state.String(), "to", next.String(), "reason", string(reason),
 		"age_s", now.Sub(a.job.SubmittedAt).Seconds(), "placed_s", now.Sub(a.placedAt).Seconds())
 	a.state, a.stateSince = next, now
 }
@@ -132,7 +133,7 @@
 		a.launchedOn[i] = j.Tasks[i].MachineID // if it never was, the answer to a report does it
 	}
 	if !j.ReadyToLaunch() {
-		tb.abort(a, "a part was left of it")
+		tb.abort(a, reasonPartial)
 	}
 }
 
@@ -201,24 +202,24 @@
 	case Placed, Gathering:
 		switch {
 		case counts.stopping > 0:
-			tb.abort(a, "a task was stopped")
+			tb.abort(a, reasonTaskStopped)
 		case missing:
 			tb.handleMissingTask(a, counts)
 		case counts.placing > 0:
 		case a.state == Placed || tb.hasUnlaunched(a):
-			tb.setState(a, Gathering, "durable")
+			tb.setState(a, Gathering, reasonDurable)
 			tb.launchPlaced(a)
 		case counts.running == len(j.Tasks):
 			tb.Started++
-			tb.setState(a, Running, "all run")
+			tb.setState(a, Running, reasonAllRunning)
 		}
 	case Running:
 		if missing || counts.stopping > 0 {
-			tb.abort(a, "a task is gone")
+			tb.abort(a, reasonTaskLost)
 		}
 	case Checkpointing:
 		if now.Sub(a.stateSince) > tb.checkpointGracePeriod(j)+stopOverrun {
-			tb.abort(a, "saving takes too long")
+			tb.abort(a, reasonCheckpointTimeout)
 		}
 	case Stopping:
 		tb.stopTasks(a, 0)
@@ -243,11 +244,11 @@
 	}
 	switch {
 	case !a.placedThisTerm:
-		tb.abort(a, "a task is gone, and the machines that it was on are not all known")
+		tb.abort(a, reasonMachinesUnknown)
 	case counts.running > 0:
-		tb.abort(a, "a task is gone after the start")
+		tb.abort(a, reasonLostAfterStart)
 	case now.Sub(a.placedAt) > tb.cfg.GatherTimeout/2, now.Sub(a.missingSince) > replacementWindow:
-		tb.abort(a, "a task is gone, and none can replace it in time")
+		tb.abort(a, reasonReplacementTimeout)
 	default:
 		a.job.AcceptsReplacements = true
 	}
@@ -270,10 +271,11 @@
 }
 
 // abort gives an attempt up: what is left of it makes no progress any more.
-func (tb *Table) abort(a *attempt, reason string) {
+func (tb *Table) abort(a *attempt, reason Reason) {
 	if a.state != Stopping {
 		tb.Lost++
-		slog.Info("gang attempt ends", "id", string(a.job.Spec.ID), "try", uint64(a.number), "state", a.state.String(), "why", reason)
+		slog.Info("gang attempt aborted", "job", string(a.job.Spec.ID), "attempt", uint64(a.number),
+			"state", a.state.String(), "reason", string(reason))
 	}
 	a.job.AcceptsReplacements = false
 	tb.setState(a, Stopping, reason)
@@ -310,13 +312,13 @@
 }
 
 // Stop stops a whole gang in order, if that can be done.
-func (tb *Table) Stop(j *jobs.Job, reason string) bool {
+func (tb *Table) Stop(j *jobs.Job, reason Reason) bool {
 	if !tb.CanStop(j) {
 		return false
 	}
 	a := tb.attempts[j]
 	tb.Stopped++
-	slog.Info("gang is stopped", "id", string(j.Spec.ID), "why", reason)
+	slog.Info("gang stopping", "job", string(j.Spec.ID), "reason", string(reason))
 	if a.state == Gathering || !j.Spec.CanCheckpoint() {
 		tb.abort(a, reason) // nothing to save
 		return true
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -95,7 +95,7 @@
 		}
 	}
 	for i := range 5 {
-		r.workers.Add(ident.MachineID(fmt.Sprintf("host-%d", i)), "m8", "east", false, r.now)
+		r.workers.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%d", i)), Model: "m8", Zone: "east", CreatedAt: r.now})
 		r.heartbeat(i)
 	}
 	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1, CheckpointEveryS: 20, CheckpointS: 3}, func() {}, nil)
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -149,14 +149,14 @@
 
 // View is the user's view; only durable phases are told.
 func (j *Job) View() api.JobView {
-	v := api.JobView{ID: j.Spec.ID, Status: "queued", Done: j.CompletedTasks, Running: j.RunningTasks}
+	v := api.JobView{ID: j.Spec.ID, Status: api.StatusQueued, Done: j.CompletedTasks, Running: j.RunningTasks}
 	switch {
 	case j.DurablePhase == Done:
-		v.Status, v.Done, v.Running = "done", len(j.Tasks), 0
+		v.Status, v.Done, v.Running = api.StatusDone, len(j.Tasks), 0
 	case j.DurablePhase == Cancelled:
-		v.Status, v.Running = "cancelled", 0
+		v.Status, v.Running = api.StatusCancelled, 0
 	case j.RunningTasks > 0:
-		v.Status = "running"
+		v.Status = api.StatusRunning
 	}
 	return v
 }
@@ -170,7 +170,7 @@
 
 // View is the user's view of a job that is over.
 func (e ArchivedJob) View(id ident.JobID) api.JobView {
-	return api.JobView{ID: id, Status: e.Phase.String(), Done: e.CompletedTasks}
+	return api.JobView{ID: id, Status: e.Phase.Status(), Done: e.CompletedTasks}
 }
 
 // ViewSettled says whether the job's view is what any node would tell.
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -210,7 +210,7 @@
 	if hdr.Spec == nil {
 		return api.JobView{}, fmt.Errorf("not a job")
 	}
-	view := api.JobView{ID: hdr.Spec.ID, Status: "queued"}
+	view := api.JobView{ID: hdr.Spec.ID, Status: api.StatusQueued}
 	for _, t := range hdr.Tasks {
 		if t.Done {
 			view.Done++
@@ -220,9 +220,9 @@
 	}
 	switch {
 	case hdr.Phase != Open:
-		view.Status, view.Running = hdr.Phase.String(), 0
+		view.Status, view.Running = hdr.Phase.Status(), 0
 	case view.Running > 0:
-		view.Status = "running"
+		view.Status = api.StatusRunning
 	}
 	return view, nil
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+
+	"opaldale/internal/api"
 )
 
 // Phase is a job's course as its user sees it.
@@ -18,6 +20,9 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
+// Status is the status of a job that is over, which has the name of its phase.
+func (p Phase) Status() api.Status { return api.Status(p.String()) }
+
 // MarshalText writes the phase's name.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -115,7 +115,7 @@
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
 	c.Flush()
 	k.run()
-	told, over := "", 0
+	told, over := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		over++
 		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
@@ -167,7 +167,7 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	var j *Job
-	told := ""
+	told := api.Status("")
 	tell := func() { told = j.View().Status }
 	j = tb.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	c.Flush()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -22,8 +22,8 @@
 	tasks             int
 	cancels           bool
 	accepted          bool
-	finalStatus       string    // the first final state
-	cancelConfirmedAt time.Time // when that was confirmed
+	finalStatus       api.Status // the first final state
+	cancelConfirmedAt time.Time  // when that was confirmed
 	violations        []string
 }
 
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -81,7 +81,8 @@
 		}
 	}
 	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, l.now)
+		w := l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: "east", Spot: i%3 == 0,
+			CreatedAt: l.now})
 		l.heartbeat(w)
 	}
 	for range 3 * machines / 20 {
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -9,6 +9,7 @@
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/workers"
 )
 
 // newTwoZoneCluster is a fleet of ordinary machines with 16 CPUs in two zones, and no work.
@@ -28,7 +29,7 @@
 		if i >= east {
 			zone = "west"
 		}
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", zone, false, l.now)
+		w := l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: zone, CreatedAt: l.now})
 		l.sequence++
 		l.machines.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: zone, Incarnation: 1, SequenceNumber: l.sequence})
 	}
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -7,13 +7,15 @@
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/workers"
 )
 
 // newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
 func newClusterWithHolders(machines, holding int) *testCluster {
 	l := newTestCluster(0)
 	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
+		w := l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: "east", Spot: true,
+			CreatedAt: l.now})
 		l.heartbeat(w)
 	}
 	first := l.submitAs("red", api.Standard, holding)
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -9,6 +9,7 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/settings"
+	"opaldale/internal/workers"
 )
 
 // TestRecentlyPreemptedIsSpared: a task that was stopped to make room is not the cheapest to
@@ -46,7 +47,8 @@
 	l := newTestCluster(0)
 	l.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		l.heartbeat(l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
+		l.heartbeat(l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: "east", Spot: true,
+			CreatedAt: l.now}))
 	}
 	backlog := l.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -6,13 +6,14 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/jobs"
+	"opaldale/internal/workers"
 )
 
 // newReservedCluster makes one empty machine whose room is kept for a job that can't be placed yet, and
 // another job that waits.
 func newReservedCluster() (l *testCluster, first, other *jobs.Job) {
 	l = newTestCluster(0)
-	l.heartbeat(l.machines.Add("host-000001", "m16", "east", true, l.now))
+	l.heartbeat(l.machines.Add(workers.MachineInfo{ID: "host-000001", Model: "m16", Zone: "east", Spot: true, CreatedAt: l.now}))
 	first, other = l.submitAs("red", api.Standard, 1), l.submitAs("red", api.Standard, 1)
 	first.Tasks[0].RetryAt = l.now.Add(time.Hour)
 	l.planner.ReserveFor(l.machines.Sorted()[0], first, l.now.Add(10*time.Second))
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -26,7 +26,7 @@
 	done                []bool
 	submitted           bool
 	accepted            bool
-	lastStatus          string
+	lastStatus          api.Status
 	lastStatusAt        ident.MonotonicTime
 	cancelSentAt        ident.MonotonicTime
 	cancelConfirmedAt   ident.MonotonicTime
@@ -319,7 +319,7 @@
 	}
 }
 
-func isTerminal(s string) bool { return s == "done" || s == "cancelled" }
+func isTerminal(s api.Status) bool { return s == "done" || s == "cancelled" }
 
 const (
 	// faultDrainTime is how long after the last fault's beginning all are over.
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -55,7 +55,8 @@
 				return
 			}
 			slog.Info("unexpected machine", "host", string(heartbeat.MachineID))
-			w := tb.Add(heartbeat.MachineID, heartbeat.Model, heartbeat.Zone, heartbeat.Spot, tb.port.Now())
+			w := tb.Add(MachineInfo{
+				ID: heartbeat.MachineID, Model: heartbeat.Model, Zone: heartbeat.Zone, Spot: heartbeat.Spot, CreatedAt: tb.port.Now()})
 			if w.State != Terminated && tb.applyHeartbeat(w, result.Heartbeat) && !tb.closed {
 				tb.killUnwanted(w, result.Heartbeat)
 			}
@@ -195,7 +196,7 @@
 		w.unresponsive = false
 	}
 	if w.State == Booting || w.State == Unreachable {
-		tb.setState(w, Up, "reports")
+		tb.setState(w, Up, ReasonHeartbeat)
 		w.probePending = false
 		tb.cfg.OnCapacityChanged()
 	}
@@ -252,7 +253,7 @@
 	}
 	for _, t := range tb.SortedTasks(w) {
 		if earlier(t) {
-			tb.markTaskLost(w, t, "newer tenure")
+			tb.markTaskLost(w, t, reasonNewIncarnation)
 		}
 	}
 }
@@ -349,9 +350,9 @@
 				commands = append(commands, launchCommand(t))
 			}
 		case t.State == jobs.Assigned && tokenCurrent:
-			tb.markTaskLost(w, t, "not in the report")
+			tb.markTaskLost(w, t, reasonNotReported)
 		case t.State == jobs.Stopping && tokenCurrent:
-			tb.markTaskLost(w, t, "stopped before it started")
+			tb.markTaskLost(w, t, reasonNeverStarted)
 		}
 	}
 	return commands
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -16,8 +16,9 @@
 }
 
 // markTaskLost notes that a task is proven not to be on its machine.
-func (tb *Table) markTaskLost(w *Worker, t *jobs.Task, reason string) {
-	slog.Info("task is gone", "task", t.TaskID().String(), "try", uint64(t.Attempt), "host", string(w.ID), "why", reason)
+func (tb *Table) markTaskLost(w *Worker, t *jobs.Task, reason Reason) {
+	slog.Info("task lost", "task", t.TaskID().String(), "attempt", uint64(t.Attempt), "machine", string(w.ID),
+		"reason", string(reason))
 	tb.LostTasks++
 	tb.jobs.MarkGone(t, nil)
 }
@@ -27,7 +28,7 @@
 func (tb *Table) TimeSinceContact(w *Worker) time.Duration { return tb.port.Now().Sub(w.lastContact) }
 
 // MarkUnreachable marks a silent machine.
-func (tb *Table) MarkUnreachable(w *Worker) { tb.setState(w, Unreachable, "no reports") }
+func (tb *Table) MarkUnreachable(w *Worker) { tb.setState(w, Unreachable, ReasonNoHeartbeat) }
 
 // clockDriftFactor covers clocks that run up to 0.05% apart, twice over.
 const clockDriftFactor = 1.002
@@ -46,7 +47,7 @@
 // ExpireLease drops the tasks of a worker whose lease is surely over.
 func (tb *Table) ExpireLease(w *Worker) {
 	for _, t := range tb.SortedTasks(w) {
-		tb.markTaskLost(w, t, "lease over")
+		tb.markTaskLost(w, t, ReasonLeaseExpired)
 	}
 	tb.clearUnknownAttempts(w)
 }
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -90,18 +90,18 @@
 }
 
 // setState is the one place where a machine changes its state.
-func (tb *Table) setState(w *Worker, next State, reason string) {
+func (tb *Table) setState(w *Worker, next State, reason Reason) {
 	if w.State == next {
 		return
 	}
-	slog.Debug("machine", "host", string(w.ID), "from", w.State.String(), "to", next.String(), "why", reason)
+	slog.Debug("machine state changed", "machine", string(w.ID), "from", w.State.String(), "to", next.String(), "reason", string(reason))
 	w.State, w.StateSince = next, tb.port.Now()
 }
 
 // Restore takes in a machine that an earlier term has put on record. One with an
 // address had come up.
-func (tb *Table) Restore(id ident.MachineID, model, zone string, spot bool, createdAt ident.MonotonicTime, addr string, group *RecordGroup) *Worker {
-	w := tb.insert(id, model, zone, spot, createdAt)
+func (tb *Table) Restore(info MachineInfo, addr string, group *RecordGroup) *Worker {
+	w := tb.insert(info)
 	w.Group, w.Persisted = group, true
 	tb.RestoreAddress(w, addr)
 	return w
@@ -112,27 +112,26 @@
 func (tb *Table) RestoreAddress(w *Worker, addr string) {
 	if w.Addr == "" && addr != "" {
 		w.Addr = addr
-		tb.setState(w, Up, "on record")
+		tb.setState(w, Up, ReasonOnRecord)
 	}
 }
 
 // Add takes in a machine that was rented, loaded, listed or that reports.
-func (tb *Table) Add(id ident.MachineID, model, zone string, spot bool, createdAt ident.MonotonicTime) *Worker {
-	if w := tb.Workers[id]; w != nil {
+func (tb *Table) Add(info MachineInfo) *Worker {
+	if w := tb.Workers[info.ID]; w != nil {
 		return w
 	}
-	w := tb.insert(id, model, zone, spot, createdAt)
+	w := tb.insert(info)
 	tb.cfg.Persist(w)
 	return w
 }
 
-func (tb *Table) insert(id ident.MachineID, model, zone string, spot bool, createdAt ident.MonotonicTime) *Worker {
+func (tb *Table) insert(info MachineInfo) *Worker {
 	now := tb.port.Now()
-	w := &Worker{ID: id, Model: model, Zone: zone, Spot: spot, Type: tb.cfg.Catalog(model),
-		CreatedAt: createdAt, StateSince: now, IdleSince: now, lastContact: now, Tasks: map[ident.TaskID]*jobs.Task{},
+	w := &Worker{MachineInfo: info, Type: tb.cfg.Catalog(info.Model), StateSince: now, IdleSince: now, lastContact: now, Tasks: map[ident.TaskID]*jobs.Task{},
 		unknownAttempts: map[ident.TaskID]ident.Attempt{}, endsNotDurable: map[taskAttempt]bool{}}
-	tb.Workers[id] = w
-	i := tb.sortedIndex(id)
+	tb.Workers[info.ID] = w
+	i := tb.sortedIndex(info.ID)
 	if i == len(tb.sorted) {
 		tb.sorted = append(tb.sorted, w) // beyond what anybody walks over
 		return w
@@ -221,10 +220,10 @@
 }
 
 // MarkTerminating makes a machine one that is being returned.
-func (tb *Table) MarkTerminating(w *Worker, reason string) { tb.setState(w, Terminating, reason) }
+func (tb *Table) MarkTerminating(w *Worker, reason Reason) { tb.setState(w, Terminating, reason) }
 
 // MarkTerminated notes that a machine is gone, and all that was on it.
-func (tb *Table) MarkTerminated(w *Worker, reason string) {
+func (tb *Table) MarkTerminated(w *Worker, reason Reason) {
 	tb.setState(w, Terminated, reason)
 	for _, t := range tb.SortedTasks(w) {
 		tb.markTaskLost(w, t, reason)
@@ -242,5 +241,8 @@
 	tb.sorted = slices.Delete(slices.Clone(tb.sorted), i, i+1)
 }
 
-// NotifyCapacityChanged notes that a machine takes work again.
-func (tb *Table) NotifyCapacityChanged() { tb.cfg.OnCapacityChanged() }
+// Uncordon lets tasks be placed on a machine again that was to be drained.
+func (tb *Table) Uncordon(w *Worker) {
+	w.Cordoned = false
+	tb.cfg.OnCapacityChanged()
+}
--- a/internal/workers/table_test.go
+++ b/internal/workers/table_test.go
@@ -79,7 +79,7 @@
 			r.tb.RemoveTask(w, task)
 		}
 	}
-	r.worker = r.tb.Add("h", "m8", "east", false, r.now)
+	r.worker = r.tb.Add(MachineInfo{ID: "h", Model: "m8", Zone: "east", CreatedAt: r.now})
 	r.heartbeat(0)
 	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 2, VCPUs: 1, Image: "img", ImageGB: 1}, func() {}, nil)
 	r.runUntilIdle()
@@ -185,7 +185,7 @@
 // TestLeaseIncludesLeaderGrace: an earlier leader may have answered for a while into the term.
 func TestLeaseIncludesLeaderGrace(t *testing.T) {
 	r := newHarness(t)
-	w := r.tb.Add("other", "m8", "east", false, r.now)
+	w := r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	r.now = r.now.Add(40 * time.Second)
 	if r.tb.LeaseExpired(w) {
 		t.Error("expired within lease and grace")
@@ -423,7 +423,7 @@
 	if fail("j-3", true); r.worker.PossiblyFaulty() || r.worker.Faulty() {
 		t.Errorf("jobs that fail everywhere: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
 	}
-	r.tb.Add("other", "m8", "east", false, r.now)
+	r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	list := []*jobs.Job{fail("j-4", false), fail("j-5", false), fail("j-6", false)}
 	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
 		t.Errorf("jobs of which nobody knows better: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
@@ -451,7 +451,7 @@
 func TestResultAfterTermination(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
-	r.tb.MarkTerminated(r.worker, "returned")
+	r.tb.MarkTerminated(r.worker, ReasonTerminated)
 	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 40,
 		FencingToken: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{stray}}})
 	if r.tb.HasUnknownAttempt(stray.TaskID) {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -39,18 +39,23 @@
 	attempt ident.Attempt
 }
 
+// MachineInfo is what is known of a machine from when it was provisioned.
+type MachineInfo struct {
+	ID        ident.MachineID
+	Model     string // name of its type; the type itself is Worker.Type
+	Zone      string
+	Spot      bool
+	CreatedAt ident.MonotonicTime // when it was provisioned, as far as known
+}
+
 // Worker is a machine and the worker on it.
 type Worker struct {
-	ID    ident.MachineID
+	MachineInfo
 	Addr  string
-	Model string
 	Type  *cloud.MachineType // nil while the catalog doesn't list it
-	Zone  string
-	Spot  bool
 	State State
 
 	StateSince       ident.MonotonicTime // when it entered its state
-	CreatedAt        ident.MonotonicTime // when it was rented, as far as known
 	IdleSince        ident.MonotonicTime // when its last task left it
 	ReclaimAt        ident.MonotonicTime // when the cloud takes it; 0: not announced
 	QuarantinedUntil ident.MonotonicTime // nothing is placed on it earlier
