--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -52,7 +52,7 @@
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
 		"age_s", l.controller.env.Now().Sub(t.Job.SubmittedAt).Seconds())
-	l.jobs.Place(t, w.ID, w.Incarnation, func() {
+	l.jobs.Place(t, w.ID, w.Incarnation(), func() {
 		if l.closed || !l.controller.allows(authority.Launch) {
 			return // the answer to its worker's next report launches it
 		}
@@ -156,7 +156,7 @@
 		}
 	case api.CauseNoCapacity:
 		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(machine.ID))
-		machine.QuarantinedUntil = now.Add(time.Second)
+		machine.Quarantine(now.Add(time.Second))
 	case api.CauseBusy, api.CauseUnknown:
 		slog.Info("refused", "task", t.TaskID().String(), "host", string(machine.ID), "cause", string(cause))
 		t.ConsecutiveErrors++
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -108,7 +108,7 @@
 // handlePartitioned keeps work off a machine of a zone that is cut off, and takes what was on it
 // for gone once its lease is surely over.
 func (m *Manager) handlePartitioned(w *workers.Worker, now ident.MonotonicTime) {
-	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
+	w.Quarantine(now.Add(time.Second))
 	if !m.machines.LeaseExpired(w) {
 		return
 	}
--- a/internal/fleet/unreachable_zone.go
+++ b/internal/fleet/unreachable_zone.go
@@ -62,7 +62,7 @@
 	if z == nil {
 		return true
 	}
-	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
+	w.Quarantine(now.Add(time.Second))
 	if now.Sub(z.periodStart) >= settings.Seconds(m.cfg.Workers.LeaseS) {
 		z.periodStart, z.terminated = now, 0
 	}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -152,7 +152,7 @@
 	a.missingSince = 0
 	for _, placement := range placements {
 		a.usedMachines[placement.Worker.ID] = true
-		tb.jobs.PlaceAttempt(placement.Task, placement.Worker.ID, placement.Worker.Incarnation, a.number, func() { tb.MarkChanged(j) })
+		tb.jobs.PlaceAttempt(placement.Task, placement.Worker.ID, placement.Worker.Incarnation(), a.number, func() { tb.MarkChanged(j) })
 	}
 }
 
@@ -222,7 +222,7 @@
 			tb.abort(a, reasonCheckpointTimeout)
 		}
 	case Stopping:
-		tb.stopTasks(a, 0)
+		tb.workers.StopAllocated(a.job, 0)
 	}
 }
 
@@ -279,15 +279,7 @@
 	}
 	a.job.AcceptsReplacements = false
 	tb.setState(a, Stopping, reason)
-	tb.stopTasks(a, 0)
-}
-
-func (tb *Table) stopTasks(a *attempt, gracePeriod time.Duration) {
-	for i := range a.job.Tasks {
-		if t := &a.job.Tasks[i]; t.State.Allocated() {
-			tb.workers.StopTask(tb.workers.Workers[t.MachineID], t, gracePeriod)
-		}
-	}
+	tb.workers.StopAllocated(a.job, 0)
 }
 
 // checkpointGracePeriod is the time that tasks of a gang get to save: their own, and that for which
@@ -324,6 +316,6 @@
 		return true
 	}
 	tb.setState(a, Checkpointing, reason)
-	tb.stopTasks(a, tb.checkpointGracePeriod(j))
+	tb.workers.StopAllocated(a.job, tb.checkpointGracePeriod(j))
 	return true
 }
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -1,7 +1,7 @@
 package workers
 
 import (
-	"slices"
+	"net/http"
 	"time"
 
 	"opaldale/internal/api"
@@ -19,24 +19,37 @@
 	NotAfter ident.MonotonicTime
 }
 
-// Launches says whether the command starts a task.
+// Launches says whether the call starts a task.
 func (c CommandCall) Launches() bool { return api.ContainsLaunch(c.Body.Commands) }
 
-// CommandResult is what came of a Command.
+// CommandResult is the result of a CommandCall.
 type CommandResult struct {
-	Status    int // 0: none
+	Status    int // HTTP status, 0 without a response
 	Heartbeat *api.Heartbeat
-	// NotSent says that the command was surely not sent: its time was over.
+	// NotSent says that the call was surely not sent: its time was over.
 	NotSent bool
-	// ConnectionRefused says that the connection was refused; the command was not sent.
+	// ConnectionRefused says that the connection was refused; the call was not sent.
 	ConnectionRefused bool
 }
 
+// isFrom says whether the result is a response of the worker, which has carried out the commands
+// or refused them as outdated.
+func (r CommandResult) isFrom(id ident.MachineID) bool {
+	if r.Status != http.StatusOK && r.Status != http.StatusConflict {
+		return false
+	}
+	return r.Heartbeat != nil && r.Heartbeat.MachineID == id
+}
+
 func launchCommand(t *jobs.Task) api.Command {
 	return api.Command{Verb: api.Launch, TaskID: t.TaskID(), Attempt: t.Attempt}
 }
 
-// KillCommand is the order that ends an attempt at once.
+func clearCommand(attempt taskAttempt) api.Command {
+	return api.Command{Verb: api.Clear, TaskID: attempt.task, Attempt: attempt.attempt}
+}
+
+// KillCommand returns the command that ends an attempt without a grace period.
 func KillCommand(task ident.TaskID, number ident.Attempt) api.Command {
 	return killAttempt(taskAttempt{task, number}, 0)
 }
@@ -46,115 +59,123 @@
 	return api.Command{Verb: api.Kill, TaskID: attempt.task, Attempt: attempt.attempt, GracePeriodS: &seconds}
 }
 
-// Launch sends a durable placement to its machine.
+// Launch sends the launch of a task, whose placement must be durable, to its machine.
 func (tb *Table) Launch(w *Worker, t *jobs.Task) { tb.Enqueue(w, launchCommand(t)) }
 
-// StopTask stops a task. One whose placement is not yet durable was never sent.
+// StopTask stops a task with a grace period; w is its machine, nil if that is not known. A task
+// whose placement is not durable yet was never launched. One that is stopping already is
+// given less time at the most.
 func (tb *Table) StopTask(w *Worker, t *jobs.Task, gracePeriod time.Duration) {
 	switch t.State {
 	case jobs.Placing:
 		tb.jobs.MarkGone(t, nil)
+		return
 	case jobs.Assigned:
 		tb.jobs.MarkStopping(t, gracePeriod)
-		if w != nil {
-			tb.Enqueue(w, killAttempt(taskAttempt{t.TaskID(), t.Attempt}, gracePeriod))
-		}
 	case jobs.Stopping:
-		if gracePeriod < t.GracePeriod {
-			t.GracePeriod = gracePeriod
-			if w != nil {
-				tb.Enqueue(w, killAttempt(taskAttempt{t.TaskID(), t.Attempt}, gracePeriod))
-			}
+		if gracePeriod >= t.GracePeriod {
+			return
 		}
+		t.GracePeriod = gracePeriod
+	default:
+		return
+	}
+	if w != nil {
+		tb.Enqueue(w, killAttempt(attemptOf(t), gracePeriod))
 	}
 }
 
-// Enqueue sends an order to a worker at once. One command is under way at a time,
-// so that orders keep their order; what gets lost is repeated by the answer to
-// the worker's next report.
+// StopAllocated stops the tasks of a job that are allocated on machines.
+func (tb *Table) StopAllocated(j *jobs.Job, gracePeriod time.Duration) {
+	for i := range j.Tasks {
+		if t := &j.Tasks[i]; t.State.Allocated() {
+			tb.StopTask(tb.Workers[t.MachineID], t, gracePeriod)
+		}
+	}
+}
+
+// Enqueue sends a command to a worker at once, or after the call under way. What is lost is
+// repeated in the response to the worker's next heartbeat.
 func (tb *Table) Enqueue(w *Worker, command api.Command) {
-	if w.State == Terminated || w.Addr == "" || w.Incarnation == 0 || w.unresponsive {
+	if w.State == Terminated || w.Addr == "" || w.order.incarnation == 0 || w.reachability.unresponsive {
 		return
 	}
-	w.queued = append(w.queued, command)
-	if !w.sending {
-		w.sending = true
-		// After the present event, so that orders of one moment go together.
+	w.commands.queued = append(w.commands.queued, command)
+	if w.commands.startSending() {
+		// After the present event, so that its commands go together.
 		tb.port.After(0, func() { tb.sendQueued(w) })
 	}
 }
 
-// Probe asks a worker for its state, unless a command is under way.
+// Probe asks a worker for its state. It returns false if the worker cannot be asked now.
 func (tb *Table) Probe(w *Worker) bool {
-	if w.sending || w.Addr == "" || w.State == Terminated {
+	if w.Addr == "" || w.State == Terminated || !w.commands.startSending() {
 		return false
 	}
-	w.sending = true
-	w.probePending = true
+	w.commands.probePending = true
 	tb.sendQueued(w)
 	return true
 }
 
 func (tb *Table) sendQueued(w *Worker) {
-	if tb.closed || w.State == Terminated || len(w.queued) == 0 && !w.probePending {
-		w.sending = false
+	if tb.closed || w.State == Terminated || !w.commands.hasWork() {
+		w.commands.sending = false
 		return
 	}
-	w.probePending = false
-	w.inFlight, w.queued = w.queued, nil
-	token, incarnation := tb.fencingToken(w), max(w.Incarnation, 1)
-	commands := w.inFlight
-	if commands == nil {
-		commands = []api.Command{}
+	call := CommandCall{Addr: w.Addr, Zone: w.Zone, Body: api.CommandRequest{
+		FencingToken: tb.fencingToken(w),
+		Incarnation:  max(w.order.incarnation, 1),
+		Commands:     w.commands.take(),
+	}}
+	tb.port.Worker(call, func(result CommandResult) { tb.handleCommandResult(w, result) })
+}
+
+func (tb *Table) handleCommandResult(w *Worker, result CommandResult) {
+	if tb.closed {
+		return
 	}
-	tb.port.Worker(CommandCall{Addr: w.Addr, Zone: w.Zone, Body: api.CommandRequest{FencingToken: token, Incarnation: incarnation, Commands: commands}}, func(result CommandResult) {
-		if tb.closed {
-			return
-		}
-		w.inFlight, w.sending = nil, false
-		if result.NotSent {
-			// What it named is repeated by the answer to the worker's next report, if
-			// this node still leads then.
-			w.queued = nil
-			return
-		}
-		if tb.cfg.OnCommandResult(w, result.Status != 0); tb.closed {
-			return
-		}
-		if w.State == Terminated {
-			// Returned meanwhile, with everything: what its answer lists is there no more.
-			// (It was noted as on a machine all the same, and never started again.)
-			return
-		}
-		if result.Status != 200 && result.Status != 409 || result.Heartbeat == nil || result.Heartbeat.MachineID != w.ID {
-			// It may be carried out at any later time, until the worker has seen
-			// a higher token.
-			w.fenceCount++
-			w.missedResponses++
-			tb.FencedCommands++
-			w.queued = nil
-			w.unresponsive = true
-			return
-		}
-		w.missedResponses = 0
-		if tb.applyHeartbeat(w, result.Heartbeat) && !tb.closed {
-			tb.killUnwanted(w, result.Heartbeat)
-		}
-		if len(w.queued) > 0 {
-			w.sending = true
-			tb.sendQueued(w)
-		}
-	})
+	w.commands.finish()
+	if result.NotSent {
+		// The response to the worker's next heartbeat repeats it, if this node still leads then.
+		w.commands.discard()
+		return
+	}
+	if tb.cfg.OnCommandResult(w, result.Status != 0); tb.closed {
+		return
+	}
+	if w.State == Terminated {
+		return // the tasks in its response are lost with the machine
+	}
+	if !result.isFrom(w.ID) {
+		tb.fenceOff(w)
+		return
+	}
+	w.reachability.commandAnswered()
+	tb.applyCommandResponse(w, result.Heartbeat)
+	if len(w.commands.queued) > 0 {
+		w.commands.sending = true
+		tb.sendQueued(w)
+	}
+}
+
+// fenceOff makes sure that a command without a response is not carried out once the worker has
+// seen the next token. Until a heartbeat shows that, nothing more is sent to it.
+func (tb *Table) fenceOff(w *Worker) {
+	w.fencing.raise()
+	w.reachability.commandUnanswered()
+	w.commands.discard()
+	tb.FencedCommands++
 }
 
-// killUnwanted stops what the answer to a command shows and nobody wants. (A new leader
-// asked a machine, heard of a cancelled task, and told it only at its next report; by
-// then the state service was down and it had no orders to give any more.)
-func (tb *Table) killUnwanted(w *Worker, heartbeat *api.Heartbeat) {
+// applyCommandResponse takes over the heartbeat in the response to a command, and kills the tasks
+// in it that are not wanted. The response to the next heartbeat may come too late for that:
+// by then this node may be unable to give commands.
+func (tb *Table) applyCommandResponse(w *Worker, heartbeat *api.Heartbeat) {
+	if tb.applyHeartbeat(w, heartbeat) != heartbeatApplied {
+		return
+	}
 	for _, command := range unwantedTaskKills(w, heartbeat) {
-		if !slices.ContainsFunc(w.queued, func(queued api.Command) bool {
-			return queued.Verb == command.Verb && queued.TaskID == command.TaskID && queued.Attempt == command.Attempt
-		}) {
+		if !w.commands.hasQueued(command) {
 			tb.Enqueue(w, command)
 		}
 	}
--- /dev/null
+++ b/internal/workers/command_queue.go
@@ -0,0 +1,56 @@
+package workers
+
+import (
+	"slices"
+
+	"opaldale/internal/api"
+)
+
+// commandQueue holds the commands to a worker. One call is under way at a time, so that commands
+// are carried out in their order; a call takes all that are queued.
+type commandQueue struct {
+	queued       []api.Command
+	inFlight     []api.Command // of the call under way
+	sending      bool          // a call is under way or about to be made
+	probePending bool          // the next call is made even if no command is queued
+}
+
+// startSending reserves the next call for the caller. It returns false if one is under way.
+func (q *commandQueue) startSending() bool {
+	if q.sending {
+		return false
+	}
+	q.sending = true
+	return true
+}
+
+// hasWork says whether there is something to call for.
+func (q *commandQueue) hasWork() bool { return len(q.queued) > 0 || q.probePending }
+
+// take moves what is queued to the call under way, and returns it: a slice that is not nil.
+func (q *commandQueue) take() []api.Command {
+	q.probePending = false
+	q.inFlight, q.queued = q.queued, nil
+	if q.inFlight == nil {
+		return []api.Command{}
+	}
+	return q.inFlight
+}
+
+// finish notes the end of the call under way.
+func (q *commandQueue) finish() { q.inFlight, q.sending = nil, false }
+
+// discard drops what is queued.
+func (q *commandQueue) discard() { q.queued = nil }
+
+// targets says whether a command that is under way or queued is for an attempt.
+func (q *commandQueue) targets(attempt taskAttempt) bool {
+	return slices.ContainsFunc(q.inFlight, attempt.isTargetOf) || slices.ContainsFunc(q.queued, attempt.isTargetOf)
+}
+
+// hasQueued says whether a command like this is queued, whatever its grace period.
+func (q *commandQueue) hasQueued(command api.Command) bool {
+	return slices.ContainsFunc(q.queued, func(queued api.Command) bool {
+		return queued.Verb == command.Verb && queued.TaskID == command.TaskID && queued.Attempt == command.Attempt
+	})
+}
--- a/internal/workers/failures.go
+++ b/internal/workers/failures.go
@@ -2,31 +2,39 @@
 
 import "opaldale/internal/jobs"
 
-// faultyThreshold is how many sound jobs must have failed on a machine for it to be faulty.
+// faultyThreshold is how many jobs that run well elsewhere must have failed on a machine for it
+// to be faulty.
 const faultyThreshold = 2
 
-// RecordFailure notes that a task of a job failed on the machine. Whose fault that was shows
-// later: a job that runs well elsewhere is sound, one that fails on several machines is
-// suspect.
-func (w *Worker) RecordFailure(j *jobs.Job) {
-	if w.failedJobs == nil {
-		w.failedJobs = map[*jobs.Job]bool{}
+// failureRecord holds the jobs whose tasks failed on a machine since a task of another job
+// completed there. Whether a failure is the machine's or the job's fault shows later: a job
+// that runs well elsewhere is healthy, one that fails on several machines is suspect.
+type failureRecord struct {
+	jobs map[*jobs.Job]bool
+}
+
+func (r *failureRecord) add(j *jobs.Job) {
+	if r.jobs == nil {
+		r.jobs = map[*jobs.Job]bool{}
 	}
-	w.failedJobs[j] = true
+	r.jobs[j] = true
 }
 
-// recordSuccess notes that a task of a job has completed on the machine: it is in order, unless
+// clearUnlessFailed clears the record when a task of a job completes: the machine works, unless
 // the same job has failed there as well.
-func (w *Worker) recordSuccess(j *jobs.Job) {
-	if !w.failedJobs[j] {
-		clear(w.failedJobs)
+func (r *failureRecord) clearUnlessFailed(j *jobs.Job) {
+	if !r.jobs[j] {
+		clear(r.jobs)
 	}
 }
 
+// RecordFailure notes that a task of a job failed on the machine.
+func (w *Worker) RecordFailure(j *jobs.Job) { w.failures.add(j) }
+
 // Faulty says whether jobs that run well on other machines fail on this one.
 func (w *Worker) Faulty() bool {
 	n := 0
-	for j := range w.failedJobs {
+	for j := range w.failures.jobs {
 		if j.ProvenHealthy() {
 			n++
 		}
@@ -34,10 +42,10 @@
 	return n >= faultyThreshold
 }
 
-// PossiblyFaulty says whether a job has failed on the machine that may not be at fault itself:
-// the machine is no room to count on for it.
+// PossiblyFaulty says whether a job that may be healthy has failed on the machine. Then the
+// machine does not count as capacity that can be relied on.
 func (w *Worker) PossiblyFaulty() bool {
-	for j := range w.failedJobs {
+	for j := range w.failures.jobs {
 		if j.ProvenHealthy() || j.Phase == jobs.Open && !j.Suspect {
 			return true
 		}
--- /dev/null
+++ b/internal/workers/image_cache.go
@@ -0,0 +1,93 @@
+package workers
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"opaldale/internal/api"
+)
+
+// Image is a container image in a machine's cache.
+type Image struct {
+	Name string
+	GB   float64
+}
+
+// imageCache is an estimate of the images that a worker has cached. Workers evict the least
+// recently used images once the disk is full.
+type imageCache struct {
+	images []Image // most recently used last
+}
+
+func indexOfImage(images []Image, name string) int {
+	return slices.IndexFunc(images, func(image Image) bool { return image.Name == name })
+}
+
+func (c *imageCache) has(name string) bool { return indexOfImage(c.images, name) >= 0 }
+
+// noteUse makes an image the most recently used one. Others are evicted if it is new and the
+// disk too small for all.
+func (c *imageCache) noteUse(used Image, diskGB float64) {
+	i := indexOfImage(c.images, used.Name)
+	if i < 0 {
+		c.images = append(c.images, used)
+		c.evict(diskGB)
+		return
+	}
+	cached := c.images[i]
+	last := len(c.images) - 1
+	copy(c.images[i:], c.images[i+1:])
+	c.images[last] = cached
+}
+
+// evict drops the least recently used images that have no room on the disk, but never the last.
+func (c *imageCache) evict(diskGB float64) {
+	totalGB := 0.0
+	for _, image := range c.images {
+		totalGB += image.GB
+	}
+	evicted := 0
+	for evicted < len(c.images)-1 && totalGB > diskGB {
+		totalGB -= c.images[evicted].GB
+		evicted++
+	}
+	c.images = slices.Delete(c.images, 0, evicted)
+}
+
+func (c *imageCache) clear() { c.images = nil }
+
+// CachedImages returns the images that the machine probably has cached. The slice must not be
+// changed.
+func (w *Worker) CachedImages() []Image { return w.imageCache.images }
+
+// HasImage says whether the machine probably has an image cached.
+func (w *Worker) HasImage(image string) bool { return w.imageCache.has(image) }
+
+// noteImageUse notes that a task of the job has its image on the machine.
+func (w *Worker) noteImageUse(s *api.Spec) {
+	diskGB := math.Inf(1) // unknown
+	if w.Type != nil {
+		diskGB = w.Type.LocalDiskGB
+	}
+	w.imageCache.noteUse(Image{s.Image, s.ImageGB}, diskGB)
+}
+
+// IsPullingImage says whether a task on the machine needs an image: then it is cached or being
+// pulled.
+func (w *Worker) IsPullingImage(image string) bool {
+	for _, t := range w.Tasks {
+		if t.Job.Spec.Image == image {
+			return true
+		}
+	}
+	return false
+}
+
+// ImagePullTime estimates how long the machine takes to pull a job's image.
+func (w *Worker) ImagePullTime(s *api.Spec) time.Duration {
+	if w.Type == nil || w.Type.PullGBPerS <= 0 {
+		return 0
+	}
+	return time.Duration(s.ImageGB / w.Type.PullGBPerS * float64(time.Second))
+}
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -4,15 +4,50 @@
 	"log/slog"
 	"time"
 
+	"opaldale/internal/api"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
 
-// Reachable says whether a machine is up, was heard within d, and answers commands as far
-// as is known.
-func (tb *Table) Reachable(id ident.MachineID, within time.Duration) bool {
-	w := tb.Workers[id]
-	return w != nil && w.State == Up && !w.unresponsive && w.missedResponses == 0 && w.cannotReceiveSince == 0 && w.HeardThisTerm() && tb.port.Now().Sub(w.lastContact) <= within
+// lease is the lease of a worker: each response to a heartbeat renews it, and a worker whose
+// lease has expired kills its tasks.
+type lease struct {
+	renewed   bool // in this term
+	renewedAt ident.MonotonicTime
+}
+
+func (l *lease) renew(now ident.MonotonicTime) { l.renewed, l.renewedAt = true, now }
+
+// lastRenewal returns when the lease was renewed, not earlier than a time at which another
+// leader may have renewed it.
+func (l *lease) lastRenewal(earliest ident.MonotonicTime) ident.MonotonicTime {
+	if !l.renewed {
+		return earliest
+	}
+	return max(earliest, l.renewedAt)
+}
+
+// The margin by which a lease must be over to count as expired here.
+const (
+	clockDriftFactor = 1.002 // clocks run up to 0.05% apart, taken twice
+	expiryMargin     = time.Second
+)
+
+// LeaseExpired says whether the worker's lease has surely expired, and its tasks are killed: no
+// heartbeat sent since its last renewal can have had a response from this leader, from an
+// earlier one in its grace period, or from a peer that renews leases for either.
+func (tb *Table) LeaseExpired(w *Worker) bool {
+	earliest := max(tb.startedAt.Add(tb.cfg.LeaderGrace), tb.cfg.LastPeerRenewal())
+	duration := time.Duration(float64(tb.cfg.LeaseDuration)*clockDriftFactor) + expiryMargin
+	return tb.port.Now() > w.lease.lastRenewal(earliest).Add(duration)
+}
+
+// ExpireLease drops the tasks of a worker whose lease has expired.
+func (tb *Table) ExpireLease(w *Worker) {
+	for _, t := range tb.SortedTasks(w) {
+		tb.markTaskLost(w, t, ReasonLeaseExpired)
+	}
+	tb.clearUnknownAttempts(w)
 }
 
 // markTaskLost notes that a task is proven not to be on its machine.
@@ -23,31 +58,50 @@
 	tb.jobs.MarkGone(t, nil)
 }
 
-// TimeSinceContact returns for how long a worker has not been heard of; a new leader
-// gives everybody a little time to come.
-func (tb *Table) TimeSinceContact(w *Worker) time.Duration { return tb.port.Now().Sub(w.lastContact) }
-
-// MarkUnreachable marks a silent machine.
-func (tb *Table) MarkUnreachable(w *Worker) { tb.setState(w, Unreachable, ReasonNoHeartbeat) }
-
-// clockDriftFactor covers clocks that run up to 0.05% apart, twice over.
-const clockDriftFactor = 1.002
+// RenewLeaseOnly responds to a heartbeat without taking over what it says, for a leader that may
+// have lost its leadership but keeps the leases of its workers alive. No task is started by
+// that; tasks that are not wanted are killed. It returns nil if the lease is not renewed.
+func (tb *Table) RenewLeaseOnly(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
+	w := tb.Workers[heartbeat.MachineID]
+	if w == nil || w.State == Terminated {
+		return nil
+	}
+	if heartbeat.FencingToken > tb.fencingToken(w) || heartbeat.Incarnation < w.order.incarnation {
+		// A worker that has seen a successor's token drops the response, and would keep
+		// reporting here until its lease is over.
+		return nil
+	}
+	response := tb.renewLease(w, heartbeat, unwantedTaskKills(w, heartbeat))
+	if response != nil {
+		w.reachability.lastContact = w.lease.renewedAt
+	}
+	return response
+}
 
-// LeaseExpired says whether the worker's lease is surely over, and with it its
-// tasks: no report sent after the last answer can have been answered, by us or,
-// in its grace, by the leader before us, or by a sibling that kept for either.
-func (tb *Table) LeaseExpired(w *Worker) bool {
-	renewedAt := max(tb.startedAt.Add(tb.cfg.LeaderGrace), tb.cfg.LastPeerRenewal())
-	if w.leaseRenewed {
-		renewedAt = max(renewedAt, w.leaseRenewedAt)
+// renewLease responds to a heartbeat, which renews the worker's lease. It returns nil if the
+// lease must not be renewed. Then a probe passes on the newest token: with it, the worker's
+// next heartbeat shows that no earlier command can be carried out any more.
+func (tb *Table) renewLease(w *Worker, heartbeat *api.Heartbeat, commands []api.Command) *api.HeartbeatResponse {
+	if !tb.mayRenewLease(w, heartbeat) {
+		tb.Probe(w)
+		return nil
 	}
-	return tb.port.Now() > renewedAt.Add(time.Duration(float64(tb.cfg.LeaseDuration)*clockDriftFactor)+time.Second)
+	w.lease.renew(tb.port.Now())
+	return &api.HeartbeatResponse{FencingToken: tb.fencingToken(w), Commands: commands}
 }
 
-// ExpireLease drops the tasks of a worker whose lease is surely over.
-func (tb *Table) ExpireLease(w *Worker) {
-	for _, t := range tb.SortedTasks(w) {
-		tb.markTaskLost(w, t, ReasonLeaseExpired)
+// mayRenewLease says whether the worker's lease may be renewed. It may not while a command may
+// still start a task there whose job was cancelled longer ago than the leader's grace
+// period: such a task has to end with the lease.
+func (tb *Table) mayRenewLease(w *Worker, heartbeat *api.Heartbeat) bool {
+	if tb.hasCurrentToken(w, heartbeat) && !w.commands.sending && heartbeat.SequenceNumber >= w.order.sequence {
+		return true // no command can be carried out later
 	}
-	tb.clearUnknownAttempts(w)
+	for _, t := range w.Tasks {
+		cancelled := t.Job.Phase == jobs.Cancelled && tb.port.Now().Sub(t.Job.ClosedAt) > tb.cfg.LeaderGrace
+		if cancelled && !reportsAttempt(heartbeat, attemptOf(t)) {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/workers/reservation.go
+++ b/internal/workers/reservation.go
@@ -5,14 +5,15 @@
 	"opaldale/internal/jobs"
 )
 
-// Reservation keeps room on a machine for a task that is about to come there. Other work finds
-// that room taken, but for work of a higher priority.
+// Reservation keeps room on a machine for a task that is about to be placed there. For
+// other work that room is taken, except for work of a higher priority.
 type Reservation struct {
 	Resources jobs.Resources
 	Priority  api.Priority
 }
 
-// Reserve keeps room; false if the machine has a reservation already, or not as much room.
+// Reserve keeps room on the machine. It returns false if there is a reservation already or
+// not as much room.
 func (w *Worker) Reserve(r Reservation) bool {
 	if w.reservation != nil || !w.HasRoom(r.Resources) {
 		return false
@@ -21,14 +22,14 @@
 	return true
 }
 
-// ReleaseReservation gives up what was reserved.
+// ReleaseReservation gives up the machine's reservation.
 func (w *Worker) ReleaseReservation() { w.reservation = nil }
 
 // HasReservation says whether the machine has a reservation.
 func (w *Worker) HasReservation() bool { return w.reservation != nil }
 
-// ReservationCovered says whether the machine still has what is kept: work of a higher priority may
-// have taken it.
+// ReservationCovered says whether the machine has a reservation and still the room for it:
+// work of a higher priority may have taken that.
 func (w *Worker) ReservationCovered() bool {
 	return w.reservation != nil && w.unused().Covers(w.reservation.Resources)
 }
@@ -38,10 +39,10 @@
 	if w.Type == nil {
 		return jobs.Resources{}
 	}
-	return jobs.Resources{VCPUs: w.Type.VCPUs - w.VCPUs, GPUs: w.Type.GPUs - w.GPUs, MemoryGB: w.Type.MemoryGB - w.MemoryGB}
+	return capacityOf(w.Type).Sub(w.Usage.allocated())
 }
 
-// Free is what neither a task takes nor a reservation keeps.
+// Free is what neither a task nor the reservation takes.
 func (w *Worker) Free() jobs.Resources {
 	if w.reservation == nil {
 		return w.unused()
@@ -49,7 +50,7 @@
 	return w.unused().Sub(w.reservation.Resources)
 }
 
-// FreeFor is what work of a priority may use: a reservation of lower priority gives way.
+// FreeFor is what work of a priority may use, which includes a reservation of a lower priority.
 func (w *Worker) FreeFor(p api.Priority) jobs.Resources {
 	if w.reservation != nil && w.reservation.Priority.Level() > p.Level() {
 		return w.unused()
--- a/internal/workers/reservation_test.go
+++ b/internal/workers/reservation_test.go
@@ -11,7 +11,7 @@
 // TestReservation: what is reserved is taken for other work, but for work of a higher priority,
 // and free again once it is given up.
 func TestReservation(t *testing.T) {
-	w := &Worker{Type: &cloud.MachineType{VCPUs: 8, MemoryGB: 32}, VCPUs: 2}
+	w := &Worker{Type: &cloud.MachineType{VCPUs: 8, MemoryGB: 32}, Usage: Usage{VCPUs: 2}}
 	four, six := jobs.Resources{VCPUs: 4}, jobs.Resources{VCPUs: 6}
 	spec := &api.Spec{Tasks: 9, VCPUs: 2}
 	if w.Reserve(Reservation{Resources: jobs.Resources{VCPUs: 7}}) || w.HasReservation() {
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -1,12 +1,15 @@
-// Package workers owns what is known of the machines: which sessions they are
-// in, which tasks count on them, which orders are under way, and what proves
-// that a task is gone.
+// Package workers keeps the state of the machines and of the agents on them: which tasks are
+// allocated on each, which commands are under way, whether it can be reached, and what
+// proves that a task no longer runs there.
+//
+// A task counts as gone from a machine only once that is proven: by a heartbeat with the newest
+// fencing token, by a newer incarnation, by the expiry of the worker's lease, or by the
+// provider's word that the machine is terminated.
 package workers
 
 import (
 	"cmp"
 	"log/slog"
-	"math"
 	"slices"
 	"sort"
 	"time"
@@ -17,89 +20,100 @@
 	"opaldale/internal/jobs"
 )
 
-// LowerPriorityTasks returns how many tasks of a lower priority count on any machine.
-func (tb *Table) LowerPriorityTasks(priority api.Priority) int {
-	return countLowerPriority(&tb.tasksByPriority, priority)
-}
-
-// Port is what the table needs of the world.
+// Port is what the table needs of its environment.
 type Port interface {
+	// Now returns the time of the monotonic clock.
 	Now() ident.MonotonicTime
+	// After calls a function after a duration, in an event of its own.
 	After(time.Duration, func())
+	// Worker makes a call to a worker. The function is called once, with its result.
 	Worker(CommandCall, func(CommandResult))
 }
 
-// Config holds the workers' times and the term.
+// Config holds the term, the times of workers, and the callbacks of the table's owner.
 type Config struct {
-	Term          ident.Term
+	Term ident.Term
+	// LeaseDuration is for how long a response to a heartbeat renews a worker's lease.
 	LeaseDuration time.Duration
-	LeaderGrace   time.Duration // for which an earlier leader may have answered on
-	Catalog       func(model string) *cloud.MachineType
-	// OnDeposed is called when a worker has seen a later term.
+	// LeaderGrace is for how long an earlier leader may have renewed leases into this term.
+	LeaderGrace time.Duration
+	// Catalog returns a machine type by its name, nil if it is not listed.
+	Catalog func(model string) *cloud.MachineType
+	// OnDeposed is called when a worker has seen a later term. It ends the leadership.
 	OnDeposed func()
-	// OnCapacityChanged is called when room or tasks have changed.
+	// OnCapacityChanged is called when free capacity or allocated tasks have changed.
 	OnCapacityChanged func()
-	// OnTaskFailed is called for a task that ended for another cause than done.
+	// OnTaskFailed is called for a task that ended without having completed.
 	OnTaskFailed func(t *jobs.Task, w *Worker, c api.Cause)
-	// OnTaskCompleted is called for a task that completes, before that is noted; nil: nobody is.
+	// OnTaskCompleted is called for a task that completes, before that is noted; it may be nil.
 	OnTaskCompleted func(t *jobs.Task, w *Worker)
-	// Persist makes the machine's document.
+	// Persist writes the record of a machine that was added, has changed or is terminated.
 	Persist func(w *Worker)
-	// LastPeerRenewal returns the latest time at which another node may have renewed a lease.
+	// LastPeerRenewal returns the latest time at which a peer may have renewed a worker's lease.
 	LastPeerRenewal func() ident.MonotonicTime
-	// OnCommandResult is called when a command was answered, or was not in its time.
+	// OnCommandResult is called with the result of a command, before it takes effect.
 	OnCommandResult func(w *Worker, answered bool)
 }
 
 // Table holds all machines. It lives for one term.
 type Table struct {
-	Workers         map[ident.MachineID]*Worker
-	sorted          []*Worker            // in the order of their names
-	unknownAttempts map[ident.TaskID]int // on how many machines
-	tasksByPriority [numPriorities]int   // tasks that count on a machine, by priority
-	cfg             Config
-	port            Port
-	jobs            *jobs.Table
-	startedAt       ident.MonotonicTime
-	closed          bool
-	verifying       map[ident.MachineID]bool // unknown machines that reported
-
-	LostTasks       uint64 // tasks proven gone without having ended
-	FencedCommands  uint64
-	StaleHeartbeats uint64
-}
-
-// NewTable makes the machines' table of a term.
+	Workers map[ident.MachineID]*Worker
+	sorted  []*Worker // by ID
+
+	cfg       Config
+	port      Port
+	jobs      *jobs.Table
+	startedAt ident.MonotonicTime
+	closed    bool
+
+	tasksByPriority taskCounts               // tasks that are allocated on any machine
+	unknownAttempts map[ident.TaskID]int     // number of machines with an unknown attempt of the task
+	verifying       map[ident.MachineID]bool // unknown machines that are being probed
+
+	LostTasks       uint64 // tasks that were proven gone without having ended
+	FencedCommands  uint64 // commands without a response
+	StaleHeartbeats uint64 // heartbeats that were not newer than the newest known one
+}
+
+// NewTable makes the table of a term.
 func NewTable(port Port, j *jobs.Table, cfg Config) *Table {
 	if cfg.OnTaskCompleted == nil {
 		cfg.OnTaskCompleted = func(*jobs.Task, *Worker) {}
 	}
-	return &Table{Workers: map[ident.MachineID]*Worker{}, unknownAttempts: map[ident.TaskID]int{}, verifying: map[ident.MachineID]bool{}, cfg: cfg, port: port, jobs: j, startedAt: port.Now()}
+	return &Table{
+		Workers:         map[ident.MachineID]*Worker{},
+		cfg:             cfg,
+		port:            port,
+		jobs:            j,
+		startedAt:       port.Now(),
+		unknownAttempts: map[ident.TaskID]int{},
+		verifying:       map[ident.MachineID]bool{},
+	}
 }
 
-// Close ends the table with its term.
+// Close ends the table with its term: results of commands have no effect any more.
 func (tb *Table) Close() { tb.closed = true }
 
-// Sorted returns the machines in the order of their names, which is that of
-// their creation. The slice must not be changed.
+// Sorted returns the machines by ID, which is the order of their creation. The slice must not
+// be changed.
 func (tb *Table) Sorted() []*Worker { return tb.sorted }
 
-// sortedIndex finds a name in the sorted machines.
+// sortedIndex returns the position of an ID among the sorted machines.
 func (tb *Table) sortedIndex(id ident.MachineID) int {
 	return sort.Search(len(tb.sorted), func(i int) bool { return tb.sorted[i].ID >= id })
 }
 
-// setState is the one place where a machine changes its state.
+// setState is the only function that changes a machine's state.
 func (tb *Table) setState(w *Worker, next State, reason Reason) {
 	if w.State == next {
 		return
 	}
-	slog.Debug("machine state changed", "machine", string(w.ID), "from", w.State.String(), "to", next.String(), "reason", string(reason))
+	slog.Debug("machine state changed", "machine", string(w.ID), "from", w.State.String(), "to", next.String(),
+		"reason", string(reason))
 	w.State, w.StateSince = next, tb.port.Now()
 }
 
-// Restore takes in a machine that an earlier term has put on record. One with an
-// address had come up.
+// Restore adds a machine that an earlier term has on record, with the address in the record.
 func (tb *Table) Restore(info MachineInfo, addr string, group *RecordGroup) *Worker {
 	w := tb.insert(info)
 	w.Group, w.Persisted = group, true
@@ -107,8 +121,8 @@
 	return w
 }
 
-// RestoreAddress takes in an address that is on record, if none was known: the machine had come
-// up by then.
+// RestoreAddress takes over the address of a machine's record, if none is known: the machine
+// was up when that was written.
 func (tb *Table) RestoreAddress(w *Worker, addr string) {
 	if w.Addr == "" && addr != "" {
 		w.Addr = addr
@@ -116,7 +130,8 @@
 	}
 }
 
-// Add takes in a machine that was rented, loaded, listed or that reports.
+// Add adds a machine that has no record yet, and has that written. It returns the machine that
+// is there if its ID is known.
 func (tb *Table) Add(info MachineInfo) *Worker {
 	if w := tb.Workers[info.ID]; w != nil {
 		return w
@@ -128,86 +143,53 @@
 
 func (tb *Table) insert(info MachineInfo) *Worker {
 	now := tb.port.Now()
-	w := &Worker{MachineInfo: info, Type: tb.cfg.Catalog(info.Model), StateSince: now, IdleSince: now, lastContact: now, Tasks: map[ident.TaskID]*jobs.Task{},
-		unknownAttempts: map[ident.TaskID]ident.Attempt{}, endsNotDurable: map[taskAttempt]bool{}}
+	w := &Worker{
+		MachineInfo:     info,
+		Type:            tb.cfg.Catalog(info.Model),
+		Tasks:           map[ident.TaskID]*jobs.Task{},
+		StateSince:      now,
+		IdleSince:       now,
+		reachability:    reachability{lastContact: now},
+		unknownAttempts: map[ident.TaskID]ident.Attempt{},
+		endsNotDurable:  map[taskAttempt]bool{},
+	}
 	tb.Workers[info.ID] = w
 	i := tb.sortedIndex(info.ID)
 	if i == len(tb.sorted) {
-		tb.sorted = append(tb.sorted, w) // beyond what anybody walks over
+		tb.sorted = append(tb.sorted, w) // beyond the end of any slice that was returned
 		return w
 	}
-	// A copy: somebody may be walking over the old one.
+	// In a copy: the old slice may be in use.
 	tb.sorted = slices.Insert(slices.Clone(tb.sorted), i, w)
 	return w
 }
 
-// fencingToken is the token for a worker: the term, and how often we fenced off
-// commands of our own.
-func (tb *Table) fencingToken(w *Worker) ident.FencingToken {
-	return ident.MakeFencingToken(tb.cfg.Term, w.fenceCount)
-}
-
-// AddTask counts a task on its machine.
+// AddTask allocates a task on its machine.
 func (tb *Table) AddTask(w *Worker, t *jobs.Task) {
 	w.Tasks[t.TaskID()] = t
-	// A report of an earlier session than the placement's is a late one.
-	w.Incarnation = max(w.Incarnation, t.Incarnation)
-	tb.adjustUsage(w, t.Job.Spec, 1)
+	// A heartbeat of an earlier incarnation than the placement's is a late one.
+	w.order.raiseIncarnation(t.Incarnation)
+	w.Usage.add(t.Job.Spec)
+	tb.tasksByPriority.add(t.Job.Spec.Priority, 1)
 }
 
-// RemoveTask stops counting it.
+// RemoveTask ends the allocation of a task on its machine.
 func (tb *Table) RemoveTask(w *Worker, t *jobs.Task) {
 	if w.Tasks[t.TaskID()] != t {
 		return
 	}
 	delete(w.Tasks, t.TaskID())
-	tb.adjustUsage(w, t.Job.Spec, -1)
+	w.Usage.remove(t.Job.Spec)
+	tb.tasksByPriority.add(t.Job.Spec.Priority, -1)
 	if len(w.Tasks) == 0 {
-		w.VCPUs, w.GPUs, w.MemoryGB, w.BatchVCPUs, w.ServiceVCPUs = 0, 0, 0, 0, 0
+		w.Usage.clearAmounts()
 		w.IdleSince = tb.port.Now()
 	}
 	tb.cfg.OnCapacityChanged()
 }
 
-func (tb *Table) adjustUsage(w *Worker, s *api.Spec, sign float64) {
-	w.VCPUs += sign * s.VCPUs
-	w.GPUs += sign * s.GPUs
-	w.MemoryGB += sign * s.MemoryGB
-	// Rounded, so that the order of the sums can't change what is decided by them.
-	vcpus := &w.BatchVCPUs
-	if s.Shape != api.Batch {
-		// Tasks that end by themselves, and that others wait for: users miss them at once.
-		vcpus = &w.ServiceVCPUs
-	}
-	*vcpus = math.Round((*vcpus+sign*s.VCPUs)*1e6) / 1e6
-	w.tasksByPriority[s.Priority.Level()] += int(sign)
-	tb.tasksByPriority[s.Priority.Level()] += int(sign)
-}
-
-// HasUnknownAttempt says whether a piece is on some machine in a try that we don't know
-// of. Then it must not start elsewhere.
-func (tb *Table) HasUnknownAttempt(task ident.TaskID) bool { return tb.unknownAttempts[task] > 0 }
-
-// addUnknownAttempt notes a piece in a try that we don't know of.
-func (tb *Table) addUnknownAttempt(w *Worker, task ident.TaskID, attempt ident.Attempt) {
-	if _, ok := w.unknownAttempts[task]; !ok {
-		tb.unknownAttempts[task]++
-	}
-	w.unknownAttempts[task] = attempt
-}
-
-// clearUnknownAttempts forgets a machine's orphans.
-func (tb *Table) clearUnknownAttempts(w *Worker) {
-	for task := range w.unknownAttempts {
-		if tb.unknownAttempts[task]--; tb.unknownAttempts[task] <= 0 {
-			delete(tb.unknownAttempts, task)
-		}
-	}
-	clear(w.unknownAttempts)
-}
-
-// SortedTasks returns a copy in a fixed order: what follows changes the map, and
-// seeded runs must repeat.
+// SortedTasks returns a copy of a machine's tasks in a fixed order: callers change the map, and
+// the order of what they do must be reproducible.
 func (tb *Table) SortedTasks(w *Worker) []*jobs.Task {
 	out := make([]*jobs.Task, 0, len(w.Tasks))
 	for _, t := range w.Tasks {
@@ -219,29 +201,30 @@
 	return out
 }
 
-// MarkTerminating makes a machine one that is being returned.
+// MarkTerminating notes that a machine's termination is requested.
 func (tb *Table) MarkTerminating(w *Worker, reason Reason) { tb.setState(w, Terminating, reason) }
 
-// MarkTerminated notes that a machine is gone, and all that was on it.
+// MarkTerminated notes that a machine is terminated, which ends all tasks on it.
 func (tb *Table) MarkTerminated(w *Worker, reason Reason) {
 	tb.setState(w, Terminated, reason)
 	for _, t := range tb.SortedTasks(w) {
 		tb.markTaskLost(w, t, reason)
 	}
 	tb.clearUnknownAttempts(w)
-	w.queued, w.PlannedTasks = nil, nil
+	w.commands.discard()
+	w.PlannedTasks = nil
 	tb.cfg.Persist(w)
 	tb.cfg.OnCapacityChanged()
 }
 
-// Remove removes a machine that is gone from the table.
+// Remove removes a terminated machine from the table.
 func (tb *Table) Remove(w *Worker) {
 	delete(tb.Workers, w.ID)
 	i := tb.sortedIndex(w.ID)
 	tb.sorted = slices.Delete(slices.Clone(tb.sorted), i, i+1)
 }
 
-// Uncordon lets tasks be placed on a machine again that was to be drained.
+// Uncordon allows placements on a cordoned machine again.
 func (tb *Table) Uncordon(w *Worker) {
 	w.Cordoned = false
 	tb.cfg.OnCapacityChanged()
--- a/internal/workers/table_test.go
+++ b/internal/workers/table_test.go
@@ -216,8 +216,8 @@
 	r.now = r.now.Add(10 * time.Minute)
 	// Learned from the answer to a command, which renews nothing.
 	r.answers[0](CommandResult{Status: 409, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: 1}})
-	if r.worker.Incarnation != 2 || r.tb.LeaseExpired(r.worker) {
-		t.Errorf("tenure %d, expired %v", r.worker.Incarnation, r.tb.LeaseExpired(r.worker))
+	if r.worker.Incarnation() != 2 || r.tb.LeaseExpired(r.worker) {
+		t.Errorf("tenure %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
 	}
 	r.now = r.now.Add(30 * time.Second)
 	if r.tb.LeaseExpired(r.worker) {
@@ -384,8 +384,8 @@
 		r.now = r.now.Add(time.Second)
 		r.runUntilIdle()
 	}
-	if len(r.worker.queued) > 0 {
-		t.Errorf("a part of the gang is durable, and a successor would place the rest: %+v", r.worker.queued)
+	if len(r.worker.commands.queued) > 0 {
+		t.Errorf("a part of the gang is durable, and a successor would place the rest: %+v", r.worker.commands.queued)
 	}
 	if last := r.sent[len(r.sent)-1].Commands; len(last) == 0 || last[0].Verb != api.Kill {
 		t.Errorf("sent %+v", last)
