--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -4,76 +4,95 @@
 	"opaldale/internal/api"
 )
 
-// UsePackedLog has tasks kept in the log alone from now on. Jobs on record in the form of
-// before follow one by one, see Convert.
+// UsePackedLog keeps the tasks of new jobs in the log alone from now on. Jobs that are stored in
+// the first format follow by ConvertToLog.
 func (tb *Table) UsePackedLog() { tb.packedLog = true }
 
-// HeaderSize returns how long a job's header would be, and how long it may be.
+// HeaderSize returns the largest size of a job's header without tasks, and its limit, in bytes.
 func (tb *Table) HeaderSize(s *api.Spec) (size, limit int) {
-	return len(api.JSON(jobHeader{Spec: s, Seq: 1 << 62, SubmittedAtMS: 1 << 62, Logged: true})) + headerReserveBytes, tb.maxValueBytes
+	header := jobHeader{Spec: s, Seq: 1 << 62, SubmittedAtMS: 1 << 62, Logged: true}
+	return len(api.JSON(header)) + headerReserveBytes, tb.maxValueBytes
 }
 
-// ConvertToLog moves jobs to the form in which the log alone has their tasks, for up to n
-// lines and headers, but one at the least, and says whether more are left. Nothing
-// needs it at once: it is for the time between an upgrade and the next change of a job's
-// header.
+// ConvertToLog moves the tasks of jobs to the log alone. The budget is a number of writes: one for
+// each line of the log and each header. The job that exhausts it is still converted. It
+// returns whether jobs are left. Nothing depends on when a job is converted: the next change of
+// its header does so as well.
 func (tb *Table) ConvertToLog(budget int) (more bool) {
 	if !tb.packedLog {
 		return false
 	}
 	for _, j := range tb.Sorted() {
-		if j.storage != inDocuments || !j.SubmissionDurable || j.archived || !tb.headerFits(j) {
+		if !tb.isConvertible(j) {
 			continue
 		}
 		if budget <= 0 {
 			return true
 		}
-		budget -= 1 + tb.convertJob(j, nil)
+		lines := tb.convertJob(j, nil)
+		budget -= lines + 1 // the header
 	}
 	return false
 }
 
-// headerFits says whether a job's header without tasks is short enough to be put again. One
-// taken in under other limits stays as it is until the job is over or cancelled.
+// isConvertible says whether a job is stored in the first format, and may be converted now.
+func (tb *Table) isConvertible(j *Job) bool {
+	return j.storage.format == inDocuments && j.SubmissionDurable && !j.storage.archived && tb.headerFits(j)
+}
+
+// headerFits says whether a job's header without tasks is small enough to be put. A job that was
+// accepted under another limit stays as it is until it is over.
 func (tb *Table) headerFits(j *Job) bool {
 	size, limit := tb.HeaderSize(j.trimmedSpec())
 	return size <= limit
 }
 
-// convertJob writes what is known of a job's tasks to the log, and once that is durable
-// the header without them; then is called when that is. It returns how many lines that
-// takes.
-func (tb *Table) convertJob(j *Job, onDurable func()) int {
+// convertJob writes what is known of a job's tasks to the log and, once that is durable, the header
+// without them. The function, which may be nil, is called when that is durable. It returns the
+// number of lines that are written.
+func (tb *Table) convertJob(j *Job, onDurable func()) (lines int) {
 	if onDurable != nil {
-		j.onConverted = append(j.onConverted, onDurable)
+		j.callbacks.converted = append(j.callbacks.converted, onDurable)
 	}
-	if j.storage == converting {
+	if j.storage.format == converting {
 		return 0
 	}
-	j.storage = converting
-	remaining, lines := 1, 0
-	finishOne := func() {
-		if remaining--; remaining > 0 || j.archived {
-			return
-		}
-		j.storage = inLog
-		tb.commits.MarkDirty(j.headerDoc, func() {
-			for _, f := range j.onConverted {
-				f()
+	j.storage.format = converting
+	tasks := j.tasksWithoutLine()
+	if len(tasks) == 0 {
+		tb.finishConversion(j)
+		return 0
+	}
+	remaining := len(tasks)
+	for _, t := range tasks {
+		tb.commits.Append(t, func() {
+			if remaining--; remaining == 0 {
+				tb.finishConversion(j)
 			}
-			j.onConverted = nil
 		})
-		for _, doc := range j.segmentDocs {
-			tb.commits.MarkDirtyLazily(doc, nil) // means nothing any more
-		}
 	}
+	return len(tasks)
+}
+
+// tasksWithoutLine returns the tasks that were placed and have no line in the log.
+func (j *Job) tasksWithoutLine() []*Task {
+	var tasks []*Task
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.Attempt > 0 && !t.logPin.Held() {
-			remaining++
-			lines++
-			tb.commits.Append(t, finishOne)
+			tasks = append(tasks, t)
 		}
 	}
-	finishOne()
-	return lines
+	return tasks
+}
+
+// finishConversion writes the header of a job whose tasks are all in the log.
+func (tb *Table) finishConversion(j *Job) {
+	if j.storage.archived {
+		return
+	}
+	j.storage.format = inLog
+	tb.commits.MarkDirty(j.storage.header, func() { callAll(&j.callbacks.converted) })
+	for _, doc := range j.storage.segments {
+		tb.commits.MarkDirtyLazily(doc, nil) // means nothing any more
+	}
 }
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -70,10 +70,10 @@
 	tb.MarkGone(&service.Tasks[2], nil)
 	c.Flush()
 	k.run()
-	for _, d := range large.segmentDocs {
+	for _, d := range large.storage.segments {
 		c.MarkDirty(d, nil)
 	}
-	c.MarkDirty(service.headerDoc, nil)
+	c.MarkDirty(service.storage.header, nil)
 	c.Flush()
 	k.run()
 	tb.MarkGone(&large.Tasks[148], nil)
@@ -190,7 +190,7 @@
 
 func allConverted(tb *Table) bool {
 	for _, j := range tb.Jobs {
-		if j.storage != inLog {
+		if j.storage.format != inLog {
 			return false
 		}
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -85,8 +85,8 @@
 		tb.Complete(&done.Tasks[i], nil)
 	}
 	settle()
-	c.MarkDirty(open.headerDoc, nil)
-	for _, d := range open.segmentDocs {
+	c.MarkDirty(open.storage.header, nil)
+	for _, d := range open.storage.segments {
 		c.MarkDirty(d, nil)
 	}
 	settle()
--- /dev/null
+++ b/internal/jobs/health.go
@@ -0,0 +1,38 @@
+package jobs
+
+import (
+	"time"
+)
+
+// provenHealthyAfter is for how long a task must run to prove that its job can run. Most jobs that
+// are submitted with a mistake fail within seconds.
+const provenHealthyAfter = 10 * time.Second
+
+// NoteFailure notes that a task of a job has failed, and that it is not known whether the job or
+// the machine is at fault.
+func (tb *Table) NoteFailure(j *Job) { tb.unexplainedFailures[j] = true }
+
+// ClearProvenHealthy clears the jobs among those with failed tasks that have proven to be able to
+// run: the failures were not their fault.
+func (tb *Table) ClearProvenHealthy() {
+	for j := range tb.unexplainedFailures {
+		switch {
+		case j.Phase != Open:
+			delete(tb.unexplainedFailures, j)
+		case tb.hasLongRunningTask(j):
+			j.provenHealthy, j.Suspect, j.Backoff = true, false, 0
+			delete(tb.unexplainedFailures, j)
+		}
+	}
+}
+
+// hasLongRunningTask says whether a task of the job has run for long enough to prove that it can.
+func (tb *Table) hasLongRunningTask(j *Job) bool {
+	for i := range j.Tasks {
+		t := &j.Tasks[i]
+		if t.State == Assigned && t.SeenRunning() && tb.now().Sub(t.RunningSince) > provenHealthyAfter {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -2,227 +2,172 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
-	"sort"
 	"strconv"
 	"strings"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/commit"
 	"opaldale/internal/ident"
-	"opaldale/internal/kvstore"
 )
 
-// Load takes in what an earlier term left. Pairs come in the order of keys, so a
-// header comes before its segments.
+// Load takes over a key that an earlier term left. Keys come in their order, so that a header
+// comes before its segments.
 func (tb *Table) Load(path string, value json.RawMessage, revision ident.Revision) error {
-	id, segment, isSegment := strings.Cut(strings.TrimPrefix(path, LivePrefix), "/")
-	if isSegment {
-		return tb.loadSegment(path, ident.JobID(id), segment, value, revision)
+	id, number, isSegment := strings.Cut(strings.TrimPrefix(path, LivePrefix), "/")
+	if !isSegment {
+		return tb.loadHeader(path, value, revision)
 	}
-	return tb.loadHeader(path, value, revision)
+	j := tb.Jobs[ident.JobID(id)]
+	if j == nil || j.storage.format == inLog {
+		tb.deleteStraySegment(path, revision)
+		return nil
+	}
+	return tb.loadSegment(j, storedSegment{path, number, value, revision})
 }
 
-// loadHeader takes in a job.
+// loadHeader takes over a job.
 func (tb *Table) loadHeader(path string, value json.RawMessage, revision ident.Revision) error {
-	var hdr jobHeader
-	if err := json.Unmarshal(value, &hdr); err != nil {
+	var header jobHeader
+	if err := json.Unmarshal(value, &header); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if hdr.Spec == nil || LiveKey(hdr.Spec.ID) != path {
+	if header.Spec == nil || LiveKey(header.Spec.ID) != path {
 		return fmt.Errorf("%s: not a job", path)
 	}
-	age := time.Duration(max(0, tb.wallClock()-hdr.SubmittedAtMS)) * time.Millisecond
-	j := &Job{Spec: hdr.Spec, Seq: hdr.Seq, SubmittedAtMS: hdr.SubmittedAtMS, SubmittedAt: tb.now().Add(-age), Phase: hdr.Phase, DurablePhase: hdr.Phase, SubmissionDurable: true}
-	if j.Phase != Open {
-		j.ClosedAt = tb.now().Add(-time.Hour) // nobody knows, long enough
+	if header.Logged && !tb.packedLog {
+		return fmt.Errorf("%s: of a later format", path)
 	}
+	j := tb.newLoadedJob(header)
 	tb.initStorage(j)
-	j.storage = inDocuments
-	if hdr.Logged {
-		if !tb.packedLog {
-			return fmt.Errorf("%s: of a later format", path)
-		}
-		j.storage = inLog
-	} else if len(hdr.Tasks) == 0 && len(j.Tasks) > 0 {
-		tb.makeSegments(j, tb.tasksPerSegment)
-	} else {
-		j.segmentDocs = nil
-	}
-	j.headerDoc.Revision, j.headerDoc.LSN = revision, hdr.LSN
-	tb.commits.ObserveLSN(hdr.LSN)
-	tb.Jobs[hdr.Spec.ID] = j
-	tb.Seq = max(tb.Seq, hdr.Seq)
-	return tb.restoreTasks(j, 0, hdr.Tasks)
+	j.storage.header.Revision, j.storage.header.LSN = revision, header.LSN
+	tb.initLoadedFormat(j, header)
+	tb.commits.ObserveLSN(header.LSN)
+	tb.Jobs[header.Spec.ID] = j
+	tb.Seq = max(tb.Seq, header.Seq)
+	return restoreTasks(j, 0, header.Tasks)
 }
 
-// loadSegment takes in a part of a job's tasks, of the first format.
-func (tb *Table) loadSegment(path string, id ident.JobID, number string, value json.RawMessage, revision ident.Revision) error {
-	j := tb.Jobs[id]
-	if j == nil || j.storage == inLog {
-		doc := &commit.Document{Key: path, Revision: revision, Render: func() json.RawMessage { return nil }}
-		tb.commits.MarkDirty(doc, nil)
-		return nil
-	}
-	var seg taskSegment
-	if err := json.Unmarshal(value, &seg); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	segmentIndex, err := strconv.Atoi(number)
-	if err != nil || segmentIndex < 0 {
-		return fmt.Errorf("%s: no such segment", path)
-	}
-	switch per := inferTasksPerSegment(segmentIndex, len(seg.Tasks), len(j.Tasks), j.tasksPerSegment); {
-	case per == 0:
-		return fmt.Errorf("%s: %d tasks of %d", path, len(seg.Tasks), len(j.Tasks))
-	case per != j.tasksPerSegment:
-		// Divided under another limit: the segment says how.
-		for _, doc := range j.segmentDocs {
-			if doc.Revision != 0 {
-				return fmt.Errorf("%s: its segments are divided in two ways", path)
-			}
-		}
-		tb.makeSegments(j, per)
+// closedBefore is how long ago a job counts as closed that an earlier term has closed: longer than
+// anything waits for after that.
+const closedBefore = time.Hour
+
+func (tb *Table) newLoadedJob(header jobHeader) *Job {
+	age := time.Duration(max(0, tb.wallClock()-header.SubmittedAtMS)) * time.Millisecond
+	j := &Job{
+		Spec:              header.Spec,
+		Seq:               header.Seq,
+		SubmittedAtMS:     header.SubmittedAtMS,
+		SubmittedAt:       tb.now().Add(-age),
+		SubmissionDurable: true,
+		Phase:             header.Phase,
+		DurablePhase:      header.Phase,
 	}
-	if segmentIndex >= len(j.segmentDocs) {
-		return fmt.Errorf("%s: no such segment", path)
+	if j.Phase != Open {
+		j.ClosedAt = tb.now().Add(-closedBefore)
 	}
-	j.segmentDocs[segmentIndex].Revision, j.segmentDocs[segmentIndex].LSN = revision, seg.LSN
-	tb.commits.ObserveLSN(seg.LSN)
-	return tb.restoreTasks(j, segmentIndex*j.tasksPerSegment, seg.Tasks)
+	return j
 }
 
-// inferTasksPerSegment works out how many tasks each segment has from the n-th, which has so
-// many of all, if it isn't as many as thought.
-func inferTasksPerSegment(index, count, total, expected int) int {
-	consistent := func(per int) bool { return per > 0 && index*per < total && count == min(per, total-index*per) }
+// initLoadedFormat sets where a loaded job's tasks are stored.
+func (tb *Table) initLoadedFormat(j *Job, header jobHeader) {
 	switch {
-	case consistent(expected), count == 0:
-		return expected
-	case index > 0 && consistent((total-count)/index): // the last one, which is shorter
-		return (total - count) / index
-	case consistent(count):
-		return count
+	case header.Logged:
+		j.storage.format = inLog
+	case len(header.Tasks) == 0 && len(j.Tasks) > 0:
+		j.storage.format = inDocuments
+		tb.makeSegments(j, tb.tasksPerSegment)
+	default:
+		j.storage.format = inDocuments
+		j.storage.segments = nil
 	}
-	return 0
 }
 
-func (tb *Table) restoreTasks(j *Job, first int, records []taskRecord) error {
-	if first+len(records) > len(j.Tasks) {
-		return fmt.Errorf("%s: more tasks than pieces", j.Spec.ID)
-	}
-	for i, rec := range records {
-		j.Tasks[first+i].restore(rec)
-	}
-	return nil
+// storedSegment is the key of a segment as it was read.
+type storedSegment struct {
+	path     string
+	number   string // the part of the path that says which segment it is
+	value    json.RawMessage
+	revision ident.Revision
 }
 
-// restore sets a task to what was durable of it.
-func (t *Task) restore(rec taskRecord) {
-	j := t.Job
-	if t.State == Completed {
-		j.CompletedTasks--
-	}
-	if t.State.Allocated() {
-		j.AllocatedTasks--
-	}
-	t.Attempt, t.State, t.MachineID, t.Incarnation = rec.Attempt, Waiting, "", 0
-	switch {
-	case rec.Done:
-		t.State = Completed
-		j.CompletedTasks++
-	case rec.MachineID != "":
-		t.MachineID, t.Incarnation, t.State = rec.MachineID, rec.Incarnation, Assigned
-		j.AllocatedTasks++
-	}
+// deleteStraySegment deletes a segment whose job is archived, or has its tasks in the log.
+func (tb *Table) deleteStraySegment(path string, revision ident.Revision) {
+	doc := &commit.Document{Key: path, Revision: revision, Render: func() json.RawMessage { return nil }}
+	tb.commits.MarkDirty(doc, nil)
 }
 
-// LoadLog takes in the records of the log, after all jobs.
-func (tb *Table) LoadLog(pairs []kvstore.KeyValue) error {
-	type rec struct {
-		LSN   uint64    `json:"n"`
-		Lines []logLine `json:"l"`
-		Text  string    `json:"t"`
-	}
-	records := make([]rec, len(pairs))
-	order := make([]int, len(pairs))
-	for i, p := range pairs {
-		order[i] = i
-		if err := json.Unmarshal(p.Value, &records[i]); err != nil {
-			return fmt.Errorf("%s: %w", p.Key, err)
-		}
+// loadSegment takes over some of a job's tasks, in the first format.
+func (tb *Table) loadSegment(j *Job, stored storedSegment) error {
+	var segment taskSegment
+	if err := json.Unmarshal(stored.value, &segment); err != nil {
+		return fmt.Errorf("%s: %w", stored.path, err)
+	}
+	index, err := strconv.Atoi(stored.number)
+	if err != nil || index < 0 {
+		return fmt.Errorf("%s: no such segment", stored.path)
+	}
+	if err := tb.adjustSegments(j, index, len(segment.Tasks)); err != nil {
+		return fmt.Errorf("%s: %w", stored.path, err)
+	}
+	if index >= len(j.storage.segments) {
+		return fmt.Errorf("%s: no such segment", stored.path)
+	}
+	doc := j.storage.segments[index]
+	doc.Revision, doc.LSN = stored.revision, segment.LSN
+	tb.commits.ObserveLSN(segment.LSN)
+	return restoreTasks(j, index*j.storage.tasksPerSegment, segment.Tasks)
+}
+
+// adjustSegments divides a job's tasks into segments as a stored segment shows, which may have
+// been written under another limit on the size of values.
+func (tb *Table) adjustSegments(j *Job, index, count int) error {
+	division := segmentDivision{total: len(j.Tasks), expected: j.storage.tasksPerSegment}
+	tasksPerSegment, ok := division.infer(index, count)
+	if !ok {
+		return fmt.Errorf("%d tasks of %d", count, len(j.Tasks))
+	}
+	if tasksPerSegment == j.storage.tasksPerSegment {
+		return nil
 	}
-	// Slots are used again in any order.
-	sort.Slice(order, func(i, k int) bool { return records[order[i]].LSN < records[order[k]].LSN })
-	for _, i := range order {
-		r := records[i]
-		var homeDocs []*commit.Document
-		var entries []commit.Entry
-		apply := func(id ident.JobID, index int, rec taskRecord) {
-			j := tb.Jobs[id]
-			if j == nil || index >= len(j.Tasks) {
-				return // over since
-			}
-			t := &j.Tasks[index]
-			// Numbers of records were once given out twice, see Committer.LSN: what was
-			// written after its home has not been taken over by it.
-			if home := t.Document(); j.storage != inLog && home.LSN >= r.LSN {
-				if home.Revision >= pairs[i].Revision {
-					return
-				}
-				home.LSN = r.LSN - 1
-			}
-			t.restore(rec)
-			homeDocs = append(homeDocs, t.Document())
-			entries = append(entries, t)
-		}
-		for _, entry := range r.Lines {
-			apply(entry.Job, entry.Index, entry.taskRecord)
-		}
-		err := commit.ParseText(r.Text, func(group, text string) error {
-			index, rec, err := parseLogLine(text)
-			if err == nil {
-				apply(ident.JobID(group), index, rec)
-			}
-			return err
-		})
-		switch {
-		case err != nil:
-			return fmt.Errorf("%s: %w", pairs[i].Key, err)
-		case tb.packedLog:
-			tb.commits.RestoreText(pairs[i].Key, pairs[i].Revision, r.LSN, entries)
-		case r.Text != "":
-			return fmt.Errorf("%s: of a later format", pairs[i].Key)
-		default:
-			tb.commits.RestoreJSON(pairs[i].Key, pairs[i].Revision, r.LSN, homeDocs)
+	for _, doc := range j.storage.segments {
+		if doc.Revision != 0 {
+			return errors.New("its segments are divided in two ways")
 		}
 	}
+	tb.makeSegments(j, tasksPerSegment)
 	return nil
 }
 
-// ParseLiveView is the view of a job as a live key has it: for nodes that don't lead.
-func ParseLiveView(value json.RawMessage) (api.JobView, error) {
-	var hdr jobHeader
-	if err := json.Unmarshal(value, &hdr); err != nil {
-		return api.JobView{}, err
-	}
-	if hdr.Spec == nil {
-		return api.JobView{}, fmt.Errorf("not a job")
-	}
-	view := api.JobView{ID: hdr.Spec.ID, Status: api.StatusQueued}
-	for _, t := range hdr.Tasks {
-		if t.Done {
-			view.Done++
-		} else if t.MachineID != "" {
-			view.Running++
-		}
-	}
+// segmentDivision is the division of tasks into segments of which all but the last have as many.
+type segmentDivision struct {
+	total    int // number of tasks
+	expected int // tasks per segment, unless a segment shows otherwise
+}
+
+// infer returns the number of tasks per segment that the number of tasks in one segment shows. It
+// returns false if no division has such a segment.
+func (d segmentDivision) infer(index, count int) (tasksPerSegment int, ok bool) {
+	consistent := func(n int) bool { return n > 0 && index*n < d.total && count == min(n, d.total-index*n) }
 	switch {
-	case hdr.Phase != Open:
-		view.Status, view.Running = hdr.Phase.Status(), 0
-	case view.Running > 0:
-		view.Status = api.StatusRunning
+	case consistent(d.expected), count == 0:
+		return d.expected, d.expected != 0
+	case index > 0 && consistent((d.total-count)/index): // the last one, which is shorter
+		return (d.total - count) / index, true
+	case consistent(count):
+		return count, true
+	}
+	return 0, false
+}
+
+// restoreTasks restores the tasks from an index on.
+func restoreTasks(j *Job, first int, records []taskRecord) error {
+	if first+len(records) > len(j.Tasks) {
+		return fmt.Errorf("%s: more tasks than pieces", j.Spec.ID)
 	}
-	return view, nil
+	for i, record := range records {
+		j.Tasks[first+i].restore(record)
+	}
+	return nil
 }
--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -10,33 +10,40 @@
 	"opaldale/internal/ident"
 )
 
-// JSONLine is the task in the log of changes.
+// JSONLine returns the task's line in a record of the log, in the first format.
 func (t *Task) JSONLine() any { return logLine{t.Job.Spec.ID, t.Index, t.toRecord()} }
 
-// TextLine is the task in the log's own format: its index, its try, and if it counts on a
-// machine that one and its session, or a mark if it has completed.
+// The marks in a line of the packed format.
+const (
+	fieldSeparator = ","
+	completedMark  = "+"
+)
+
+// TextLine returns the task's line in a record of the log, in the packed format, and the group
+// that the line belongs to: the job's ID. The line has the task's index and attempt, followed
+// by its machine and incarnation if it is allocated, or by a mark if it has completed.
 func (t *Task) TextLine() (group, line string) {
-	rec := t.toRecord()
+	record := t.toRecord()
 	b := strconv.AppendInt(nil, int64(t.Index), 10)
-	b = append(b, ',')
-	b = strconv.AppendUint(b, uint64(rec.Attempt), 10)
+	b = append(b, fieldSeparator...)
+	b = strconv.AppendUint(b, uint64(record.Attempt), 10)
 	switch {
-	case rec.Done:
-		b = append(b, ",+"...)
-	case rec.MachineID != "":
-		b = append(b, ',')
-		b = append(b, url.QueryEscape(string(rec.MachineID))...)
-		b = append(b, ',')
-		b = strconv.AppendUint(b, uint64(rec.Incarnation), 10)
+	case record.Done:
+		b = append(b, fieldSeparator+completedMark...)
+	case record.MachineID != "":
+		b = append(b, fieldSeparator...)
+		b = append(b, url.QueryEscape(string(record.MachineID))...)
+		b = append(b, fieldSeparator...)
+		b = strconv.AppendUint(b, uint64(record.Incarnation), 10)
 	}
 	return string(t.Job.Spec.ID), string(b)
 }
 
-// parseLogLine reads what Text wrote.
-func parseLogLine(text string) (index int, rec taskRecord, err error) {
-	fields := strings.Split(text, ",")
+// parseLogLine parses what TextLine returns.
+func parseLogLine(text string) (index int, record taskRecord, err error) {
+	fields := strings.Split(text, fieldSeparator)
 	if len(fields) < 2 || len(fields) > 4 {
-		return 0, rec, fmt.Errorf("malformed line %q", text)
+		return 0, record, fmt.Errorf("malformed line %q", text)
 	}
 	index, err = strconv.Atoi(fields[0])
 	parseUint := func(s string) uint64 {
@@ -46,32 +53,33 @@
 		}
 		return n
 	}
-	rec.Attempt = ident.Attempt(parseUint(fields[1]))
+	record.Attempt = ident.Attempt(parseUint(fields[1]))
 	switch {
-	case len(fields) == 3 && fields[2] == "+":
-		rec.Done = true
+	case len(fields) == 3 && fields[2] == completedMark:
+		record.Done = true
 	case len(fields) == 3:
-		return 0, rec, fmt.Errorf("malformed line %q", text)
+		return 0, record, fmt.Errorf("malformed line %q", text)
 	case len(fields) == 4:
 		machineID, parseErr := url.QueryUnescape(fields[2])
 		if parseErr != nil || machineID == "" {
-			return 0, rec, fmt.Errorf("malformed line %q", text)
+			return 0, record, fmt.Errorf("malformed line %q", text)
 		}
-		rec.MachineID, rec.Incarnation = ident.MachineID(machineID), ident.Incarnation(parseUint(fields[3]))
+		record.MachineID, record.Incarnation = ident.MachineID(machineID), ident.Incarnation(parseUint(fields[3]))
 	}
 	if err != nil || index < 0 {
-		return 0, rec, fmt.Errorf("malformed line %q", text)
+		return 0, record, fmt.Errorf("malformed line %q", text)
 	}
-	return index, rec, nil
+	return index, record, nil
 }
 
-// Pin is the task's hold on the record of the log with its newest line.
+// Pin returns the task's hold on the record of the log that has its newest line.
 func (t *Task) Pin() *commit.Pin { return &t.logPin }
 
-// Document is the document that holds the task.
+// Document returns the document that has the task in the first format: the header or a segment.
 func (t *Task) Document() *commit.Document {
-	if len(t.Job.segmentDocs) == 0 {
-		return t.Job.headerDoc
+	storage := &t.Job.storage
+	if len(storage.segments) == 0 {
+		return storage.header
 	}
-	return t.Job.segmentDocs[t.Index/t.Job.tasksPerSegment]
+	return storage.segments[t.Index/storage.tasksPerSegment]
 }
--- a/internal/jobs/recent.go
+++ b/internal/jobs/recent.go
@@ -2,20 +2,19 @@
 
 import "opaldale/internal/ident"
 
-// RecentJobs remembers something of each of the newest jobs that were put there, for as long
-// as it has room.
+// RecentJobs holds a value for each of a bounded number of jobs: those that were added last.
 type RecentJobs[V any] struct {
 	capacity int
 	values   map[ident.JobID]V
 	order    []ident.JobID
 }
 
-// NewRecentJobs makes an empty one for so many jobs.
+// NewRecentJobs makes an empty collection for a number of jobs.
 func NewRecentJobs[V any](capacity int) *RecentJobs[V] {
 	return &RecentJobs[V]{capacity: capacity, values: map[ident.JobID]V{}}
 }
 
-// Put notes what is known of a job. One that is there keeps its place.
+// Put sets the value of a job. A job that is present keeps its place in the order.
 func (r *RecentJobs[V]) Put(id ident.JobID, v V) {
 	if _, ok := r.values[id]; !ok {
 		r.order = append(r.order, id)
@@ -27,7 +26,7 @@
 	r.values[id] = v
 }
 
-// Get returns what is known of a job.
+// Get returns the value of a job, and whether there is one.
 func (r *RecentJobs[V]) Get(id ident.JobID) (V, bool) {
 	v, ok := r.values[id]
 	return v, ok
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -6,45 +6,50 @@
 	"opaldale/internal/api"
 )
 
-// Resources is what a task takes of its machine.
+// Resources is what a task takes of a machine, or what a machine has.
 type Resources struct{ VCPUs, GPUs, MemoryGB float64 }
 
+// roundingTolerance is how much more than there is may be taken of each resource: sums of amounts
+// have rounding errors.
+const roundingTolerance = 1e-6
+
 // ResourcesOf returns what a task of a job takes.
 func ResourcesOf(s *api.Spec) Resources { return Resources{s.VCPUs, s.GPUs, s.MemoryGB} }
 
-// UnboundedResources is where Least begins: more than anything takes.
+// UnboundedResources returns more than any task takes, from which LowerTo finds a minimum.
 func UnboundedResources() Resources { return Resources{math.Inf(1), math.Inf(1), math.Inf(1)} }
 
-// LowerTo lowers each amount to what a task of the job needs.
-func (n *Resources) LowerTo(s *api.Spec) {
-	n.VCPUs, n.GPUs, n.MemoryGB = min(n.VCPUs, s.VCPUs), min(n.GPUs, s.GPUs), min(n.MemoryGB, s.MemoryGB)
+// LowerTo lowers each amount to what a task of the job takes, if that is less.
+func (r *Resources) LowerTo(s *api.Spec) {
+	r.VCPUs = min(r.VCPUs, s.VCPUs)
+	r.GPUs = min(r.GPUs, s.GPUs)
+	r.MemoryGB = min(r.MemoryGB, s.MemoryGB)
 }
 
-// TaskCapacity returns how many tasks of a job find room in as much.
-func (n Resources) TaskCapacity(s *api.Spec) int {
+// TaskCapacity returns how many tasks of a job have room in the amounts.
+func (r Resources) TaskCapacity(s *api.Spec) int {
 	capacity := math.MaxInt32
-	for _, amounts := range [][2]float64{{n.VCPUs, s.VCPUs}, {n.GPUs, s.GPUs}, {n.MemoryGB, s.MemoryGB}} {
-		if amounts[1] > 0 {
-			capacity = min(capacity, int((amounts[0]+roundingTolerance)/amounts[1]))
+	for _, amounts := range []struct{ free, needed float64 }{{r.VCPUs, s.VCPUs}, {r.GPUs, s.GPUs}, {r.MemoryGB, s.MemoryGB}} {
+		if amounts.needed > 0 {
+			capacity = min(capacity, int((amounts.free+roundingTolerance)/amounts.needed))
 		}
 	}
 	return capacity
 }
 
-// Sub returns the amounts less others.
-func (n Resources) Sub(o Resources) Resources {
-	return Resources{n.VCPUs - o.VCPUs, n.GPUs - o.GPUs, n.MemoryGB - o.MemoryGB}
+// Add returns the sum of amounts.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.VCPUs + o.VCPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
 }
 
-// Add returns the amounts and others together.
-func (n Resources) Add(o Resources) Resources {
-	return Resources{n.VCPUs + o.VCPUs, n.GPUs + o.GPUs, n.MemoryGB + o.MemoryGB}
+// Sub returns the difference of amounts.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.VCPUs - o.VCPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// Covers says whether something finds room in as much.
-func (n Resources) Covers(o Resources) bool {
-	return o.VCPUs <= n.VCPUs+roundingTolerance && o.GPUs <= n.GPUs+roundingTolerance && o.MemoryGB <= n.MemoryGB+roundingTolerance
+// Covers says whether other amounts have room in these.
+func (r Resources) Covers(o Resources) bool {
+	return o.VCPUs <= r.VCPUs+roundingTolerance &&
+		o.GPUs <= r.GPUs+roundingTolerance &&
+		o.MemoryGB <= r.MemoryGB+roundingTolerance
 }
-
-// roundingTolerance forgives rounding in sums of amounts.
-const roundingTolerance = 1e-6
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/api"
 )
 
-// Phase is a job's course as its user sees it.
+// Phase is the state of a job's life cycle as its user sees it.
 type Phase uint8
 
 // The phases of a job. Done and Cancelled are final.
@@ -18,6 +18,7 @@
 
 var phaseNames = [...]string{"open", "cancelled", "done"}
 
+// String returns the phase's name in the store.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Status is the status of a job that is over, which has the name of its phase.
@@ -37,32 +38,22 @@
 	return fmt.Errorf("unknown phase %q", b)
 }
 
-// State is where a task stands.
+// State is the state of a task.
 type State uint8
 
-// The states of a task. From Placing to Stopping it counts on its machine.
+// The states of a task. Completed is final.
 const (
-	Waiting   State = iota // to be placed
-	Placing                // a machine was chosen, not yet durable
-	Assigned               // durable: may be on its machine
-	Stopping               // told to stop, may be on its machine
-	Completed              // completed
+	Waiting  State = iota // to be placed
+	Placing               // a machine was chosen, and that is not durable yet
+	Assigned              // the placement is durable: it may run on its machine
+	Stopping              // to be stopped: it may still run on its machine
+	Completed
 )
 
+// String returns the state's name.
 func (s State) String() string {
 	return [...]string{"waiting", "placing", "assigned", "stopping", "finished"}[s]
 }
 
-// Allocated says whether a task in this state counts on its machine.
+// Allocated says whether a task in this state takes resources of its machine.
 func (s State) Allocated() bool { return s == Placing || s == Assigned || s == Stopping }
-
-// storageFormat says where a job's tasks are in the state service. All but the last are of the
-// first format, and go with it: so do segments, a header's tasks and LSN, Convert, and a
-// task's Line and Home.
-type storageFormat uint8
-
-const (
-	inDocuments storageFormat = iota // in its header or its segments, and in the log since
-	converting                       // on their way to the log alone
-	inLog                            // in the log alone
-)
--- /dev/null
+++ b/internal/jobs/storage.go
@@ -0,0 +1,115 @@
+package jobs
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"opaldale/internal/api"
+	"opaldale/internal/commit"
+	"opaldale/internal/ident"
+)
+
+// storageFormat says where a job's tasks are in the store. All formats but the last belong to the
+// first version of the stored data. When that is no longer read, segments, the tasks and the
+// LSN of a header, the conversion, and a task's JSONLine and Document can go with it.
+type storageFormat uint8
+
+const (
+	inDocuments storageFormat = iota // in the header or the segments, and in the log since those were put
+	converting                       // being moved to the log alone
+	inLog                            // in the log alone
+)
+
+// jobStorage is what of a job is where in the store.
+type jobStorage struct {
+	format          storageFormat
+	header          *commit.Document
+	segments        []*commit.Document // of the tasks of larger jobs; nil if they are not in segments
+	tasksPerSegment int
+	archived        bool // the job is archived, and its header and segments are deleted, as far as memory goes
+}
+
+// The keys of jobs.
+const (
+	LivePrefix    = "live/"
+	ArchivePrefix = "over/"
+)
+
+// LiveKey returns the key of the header of a job that is not archived.
+func LiveKey(id ident.JobID) string { return LivePrefix + string(id) }
+
+// ArchiveKey returns the key of a job that is over.
+func ArchiveKey(id ident.JobID) string { return ArchivePrefix + string(id) }
+
+func segmentKey(id ident.JobID, n int) string { return fmt.Sprintf("%s/%05d", LiveKey(id), n) }
+
+// initStorage makes the job's tasks and documents.
+func (tb *Table) initStorage(j *Job) {
+	now := tb.now()
+	j.Tasks = make([]Task, j.Spec.Tasks)
+	for i := range j.Tasks {
+		j.Tasks[i] = Task{Job: j, Index: i, StateSince: now}
+	}
+	j.storage.header = &commit.Document{Key: LiveKey(j.Spec.ID)}
+	j.storage.header.Render = func() json.RawMessage { return tb.renderHeader(j) }
+	if tb.packedLog {
+		j.storage.format = inLog
+		return
+	}
+	if len(j.Tasks) > tb.maxInlineTasks {
+		tb.makeSegments(j, tb.tasksPerSegment)
+	}
+}
+
+// renderHeader returns the value of the job's header, nil once the job is archived.
+func (tb *Table) renderHeader(j *Job) json.RawMessage {
+	if j.storage.archived {
+		return nil
+	}
+	header := jobHeader{Spec: j.Spec, Seq: j.Seq, SubmittedAtMS: j.SubmittedAtMS, Phase: j.Phase}
+	if j.storage.format == inLog {
+		header.Spec, header.Logged = j.trimmedSpec(), true
+		return api.JSON(header)
+	}
+	header.LSN = tb.commits.LSN()
+	if len(j.storage.segments) == 0 {
+		header.Tasks = toRecords(j.Tasks)
+	}
+	return api.JSON(header)
+}
+
+// makeSegments makes the documents of a job whose tasks are in segments.
+func (tb *Table) makeSegments(j *Job, tasksPerSegment int) {
+	j.storage.tasksPerSegment, j.storage.segments = tasksPerSegment, nil
+	for first := 0; first < len(j.Tasks); first += tasksPerSegment {
+		tasks := j.Tasks[first:min(first+tasksPerSegment, len(j.Tasks))]
+		doc := &commit.Document{Key: segmentKey(j.Spec.ID, first/tasksPerSegment)}
+		doc.Render = func() json.RawMessage { return tb.renderSegment(j, tasks) }
+		j.storage.segments = append(j.storage.segments, doc)
+	}
+}
+
+// renderSegment returns the value of a segment, nil once it means nothing any more.
+func (tb *Table) renderSegment(j *Job, tasks []Task) json.RawMessage {
+	if j.storage.archived || j.storage.format == inLog {
+		return nil
+	}
+	return api.JSON(taskSegment{LSN: tb.commits.LSN(), Tasks: toRecords(tasks)})
+}
+
+// trimmedSpec returns the specification, of a job that is cancelled without the fields that
+// matter only for placing it.
+func (j *Job) trimmedSpec() *api.Spec {
+	if j.Phase == Open {
+		return j.Spec
+	}
+	s := *j.Spec
+	s.Models, s.Zone, s.Class, s.Image = nil, nil, "", ""
+	return &s
+}
+
+// markPhaseDurable notes that the job's phase is durable.
+func (j *Job) markPhaseDurable() {
+	j.DurablePhase = j.Phase
+	callAll(&j.callbacks.phaseDurable)
+}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -1,5 +1,9 @@
-// Package jobs owns the jobs and their tasks: what users asked for, what is
-// durable of it, and every change of a task's state.
+// Package jobs keeps the state of jobs and their tasks: what users have submitted, what of it is
+// durable in the store, and all changes of the states of tasks.
+//
+// A change is made in memory first and written by the committer; what others may rely on is told
+// only once it is durable. A task is launched only when its placement is durable, so that a
+// new leader knows every task that may be on a machine.
 package jobs
 
 import (
@@ -11,89 +15,99 @@
 	"opaldale/internal/ident"
 )
 
-// Table holds all jobs that are not over. It lives for one term.
+// Table holds all jobs that are not archived. It lives for one term.
 type Table struct {
 	Jobs map[ident.JobID]*Job
 	Seq  uint64 // of the newest job
 
-	unexplainedFailures map[*Job]bool // of which tasks failed, and nobody knows yet why
-
-	// Waiting holds the jobs with tasks to be placed, and Teams the open jobs of
-	// each team: what decides about placing must not walk over everything else.
+	// Indexes of the jobs whose submission is durable, for the planner, which must not walk over
+	// all jobs: those with waiting tasks, and the open jobs of each team.
 	Waiting map[*Job]struct{}
 	Teams   map[string]*Team
 
-	// Ended remembers jobs that went over in this term, for as long as it has
-	// room; the state service has them all.
-	archive *RecentJobs[ArchivedJob]
+	unexplainedFailures map[*Job]bool            // jobs of which tasks failed for an unknown reason
+	archive             *RecentJobs[ArchivedJob] // jobs that are over; the store has all of them
 
 	commits         *commit.Committer
 	now             func() ident.MonotonicTime
-	wallClock       func() int64 // time of day in milliseconds
+	wallClock       func() int64 // in milliseconds
 	tasksPerSegment int
-	maxInlineTasks  int
-	maxValueBytes   int  // bytes of a value, at any time
+	maxInlineTasks  int  // in a header; those of larger jobs are in segments
+	maxValueBytes   int  // the lowest limit on the size of values, at any time
 	packedLog       bool // the tasks of new jobs are in the log alone
 
 	// OnWaiting is called when a task begins to wait for a machine.
 	OnWaiting func(*Task)
-	// OnStateChange is called before every change of a task's state, so that machines
-	// and teams are kept in step.
+	// OnStateChange is called before each change of a task's state, for what machines and teams
+	// keep of their tasks.
 	OnStateChange func(t *Task, from, to State)
-	// OnArchived is called once the end of a job is durable, and it needs no machine any more.
+	// OnArchived is called when a job is durably archived.
 	OnArchived func(ident.JobID)
 }
 
-// Team is what a team has open.
+// Team is the open jobs of a team.
 type Team struct {
-	OpenJobs         []*Job // in the order of arrival
-	ChangedSincePlan bool   // since the planner looked at it
+	OpenJobs         []*Job // in the order of submission
+	ChangedSincePlan bool   // OpenJobs has changed since the planner has reset this
 }
 
-// maxArchived bounds the memory kept for jobs that are over.
+// maxArchived bounds the number of archived jobs that are kept in memory.
 const maxArchived = 20_000
 
-// NewTable makes an empty table.
+// NewTable makes an empty table. Values in the store have up to valueBytes bytes; now is the
+// monotonic clock and wallClock the time of day in milliseconds.
 func NewTable(commits *commit.Committer, valueBytes int, now func() ident.MonotonicTime, wallClock func() int64) *Table {
-	return &Table{Jobs: map[ident.JobID]*Job{}, Waiting: map[*Job]struct{}{}, Teams: map[string]*Team{}, unexplainedFailures: map[*Job]bool{},
-		archive: NewRecentJobs[ArchivedJob](maxArchived), commits: commits, now: now, wallClock: wallClock,
-		maxValueBytes: valueBytes, tasksPerSegment: max(1, (valueBytes-64)/maxRecordBytes), maxInlineTasks: max(0, (valueBytes-HeaderSpecBytes)/maxRecordBytes),
-		OnStateChange: func(*Task, State, State) {}, OnWaiting: func(*Task) {}, OnArchived: func(ident.JobID) {}}
+	return &Table{
+		Jobs:                map[ident.JobID]*Job{},
+		Waiting:             map[*Job]struct{}{},
+		Teams:               map[string]*Team{},
+		unexplainedFailures: map[*Job]bool{},
+		archive:             NewRecentJobs[ArchivedJob](maxArchived),
+		commits:             commits,
+		now:                 now,
+		wallClock:           wallClock,
+		tasksPerSegment:     max(1, (valueBytes-segmentReserveBytes)/maxRecordBytes),
+		maxInlineTasks:      max(0, (valueBytes-HeaderSpecBytes)/maxRecordBytes),
+		maxValueBytes:       valueBytes,
+		OnWaiting:           func(*Task) {},
+		OnStateChange:       func(*Task, State, State) {},
+		OnArchived:          func(ident.JobID) {},
+	}
 }
 
-// LimitValueBytes tells how long values may be at the most, at any later time.
+// LimitValueBytes lowers the limit on the size of values, in bytes, to one that is announced.
 func (tb *Table) LimitValueBytes(valueBytes int) {
 	tb.maxValueBytes = min(tb.maxValueBytes, valueBytes)
 }
 
-// Add takes in a new job; then is called once it is durable, taken if a job of
-// that name turns out to be over already.
+// Add adds a submitted job. One of the functions is called: onDurable once the job is durable, or
+// onDuplicate if a job of that ID turns out to be archived.
 func (tb *Table) Add(s *api.Spec, onDurable, onDuplicate func()) *Job {
 	tb.Seq++
 	j := &Job{Spec: s, Seq: tb.Seq, SubmittedAtMS: tb.wallClock(), SubmittedAt: tb.now()}
 	tb.initStorage(j)
-	j.headerDoc.MustNotExist = []string{ArchiveKey(s.ID)}
-	j.headerDoc.OnExists = func() {
+	header := j.storage.header
+	header.MustNotExist = []string{ArchiveKey(s.ID)}
+	header.OnExists = func() {
 		delete(tb.Jobs, s.ID)
 		onDuplicate()
 	}
-	j.onSubmitted = append(j.onSubmitted, onDurable)
+	j.callbacks.submitted = append(j.callbacks.submitted, onDurable)
 	tb.Jobs[s.ID] = j
-	tb.commits.MarkDirty(j.headerDoc, func() {
-		j.SubmissionDurable = true
-		tb.addToIndexes(j)
-		for _, f := range j.onSubmitted {
-			f()
-		}
-		j.onSubmitted = nil
-		for i := range j.Tasks {
-			tb.OnWaiting(&j.Tasks[i])
-		}
-	})
+	tb.commits.MarkDirty(header, func() { tb.markSubmissionDurable(j) })
 	return j
 }
 
-// addToIndexes takes a job into the indexes.
+func (tb *Table) markSubmissionDurable(j *Job) {
+	j.SubmissionDurable = true
+	tb.addToIndexes(j)
+	callAll(&j.callbacks.submitted)
+	for i := range j.Tasks {
+		tb.OnWaiting(&j.Tasks[i])
+	}
+}
+
+// addToIndexes adds a job to the indexes of the planner.
 func (tb *Table) addToIndexes(j *Job) {
 	if j.Phase != Open {
 		return
@@ -112,7 +126,7 @@
 	tb.updateWaiting(j)
 }
 
-// closeJob is the one place where a job leaves its open phase.
+// closeJob is the only function by which a job leaves phase Open.
 func (tb *Table) closeJob(j *Job, phase Phase) {
 	j.Phase, j.ClosedAt = phase, tb.now()
 	if team := tb.Teams[j.Spec.Team]; team != nil {
@@ -124,7 +138,7 @@
 	tb.updateWaiting(j)
 }
 
-// updateWaiting keeps Waiting in step with a job.
+// updateWaiting adds a job to the index of those with waiting tasks, or removes it.
 func (tb *Table) updateWaiting(j *Job) {
 	if j.SubmissionDurable && j.WaitingCount() > 0 {
 		tb.Waiting[j] = struct{}{}
@@ -133,17 +147,13 @@
 	}
 }
 
-// persistTask makes a task's state durable. A put for each change of a task, or of its
-// job, would take all puts there are while a large fleet starts.
-func (tb *Table) persistTask(t *Task, onDurable func()) { tb.commits.Append(t, onDurable) }
-
-// LookupArchived returns a job that is known to be over.
+// LookupArchived returns a job that is known to be archived.
 func (tb *Table) LookupArchived(id ident.JobID) (ArchivedJob, bool) { return tb.archive.Get(id) }
 
-// RememberArchived notes a job that was read to be over.
+// RememberArchived notes the record of an archived job.
 func (tb *Table) RememberArchived(id ident.JobID, archived ArchivedJob) { tb.archive.Put(id, archived) }
 
-// Sorted returns the jobs in the order of arrival.
+// Sorted returns the jobs in the order of submission.
 func (tb *Table) Sorted() []*Job {
 	out := make([]*Job, 0, len(tb.Jobs))
 	for _, j := range tb.Jobs {
@@ -153,11 +163,12 @@
 	return out
 }
 
-// FinishLoading is called after the last Load: jobs that need nothing more go over.
+// FinishLoading is called once all keys are loaded. It indexes the jobs, and archives those that
+// an earlier term could not.
 func (tb *Table) FinishLoading() {
 	for _, j := range tb.Sorted() {
 		tb.addToIndexes(j)
-		if j.Phase == Open && j.Spec.Shape != api.Service && j.CompletedTasks == len(j.Tasks) {
+		if j.Phase == Open && j.allCompleted() {
 			tb.closeJob(j, Done)
 		}
 		tb.archiveIfDone(j)
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -136,27 +136,27 @@
 	}
 }
 
-// TestInferTasksPerSegment: any one segment of a job tells how many tasks each
-// of them has, also when the limit that it was divided by is not ours. A short last
-// segment was once taken for a full one of a finer division, and no node could lead.
+// TestInferTasksPerSegment: any one segment of a job shows how many tasks each of them has, also
+// when the job was divided under another limit. A short last segment must not be taken for a
+// full one of a finer division.
 func TestInferTasksPerSegment(t *testing.T) {
-	for _, all := range []int{2, 7, 100, 149, 150, 200, 296, 5000} {
+	for _, total := range []int{2, 7, 100, 149, 150, 200, 296, 5000} {
 		for _, per := range []int{18, 148} {
-			for n := 0; n*per < all; n++ {
-				has := min(per, all-n*per)
-				if got := inferTasksPerSegment(n, has, all, per); got != per {
-					t.Errorf("%d tasks by %d: segment %d with %d is read as of %d", all, per, n, has, got)
+			for index := 0; index*per < total; index++ {
+				count := min(per, total-index*per)
+				if got, ok := (segmentDivision{total, per}).infer(index, count); !ok || got != per {
+					t.Errorf("%d tasks by %d: segment %d with %d is read as of %d, %v", total, per, index, count, got, ok)
 				}
 			}
 		}
 	}
-	for _, x := range [][4]int{{0, 18, 200, 18}, {3, 18, 200, 18}, {11, 2, 200, 18}} {
-		if got := inferTasksPerSegment(x[0], x[1], x[2], 148); got != x[3] {
-			t.Errorf("%v is read as of %d", x, got)
+	for _, c := range []struct{ index, count, total, want int }{{0, 18, 200, 18}, {3, 18, 200, 18}, {11, 2, 200, 18}} {
+		if got, ok := (segmentDivision{c.total, 148}).infer(c.index, c.count); !ok || got != c.want {
+			t.Errorf("%+v is read as of %d, %v", c, got, ok)
 		}
 	}
-	if got := inferTasksPerSegment(1, 30, 40, 148); got != 0 {
-		t.Errorf("what can't be is read as of %d", got)
+	if got, ok := (segmentDivision{40, 148}).infer(1, 30); ok || got != 0 {
+		t.Errorf("an impossible segment is read as of %d, %v", got, ok)
 	}
 }
 
--- /dev/null
+++ b/internal/jobs/view.go
@@ -0,0 +1,90 @@
+package jobs
+
+import (
+	"encoding/json"
+	"errors"
+
+	"opaldale/internal/api"
+	"opaldale/internal/ident"
+)
+
+// View returns what a user is told about the job: its end only once that is durable.
+func (j *Job) View() api.JobView {
+	v := api.JobView{ID: j.Spec.ID, Status: api.StatusQueued, Done: j.CompletedTasks, Running: j.RunningTasks}
+	switch {
+	case j.DurablePhase == Done:
+		v.Status, v.Done, v.Running = api.StatusDone, len(j.Tasks), 0
+	case j.DurablePhase == Cancelled:
+		v.Status, v.Running = api.StatusCancelled, 0
+	case j.RunningTasks > 0:
+		v.Status = api.StatusRunning
+	}
+	return v
+}
+
+// ViewSettled says whether every node that reads the job from the store gives the same view.
+func (j *Job) ViewSettled() bool {
+	return j.SubmissionDurable && (j.Phase == j.DurablePhase || !j.storage.header.OutcomeUnknown())
+}
+
+// WhenViewSettled calls a function once the view is settled: at once, except while the submission
+// or the end of the job is being written. Another node may then read what is not yet known to
+// be durable here, and a user must never be told an earlier state after a later one.
+func (j *Job) WhenViewSettled(f func()) {
+	switch {
+	case !j.SubmissionDurable:
+		j.callbacks.submitted = append(j.callbacks.submitted, func() { j.WhenViewSettled(f) })
+	case !j.ViewSettled():
+		j.callbacks.phaseDurable = append(j.callbacks.phaseDurable, f)
+	default:
+		f()
+	}
+}
+
+// ArchivedJob is the durable record of a job that is over.
+type ArchivedJob struct {
+	Phase          Phase `json:"phase"`
+	Tasks          int   `json:"pieces"`
+	CompletedTasks int   `json:"done"`
+}
+
+// View returns what a user is told about a job that is over.
+func (a ArchivedJob) View(id ident.JobID) api.JobView {
+	return api.JobView{ID: id, Status: a.Phase.Status(), Done: a.CompletedTasks}
+}
+
+// archiveRecord returns the job's record for the archive.
+func (j *Job) archiveRecord() ArchivedJob {
+	archived := ArchivedJob{Phase: j.Phase, Tasks: len(j.Tasks), CompletedTasks: j.CompletedTasks}
+	if j.Phase == Done {
+		archived.CompletedTasks = archived.Tasks
+	}
+	return archived
+}
+
+// ParseLiveView returns the view of a job from the value of its live key, for nodes that do not
+// lead.
+func ParseLiveView(value json.RawMessage) (api.JobView, error) {
+	var header jobHeader
+	if err := json.Unmarshal(value, &header); err != nil {
+		return api.JobView{}, err
+	}
+	if header.Spec == nil {
+		return api.JobView{}, errors.New("not a job")
+	}
+	view := api.JobView{ID: header.Spec.ID, Status: api.StatusQueued}
+	for _, t := range header.Tasks {
+		if t.Done {
+			view.Done++
+		} else if t.MachineID != "" {
+			view.Running++
+		}
+	}
+	switch {
+	case header.Phase != Open:
+		view.Status, view.Running = header.Phase.Status(), 0
+	case view.Running > 0:
+		view.Status = api.StatusRunning
+	}
+	return view, nil
+}
