--- /dev/null
+++ b/internal/cloud/client.go
@@ -0,0 +1,118 @@
+package cloud
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/url"
+	"time"
+
+	"opaldale/internal/httpcall"
+	"opaldale/internal/ident"
+)
+
+const (
+	requestTimeout   = 4 * time.Second
+	maxResponseBytes = 4 << 20
+	listPageSize     = "500" // the largest that the API has
+)
+
+// errNoCapacity is the error in the body of a 503 that tells a lack of machines from an outage.
+const errNoCapacity = "no capacity"
+
+// Client calls the provider's API over HTTP.
+type Client struct {
+	baseURL    string
+	httpClient *http.Client
+}
+
+// NewClient makes a client for the API at an address of the form host:port.
+func NewClient(addr string, transport http.RoundTripper) *Client {
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
+}
+
+// machineIDList is the body of a termination, and of the response to a provisioning.
+type machineIDList struct {
+	MachineIDs []ident.MachineID `json:"hosts"`
+}
+
+// Do makes a call and waits for its response.
+func (c *Client) Do(request Request) Response {
+	method, path, body := request.encode()
+	status, response, err := httpcall.Do(c.httpClient, requestTimeout, method, c.baseURL+path, body, maxResponseBytes)
+	if err != nil {
+		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
+	}
+	return decodeResponse(request.Op, status, response)
+}
+
+// encode returns the method, the path with its query, and the body of the request, nil if it
+// has none.
+func (r Request) encode() (method, path string, body any) {
+	switch r.Op {
+	case Catalog:
+		return http.MethodGet, "/catalog", nil
+	case Provision:
+		return http.MethodPost, "/machines", r
+	case Terminate:
+		return http.MethodPost, "/machines/return", machineIDList{r.MachineIDs}
+	case List:
+		query := url.Values{"since": {string(r.StartAfter)}, "most": {listPageSize}}
+		return http.MethodGet, "/machines?" + query.Encode(), nil
+	}
+	return http.MethodGet, "", nil
+}
+
+func decodeResponse(op Op, status int, body []byte) Response {
+	if status != http.StatusOK {
+		return decodeFailure(status, body)
+	}
+	response, err := decodeSuccess(op, body)
+	if err != nil {
+		return Response{Outcome: NoAnswer, Error: err.Error()}
+	}
+	response.Outcome = OK
+	return response
+}
+
+// decodeFailure decodes a response with a status other than 200.
+func decodeFailure(status int, body []byte) Response {
+	switch status {
+	case http.StatusServiceUnavailable:
+		var problem struct {
+			Error string `json:"error"`
+		}
+		if json.Unmarshal(body, &problem) == nil && problem.Error == errNoCapacity {
+			return Response{Outcome: NoCapacity, Error: problem.Error}
+		}
+		return Response{Outcome: Unavailable, Error: "503 " + problem.Error}
+	case http.StatusTooManyRequests:
+		return Response{Outcome: Unavailable, Error: "429"}
+	case http.StatusBadRequest:
+		return Response{Outcome: Invalid, Error: string(body)}
+	}
+	return Response{Outcome: NoAnswer, Error: http.StatusText(status)}
+}
+
+// decodeSuccess decodes the body of a response with status 200.
+func decodeSuccess(op Op, body []byte) (Response, error) {
+	switch op {
+	case Catalog:
+		var catalog struct {
+			Models []MachineType `json:"models"`
+		}
+		err := json.Unmarshal(body, &catalog)
+		return Response{MachineTypes: catalog.Models}, err
+	case Provision:
+		var provisioned machineIDList
+		err := json.Unmarshal(body, &provisioned)
+		return Response{Provisioned: provisioned.MachineIDs}, err
+	case List:
+		var list struct {
+			Machines  []ListedMachine `json:"hosts"`
+			Truncated bool            `json:"truncated"`
+		}
+		err := json.Unmarshal(body, &list)
+		return Response{Machines: list.Machines, Truncated: list.Truncated}, err
+	}
+	return Response{}, nil // the body of other responses does not matter
+}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,62 +1,67 @@
-// Package cloud speaks to the cloud that rents machines.
+// Package cloud is the client of the cloud provider's API, which provisions, lists and terminates
+// machines.
 package cloud
 
 import (
-	"encoding/json"
-	"net/http"
-	"net/url"
-	"time"
-
-	"opaldale/internal/httpcall"
 	"opaldale/internal/ident"
 )
 
-// Op is what a request asks for.
+// Op is an operation of the API.
 type Op uint8
 
-// The operations of the cloud.
+// The operations of the API.
 const (
-	Catalog Op = iota
-	Provision
-	Terminate
-	List
+	Catalog   Op = iota // lists the types of machines
+	Provision           // provisions machines of a type in a zone
+	Terminate           // terminates machines
+	List                // lists machines
 )
 
-// MachineType is a machine type.
+// MachineType is a type of machines.
 type MachineType struct {
 	SKU         string   `json:"sku"`
 	VCPUs       float64  `json:"vcpus"`
 	GPUs        float64  `json:"cards"`
 	MemoryGB    float64  `json:"memory_gb"`
-	LocalDiskGB float64  `json:"local_gb"`
-	PullGBPerS  float64  `json:"pull_gb_per_s"`
-	HourlyPrice float64  `json:"hourly"`
-	SpotPrice   float64  `json:"market_price"`
-	StartupS    float64  `json:"startup_s"`
-	Zones       []string `json:"sites"`
+	LocalDiskGB float64  `json:"local_gb"`      // disk for cached images
+	PullGBPerS  float64  `json:"pull_gb_per_s"` // usual rate at which images are pulled
+	HourlyPrice float64  `json:"hourly"`        // of an on-demand machine
+	SpotPrice   float64  `json:"market_price"`  // current price of a spot machine for an hour
+	StartupS    float64  `json:"startup_s"`     // usual time from provisioning until the worker is up
+	Zones       []string `json:"sites"`         // where the type is offered
 }
 
-// ListedMachine is a machine in the cloud's list.
+// InstanceStatus is the state of a machine in the provider's list.
+type InstanceStatus string
+
+// The states of a listed machine. One that is terminated or reclaimed is not listed.
+const (
+	InstanceBooting InstanceStatus = "booting"
+	InstanceRunning InstanceStatus = "running"
+	InstanceFailed  InstanceStatus = "failed" // stopped by itself; listed until it is terminated
+)
+
+// ListedMachine is a machine in the provider's list, which may lag behind.
 type ListedMachine struct {
 	ID     ident.MachineID `json:"id"`
-	Addr   string          `json:"addr"`
+	Addr   string          `json:"addr"` // of its worker; "" while not known
 	Model  string          `json:"model"`
 	Zone   string          `json:"site"`
 	Spot   bool            `json:"standby"`
-	Status string          `json:"status"`
-	AgeS   float64         `json:"age_s"`
+	Status InstanceStatus  `json:"status"`
+	AgeS   float64         `json:"age_s"` // since it was provisioned
 }
 
-// Request is one call; only the fields of its Op are used.
+// Request is a call of the API. Only the fields of its operation are used.
 type Request struct {
 	Op         Op                `json:"-"`
-	RequestID  string            `json:"hire"`
+	RequestID  string            `json:"hire"` // of Provision; repeating a request with the same ID is idempotent
 	Model      string            `json:"model"`
 	Zone       string            `json:"site"`
 	Spot       bool              `json:"standby"`
 	Count      int               `json:"number"`
-	MachineIDs []ident.MachineID `json:"-"`
-	StartAfter ident.MachineID   `json:"-"`
+	MachineIDs []ident.MachineID `json:"-"` // of Terminate
+	StartAfter ident.MachineID   `json:"-"` // of List: the page begins after this machine
 	// NotAfter is the time, by this node's clock, from which the request must not be
 	// sent any more; 0: none.
 	NotAfter ident.MonotonicTime `json:"-"`
@@ -65,111 +70,23 @@
 // Outcome is what is known after a call.
 type Outcome uint8
 
-// The outcomes. Only after Lost may the request still be carried out.
+// The outcomes of a call. Only after NoAnswer the request may have been carried out, or may still be.
 const (
-	NoAnswer    Outcome = iota // no answer, or one that the protocol does not name
-	OK                         // 200
-	NoCapacity                 // 503 "no capacity"
-	Unavailable                // 429, or 503 of an outage
-	Invalid                    // 400
+	NoAnswer    Outcome = iota // no response, or one that the API does not define
+	OK                         // carried out
+	NoCapacity                 // the provider has no machine of that type and zone
+	Unavailable                // rate limit or outage of the API
+	Invalid                    // malformed request
 	NotSent                    // its time was over before it was sent
 )
 
-// Response is the answer to any request.
+// Response is the response to a Request.
 type Response struct {
 	Outcome           Outcome
-	Error             string
-	MachineTypes      []MachineType
-	Provisioned       []ident.MachineID
-	Machines          []ListedMachine
-	Truncated         bool
-	ConnectionRefused bool // the connection was refused; the request was not sent
-}
-
-const (
-	requestTimeout   = 4 * time.Second
-	maxResponseBytes = 4 << 20
-	listPageSize     = "500"
-)
-
-// Client is the HTTP client of the cloud.
-type Client struct {
-	baseURL    string
-	httpClient *http.Client
-}
-
-// NewClient makes a client for the cloud at addr.
-func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
-}
-
-// Do carries out a request.
-func (c *Client) Do(request Request) Response {
-	method, path := http.MethodGet, ""
-	var body any
-	switch request.Op {
-	case Catalog:
-		path = "/catalog"
-	case Provision:
-		method, path, body = http.MethodPost, "/machines", request
-	case Terminate:
-		method, path = http.MethodPost, "/machines/return"
-		body = struct {
-			Hosts []ident.MachineID `json:"hosts"`
-		}{request.MachineIDs}
-	case List:
-		path = "/machines?" + url.Values{"since": {string(request.StartAfter)}, "most": {listPageSize}}.Encode()
-	}
-	status, response, err := httpcall.Do(c.httpClient, requestTimeout, method, c.baseURL+path, body, maxResponseBytes)
-	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
-	}
-	return decodeResponse(request.Op, status, response)
-}
-
-func decodeResponse(op Op, status int, body []byte) Response {
-	var problem struct {
-		Error string `json:"error"`
-	}
-	switch status {
-	case http.StatusOK:
-	case http.StatusServiceUnavailable:
-		if json.Unmarshal(body, &problem) == nil && problem.Error == "no capacity" {
-			return Response{Outcome: NoCapacity, Error: problem.Error}
-		}
-		return Response{Outcome: Unavailable, Error: "503 " + problem.Error}
-	case http.StatusTooManyRequests:
-		return Response{Outcome: Unavailable, Error: "429"}
-	case http.StatusBadRequest:
-		return Response{Outcome: Invalid, Error: string(body)}
-	default:
-		return Response{Outcome: NoAnswer, Error: http.StatusText(status)}
-	}
-	response := Response{Outcome: OK}
-	var err error
-	switch op {
-	case Catalog:
-		var parsed struct {
-			Models []MachineType `json:"models"`
-		}
-		err = json.Unmarshal(body, &parsed)
-		response.MachineTypes = parsed.Models
-	case Provision:
-		var parsed struct {
-			Hosts []ident.MachineID `json:"hosts"`
-		}
-		err = json.Unmarshal(body, &parsed)
-		response.Provisioned = parsed.Hosts
-	case List:
-		var parsed struct {
-			Hosts     []ListedMachine `json:"hosts"`
-			Truncated bool            `json:"truncated"`
-		}
-		err = json.Unmarshal(body, &parsed)
-		response.Machines, response.Truncated = parsed.Hosts, parsed.Truncated
-	}
-	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error()}
-	}
-	return response
+	Error             string            // for the log
+	MachineTypes      []MachineType     // of Catalog
+	Provisioned       []ident.MachineID // of Provision; may be fewer than requested
+	Machines          []ListedMachine   // of List, by ID
+	Truncated         bool              // of List: there are more machines after these
+	ConnectionRefused bool              // the connection was refused; the request was not sent
 }
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -131,7 +131,7 @@
 	}
 	// A failed machine has stopped, and nothing runs on it; but what proves it
 	// is the answer to its return.
-	if listed.Status == "failed" {
+	if listed.Status == cloud.InstanceFailed {
 		m.Terminate(w, workers.ReasonFailedToStart)
 	}
 }
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -307,9 +307,9 @@
 			if m.id <= r.StartAfter || m.createdAt > at || m.terminatedAt > 0 && m.terminatedAt <= at {
 				continue
 			}
-			st := "booting"
+			st := cloud.InstanceBooting
 			if m.bootedAt > 0 && m.bootedAt <= at {
-				st = "running"
+				st = cloud.InstanceRunning
 			}
 			out.Machines = append(out.Machines, cloud.ListedMachine{ID: m.id, Addr: string(m.id), Model: "m8", Zone: m.zone,
 				Spot: m.spot, Status: st, AgeS: at.Sub(m.createdAt).Seconds()})
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -146,8 +146,8 @@
 	tb.cfg.Persist(w)
 }
 
-// beginIncarnation notes that the worker has restarted: it has killed all tasks of earlier
-// incarnations and refuses commands for them.
+// beginIncarnation notes that the worker has begun a new incarnation: it has killed all tasks of
+// earlier ones and refuses commands for them.
 func (tb *Table) beginIncarnation(w *Worker, incarnation ident.Incarnation, now ident.MonotonicTime) {
 	w.order.raiseIncarnation(incarnation)
 	w.commands.discard()
--- a/internal/workers/reason.go
+++ b/internal/workers/reason.go
@@ -20,7 +20,7 @@
 	ReasonNotOnRecord    Reason = "not on record"       // a task names it, and its record is deleted
 	ReasonTerminated     Reason = "terminated"          // the provider has confirmed its termination
 	ReasonLeaseExpired   Reason = "lease expired"       // its worker has killed its tasks by now
-	reasonNewIncarnation Reason = "newer incarnation"   // its worker has restarted without the task
+	reasonNewIncarnation Reason = "newer incarnation"   // its worker has begun one without the task
 	reasonNotReported    Reason = "not in heartbeat"    // a current heartbeat does not have the task
 	reasonNeverStarted   Reason = "stopped before start"
 )
