--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,6 +1,6 @@
-// Package gang owns the attempts of gangs: jobs whose tasks run together or not at
-// all. An attempt's tasks share a number by which they find each other; it is launched
-// once all are durable, and over as soon as one of them is lost after its start.
+// Package gang controls the attempts of gangs: jobs whose tasks run at the same time or not at
+// all. The tasks of an attempt find each other by its number. An attempt is launched once the
+// placements of all tasks are durable, and is over as soon as a task is lost after its start.
 package gang
 
 import (
@@ -10,100 +10,67 @@
 	"slices"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/workers"
 )
 
-// State is an attempt's course.
-type State uint8
-
-// The states of an attempt.
-const (
-	Placed        State = iota // machines were chosen, not yet durable for all tasks
-	Gathering                  // launched: the tasks fetch their image and wait for each other
-	Running                    // all were seen running
-	Checkpointing              // all were told to save and stop
-	Stopping                   // a task is gone or the rest is not wanted: all are told to stop
-)
-
-func (s State) String() string {
-	return [...]string{"placed", "gathering", "running", "saving", "ending"}[s]
-}
-
-// attempt is one try of a gang at running.
-type attempt struct {
-	job            *jobs.Job
-	number         ident.Attempt
-	state          State
-	stateSince     ident.MonotonicTime
-	placedAt       ident.MonotonicTime // when its machines were chosen
-	missingSince   ident.MonotonicTime // since when a task is missing, 0: none is
-	placedThisTerm bool                // of this term: all machines that it ever was on are known
-	usedMachines   map[ident.MachineID]bool
-	launchedOn     map[int]ident.MachineID // where its tasks were launched
-}
-
-// Placement is a machine chosen for a task.
+// Placement is a machine that was chosen for a task.
 type Placement struct {
 	Task   *jobs.Task
 	Worker *workers.Worker
 }
 
-// Config holds the times of gangs.
+// Config holds the times of the workers' protocol that matter to gangs.
 type Config struct {
-	GatherTimeout     time.Duration // a task waits so long for the others
-	PeerLossTimeout   time.Duration // within which the others notice that one is gone
-	HeartbeatInterval time.Duration // between two reports of a worker
+	GatherTimeout     time.Duration // for which a launched task waits for the others to start
+	PeerLossTimeout   time.Duration // within which the other tasks notice that one is gone
+	HeartbeatInterval time.Duration // between two heartbeats of a worker
 }
 
-// Table holds all attempts. It lives for one term.
+const (
+	// replacementWindow is how long the tasks of an attempt keep their room while one that was lost
+	// before the start may be replaced.
+	replacementWindow = 3 * time.Second
+	// replacementPart is the part of the gather timeout within which a lost task may be replaced: the
+	// replacement needs the rest to start.
+	replacementPart = 2
+	// stopOverrun is how long a graceful stop may take beyond its grace period.
+	stopOverrun = 2 * time.Second
+)
+
+// Table holds the attempts of all gangs. It lives for one term.
 type Table struct {
 	cfg       Config
 	now       func() ident.MonotonicTime
-	mayLaunch func() bool // whether launches may be sent
+	mayLaunch func() bool // whether launches may be sent now
 	jobs      *jobs.Table
 	workers   *workers.Table
 	attempts  map[*jobs.Job]*attempt
-	changed   []*jobs.Job
+	changed   []*jobs.Job // to be processed
 
-	Started, Lost, Replaced, Stopped uint64
+	Started  uint64 // attempts of which all tasks ran
+	Lost     uint64 // attempts that were aborted
+	Replaced uint64 // tasks that were replaced before the start
+	Stopped  uint64 // attempts that were stopped gracefully
 }
 
-// NewTable makes a term's table.
-func NewTable(j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config) *Table {
+// NewTable makes the table of a term.
+func NewTable(
+	j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config,
+) *Table {
 	return &Table{cfg: cfg, now: now, mayLaunch: mayLaunch, jobs: j, workers: w, attempts: map[*jobs.Job]*attempt{}}
 }
 
-const (
-	// replacementWindow is how long the others keep their room for a task that is to be replaced.
-	replacementWindow = 3 * time.Second
-	// stopOverrun is how long an orderly stop may take beyond the time it was given.
-	stopOverrun = 2 * time.Second
-)
-
-// setState is the one place where an attempt changes its state.
-func (tb *Table) setState(a *attempt, next State, reason Reason) {
-	if a.state == next {
-		return
-	}
-	now := tb.now()
-	slog.Debug("gang state changed", "job", string(a.job.Spec.ID), "attempt", uint64(a.number),
-		"from", a.state.String(), "to", next.String(), "reason", string(reason),
-		"age_s", now.Sub(a.job.SubmittedAt).Seconds(), "placed_s", now.Sub(a.placedAt).Seconds())
-	a.state, a.stateSince = next, now
-}
-
-// MarkChanged notes that a task of a gang has changed. What follows from it waits for
-// Settle, when the change is complete.
+// MarkChanged notes that a task of a job has changed. A gang's attempt follows with ProcessChanges,
+// once all changes of the event are made.
 func (tb *Table) MarkChanged(j *jobs.Job) {
 	if j.IsGang() && !slices.Contains(tb.changed, j) {
 		tb.changed = append(tb.changed, j)
 	}
 }
 
-// ProcessChanges draws the consequences of what has changed.
+// ProcessChanges advances the attempts of the gangs that have changed.
 func (tb *Table) ProcessChanges() {
 	for len(tb.changed) > 0 {
 		list := tb.changed
@@ -114,36 +81,34 @@
 	}
 }
 
-// Tick looks at what only time changes.
+// Tick advances all attempts, for what depends on time alone.
 func (tb *Table) Tick() {
 	tb.changed = slices.SortedFunc(maps.Keys(tb.attempts), func(a, b *jobs.Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	tb.ProcessChanges()
 }
 
-// Adopt takes over a gang of the term before. A whole attempt goes on; of a part
-// nobody knows whether it was ever launched, or what became of the rest.
+// Adopt takes over a gang of an earlier term. An attempt of which all tasks are allocated goes on. One
+// that is incomplete is aborted: it is not known whether it was launched.
 func (tb *Table) Adopt(j *jobs.Job) {
 	if !j.IsGang() || j.AllocatedTasks == 0 || j.Phase != jobs.Open {
 		return
 	}
-	now := tb.now()
-	a := &attempt{job: j, number: j.HighestAttempt(), state: Gathering, stateSince: now, placedAt: now, usedMachines: map[ident.MachineID]bool{}, launchedOn: map[int]ident.MachineID{}}
+	a := newAttempt(j, j.HighestAttempt(), Gathering, tb.now())
 	tb.attempts[j] = a
 	for i := range j.Tasks {
-		a.launchedOn[i] = j.Tasks[i].MachineID // if it never was, the answer to a report does it
+		a.launchedOn[i] = j.Tasks[i].MachineID // if it was not, the response to a heartbeat launches it
 	}
 	if !j.ReadyToLaunch() {
 		tb.abort(a, reasonPartial)
 	}
 }
 
-// Place begins an attempt, or replaces its lost tasks, with all that wait.
+// Place begins an attempt, or replaces lost tasks of one, with placements for all waiting tasks.
 func (tb *Table) Place(j *jobs.Job, placements []Placement) {
-	now := tb.now()
 	a := tb.attempts[j]
 	if a == nil {
-		a = &attempt{job: j, number: j.HighestAttempt() + 1, state: Placed, stateSince: now, placedAt: now, placedThisTerm: true, usedMachines: map[ident.MachineID]bool{},
-			launchedOn: map[int]ident.MachineID{}}
+		a = newAttempt(j, j.HighestAttempt()+1, Placed, tb.now())
+		a.placedThisTerm = true
 		tb.attempts[j] = a
 	} else {
 		tb.Replaced += uint64(len(placements))
@@ -151,110 +116,86 @@
 	j.AcceptsReplacements = false
 	a.missingSince = 0
 	for _, placement := range placements {
-		a.usedMachines[placement.Worker.ID] = true
-		tb.jobs.PlaceAttempt(placement.Task, placement.Worker.ID, placement.Worker.Incarnation(), a.number, func() { tb.MarkChanged(j) })
+		w := placement.Worker
+		a.usedMachines[w.ID] = true
+		tb.jobs.PlaceAttempt(placement.Task, w.ID, w.Incarnation(), a.number, func() { tb.MarkChanged(j) })
 	}
 }
 
-// HasUsed says whether a task of the gang's present attempt was on a machine: another
-// one may not come there with the same number, since an old report would say that it
-// has ended.
+// HasUsed says whether a task of the gang's present attempt was placed on a machine. No other task of
+// the attempt may be placed there: a late heartbeat could say that it has ended.
 func (tb *Table) HasUsed(j *jobs.Job, machineID ident.MachineID) bool {
 	a := tb.attempts[j]
 	return a != nil && a.usedMachines[machineID]
 }
 
-// taskCounts is what there is of an attempt.
-type taskCounts struct{ placing, stopping, running int }
-
-func countTasks(j *jobs.Job) (counts taskCounts) {
-	for i := range j.Tasks {
-		switch t := &j.Tasks[i]; t.State {
-		case jobs.Placing:
-			counts.placing++
-		case jobs.Stopping:
-			counts.stopping++
-		case jobs.Assigned:
-			if t.ReportedStatus == api.Running {
-				counts.running++
-			}
-		}
-	}
-	return counts
-}
-
-// advance moves a gang's attempt on.
+// advance moves a gang's attempt on to what its tasks' states require.
 func (tb *Table) advance(j *jobs.Job) {
 	a := tb.attempts[j]
 	if a == nil {
 		return
 	}
 	if j.Phase != jobs.Open || j.AllocatedTasks == 0 {
-		// Over, or every task is proven gone: the next attempt may begin.
+		// The job is over, or all tasks are proven gone, so that the next attempt may begin.
 		delete(tb.attempts, j)
 		j.AcceptsReplacements = false
 		return
 	}
-	now := tb.now()
 	counts := countTasks(j)
-	missing := j.AllocatedTasks < len(j.Tasks)
 	switch a.state {
 	case Placed, Gathering:
-		switch {
-		case counts.stopping > 0:
-			tb.abort(a, reasonTaskStopped)
-		case missing:
-			tb.handleMissingTask(a, counts)
-		case counts.placing > 0:
-		case a.state == Placed || tb.hasUnlaunched(a):
-			tb.setState(a, Gathering, reasonDurable)
-			tb.launchPlaced(a)
-		case counts.running == len(j.Tasks):
-			tb.Started++
-			tb.setState(a, Running, reasonAllRunning)
-		}
+		tb.advanceToStart(a, counts)
 	case Running:
-		if missing || counts.stopping > 0 {
+		if counts.missing > 0 || counts.stopping > 0 {
 			tb.abort(a, reasonTaskLost)
 		}
 	case Checkpointing:
-		if now.Sub(a.stateSince) > tb.checkpointGracePeriod(j)+stopOverrun {
+		if tb.now().Sub(a.stateSince) > tb.checkpointGracePeriod(j)+stopOverrun {
 			tb.abort(a, reasonCheckpointTimeout)
 		}
 	case Stopping:
-		tb.workers.StopAllocated(a.job, 0)
+		tb.workers.StopAllocated(j, 0)
 	}
 }
 
-// hasUnlaunched says whether a task of the attempt was placed where it has not been launched.
-func (tb *Table) hasUnlaunched(a *attempt) bool {
-	for i := range a.job.Tasks {
-		if a.launchedOn[i] != a.job.Tasks[i].MachineID {
-			return true
-		}
+// advanceToStart moves an attempt on that has not started.
+func (tb *Table) advanceToStart(a *attempt, counts taskCounts) {
+	switch {
+	case counts.stopping > 0:
+		tb.abort(a, reasonTaskStopped)
+	case counts.missing > 0:
+		tb.handleMissingTask(a, counts)
+	case counts.placing > 0:
+		// Wait until all placements are durable.
+	case a.state == Placed || a.hasUnlaunched():
+		tb.setState(a, Gathering, reasonDurable)
+		tb.launchPlaced(a)
+	case counts.running == len(a.job.Tasks):
+		tb.Started++
+		tb.setState(a, Running, reasonAllRunning)
 	}
-	return false
 }
 
-// handleMissingTask handles a task lost before the start: it is replaced if that is still in time.
+// handleMissingTask handles a task that was lost before the start: it may be replaced for a while.
 func (tb *Table) handleMissingTask(a *attempt, counts taskCounts) {
 	now := tb.now()
 	if a.missingSince == 0 {
 		a.missingSince = now
 	}
+	tooLate := now.Sub(a.placedAt) > tb.cfg.GatherTimeout/replacementPart || now.Sub(a.missingSince) > replacementWindow
 	switch {
 	case !a.placedThisTerm:
 		tb.abort(a, reasonMachinesUnknown)
 	case counts.running > 0:
 		tb.abort(a, reasonLostAfterStart)
-	case now.Sub(a.placedAt) > tb.cfg.GatherTimeout/2, now.Sub(a.missingSince) > replacementWindow:
+	case tooLate:
 		tb.abort(a, reasonReplacementTimeout)
 	default:
 		a.job.AcceptsReplacements = true
 	}
 }
 
-// launchPlaced sends the tasks that are durable and not yet launched where they are.
+// launchPlaced launches the tasks that were not launched on their present machines.
 func (tb *Table) launchPlaced(a *attempt) {
 	for i := range a.job.Tasks {
 		t := &a.job.Tasks[i]
@@ -264,13 +205,13 @@
 		a.launchedOn[i] = t.MachineID
 		w := tb.workers.Workers[t.MachineID]
 		if w == nil || w.State == workers.Terminating || w.State == workers.Terminated || !tb.mayLaunch() {
-			continue // the answer to its next report launches it, if there is one
+			continue // the response to the machine's next heartbeat launches it, if there is one
 		}
 		tb.workers.Launch(w, t)
 	}
 }
 
-// abort gives an attempt up: what is left of it makes no progress any more.
+// abort ends an attempt without a grace period: what is left of it makes no progress.
 func (tb *Table) abort(a *attempt, reason Reason) {
 	if a.state != Stopping {
 		tb.Lost++
@@ -282,28 +223,31 @@
 	tb.workers.StopAllocated(a.job, 0)
 }
 
-// checkpointGracePeriod is the time that tasks of a gang get to save: their own, and that for which
-// they then wait for each other.
+// checkpointGracePeriod returns the grace period for a whole gang to save a checkpoint: the time that
+// each task takes, and that for which tasks then wait for each other.
 func (tb *Table) checkpointGracePeriod(j *jobs.Job) time.Duration {
-	return time.Duration(j.Spec.CheckpointS*float64(time.Second)) + tb.cfg.PeerLossTimeout + time.Millisecond
+	return j.CheckpointTime() + tb.cfg.PeerLossTimeout
 }
 
-// CanStop says whether a gang could be stopped now without losing more than it has
-// not saved: all its machines were heard lately, so that each is told in time.
+// maxContactAge is how old the newest heartbeat may be of a machine that can be told to stop.
+func (tb *Table) maxContactAge() time.Duration { return tb.cfg.HeartbeatInterval * 3 / 2 }
+
+// CanStop says whether a gang can be stopped now such that only the progress since the last
+// checkpoint is lost at most: all its machines must be reachable, so that all tasks stop in time.
 func (tb *Table) CanStop(j *jobs.Job) bool {
 	a := tb.attempts[j]
 	if a == nil || a.state != Running && a.state != Gathering || !j.ReadyToLaunch() {
 		return false
 	}
 	for i := range j.Tasks {
-		if !tb.workers.Reachable(j.Tasks[i].MachineID, tb.cfg.HeartbeatInterval*3/2) {
+		if !tb.workers.Reachable(j.Tasks[i].MachineID, tb.maxContactAge()) {
 			return false
 		}
 	}
 	return true
 }
 
-// Stop stops a whole gang in order, if that can be done.
+// Stop stops a whole gang gracefully. It returns false if that is not possible, see CanStop.
 func (tb *Table) Stop(j *jobs.Job, reason Reason) bool {
 	if !tb.CanStop(j) {
 		return false
@@ -312,10 +256,10 @@
 	tb.Stopped++
 	slog.Info("gang stopping", "job", string(j.Spec.ID), "reason", string(reason))
 	if a.state == Gathering || !j.Spec.CanCheckpoint() {
-		tb.abort(a, reason) // nothing to save
+		tb.abort(a, reason) // there is nothing to save
 		return true
 	}
 	tb.setState(a, Checkpointing, reason)
-	tb.workers.StopAllocated(a.job, tb.checkpointGracePeriod(j))
+	tb.workers.StopAllocated(j, tb.checkpointGracePeriod(j))
 	return true
 }
