--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -145,7 +145,7 @@
 		return
 	}
 	for _, j := range c.leader.jobs.Sorted() {
-		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // a durable cancellation is final
+		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status()) // a durable cancellation is final
 	}
 	c.leader.close()
 	c.leader = nil
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -90,7 +90,7 @@
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})))
+		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: api.StatusQueued})))
 	}, func() {
 		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(unavailable("try again")) })
 	})
@@ -98,8 +98,8 @@
 
 // rejectionReason says why a job can never run.
 func (l *leaderTerm) rejectionReason(spec *api.Spec) string {
-	if reason := l.teams.RejectReason(spec); reason != "" {
-		return reason
+	if err := l.teams.Validate(spec); err != nil {
+		return err.Error()
 	}
 	types := l.catalog.Types()
 	for i := range types {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -71,7 +71,7 @@
 		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
 		Persist: func(w *workers.Worker) { w.Persisted = true }, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }})
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
-	l.planner = NewPlanner(teams, l.jobs, l.machines, l, l.Now, true, nil)
+	l.planner = NewPlanner(teams, l.jobs, l.machines, l, l.Now, Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour})
 	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
 		w := l.machines.Workers[t.MachineID]
 		if !from.Allocated() && to.Allocated() {
@@ -81,7 +81,8 @@
 		}
 	}
 	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, l.now)
+		w := l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: "east", Spot: i%3 == 0,
+			CreatedAt: l.now})
 		l.heartbeat(w)
 	}
 	for range 3 * machines / 20 {
