--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 
+	"opaldale/internal/election"
 	"opaldale/internal/handover"
 	"opaldale/internal/ident"
 	"opaldale/internal/links"
@@ -19,42 +20,41 @@
 	tracker := l.controller.links
 	assessment := tracker.Assess(l.machinesByZone, l.controller.peerIDs(), now)
 	step := l.handover.Handle(handover.Event{
-		Now:              now,
-		PeerBetterPlaced: assessment.Worse(),
-		Successor:        assessment.BestPeer,
-		Isolated:         assessment.Isolated,
-		WritesDrained:    l.committer.Drained(),
-		StoreWritable:    tracker.StoreDelivering() && !l.committer.StoreUnavailable(),
+		Now:           now,
+		Successor:     assessment.Successor(),
+		Isolated:      assessment.Isolated,
+		WritesDrained: l.committer.Drained(),
+		StoreWritable: tracker.StoreDelivering() && !l.committer.StoreUnavailable(),
 	})
 	switch step {
 	case handover.Announce:
 		l.announceHandover(assessment, now)
 	case handover.EndTerm:
 		tracker.CountHandover()
-		_, reason := l.handover.Successor()
-		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason.String())
+		reason := election.StepDownReason(l.handover.Decision().Reason.String())
+		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason)
 	}
 }
 
 // announceHandover has the leader stop deciding, and tells the peers who should follow.
 func (l *leaderTerm) announceHandover(assessment links.Assessment, now ident.MonotonicTime) {
 	tracker := l.controller.links
-	successor, reason := l.handover.Successor()
+	decision := l.handover.Decision()
 	tracker.RecordHandover(linktracker.HandoverRecord{
 		Term:           l.term,
 		At:             now,
-		To:             successor,
-		Reason:         reason,
+		To:             decision.Successor,
+		Reason:         decision.Reason,
 		OwnScore:       assessment.OwnScore,
 		SuccessorScore: assessment.BestScore,
 	})
-	slog.Info("handing over leadership", "term", uint64(l.term), "to", string(successor), "reason", reason.String(),
+	slog.Info("handing over leadership", "term", uint64(l.term), "to", string(decision.Successor), "reason", decision.Reason.String(),
 		"own_score", int(assessment.OwnScore), "peer_score", int(assessment.BestScore))
 	l.committer.Quiesce()
 	l.failPendingReplies()
 	for _, n := range l.controller.peerIDs() {
 		if tracker.SupportsLinks(n) {
-			frame := &transport.Frame{Type: transport.MsgTransferLeader, Node: successor, Term: l.term}
+			frame := &transport.Frame{Type: transport.MsgTransferLeader, Node: decision.Successor, Term: l.term}
 			l.env.SendPeer(n, frame)
 		}
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"opaldale/internal/election"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/workers"
@@ -45,7 +46,7 @@
 
 // resign ends the term and leaves leadership to a peer.
 func (l *leaderTerm) resign(reason resignReason) {
-	l.controller.election.Resign(resignationPause, reason.String())
+	l.controller.election.Resign(resignationPause, election.StepDownReason(reason.String()))
 }
 
 // isolated reports whether this node hears no peer and, with several machines up, none of them either. A
--- a/internal/machinestore/machinestore.go
+++ b/internal/machinestore/machinestore.go
@@ -187,7 +187,10 @@
 		}
 		age := time.Duration(s.config.WallMS()-m.CreatedMS) * time.Millisecond
 		createdAt := now.Add(-max(0, age))
-		w := s.workers.Restore(m.ID, record.Model, record.Zone, record.Spot, createdAt, m.Addr, group)
+		info := workers.MachineInfo{
+			ID: m.ID, Model: record.Model, Zone: record.Zone, Spot: record.Spot, CreatedAt: createdAt,
+		}
+		w := s.workers.Restore(info, m.Addr, group)
 		group.Members = append(group.Members, w)
 	}
 	if s.config.Packed && record.Packed == "" {
--- a/internal/workers/table_test.go
+++ b/internal/workers/table_test.go
@@ -79,7 +79,7 @@
 			r.tb.RemoveTask(w, task)
 		}
 	}
-	r.worker = r.tb.Add("h", "m8", "east", false, r.now)
+	r.worker = r.tb.Add(MachineInfo{ID: "h", Model: "m8", Zone: "east", CreatedAt: r.now})
 	r.heartbeat(0)
 	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 2, VCPUs: 1, Image: "img", ImageGB: 1}, func() {}, nil)
 	r.runUntilIdle()
@@ -185,7 +185,7 @@
 // TestLeaseIncludesLeaderGrace: an earlier leader may have answered for a while into the term.
 func TestLeaseIncludesLeaderGrace(t *testing.T) {
 	r := newHarness(t)
-	w := r.tb.Add("other", "m8", "east", false, r.now)
+	w := r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	r.now = r.now.Add(40 * time.Second)
 	if r.tb.LeaseExpired(w) {
 		t.Error("expired within lease and grace")
@@ -216,8 +216,8 @@
 	r.now = r.now.Add(10 * time.Minute)
 	// Learned from the answer to a command, which renews nothing.
 	r.answers[0](CommandResult{Status: 409, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: 1}})
-	if r.worker.Incarnation != 2 || r.tb.LeaseExpired(r.worker) {
-		t.Errorf("tenure %d, expired %v", r.worker.Incarnation, r.tb.LeaseExpired(r.worker))
+	if r.worker.Incarnation() != 2 || r.tb.LeaseExpired(r.worker) {
+		t.Errorf("tenure %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
 	}
 	r.now = r.now.Add(30 * time.Second)
 	if r.tb.LeaseExpired(r.worker) {
@@ -384,8 +384,8 @@
 		r.now = r.now.Add(time.Second)
 		r.runUntilIdle()
 	}
-	if len(r.worker.queued) > 0 {
-		t.Errorf("a part of the gang is durable, and a successor would place the rest: %+v", r.worker.queued)
+	if len(r.worker.commands.queued) > 0 {
+		t.Errorf("a part of the gang is durable, and a successor would place the rest: %+v", r.worker.commands.queued)
 	}
 	if last := r.sent[len(r.sent)-1].Commands; len(last) == 0 || last[0].Verb != api.Kill {
 		t.Errorf("sent %+v", last)
@@ -423,7 +423,7 @@
 	if fail("j-3", true); r.worker.PossiblyFaulty() || r.worker.Faulty() {
 		t.Errorf("jobs that fail everywhere: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
 	}
-	r.tb.Add("other", "m8", "east", false, r.now)
+	r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	list := []*jobs.Job{fail("j-4", false), fail("j-5", false), fail("j-6", false)}
 	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
 		t.Errorf("jobs of which nobody knows better: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
@@ -451,7 +451,7 @@
 func TestResultAfterTermination(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
-	r.tb.MarkTerminated(r.worker, "returned")
+	r.tb.MarkTerminated(r.worker, ReasonTerminated)
 	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 40,
 		FencingToken: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{stray}}})
 	if r.tb.HasUnknownAttempt(stray.TaskID) {
