--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -61,14 +61,23 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective restates one of the users' aims.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
+	Kind    ObjectiveKind `toml:"kind"`
+	Class   string        `toml:"class"`
+	WithinS float64       `toml:"within_s"` // time limit in seconds
+	Share   float64       `toml:"share"`    // part of the jobs that must keep it
 }
 
+// ObjectiveKind says which time of a job an objective bounds. Kinds that are not known are ignored.
+type ObjectiveKind string
+
+// The kinds of objectives.
+const (
+	ObjectiveFinished ObjectiveKind = "finished" // from submission to the end of the job
+	ObjectiveWait     ObjectiveKind = "wait"     // from submission to the start of its tasks
+)
+
 // WorkerTimes holds the workers' times.
 type WorkerTimes struct {
 	HeartbeatS float64 `toml:"report_s"`
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -21,12 +21,21 @@
 	ServiceSpareFraction float64       // part of the services' machines whose loss others must have room for
 	StarvationTimeout    time.Duration // a job that waits longer for its first task goes before all others
 	GangPreemptAfter     time.Duration // other work waits so long for room before a whole gang is stopped for it
-	PlanMode             string        // "asm1", or "none": only local work and stealing
+	PlanMode             PlanMode      // how waiting tasks are assigned to machines
 	Links                Links
 	Rebalance            Rebalance
 	Migration            MigrationLimits
 }
 
+// PlanMode says how waiting tasks are assigned to machines.
+type PlanMode string
+
+// The plan modes.
+const (
+	PlanASM1 PlanMode = "asm1" // by periodic plans, with local work and stealing between them
+	PlanNone PlanMode = "none" // by local work and stealing only
+)
+
 // Rebalance says what is done about uneven load.
 type Rebalance string
 
@@ -76,7 +85,7 @@
 		ServiceSpareFraction: 0.05,
 		StarvationTimeout:    2 * time.Minute,
 		GangPreemptAfter:     5 * time.Second,
-		PlanMode:             "asm1",
+		PlanMode:             PlanASM1,
 		Links: Links{
 			SuspectAfter:    time.Second,
 			PenaltyHalfLife: 15 * time.Second,
@@ -111,7 +120,7 @@
 		{"spare: must be from 0 to 1", t.ServiceSpareFraction < 0 || t.ServiceSpareFraction > 1},
 		{"max-wait: must be at least 1s", t.StarvationTimeout < time.Second},
 		{"gang-wait: negative", t.GangPreemptAfter < 0},
-		{"plan: must be asm1 or none", t.PlanMode != "asm1" && t.PlanMode != "none"},
+		{"plan: must be asm1 or none", t.PlanMode != PlanASM1 && t.PlanMode != PlanNone},
 		{"rebalance: must be off, report, place or move", !slices.Contains(rebalanceModes, t.Rebalance)},
 		{"moves-cluster: must be from 1 to 1000", t.Migration.Cluster < 1 || t.Migration.Cluster > maxConcurrentMoves},
 		{"moves-zone: must be from 1 to moves-cluster", t.Migration.Zone < 1 || t.Migration.Zone > t.Migration.Cluster},
@@ -169,8 +178,8 @@
 		*field, err = strconv.Atoi(value)
 	case *bool:
 		*field, err = parseOnOff(value)
-	case *string:
-		*field = value
+	case *PlanMode:
+		*field = PlanMode(value)
 	case *Rebalance:
 		*field = Rebalance(value)
 	default:
