--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -5,33 +5,70 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
+	"opaldale/internal/placement"
 )
 
-// arrivalHistory remembers the jobs of the last while, to expect the next ones.
-type arrivalHistory struct {
-	times []ident.MonotonicTime
-	cpus  []float64
-}
-
 const (
+	// arrivalWindow is how long an arrival is remembered.
 	arrivalWindow = 90 * time.Second
-	burstWindow   = 25 * time.Second
-	// backlogPeriod is how long after the first job arrivals count as a backlog and
-	// not as a rate.
+	// burstWindow is the span of the rate that notices a burst.
+	burstWindow = 25 * time.Second
+	// backlogPeriod is for how long after the beginning arrivals count as a backlog and not as
+	// a rate.
 	backlogPeriod = 15 * time.Second
+	// minRateSpan is the shortest span that a rate is computed over.
+	minRateSpan = 10 * time.Second
 	// arrivalsCeasedAfter is how long after the last job of any kind none is expected any more.
 	arrivalsCeasedAfter = 40 * time.Second
-	// maxArrivals bounds the jobs remembered of a window: 4,000 machines that each begin a job
-	// every ten seconds are 36,000.
+	// maxArrivals bounds the arrivals remembered: 4,000 machines that each start a job every ten
+	// seconds are 36,000 in a window.
 	maxArrivals = 50_000
 )
 
+// arrivals remembers the jobs of late, from which those to come are predicted.
+type arrivals struct {
+	teams    *placement.Teams
+	since    ident.MonotonicTime // when the memory begins
+	services arrivalHistory      // services and gangs
+	batch    arrivalHistory
+}
+
+// record notes a job. None is expected of borrowers: no capacity is kept for them.
+func (a *arrivals) record(spec *api.Spec, at ident.MonotonicTime) {
+	if a.teams.IsBorrower(spec.Team) {
+		return
+	}
+	cpus := spec.VCPUs * float64(spec.Tasks)
+	if spec.Shape != api.Batch {
+		// Gangs need their capacity when they arrive as well.
+		a.services.record(at, cpus)
+		return
+	}
+	a.batch.record(at, min(cpus, max(a.teams.LargestGuarantee(), spec.VCPUs)))
+}
+
+// resume says that jobs arrived before this term as well.
+func (a *arrivals) resume() { a.since = a.since.Add(-longAgo) }
+
+// ceased says whether no more jobs are expected.
+func (a *arrivals) ceased(now ident.MonotonicTime) bool {
+	return now.Sub(max(a.services.latest(), a.batch.latest())) > arrivalsCeasedAfter
+}
+
+// arrivalHistory has the times of arrivals and the CPUs of each, in the order of time.
+type arrivalHistory struct {
+	times []ident.MonotonicTime
+	cpus  []float64
+}
+
+// record notes an arrival.
 func (a *arrivalHistory) record(now ident.MonotonicTime, cpus float64) {
 	a.times = append(a.times, now)
 	a.cpus = append(a.cpus, cpus)
 	a.trim(now)
 }
 
+// trim forgets arrivals that are too old or too many.
 func (a *arrivalHistory) trim(now ident.MonotonicTime) {
 	dropped := 0
 	for dropped < len(a.times) && (now.Sub(a.times[dropped]) > arrivalWindow || len(a.times)-dropped > maxArrivals) {
@@ -40,7 +77,7 @@
 	a.times, a.cpus = a.times[dropped:], a.cpus[dropped:]
 }
 
-// latest returns when the last job came, 0 if none did.
+// latest returns the time of the last arrival, 0 without any.
 func (a *arrivalHistory) latest() ident.MonotonicTime {
 	if len(a.times) == 0 {
 		return 0
@@ -48,44 +85,27 @@
 	return a.times[len(a.times)-1]
 }
 
-// rate returns CPUs a second, and the mean and the largest job.
+// rate returns the CPUs that arrive in a second, and the CPUs of the mean and the largest job.
 func (a *arrivalHistory) rate(now, since ident.MonotonicTime) (perSecond, mean, largest float64) {
 	a.trim(now)
 	windowCPUs, burstCPUs, totalCPUs := 0.0, 0.0, 0.0
 	for i, cpus := range a.cpus {
 		totalCPUs += cpus
 		largest = max(largest, cpus)
-		if a.times[i].Sub(since) > backlogPeriod {
-			windowCPUs += cpus
-			if now.Sub(a.times[i]) < burstWindow {
-				burstCPUs += cpus
-			}
+		if a.times[i].Sub(since) <= backlogPeriod {
+			continue
+		}
+		windowCPUs += cpus
+		if now.Sub(a.times[i]) < burstWindow {
+			burstCPUs += cpus
 		}
 	}
 	if len(a.cpus) > 0 {
 		mean = totalCPUs / float64(len(a.cpus))
 	}
-	if span := min(now.Sub(since)-backlogPeriod, arrivalWindow); span > 10*time.Second {
-		// A burst is over before a slow mean has noticed it.
+	if span := min(now.Sub(since)-backlogPeriod, arrivalWindow); span > minRateSpan {
+		// A burst is over before the mean of the window shows it.
 		perSecond = max(windowCPUs/span.Seconds(), burstCPUs/burstWindow.Seconds())
 	}
-	return
+	return perSecond, mean, largest
 }
-
-// RecordArrival notes a new job, or at the start of a term one of the term before.
-func (m *Manager) RecordArrival(spec *api.Spec, at ident.MonotonicTime) {
-	if m.teams.IsBorrower(spec.Team) {
-		return // nothing is kept free for them
-	}
-	cpus := spec.VCPUs * float64(spec.Tasks)
-	if spec.Shape != api.Batch {
-		// Gangs as well want room that is there when they come.
-		m.serviceArrivals.record(at, cpus)
-	} else {
-		m.batchArrivals.record(at, min(cpus, max(m.teams.LargestGuarantee(), spec.VCPUs)))
-	}
-}
-
-// ResumeFromPriorTerm tells that the cluster was running before this term: its arrivals are
-// a rate from the beginning, not a backlog.
-func (m *Manager) ResumeFromPriorTerm() { m.arrivalsSince = m.arrivalsSince.Add(-time.Hour) }
--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -11,132 +11,124 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
+	"opaldale/internal/placement"
 	"opaldale/internal/settings"
+	"opaldale/internal/workers"
 )
 
-// binConstraint narrows down which machine is opened.
-type binConstraint struct {
-	zone      string   // only this zone, if given
-	fullZones []string // none of these zones
-	spotOnly  bool     // only spot machines
-}
+const (
+	// slackShare is the part of the time left to the objectives within which a backlog is worked
+	// off: jobs go on arriving, and estimates are often short.
+	slackShare = 0.85
+	// minTaskTimeLeft, in seconds, is how long a running task is expected to go on at the least.
+	minTaskTimeLeft = 5
+	// spotPatience, in boot times, is how long work that may use spot machines waits for one
+	// before an on-demand machine is provisioned for it.
+	spotPatience = 2
+	// priceTolerance is by how much two prices may differ to count as equal.
+	priceTolerance = 1e-9
+	// canaries is how many machines are provisioned in an unreachable zone, to find out whether
+	// new ones are reachable.
+	canaries = 2
+	// amountSteps is how many different amounts are told apart from one CPU to the next.
+	amountSteps = 1e6
+)
 
-// maxProvisionBatch bounds the machines asked for in one request.
-const maxProvisionBatch = 50
+// autoscaler provisions and terminates machines as the work requires.
+type autoscaler struct {
+	cfg         *Config
+	port        Port
+	machines    *workers.Table
+	jobs        *jobs.Table
+	teams       *placement.Teams
+	zones       *zoneMonitor
+	provisioner *provisioner
+	terminator  *terminator
 
-func sortedPools(counts map[pool]int) []pool {
-	out := make([]pool, 0, len(counts))
-	for p := range counts {
-		out = append(out, p)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		a, b := out[i], out[k]
-		if a.model != b.model {
-			return a.model < b.model
-		}
-		if a.zone != b.zone {
-			return a.zone < b.zone
-		}
-		return !a.spot && b.spot
-	})
-	return out
+	arrivals    arrivals
+	excessSince ident.MonotonicTime // since when there is more capacity than needed; 0 if there is not
 }
 
-// autoscale lays the waiting work out over what is there and what is coming, rents
-// what is missing, and returns what stays idle.
-func (m *Manager) autoscale() {
-	catalog := m.cfg.Catalog()
+// run packs the waiting work onto the machines that are there or coming, provisions what is missing
+// and empties what is not needed.
+func (s *autoscaler) run() {
+	catalog := s.cfg.Catalog()
 	if len(catalog) == 0 {
 		return
 	}
-	now := m.port.Now()
-	capacity := m.measureCapacity(catalog, now)
-	missing := map[pool]int{}
-	openBin := func(spec *api.Spec, constraint binConstraint) *bin {
-		b := m.cheapestBin(catalog, capacity, spec, constraint, now)
-		if b != nil {
-			missing[b.pool]++
-			capacity.machines[b.pool]++
-			capacity.freeVCPUs[b.pool] += b.freeVCPUs
-			capacity.bootingVCPUs[b.pool] += b.freeVCPUs
-			capacity.bins[b.tier] = append(capacity.bins[b.tier], b)
-		}
-		return b
+	run := s.newRun(catalog)
+	run.packWaiting()
+	headroom := run.targetHeadroom()
+	for zone, cpus := range headroom.services {
+		s.cfg.SetServiceHeadroom(zone, cpus)
 	}
-	onDemandBudget := m.batchShortfall(capacity, now)
-	for _, services := range []bool{true, false} {
-		for _, j := range m.waitingJobs(services) {
-			n := min(j.PlaceableCount(), m.teams.RemainingTasks(j.Spec))
-			if n > 0 && (!j.IsGang() || n == j.WaitingCount()) {
-				m.packJob(&jobPacking{capacity: capacity, job: j, remaining: n, onDemandBudget: &onDemandBudget, openBin: openBin, now: now})
-			}
-		}
-	}
-	services, batch := m.targetHeadroom(now)
-	// Beyond what arrays keep off, ordinary room that they may have meanwhile: when a
-	// rack goes, its replicas need at once what takes a boot to bring.
-	spare := map[string]float64{}
-	for z, v := range services {
-		m.cfg.SetServiceHeadroom(z, v)
-		spare[z] = round(v + wholeMachines(catalog, z, m.cfg.Tuning.ServiceSpareFraction*capacity.replicaVCPUs[z]))
-	}
-	m.ensureHeadroom(capacity, openBin, services, spare, batch)
-	m.provisionAll(missing)
-	m.scaleIn(capacity, services, spare, batch, now)
+	run.openOnDemandHeadroom(headroom)
+	run.openBatchHeadroom(headroom)
+	run.provisionMissing()
+	run.scaleIn(headroom)
 }
 
-// wholeMachines rounds CPUs down to whole machines of a zone: in a small fleet the part that
-// may be lost is less than one, and a machine more would stand there for it.
-func wholeMachines(catalog []cloud.MachineType, zone string, cpus float64) float64 {
-	largest := 0.0
-	for i := range catalog {
-		if slices.Contains(catalog[i].Zones, zone) {
-			largest = max(largest, catalog[i].VCPUs)
-		}
-	}
-	if largest == 0 {
-		return 0
+// scalingRun is one run of the autoscaler.
+type scalingRun struct {
+	*autoscaler
+	now            ident.MonotonicTime
+	catalog        []cloud.MachineType
+	capacity       *capacityModel
+	missing        map[pool]int // machines to be provisioned
+	onDemandBudget float64      // CPUs of batch work for which on-demand machines may replace spot machines
+	movesLeft      int          // replicas for which another machine may still be looked for
+}
+
+func (s *autoscaler) newRun(catalog []cloud.MachineType) *scalingRun {
+	run := &scalingRun{
+		autoscaler: s,
+		now:        s.port.Now(),
+		catalog:    catalog,
+		missing:    map[pool]int{},
+		movesLeft:  maxMovesPerTick,
 	}
-	return math.Floor(cpus/largest) * largest
+	run.capacity = run.measureCapacity()
+	run.onDemandBudget = run.batchShortfall()
+	return run
 }
 
-// provisionAll asks for what is missing, of each pool in turn, as far as the cloud's
-// rate allows.
-func (m *Manager) provisionAll(missing map[pool]int) {
-	pools := sortedPools(missing)
-	for again := true; again; {
-		again = false
-		for _, p := range pools {
-			if n := m.provisionLimit(p, min(missing[p], maxProvisionBatch)); n > 0 && m.provision(p, n) {
-				missing[p] -= n
-				again = true
-			}
+// packWaiting packs the tasks of the waiting jobs.
+func (r *scalingRun) packWaiting() {
+	for _, j := range r.waitingJobs() {
+		count := min(j.PlaceableCount(), r.teams.RemainingTasks(j.Spec))
+		if count <= 0 || j.IsGang() && count != j.WaitingCount() {
+			continue // a gang is placed as a whole
 		}
+		newJobPacking(r, j, count).pack()
 	}
 }
 
-// waitingJobs lists the jobs with tasks to be placed, by arrival, those of guests last: they
-// have the room that others leave.
-func (m *Manager) waitingJobs(services bool) []*jobs.Job {
-	var out []*jobs.Job
-	for j := range m.jobs.Waiting {
-		if (j.Spec.Shape != api.Batch) == services && !(j.Suspect && m.port.Now() < j.RetryAt) {
-			out = append(out, j)
+// waitingJobs lists the jobs with tasks to be placed: services and gangs first, then batch jobs, each
+// by arrival, with those of borrowers last, who have the capacity that others leave.
+func (r *scalingRun) waitingJobs() []*jobs.Job {
+	var waiting []*jobs.Job
+	for j := range r.jobs.Waiting {
+		if !j.Suspect || r.now >= j.RetryAt {
+			waiting = append(waiting, j)
 		}
 	}
-	sort.Slice(out, func(i, k int) bool {
-		if a, b := m.teams.IsBorrower(out[i].Spec.Team), m.teams.IsBorrower(out[k].Spec.Team); a != b {
-			return b
+	sort.Slice(waiting, func(i, k int) bool {
+		a, b := waiting[i].Spec, waiting[k].Spec
+		if isBatch := a.Shape == api.Batch; isBatch != (b.Shape == api.Batch) {
+			return !isBatch
 		}
-		return out[i].Seq < out[k].Seq
+		if isBorrower := r.teams.IsBorrower(a.Team); isBorrower != r.teams.IsBorrower(b.Team) {
+			return !isBorrower
+		}
+		return waiting[i].Seq < waiting[k].Seq
 	})
-	return out
+	return waiting
 }
 
-// eachOpenBatchJob calls f for every open array, in a fixed order.
-func (m *Manager) eachOpenBatchJob(visit func(*jobs.Job)) {
-	for _, name := range slices.Sorted(maps.Keys(m.jobs.Teams)) {
-		for _, j := range m.jobs.Teams[name].OpenJobs {
+// eachOpenBatchJob visits the open batch jobs in a fixed order.
+func (r *scalingRun) eachOpenBatchJob(visit func(*jobs.Job)) {
+	for _, name := range slices.Sorted(maps.Keys(r.jobs.Teams)) {
+		for _, j := range r.jobs.Teams[name].OpenJobs {
 			if j.Spec.Shape == api.Batch {
 				visit(j)
 			}
@@ -144,193 +136,192 @@
 	}
 }
 
-// batchShortfall returns how many CPUs are missing for the arrays that wait to be started
-// in time for the first of their aims, 0 if the machines that are there or coming
-// can still do it. A backlog is seen by its work, not by waiting until it is late.
-func (m *Manager) batchShortfall(capacity *capacityModel, now ident.MonotonicTime) float64 {
-	supply, work, slack, weight := 0.0, 0.0, 0.0, 0.0
-	for p, n := range capacity.machines {
-		if model := m.catalogModel(p.model); p.spot && model != nil {
-			supply += float64(n) * model.VCPUs
+// batchShortfall returns how many CPUs are missing for the waiting batch jobs to keep the first of
+// their objectives, 0 if the machines that are there or coming suffice. It judges a backlog
+// by its work, before any job of it is late.
+func (r *scalingRun) batchShortfall() float64 {
+	work, weightedTime := r.waitingBatchWork()
+	if work == 0 {
+		return 0
+	}
+	horizon := max(slackShare*weightedTime/work, r.longestBoot().Seconds())
+	demand := r.addRunningBatchWork(work, horizon)
+	return max(0, demand/horizon-r.batchSupply())
+}
+
+// batchSupply returns the CPUs that batch jobs that may use spot machines have or could have.
+func (r *scalingRun) batchSupply() float64 {
+	supply := 0.0
+	for p, count := range r.capacity.machines {
+		if model := r.machineType(p.model); p.spot && model != nil {
+			supply += float64(count) * model.VCPUs
 		} else {
-			supply += capacity.freeVCPUs[p] + capacity.batchVCPUs[p]
+			supply += r.capacity.freeVCPUs[p] + r.capacity.batchVCPUs[p]
 		}
 	}
-	m.eachOpenBatchJob(func(j *jobs.Job) {
+	return supply
+}
+
+// waitingBatchWork returns the work of the batch jobs that wait, in CPU seconds, and the sum of the
+// times left to their objectives, in seconds, each weighted by the work of its job. Jobs that no
+// machine could do in time are placed last and don't count.
+func (r *scalingRun) waitingBatchWork() (work, weightedTime float64) {
+	r.eachOpenBatchJob(func(j *jobs.Job) {
 		spec := j.Spec
-		if !spec.Spot || j.PlaceableCount() == 0 || m.teams.IsBorrower(spec.Team) {
+		if !spec.Spot || j.PlaceableCount() == 0 || r.teams.IsBorrower(spec.Team) {
 			return
 		}
-		waitingWork := float64(min(j.PlaceableCount(), m.teams.RemainingTasks(spec))) * spec.VCPUs * spec.RuntimeS
-		// What can't be done in time by any machine goes last, and doesn't count.
-		if timeLeft := (m.cfg.Objective(spec.Class) - now.Sub(j.SubmittedAt)).Seconds() - spec.RuntimeS; timeLeft > 0 && waitingWork > 0 {
-			work += waitingWork
-			slack += waitingWork * timeLeft
-			weight += waitingWork
+		jobWork := float64(min(j.PlaceableCount(), r.teams.RemainingTasks(spec))) * spec.VCPUs * spec.RuntimeS
+		jobTimeLeft := (r.cfg.Objective(spec.Class) - r.now.Sub(j.SubmittedAt)).Seconds() - spec.RuntimeS
+		if jobTimeLeft > 0 && jobWork > 0 {
+			work += jobWork
+			weightedTime += jobWork * jobTimeLeft
 		}
 	})
-	if weight == 0 {
-		return 0
-	}
-	// A part of the slack, since arrivals go on and estimates are often short.
-	horizon := max(0.85*slack/weight, m.longestBoot().Seconds())
-	m.eachOpenBatchJob(func(j *jobs.Job) {
-		if j.AllocatedTasks == 0 || !j.Spec.Spot || m.teams.IsBorrower(j.Spec.Team) {
-			return // guests' work makes room
+	return work, weightedTime
+}
+
+// addRunningBatchWork adds to an amount of work, in CPU seconds, what running batch tasks will take
+// until a horizon in seconds. Those of borrowers are preempted, and don't count.
+func (r *scalingRun) addRunningBatchWork(work, horizon float64) float64 {
+	r.eachOpenBatchJob(func(j *jobs.Job) {
+		if j.AllocatedTasks == 0 || !j.Spec.Spot || r.teams.IsBorrower(j.Spec.Team) {
+			return
 		}
 		for i := range j.Tasks {
-			if t := &j.Tasks[i]; t.State.Allocated() {
-				timeLeft := j.Spec.RuntimeS
-				if t.RunningSince > 0 {
-					timeLeft -= now.Sub(t.RunningSince).Seconds()
-				}
-				work += j.Spec.VCPUs * min(max(timeLeft, 5), horizon)
+			t := &j.Tasks[i]
+			if !t.State.Allocated() {
+				continue
 			}
+			timeLeft := j.Spec.RuntimeS
+			if t.RunningSince > 0 {
+				timeLeft -= r.now.Sub(t.RunningSince).Seconds()
+			}
+			work += j.Spec.VCPUs * min(max(timeLeft, minTaskTimeLeft), horizon)
 		}
 	})
-	return max(0, work/horizon-supply)
+	return work
 }
 
-// catalogModel returns a machine type of the catalog, nil for an unknown one.
-func (m *Manager) catalogModel(model string) *cloud.MachineType {
-	catalog := m.cfg.Catalog()
-	for i := range catalog {
-		if catalog[i].SKU == model {
-			return &catalog[i]
+// machineType returns a machine type of the catalog, nil for an unknown one.
+func (r *scalingRun) machineType(model string) *cloud.MachineType {
+	for i := range r.catalog {
+		if r.catalog[i].SKU == model {
+			return &r.catalog[i]
 		}
 	}
 	return nil
 }
 
-// spotPatience, in boot times, is how long work that may use spot machines waits for
-// one before an ordinary one is rented for it.
-const spotPatience = 2
-
 // longestBoot returns the longest boot time in the catalog.
-func (m *Manager) longestBoot() time.Duration {
+func (r *scalingRun) longestBoot() time.Duration {
 	boot := 0.0
-	for _, model := range m.cfg.Catalog() {
-		boot = max(boot, model.StartupS)
+	for i := range r.catalog {
+		boot = max(boot, r.catalog[i].StartupS)
 	}
 	return settings.Seconds(boot)
 }
 
-// cheapestBin opens a machine of the cheapest pool that allows the job, in the zone
-// that has the fewest of its kind.
-func (m *Manager) cheapestBin(catalog []cloud.MachineType, capacity *capacityModel, spec *api.Spec, constraint binConstraint, now ident.MonotonicTime) *bin {
+// binConstraint restricts which machines are opened.
+type binConstraint struct {
+	zone      string   // only this zone, if set
+	fullZones []string // none of these zones
+	spotOnly  bool     // only spot machines
+}
+
+// open adds a machine to those to be provisioned, of the cheapest pool that a job and a constraint
+// allow. It returns nil if there is none.
+func (r *scalingRun) open(spec *api.Spec, constraint binConstraint) *bin {
+	b := r.cheapestBin(spec, constraint)
+	if b != nil {
+		r.missing[b.pool]++
+		r.capacity.addBooting(b)
+	}
+	return b
+}
+
+// cheapestBin returns a machine of the pool with the lowest price for a task. Between pools of
+// equal prices it prefers the one with fewer machines.
+func (r *scalingRun) cheapestBin(spec *api.Spec, constraint binConstraint) *bin {
 	var best *bin
-	cheapest, fewest := math.Inf(1), 0
-	m.eachAvailablePool(catalog, constraint, now, func(model *cloud.MachineType, p pool) {
-		b := &bin{model: model, pool: p, machines: 1, freeVCPUs: model.VCPUs, freeGPUs: model.GPUs, freeMemoryGB: model.MemoryGB, tier: p.tier()}
+	cheapest, fewest := 0.0, 0
+	r.eachAvailablePool(constraint, func(model *cloud.MachineType, p pool) {
+		b := newBin(model, p)
 		if !b.allows(spec) {
 			return
 		}
-		price := model.HourlyPrice
-		if p.spot {
-			price = model.SpotPrice
-		}
-		price /= float64(max(b.tasksPerMachine(spec), 1))
-		n := capacity.machines[p]
-		if best == nil || price < cheapest-1e-9 || price < cheapest+1e-9 && n < fewest {
-			best, cheapest, fewest = b, price, n
+		price := hourlyPrice(model, p.spot) / float64(max(b.tasksPerMachine(spec), 1))
+		count := r.capacity.machines[p]
+		if best == nil || price < cheapest-priceTolerance || price < cheapest+priceTolerance && count < fewest {
+			best, cheapest, fewest = b, price, count
 		}
 	})
 	return best
 }
 
-// eachAvailablePool calls f for each pool that is asked for and has machines to be had, as far as is
-// known.
-func (m *Manager) eachAvailablePool(catalog []cloud.MachineType, constraint binConstraint, now ident.MonotonicTime, visit func(*cloud.MachineType, pool)) {
-	for i := range catalog {
-		model := &catalog[i]
-		for _, zone := range model.Zones {
-			if m.partitionedZones[zone] || m.canariesExhausted(zone) || constraint.zone != "" && constraint.zone != zone || slices.Contains(constraint.fullZones, zone) {
-				continue
-			}
-			for _, spot := range []bool{true, false} {
-				if p := (pool{model.SKU, zone, spot}); (spot || !constraint.spotOnly) && m.poolState(p).unavailableUntil <= now {
-					visit(model, p)
-				}
-			}
-		}
-	}
-}
-
-func (m *Manager) poolState(p pool) *poolState {
-	state := m.pools[p]
-	if state == nil {
-		state = &poolState{}
-		m.pools[p] = state
+// hourlyPrice returns the price of a machine.
+func hourlyPrice(model *cloud.MachineType, spot bool) float64 {
+	if spot {
+		return model.SpotPrice
 	}
-	return state
+	return model.HourlyPrice
 }
 
-// targetHeadroom returns the room in CPUs to keep free: for services by zone, and for
-// arrays.
-func (m *Manager) targetHeadroom(now ident.MonotonicTime) (services map[string]float64, batch float64) {
-	boot := m.longestBoot().Seconds()
-	services = map[string]float64{}
-	for _, model := range m.cfg.Catalog() {
-		for _, z := range model.Zones {
-			services[z] = 0
+// eachAvailablePool visits the pools that a constraint allows and that may have capacity.
+func (r *scalingRun) eachAvailablePool(constraint binConstraint, visit func(*cloud.MachineType, pool)) {
+	eachPool(r.catalog, func(model *cloud.MachineType, p pool) {
+		if constraint.zone != "" && constraint.zone != p.zone || slices.Contains(constraint.fullZones, p.zone) {
+			return
 		}
-	}
-	if now.Sub(max(m.serviceArrivals.latest(), m.batchArrivals.latest())) > arrivalsCeasedAfter {
-		// Machines stood there with nothing to do for a minute and a half after the last
-		// job of all.
-		return services, 0
-	}
-	factor := m.cfg.Tuning.Headroom
-	if len(m.serviceArrivals.times) > 0 {
-		rate, _, largest := m.serviceArrivals.rate(now, m.arrivalsSince)
-		for z := range services {
-			services[z] = factor * (rate*boot*1.3 + largest) / float64(len(services))
+		if r.zones.partitioned[p.zone] || r.canariesExhausted(p.zone) {
+			return
 		}
-	}
-	if len(m.batchArrivals.times) > 0 {
-		_, mean, _ := m.batchArrivals.rate(now, m.arrivalsSince)
-		batch = factor * mean
-	}
-	return services, batch
+		if (p.spot || !constraint.spotOnly) && r.provisioner.available(p, r.now) {
+			visit(model, p)
+		}
+	})
 }
 
-// ensureHeadroom keeps room for the jobs to be expected while a machine boots.
-func (m *Manager) ensureHeadroom(capacity *capacityModel, openBin func(*api.Spec, binConstraint) *bin, services, onDemand map[string]float64, batch float64) {
-	// Room that arrays have on ordinary machines comes back by itself, since they
-	// keep off the reserve: renting for it too, and letting arrays have that as
-	// well, made the ordinary fleet grow without services.
-	onDemandFree := capacity.onDemandByZone()
-	for _, z := range slices.Sorted(maps.Keys(onDemand)) {
-		for n := 0; n < maxHeadroomBins && onDemandFree[z] < onDemand[z]; n++ {
-			b := openBin(&api.Spec{Shape: api.Service, Tasks: 1, Zone: &z}, binConstraint{zone: z})
-			if b == nil {
-				break
+// provisionMissing requests what is missing, of each pool in turn, as far as the rate limit allows.
+func (r *scalingRun) provisionMissing() {
+	pools := sortedPools(r.missing)
+	for again := true; again; {
+		again = false
+		for _, p := range pools {
+			count := r.provisionLimit(p, min(r.missing[p], maxProvisionBatch))
+			if count > 0 && r.provisioner.provision(p, count) {
+				r.missing[p] -= count
+				again = true
 			}
-			onDemandFree[z] += b.freeVCPUs
 		}
 	}
-	spare := round(capacity.totalFree() - total(services))
-	for n := 0; n < maxHeadroomBins && spare < batch; n++ {
-		// Ordinary machines are not rented just in case.
-		b := openBin(&api.Spec{Shape: api.Batch, Tasks: 1, Spot: true}, binConstraint{spotOnly: true})
-		if b == nil {
-			return
-		}
-		spare += b.freeVCPUs
+}
+
+// provisionLimit bounds how many machines are requested of a pool.
+func (r *scalingRun) provisionLimit(p pool, count int) int {
+	if r.zones.unreachable[p.zone] == nil {
+		return count
 	}
+	return min(count, r.canariesLeft(p.zone))
 }
 
-// maxHeadroomBins bounds the machines opened for headroom at a time.
-const maxHeadroomBins = 8
+// canariesExhausted says whether a zone is unreachable and no more canaries are allowed in it.
+func (r *scalingRun) canariesExhausted(zone string) bool {
+	return r.zones.unreachable[zone] != nil && r.canariesLeft(zone) == 0
+}
 
-// total adds up. Rounded, so that the order of the sum can't change what is
-// decided by it.
-func total(byZone map[string]float64) float64 {
-	sum := 0.0
-	for _, v := range byZone {
-		sum += v
+// canariesLeft returns how many more machines may be provisioned in an unreachable zone.
+func (r *scalingRun) canariesLeft(zone string) int {
+	count := r.provisioner.pendingIn(zone)
+	since := r.zones.unreachable[zone].since
+	for _, w := range r.machines.Sorted() {
+		active := w.State == workers.Booting || w.State == workers.Up || w.State == workers.Unreachable
+		if w.Zone == zone && active && w.CreatedAt > since {
+			count++
+		}
 	}
-	return round(sum)
+	return max(0, canaries-count)
 }
 
-func round(x float64) float64 { return math.Round(x*1e6) / 1e6 }
+// roundAmount rounds an amount, so that the order of a sum can't change what is decided by it.
+func roundAmount(x float64) float64 { return math.Round(x*amountSteps) / amountSteps }
--- /dev/null
+++ b/internal/fleet/capacity_measurement.go
@@ -0,0 +1,140 @@
+package fleet
+
+import (
+	"opaldale/internal/cloud"
+	"opaldale/internal/ident"
+	"opaldale/internal/jobs"
+	"opaldale/internal/settings"
+	"opaldale/internal/workers"
+)
+
+const (
+	// In a large fleet, free amounts of machines are rounded down to a quantum, so that some of the
+	// machines are alike; in a small one that would only hide capacity.
+	largeFleet    = 200 // machines
+	coarseQuantum = 0.25
+	// lateBootFactor is after how many boot times a booting machine is no longer counted on.
+	lateBootFactor = 2
+)
+
+// measureCapacity returns the capacity of the machines that can take work now or soon.
+func (r *scalingRun) measureCapacity() *capacityModel {
+	capacity := newCapacityModel()
+	for j := range r.jobs.Waiting {
+		capacity.minNeed.LowerTo(j.Spec)
+	}
+	builder := &binBuilder{bins: map[binKey]*bin{}, quantum: exactQuantum}
+	if len(r.machines.Sorted()) > largeFleet {
+		builder.quantum = coarseQuantum
+	}
+	borrowed := r.borrowedByMachine()
+	for _, w := range r.machines.Sorted() {
+		r.addMachine(capacity, builder, w, borrowed[w.ID])
+	}
+	r.addPending(capacity, builder)
+	r.addEndingTasks(builder)
+	for _, b := range builder.order {
+		capacity.addBin(b)
+	}
+	return capacity
+}
+
+// addMachine adds a machine, if it can take work now or soon.
+func (r *scalingRun) addMachine(capacity *capacityModel, builder *binBuilder, w *workers.Worker, borrowed jobs.Resources) {
+	if !r.isUsable(w) {
+		return
+	}
+	p := poolOf(w)
+	free := modelResources(w.Type)
+	switch w.State {
+	case workers.Booting:
+		if r.now.Sub(w.CreatedAt) > lateBootFactor*bootTime(w) {
+			return
+		}
+		capacity.bootingVCPUs[p] += free.VCPUs
+	case workers.Up, workers.Unreachable:
+		free = free.Sub(jobs.Resources{VCPUs: w.VCPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB})
+	default:
+		return
+	}
+	capacity.machines[p]++
+	capacity.replicaVCPUs[p.zone] += w.ServiceVCPUs
+	if w.Cordoned {
+		b := builder.add(w.Type, p, cordonedTier, free, 1)
+		b.cordoned = append(b.cordoned, w)
+		return
+	}
+	capacity.freeVCPUs[p] += free.VCPUs
+	capacity.batchVCPUs[p] += w.BatchVCPUs
+	builder.add(w.Type, p, p.tier(), free.Add(borrowed), 1)
+}
+
+// isUsable says whether work may be expected to find room on a machine. A machine on which a task
+// failed does not count, since the task's job avoids it, nor does one of a partitioned zone.
+func (r *scalingRun) isUsable(w *workers.Worker) bool {
+	if w.Type == nil || w.ReclaimAt > 0 || w.Slow || r.zones.partitioned[w.Zone] {
+		return false
+	}
+	return w.QuarantinedUntil <= r.now && !w.PossiblyFaulty()
+}
+
+// addPending adds the machines that were requested and are not on record yet.
+func (r *scalingRun) addPending(capacity *capacityModel, builder *binBuilder) {
+	eachPool(r.catalog, func(model *cloud.MachineType, p pool) {
+		state := r.provisioner.pools[p]
+		if state == nil || state.pending <= 0 {
+			return
+		}
+		builder.add(model, p, p.tier(), modelResources(model), state.pending)
+		cpus := float64(state.pending) * model.VCPUs
+		capacity.machines[p] += state.pending
+		capacity.freeVCPUs[p] += cpus
+		capacity.bootingVCPUs[p] += cpus
+	})
+}
+
+// addEndingTasks adds the places of running batch tasks that are expected to end before a machine
+// provisioned now would be up.
+func (r *scalingRun) addEndingTasks(builder *binBuilder) {
+	r.eachRunningBatchTask(func(t *jobs.Task, w *workers.Worker) {
+		left := settings.Seconds(t.Job.Spec.RuntimeS) - r.now.Sub(t.RunningSince)
+		if !w.Cordoned && w.Type != nil && left < bootTime(w) {
+			builder.add(w.Type, poolOf(w), endingTier, jobs.ResourcesOf(t.Job.Spec), 1)
+		}
+	})
+}
+
+// borrowedByMachine returns what tasks of borrowers use of each machine. It counts as free for all
+// waiting work, since they are preempted for it.
+func (r *scalingRun) borrowedByMachine() map[ident.MachineID]jobs.Resources {
+	borrowed := map[ident.MachineID]jobs.Resources{}
+	r.eachOpenBatchJob(func(j *jobs.Job) {
+		if j.AllocatedTasks == 0 || !r.teams.IsBorrower(j.Spec.Team) {
+			return
+		}
+		for i := range j.Tasks {
+			if t := &j.Tasks[i]; t.State.Allocated() {
+				borrowed[t.MachineID] = borrowed[t.MachineID].Add(jobs.ResourcesOf(j.Spec))
+			}
+		}
+	})
+	return borrowed
+}
+
+// eachRunningBatchTask visits the running batch tasks with their machines.
+func (r *scalingRun) eachRunningBatchTask(visit func(*jobs.Task, *workers.Worker)) {
+	r.eachOpenBatchJob(func(j *jobs.Job) {
+		if j.RunningTasks == 0 {
+			return
+		}
+		for i := range j.Tasks {
+			t := &j.Tasks[i]
+			if t.State != jobs.Assigned || t.RunningSince == 0 {
+				continue
+			}
+			if w := r.machines.Workers[t.MachineID]; w != nil {
+				visit(t, w)
+			}
+		}
+	})
+}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,9 +12,9 @@
 // by whichever term.
 func TestGoldenRentals(t *testing.T) {
 	r := newHarness()
-	r.manager.rateTokens = 10
-	r.manager.provision(pool{model: "m8", zone: "east", spot: true}, 3)
-	r.manager.provision(pool{model: "g8", zone: "west"}, 4)
+	r.manager.requester.limiter.tokens = 10
+	r.manager.provisioner.provision(pool{model: "m8", zone: "east", spot: true}, 3)
+	r.manager.provisioner.provision(pool{model: "g8", zone: "west"}, 4)
 	var d golden.Document
 	for i, c := range r.calls {
 		d.Add(fmt.Sprintf("request %d", i), string(api.JSON(c)))
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -131,7 +131,7 @@
 // newReplicaHarness has machines with a replica on each, some of which answer nothing.
 func newReplicaHarness(machines int, dead func(i int) bool) *harness {
 	r := newHarness()
-	r.manager.heartbeatOverdue, r.manager.fenceTimeout = 10*time.Second, 18*time.Second
+	r.manager.health.heartbeatOverdue, r.manager.health.fenceTimeout = 10*time.Second, 18*time.Second
 	r.addMachines(machines)
 	r.deadAddrs, r.sequence = map[string]bool{}, 100
 	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: machines, VCPUs: 1}, func() {}, nil)
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -10,71 +10,129 @@
 	"opaldale/internal/workers"
 )
 
-// stallThreshold is a gap between two ticks by which a node is known to have been slow.
-const stallThreshold = 2 * time.Second
-
 const (
+	// stallThreshold is a gap between two ticks by which this node is known to have stalled.
+	stallThreshold = 2 * time.Second
+	// longAgo is how far in the past an event is said to be that has not happened yet.
+	longAgo = time.Hour
+
+	// fenceHeartbeats is after how many heartbeat intervals a silent machine is fenced, if not
+	// set: two heartbeats at their latest (a quarter late) are missing by then, and a probe.
+	fenceHeartbeats = 2.2
+	// heartbeatLateness is how late heartbeats come, in intervals, and transmissionDelay how long
+	// they take.
+	heartbeatLateness = 1.25
+	transmissionDelay = 500 * time.Millisecond
+
 	// maxRoutineProbes bounds the probes of a tick before machines are late: with a thousand
-	// machines, each would be asked between any two of its reports.
+	// machines, each would be probed between any two of its heartbeats.
 	maxRoutineProbes = 10
-	// minUrgentProbes bounds those of machines that are late, and of all others while some
-	// of them may have gone together with one that was; in a large fleet the bound is a
-	// part of it, so that a zone is asked within the same time whatever its size.
+	// minUrgentProbes bounds the probes of machines that are late, and of all others while some
+	// of them may have failed together with one that is late. In a large fleet the bound is
+	// a part of it, so that a zone is probed within the same time whatever its size.
 	minUrgentProbes    = 60
 	urgentProbeDivisor = 25
-	// massProbeDuration is how long one late machine that doesn't answer has all others asked
-	// that were not heard since. Whole racks go at once, and report times are spread
-	// over many seconds.
+	// massProbeDuration is for how long a late machine that does not respond has all others
+	// probed that were not heard since: whole racks fail at once, and the times of their
+	// heartbeats are spread over many seconds.
 	massProbeDuration = 8 * time.Second
-	// replicaSilenceLimit is how long a machine with replicas must be quiet, beside two
-	// commands without an answer.
-	replicaSilenceLimit = 3500 * time.Millisecond
-	// massProbeThreshold is how many machines with replicas that don't answer have all others asked,
-	// though none of them is late: a new leader asks machines before their reports are
-	// due. (It took 8 s for them to be late, and 13 s until a cut rack was fenced.)
+	// massProbeThreshold is how many machines with replicas that do not respond have all others
+	// probed although none of them is late: a new leader sends commands to machines before
+	// their heartbeats are due, and learns of a failed rack earlier by them.
 	massProbeThreshold = 3
+	// replicaSilenceLimit is how long a machine with replicas must be silent before it is fenced,
+	// beside two missed responses.
+	replicaSilenceLimit = 3500 * time.Millisecond
+
+	// defaultBootTime is that of machines of an unknown type.
+	defaultBootTime = 30 * time.Second
+	// forgetAfter is how long a terminated machine is remembered beyond the provider's lag.
+	forgetAfter = time.Minute
 )
 
-// probeUpTo asks up to so many machines for their state, and returns how many.
-func (m *Manager) probeUpTo(list []*workers.Worker, limit int) int {
-	n := 0
-	for _, w := range list {
-		if n >= limit {
-			break
-		}
-		if m.machines.Probe(w) {
-			n++
-		}
+// healthMonitor finds machines that are unreachable, faulty, reclaimed or fail to boot, and
+// has them probed, drained or terminated.
+type healthMonitor struct {
+	cfg        *Config
+	port       Port
+	machines   *workers.Table
+	terminator *terminator
+	counters   *Counters
+	zones      *zoneMonitor
+
+	fenceTimeout     time.Duration         // silence after which a machine is fenced
+	heartbeatOverdue time.Duration         // silence after which a heartbeat has been missed
+	lastTick         ident.MonotonicTime   // of the previous check
+	lastStall        ident.MonotonicTime   // when this node was last found to have stalled
+	massProbeStarted ident.MonotonicTime   // when unresponsive machines last had all others probed
+	recentFences     []ident.MonotonicTime // within twice the fence timeout
+}
+
+func newHealthMonitor(cfg *Config, port Port, machines *workers.Table, t *terminator, counters *Counters) *healthMonitor {
+	now := port.Now()
+	fenceTimeout := cfg.Tuning.UnreachableAfter
+	if fenceTimeout == 0 {
+		fenceTimeout = settings.Seconds(fenceHeartbeats * cfg.Workers.HeartbeatS)
+	}
+	return &healthMonitor{
+		cfg:              cfg,
+		port:             port,
+		machines:         machines,
+		terminator:       t,
+		counters:         counters,
+		zones:            newZoneMonitor(cfg),
+		fenceTimeout:     fenceTimeout,
+		heartbeatOverdue: settings.Seconds(heartbeatLateness*cfg.Workers.HeartbeatS) + transmissionDelay,
+		lastTick:         now,
+		lastStall:        now.Add(-longAgo),
+		massProbeStarted: now.Add(-longAgo),
 	}
-	return n
 }
 
-const (
-	// zoneSilenceThreshold is how long nothing must come from a whole zone for it to be thought
-	// cut off, or longer where so few machines are that their reports leave gaps.
-	zoneSilenceThreshold = 2 * time.Second
-	// zoneMissedHeartbeats is how many reports of the zone are missed then, at the least.
-	zoneMissedHeartbeats = 4
-	// partitionLeases is after how many leases machines of such a zone are given up.
-	partitionLeases = 5
-)
+// healthSweep is what one check of all machines finds.
+type healthSweep struct {
+	now          ident.MonotonicTime
+	expected     int               // machines that should be reachable
+	unresponsive int               // machines with replicas that do not respond
+	urgent       []*workers.Worker // to be probed first
+	routine      []*workers.Worker // to be probed if the bound allows it
+	silent       []*workers.Worker // to be fenced
+}
 
-// zoneContact is what is heard of a zone's machines.
-type zoneContact struct {
-	expected  int // machines that should be heard
-	lastHeard ident.MonotonicTime
+// check checks all machines.
+func (h *healthMonitor) check() {
+	now := h.port.Now()
+	// After a stall of this node, heartbeats wait to be read: no machine is late yet.
+	if now.Sub(h.lastTick) > stallThreshold {
+		h.lastStall = now
+	}
+	h.lastTick = now
+	contacts := h.zoneContacts()
+	h.zones.detectPartitions(contacts, now)
+	h.zones.detectUnreachable(contacts, h.heartbeatOverdue, now)
+	sweep := &healthSweep{now: now}
+	for _, w := range h.machines.Sorted() {
+		h.inspect(w, sweep)
+	}
+	if sweep.unresponsive >= massProbeThreshold && now.Sub(h.massProbeStarted) > massProbeDuration {
+		slog.Info("replica machines unresponsive, probing all", "unresponsive", sweep.unresponsive)
+		h.massProbeStarted = now
+	}
+	probed := h.probeUpTo(sweep.urgent, max(minUrgentProbes, sweep.expected/urgentProbeDivisor))
+	h.probeUpTo(sweep.routine, maxRoutineProbes-probed)
+	h.fenceSilent(sweep)
 }
 
-// zoneContacts returns what is heard of each zone that has machines.
-func (m *Manager) zoneContacts() map[string]*zoneContact {
+// zoneContacts returns the contact with the machines of each zone that has any.
+func (h *healthMonitor) zoneContacts() map[string]*zoneContact {
 	zones := map[string]*zoneContact{}
-	for _, w := range m.machines.Sorted() {
+	for _, w := range h.machines.Sorted() {
 		if w.State != workers.Up && w.State != workers.Unreachable {
 			continue
 		}
 		z := zones[w.Zone]
 		if z == nil {
-			z = &zoneContact{lastHeard: m.lastStall}
+			z = &zoneContact{lastHeard: h.lastStall}
 			zones[w.Zone] = z
 		}
 		z.expected++
@@ -83,187 +141,220 @@
 	return zones
 }
 
-// detectPartitionedZones finds the zones from which nothing is heard, neither machines nor
-// siblings: they are cut off rather than dead, and work inside goes on for as long
-// as its leases do. (Half a fleet was fenced for its zone's cut, with replicas that
-// were not allowed anywhere else.) Nothing is placed there meanwhile.
-func (m *Manager) detectPartitionedZones(zones map[string]*zoneContact, now ident.MonotonicTime) {
-	previous := m.partitionedZones
-	m.partitionedZones = map[string]bool{}
-	for zone, z := range zones {
-		threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*m.cfg.Workers.HeartbeatS/float64(z.expected)))
-		if z.expected > 2 && now.Sub(z.lastHeard) > threshold && m.cfg.ZonePeersSilent(zone) {
-			m.partitionedZones[zone] = true
-			if !previous[zone] {
-				slog.Info("nothing is heard from a zone", "zone", zone, "machines", z.expected)
-			}
-		} else if previous[zone] {
-			// Its machines come one after the other, as their calls into the cut end.
-			slog.Info("a zone is heard again", "zone", zone)
-			m.zoneRecovered[zone] = now
+// probeUpTo probes up to a number of machines, and returns how many.
+func (h *healthMonitor) probeUpTo(list []*workers.Worker, limit int) int {
+	probed := 0
+	for _, w := range list {
+		if probed >= limit {
+			break
+		}
+		if h.machines.Probe(w) {
+			probed++
 		}
 	}
+	return probed
 }
 
-// handlePartitioned keeps work off a machine of a zone that is cut off, and takes what was on it
-// for gone once its lease is surely over.
-func (m *Manager) handlePartitioned(w *workers.Worker, now ident.MonotonicTime) {
-	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
-	if !m.machines.LeaseExpired(w) {
-		return
-	}
-	m.machines.ExpireLease(w)
-	if m.machines.TimeSinceContact(w) > partitionLeases*settings.Seconds(m.cfg.Workers.LeaseS) {
-		m.Terminate(w, workers.ReasonZonePartition)
-	}
-}
-
-// healthSweep is what one look at all machines finds.
-type healthSweep struct {
-	expected     int               // machines that should be heard
-	unresponsive int               // machines with replicas that don't answer
-	urgent       []*workers.Worker // to be asked first
-	routine      []*workers.Worker // to be asked if there is time
-	silent       []*workers.Worker // to be fenced
-}
-
-// checkHealth finds machines that are silent, doomed, faulty or never came up.
-func (m *Manager) checkHealth() {
-	now := m.port.Now()
-	// After a stall of our own, reports wait to be read: nobody is silent yet.
-	if now.Sub(m.lastTick) > stallThreshold {
-		m.lastStall = now
-	}
-	m.lastTick = now
-	zones := m.zoneContacts()
-	m.detectPartitionedZones(zones, now)
-	m.detectUnreachableZones(zones, now)
-	sweep := &healthSweep{}
-	for _, w := range m.machines.Sorted() {
-		m.inspect(w, now, sweep)
-	}
-	if sweep.unresponsive >= massProbeThreshold && now.Sub(m.massProbeStarted) > massProbeDuration {
-		slog.Info("machines with replicas don't answer", "mutes", sweep.unresponsive)
-		m.massProbeStarted = now
-	}
-	n := m.probeUpTo(sweep.urgent, max(minUrgentProbes, sweep.expected/urgentProbeDivisor))
-	m.probeUpTo(sweep.routine, maxRoutineProbes-n)
-	m.fenceSilent(sweep, now)
-}
-
-// inspect looks at one machine.
-func (m *Manager) inspect(w *workers.Worker, now ident.MonotonicTime, sweep *healthSweep) {
+// inspect checks one machine.
+func (h *healthMonitor) inspect(w *workers.Worker, sweep *healthSweep) {
 	switch w.State {
 	case workers.Booting:
-		startup := m.bootTime(w)
-		if now.Sub(w.CreatedAt) > time.Duration(m.cfg.Tuning.BootTimeoutFactor*float64(startup)) && now.Sub(w.StateSince) > startup {
-			m.Terminate(w, workers.ReasonBootTimeout)
+		if h.bootTimedOut(w, sweep.now) {
+			h.terminator.terminate(w, workers.ReasonBootTimeout)
 		}
 	case workers.Up, workers.Unreachable:
-		if m.partitionedZones[w.Zone] {
-			m.handlePartitioned(w, now)
+		if h.zones.partitioned[w.Zone] {
+			h.inspectPartitioned(w, sweep.now)
 			return
 		}
-		m.inspectRunning(w, now, sweep)
+		h.inspectRunning(w, sweep)
 	case workers.Terminating:
-		// The cloud may be down; the lease ends all the same.
-		if len(w.Tasks) > 0 && m.machines.LeaseExpired(w) {
-			m.machines.ExpireLease(w)
+		// The provider may be unavailable; the lease expires all the same.
+		if len(w.Tasks) > 0 && h.machines.LeaseExpired(w) {
+			h.machines.ExpireLease(w)
 		}
 	case workers.Terminated:
-		if now.Sub(w.StateSince) > time.Minute+2*settings.Seconds(m.cfg.Cloud.ListLagS) && !w.Persisted {
-			m.machines.Remove(w)
+		if h.mayForget(w, sweep.now) {
+			h.machines.Remove(w)
 		}
 	}
 }
 
-// inspectRunning looks at a machine that should be heard.
-func (m *Manager) inspectRunning(w *workers.Worker, now ident.MonotonicTime, sweep *healthSweep) {
+// bootTimedOut says whether a machine has failed to boot.
+func (h *healthMonitor) bootTimedOut(w *workers.Worker, now ident.MonotonicTime) bool {
+	boot := bootTime(w)
+	limit := time.Duration(h.cfg.Tuning.BootTimeoutFactor * float64(boot))
+	return now.Sub(w.CreatedAt) > limit && now.Sub(w.StateSince) > boot
+}
+
+// mayForget says whether the provider no longer lists a terminated machine.
+func (h *healthMonitor) mayForget(w *workers.Worker, now ident.MonotonicTime) bool {
+	return now.Sub(w.StateSince) > forgetAfter+2*settings.Seconds(h.cfg.Cloud.ListLagS) && !w.Persisted
+}
+
+// inspectPartitioned keeps work off a machine of a partitioned zone, and takes its tasks for lost
+// once its lease has expired.
+func (h *healthMonitor) inspectPartitioned(w *workers.Worker, now ident.MonotonicTime) {
+	quarantine(w, now)
+	if !h.machines.LeaseExpired(w) {
+		return
+	}
+	h.machines.ExpireLease(w)
+	if h.machines.TimeSinceContact(w) > partitionLeases*settings.Seconds(h.cfg.Workers.LeaseS) {
+		h.terminator.terminate(w, workers.ReasonZonePartition)
+	}
+}
+
+// quarantineDuration outlasts the time to the next tick.
+const quarantineDuration = time.Second
+
+// quarantine keeps new work off a machine until the next tick.
+func quarantine(w *workers.Worker, now ident.MonotonicTime) {
+	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(quarantineDuration))
+}
+
+// machineContact is how a running machine communicates with this node.
+type machineContact struct {
+	silence        time.Duration // since it was heard, less the times when it could not be heard
+	limit          time.Duration // silence after which it is fenced if several responses are missing
+	inboundSilence time.Duration // for how long its heartbeats have shown that it receives nothing
+}
+
+// inspectRunning checks a machine that should be reachable.
+func (h *healthMonitor) inspectRunning(w *workers.Worker, sweep *healthSweep) {
 	sweep.expected++
-	silence := min(m.machines.TimeSinceContact(w), now.Sub(max(m.lastStall, m.zoneRecovered[w.Zone])))
-	limit := m.fenceTimeout
+	unheardSince := max(h.lastStall, h.zones.recoveredAt[w.Zone])
+	contact := machineContact{
+		silence: min(h.machines.TimeSinceContact(w), sweep.now.Sub(unheardSince)),
+		limit:   h.fenceTimeout,
+	}
 	if w.ServiceVCPUs > 0 {
-		// Users miss replicas at once: don't wait for reports to fail.
-		limit = min(m.fenceTimeout/2, replicaSilenceLimit)
-		m.inspectReplicaHost(w, silence, limit, now, sweep)
+		// Users notice a missing replica at once: don't wait for heartbeats to be missed.
+		contact.limit = min(h.fenceTimeout/2, replicaSilenceLimit)
+		h.inspectReplicaMachine(w, contact, sweep)
 	}
-	if silence > m.fenceTimeout*2/3 {
-		m.machines.MarkUnreachable(w)
-		m.machines.Probe(w)
+	if contact.silence > h.fenceTimeout*2/3 {
+		h.machines.MarkUnreachable(w)
+		h.machines.Probe(w)
 	}
-	inboundSilence := w.CannotReceiveFor()
-	if inboundSilence > m.fenceTimeout/2 {
+	contact.inboundSilence = w.CannotReceiveFor()
+	if contact.inboundSilence > h.fenceTimeout/2 {
 		sweep.urgent = append(sweep.urgent, w)
 	}
+	h.handleFaults(w, contact, sweep)
+	if h.machines.LeaseExpired(w) {
+		h.machines.ExpireLease(w)
+		h.terminateUnreachable(w, workers.ReasonLeaseExpired, sweep.now)
+	}
+}
+
+// handleFaults acts on the first of the faults that a machine shows.
+func (h *healthMonitor) handleFaults(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	switch {
-	case w.ReclaimAt > 0 && now > w.ReclaimAt && silence > m.fenceTimeout/2:
-		m.Terminate(w, workers.ReasonReclaimed)
-	case silence > limit && w.MissedResponses() > 1 || silence > m.fenceTimeout && w.MissedResponses() > 0,
-		inboundSilence > m.fenceTimeout && w.MissedResponses() > 1:
+	case w.ReclaimAt > 0 && sweep.now > w.ReclaimAt && contact.silence > h.fenceTimeout/2:
+		h.terminator.terminate(w, workers.ReasonReclaimed)
+	case h.isSilent(w, contact) || h.cannotReceive(w, contact):
 		sweep.silent = append(sweep.silent, w)
 	case w.Faulty():
-		m.Terminate(w, workers.ReasonFaulty)
+		h.terminator.terminate(w, workers.ReasonFaulty)
 	case w.Slow && len(w.Tasks) == 0:
-		m.Terminate(w, workers.ReasonSlow)
+		h.terminator.terminate(w, workers.ReasonSlow)
 	case w.ReclaimAt > 0:
-		m.cfg.Drain(w)
-	}
-	if m.machines.LeaseExpired(w) {
-		m.machines.ExpireLease(w)
-		if m.mayTerminateSilent(w, now) {
-			m.Terminate(w, workers.ReasonLeaseExpired)
-		}
+		h.cfg.Drain(w)
 	}
 }
 
-// inspectReplicaHost has a machine with replicas asked when it is late.
-func (m *Manager) inspectReplicaHost(w *workers.Worker, silence, limit time.Duration, now ident.MonotonicTime, sweep *healthSweep) {
+// isSilent says whether a machine is silent for long enough to be fenced.
+func (h *healthMonitor) isSilent(w *workers.Worker, contact machineContact) bool {
+	return contact.silence > contact.limit && w.MissedResponses() > 1 ||
+		contact.silence > h.fenceTimeout && w.MissedResponses() > 0
+}
+
+// cannotReceive says whether a machine has received nothing for long enough to be fenced, though
+// its heartbeats arrive.
+func (h *healthMonitor) cannotReceive(w *workers.Worker, contact machineContact) bool {
+	return contact.inboundSilence > h.fenceTimeout && w.MissedResponses() > 1
+}
+
+// inspectReplicaMachine has a machine with replicas probed when it is late.
+func (h *healthMonitor) inspectReplicaMachine(w *workers.Worker, contact machineContact, sweep *healthSweep) {
+	overdue := contact.silence > h.heartbeatOverdue
 	if w.MissedResponses() > 0 {
 		sweep.unresponsive++
-		if silence > m.heartbeatOverdue {
+		if overdue {
 			sweep.unresponsive += massProbeThreshold // one that is late as well is enough
 		}
 	}
+	massProbing := sweep.now.Sub(h.massProbeStarted) < massProbeDuration
 	switch {
-	case silence > m.heartbeatOverdue:
-		sweep.urgent = append(sweep.urgent, w)
-	case now.Sub(m.massProbeStarted) < massProbeDuration && w.LastContact() < m.massProbeStarted:
+	case overdue, massProbing && w.LastContact() < h.massProbeStarted:
 		sweep.urgent = append(sweep.urgent, w)
-	case silence > limit/2:
+	case contact.silence > contact.limit/2:
 		sweep.routine = append(sweep.routine, w)
 	}
 }
 
-// fenceSilent returns the machines that are silent, unless that is rather our own fault.
+// fenceSilent fences the machines that are silent, unless the fault is more likely this node's.
 //
-// Most machines silent at once: rather we are cut off than they. But if a sibling is heard,
-// they could reach us through it, and have not in twice the time: then they are gone. (Two
-// leaders that each resigned over machines long taken kept a cluster without one for good.)
-// Those fenced a moment ago count as well: machines that fall silent together are noticed
+// If most machines are silent at once, this node is more likely to be unreachable than they. But
+// if a peer is reachable, they could reach this node through it; those that have not in
+// twice the time are fenced, or every next leader would resign over the same machines.
+// Machines fenced a moment ago count as well, since those that fail together are noticed
 // one by one.
-func (m *Manager) fenceSilent(sweep *healthSweep, now ident.MonotonicTime) {
-	m.recentFences = slices.DeleteFunc(m.recentFences, func(at ident.MonotonicTime) bool { return now.Sub(at) > 2*m.fenceTimeout })
-	failing := len(sweep.silent) + len(m.recentFences)
-	massFailure := failing > 1 && 2*failing > sweep.expected+len(m.recentFences) || len(sweep.silent) > 0 && !m.cfg.DirectContact()
-	if massFailure && !m.cfg.ReachableViaPeer() {
+func (h *healthMonitor) fenceSilent(sweep *healthSweep) {
+	h.recentFences = slices.DeleteFunc(h.recentFences, func(at ident.MonotonicTime) bool {
+		return sweep.now.Sub(at) > 2*h.fenceTimeout
+	})
+	massFailure := h.isMassFailure(sweep)
+	if massFailure && !h.cfg.ReachableViaPeer() {
 		return
 	}
 	for _, w := range sweep.silent {
-		if massFailure && min(m.machines.TimeSinceContact(w), now.Sub(m.lastStall)) < 2*m.fenceTimeout {
+		if massFailure && h.silenceSinceStall(w, sweep.now) < 2*h.fenceTimeout {
 			continue
 		}
-		if m.locallyUnreachable(w.Zone) || !m.mayTerminateSilent(w, now) {
+		if h.cfg.LocallyUnreachable(w.Zone) || !h.terminateUnreachable(w, workers.ReasonUnresponsive, sweep.now) {
 			continue
 		}
-		m.Fenced++
-		m.recentFences = append(m.recentFences, now)
-		m.Terminate(w, workers.ReasonUnresponsive)
+		h.counters.Fenced++
+		h.recentFences = append(h.recentFences, sweep.now)
+	}
+}
+
+// isMassFailure says whether so many machines are silent that the fault may be this node's.
+func (h *healthMonitor) isMassFailure(sweep *healthSweep) bool {
+	failing := len(sweep.silent) + len(h.recentFences)
+	if failing > 1 && 2*failing > sweep.expected+len(h.recentFences) {
+		return true
+	}
+	return len(sweep.silent) > 0 && !h.cfg.DirectContact()
+}
+
+// silenceSinceStall returns for how long a machine is silent, not counting before the last stall.
+func (h *healthMonitor) silenceSinceStall(w *workers.Worker, now ident.MonotonicTime) time.Duration {
+	return min(h.machines.TimeSinceContact(w), now.Sub(h.lastStall))
+}
+
+// terminateUnreachable terminates a machine that is unreachable, and says whether its zone allows
+// that now. Machines of a zone that is unreachable as a whole are terminated a few at a time;
+// nothing is placed on the others until they are heard.
+func (h *healthMonitor) terminateUnreachable(w *workers.Worker, reason workers.Reason, now ident.MonotonicTime) bool {
+	if zone := h.zones.unreachable[w.Zone]; zone != nil {
+		quarantine(w, now)
+		zone.renewBudget(now, settings.Seconds(h.cfg.Workers.LeaseS))
+		if !zone.mayTerminate() {
+			return false
+		}
+		zone.terminated++
 	}
+	h.terminator.terminate(w, reason)
+	return true
 }
 
-func (m *Manager) bootTime(w *workers.Worker) time.Duration {
+// bootTime returns how long a machine takes to boot.
+func bootTime(w *workers.Worker) time.Duration {
 	if w.Type == nil || w.Type.StartupS <= 0 {
-		return 30 * time.Second
+		return defaultBootTime
 	}
 	return settings.Seconds(w.Type.StartupS)
 }
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -351,7 +351,7 @@
 		r.commits.Flush()
 		for range 120 {
 			r.now = r.now.Add(time.Second)
-			r.manager.autoscale()
+			r.manager.autoscaler.run()
 		}
 		ordinary := 0
 		for _, c := range r.calls {
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -3,80 +3,62 @@
 import (
 	"maps"
 
-	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
 
-// jobPacking is the search of room for the tasks of one job that wait.
+// jobPacking packs the waiting tasks of one job.
 type jobPacking struct {
-	capacity       *capacityModel
-	job            *jobs.Job
-	remaining      int      // tasks without room
-	onDemandBudget *float64 // CPUs for which ordinary machines may be rented in place of spot ones
-	openBin        func(*api.Spec, binConstraint) *bin
-	now            ident.MonotonicTime
-
+	*scalingRun
+	job         *jobs.Job
+	remaining   int // tasks that are not packed yet
 	constraint  binConstraint
-	tasksByZone map[string]int // tasks in each
-	maxPerZone  int            // of them in one zone
+	tasksByZone map[string]int // tasks allocated or packed
+	maxPerZone  int            // bound on them
 }
 
-// packJob finds room for a job's tasks, and opens machines for what finds none.
-func (m *Manager) packJob(packing *jobPacking) {
-	spec := packing.job.Spec
-	packing.maxPerZone = spec.Tasks
-	if spec.Spread {
-		packing.maxPerZone = (spec.Tasks + 1) / 2
+func newJobPacking(run *scalingRun, job *jobs.Job, remaining int) *jobPacking {
+	x := &jobPacking{
+		scalingRun:  run,
+		job:         job,
+		remaining:   remaining,
+		tasksByZone: maps.Clone(job.AllocatedByZone),
+		maxPerZone:  job.Spec.Tasks,
 	}
-	packing.tasksByZone = maps.Clone(packing.job.AllocatedByZone)
-	if packing.tasksByZone == nil {
-		packing.tasksByZone = map[string]int{}
+	if job.Spec.Spread {
+		x.maxPerZone = (job.Spec.Tasks + 1) / 2
 	}
-	packing.constraint = binConstraint{zone: packing.capacity.chooseZone(spec, packing.tasksByZone)}
-	m.packExisting(packing)
-	for packing.remaining > 0 {
-		b := m.openBinFor(packing)
+	if x.tasksByZone == nil {
+		x.tasksByZone = map[string]int{}
+	}
+	x.constraint.zone = run.capacity.chooseZone(job.Spec, x.tasksByZone)
+	return x
+}
+
+// pack finds room for the tasks, and opens machines for those that find none.
+func (x *jobPacking) pack() {
+	x.packExisting()
+	for x.remaining > 0 {
+		b := x.openBin()
 		if b == nil {
 			return
 		}
-		before := packing.remaining
-		if m.packBin(packing, b); packing.remaining == before {
+		before := x.remaining
+		x.packBin(b)
+		if x.remaining == before {
 			return
 		}
 	}
 }
 
-// packBin takes room in a bin for as many tasks as may be there.
-func (m *Manager) packBin(packing *jobPacking, b *bin) {
-	spec := packing.job.Spec
-	if !b.allows(spec) || packing.constraint.zone != "" && packing.constraint.zone != b.pool.zone {
-		return
-	}
-	count := packing.remaining
-	if spec.Spread {
-		count = min(count, packing.maxPerZone-packing.tasksByZone[b.pool.zone])
-	}
-	if count <= 0 {
-		return
-	}
-	count, uncordoned := packing.capacity.allocate(b, spec, count)
-	for _, w := range uncordoned {
-		m.machines.Uncordon(w)
-	}
-	packing.tasksByZone[b.pool.zone] += count
-	packing.remaining -= count
-}
-
-// packExisting takes room in what there is and is coming.
-func (m *Manager) packExisting(packing *jobPacking) {
-	bins := &packing.capacity.bins
+// packExisting packs tasks onto the machines that are there or coming.
+func (x *jobPacking) packExisting() {
+	bins := &x.capacity.bins
 	for tier := range bins {
 		kept := bins[tier][:0]
 		for i := 0; i < len(bins[tier]); i++ { // what is left of a bin is added behind it
 			b := bins[tier][i]
-			if packing.remaining > 0 {
-				m.packBin(packing, b)
+			if x.remaining > 0 {
+				x.packBin(b)
 			}
 			if b.machines > 0 {
 				kept = append(kept, b)
@@ -86,44 +68,71 @@
 	}
 }
 
-// openBinFor opens one machine more for a job, nil if none is to be had.
-func (m *Manager) openBinFor(packing *jobPacking) *bin {
-	spec := packing.job.Spec
+// packBin packs as many tasks into a bin as are allowed there.
+func (x *jobPacking) packBin(b *bin) {
+	spec := x.job.Spec
+	if !b.allows(spec) || x.constraint.zone != "" && x.constraint.zone != b.pool.zone {
+		return
+	}
+	count := x.remaining
 	if spec.Spread {
-		packing.constraint.fullZones = packing.fullZones()
+		count = min(count, x.maxPerZone-x.tasksByZone[b.pool.zone])
+	}
+	if count <= 0 {
+		return
 	}
-	preferSpot := spec.Spot && packing.now.Sub(packing.job.SubmittedAt) < spotPatience*m.longestBoot()
-	// An ordinary machine costs several times as much, and spot ones that are
-	// refused now are mostly to be had a little later.
-	// For work of guests no ordinary machine is rented at all: it is for what is to spare.
-	// (They doubled the ordinary fleet, and the price.)
-	packing.constraint.spotOnly = preferSpot && *packing.onDemandBudget <= 0 || spec.Spot && m.teams.IsBorrower(spec.Team)
-	b := packing.openBin(spec, packing.constraint)
-	if b == nil && packing.job.IsGang() && spec.OneZone && packing.job.AllocatedTasks == 0 && packing.constraint.zone != "" {
-		// Nothing is to be had there: perhaps it is elsewhere, for all of them.
-		packing.constraint.zone, packing.remaining = "", spec.Tasks
-		b = packing.openBin(spec, packing.constraint)
+	count, uncordoned := x.capacity.allocate(b, spec, count)
+	for _, w := range uncordoned {
+		x.machines.Uncordon(w)
+	}
+	x.tasksByZone[b.pool.zone] += count
+	x.remaining -= count
+}
+
+// openBin opens one more machine, nil if there is none to be provisioned.
+func (x *jobPacking) openBin() *bin {
+	spec := x.job.Spec
+	if spec.Spread {
+		x.constraint.fullZones = x.fullZones()
+	}
+	preferSpot := spec.Spot && x.now.Sub(x.job.SubmittedAt) < spotPatience*x.longestBoot()
+	x.constraint.spotOnly = x.spotOnly(preferSpot)
+	b := x.open(spec, x.constraint)
+	if b == nil && x.mayChangeZone() {
+		x.constraint.zone, x.remaining = "", spec.Tasks
+		b = x.open(spec, x.constraint)
 	}
 	if b == nil {
 		return nil
 	}
 	if spec.OneZone {
-		// Where the first machine is, the others have to be. (Without room anywhere
-		// they were opened in both zones in turn.)
-		packing.constraint.zone = b.pool.zone
+		x.constraint.zone = b.pool.zone // the other tasks must be where the first is
 	}
 	if preferSpot && !b.pool.spot {
-		*packing.onDemandBudget -= b.freeVCPUs
+		x.onDemandBudget -= b.free.VCPUs
 	}
 	return b
 }
 
-// fullZones lists the zones that have as many of a job's tasks as they may.
+// spotOnly says whether no on-demand machine may be opened. One costs several times as much as a spot
+// machine, and a pool of spot machines without capacity mostly has some a little later. For
+// borrowers on-demand machines are not provisioned at all: they use what others leave.
+func (x *jobPacking) spotOnly(preferSpot bool) bool {
+	return preferSpot && x.onDemandBudget <= 0 || x.job.Spec.Spot && x.teams.IsBorrower(x.job.Spec.Team)
+}
+
+// mayChangeZone says whether a gang that must be in one zone may be packed in another one than was
+// chosen for it, all of it.
+func (x *jobPacking) mayChangeZone() bool {
+	return x.job.IsGang() && x.job.Spec.OneZone && x.job.AllocatedTasks == 0 && x.constraint.zone != ""
+}
+
+// fullZones lists the zones that have as many tasks of a job as they may.
 func (x *jobPacking) fullZones() []string {
 	var full []string
-	for z, count := range x.tasksByZone {
+	for zone, count := range x.tasksByZone {
 		if count >= x.maxPerZone {
-			full = append(full, z)
+			full = append(full, zone)
 		}
 	}
 	return full
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -3,198 +3,216 @@
 import (
 	"fmt"
 	"log/slog"
+	"sort"
 	"time"
 
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
-	"opaldale/internal/settings"
 	"opaldale/internal/workers"
 )
 
-// takeRateToken spends a request of the cloud's rate.
-func (m *Manager) takeRateToken() bool {
-	now := m.port.Now()
-	m.rateTokens = min(m.cfg.Cloud.RPS, m.rateTokens+0.8*m.cfg.Cloud.RPS*now.Sub(m.rateRefilled).Seconds())
-	m.rateRefilled = now
-	if m.rateTokens < 1 {
-		return false
-	}
-	m.rateTokens--
-	return true
-}
+const (
+	// maxProvisionBatch bounds the machines of one request.
+	maxProvisionBatch = 50
+	// maxProvisionRetries bounds the repetitions of a request that gets no answer.
+	maxProvisionRetries = 20
+	// Requests without an answer are repeated with a delay that grows between these bounds.
+	minProvisionBackoff = 500 * time.Millisecond
+	maxProvisionBackoff = 4 * time.Second
+	// A pool without capacity is left alone for a time that grows between these bounds.
+	minPoolBackoff = 4 * time.Second
+	maxPoolBackoff = 16 * time.Second
+)
 
-// Terminate gives a machine back. Its tasks count on it until the cloud has
-// answered.
-func (m *Manager) Terminate(w *workers.Worker, reason workers.Reason) {
-	if w.State == workers.Terminating || w.State == workers.Terminated {
-		return
-	}
-	slog.Info("returning machine", "host", string(w.ID), "reason", string(reason), "tasks", len(w.Tasks))
-	m.machines.MarkTerminating(w, reason)
-	m.terminating = append(m.terminating, w)
+// pool is the kind of machines that one request can provision.
+type pool struct {
+	model, zone string
+	spot        bool
 }
 
-const maxTerminateBatch = 100
+// poolOf returns the pool that a machine belongs to.
+func poolOf(w *workers.Worker) pool { return pool{w.Model, w.Zone, w.Spot} }
 
-// flushTerminations sends the returns that are due.
-func (m *Manager) flushTerminations() {
-	for len(m.terminating) > 0 && m.takeRateToken() {
-		n := min(len(m.terminating), maxTerminateBatch)
-		batch := m.terminating[:n:n]
-		m.terminating = m.terminating[n:]
-		m.sendTerminate(batch, 300*time.Millisecond)
+// eachPool visits the pools of a catalog in a fixed order.
+func eachPool(catalog []cloud.MachineType, visit func(*cloud.MachineType, pool)) {
+	for i := range catalog {
+		model := &catalog[i]
+		for _, zone := range model.Zones {
+			for _, spot := range []bool{true, false} {
+				visit(model, pool{model.SKU, zone, spot})
+			}
+		}
 	}
 }
 
-func (m *Manager) sendTerminate(batch []*workers.Worker, backoff time.Duration) {
-	request := cloud.Request{Op: cloud.Terminate}
-	for _, w := range batch {
-		request.MachineIDs = append(request.MachineIDs, w.ID)
+// sortedPools returns the keys of a map in a fixed order.
+func sortedPools(counts map[pool]int) []pool {
+	pools := make([]pool, 0, len(counts))
+	for p := range counts {
+		pools = append(pools, p)
 	}
-	m.port.Cloud(request, func(reply cloud.Response) {
-		if m.closed {
-			return
-		}
-		if reply.Outcome != cloud.OK {
-			slog.Info("return failed", "machines", len(batch), "err", reply.Error)
-			m.port.After(m.jitter(backoff), func() {
-				if !m.closed {
-					m.sendTerminate(batch, min(2*backoff, 5*time.Second))
-				}
-			})
-			return
+	sort.Slice(pools, func(i, k int) bool {
+		a, b := pools[i], pools[k]
+		if a.model != b.model {
+			return a.model < b.model
 		}
-		for _, w := range batch {
-			m.Terminated++
-			m.machines.MarkTerminated(w, workers.ReasonTerminated)
+		if a.zone != b.zone {
+			return a.zone < b.zone
 		}
+		return !a.spot && b.spot
 	})
+	return pools
 }
 
-func (m *Manager) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(m.rng.Int64N(int64(d)))
+// poolState is what is known of a pool.
+type poolState struct {
+	pending          int                 // machines requested, without an answer yet
+	unavailableUntil ident.MonotonicTime // no capacity until then
+	backoff          time.Duration
 }
 
-// listTimeout is how long an answer with a list may take.
-const listTimeout = 5 * time.Second
+// provisioner has the provider start machines.
+type provisioner struct {
+	term      ident.Term
+	requester *requester
+	machines  *workers.Table
+	counters  *Counters
 
-// listMachines reads the cloud's list now and then, and adopts what nobody expected.
-func (m *Manager) listMachines() {
-	now := m.port.Now()
-	interval := max(5*time.Second, settings.Seconds(m.cfg.Cloud.ListLagS))
-	if m.listInProgress || now.Sub(m.lastListed) < interval || !m.takeRateToken() {
-		return
+	requestCount uint64
+	pools        map[pool]*poolState
+}
+
+func newProvisioner(term ident.Term, r *requester, machines *workers.Table, counters *Counters) *provisioner {
+	return &provisioner{term: term, requester: r, machines: machines, counters: counters, pools: map[pool]*poolState{}}
+}
+
+// state returns what is known of a pool.
+func (v *provisioner) state(p pool) *poolState {
+	state := v.pools[p]
+	if state == nil {
+		state = &poolState{}
+		v.pools[p] = state
 	}
-	m.listInProgress = true
-	m.listPage("")
+	return state
 }
 
-func (m *Manager) listPage(after ident.MachineID) {
-	m.port.Cloud(cloud.Request{Op: cloud.List, StartAfter: after}, func(reply cloud.Response) {
-		if m.closed {
-			return
-		}
-		if reply.Outcome != cloud.OK {
-			m.listInProgress, m.lastListed = false, m.port.Now()
-			return
-		}
-		// A page is a request as well.
-		m.rateTokens--
-		last := after
-		for _, listed := range reply.Machines {
-			last = listed.ID
-			m.adopt(listed)
-		}
-		if reply.Truncated && last > after {
-			m.listPage(last)
-			return
-		}
-		m.listInProgress, m.lastListed = false, m.port.Now()
-	})
+// available says whether a pool may have capacity.
+func (v *provisioner) available(p pool, now ident.MonotonicTime) bool {
+	return v.state(p).unavailableUntil <= now
 }
 
-func (m *Manager) adopt(listed cloud.ListedMachine) {
-	w := m.machines.Workers[listed.ID]
-	if w == nil {
-		// A list may be older than this term, and show what the leader before has
-		// returned: such a machine would count as room to come. What is real is
-		// listed again, or reports.
-		if m.port.Now().Sub(m.termStarted) < 2*settings.Seconds(m.cfg.Cloud.ListLagS)+listTimeout {
-			return
+// pendingIn counts the machines of a zone that were requested and not answered yet.
+func (v *provisioner) pendingIn(zone string) int {
+	count := 0
+	for p, state := range v.pools {
+		if p.zone == zone {
+			count += state.pending
 		}
-		slog.Info("adopting machine", "host", string(listed.ID), "status", listed.Status, "age_s", listed.AgeS)
-		w = m.machines.Add(workers.MachineInfo{ID: listed.ID, Model: listed.Model, Zone: listed.Zone, Spot: listed.Spot,
-			CreatedAt: m.port.Now().Add(-settings.Seconds(listed.AgeS))})
-		if w.Addr == "" {
-			w.Addr = listed.Addr
-		}
-	}
-	// A failed machine has stopped, and nothing runs on it; but what proves it
-	// is the answer to its return.
-	if listed.Status == "failed" {
-		m.Terminate(w, workers.ReasonFailedToStart)
 	}
+	return count
 }
 
-// provision asks for n machines of a pool, unless that is over the cloud's rate.
-func (m *Manager) provision(p pool, count int) bool {
-	if !m.takeRateToken() {
+// provision requests machines of a pool, and says whether the rate limit allowed it.
+func (v *provisioner) provision(p pool, count int) bool {
+	if !v.requester.acquire() {
 		return false
 	}
-	// The term makes the name ours alone; names are never used again.
-	m.requestCount++
-	request := cloud.Request{Op: cloud.Provision, RequestID: fmt.Sprintf("opaldale-%d-%d", m.cfg.Term, m.requestCount),
-		Model: p.model, Zone: p.zone, Spot: p.spot, Count: count}
-	slog.Info("renting", "model", p.model, "site", p.zone, "standby", p.spot, "number", count)
-	m.poolState(p).pending += count
-	m.sendProvision(p, request, 500*time.Millisecond, 0)
+	v.requestCount++
+	slog.Info("provisioning machines", "model", p.model, "zone", p.zone, "spot", p.spot, "count", count)
+	v.state(p).pending += count
+	r := &provisionRequest{
+		provisioner: v,
+		pool:        p,
+		request: cloud.Request{
+			Op: cloud.Provision,
+			// An identifier is unique within the term by its number, and among terms by the term.
+			RequestID: fmt.Sprintf("opaldale-%d-%d", v.term, v.requestCount),
+			Model:     p.model,
+			Zone:      p.zone,
+			Spot:      p.spot,
+			Count:     count,
+		},
+		backoff: minProvisionBackoff,
+	}
+	r.send()
 	return true
 }
 
-func (m *Manager) sendProvision(p pool, request cloud.Request, backoff time.Duration, attempt int) {
-	requested := m.port.Now()
-	m.port.Cloud(request, func(reply cloud.Response) {
-		if m.closed {
-			return
-		}
-		state := m.poolState(p)
-		switch reply.Outcome {
+// suspend stops provisioning from a pool for a while.
+func (v *provisioner) suspend(state *poolState) {
+	state.backoff = min(max(2*state.backoff, minPoolBackoff), maxPoolBackoff)
+	state.unavailableUntil = v.requester.port.Now().Add(v.requester.jitter(state.backoff))
+}
+
+// provisionRequest is a request for machines, with its repetitions.
+type provisionRequest struct {
+	provisioner *provisioner
+	pool        pool
+	request     cloud.Request
+	backoff     time.Duration // until the next repetition
+	retries     int
+}
+
+// send sends the request once more. The provider answers a repeated request by the machines that
+// the first one has provisioned.
+func (r *provisionRequest) send() {
+	requestedAt := r.provisioner.requester.port.Now()
+	r.provisioner.requester.call(r.request, func(response cloud.Response) {
+		switch response.Outcome {
 		case cloud.OK:
-			state.pending -= request.Count
-			for _, id := range reply.Provisioned {
-				m.Provisioned++
-				m.machines.Add(workers.MachineInfo{ID: id, Model: p.model, Zone: p.zone, Spot: p.spot, CreatedAt: requested})
-			}
-			state.backoff = 0
-			if len(reply.Provisioned) < request.Count {
-				m.suspendPool(state)
-			}
+			r.provisioned(response.Provisioned, requestedAt)
 		case cloud.NoCapacity:
-			state.pending -= request.Count
-			m.NoCapacity++
-			m.suspendPool(state)
+			slog.Info("no capacity in pool", "model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot)
+			r.provisioner.counters.NoCapacity++
+			r.fail()
 		case cloud.Invalid:
-			slog.Error("rental refused", "err", reply.Error)
-			state.pending -= request.Count
-			m.suspendPool(state)
+			slog.Error("provisioning request rejected",
+				"model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot, "err", response.Error)
+			r.fail()
 		default:
-			// The same name again: what a lost request rented is answered then.
-			if attempt > 20 {
-				state.pending -= request.Count
-				m.suspendPool(state)
-				return
-			}
-			m.port.After(m.jitter(backoff), func() {
-				if !m.closed {
-					m.sendProvision(p, request, min(2*backoff, 4*time.Second), attempt+1)
-				}
-			})
+			r.retry()
 		}
 	})
 }
 
-// suspendPool stops renting from a pool for a while.
-func (m *Manager) suspendPool(state *poolState) {
-	state.backoff = min(max(2*state.backoff, 4*time.Second), 16*time.Second)
-	state.unavailableUntil = m.port.Now().Add(m.jitter(state.backoff))
+// provisioned puts the machines of a request on record.
+func (r *provisionRequest) provisioned(ids []ident.MachineID, requestedAt ident.MonotonicTime) {
+	state := r.provisioner.state(r.pool)
+	state.pending -= r.request.Count
+	for _, id := range ids {
+		r.provisioner.counters.Provisioned++
+		r.provisioner.machines.Add(workers.MachineInfo{
+			ID:        id,
+			Model:     r.pool.model,
+			Zone:      r.pool.zone,
+			Spot:      r.pool.spot,
+			CreatedAt: requestedAt,
+		})
+	}
+	state.backoff = 0
+	if len(ids) < r.request.Count {
+		r.provisioner.suspend(state)
+	}
+}
+
+// fail gives the request up.
+func (r *provisionRequest) fail() {
+	state := r.provisioner.state(r.pool)
+	state.pending -= r.request.Count
+	r.provisioner.suspend(state)
+}
+
+// retry repeats a request that got no answer, up to a number of times.
+func (r *provisionRequest) retry() {
+	if r.retries > maxProvisionRetries {
+		slog.Warn("provisioning request abandoned",
+			"model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot, "count", r.request.Count)
+		r.fail()
+		return
+	}
+	r.provisioner.requester.retryAfter(r.backoff, func() {
+		r.backoff = min(2*r.backoff, maxProvisionBackoff)
+		r.retries++
+		r.send()
+	})
 }
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -6,79 +6,82 @@
 	"time"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/workers"
 )
 
-// scaleIn empties and returns machines that neither the waiting work nor the
-// headroom needs. A machine is seldom idle by itself: tasks come and go on it,
-// and replicas stay. So the one that is easiest to empty is cordoned: its tasks
-// end, its replicas move, and nothing new is placed there.
-func (m *Manager) scaleIn(capacity *capacityModel, services, onDemand map[string]float64, batch float64, now ident.MonotonicTime) {
-	m.movesLeft = maxMovesPerTick
-	budget := &scaleInBudget{batchHeadroom: batch, serviceHeadroom: total(services), onDemandHeadroom: onDemand, freeOnDemand: capacity.onDemandByZone()}
-	candidates, smallest, displaced := m.scaleInCandidates(now)
-	// What boots can't take the place of what is returned.
-	booting := 0.0
-	for p, v := range capacity.bootingVCPUs {
-		booting += v
-		if !p.spot {
-			budget.freeOnDemand[p.zone] -= v
-		}
+const (
+	// spotHeadroomFactor is how many times the headroom of batch jobs is kept before a spot machine
+	// is terminated: idle ones cost little, and a boot is paid for as well.
+	spotHeadroomFactor = 1.7
+	// maxMovesPerTick bounds the replicas for which a tick looks for another machine.
+	maxMovesPerTick = 20
+	// minReplicaUptime is how long a replica must run for its start to count for the objectives.
+	minReplicaUptime = 35 * time.Second
+)
+
+// scaleIn empties and terminates machines that neither the waiting work nor the headroom needs.
+//
+// A machine is seldom idle by itself, since tasks start and end on it all the time and replicas
+// stay. So the one that is easiest to empty is cordoned: its tasks end, its replicas move, and
+// nothing more is placed on it.
+func (r *scalingRun) scaleIn(h *headroom) {
+	candidates, cordoned := r.scaleInCandidates()
+	budget := r.newScaleInBudget(h, cordoned)
+	for _, w := range cordoned {
+		r.drainCordoned(w)
 	}
-	budget.freeTotal = round(capacity.totalFree() - displaced - booting)
-	if budget.freeTotal-smallest < budget.serviceHeadroom+batch {
-		m.excessSince = 0
+	if !budget.hasExcess(candidates) {
+		r.excessSince = 0
 		return
 	}
-	sort.SliceStable(candidates, func(i, k int) bool { return costsMore(candidates[i], candidates[k]) })
-	surplus := false
+	sort.SliceStable(candidates, func(i, k int) bool { return cordonsBefore(candidates[i], candidates[k]) })
+	r.cordonExcess(candidates, budget)
+}
+
+// cordonExcess cordons the machines that the budget spares, once it has done so for long enough.
+func (r *scalingRun) cordonExcess(candidates []*workers.Worker, budget *scaleInBudget) {
+	excess := false
 	for _, w := range candidates {
-		if !budget.surplus(w) {
+		if !budget.spares(w) {
 			continue
 		}
-		surplus = true
-		if m.excessSince == 0 {
-			m.excessSince = now
+		excess = true
+		if r.excessSince == 0 {
+			r.excessSince = r.now
 		}
-		if now.Sub(m.excessSince) < m.cfg.Tuning.ScaleInDelay {
+		if r.now.Sub(r.excessSince) < r.cfg.Tuning.ScaleInDelay {
 			return
 		}
 		budget.subtract(w)
-		slog.Info("cordoning machine", "host", string(w.ID), "tasks", len(w.Tasks), "replicas_cpus", w.ServiceVCPUs)
+		slog.Info("cordoning machine", "machine", w.ID, "tasks", len(w.Tasks), "replica_vcpus", w.ServiceVCPUs)
 		w.Cordoned = true
-		m.drainCordoned(w, now)
+		r.drainCordoned(w)
 	}
-	if !surplus {
-		m.excessSince = 0
+	if !excess {
+		r.excessSince = 0
 	}
 }
 
-// scaleInCandidates lists the machines that may be cordoned, with the CPUs of the smallest, and goes on
-// emptying those that are; leaving is what work there will need elsewhere.
-func (m *Manager) scaleInCandidates(now ident.MonotonicTime) (list []*workers.Worker, smallest, displaced float64) {
-	for _, w := range m.machines.Sorted() {
-		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > now || w.Slow {
+// scaleInCandidates lists the machines that may be cordoned, and those that are.
+func (r *scalingRun) scaleInCandidates() (candidates, cordoned []*workers.Worker) {
+	for _, w := range r.machines.Sorted() {
+		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > r.now || w.Slow {
 			continue
 		}
 		if w.Cordoned {
-			displaced += w.VCPUs
-			m.drainCordoned(w, now)
-			continue
-		}
-		list = append(list, w)
-		if smallest == 0 || w.Type.VCPUs < smallest {
-			smallest = w.Type.VCPUs
+			cordoned = append(cordoned, w)
+		} else {
+			candidates = append(candidates, w)
 		}
 	}
-	return list, smallest, displaced
+	return candidates, cordoned
 }
 
-// costsMore orders machines by what is saved by returning them, then by how easily they are
+// cordonsBefore orders machines by what is saved by terminating them, then by how easily they are
 // emptied.
-func costsMore(a, b *workers.Worker) bool {
-	if x, y := hourlyPrice(a), hourlyPrice(b); x != y {
+func cordonsBefore(a, b *workers.Worker) bool {
+	if x, y := hourlyPrice(a.Type, a.Spot), hourlyPrice(b.Type, b.Spot); x != y {
 		return x > y
 	}
 	if a.ServiceVCPUs != b.ServiceVCPUs {
@@ -87,84 +90,104 @@
 	return a.VCPUs < b.VCPUs
 }
 
-// scaleInBudget is what is free while machines are cordoned, in CPUs, and what of it must be kept.
+// scaleInBudget is the capacity that is free while machines are cordoned, in CPUs, and the headroom
+// that must be kept of it.
 type scaleInBudget struct {
-	freeTotal        float64            // on all machines
-	freeOnDemand     map[string]float64 // on ordinary machines, by zone
-	serviceHeadroom  float64            // to be kept on all machines for services
-	batchHeadroom    float64            // and for arrays
-	onDemandHeadroom map[string]float64 // to be kept on ordinary machines, by zone
+	freeTotal       float64            // of all machines
+	freeOnDemand    map[string]float64 // of on-demand machines, by zone
+	headroom        *headroom
+	serviceHeadroom float64 // of all zones
 }
 
-// surplus says whether enough is left without a machine. Its replicas move, and its arrays end
-// where they are; but while work goes on as it does, others come in their place. (Counting only
-// what was free on it cordoned most of a fleet within a second of the end of a peak, and rented
-// it again.)
-func (x *scaleInBudget) surplus(w *workers.Worker) bool {
-	keep := x.batchHeadroom
-	if w.Spot {
-		keep *= spotHeadroomFactor
+// newScaleInBudget returns the budget of a run. What the tasks of cordoned machines will need elsewhere
+// is not free, nor is capacity that still boots: it can't take the place of what is terminated.
+func (r *scalingRun) newScaleInBudget(h *headroom, cordoned []*workers.Worker) *scaleInBudget {
+	b := &scaleInBudget{
+		freeOnDemand:    r.capacity.onDemandByZone(),
+		headroom:        h,
+		serviceHeadroom: h.servicesTotal(),
 	}
-	if x.freeTotal-w.Type.VCPUs < x.serviceHeadroom+keep {
-		return false
+	displaced := 0.0
+	for _, w := range cordoned {
+		displaced += w.VCPUs
 	}
-	return w.Spot || x.freeOnDemand[w.Zone]-w.Type.VCPUs >= x.onDemandHeadroom[w.Zone]
+	booting := 0.0
+	for p, cpus := range r.capacity.bootingVCPUs {
+		booting += cpus
+		if !p.spot {
+			b.freeOnDemand[p.zone] -= cpus
+		}
+	}
+	b.freeTotal = roundAmount(r.capacity.totalFree() - displaced - booting)
+	return b
 }
 
-// subtract takes a machine out of what is free.
-func (x *scaleInBudget) subtract(w *workers.Worker) {
-	x.freeTotal -= w.Type.VCPUs
-	if !w.Spot {
-		x.freeOnDemand[w.Zone] -= w.Type.VCPUs
+// hasExcess says whether the headroom would be kept without the smallest of the candidates.
+func (b *scaleInBudget) hasExcess(candidates []*workers.Worker) bool {
+	smallest := 0.0
+	for _, w := range candidates {
+		if smallest == 0 || w.Type.VCPUs < smallest {
+			smallest = w.Type.VCPUs
+		}
 	}
+	return b.freeTotal-smallest >= b.serviceHeadroom+b.headroom.batch
 }
 
-// spotHeadroomFactor is how many times the room for arrays is kept before a spot machine is
-// returned: idle they cost little, and a boot is paid for as well.
-const spotHeadroomFactor = 1.7
-
-// hourlyPrice is what a machine costs at present.
-func hourlyPrice(w *workers.Worker) float64 {
+// spares says whether the headroom would be kept without a machine. All of its CPUs count, not only
+// those that are free: its replicas move, and its batch tasks end, but while work goes on as it
+// does, others start in their place.
+func (b *scaleInBudget) spares(w *workers.Worker) bool {
+	batch := b.headroom.batch
 	if w.Spot {
-		return w.Type.SpotPrice
+		batch *= spotHeadroomFactor
+	}
+	if b.freeTotal-w.Type.VCPUs < b.serviceHeadroom+batch {
+		return false
 	}
-	return w.Type.HourlyPrice
+	return w.Spot || b.freeOnDemand[w.Zone]-w.Type.VCPUs >= b.headroom.onDemand[w.Zone]
 }
 
-// maxMovesPerTick bounds the replicas that a tick looks for another place for.
-const maxMovesPerTick = 20
-
-// minReplicaUptime is how long a start must last to count for the aims.
-const minReplicaUptime = 35 * time.Second
+// subtract takes a machine out of what is free.
+func (b *scaleInBudget) subtract(w *workers.Worker) {
+	b.freeTotal -= w.Type.VCPUs
+	if !w.Spot {
+		b.freeOnDemand[w.Zone] -= w.Type.VCPUs
+	}
+}
 
-// drainCordoned moves the replicas off a cordoned machine, once its arrays have ended,
-// and returns it when nothing is left.
-func (m *Manager) drainCordoned(w *workers.Worker, now ident.MonotonicTime) {
+// drainCordoned moves the replicas off a cordoned machine, once its batch tasks have ended, and
+// terminates it when nothing is left.
+func (r *scalingRun) drainCordoned(w *workers.Worker) {
 	if w.State != workers.Up {
 		return
 	}
 	if len(w.Tasks) == 0 {
-		m.Terminate(w, workers.ReasonNotNeeded)
+		r.terminator.terminate(w, workers.ReasonNotNeeded)
 		return
 	}
-	for _, t := range m.machines.SortedTasks(w) {
-		if t.Job.Spec.Shape != api.Service {
-			return
-		}
-		if t.State != jobs.Assigned || t.RunningSince == 0 || now.Sub(t.RunningSince) < minReplicaUptime {
+	tasks := r.machines.SortedTasks(w)
+	for _, t := range tasks {
+		if !r.isSettledReplica(t) {
 			return
 		}
 	}
-	// One replica each time, and only while there is room for it where its image
-	// is: it is gone for no longer than a command and a transaction take.
-	for _, t := range m.machines.SortedTasks(w) {
-		if m.movesLeft--; m.movesLeft < 0 {
+	// One replica in each tick, and only while there is room for it where its image is: it is down
+	// for no longer than a command and a transaction take.
+	for _, t := range tasks {
+		r.movesLeft--
+		if r.movesLeft < 0 {
 			return
 		}
-		if m.cfg.Movable(t, w) {
-			slog.Info("moving replica", "task", t.TaskID().String(), "host", string(w.ID))
-			m.machines.StopTask(w, t, 0)
+		if r.cfg.Movable(t, w) {
+			slog.Info("moving replica off cordoned machine", "task", t.TaskID(), "machine", w.ID)
+			r.machines.StopTask(w, t, 0)
 			return
 		}
 	}
 }
+
+// isSettledReplica says whether a task is a replica that has run for long enough to be moved.
+func (r *scalingRun) isSettledReplica(t *jobs.Task) bool {
+	return t.Job.Spec.Shape == api.Service && t.State == jobs.Assigned &&
+		t.RunningSince != 0 && r.now.Sub(t.RunningSince) >= minReplicaUptime
+}
--- /dev/null
+++ b/internal/fleet/termination.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"log/slog"
+	"time"
+
+	"opaldale/internal/cloud"
+	"opaldale/internal/workers"
+)
+
+const (
+	// maxTerminateBatch bounds the machines terminated by one request.
+	maxTerminateBatch = 100
+	// Failed terminations are retried with a delay that grows between these bounds.
+	minTerminateBackoff = 300 * time.Millisecond
+	maxTerminateBackoff = 5 * time.Second
+)
+
+// terminator has the provider terminate machines.
+type terminator struct {
+	requester *requester
+	machines  *workers.Table
+	counters  *Counters
+	pending   []*workers.Worker // to be terminated by the next requests
+}
+
+// terminate marks a machine as terminating and queues it for the next request.
+func (t *terminator) terminate(w *workers.Worker, reason workers.Reason) {
+	if w.State == workers.Terminating || w.State == workers.Terminated {
+		return
+	}
+	slog.Info("terminating machine", "machine", w.ID, "reason", reason, "tasks", len(w.Tasks))
+	t.machines.MarkTerminating(w, reason)
+	t.pending = append(t.pending, w)
+}
+
+// flush sends the terminations that are queued, as far as the rate limit allows.
+func (t *terminator) flush() {
+	for len(t.pending) > 0 && t.requester.acquire() {
+		size := min(len(t.pending), maxTerminateBatch)
+		batch := t.pending[:size:size]
+		t.pending = t.pending[size:]
+		t.send(batch, minTerminateBackoff)
+	}
+}
+
+// send requests the termination of a batch, and retries until the provider confirms it.
+func (t *terminator) send(batch []*workers.Worker, backoff time.Duration) {
+	request := cloud.Request{Op: cloud.Terminate}
+	for _, w := range batch {
+		request.MachineIDs = append(request.MachineIDs, w.ID)
+	}
+	t.requester.call(request, func(response cloud.Response) {
+		if response.Outcome != cloud.OK {
+			slog.Warn("machine termination failed, will retry", "machines", len(batch), "err", response.Error)
+			t.requester.retryAfter(backoff, func() { t.send(batch, min(2*backoff, maxTerminateBackoff)) })
+			return
+		}
+		for _, w := range batch {
+			t.counters.Terminated++
+			t.machines.MarkTerminated(w, workers.ReasonTerminated)
+		}
+	})
+}
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -6,101 +6,112 @@
 
 	"opaldale/internal/ident"
 	"opaldale/internal/settings"
-	"opaldale/internal/workers"
 )
 
-// unreachableZone is a zone whose machines are all silent to every node. They may be gone, or
-// alive behind a broken link, which nobody can tell apart. Were they returned, as single
-// silent machines are, a broken link would cost the whole zone, and the machines rented in
-// their place would be silent as well, and so on for as long as the link is broken.
-type unreachableZone struct {
-	since       ident.MonotonicTime
-	machines    int
-	terminated  int                 // given up in this period
-	periodStart ident.MonotonicTime // its begin
-}
-
 const (
+	// zoneSilenceThreshold is how long nothing must be heard from a whole zone for it to be taken
+	// for partitioned.
+	zoneSilenceThreshold = 2 * time.Second
+	// zoneMissedHeartbeats is how many heartbeats of the zone must be missing at the least: where
+	// machines are few, there are gaps between their heartbeats.
+	zoneMissedHeartbeats = 4
+	// partitionLeases is after how many leases machines of a partitioned zone are terminated.
+	partitionLeases = 5
 	// minZoneMachines is how many machines a zone must have to be judged as a whole.
 	minZoneMachines = 3
-	// canaries is how many machines are rented in such a zone, to see whether new ones are
-	// heard.
-	canaries = 2
-	// terminateDivisor is the part of such a zone that is given up within a lease.
+	// terminateDivisor is the part of an unreachable zone that is terminated within a lease.
 	terminateDivisor = 50
 )
 
-// detectUnreachableZones finds the zones that are silent as a whole. One stays so until a machine of it
-// is heard, though all that it had may be given up by then.
-func (m *Manager) detectUnreachableZones(zones map[string]*zoneContact, now ident.MonotonicTime) {
-	if m.cfg.ZoneUnreachable == nil {
-		return
-	}
-	for name, z := range zones {
-		silent := z.expected >= minZoneMachines && now.Sub(z.lastHeard) > m.heartbeatOverdue && m.cfg.ZoneUnreachable(name)
-		switch known := m.unreachableZones[name]; {
-		case silent && known == nil:
-			slog.Info("no node hears the machines of a zone", "zone", name, "machines", z.expected)
-			m.unreachableZones[name] = &unreachableZone{since: now, machines: z.expected, periodStart: now}
-		case known != nil && now.Sub(z.lastHeard) < m.heartbeatOverdue:
-			slog.Info("machines of a zone are heard again", "zone", name)
-			delete(m.unreachableZones, name)
-		}
-	}
+// zoneContact is the contact with the machines of a zone.
+type zoneContact struct {
+	expected  int // machines that should be reachable
+	lastHeard ident.MonotonicTime
 }
 
-// locallyUnreachable says whether the silence of a zone's machines is this node's own fault.
-func (m *Manager) locallyUnreachable(zone string) bool {
-	return m.cfg.LocallyUnreachable != nil && m.cfg.LocallyUnreachable(zone)
+// zoneMonitor tells the failure of machines from that of the network to their zone.
+type zoneMonitor struct {
+	cfg *Config
+	// partitioned has the zones from which neither machines nor peers are heard.
+	partitioned map[string]bool
+	// recoveredAt has the times at which partitions of zones last ended.
+	recoveredAt map[string]ident.MonotonicTime
+	// unreachable has the zones whose machines no controller reaches.
+	unreachable map[string]*unreachableZone
 }
 
-// mayTerminateSilent says whether a machine may be returned for its silence. Those of a zone that is
-// silent as a whole are given up a few at a time; nothing is placed on the others until they
-// are heard.
-func (m *Manager) mayTerminateSilent(w *workers.Worker, now ident.MonotonicTime) bool {
-	z := m.unreachableZones[w.Zone]
-	if z == nil {
-		return true
-	}
-	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(time.Second))
-	if now.Sub(z.periodStart) >= settings.Seconds(m.cfg.Workers.LeaseS) {
-		z.periodStart, z.terminated = now, 0
-	}
-	if z.terminated >= max(1, z.machines/terminateDivisor) {
-		return false
+func newZoneMonitor(cfg *Config) *zoneMonitor {
+	return &zoneMonitor{
+		cfg:         cfg,
+		recoveredAt: map[string]ident.MonotonicTime{},
+		unreachable: map[string]*unreachableZone{},
 	}
-	z.terminated++
-	return true
 }
 
-// canariesLeft returns how many more machines may be rented in a zone that is silent as a
-// whole.
-func (m *Manager) canariesLeft(zone string) int {
-	n := 0
-	for p, state := range m.pools {
-		if p.zone == zone {
-			n += state.pending
+// detectPartitions finds the zones from which neither machines nor peers are heard. They are
+// partitioned rather than failed: work in them goes on for as long as its leases last, and
+// must not be started elsewhere before. Nothing is placed there meanwhile.
+func (z *zoneMonitor) detectPartitions(contacts map[string]*zoneContact, now ident.MonotonicTime) {
+	previous := z.partitioned
+	z.partitioned = map[string]bool{}
+	for zone, contact := range contacts {
+		if z.isPartitioned(zone, contact, now) {
+			z.partitioned[zone] = true
+			if !previous[zone] {
+				slog.Info("zone partitioned: no machine or peer is heard", "zone", zone, "machines", contact.expected)
+			}
+		} else if previous[zone] {
+			// Its machines are heard one after the other, as their calls time out.
+			slog.Info("zone partition ended", "zone", zone)
+			z.recoveredAt[zone] = now
 		}
 	}
-	since := m.unreachableZones[zone].since
-	for _, w := range m.machines.Sorted() {
-		coming := w.State == workers.Booting || w.State == workers.Up || w.State == workers.Unreachable
-		if w.Zone == zone && coming && w.CreatedAt > since {
-			n++
+}
+
+// isPartitioned says whether neither machines nor peers of a zone are heard.
+func (z *zoneMonitor) isPartitioned(zone string, contact *zoneContact, now ident.MonotonicTime) bool {
+	heartbeatGap := z.cfg.Workers.HeartbeatS / float64(contact.expected)
+	threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*heartbeatGap))
+	return contact.expected >= minZoneMachines && now.Sub(contact.lastHeard) > threshold && z.cfg.ZonePeersSilent(zone)
+}
+
+// detectUnreachable finds the zones whose machines no controller reaches. A zone stays one until a
+// machine of it is heard, even if all that it had are terminated by then.
+func (z *zoneMonitor) detectUnreachable(contacts map[string]*zoneContact, overdue time.Duration, now ident.MonotonicTime) {
+	for name, contact := range contacts {
+		silence := now.Sub(contact.lastHeard)
+		unreachable := contact.expected >= minZoneMachines && silence > overdue && z.cfg.ZoneUnreachable(name)
+		switch known := z.unreachable[name]; {
+		case unreachable && known == nil:
+			slog.Info("zone unreachable from every controller", "zone", name, "machines", contact.expected)
+			z.unreachable[name] = &unreachableZone{since: now, machines: contact.expected, periodStart: now}
+		case known != nil && silence < overdue:
+			slog.Info("zone reachable again", "zone", name)
+			delete(z.unreachable, name)
 		}
 	}
-	return max(0, canaries-n)
 }
 
-// canariesExhausted says whether no more machines may be rented in a zone for the present.
-func (m *Manager) canariesExhausted(zone string) bool {
-	return m.unreachableZones[zone] != nil && m.canariesLeft(zone) == 0
+// unreachableZone is a zone whose machines no controller reaches. They may have failed, or run
+// behind a network partition, which cannot be told apart. If they were terminated as single
+// unreachable machines are, a partition would cost the whole zone; the machines provisioned
+// in their place would be unreachable as well, and so on for as long as the partition lasts.
+type unreachableZone struct {
+	since       ident.MonotonicTime
+	machines    int                 // when it became unreachable
+	terminated  int                 // in the present period
+	periodStart ident.MonotonicTime // a period is as long as a lease
 }
 
-// provisionLimit bounds how many machines are asked for in a pool.
-func (m *Manager) provisionLimit(p pool, n int) int {
-	if m.unreachableZones[p.zone] == nil {
-		return n
+// renewBudget begins the next period of terminations when the present one is over.
+func (u *unreachableZone) renewBudget(now ident.MonotonicTime, period time.Duration) {
+	if now.Sub(u.periodStart) >= period {
+		u.periodStart = now
+		u.terminated = 0
 	}
-	return min(n, m.canariesLeft(p.zone))
+}
+
+// mayTerminate says whether one more machine may be terminated in the present period.
+func (u *unreachableZone) mayTerminate() bool {
+	return u.terminated < max(1, u.machines/terminateDivisor)
 }
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -66,7 +66,7 @@
 	r.sequence++
 	r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: r.sequence, FencingToken: ident.MakeFencingToken(3, 1)})
 	r.advance(500*time.Millisecond, r.manager)
-	if r.manager.unreachableZones["east"] != nil {
+	if r.manager.health.zones.unreachable["east"] != nil {
 		t.Error("the zone still counts as silent")
 	}
 }
