--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,9 +8,9 @@
 	"opaldale/internal/golden"
 )
 
-// TestGoldenRentals pins the names under which machines are rented: a name is never used again,
-// by whichever term.
-func TestGoldenRentals(t *testing.T) {
+// TestGoldenProvisionRequests pins the requests for machines: an identifier is never used again, by
+// whichever term.
+func TestGoldenProvisionRequests(t *testing.T) {
 	r := newHarness()
 	r.manager.requester.limiter.tokens = 10
 	r.manager.provisioner.provision(pool{model: "m8", zone: "east", spot: true}, 3)
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -18,7 +18,7 @@
 	"opaldale/internal/workers"
 )
 
-// fakePort answers the cloud's requests from a script and lets time pass.
+// fakePort answers requests to the cloud by a function and has a clock of its own.
 type fakePort struct {
 	deadAddrs map[string]bool
 	sequence  ident.SequenceNumber
@@ -30,18 +30,18 @@
 
 func (w *fakePort) Now() ident.MonotonicTime { return w.now }
 
-func (w *fakePort) After(d time.Duration, f func()) { w.timers = append(w.timers, f) }
+func (w *fakePort) After(_ time.Duration, f func()) { w.timers = append(w.timers, f) }
 
 func (w *fakePort) Cloud(r cloud.Request, f func(cloud.Response)) {
 	w.calls = append(w.calls, r)
 	f(w.reply(r))
 }
 
-func (w *fakePort) Store(r kvstore.Request, f func(kvstore.Response)) {
+func (w *fakePort) Store(_ kvstore.Request, f func(kvstore.Response)) {
 	f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 5})
 }
 
-// Worker never answers, unless it is said who is dead.
+// Worker answers for the machines that deadAddrs has as not dead.
 func (w *fakePort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
 	if gone, ok := w.deadAddrs[addr]; gone || !ok {
@@ -49,10 +49,12 @@
 		return
 	}
 	w.sequence++
-	f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: ident.MachineID(addr), Addr: addr, Model: "m8", Zone: "east",
-		Incarnation: 1, SequenceNumber: w.sequence, FencingToken: c.Body.FencingToken}})
+	answer := newHeartbeat(ident.MachineID(addr), w.sequence)
+	answer.Addr, answer.FencingToken = addr, c.Body.FencingToken
+	f(workers.CommandResult{Status: 200, Heartbeat: answer})
 }
 
+// advance lets time pass in steps of half a second, each with a tick.
 func (w *fakePort) advance(d time.Duration, m *Manager) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(500 * time.Millisecond)
@@ -65,38 +67,59 @@
 	}
 }
 
+// harness is a manager with its tables on a fakePort.
 type harness struct {
 	*fakePort
-	manager           *Manager
-	table             *workers.Table
-	jobs              *jobs.Table
-	commits           *commit.Committer
-	reached, stranded bool
+	manager          *Manager
+	table            *workers.Table
+	jobs             *jobs.Table
+	commits          *commit.Committer
+	reachableViaPeer bool
+	zonePeersSilent  bool
 }
 
+// testMachineType is the machine type of the tests, in some zones.
+func testMachineType(zones ...string) cloud.MachineType {
+	return cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: zones}
+}
+
+// newHarness makes a manager without machines and jobs.
 func newHarness() *harness {
-	r := &harness{fakePort: &fakePort{now: ident.MonotonicTime(time.Hour)}, reached: true}
-	r.reply = func(q cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
-	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(string) {})
+	r := &harness{fakePort: &fakePort{now: ident.MonotonicTime(time.Hour)}, reachableViaPeer: true}
+	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
+	machineType := testMachineType("east")
+	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(string) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
-	r.table = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
-		Catalog: func(string) *cloud.MachineType { return &kind }, OnDeposed: func() {}, OnCapacityChanged: func() {},
-		OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {}, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 },
-		Persist: func(w *workers.Worker) {
-			w.Persisted = w.State != workers.Terminated
-		}})
+	r.table = workers.NewTable(r, r.jobs, workers.Config{
+		Term:              3,
+		LeaseDuration:     30 * time.Second,
+		LeaderGrace:       10 * time.Second,
+		Catalog:           func(string) *cloud.MachineType { return &machineType },
+		OnDeposed:         func() {},
+		OnCapacityChanged: func() {},
+		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
+		OnCommandResult:   func(*workers.Worker, bool) {},
+		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
+		Persist:           func(w *workers.Worker) { w.Persisted = w.State != workers.Terminated },
+	})
 	tuning := settings.DefaultTuning()
-	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to return
+	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to terminate
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
-	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{Term: 3, Tuning: tuning,
-		Cloud: settings.CloudLimits{RPS: 5, ListLagS: 10}, Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
-		Catalog:          func() []cloud.MachineType { return []cloud.MachineType{kind} },
-		ReachableViaPeer: func() bool { return r.reached },
-		DirectContact:    func() bool { return true }, ZonePeersSilent: func(string) bool { return r.stranded },
-		Objective: func(string) time.Duration { return 0 },
-		Movable:   func(*jobs.Task, *workers.Worker) bool { return false }, Drain: func(*workers.Worker) {},
-		SetServiceHeadroom: func(string, float64) {}})
+	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{
+		Term:               3,
+		Tuning:             tuning,
+		Cloud:              settings.CloudLimits{RPS: 5, ListLagS: 10},
+		Workers:            settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
+		Catalog:            func() []cloud.MachineType { return []cloud.MachineType{machineType} },
+		ReachableViaPeer:   func() bool { return r.reachableViaPeer },
+		DirectContact:      func() bool { return true },
+		ZonePeersSilent:    func(string) bool { return r.zonePeersSilent },
+		Objective:          func(string) time.Duration { return 0 },
+		Movable:            func(*jobs.Task, *workers.Worker) bool { return false },
+		Drain:              func(*workers.Worker) {},
+		SetServiceHeadroom: func(string, float64) {},
+	})
 	return r
 }
 
@@ -111,13 +134,37 @@
 	}
 }
 
+// machineID names one of the machines that addMachines adds.
+func machineID(n int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%06d", n)) }
+
+// newHeartbeat is one of a machine in its first incarnation, without a fencing token.
+func newHeartbeat(id ident.MachineID, sequence ident.SequenceNumber) *api.Heartbeat {
+	return &api.Heartbeat{MachineID: id, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: sequence}
+}
+
+// newTokenHeartbeat is one of a machine that has received the first token of the term.
+func newTokenHeartbeat(id ident.MachineID, sequence ident.SequenceNumber) *api.Heartbeat {
+	h := newHeartbeat(id, sequence)
+	h.FencingToken = ident.MakeFencingToken(3, 0)
+	return h
+}
+
+// addMachines adds machines that have reported.
 func (r *harness) addMachines(n int) {
 	for i := range n {
-		w := r.table.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m8", Zone: "east", CreatedAt: r.now})
-		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 1})
+		w := r.table.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
+		r.table.HandleHeartbeat(newHeartbeat(w.ID, 1))
 	}
 }
 
+// submit adds a job and commits it.
+func (r *harness) submit(spec *api.Spec) *jobs.Job {
+	j := r.jobs.Add(spec, func() {}, nil)
+	r.commits.Flush()
+	return j
+}
+
+// countCalls counts the requests to the cloud for an operation.
 func (r *harness) countCalls(op cloud.Op) int {
 	n := 0
 	for _, c := range r.calls {
@@ -128,14 +175,13 @@
 	return n
 }
 
-// newReplicaHarness has machines with a replica on each, some of which answer nothing.
+// newReplicaHarness makes a manager of machines with a replica on each, some of which are dead.
 func newReplicaHarness(machines int, dead func(i int) bool) *harness {
 	r := newHarness()
 	r.manager.health.heartbeatOverdue, r.manager.health.fenceTimeout = 10*time.Second, 18*time.Second
 	r.addMachines(machines)
 	r.deadAddrs, r.sequence = map[string]bool{}, 100
-	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: machines, VCPUs: 1}, func() {}, nil)
-	r.commits.Flush()
+	j := r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: machines, VCPUs: 1})
 	r.trackTasks()
 	for i, w := range r.table.Sorted() {
 		w.Addr = string(w.ID)
@@ -146,19 +192,19 @@
 	return r
 }
 
-// assertOnlyDeadFenced checks that all machines that answer nothing are gone, and no other.
+// assertOnlyDeadFenced checks that all dead machines are terminated, and no other.
 func (r *harness) assertOnlyDeadFenced(t *testing.T, dead int) {
 	t.Helper()
-	gone := 0
+	fenced := 0
 	for _, w := range r.table.Sorted() {
 		if w.State == workers.Terminated {
-			gone++
+			fenced++
 			if !r.deadAddrs[w.Addr] {
-				t.Errorf("%s answers, and was fenced", w.ID)
+				t.Errorf("%s responds, and was fenced", w.ID)
 			}
 		}
 	}
-	if gone != dead {
-		t.Errorf("%d of %d machines are fenced", gone, dead)
+	if fenced != dead {
+		t.Errorf("%d of %d machines are fenced", fenced, dead)
 	}
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -223,9 +223,9 @@
 // inspectRunning checks a machine that should be reachable.
 func (h *healthMonitor) inspectRunning(w *workers.Worker, sweep *healthSweep) {
 	sweep.expected++
-	unheardSince := max(h.lastStall, h.zones.recoveredAt[w.Zone])
+	countsFrom := max(h.lastStall, h.zones.recoveredAt[w.Zone])
 	contact := machineContact{
-		silence: min(h.machines.TimeSinceContact(w), sweep.now.Sub(unheardSince)),
+		silence: min(h.machines.TimeSinceContact(w), sweep.now.Sub(countsFrom)),
 		limit:   h.fenceTimeout,
 	}
 	if w.ServiceVCPUs > 0 {
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -12,25 +12,26 @@
 	"opaldale/internal/workers"
 )
 
-// TestStaleListingIsNotAdopted guards against what incident inc-8601 showed: a list older than the
-// term made a new leader adopt a machine that the one before had returned.
+// TestStaleListingIsNotAdopted: a listing may be older than the term, and show a machine that the
+// previous leader has terminated. It is not adopted until it is listed for longer.
 func TestStaleListingIsNotAdopted(t *testing.T) {
 	r := newHarness()
-	r.reply = func(q cloud.Request) cloud.Response {
-		return cloud.Response{Outcome: cloud.OK, Machines: []cloud.ListedMachine{{ID: "host-000009", Addr: "b", Model: "m8", Zone: "east", Status: "running", AgeS: 5}}}
+	listed := cloud.ListedMachine{ID: machineID(9), Addr: "b", Model: "m8", Zone: "east", Status: "running", AgeS: 5}
+	r.reply = func(cloud.Request) cloud.Response {
+		return cloud.Response{Outcome: cloud.OK, Machines: []cloud.ListedMachine{listed}}
 	}
 	r.advance(15*time.Second, r.manager)
-	if r.countCalls(cloud.List) == 0 || r.table.Workers["host-000009"] != nil {
+	if r.countCalls(cloud.List) == 0 || r.table.Workers[listed.ID] != nil {
 		t.Fatalf("after %d lists: adopted %v", r.countCalls(cloud.List), r.table.Workers)
 	}
 	r.advance(25*time.Second, r.manager)
-	if r.table.Workers["host-000009"] == nil {
+	if r.table.Workers[listed.ID] == nil {
 		t.Error("a machine that stays listed is not adopted")
 	}
 }
 
-// TestLostProvisionRequestIsRetried: a request without an answer is repeated under its own name,
-// which rents nothing more; other requests get names of their own.
+// TestLostProvisionRequestIsRetried: a request without an answer is repeated under its identifier,
+// which provisions nothing more; other requests get identifiers of their own.
 func TestLostProvisionRequestIsRetried(t *testing.T) {
 	r := newHarness()
 	tries := map[string]int{}
@@ -45,39 +46,39 @@
 		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + q.RequestID)}}
 	}
 	for i := range 2 {
-		r.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 8, MemoryGB: 1}, func() {}, nil)
-		r.commits.Flush()
+		id := ident.JobID(fmt.Sprintf("j-%d", i))
+		r.submit(&api.Spec{ID: id, Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 8, MemoryGB: 1})
 		r.advance(4*time.Second, r.manager)
 	}
 	if len(tries) != 2 || r.manager.Provisioned != 2 {
-		t.Errorf("requests by name %v, rented %d", tries, r.manager.Provisioned)
+		t.Errorf("requests by identifier %v, provisioned %d", tries, r.manager.Provisioned)
 	}
-	for name, n := range tries {
+	for id, n := range tries {
 		if n != 3 {
-			t.Errorf("%s was sent %d times", name, n)
+			t.Errorf("%s was sent %d times", id, n)
 		}
 	}
 }
 
 // TestMassSilence: most of the fleet silent at once is not fenced while no
-// sibling is heard, and only after twice the time if one is.
+// peer is reachable, and only after twice the time if one is.
 func TestMassSilence(t *testing.T) {
-	for _, reached := range []bool{false, true} {
+	for _, reachable := range []bool{false, true} {
 		r := newHarness()
-		r.reached = reached
+		r.reachableViaPeer = reachable
 		r.addMachines(6)
 		r.advance(9*time.Second, r.manager)
 		if n := r.countCalls(cloud.Terminate); n > 0 {
-			t.Errorf("reached %v: fenced after 9 s", reached)
+			t.Errorf("reachable via a peer %v: fenced after 9 s", reachable)
 		}
 		r.advance(10*time.Second, r.manager)
-		if n := r.countCalls(cloud.Terminate); (n > 0) != reached {
-			t.Errorf("reached %v: %d returns after 19 s", reached, n)
+		if n := r.countCalls(cloud.Terminate); (n > 0) != reachable {
+			t.Errorf("reachable via a peer %v: %d terminations after 19 s", reachable, n)
 		}
 	}
 }
 
-// TestStall: a node that was slow itself gives the machines time to be heard.
+// TestStall: a node that has stalled itself gives the machines time to be heard.
 func TestStall(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
@@ -93,15 +94,14 @@
 	}
 }
 
-// TestReturnWhileCloudIsDown: a silent machine that can't be returned holds its
-// tasks until its lease is surely over, and not for ever.
-func TestReturnWhileCloudIsDown(t *testing.T) {
+// TestTerminationWhileCloudIsDown: a silent machine that can't be terminated holds its
+// tasks until its lease has expired, and not for ever.
+func TestTerminationWhileCloudIsDown(t *testing.T) {
 	r := newHarness()
 	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.Unavailable} }
 	r.addMachines(1)
-	w := r.table.Workers["host-000000"]
-	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1}, func() {}, nil)
-	r.commits.Flush()
+	w := r.table.Workers[machineID(0)]
+	j := r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1})
 	r.trackTasks()
 	r.jobs.Place(&j.Tasks[0], w.ID, 1, func() {})
 	r.commits.Flush()
@@ -115,26 +115,26 @@
 	}
 }
 
-// TestSilentMachineIsFenced: a single silent machine is fenced after about two reports.
+// TestSilentMachineIsFenced: a single silent machine is fenced after about two heartbeats.
 func TestSilentMachineIsFenced(t *testing.T) {
 	r := newHarness()
 	r.addMachines(6)
 	for i := range 20 {
 		for n := range 5 {
-			r.table.HandleHeartbeat(&api.Heartbeat{MachineID: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(2 + i), FencingToken: ident.MakeFencingToken(3, 0)})
+			r.table.HandleHeartbeat(newTokenHeartbeat(machineID(n), ident.SequenceNumber(2+i)))
 		}
 		r.advance(500*time.Millisecond, r.manager)
 	}
-	if w := r.table.Workers["host-000005"]; w.State != workers.Terminated {
+	if w := r.table.Workers[machineID(5)]; w.State != workers.Terminated {
 		t.Errorf("the silent machine is %v", w.State)
 	}
-	if w := r.table.Workers["host-000000"]; w.State != workers.Up {
+	if w := r.table.Workers[machineID(0)]; w.State != workers.Up {
 		t.Errorf("a reporting machine is %v", w.State)
 	}
 }
 
 // TestFailedMachineIsNoCapacity: an idle machine on which a job's task failed doesn't keep
-// another from being rented for the job.
+// another from being provisioned for the job.
 func TestFailedMachineIsNoCapacity(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
@@ -144,113 +144,116 @@
 		}
 		return cloud.Response{Outcome: cloud.OK}
 	}
-	j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Batch, Tasks: 1, VCPUs: 2, MemoryGB: 2, Image: "img", RuntimeS: 5}, func() {}, nil)
-	r.commits.Flush()
+	j := r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Batch, Tasks: 1, VCPUs: 2, MemoryGB: 2, Image: "img", RuntimeS: 5})
 	r.advance(2*time.Second, r.manager)
 	if n := r.countCalls(cloud.Provision); n != 0 {
-		t.Fatalf("%d rentals while a machine is idle", n)
+		t.Fatalf("%d provisioning requests while a machine is idle", n)
 	}
-	r.table.Workers["host-000000"].RecordFailure(j)
+	r.table.Workers[machineID(0)].RecordFailure(j)
 	r.advance(2*time.Second, r.manager)
 	if r.countCalls(cloud.Provision) == 0 {
-		t.Error("nothing is rented for a job that the idle machine fails")
+		t.Error("nothing is provisioned for a job that fails on the idle machine")
 	}
 }
 
-// TestInboundPartitionIsFenced: a machine whose reports arrive, but which neither answers nor commands
-// reach, is fenced; one that hears the answers is not, though commands get lost.
+// TestInboundPartitionIsFenced: a machine whose heartbeats arrive, but which neither responses nor
+// commands reach, is fenced; one that receives the responses is not, though commands get lost.
 func TestInboundPartitionIsFenced(t *testing.T) {
 	r := newHarness()
 	r.addMachines(6)
 	tokens := map[ident.MachineID]ident.FencingToken{}
 	for i := range 40 {
 		for n := range 6 {
-			h := ident.MachineID(fmt.Sprintf("host-%06d", n))
-			if w := r.table.Workers[h]; w == nil || w.State != workers.Up {
+			id := machineID(n)
+			if w := r.table.Workers[id]; w == nil || w.State != workers.Up {
 				continue
 			}
-			o := r.table.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(2 + i), FencingToken: tokens[h]})
-			if n > 0 && o != nil {
-				tokens[h] = o.FencingToken
+			h := newHeartbeat(id, ident.SequenceNumber(2+i))
+			h.FencingToken = tokens[id]
+			response := r.table.HandleHeartbeat(h)
+			if n > 0 && response != nil {
+				tokens[id] = response.FencingToken
 			}
 		}
 		r.advance(500*time.Millisecond, r.manager)
 	}
 	for n := range 6 {
-		if w := r.table.Workers[ident.MachineID(fmt.Sprintf("host-%06d", n))]; (w.State == workers.Up) != (n > 0) {
+		if w := r.table.Workers[machineID(n)]; (w.State == workers.Up) != (n > 0) {
 			t.Errorf("machine %d is %v", n, w.State)
 		}
 	}
 }
 
-// TestRackFailure: machines that go together are found together, though the reports of
-// most of them are not due yet; the others are only asked.
+// TestRackFailure: machines that fail together are found together, though the heartbeats of
+// most of them are not due yet; the others are only probed.
 func TestRackFailure(t *testing.T) {
 	const dead = 8
 	r := newReplicaHarness(40, func(i int) bool { return i < dead })
-	// They reported at different times; the first was due just before it went.
+	// Their heartbeats came at different times; that of the first was due just before it failed.
 	for n := 1; n < 40; n++ {
 		r.now = r.now.Add(200 * time.Millisecond)
 		w := r.table.Sorted()[n]
-		r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(3, 0)})
+		h := newTokenHeartbeat(w.ID, 2)
+		h.Addr = w.Addr
+		r.table.HandleHeartbeat(h)
 	}
 	r.manager.Tick()
 	r.advance(9*time.Second, r.manager)
 	r.assertOnlyDeadFenced(t, dead)
 }
 
-// TestZonePartition: machines of a zone from which no sibling is heard either are not
-// fenced, since work inside goes on; nothing is placed there, and what was on them
-// counts until their leases are surely over. Where a sibling is heard they are.
+// TestZonePartition: machines of a zone from which no peer is heard either are not
+// fenced, since work inside goes on; nothing is placed there, and their tasks count
+// until their leases have expired. Where a peer is heard they are fenced.
 func TestZonePartition(t *testing.T) {
-	for _, stranded := range []bool{true, false} {
+	for _, peersSilent := range []bool{true, false} {
 		r := newHarness()
-		r.stranded = stranded
+		r.zonePeersSilent = peersSilent
 		r.addMachines(12)
 		for i, w := range r.table.Sorted() {
 			if i < 5 {
 				w.Zone = "west"
 			}
 		}
-		lost := r.table.Workers["host-000000"]
-		j := r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1}, func() {}, nil)
-		r.commits.Flush()
+		lost := r.table.Workers[machineID(0)]
+		j := r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Service, Tasks: 1, VCPUs: 1})
 		r.trackTasks()
 		r.jobs.Place(&j.Tasks[0], lost.ID, 1, func() {})
 		r.commits.Flush()
-		serial := ident.SequenceNumber(1)
+		sequence := ident.SequenceNumber(1)
 		live := func(d time.Duration) {
 			for end := r.now.Add(d); r.now < end; {
-				serial++
+				sequence++
 				for n := 5; n < 12; n++ {
-					r.table.HandleHeartbeat(&api.Heartbeat{MachineID: ident.MachineID(fmt.Sprintf("host-%06d", n)), Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: serial, FencingToken: ident.MakeFencingToken(3, 0)})
+					r.table.HandleHeartbeat(newTokenHeartbeat(machineID(n), sequence))
 				}
 				r.advance(500*time.Millisecond, r.manager)
 			}
 		}
 		live(25 * time.Second)
-		if !stranded {
+		if !peersSilent {
 			if lost.State != workers.Terminated {
-				t.Error("a silent machine whose zone's sibling is heard is never fenced")
+				t.Error("a silent machine of a zone whose peer is heard is never fenced")
 			}
 			continue
 		}
 		if n := r.countCalls(cloud.Terminate); n > 0 || j.AllocatedTasks != 1 || lost.Schedulable(r.now) {
-			t.Errorf("cut off for 25 s: %d returns, %d tasks held, open %v", n, j.AllocatedTasks, lost.Schedulable(r.now))
+			t.Errorf("partitioned for 25 s: %d terminations, %d tasks held, schedulable %v",
+				n, j.AllocatedTasks, lost.Schedulable(r.now))
 		}
 		live(20 * time.Second)
 		if n := r.countCalls(cloud.Terminate); n > 0 || j.AllocatedTasks != 0 {
-			t.Errorf("after the lease: %d returns, %d tasks held", n, j.AllocatedTasks)
+			t.Errorf("after the lease: %d terminations, %d tasks held", n, j.AllocatedTasks)
 		}
 		live(120 * time.Second)
 		if lost.State != workers.Terminated {
-			t.Error("a zone that never comes back is never given up")
+			t.Error("machines of a zone whose partition never ends are never terminated")
 		}
 	}
 }
 
 // TestUnresponsiveMachinesAreFenced: of many machines with replicas, the silent ones are found soon after a
-// few of them have not answered, though no report is due yet, as after an election.
+// few of them have not responded, though no heartbeat is due yet, as after an election.
 func TestUnresponsiveMachinesAreFenced(t *testing.T) {
 	const machines, dead = 300, 30
 	r := newReplicaHarness(machines, func(i int) bool { return i%(machines/dead) == 0 })
@@ -258,25 +261,25 @@
 	r.assertOnlyDeadFenced(t, dead)
 }
 
-// TestHeadroomIsReleasedWhenArrivalsCease: room is kept for jobs to come while they come, and given back
-// within a minute of the last one of any kind.
+// TestHeadroomIsReleasedWhenArrivalsCease: headroom is kept while jobs arrive, and released within a
+// minute of the last one of any kind.
 func TestHeadroomIsReleasedWhenArrivalsCease(t *testing.T) {
 	r := newHarness()
 	r.manager.cfg.Tuning.ScaleInDelay = 12 * time.Second
 	r.addMachines(2)
 	r.manager.ResumeFromPriorTerm()
-	// pass lets time pass while the machines report.
+	// pass lets time pass while the machines send heartbeats.
 	pass := func() {
 		for range 2 {
 			for _, w := range r.table.Sorted() {
 				if w.State == workers.Up {
-					r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: ident.SequenceNumber(r.now)})
+					r.table.HandleHeartbeat(newHeartbeat(w.ID, ident.SequenceNumber(r.now)))
 				}
 			}
 			r.advance(2500*time.Millisecond, r.manager)
 		}
 	}
-	returned := func() (n int) {
+	terminated := func() (n int) {
 		for _, w := range r.table.Sorted() {
 			if w.State == workers.Terminating || w.State == workers.Terminated {
 				n++
@@ -288,79 +291,74 @@
 		r.manager.RecordArrival(&api.Spec{Shape: api.Service, Tasks: 4, VCPUs: 3}, r.now)
 		pass()
 	}
-	if n := returned(); n > 0 {
-		t.Fatalf("%d machines are returned while jobs come", n)
+	if n := terminated(); n > 0 {
+		t.Fatalf("%d machines are terminated while jobs arrive", n)
 	}
 	for range 12 {
 		pass()
 	}
-	if n := returned(); n != 2 {
-		t.Errorf("%d of 2 idle machines are returned a minute after the last job", n)
+	if n := terminated(); n != 2 {
+		t.Errorf("%d of 2 idle machines are terminated a minute after the last job", n)
 	}
 }
 
-// TestGangScalesOutInOneZone: for a gang that must be in one zone and that none can hold,
-// machines are rented in one zone, for all of it; where one zone has none to give, in the
+// TestGangScalesOutInOneZone: for a gang that must be in one zone and that none has room for,
+// machines are provisioned in one zone, for all of it; where one zone has no capacity, in the
 // other.
 func TestGangScalesOutInOneZone(t *testing.T) {
-	for _, closed := range []string{"", "east", "west"} {
+	for _, full := range []string{"", "east", "west"} {
 		r := newHarness()
-		r.manager.cfg.Tuning.Headroom = 0 // nothing is rented for jobs to come
-		r.manager.cfg.Catalog = func() []cloud.MachineType {
-			return []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east", "west"}}}
-		}
-		rented := map[string]int{}
+		r.manager.cfg.Tuning.Headroom = 0 // nothing is provisioned for jobs to come
+		r.manager.cfg.Catalog = func() []cloud.MachineType { return []cloud.MachineType{testMachineType("east", "west")} }
+		provisioned := map[string]int{}
 		r.reply = func(q cloud.Request) cloud.Response {
 			switch {
 			case q.Op != cloud.Provision:
 				return cloud.Response{Outcome: cloud.OK}
-			case q.Zone == closed:
+			case q.Zone == full:
 				return cloud.Response{Outcome: cloud.NoCapacity}
 			}
 			a := cloud.Response{Outcome: cloud.OK}
 			for range q.Count {
-				rented[q.Zone]++
-				a.Provisioned = append(a.Provisioned, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, rented[q.Zone])))
+				provisioned[q.Zone]++
+				a.Provisioned = append(a.Provisioned, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, provisioned[q.Zone])))
 			}
 			return a
 		}
-		r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Tasks: 6, VCPUs: 4, OneZone: true}, func() {}, nil)
-		r.commits.Flush()
+		r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Tasks: 6, VCPUs: 4, OneZone: true})
 		r.advance(2*time.Second, r.manager)
-		most := max(rented["east"], rented["west"])
-		if least := min(rented["east"], rented["west"]); most < 3 || least > 0 || closed != "" && rented[closed] > 0 {
-			t.Errorf("closed %q: rented %v for a gang of three machines", closed, rented)
+		most := max(provisioned["east"], provisioned["west"])
+		if least := min(provisioned["east"], provisioned["west"]); most < 3 || least > 0 || full != "" && provisioned[full] > 0 {
+			t.Errorf("no capacity in %q: provisioned %v for a gang of three machines", full, provisioned)
 		}
 	}
 }
 
-// TestBorrowersDoNotScaleOut: no ordinary machine is rented for work of a team without a
-// guarantee, however long it waits, and what it has on machines is room for the house. (The
-// fleet's ordinary machines doubled on a day with a vast array of a guest.)
+// TestBorrowersDoNotScaleOut: no on-demand machine is provisioned for work of a team without a
+// guarantee, however long it waits, and what it uses of machines counts as free for other teams.
 func TestBorrowersDoNotScaleOut(t *testing.T) {
 	for _, team := range []string{"guest", "red"} {
 		r := newHarness()
 		r.trackTasks()
 		r.addMachines(2)
-		backlog := r.jobs.Add(&api.Spec{ID: "j-1", Team: team, Shape: api.Batch, Priority: api.BestEffort, Tasks: 60, VCPUs: 1, Spot: true, RuntimeS: 100}, func() {}, nil)
-		r.commits.Flush()
+		backlog := r.submit(&api.Spec{ID: "j-1", Team: team, Shape: api.Batch, Priority: api.BestEffort, Tasks: 60, VCPUs: 1,
+			Spot: true, RuntimeS: 100})
 		for i := range 16 {
-			r.jobs.Place(&backlog.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i/8)), 1, func() {})
+			r.jobs.Place(&backlog.Tasks[i], machineID(i/8), 1, func() {})
 		}
-		r.jobs.Add(&api.Spec{ID: "j-2", Team: "red", Shape: api.Batch, Priority: api.Standard, Tasks: 2, VCPUs: 4, RuntimeS: 10}, func() {}, nil)
-		r.commits.Flush()
+		r.submit(&api.Spec{ID: "j-2", Team: "red", Shape: api.Batch, Priority: api.Standard, Tasks: 2, VCPUs: 4, RuntimeS: 10})
 		for range 120 {
 			r.now = r.now.Add(time.Second)
 			r.manager.autoscaler.run()
 		}
-		ordinary := 0
+		onDemand := 0
 		for _, c := range r.calls {
 			if c.Op == cloud.Provision && !c.Spot {
-				ordinary += c.Count
+				onDemand += c.Count
 			}
 		}
-		if (ordinary > 0) != (team == "red") {
-			t.Errorf("%s: %d ordinary machines asked for", team, ordinary)
+		if (onDemand > 0) != (team == "red") {
+			t.Errorf("%s: %d on-demand machines requested", team, onDemand)
 		}
 	}
 }
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -5,14 +5,13 @@
 	"testing"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
 	"opaldale/internal/workers"
 )
 
-// runSilentZone plays a zone of 30 machines with replicas that all fall silent, for five
-// leases, and counts what was returned of them, and what was rented.
+// runSilentZone has 30 machines with replicas in a zone fall silent, for five leases, and counts
+// those that were terminated and the machines that were provisioned.
 func runSilentZone(unreachable bool) (terminated, provisioned int, r *harness) {
 	r = newReplicaHarness(30, func(int) bool { return true })
 	r.manager.cfg.ZoneUnreachable = func(string) bool { return unreachable }
@@ -32,7 +31,7 @@
 	for _, c := range r.calls {
 		if c.Op == cloud.Terminate {
 			for _, h := range c.MachineIDs {
-				if strings.HasPrefix(string(h), "host-") { // not a scout that never came up
+				if strings.HasPrefix(string(h), "host-") { // not a canary that never booted
 					terminated++
 				}
 			}
@@ -41,21 +40,21 @@
 	return terminated, provisioned, r
 }
 
-// TestUnreachableZoneIsKept: machines of a zone that no node hears may be alive behind a broken
-// link. They are given up a few at a time, and only scouts are rented; with the same silence
-// and no such doubt all are returned and replaced, as before.
+// TestUnreachableZoneIsKept: machines of a zone that no controller reaches may run behind a network
+// partition. They are terminated a few at a time, and only canaries are provisioned; with the same
+// silence and no such doubt all are terminated and replaced.
 func TestUnreachableZoneIsKept(t *testing.T) {
-	returned, rented, _ := runSilentZone(false)
-	if returned < 30 || rented < 4 {
-		t.Errorf("without the doubt %d were returned and %d rented: the test shows nothing", returned, rented)
+	terminated, provisioned, _ := runSilentZone(false)
+	if terminated < 30 || provisioned < 4 {
+		t.Errorf("without the doubt %d were terminated and %d provisioned: the test shows nothing", terminated, provisioned)
 	}
-	returned, rented, r := runSilentZone(true)
-	// One machine a lease; two scouts, and two more whenever those are given up after three
+	terminated, provisioned, r := runSilentZone(true)
+	// One machine a lease; two canaries, and two more whenever those are terminated after three
 	// and a half times ten seconds.
-	if returned > 6 || rented > canaries*5 {
-		t.Errorf("%d machines were returned and %d rented in a zone that may be alive", returned, rented)
+	if terminated > 6 || provisioned > canaries*5 {
+		t.Errorf("%d machines were terminated and %d provisioned in a zone that may be running", terminated, provisioned)
 	}
-	// One of them is heard: the others are judged one by one again.
+	// Once one of them is heard, the others are judged one by one again.
 	w := r.table.Sorted()[0]
 	for _, k := range r.table.Sorted() {
 		if k.State == workers.Up || k.State == workers.Unreachable {
@@ -64,22 +63,24 @@
 		}
 	}
 	r.sequence++
-	r.table.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: w.Addr, Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: r.sequence, FencingToken: ident.MakeFencingToken(3, 1)})
+	h := newHeartbeat(w.ID, r.sequence)
+	h.Addr, h.Incarnation, h.FencingToken = w.Addr, 2, ident.MakeFencingToken(3, 1)
+	r.table.HandleHeartbeat(h)
 	r.advance(500*time.Millisecond, r.manager)
 	if r.manager.health.zones.unreachable["east"] != nil {
-		t.Error("the zone still counts as silent")
+		t.Error("the zone still counts as unreachable")
 	}
 }
 
-// TestPartitionedNodeFencesNothing: the silence of machines that a sibling reaches is this node's
+// TestPartitionedNodeFencesNothing: the silence of machines that a peer reaches is this node's
 // own fault.
 func TestPartitionedNodeFencesNothing(t *testing.T) {
-	for _, blind := range []bool{false, true} {
+	for _, partitioned := range []bool{false, true} {
 		r := newReplicaHarness(10, func(i int) bool { return i%2 == 0 })
-		r.manager.cfg.LocallyUnreachable = func(string) bool { return blind }
+		r.manager.cfg.LocallyUnreachable = func(string) bool { return partitioned }
 		r.advance(25*time.Second, r.manager)
-		if (r.manager.Fenced == 0) != blind {
-			t.Errorf("blind %v: %d machines were fenced", blind, r.manager.Fenced)
+		if (r.manager.Fenced == 0) != partitioned {
+			t.Errorf("partitioned %v: %d machines were fenced", partitioned, r.manager.Fenced)
 		}
 	}
 }
