--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -32,9 +32,11 @@
 }
 
 // tuningNames are the operators' settings in the order of Tuning's fields.
-var tuningNames = []string{"leader-lease", "round", "silent", "idle-keep", "boot-factor", "headroom", "spare", "max-wait", "gang-wait", "plan",
-	"links", "links-suspect", "links-half-life", "links-hold", "links-persist", "rebalance", "moves-cluster", "moves-zone", "moves-team",
-	"moves-margin", "moves-settle", "moves-patience", "moves-min-run"}
+var tuningNames = []string{
+	"leader-lease", "round", "silent", "idle-keep", "boot-factor", "headroom", "spare", "max-wait", "gang-wait", "plan",
+	"links", "links-suspect", "links-half-life", "links-hold", "links-persist",
+	"rebalance", "moves-cluster", "moves-zone", "moves-team", "moves-margin", "moves-settle", "moves-patience", "moves-min-run",
+}
 
 // TestGoldenTuning pins the names of the operators' settings: each of them alone changes one
 // value, whose place is pinned, and has its own error.
@@ -53,22 +55,32 @@
 	d.Compare(t, "tuning")
 }
 
-// TestGoldenFaults pins what is said of settings that are out of order.
+// TestGoldenFaults pins the errors of faulty settings.
 func TestGoldenFaults(t *testing.T) {
 	var d golden.Document
 	empty := &Settings{}
 	d.Add("nothing set", fmt.Sprint(empty.check()))
-	bad := &Settings{Node: "a", Bind: "host:1", Peers: []Peer{{Node: "a", Address: "x"}, {Node: ident.NodeID("b"), Address: "10.0.0.1:1"}},
-		Cluster: Cluster{Zones: []string{"z"}, Teams: []Team{{Name: "t", CPUs: -1}, {Name: "t"}},
+	announced := &AnnouncedStoreLimits{WriteRPS: -1, ValueKB: 0.5, TxnOps: 3}
+	bad := &Settings{
+		Node:  "a",
+		Bind:  "host:1",
+		Peers: []Peer{{Node: "a", Address: "x"}, {Node: ident.NodeID("b"), Address: "10.0.0.1:1"}},
+		Cluster: Cluster{
+			Zones:     []string{"z"},
+			Teams:     []Team{{Name: "t", CPUs: -1}, {Name: "t"}},
 			Workers:   WorkerTimes{HeartbeatS: -1, LeaseS: 5, CancelS: 5, GangWaitS: -1},
-			Store:     StoreLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 3, Announced: &AnnouncedStoreLimits{WriteRPS: -1, ValueKB: 0.5, TxnOps: 3}},
+			Store:     StoreLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 3, Announced: announced},
 			Cloud:     CloudLimits{RPS: 1, ListLagS: -1},
-			Resources: NodeResources{Cores: -1, MemoryMB: -1, Sockets: 15}}}
+			Resources: NodeResources{Cores: -1, MemoryMB: -1, Sockets: 15},
+		},
+	}
 	d.Add("badly set", fmt.Sprint(bad.check()))
 	_, err := Parse([]byte("bind = 7"))
 	d.Add("wrong type", fmt.Sprint(err != nil))
-	for _, text := range []string{"", "(tuning", "(tuning))", "(other)", "(tuning (colour red))", "(tuning (round))", "(tuning (round soon) (links maybe))",
-		"(tuning (moves-cluster many) (spare much))", strings.Repeat("(", 100)} {
+	for _, text := range []string{
+		"", "(tuning", "(tuning))", "(other)", "(tuning (colour red))", "(tuning (round))",
+		"(tuning (round soon) (links maybe))", "(tuning (moves-cluster many) (spare much))", strings.Repeat("(", 100),
+	} {
 		tuning := DefaultTuning()
 		d.Add(text, fmt.Sprint(tuning.Apply([]byte(text))))
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,11 +1,10 @@
-// Package settings reads the platform's TOML file and the operators' own
-// S-expressions, and names every fault it finds in them.
+// Package settings reads the two configuration files of a controller: the platform's settings, in
+// TOML, and the operators' tuning, as S-expressions. It reports every fault of a file, not only
+// the first one.
 package settings
 
 import (
-	"errors"
 	"fmt"
-	"net"
 	"os"
 	"time"
 
@@ -14,7 +13,7 @@
 	"opaldale/internal/ident"
 )
 
-// Settings is everything a node is told from outside.
+// Settings is the configuration of a controller node.
 type Settings struct {
 	Node          ident.NodeID `toml:"node_name"`
 	Zone          string       `toml:"zone"`
@@ -26,24 +25,24 @@
 	Tuning        Tuning       `toml:"-"`
 }
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Node    ident.NodeID `toml:"node_name"`
 	Zone    string       `toml:"zone"`
 	Address string       `toml:"address"`
 }
 
-// Endpoints are the outside services.
+// Endpoints are the addresses of the services that a controller uses, as IP address and port.
 type Endpoints struct {
-	Cloud string `toml:"cloud"`
-	Store string `toml:"state"`
+	Cloud string `toml:"cloud"` // the provider's API
+	Store string `toml:"state"` // the key-value store
 }
 
-// Cluster is what holds for all nodes.
+// Cluster is the configuration that all nodes share.
 type Cluster struct {
-	Nodes             int           `toml:"nodes"`
+	Nodes             int           `toml:"nodes"` // number of controllers
 	Zones             []string      `toml:"zones"`
-	ClockErrorBoundMS float64       `toml:"time_bound_ms"`
+	ClockErrorBoundMS float64       `toml:"time_bound_ms"` // not used: leases rely on elapsed time alone
 	Teams             []Team        `toml:"teams"`
 	Objectives        []Objective   `toml:"objectives"`
 	Workers           WorkerTimes   `toml:"workers"`
@@ -52,7 +51,8 @@
 	Resources         NodeResources `toml:"resources"`
 }
 
-// Team has its guarantee and its limit; 0 means none of either.
+// Team is a team's quota: the CPUs and GPUs that it is guaranteed, and the limits on them. 0 stands
+// for no guarantee and for no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -78,70 +78,70 @@
 	ObjectiveWait     ObjectiveKind = "wait"     // from submission to the start of its tasks
 )
 
-// WorkerTimes holds the workers' times.
+// WorkerTimes are the times that workers keep to, in seconds.
 type WorkerTimes struct {
-	HeartbeatS float64 `toml:"report_s"`
-	LeaseS     float64 `toml:"lease_s"`
-	CancelS    float64 `toml:"cancel_s"`
-	// GangWaitS is how long a task waits for the others of its gang, and GangPeerS
-	// within which time they notice that one is gone, or must be told to stop.
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
+	HeartbeatS float64 `toml:"report_s"`    // from one heartbeat to the next
+	LeaseS     float64 `toml:"lease_s"`     // a worker without renewal kills its tasks after this time
+	CancelS    float64 `toml:"cancel_s"`    // a cancelled task has ended after this time
+	GangWaitS  float64 `toml:"gang_wait_s"` // a task waits for the others of its gang for this time
+	GangPeerS  float64 `toml:"gang_peer_s"` // tasks of a gang notice within this time that one is lost
 }
 
-// StoreLimits holds the limits of the state service.
+// StoreLimits are the limits of the key-value store.
 type StoreLimits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
-	// Announced holds the limits that the service will have from some moment on, without
-	// notice; nil if nothing is announced.
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
+	ValueKB  float64 `toml:"value_kb"`  // largest value, in KiB
+	TxnOps   int     `toml:"txn_ops"`   // operations in a transaction
+	// Announced are the limits that the store will have from an unknown time on; nil if none are
+	// announced.
 	Announced *AnnouncedStoreLimits `toml:"next"`
 }
 
-// AnnouncedStoreLimits holds announced limits; 0 for one that stays.
+// AnnouncedStoreLimits are limits that the store will have; 0 stands for one that does not change.
 type AnnouncedStoreLimits struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Strictest returns the smaller of the present and the announced limits.
+// Strictest returns the smaller of each present and announced limit.
 func (s StoreLimits) Strictest() StoreLimits {
-	if announced := s.Announced; announced != nil {
-		if announced.WriteRPS > 0 {
-			s.WriteRPS = min(s.WriteRPS, announced.WriteRPS)
-		}
-		if announced.ValueKB > 0 {
-			s.ValueKB = min(s.ValueKB, announced.ValueKB)
-		}
-		if announced.TxnOps > 0 {
-			s.TxnOps = min(s.TxnOps, announced.TxnOps)
-		}
+	announced := s.Announced
+	if announced == nil {
+		return s
+	}
+	if announced.WriteRPS > 0 {
+		s.WriteRPS = min(s.WriteRPS, announced.WriteRPS)
+	}
+	if announced.ValueKB > 0 {
+		s.ValueKB = min(s.ValueKB, announced.ValueKB)
+	}
+	if announced.TxnOps > 0 {
+		s.TxnOps = min(s.TxnOps, announced.TxnOps)
 	}
 	return s
 }
 
-// CloudLimits holds the limits of the cloud.
+// CloudLimits are the limits of the provider's API.
 type CloudLimits struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // seconds by which a listing may be out of date
 }
 
-// NodeResources is what a node may use of its machine.
+// NodeResources is what a controller may use of its machine.
 type NodeResources struct {
 	Cores    float64 `toml:"cores"`
-	MemoryMB float64 `toml:"memory_mb"`
+	MemoryMB float64 `toml:"memory_mb"` // MiB
 	Sockets  int     `toml:"sockets"`
 }
 
-// Seconds turns an amount of the settings into a duration.
+// Seconds converts a time of the settings into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads the platform's file and, unless its path is empty, the operators'
-// tuning file. The error joins every fault found.
-func Load(path, tuning string) (*Settings, error) {
+// Load reads the platform's settings and, unless its path is empty, the tuning file. The error joins
+// all faults of the file that is wrong.
+func Load(path, tuningPath string) (*Settings, error) {
 	platformFile, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -150,157 +150,30 @@
 	if err != nil {
 		return nil, err
 	}
-	if tuning != "" {
-		tuningFile, err := os.ReadFile(tuning)
+	if tuningPath != "" {
+		tuningFile, err := os.ReadFile(tuningPath)
 		if err != nil {
 			return nil, err
 		}
 		if err := s.Tuning.Apply(tuningFile); err != nil {
-			return nil, fmt.Errorf("%s: %w", tuning, err)
+			return nil, fmt.Errorf("%s: %w", tuningPath, err)
 		}
 	}
-	return s, s.Tuning.check()
+	if err := s.Tuning.check(); err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
-// Parse reads the platform's file; unknown fields are ignored.
+// Parse reads the platform's settings from TOML, with the default tuning. Unknown fields are ignored.
+// The error joins all faults.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{Tuning: DefaultTuning()}
 	if err := toml.Unmarshal(b, s); err != nil {
 		return nil, err
 	}
-	return s, s.check()
-}
-
-// validation gathers what is wrong with the settings, each with the name of its field.
-type validation struct {
-	list []error
-}
-
-func (f *validation) add(format string, args ...any) {
-	f.list = append(f.list, fmt.Errorf(format, args...))
-}
-
-// checkAddress checks an IP address with a port.
-func (f *validation) checkAddress(name, v string) {
-	host, _, err := net.SplitHostPort(v)
-	if err != nil || net.ParseIP(host) == nil {
-		f.add("%s: %q is not an IP address with a port", name, v)
-	}
-}
-
-// checkPositive checks an amount that must be above 0.
-func (f *validation) checkPositive(name string, v float64) {
-	if !(v > 0) {
-		f.add("%s: must be above 0", name)
-	}
-}
-
-// check names every fault.
-func (s *Settings) check() error {
-	f := &validation{}
-	if s.Node == "" {
-		f.add("node_name: missing")
-	}
-	f.checkAddress("bind", s.Bind)
-	f.checkAddress("mesh_addr", s.TransportAddr)
-	f.checkAddress("endpoints.cloud", s.Endpoints.Cloud)
-	f.checkAddress("endpoints.state", s.Endpoints.Store)
-	s.checkPeers(f)
-	if len(s.Cluster.Zones) == 0 {
-		f.add("cluster.zones: missing")
-	}
-	s.Cluster.checkTeams(f)
-	s.Cluster.Workers.check(f)
-	s.Cluster.Store.check(f)
-	s.Cluster.Cloud.check(f)
-	s.Cluster.Resources.check(f)
-	return errors.Join(f.list...)
-}
-
-func (s *Settings) checkPeers(f *validation) {
-	seen := map[ident.NodeID]bool{s.Node: true}
-	for i, p := range s.Peers {
-		if p.Node == "" || seen[p.Node] {
-			f.add("siblings[%d].node_name: missing or used twice", i)
-		}
-		seen[p.Node] = true
-		f.checkAddress(fmt.Sprintf("siblings[%d].address", i), p.Address)
-	}
-}
-
-func (c *Cluster) checkTeams(f *validation) {
-	if len(c.Teams) == 0 {
-		f.add("cluster.teams: missing")
-	}
-	seen := map[string]bool{}
-	for i, t := range c.Teams {
-		if t.Name == "" || seen[t.Name] {
-			f.add("cluster.teams[%d].name: missing or used twice", i)
-		}
-		seen[t.Name] = true
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			f.add("cluster.teams[%d]: negative amount", i)
-		}
-	}
-}
-
-func (w WorkerTimes) check(f *validation) {
-	f.checkPositive("cluster.workers.report_s", w.HeartbeatS)
-	f.checkPositive("cluster.workers.lease_s", w.LeaseS)
-	if w.CancelS <= w.LeaseS {
-		f.add("cluster.workers.cancel_s: must be above lease_s")
-	}
-	if w.GangWaitS < 0 || w.GangPeerS < 0 {
-		f.add("cluster.workers: gang_wait_s and gang_peer_s must not be negative")
-	}
-}
-
-// The least that a state service must take.
-const (
-	minValueKB = 1
-	minTxnOps  = 4
-)
-
-func (s StoreLimits) check(f *validation) {
-	f.checkPositive("cluster.state.rps", s.RPS)
-	f.checkPositive("cluster.state.write_rps", s.WriteRPS)
-	if s.ValueKB < minValueKB {
-		f.add("cluster.state.value_kb: must be at least 1")
-	}
-	if s.TxnOps < minTxnOps {
-		f.add("cluster.state.txn_ops: must be at least 4")
-	}
-	if s.Announced != nil {
-		s.Announced.check(f)
-	}
-}
-
-func (n *AnnouncedStoreLimits) check(f *validation) {
-	if n.WriteRPS < 0 {
-		f.add("cluster.state.next.write_rps: negative")
-	}
-	if n.ValueKB != 0 && n.ValueKB < minValueKB {
-		f.add("cluster.state.next.value_kb: must be at least 1")
-	}
-	if n.TxnOps != 0 && n.TxnOps < minTxnOps {
-		f.add("cluster.state.next.txn_ops: must be at least 4")
-	}
-}
-
-func (c CloudLimits) check(f *validation) {
-	f.checkPositive("cluster.cloud.rps", c.RPS)
-	if c.ListLagS < 0 {
-		f.add("cluster.cloud.list_lag_s: negative")
-	}
-}
-
-// minSockets is the least that a node can work with.
-const minSockets = 16
-
-func (r NodeResources) check(f *validation) {
-	f.checkPositive("cluster.resources.cores", r.Cores)
-	f.checkPositive("cluster.resources.memory_mb", r.MemoryMB)
-	if r.Sockets < minSockets {
-		f.add("cluster.resources.sockets: must be at least 16")
+	if err := s.check(); err != nil {
+		return nil, err
 	}
+	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,6 +48,7 @@
 sockets = 3500
 `
 
+// TestParse: a valid file is read, and every fault of another one is named.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validConfig))
 	if err != nil || s.Cluster.Teams[0].CPUsMax != 88 || s.Cluster.Objectives[0].WithinS != 1 {
@@ -64,6 +65,7 @@
 	}
 }
 
+// TestTuning: a tuning file sets what it contains, and one that is no tuning file is refused.
 func TestTuning(t *testing.T) {
 	tuning := DefaultTuning()
 	if err := tuning.Apply([]byte("; ours\n(tuning (leader-lease 3s)\n (plan none) (headroom 1.5))")); err != nil {
@@ -76,27 +78,59 @@
 		"(tuning (round soon))", strings.Repeat("(", 100)} {
 		tuning := DefaultTuning()
 		if tuning.Apply([]byte(bad)) == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
-	if err := tuning.Apply([]byte("(tuning (links on) (links-suspect 800ms) (links-half-life 20s) (links-hold 30s) (links-persist 5s))")); err != nil {
+	links := "(links on) (links-suspect 800ms) (links-half-life 20s) (links-hold 30s) (links-persist 5s)"
+	if err := tuning.Apply([]byte("(tuning " + links + ")")); err != nil {
 		t.Fatal(err)
 	}
-	if want := (Links{Enabled: true, SuspectAfter: 800 * time.Millisecond, PenaltyHalfLife: 20 * time.Second, MinLeadTime: 30 * time.Second, BetterPeerFor: 5 * time.Second}); tuning.Links != want || tuning.check() != nil {
+	wantLinks := Links{
+		Enabled:         true,
+		SuspectAfter:    800 * time.Millisecond,
+		PenaltyHalfLife: 20 * time.Second,
+		MinLeadTime:     30 * time.Second,
+		BetterPeerFor:   5 * time.Second,
+	}
+	if tuning.Links != wantLinks || tuning.check() != nil {
 		t.Errorf("%+v, %v", tuning.Links, tuning.check())
 	}
-	if err := tuning.Apply([]byte("(tuning (rebalance move) (moves-cluster 6) (moves-zone 3) (moves-team 1) (moves-margin 1.5) (moves-settle 5s) (moves-patience 2s) (moves-min-run 0s))")); err != nil {
+	moves := "(rebalance move) (moves-cluster 6) (moves-zone 3) (moves-team 1) (moves-margin 1.5) (moves-settle 5s)" +
+		" (moves-patience 2s) (moves-min-run 0s)"
+	if err := tuning.Apply([]byte("(tuning " + moves + ")")); err != nil {
 		t.Fatal(err)
 	}
-	if want := (MigrationLimits{Cluster: 6, Zone: 3, Team: 1, MinGainFactor: 1.5, LeaderSettleTime: 5 * time.Second, MinTaskWait: 2 * time.Second}); tuning.Migration != want || tuning.Rebalance != RebalanceMove || tuning.check() != nil {
+	wantLimits := MigrationLimits{
+		Cluster:          6,
+		Zone:             3,
+		Team:             1,
+		MinGainFactor:    1.5,
+		LeaderSettleTime: 5 * time.Second,
+		MinTaskWait:      2 * time.Second,
+	}
+	if tuning.Migration != wantLimits || tuning.Rebalance != RebalanceMove || tuning.check() != nil {
 		t.Errorf("%+v, %v", tuning.Migration, tuning.check())
 	}
+}
+
+// TestFaultyTuning: a setting that is out of its bounds or unreadable is named in the error.
+func TestFaultyTuning(t *testing.T) {
 	for _, bad := range []struct{ text, name string }{
-		{"(links-suspect 1h)", "links-suspect"}, {"(links-half-life 0s)", "links-half-life"}, {"(links-hold 1s)", "links-hold"},
-		{"(links-persist 0s)", "links-persist"}, {"(links maybe)", "links"}, {"(rebalance sometimes)", "rebalance"},
-		{"(moves-cluster 0)", "moves-cluster"}, {"(moves-cluster many)", "moves-cluster"}, {"(moves-zone 0)", "moves-zone"},
-		{"(moves-zone 5)", "moves-zone"}, {"(moves-team 0)", "moves-team"}, {"(moves-margin 0.5)", "moves-margin"},
-		{"(moves-margin NaN)", "moves-margin"}, {"(moves-settle -1s)", "moves-settle"}, {"(moves-patience soon)", "moves-patience"},
+		{"(links-suspect 1h)", "links-suspect"},
+		{"(links-half-life 0s)", "links-half-life"},
+		{"(links-hold 1s)", "links-hold"},
+		{"(links-persist 0s)", "links-persist"},
+		{"(links maybe)", "links"},
+		{"(rebalance sometimes)", "rebalance"},
+		{"(moves-cluster 0)", "moves-cluster"},
+		{"(moves-cluster many)", "moves-cluster"},
+		{"(moves-zone 0)", "moves-zone"},
+		{"(moves-zone 5)", "moves-zone"},
+		{"(moves-team 0)", "moves-team"},
+		{"(moves-margin 0.5)", "moves-margin"},
+		{"(moves-margin NaN)", "moves-margin"},
+		{"(moves-settle -1s)", "moves-settle"},
+		{"(moves-patience soon)", "moves-patience"},
 		{"(moves-min-run 2h)", "moves-min-run"},
 	} {
 		tuning := DefaultTuning()
@@ -105,14 +139,15 @@
 			t.Errorf("%s: %v", bad.text, err)
 		}
 	}
+	tuning := DefaultTuning()
 	tuning.PlanMode = "guess"
 	if tuning.check() == nil {
-		t.Error("an unknown plan is taken")
+		t.Error("an unknown plan mode is accepted")
 	}
 }
 
-// TestAnnouncedStoreLimits: announced limits count where they are smaller; one that isn't named
-// stays, and broken ones are named.
+// TestAnnouncedStoreLimits: announced limits count where they are smaller; one that isn't given
+// stays, and faulty ones are named.
 func TestAnnouncedStoreLimits(t *testing.T) {
 	next := func(body string) string {
 		return strings.Replace(validConfig, "[cluster.cloud]", "[cluster.state.next]\n"+body+"\n[cluster.cloud]", 1)
--- a/internal/settings/sexp.go
+++ b/internal/settings/sexp.go
@@ -5,17 +5,23 @@
 	"strings"
 )
 
-// sexp is an atom or a list. No well-kept library for S-expressions was found,
-// so this small reader stands in for one: atoms without quoting, lists, and
-// comments from ';' to the end of the line.
+// sexp is an S-expression: an atom, or a list of S-expressions. Atoms have no quoting; comments go
+// from ';' to the end of the line.
 type sexp struct {
 	atom string
 	list []sexp
 }
 
-// maxDepth bounds nesting, so that a hostile file can't exhaust the stack.
+// maxDepth bounds nesting, so that no file can exhaust the stack.
 const maxDepth = 16
 
+// Characters that separate atoms.
+const (
+	whitespace = " \t\r\n"
+	delimiters = whitespace + "();"
+)
+
+// parseSexp reads the S-expressions of a text.
 func parseSexp(src string) ([]sexp, error) {
 	p := &sexpParser{src: src}
 	out, err := p.sequence(0)
@@ -25,6 +31,7 @@
 	return out, err
 }
 
+// sexpParser reads S-expressions from a position on.
 type sexpParser struct {
 	src string
 	pos int
@@ -38,35 +45,55 @@
 	var out []sexp
 	for p.pos < len(p.src) {
 		switch c := p.src[p.pos]; {
-		case strings.IndexByte(" \t\r\n", c) >= 0:
+		case strings.IndexByte(whitespace, c) >= 0:
 			p.pos++
 		case c == ';':
-			if n := strings.IndexByte(p.src[p.pos:], '\n'); n >= 0 {
-				p.pos += n
-			} else {
-				p.pos = len(p.src)
-			}
+			p.skipComment()
 		case c == ')':
 			return out, nil
 		case c == '(':
-			p.pos++
-			list, err := p.sequence(depth + 1)
+			list, err := p.list(depth + 1)
 			if err != nil {
 				return nil, err
 			}
-			if p.pos >= len(p.src) {
-				return nil, errors.New("missing )")
-			}
-			p.pos++
-			out = append(out, sexp{list: list})
+			out = append(out, list)
 		default:
-			end := strings.IndexAny(p.src[p.pos:], " \t\r\n();")
-			if end < 0 {
-				end = len(p.src) - p.pos
-			}
-			out = append(out, sexp{atom: p.src[p.pos : p.pos+end]})
-			p.pos += end
+			out = append(out, p.atom())
 		}
 	}
 	return out, nil
 }
+
+// skipComment skips to the end of the line.
+func (p *sexpParser) skipComment() {
+	if n := strings.IndexByte(p.src[p.pos:], '\n'); n >= 0 {
+		p.pos += n
+	} else {
+		p.pos = len(p.src)
+	}
+}
+
+// list reads a list from its '(' to its ')'.
+func (p *sexpParser) list(depth int) (sexp, error) {
+	p.pos++
+	list, err := p.sequence(depth)
+	if err != nil {
+		return sexp{}, err
+	}
+	if p.pos >= len(p.src) {
+		return sexp{}, errors.New("missing )")
+	}
+	p.pos++
+	return sexp{list: list}, nil
+}
+
+// atom reads an atom.
+func (p *sexpParser) atom() sexp {
+	end := strings.IndexAny(p.src[p.pos:], delimiters)
+	if end < 0 {
+		end = len(p.src) - p.pos
+	}
+	atom := sexp{atom: p.src[p.pos : p.pos+end]}
+	p.pos += end
+	return atom
+}
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -8,19 +9,19 @@
 	"time"
 )
 
-// Tuning holds the operators' own settings, written as S-expressions:
+// Tuning is the operators' part of the configuration, written as an S-expression:
 //
 //	(tuning (leader-lease 2s) (round 5s) (plan asm1))
 type Tuning struct {
 	LeaderLease          time.Duration // how long leadership lasts without renewal
 	PlanInterval         time.Duration // from one plan to the next
-	UnreachableAfter     time.Duration // a worker not heard of for so long is fenced; 0: by report_s
-	ScaleInDelay         time.Duration // how long more machines are kept than are needed
-	BootTimeoutFactor    float64       // a boot is given up after this many times startup_s
-	Headroom             float64       // multiplies the room kept free for expected arrivals
-	ServiceSpareFraction float64       // part of the services' machines whose loss others must have room for
-	StarvationTimeout    time.Duration // a job that waits longer for its first task goes before all others
-	GangPreemptAfter     time.Duration // other work waits so long for room before a whole gang is stopped for it
+	UnreachableAfter     time.Duration // a machine that is silent for this time is fenced; 0: a multiple of report_s
+	ScaleInDelay         time.Duration // how long excess capacity is kept
+	BootTimeoutFactor    float64       // a boot has failed after this many times startup_s
+	Headroom             float64       // multiplies the capacity kept free for expected arrivals
+	ServiceSpareFraction float64       // part of the services' capacity that is kept free for its failure
+	StarvationTimeout    time.Duration // a job that waits longer for its first task precedes all others
+	GangPreemptAfter     time.Duration // other work waits for this time before a whole gang is preempted for it
 	PlanMode             PlanMode      // how waiting tasks are assigned to machines
 	Links                Links
 	Rebalance            Rebalance
@@ -39,42 +40,43 @@
 // Rebalance says what is done about uneven load.
 type Rebalance string
 
-// The modes of rebalancing. Each but the first shows the load.
+// The modes of rebalancing. Each includes the ones before it.
 const (
 	RebalanceOff    Rebalance = "off"
-	RebalanceReport Rebalance = "report" // load, imbalance and hot teams are shown
-	RebalancePlace  Rebalance = "place"  // while a team is hot, work is spread over equal holders
-	RebalanceMove   Rebalance = "move"   // running tasks are moved when that pays
+	RebalanceReport Rebalance = "report" // load, imbalance and overloaded teams are reported
+	RebalancePlace  Rebalance = "place"  // while a team is overloaded, its tasks are spread over equal machines
+	RebalanceMove   Rebalance = "move"   // running tasks are moved when the gain exceeds the cost
 )
 
-// MigrationLimits holds the operators' settings for moves of running tasks.
+// rebalanceModes has all modes of rebalancing.
+var rebalanceModes = []Rebalance{RebalanceOff, RebalanceReport, RebalancePlace, RebalanceMove}
+
+// MigrationLimits restrict the moves of running tasks.
 type MigrationLimits struct {
-	Cluster, Zone, Team int           // moves at once
+	Cluster, Zone, Team int           // concurrent moves
 	MinGainFactor       float64       // how many times its cost a move must gain
-	LeaderSettleTime    time.Duration // a leader leads for so long before it moves anything
-	MinTaskWait         time.Duration // a task waits for so long before others are moved for it
-	MinRunTime          time.Duration // a task has run for so long before it is moved
+	LeaderSettleTime    time.Duration // a term has lasted for this time before anything is moved
+	MinTaskWait         time.Duration // a task has waited for this time before others are moved for it
+	MinRunTime          time.Duration // a task has run for this time before it is moved
 }
 
-// rebalanceModes are all of them.
-var rebalanceModes = []Rebalance{RebalanceOff, RebalanceReport, RebalancePlace, RebalanceMove}
-
+// Upper bounds of the tuning.
 const (
-	// maxConcurrentMoves bounds the moves at once.
+	maxHeadroom        = 10
 	maxConcurrentMoves = 1000
 	maxGainFactor      = 100
 )
 
-// Links holds the operators' settings for the view of half-broken links.
+// Links is the tuning of the monitoring of links, which detects partial failures of the network.
 type Links struct {
 	Enabled         bool
-	SuspectAfter    time.Duration // granted beyond a link's usual delays before it is suspected
-	PenaltyHalfLife time.Duration // of the penalty for a link that breaks again and again
-	MinLeadTime     time.Duration // a lead is kept for so long before it is handed over
-	BetterPeerFor   time.Duration // a sibling must be better placed for so long
+	SuspectAfter    time.Duration // a link is suspected after this time beyond its usual delays
+	PenaltyHalfLife time.Duration // of the penalty on a link that fails again and again
+	MinLeadTime     time.Duration // leadership is kept for this time before it is handed over
+	BetterPeerFor   time.Duration // a peer has the better links for this time before leadership is handed over
 }
 
-// DefaultTuning is used where the operators say nothing.
+// DefaultTuning returns the values of what a tuning file leaves out.
 func DefaultTuning() Tuning {
 	return Tuning{
 		LeaderLease:          2 * time.Second,
@@ -105,43 +107,54 @@
 	}
 }
 
+// check returns all faults of the tuning.
 func (t *Tuning) check() error {
-	var faults []error
-	for _, f := range []struct {
-		name string
-		bad  bool
-	}{
-		{"leader-lease: must be from 500ms to 60s", t.LeaderLease < 500*time.Millisecond || t.LeaderLease > time.Minute},
-		{"round: must be from 100ms to 10m", t.PlanInterval < 100*time.Millisecond || t.PlanInterval > 10*time.Minute},
-		{"silent: must be 0 or at least 1s", t.UnreachableAfter != 0 && t.UnreachableAfter < time.Second},
-		{"idle-keep: negative", t.ScaleInDelay < 0},
-		{"boot-factor: must be at least 1", t.BootTimeoutFactor < 1},
-		{"headroom: must be from 0 to 10", t.Headroom < 0 || t.Headroom > 10},
-		{"spare: must be from 0 to 1", t.ServiceSpareFraction < 0 || t.ServiceSpareFraction > 1},
-		{"max-wait: must be at least 1s", t.StarvationTimeout < time.Second},
-		{"gang-wait: negative", t.GangPreemptAfter < 0},
-		{"plan: must be asm1 or none", t.PlanMode != PlanASM1 && t.PlanMode != PlanNone},
-		{"rebalance: must be off, report, place or move", !slices.Contains(rebalanceModes, t.Rebalance)},
-		{"moves-cluster: must be from 1 to 1000", t.Migration.Cluster < 1 || t.Migration.Cluster > maxConcurrentMoves},
-		{"moves-zone: must be from 1 to moves-cluster", t.Migration.Zone < 1 || t.Migration.Zone > t.Migration.Cluster},
-		{"moves-team: must be from 1 to moves-cluster", t.Migration.Team < 1 || t.Migration.Team > t.Migration.Cluster},
-		{"moves-margin: must be from 1 to 100", !(t.Migration.MinGainFactor >= 1 && t.Migration.MinGainFactor <= maxGainFactor)}, // nor NaN
-		{"moves-settle: must be from 0 to 1h", t.Migration.LeaderSettleTime < 0 || t.Migration.LeaderSettleTime > time.Hour},
-		{"moves-patience: must be from 0 to 1h", t.Migration.MinTaskWait < 0 || t.Migration.MinTaskWait > time.Hour},
-		{"moves-min-run: must be from 0 to 1h", t.Migration.MinRunTime < 0 || t.Migration.MinRunTime > time.Hour},
-		{"links-suspect: must be from 100ms to leader-lease", t.Links.SuspectAfter < 100*time.Millisecond || t.Links.SuspectAfter > t.LeaderLease},
-		{"links-half-life: must be from 1s to 10m", t.Links.PenaltyHalfLife < time.Second || t.Links.PenaltyHalfLife > 10*time.Minute},
-		{"links-hold: must be at least links-persist, and at most 10m", t.Links.MinLeadTime < t.Links.BetterPeerFor || t.Links.MinLeadTime > 10*time.Minute},
-		{"links-persist: must be at least 500ms", t.Links.BetterPeerFor < 500*time.Millisecond},
-	} {
-		if f.bad {
-			faults = append(faults, errors.New(f.name))
-		}
-	}
-	return errors.Join(faults...)
+	v := &validation{}
+	t.checkScheduling(v)
+	t.checkRebalancing(v)
+	t.Links.check(v, t.LeaderLease)
+	return v.err()
 }
 
-// Apply takes over what a tuning file says. Unknown names are refused.
+func (t *Tuning) checkScheduling(v *validation) {
+	v.reject(outside(t.LeaderLease, 500*time.Millisecond, time.Minute), "leader-lease: must be from 500ms to 60s")
+	v.reject(outside(t.PlanInterval, 100*time.Millisecond, 10*time.Minute), "round: must be from 100ms to 10m")
+	v.reject(t.UnreachableAfter != 0 && t.UnreachableAfter < time.Second, "silent: must be 0 or at least 1s")
+	v.reject(t.ScaleInDelay < 0, "idle-keep: negative")
+	v.reject(t.BootTimeoutFactor < 1, "boot-factor: must be at least 1")
+	v.reject(outside(t.Headroom, 0, maxHeadroom), "headroom: must be from 0 to 10")
+	v.reject(outside(t.ServiceSpareFraction, 0, 1), "spare: must be from 0 to 1")
+	v.reject(t.StarvationTimeout < time.Second, "max-wait: must be at least 1s")
+	v.reject(t.GangPreemptAfter < 0, "gang-wait: negative")
+	v.reject(t.PlanMode != PlanASM1 && t.PlanMode != PlanNone, "plan: must be asm1 or none")
+}
+
+func (t *Tuning) checkRebalancing(v *validation) {
+	v.reject(!slices.Contains(rebalanceModes, t.Rebalance), "rebalance: must be off, report, place or move")
+	m := &t.Migration
+	v.reject(outside(m.Cluster, 1, maxConcurrentMoves), "moves-cluster: must be from 1 to 1000")
+	v.reject(outside(m.Zone, 1, m.Cluster), "moves-zone: must be from 1 to moves-cluster")
+	v.reject(outside(m.Team, 1, m.Cluster), "moves-team: must be from 1 to moves-cluster")
+	validGain := m.MinGainFactor >= 1 && m.MinGainFactor <= maxGainFactor // false for NaN
+	v.reject(!validGain, "moves-margin: must be from 1 to 100")
+	v.reject(outside(m.LeaderSettleTime, 0, time.Hour), "moves-settle: must be from 0 to 1h")
+	v.reject(outside(m.MinTaskWait, 0, time.Hour), "moves-patience: must be from 0 to 1h")
+	v.reject(outside(m.MinRunTime, 0, time.Hour), "moves-min-run: must be from 0 to 1h")
+}
+
+func (l *Links) check(v *validation, leaderLease time.Duration) {
+	v.reject(outside(l.SuspectAfter, 100*time.Millisecond, leaderLease), "links-suspect: must be from 100ms to leader-lease")
+	v.reject(outside(l.PenaltyHalfLife, time.Second, 10*time.Minute), "links-half-life: must be from 1s to 10m")
+	v.reject(outside(l.MinLeadTime, l.BetterPeerFor, 10*time.Minute),
+		"links-hold: must be at least links-persist, and at most 10m")
+	v.reject(l.BetterPeerFor < 500*time.Millisecond, "links-persist: must be at least 500ms")
+}
+
+// outside says whether a value is below a least or above a greatest one.
+func outside[T cmp.Ordered](value, least, greatest T) bool { return value < least || value > greatest }
+
+// Apply sets what a tuning file contains. The error joins all of its faults, such as unknown names;
+// the values are not checked.
 func (t *Tuning) Apply(b []byte) error {
 	exprs, err := parseSexp(string(b))
 	if err != nil {
@@ -164,9 +177,13 @@
 	return errors.Join(faults...)
 }
 
+// errNotOnOff is the fault of a switch with any other value.
+var errNotOnOff = errors.New("must be on or off")
+
+// errUnknownSetting is the fault of a name that no setting has.
 var errUnknownSetting = errors.New("unknown setting")
 
-// set takes over one setting.
+// set sets one setting by its name.
 func (t *Tuning) set(name, value string) error {
 	var err error
 	switch field := t.field(name).(type) {
@@ -188,7 +205,7 @@
 	return err
 }
 
-// field returns where a setting is kept, nil if there is none of that name.
+// field returns a pointer to the field of a setting, nil for an unknown name.
 func (t *Tuning) field(name string) any {
 	return map[string]any{
 		"leader-lease":    &t.LeaderLease,
@@ -217,7 +234,7 @@
 	}[name]
 }
 
-// parseOnOff reads a setting that is on or off.
+// parseOnOff reads the value of a switch.
 func parseOnOff(value string) (bool, error) {
 	switch value {
 	case "on":
@@ -225,5 +242,5 @@
 	case "off":
 		return false, nil
 	}
-	return false, errors.New("must be on or off")
+	return false, errNotOnOff
 }
--- /dev/null
+++ b/internal/settings/validation.go
@@ -0,0 +1,141 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"net"
+
+	"opaldale/internal/ident"
+)
+
+// The least with which a controller can work.
+const (
+	minValueKB = 1  // largest value of the store, in KiB
+	minTxnOps  = 4  // operations in a transaction
+	minSockets = 16 // sockets of a node
+)
+
+// validation collects the faults of settings. Each fault begins with the name of its setting.
+type validation struct {
+	faults []error
+}
+
+// add adds a fault.
+func (v *validation) add(format string, args ...any) {
+	v.faults = append(v.faults, fmt.Errorf(format, args...))
+}
+
+// reject adds a fault if a condition holds.
+func (v *validation) reject(faulty bool, fault string) {
+	if faulty {
+		v.faults = append(v.faults, errors.New(fault))
+	}
+}
+
+// err joins the faults; nil without any.
+func (v *validation) err() error { return errors.Join(v.faults...) }
+
+// checkAddress checks that a value is an IP address with a port.
+func (v *validation) checkAddress(name, value string) {
+	host, _, err := net.SplitHostPort(value)
+	if err != nil || net.ParseIP(host) == nil {
+		v.add("%s: %q is not an IP address with a port", name, value)
+	}
+}
+
+// checkPositive checks that an amount is above 0, and not NaN.
+func (v *validation) checkPositive(name string, value float64) {
+	if !(value > 0) {
+		v.add("%s: must be above 0", name)
+	}
+}
+
+// checkAtLeast checks that an amount is not below a minimum.
+func (v *validation) checkAtLeast(name string, value, minimum float64) {
+	if value < minimum {
+		v.add("%s: must be at least %v", name, minimum)
+	}
+}
+
+// check returns all faults of the platform's settings.
+func (s *Settings) check() error {
+	v := &validation{}
+	v.reject(s.Node == "", "node_name: missing")
+	v.checkAddress("bind", s.Bind)
+	v.checkAddress("mesh_addr", s.TransportAddr)
+	v.checkAddress("endpoints.cloud", s.Endpoints.Cloud)
+	v.checkAddress("endpoints.state", s.Endpoints.Store)
+	s.checkPeers(v)
+	v.reject(len(s.Cluster.Zones) == 0, "cluster.zones: missing")
+	s.Cluster.checkTeams(v)
+	s.Cluster.Workers.check(v)
+	s.Cluster.Store.check(v)
+	s.Cluster.Cloud.check(v)
+	s.Cluster.Resources.check(v)
+	return v.err()
+}
+
+// checkPeers checks that the nodes have different names, and the peers addresses.
+func (s *Settings) checkPeers(v *validation) {
+	seen := map[ident.NodeID]bool{s.Node: true}
+	for i, p := range s.Peers {
+		if p.Node == "" || seen[p.Node] {
+			v.add("siblings[%d].node_name: missing or used twice", i)
+		}
+		seen[p.Node] = true
+		v.checkAddress(fmt.Sprintf("siblings[%d].address", i), p.Address)
+	}
+}
+
+// checkTeams checks the names and the quotas of the teams.
+func (c *Cluster) checkTeams(v *validation) {
+	v.reject(len(c.Teams) == 0, "cluster.teams: missing")
+	seen := map[string]bool{}
+	for i, t := range c.Teams {
+		if t.Name == "" || seen[t.Name] {
+			v.add("cluster.teams[%d].name: missing or used twice", i)
+		}
+		seen[t.Name] = true
+		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+			v.add("cluster.teams[%d]: negative amount", i)
+		}
+	}
+}
+
+func (w WorkerTimes) check(v *validation) {
+	v.checkPositive("cluster.workers.report_s", w.HeartbeatS)
+	v.checkPositive("cluster.workers.lease_s", w.LeaseS)
+	v.reject(w.CancelS <= w.LeaseS, "cluster.workers.cancel_s: must be above lease_s")
+	v.reject(w.GangWaitS < 0 || w.GangPeerS < 0, "cluster.workers: gang_wait_s and gang_peer_s must not be negative")
+}
+
+func (s StoreLimits) check(v *validation) {
+	v.checkPositive("cluster.state.rps", s.RPS)
+	v.checkPositive("cluster.state.write_rps", s.WriteRPS)
+	v.checkAtLeast("cluster.state.value_kb", s.ValueKB, minValueKB)
+	v.checkAtLeast("cluster.state.txn_ops", float64(s.TxnOps), minTxnOps)
+	if s.Announced != nil {
+		s.Announced.check(v)
+	}
+}
+
+func (a *AnnouncedStoreLimits) check(v *validation) {
+	v.reject(a.WriteRPS < 0, "cluster.state.next.write_rps: negative")
+	if a.ValueKB != 0 {
+		v.checkAtLeast("cluster.state.next.value_kb", a.ValueKB, minValueKB)
+	}
+	if a.TxnOps != 0 {
+		v.checkAtLeast("cluster.state.next.txn_ops", float64(a.TxnOps), minTxnOps)
+	}
+}
+
+func (c CloudLimits) check(v *validation) {
+	v.checkPositive("cluster.cloud.rps", c.RPS)
+	v.reject(c.ListLagS < 0, "cluster.cloud.list_lag_s: negative")
+}
+
+func (r NodeResources) check(v *validation) {
+	v.checkPositive("cluster.resources.cores", r.Cores)
+	v.checkPositive("cluster.resources.memory_mb", r.MemoryMB)
+	v.checkAtLeast("cluster.resources.sockets", float64(r.Sockets), minSockets)
+}
