--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -10,44 +10,51 @@
 	"opaldale/internal/transport"
 )
 
-// admission refuses requests of users while a node is overloaded, the least important
-// kinds first, so that it keeps its lease and its workers.
+// admission refuses requests while a node is overloaded, the least important kinds first, so that the
+// node keeps its leadership and its workers.
 type admission struct {
-	heartbeatsInFlight   atomic.Int64 // under way
-	userRequestsInFlight atomic.Int64 // of users, under way
-	lag                  func() time.Duration
-	// heartbeatLimit bounds the reports under way, by the connections that a node takes;
-	// minHeartbeatLimit where that is less or unknown.
+	heartbeatsInFlight   atomic.Int64
+	userRequestsInFlight atomic.Int64
+	lag                  func() time.Duration // of the event loop
+	// heartbeatLimit bounds the heartbeats in flight, by the number of connections that the node
+	// accepts. minHeartbeatLimit holds where that is less or not set.
 	heartbeatLimit int64
 }
 
-// minHeartbeatLimit is the least bound on reports under way.
+// minHeartbeatLimit is the least bound on heartbeats in flight.
 const minHeartbeatLimit = 1200
 
-// admissionLimit bounds one kind of request.
+// admissionLimit is what a kind of request is admitted up to.
 type admissionLimit struct {
-	maxInFlight int64         // that are under way: reports, or users' requests of all kinds
-	maxLag      time.Duration // of the loop; 0: refused for none
+	maxInFlight int64         // heartbeats, or requests of users of all kinds
+	maxLag      time.Duration // of the event loop; 0 for no limit
 }
 
-// limitFor returns the bounds for a kind of request. Workers' reports come before
-// cancellations, for losing them loses work; those before polls, and polls before
-// submissions, which cost most and are only the beginning of more work.
+// userLimits are the limits of users' requests. Heartbeats of workers precede cancellations, since
+// losing them loses work; cancellations precede polls, and polls precede submissions, which cost
+// most and lead to further work.
+var userLimits = map[transport.Method]admissionLimit{
+	transport.CancelJob: {maxInFlight: 800, maxLag: 1500 * time.Millisecond},
+	transport.GetJob:    {maxInFlight: 600, maxLag: 700 * time.Millisecond},
+	transport.SubmitJob: submitLimit,
+}
+
+// submitLimit is the limit of submissions, and of kinds that have none of their own.
+var submitLimit = admissionLimit{maxInFlight: 400, maxLag: 400 * time.Millisecond}
+
+// limitFor returns the limit of a kind of request.
 func (a *admission) limitFor(method transport.Method) admissionLimit {
-	switch method {
-	case transport.WorkerHeartbeat:
+	if method == transport.WorkerHeartbeat {
 		return admissionLimit{maxInFlight: max(minHeartbeatLimit, a.heartbeatLimit)}
-	case transport.CancelJob:
-		return admissionLimit{maxInFlight: 800, maxLag: 1500 * time.Millisecond}
-	case transport.GetJob:
-		return admissionLimit{maxInFlight: 600, maxLag: 700 * time.Millisecond}
-	default:
-		return admissionLimit{maxInFlight: 400, maxLag: 400 * time.Millisecond}
 	}
+	if limit, ok := userLimits[method]; ok {
+		return limit
+	}
+	return submitLimit
 }
 
-// inflight returns the count that a kind of request belongs to. Reports have their own:
-// thousands of them wait together while a leader is elected.
+// inflight returns the counter of a kind of request. Heartbeats have their own: thousands of them wait
+// together while a leader is elected.
 func (a *admission) inflight(method transport.Method) *atomic.Int64 {
 	if method == transport.WorkerHeartbeat {
 		return &a.heartbeatsInFlight
@@ -55,16 +62,16 @@
 	return &a.userRequestsInFlight
 }
 
-// admits says whether a request may begin now.
+// admits says whether a request is admitted now.
 func (a *admission) admits(method transport.Method) bool {
-	l := a.limitFor(method)
-	if a.inflight(method).Load() >= l.maxInFlight {
+	limit := a.limitFor(method)
+	if a.inflight(method).Load() >= limit.maxInFlight {
 		return false
 	}
-	return l.maxLag == 0 || a.lag() <= l.maxLag
+	return limit.maxLag == 0 || a.lag() <= limit.maxLag
 }
 
-// acquire counts a request that is admitted; end is called when it is answered.
+// acquire counts a request if it is admitted; release must be called once it is answered.
 func (a *admission) acquire(method transport.Method) bool {
 	if !a.admits(method) {
 		return false
@@ -73,12 +80,13 @@
 	return true
 }
 
+// release stops counting a request.
 func (a *admission) release(method transport.Method) { a.inflight(method).Add(-1) }
 
-// overloadRetryAfterS is when refused clients should come back, in seconds.
+// overloadRetryAfterS is after how many seconds a request that is not admitted should be repeated.
 const overloadRetryAfterS = 2
 
-// overloadedResponse is the answer to a request that is not admitted.
+// overloadedResponse is the response to a request that is not admitted.
 var overloadedResponse = controller.Response{
 	Status:      http.StatusServiceUnavailable,
 	RetryAfterS: overloadRetryAfterS,
--- a/internal/server/conn_limiter.go
+++ b/internal/server/conn_limiter.go
@@ -9,37 +9,42 @@
 	"time"
 )
 
-// A node's sockets, as parts of what the settings give it. The rest is for the state
-// service, the cloud, the siblings and whatever else the process has open.
+// The sockets of a node are divided by these shares. The rest is for the key-value store, the
+// provider, the peers and other files of the process.
 const (
-	inboundShare = 0.75 // users, workers and probes, who come by themselves
+	inboundShare = 0.75 // connections of users, workers and probes
 	commandShare = 0.2  // commands to workers
-	// keepAliveShare of the first is how many may stay open while workers' connections are
-	// kept between reports. What is above is for those who come meanwhile: a fleet may
-	// have more machines than a node has sockets.
+	// keepAliveShare is the part of the inbound connections up to which those of workers are kept
+	// open between heartbeats. The others are for new connections: a fleet may have more machines
+	// than a node has sockets.
 	keepAliveShare = 0.75
+
+	minInbound = 4 // least limit of inbound connections
+	// acquireTimeout is how long a new connection waits for room: requests take milliseconds.
+	acquireTimeout = 300 * time.Millisecond
 )
 
-// connLimiter bounds the connections that others open. When there are too many, the one
-// that has been idle for longest makes room for the new one, whoever's it is.
+// connLimiter bounds the connections that others open. At the limit, the connection that has been idle
+// for longest is closed for a new one.
 type connLimiter struct {
 	limit   int
 	mu      sync.Mutex
 	open    int
-	idle    *list.List    // of *socket, the longest idle first
-	room    chan struct{} // told when one closes or becomes idle
-	evicted atomic.Uint64
-	refused atomic.Uint64
+	idle    *list.List    // of *trackedConn, the longest idle first
+	room    chan struct{} // signalled when a connection closes or becomes idle
+	evicted atomic.Uint64 // idle connections closed for new ones
+	refused atomic.Uint64 // new connections closed at the limit
 }
 
 func newConnLimiter(totalSockets int) *connLimiter {
-	return &connLimiter{limit: max(4, int(inboundShare*float64(totalSockets))), idle: list.New(), room: make(chan struct{}, 1)}
+	return &connLimiter{
+		limit: max(minInbound, int(inboundShare*float64(totalSockets))),
+		idle:  list.New(),
+		room:  make(chan struct{}, 1),
+	}
 }
 
-// acquireTimeout is how long a new connection waits for room: requests take milliseconds.
-const acquireTimeout = 300 * time.Millisecond
-
-// signalRoom tells the one that waits.
+// signalRoom wakes up a new connection that waits for room.
 func (s *connLimiter) signalRoom() {
 	select {
 	case s.room <- struct{}{}:
@@ -54,28 +59,41 @@
 	return s.open
 }
 
-// nearLimit says whether workers' connections are closed after each report.
+// nearLimit says whether connections of workers are to be closed after each heartbeat.
 func (s *connLimiter) nearLimit() bool { return float64(s.count()) > keepAliveShare*float64(s.limit) }
 
-// tryAcquire counts a new connection, if there is room or an idle one makes some.
+// tryAcquire counts a new connection if there is room for it, for which it closes idle ones.
 func (s *connLimiter) tryAcquire() bool {
+	for {
+		acquired, idle := s.acquireOrFindIdle()
+		if acquired {
+			return true
+		}
+		if idle == nil {
+			return false
+		}
+		s.evicted.Add(1)
+		idle.Close()
+	}
+}
+
+// acquireOrFindIdle counts a new connection if there is room. Otherwise it returns the connection that
+// has been idle for longest, nil without any.
+func (s *connLimiter) acquireOrFindIdle() (acquired bool, idle *trackedConn) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.open < s.limit {
 		s.open++
-		s.mu.Unlock()
-		return true
+		return true, nil
 	}
-	e := s.idle.Front()
-	s.mu.Unlock()
-	if e == nil {
-		return false
+	if e := s.idle.Front(); e != nil {
+		return false, e.Value.(*trackedConn)
 	}
-	s.evicted.Add(1)
-	e.Value.(*trackedConn).Close()
-	return s.tryAcquire()
+	return false, nil
 }
 
-// acquire is take with some patience: those who come wait in the system's queue.
+// acquire counts a new connection, and waits for room if there is none. Further connections wait in
+// the queue of the operating system meanwhile.
 func (s *connLimiter) acquire() bool {
 	if s.tryAcquire() {
 		return true
@@ -94,7 +112,7 @@
 	}
 }
 
-// onConnState follows the HTTP server's view of a connection.
+// onConnState tracks which connections are idle; it is the HTTP server's ConnState hook.
 func (s *connLimiter) onConnState(c net.Conn, connState http.ConnState) {
 	conn, ok := c.(*trackedConn)
 	if !ok {
@@ -109,14 +127,16 @@
 	}
 }
 
-// limitListener bounds a listener's connections.
+// limitListener bounds the connections of a listener.
 func (s *connLimiter) limitListener(l net.Listener) net.Listener { return &limitedListener{l, s} }
 
+// limitedListener is a listener whose connections are counted.
 type limitedListener struct {
 	net.Listener
 	limiter *connLimiter
 }
 
+// Accept implements net.Listener. Connections without room are closed.
 func (b *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := b.Listener.Accept()
@@ -131,15 +151,15 @@
 	}
 }
 
-// trackedConn is a connection that counts. Its fields belong to the owner's lock.
+// trackedConn is a connection that counts against the limit. The limiter's mutex guards its fields.
 type trackedConn struct {
 	net.Conn
 	limiter     *connLimiter
 	closed      bool
-	idleElement *list.Element // nil while it isn't
+	idleElement *list.Element // in the limiter's list; nil while the connection is in use
 }
 
-// removeFromIdle takes it out of the idle ones.
+// removeFromIdle removes the connection from the idle ones. The limiter's mutex must be held.
 func (k *trackedConn) removeFromIdle() {
 	if k.idleElement != nil {
 		k.limiter.idle.Remove(k.idleElement)
@@ -147,6 +167,7 @@
 	}
 }
 
+// Close implements net.Conn.
 func (k *trackedConn) Close() error {
 	k.limiter.mu.Lock()
 	if !k.closed {
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -13,16 +14,23 @@
 	"opaldale/internal/transport"
 )
 
-// requestTimeout bounds every request, whatever becomes of it.
-const requestTimeout = 4 * time.Second
+const (
+	// requestTimeout bounds the time to answer any request.
+	requestTimeout = 4 * time.Second
+	// timeoutRetryAfterS is after how many seconds a request that timed out should be repeated.
+	timeoutRetryAfterS = 1
+)
+
+// timeoutError is the body of a response to a request that timed out.
+var timeoutError = api.ErrorResponse{Error: "no answer in time"}
 
-// frontend serves users, workers and health checks.
+// frontend serves users, workers, health checks and operators.
 type frontend struct {
 	server  *Server
 	metrics *metrics
 }
 
-// handler returns what answers requests on the node's address.
+// handler returns the handler of the requests to the node's address.
 func (s *Server) handler() http.Handler {
 	f := &frontend{server: s, metrics: newMetrics(s)}
 	mux := http.NewServeMux()
@@ -37,7 +45,7 @@
 	return mux
 }
 
-// admit refuses what a node that is overloaded can't take, before it is read.
+// admit refuses requests while the node is overloaded, before their bodies are read.
 func (f *frontend) admit(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +59,7 @@
 	}
 }
 
-// forwardBody passes on a request whose body says what it is about.
+// forwardBody handles requests with a body.
 func (f *frontend) forwardBody(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
@@ -68,8 +76,8 @@
 	}
 }
 
-// forwardJobID passes on a request about the job that the path names, and answers 404 for
-// what can't be a job.
+// forwardJobID handles requests about the job that the path names. It answers 404 for what can't be
+// the identifier of a job.
 func (f *frontend) forwardJobID(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
@@ -81,51 +89,50 @@
 	}
 }
 
-// serve passes a request to the controller and writes its answer.
+// serve has the controller handle a request, and writes its response.
 func (f *frontend) serve(method transport.Method, w http.ResponseWriter, jobID string, body []byte) {
 	start := time.Now()
 	response := f.dispatch(method, jobID, body)
-	// Judged once more right before it goes out: the process may have stood still.
+	// The process may have been suspended, and leadership lost, since the response was computed.
 	response = response.IfValid(f.server.loop.now())
 	if method == transport.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
-		// The next report makes a connection of its own: most are idle for most of
-		// the time between two.
+		// The next heartbeat opens a connection of its own: between two heartbeats the connection
+		// would be idle.
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 	f.metrics.observe(method, response.Status, time.Since(start))
 }
 
-// dispatch has the loop handle a request and waits for its answer.
+// dispatch has the event loop handle a request, and waits for the response.
 func (f *frontend) dispatch(method transport.Method, jobID string, body []byte) controller.Response {
-	responses := make(chan controller.Response, 1)
 	post := f.server.loop.post
-	if method == transport.WorkerHeartbeat || method == transport.CancelJob {
+	if isUrgent(method) {
 		post = f.server.loop.postUrgent
 	}
-	post(func() {
-		f.server.controller.HandleRequest(method, jobID, body, func(a controller.Response) {
-			select {
-			case responses <- a:
-			default:
-			}
-		})
+	responses := begin(post, func(done func(controller.Response)) {
+		f.server.controller.HandleRequest(method, jobID, body, done)
 	})
-	timer := time.NewTimer(requestTimeout)
-	defer timer.Stop()
-	select {
-	case a := <-responses:
-		return a
-	case <-timer.C:
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	response, ok := await(ctx, responses)
+	if !ok {
 		return controller.Response{
 			Status:      http.StatusServiceUnavailable,
-			RetryAfterS: 1,
-			Body:        api.JSON(api.ErrorResponse{Error: "no answer in time"}),
+			RetryAfterS: timeoutRetryAfterS,
+			Body:        api.JSON(timeoutError),
 		}
 	}
+	return response
+}
+
+// isUrgent says whether requests of a kind precede those of users: workers' leases and their work
+// depend on them.
+func isUrgent(method transport.Method) bool {
+	return method == transport.WorkerHeartbeat || method == transport.CancelJob
 }
 
-// health answers the load balancer's probes.
+// health answers the probes of a load balancer.
 func (f *frontend) health(w http.ResponseWriter, _ *http.Request) {
 	loop := f.server.loop
 	if !query(loop, loop.postUrgent, f.server.controller.Healthy) {
@@ -135,7 +142,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// links shows operators what the node knows of its links.
+// links shows operators the state of the node's links.
 func (f *frontend) links(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, f.server.linkReport())
 }
@@ -144,13 +151,13 @@
 func (f *frontend) moves(w http.ResponseWriter, r *http.Request) {
 	report, ok := f.server.moveReport(r.Context())
 	if !ok {
-		writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{Error: "no answer in time"})
+		writeJSON(w, http.StatusServiceUnavailable, timeoutError)
 		return
 	}
 	writeJSON(w, http.StatusOK, report)
 }
 
-// writeResponse writes an answer of the controller.
+// writeResponse writes a response of the controller.
 func writeResponse(w http.ResponseWriter, response controller.Response) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -11,25 +11,48 @@
 	"sync"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/cloud"
 	"opaldale/internal/controller"
-	"opaldale/internal/httpcall"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
-	"opaldale/internal/workers"
 )
 
+// Limits of the process.
 const (
-	dialTimeout       = time.Second
-	commandTimeout    = 1200 * time.Millisecond // a worker answers within milliseconds, or after a lost packet
-	maxHeartbeatBytes = 1 << 20
-	memoryShare       = 0.65
+	// maxThreads is the number of threads that run Go code: a node has a small share of one core,
+	// and more threads only cost.
+	maxThreads = 1
+	// memoryShare is the part of the node's memory that the heap may have before it is collected
+	// more often.
+	memoryShare = 0.65
+	// gcPercent is by how much the heap grows before it is collected.
+	gcPercent = 300
 )
 
-// Server is one node with its sockets.
+// Limits of the connections that a node opens.
+const (
+	dialTimeout        = time.Second
+	idleConnTimeout    = 90 * time.Second
+	idleStoreConns     = 8 // kept to the key-value store
+	idleCloudConns     = 4 // kept to the provider
+	idleConnsPerWorker = 1
+	unlimitedConns     = 0 // as http.Transport.MaxIdleConns has it
+	minCommands        = 8 // least number of concurrent commands to workers
+	moveReportTimeout  = 2 * time.Second
+)
+
+// Limits of the connections that others open.
+const (
+	readHeaderTimeout = 5 * time.Second
+	readTimeout       = 10 * time.Second
+	writeTimeout      = 15 * time.Second
+	keepAliveTimeout  = 2 * time.Minute
+	maxHeaderBytes    = 8 << 10
+)
+
+// Server is a node: a controller with its event loop and its sockets.
 type Server struct {
 	settings     *settings.Settings
 	loop         *eventLoop
@@ -37,13 +60,10 @@
 	store        *kvstore.Client
 	cloud        *cloud.Client
 	workerClient *http.Client
-	// commandSlots has room for the commands to workers that are under way.
-	commandSlots chan struct{}
+	commandSlots chan struct{} // holds an element for each command in flight
 	connLimiter  *connLimiter
 	transport    *transport.Transport
-	// admission bounds the requests that are taken, from users and workers or passed on
-	// by siblings.
-	admission admission
+	admission    admission // bounds the requests of users and workers, also those forwarded by peers
 
 	listener, peerListener net.Listener
 	httpServer             *http.Server
@@ -54,12 +74,12 @@
 // Dialer opens a connection, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Run serves until the process is killed, or a socket can't be had.
+// Run serves until the process is killed. It returns only if a socket can't be opened or fails. It
+// sets limits of the whole process.
 func Run(cfg *settings.Settings) error {
-	// A node has a small share of one core; more threads only cost.
-	runtime.GOMAXPROCS(1)
+	runtime.GOMAXPROCS(maxThreads)
 	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * (1 << 20)))
-	debug.SetGCPercent(300)
+	debug.SetGCPercent(gcPercent)
 	s, err := New(cfg, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 	if err != nil {
 		return err
@@ -67,47 +87,58 @@
 	return s.Serve()
 }
 
-// New makes a node and takes its addresses. Every connection that it opens is by dial.
+// New returns a node that listens on its addresses. It opens all of its connections by dial.
 func New(cfg *settings.Settings, dial Dialer) (*Server, error) {
 	s := &Server{settings: cfg, loop: newEventLoop(), connLimiter: newConnLimiter(cfg.Cluster.Resources.Sockets)}
 	s.admission.lag = s.loop.Lag
-	// A report under way has a connection, so more can't come.
+	// Each heartbeat in flight has a connection, so there can't be more.
 	s.admission.heartbeatLimit = int64(s.connLimiter.limit)
-	newHTTPTransport := func(perHost, idle int) *http.Transport {
-		t := &http.Transport{
-			DialContext:         dial,
-			MaxIdleConnsPerHost: perHost,
-			IdleConnTimeout:     90 * time.Second,
-			MaxIdleConns:        idle,
-			DisableCompression:  true,
-		}
-		s.httpTransports = append(s.httpTransports, t)
-		return t
+	s.createClients(dial)
+	s.createTransport(dial)
+	if err := s.listen(); err != nil {
+		return nil, err
 	}
-	s.store = kvstore.NewClient(cfg.Endpoints.Store, newHTTPTransport(8, 0))
-	s.cloud = cloud.NewClient(cfg.Endpoints.Cloud, newHTTPTransport(4, 0))
-	// A connection kept to each machine, beside those they report on, would take
-	// more sockets than there are.
-	maxCommands := max(8, int(commandShare*float64(cfg.Cluster.Resources.Sockets)))
-	s.workerClient = &http.Client{Transport: newHTTPTransport(1, maxCommands)}
+	s.controller = controller.New(controllerEnv{s}, cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	s.loop.afterBatch = s.controller.AfterEvent
+	return s, nil
+}
+
+// createClients creates the clients of the key-value store, the provider and the workers.
+func (s *Server) createClients(dial Dialer) {
+	s.store = kvstore.NewClient(s.settings.Endpoints.Store, s.newHTTPTransport(dial, idleStoreConns, unlimitedConns))
+	s.cloud = cloud.NewClient(s.settings.Endpoints.Cloud, s.newHTTPTransport(dial, idleCloudConns, unlimitedConns))
+	// Connections kept to all machines, beside those that their heartbeats come by, would be more
+	// than there are sockets.
+	maxCommands := max(minCommands, int(commandShare*float64(s.settings.Cluster.Resources.Sockets)))
+	s.workerClient = &http.Client{Transport: s.newHTTPTransport(dial, idleConnsPerWorker, maxCommands)}
 	s.commandSlots = make(chan struct{}, maxCommands)
-	s.transport = transport.New(cfg.Node, func(from ident.NodeID, f *transport.Frame) {
-		s.handlePeerFrame(from, f)
-	})
+}
+
+// newHTTPTransport returns a transport that keeps up to a number of idle connections to each host, and
+// to all of them.
+func (s *Server) newHTTPTransport(dial Dialer, idlePerHost, idle int) *http.Transport {
+	t := &http.Transport{
+		DialContext:         dial,
+		MaxIdleConnsPerHost: idlePerHost,
+		IdleConnTimeout:     idleConnTimeout,
+		MaxIdleConns:        idle,
+		DisableCompression:  true,
+	}
+	s.httpTransports = append(s.httpTransports, t)
+	return t
+}
+
+// createTransport creates the transport between controllers.
+func (s *Server) createTransport(dial Dialer) {
+	s.transport = transport.New(s.settings.Node, s.handlePeerFrame)
 	s.transport.Dial = func(network, addr string, timeout time.Duration) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		return dial(ctx, network, addr)
 	}
-	if err := s.listen(); err != nil {
-		return nil, err
-	}
-	s.controller = controller.New(controllerEnv{s}, cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	s.loop.afterBatch = s.controller.AfterEvent
-	return s, nil
 }
 
-// listen takes the node's addresses.
+// listen opens the listeners of the node's addresses.
 func (s *Server) listen() error {
 	var err error
 	if s.peerListener, err = net.Listen("tcp4", s.settings.TransportAddr); err != nil {
@@ -119,11 +150,11 @@
 	}
 	s.httpServer = &http.Server{
 		Handler:           s.handler(),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      15 * time.Second,
-		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    8 << 10,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       keepAliveTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.connLimiter.onConnState,
 	}
 	return nil
@@ -134,7 +165,7 @@
 	for _, p := range s.settings.Peers {
 		s.transport.Connect(p.Node, p.Address)
 	}
-	errs := make(chan error, 2)
+	errs := make(chan error, 2) // one for each listener
 	go func() { errs <- s.transport.Serve(s.peerListener) }()
 	go func() { errs <- s.httpServer.Serve(s.connLimiter.limitListener(s.listener)) }()
 	s.loop.post(s.controller.Start)
@@ -142,7 +173,7 @@
 	return <-errs
 }
 
-// Close ends the node at once, as if its process were killed: nothing is handed over.
+// Close ends the node at once, as if its process were killed: leadership is not handed over.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.loop.done)
@@ -155,101 +186,47 @@
 	})
 }
 
-// handlePeerFrame takes a sibling's message. What it passes on for users waits like users' own
-// requests here, and is refused like them.
+// handlePeerFrame handles a message of a peer. Requests that it forwards for users wait, and are
+// refused, as those that users send to this node.
 func (s *Server) handlePeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
-	if frame.Type != transport.MsgRequest && frame.Type != transport.MsgRelayRequest || frame.Method == transport.WorkerHeartbeat || frame.Method == transport.CancelJob {
+	isRequest := frame.Type == transport.MsgRequest || frame.Type == transport.MsgRelayRequest
+	if !isRequest || isUrgent(frame.Method) {
 		s.loop.postUrgent(handle)
 		return
 	}
 	if !s.admission.admits(frame.Method) {
-		s.transport.Send(from, &transport.Frame{Type: transport.MsgResponse, ID: frame.ID, Status: uint16(overloadedResponse.Status), RetryAfterS: uint16(overloadedResponse.RetryAfterS), Body: overloadedResponse.Body})
+		s.transport.Send(from, &transport.Frame{
+			Type:        transport.MsgResponse,
+			ID:          frame.ID,
+			Status:      uint16(overloadedResponse.Status),
+			RetryAfterS: uint16(overloadedResponse.RetryAfterS),
+			Body:        overloadedResponse.Body,
+		})
 		return
 	}
 	s.loop.post(handle)
 }
 
-// controllerEnv is the world as a controller sees it. All but the calls' own goroutines is
-// run by the loop.
-type controllerEnv struct{ server *Server }
-
-func (e controllerEnv) Now() ident.MonotonicTime                     { return e.server.loop.now() }
-func (e controllerEnv) WallMS() int64                                { return time.Now().UnixMilli() }
-func (e controllerEnv) After(d time.Duration, f func())              { e.server.loop.after(d, f) }
-func (e controllerEnv) SendPeer(to ident.NodeID, f *transport.Frame) { e.server.transport.Send(to, f) }
-
-func (e controllerEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
-	go func() {
-		response := e.server.store.Do(r)
-		e.server.loop.postUrgent(func() { done(response) })
-	}()
-}
-
-func (e controllerEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
-	go func() {
-		response := cloud.Response{Outcome: cloud.NotSent}
-		if !e.server.loop.expired(r.NotAfter) {
-			response = e.server.cloud.Do(r)
-		}
-		e.server.loop.postUrgent(func() { done(response) })
-	}()
-}
-
-func (e controllerEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
-	go func() {
-		response := e.server.sendCommand(command)
-		e.server.loop.postUrgent(func() { done(response) })
-	}()
-}
-
-// sendCommand sends orders to a worker.
-func (s *Server) sendCommand(command workers.CommandCall) workers.CommandResult {
-	s.commandSlots <- struct{}{}
-	defer func() { <-s.commandSlots }()
-	if s.loop.expired(command.NotAfter) {
-		return workers.CommandResult{NotSent: true}
-	}
-	status, b, err := httpcall.Do(s.workerClient, commandTimeout, http.MethodPost, "http://"+command.Addr+"/commands", command.Body, maxHeartbeatBytes)
-	if err != nil {
-		return workers.CommandResult{ConnectionRefused: httpcall.ConnectionRefused(err)}
-	}
-	heartbeat, err := api.ParseHeartbeat(b)
-	if err != nil {
-		return workers.CommandResult{}
-	}
-	return workers.CommandResult{Status: status, Heartbeat: heartbeat}
-}
-
-// stats asks the loop for the counters.
+// stats reads the controller's counters.
 func (s *Server) stats() controller.Stats {
 	return query(s.loop, s.loop.post, s.controller.Stats)
 }
 
-// linkReport asks the loop what is known of the links.
+// linkReport reads the state of the node's links.
 func (s *Server) linkReport() controller.LinkReport {
 	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
-// moveReport asks the loop what is known of moves, for a while: a node that doesn't lead asks
-// the state service.
+// moveReport reads the moves of running tasks, and says whether that was possible in time: a node
+// without leadership reads them from the key-value store.
 func (s *Server) moveReport(ctx context.Context) (controller.MoveReport, bool) {
 	ctx, cancel := context.WithTimeout(ctx, moveReportTimeout)
 	defer cancel()
-	answer := make(chan controller.MoveReport, 1)
-	s.loop.post(func() { s.controller.MoveReport(func(r controller.MoveReport) { answer <- r }) })
-	select {
-	case r := <-answer:
-		return r, true
-	case <-ctx.Done():
-		return controller.MoveReport{}, false
-	}
+	return await(ctx, begin(s.loop.post, s.controller.MoveReport))
 }
 
-// moveReportTimeout bounds the wait for it.
-const moveReportTimeout = 2 * time.Second
-
-// writeJSON answers with a message of the API.
+// writeJSON writes a response with a message of the API.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
