--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -8,12 +8,11 @@
 	"opaldale/internal/transport"
 )
 
-// TestAdmissionPriority: the more a node lags behind, or has under way, the fewer kinds of
-// requests it takes; reports go last. (Submissions and polls were refused alike, and only
-// after their bodies were read.)
+// TestAdmissionPriority: the more a node lags behind, or has in flight, the fewer kinds of
+// requests it admits; heartbeats are refused last.
 func TestAdmissionPriority(t *testing.T) {
 	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
-	taken := func(a *admission) (out []transport.Method) {
+	admitted := func(a *admission) (out []transport.Method) {
 		for _, v := range kinds {
 			if a.admits(v) {
 				out = append(out, v)
@@ -22,10 +21,10 @@
 		return out
 	}
 	for _, c := range []struct {
-		lag      time.Duration
-		requests int64
-		reports  int64
-		want     []transport.Method
+		lag        time.Duration
+		requests   int64
+		heartbeats int64
+		want       []transport.Method
 	}{
 		{0, 0, 0, kinds},
 		{500 * time.Millisecond, 0, 0, kinds[1:]},
@@ -39,15 +38,15 @@
 	} {
 		a := &admission{lag: func() time.Duration { return c.lag }}
 		a.userRequestsInFlight.Store(c.requests)
-		a.heartbeatsInFlight.Store(c.reports)
-		if got := taken(a); !slices.Equal(got, c.want) {
-			t.Errorf("lag %v, %d and %d under way: takes %v, want %v", c.lag, c.requests, c.reports, got, c.want)
+		a.heartbeatsInFlight.Store(c.heartbeats)
+		if got := admitted(a); !slices.Equal(got, c.want) {
+			t.Errorf("lag %v, %d and %d in flight: admits %v, want %v", c.lag, c.requests, c.heartbeats, got, c.want)
 		}
 	}
 }
 
-// TestUrgentEventsRunFirst: what leadership and workers depend on passes all that users have asked
-// before, and a node that has caught up doesn't think that it still lags.
+// TestUrgentEventsRunFirst: events that leadership and workers depend on run before all that users have
+// requested earlier, and a node that has caught up has no lag.
 func TestUrgentEventsRunFirst(t *testing.T) {
 	l := newEventLoop()
 	var order []string
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -25,12 +25,11 @@
 	"opaldale/internal/kvstoretest"
 	"opaldale/internal/load"
 	"opaldale/internal/migration"
-	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 	"opaldale/internal/workers"
 )
 
-// askHandler has a handler answer a request, and puts the answer into words.
+// askHandler has a handler answer a request, and formats the answer.
 func askHandler(h http.Handler, method, path, body string) string {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -45,7 +44,7 @@
 }
 
 // TestGoldenInterface pins status, headers and body of the answers of a node without a leader
-// and a state service, and of one that is overloaded.
+// and a key-value store, and of one that is overloaded.
 func TestGoldenInterface(t *testing.T) {
 	s := newTestServer(t, 1000)
 	h := s.handler()
@@ -79,7 +78,7 @@
 	d.Compare(t, "interface")
 }
 
-// TestGoldenCommands pins the call of a worker, and what is read of its answer.
+// TestGoldenCommands pins the request to a worker, and what is read of its response.
 func TestGoldenCommands(t *testing.T) {
 	var d golden.Document
 	report := golden.Filled[api.Heartbeat](0)
@@ -93,21 +92,37 @@
 	d.Compare(t, "commands")
 }
 
-// goldenCollector shows what only a leader, or a node that watches its links, has to show.
+// goldenCollector collects the metrics of a leader and of a node that monitors its links.
 type goldenCollector struct{}
 
 func (goldenCollector) Describe(chan<- *prometheus.Desc) {}
 
 func (goldenCollector) Collect(ch chan<- prometheus.Metric) {
-	collectLinks(ch, controller.LinkReport{Enabled: true, Authority: "deciding", HandoverCount: 11, Dropped: map[string]uint64{"expired": 12, "undated": 13},
-		Links: []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
-			{Peer: "cloud", Direction: "outbound", StateCode: 1, Breaks: 15}}})
-	collectLoad(ch, controller.Stats{Imbalance: 0.21, MovesProposed: 22, MoveGainSeconds: 23.5, MovesActive: 24, MoveRealisedSeconds: 25.5, SlowMachines: 26,
-		Reservations: 27, MoveRoundsSkipped: map[string]uint64{"settling": 28}, MovesEnded: []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
-		TeamLoads: []load.TeamDemand{{Team: "red", State: load.Overloaded, Ratio: 2.5}}})
+	collectLinks(ch, controller.LinkReport{
+		Enabled:       true,
+		Authority:     "deciding",
+		HandoverCount: 11,
+		Dropped:       map[string]uint64{"expired": 12, "undated": 13},
+		Links: []controller.LinkEntry{
+			{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
+			{Peer: "cloud", Direction: "outbound", StateCode: 1, Breaks: 15},
+		},
+	})
+	collectLoad(ch, controller.Stats{
+		Imbalance:           0.21,
+		MovesProposed:       22,
+		MoveGainSeconds:     23.5,
+		MovesActive:         24,
+		MoveRealisedSeconds: 25.5,
+		SlowMachines:        26,
+		Reservations:        27,
+		MoveRoundsSkipped:   map[string]uint64{"settling": 28},
+		MovesEnded:          []migration.Outcome{{Reason: migration.Arrived, Count: 29}},
+		TeamLoads:           []load.TeamDemand{{Team: "red", State: load.Overloaded, Ratio: 2.5}},
+	})
 }
 
-// goldenEnv is the world of a controller in which time stands still and the state service
+// goldenEnv is the environment of a controller in which time stands still and the key-value store
 // answers at once.
 type goldenEnv struct{ *kvstoretest.MemoryStore }
 
@@ -143,21 +158,24 @@
 func goldenLeader(t *testing.T) *Server {
 	t.Helper()
 	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
+	const machines = "host-1,10.1.0.1:9000,0 host-2,10.1.0.2:9000,0 host-3,10.1.0.3:9000,0 host-4,,0 host-5,,0"
 	var pairs []kvstore.KeyValue
 	for path, value := range map[string]string{
 		"term":      `{"term":41,"level":1}`,
-		"fleet/1-1": `{"model":"m8","site":"a","text":"host-1,10.1.0.1:9000,0 host-2,10.1.0.2:9000,0 host-3,10.1.0.3:9000,0 host-4,,0 host-5,,0"}`,
-		"live/j-1":  `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":7,"vcpus":1},"seq":1,"phase":"open",` + tasks + `}`,
-		"live/j-2":  `{"spec":{"id":"j-2","desk":"red","shape":"batch","pieces":1,"vcpus":1},"seq":2,"phase":"open","tasks":[{}]}`,
+		"fleet/1-1": `{"model":"m8","site":"a","text":"` + machines + `"}`,
+		"live/j-1": `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":7,"vcpus":1},` +
+			`"seq":1,"phase":"open",` + tasks + `}`,
+		"live/j-2": `{"spec":{"id":"j-2","desk":"red","shape":"batch","pieces":1,"vcpus":1},` +
+			`"seq":2,"phase":"open","tasks":[{}]}`,
 	} {
 		pairs = append(pairs, kvstore.KeyValue{Key: path, Value: json.RawMessage(value), Revision: 5})
 	}
-	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
-		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(100), transport: transport.New("agent-0", func(ident.NodeID, *transport.Frame) {})}
-	s.controller = controller.New(goldenEnv{kvstoretest.NewMemoryStore(pairs...)}, set, rand.New(rand.NewPCG(1, 2)))
+	s := &Server{
+		loop:        newEventLoop(),
+		connLimiter: newConnLimiter(100),
+		transport:   transport.New("agent-0", func(ident.NodeID, *transport.Frame) {}),
+	}
+	s.controller = controller.New(goldenEnv{kvstoretest.NewMemoryStore(pairs...)}, testSettings(), rand.New(rand.NewPCG(1, 2)))
 	s.loop.afterBatch = func() {}
 	s.loop.post(s.controller.Start)
 	go s.loop.run()
@@ -178,7 +196,8 @@
 	s.connLimiter.refused.Store(42)
 	s.transport.Malformed.Store(43)
 	query(s.loop, s.loop.post, func() bool {
-		s.controller.Forwarded, s.controller.Relayed, s.controller.Refused, s.controller.Elections, s.controller.LeasesKept = 51, 52, 53, 54, 55
+		c := s.controller
+		c.Forwarded, c.Relayed, c.Refused, c.Elections, c.LeasesKept = 51, 52, 53, 54, 55
 		return true
 	})
 	var d golden.Document
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -24,32 +24,49 @@
 	"opaldale/internal/transport"
 )
 
-const jobSpecJSON = `{"id":"j-000001","lane":"l","desk":"red","shape":"batch","rank":"high","pieces":1,"vcpus":1,"cards":0,"memory_gb":1,
+const jobSpecJSON = `{"id":"j-000001","lane":"l","desk":"red","shape":"batch","rank":"high","pieces":1,` +
+	`"vcpus":1,"cards":0,"memory_gb":1,
  "bundle":"img","image_gb":1,"one_zone":false,"apart":false,"standby":true,"runtime_s":1,"snapshot_every_s":0,"snapshot_s":0}`
 
-// newTestServer makes a node that has no leader and no state service.
-func newTestServer(t *testing.T, socketsGiven int) *Server {
-	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// testSettings are those of a node without peers.
+func testSettings() *settings.Settings {
+	return &settings.Settings{
+		Node:   "agent-0",
+		Tuning: settings.DefaultTuning(),
+		Cluster: settings.Cluster{
+			Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
+			Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50},
+			Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+			Cloud:   settings.CloudLimits{RPS: 5},
+		},
+	}
+}
+
+// newTestServer makes a node that has no leader and no key-value store.
+func newTestServer(t *testing.T, sockets int) *Server {
+	t.Helper()
+	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(down.Close)
 	addr := strings.TrimPrefix(down.URL, "http://")
-	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Teams:   []settings.Team{{Name: "red", CPUsMax: 10}},
-		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 50}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud: settings.CloudLimits{RPS: 5}}}
-	s := &Server{loop: newEventLoop(), connLimiter: newConnLimiter(socketsGiven), store: kvstore.NewClient(addr, http.DefaultTransport),
-		cloud: cloud.NewClient(addr, http.DefaultTransport), workerClient: http.DefaultClient,
-		transport: transport.New("agent-0", func(ident.NodeID, *transport.Frame) {})}
+	s := &Server{
+		loop:         newEventLoop(),
+		connLimiter:  newConnLimiter(sockets),
+		store:        kvstore.NewClient(addr, http.DefaultTransport),
+		cloud:        cloud.NewClient(addr, http.DefaultTransport),
+		workerClient: http.DefaultClient,
+		transport:    transport.New("agent-0", func(ident.NodeID, *transport.Frame) {}),
+	}
 	s.admission.lag = s.loop.Lag
-	s.controller = controller.New(controllerEnv{s}, set, rand.New(rand.NewPCG(1, 2)))
+	s.controller = controller.New(controllerEnv{s}, testSettings(), rand.New(rand.NewPCG(1, 2)))
 	s.loop.afterBatch = s.controller.AfterEvent
 	s.loop.post(s.controller.Start)
 	go s.loop.run()
 	return s
 }
 
-// TestHTTPAPIWithoutLeader asks a node that has no leader and no state service.
+// TestHTTPAPIWithoutLeader sends requests to a node that has no leader and no key-value store.
 func TestHTTPAPIWithoutLeader(t *testing.T) {
 	s := newTestServer(t, 1000)
 	web := httptest.NewServer(s.handler())
@@ -96,10 +113,41 @@
 	}
 }
 
-// TestMoreWorkersThanConnections: three times as many workers as a node takes connections
+// fillWithIdleConnections opens connections that each do one request and stay open.
+func fillWithIdleConnections(t *testing.T, addr string, count int) {
+	t.Helper()
+	for range count {
+		c, err := net.Dial("tcp4", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// sendHeartbeat sends a worker's heartbeat, several times if need be, and says whether it was answered.
+func sendHeartbeat(c *http.Client, url string, worker, sequence int) bool {
+	body := fmt.Sprintf(`{"host":"host-%06d","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":%d}`, worker, sequence)
+	for range 50 {
+		resp, err := c.Post(url+"/checkin", "application/json", strings.NewReader(body))
+		if err != nil {
+			continue
+		}
+		io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
+		return true
+	}
+	return false
+}
+
+// TestMoreWorkersThanConnections: three times as many workers as a node accepts connections
 // all report, users on new connections are answered meanwhile, idle connections make
-// room, and none of it takes threads. Beyond the bound, connections were once closed as
-// they came: workers lost their leases, and /up failed.
+// room, and none of it takes threads. Closing new connections at the limit would instead
+// cost workers their leases, and have /up fail.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	s := newTestServer(t, 160)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -112,17 +160,7 @@
 	url := "http://" + l.Addr().String()
 
 	// Three quarters of the room are taken by connections that stay open and do nothing.
-	for range 3 * s.connLimiter.limit / 4 {
-		c, err := net.Dial("tcp4", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
-			t.Fatal(err)
-		}
-	}
+	fillWithIdleConnections(t, l.Addr().String(), 3*s.connLimiter.limit/4)
 	var wg sync.WaitGroup
 	var lost, most atomic.Int64
 	for i := range 3 * s.connLimiter.limit {
@@ -130,17 +168,7 @@
 			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer c.CloseIdleConnections()
 			for n := range 4 {
-				body := fmt.Sprintf(`{"host":"host-%06d","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":%d}`, i, n+1)
-				answered := false
-				for range 50 {
-					if resp, err := c.Post(url+"/checkin", "application/json", strings.NewReader(body)); err == nil {
-						io.Copy(io.Discard, resp.Body)
-						resp.Body.Close()
-						answered = true
-						break
-					}
-				}
-				if !answered {
+				if !sendHeartbeat(c, url, i, n+1) {
 					lost.Add(1)
 				}
 				if n := int64(s.connLimiter.count()); n > most.Load() {
@@ -161,7 +189,8 @@
 	}
 	wg.Wait()
 	if lost.Load() > 0 || failed > 5 {
-		t.Errorf("%d reports and %d users without an answer; %d connections refused", lost.Load(), failed, s.connLimiter.refused.Load())
+		t.Errorf("%d heartbeats and %d users without an answer; %d connections refused",
+			lost.Load(), failed, s.connLimiter.refused.Load())
 	}
 	if n := int(most.Load()); n > s.connLimiter.limit {
 		t.Errorf("%d connections of %d", n, s.connLimiter.limit)
