--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,61 +15,119 @@
 	"opaldale/internal/api"
 )
 
-// clientCommand talks to any node, once: whoever calls it decides whether to retry.
+const (
+	// defaultAddr is the address of a node if none is given.
+	defaultAddr = "127.0.0.1:8080"
+	// clientTimeout bounds the time of a request to a node.
+	clientTimeout = 5 * time.Second
+	// maxResponseBytes bounds what is read of a response.
+	maxResponseBytes = 1 << 20
+
+	jobsPath = "/v2/runs"
+	// standardInput is the file name that stands for standard input.
+	standardInput = "-"
+)
+
+// apiClient sends requests of users to a node. It sends each of them once: whoever calls it decides
+// whether to retry.
+type apiClient struct{ addr string }
+
+// clientCommand makes the commands for users.
 func clientCommand() *cobra.Command {
-	var addr string
+	client := &apiClient{}
 	cmd := &cobra.Command{Use: "client", Short: "Submit, look up and cancel jobs"}
-	cmd.PersistentFlags().StringVar(&addr, "addr", "127.0.0.1:8080", "address of a node or load balancer")
-	call := func(cmd *cobra.Command, method, path string, body []byte) error {
-		req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+addr+path, bytes.NewReader(body))
-		if err != nil {
-			return err
-		}
-		req.Header.Set("Content-Type", "application/json")
-		resp, err := (&http.Client{Timeout: 5 * time.Second}).Do(req)
-		if err != nil {
-			return err
-		}
-		defer resp.Body.Close()
-		b, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-		if err != nil {
-			return err
-		}
-		fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(b)))
-		if resp.StatusCode >= 300 {
-			if after := resp.Header.Get("Retry-After"); after != "" {
-				return fmt.Errorf("%s, try again after %s s", resp.Status, after)
+	cmd.PersistentFlags().StringVar(&client.addr, "addr", defaultAddr, "address of a node or load balancer")
+	cmd.AddCommand(submitCommand(client), getCommand(client), cancelCommand(client))
+	return cmd
+}
+
+func submitCommand(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "submit FILE",
+		Short: "Submit a job from a JSON file, - for standard input",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			body, err := readSpec(cmd.InOrStdin(), args[0])
+			if err != nil {
+				return err
 			}
-			return fmt.Errorf("%s", resp.Status)
-		}
+			return client.call(cmd, http.MethodPost, jobsPath, body)
+		},
+	}
+}
+
+func getCommand(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "get ID",
+		Short: "Show a job",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client.call(cmd, http.MethodGet, jobPath(args[0]), nil)
+		},
+	}
+}
+
+func cancelCommand(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "cancel ID",
+		Short: "Cancel a job",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client.call(cmd, http.MethodPost, jobPath(args[0])+"/cancel", nil)
+		},
+	}
+}
+
+// jobPath returns the path of a job in the API.
+func jobPath(id string) string { return jobsPath + "/" + url.PathEscape(id) }
+
+// readSpec reads the specification of a job from a file or from standard input, and checks it.
+func readSpec(stdin io.Reader, path string) ([]byte, error) {
+	var body []byte
+	var err error
+	if path == standardInput {
+		// One byte more than is allowed shows that the specification is too large.
+		body, err = io.ReadAll(io.LimitReader(stdin, api.MaxBodyBytes+1))
+	} else {
+		body, err = os.ReadFile(path)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if _, err := api.ParseSpec(body); err != nil {
+		return nil, err
+	}
+	return body, nil
+}
+
+// call sends a request and prints the body of the response. Its error has the status of a response that
+// is not a success.
+func (c *apiClient) call(cmd *cobra.Command, method, path string, body []byte) error {
+	req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+c.addr+path, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(answer)))
+	return statusError(resp)
+}
+
+// statusError returns an error for a response that is not a success.
+func statusError(resp *http.Response) error {
+	if resp.StatusCode < http.StatusMultipleChoices {
 		return nil
 	}
-	cmd.AddCommand(
-		&cobra.Command{Use: "submit FILE", Short: "Submit a job from a JSON file, - for standard input", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				var body []byte
-				var err error
-				if args[0] == "-" {
-					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), api.MaxBodyBytes+1))
-				} else {
-					body, err = os.ReadFile(args[0])
-				}
-				if err != nil {
-					return err
-				}
-				if _, err := api.ParseSpec(body); err != nil {
-					return err
-				}
-				return call(cmd, http.MethodPost, "/v2/runs", body)
-			}},
-		&cobra.Command{Use: "get ID", Short: "Show a job", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return call(cmd, http.MethodGet, "/v2/runs/"+url.PathEscape(args[0]), nil)
-			}},
-		&cobra.Command{Use: "cancel ID", Short: "Cancel a job", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return call(cmd, http.MethodPost, "/v2/runs/"+url.PathEscape(args[0])+"/cancel", nil)
-			}},
-	)
-	return cmd
+	if after := resp.Header.Get("Retry-After"); after != "" {
+		return fmt.Errorf("%s, try again after %s s", resp.Status, after)
+	}
+	return errors.New(resp.Status)
 }
--- a/cmd/opaldale/golden_test.go
+++ b/cmd/opaldale/golden_test.go
@@ -15,7 +15,7 @@
 	"opaldale/internal/golden"
 )
 
-// runMain has the test's own program run the command instead of the tests.
+// runMain is the variable that has the test binary run the command instead of the tests.
 const runMain = "OPALDALE_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
@@ -52,14 +52,17 @@
 // TestGoldenHelp pins the names of commands and flags, and their help.
 func TestGoldenHelp(t *testing.T) {
 	var d golden.Document
-	for _, command := range []string{"", "serve", "settings", "settings check", "client", "client submit", "client get", "client cancel", "links", "moves", "version"} {
+	for _, command := range []string{
+		"", "serve", "settings", "settings check", "client", "client submit", "client get", "client cancel",
+		"links", "moves", "version",
+	} {
 		d.Add("opaldale "+command+" --help", execute(t, "", nil, append(strings.Fields(command), "--help")...))
 	}
 	d.Add("tuning by the environment", execute(t, "", []string{"OPALDALE_TUNING=ours.sexp"}, "serve", "--help"))
 	d.Compare(t, "help")
 }
 
-// TestGoldenSettings pins what is said of settings, and of commands that can't be carried out.
+// TestGoldenSettings pins the output of the check of settings, and of commands that fail.
 func TestGoldenSettings(t *testing.T) {
 	var d golden.Document
 	for _, line := range []string{
@@ -84,7 +87,7 @@
 	d.Compare(t, "settings")
 }
 
-// goldenNode answers all requests alike, and writes the newest one down.
+// goldenNode answers all requests alike, and records the last one.
 type goldenNode struct {
 	status int
 	retry  string
@@ -108,7 +111,7 @@
 	io.WriteString(w, n.body)
 }
 
-// request returns the newest request.
+// request returns the last request.
 func (n *goldenNode) request() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +121,10 @@
 // TestGoldenClient pins the requests of the client, and what it prints.
 func TestGoldenClient(t *testing.T) {
 	var d golden.Document
-	lines := []string{"client submit testdata/job.json", "client get j-000412", "client cancel j-000412", "client get a/b", "links --json", "moves --json", "links", "moves"}
+	lines := []string{
+		"client submit testdata/job.json", "client get j-000412", "client cancel j-000412", "client get a/b",
+		"links --json", "moves --json", "links", "moves",
+	}
 	for _, node := range []*goldenNode{
 		{status: http.StatusOK, body: `{"id":"j-000412","status":"queued"}` + "\n"},
 		{status: http.StatusNotFound, body: `{"error":"no such job"}`},
--- a/cmd/opaldale/links.go
+++ b/cmd/opaldale/links.go
@@ -10,11 +10,14 @@
 	"opaldale/internal/controller"
 )
 
-// linksCommand shows what a node knows of its links and of its siblings'.
+// linksCommand shows the state of a node's links, and of those that its peers advertise.
 func linksCommand() *cobra.Command {
 	return reportCommand("links", "Show who reaches whom, as a node knows it", writeLinks)
 }
 
+// newTable returns a writer that aligns the columns of a table.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
+
 // writeLinks prints a report as tables.
 func writeLinks(out io.Writer, report controller.LinkReport) error {
 	fmt.Fprintf(out, "%s: authority %s", report.Node, report.Authority)
@@ -26,24 +29,39 @@
 		fmt.Fprintln(out, "the view of links is off (docs/links-operations.md)")
 		return nil
 	}
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	table := newTable(out)
+	writeOwnLinks(table, report)
+	writeAdvertisedLinks(table, report)
+	writeHandovers(table, report)
+	return table.Flush()
+}
+
+func writeOwnLinks(table io.Writer, report controller.LinkReport) {
 	fmt.Fprintln(table, "\nFROM\tPEER\tDIRECTION\tSTATE\tFOR\tEVIDENCE\tBREAKS\tNOTE")
 	for _, l := range report.Links {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f s\t%s\t%d\t%s\n", report.Node, l.Peer, l.Direction, l.State, l.DurationS, l.Evidence, l.Breaks, linkNote(l.Damped, l.Refusing))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f s\t%s\t%d\t%s\n", report.Node, l.Peer, l.Direction, l.State,
+			l.DurationS, l.Evidence, l.Breaks, linkNote(l.Damped, l.Refusing))
 	}
+}
+
+func writeAdvertisedLinks(table io.Writer, report controller.LinkReport) {
 	fmt.Fprintln(table, "\nFROM\tPEER\tINBOUND\tOUTBOUND\tAGE\tNOTE")
-	for _, row := range report.Advertisements {
-		for _, l := range row.Links {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f s\t%s\n", row.Origin, l.Peer, l.Inbound, l.Outbound, row.AgeS, linkNote(l.Damped, l.Refusing))
+	for _, advertisement := range report.Advertisements {
+		for _, l := range advertisement.Links {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f s\t%s\n", advertisement.Origin, l.Peer, l.Inbound, l.Outbound,
+				advertisement.AgeS, linkNote(l.Damped, l.Refusing))
 		}
 	}
+}
+
+func writeHandovers(table io.Writer, report controller.LinkReport) {
 	fmt.Fprintln(table, "\nHANDOVER\tTO\tAGO\tSTANDING\tSUCCESSOR\tWHY")
 	for _, h := range report.Handovers {
 		fmt.Fprintf(table, "term %d\t%s\t%.0f s\t%d\t%d\t%s\n", h.Term, h.To, h.AgoS, h.OwnScore, h.SuccessorScore, h.Reason)
 	}
-	return table.Flush()
 }
 
+// linkNote says why a link is not used though it may be up.
 func linkNote(damped, refusing bool) string {
 	switch {
 	case damped && refusing:
--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -9,16 +9,31 @@
 	"opaldale/internal/controller"
 )
 
-// TestLinksCommand prints what a node answers, as tables and as it is.
+// TestLinksCommand prints the report of a node, as tables and as JSON.
 func TestLinksCommand(t *testing.T) {
-	report := controller.LinkReport{Node: "agent-0", Enabled: true, Authority: "deciding", Handover: "steady",
-		Links:          []controller.LinkEntry{{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4}},
-		Advertisements: []controller.AdvertisementEntry{{Origin: "agent-2", Links: []controller.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}}}},
-		Handovers:      []controller.HandoverEntry{{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100}}}
+	report := controller.LinkReport{
+		Node:      "agent-0",
+		Enabled:   true,
+		Authority: "deciding",
+		Handover:  "steady",
+		Links: []controller.LinkEntry{
+			{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4},
+		},
+		Advertisements: []controller.AdvertisementEntry{{
+			Origin: "agent-2",
+			Links:  []controller.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}},
+		}},
+		Handovers: []controller.HandoverEntry{
+			{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100},
+		},
+	}
 	node := &fakeNode{path: "/links", status: http.StatusOK, report: &report}
 	run := runAgainst(t, node, linksCommand)
 	out, err := run()
-	for _, want := range []string{"agent-0: authority deciding, handover steady", "sibling agent-1  outbound   down", "damped", "refuses", "term 7", "a sibling is better placed"} {
+	for _, want := range []string{
+		"agent-0: authority deciding, handover steady", "sibling agent-1  outbound   down",
+		"damped", "refuses", "term 7", "a sibling is better placed",
+	} {
 		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("%q is not in the tables, %v:\n%s", want, err, out)
 		}
--- a/cmd/opaldale/moves.go
+++ b/cmd/opaldale/moves.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -29,19 +28,10 @@
 	if report.Error != "" {
 		fmt.Fprintln(out, report.Error)
 	}
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	table := newTable(out)
 	fmt.Fprintln(table, "\nTASK\tTEAM\tFROM\tTO\tWHY\tSTATE\tREASON\tAGE\tEXPECTED\tREALISED")
-	for _, m := range report.Moves {
-		realised := "-"
-		if m.RealisedGainS != nil {
-			realised = fmt.Sprintf("%.1f s", *m.RealisedGainS)
-		}
-		reason := m.Source
-		if m.For != "" {
-			reason += " for " + m.For
-		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%.1f s\t%s\n", m.Task, m.Team, m.From, m.To, reason, m.State, m.Reason,
-			m.AgeS, m.ExpectedGainS-m.CostS, realised)
+	for i := range report.Moves {
+		writeMove(table, &report.Moves[i])
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -51,3 +41,17 @@
 	}
 	return nil
 }
+
+// writeMove prints the row of a move.
+func writeMove(table io.Writer, m *controller.MoveEntry) {
+	realised := "-"
+	if m.RealisedGainS != nil {
+		realised = fmt.Sprintf("%.1f s", *m.RealisedGainS)
+	}
+	reason := m.Source
+	if m.For != "" {
+		reason += " for " + m.For
+	}
+	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%.1f s\t%s\n",
+		m.Task, m.Team, m.From, m.To, reason, m.State, m.Reason, m.AgeS, m.ExpectedGainS-m.CostS, realised)
+}
--- a/cmd/opaldale/moves_test.go
+++ b/cmd/opaldale/moves_test.go
@@ -9,23 +9,29 @@
 	"opaldale/internal/controller"
 )
 
-// TestMovesCommand prints what a node answers, as a table and as it is.
+// TestMovesCommand prints the report of a node, as a table and as JSON.
 func TestMovesCommand(t *testing.T) {
 	gain := 12.5
 	report := controller.MoveReport{Node: "agent-1", Mode: "move", Leader: true, Moves: []controller.MoveEntry{
-		{Task: "j-000012/3", Team: "vision", From: "host-000004", To: "host-000009", For: "j-000031/0", Source: "makes room", State: "running", Reason: "arrived",
-			AgeS: 7, ExpectedGainS: 20, CostS: 4, RealisedGainS: &gain},
+		{Task: "j-000012/3", Team: "vision", From: "host-000004", To: "host-000009", For: "j-000031/0", Source: "makes room",
+			State: "running", Reason: "arrived", AgeS: 7, ExpectedGainS: 20, CostS: 4, RealisedGainS: &gain},
 		{Task: "j-000013/0", From: "host-000005", To: "host-000006", Source: "leaves a slow machine", State: "stopping"}}}
 	run := runAgainst(t, &fakeNode{path: "/moves", status: http.StatusOK, report: &report}, movesCommand)
 	out, err := run()
-	for _, want := range []string{"agent-1: rebalance move, leads", "makes room for j-000031/0", "leaves a slow machine      stopping", "j-000012/3  vision", "arrived", "16.0 s", "12.5 s", "stopping"} {
+	for _, want := range []string{
+		"agent-1: rebalance move, leads", "makes room for j-000031/0", "leaves a slow machine      stopping",
+		"j-000012/3  vision", "arrived", "16.0 s", "12.5 s", "stopping",
+	} {
 		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("%q is not in the table, %v:\n%s", want, err, out)
 		}
 	}
 	out, err = run("--json")
 	var again controller.MoveReport
-	if err != nil || json.Unmarshal([]byte(out), &again) != nil || len(again.Moves) != 2 || *again.Moves[0].RealisedGainS != gain {
+	if err != nil || json.Unmarshal([]byte(out), &again) != nil {
+		t.Fatalf("as JSON: %v\n%s", err, out)
+	}
+	if len(again.Moves) != 2 || *again.Moves[0].RealisedGainS != gain {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
 	report = controller.MoveReport{Node: "agent-2", Mode: "off", Truncated: true, Error: "state service unavailable"}
--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -5,23 +5,19 @@
 	"fmt"
 	"io"
 	"net/http"
-	"time"
 
 	"github.com/spf13/cobra"
 )
 
-const (
-	// reportTimeout bounds the call of a node, and maxReportBytes what is read of its answer.
-	reportTimeout  = 5 * time.Second
-	maxReportBytes = 1 << 20
-)
-
-// reportCommand makes a command that shows what a node answers to a question of operators: as
-// tables, or as it is. The question's path has the name of the command.
+// reportCommand makes a command that shows a report of a node to operators, as tables or as the JSON that
+// the node sends. The command has the name of the report's path.
 func reportCommand[T any](name, short string, write func(io.Writer, T) error) *cobra.Command {
 	var addr string
 	var asJSON bool
-	cmd := &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   name,
+		Short: short,
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			body, err := fetchReport(addr, name)
 			if err != nil {
@@ -36,19 +32,21 @@
 				return fmt.Errorf("%s: %w", addr, err)
 			}
 			return write(cmd.OutOrStdout(), report)
-		}}
-	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:8080", "address of a node")
+		},
+	}
+	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of a node")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the node's answer as it is")
 	return cmd
 }
 
+// fetchReport reads a report of a node.
 func fetchReport(addr, name string) ([]byte, error) {
-	resp, err := (&http.Client{Timeout: reportTimeout}).Get("http://" + addr + "/" + name)
+	resp, err := (&http.Client{Timeout: clientTimeout}).Get("http://" + addr + "/" + name)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/opaldale/report_command_test.go
+++ b/cmd/opaldale/report_command_test.go
@@ -10,24 +10,25 @@
 	"github.com/spf13/cobra"
 )
 
-// fakeNode is a node that answers one question of operators.
+// fakeNode is a node that serves one report.
 type fakeNode struct {
 	path   string
 	status int
 	report any
 }
 
-func (a *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != a.path {
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != n.path {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	w.WriteHeader(a.status)
-	json.NewEncoder(w).Encode(a.report)
+	w.WriteHeader(n.status)
+	json.NewEncoder(w).Encode(n.report)
 }
 
-// runAgainst has a command ask a node, and returns what it prints.
+// runAgainst returns a function that runs a command against a node, and returns what it prints.
 func runAgainst(t *testing.T, node *fakeNode, command func() *cobra.Command) func(args ...string) (string, error) {
+	t.Helper()
 	web := httptest.NewServer(node)
 	t.Cleanup(web.Close)
 	return func(args ...string) (string, error) {
--- /dev/null
+++ b/cmd/opaldale/serve.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"opaldale/internal/server"
+	"opaldale/internal/settings"
+)
+
+// Environment variables that a controller reads.
+const (
+	logLevelVariable = "LOG_LEVEL"
+	tuningVariable   = "OPALDALE_TUNING" // path of the tuning file if none is given
+)
+
+// tuningUsage describes the flag for the tuning file.
+const tuningUsage = "the operators' settings (S-expressions)"
+
+func serveCommand() *cobra.Command {
+	var configPath, tuningPath string
+	cmd := &cobra.Command{
+		Use:   "serve --config FILE",
+		Short: "Run a controller",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return serve(configPath, tuningPath) },
+	}
+	cmd.Flags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
+	cmd.Flags().StringVar(&tuningPath, "tuning", os.Getenv(tuningVariable), tuningUsage)
+	cmd.MarkFlagRequired("config")
+	return cmd
+}
+
+// serve runs a controller until it fails.
+func serve(configPath, tuningPath string) error {
+	configureLogging()
+	loaded, err := settings.Load(configPath, tuningPath)
+	if err != nil {
+		return err
+	}
+	slog.Info("starting controller", "node", loaded.Node, "addr", loaded.Bind)
+	return server.Run(loaded)
+}
+
+// configureLogging has the log written to standard error, at the level that the environment sets.
+func configureLogging() {
+	level := slog.LevelInfo
+	if v := os.Getenv(logLevelVariable); v != "" {
+		if err := level.UnmarshalText([]byte(v)); err != nil {
+			fmt.Fprintf(os.Stderr, "LOG_LEVEL %q is unknown; using info\n", v)
+		}
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+}
--- /dev/null
+++ b/cmd/opaldale/settings.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"opaldale/internal/settings"
+)
+
+// settingsCommand makes the commands about settings files.
+func settingsCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "settings", Short: "Work with settings"}
+	cmd.AddCommand(settingsCheckCommand())
+	return cmd
+}
+
+func settingsCheckCommand() *cobra.Command {
+	var tuningPath string
+	cmd := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Name every fault in a settings file",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if _, err := settings.Load(args[0], tuningPath); err != nil {
+				return err
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), "settings are in order")
+			return nil
+		},
+	}
+	cmd.Flags().StringVar(&tuningPath, "tuning", "", tuningUsage)
+	return cmd
+}
--- /dev/null
+++ b/cmd/opaldale/version.go
@@ -0,0 +1,40 @@
+package main
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"github.com/spf13/cobra"
+)
+
+// release is the version in CHANGELOG.md that this tree leads up to.
+const release = "0.1.0"
+
+// revisionSetting is the build setting that has the revision of the source.
+const revisionSetting = "vcs.revision"
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			fmt.Fprintf(cmd.OutOrStdout(), "opaldale %s (%s)\n", release, sourceRevision())
+			return nil
+		},
+	}
+}
+
+// sourceRevision returns the revision that the program was built from.
+func sourceRevision() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, s := range info.Settings {
+		if s.Key == revisionSetting {
+			return s.Value
+		}
+	}
+	return "unknown"
+}
