--- a/cmd/opaldale/links.go
+++ b/cmd/opaldale/links.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 )
 
 // linksCommand shows the state of a node's links, and of those that its peers advertise.
@@ -19,7 +19,7 @@
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
 // writeLinks prints a report as tables.
-func writeLinks(out io.Writer, report controller.LinkReport) error {
+func writeLinks(out io.Writer, report linktracker.Report) error {
 	fmt.Fprintf(out, "%s: authority %s", report.Node, report.Authority)
 	if report.Handover != "" {
 		fmt.Fprintf(out, ", handover %s", report.Handover)
@@ -36,7 +36,7 @@
 	return table.Flush()
 }
 
-func writeOwnLinks(table io.Writer, report controller.LinkReport) {
+func writeOwnLinks(table io.Writer, report linktracker.Report) {
 	fmt.Fprintln(table, "\nFROM\tPEER\tDIRECTION\tSTATE\tFOR\tEVIDENCE\tBREAKS\tNOTE")
 	for _, l := range report.Links {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f s\t%s\t%d\t%s\n", report.Node, l.Peer, l.Direction, l.State,
@@ -44,7 +44,7 @@
 	}
 }
 
-func writeAdvertisedLinks(table io.Writer, report controller.LinkReport) {
+func writeAdvertisedLinks(table io.Writer, report linktracker.Report) {
 	fmt.Fprintln(table, "\nFROM\tPEER\tINBOUND\tOUTBOUND\tAGE\tNOTE")
 	for _, advertisement := range report.Advertisements {
 		for _, l := range advertisement.Links {
@@ -54,7 +54,7 @@
 	}
 }
 
-func writeHandovers(table io.Writer, report controller.LinkReport) {
+func writeHandovers(table io.Writer, report linktracker.Report) {
 	fmt.Fprintln(table, "\nHANDOVER\tTO\tAGO\tSTANDING\tSUCCESSOR\tWHY")
 	for _, h := range report.Handovers {
 		fmt.Fprintf(table, "term %d\t%s\t%.0f s\t%d\t%d\t%s\n", h.Term, h.To, h.AgoS, h.OwnScore, h.SuccessorScore, h.Reason)
--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -6,24 +6,24 @@
 	"strings"
 	"testing"
 
-	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 )
 
 // TestLinksCommand prints the report of a node, as tables and as JSON.
 func TestLinksCommand(t *testing.T) {
-	report := controller.LinkReport{
+	report := linktracker.Report{
 		Node:      "agent-0",
 		Enabled:   true,
 		Authority: "deciding",
 		Handover:  "steady",
-		Links: []controller.LinkEntry{
+		Links: []linktracker.LinkEntry{
 			{Peer: "sibling agent-1", Direction: "outbound", State: "down", Evidence: "silence", Damped: true, Breaks: 4},
 		},
-		Advertisements: []controller.AdvertisementEntry{{
+		Advertisements: []linktracker.AdvertisementEntry{{
 			Origin: "agent-2",
-			Links:  []controller.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}},
+			Links:  []linktracker.AdvertisedLink{{Peer: "state service", Inbound: "up", Outbound: "up", Refusing: true}},
 		}},
-		Handovers: []controller.HandoverEntry{
+		Handovers: []linktracker.HandoverEntry{
 			{Term: 7, To: "agent-2", Reason: "a sibling is better placed", OwnScore: 70, SuccessorScore: 100},
 		},
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	out, err = run("--json")
-	var again controller.LinkReport
+	var again linktracker.Report
 	if err != nil || json.Unmarshal([]byte(out), &again) != nil || again.Handovers[0].To != "agent-2" {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -210,7 +210,7 @@
 
 // quarantine keeps new work off a machine until the next tick.
 func quarantine(w *workers.Worker, now ident.MonotonicTime) {
-	w.QuarantinedUntil = max(w.QuarantinedUntil, now.Add(quarantineDuration))
+	w.Quarantine(now.Add(quarantineDuration))
 }
 
 // machineContact is how a running machine communicates with this node.
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -15,8 +15,6 @@
 	minListInterval = 5 * time.Second
 	// listTimeout bounds the time that the provider takes to answer a listing.
 	listTimeout = 5 * time.Second
-	// statusFailed is the provider's status of a machine that has stopped by itself.
-	statusFailed = "failed"
 )
 
 // inventory reconciles the machines on record with those that the provider lists.
@@ -91,7 +89,7 @@
 		w = v.adopt(listed)
 	}
 	// Nothing runs on a failed machine, but only the confirmation of its termination proves that.
-	if listed.Status == statusFailed {
+	if listed.Status == cloud.InstanceFailed {
 		v.terminator.terminate(w, workers.ReasonFailedToStart)
 	}
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -23,6 +23,7 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/kvstoretest"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/load"
 	"opaldale/internal/migration"
 	"opaldale/internal/transport"
@@ -98,12 +99,12 @@
 func (goldenCollector) Describe(chan<- *prometheus.Desc) {}
 
 func (goldenCollector) Collect(ch chan<- prometheus.Metric) {
-	collectLinks(ch, controller.LinkReport{
+	collectLinks(ch, linktracker.Report{
 		Enabled:       true,
 		Authority:     "deciding",
 		HandoverCount: 11,
 		Dropped:       map[string]uint64{"expired": 12, "undated": 13},
-		Links: []controller.LinkEntry{
+		Links: []linktracker.LinkEntry{
 			{Peer: "sibling agent-1", Direction: "inbound", StateCode: 3, Damped: true, Breaks: 14},
 			{Peer: "cloud", Direction: "outbound", StateCode: 1, Breaks: 15},
 		},
--- a/internal/server/link_metrics.go
+++ b/internal/server/link_metrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"opaldale/internal/controller"
+	"opaldale/internal/linktracker"
 )
 
 // Metrics of the links of a node and of its authority.
@@ -19,7 +19,7 @@
 )
 
 // collectLinks sends the metrics of the node's authority and, if it monitors them, of its links.
-func collectLinks(ch chan<- prometheus.Metric, report controller.LinkReport) {
+func collectLinks(ch chan<- prometheus.Metric, report linktracker.Report) {
 	authorityState.send(ch, 1, report.Authority)
 	if !report.Enabled {
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -15,6 +15,7 @@
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/linktracker"
 	"opaldale/internal/settings"
 	"opaldale/internal/transport"
 )
@@ -214,7 +215,7 @@
 }
 
 // linkReport reads the state of the node's links.
-func (s *Server) linkReport() controller.LinkReport {
+func (s *Server) linkReport() linktracker.Report {
 	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
