--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -8,29 +8,31 @@
 
 func drawFacts(t *rapid.T) Facts {
 	return Facts{
-		IsLeader: rapid.Bool().Draw(t, "leads"), LeaseValid: rapid.Bool().Draw(t, "sure"), WithinGrace: rapid.Bool().Draw(t, "in grace"),
-		StateLoaded: rapid.Bool().Draw(t, "loaded"), StoreWritable: rapid.Bool().Draw(t, "recording"), HandingOver: rapid.Bool().Draw(t, "yields"),
+		Leadership:    Leadership(rapid.IntRange(int(NotLeader), int(LeaseValid)).Draw(t, "leadership")),
+		StateLoaded:   rapid.Bool().Draw(t, "state loaded"),
+		StoreWritable: rapid.Bool().Draw(t, "store writable"),
+		HandingOver:   rapid.Bool().Draw(t, "handing over"),
 	}
 }
 
-// TestNothingUnconfirmed: whatever the facts, a node decides only what it is sure of, has
-// loaded and can record, and nothing while it hands the lead over.
+// TestNothingUnconfirmed: whatever the facts, a node takes only actions for which its leadership is
+// sure enough, its state is loaded and its writes are accepted, and places nothing during a handover.
 func TestNothingUnconfirmed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		s := Evaluate(f)
-		sure := f.IsLeader && f.StateLoaded && f.LeaseValid
+		sure := f.StateLoaded && f.Leadership == LeaseValid
 		for a := Place; a < actionCount; a++ {
 			allowed := s.Allows(a)
 			switch {
 			case !allowed:
-			case a == RenewWorkerLeases && f.IsLeader && f.StateLoaded && (f.LeaseValid || f.WithinGrace):
+			case a == RenewWorkerLeases && f.StateLoaded && f.Leadership >= LeaseInGrace:
 			case !sure:
 				t.Fatalf("%+v: %v may %v without sure leadership", f, s, a)
 			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
-				t.Fatalf("%+v: %v may %v while it yields", f, s, a)
+				t.Fatalf("%+v: %v may %v during a handover", f, s, a)
 			case !f.StoreWritable && (a == Place || a == Scale || a == Fence):
-				t.Fatalf("%+v: %v may %v without recording it", f, s, a)
+				t.Fatalf("%+v: %v may %v while the store is down", f, s, a)
 			}
 		}
 		if sure && f.StoreWritable && !f.HandingOver && s != Active {
@@ -39,22 +41,20 @@
 	})
 }
 
-// TestMoreFactsMoreAuthority: to lose a fact never gives a permission, but for keeping
-// leases, which grace has as well.
+// TestMoreFactsMoreAuthority: worse facts never give a permission, but for the renewal of worker
+// leases, which Grace allows as well.
 func TestMoreFactsMoreAuthority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		fewer := f
-		switch rapid.IntRange(0, 4).Draw(t, "lost") {
+		switch rapid.IntRange(0, 3).Draw(t, "lost") {
 		case 0:
-			fewer.IsLeader = false
+			fewer.Leadership = Leadership(rapid.IntRange(int(NotLeader), int(f.Leadership)).Draw(t, "fewer leadership"))
 		case 1:
-			fewer.LeaseValid = false
-		case 2:
 			fewer.StateLoaded = false
-		case 3:
+		case 2:
 			fewer.StoreWritable = false
-		case 4:
+		case 3:
 			fewer.HandingOver = true
 		}
 		for a := Place; a < actionCount; a++ {
@@ -65,15 +65,15 @@
 	})
 }
 
-// TestTracker tells each change once.
+// TestTracker: an update returns the states before and after.
 func TestTracker(t *testing.T) {
 	var tracker Tracker
-	all := Facts{IsLeader: true, LeaseValid: true, StateLoaded: true, StoreWritable: true}
-	if before, changed := tracker.Update(all); before != None || !changed || tracker.State() != Active {
-		t.Errorf("from %v, changed %v, now %v", before, changed, tracker.State())
+	all := Facts{Leadership: LeaseValid, StateLoaded: true, StoreWritable: true}
+	if from, to := tracker.Update(all); from != None || to != Active || tracker.State() != Active {
+		t.Errorf("from %v to %v, now %v", from, to, tracker.State())
 	}
-	if _, changed := tracker.Update(all); changed {
-		t.Error("the same facts are a change")
+	if from, to := tracker.Update(all); from != to {
+		t.Error("the same facts changed the state")
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
 		t.Error("an impossible state or action is allowed")
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -7,6 +7,7 @@
 	"opaldale/internal/authority"
 	"opaldale/internal/catalog"
 	"opaldale/internal/commit"
+	"opaldale/internal/election"
 	"opaldale/internal/fleet"
 	"opaldale/internal/gang"
 	"opaldale/internal/handover"
@@ -131,7 +132,7 @@
 func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
-	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(reason) })
+	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(election.StepDownReason(reason)) })
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.failPendingReplies
 	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
@@ -142,7 +143,14 @@
 		l.jobs.UsePackedLog()
 	}
 	nodes := append([]ident.NodeID{c.settings.Node}, c.peerIDs()...)
-	l.formatUpgrader = upgrade.New(l.env, l.term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.formatUpgrader = upgrade.New(upgrade.Config{
+		Port:      l.env,
+		Term:      l.term,
+		LeaderKey: leaderKey,
+		Nodes:     nodes,
+		Persist:   l.committer.MarkDirty,
+		OnRaised:  l.enablePackedFormat,
+	})
 	l.reader = storereader.New(l.env, l.closed)
 	catalogConfig := catalog.Config{Packed: packed, MaxValueBytes: strictest.MaxValueBytes, Closed: l.closed}
 	l.catalog = catalog.New(catalogConfig, l.env, l.reader, l.committer)
