--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -40,8 +40,6 @@
 	dispatchInterval = 30 * time.Millisecond
 	// statsLogRounds is how many planning rounds go by between two log lines of statistics.
 	statsLogRounds = 12
-	// planModeASM1 is the plan mode that packs machines by the first assignment method.
-	planModeASM1 = "asm1"
 )
 
 // leaderTerm is all that a leader knows, for one term only.
@@ -191,7 +189,7 @@
 func (l *leaderTerm) newPlanner() *placement.Planner {
 	cfg := l.controller.settings
 	return placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, placement.Config{
-		UseASM1:    cfg.Tuning.PlanMode == planModeASM1,
+		UseASM1:    cfg.Tuning.PlanMode == settings.PlanASM1,
 		Objectives: cfg.Cluster.Objectives,
 		MaxWait:    cfg.Tuning.StarvationTimeout,
 		GangWait:   cfg.Tuning.GangPreemptAfter,
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -84,3 +84,38 @@
 		}
 	}
 }
+
+// TestUnreachableZoneBudget: in each period a part of an unreachable zone may be terminated, at least
+// one machine.
+func TestUnreachableZoneBudget(t *testing.T) {
+	const period = 30 * time.Second
+	for _, c := range []struct {
+		name     string
+		machines int
+		want     int
+	}{
+		{"small zone", 3, 1},
+		{"large zone", 4 * terminateDivisor, 4},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := ident.MonotonicTime(time.Hour)
+			zone := &unreachableZone{since: now, machines: c.machines, periodStart: now}
+			for range 3 { // periods
+				terminated := 0
+				for zone.mayTerminate() {
+					zone.terminated++
+					terminated++
+				}
+				if terminated != c.want {
+					t.Errorf("%d machines may be terminated, want %d", terminated, c.want)
+				}
+				zone.renewBudget(now.Add(period-1), period)
+				if zone.mayTerminate() {
+					t.Error("the budget is renewed before the period is over")
+				}
+				now = now.Add(period)
+				zone.renewBudget(now, period)
+			}
+		})
+	}
+}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -109,12 +109,6 @@
 	GangWait time.Duration
 }
 
-// The kinds of service-level objectives.
-const (
-	objectiveFinish = "finished" // a job is done within a time
-	objectiveStart  = "wait"     // a task starts within a time
-)
-
 // NewPlanner makes a planner without a plan.
 func NewPlanner(
 	teams *Teams,
@@ -140,9 +134,9 @@
 	}
 	for _, o := range config.Objectives {
 		switch o.Kind {
-		case objectiveFinish:
+		case settings.ObjectiveFinished:
 			p.finishObjectives[o.Class] = append(p.finishObjectives[o.Class], settings.Seconds(o.WithinS))
-		case objectiveStart:
+		case settings.ObjectiveWait:
 			p.startObjectives[o.Class] = settings.Seconds(o.WithinS)
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -30,6 +30,8 @@
 	memoryShare = 0.65
 	// gcPercent is by how much the heap grows before it is collected.
 	gcPercent = 300
+
+	bytesPerMB = 1 << 20
 )
 
 // Limits of the connections that a node opens.
@@ -79,7 +81,7 @@
 // sets limits of the whole process.
 func Run(cfg *settings.Settings) error {
 	runtime.GOMAXPROCS(maxThreads)
-	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 	s, err := New(cfg, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 	if err != nil {
