--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -14,31 +14,31 @@
 func TestBorrowersDoNotDelayGuaranteedJobs(t *testing.T) {
 	t.Parallel()
 	for _, withBorrowers := range []bool{false, true} {
-		w := New(Config{Seed: 4, NoArrivals: true, ActiveDuration: 150 * time.Second})
-		w.submitBaseLoad(3)
+		sim := New(Config{Seed: 4, NoArrivals: true, ActiveDuration: 150 * time.Second})
+		sim.submitBaseLoad(3)
 		var guaranteed []*userJob
 		for s := 40.0; s < 140; s += 5 {
-			w.scheduleAt(s, func() {
-				guaranteed = append(guaranteed, w.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1 }, 10*time.Second))
+			sim.scheduleAt(s, func() {
+				guaranteed = append(guaranteed, sim.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1 }, 10*time.Second))
 			})
 		}
 		if withBorrowers {
 			submitBorrowerJob := func(class string, tasks int, vcpus float64, runs time.Duration) {
-				w.submitJob(func(s *api.Spec) {
+				sim.submitJob(func(s *api.Spec) {
 					s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks, vcpus, 0.1, true
 				}, runs)
 			}
-			w.scheduleAt(45, func() { submitBorrowerJob("vast", 2000, 0.25, 4*time.Second) })
-			w.scheduleAt(50, func() { submitBorrowerJob("backfill", 60, 1, 20*time.Second) })
+			sim.scheduleAt(45, func() { submitBorrowerJob("vast", 2000, 0.25, 4*time.Second) })
+			sim.scheduleAt(50, func() { submitBorrowerJob("backfill", 60, 1, 20*time.Second) })
 			for s := 60.0; s < 80; s += 0.1 {
-				w.scheduleAt(s, func() { submitBorrowerJob("swarm", 1, 0.25, 10*time.Second) })
+				sim.scheduleAt(s, func() { submitBorrowerJob("swarm", 1, 0.25, 10*time.Second) })
 			}
-			w.scheduleAt(70, func() { w.crashLeader(4 * time.Second) })
+			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		}
-		w.Run()
-		requireClean(t, 4, w)
-		if withBorrowers && len(w.jobs) < 200 {
-			t.Errorf("%d jobs: the guests did not come", len(w.jobs))
+		sim.Run()
+		requireClean(t, 4, sim)
+		if withBorrowers && len(sim.jobs) < 200 {
+			t.Errorf("%d jobs: the guests did not come", len(sim.jobs))
 		}
 		for _, j := range guaranteed {
 			if wait := j.firstStartAt.Sub(j.submittedAt); wait > 12*time.Second {
@@ -55,30 +55,30 @@
 func TestAlwaysFailingJobsKeepMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
-		w.submitBaseLoad(4)
+		sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
+		sim.submitBaseLoad(4)
 		var list []*userJob
-		w.scheduleAt(30, func() {
+		sim.scheduleAt(30, func() {
 			for i := range 3 {
-				list = append(list, w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 12, 1, w.settings.Teams[i].Name }, 10*time.Second))
+				list = append(list, sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 12, 1, sim.settings.Teams[i].Name }, 10*time.Second))
 				list[i].alwaysFails = true
 			}
 		})
 		var faultyWorker *worker
-		w.scheduleAt(50, func() {
-			faultyWorker = w.anyWorker()
+		sim.scheduleAt(50, func() {
+			faultyWorker = sim.anyWorker()
 			faultyWorker.faulty = true
 		})
 		for s := 52.0; s < 150; s += 4 {
-			w.scheduleAt(s, func() { w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.ImageGB = 3, 1, 0.1 }, 3*time.Second) })
+			sim.scheduleAt(s, func() { sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.ImageGB = 3, 1, 0.1 }, 3*time.Second) })
 		}
-		w.scheduleAt(140, func() {
+		sim.scheduleAt(140, func() {
 			for _, j := range list {
-				w.cancelWhenAccepted(j, nil)
+				sim.cancelWhenAccepted(j, nil)
 			}
 		})
-		w.Run()
-		requireClean(t, seed, w)
+		sim.Run()
+		requireClean(t, seed, sim)
 		for _, j := range list {
 			if j.failures > 30 || j.failures < 4 || j.lastStatus != "cancelled" {
 				t.Errorf("seed %d: %d tries of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -12,7 +12,7 @@
 type concurrentFaults struct {
 	name              string
 	guardsAgainst     string // against what
-	inject            func(w *Simulation)
+	inject            func(sim *Simulation)
 	expectedEvents    map[string]int // what must have come of it, so often at the least
 	detectedMutations []Mutation     // safeguards without which some seed breaks a rule
 	seeds             uint64         // 0: three
@@ -24,62 +24,62 @@
 var concurrentFaultScenarios = []concurrentFaults{
 	{
 		name: "workers reach no controller, commands reach them", guardsAgainst: "machines that answer commands being thought to keep their leases by that, and work started elsewhere before they are over",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(6)
-			w.scheduleAt(60, func() {
-				for i, k := range w.sortedWorkers() {
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(6)
+			sim.scheduleAt(60, func() {
+				for i, k := range sim.sortedWorkers() {
 					if i%3 > 0 {
-						w.blockOutbound(k, time.Duration(10+w.rng.IntN(22))*time.Second)
+						sim.blockOutbound(k, time.Duration(10+sim.rng.IntN(22))*time.Second)
 					}
 				}
 			})
-			w.scheduleAt(64, func() { w.cancelRunning(3, 0) })
-			w.scheduleAt(70, func() { w.crashLeader(4 * time.Second) })
+			sim.scheduleAt(64, func() { sim.cancelRunning(3, 0) })
+			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"command to a mute machine": 2, "cancelled while it ran": 1, "another leads": 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name: "teams at their limit, cancelled machines away, leader changes", guardsAgainst: "cancelled tasks that may still run not being counted by the next leader",
-		inject: func(w *Simulation) {
-			w.saturateTeams()
-			w.scheduleAt(60, func() {
-				for i, j := range w.runningJobs() {
+		inject: func(sim *Simulation) {
+			sim.saturateTeams()
+			sim.scheduleAt(60, func() {
+				for i, j := range sim.runningJobs() {
 					if i%2 == 1 {
 						continue
 					}
-					for _, k := range w.workersOf(j) {
-						if w.cfg.Seed%2 == 0 {
-							w.disconnect(string(k.id), "*", false, 14*time.Second)
+					for _, k := range sim.workersOf(j) {
+						if sim.cfg.Seed%2 == 0 {
+							sim.disconnect(string(k.id), "*", false, 14*time.Second)
 						} else {
 							k.hangFor(14 * time.Second)
 						}
 					}
-					w.countEvent("cancelled while it ran")
-					w.cancelWhenAccepted(j, nil)
+					sim.countEvent("cancelled while it ran")
+					sim.cancelWhenAccepted(j, nil)
 				}
 			})
-			w.scheduleAt(61, func() { w.crashLeader(3 * time.Second) })
+			sim.scheduleAt(61, func() { sim.crashLeader(3 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"team at its limit": 2, "cancelled while it ran": 2, "another leads": 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name: "hand-overs and back within a second", guardsAgainst: "a term's unfinished acts, or a node's former key, being taken for the present one's",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(6)
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(6)
 			for s := 50.0; s < 80; s += 6 {
-				w.submitBurst(s-0.4, s)
-				w.scheduleAt(s, func() { w.crashLeader(200 * time.Millisecond) })
-				w.scheduleAt(s+0.9, func() { w.crashLeader(100 * time.Millisecond) })
+				sim.submitBurst(s-0.4, s)
+				sim.scheduleAt(s, func() { sim.crashLeader(200 * time.Millisecond) })
+				sim.scheduleAt(s+0.9, func() { sim.crashLeader(100 * time.Millisecond) })
 			}
-			w.scheduleAt(84, func() {
-				for i, n := range w.nodes {
+			sim.scheduleAt(84, func() {
+				for i, n := range sim.nodes {
 					if n.alive {
 						n.crash(time.Duration(100+8000*i) * time.Millisecond)
 					}
 				}
-				w.countEvent("all end")
+				sim.countEvent("all end")
 			})
 		},
 		expectedEvents:    map[string]int{"new term": 6, "all end": 1},
@@ -87,21 +87,21 @@
 	},
 	{
 		name: "machines up at once while writes lag, and the leader ends", guardsAgainst: "work on a machine that no successor knows of",
-		inject: func(w *Simulation) {
-			w.scheduleAt(1, func() { w.fastBoots = faultWindow{1, timeAt(100)} })
-			w.submitBaseLoad(3)
-			w.scheduleAt(40, func() { w.delayedWrites = faultWindow{0.4, timeAt(70)} })
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(1, func() { sim.fastBoots = faultWindow{1, timeAt(100)} })
+			sim.submitBaseLoad(3)
+			sim.scheduleAt(40, func() { sim.delayedWrites = faultWindow{0.4, timeAt(70)} })
 			for s := 41.0; s < 60; s += 2 {
-				w.scheduleAt(s, func() { w.submitJob(nil, 30*time.Second) })
+				sim.scheduleAt(s, func() { sim.submitJob(nil, 30*time.Second) })
 			}
-			w.scheduleAt(45, func() { w.crashLeader(2 * time.Second) })
-			w.submitBurst(44.5, 45)
-			w.submitBurst(56.5, 57)
-			w.scheduleAt(57, func() { w.crashLeader(200 * time.Millisecond) })
-			w.scheduleAt(61, func() {
-				for _, m := range w.cloud.machines {
-					if k := w.workers[m.id]; k != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(k.tasks) > 0 {
-						w.countEvent("new machine has work")
+			sim.scheduleAt(45, func() { sim.crashLeader(2 * time.Second) })
+			sim.submitBurst(44.5, 45)
+			sim.submitBurst(56.5, 57)
+			sim.scheduleAt(57, func() { sim.crashLeader(200 * time.Millisecond) })
+			sim.scheduleAt(61, func() {
+				for _, m := range sim.cloud.machines {
+					if k := sim.workers[m.id]; k != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(k.tasks) > 0 {
+						sim.countEvent("new machine has work")
 					}
 				}
 			})
@@ -111,40 +111,40 @@
 	},
 	{
 		name: "old reports after newer ones", guardsAgainst: "a copy of an earlier session or attempt proving that a task is gone",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(5)
-			w.scheduleAt(30, func() { w.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(5)
+			sim.scheduleAt(30, func() { sim.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
 			for s := 40.0; s < 100; s += 12 {
-				w.scheduleAt(s, func() {
-					if k := w.anyWorker(); k != nil {
+				sim.scheduleAt(s, func() {
+					if k := sim.anyWorker(); k != nil {
 						k.restart()
 					}
 				})
-				w.scheduleAt(s+3, func() { w.submitJob(nil, 20*time.Second) })
+				sim.scheduleAt(s+3, func() { sim.submitJob(nil, 20*time.Second) })
 			}
-			w.scheduleAt(70, func() { w.crashLeader(time.Second) })
+			sim.scheduleAt(70, func() { sim.crashLeader(time.Second) })
 		},
 		expectedEvents:    map[string]int{"copy after newer reports": 20, "copy of an earlier session": 3},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
 		name: "one-task jobs four a second, a quarter cancelled", guardsAgainst: "the backlog of ends and cancellations, and elections with hundreds of ended jobs",
-		inject: func(w *Simulation) {
-			w.scheduleAt(1, func() { w.probeAfterAnswer = faultWindow{1, timeAt(90)} })
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(1, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(90)} })
 			for s := 5.0; s < 105; s += 0.25 {
-				w.scheduleAt(s, func() {
-					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 0.5 }, time.Duration(2+w.rng.IntN(6))*time.Second)
-					if w.rng.IntN(4) == 0 {
-						w.schedule(time.Duration(w.rng.IntN(9000))*time.Millisecond, func() {
+				sim.scheduleAt(s, func() {
+					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 0.5 }, time.Duration(2+sim.rng.IntN(6))*time.Second)
+					if sim.rng.IntN(4) == 0 {
+						sim.schedule(time.Duration(sim.rng.IntN(9000))*time.Millisecond, func() {
 							if j.accepted && !isTerminal(j.lastStatus) {
-								w.countEvent("one of many cancelled")
-								w.cancelWhenAccepted(j, nil)
+								sim.countEvent("one of many cancelled")
+								sim.cancelWhenAccepted(j, nil)
 							}
 						})
 					}
 				})
 			}
-			w.scheduleAt(60, func() { w.crashLeader(4 * time.Second) })
+			sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"one of many cancelled": 40, "another leads": 1, "close look": 1000},
 		detectedMutations: []Mutation{CacheStatusAnswers},
@@ -157,21 +157,21 @@
 	},
 	{
 		name: "commands and answers held up, and the machine goes on", guardsAgainst: "a command of before, carried out late, meeting what has replaced it; tokens are switched off in TestMutationsAreCaught, where more seeds show it",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(6)
-			w.scheduleAt(30, func() { w.delayedCommands = faultWindow{0.7, timeAt(100)} })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(6)
+			sim.scheduleAt(30, func() { sim.delayedCommands = faultWindow{0.7, timeAt(100)} })
 			for s := 39.5; s < 100; s += 7 {
-				w.submitBurst(s-0.5, s)
-				w.scheduleAt(s, func() {
-					if k := w.anyWorker(); k != nil {
-						k.hangFor(time.Duration(2+w.rng.IntN(6)) * time.Second)
+				sim.submitBurst(s-0.5, s)
+				sim.scheduleAt(s, func() {
+					if k := sim.anyWorker(); k != nil {
+						k.hangFor(time.Duration(2+sim.rng.IntN(6)) * time.Second)
 					}
-					w.cancelRunning(1, 0)
-					w.submitJob(nil, 20*time.Second)
+					sim.cancelRunning(1, 0)
+					sim.submitJob(nil, 20*time.Second)
 				})
 			}
 			for s := 46.5; s < 100; s += 14 {
-				w.scheduleAt(s, func() { w.crashLeader(4 * time.Second) })
+				sim.scheduleAt(s, func() { sim.crashLeader(4 * time.Second) })
 			}
 		},
 		expectedEvents:    map[string]int{"held order": 50, "cancelled while it ran": 3, "another leads": 1},
@@ -179,27 +179,27 @@
 	},
 	{
 		name: "leaders change ten times in two minutes, in an outage too", guardsAgainst: "tasks and answers lost between terms",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(2)
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(2)
 			for s := 20.0; s < 130; s += 9 {
 				back := 150 * time.Millisecond
-				if w.rng.IntN(2) == 0 {
+				if sim.rng.IntN(2) == 0 {
 					back = 3200 * time.Millisecond
 				}
-				w.scheduleAt(s-0.2, func() {
-					for i, k := range w.sortedWorkers() {
+				sim.scheduleAt(s-0.2, func() {
+					for i, k := range sim.sortedWorkers() {
 						if i%2 == 0 && len(k.tasks) > 0 {
-							w.disconnect(string(k.id), "*", false, 6*time.Second)
+							sim.disconnect(string(k.id), "*", false, 6*time.Second)
 						}
 					}
 				})
-				w.scheduleAt(s, func() { w.crashLeader(back) })
-				w.submitBurst(s-0.4, s)
+				sim.scheduleAt(s, func() { sim.crashLeader(back) })
+				sim.submitBurst(s-0.4, s)
 			}
-			w.scheduleAt(73, func() { w.store.downUntil = w.now.Add(12 * time.Second) })
-			w.scheduleAt(140, func() {
-				if w.newestTerm() >= 10 {
-					w.countEvent("ten terms")
+			sim.scheduleAt(73, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
+			sim.scheduleAt(140, func() {
+				if sim.newestTerm() >= 10 {
+					sim.countEvent("ten terms")
 				}
 			})
 		},
@@ -209,31 +209,31 @@
 	},
 	{
 		name: "only the answers of transactions are lost, others read", guardsAgainst: "a leader telling what it remembers while another node reads what is",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(4)
-			w.scheduleAt(30, func() {
-				w.droppedReplies, w.probeAfterAnswer = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
-				if l := w.leader(); l != nil { // the others read for themselves
-					w.forEachPeer(l, func(n *node) { w.disconnect(l.name, n.name, false, 60*time.Second) })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(4)
+			sim.scheduleAt(30, func() {
+				sim.droppedReplies, sim.probeAfterAnswer = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
+				if l := sim.leader(); l != nil { // the others read for themselves
+					sim.forEachPeer(l, func(n *node) { sim.disconnect(l.name, n.name, false, 60*time.Second) })
 				}
 			})
 			for s := 31.0; s < 90; s += 1.5 {
-				w.scheduleAt(s, func() {
-					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Duration(1+w.rng.IntN(8))*time.Second)
-					if w.rng.IntN(2) == 0 {
-						w.schedule(time.Duration(500+w.rng.IntN(6000))*time.Millisecond, func() {
+				sim.scheduleAt(s, func() {
+					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Duration(1+sim.rng.IntN(8))*time.Second)
+					if sim.rng.IntN(2) == 0 {
+						sim.schedule(time.Duration(500+sim.rng.IntN(6000))*time.Millisecond, func() {
 							if j.accepted {
-								w.cancelWhenAccepted(j, nil)
+								sim.cancelWhenAccepted(j, nil)
 							}
 						})
 					}
 				})
 			}
 			for s := 31.0; s < 95; s += 0.1 { // in between as well: who reads first tells first
-				w.scheduleAt(s, func() {
-					for _, id := range w.jobOrder[max(0, len(w.jobOrder)-6):] {
-						if j := w.jobs[id]; j.accepted {
-							w.pollNode(j, w.nodes[w.rng.IntN(3)])
+				sim.scheduleAt(s, func() {
+					for _, id := range sim.jobOrder[max(0, len(sim.jobOrder)-6):] {
+						if j := sim.jobs[id]; j.accepted {
+							sim.pollNode(j, sim.nodes[sim.rng.IntN(3)])
 						}
 					}
 				})
@@ -245,14 +245,14 @@
 	{
 		name: "more work than room, urgent and not, over slow links", guardsAgainst: "large jobs and teams without a guarantee never having their turn",
 		overload: true, length: 400 * time.Second, seeds: 1,
-		inject: func(w *Simulation) {
-			w.scheduleAt(20, func() { w.slowLinks = faultWindow{0.7, timeAt(400)} })
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, timeAt(400)} })
 			for s := 30.0; s < 400; s += 10 {
-				w.scheduleAt(s, func() {
-					j := w.submitJob(func(s *api.Spec) {
+				sim.scheduleAt(s, func() {
+					j := sim.submitJob(func(s *api.Spec) {
 						s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1, "blue"
 					}, 0)
-					w.schedule(30*time.Second, func() { w.cancelWhenAccepted(j, nil) })
+					sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 				})
 			}
 		},
@@ -261,53 +261,53 @@
 	},
 	{
 		name: "users ask at all nodes right after what they are told", guardsAgainst: "a node being behind another",
-		inject: func(w *Simulation) {
-			w.scheduleAt(5, func() { w.probeAfterAnswer = faultWindow{1, timeAt(125)} })
-			w.submitBaseLoad(3)
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(5, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(125)} })
+			sim.submitBaseLoad(3)
 			for s := 20.0; s < 110; s += 1.2 {
-				w.scheduleAt(s, func() {
-					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(5))*time.Second)
-					switch w.rng.IntN(4) {
+				sim.scheduleAt(s, func() {
+					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1 }, time.Duration(1+sim.rng.IntN(5))*time.Second)
+					switch sim.rng.IntN(4) {
 					case 0:
-						w.schedule(time.Duration(w.rng.IntN(60))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
+						sim.schedule(time.Duration(sim.rng.IntN(60))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 					case 1:
-						w.schedule(time.Duration(1000+w.rng.IntN(5000))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
+						sim.schedule(time.Duration(1000+sim.rng.IntN(5000))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 					}
 				})
 			}
-			w.scheduleAt(60, func() { w.crashLeader(3 * time.Second) })
-			w.scheduleAt(80, func() { w.sendEdgeCaseRequests(timeAt(110)) })
+			sim.scheduleAt(60, func() { sim.crashLeader(3 * time.Second) })
+			sim.scheduleAt(80, func() { sim.sendEdgeCaseRequests(timeAt(110)) })
 		},
 		expectedEvents:    map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1, "done job cancelled": 1},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
 		name: "a leader keeps only workers and users, jobs cancelled through the next", guardsAgainst: "the old leader keeping the leases of what the new one has cancelled",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(8)
-			w.scheduleAt(60, func() {
-				old := w.leader()
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(8)
+			sim.scheduleAt(60, func() {
+				old := sim.leader()
 				if old == nil {
 					return
 				}
-				hold := w.cfg.Seed%2 == 0
-				for _, j := range w.runningJobs() {
-					w.redirectHeartbeats(j, old)
+				hold := sim.cfg.Seed%2 == 0
+				for _, j := range sim.runningJobs() {
+					sim.redirectHeartbeats(j, old)
 				}
-				w.isolate(old, hold, 58*time.Second)
-				w.onNextLeader(old, func(n *node) {
-					for _, j := range w.runningJobs() { // the new one's commands are lost
-						for _, k := range w.workersOf(j) {
-							w.disconnect(n.name, string(k.id), false, 56*time.Second)
+				sim.isolate(old, hold, 58*time.Second)
+				sim.onNextLeader(old, func(n *node) {
+					for _, j := range sim.runningJobs() { // the new one's commands are lost
+						for _, k := range sim.workersOf(j) {
+							sim.disconnect(n.name, string(k.id), false, 56*time.Second)
 						}
 					}
-					w.onceServing(n, func() { w.cancelAndConfirm(n, 4) })
+					sim.onceServing(n, func() { sim.cancelAndConfirm(n, 4) })
 				})
 			})
-			w.scheduleAt(70, func() {
-				for _, k := range w.sortedWorkers() {
-					if len(k.tasks) > 0 && w.now.Sub(k.leaseRenewedAt) < 4*time.Second {
-						w.countEvent("lease kept by the old leader")
+			sim.scheduleAt(70, func() {
+				for _, k := range sim.sortedWorkers() {
+					if len(k.tasks) > 0 && sim.now.Sub(k.leaseRenewedAt) < 4*time.Second {
+						sim.countEvent("lease kept by the old leader")
 					}
 				}
 			})
@@ -317,60 +317,60 @@
 	},
 	{
 		name: "the leader ends while machines can't be reached or don't hear", guardsAgainst: "a successor starting elsewhere what goes on there",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(7)
-			w.scheduleAt(60, func() {
-				for i, k := range w.sortedWorkers() {
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(7)
+			sim.scheduleAt(60, func() {
+				for i, k := range sim.sortedWorkers() {
 					if len(k.tasks) == 0 {
 						continue
 					}
 					switch i % 3 {
 					case 0:
-						w.countEvent("machine away")
-						w.disconnect(string(k.id), "*", w.cfg.Seed%2 == 0, time.Duration(8+w.rng.IntN(20))*time.Second)
+						sim.countEvent("machine away")
+						sim.disconnect(string(k.id), "*", sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
 					case 1:
-						w.countEvent("machine deaf")
-						w.inboundBlockedUntil[string(k.id)] = w.now.Add(time.Duration(8+w.rng.IntN(20)) * time.Second)
+						sim.countEvent("machine deaf")
+						sim.inboundBlockedUntil[string(k.id)] = sim.now.Add(time.Duration(8+sim.rng.IntN(20)) * time.Second)
 					}
 				}
 			})
-			w.scheduleAt(61, func() { w.crashLeader(5 * time.Second) })
+			sim.scheduleAt(61, func() { sim.crashLeader(5 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"machine away": 1, "machine deaf": 1, "another leads": 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name: "transactions are carried out late, after newer ones", guardsAgainst: "something old being written over something new",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(4)
-			w.scheduleAt(20, func() { w.delayedWrites = faultWindow{0.4, timeAt(100)} })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(4)
+			sim.scheduleAt(20, func() { sim.delayedWrites = faultWindow{0.4, timeAt(100)} })
 			for s := 21.0; s < 100; s += 3 {
-				w.scheduleAt(s, func() {
-					j := w.submitJob(nil, time.Duration(5+w.rng.IntN(15))*time.Second)
-					if w.rng.IntN(3) == 0 {
-						w.schedule(time.Duration(1000+w.rng.IntN(9000))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
+				sim.scheduleAt(s, func() {
+					j := sim.submitJob(nil, time.Duration(5+sim.rng.IntN(15))*time.Second)
+					if sim.rng.IntN(3) == 0 {
+						sim.schedule(time.Duration(1000+sim.rng.IntN(9000))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 					}
 				})
 			}
-			w.scheduleAt(70, func() { w.crashLeader(4 * time.Second) })
+			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"late write after newer ones": 10, "another leads": 1},
 		detectedMutations: []Mutation{IgnoreRevisions},
 	},
 	{
 		name: "a zone with workers and a controller is cut off for longer than a lease", guardsAgainst: "leases kept inside for jobs cancelled outside",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(8)
-			w.scheduleAt(60, func() {
-				zone := w.nodes[1].zone
-				w.partitionZone(zone, w.cfg.Seed%2 == 0, 60*time.Second)
-				w.countEvent("zone cut off")
-				w.schedule(4*time.Second, func() {
-					for _, j := range w.runningJobs() {
-						for _, k := range w.workersOf(j) {
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(8)
+			sim.scheduleAt(60, func() {
+				zone := sim.nodes[1].zone
+				sim.partitionZone(zone, sim.cfg.Seed%2 == 0, 60*time.Second)
+				sim.countEvent("zone cut off")
+				sim.schedule(4*time.Second, func() {
+					for _, j := range sim.runningJobs() {
+						for _, k := range sim.workersOf(j) {
 							if k.machine.zone == zone {
-								w.countEvent("cancelled inside")
-								w.cancelWhenAccepted(j, nil)
+								sim.countEvent("cancelled inside")
+								sim.cancelWhenAccepted(j, nil)
 								break
 							}
 						}
@@ -383,26 +383,26 @@
 	},
 	{
 		name: "a job's tasks end far apart, across a change of leader", guardsAgainst: "an end of the term before being forgotten, or a task that goes on started again",
-		inject: func(w *Simulation) {
-			w.scheduleAt(5, func() {
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(5, func() {
 				for range 6 {
-					j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2+w.rng.IntN(2), 2 }, 25*time.Second)
+					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2+sim.rng.IntN(2), 2 }, 25*time.Second)
 					j.durationStep = 25 * time.Second
 				}
 			})
-			w.scheduleAt(51, func() {
-				for i, k := range w.sortedWorkers() {
+			sim.scheduleAt(51, func() {
+				for i, k := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						w.disconnect(string(k.id), "*", false, 8*time.Second)
+						sim.disconnect(string(k.id), "*", false, 8*time.Second)
 					}
 				}
 			})
-			w.scheduleAt(52, func() { w.crashLeader(4 * time.Second) })
-			w.scheduleAt(56, func() {
-				for _, j := range w.runningJobs() {
+			sim.scheduleAt(52, func() { sim.crashLeader(4 * time.Second) })
+			sim.scheduleAt(56, func() {
+				for _, j := range sim.runningJobs() {
 					for i, d := range j.done {
 						if d && i < j.spec.Tasks {
-							w.countEvent("ended before, others go on")
+							sim.countEvent("ended before, others go on")
 							break
 						}
 					}
@@ -414,12 +414,12 @@
 	},
 	{
 		name: "old reports reach every node as a new leader begins", guardsAgainst: "the first report of a term being taken for the newest",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(6)
-			w.scheduleAt(30, func() { w.holdHeartbeatsForNextLeader(0.5, 60*time.Second) })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(6)
+			sim.scheduleAt(30, func() { sim.holdHeartbeatsForNextLeader(0.5, 60*time.Second) })
 			for s := 45.0; s < 90; s += 15 {
-				w.scheduleAt(s, func() { w.crashLeader(4 * time.Second) })
-				w.scheduleAt(s-5, func() { w.submitJob(nil, 20*time.Second) })
+				sim.scheduleAt(s, func() { sim.crashLeader(4 * time.Second) })
+				sim.scheduleAt(s-5, func() { sim.submitJob(nil, 20*time.Second) })
 			}
 		},
 		expectedEvents:    map[string]int{"copy for the next leader": 20, "another leads": 2},
@@ -427,14 +427,14 @@
 	},
 	{
 		name: "called off, asked and submitted again as the last task ends", guardsAgainst: "a job being cancelled for one node and done for another",
-		inject: func(w *Simulation) {
-			w.scheduleAt(5, func() {
-				w.cancelAtCompletion, w.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(5, func() {
+				sim.cancelAtCompletion, sim.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
 			})
-			w.submitBaseLoad(2)
+			sim.submitBaseLoad(2)
 			for s := 10.0; s < 110; s += 1 {
-				w.scheduleAt(s, func() {
-					w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+w.rng.IntN(2), 1 }, time.Duration(1+w.rng.IntN(4))*time.Second)
+				sim.scheduleAt(s, func() {
+					sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1 }, time.Duration(1+sim.rng.IntN(4))*time.Second)
 				})
 			}
 		},
@@ -443,49 +443,49 @@
 	},
 	{
 		name: "the state service is slow, refuses the leader, then everybody", guardsAgainst: "cancellations confirmed and questions answered on the way into an outage",
-		inject: func(w *Simulation) {
-			w.scheduleAt(30, func() { w.slowStore = faultWindow{0.8, timeAt(60)} })
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(30, func() { sim.slowStore = faultWindow{0.8, timeAt(60)} })
 			for s := 31.0; s < 60; s += 4 {
-				w.scheduleAt(s, func() { w.cancelRunning(1, 0) })
+				sim.scheduleAt(s, func() { sim.cancelRunning(1, 0) })
 			}
-			cancelDuringFailoverAndOutage(w)
-			w.scheduleAt(50, func() { w.submitJob(nil, 60*time.Second); w.submitJob(nil, 60*time.Second) })
+			cancelDuringFailoverAndOutage(sim)
+			sim.scheduleAt(50, func() { sim.submitJob(nil, 60*time.Second); sim.submitJob(nil, 60*time.Second) })
 		},
 		expectedEvents:    map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership}, seeds: 6,
 	},
 	{
 		name: "jobs bound to one zone lose machines", guardsAgainst: "a lost task's place being chosen without the others",
-		inject: func(w *Simulation) {
-			w.scheduleAt(3, func() {
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(3, func() {
 				for range 4 {
-					w.submitJob(func(s *api.Spec) { s.OneZone, s.VCPUs, s.Tasks = true, 3, 4 }, 60*time.Second)
-					w.submitJob(func(s *api.Spec) { s.Zone, s.VCPUs = &w.settings.Zones[1], 3 }, 60*time.Second)
+					sim.submitJob(func(s *api.Spec) { s.OneZone, s.VCPUs, s.Tasks = true, 3, 4 }, 60*time.Second)
+					sim.submitJob(func(s *api.Spec) { s.Zone, s.VCPUs = &sim.settings.Zones[1], 3 }, 60*time.Second)
 				}
 			})
 			for s := 40.0; s < 70; s += 5 {
-				w.scheduleAt(s, func() {
-					for _, j := range w.runningJobs() {
-						if list := w.workersOf(j); (j.spec.OneZone || j.spec.Zone != nil) && len(list) > 0 {
-							w.countEvent("machine lost")
-							w.cloud.terminate(list[w.rng.IntN(len(list))].machine)
+				sim.scheduleAt(s, func() {
+					for _, j := range sim.runningJobs() {
+						if list := sim.workersOf(j); (j.spec.OneZone || j.spec.Zone != nil) && len(list) > 0 {
+							sim.countEvent("machine lost")
+							sim.cloud.terminate(list[sim.rng.IntN(len(list))].machine)
 							return
 						}
 					}
 				})
 			}
-			w.scheduleAt(52, func() { w.crashLeader(4 * time.Second) })
+			sim.scheduleAt(52, func() { sim.crashLeader(4 * time.Second) })
 		},
 		expectedEvents:    map[string]int{"machine lost": 3, "another leads": 1},
 		detectedMutations: []Mutation{DropZoneConstraint},
 	},
 	{
 		name: "cancelled while one controller's work changes hands", guardsAgainst: "a cancellation that neither leader carries out",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(8)
-			w.scheduleAt(60, func() { w.crashLeader(4 * time.Second) })
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(8)
+			sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
 			for s := 58.5; s < 64; s += 0.7 {
-				w.scheduleAt(s, func() { w.cancelRunning(1, 0) })
+				sim.scheduleAt(s, func() { sim.cancelRunning(1, 0) })
 			}
 		},
 		expectedEvents:    map[string]int{"cancelled while it ran": 4, "another leads": 1},
@@ -493,38 +493,38 @@
 	},
 	{
 		name: "reports held back until a new leader has acted", guardsAgainst: "what a new leader has done being undone by an older report",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(6)
-			w.scheduleAt(56, func() {
-				for i, k := range w.sortedWorkers() {
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(6)
+			sim.scheduleAt(56, func() {
+				for i, k := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						w.disconnect(string(k.id), "*", true, 9*time.Second)
-						w.countEvent("reports held back")
+						sim.disconnect(string(k.id), "*", true, 9*time.Second)
+						sim.countEvent("reports held back")
 					}
 				}
-				w.holdHeartbeatsForNextLeader(0.8, 10*time.Second)
+				sim.holdHeartbeatsForNextLeader(0.8, 10*time.Second)
 			})
-			w.scheduleAt(59, func() { w.crashLeader(5 * time.Second) })
-			w.scheduleAt(62, func() { w.cancelRunning(2, 0); w.submitJob(nil, 20*time.Second) })
+			sim.scheduleAt(59, func() { sim.crashLeader(5 * time.Second) })
+			sim.scheduleAt(62, func() { sim.cancelRunning(2, 0); sim.submitJob(nil, 20*time.Second) })
 		},
 		expectedEvents:    map[string]int{"reports held back": 2, "copy for the next leader": 1, "another leads": 1},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
 		name: "all controllers are away for longer than a lease", guardsAgainst: "what may still be on machines being started elsewhere",
-		inject: func(w *Simulation) {
-			w.submitBaseLoad(7)
-			w.scheduleAt(60, func() {
-				back := time.Duration(14+4*w.cfg.Seed%24) * time.Second
-				for i, k := range w.sortedWorkers() {
+		inject: func(sim *Simulation) {
+			sim.submitBaseLoad(7)
+			sim.scheduleAt(60, func() {
+				back := time.Duration(14+4*sim.cfg.Seed%24) * time.Second
+				for i, k := range sim.sortedWorkers() {
 					if i%2 == 0 { // within its lease it goes on
-						k.hangFor(back + time.Duration(w.rng.IntN(4))*time.Second)
+						k.hangFor(back + time.Duration(sim.rng.IntN(4))*time.Second)
 					}
 				}
-				for _, n := range w.nodes {
+				for _, n := range sim.nodes {
 					n.crash(back)
 				}
-				w.countEvent("all away")
+				sim.countEvent("all away")
 			})
 		},
 		expectedEvents:    map[string]int{"all away": 1},
@@ -532,19 +532,19 @@
 	},
 	{
 		name: "a team at its limit, machines not asked, leader changes, a cancellation", guardsAgainst: "room of the limit given away before its machine is heard",
-		inject: func(w *Simulation) {
-			w.saturateTeams()
-			w.scheduleAt(59, func() {
-				for i, k := range w.sortedWorkers() {
+		inject: func(sim *Simulation) {
+			sim.saturateTeams()
+			sim.scheduleAt(59, func() {
+				for i, k := range sim.sortedWorkers() {
 					if i%2 == 0 && len(k.tasks) > 0 {
-						w.countEvent("machine deaf")
-						w.inboundBlockedUntil[string(k.id)] = w.now.Add(time.Duration(6+w.rng.IntN(12)) * time.Second)
+						sim.countEvent("machine deaf")
+						sim.inboundBlockedUntil[string(k.id)] = sim.now.Add(time.Duration(6+sim.rng.IntN(12)) * time.Second)
 					}
 				}
 			})
-			w.scheduleAt(60, func() { w.crashLeader(3 * time.Second) })
-			w.scheduleAt(60.5, func() { w.cancelRunning(2, 0) })
-			w.scheduleAt(63, func() { w.cancelRunning(2, 5*time.Second) })
+			sim.scheduleAt(60, func() { sim.crashLeader(3 * time.Second) })
+			sim.scheduleAt(60.5, func() { sim.cancelRunning(2, 0) })
+			sim.scheduleAt(63, func() { sim.cancelRunning(2, 5*time.Second) })
 		},
 		expectedEvents:    map[string]int{"team at its limit": 2, "machine deaf": 2, "cancelled while it ran": 2, "another leads": 1},
 		detectedMutations: []Mutation{ForgetPlacements},
@@ -553,19 +553,19 @@
 
 func (m *concurrentFaults) run(seed uint64, without Mutation) *Simulation {
 	length := cmp.Or(m.length, 130*time.Second)
-	w := New(Config{Seed: seed, Mutation: without, ActiveDuration: length, NoArrivals: !m.overload, Overload: m.overload})
-	m.inject(w)
-	w.Run()
-	return w
+	sim := New(Config{Seed: seed, Mutation: without, ActiveDuration: length, NoArrivals: !m.overload, Overload: m.overload})
+	m.inject(sim)
+	sim.Run()
+	return sim
 }
 
 // unfinished says whether anything was left undone. Where more is asked for than there is
 // room, that is only whether the largest jobs began in time.
-func (m *concurrentFaults) unfinished(w *Simulation) bool {
+func (m *concurrentFaults) unfinished(sim *Simulation) bool {
 	if !m.overload {
-		return len(w.Unfinished) > 0
+		return len(sim.Unfinished) > 0
 	}
-	ids, n := largeJobsStartedLate(w)
+	ids, n := largeJobsStartedLate(sim)
 	return len(ids) > 0 || n < 10
 }
 
@@ -578,21 +578,21 @@
 			t.Parallel()
 			seeds := cmp.Or(m.seeds, 3)
 			for seed := range seeds {
-				w := m.run(seed, None)
-				if len(w.Violations) > 0 || m.unfinished(w) {
-					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, w.Violations, w.Unfinished, w.LogTail(40))
+				sim := m.run(seed, None)
+				if len(sim.Violations) > 0 || m.unfinished(sim) {
+					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, sim.Violations, sim.Unfinished, sim.LogTail(40))
 				}
 				for what, n := range m.expectedEvents {
-					if w.eventCounts[what] < n {
-						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, w.eventCounts[what], n, w.eventCounts)
+					if sim.eventCounts[what] < n {
+						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, sim.eventCounts[what], n, sim.eventCounts)
 					}
 				}
 			}
 			for _, x := range m.detectedMutations {
 				detected := false
 				for seed := uint64(0); seed < 20 && !detected; seed++ {
-					w := m.run(seed, x)
-					detected = len(w.Violations) > 0 || x == NoMaxWait && m.unfinished(w)
+					sim := m.run(seed, x)
+					detected = len(sim.Violations) > 0 || x == NoMaxWait && m.unfinished(sim)
 				}
 				if !detected {
 					t.Errorf("no seed notices that safeguard %d is off", x)
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -11,40 +11,40 @@
 // partition is one way in which a controller loses a part of its world.
 type partition struct {
 	name  string
-	apply func(w *Simulation, n *node, hold bool, d time.Duration)
+	apply func(sim *Simulation, n *node, hold bool, d time.Duration)
 }
 
 var partitions = []partition{
-	{"the network", func(w *Simulation, n *node, hold bool, d time.Duration) { w.disconnect(n.name, "*", hold, d) }},
-	{"the state service", func(w *Simulation, n *node, hold bool, d time.Duration) { w.disconnect(n.name, "state", hold, d) }},
-	{"the workers", func(w *Simulation, n *node, hold bool, d time.Duration) { w.disconnect(n.name, machines, hold, d) }},
-	{"the state service's consent", func(w *Simulation, n *node, _ bool, d time.Duration) { w.store.rejectUntil[n.name] = w.now.Add(d) }},
+	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "*", hold, d) }},
+	{"the state service", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "state", hold, d) }},
+	{"the workers", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, machines, hold, d) }},
+	{"the state service's consent", func(sim *Simulation, n *node, _ bool, d time.Duration) { sim.store.rejectUntil[n.name] = sim.now.Add(d) }},
 }
 
 // runConsecutivePartitions plays a day on which a controller loses one thing, and then another.
 func runConsecutivePartitions(seed uint64, leader bool, first, then partition) *Simulation {
-	w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
-	w.submitBaseLoad(4)
-	w.scheduleAt(30, func() { w.probeAfterAnswer = faultWindow{0.3, ident.MonotonicTime(140 * time.Second)} })
-	w.submitStream(40.0, 120, 2, 8*time.Second)
+	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
+	sim.submitBaseLoad(4)
+	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{0.3, ident.MonotonicTime(140 * time.Second)} })
+	sim.submitStream(40.0, 120, 2, 8*time.Second)
 	term := ident.Term(0)
-	w.scheduleAt(60, func() {
-		n := w.leader()
+	sim.scheduleAt(60, func() {
+		n := sim.leader()
 		term = n.controller.Election().Term()
 		if !leader {
-			n = w.peerOf(n)
+			n = sim.peerOf(n)
 		}
 		hold := seed%4 < 2
-		first.apply(w, n, hold, 18*time.Second)
-		w.schedule(20*time.Second, func() { then.apply(w, n, !hold, 18*time.Second) })
+		first.apply(sim, n, hold, 18*time.Second)
+		sim.schedule(20*time.Second, func() { then.apply(sim, n, !hold, 18*time.Second) })
 	})
-	w.scheduleAt(90, func() {
-		if n := w.leader(); n != nil && n.controller.Election().Term() > term {
-			w.countEvent("another term")
+	sim.scheduleAt(90, func() {
+		if n := sim.leader(); n != nil && n.controller.Election().Term() > term {
+			sim.countEvent("another term")
 		}
 	})
-	w.Run()
-	return w
+	sim.Run()
+	return sim
 }
 
 // TestConsecutivePartitions: a controller loses the network, only the state service,
@@ -60,15 +60,15 @@
 			seed := seeds
 			t.Run(fmt.Sprintf("%s, then %s", first.name, then.name), func(t *testing.T) {
 				t.Parallel()
-				w := runConsecutivePartitions(seed, true, first, then)
-				requireClean(t, seed, w)
-				checkNoTasksLost(t, w)
-				if w.eventCounts["another term"] == 0 {
+				sim := runConsecutivePartitions(seed, true, first, then)
+				requireClean(t, seed, sim)
+				checkNoTasksLost(t, sim)
+				if sim.eventCounts["another term"] == 0 {
 					t.Errorf("seed %d: the leader led on without %s and %s", seed, first.name, then.name)
 				}
-				w = runConsecutivePartitions(seed+1, false, first, then)
-				requireClean(t, seed+1, w)
-				checkNoTasksLost(t, w)
+				sim = runConsecutivePartitions(seed+1, false, first, then)
+				requireClean(t, seed+1, sim)
+				checkNoTasksLost(t, sim)
 			})
 		}
 	}
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -31,29 +31,29 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
-				w.submitBaseLoad(2)
+				sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
+				sim.submitBaseLoad(2)
 				var list, beside []*userJob
-				w.scheduleAt(40, func() {
+				sim.scheduleAt(40, func() {
 					for range m.jobs {
-						j := w.submitJob(m.change, 10*time.Second)
+						j := sim.submitJob(m.change, 10*time.Second)
 						j.alwaysFails = true
 						list = append(list, j)
 					}
 				})
 				for s := 45.0; s < 125; s += 4 {
-					w.scheduleAt(s, func() {
-						beside = append(beside, w.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1 }, 3*time.Second))
+					sim.scheduleAt(s, func() {
+						beside = append(beside, sim.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1 }, 3*time.Second))
 					})
 				}
-				w.scheduleAt(80, func() { w.crashLeader(3 * time.Second) })
-				w.scheduleAt(130, func() {
+				sim.scheduleAt(80, func() { sim.crashLeader(3 * time.Second) })
+				sim.scheduleAt(130, func() {
 					for _, j := range list {
-						w.cancelWhenAccepted(j, nil)
+						sim.cancelWhenAccepted(j, nil)
 					}
 				})
-				w.Run()
-				requireClean(t, seed, w)
+				sim.Run()
+				requireClean(t, seed, sim)
 				tries := 0
 				for _, j := range list {
 					tries += j.failures
@@ -69,10 +69,10 @@
 						t.Errorf("seed %d: %s beside them began after %v", seed, j.spec.ID, wait)
 					}
 				}
-				if n := len(w.cloud.machines); n > 16 {
+				if n := len(sim.cloud.machines); n > 16 {
 					t.Errorf("seed %d: %d machines were rented for room for 12", seed, n)
 				}
-				t.Logf("seed %d: %d tries, %d machines", seed, tries, len(w.cloud.machines))
+				t.Logf("seed %d: %d tries, %d machines", seed, tries, len(sim.cloud.machines))
 			}
 		})
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -19,8 +19,8 @@
 	until       ident.MonotonicTime
 }
 
-func (w *Simulation) faultHits(s faultWindow) bool {
-	return w.now < s.until && w.rng.Float64() < s.probability
+func (sim *Simulation) faultHits(s faultWindow) bool {
+	return sim.now < s.until && sim.rng.Float64() < s.probability
 }
 
 // activeFaults are those of the operators' page on two at once.
@@ -45,54 +45,54 @@
 	eventCounts map[string]int
 }
 
-func (w *Simulation) countEvent(what string) { w.eventCounts[what]++ }
+func (sim *Simulation) countEvent(what string) { sim.eventCounts[what]++ }
 
 // blockOutbound has a machine reach no node, though nodes reach it.
-func (w *Simulation) blockOutbound(k *worker, d time.Duration) {
-	w.logf("%s reaches no node for %v", k.id, d)
-	w.outboundBlockedUntil[string(k.id)] = w.now.Add(d)
+func (sim *Simulation) blockOutbound(k *worker, d time.Duration) {
+	sim.logf("%s reaches no node for %v", k.id, d)
+	sim.outboundBlockedUntil[string(k.id)] = sim.now.Add(d)
 }
 
 // extraLatency is what the spells add to a message's time.
-func (w *Simulation) extraLatency(from, to string) time.Duration {
+func (sim *Simulation) extraLatency(from, to string) time.Duration {
 	node := func(s string) bool { return strings.HasPrefix(s, "agent-") }
 	switch {
-	case node(from) && node(to) && w.faultHits(w.slowLinks):
-		w.countEvent("slow link")
-		return time.Duration(100+w.rng.IntN(400)) * time.Millisecond
-	case (from == "state" || to == "state") && w.faultHits(w.slowStore):
-		w.countEvent("slow state")
-		return time.Duration(50+w.rng.IntN(450)) * time.Millisecond
+	case node(from) && node(to) && sim.faultHits(sim.slowLinks):
+		sim.countEvent("slow link")
+		return time.Duration(100+sim.rng.IntN(400)) * time.Millisecond
+	case (from == "state" || to == "state") && sim.faultHits(sim.slowStore):
+		sim.countEvent("slow state")
+		return time.Duration(50+sim.rng.IntN(450)) * time.Millisecond
 	}
 	return 0
 }
 
 // commandDelay is for how long a command to a machine, or its answer, is held up.
-func (w *Simulation) commandDelay() time.Duration {
-	if !w.faultHits(w.delayedCommands) {
+func (sim *Simulation) commandDelay() time.Duration {
+	if !sim.faultHits(sim.delayedCommands) {
 		return 0
 	}
-	w.countEvent("held order")
-	return time.Duration(500+w.rng.IntN(5500)) * time.Millisecond
+	sim.countEvent("held order")
+	return time.Duration(500+sim.rng.IntN(5500)) * time.Millisecond
 }
 
 // interceptTransaction has a transaction carried out late, or at once without an answer. It says
 // whether that is so.
 func (s *store) interceptTransaction(r kvstore.Request, reply func(any)) bool {
-	w := s.sim
+	sim := s.sim
 	switch {
-	case w.faultHits(w.droppedReplies):
-		w.countEvent("lost answer")
+	case sim.faultHits(sim.droppedReplies):
+		sim.countEvent("lost answer")
 		s.transact(r)
 		return true
-	case w.faultHits(w.delayedWrites):
+	case sim.faultHits(sim.delayedWrites):
 		before := s.revision
-		w.schedule(time.Duration(2000+w.rng.IntN(10_000))*time.Millisecond, func() {
-			if w.now < s.downUntil {
+		sim.schedule(time.Duration(2000+sim.rng.IntN(10_000))*time.Millisecond, func() {
+			if sim.now < s.downUntil {
 				return
 			}
 			if s.revision > before {
-				w.countEvent("late write after newer ones")
+				sim.countEvent("late write after newer ones")
 			}
 			s.transact(r)
 		})
@@ -102,89 +102,89 @@
 }
 
 // onNewTerm calls f whenever another term has begun.
-func (w *Simulation) onNewTerm(f func()) {
-	newest := w.newestTerm()
+func (sim *Simulation) onNewTerm(f func()) {
+	newest := sim.newestTerm()
 	var look func()
 	look = func() {
-		if n := w.leader(); n != nil && n.controller.Election().Term() > newest {
+		if n := sim.leader(); n != nil && n.controller.Election().Term() > newest {
 			newest = n.controller.Election().Term()
 			f()
 		}
-		w.schedule(20*time.Millisecond, look)
+		sim.schedule(20*time.Millisecond, look)
 	}
 	look()
 }
 
 // deliverStaleHeartbeat has a copy of a report come to a node.
-func (w *Simulation) deliverStaleHeartbeat(m *api.Heartbeat, n *node) {
-	if k := w.workers[m.MachineID]; k != nil {
+func (sim *Simulation) deliverStaleHeartbeat(m *api.Heartbeat, n *node) {
+	if k := sim.workers[m.MachineID]; k != nil {
 		switch {
 		case k.incarnation > m.Incarnation:
-			w.countEvent("copy of an earlier session")
+			sim.countEvent("copy of an earlier session")
 		case k.sequence > m.SequenceNumber:
-			w.countEvent("copy after newer reports")
+			sim.countEvent("copy after newer reports")
 		}
 	}
 	c := *m
-	if w.cfg.Mutation == AcceptStaleHeartbeats {
+	if sim.cfg.Mutation == AcceptStaleHeartbeats {
 		c.SequenceNumber += 1000
 	}
-	w.request("copies", n, transport.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
+	sim.request("copies", n, transport.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
 }
 
 // duplicateHeartbeat has copies of a report come to all nodes again.
-func (w *Simulation) duplicateHeartbeat(m *api.Heartbeat) {
+func (sim *Simulation) duplicateHeartbeat(m *api.Heartbeat) {
 	deliverCopies := func(delay time.Duration) {
-		for i, n := range w.nodes {
-			w.schedule(delay+time.Duration(i)*time.Millisecond, func() { w.deliverStaleHeartbeat(m, n) })
+		for i, n := range sim.nodes {
+			sim.schedule(delay+time.Duration(i)*time.Millisecond, func() { sim.deliverStaleHeartbeat(m, n) })
 		}
 	}
 	switch {
-	case w.faultHits(w.delayedHeartbeats):
-		deliverCopies(time.Duration(2000+w.rng.Float64()*2000*w.settings.Workers.LeaseS) * time.Millisecond)
-	case w.faultHits(w.heldHeartbeats):
-		w.heldDeliveries = append(w.heldDeliveries, func() { deliverCopies(time.Duration(w.rng.IntN(4000)) * time.Millisecond) })
+	case sim.faultHits(sim.delayedHeartbeats):
+		deliverCopies(time.Duration(2000+sim.rng.Float64()*2000*sim.settings.Workers.LeaseS) * time.Millisecond)
+	case sim.faultHits(sim.heldHeartbeats):
+		sim.heldDeliveries = append(sim.heldDeliveries, func() { deliverCopies(time.Duration(sim.rng.IntN(4000)) * time.Millisecond) })
 	}
 }
 
 // holdHeartbeatsForNextLeader has copies wait for the next leader.
-func (w *Simulation) holdHeartbeatsForNextLeader(share float64, d time.Duration) {
-	w.heldHeartbeats = faultWindow{share, w.now.Add(d)}
-	if w.awaitingNextLeader {
+func (sim *Simulation) holdHeartbeatsForNextLeader(share float64, d time.Duration) {
+	sim.heldHeartbeats = faultWindow{share, sim.now.Add(d)}
+	if sim.awaitingNextLeader {
 		return
 	}
-	w.awaitingNextLeader = true
-	w.onNewTerm(func() {
-		kept := w.heldDeliveries
-		w.heldDeliveries = nil
+	sim.awaitingNextLeader = true
+	sim.onNewTerm(func() {
+		kept := sim.heldDeliveries
+		sim.heldDeliveries = nil
 		for _, f := range kept {
-			w.countEvent("copy for the next leader")
+			sim.countEvent("copy for the next leader")
 			f()
 		}
 	})
 }
 
 // cancelWhenAccepted has a job's user cancel it, at a node if one is given.
-func (w *Simulation) cancelWhenAccepted(j *userJob, at *node) {
+func (sim *Simulation) cancelWhenAccepted(j *userJob, at *node) {
 	if j.cancelSentAt > 0 || isTerminal(j.lastStatus) {
 		return
 	}
 	if !j.accepted { // its user doesn't know yet that there is something to cancel
-		w.schedule(3*time.Millisecond, func() { w.cancelWhenAccepted(j, at) })
+		sim.schedule(3*time.Millisecond, func() { sim.cancelWhenAccepted(j, at) })
 		return
 	}
-	j.cancelSentAt = w.now
-	w.cancelAt(j, at)
+	j.cancelSentAt = sim.now
+	sim.cancelAt(j, at)
 }
 
 // runningJobs lists the jobs with tasks on machines that nobody has cancelled.
-func (w *Simulation) runningJobs() (out []*userJob) {
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
+func (sim *Simulation) runningJobs() (out []*userJob) {
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
 		if !j.accepted || j.cancelSentAt > 0 || isTerminal(j.lastStatus) {
 			continue
 		}
-		if len(w.workersOf(j)) > 0 {
+		if len(sim.workersOf(j)) > 0 {
 			out = append(out, j)
 		}
 	}
@@ -192,8 +192,8 @@
 }
 
 // workersOf lists the machines with tasks of a job.
-func (w *Simulation) workersOf(j *userJob) (out []*worker) {
-	for _, k := range w.sortedWorkers() {
+func (sim *Simulation) workersOf(j *userJob) (out []*worker) {
+	for _, k := range sim.sortedWorkers() {
 		if k.taskCount(j.spec.ID) > 0 {
 			out = append(out, k)
 		}
@@ -203,54 +203,54 @@
 
 // cancelRunning calls up to n running jobs off within a fifth of a second; with hang, up to
 // eight of their machines hang that long.
-func (w *Simulation) cancelRunning(n int, hang time.Duration) {
+func (sim *Simulation) cancelRunning(n int, hang time.Duration) {
 	hung := 0
-	for i, j := range w.runningJobs() {
+	for i, j := range sim.runningJobs() {
 		if i == n {
 			break
 		}
-		for _, k := range w.workersOf(j) {
+		for _, k := range sim.workersOf(j) {
 			if hang > 0 && hung < 8 {
 				hung++
 				k.hangFor(hang)
 			}
 		}
-		w.countEvent("cancelled while it ran")
-		w.schedule(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.cancelWhenAccepted(j, nil) })
+		sim.countEvent("cancelled while it ran")
+		sim.schedule(time.Duration(sim.rng.IntN(200))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 	}
 }
 
 // onTaskCompleted is called when a task has completed, before its machine says so.
-func (w *Simulation) onTaskCompleted(j *userJob) {
+func (sim *Simulation) onTaskCompleted(j *userJob) {
 	for _, d := range j.done {
 		if !d {
 			return
 		}
 	}
-	if j.spec.Shape == api.Service || !w.faultHits(w.cancelAtCompletion) {
+	if j.spec.Shape == api.Service || !sim.faultHits(sim.cancelAtCompletion) {
 		return
 	}
-	w.countEvent("called off at the end")
-	w.schedule(time.Duration(w.rng.IntN(300))*time.Millisecond, func() {
-		w.cancelWhenAccepted(j, nil)
-		w.probeAllNodes(j)
+	sim.countEvent("called off at the end")
+	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() {
+		sim.cancelWhenAccepted(j, nil)
+		sim.probeAllNodes(j)
 	})
 }
 
 // probeAllNodes has a user ask about a job at every node, again and again within milliseconds,
 // and repeat its submission.
-func (w *Simulation) probeAllNodes(j *userJob) {
-	if w.now >= w.probeAfterAnswer.until {
+func (sim *Simulation) probeAllNodes(j *userJob) {
+	if sim.now >= sim.probeAfterAnswer.until {
 		return
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		for i := range 3 {
-			w.schedule(time.Duration(1+i*7+w.rng.IntN(5))*time.Millisecond, func() {
-				w.countEvent("close look")
+			sim.schedule(time.Duration(1+i*7+sim.rng.IntN(5))*time.Millisecond, func() {
+				sim.countEvent("close look")
 				if i == 1 {
-					w.resubmitAt(j, n)
+					sim.resubmitAt(j, n)
 				} else {
-					w.pollNode(j, n)
+					sim.pollNode(j, n)
 				}
 			})
 		}
@@ -258,24 +258,24 @@
 }
 
 // sendEdgeCaseRequests has users send what is odd, but defined, until a time.
-func (w *Simulation) sendEdgeCaseRequests(until ident.MonotonicTime) {
-	if w.now > until {
+func (sim *Simulation) sendEdgeCaseRequests(until ident.MonotonicTime) {
+	if sim.now > until {
 		return
 	}
-	n := w.randomNode()
-	w.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", w.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch, Priority: api.Standard,
+	n := sim.randomNode()
+	sim.lastJobNumber++
+	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch, Priority: api.Standard,
 		Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
-		w.countEvent("odd request")
-		w.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
+		sim.countEvent("odd request")
+		sim.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
 			if r != nil && !ok(r.Status) {
-				w.reportViolation("%s got %d %s", what, r.Status, r.Body)
+				sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
 			}
 		})
 	}
 	rejected := func(status int) bool { return status == 422 || status == 503 }
-	switch w.rng.IntN(5) {
+	switch sim.rng.IntN(5) {
 	case 0:
 		s.VCPUs = 9
 		send(api.JSON(s), "a job that fits no machine", rejected)
@@ -285,51 +285,51 @@
 	case 2:
 		var m map[string]any
 		if json.Unmarshal(api.JSON(s), &m) == nil {
-			f := []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}[w.rng.IntN(6)]
+			f := []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}[sim.rng.IntN(6)]
 			delete(m, f)
 			body, _ := json.Marshal(m)
 			send(body, "a job without "+f, func(status int) bool { return status == 400 })
 		}
 	case 3:
-		for _, id := range w.jobOrder {
-			if j := w.jobs[id]; j.lastStatus == "done" && w.rng.IntN(3) == 0 {
-				w.countEvent("done job cancelled")
-				w.request("users", n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
+		for _, id := range sim.jobOrder {
+			if j := sim.jobs[id]; j.lastStatus == "done" && sim.rng.IntN(3) == 0 {
+				sim.countEvent("done job cancelled")
+				sim.request("users", n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
 					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
-						w.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
+						sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
 					}
 				})
 				break
 			}
 		}
 	case 4:
-		for _, id := range w.jobOrder {
-			if j := w.jobs[id]; j.accepted && w.rng.IntN(3) == 0 {
+		for _, id := range sim.jobOrder {
+			if j := sim.jobs[id]; j.accepted && sim.rng.IntN(3) == 0 {
 				o := j.spec
 				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
-				asked := w.now
-				w.countEvent("other body")
-				w.request("users", n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
+				asked := sim.now
+				sim.countEvent("other body")
+				sim.request("users", n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
 					switch {
 					case r == nil || r.Status == 503:
 					case r.Status == 200 || r.Status == 201:
-						w.checkAnswer(j, r, asked)
+						sim.checkAnswer(j, r, asked)
 					default:
-						w.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
+						sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
 					}
 				})
 				break
 			}
 		}
 	}
-	w.schedule(time.Duration(100+w.rng.IntN(400))*time.Millisecond, func() { w.sendEdgeCaseRequests(until) })
+	sim.schedule(time.Duration(100+sim.rng.IntN(400))*time.Millisecond, func() { sim.sendEdgeCaseRequests(until) })
 }
 
 // newestTerm returns the newest term, which is also how many there were.
-func (w *Simulation) newestTerm() ident.Term {
+func (sim *Simulation) newestTerm() ident.Term {
 	most := ident.Term(0)
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		most = max(most, n.controller.Election().Term())
 	}
 	return most
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -38,13 +38,13 @@
 	attempt ident.Attempt
 }
 
-func (w *Simulation) gang(j *userJob, try ident.Attempt) *gangAttempt {
+func (sim *Simulation) gang(j *userJob, try ident.Attempt) *gangAttempt {
 	k := gangKey{j.spec.ID, try}
-	g := w.gangs[k]
+	g := sim.gangs[k]
 	if g == nil {
-		g = &gangAttempt{sim: w, job: j, attempt: try, members: map[int]*member{}, stopRequested: map[int]bool{}}
-		w.gangs[k] = g
-		w.schedule(gangTick, g.tick)
+		g = &gangAttempt{sim: sim, job: j, attempt: try, members: map[int]*member{}, stopRequested: map[int]bool{}}
+		sim.gangs[k] = g
+		sim.schedule(gangTick, g.tick)
 	}
 	return g
 }
@@ -60,28 +60,28 @@
 
 // join takes in a task that has its image.
 func (g *gangAttempt) join(k *worker, p *task) {
-	w := g.sim
+	sim := g.sim
 	p.status = api.Gathering
 	k.expediteHeartbeat()
-	w.checkTaskStart(k, p)
+	sim.checkTaskStart(k, p)
 	i := p.id.Index
 	if g.job.done[i] {
 		k.scheduleStep(p, time.Millisecond, func() { k.endTask(p, api.CauseDone) })
 		return
 	}
-	for o := range w.gangs {
-		if o.job == g.job.spec.ID && o.attempt > g.attempt && w.gangs[o].started {
-			w.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
+	for o := range sim.gangs {
+		if o.job == g.job.spec.ID && o.attempt > g.attempt && sim.gangs[o].started {
+			sim.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
 		}
 	}
 	if m := g.members[i]; m != nil && m.worker == k && m.incarnation == k.incarnation {
-		w.reportViolation("attempt %d of %s begins twice on %s", g.attempt, p.id, k.id)
+		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, p.id, k.id)
 	}
-	if g.finished && w.now.Sub(g.finishedAt).Seconds() > 4*w.settings.Workers.LeaseS {
-		w.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, p.id)
+	if g.finished && sim.now.Sub(g.finishedAt).Seconds() > 4*sim.settings.Workers.LeaseS {
+		sim.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, p.id)
 	}
 	g.members[i] = &member{worker: k, task: p, incarnation: k.incarnation}
-	k.scheduleStep(p, seconds(w.settings.Workers.GangWaitS), func() {
+	k.scheduleStep(p, seconds(sim.settings.Workers.GangWaitS), func() {
 		if p.status == api.Gathering {
 			k.endTask(p, api.CauseGangIncomplete)
 		}
@@ -159,8 +159,8 @@
 
 // tick plays the time of a gang that runs.
 func (g *gangAttempt) tick() {
-	w := g.sim
-	peer := seconds(w.settings.Workers.GangPeerS)
+	sim := g.sim
+	peer := seconds(sim.settings.Workers.GangPeerS)
 	left, complete := 0, true
 	for _, m := range g.sorted() {
 		if m.responsive() {
@@ -173,25 +173,25 @@
 			left++ // hangs
 		}
 		if m.unresponsiveSince == 0 {
-			m.unresponsiveSince = w.now
+			m.unresponsiveSince = sim.now
 		}
 	}
 	if g.started && left == 0 {
-		g.finished, g.finishedAt = true, w.now
+		g.finished, g.finishedAt = true, sim.now
 		return
 	}
-	w.schedule(gangTick, g.tick)
+	sim.schedule(gangTick, g.tick)
 	if !g.started {
 		return
 	}
 	if !complete && !g.finished {
-		g.finished, g.finishedAt = true, w.now
+		g.finished, g.finishedAt = true, sim.now
 	}
 	switch {
-	case g.stopRequestedAt > 0 && !g.checkpointed && w.now.Sub(g.stopRequestedAt) > peer && len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
+	case g.stopRequestedAt > 0 && !g.checkpointed && sim.now.Sub(g.stopRequestedAt) > peer && len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
 		g.checkpointFailed = true
-		if complete && w.quiescentFor(peer) {
-			w.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks, g.job.spec.ID)
+		if complete && sim.quiescentFor(peer) {
+			sim.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks, g.job.spec.ID)
 		}
 		for _, m := range g.sorted() {
 			if m.responsive() && !g.stopRequested[m.task.id.Index] {
@@ -200,7 +200,7 @@
 		}
 	case !complete && g.stopRequestedAt == 0:
 		for _, m := range g.members {
-			if m.unresponsiveSince > 0 && w.now.Sub(m.unresponsiveSince) >= peer {
+			if m.unresponsiveSince > 0 && sim.now.Sub(m.unresponsiveSince) >= peer {
 				for _, o := range g.sorted() {
 					if o.responsive() {
 						o.worker.endTask(o.task, api.CauseGangMemberLost)
@@ -221,15 +221,15 @@
 			for _, m := range g.sorted() {
 				m.worker.endTask(m.task, api.CauseDone)
 			}
-			g.finished, g.finishedAt = true, w.now
+			g.finished, g.finishedAt = true, sim.now
 		}
 	}
 }
 
 // quiescentFor says whether nothing has gone wrong for so long, that could have kept an
 // order from a machine.
-func (w *Simulation) quiescentFor(d time.Duration) bool {
-	return !w.cfg.Faults || w.now.Sub(ident.MonotonicTime(w.cfg.ActiveDuration+faultDrainTime)) > d
+func (sim *Simulation) quiescentFor(d time.Duration) bool {
+	return !sim.cfg.Faults || sim.now.Sub(ident.MonotonicTime(sim.cfg.ActiveDuration+faultDrainTime)) > d
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -10,13 +10,13 @@
 )
 
 // requireClean checks that a run broke no rule and left nothing undone.
-func requireClean(t *testing.T, seed uint64, w *Simulation) {
+func requireClean(t *testing.T, seed uint64, sim *Simulation) {
 	t.Helper()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Fatalf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(60))
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Fatalf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(60))
 	}
-	if w.OversizedTransactions > 0 {
-		t.Errorf("seed %d: %d transactions were over the new limits", seed, w.OversizedTransactions)
+	if sim.OversizedTransactions > 0 {
+		t.Errorf("seed %d: %d transactions were over the new limits", seed, sim.OversizedTransactions)
 	}
 }
 
@@ -26,10 +26,10 @@
 	t.Parallel()
 	runs := 0
 	for seed := range uint64(20) {
-		w := New(Config{Seed: seed, Faults: true, MoreGangs: true, ActiveDuration: 300 * time.Second})
-		w.Run()
-		requireClean(t, seed, w)
-		runs += w.GangRuns
+		sim := New(Config{Seed: seed, Faults: true, MoreGangs: true, ActiveDuration: 300 * time.Second})
+		sim.Run()
+		requireClean(t, seed, sim)
+		runs += sim.GangRuns
 	}
 	if runs < 100 {
 		t.Errorf("only %d gangs ran", runs)
@@ -39,11 +39,11 @@
 // TestGangsWithoutFaults start once each, and again only for those stopped in order.
 func TestGangsWithoutFaults(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 3, MoreGangs: true, ActiveDuration: 250 * time.Second})
-	w.Run()
-	requireClean(t, 3, w)
-	if w.GangRuns < 5 {
-		t.Errorf("%d gangs ran", w.GangRuns)
+	sim := New(Config{Seed: 3, MoreGangs: true, ActiveDuration: 250 * time.Second})
+	sim.Run()
+	requireClean(t, 3, sim)
+	if sim.GangRuns < 5 {
+		t.Errorf("%d gangs ran", sim.GangRuns)
 	}
 }
 
@@ -53,13 +53,13 @@
 func TestRollingUpgradeUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
-		w := New(Config{Seed: seed, RollingUpgrade: true, Faults: seed%4 > 0, MoreGangs: true, ActiveDuration: 300 * time.Second})
-		w.Run()
-		requireClean(t, seed, w)
-		if _, level, err := election.DecodeTerm(w.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
+		sim := New(Config{Seed: seed, RollingUpgrade: true, Faults: seed%4 > 0, MoreGangs: true, ActiveDuration: 300 * time.Second})
+		sim.Run()
+		requireClean(t, seed, sim)
+		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
 			t.Errorf("seed %d: the format level ends as %d, %v", seed, level, err)
 		}
-		if w.GangRuns == 0 {
+		if sim.GangRuns == 0 {
 			t.Errorf("seed %d: no gang ran", seed)
 		}
 	}
@@ -73,9 +73,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				w := New(Config{Seed: seed, Mutation: m, Faults: seed > 0, MoreGangs: true, RollingUpgrade: m == RaiseFormatEarly || m == WriteNewFieldsEarly, ActiveDuration: 250 * time.Second})
-				if w.Run(); len(w.Violations) > 0 {
-					t.Logf("seed %d: %v", seed, w.Violations)
+				sim := New(Config{Seed: seed, Mutation: m, Faults: seed > 0, MoreGangs: true, RollingUpgrade: m == RaiseFormatEarly || m == WriteNewFieldsEarly, ActiveDuration: 250 * time.Second})
+				if sim.Run(); len(sim.Violations) > 0 {
+					t.Logf("seed %d: %v", seed, sim.Violations)
 					return
 				}
 			}
@@ -87,27 +87,27 @@
 // runWithReclaimNotices plays a day on which nothing goes wrong but that spot machines on which a gang
 // runs are taken, all with a notice.
 func runWithReclaimNotices(seed uint64, m Mutation) *Simulation {
-	w := New(Config{Seed: seed, Mutation: m, MoreGangs: true, ActiveDuration: 250 * time.Second})
+	sim := New(Config{Seed: seed, Mutation: m, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	for at := 40 * time.Second; at < 240*time.Second; at += 3 * time.Second {
-		w.schedule(at, func() {
-			for _, k := range w.sortedWorkers() {
+		sim.schedule(at, func() {
+			for _, k := range sim.sortedWorkers() {
 				runningGangTasks := 0
 				for id, tries := range k.tasks {
 					for _, p := range tries {
-						if w.jobs[id.Job].spec.Shape == api.Gang && p.status == api.Running {
+						if sim.jobs[id.Job].spec.Shape == api.Gang && p.status == api.Running {
 							runningGangTasks++
 						}
 					}
 				}
 				if k.machine.spot && k.reclaimAt == 0 && runningGangTasks > 0 {
 					k.announceReclaim(14 * time.Second)
-					w.schedule(14*time.Second, func() { w.cloud.terminate(k.machine) })
+					sim.schedule(14*time.Second, func() { sim.cloud.terminate(k.machine) })
 				}
 			}
 		})
 	}
-	w.Run()
-	return w
+	sim.Run()
+	return sim
 }
 
 // TestGangsCheckpointOnReclaimNotice: a gang with a machine that will be taken saves as a whole and
@@ -116,9 +116,9 @@
 	t.Parallel()
 	stops := 0
 	for seed := range uint64(20) {
-		w := runWithReclaimNotices(seed, None)
-		requireClean(t, seed, w)
-		stops += w.GangStops
+		sim := runWithReclaimNotices(seed, None)
+		requireClean(t, seed, sim)
+		stops += sim.GangStops
 	}
 	if stops < 3 {
 		t.Errorf("%d gangs were stopped in order", stops)
@@ -126,8 +126,8 @@
 		t.Logf("%d gangs were stopped in order", stops)
 	}
 	for seed := range uint64(20) {
-		if w := runWithReclaimNotices(seed, StopPartOfGang); len(w.Violations) > 0 {
-			t.Logf("seed %d: %v", seed, w.Violations)
+		if sim := runWithReclaimNotices(seed, StopPartOfGang); len(sim.Violations) > 0 {
+			t.Logf("seed %d: %v", seed, sim.Violations)
 			return
 		}
 	}
--- a/internal/simulator/health_check_test.go
+++ b/internal/simulator/health_check_test.go
@@ -10,20 +10,20 @@
 func TestNodesStayHealthyDuringElection(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 120 * time.Second})
-		w.withLeaderAt(faultAt, func(l *node) { l.crash(8 * time.Second) })
+		sim := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 120 * time.Second})
+		sim.withLeaderAt(faultAt, func(l *node) { l.crash(8 * time.Second) })
 		for ms := 0; ms < 7000; ms += 50 {
-			w.schedule(timeAt(faultAt).Sub(0)+time.Duration(ms)*time.Millisecond, func() {
-				for _, n := range w.nodes {
+			sim.schedule(timeAt(faultAt).Sub(0)+time.Duration(ms)*time.Millisecond, func() {
+				for _, n := range sim.nodes {
 					if n.alive && !n.controller.Healthy() {
-						w.countEvent("unhealthy")
+						sim.countEvent("unhealthy")
 					}
 				}
 			})
 		}
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["unhealthy"] > 0 {
-			t.Errorf("seed %d: %v %v %v", seed, w.Violations, w.Unfinished, w.eventCounts)
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["unhealthy"] > 0 {
+			t.Errorf("seed %d: %v %v %v", seed, sim.Violations, sim.Unfinished, sim.eventCounts)
 		}
 	}
 }
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -13,39 +13,39 @@
 func TestHotTeamIsDetected(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := New(floodConfig(seed, settings.RebalancePlace))
-		w.submitSteadyLoad()
-		w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
+		sim := New(floodConfig(seed, settings.RebalancePlace))
+		sim.submitSteadyLoad()
+		sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
 		for s := 5.0; s < 330; s++ {
-			w.scheduleAt(s, func() {
-				l := w.leader()
+			sim.scheduleAt(s, func() {
+				l := sim.leader()
 				if l == nil {
 					return
 				}
 				for _, r := range l.controller.Stats().TeamLoads {
 					switch {
 					case r.State != load.Overloaded:
-					case r.Team == hotTeam && w.now > timeAt(320):
-						w.countEvent("never cooled")
+					case r.Team == hotTeam && sim.now > timeAt(320):
+						sim.countEvent("never cooled")
 					case r.Team == hotTeam:
-						w.countEvent("hot")
+						sim.countEvent("hot")
 					default:
-						w.countEvent("another is hot")
+						sim.countEvent("another is hot")
 					}
 				}
 			})
 		}
-		w.scheduleAt(100, func() {
-			if l := w.leader(); l != nil {
+		sim.scheduleAt(100, func() {
+			if l := sim.leader(); l != nil {
 				l.crash(3 * time.Second)
 			}
 		})
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(20))
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(20))
 		}
-		if w.eventCounts["hot"] < 20 || w.eventCounts["never cooled"] > 0 {
-			t.Errorf("seed %d: %v", seed, w.eventCounts)
+		if sim.eventCounts["hot"] < 20 || sim.eventCounts["never cooled"] > 0 {
+			t.Errorf("seed %d: %v", seed, sim.eventCounts)
 		}
 	}
 }
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -18,41 +18,41 @@
 // of the state service and the loss of a zone, and all work is done.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 1, ActiveDuration: 150 * time.Second, QuiescentDuration: 110 * time.Second, NoArrivals: true, FleetSize: largeFleet})
-	w.scheduleAt(1, func() {
+	sim := New(Config{Seed: 1, ActiveDuration: 150 * time.Second, QuiescentDuration: 110 * time.Second, NoArrivals: true, FleetSize: largeFleet})
+	sim.scheduleAt(1, func() {
 		for range 90 {
-			w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = 50, 7, true }, 60*time.Second)
+			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = 50, 7, true }, 60*time.Second)
 		}
 		for range 20 {
-			w.submitJob(func(s *api.Spec) {
+			sim.submitJob(func(s *api.Spec) {
 				s.Tasks, s.VCPUs, s.Shape, s.Priority, s.Spot, s.RuntimeS = 10, 7, api.Service, api.Critical, false, 0
 			}, 0)
 		}
 	})
 	var most int
 	var term ident.Term
-	w.scheduleAt(55, func() {
-		most = len(w.workers)
-		if l := w.leader(); l != nil {
+	sim.scheduleAt(55, func() {
+		most = len(sim.workers)
+		if l := sim.leader(); l != nil {
 			term = l.controller.Election().Term()
 			l.crash(3 * time.Second)
 		}
 	})
-	w.scheduleAt(65, func() {
-		if l := w.leader(); l != nil && l.controller.Election().Term() > term {
-			w.countEvent("new term")
+	sim.scheduleAt(65, func() {
+		if l := sim.leader(); l != nil && l.controller.Election().Term() > term {
+			sim.countEvent("new term")
 		}
 	})
-	w.scheduleAt(75, func() { w.store.downUntil = w.now.Add(12 * time.Second) })
-	w.scheduleAt(100, func() { w.partitionZone("west", false, 25*time.Second) })
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(40))
+	sim.scheduleAt(75, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
+	sim.scheduleAt(100, func() { sim.partitionZone("west", false, 25*time.Second) })
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
 	}
 	if most < 4000 {
 		t.Errorf("the fleet has only %d machines", most)
 	}
-	if w.eventCounts["new term"] == 0 {
+	if sim.eventCounts["new term"] == 0 {
 		t.Error("no leader followed the one that was killed")
 	}
 }
@@ -69,35 +69,35 @@
 	for _, name := range []string{"red", "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: 8 * largeFleet, CPUsMax: 8 * largeFleet})
 	}
-	w := New(Config{Seed: 1, Rebalance: settings.RebalanceMove, Teams: teams, ActiveDuration: 150 * time.Second, QuiescentDuration: 250 * time.Second, NoArrivals: true, FleetSize: largeFleet})
-	w.scheduleAt(1, func() {
+	sim := New(Config{Seed: 1, Rebalance: settings.RebalanceMove, Teams: teams, ActiveDuration: 150 * time.Second, QuiescentDuration: 250 * time.Second, NoArrivals: true, FleetSize: largeFleet})
+	sim.scheduleAt(1, func() {
 		for range fragmented {
-			j := w.submitJob(w.makeNarrow, firstTaskDuration)
+			j := sim.submitJob(sim.makeNarrow, firstTaskDuration)
 			j.durationStep = taskDurationStep
 		}
 		for range full {
-			w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = 50, 8, true }, 150*time.Second)
+			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = 50, 8, true }, 150*time.Second)
 		}
 	})
-	w.scheduleAt(wideTasksAt, func() {
-		if len(w.workers) > 4000 {
-			w.countEvent("large fleet")
+	sim.scheduleAt(wideTasksAt, func() {
+		if len(sim.workers) > 4000 {
+			sim.countEvent("large fleet")
 		}
-		w.cloud.outOfCapacity = true
+		sim.cloud.outOfCapacity = true
 		for range 8 {
-			w.submitJob(func(s *api.Spec) {
-				w.makeNarrow(s)
+			sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
 			}, wideTaskDuration)
 		}
-		w.onMoveState(migration.Stopping, func(*node, controller.MoveEntry) { w.crashLeader(3 * time.Second) })
+		sim.onMoveState(migration.Stopping, func(*node, controller.MoveEntry) { sim.crashLeader(3 * time.Second) })
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(40))
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
 	}
-	checkStopCounts(t, 1, w)
-	if w.Moves == 0 || w.eventCounts["large fleet"] == 0 || w.eventCounts["new term"] == 0 {
-		t.Errorf("%d moves, %v", w.Moves, w.eventCounts)
+	checkStopCounts(t, 1, sim)
+	if sim.Moves == 0 || sim.eventCounts["large fleet"] == 0 || sim.eventCounts["new term"] == 0 {
+		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
 }
--- a/internal/simulator/legacy_node.go
+++ b/internal/simulator/legacy_node.go
@@ -110,16 +110,16 @@
 }
 
 // mutateRequest is what the mutations of a rollout do to the requests of a new node.
-func (w *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
-	if w.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
+func (sim *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
+	if sim.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
 		out := kvstore.Response{Outcome: kvstore.OK}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
 		}
-		w.schedule(0, func() { f(out) })
+		sim.schedule(0, func() { f(out) })
 		return r, false
 	}
-	if w.cfg.Mutation == WriteNewFieldsEarly && r.Op == kvstore.Txn {
+	if sim.cfg.Mutation == WriteNewFieldsEarly && r.Op == kvstore.Txn {
 		then := append([]kvstore.Mutation(nil), r.Mutations...)
 		for i, c := range then {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
@@ -132,23 +132,23 @@
 }
 
 // rollingUpgrade replaces the nodes by new ones, one after the other.
-func (w *Simulation) rollingUpgrade(i int) {
-	if i == len(w.nodes) {
+func (sim *Simulation) rollingUpgrade(i int) {
+	if i == len(sim.nodes) {
 		return
 	}
-	n := w.nodes[i]
+	n := sim.nodes[i]
 	if !n.alive {
-		w.schedule(upgradeInterval/4, func() { w.rollingUpgrade(i) })
+		sim.schedule(upgradeInterval/4, func() { sim.rollingUpgrade(i) })
 		return
 	}
 	n.legacy = false
 	n.crash(upgradeInterval / 4)
-	w.schedule(upgradeInterval, func() { w.rollingUpgrade(i + 1) })
+	sim.schedule(upgradeInterval, func() { sim.rollingUpgrade(i + 1) })
 }
 
 // gangsSupported says whether users may ask for what only new nodes know.
-func (w *Simulation) gangsSupported() bool {
-	for _, n := range w.nodes {
+func (sim *Simulation) gangsSupported() bool {
+	for _, n := range sim.nodes {
 		if n.legacy {
 			return false
 		}
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -25,29 +25,29 @@
 
 // observeFrame takes note of a frame about links before it is sent; false drops it. A node of
 // the version in production would close the connection on one.
-func (w *Simulation) observeFrame(from, to *node, f *transport.Frame) bool {
+func (sim *Simulation) observeFrame(from, to *node, f *transport.Frame) bool {
 	reversePath := to.name + " " + from.name
 	switch f.Type {
 	case transport.MsgHeartbeat:
-		w.newestHeartbeat[from.name+" "+to.name] = f.ID
+		sim.newestHeartbeat[from.name+" "+to.name] = f.ID
 	case transport.MsgLinkState, transport.MsgTransferLeader, transport.MsgRelayRequest:
 		if to.alive && to.env.legacy || from.env.legacy {
-			w.reportViolation("%s sent a frame about links to %s, of which one is old", from.name, to.name)
+			sim.reportViolation("%s sent a frame about links to %s, of which one is old", from.name, to.name)
 			return false
 		}
 	}
 	switch f.Type {
 	case transport.MsgLinkState:
-		w.countEvent("rows sent")
-		w.redeliverRows(from, to, reversePath, f)
+		sim.countEvent("rows sent")
+		sim.redeliverRows(from, to, reversePath, f)
 	case transport.MsgTransferLeader:
-		if !w.announcedTerms[f.Term] {
-			w.announcedTerms[f.Term] = true
-			w.countEvent("handover announced")
-			w.handovers[from.name] = from.incarnation
-			w.logf("%s hands term %d over to %q", from.name, f.Term, f.Node)
-			if w.onHandover != nil {
-				w.onHandover(from, f.Node)
+		if !sim.announcedTerms[f.Term] {
+			sim.announcedTerms[f.Term] = true
+			sim.countEvent("handover announced")
+			sim.handovers[from.name] = from.incarnation
+			sim.logf("%s hands term %d over to %q", from.name, f.Term, f.Node)
+			if sim.onHandover != nil {
+				sim.onHandover(from, f.Node)
 			}
 		}
 	}
@@ -56,19 +56,19 @@
 
 // redeliverRows has a copy of a message of rows come late. Of the mutation FreshenStaleRows, it names
 // the receiver's newest heartbeat, as if it had been made just before.
-func (w *Simulation) redeliverRows(from, to *node, reversePath string, f *transport.Frame) {
-	if w.staleRowDelay == 0 {
+func (sim *Simulation) redeliverRows(from, to *node, reversePath string, f *transport.Frame) {
+	if sim.staleRowDelay == 0 {
 		return
 	}
 	late := *f
 	late.LinkState = slices.Clone(f.LinkState[:1]) // that of the sender
-	w.schedule(w.staleRowDelay, func() {
+	sim.schedule(sim.staleRowDelay, func() {
 		if !to.alive {
 			return
 		}
-		w.countEvent("old rows")
-		if w.cfg.Mutation == FreshenStaleRows {
-			late.ID = w.newestHeartbeat[reversePath]
+		sim.countEvent("old rows")
+		if sim.cfg.Mutation == FreshenStaleRows {
+			late.ID = sim.newestHeartbeat[reversePath]
 			late.LinkState[0].Sequence += staleSequenceOffset
 		}
 		to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), &late) })
@@ -79,15 +79,15 @@
 const staleSequenceOffset = 100_000
 
 // countLeaderChanges counts the changes of the lead from now on under a name.
-func (w *Simulation) countLeaderChanges(what string) {
-	w.onNewTerm(func() { w.countEvent(what) })
+func (sim *Simulation) countLeaderChanges(what string) {
+	sim.onNewTerm(func() { sim.countEvent(what) })
 }
 
 // forgedRows says of one node that all its links work, and of the others that none does.
-func forgedRows(w *Simulation, best *node) []links.Advertisement {
+func forgedRows(sim *Simulation, best *node) []links.Advertisement {
 	var rows []links.Advertisement
-	for _, n := range w.nodes {
-		r := links.Advertisement{Origin: ident.NodeID(n.name), Incarnation: 1 << 60, Sequence: w.eventSequence}
+	for _, n := range sim.nodes {
+		r := links.Advertisement{Origin: ident.NodeID(n.name), Incarnation: 1 << 60, Sequence: sim.eventSequence}
 		state := links.Down
 		if n == best {
 			state = links.Up
@@ -102,10 +102,10 @@
 }
 
 // handingOver says whether a node's process has announced a handover and its term is not over.
-func (w *Simulation) handingOver(n *node) bool {
-	life, ok := w.handovers[n.name]
+func (sim *Simulation) handingOver(n *node) bool {
+	life, ok := sim.handovers[n.name]
 	if ok && (life != n.incarnation || n.controller.Election().State() != election.Leading) {
-		delete(w.handovers, n.name)
+		delete(sim.handovers, n.name)
 		return false
 	}
 	return ok
@@ -113,12 +113,12 @@
 
 // checkHandoverWrites checks that a node which hands the lead over writes nothing new but the end of
 // its term, and starts nothing. Repeats of what was under way come with it.
-func (w *Simulation) checkHandoverWrites(n *node, r kvstore.Request) {
-	if r.Op != kvstore.Txn || !w.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
+func (sim *Simulation) checkHandoverWrites(n *node, r kvstore.Request) {
+	if r.Op != kvstore.Txn || !sim.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
 		return
 	}
-	if !w.sentTransactions[transactionKey(n, r)] {
-		w.reportViolation("%s writes %s%s while it hands the lead over", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
+	if !sim.sentTransactions[transactionKey(n, r)] {
+		sim.reportViolation("%s writes %s%s while it hands the lead over", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
 	}
 }
 
@@ -128,9 +128,9 @@
 }
 
 // recordTransaction remembers a transaction, for its repeats to be known.
-func (w *Simulation) recordTransaction(n *node, r kvstore.Request) {
-	if w.cfg.LinkMonitoring && r.Op == kvstore.Txn && len(r.Mutations) > 0 {
-		w.checkHandoverWrites(n, r)
-		w.sentTransactions[transactionKey(n, r)] = true
+func (sim *Simulation) recordTransaction(n *node, r kvstore.Request) {
+	if sim.cfg.LinkMonitoring && r.Op == kvstore.Txn && len(r.Mutations) > 0 {
+		sim.checkHandoverWrites(n, r)
+		sim.sentTransactions[transactionKey(n, r)] = true
 	}
 }
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -15,13 +15,13 @@
 func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		w := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true, ActiveDuration: 300 * time.Second})
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(30))
+		sim := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true, ActiveDuration: 300 * time.Second})
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(30))
 		}
-		if w.TaskStarts < 20 || w.blockedOneWay == 0 {
-			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, w.TaskStarts, w.blockedOneWay)
+		if sim.TaskStarts < 20 || sim.blockedOneWay == 0 {
+			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, sim.TaskStarts, sim.blockedOneWay)
 		}
 	}
 }
@@ -31,7 +31,7 @@
 	name           string
 	nodes          int // 0: three
 	rollingUpgrade bool
-	inject         func(w *Simulation)
+	inject         func(sim *Simulation)
 	minEvents      map[string]int // what must have taken place, so often at the least
 	maxEvents      map[string]int // and at the most
 	seeds          uint64         // 0: three
@@ -45,66 +45,66 @@
 )
 
 // withLeaderAt calls f with the leader of a moment.
-func (w *Simulation) withLeaderAt(s float64, f func(l *node)) {
-	w.scheduleAt(s, func() {
-		if l := w.leader(); l != nil {
+func (sim *Simulation) withLeaderAt(s float64, f func(l *node)) {
+	sim.scheduleAt(s, func() {
+		if l := sim.leader(); l != nil {
 			f(l)
 		} else {
-			w.countEvent("no leader")
+			sim.countEvent("no leader")
 		}
 	})
 }
 
 // recordLeaderAfter notes who leads so long after a moment, and whether it is another.
-func (w *Simulation) recordLeaderAfter(l *node, d time.Duration) {
-	w.schedule(d, func() {
-		switch n := w.leader(); {
+func (sim *Simulation) recordLeaderAfter(l *node, d time.Duration) {
+	sim.schedule(d, func() {
+		switch n := sim.leader(); {
 		case n == nil:
-			w.countEvent("nobody leads")
+			sim.countEvent("nobody leads")
 		case n == l:
-			w.countEvent("the same leads")
+			sim.countEvent("the same leads")
 		default:
-			w.countEvent("another leads")
+			sim.countEvent("another leads")
 		}
 	})
 }
 
 // submitContinuously submits and cancels work throughout.
-func (w *Simulation) submitContinuously() {
-	w.submitBaseLoad(6)
-	w.submitStream(20, 150, 1.5, 20*time.Second)
+func (sim *Simulation) submitContinuously() {
+	sim.submitBaseLoad(6)
+	sim.submitStream(20, 150, 1.5, 20*time.Second)
 }
 
 // countFencedWithin notes how many machines the node that is the leader, or those that follow,
 // fence within a time.
-func (w *Simulation) countFencedWithin(d time.Duration) {
+func (sim *Simulation) countFencedWithin(d time.Duration) {
 	var counts [8]uint64 // by node, in its present term
 	var look func()
-	until := w.now.Add(d)
+	until := sim.now.Add(d)
 	look = func() {
-		for i, n := range w.nodes {
+		for i, n := range sim.nodes {
 			if !n.alive {
 				continue
 			}
 			fenced := n.controller.Stats().MachinesFenced
 			for range fenced - min(fenced, counts[i]) {
-				w.countEvent("fenced meanwhile")
+				sim.countEvent("fenced meanwhile")
 			}
 			counts[i] = fenced
 		}
-		if w.now < until {
-			w.schedule(200*time.Millisecond, look)
+		if sim.now < until {
+			sim.schedule(200*time.Millisecond, look)
 		}
 	}
-	for i, n := range w.nodes {
+	for i, n := range sim.nodes {
 		counts[i] = n.controller.Stats().MachinesFenced
 	}
 	look()
 }
 
 // nodeOtherThan returns a node that is none of those.
-func (w *Simulation) nodeOtherThan(not ...*node) *node {
-	for _, n := range w.nodes {
+func (sim *Simulation) nodeOtherThan(not ...*node) *node {
+	for _, n := range sim.nodes {
 		found := false
 		for _, o := range not {
 			found = found || n == o
@@ -119,10 +119,10 @@
 var linkScenarios = []linkScenario{
 	{
 		name: "answers of the cloud are lost",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay("cloud", l.name, false, faultDuration)
-				w.recordLeaderAfter(l, 12*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay("cloud", l.name, false, faultDuration)
+				sim.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
@@ -130,11 +130,11 @@
 	},
 	{
 		name: "commands reach no machine",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(l.name, machines, false, faultDuration)
-				w.recordLeaderAfter(l, 12*time.Second)
-				w.countFencedWithin(faultDuration)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(l.name, machines, false, faultDuration)
+				sim.recordLeaderAfter(l, 12*time.Second)
+				sim.countFencedWithin(faultDuration)
 			})
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
@@ -142,11 +142,11 @@
 	},
 	{
 		name: "machines reach the leader's siblings only",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(machines, l.name, false, faultDuration)
-				w.recordLeaderAfter(l, 15*time.Second)
-				w.countFencedWithin(faultDuration)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(machines, l.name, false, faultDuration)
+				sim.recordLeaderAfter(l, 15*time.Second)
+				sim.countFencedWithin(faultDuration)
 			})
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
@@ -154,28 +154,28 @@
 	},
 	{
 		name: "answers of the state service are lost",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay("state", l.name, false, faultDuration)
-				w.recordLeaderAfter(l, 6*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay("state", l.name, false, faultDuration)
+				sim.recordLeaderAfter(l, 6*time.Second)
 			})
 		},
 		minEvents: map[string]int{"another leads": 1},
 	},
 	{
 		name: "a leader with machines and no state service, a sibling with the state service and no machines",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				b := w.nodeOtherThan(l)
-				w.nodeOtherThan(l, b).crash(faultDuration)
-				w.disconnectOneWay("state", l.name, false, faultDuration)
-				w.disconnect(b.name, machines, false, faultDuration)
-				w.recordLeaderAfter(l, 10*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				b := sim.nodeOtherThan(l)
+				sim.nodeOtherThan(l, b).crash(faultDuration)
+				sim.disconnectOneWay("state", l.name, false, faultDuration)
+				sim.disconnect(b.name, machines, false, faultDuration)
+				sim.recordLeaderAfter(l, 10*time.Second)
 				starts := 0
-				w.schedule(15*time.Second, func() { starts = w.TaskStarts })
-				w.schedule(55*time.Second, func() {
-					for range w.TaskStarts - starts {
-						w.countEvent("started meanwhile")
+				sim.schedule(15*time.Second, func() { starts = sim.TaskStarts })
+				sim.schedule(55*time.Second, func() {
+					for range sim.TaskStarts - starts {
+						sim.countEvent("started meanwhile")
 					}
 				})
 			})
@@ -184,16 +184,16 @@
 	},
 	{
 		name: "no controller hears machines that are running",
-		inject: func(w *Simulation) {
-			w.scheduleAt(faultAt, func() {
-				for _, n := range w.nodes {
-					w.disconnect(n.name, machines, false, faultDuration)
+		inject: func(sim *Simulation) {
+			sim.scheduleAt(faultAt, func() {
+				for _, n := range sim.nodes {
+					sim.disconnect(n.name, machines, false, faultDuration)
 				}
-				w.cancelRunning(2, 0)
-				rented := len(w.cloud.machines)
-				w.schedule(faultDuration, func() {
-					for range len(w.cloud.machines) - rented {
-						w.countEvent("rented meanwhile")
+				sim.cancelRunning(2, 0)
+				rented := len(sim.cloud.machines)
+				sim.schedule(faultDuration, func() {
+					for range len(sim.cloud.machines) - rented {
+						sim.countEvent("rented meanwhile")
 					}
 				})
 			})
@@ -203,95 +203,95 @@
 	},
 	{
 		name: "a slow link beside a dead one",
-		inject: func(w *Simulation) {
-			w.slowLinks = faultWindow{1, timeAt(faultAt).Add(faultDuration)}
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(l.name, machines, false, faultDuration)
-				w.recordLeaderAfter(l, 20*time.Second)
+		inject: func(sim *Simulation) {
+			sim.slowLinks = faultWindow{1, timeAt(faultAt).Add(faultDuration)}
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(l.name, machines, false, faultDuration)
+				sim.recordLeaderAfter(l, 20*time.Second)
 			})
 		},
 		minEvents: map[string]int{"slow link": 50, "handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "the leader freezes in the midst of its handover and wakes later",
-		inject: func(w *Simulation) {
-			w.onHandover = func(from *node, _ ident.NodeID) {
-				w.countEvent("frozen while it yields")
-				w.schedule(time.Millisecond, func() { from.pauseFor(20 * time.Second) })
-				w.recordLeaderAfter(from, 8*time.Second)
+		inject: func(sim *Simulation) {
+			sim.onHandover = func(from *node, _ ident.NodeID) {
+				sim.countEvent("frozen while it yields")
+				sim.schedule(time.Millisecond, func() { from.pauseFor(20 * time.Second) })
+				sim.recordLeaderAfter(from, 8*time.Second)
 			}
-			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
+			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
 		minEvents: map[string]int{"frozen while it yields": 1, "another leads": 1},
 	},
 	{
 		name: "the successor dies between the terms",
-		inject: func(w *Simulation) {
-			w.onHandover = func(from *node, to ident.NodeID) {
-				for _, n := range w.nodes {
+		inject: func(sim *Simulation) {
+			sim.onHandover = func(from *node, to ident.NodeID) {
+				for _, n := range sim.nodes {
 					if n.name == string(to) {
-						w.countEvent("successor killed")
+						sim.countEvent("successor killed")
 						n.crash(20 * time.Second)
 					}
 				}
-				w.recordLeaderAfter(from, 5*time.Second)
+				sim.recordLeaderAfter(from, 5*time.Second)
 			}
-			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
+			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
 		minEvents: map[string]int{"successor killed": 1, "another leads": 1},
 	},
 	{
 		name: "the successor is cut off between the terms",
-		inject: func(w *Simulation) {
-			w.onHandover = func(from *node, to ident.NodeID) {
-				w.countEvent("successor cut off")
-				w.disconnect(string(to), "state", true, 20*time.Second)
-				w.recordLeaderAfter(from, 6*time.Second)
+		inject: func(sim *Simulation) {
+			sim.onHandover = func(from *node, to ident.NodeID) {
+				sim.countEvent("successor cut off")
+				sim.disconnect(string(to), "state", true, 20*time.Second)
+				sim.recordLeaderAfter(from, 6*time.Second)
 			}
-			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
+			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
 		minEvents: map[string]int{"successor cut off": 1, "another leads": 1},
 	},
 	{
 		name: "the announcement is lost",
-		inject: func(w *Simulation) {
-			w.onHandover = func(from *node, _ ident.NodeID) {
-				w.forEachPeer(from, func(n *node) { w.disconnectOneWay(from.name, n.name, false, 3*time.Second) })
-				w.recordLeaderAfter(from, 5*time.Second)
+		inject: func(sim *Simulation) {
+			sim.onHandover = func(from *node, _ ident.NodeID) {
+				sim.forEachPeer(from, func(n *node) { sim.disconnectOneWay(from.name, n.name, false, 3*time.Second) })
+				sim.recordLeaderAfter(from, 5*time.Second)
 			}
-			w.withLeaderAt(faultAt, func(l *node) { w.disconnectOneWay(l.name, machines, false, faultDuration) })
+			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "a leader that only the state service hears",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.forEachPeer(l, func(n *node) { w.disconnect(l.name, n.name, false, faultDuration) })
-				w.disconnect(l.name, machines, false, faultDuration)
-				w.recordLeaderAfter(l, 9*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.forEachPeer(l, func(n *node) { sim.disconnect(l.name, n.name, false, faultDuration) })
+				sim.disconnect(l.name, machines, false, faultDuration)
+				sim.recordLeaderAfter(l, 9*time.Second)
 			})
 		},
 		minEvents: map[string]int{"another leads": 1},
 	},
 	{
 		name: "a follower reaches the leader by the third node only",
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				f := w.nodeOtherThan(l)
-				w.disconnectOneWay(f.name, l.name, false, faultDuration)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				f := sim.nodeOtherThan(l)
+				sim.disconnectOneWay(f.name, l.name, false, faultDuration)
 				for s := 10; s < 50; s++ {
-					w.schedule(time.Duration(s)*time.Second, func() {
-						j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Second)
-						w.resubmitAt(j, f)
+					sim.schedule(time.Duration(s)*time.Second, func() {
+						j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Second)
+						sim.resubmitAt(j, f)
 						if f.controller.Healthy() {
-							w.countEvent("healthy")
+							sim.countEvent("healthy")
 						}
 					})
 				}
-				w.schedule(55*time.Second, func() {
+				sim.schedule(55*time.Second, func() {
 					for range f.controller.Stats().Relayed {
-						w.countEvent("relayed")
+						sim.countEvent("relayed")
 					}
 				})
 			})
@@ -300,12 +300,12 @@
 	},
 	{
 		name: "late copies of rows", // of when the sibling was well placed
-		inject: func(w *Simulation) {
-			w.staleRowDelay = 8 * time.Second
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(l.name, machines, false, faultDuration)
-				w.forEachPeer(l, func(n *node) { w.disconnectOneWay(n.name, "state", false, faultDuration) })
-				w.recordLeaderAfter(l, 7*time.Second)
+		inject: func(sim *Simulation) {
+			sim.staleRowDelay = 8 * time.Second
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(l.name, machines, false, faultDuration)
+				sim.forEachPeer(l, func(n *node) { sim.disconnectOneWay(n.name, "state", false, faultDuration) })
+				sim.recordLeaderAfter(l, 7*time.Second)
 			})
 		},
 		minEvents: map[string]int{"old rows": 20, "the same leads": 1},
@@ -313,49 +313,49 @@
 	},
 	{
 		name: "two nodes", nodes: 2,
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(l.name, machines, false, faultDuration)
-				w.recordLeaderAfter(l, 12*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(l.name, machines, false, faultDuration)
+				sim.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "two nodes, the link between them broken one way", nodes: 2,
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.disconnectOneWay(l.name, w.nodeOtherThan(l).name, false, faultDuration)
-				w.disconnectOneWay(l.name, machines, false, 20*time.Second)
-				w.countEvent("cut")
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.disconnectOneWay(l.name, sim.nodeOtherThan(l).name, false, faultDuration)
+				sim.disconnectOneWay(l.name, machines, false, 20*time.Second)
+				sim.countEvent("cut")
 			})
 		},
 		minEvents: map[string]int{"cut": 1},
 	},
 	{
 		name: "five nodes, two dead and one cut off", nodes: 5,
-		inject: func(w *Simulation) {
-			w.withLeaderAt(faultAt, func(l *node) {
-				b := w.nodeOtherThan(l)
-				c := w.nodeOtherThan(l, b)
-				d := w.nodeOtherThan(l, b, c)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(faultAt, func(l *node) {
+				b := sim.nodeOtherThan(l)
+				c := sim.nodeOtherThan(l, b)
+				d := sim.nodeOtherThan(l, b, c)
 				b.crash(faultDuration)
 				c.crash(faultDuration)
-				w.disconnect(d.name, "*", true, faultDuration)
-				w.disconnectOneWay("cloud", l.name, false, faultDuration)
-				w.recordLeaderAfter(l, 15*time.Second)
+				sim.disconnect(d.name, "*", true, faultDuration)
+				sim.disconnectOneWay("cloud", l.name, false, faultDuration)
+				sim.recordLeaderAfter(l, 15*time.Second)
 			})
 		},
 		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
 	},
 	{
 		name: "an upgrade in which old nodes lead", rollingUpgrade: true, length: 260 * time.Second,
-		inject: func(w *Simulation) {
-			w.withLeaderAt(70, func(l *node) { w.disconnectOneWay(l.name, machines, false, 20*time.Second) })
-			w.scheduleAt(200, func() {
-				if l := w.leader(); l != nil {
-					w.disconnectOneWay(l.name, machines, false, 40*time.Second)
-					w.recordLeaderAfter(l, 15*time.Second)
+		inject: func(sim *Simulation) {
+			sim.withLeaderAt(70, func(l *node) { sim.disconnectOneWay(l.name, machines, false, 20*time.Second) })
+			sim.scheduleAt(200, func() {
+				if l := sim.leader(); l != nil {
+					sim.disconnectOneWay(l.name, machines, false, 40*time.Second)
+					sim.recordLeaderAfter(l, 15*time.Second)
 				}
 			})
 		},
@@ -367,11 +367,11 @@
 	if c.length == 0 {
 		c.length = 200 * time.Second
 	}
-	w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade, NoArrivals: true, ActiveDuration: c.length})
-	w.submitContinuously()
-	c.inject(w)
-	w.Run()
-	return w
+	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade, NoArrivals: true, ActiveDuration: c.length})
+	sim.submitContinuously()
+	c.inject(sim)
+	sim.Run()
+	return sim
 }
 
 // TestUnidirectionalPartitions plays the cases: every rule holds, all work ends, and the lead goes
@@ -383,18 +383,18 @@
 			t.Parallel()
 			seeds := max(c.seeds, 3)
 			for seed := range seeds {
-				w := c.run(seed, None)
-				if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-					t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(30))
+				sim := c.run(seed, None)
+				if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+					t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(30))
 				}
 				for what, n := range c.minEvents {
-					if w.eventCounts[what] < n {
-						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, w.eventCounts[what], n, w.eventCounts)
+					if sim.eventCounts[what] < n {
+						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, sim.eventCounts[what], n, sim.eventCounts)
 					}
 				}
 				for what, n := range c.maxEvents {
-					if w.eventCounts[what] > n {
-						t.Errorf("seed %d: %s: %d times, at the most %d", seed, what, w.eventCounts[what], n)
+					if sim.eventCounts[what] > n {
+						t.Errorf("seed %d: %s: %d times, at the most %d", seed, what, sim.eventCounts[what], n)
 					}
 				}
 			}
@@ -405,23 +405,23 @@
 // leaderChangesWhileFlapping plays a link of the leader that breaks for a part of every period, for two
 // minutes, and returns the changes of the lead in that time.
 func leaderChangesWhileFlapping(t *testing.T, link int, seed uint64) int {
-	w := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
-	w.withLeaderAt(40, func(l *node) {
+	sim := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
+	sim.withLeaderAt(40, func(l *node) {
 		var others []string
-		w.forEachPeer(l, func(n *node) { others = append(others, n.name) })
+		sim.forEachPeer(l, func(n *node) { others = append(others, n.name) })
 		k := leaderLinks(l.name, others)[link]
 		period := time.Duration(1+(link+int(seed)*2)%5) * time.Second
-		w.flapLink(k[0], k[1], period*7/10, period, 120*time.Second)
-		w.countLeaderChanges("change")
+		sim.flapLink(k[0], k[1], period*7/10, period, 120*time.Second)
+		sim.countLeaderChanges("change")
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Errorf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(30))
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Errorf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(30))
 	}
-	if w.blockedOneWay == 0 {
+	if sim.blockedOneWay == 0 {
 		t.Error("the link did not flap")
 	}
-	return w.eventCounts["change"]
+	return sim.eventCounts["change"]
 }
 
 // TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any
@@ -457,17 +457,17 @@
 // leaderChangesUnderAlternatingFaults has the links of each leader to the machines break in turn, and returns the
 // changes of the lead in two minutes.
 func leaderChangesUnderAlternatingFaults(seed uint64, m Mutation) int {
-	w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
-	w.submitContinuously()
-	w.scheduleAt(40, func() { w.countLeaderChanges("change") })
+	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
+	sim.submitContinuously()
+	sim.scheduleAt(40, func() { sim.countLeaderChanges("change") })
 	for s := 40.0; s < 160; s += 8 {
-		w.withLeaderAt(s, func(l *node) { w.disconnectOneWay(l.name, machines, false, 8*time.Second) })
+		sim.withLeaderAt(s, func(l *node) { sim.disconnectOneWay(l.name, machines, false, 8*time.Second) })
 	}
-	w.Run()
-	if len(w.Violations) > 0 {
+	sim.Run()
+	if len(sim.Violations) > 0 {
 		return -1
 	}
-	return w.eventCounts["change"]
+	return sim.eventCounts["change"]
 }
 
 // TestHandoverHoldBoundsLeaderChanges: whoever leads is soon worse placed than another. The lead moves no more
@@ -495,20 +495,20 @@
 	detected := false
 	for seed := range uint64(3) {
 		for _, m := range []Mutation{None, NoFlapDamping} {
-			w := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
-			w.submitContinuously()
-			w.withLeaderAt(faultAt, func(l *node) {
-				w.flapLink("state", l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
-				w.recordLeaderAfter(l, 40*time.Second)
+			sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
+			sim.submitContinuously()
+			sim.withLeaderAt(faultAt, func(l *node) {
+				sim.flapLink("state", l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
+				sim.recordLeaderAfter(l, 40*time.Second)
 			})
-			w.Run()
-			if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-				t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
+			sim.Run()
+			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+				t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 			}
-			if m == None && w.eventCounts["another leads"] == 0 {
-				t.Errorf("seed %d: the leader is not replaced: %v", seed, w.eventCounts)
+			if m == None && sim.eventCounts["another leads"] == 0 {
+				t.Errorf("seed %d: the leader is not replaced: %v", seed, sim.eventCounts)
 			}
-			detected = detected || m == NoFlapDamping && w.eventCounts["another leads"] == 0
+			detected = detected || m == NoFlapDamping && sim.eventCounts["another leads"] == 0
 		}
 	}
 	if !detected {
@@ -525,7 +525,7 @@
 			continue
 		}
 		for seed := range uint64(3) {
-			if w := c.run(seed, FreshenStaleRows); w.eventCounts["handover announced"] > 0 {
+			if sim := c.run(seed, FreshenStaleRows); sim.eventCounts["handover announced"] > 0 {
 				return
 			}
 		}
@@ -539,23 +539,23 @@
 	t.Parallel()
 	for step := range 12 {
 		for _, way := range []bool{false, true} {
-			w := New(Config{Seed: uint64(step), LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
-			w.submitContinuously()
-			w.withLeaderAt(faultAt, func(l *node) {
-				j := w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 1 }, 10*time.Second)
-				w.resubmitAt(j, l)
-				w.schedule(time.Duration(step)*500*time.Microsecond, func() {
-					w.countEvent("cut in a commit")
+			sim := New(Config{Seed: uint64(step), LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
+			sim.submitContinuously()
+			sim.withLeaderAt(faultAt, func(l *node) {
+				j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 1 }, 10*time.Second)
+				sim.resubmitAt(j, l)
+				sim.schedule(time.Duration(step)*500*time.Microsecond, func() {
+					sim.countEvent("cut in a commit")
 					if way {
-						w.disconnectOneWay(l.name, "state", step%2 == 0, 20*time.Second)
+						sim.disconnectOneWay(l.name, "state", step%2 == 0, 20*time.Second)
 					} else {
-						w.disconnectOneWay("state", l.name, step%2 == 0, 20*time.Second)
+						sim.disconnectOneWay("state", l.name, step%2 == 0, 20*time.Second)
 					}
 				})
 			})
-			w.Run()
-			if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["cut in a commit"] == 0 {
-				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, w.Violations, w.Unfinished, w.eventCounts, w.LogTail(30))
+			sim.Run()
+			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["cut in a commit"] == 0 {
+				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, sim.Violations, sim.Unfinished, sim.eventCounts, sim.LogTail(30))
 			}
 		}
 	}
@@ -565,28 +565,28 @@
 // rule is broken by it.
 func TestForgedRowsViolateNothing(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 2, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
-	w.submitContinuously()
-	w.scheduleAt(faultAt, func() {
+	sim := New(Config{Seed: 2, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
+	sim.submitContinuously()
+	sim.scheduleAt(faultAt, func() {
 		for i := range 40 {
-			w.schedule(time.Duration(i)*time.Second, func() {
-				for _, n := range w.nodes {
+			sim.schedule(time.Duration(i)*time.Second, func() {
+				for _, n := range sim.nodes {
 					if n.alive {
-						w.forEachPeer(n, func(o *node) { w.sendForgedRows(o, n) })
+						sim.forEachPeer(n, func(o *node) { sim.sendForgedRows(o, n) })
 					}
 				}
 			})
 		}
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 || w.eventCounts["lie"] < 40 {
-		t.Errorf("%v %v, %d lies\n%s", w.Violations, w.Unfinished, w.eventCounts["lie"], w.LogTail(30))
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["lie"] < 40 {
+		t.Errorf("%v %v, %d lies\n%s", sim.Violations, sim.Unfinished, sim.eventCounts["lie"], sim.LogTail(30))
 	}
 }
 
 // sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
-func (w *Simulation) sendForgedRows(from, to *node) {
-	w.countEvent("lie")
-	f := &transport.Frame{Type: transport.MsgLinkState, ID: w.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(w, from)}
+func (sim *Simulation) sendForgedRows(from, to *node) {
+	sim.countEvent("lie")
+	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(sim, from)}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -9,23 +9,23 @@
 )
 
 // checkIdleCapacity checks that no job waits beside room for it, once all troubles are over.
-func (w *Simulation) checkIdleCapacity() {
-	quiescentFrom := ident.MonotonicTime(w.cfg.ActiveDuration + faultDrainTime)
-	w.schedule(5*time.Second, w.checkIdleCapacity)
-	if w.now < quiescentFrom {
+func (sim *Simulation) checkIdleCapacity() {
+	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
+	sim.schedule(5*time.Second, sim.checkIdleCapacity)
+	if sim.now < quiescentFrom {
 		return
 	}
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
-		if j.idleCapacitySince > 0 && w.now.Sub(j.idleCapacitySince) > maxWaitBesideCapacity {
-			w.reportViolation("%s waits for %v beside room for it", id, w.now.Sub(j.idleCapacitySince))
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
+		if j.idleCapacitySince > 0 && sim.now.Sub(j.idleCapacitySince) > maxWaitBesideCapacity {
+			sim.reportViolation("%s waits for %v beside room for it", id, sim.now.Sub(j.idleCapacitySince))
 			return
 		}
 		switch {
-		case !j.accepted || j.cancelSentAt > 0 || isTerminal(j.lastStatus) || j.spec.Shape == api.Gang || !w.hasCapacityFor(j):
+		case !j.accepted || j.cancelSentAt > 0 || isTerminal(j.lastStatus) || j.spec.Shape == api.Gang || !sim.hasCapacityFor(j):
 			j.idleCapacitySince = 0
 		case j.idleCapacitySince == 0:
-			j.idleCapacitySince = w.now
+			j.idleCapacitySince = sim.now
 		}
 	}
 }
@@ -34,20 +34,20 @@
 const maxWaitBesideCapacity = 90 * time.Second
 
 // hasCapacityFor says whether a task of a job waits and could start.
-func (w *Simulation) hasCapacityFor(j *userJob) bool {
+func (sim *Simulation) hasCapacityFor(j *userJob) bool {
 	if j.alwaysFails {
 		return false // it could, and would fail
 	}
 	s := &j.spec
 	on := map[int]bool{}
 	cpus, tasksByZone := 0.0, map[string]int{}
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		for p, tries := range k.tasks {
 			for _, q := range tries {
 				if q.status == api.Ended {
 					continue
 				}
-				t := w.jobs[p.Job]
+				t := sim.jobs[p.Job]
 				if t.spec.Team == s.Team {
 					cpus += t.spec.VCPUs
 				}
@@ -65,14 +65,14 @@
 	if !waits {
 		return false
 	}
-	for _, t := range w.settings.Teams {
+	for _, t := range sim.settings.Teams {
 		if t.Name == s.Team && t.CPUsMax > 0 && cpus+s.VCPUs > t.CPUsMax {
 			return false
 		}
 	}
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		zone := k.machine.zone
-		if k.faulty || k.reclaimAt > 0 || w.now < k.hungUntil || s.Zone != nil && *s.Zone != zone || k.machine.spot && !s.Spot ||
+		if k.faulty || k.reclaimAt > 0 || sim.now < k.hungUntil || s.Zone != nil && *s.Zone != zone || k.machine.spot && !s.Spot ||
 			s.Spread && tasksByZone[zone]+1 > (s.Tasks+1)/2 {
 			continue
 		}
@@ -80,7 +80,7 @@
 		for z, n := range tasksByZone {
 			elsewhere = elsewhere || z != zone && n > 0
 		}
-		if w.cloud.models[0].VCPUs-k.usedCPUs() >= s.VCPUs && !(s.OneZone && elsewhere) {
+		if sim.cloud.models[0].VCPUs-k.usedCPUs() >= s.VCPUs && !(s.OneZone && elsewhere) {
 			return true
 		}
 	}
@@ -88,14 +88,14 @@
 }
 
 // largestJobs lists the jobs of each class that are its largest, by CPUs in all.
-func (w *Simulation) largestJobs() (out []*userJob) {
+func (sim *Simulation) largestJobs() (out []*userJob) {
 	most := map[string]float64{}
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.VCPUs }
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		most[j.spec.Class] = max(most[j.spec.Class], size(j))
 	}
-	for _, id := range w.jobOrder {
-		if j := w.jobs[id]; j.accepted && size(j) == most[j.spec.Class] {
+	for _, id := range sim.jobOrder {
+		if j := sim.jobs[id]; j.accepted && size(j) == most[j.spec.Class] {
 			out = append(out, j)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // checkFairness checks that at least half of each class, of each team and of the largest jobs
 // were served, and that those began in time.
-func (w *Simulation) checkFairness() {
+func (sim *Simulation) checkFairness() {
 	type share struct{ all, ok int }
 	by := map[string]*share{}
 	count := func(what string, ok bool) {
@@ -121,24 +121,24 @@
 	good := func(j *userJob) bool {
 		return j.lastStatus == "done" || j.spec.Shape == api.Service && j.firstStartAt > 0
 	}
-	for _, id := range w.jobOrder {
-		if j := w.jobs[id]; j.accepted && j.cancelSentAt == 0 {
+	for _, id := range sim.jobOrder {
+		if j := sim.jobs[id]; j.accepted && j.cancelSentAt == 0 {
 			count("class "+j.spec.Class, good(j))
 			count("team "+j.spec.Team, good(j))
 		}
 	}
-	for _, j := range w.largestJobs() {
+	for _, j := range sim.largestJobs() {
 		if j.cancelSentAt > 0 {
 			continue
 		}
 		count("largest of "+j.spec.Class, good(j))
 		if j.firstStartAt == 0 || j.firstStartAt.Sub(j.submittedAt) > maxStartDelay {
-			w.reportUnfinished("%s, the largest of %s, did not begin within %v", j.spec.ID, j.spec.Class, maxStartDelay)
+			sim.reportUnfinished("%s, the largest of %s, did not begin within %v", j.spec.ID, j.spec.Class, maxStartDelay)
 		}
 	}
 	for what, s := range by {
 		if 2*s.ok < s.all {
-			w.reportUnfinished("%s: %d of %d served", what, s.ok, s.all)
+			sim.reportUnfinished("%s: %d of %d served", what, s.ok, s.all)
 		}
 	}
 }
@@ -146,31 +146,31 @@
 const defaultQuiescence = 260 * time.Second
 
 // checkCompletion checks that nothing was left undone.
-func (w *Simulation) checkCompletion() {
-	if !w.cfg.Overload {
-		w.checkFairness() // more is asked for there than there is room for
+func (sim *Simulation) checkCompletion() {
+	if !sim.cfg.Overload {
+		sim.checkFairness() // more is asked for there than there is room for
 	}
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
 		switch {
 		case !j.accepted:
 		case j.lastStatus == "cancelled" || j.lastStatus == "done":
 		case j.cancelSentAt > 0:
-			w.reportUnfinished("%s: its cancellation was never confirmed", id)
+			sim.reportUnfinished("%s: its cancellation was never confirmed", id)
 		case j.spec.Shape != api.Service:
-			w.reportUnfinished("%s: never done, last told %q", id, j.lastStatus)
+			sim.reportUnfinished("%s: never done, last told %q", id, j.lastStatus)
 		default:
 			n := 0
-			for _, k := range w.workers {
+			for _, k := range sim.workers {
 				n += k.taskCount(id)
 			}
 			if n != j.spec.Tasks {
-				w.reportUnfinished("%s: %d of %d replicas run", id, n, j.spec.Tasks)
+				sim.reportUnfinished("%s: %d of %d replicas run", id, n, j.spec.Tasks)
 			}
 		}
 	}
 }
 
-func (w *Simulation) reportUnfinished(format string, a ...any) {
-	w.Unfinished = append(w.Unfinished, fmt.Sprintf(format, a...))
+func (sim *Simulation) reportUnfinished(format string, a ...any) {
+	sim.Unfinished = append(sim.Unfinished, fmt.Sprintf(format, a...))
 }
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -17,34 +17,34 @@
 
 // checkMoveRecord checks what is written about moves: a job's record only grows, to two moves at
 // the most, until the job is over.
-func (w *Simulation) checkMoveRecord(c kvstore.Mutation) {
+func (sim *Simulation) checkMoveRecord(c kvstore.Mutation) {
 	id, ok := jobOfMoveKey(c.Put + c.Delete)
 	if !ok {
 		return
 	}
 	before := 0
-	if e := w.store.keys[migration.Key(ident.JobID(id))]; e != nil {
+	if e := sim.store.keys[migration.Key(ident.JobID(id))]; e != nil {
 		if r, err := migration.ReadRecord(e.value); err == nil {
 			before = len(r.Moves)
 		}
 	}
 	if c.Delete != "" {
-		if w.store.keys["live/"+id] != nil {
-			w.reportViolation("the moves of %s are forgotten before it is over", id)
+		if sim.store.keys["live/"+id] != nil {
+			sim.reportViolation("the moves of %s are forgotten before it is over", id)
 		}
 		return
 	}
 	r, err := migration.ReadRecord(c.Value)
 	switch {
 	case err != nil:
-		w.reportViolation("%s: %v", c.Put, err)
+		sim.reportViolation("%s: %v", c.Put, err)
 	case len(r.Moves) < before:
-		w.reportViolation("%s: %d moves on record, %d before", id, len(r.Moves), before)
+		sim.reportViolation("%s: %d moves on record, %d before", id, len(r.Moves), before)
 	case len(r.Moves) > maxMovesPerJob:
-		w.reportViolation("%s is moved %d times", id, len(r.Moves))
+		sim.reportViolation("%s is moved %d times", id, len(r.Moves))
 	}
-	w.Moves += len(r.Moves) - before
-	w.logf("move of %s on record, its %d.", id, len(r.Moves))
+	sim.Moves += len(r.Moves) - before
+	sim.logf("move of %s on record, its %d.", id, len(r.Moves))
 }
 
 // Times of the scenario in which moves pay.
@@ -69,18 +69,18 @@
 
 // fragmentFleet fills the machines with jobs of four tasks, of which one ends early, and then asks
 // for room for wide tasks: each machine has room for half of one.
-func (w *Simulation) fragmentFleet(wide int) {
-	w.checkReservations()
-	w.scheduleAt(2, func() {
-		for range 4 * w.cfg.ZoneCapacity {
-			j := w.submitJob(w.makeNarrow, firstTaskDuration)
+func (sim *Simulation) fragmentFleet(wide int) {
+	sim.checkReservations()
+	sim.scheduleAt(2, func() {
+		for range 4 * sim.cfg.ZoneCapacity {
+			j := sim.submitJob(sim.makeNarrow, firstTaskDuration)
 			j.durationStep = taskDurationStep
 		}
 	})
-	w.scheduleAt(wideTasksAt, func() {
+	sim.scheduleAt(wideTasksAt, func() {
 		for range wide {
-			w.submitJob(func(s *api.Spec) {
-				w.makeNarrow(s)
+			sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
 			}, wideTaskDuration)
 		}
@@ -88,33 +88,33 @@
 }
 
 // submitWideTasks submits a wide task every few seconds of a run.
-func (w *Simulation) submitWideTasks(from, to float64) {
+func (sim *Simulation) submitWideTasks(from, to float64) {
 	const pace = 4
 	for s := from; s < to; s += pace {
-		w.scheduleAt(s, func() {
-			w.submitJob(func(s *api.Spec) {
-				w.makeNarrow(s)
-				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, float64(3+w.rng.IntN(4)), 0, 12
+		sim.scheduleAt(s, func() {
+			sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
+				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, float64(3+sim.rng.IntN(4)), 0, 12
 			}, 12*time.Second)
 		})
 	}
 }
 
 // makeNarrow makes a job of four tasks of 2 CPUs that save when they are stopped.
-func (w *Simulation) makeNarrow(s *api.Spec) {
+func (sim *Simulation) makeNarrow(s *api.Spec) {
 	s.Tasks, s.VCPUs, s.Spot, s.Image = 4, 2, true, "img-0"
 	s.CheckpointEveryS, s.CheckpointS = 5, 1
 	s.RuntimeS = (firstTaskDuration + 3*taskDurationStep).Seconds()
 }
 
 // checkReservations checks, now and then, that no room is kept for longer than for a move.
-func (w *Simulation) checkReservations() {
-	if l := w.leader(); l != nil {
+func (sim *Simulation) checkReservations() {
+	if l := sim.leader(); l != nil {
 		if s := l.controller.Stats(); s.Reservations > s.MovesActive {
-			w.reportViolation("room is kept on %d machines for %d moves", s.Reservations, s.MovesActive)
+			sim.reportViolation("room is kept on %d machines for %d moves", s.Reservations, s.MovesActive)
 		}
 	}
-	w.schedule(time.Second, w.checkReservations)
+	sim.schedule(time.Second, sim.checkReservations)
 }
 
 // activeMoves lists the moves that a leader knows of.
@@ -131,30 +131,30 @@
 }
 
 // onMoveState calls f once, as soon as a leader has a move in a state.
-func (w *Simulation) onMoveState(state migration.State, f func(l *node, m controller.MoveEntry)) {
-	w.pollMoves(time.Millisecond, func(l *node, m controller.MoveEntry) bool {
+func (sim *Simulation) onMoveState(state migration.State, f func(l *node, m controller.MoveEntry)) {
+	sim.pollMoves(time.Millisecond, func(l *node, m controller.MoveEntry) bool {
 		if m.State != state.String() {
 			return false
 		}
-		w.countEvent("move " + m.State)
+		sim.countEvent("move " + m.State)
 		f(l, m)
 		return true
 	})
 }
 
 // pollMoves looks at the leader's moves again and again until f says that it has seen enough.
-func (w *Simulation) pollMoves(every time.Duration, f func(l *node, m controller.MoveEntry) bool) {
-	l := w.leader()
+func (sim *Simulation) pollMoves(every time.Duration, f func(l *node, m controller.MoveEntry) bool) {
+	l := sim.leader()
 	for _, m := range activeMoves(l) {
 		if f(l, m) {
 			return
 		}
 	}
-	w.schedule(every, func() { w.pollMoves(every, f) })
+	sim.schedule(every, func() { sim.pollMoves(every, f) })
 }
 
 // countMoveOutcomes notes how the moves of each leader end.
-func (w *Simulation) countMoveOutcomes() {
+func (sim *Simulation) countMoveOutcomes() {
 	type key struct {
 		node string
 		life int
@@ -162,30 +162,30 @@
 		from ident.MachineID
 	}
 	seen := map[key]bool{}
-	w.pollMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
+	sim.pollMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
 		k := key{l.name, l.incarnation, m.Task, m.From}
 		if m.Reason != "" && !seen[k] {
 			seen[k] = true
-			w.countEvent("ended: " + m.Reason)
+			sim.countEvent("ended: " + m.Reason)
 		}
 		return false
 	})
 }
 
 // workerByID returns the worker of a name, nil if it is gone.
-func (w *Simulation) workerByID(h ident.MachineID) *worker { return w.workers[h] }
+func (sim *Simulation) workerByID(h ident.MachineID) *worker { return sim.workers[h] }
 
 // jobOfMoveKey returns the job of a key of moves.
 func jobOfMoveKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
 
 // submitShortTasks submits arrays of short tasks that differ by half in either direction, every two
 // seconds of a run.
-func (w *Simulation) submitShortTasks(from, to float64) {
+func (sim *Simulation) submitShortTasks(from, to float64) {
 	const pace = 2
 	for s := from; s < to; s += pace {
-		w.scheduleAt(s, func() {
-			j := w.submitJob(func(s *api.Spec) {
-				w.makeNarrow(s)
+		sim.scheduleAt(s, func() {
+			j := sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 8, 1, 0, 10
 			}, 6*time.Second)
 			j.durationStep = time.Second
@@ -198,9 +198,9 @@
 
 // slowMachineScenario sets up a fleet with one slow machine, and the work by which it is found.
 func slowMachineScenario(seed uint64, mode settings.Rebalance, slow int) *Simulation {
-	w := New(slowConfig(seed, mode, slow))
-	w.workBesideSlow()
-	return w
+	sim := New(slowConfig(seed, mode, slow))
+	sim.workBesideSlow()
+	return sim
 }
 
 // slowConfig sets up a small fleet of which some machines are slow.
@@ -212,11 +212,11 @@
 
 // workBesideSlow submits long tasks beside room on most machines, and arrays of short tasks by
 // which a slow machine is found.
-func (w *Simulation) workBesideSlow() {
-	w.scheduleAt(2, func() {
+func (sim *Simulation) workBesideSlow() {
+	sim.scheduleAt(2, func() {
 		for range 6 {
-			w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds() }, longTaskDuration)
+			sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds() }, longTaskDuration)
 		}
 	})
-	w.submitShortTasks(8, 140)
+	sim.submitShortTasks(8, 140)
 }
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -13,14 +13,14 @@
 )
 
 // mutateHeartbeatReply is what mutations make of an answer to a report.
-func (w *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
+func (sim *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
-	case w.cfg.Mutation == RenewWithoutLeadership && !n.controller.Election().LeaseValid():
+	case sim.cfg.Mutation == RenewWithoutLeadership && !n.controller.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
 			return &controller.Response{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
-	case w.cfg.Mutation == DropStopCommands && r.Status == 200:
+	case sim.cfg.Mutation == DropStopCommands && r.Status == 200:
 		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
 			o.Commands = withoutStops(o.Commands)
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -130,25 +130,25 @@
 }
 
 func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
-	w := e.sim()
-	w.cfg.Digest.stateRequest(w.now, e.node.name, r)
+	sim := e.sim()
+	sim.cfg.Digest.stateRequest(sim.now, e.node.name, r)
 	ok := true
 	if e.legacy {
 		f, ok = e.legacyRequest(r, f)
 	} else {
-		r, ok = w.mutateRequest(r, e.replyIfAlive(f))
+		r, ok = sim.mutateRequest(r, e.replyIfAlive(f))
 	}
 	if !ok {
 		return
 	}
-	if w.cfg.Mutation == ForgetPlacements && r.Op == kvstore.List {
+	if sim.cfg.Mutation == ForgetPlacements && r.Op == kvstore.List {
 		g := f
 		f = func(a kvstore.Response) { g(forgetPlacements(a)) }
 	}
-	w.recordPlacement(e.node.name, r)
-	w.recordTransaction(e.node, r)
+	sim.recordPlacement(e.node.name, r)
+	sim.recordTransaction(e.node, r)
 	send := func() {
-		w.call(e.node.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.node.name, r, reply) }, func(a any) {
+		sim.call(e.node.name, "state", r.Timeout, func(reply func(any)) { sim.store.serve(e.node.name, r, reply) }, func(a any) {
 			e.ifAlive(func() {
 				if a == nil {
 					f(kvstore.Response{Outcome: kvstore.NoAnswer})
@@ -159,9 +159,9 @@
 		})
 	}
 	send = e.afterPause(send)
-	if w.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
-		w.launchBeforeCommit(e.node.name, r)
-		w.schedule(400*time.Millisecond, e.ifAlive(send))
+	if sim.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
+		sim.launchBeforeCommit(e.node.name, r)
+		sim.schedule(400*time.Millisecond, e.ifAlive(send))
 		return
 	}
 	send()
@@ -173,15 +173,15 @@
 }
 
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
-	w := e.sim()
-	w.cfg.Digest.cloudRequest(w.now, e.node.name, r)
+	sim := e.sim()
+	sim.cfg.Digest.cloudRequest(sim.now, e.node.name, r)
 	answer := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
 	e.afterPause(func() {
 		if e.deadlinePassed(r.NotAfter) {
-			w.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
+			sim.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
 			return
 		}
-		w.call(e.node.name, "cloud", 4*time.Second, func(reply func(any)) { w.cloud.serve(r, reply) }, func(a any) {
+		sim.call(e.node.name, "cloud", 4*time.Second, func(reply func(any)) { sim.cloud.serve(r, reply) }, func(a any) {
 			if a == nil {
 				a = cloud.Response{Outcome: cloud.NoAnswer}
 			}
@@ -196,41 +196,41 @@
 }
 
 func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
-	w := e.sim()
+	sim := e.sim()
 	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
-	w.recordLaunch(e.node.name, c)
-	if c.Launches() && w.handingOver(e.node) {
-		w.reportViolation("%s starts a task while it hands the lead over", e.node.name)
+	sim.recordLaunch(e.node.name, c)
+	if c.Launches() && sim.handingOver(e.node) {
+		sim.reportViolation("%s starts a task while it hands the lead over", e.node.name)
 	}
 	if c.Launches() && !e.deadlinePassed(c.NotAfter) && !e.leads() {
-		w.countEvent("launch without leadership")
+		sim.countEvent("launch without leadership")
 	}
-	target := w.workers[ident.MachineID(c.Addr)]
+	target := sim.workers[ident.MachineID(c.Addr)]
 	switch {
 	case e.deadlinePassed(c.NotAfter):
-		w.schedule(0, func() { answer(workers.CommandResult{NotSent: true}) })
+		sim.schedule(0, func() { answer(workers.CommandResult{NotSent: true}) })
 		return
 	case target == nil:
-		w.schedule(0, func() { answer(workers.CommandResult{}) })
+		sim.schedule(0, func() { answer(workers.CommandResult{}) })
 		return
 	}
-	if w.cfg.Mutation == DropStopCommands {
+	if sim.cfg.Mutation == DropStopCommands {
 		c.Body.Commands = withoutStops(c.Body.Commands)
 	}
-	w.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
+	sim.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
 		deliverCommand := func() {
 			target.whenResponsive(func() {
 				target.handleCommands(c.Body, func(a any) {
-					if d := w.commandDelay(); d > 0 {
-						w.schedule(d, func() { reply(a) })
+					if d := sim.commandDelay(); d > 0 {
+						sim.schedule(d, func() { reply(a) })
 						return
 					}
 					reply(a)
 				})
 			})
 		}
-		if d := w.commandDelay(); d > 0 {
-			w.schedule(d, deliverCommand)
+		if d := sim.commandDelay(); d > 0 {
+			sim.schedule(d, deliverCommand)
 			return
 		}
 		deliverCommand()
@@ -243,27 +243,27 @@
 }
 
 func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
-	w := e.sim()
-	for _, o := range w.nodes {
+	sim := e.sim()
+	for _, o := range sim.nodes {
 		if o.name != string(to) {
 			continue
 		}
 		// Through the wire format, as between processes.
 		encoded := f.Append(nil)
-		w.cfg.Digest.frame(w.now, e.node.name, o.name, encoded)
+		sim.cfg.Digest.frame(sim.now, e.node.name, o.name, encoded)
 		g, err := transport.Decode(encoded[4:])
 		if err != nil {
 			panic(err)
 		}
-		if w.cfg.Mutation == KeepLeasesForever && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
+		if sim.cfg.Mutation == KeepLeasesForever && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
 			g.Heartbeat.LeaseAllowanceMS = transport.ToMillis(time.Hour)
 		}
-		if !w.observeFrame(e.node, o, g) {
+		if !sim.observeFrame(e.node, o, g) {
 			return
 		}
 		incarnation := o.incarnation
 		e.afterPause(func() {
-			w.deliver(e.node.name, o.name, func() {
+			sim.deliver(e.node.name, o.name, func() {
 				o.whenResponsive(incarnation, func() { o.controller.HandleFrame(ident.NodeID(e.node.name), g) })
 			})
 		})()
@@ -271,35 +271,35 @@
 }
 
 // request is a request of a user or a worker to a node.
-func (w *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
+func (sim *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
 	if !n.alive {
-		w.schedule(time.Millisecond, func() { done(nil) })
+		sim.schedule(time.Millisecond, func() { done(nil) })
 		return
 	}
 	incarnation := n.incarnation
 	key := n.name + " " + job
-	if v == transport.SubmitJob && w.cfg.Mutation == DropZoneConstraint {
+	if v == transport.SubmitJob && sim.cfg.Mutation == DropZoneConstraint {
 		body = dropZoneConstraint(body)
 	}
-	w.call(from, n.name, timeout, func(reply func(any)) {
+	sim.call(from, n.name, timeout, func(reply func(any)) {
 		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == transport.GetJob && w.cfg.Mutation == CacheStatusAnswers && c.body != nil && w.now.Sub(c.at) < cacheTTL {
+			if c := n.cache[key]; v == transport.GetJob && sim.cfg.Mutation == CacheStatusAnswers && c.body != nil && sim.now.Sub(c.at) < cacheTTL {
 				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
 			n.controller.HandleRequest(v, job, body, func(r controller.Response) {
 				n.env.afterPause(func() {
-					if w.cfg.Mutation != IgnoreSendDeadlines {
+					if sim.cfg.Mutation != IgnoreSendDeadlines {
 						r = r.IfValid(n.env.clock())
 					}
-					w.cfg.Digest.answer(w.now, n.name, from, v, job, r)
+					sim.cfg.Digest.answer(sim.now, n.name, from, v, job, r)
 					switch v {
 					case transport.GetJob:
-						if w.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
-							n.cache[key] = cachedAnswer{w.now, r.Body}
+						if sim.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
+							n.cache[key] = cachedAnswer{sim.now, r.Body}
 						}
 					case transport.WorkerHeartbeat:
-						reply(w.mutateHeartbeatReply(n, body, &r))
+						reply(sim.mutateHeartbeatReply(n, body, &r))
 						return
 					}
 					reply(&r)
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -20,9 +20,9 @@
 const maxStepsBeforePause = 12
 
 // beginEvent begins an event, which may be one in which the process stands still.
-func (h *eventPause) beginEvent(w *Simulation) {
-	if w.faultHits(h.window) {
-		h.stepsUntilPause = 1 + w.rng.IntN(maxStepsBeforePause)
+func (h *eventPause) beginEvent(sim *Simulation) {
+	if sim.faultHits(h.window) {
+		h.stepsUntilPause = 1 + sim.rng.IntN(maxStepsBeforePause)
 	}
 }
 
@@ -31,20 +31,20 @@
 
 // maybePause has the process stand still now, if it is time for that.
 func (e *nodeEnv) maybePause() {
-	h, w := &e.node.eventPause, e.sim()
+	h, sim := &e.node.eventPause, e.sim()
 	if h.stepsUntilPause == 0 {
 		return
 	}
 	if h.stepsUntilPause--; h.stepsUntilPause > 0 {
 		return
 	}
-	h.paused = time.Duration(500+w.rng.IntN(12_000)) * time.Millisecond
-	w.countEvent("halt within an event")
+	h.paused = time.Duration(500+sim.rng.IntN(12_000)) * time.Millisecond
+	sim.countEvent("halt within an event")
 	if e.leads() {
-		w.countEvent("halt of a leader within an event")
+		sim.countEvent("halt of a leader within an event")
 	}
-	w.logf("%s stands still for %v within an event", e.node.name, h.paused)
-	e.node.pausedUntil = max(e.node.pausedUntil, w.now.Add(h.paused))
+	sim.logf("%s stands still for %v within an event", e.node.name, h.paused)
+	e.node.pausedUntil = max(e.node.pausedUntil, sim.now.Add(h.paused))
 }
 
 // afterPause makes a call to the outside wait until the process moves again, if it
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -9,19 +9,19 @@
 // what they do, a few of them at a time, while jobs come one a second, are cancelled,
 // and asked about at all nodes.
 func runWithPauses(seed uint64, m Mutation) *Simulation {
-	w := New(Config{Seed: seed, Mutation: m, NoArrivals: true, ActiveDuration: 150 * time.Second})
-	w.submitBaseLoad(5)
-	w.scheduleAt(30, func() { w.probeAfterAnswer = faultWindow{1, timeAt(150)} })
-	w.submitStream(35.0, 140, 0.5, 6*time.Second)
+	sim := New(Config{Seed: seed, Mutation: m, NoArrivals: true, ActiveDuration: 150 * time.Second})
+	sim.submitBaseLoad(5)
+	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
+	sim.submitStream(35.0, 140, 0.5, 6*time.Second)
 	for s := 40.0; s < 130; s += 15 {
-		w.scheduleAt(s, func() {
-			for _, n := range w.nodes {
-				n.eventPause.window = faultWindow{0.01, w.now.Add(10 * time.Second)}
+		sim.scheduleAt(s, func() {
+			for _, n := range sim.nodes {
+				n.eventPause.window = faultWindow{0.01, sim.now.Add(10 * time.Second)}
 			}
 		})
 	}
-	w.Run()
-	return w
+	sim.Run()
+	return sim
 }
 
 // TestProcessPausesWithinEvents: a process that stands still between a decision and what follows
@@ -33,10 +33,10 @@
 	t.Parallel()
 	leaders := 0
 	for seed := range uint64(10) {
-		w := runWithPauses(seed, None)
-		requireClean(t, seed, w)
-		leaders += w.eventCounts["halt of a leader within an event"]
-		if n := w.eventCounts["launch without leadership"]; n > 0 {
+		sim := runWithPauses(seed, None)
+		requireClean(t, seed, sim)
+		leaders += sim.eventCounts["halt of a leader within an event"]
+		if n := sim.eventCounts["launch without leadership"]; n > 0 {
 			t.Errorf("seed %d: %d launches were sent without leadership", seed, n)
 		}
 	}
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -14,15 +14,15 @@
 )
 
 // runMoveScenario plays days of one kind and checks each; it returns how many moves were recorded.
-func runMoveScenario(t *testing.T, seeds uint64, inject func(w *Simulation)) (moves int) {
+func runMoveScenario(t *testing.T, seeds uint64, inject func(sim *Simulation)) (moves int) {
 	t.Helper()
 	for seed := range seeds {
-		w := New(rebalancingConfig(seed))
-		inject(w)
-		w.Run()
-		requireClean(t, seed, w)
-		checkStopCounts(t, seed, w)
-		moves += w.Moves
+		sim := New(rebalancingConfig(seed))
+		inject(sim)
+		sim.Run()
+		requireClean(t, seed, sim)
+		checkStopCounts(t, seed, sim)
+		moves += sim.Moves
 	}
 	return moves
 }
@@ -51,13 +51,13 @@
 		if cfg.SlowMachines = int(seed % 2); cfg.SlowMachines > 0 {
 			cfg.QuiescentDuration = 20 * time.Minute // or end on the slow machine
 		}
-		w := New(cfg)
-		w.fragmentFleet(4)
-		w.submitWideTasks(wideTasksAt, 180)
-		w.submitShortTasks(30, 150)
-		w.Run()
-		requireClean(t, seed, w)
-		moves += w.Moves
+		sim := New(cfg)
+		sim.fragmentFleet(4)
+		sim.submitWideTasks(wideTasksAt, 180)
+		sim.submitShortTasks(30, 150)
+		sim.Run()
+		requireClean(t, seed, sim)
+		moves += sim.Moves
 	}
 	t.Logf("%d moves", moves)
 	if moves < 60 {
@@ -80,19 +80,19 @@
 	for seed := range uint64(3) {
 		cfg := floodConfig(seed, settings.RebalanceMove)
 		cfg.LinkMonitoring = true
-		w := New(cfg)
-		w.submitSteadyLoad()
-		w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
-		w.schedule(floodStart+10*time.Second, func() { w.crashLeader(4 * time.Second) })
+		sim := New(cfg)
+		sim.submitSteadyLoad()
+		sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
+		sim.schedule(floodStart+10*time.Second, func() { sim.crashLeader(4 * time.Second) })
 		sum, n := 0.0, 0
 		for d := convergenceTime; d < convergenceTime+30*time.Second; d += time.Second {
-			w.schedule(floodStart+d, func() {
-				sum += w.imbalance()
+			sim.schedule(floodStart+d, func() {
+				sum += sim.imbalance()
 				n++
 			})
 		}
-		w.Run()
-		requireClean(t, seed, w)
+		sim.Run()
+		requireClean(t, seed, sim)
 		if mean := sum / float64(n); mean > maxImbalance {
 			t.Errorf("seed %d: imbalance %.2f a minute after the flood began", seed, mean)
 		}
@@ -104,30 +104,30 @@
 func TestFloodEndsAsMovesBegin(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := New(rebalancingConfig(seed))
-		w.fragmentFleet(0)
+		sim := New(rebalancingConfig(seed))
+		sim.fragmentFleet(0)
 		var wide []*userJob
-		w.scheduleAt(wideTasksAt, func() {
+		sim.scheduleAt(wideTasksAt, func() {
 			for range 6 {
-				wide = append(wide, w.submitJob(func(s *api.Spec) {
-					w.makeNarrow(s)
+				wide = append(wide, sim.submitJob(func(s *api.Spec) {
+					sim.makeNarrow(s)
 					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration))
 			}
-			w.onMoveState(migration.Proposed, func(*node, controller.MoveEntry) {
+			sim.onMoveState(migration.Proposed, func(*node, controller.MoveEntry) {
 				for _, j := range wide {
-					w.cancelWhenAccepted(j, nil)
+					sim.cancelWhenAccepted(j, nil)
 				}
-				w.countEvent("cooled")
+				sim.countEvent("cooled")
 			})
 		})
 		recorded := 0
-		w.scheduleAt(wideTasksAt+20, func() { recorded = w.Moves })
-		w.Run()
-		requireClean(t, seed, w)
-		checkStopCounts(t, seed, w)
-		if w.eventCounts["cooled"] == 0 || w.Moves > recorded {
-			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, w.Moves, w.Moves-recorded, w.eventCounts)
+		sim.scheduleAt(wideTasksAt+20, func() { recorded = sim.Moves })
+		sim.Run()
+		requireClean(t, seed, sim)
+		checkStopCounts(t, seed, sim)
+		if sim.eventCounts["cooled"] == 0 || sim.Moves > recorded {
+			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, sim.Moves, sim.Moves-recorded, sim.eventCounts)
 		}
 	}
 }
@@ -137,35 +137,35 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		play func(w *Simulation)
+		play func(sim *Simulation)
 	}{
-		{"all machines are hot", func(w *Simulation) {
-			w.scheduleAt(2, func() {
-				for range 4 * w.cfg.ZoneCapacity {
-					w.submitJob(w.makeNarrow, 150*time.Second)
+		{"all machines are hot", func(sim *Simulation) {
+			sim.scheduleAt(2, func() {
+				for range 4 * sim.cfg.ZoneCapacity {
+					sim.submitJob(sim.makeNarrow, 150*time.Second)
 				}
 			})
-			w.scheduleAt(wideTasksAt, func() {
+			sim.scheduleAt(wideTasksAt, func() {
 				for range 4 {
-					w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
+					sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
 				}
 			})
 		}},
-		{"tasks that never save have run for long", func(w *Simulation) {
-			w.scheduleAt(2, func() {
-				for range 4 * w.cfg.ZoneCapacity {
-					j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstTaskDuration)
+		{"tasks that never save have run for long", func(sim *Simulation) {
+			sim.scheduleAt(2, func() {
+				for range 4 * sim.cfg.ZoneCapacity {
+					j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstTaskDuration)
 					j.durationStep = taskDurationStep
 				}
 			})
-			w.scheduleAt(100, func() { w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration) })
+			sim.scheduleAt(100, func() { sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration) })
 		}},
-		{"the wide job fails everywhere", func(w *Simulation) {
-			w.fragmentFleet(0)
-			w.scheduleAt(wideTasksAt, func() {
-				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideTaskDuration)
+		{"the wide job fails everywhere", func(sim *Simulation) {
+			sim.fragmentFleet(0)
+			sim.scheduleAt(wideTasksAt, func() {
+				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideTaskDuration)
 				j.alwaysFails = true
-				w.schedule(60*time.Second, func() { w.cancelWhenAccepted(j, nil) })
+				sim.schedule(60*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 			})
 		}},
 	} {
@@ -183,28 +183,28 @@
 // back to a machine that a move took it from.
 func TestPulsingLoadDoesNotOscillate(t *testing.T) {
 	t.Parallel()
-	moves := runMoveScenario(t, 6, func(w *Simulation) {
-		w.scheduleAt(2, func() {
-			for i := range 4 * w.cfg.ZoneCapacity {
-				factor := []float64{0.5, 1, 1.5}[(i+int(w.cfg.Seed))%3]
-				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
+	moves := runMoveScenario(t, 6, func(sim *Simulation) {
+		sim.scheduleAt(2, func() {
+			for i := range 4 * sim.cfg.ZoneCapacity {
+				factor := []float64{0.5, 1, 1.5}[(i+int(sim.cfg.Seed))%3]
+				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
-			w.scheduleAt(s, func() {
-				w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
+			sim.scheduleAt(s, func() {
+				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
 		left := map[string]map[ident.MachineID]bool{}
-		w.scheduleAt(wideTasksAt, func() {
-			w.pollMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
+		sim.scheduleAt(wideTasksAt, func() {
+			sim.pollMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 				if left[m.Task] == nil {
 					left[m.Task] = map[ident.MachineID]bool{}
 				}
 				left[m.Task][m.From] = true
 				if m.To != "" && left[m.Task][m.To] {
-					w.reportViolation("%s goes back to %s", m.Task, m.To)
+					sim.reportViolation("%s goes back to %s", m.Task, m.To)
 				}
 				return false
 			})
@@ -221,26 +221,26 @@
 	t.Parallel()
 	for before, moves := range map[int]bool{0: true, 1: true, 2: false} {
 		for seed := range uint64(3) {
-			w := New(rebalancingConfig(seed))
-			w.fragmentFleet(4)
-			w.scheduleAt(30, func() {
+			sim := New(rebalancingConfig(seed))
+			sim.fragmentFleet(4)
+			sim.scheduleAt(30, func() {
 				var r migration.Record
 				for n := range before {
 					r.Moves = append(r.Moves, migration.Entry{Index: n, Attempt: 1, From: "host-a", To: "host-b"})
 				}
-				for _, id := range w.jobOrder {
+				for _, id := range sim.jobOrder {
 					if before > 0 {
-						w.store.apply([]kvstore.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
+						sim.store.apply([]kvstore.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
 					}
 				}
-				w.Moves = 0
-				w.crashLeader(2 * time.Second)
+				sim.Moves = 0
+				sim.crashLeader(2 * time.Second)
 			})
-			w.Run()
-			requireClean(t, seed, w)
-			checkStopCounts(t, seed, w)
-			if moves != (w.Moves > 0) || w.eventCounts["new term"] == 0 {
-				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, w.Moves, w.eventCounts)
+			sim.Run()
+			requireClean(t, seed, sim)
+			checkStopCounts(t, seed, sim)
+			if moves != (sim.Moves > 0) || sim.eventCounts["new term"] == 0 {
+				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, sim.Moves, sim.eventCounts)
 			}
 		}
 	}
@@ -250,25 +250,25 @@
 // on record of it.
 func TestEveryNodeReportsMoves(t *testing.T) {
 	t.Parallel()
-	w := New(rebalancingConfig(1))
-	w.fragmentFleet(4)
-	w.scheduleAt(wideTasksAt, func() {
-		w.onMoveState(migration.Stopping, func(l *node, m controller.MoveEntry) {
-			w.forEachPeer(l, func(n *node) {
+	sim := New(rebalancingConfig(1))
+	sim.fragmentFleet(4)
+	sim.scheduleAt(wideTasksAt, func() {
+		sim.onMoveState(migration.Stopping, func(l *node, m controller.MoveEntry) {
+			sim.forEachPeer(l, func(n *node) {
 				n.controller.MoveReport(func(r controller.MoveReport) {
 					for _, e := range r.Moves {
 						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
-							w.countEvent("shown by another")
+							sim.countEvent("shown by another")
 						}
 					}
 				})
 			})
 		})
 	})
-	w.Run()
-	requireClean(t, 1, w)
-	if w.eventCounts["shown by another"] != 2 {
-		t.Errorf("%v", w.eventCounts)
+	sim.Run()
+	requireClean(t, 1, sim)
+	if sim.eventCounts["shown by another"] != 2 {
+		t.Errorf("%v", sim.eventCounts)
 	}
 }
 
@@ -280,16 +280,16 @@
 	for seed := range uint64(3) {
 		cfg := rebalancingConfig(seed)
 		cfg.Tune = func(t *settings.Tuning) { t.Migration.MinRunTime, t.Migration.LeaderSettleTime = 0, 25*time.Second }
-		w := New(cfg)
-		w.fragmentFleet(4)
-		w.scheduleAt(wideTasksAt+3, func() { w.crashLeader(2 * time.Second) })
+		sim := New(cfg)
+		sim.fragmentFleet(4)
+		sim.scheduleAt(wideTasksAt+3, func() { sim.crashLeader(2 * time.Second) })
 		early := 0
-		w.scheduleAt(wideTasksAt+3+25, func() { early = w.Moves })
-		w.Run()
-		requireClean(t, seed, w)
-		moves += w.Moves
-		if early > 0 || w.eventCounts["new term"] == 0 {
-			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, w.Moves, early, w.eventCounts)
+		sim.scheduleAt(wideTasksAt+3+25, func() { early = sim.Moves })
+		sim.Run()
+		requireClean(t, seed, sim)
+		moves += sim.Moves
+		if early > 0 || sim.eventCounts["new term"] == 0 {
+			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, sim.Moves, early, sim.eventCounts)
 		}
 	}
 	if moves == 0 {
@@ -303,16 +303,16 @@
 	t.Parallel()
 	arrived := 0
 	for seed := range uint64(4) {
-		w := New(rebalancingConfig(seed))
-		w.fragmentFleet(4)
+		sim := New(rebalancingConfig(seed))
+		sim.fragmentFleet(4)
 		for s := wideTasksAt; s < wideTasksAt+40; s += 0.7 {
-			w.scheduleAt(s, func() {
-				w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
+			sim.scheduleAt(s, func() {
+				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
 			})
 		}
-		gains := w.collectFinishedMoves()
-		w.Run()
-		requireClean(t, seed, w)
+		gains := sim.collectFinishedMoves()
+		sim.Run()
+		requireClean(t, seed, sim)
 		for _, m := range *gains {
 			if m.Reason != migration.Arrived.String() {
 				continue
@@ -332,19 +332,19 @@
 // fetches an image and costs another one its place. Nothing is moved to and fro for it.
 func TestImagesEvictEachOther(t *testing.T) {
 	t.Parallel()
-	moves := runMoveScenario(t, 4, func(w *Simulation) {
+	moves := runMoveScenario(t, 4, func(sim *Simulation) {
 		image := func(s *api.Spec, n int) { s.Image = fmt.Sprintf("img-%d", n%4) }
-		w.scheduleAt(2, func() {
-			for n := range 4 * w.cfg.ZoneCapacity {
-				j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); image(s, n) }, firstTaskDuration)
+		sim.scheduleAt(2, func() {
+			for n := range 4 * sim.cfg.ZoneCapacity {
+				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); image(s, n) }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 110; s += 6 {
-			w.scheduleAt(s, func() {
-				w.submitJob(func(s *api.Spec) {
-					w.makeNarrow(s)
-					image(s, w.lastJobNumber)
+			sim.scheduleAt(s, func() {
+				sim.submitJob(func(s *api.Spec) {
+					sim.makeNarrow(s)
+					image(s, sim.lastJobNumber)
 					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration)
 			})
@@ -359,27 +359,27 @@
 // the leader leads on.
 func TestUnreadableMoveRecord(t *testing.T) {
 	t.Parallel()
-	w := New(rebalancingConfig(1))
-	w.fragmentFleet(4)
-	w.scheduleAt(40, func() {
-		for _, id := range w.jobOrder {
-			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(w.store.revision)}
+	sim := New(rebalancingConfig(1))
+	sim.fragmentFleet(4)
+	sim.scheduleAt(40, func() {
+		for _, id := range sim.jobOrder {
+			sim.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(sim.store.revision)}
 		}
-		l := w.leader()
+		l := sim.leader()
 		l.crash(time.Second)
 	})
-	w.scheduleAt(wideTasksAt+30, func() {
-		if w.leader() != nil {
-			w.countEvent("leads on")
+	sim.scheduleAt(wideTasksAt+30, func() {
+		if sim.leader() != nil {
+			sim.countEvent("leads on")
 		}
 	})
-	w.Run()
-	requireClean(t, 1, w)
-	if w.Moves > 0 || w.eventCounts["leads on"] == 0 {
-		t.Errorf("%d moves, %v", w.Moves, w.eventCounts)
+	sim.Run()
+	requireClean(t, 1, sim)
+	if sim.Moves > 0 || sim.eventCounts["leads on"] == 0 {
+		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
-	for path := range w.store.keys {
-		if id, ok := jobOfMoveKey(path); ok && w.store.keys["live/"+id] == nil {
+	for path := range sim.store.keys {
+		if id, ok := jobOfMoveKey(path); ok && sim.store.keys["live/"+id] == nil {
 			t.Errorf("%s is left", path)
 		}
 	}
@@ -391,13 +391,13 @@
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(3) {
-		w := New(rebalancingConfig(seed))
-		w.fragmentFleet(4)
-		w.scheduleAt(wideTasksAt+25, func() { w.crashLeader(2 * time.Second) })
-		w.Run()
-		requireClean(t, seed, w)
-		moves += w.Moves
-		for path := range w.store.keys {
+		sim := New(rebalancingConfig(seed))
+		sim.fragmentFleet(4)
+		sim.scheduleAt(wideTasksAt+25, func() { sim.crashLeader(2 * time.Second) })
+		sim.Run()
+		requireClean(t, seed, sim)
+		moves += sim.Moves
+		for path := range sim.store.keys {
 			if id, ok := jobOfMoveKey(path); ok {
 				t.Errorf("seed %d: the moves of %s are left", seed, id)
 			}
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -16,7 +16,7 @@
 type replayScenario struct {
 	name   string
 	config func(seed, variant uint64) Config
-	play   func(w *Simulation, variant uint64)
+	play   func(sim *Simulation, variant uint64)
 }
 
 const (
@@ -47,9 +47,9 @@
 
 // Replay plays the day of a seed. It is the same in every run of one build.
 func Replay(seed uint64) ReplayOutcome {
-	scenario, w := replayDay(seed)
-	w.Run()
-	return ReplayOutcome{Seed: seed, Scenario: scenario.name, Digest: w.cfg.Digest.Sum(), Broken: w.Violations}
+	scenario, sim := replayDay(seed)
+	sim.Run()
+	return ReplayOutcome{Seed: seed, Scenario: scenario.name, Digest: sim.cfg.Digest.Sum(), Broken: sim.Violations}
 }
 
 // replayDay sets the day of a seed up.
@@ -58,10 +58,10 @@
 	scenario, variant := replayScenarios[seed%kinds], seed/kinds
 	cfg := scenario.config(seed, variant)
 	cfg.QuiescentDuration, cfg.Digest = replayCalm, NewDigest()
-	w := New(cfg)
-	w.countLeaderChanges("new term")
-	scenario.play(w, variant)
-	return scenario, w
+	sim := New(cfg)
+	sim.countLeaderChanges("new term")
+	scenario.play(sim, variant)
+	return scenario, sim
 }
 
 // odd says whether every other day of a kind is meant.
@@ -71,23 +71,23 @@
 func asConfigured(*Simulation, uint64) {}
 
 // onLeader calls f with the leader of a moment, if there is one.
-func (w *Simulation) onLeader(s float64, f func(l *node)) {
-	w.scheduleAt(s, func() {
-		if l := w.leader(); l != nil {
+func (sim *Simulation) onLeader(s float64, f func(l *node)) {
+	sim.scheduleAt(s, func() {
+		if l := sim.leader(); l != nil {
 			f(l)
 		}
 	})
 }
 
 // killLeader has the leader of a moment end and come back.
-func (w *Simulation) killLeader(s float64, back time.Duration) {
-	w.onLeader(s, func(l *node) {
-		w.countEvent("leader killed")
+func (sim *Simulation) killLeader(s float64, back time.Duration) {
+	sim.onLeader(s, func(l *node) {
+		sim.countEvent("leader killed")
 		l.crash(back)
 	})
 }
 
 // between returns a time at random.
-func (w *Simulation) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+func (sim *Simulation) between(least, most time.Duration) time.Duration {
+	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
--- a/internal/simulator/replay_days.go
+++ b/internal/simulator/replay_days.go
@@ -34,29 +34,29 @@
 
 // playGangs has services come for which whole gangs must be stopped, and spot machines with
 // gangs be taken back.
-func playGangs(w *Simulation, variant uint64) {
+func playGangs(sim *Simulation, variant uint64) {
 	if !crowdedGangs(variant) {
 		return
 	}
-	w.scheduleAt(2, func() {
+	sim.scheduleAt(2, func() {
 		for range 10 {
-			w.submitJob(func(s *api.Spec) {
+			sim.submitJob(func(s *api.Spec) {
 				s.Shape, s.Tasks, s.VCPUs, s.Spot = api.Gang, 3, 2, true
 				s.CheckpointEveryS, s.CheckpointS = 8, 1
 			}, 100*time.Second)
 		}
 	})
-	w.scheduleAt(50, func() {
+	sim.scheduleAt(50, func() {
 		for range 4 {
-			w.service(6)
+			sim.service(6)
 		}
 	})
-	w.scheduleAt(90, func() {
-		for _, k := range w.sortedWorkers() {
+	sim.scheduleAt(90, func() {
+		for _, k := range sim.sortedWorkers() {
 			if k.machine.spot && k.reclaimAt == 0 && len(k.tasks) > 0 {
-				w.countEvent("spot notice")
+				sim.countEvent("spot notice")
 				k.announceReclaim(14 * time.Second)
-				w.schedule(14*time.Second, func() { w.cloud.terminate(k.machine) })
+				sim.schedule(14*time.Second, func() { sim.cloud.terminate(k.machine) })
 				return
 			}
 		}
@@ -64,8 +64,8 @@
 }
 
 // service submits an urgent service of one replica.
-func (w *Simulation) service(cpus float64) *userJob {
-	return w.submitJob(func(s *api.Spec) {
+func (sim *Simulation) service(cpus float64) *userJob {
+	return sim.submitJob(func(s *api.Spec) {
 		s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, cpus, 1, "img-0"
 	}, 0)
 }
@@ -91,22 +91,22 @@
 
 // playHandover breaks a link of the leader for a minute, or a part of every few seconds, or those
 // of all nodes to the machines.
-func playHandover(w *Simulation, variant uint64) {
-	w.submitBaseLoad(6)
-	w.submitStream(20, replayLength.Seconds(), 1.3, 20*time.Second)
-	w.onLeader(linkBreakAt.Seconds(), func(l *node) {
+func playHandover(sim *Simulation, variant uint64) {
+	sim.submitBaseLoad(6)
+	sim.submitStream(20, replayLength.Seconds(), 1.3, 20*time.Second)
+	sim.onLeader(linkBreakAt.Seconds(), func(l *node) {
 		ends := StudiedLinks[(variant+firstHandoverLink)%uint64(len(StudiedLinks))]
-		from, to := w.resolveLinkEnd(ends.From, l), w.resolveLinkEnd(ends.To, l)
+		from, to := sim.resolveLinkEnd(ends.From, l), sim.resolveLinkEnd(ends.To, l)
 		switch variant % 4 {
 		case 2:
-			for _, n := range w.nodes {
-				w.disconnect(n.name, machines, false, time.Minute)
+			for _, n := range sim.nodes {
+				sim.disconnect(n.name, machines, false, time.Minute)
 			}
-			w.cancelRunning(2, 0)
+			sim.cancelRunning(2, 0)
 		case 3:
-			w.flapLink(from, to, 2400*time.Millisecond, 4*time.Second, time.Minute)
+			sim.flapLink(from, to, 2400*time.Millisecond, 4*time.Second, time.Minute)
 		default:
-			w.disconnectOneWay(from, to, false, time.Minute)
+			sim.disconnectOneWay(from, to, false, time.Minute)
 		}
 	})
 }
@@ -123,22 +123,22 @@
 
 // playReplayedMoves has wide tasks find no room on a fragmented fleet. Something goes wrong in the
 // midst of the first move, and the leader ends later.
-func playReplayedMoves(w *Simulation, variant uint64) {
-	w.fragmentFleet(4)
-	w.submitWideTasks(wideTasksAt, 140)
-	w.submitShortTasks(30, 140)
+func playReplayedMoves(sim *Simulation, variant uint64) {
+	sim.fragmentFleet(4)
+	sim.submitWideTasks(wideTasksAt, 140)
+	sim.submitShortTasks(30, 140)
 	states := []migration.State{migration.Stopping, migration.Proposed, migration.Placing}
-	w.scheduleAt(wideTasksAt, func() {
-		w.countMoveOutcomes()
-		w.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) { w.troubleMove(l, m, variant) })
+	sim.scheduleAt(wideTasksAt, func() {
+		sim.countMoveOutcomes()
+		sim.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) { sim.troubleMove(l, m, variant) })
 	})
-	w.killLeader(wideTasksAt+35, w.between(time.Second, 6*time.Second))
+	sim.killLeader(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
 }
 
 // troubleMove lets something go wrong with a move.
-func (w *Simulation) troubleMove(l *node, m controller.MoveEntry, variant uint64) {
-	from, to := w.workerByID(m.From), w.workerByID(m.To)
-	w.countEvent("trouble in a move")
+func (sim *Simulation) troubleMove(l *node, m controller.MoveEntry, variant uint64) {
+	from, to := sim.workerByID(m.From), sim.workerByID(m.To)
+	sim.countEvent("trouble in a move")
 	switch variant % 5 {
 	case 1:
 		if from != nil {
@@ -146,14 +146,14 @@
 		}
 	case 2:
 		job, _, _ := strings.Cut(m.Task, "/")
-		w.cancelWhenAccepted(w.jobs[ident.JobID(job)], nil)
+		sim.cancelWhenAccepted(sim.jobs[ident.JobID(job)], nil)
 	case 3:
 		if to != nil {
-			w.cloud.terminate(to.machine)
+			sim.cloud.terminate(to.machine)
 		}
 	case 4:
 		for range 6 {
-			w.service(2)
+			sim.service(2)
 		}
 	default:
 		l.crash(4 * time.Second)
@@ -168,11 +168,11 @@
 }
 
 // playSlowMachine has the slow machine be found and left; the leader ends on some days.
-func playSlowMachine(w *Simulation, variant uint64) {
-	w.workBesideSlow()
-	w.scheduleAt(30, w.countMoveOutcomes)
+func playSlowMachine(sim *Simulation, variant uint64) {
+	sim.workBesideSlow()
+	sim.scheduleAt(30, sim.countMoveOutcomes)
 	if odd(variant) {
-		w.killLeader(100, 3*time.Second)
+		sim.killLeader(100, 3*time.Second)
 	}
 }
 
@@ -192,14 +192,14 @@
 }
 
 // playUpgrade replaces the old nodes one by one.
-func playUpgrade(w *Simulation, _ uint64) {
-	for _, n := range w.nodes {
+func playUpgrade(sim *Simulation, _ uint64) {
+	for _, n := range sim.nodes {
 		if n.legacy {
-			w.countEvent("old node")
+			sim.countEvent("old node")
 		}
 	}
-	if w.cfg.LegacyNodes > 0 {
-		w.scheduleAt(60, func() { w.rollingUpgrade(w.settings.Nodes - w.cfg.LegacyNodes) })
+	if sim.cfg.LegacyNodes > 0 {
+		sim.scheduleAt(60, func() { sim.rollingUpgrade(sim.settings.Nodes - sim.cfg.LegacyNodes) })
 	}
 }
 
@@ -218,72 +218,72 @@
 
 // playFleet has a large fleet go through a change of leader, an outage of the state service and
 // the loss of a zone.
-func playFleet(w *Simulation, variant uint64) {
-	w.scheduleAt(1, func() {
-		for range w.cfg.FleetSize / arrayTasks {
-			w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = arrayTasks, 7, true }, 60*time.Second)
+func playFleet(sim *Simulation, variant uint64) {
+	sim.scheduleAt(1, func() {
+		for range sim.cfg.FleetSize / arrayTasks {
+			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = arrayTasks, 7, true }, 60*time.Second)
 		}
 		for range 3 {
-			w.submitJob(func(s *api.Spec) {
+			sim.submitJob(func(s *api.Spec) {
 				s.Tasks, s.VCPUs, s.Shape, s.Priority, s.Spot, s.RuntimeS = 10, 7, api.Service, api.Critical, false, 0
 			}, 0)
 		}
 	})
-	w.scheduleAt(50, func() {
-		for range w.workers {
-			w.countEvent("machine of the fleet")
+	sim.scheduleAt(50, func() {
+		for range sim.workers {
+			sim.countEvent("machine of the fleet")
 		}
 	})
-	w.killLeader(55, 3*time.Second)
-	w.scheduleAt(75, func() { w.stopState(12 * time.Second) })
-	w.scheduleAt(100, func() { w.partitionZone(w.settings.Zones[variant%2], false, 25*time.Second) })
+	sim.killLeader(55, 3*time.Second)
+	sim.scheduleAt(75, func() { sim.stopState(12 * time.Second) })
+	sim.scheduleAt(100, func() { sim.partitionZone(sim.settings.Zones[variant%2], false, 25*time.Second) })
 }
 
 // stopState has the state service be down for a while.
-func (w *Simulation) stopState(d time.Duration) {
-	w.countEvent("outage")
-	w.store.downUntil = w.now.Add(d)
+func (sim *Simulation) stopState(d time.Duration) {
+	sim.countEvent("outage")
+	sim.store.downUntil = sim.now.Add(d)
 }
 
 // playOutage has outages of the state service for all and for the leader alone; on some days
 // the leader ends in one.
-func playOutage(w *Simulation, variant uint64) {
-	w.submitBaseLoad(6)
-	w.submitStream(20, replayLength.Seconds(), 1.5, 20*time.Second)
-	w.scheduleAt(50, func() { w.stopState(w.between(5*time.Second, 35*time.Second)) })
+func playOutage(sim *Simulation, variant uint64) {
+	sim.submitBaseLoad(6)
+	sim.submitStream(20, replayLength.Seconds(), 1.5, 20*time.Second)
+	sim.scheduleAt(50, func() { sim.stopState(sim.between(5*time.Second, 35*time.Second)) })
 	if odd(variant) {
-		w.killLeader(51.5, w.between(time.Second, 30*time.Second))
+		sim.killLeader(51.5, sim.between(time.Second, 30*time.Second))
 	}
-	w.onLeader(100, func(l *node) { w.store.rejectUntil[l.name] = w.now.Add(14 * time.Second) })
-	w.scheduleAt(120, func() {
-		w.delayedWrites, w.slowStore = faultWindow{0.3, w.now.Add(15 * time.Second)}, faultWindow{0.8, w.now.Add(25 * time.Second)}
+	sim.onLeader(100, func(l *node) { sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second) })
+	sim.scheduleAt(120, func() {
+		sim.delayedWrites, sim.slowStore = faultWindow{0.3, sim.now.Add(15 * time.Second)}, faultWindow{0.8, sim.now.Add(25 * time.Second)}
 	})
 	if variant%3 == 2 {
-		w.scheduleAt(80, w.narrowState)
+		sim.scheduleAt(80, sim.narrowState)
 	}
 }
 
 // narrowState has the state service take less than it has announced.
-func (w *Simulation) narrowState() {
-	w.countEvent("limits lower than announced")
-	w.store.limits.ValueKB, w.store.limits.TxnOps, w.store.limits.Announced = 1, 3, nil
+func (sim *Simulation) narrowState() {
+	sim.countEvent("limits lower than announced")
+	sim.store.limits.ValueKB, sim.store.limits.TxnOps, sim.store.limits.Announced = 1, 3, nil
 }
 
 // playFailover ends the leader again and again; it is back at once or after another leads.
-func playFailover(w *Simulation, variant uint64) {
-	w.submitBaseLoad(4)
-	w.submitStream(10, replayLength.Seconds(), 0.8, 15*time.Second)
+func playFailover(sim *Simulation, variant uint64) {
+	sim.submitBaseLoad(4)
+	sim.submitStream(10, replayLength.Seconds(), 0.8, 15*time.Second)
 	for s := 30.0; s < 140; s += 11 {
 		back := 150 * time.Millisecond
-		if w.rng.IntN(2) == 0 {
+		if sim.rng.IntN(2) == 0 {
 			back = 3200 * time.Millisecond
 		}
-		w.killLeader(s, back)
+		sim.killLeader(s, back)
 	}
 	if odd(variant) {
-		w.scheduleAt(80, func() {
-			w.countEvent("all end")
-			for i, n := range w.nodes {
+		sim.scheduleAt(80, func() {
+			sim.countEvent("all end")
+			for i, n := range sim.nodes {
 				n.crash(time.Duration(1+8*i) * time.Second)
 			}
 		})
@@ -292,42 +292,42 @@
 
 // playPartitions takes parts of the world from the leader, one after the other, while users
 // look closely.
-func playPartitions(w *Simulation, variant uint64) {
-	w.submitBaseLoad(5)
-	w.submitStream(20, replayLength.Seconds(), 1.5, 10*time.Second)
-	w.scheduleAt(30, func() {
-		w.probeAfterAnswer = faultWindow{0.3, w.now.Add(replayLength)}
+func playPartitions(sim *Simulation, variant uint64) {
+	sim.submitBaseLoad(5)
+	sim.submitStream(20, replayLength.Seconds(), 1.5, 10*time.Second)
+	sim.scheduleAt(30, func() {
+		sim.probeAfterAnswer = faultWindow{0.3, sim.now.Add(replayLength)}
 		if odd(variant) {
-			w.slowBoots, w.failedBoots = faultWindow{0.4, timeAt(90)}, faultWindow{0.3, timeAt(90)}
+			sim.slowBoots, sim.failedBoots = faultWindow{0.4, timeAt(90)}, faultWindow{0.3, timeAt(90)}
 		}
 	})
-	w.scheduleAt(35, func() {
+	sim.scheduleAt(35, func() {
 		for range 3 {
-			w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 3, 4 }, 20*time.Second)
+			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 3, 4 }, 20*time.Second)
 		}
 	})
 	for i := range 5 {
-		w.onLeader(45+20*float64(i), func(l *node) {
-			w.countEvent("partition")
-			w.partition(l, (int(variant)+i)%6, w.between(4*time.Second, 18*time.Second))
+		sim.onLeader(45+20*float64(i), func(l *node) {
+			sim.countEvent("partition")
+			sim.partition(l, (int(variant)+i)%6, sim.between(4*time.Second, 18*time.Second))
 		})
 	}
 }
 
 // partition takes a part of the world from a node.
-func (w *Simulation) partition(n *node, part int, d time.Duration) {
-	hold := w.rng.IntN(2) == 0
+func (sim *Simulation) partition(n *node, part int, d time.Duration) {
+	hold := sim.rng.IntN(2) == 0
 	switch part {
 	case 0:
-		w.disconnect(n.name, "*", hold, d)
+		sim.disconnect(n.name, "*", hold, d)
 	case 1:
-		w.disconnect(n.name, "state", hold, d)
+		sim.disconnect(n.name, "state", hold, d)
 	case 2:
-		w.disconnect(n.name, machines, hold, d)
+		sim.disconnect(n.name, machines, hold, d)
 	case 3:
-		w.isolate(n, hold, d)
+		sim.isolate(n, hold, d)
 	case 4:
-		w.partitionZone(n.zone, hold, d)
+		sim.partitionZone(n.zone, hold, d)
 	default:
 		n.pauseFor(d)
 	}
@@ -342,21 +342,21 @@
 }
 
 // playFlood has one team flood the cluster; the leader ends meanwhile.
-func playFlood(w *Simulation, _ uint64) {
-	w.submitSteadyLoad()
-	w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
+func playFlood(sim *Simulation, _ uint64) {
+	sim.submitSteadyLoad()
+	sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
 	for s := 10 * time.Second; s < floodDuration; s += 8 * time.Second {
-		w.schedule(floodStart+s, func() {
-			j := w.service(1)
-			w.schedule(30*time.Second, func() { w.cancelWhenAccepted(j, nil) })
+		sim.schedule(floodStart+s, func() {
+			j := sim.service(1)
+			sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 		})
 	}
-	w.scheduleAt((floodStart + floodDuration/2).Seconds(), func() {
-		if w.isOnlyHotTeam(hotTeam) {
-			w.countEvent("hot team")
+	sim.scheduleAt((floodStart + floodDuration/2).Seconds(), func() {
+		if sim.isOnlyHotTeam(hotTeam) {
+			sim.countEvent("hot team")
 		}
 	})
-	w.killLeader((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
+	sim.killLeader((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
 }
 
 // mistakenJobs are ways in which jobs come that fail on every machine.
@@ -373,51 +373,51 @@
 
 // playMistakes has jobs fail on every machine until they are cancelled, beside sound ones and a
 // faulty machine; the leader ends meanwhile.
-func playMistakes(w *Simulation, variant uint64) {
-	w.submitBaseLoad(3)
+func playMistakes(sim *Simulation, variant uint64) {
+	sim.submitBaseLoad(3)
 	var list []*userJob
-	w.scheduleAt(30, func() {
+	sim.scheduleAt(30, func() {
 		m := mistakenJobs[variant%uint64(len(mistakenJobs))]
 		for range m.jobs {
-			j := w.submitJob(m.change, 10*time.Second)
+			j := sim.submitJob(m.change, 10*time.Second)
 			j.alwaysFails = true
 			list = append(list, j)
 		}
 	})
-	w.scheduleAt(45, func() {
-		if k := w.anyWorker(); k != nil {
+	sim.scheduleAt(45, func() {
+		if k := sim.anyWorker(); k != nil {
 			k.faulty = true
 		}
 	})
-	w.submitStream(40, 140, 3, 20*time.Second)
-	w.killLeader(80, 3*time.Second)
-	w.scheduleAt(120, func() {
+	sim.submitStream(40, 140, 3, 20*time.Second)
+	sim.killLeader(80, 3*time.Second)
+	sim.scheduleAt(120, func() {
 		for _, j := range list {
 			for range j.failures {
-				w.countEvent("failed try")
+				sim.countEvent("failed try")
 			}
-			w.cancelWhenAccepted(j, nil)
+			sim.cancelWhenAccepted(j, nil)
 		}
 	})
 }
 
 // playGuests has a team without guarantee or limit come with a vast array, a swarm of jobs of
 // one task and work for spare hours.
-func playGuests(w *Simulation, _ uint64) {
-	w.submitBaseLoad(3)
-	w.submitStream(40, 140, 5, 20*time.Second)
+func playGuests(sim *Simulation, _ uint64) {
+	sim.submitBaseLoad(3)
+	sim.submitStream(40, 140, 5, 20*time.Second)
 	guest := func(class string, tasks int, cpus float64, runs time.Duration) {
-		w.countEvent("guest")
-		w.submitJob(func(s *api.Spec) {
+		sim.countEvent("guest")
+		sim.submitJob(func(s *api.Spec) {
 			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks, cpus, 0.1, true
 		}, runs)
 	}
-	w.scheduleAt(45, func() { guest("vast", 1000, 0.25, 4*time.Second) })
-	w.scheduleAt(50, func() { guest("backfill", 60, 1, 20*time.Second) })
+	sim.scheduleAt(45, func() { guest("vast", 1000, 0.25, 4*time.Second) })
+	sim.scheduleAt(50, func() { guest("backfill", 60, 1, 20*time.Second) })
 	for s := 60.0; s < 75; s += 0.2 {
-		w.scheduleAt(s, func() { guest("swarm", 1, 0.25, 10*time.Second) })
+		sim.scheduleAt(s, func() { guest("swarm", 1, 0.25, 10*time.Second) })
 	}
-	w.killLeader(70, 4*time.Second)
+	sim.killLeader(70, 4*time.Second)
 }
 
 // crowdConfig has more work come than there is room for.
@@ -427,22 +427,22 @@
 
 // playCrowd has the links between nodes be slow, services come and go, and jobs come that are due
 // soon and bound to a type of machine.
-func playCrowd(w *Simulation, _ uint64) {
-	w.scheduleAt(20, func() { w.slowLinks = faultWindow{0.7, w.now.Add(replayLength)} })
+func playCrowd(sim *Simulation, _ uint64) {
+	sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, sim.now.Add(replayLength)} })
 	for s := 25.0; s < replayLength.Seconds(); s += 7 {
-		w.scheduleAt(s, func() {
-			due := w.between(20*time.Second, 90*time.Second).Seconds()
-			w.submitJob(func(s *api.Spec) {
-				s.Tasks, s.VCPUs, s.DeadlineS, s.Models = 2, 1, &due, []string{w.cloud.models[0].SKU}
+		sim.scheduleAt(s, func() {
+			due := sim.between(20*time.Second, 90*time.Second).Seconds()
+			sim.submitJob(func(s *api.Spec) {
+				s.Tasks, s.VCPUs, s.DeadlineS, s.Models = 2, 1, &due, []string{sim.cloud.models[0].SKU}
 			}, 10*time.Second)
 		})
 	}
 	for s := 30.0; s < replayLength.Seconds(); s += 10 {
-		w.scheduleAt(s, func() {
-			j := w.submitJob(func(s *api.Spec) {
+		sim.scheduleAt(s, func() {
+			j := sim.submitJob(func(s *api.Spec) {
 				s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1, "blue"
 			}, 0)
-			w.schedule(30*time.Second, func() { w.cancelWhenAccepted(j, nil) })
+			sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 		})
 	}
 }
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -14,27 +14,27 @@
 // aim is what days of a kind must have come to, in all.
 type aim struct {
 	what  string
-	count func(w *Simulation) int
+	count func(sim *Simulation) int
 	least int
 }
 
 // took counts what happened under a name.
 func took(what string, least int) aim {
-	return aim{what, func(w *Simulation) int { return w.eventCounts[what] }, least}
+	return aim{what, func(sim *Simulation) int { return sim.eventCounts[what] }, least}
 }
 
 var (
 	leaderChange = took("new term", 2*replayedDays) // the first and one more each day
-	gangRan      = aim{"gang ran", func(w *Simulation) int { return w.GangRuns }, 1}
-	moveRecorded = aim{"move on record", func(w *Simulation) int { return w.Moves }, 1}
-	lostOneWay   = aim{"message lost one way", func(w *Simulation) int { return w.blockedOneWay }, 1}
-	tasksStarted = aim{"task started", func(w *Simulation) int { return w.TaskStarts }, 20 * replayedDays}
+	gangRan      = aim{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
+	moveRecorded = aim{"move on record", func(sim *Simulation) int { return sim.Moves }, 1}
+	lostOneWay   = aim{"message lost one way", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
+	tasksStarted = aim{"task started", func(sim *Simulation) int { return sim.TaskStarts }, 20 * replayedDays}
 	upgraded     = aim{"format level raised", upgradesOf, replayedDays}
 )
 
 // upgradesOf returns 1 if the newest format is in use at the end.
-func upgradesOf(w *Simulation) int {
-	if _, level, err := election.DecodeTerm(w.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
+func upgradesOf(sim *Simulation) int {
+	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
 		return 0
 	}
 	return 1
@@ -45,16 +45,16 @@
 	"faults":   {leaderChange},
 	"meetings": {leaderChange},
 	"gangs": {gangRan, took("new term", 1), took("spot notice", 1),
-		{"gang stopped in order", func(w *Simulation) int { return w.GangStops }, 1}},
+		{"gang stopped in order", func(sim *Simulation) int { return sim.GangStops }, 1}},
 	"links":    {took("rows sent", 100), lostOneWay, leaderChange},
 	"handover": {took("handover announced", 1), lostOneWay},
 	"moves": {moveRecorded, took("ended: arrived", 1), took("trouble in a move", replayedDays),
 		took("rows sent", 100), leaderChange},
-	"slow-machine": {moveRecorded, {"slow machine", func(w *Simulation) int { return w.slowMachineCount }, replayedDays}},
+	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int { return sim.slowMachineCount }, replayedDays}},
 	"upgrade":      {took("old node", 3*replayedDays-1), upgraded, gangRan, leaderChange},
 	"fleet":        {took("machine of the fleet", 900), took("outage", replayedDays), leaderChange},
 	"outage": {took("outage", replayedDays), took("slow state", 20), took("limits lower than announced", 1),
-		{"transaction too large", func(w *Simulation) int { return w.OversizedTransactions }, 1}, leaderChange},
+		{"transaction too large", func(sim *Simulation) int { return sim.OversizedTransactions }, 1}, leaderChange},
 	"failover": {took("leader killed", 5*replayedDays), took("all end", 1), took("new term", 8*replayedDays)},
 	"partitions": {took("partition", 4*replayedDays), took("close look", 50),
 		took("machine up late", 1), leaderChange},
@@ -78,15 +78,15 @@
 			sums := map[string]bool{}
 			for day := range uint64(replayedDays) {
 				seed := kind + day*kinds
-				_, w := replayDay(seed)
-				w.Run()
-				if len(w.Violations) > 0 {
-					t.Errorf("seed %d: %v\n%s", seed, w.Violations, w.LogTail(30))
+				_, sim := replayDay(seed)
+				sim.Run()
+				if len(sim.Violations) > 0 {
+					t.Errorf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(30))
 				}
 				for i, a := range aims {
-					totals[i] += a.count(w)
+					totals[i] += a.count(sim)
 				}
-				sum := w.cfg.Digest.Sum()
+				sum := sim.cfg.Digest.Sum()
 				if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
 					t.Errorf("seed %d: %+v, before it was %s", seed, again, sum)
 				}
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -43,10 +43,10 @@
 	done          bool
 }
 
-func newStore(w *Simulation) *store {
-	s := &store{sim: w, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, leaseTTLs: map[uint64]time.Duration{},
-		rejectUntil: map[string]ident.MonotonicTime{}, limits: w.settings.Store}
-	w.schedule(0, s.expireLeases)
+func newStore(sim *Simulation) *store {
+	s := &store{sim: sim, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, leaseTTLs: map[uint64]time.Duration{},
+		rejectUntil: map[string]ident.MonotonicTime{}, limits: sim.settings.Store}
+	sim.schedule(0, s.expireLeases)
 	return s
 }
 
@@ -248,8 +248,8 @@
 	neverBoots   bool
 }
 
-func newProvider(w *Simulation) *provider {
-	return &provider{sim: w, provisioned: map[string][]ident.MachineID{}, models: []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
+func newProvider(sim *Simulation) *provider {
+	return &provider{sim: sim, provisioned: map[string][]ident.MachineID{}, models: []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
 		LocalDiskGB: 4, PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
 }
 
@@ -263,8 +263,8 @@
 }
 
 func (p *provider) serve(r cloud.Request, reply func(any)) {
-	w := p.sim
-	if w.now < p.downUntil {
+	sim := p.sim
+	if sim.now < p.downUntil {
 		reply(cloud.Response{Outcome: cloud.Unavailable})
 		return
 	}
@@ -301,8 +301,8 @@
 			}
 		}
 	case cloud.List:
-		listLag := time.Duration(w.rng.IntN(int(2*w.settings.Cloud.ListLagS*1000))) * time.Millisecond
-		at := ident.MonotonicTime(max(0, w.now.Sub(0)-listLag))
+		listLag := time.Duration(sim.rng.IntN(int(2*sim.settings.Cloud.ListLagS*1000))) * time.Millisecond
+		at := ident.MonotonicTime(max(0, sim.now.Sub(0)-listLag))
 		for _, m := range p.machines {
 			if m.id <= r.StartAfter || m.createdAt > at || m.terminatedAt > 0 && m.terminatedAt <= at {
 				continue
@@ -315,34 +315,34 @@
 				Spot: m.spot, Status: st, AgeS: at.Sub(m.createdAt).Seconds()})
 		}
 	}
-	w.schedule(50*time.Millisecond, func() { reply(out) })
+	sim.schedule(50*time.Millisecond, func() { reply(out) })
 }
 
 func (p *provider) provision(r cloud.Request) ident.MachineID {
-	w := p.sim
-	m := &machine{id: ident.MachineID(fmt.Sprintf("host-%06d", len(p.machines)+1)), zone: r.Zone, spot: r.Spot, createdAt: w.now,
-		neverBoots: w.rng.IntN(40) == 0}
+	sim := p.sim
+	m := &machine{id: ident.MachineID(fmt.Sprintf("host-%06d", len(p.machines)+1)), zone: r.Zone, spot: r.Spot, createdAt: sim.now,
+		neverBoots: sim.rng.IntN(40) == 0}
 	p.machines = append(p.machines, m)
-	boot := time.Duration(3000+w.rng.IntN(6000)) * time.Millisecond
-	if w.rng.IntN(15) == 0 {
+	boot := time.Duration(3000+sim.rng.IntN(6000)) * time.Millisecond
+	if sim.rng.IntN(15) == 0 {
 		boot *= 4
 	}
-	if w.faultHits(w.fastBoots) {
-		boot = time.Duration(300+w.rng.IntN(1500)) * time.Millisecond
+	if sim.faultHits(sim.fastBoots) {
+		boot = time.Duration(300+sim.rng.IntN(1500)) * time.Millisecond
 	}
 	switch {
-	case w.faultHits(w.failedBoots):
-		w.countEvent("machine never up")
+	case sim.faultHits(sim.failedBoots):
+		sim.countEvent("machine never up")
 		m.neverBoots = true
-	case w.faultHits(w.slowBoots):
-		w.countEvent("machine up late")
+	case sim.faultHits(sim.slowBoots):
+		sim.countEvent("machine up late")
 		boot *= 6
 	}
 	if !m.neverBoots {
-		w.schedule(boot, func() {
+		sim.schedule(boot, func() {
 			if m.terminatedAt == 0 {
-				m.bootedAt = w.now
-				newWorker(w, m)
+				m.bootedAt = sim.now
+				newWorker(sim, m)
 			}
 		})
 	}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -121,11 +121,11 @@
 
 // New makes a world of three controllers in two zones.
 func New(cfg Config) *Simulation {
-	w := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
+	sim := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
 		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{}, directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{}, inboundBlockedUntil: map[string]ident.MonotonicTime{},
 		linkMonitor:  linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{}, handovers: map[string]int{}, sentTransactions: map[string]bool{}},
 		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[string]int{}}}
-	w.settings = settings.Cluster{
+	sim.settings = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
 			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: "guest"}},
@@ -136,81 +136,81 @@
 		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
 	}
 	if cfg.FleetSize > 0 {
-		w.configureLargeFleet()
+		sim.configureLargeFleet()
 	}
 	if cfg.Teams != nil {
-		w.settings.Teams = cfg.Teams
+		sim.settings.Teams = cfg.Teams
 	}
-	w.store = newStore(w)
-	w.cloud = newProvider(w)
-	for i := range w.settings.Nodes {
-		n := &node{sim: w, legacy: cfg.RollingUpgrade || i >= w.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i), zone: w.settings.Zones[i%2]}
-		w.nodes = append(w.nodes, n)
+	sim.store = newStore(sim)
+	sim.cloud = newProvider(sim)
+	for i := range sim.settings.Nodes {
+		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i), zone: sim.settings.Zones[i%2]}
+		sim.nodes = append(sim.nodes, n)
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.start()
 	}
-	return w
+	return sim
 }
 
 // configureLargeFleet sets the cluster up for a large fleet: as on the operators' largest, reports come
 // less often.
-func (w *Simulation) configureLargeFleet() {
-	for i := range w.settings.Teams {
-		w.settings.Teams[i].CPUs *= float64(w.cfg.FleetSize)
-		w.settings.Teams[i].CPUsMax *= float64(w.cfg.FleetSize)
+func (sim *Simulation) configureLargeFleet() {
+	for i := range sim.settings.Teams {
+		sim.settings.Teams[i].CPUs *= float64(sim.cfg.FleetSize)
+		sim.settings.Teams[i].CPUsMax *= float64(sim.cfg.FleetSize)
 	}
-	w.settings.Workers.HeartbeatS, w.settings.Workers.LeaseS, w.settings.Workers.CancelS = 8, 36, 70
+	sim.settings.Workers.HeartbeatS, sim.settings.Workers.LeaseS, sim.settings.Workers.CancelS = 8, 36, 70
 }
 
-func (w *Simulation) schedule(d time.Duration, f func()) {
-	w.eventSequence++
-	heap.Push(&w.events, event{w.now.Add(d), w.eventSequence, f})
+func (sim *Simulation) schedule(d time.Duration, f func()) {
+	sim.eventSequence++
+	heap.Push(&sim.events, event{sim.now.Add(d), sim.eventSequence, f})
 }
 
-func (w *Simulation) logf(format string, a ...any) {
-	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
+func (sim *Simulation) logf(format string, a ...any) {
+	sim.Log = append(sim.Log, fmt.Sprintf("%8.3f ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (w *Simulation) reportViolation(format string, a ...any) {
-	w.logf("BROKEN: "+format, a...)
-	w.Violations = append(w.Violations, fmt.Sprintf("%.3f: ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
+func (sim *Simulation) reportViolation(format string, a ...any) {
+	sim.logf("BROKEN: "+format, a...)
+	sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f: ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
 // Run plays the world: cfg.Length with arrivals and faults, then a while of calm
 // in which everything must come to its end.
-func (w *Simulation) Run() {
+func (sim *Simulation) Run() {
 	switch {
-	case w.cfg.Overload:
-		w.generateOverload()
-	case !w.cfg.NoArrivals:
-		w.generateArrivals()
+	case sim.cfg.Overload:
+		sim.generateOverload()
+	case !sim.cfg.NoArrivals:
+		sim.generateArrivals()
 	}
-	w.checkIdleCapacity()
-	if w.cfg.Faults {
-		w.schedule(10*time.Second, w.injectFault)
+	sim.checkIdleCapacity()
+	if sim.cfg.Faults {
+		sim.schedule(10*time.Second, sim.injectFault)
 	}
 	limitChange := limitChangeDelay
-	if w.cfg.RollingUpgrade {
-		w.schedule(upgradeStart, func() { w.rollingUpgrade(0) })
+	if sim.cfg.RollingUpgrade {
+		sim.schedule(upgradeStart, func() { sim.rollingUpgrade(0) })
 		limitChange += upgradeStart
 	}
-	w.schedule(limitChange, w.store.lowerLimits)
+	sim.schedule(limitChange, sim.store.lowerLimits)
 	quiescence := defaultQuiescence
-	if w.cfg.QuiescentDuration > 0 {
-		quiescence = w.cfg.QuiescentDuration
+	if sim.cfg.QuiescentDuration > 0 {
+		quiescence = sim.cfg.QuiescentDuration
 	}
-	end := ident.MonotonicTime(w.cfg.ActiveDuration + quiescence)
-	for len(w.events) > 0 && len(w.Violations) == 0 {
-		e := heap.Pop(&w.events).(event)
+	end := ident.MonotonicTime(sim.cfg.ActiveDuration + quiescence)
+	for len(sim.events) > 0 && len(sim.Violations) == 0 {
+		e := heap.Pop(&sim.events).(event)
 		if e.at > end {
 			break
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.run()
 	}
-	if len(w.Violations) == 0 {
-		w.checkCompletion()
+	if len(sim.Violations) == 0 {
+		sim.checkCompletion()
 	}
 }
 
@@ -223,8 +223,8 @@
 )
 
 // leader returns the node that surely leads, nil if none does.
-func (w *Simulation) leader() *node {
-	for _, n := range w.nodes {
+func (sim *Simulation) leader() *node {
+	for _, n := range sim.nodes {
 		if n.alive && n.controller.Election().LeaseValid() {
 			return n
 		}
@@ -232,26 +232,26 @@
 	return nil
 }
 
-func (w *Simulation) sortedWorkers() []*worker {
-	if w.sortedByID == nil {
-		w.sortedByID = make([]*worker, 0, len(w.workers))
-		for _, k := range w.workers {
-			w.sortedByID = append(w.sortedByID, k)
+func (sim *Simulation) sortedWorkers() []*worker {
+	if sim.sortedByID == nil {
+		sim.sortedByID = make([]*worker, 0, len(sim.workers))
+		for _, k := range sim.workers {
+			sim.sortedByID = append(sim.sortedByID, k)
 		}
-		sort.Slice(w.sortedByID, func(i, k int) bool { return w.sortedByID[i].id < w.sortedByID[k].id })
+		sort.Slice(sim.sortedByID, func(i, k int) bool { return sim.sortedByID[i].id < sim.sortedByID[k].id })
 	}
-	return w.sortedByID
+	return sim.sortedByID
 }
 
-func (w *Simulation) anyWorker() *worker {
-	all := w.sortedWorkers()
+func (sim *Simulation) anyWorker() *worker {
+	all := sim.sortedWorkers()
 	if len(all) == 0 {
 		return nil
 	}
-	return all[w.rng.IntN(len(all))]
+	return all[sim.rng.IntN(len(all))]
 }
 
 // LogTail returns the end of the log.
-func (w *Simulation) LogTail(n int) string {
-	return strings.Join(w.Log[max(0, len(w.Log)-n):], "\n")
+func (sim *Simulation) LogTail(n int) string {
+	return strings.Join(sim.Log[max(0, len(sim.Log)-n):], "\n")
 }
