--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -7,9 +7,9 @@
 )
 
 func runWithFaults(seed uint64, m Mutation) *Simulation {
-	w := New(Config{Seed: seed, Mutation: m, Faults: true, ActiveDuration: 300 * time.Second})
-	w.Run()
-	return w
+	sim := New(Config{Seed: seed, Mutation: m, Faults: true, ActiveDuration: 300 * time.Second})
+	sim.Run()
+	return sim
 }
 
 // TestInvariantsHoldUnderFaults plays days of trouble from fixed seeds; each must keep every
@@ -18,16 +18,16 @@
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(80) {
-		w := New(Config{Seed: seed / 2, Faults: true, ConcurrentFaults: seed%2 == 1, ActiveDuration: 300 * time.Second})
-		w.Run()
-		if len(w.Violations) > 0 {
-			t.Fatalf("seed %d: %v\n%s", seed, w.Violations, w.LogTail(60))
+		sim := New(Config{Seed: seed / 2, Faults: true, ConcurrentFaults: seed%2 == 1, ActiveDuration: 300 * time.Second})
+		sim.Run()
+		if len(sim.Violations) > 0 {
+			t.Fatalf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(60))
 		}
-		if len(w.Unfinished) > 0 {
-			t.Fatalf("seed %d: %v\n%s", seed, w.Unfinished, w.LogTail(60))
+		if len(sim.Unfinished) > 0 {
+			t.Fatalf("seed %d: %v\n%s", seed, sim.Unfinished, sim.LogTail(60))
 		}
-		if w.TaskStarts < 20 {
-			t.Errorf("seed %d: only %d tasks started", seed, w.TaskStarts)
+		if sim.TaskStarts < 20 {
+			t.Errorf("seed %d: only %d tasks started", seed, sim.TaskStarts)
 		}
 	}
 }
@@ -35,10 +35,10 @@
 // TestInvariantsHoldWithoutFaults has no faults: nothing may start twice.
 func TestInvariantsHoldWithoutFaults(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 1, ActiveDuration: 200 * time.Second})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(60))
+	sim := New(Config{Seed: 1, ActiveDuration: 200 * time.Second})
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(60))
 	}
 }
 
@@ -51,8 +51,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
-				if w := runWithFaults(seed, m); len(w.Violations) > 0 {
-					t.Logf("seed %d: %v", seed, w.Violations)
+				if sim := runWithFaults(seed, m); len(sim.Violations) > 0 {
+					t.Logf("seed %d: %v", seed, sim.Violations)
 					return
 				}
 			}
@@ -63,29 +63,29 @@
 
 // cancelInPartitionedZone plays a zone that is cut off for longer than any lease may be kept,
 // while its users cancel what runs there.
-func cancelInPartitionedZone(seed uint64, m Mutation) (w *Simulation, cancelled int) {
-	w = New(Config{Seed: seed, Mutation: m, ActiveDuration: 220 * time.Second})
-	w.schedule(70*time.Second, func() {
-		zone := w.nodes[1].zone
-		if l := w.leader(); l == nil || l.zone == zone {
+func cancelInPartitionedZone(seed uint64, m Mutation) (sim *Simulation, cancelled int) {
+	sim = New(Config{Seed: seed, Mutation: m, ActiveDuration: 220 * time.Second})
+	sim.schedule(70*time.Second, func() {
+		zone := sim.nodes[1].zone
+		if l := sim.leader(); l == nil || l.zone == zone {
 			return // the leader would be inside
 		}
-		w.partitionZone(zone, false, 120*time.Second)
-		w.schedule(3*time.Second, func() {
-			for _, id := range w.jobOrder {
-				j := w.jobs[id]
-				for _, k := range w.sortedWorkers() {
+		sim.partitionZone(zone, false, 120*time.Second)
+		sim.schedule(3*time.Second, func() {
+			for _, id := range sim.jobOrder {
+				j := sim.jobs[id]
+				for _, k := range sim.sortedWorkers() {
 					if j.accepted && j.cancelSentAt == 0 && !isTerminal(j.lastStatus) && k.machine.zone == zone && k.taskCount(id) > 0 {
-						j.cancelSentAt = w.now
-						w.cancel(j)
+						j.cancelSentAt = sim.now
+						sim.cancel(j)
 						cancelled++
 					}
 				}
 			}
 		})
 	})
-	w.Run()
-	return w, cancelled
+	sim.Run()
+	return sim, cancelled
 }
 
 // TestKeptLeasesExpire: nodes that are cut off with workers keep their leases no longer than
@@ -94,13 +94,13 @@
 	t.Parallel()
 	cancelled, detected := 0, false
 	for seed := range uint64(10) {
-		w, n := cancelInPartitionedZone(seed, None)
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
+		sim, n := cancelInPartitionedZone(seed, None)
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 		}
 		cancelled += n
-		w, _ = cancelInPartitionedZone(seed, KeepLeasesForever)
-		detected = detected || len(w.Violations) > 0
+		sim, _ = cancelInPartitionedZone(seed, KeepLeasesForever)
+		detected = detected || len(sim.Violations) > 0
 	}
 	if cancelled == 0 || !detected {
 		t.Errorf("%d jobs were cancelled; keeping leases without end was noticed: %v", cancelled, detected)
@@ -117,11 +117,11 @@
 }
 
 // checkNoTasksLost checks that no worker lost tasks with its lease.
-func checkNoTasksLost(t *testing.T, w *Simulation) {
+func checkNoTasksLost(t *testing.T, sim *Simulation) {
 	t.Helper()
-	for _, l := range w.Log {
+	for _, l := range sim.Log {
 		if strings.Contains(l, "lease over") && !strings.Contains(l, "with 0 tasks") {
-			t.Errorf("seed %d: %s", w.cfg.Seed, l)
+			t.Errorf("seed %d: %s", sim.cfg.Seed, l)
 		}
 	}
 }
@@ -130,31 +130,31 @@
 // it must leave the lead to a node that users and machines can reach.
 func TestLeaderReachingOnlyStoreIsReplaced(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
+	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
 	var old *node
-	w.schedule(60*time.Second, func() {
-		old = w.leader()
-		w.forEachPeer(old, func(n *node) { w.disconnect(old.name, n.name, false, 40*time.Second) })
-		w.disconnect(old.name, machines, false, 40*time.Second)
+	sim.schedule(60*time.Second, func() {
+		old = sim.leader()
+		sim.forEachPeer(old, func(n *node) { sim.disconnect(old.name, n.name, false, 40*time.Second) })
+		sim.disconnect(old.name, machines, false, 40*time.Second)
 	})
-	w.schedule(67*time.Second, func() {
-		for _, n := range w.nodes {
+	sim.schedule(67*time.Second, func() {
+		for _, n := range sim.nodes {
 			if n != old && n.controller.Election().LeaseValid() {
 				return
 			}
 		}
 		t.Error("nobody else leads 7 s after the cut")
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Errorf("%v %v", w.Violations, w.Unfinished)
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
 	}
 }
 
 // largeJobsStartedLate lists the jobs of the largest tasks that did not begin in time.
-func largeJobsStartedLate(w *Simulation) (out []string, large int) {
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
+func largeJobsStartedLate(sim *Simulation) (out []string, large int) {
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
 		if j.spec.VCPUs < 7 {
 			continue
 		}
@@ -171,16 +171,16 @@
 // first as long as they can.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second})
-	w.Run()
-	if len(w.Violations) > 0 {
-		t.Fatalf("%v\n%s", w.Violations, w.LogTail(30))
+	sim := New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second})
+	sim.Run()
+	if len(sim.Violations) > 0 {
+		t.Fatalf("%v\n%s", sim.Violations, sim.LogTail(30))
 	}
-	if ids, n := largeJobsStartedLate(w); len(ids) > 0 || n < 10 {
+	if ids, n := largeJobsStartedLate(sim); len(ids) > 0 || n < 10 {
 		t.Errorf("of %d large jobs, late: %v", n, ids)
 	}
 	done, all := map[string]int{}, map[string]int{}
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		all[j.spec.Team]++
 		if j.lastStatus == "done" {
 			done[j.spec.Team]++
@@ -191,9 +191,9 @@
 			t.Errorf("%s: %d of %d jobs served", team, done[team], n)
 		}
 	}
-	w = New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second, Mutation: NoMaxWait})
-	w.Run()
-	if ids, _ := largeJobsStartedLate(w); len(ids) == 0 {
+	sim = New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second, Mutation: NoMaxWait})
+	sim.Run()
+	if ids, _ := largeJobsStartedLate(sim); len(ids) == 0 {
 		t.Error("without the bound no large job is late: the test shows nothing")
 	}
 }
@@ -204,36 +204,36 @@
 // answers and lose their tasks with their leases.
 func TestLeaderReachingOnlyWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
+	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
 	var old *node
-	w.schedule(60*time.Second, func() {
-		old = w.leader()
-		w.isolate(old, false, 40*time.Second)
-		for _, k := range w.sortedWorkers() {
-			for i, n := range w.nodes {
+	sim.schedule(60*time.Second, func() {
+		old = sim.leader()
+		sim.isolate(old, false, 40*time.Second)
+		for _, k := range sim.sortedWorkers() {
+			for i, n := range sim.nodes {
 				if n == old {
 					k.nodeIndex = i
 				}
 			}
 		}
 	})
-	w.schedule(67*time.Second, func() {
+	sim.schedule(67*time.Second, func() {
 		if old.controller.Healthy() {
 			t.Error("/up says yes 7 s after the cut")
 		}
 		led := false
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			led = led || n != old && n.controller.Election().LeaseValid()
 		}
 		if !led {
 			t.Error("nobody else leads 7 s after the cut")
 		}
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Errorf("%v %v", w.Violations, w.Unfinished)
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
 	}
-	checkNoTasksLost(t, w)
+	checkNoTasksLost(t, sim)
 }
 
 // TestLeaderLosingWorkersIsReplaced: a leader that loses the workers alone leaves the lead to
@@ -242,25 +242,25 @@
 func TestLeaderLosingWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
+		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		var old *node
 		fenced := 0
 		busy := map[*machine]bool{} // idle ones may be returned for that
-		w.schedule(80*time.Second, func() {
-			old = w.leader()
-			w.disconnect(old.name, machines, seed%2 == 0, 41*time.Second)
-			for _, k := range w.sortedWorkers() {
+		sim.schedule(80*time.Second, func() {
+			old = sim.leader()
+			sim.disconnect(old.name, machines, seed%2 == 0, 41*time.Second)
+			for _, k := range sim.sortedWorkers() {
 				if len(k.tasks) > 0 {
 					busy[k.machine] = true
 					fenced--
 				}
 			}
 		})
-		w.schedule(92*time.Second, func() {
-			if n := w.leader(); n == nil || n == old {
+		sim.schedule(92*time.Second, func() {
+			if n := sim.leader(); n == nil || n == old {
 				t.Errorf("seed %d: nobody else leads 12 s after the cut", seed)
 			}
-			for _, m := range w.cloud.machines {
+			for _, m := range sim.cloud.machines {
 				if m.terminatedAt == 0 && busy[m] {
 					fenced++
 				}
@@ -269,9 +269,9 @@
 				t.Errorf("seed %d: %d machines were returned", seed, -fenced)
 			}
 		})
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 		}
 	}
 }
@@ -282,33 +282,33 @@
 	t.Parallel()
 	kept := uint64(0)
 	for seed := range uint64(8) {
-		w := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
+		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		inside := 0
-		w.schedule(70*time.Second, func() {
+		sim.schedule(70*time.Second, func() {
 			zone := "west"
 			if seed%4 == 0 {
-				zone = w.leader().zone
+				zone = sim.leader().zone
 			}
-			w.partitionZone(zone, seed%2 == 0, 32*time.Second)
-			for _, k := range w.sortedWorkers() {
+			sim.partitionZone(zone, seed%2 == 0, 32*time.Second)
+			for _, k := range sim.sortedWorkers() {
 				if k.machine.zone == zone && len(k.tasks) > 0 {
 					inside++
 				}
 			}
 		})
-		w.schedule(101*time.Second, func() {
-			for _, n := range w.nodes {
+		sim.schedule(101*time.Second, func() {
+			for _, n := range sim.nodes {
 				kept += n.controller.LeasesKept
 			}
 		})
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 		}
 		if inside == 0 {
 			t.Errorf("seed %d: no work inside", seed)
 		}
-		checkNoTasksLost(t, w)
+		checkNoTasksLost(t, sim)
 	}
 	if kept == 0 {
 		t.Error("no node kept: the test shows nothing")
@@ -320,28 +320,28 @@
 // back, for as long as lease and grace last together.
 func TestLeaderCrashDuringStoreOutage(t *testing.T) {
 	t.Parallel()
-	w := New(Config{Seed: 3, ActiveDuration: 160 * time.Second})
+	sim := New(Config{Seed: 3, ActiveDuration: 160 * time.Second})
 	kept := uint64(0)
-	w.schedule(70*time.Second, func() { w.store.downUntil = w.now.Add(35 * time.Second) })
-	w.schedule(72*time.Second, func() {
-		for _, n := range w.nodes {
+	sim.schedule(70*time.Second, func() { sim.store.downUntil = sim.now.Add(35 * time.Second) })
+	sim.schedule(72*time.Second, func() {
+		for _, n := range sim.nodes {
 			if n.controller.Election().Term() > 0 {
 				n.crash(50 * time.Second)
 			}
 		}
 	})
-	w.schedule(104*time.Second, func() {
-		for _, n := range w.nodes {
+	sim.schedule(104*time.Second, func() {
+		for _, n := range sim.nodes {
 			if n.alive {
 				kept += n.controller.LeasesKept
 			}
 		}
 	})
-	w.Run()
-	if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-		t.Errorf("%v %v", w.Violations, w.Unfinished)
+	sim.Run()
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
 	}
-	checkNoTasksLost(t, w)
+	checkNoTasksLost(t, sim)
 	if kept == 0 {
 		t.Error("no node kept: the test shows nothing")
 	}
@@ -352,28 +352,28 @@
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
+		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		var old *node
-		w.schedule(70*time.Second, func() {
-			old = w.leader()
+		sim.schedule(70*time.Second, func() {
+			old = sim.leader()
 			old.pauseFor(42 * time.Second)
 		})
-		w.schedule(76*time.Second, func() {
-			if n := w.leader(); n == nil || n == old {
+		sim.schedule(76*time.Second, func() {
+			if n := sim.leader(); n == nil || n == old {
 				t.Errorf("seed %d: nobody else leads 6 s after the leader froze", seed)
 			}
 		})
 		for ms := 112_000; ms < 114_000; ms += 10 {
-			w.schedule(time.Duration(ms)*time.Millisecond+time.Microsecond, func() {
+			sim.schedule(time.Duration(ms)*time.Millisecond+time.Microsecond, func() {
 				if old.controller.Election().LeaseValid() {
 					t.Errorf("seed %d: the woken node thinks that it leads", seed)
 				}
 			})
 		}
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, w.Violations, w.Unfinished)
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 		}
-		checkNoTasksLost(t, w)
+		checkNoTasksLost(t, sim)
 	}
 }
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -16,40 +16,40 @@
 	t.Parallel()
 	left := 0
 	for seed := range uint64(4) {
-		w := slowMachineScenario(seed, settings.RebalanceMove, 1)
+		sim := slowMachineScenario(seed, settings.RebalanceMove, 1)
 		var slow *worker
-		w.scheduleAt(20, func() {
-			for _, k := range w.sortedWorkers() {
+		sim.scheduleAt(20, func() {
+			for _, k := range sim.sortedWorkers() {
 				if k.slowdown > 1 {
 					slow = k
 				}
 			}
 		})
-		w.scheduleAt(30, func() {
-			w.pollMoves(100*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
+		sim.scheduleAt(30, func() {
+			sim.pollMoves(100*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 				switch {
 				case m.Source != "leaves a slow machine":
 				case slow == nil || m.From != slow.id:
-					w.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
+					sim.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
 				case m.Reason == "arrived":
-					w.countEvent("left the slow machine")
+					sim.countEvent("left the slow machine")
 				}
 				return false
 			})
 		})
 		if seed%2 == 1 {
-			w.scheduleAt(100, func() { w.crashLeader(3 * time.Second) })
+			sim.scheduleAt(100, func() { sim.crashLeader(3 * time.Second) })
 		} else {
-			w.scheduleAt(30, func() { w.checkNoStartsOn(slow) })
+			sim.scheduleAt(30, func() { sim.checkNoStartsOn(slow) })
 		}
-		w.Run()
-		requireClean(t, seed, w)
-		checkStopCounts(t, seed, w)
+		sim.Run()
+		requireClean(t, seed, sim)
+		checkStopCounts(t, seed, sim)
 		if slow == nil {
 			t.Errorf("seed %d: no machine is slow", seed)
 			continue
 		}
-		if w.eventCounts["left the slow machine"] > 0 {
+		if sim.eventCounts["left the slow machine"] > 0 {
 			left++
 			if !slow.dead {
 				t.Errorf("seed %d: the slow machine is still there", seed)
@@ -63,21 +63,21 @@
 
 // checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has
 // found it to be slow.
-func (w *Simulation) checkNoStartsOn(k *worker) {
+func (sim *Simulation) checkNoStartsOn(k *worker) {
 	found := ident.Never
 	var look func()
 	look = func() {
-		if l := w.leader(); found == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
-			found = w.now.Add(2 * time.Second)
+		if l := sim.leader(); found == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
+			found = sim.now.Add(2 * time.Second)
 		}
 		for id, attempts := range k.tasks {
 			for _, p := range attempts {
 				if p.startedAt > found {
-					w.reportViolation("%s starts on %s, which is slow", id, k.id)
+					sim.reportViolation("%s starts on %s, which is slow", id, k.id)
 				}
 			}
 		}
-		w.schedule(200*time.Millisecond, look)
+		sim.schedule(200*time.Millisecond, look)
 	}
 	look()
 }
@@ -86,15 +86,15 @@
 func TestUniformMachinesAreNotSlow(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := slowMachineScenario(seed, settings.RebalanceMove, 0)
+		sim := slowMachineScenario(seed, settings.RebalanceMove, 0)
 		for s := 20.0; s < 150; s += 5 {
-			w.scheduleAt(s, func() {
-				if l := w.leader(); l != nil && l.controller.Stats().SlowMachines > 0 {
-					w.reportViolation("a machine is called slow")
+			sim.scheduleAt(s, func() {
+				if l := sim.leader(); l != nil && l.controller.Stats().SlowMachines > 0 {
+					sim.reportViolation("a machine is called slow")
 				}
 			})
 		}
-		w.Run()
-		requireClean(t, seed, w)
+		sim.Run()
+		requireClean(t, seed, sim)
 	}
 }
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -62,9 +62,9 @@
 }
 
 // recordPlacement notes a transaction of a node: a record of the log is a placement, or the end of one.
-func (w *Simulation) recordPlacement(node string, r kvstore.Request) {
-	s := &w.linkStudy
-	if !s.active(w.now) || r.Op != kvstore.Txn {
+func (sim *Simulation) recordPlacement(node string, r kvstore.Request) {
+	s := &sim.linkStudy
+	if !s.active(sim.now) || r.Op != kvstore.Txn {
 		return
 	}
 	for _, c := range r.Mutations {
@@ -72,17 +72,17 @@
 			continue
 		}
 		if node == s.disconnectedLeader {
-			s.lastDecision = w.now
+			s.lastDecision = sim.now
 		} else if s.nextPlacement == 0 {
-			s.nextPlacement = w.now
+			s.nextPlacement = sim.now
 		}
 	}
 }
 
 // recordLaunch notes a command of a node.
-func (w *Simulation) recordLaunch(node string, c workers.CommandCall) {
-	if s := &w.linkStudy; s.active(w.now) && c.Launches() && node == s.disconnectedLeader {
-		s.lastDecision = w.now
+func (sim *Simulation) recordLaunch(node string, c workers.CommandCall) {
+	if s := &sim.linkStudy; s.active(sim.now) && c.Launches() && node == s.disconnectedLeader {
+		s.lastDecision = sim.now
 	}
 }
 
@@ -95,47 +95,47 @@
 // StudyLink plays a day of steady submissions on which one link of the leader breaks for a
 // time, or, with a period, for six tenths of each.
 func StudyLink(seed uint64, monitored bool, link DirectedLink, broken, period time.Duration) LinkOutcome {
-	w := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true, ActiveDuration: linkBreakAt + broken + 20*time.Second, QuiescentDuration: linkStudyQuiescence})
-	w.submitBaseLoad(6)
-	w.submitStream(20, (linkBreakAt + broken).Seconds(), 1.3, 20*time.Second)
+	sim := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true, ActiveDuration: linkBreakAt + broken + 20*time.Second, QuiescentDuration: linkStudyQuiescence})
+	sim.submitBaseLoad(6)
+	sim.submitStream(20, (linkBreakAt + broken).Seconds(), 1.3, 20*time.Second)
 	var out LinkOutcome
-	w.schedule(linkBreakAt, func() {
-		l := w.leader()
+	sim.schedule(linkBreakAt, func() {
+		l := sim.leader()
 		if l == nil {
 			return
 		}
-		w.linkStudy = linkStudy{from: w.now, until: w.now.Add(broken), disconnectedLeader: l.name}
-		from, to := w.resolveLinkEnd(link.From, l), w.resolveLinkEnd(link.To, l)
+		sim.linkStudy = linkStudy{from: sim.now, until: sim.now.Add(broken), disconnectedLeader: l.name}
+		from, to := sim.resolveLinkEnd(link.From, l), sim.resolveLinkEnd(link.To, l)
 		if period > 0 {
-			w.flapLink(from, to, period*6/10, period, broken)
+			sim.flapLink(from, to, period*6/10, period, broken)
 		} else {
-			w.disconnectOneWay(from, to, false, broken)
+			sim.disconnectOneWay(from, to, false, broken)
 		}
-		w.onNewTerm(func() {
-			if w.linkStudy.active(w.now) {
+		sim.onNewTerm(func() {
+			if sim.linkStudy.active(sim.now) {
 				out.LeaderChanges++
 			}
 		})
 	})
-	w.Run()
-	s := &w.linkStudy
+	sim.Run()
+	s := &sim.linkStudy
 	out.LastDecision = max(0, s.lastDecision.Sub(s.from))
 	out.NextPlacement = -1
 	if s.nextPlacement > 0 {
 		out.NextPlacement = s.nextPlacement.Sub(s.from)
 	}
-	out.Violations, out.Unfinished, out.TasksLost = len(w.Violations), len(w.Unfinished), w.TasksLostWithLease
-	w.countSubmissions(&out)
+	out.Violations, out.Unfinished, out.TasksLost = len(sim.Violations), len(sim.Unfinished), sim.TasksLostWithLease
+	sim.countSubmissions(&out)
 	return out
 }
 
 // resolveLinkEnd turns the end of a link into the name of a party.
-func (w *Simulation) resolveLinkEnd(name string, leader *node) string {
+func (sim *Simulation) resolveLinkEnd(name string, leader *node) string {
 	switch name {
 	case Leader:
 		return leader.name
 	case Peer:
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if n != leader {
 				return n.name
 			}
@@ -145,10 +145,10 @@
 }
 
 // countSubmissions counts the jobs that were submitted while the link was broken.
-func (w *Simulation) countSubmissions(out *LinkOutcome) {
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
-		if !w.linkStudy.active(j.submittedAt) {
+func (sim *Simulation) countSubmissions(out *LinkOutcome) {
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
+		if !sim.linkStudy.active(j.submittedAt) {
 			continue
 		}
 		out.Submissions++
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -43,24 +43,24 @@
 // StudyFlood plays a day on which one team floods the cluster with arrays while the others
 // submit steadily.
 func StudyFlood(seed uint64, mode settings.Rebalance) LoadOutcome {
-	w := New(floodConfig(seed, mode))
-	w.submitSteadyLoad()
-	w.schedule(floodStart, func() { w.flood(w.now.Add(floodDuration)) })
+	sim := New(floodConfig(seed, mode))
+	sim.submitSteadyLoad()
+	sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
 	var out LoadOutcome
 	var sample func()
 	sample = func() {
-		out.Imbalance = append(out.Imbalance, w.imbalance())
-		if w.isOnlyHotTeam(hotTeam) {
+		out.Imbalance = append(out.Imbalance, sim.imbalance())
+		if sim.isOnlyHotTeam(hotTeam) {
 			out.HotSeconds++
 		}
-		if w.now < ident.MonotonicTime(floodStart+floodDuration) {
-			w.schedule(time.Second, sample)
+		if sim.now < ident.MonotonicTime(floodStart+floodDuration) {
+			sim.schedule(time.Second, sample)
 		}
 	}
-	w.schedule(floodStart+10*time.Second, sample)
-	w.Run()
-	for _, id := range w.jobOrder {
-		j := w.jobs[id]
+	sim.schedule(floodStart+10*time.Second, sample)
+	sim.Run()
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
 		if j.lastStatus != "done" || j.submittedAt < ident.MonotonicTime(floodStart) {
 			continue
 		}
@@ -70,47 +70,47 @@
 			out.OtherTeamLatencies = append(out.OtherTeamLatencies, latency)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.alive {
 			out.FetchedGB += n.controller.Stats().FetchedGB
 			out.Moves += n.controller.Stats().MovesProposed
 		}
 	}
-	out.Machines, out.Violations, out.Unfinished = len(w.cloud.machines), len(w.Violations), len(w.Unfinished)
+	out.Machines, out.Violations, out.Unfinished = len(sim.cloud.machines), len(sim.Violations), len(sim.Unfinished)
 	return out
 }
 
 // submitSteadyLoad has the other teams submit small arrays throughout, and a few services.
-func (w *Simulation) submitSteadyLoad() {
+func (sim *Simulation) submitSteadyLoad() {
 	for s := 2.0; s < (floodStart + floodDuration).Seconds(); s += 0.8 {
-		w.scheduleAt(s, func() {
-			w.submitJob(func(s *api.Spec) {
-				s.Team = []string{"blue", "grey"}[w.rng.IntN(2)]
-				s.Tasks, s.VCPUs, s.Spot = 1+w.rng.IntN(4), 1, true
-				if w.rng.IntN(5) == 0 {
+		sim.scheduleAt(s, func() {
+			sim.submitJob(func(s *api.Spec) {
+				s.Team = []string{"blue", "grey"}[sim.rng.IntN(2)]
+				s.Tasks, s.VCPUs, s.Spot = 1+sim.rng.IntN(4), 1, true
+				if sim.rng.IntN(5) == 0 {
 					s.Tasks, s.VCPUs = 1, 6 // finds no room among small ones
 				}
-			}, time.Duration(8+w.rng.IntN(15))*time.Second)
+			}, time.Duration(8+sim.rng.IntN(15))*time.Second)
 		})
 	}
 }
 
 // flood has the hot team submit arrays one after the other.
-func (w *Simulation) flood(until ident.MonotonicTime) {
-	if w.now > until {
+func (sim *Simulation) flood(until ident.MonotonicTime) {
+	if sim.now > until {
 		return
 	}
-	w.submitJob(func(s *api.Spec) {
-		s.Team, s.Tasks, s.VCPUs, s.Spot = hotTeam, 3, float64(1+w.rng.IntN(3)), true
-	}, time.Duration(6+w.rng.IntN(10))*time.Second)
-	w.schedule(time.Duration(150+w.rng.IntN(200))*time.Millisecond, func() { w.flood(until) })
+	sim.submitJob(func(s *api.Spec) {
+		s.Team, s.Tasks, s.VCPUs, s.Spot = hotTeam, 3, float64(1+sim.rng.IntN(3)), true
+	}, time.Duration(6+sim.rng.IntN(10))*time.Second)
+	sim.schedule(time.Duration(150+sim.rng.IntN(200))*time.Millisecond, func() { sim.flood(until) })
 }
 
 // imbalance is the coefficient of variation of the machines' use, by what workers run.
-func (w *Simulation) imbalance() float64 {
+func (sim *Simulation) imbalance() float64 {
 	n, sum, square := 0.0, 0.0, 0.0
-	for _, k := range w.sortedWorkers() {
-		share := k.usedCPUs() / w.cloud.models[0].VCPUs
+	for _, k := range sim.sortedWorkers() {
+		share := k.usedCPUs() / sim.cloud.models[0].VCPUs
 		n++
 		sum += share
 		square += share * share
@@ -123,8 +123,8 @@
 }
 
 // isOnlyHotTeam says whether the leader calls a team hot, and no other.
-func (w *Simulation) isOnlyHotTeam(team string) bool {
-	l := w.leader()
+func (sim *Simulation) isOnlyHotTeam(team string) bool {
+	l := sim.leader()
 	if l == nil {
 		return false
 	}
--- a/internal/simulator/study_moves.go
+++ b/internal/simulator/study_moves.go
@@ -43,52 +43,52 @@
 func StudyMoves(seed uint64, mode settings.Rebalance, estimate float64) MovesOutcome {
 	cfg := rebalancingConfig(seed)
 	cfg.Rebalance, cfg.ZoneCapacity, cfg.QuiescentDuration = mode, studyZoneCapacity, 400*time.Second
-	w := New(cfg)
+	sim := New(cfg)
 	var wide, narrow []*userJob
-	w.scheduleAt(2, func() {
+	sim.scheduleAt(2, func() {
 		for range 4 * cfg.ZoneCapacity {
-			j := w.submitJob(func(s *api.Spec) { w.makeNarrow(s); s.RuntimeS *= estimate }, firstTaskDuration)
+			j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.RuntimeS *= estimate }, firstTaskDuration)
 			j.durationStep = taskDurationStep
 			narrow = append(narrow, j)
 		}
 	})
 	for s := wideTasksAt; s < wideTasksAt+wideArrivalSeconds; s += wideArrivalInterval {
-		w.scheduleAt(s, func() {
-			wide = append(wide, w.submitJob(func(s *api.Spec) {
-				w.makeNarrow(s)
+		sim.scheduleAt(s, func() {
+			wide = append(wide, sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
 				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()*estimate
 			}, wideTaskDuration))
 		})
 	}
-	w.scheduleAt(wideTasksAt+35, func() {
-		if l := w.leader(); l != nil {
+	sim.scheduleAt(wideTasksAt+35, func() {
+		if l := sim.leader(); l != nil {
 			l.crash(3 * time.Second)
 		}
 	})
-	return w.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
+	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
 }
 
 // StudySlow plays a day on which one machine of eight takes four times as long as the others; its
 // narrow jobs are the long ones.
 func StudySlow(seed uint64, mode settings.Rebalance) MovesOutcome {
-	w := slowMachineScenario(seed, mode, 1)
+	sim := slowMachineScenario(seed, mode, 1)
 	var long []*userJob
-	w.scheduleAt(3, func() {
-		for _, id := range w.jobOrder {
-			if j := w.jobs[id]; j.duration == longTaskDuration {
+	sim.scheduleAt(3, func() {
+		for _, id := range sim.jobOrder {
+			if j := sim.jobs[id]; j.duration == longTaskDuration {
 				long = append(long, j)
 			}
 		}
 	})
-	return w.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, SlowMachines: 1}, &[]*userJob{}, &long)
+	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, SlowMachines: 1}, &[]*userJob{}, &long)
 }
 
 // runMovesStudy plays a day and gathers what comes of it.
-func (w *Simulation) runMovesStudy(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
+func (sim *Simulation) runMovesStudy(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
 	out.Ended, out.ExpectedS, out.RealisedS = map[string]int{}, []float64{}, []float64{}
 	out.WideWaitS, out.NarrowDoneS = []float64{}, []float64{}
-	gains := w.collectFinishedMoves()
-	w.Run()
+	gains := sim.collectFinishedMoves()
+	sim.Run()
 	for _, j := range *wide {
 		out.WideWaitS = append(out.WideWaitS, j.firstStartAt.Sub(j.submittedAt).Seconds())
 	}
@@ -106,17 +106,17 @@
 			out.RealisedS = append(out.RealisedS, *m.RealisedGainS)
 		}
 	}
-	out.Moves, out.Violations, out.Unfinished = w.Moves, len(w.Violations), len(w.Unfinished)
+	out.Moves, out.Violations, out.Unfinished = sim.Moves, len(sim.Violations), len(sim.Unfinished)
 	return out
 }
 
 // collectFinishedMoves collects the moves that have ended, as they are told last by the leader that
 // carried them out.
-func (w *Simulation) collectFinishedMoves() *[]controller.MoveEntry {
+func (sim *Simulation) collectFinishedMoves() *[]controller.MoveEntry {
 	var all []controller.MoveEntry
 	same := func(a, b controller.MoveEntry) bool { return a.Task == b.Task && a.From == b.From && a.To == b.To }
-	w.scheduleAt(wideTasksAt, func() {
-		w.pollMoves(250*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
+	sim.scheduleAt(wideTasksAt, func() {
+		sim.pollMoves(250*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
 			if m.Reason == "" {
 				return false
 			}
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -24,25 +24,25 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("link %d, seed %d", i, seed), func(t *testing.T) {
 				t.Parallel()
-				w := New(Config{Seed: seed, ActiveDuration: 200 * time.Second})
-				w.scheduleAt(40, func() {
-					l := w.leader()
+				sim := New(Config{Seed: seed, ActiveDuration: 200 * time.Second})
+				sim.scheduleAt(40, func() {
+					l := sim.leader()
 					if l == nil {
 						return
 					}
 					var others []string
-					w.forEachPeer(l, func(n *node) { others = append(others, n.name) })
+					sim.forEachPeer(l, func(n *node) { others = append(others, n.name) })
 					k := leaderLinks(l.name, others)[i]
 					period := time.Duration(1+(i+int(seed)*2)%5) * time.Second
-					w.flapLink(k[0], k[1], period*6/10, period, 120*time.Second)
-					w.countEvent("flap")
+					sim.flapLink(k[0], k[1], period*6/10, period, 120*time.Second)
+					sim.countEvent("flap")
 				})
-				w.Run()
-				if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-					t.Fatalf("%v %v\n%s", w.Violations, w.Unfinished, w.LogTail(40))
+				sim.Run()
+				if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+					t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
 				}
-				if w.eventCounts["flap"] == 0 || w.blockedOneWay == 0 {
-					t.Errorf("the link did not flap: %v, %d messages lost", w.eventCounts, w.blockedOneWay)
+				if sim.eventCounts["flap"] == 0 || sim.blockedOneWay == 0 {
+					t.Errorf("the link did not flap: %v, %d messages lost", sim.eventCounts, sim.blockedOneWay)
 				}
 			})
 		}
@@ -55,21 +55,21 @@
 func TestLeaderIsReplacedWhenStoreRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(Config{Seed: seed, ActiveDuration: 150 * time.Second})
+		sim := New(Config{Seed: seed, ActiveDuration: 150 * time.Second})
 		var old *node
-		w.scheduleAt(60, func() {
-			old = w.leader()
-			w.disconnectOneWay("state", old.name, false, 60*time.Second)
+		sim.scheduleAt(60, func() {
+			old = sim.leader()
+			sim.disconnectOneWay("state", old.name, false, 60*time.Second)
 		})
-		w.scheduleAt(66, func() {
-			if n := w.leader(); n == nil || n == old {
+		sim.scheduleAt(66, func() {
+			if n := sim.leader(); n == nil || n == old {
 				t.Errorf("seed %d: nobody else leads 6 s after the answers were cut off", seed)
 			}
 		})
-		w.Run()
-		if len(w.Violations) > 0 || len(w.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, w.Violations, w.Unfinished, w.LogTail(40))
+		sim.Run()
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
+			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(40))
 		}
-		checkNoTasksLost(t, w)
+		checkNoTasksLost(t, sim)
 	}
 }
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -14,21 +14,21 @@
 // breaks, and no answer is older than another node's, though users look closely.
 func TestUnresponsiveControllers(t *testing.T) {
 	t.Parallel()
-	for name, inject := range map[string]func(w *Simulation, l *node){
-		"the leader stands still":      func(w *Simulation, l *node) { l.pauseFor(70 * time.Second) },
-		"the leader loses the network": func(w *Simulation, l *node) { w.disconnect(l.name, "*", w.cfg.Seed%2 == 0, 70*time.Second) },
-		"both followers stand still":   func(w *Simulation, l *node) { w.forEachPeer(l, func(n *node) { n.pauseFor(70 * time.Second) }) },
-		"a follower loses the network": func(w *Simulation, l *node) { w.disconnect(w.peerOf(l).name, "*", true, 70*time.Second) },
-		"the leader and one more do":   func(w *Simulation, l *node) { l.pauseFor(75 * time.Second); w.peerOf(l).pauseFor(65 * time.Second) },
-		"the leader is back as one ends": func(w *Simulation, l *node) {
+	for name, inject := range map[string]func(sim *Simulation, l *node){
+		"the leader stands still":      func(sim *Simulation, l *node) { l.pauseFor(70 * time.Second) },
+		"the leader loses the network": func(sim *Simulation, l *node) { sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 70*time.Second) },
+		"both followers stand still":   func(sim *Simulation, l *node) { sim.forEachPeer(l, func(n *node) { n.pauseFor(70 * time.Second) }) },
+		"a follower loses the network": func(sim *Simulation, l *node) { sim.disconnect(sim.peerOf(l).name, "*", true, 70*time.Second) },
+		"the leader and one more do":   func(sim *Simulation, l *node) { l.pauseFor(75 * time.Second); sim.peerOf(l).pauseFor(65 * time.Second) },
+		"the leader is back as one ends": func(sim *Simulation, l *node) {
 			l.pauseFor(70 * time.Second)
-			w.schedule(69800*time.Millisecond, func() { w.crashLeader(3 * time.Second) })
+			sim.schedule(69800*time.Millisecond, func() { sim.crashLeader(3 * time.Second) })
 		},
-		"standing still again and again": func(w *Simulation, l *node) {
+		"standing still again and again": func(sim *Simulation, l *node) {
 			for s := range 8 {
-				w.schedule(time.Duration(s)*9*time.Second, func() {
-					if n := w.leader(); n != nil {
-						n.pauseFor(time.Duration(1500+w.rng.IntN(6000)) * time.Millisecond)
+				sim.schedule(time.Duration(s)*9*time.Second, func() {
+					if n := sim.leader(); n != nil {
+						n.pauseFor(time.Duration(1500+sim.rng.IntN(6000)) * time.Millisecond)
 					}
 				})
 			}
@@ -37,26 +37,26 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
-				w.submitBaseLoad(5)
-				w.scheduleAt(30, func() { w.probeAfterAnswer = faultWindow{1, timeAt(150)} })
-				w.submitStream(40.0, 140, 2, 8*time.Second)
-				w.scheduleAt(60, func() { inject(w, w.leader()) })
+				sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
+				sim.submitBaseLoad(5)
+				sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
+				sim.submitStream(40.0, 140, 2, 8*time.Second)
+				sim.scheduleAt(60, func() { inject(sim, sim.leader()) })
 				led := 0
 				for s := 66.0; s < 128; s += 0.5 {
-					w.scheduleAt(s, func() {
-						if w.leader() != nil {
+					sim.scheduleAt(s, func() {
+						if sim.leader() != nil {
 							led++
 						}
 					})
 				}
-				w.Run()
-				requireClean(t, seed, w)
+				sim.Run()
+				requireClean(t, seed, sim)
 				if led < 80 {
 					t.Errorf("seed %d: somebody led at %d of 124 moments", seed, led)
 				}
-				if w.eventCounts["close look"] < 200 {
-					t.Errorf("seed %d: users did not look closely: %v", seed, w.eventCounts)
+				if sim.eventCounts["close look"] < 200 {
+					t.Errorf("seed %d: users did not look closely: %v", seed, sim.eventCounts)
 				}
 			}
 		})
@@ -64,8 +64,8 @@
 }
 
 // peerOf returns a node beside one.
-func (w *Simulation) peerOf(n *node) (found *node) {
-	w.forEachPeer(n, func(o *node) { found = cmp.Or(found, o) })
+func (sim *Simulation) peerOf(n *node) (found *node) {
+	sim.forEachPeer(n, func(o *node) { found = cmp.Or(found, o) })
 	return found
 }
 
@@ -75,27 +75,27 @@
 func TestSlowAndFailedBoots(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
-		w.submitBaseLoad(2)
-		w.scheduleAt(30, func() {
+		sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
+		sim.submitBaseLoad(2)
+		sim.scheduleAt(30, func() {
 			if seed%2 == 0 {
-				w.failedBoots = faultWindow{0.5, timeAt(90)}
+				sim.failedBoots = faultWindow{0.5, timeAt(90)}
 			} else {
-				w.slowBoots = faultWindow{0.6, timeAt(90)}
+				sim.slowBoots = faultWindow{0.6, timeAt(90)}
 			}
 		})
 		var list []*userJob
-		w.scheduleAt(32, func() {
+		sim.scheduleAt(32, func() {
 			for range 3 {
-				list = append(list, w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 3, 4, "red" }, 15*time.Second),
-					w.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 2, 4, "blue" }, 15*time.Second))
+				list = append(list, sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 3, 4, "red" }, 15*time.Second),
+					sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 2, 4, "blue" }, 15*time.Second))
 			}
 		})
 		most := 0
 		for s := 33.0; s < 200; s++ {
-			w.scheduleAt(s, func() {
+			sim.scheduleAt(s, func() {
 				n := 0
-				for _, m := range w.cloud.machines {
+				for _, m := range sim.cloud.machines {
 					if m.terminatedAt == 0 {
 						n++
 					}
@@ -103,17 +103,17 @@
 				most = max(most, n)
 			})
 		}
-		w.scheduleAt(240, func() {
-			for _, m := range w.cloud.machines {
-				if m.terminatedAt == 0 && m.bootedAt == 0 && w.now.Sub(m.createdAt) > time.Minute {
+		sim.scheduleAt(240, func() {
+			for _, m := range sim.cloud.machines {
+				if m.terminatedAt == 0 && m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
 					t.Errorf("seed %d: %s never came up and is still paid for", seed, m.id)
 				}
 			}
 		})
-		w.Run()
-		requireClean(t, seed, w)
-		if w.eventCounts["machine never up"]+w.eventCounts["machine up late"] < 2 {
-			t.Errorf("seed %d: all machines came up: %v", seed, w.eventCounts)
+		sim.Run()
+		requireClean(t, seed, sim)
+		if sim.eventCounts["machine never up"]+sim.eventCounts["machine up late"] < 2 {
+			t.Errorf("seed %d: all machines came up: %v", seed, sim.eventCounts)
 		}
 		for _, j := range list {
 			if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 45*time.Second {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -52,15 +52,15 @@
 // slowFactor is that of slow machines.
 const slowFactor = 4
 
-func newWorker(w *Simulation, m *machine) *worker {
-	k := &worker{sim: w, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: w.now, nodeIndex: w.rng.IntN(len(w.nodes)),
-		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: w.cfg.Faults && w.rng.IntN(25) == 0, slowdown: 1}
-	if len(w.workers) < w.cfg.SlowMachines && w.slowMachineCount < w.cfg.SlowMachines {
-		w.slowMachineCount++
+func newWorker(sim *Simulation, m *machine) *worker {
+	k := &worker{sim: sim, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: sim.now, nodeIndex: sim.rng.IntN(len(sim.nodes)),
+		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: sim.cfg.Faults && sim.rng.IntN(25) == 0, slowdown: 1}
+	if len(sim.workers) < sim.cfg.SlowMachines && sim.slowMachineCount < sim.cfg.SlowMachines {
+		sim.slowMachineCount++
 		k.slowdown = slowFactor
 	}
-	w.workers[m.id] = k
-	w.sortedByID = nil
+	sim.workers[m.id] = k
+	sim.sortedByID = nil
 	k.tick()
 	return k
 }
@@ -184,12 +184,12 @@
 // duplicateLate has a copy of a report come late now and then, up to twice the lease,
 // whatever has become of the machine. Nobody waits for its answer.
 func (k *worker) duplicateLate(m *api.Heartbeat) {
-	w := k.sim
-	if !w.cfg.Faults || w.now > ident.MonotonicTime(w.cfg.ActiveDuration) || w.rng.IntN(30) > 0 {
+	sim := k.sim
+	if !sim.cfg.Faults || sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) || sim.rng.IntN(30) > 0 {
 		return
 	}
-	late := time.Duration(w.rng.Float64() * 2 * w.settings.Workers.LeaseS * float64(time.Second))
-	w.schedule(late, func() { w.deliverStaleHeartbeat(m, w.nodes[w.rng.IntN(len(w.nodes))]) })
+	late := time.Duration(sim.rng.Float64() * 2 * sim.settings.Workers.LeaseS * float64(time.Second))
+	sim.schedule(late, func() { sim.deliverStaleHeartbeat(m, sim.nodes[sim.rng.IntN(len(sim.nodes))]) })
 }
 
 // restart ends the worker with all its tasks; it is back at once, in its next
@@ -428,7 +428,7 @@
 
 // launchBeforeCommit is the mutation that launches what a transaction is only about to
 // make durable.
-func (w *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
+func (sim *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
 	for _, c := range r.Mutations {
 		var v struct {
 			Text string `json:"t"`
@@ -445,11 +445,11 @@
 				return nil
 			}
 			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation)
-			k := w.workers[ident.MachineID(f[2])]
+			k := sim.workers[ident.MachineID(f[2])]
 			if k == nil {
 				return nil
 			}
-			w.deliver(from, f[2], func() {
+			sim.deliver(from, f[2], func() {
 				k.whenResponsive(func() {
 					taskID := ident.TaskID{Job: ident.JobID(id), Index: i}
 					if k.incarnation == incarnation && k.tasks[taskID][try] == nil {
