--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -27,9 +27,9 @@
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(60, func() {
-				for i, k := range sim.sortedWorkers() {
+				for i, w := range sim.sortedWorkers() {
 					if i%3 > 0 {
-						sim.blockOutbound(k, time.Duration(10+sim.rng.IntN(22))*time.Second)
+						sim.blockOutbound(w, time.Duration(10+sim.rng.IntN(22))*time.Second)
 					}
 				}
 			})
@@ -48,11 +48,11 @@
 					if i%2 == 1 {
 						continue
 					}
-					for _, k := range sim.workersOf(j) {
+					for _, w := range sim.workersOf(j) {
 						if sim.cfg.Seed%2 == 0 {
-							sim.disconnect(string(k.id), "*", false, 14*time.Second)
+							sim.disconnect(string(w.id), "*", false, 14*time.Second)
 						} else {
-							k.hangFor(14 * time.Second)
+							w.hangFor(14 * time.Second)
 						}
 					}
 					sim.countEvent("cancelled while it ran")
@@ -100,7 +100,7 @@
 			sim.scheduleAt(57, func() { sim.crashLeader(200 * time.Millisecond) })
 			sim.scheduleAt(61, func() {
 				for _, m := range sim.cloud.machines {
-					if k := sim.workers[m.id]; k != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(k.tasks) > 0 {
+					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(w.tasks) > 0 {
 						sim.countEvent("new machine has work")
 					}
 				}
@@ -116,8 +116,8 @@
 			sim.scheduleAt(30, func() { sim.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
 			for s := 40.0; s < 100; s += 12 {
 				sim.scheduleAt(s, func() {
-					if k := sim.anyWorker(); k != nil {
-						k.restart()
+					if w := sim.anyWorker(); w != nil {
+						w.restart()
 					}
 				})
 				sim.scheduleAt(s+3, func() { sim.submitJob(nil, 20*time.Second) })
@@ -163,8 +163,8 @@
 			for s := 39.5; s < 100; s += 7 {
 				sim.submitBurst(s-0.5, s)
 				sim.scheduleAt(s, func() {
-					if k := sim.anyWorker(); k != nil {
-						k.hangFor(time.Duration(2+sim.rng.IntN(6)) * time.Second)
+					if w := sim.anyWorker(); w != nil {
+						w.hangFor(time.Duration(2+sim.rng.IntN(6)) * time.Second)
 					}
 					sim.cancelRunning(1, 0)
 					sim.submitJob(nil, 20*time.Second)
@@ -187,9 +187,9 @@
 					back = 3200 * time.Millisecond
 				}
 				sim.scheduleAt(s-0.2, func() {
-					for i, k := range sim.sortedWorkers() {
-						if i%2 == 0 && len(k.tasks) > 0 {
-							sim.disconnect(string(k.id), "*", false, 6*time.Second)
+					for i, w := range sim.sortedWorkers() {
+						if i%2 == 0 && len(w.tasks) > 0 {
+							sim.disconnect(string(w.id), "*", false, 6*time.Second)
 						}
 					}
 				})
@@ -297,16 +297,16 @@
 				sim.isolate(old, hold, 58*time.Second)
 				sim.onNextLeader(old, func(n *node) {
 					for _, j := range sim.runningJobs() { // the new one's commands are lost
-						for _, k := range sim.workersOf(j) {
-							sim.disconnect(n.name, string(k.id), false, 56*time.Second)
+						for _, w := range sim.workersOf(j) {
+							sim.disconnect(n.name, string(w.id), false, 56*time.Second)
 						}
 					}
 					sim.onceServing(n, func() { sim.cancelAndConfirm(n, 4) })
 				})
 			})
 			sim.scheduleAt(70, func() {
-				for _, k := range sim.sortedWorkers() {
-					if len(k.tasks) > 0 && sim.now.Sub(k.leaseRenewedAt) < 4*time.Second {
+				for _, w := range sim.sortedWorkers() {
+					if len(w.tasks) > 0 && sim.now.Sub(w.leaseRenewedAt) < 4*time.Second {
 						sim.countEvent("lease kept by the old leader")
 					}
 				}
@@ -320,17 +320,17 @@
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(7)
 			sim.scheduleAt(60, func() {
-				for i, k := range sim.sortedWorkers() {
-					if len(k.tasks) == 0 {
+				for i, w := range sim.sortedWorkers() {
+					if len(w.tasks) == 0 {
 						continue
 					}
 					switch i % 3 {
 					case 0:
 						sim.countEvent("machine away")
-						sim.disconnect(string(k.id), "*", sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
+						sim.disconnect(string(w.id), "*", sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
 					case 1:
 						sim.countEvent("machine deaf")
-						sim.inboundBlockedUntil[string(k.id)] = sim.now.Add(time.Duration(8+sim.rng.IntN(20)) * time.Second)
+						sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(time.Duration(8+sim.rng.IntN(20)) * time.Second)
 					}
 				}
 			})
@@ -367,8 +367,8 @@
 				sim.countEvent("zone cut off")
 				sim.schedule(4*time.Second, func() {
 					for _, j := range sim.runningJobs() {
-						for _, k := range sim.workersOf(j) {
-							if k.machine.zone == zone {
+						for _, w := range sim.workersOf(j) {
+							if w.machine.zone == zone {
 								sim.countEvent("cancelled inside")
 								sim.cancelWhenAccepted(j, nil)
 								break
@@ -391,9 +391,9 @@
 				}
 			})
 			sim.scheduleAt(51, func() {
-				for i, k := range sim.sortedWorkers() {
+				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						sim.disconnect(string(k.id), "*", false, 8*time.Second)
+						sim.disconnect(string(w.id), "*", false, 8*time.Second)
 					}
 				}
 			})
@@ -496,9 +496,9 @@
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(56, func() {
-				for i, k := range sim.sortedWorkers() {
+				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						sim.disconnect(string(k.id), "*", true, 9*time.Second)
+						sim.disconnect(string(w.id), "*", true, 9*time.Second)
 						sim.countEvent("reports held back")
 					}
 				}
@@ -516,9 +516,9 @@
 			sim.submitBaseLoad(7)
 			sim.scheduleAt(60, func() {
 				back := time.Duration(14+4*sim.cfg.Seed%24) * time.Second
-				for i, k := range sim.sortedWorkers() {
+				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 { // within its lease it goes on
-						k.hangFor(back + time.Duration(sim.rng.IntN(4))*time.Second)
+						w.hangFor(back + time.Duration(sim.rng.IntN(4))*time.Second)
 					}
 				}
 				for _, n := range sim.nodes {
@@ -535,10 +535,10 @@
 		inject: func(sim *Simulation) {
 			sim.saturateTeams()
 			sim.scheduleAt(59, func() {
-				for i, k := range sim.sortedWorkers() {
-					if i%2 == 0 && len(k.tasks) > 0 {
+				for i, w := range sim.sortedWorkers() {
+					if i%2 == 0 && len(w.tasks) > 0 {
 						sim.countEvent("machine deaf")
-						sim.inboundBlockedUntil[string(k.id)] = sim.now.Add(time.Duration(6+sim.rng.IntN(12)) * time.Second)
+						sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(time.Duration(6+sim.rng.IntN(12)) * time.Second)
 					}
 				}
 			})
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -18,7 +18,9 @@
 	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "*", hold, d) }},
 	{"the state service", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "state", hold, d) }},
 	{"the workers", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, machines, hold, d) }},
-	{"the state service's consent", func(sim *Simulation, n *node, _ bool, d time.Duration) { sim.store.rejectUntil[n.name] = sim.now.Add(d) }},
+	{"the state service's consent", func(sim *Simulation, n *node, _ bool, d time.Duration) {
+		sim.store.rejectUntil[n.name] = sim.now.Add(d)
+	}},
 }
 
 // runConsecutivePartitions plays a day on which a controller loses one thing, and then another.
--- a/internal/simulator/fault_schedule.go
+++ b/internal/simulator/fault_schedule.go
@@ -23,7 +23,7 @@
 	if sim.rng.IntN(3) == 0 {
 		restartAfter = 200 * time.Millisecond
 	}
-	k := sim.anyWorker()
+	w := sim.anyWorker()
 	kinds := 20
 	if sim.cfg.ConcurrentFaults {
 		kinds = 35
@@ -56,12 +56,12 @@
 	case 7:
 		sim.disconnect(n.name, machines, hold, sec(5, 45))
 	case 8, 9:
-		if k != nil {
-			sim.disconnect(string(k.id), "*", hold, sec(3, 50))
+		if w != nil {
+			sim.disconnect(string(w.id), "*", hold, sec(3, 50))
 		}
 	case 10:
-		if k != nil {
-			k.hangFor(sec(3, 40))
+		if w != nil {
+			w.hangFor(sec(3, 40))
 		}
 	case 11:
 		sim.cloud.reclaimSpot(0.5)
@@ -72,23 +72,23 @@
 		sim.logf("cloud trouble")
 		sim.cloud.downUntil = sim.now.Add(sec(3, 20))
 	case 14:
-		if k != nil {
-			sim.logf("nothing reaches %s", k.id)
-			sim.inboundBlockedUntil[string(k.id)] = sim.now.Add(sec(3, 50))
+		if w != nil {
+			sim.logf("nothing reaches %s", w.id)
+			sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(sec(3, 50))
 		}
 	case 15, 16:
 		// Its workers still reach it.
 		sim.isolate(n, hold, sec(3, 40))
 	case 17:
-		if k != nil {
-			k.restart()
+		if w != nil {
+			w.restart()
 		}
 	case 19:
 		n.pauseFor(sec(3, 45))
 	case 18:
 		sim.partitionZone(sim.settings.Zones[sim.rng.IntN(2)], hold, sec(5, 60))
 	default:
-		sim.injectConcurrentFault(kind, n, k)
+		sim.injectConcurrentFault(kind, n, w)
 	}
 	pause := 14000
 	if sim.cfg.ConcurrentFaults {
@@ -98,7 +98,7 @@
 }
 
 // injectConcurrentFault lets one of the operators' further troubles happen, which may meet others.
-func (sim *Simulation) injectConcurrentFault(kind int, n *node, k *worker) {
+func (sim *Simulation) injectConcurrentFault(kind int, n *node, w *worker) {
 	sec := func(a, b int) time.Duration { return time.Duration(a+sim.rng.IntN(b-a)) * time.Second }
 	window := func(share float64) faultWindow { return faultWindow{share, sim.now.Add(sec(5, 30))} }
 	switch kind {
@@ -123,8 +123,8 @@
 	case 29:
 		sim.probeAfterAnswer = window(1)
 	case 30:
-		if k != nil {
-			sim.blockOutbound(k, sec(3, 40))
+		if w != nil {
+			sim.blockOutbound(w, sec(3, 40))
 		}
 	case 31:
 		sim.cancelRunning(1+sim.rng.IntN(3), time.Duration(sim.rng.IntN(2))*sec(2, 19))
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -48,9 +48,9 @@
 func (sim *Simulation) countEvent(what string) { sim.eventCounts[what]++ }
 
 // blockOutbound has a machine reach no node, though nodes reach it.
-func (sim *Simulation) blockOutbound(k *worker, d time.Duration) {
-	sim.logf("%s reaches no node for %v", k.id, d)
-	sim.outboundBlockedUntil[string(k.id)] = sim.now.Add(d)
+func (sim *Simulation) blockOutbound(w *worker, d time.Duration) {
+	sim.logf("%s reaches no node for %v", w.id, d)
+	sim.outboundBlockedUntil[string(w.id)] = sim.now.Add(d)
 }
 
 // extraLatency is what the spells add to a message's time.
@@ -117,11 +117,11 @@
 
 // deliverStaleHeartbeat has a copy of a report come to a node.
 func (sim *Simulation) deliverStaleHeartbeat(m *api.Heartbeat, n *node) {
-	if k := sim.workers[m.MachineID]; k != nil {
+	if w := sim.workers[m.MachineID]; w != nil {
 		switch {
-		case k.incarnation > m.Incarnation:
+		case w.incarnation > m.Incarnation:
 			sim.countEvent("copy of an earlier session")
-		case k.sequence > m.SequenceNumber:
+		case w.sequence > m.SequenceNumber:
 			sim.countEvent("copy after newer reports")
 		}
 	}
@@ -193,9 +193,9 @@
 
 // workersOf lists the machines with tasks of a job.
 func (sim *Simulation) workersOf(j *userJob) (out []*worker) {
-	for _, k := range sim.sortedWorkers() {
-		if k.taskCount(j.spec.ID) > 0 {
-			out = append(out, k)
+	for _, w := range sim.sortedWorkers() {
+		if w.taskCount(j.spec.ID) > 0 {
+			out = append(out, w)
 		}
 	}
 	return out
@@ -209,10 +209,10 @@
 		if i == n {
 			break
 		}
-		for _, k := range sim.workersOf(j) {
+		for _, w := range sim.workersOf(j) {
 			if hang > 0 && hung < 8 {
 				hung++
-				k.hangFor(hang)
+				w.hangFor(hang)
 			}
 		}
 		sim.countEvent("cancelled while it ran")
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -59,14 +59,14 @@
 func (m *member) responsive() bool { return m.present() && m.worker.sim.now >= m.worker.hungUntil }
 
 // join takes in a task that has its image.
-func (g *gangAttempt) join(k *worker, p *task) {
+func (g *gangAttempt) join(w *worker, t *task) {
 	sim := g.sim
-	p.status = api.Gathering
-	k.expediteHeartbeat()
-	sim.checkTaskStart(k, p)
-	i := p.id.Index
+	t.status = api.Gathering
+	w.expediteHeartbeat()
+	sim.checkTaskStart(w, t)
+	i := t.id.Index
 	if g.job.done[i] {
-		k.scheduleStep(p, time.Millisecond, func() { k.endTask(p, api.CauseDone) })
+		w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
 		return
 	}
 	for o := range sim.gangs {
@@ -74,16 +74,16 @@
 			sim.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
 		}
 	}
-	if m := g.members[i]; m != nil && m.worker == k && m.incarnation == k.incarnation {
-		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, p.id, k.id)
+	if m := g.members[i]; m != nil && m.worker == w && m.incarnation == w.incarnation {
+		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, t.id, w.id)
 	}
 	if g.finished && sim.now.Sub(g.finishedAt).Seconds() > 4*sim.settings.Workers.LeaseS {
-		sim.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, p.id)
+		sim.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, t.id)
 	}
-	g.members[i] = &member{worker: k, task: p, incarnation: k.incarnation}
-	k.scheduleStep(p, seconds(sim.settings.Workers.GangWaitS), func() {
-		if p.status == api.Gathering {
-			k.endTask(p, api.CauseGangIncomplete)
+	g.members[i] = &member{worker: w, task: t, incarnation: w.incarnation}
+	w.scheduleStep(t, seconds(sim.settings.Workers.GangWaitS), func() {
+		if t.status == api.Gathering {
+			w.endTask(t, api.CauseGangIncomplete)
 		}
 	})
 	g.start()
@@ -123,37 +123,37 @@
 }
 
 // kill tells one task to stop.
-func (g *gangAttempt) kill(k *worker, p *task, windDown float64) {
+func (g *gangAttempt) kill(w *worker, t *task, windDown float64) {
 	s := &g.job.spec
-	if p.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
+	if t.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
 		if g.stopRequestedAt > 0 && !g.checkpointed {
 			g.checkpointFailed = true
 		}
-		k.endTask(p, api.CauseStopped)
+		w.endTask(t, api.CauseStopped)
 		return
 	}
 	if g.stopRequestedAt == 0 {
 		g.stopRequestedAt = g.sim.now
 		g.sim.GangStops++
 	}
-	g.stopRequested[p.id.Index] = true
-	p.status = api.Flushing
-	k.expediteHeartbeat()
-	k.scheduleStep(p, seconds(s.CheckpointS), func() { g.finishCheckpoint(k, p) })
+	g.stopRequested[t.id.Index] = true
+	t.status = api.Flushing
+	w.expediteHeartbeat()
+	w.scheduleStep(t, seconds(s.CheckpointS), func() { g.finishCheckpoint(w, t) })
 }
 
 // finishCheckpoint ends a task that has saved, once the others have.
-func (g *gangAttempt) finishCheckpoint(k *worker, p *task) {
+func (g *gangAttempt) finishCheckpoint(w *worker, t *task) {
 	switch {
 	case !g.checkpointFailed && len(g.stopRequested) == g.job.spec.Tasks:
 		g.checkpointed = true
 		g.job.checkpointedSeconds = g.progress
-		p.stored = true
-		k.endTask(p, api.CauseStopped)
+		t.stored = true
+		w.endTask(t, api.CauseStopped)
 	case g.checkpointFailed || g.sim.now.Sub(g.stopRequestedAt).Seconds() > g.sim.settings.Workers.GangPeerS:
-		k.endTask(p, api.CauseStopped)
+		w.endTask(t, api.CauseStopped)
 	default:
-		k.scheduleStep(p, gangTick, func() { g.finishCheckpoint(k, p) })
+		w.scheduleStep(t, gangTick, func() { g.finishCheckpoint(w, t) })
 	}
 }
 
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -90,18 +90,18 @@
 	sim := New(Config{Seed: seed, Mutation: m, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	for at := 40 * time.Second; at < 240*time.Second; at += 3 * time.Second {
 		sim.schedule(at, func() {
-			for _, k := range sim.sortedWorkers() {
+			for _, w := range sim.sortedWorkers() {
 				runningGangTasks := 0
-				for id, tries := range k.tasks {
-					for _, p := range tries {
-						if sim.jobs[id.Job].spec.Shape == api.Gang && p.status == api.Running {
+				for id, tries := range w.tasks {
+					for _, t := range tries {
+						if sim.jobs[id.Job].spec.Shape == api.Gang && t.status == api.Running {
 							runningGangTasks++
 						}
 					}
 				}
-				if k.machine.spot && k.reclaimAt == 0 && runningGangTasks > 0 {
-					k.announceReclaim(14 * time.Second)
-					sim.schedule(14*time.Second, func() { sim.cloud.terminate(k.machine) })
+				if w.machine.spot && w.reclaimAt == 0 && runningGangTasks > 0 {
+					w.announceReclaim(14 * time.Second)
+					sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
 				}
 			}
 		})
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -41,8 +41,8 @@
 	s := &j.spec
 	on := map[int]bool{}
 	cpus, tasksByZone := 0.0, map[string]int{}
-	for _, k := range sim.workers {
-		for p, tries := range k.tasks {
+	for _, w := range sim.workers {
+		for p, tries := range w.tasks {
 			for _, q := range tries {
 				if q.status == api.Ended {
 					continue
@@ -53,7 +53,7 @@
 				}
 				if p.Job == s.ID {
 					on[p.Index] = true
-					tasksByZone[k.machine.zone]++
+					tasksByZone[w.machine.zone]++
 				}
 			}
 		}
@@ -70,9 +70,9 @@
 			return false
 		}
 	}
-	for _, k := range sim.workers {
-		zone := k.machine.zone
-		if k.faulty || k.reclaimAt > 0 || sim.now < k.hungUntil || s.Zone != nil && *s.Zone != zone || k.machine.spot && !s.Spot ||
+	for _, w := range sim.workers {
+		zone := w.machine.zone
+		if w.faulty || w.reclaimAt > 0 || sim.now < w.hungUntil || s.Zone != nil && *s.Zone != zone || w.machine.spot && !s.Spot ||
 			s.Spread && tasksByZone[zone]+1 > (s.Tasks+1)/2 {
 			continue
 		}
@@ -80,7 +80,7 @@
 		for z, n := range tasksByZone {
 			elsewhere = elsewhere || z != zone && n > 0
 		}
-		if sim.cloud.models[0].VCPUs-k.usedCPUs() >= s.VCPUs && !(s.OneZone && elsewhere) {
+		if sim.cloud.models[0].VCPUs-w.usedCPUs() >= s.VCPUs && !(s.OneZone && elsewhere) {
 			return true
 		}
 	}
@@ -161,8 +161,8 @@
 			sim.reportUnfinished("%s: never done, last told %q", id, j.lastStatus)
 		default:
 			n := 0
-			for _, k := range sim.workers {
-				n += k.taskCount(id)
+			for _, w := range sim.workers {
+				n += w.taskCount(id)
 			}
 			if n != j.spec.Tasks {
 				sim.reportUnfinished("%s: %d of %d replicas run", id, n, j.spec.Tasks)
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -79,13 +79,13 @@
 }
 
 // reclaimMachine has the cloud take a machine, after a notice if there is time for one.
-func (sim *Simulation) reclaimMachine(k *worker, notice time.Duration) {
+func (sim *Simulation) reclaimMachine(w *worker, notice time.Duration) {
 	if notice > 0 {
-		k.announceReclaim(notice)
+		w.announceReclaim(notice)
 	}
 	sim.schedule(notice, func() {
 		sim.countEvent("machine taken")
-		sim.cloud.terminate(k.machine)
+		sim.cloud.terminate(w.machine)
 	})
 }
 
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -67,8 +67,8 @@
 			return n.zone
 		}
 	}
-	if k := sim.workers[ident.MachineID(name)]; k != nil {
-		return k.machine.zone
+	if w := sim.workers[ident.MachineID(name)]; w != nil {
+		return w.machine.zone
 	}
 	return ""
 }
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -158,7 +158,9 @@
 					j.durationStep = taskDurationStep
 				}
 			})
-			sim.scheduleAt(100, func() { sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration) })
+			sim.scheduleAt(100, func() {
+				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
+			})
 		}},
 		{"the wide job fails everywhere", func(sim *Simulation) {
 			sim.fragmentFleet(0)
--- a/internal/simulator/replay_days.go
+++ b/internal/simulator/replay_days.go
@@ -52,11 +52,11 @@
 		}
 	})
 	sim.scheduleAt(90, func() {
-		for _, k := range sim.sortedWorkers() {
-			if k.machine.spot && k.reclaimAt == 0 && len(k.tasks) > 0 {
+		for _, w := range sim.sortedWorkers() {
+			if w.machine.spot && w.reclaimAt == 0 && len(w.tasks) > 0 {
 				sim.countEvent("spot notice")
-				k.announceReclaim(14 * time.Second)
-				sim.schedule(14*time.Second, func() { sim.cloud.terminate(k.machine) })
+				w.announceReclaim(14 * time.Second)
+				sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
 				return
 			}
 		}
@@ -385,8 +385,8 @@
 		}
 	})
 	sim.scheduleAt(45, func() {
-		if k := sim.anyWorker(); k != nil {
-			k.faulty = true
+		if w := sim.anyWorker(); w != nil {
+			w.faulty = true
 		}
 	})
 	sim.submitStream(40, 140, 3, 20*time.Second)
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -14,8 +14,8 @@
 	}
 	sim.scheduleAt(58, func() {
 		used := map[string]float64{}
-		for _, k := range sim.workers {
-			for p, tries := range k.tasks {
+		for _, w := range sim.workers {
+			for p, tries := range w.tasks {
 				for _, q := range tries {
 					if q.onMachine() {
 						used[sim.jobs[p.Job].spec.Team] += sim.jobs[p.Job].spec.VCPUs
@@ -85,10 +85,10 @@
 
 // redirectHeartbeats has the machines of a job report to a node, as they do after a failover.
 func (sim *Simulation) redirectHeartbeats(j *userJob, to *node) {
-	for _, k := range sim.workersOf(j) {
+	for _, w := range sim.workersOf(j) {
 		for i, n := range sim.nodes {
 			if n == to {
-				k.nodeIndex = i
+				w.nodeIndex = i
 			}
 		}
 	}
@@ -129,10 +129,10 @@
 			for _, j := range list {
 				sim.redirectHeartbeats(j, old)
 				if sim.cfg.Seed%2 == 0 { // whoever is told by no command hears of it by reports
-					for _, k := range sim.workersOf(j) {
-						sim.disconnect(n.name, string(k.id), false, 70*time.Second)
+					for _, w := range sim.workersOf(j) {
+						sim.disconnect(n.name, string(w.id), false, 70*time.Second)
 						if sim.cfg.Seed%6 == 4 {
-							k.hangFor(time.Duration(2+sim.rng.IntN(15)) * time.Second)
+							w.hangFor(time.Duration(2+sim.rng.IntN(15)) * time.Second)
 						}
 					}
 				}
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -355,8 +355,8 @@
 		return
 	}
 	m.terminatedAt = p.sim.now
-	if k := p.sim.workers[m.id]; k != nil {
-		k.dead = true
+	if w := p.sim.workers[m.id]; w != nil {
+		w.dead = true
 		delete(p.sim.workers, m.id)
 		p.sim.sortedByID = nil
 	}
@@ -370,9 +370,9 @@
 			continue
 		}
 		d := time.Duration(0)
-		if k := p.sim.workers[m.id]; k != nil && p.sim.rng.IntN(3) > 0 {
+		if w := p.sim.workers[m.id]; w != nil && p.sim.rng.IntN(3) > 0 {
 			d = time.Duration(4+p.sim.rng.IntN(8)) * time.Second
-			k.announceReclaim(d)
+			w.announceReclaim(d)
 		}
 		p.sim.schedule(d, func() { p.terminate(m) })
 	}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -235,8 +235,8 @@
 func (sim *Simulation) sortedWorkers() []*worker {
 	if sim.sortedByID == nil {
 		sim.sortedByID = make([]*worker, 0, len(sim.workers))
-		for _, k := range sim.workers {
-			sim.sortedByID = append(sim.sortedByID, k)
+		for _, w := range sim.workers {
+			sim.sortedByID = append(sim.sortedByID, w)
 		}
 		sort.Slice(sim.sortedByID, func(i, k int) bool { return sim.sortedByID[i].id < sim.sortedByID[k].id })
 	}
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -74,8 +74,8 @@
 		sim.schedule(3*time.Second, func() {
 			for _, id := range sim.jobOrder {
 				j := sim.jobs[id]
-				for _, k := range sim.sortedWorkers() {
-					if j.accepted && j.cancelSentAt == 0 && !isTerminal(j.lastStatus) && k.machine.zone == zone && k.taskCount(id) > 0 {
+				for _, w := range sim.sortedWorkers() {
+					if j.accepted && j.cancelSentAt == 0 && !isTerminal(j.lastStatus) && w.machine.zone == zone && w.taskCount(id) > 0 {
 						j.cancelSentAt = sim.now
 						sim.cancel(j)
 						cancelled++
@@ -209,10 +209,10 @@
 	sim.schedule(60*time.Second, func() {
 		old = sim.leader()
 		sim.isolate(old, false, 40*time.Second)
-		for _, k := range sim.sortedWorkers() {
+		for _, w := range sim.sortedWorkers() {
 			for i, n := range sim.nodes {
 				if n == old {
-					k.nodeIndex = i
+					w.nodeIndex = i
 				}
 			}
 		}
@@ -249,9 +249,9 @@
 		sim.schedule(80*time.Second, func() {
 			old = sim.leader()
 			sim.disconnect(old.name, machines, seed%2 == 0, 41*time.Second)
-			for _, k := range sim.sortedWorkers() {
-				if len(k.tasks) > 0 {
-					busy[k.machine] = true
+			for _, w := range sim.sortedWorkers() {
+				if len(w.tasks) > 0 {
+					busy[w.machine] = true
 					fenced--
 				}
 			}
@@ -290,8 +290,8 @@
 				zone = sim.leader().zone
 			}
 			sim.partitionZone(zone, seed%2 == 0, 32*time.Second)
-			for _, k := range sim.sortedWorkers() {
-				if k.machine.zone == zone && len(k.tasks) > 0 {
+			for _, w := range sim.sortedWorkers() {
+				if w.machine.zone == zone && len(w.tasks) > 0 {
 					inside++
 				}
 			}
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -19,9 +19,9 @@
 		sim := slowMachineScenario(seed, settings.RebalanceMove, 1)
 		var slow *worker
 		sim.scheduleAt(20, func() {
-			for _, k := range sim.sortedWorkers() {
-				if k.slowdown > 1 {
-					slow = k
+			for _, w := range sim.sortedWorkers() {
+				if w.slowdown > 1 {
+					slow = w
 				}
 			}
 		})
@@ -63,17 +63,17 @@
 
 // checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has
 // found it to be slow.
-func (sim *Simulation) checkNoStartsOn(k *worker) {
+func (sim *Simulation) checkNoStartsOn(w *worker) {
 	found := ident.Never
 	var look func()
 	look = func() {
 		if l := sim.leader(); found == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
 			found = sim.now.Add(2 * time.Second)
 		}
-		for id, attempts := range k.tasks {
-			for _, p := range attempts {
-				if p.startedAt > found {
-					sim.reportViolation("%s starts on %s, which is slow", id, k.id)
+		for id, attempts := range w.tasks {
+			for _, t := range attempts {
+				if t.startedAt > found {
+					sim.reportViolation("%s starts on %s, which is slow", id, w.id)
 				}
 			}
 		}
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -109,8 +109,8 @@
 // imbalance is the coefficient of variation of the machines' use, by what workers run.
 func (sim *Simulation) imbalance() float64 {
 	n, sum, square := 0.0, 0.0, 0.0
-	for _, k := range sim.sortedWorkers() {
-		share := k.usedCPUs() / sim.cloud.models[0].VCPUs
+	for _, w := range sim.sortedWorkers() {
+		share := w.usedCPUs() / sim.cloud.models[0].VCPUs
 		n++
 		sum += share
 		square += share * share
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -106,17 +106,17 @@
 }
 
 // recordStop notes that a command stops an attempt.
-func (j *userJob) recordStop(p *task) {
+func (j *userJob) recordStop(t *task) {
 	if j.cancelSentAt > 0 {
 		return
 	}
 	if j.stops == nil {
 		j.stops = map[ident.TaskID]map[ident.Attempt]bool{}
 	}
-	if j.stops[p.id] == nil {
-		j.stops[p.id] = map[ident.Attempt]bool{}
+	if j.stops[t.id] == nil {
+		j.stops[t.id] = map[ident.Attempt]bool{}
 	}
-	j.stops[p.id][p.attempt] = true
+	j.stops[t.id][t.attempt] = true
 }
 
 // stopCount returns how many attempts of a job's tasks were stopped by commands.
@@ -301,12 +301,12 @@
 		j.cancelConfirmedAt = sim.now
 		limit := time.Duration(sim.settings.Workers.CancelS * float64(time.Second))
 		sim.schedule(limit+time.Millisecond, func() {
-			for _, k := range sim.sortedWorkers() {
-				if k.sim.now < k.hungUntil && k.sim.now.Sub(k.leaseRenewedAt).Seconds() > sim.settings.Workers.LeaseS {
+			for _, w := range sim.sortedWorkers() {
+				if w.sim.now < w.hungUntil && w.sim.now.Sub(w.leaseRenewedAt).Seconds() > sim.settings.Workers.LeaseS {
 					continue // over with its lease, though the machine hasn't noticed
 				}
-				if k.taskCount(j.spec.ID) > 0 {
-					sim.reportViolation("ran_cancelled: %s is still on %s", j.spec.ID, k.id)
+				if w.taskCount(j.spec.ID) > 0 {
+					sim.reportViolation("ran_cancelled: %s is still on %s", j.spec.ID, w.id)
 				}
 			}
 		})
@@ -331,7 +331,7 @@
 )
 
 // checkTaskStart checks the rules at the start of a task on k.
-func (sim *Simulation) checkTaskStart(k *worker, p *task) {
+func (sim *Simulation) checkTaskStart(w *worker, p *task) {
 	sim.TaskStarts++
 	j := sim.jobs[p.id.Job]
 	s := &j.spec
@@ -349,8 +349,8 @@
 				if q == p || !q.onMachine() {
 					continue
 				}
-				if q.id == p.id && o != k {
-					sim.reportViolation("ran_twice: %s starts on %s (try %d) while on %s (try %d)", p.id, k.id, p.attempt, o.id, q.attempt)
+				if q.id == p.id && o != w {
+					sim.reportViolation("ran_twice: %s starts on %s (try %d) while on %s (try %d)", p.id, w.id, p.attempt, o.id, q.attempt)
 				}
 				t := sim.jobs[q.id.Job]
 				if t.spec.Team == s.Team {
@@ -367,11 +367,11 @@
 			sim.reportViolation("quota: %s uses %v of %v with %s", t.Name, cpus+s.VCPUs, t.CPUsMax, p.id)
 		}
 	}
-	zone := k.machine.zone
+	zone := w.machine.zone
 	switch {
 	case s.Zone != nil && *s.Zone != zone:
 		sim.reportViolation("wrong_place: %s in %s", p.id, zone)
-	case k.machine.spot && !s.Spot:
+	case w.machine.spot && !s.Spot:
 		sim.reportViolation("wrong_place: %s on a spot machine", p.id)
 	case s.Spread && zones[zone]+1 > (s.Tasks+1)/2:
 		sim.reportViolation("wrong_place: %s is one of %d in %s", p.id, zones[zone]+1, zone)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -53,79 +53,79 @@
 const slowFactor = 4
 
 func newWorker(sim *Simulation, m *machine) *worker {
-	k := &worker{sim: sim, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: sim.now, nodeIndex: sim.rng.IntN(len(sim.nodes)),
+	w := &worker{sim: sim, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: sim.now, nodeIndex: sim.rng.IntN(len(sim.nodes)),
 		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: sim.cfg.Faults && sim.rng.IntN(25) == 0, slowdown: 1}
 	if len(sim.workers) < sim.cfg.SlowMachines && sim.slowMachineCount < sim.cfg.SlowMachines {
 		sim.slowMachineCount++
-		k.slowdown = slowFactor
+		w.slowdown = slowFactor
 	}
-	sim.workers[m.id] = k
+	sim.workers[m.id] = w
 	sim.sortedByID = nil
-	k.tick()
-	return k
+	w.tick()
+	return w
 }
 
 // whenResponsive runs f once the machine doesn't hang.
-func (k *worker) whenResponsive(f func()) {
-	if k.dead {
+func (w *worker) whenResponsive(f func()) {
+	if w.dead {
 		return
 	}
-	if k.sim.now < k.hungUntil {
-		k.sim.schedule(k.hungUntil.Sub(k.sim.now)+time.Millisecond, func() { k.whenResponsive(f) })
+	if w.sim.now < w.hungUntil {
+		w.sim.schedule(w.hungUntil.Sub(w.sim.now)+time.Millisecond, func() { w.whenResponsive(f) })
 		return
 	}
-	k.checkLease()
+	w.checkLease()
 	f()
 }
 
-func (k *worker) hangFor(d time.Duration) {
-	k.sim.logf("%s hangs for %v", k.id, d)
-	k.hungUntil = max(k.hungUntil, k.sim.now.Add(d))
+func (w *worker) hangFor(d time.Duration) {
+	w.sim.logf("%s hangs for %v", w.id, d)
+	w.hungUntil = max(w.hungUntil, w.sim.now.Add(d))
 }
 
-func (k *worker) announceReclaim(d time.Duration) { k.reclaimAt = k.sim.now.Add(d) }
+func (w *worker) announceReclaim(d time.Duration) { w.reclaimAt = w.sim.now.Add(d) }
 
 // checkLease ends the session when its time is over.
-func (k *worker) checkLease() {
-	if k.sim.now.Sub(k.leaseRenewedAt) > time.Duration(k.sim.settings.Workers.LeaseS*float64(time.Second)) {
-		k.sim.logf("%s: lease over, with %d tasks", k.id, len(k.tasks))
-		k.sim.TasksLostWithLease += len(k.tasks)
-		k.beginIncarnation()
+func (w *worker) checkLease() {
+	if w.sim.now.Sub(w.leaseRenewedAt) > time.Duration(w.sim.settings.Workers.LeaseS*float64(time.Second)) {
+		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
+		w.sim.TasksLostWithLease += len(w.tasks)
+		w.beginIncarnation()
 	}
 }
 
 // tick reports now and then.
-func (k *worker) tick() {
-	if k.dead {
+func (w *worker) tick() {
+	if w.dead {
 		return
 	}
-	k.whenResponsive(func() {
-		if !k.heartbeatInFlight && k.sim.now.Sub(k.lastHeartbeat) >= time.Duration(k.sim.settings.Workers.HeartbeatS*900)*time.Millisecond {
-			k.sendHeartbeat()
+	w.whenResponsive(func() {
+		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= time.Duration(w.sim.settings.Workers.HeartbeatS*900)*time.Millisecond {
+			w.sendHeartbeat()
 		}
 	})
-	k.sim.schedule(250*time.Millisecond, k.tick)
+	w.sim.schedule(250*time.Millisecond, w.tick)
 }
 
 // expediteHeartbeat brings the next report forward.
-func (k *worker) expediteHeartbeat() {
-	k.lastHeartbeat = min(k.lastHeartbeat, k.sim.now.Add(-2500*time.Millisecond))
+func (w *worker) expediteHeartbeat() {
+	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-2500*time.Millisecond))
 }
 
-func (k *worker) buildHeartbeat() *api.Heartbeat {
-	k.sequence++
-	r := &api.Heartbeat{MachineID: k.id, Addr: string(k.id), Model: "m8", Zone: k.machine.zone, Spot: k.machine.spot,
-		Incarnation: k.incarnation, SequenceNumber: k.sequence, FencingToken: k.token}
-	if k.reclaimAt > 0 {
-		s := k.reclaimAt.Sub(k.sim.now).Seconds()
+func (w *worker) buildHeartbeat() *api.Heartbeat {
+	w.sequence++
+	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: "m8", Zone: w.machine.zone, Spot: w.machine.spot,
+		Incarnation: w.incarnation, SequenceNumber: w.sequence, FencingToken: w.token}
+	if w.reclaimAt > 0 {
+		s := w.reclaimAt.Sub(w.sim.now).Seconds()
 		r.ReclaimNoticeS = &s
 	}
-	for _, tries := range k.tasks {
-		for _, p := range tries {
-			if k.sim.cfg.Mutation == HideWaitingGangTasks && p.status == api.Gathering {
+	for _, tries := range w.tasks {
+		for _, t := range tries {
+			if w.sim.cfg.Mutation == HideWaitingGangTasks && t.status == api.Gathering {
 				continue
 			}
-			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: p.id, Attempt: p.attempt, Status: p.status, Cause: p.cause, CheckpointStored: p.stored})
+			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.stored})
 		}
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
@@ -134,28 +134,28 @@
 	return r
 }
 
-func (k *worker) sendHeartbeat() {
-	k.heartbeatInFlight = true
-	k.lastHeartbeat = k.sim.now
-	sentAt, incarnation := k.sim.now, k.incarnation
-	n := k.sim.nodes[k.nodeIndex]
-	m := k.buildHeartbeat()
-	k.duplicateLate(m)
-	k.sim.duplicateHeartbeat(m)
-	k.sim.request(string(k.id), n, transport.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
-		if k.dead {
+func (w *worker) sendHeartbeat() {
+	w.heartbeatInFlight = true
+	w.lastHeartbeat = w.sim.now
+	sentAt, incarnation := w.sim.now, w.incarnation
+	n := w.sim.nodes[w.nodeIndex]
+	m := w.buildHeartbeat()
+	w.duplicateLate(m)
+	w.sim.duplicateHeartbeat(m)
+	w.sim.request(string(w.id), n, transport.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
+		if w.dead {
 			return
 		}
 		// A hanging machine comes back to the answer later.
-		k.whenResponsive(func() {
-			if r != nil && r.Status == 200 && k.sim.now.Sub(sentAt) <= 4*time.Second {
-				k.heartbeatInFlight = false
+		w.whenResponsive(func() {
+			if r != nil && r.Status == 200 && w.sim.now.Sub(sentAt) <= 4*time.Second {
+				w.heartbeatInFlight = false
 				var o api.HeartbeatResponse
-				if json.Unmarshal(r.Body, &o) != nil || incarnation != k.incarnation || !k.acceptToken(o.FencingToken) {
+				if json.Unmarshal(r.Body, &o) != nil || incarnation != w.incarnation || !w.acceptToken(o.FencingToken) {
 					return
 				}
-				k.leaseRenewedAt = sentAt
-				k.execute(o.Commands)
+				w.leaseRenewedAt = sentAt
+				w.execute(o.Commands)
 				return
 			}
 			if r != nil && r.Status == 421 {
@@ -163,19 +163,19 @@
 					Home string `json:"home"`
 				}
 				json.Unmarshal(r.Body, &home)
-				for i, o := range k.sim.nodes {
-					if o.name == home.Home && i != k.nodeIndex {
-						k.nodeIndex = i
-						k.heartbeatInFlight = false
-						k.lastHeartbeat = 0
+				for i, o := range w.sim.nodes {
+					if o.name == home.Home && i != w.nodeIndex {
+						w.nodeIndex = i
+						w.heartbeatInFlight = false
+						w.lastHeartbeat = 0
 						return
 					}
 				}
 			}
-			k.sim.schedule(time.Second, func() {
-				k.nodeIndex = (k.nodeIndex + 1) % len(k.sim.nodes)
-				k.heartbeatInFlight = false
-				k.lastHeartbeat = 0
+			w.sim.schedule(time.Second, func() {
+				w.nodeIndex = (w.nodeIndex + 1) % len(w.sim.nodes)
+				w.heartbeatInFlight = false
+				w.lastHeartbeat = 0
 			})
 		})
 	})
@@ -183,8 +183,8 @@
 
 // duplicateLate has a copy of a report come late now and then, up to twice the lease,
 // whatever has become of the machine. Nobody waits for its answer.
-func (k *worker) duplicateLate(m *api.Heartbeat) {
-	sim := k.sim
+func (w *worker) duplicateLate(m *api.Heartbeat) {
+	sim := w.sim
 	if !sim.cfg.Faults || sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) || sim.rng.IntN(30) > 0 {
 		return
 	}
@@ -194,191 +194,191 @@
 
 // restart ends the worker with all its tasks; it is back at once, in its next
 // session.
-func (k *worker) restart() {
-	k.sim.logf("%s restarts", k.id)
-	k.beginIncarnation()
-	k.lastHeartbeat = 0
+func (w *worker) restart() {
+	w.sim.logf("%s restarts", w.id)
+	w.beginIncarnation()
+	w.lastHeartbeat = 0
 }
 
 // beginIncarnation begins the next one, without any task.
-func (k *worker) beginIncarnation() {
-	k.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
-	k.images = map[string]bool{}
-	k.incarnation++
-	k.sequence = 0
-	k.leaseRenewedAt = k.sim.now
+func (w *worker) beginIncarnation() {
+	w.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
+	w.images = map[string]bool{}
+	w.incarnation++
+	w.sequence = 0
+	w.leaseRenewedAt = w.sim.now
 }
 
 // acceptToken checks and notes a token.
-func (k *worker) acceptToken(e ident.FencingToken) bool {
-	if e < k.token && k.sim.cfg.Mutation != IgnoreFencingTokens {
+func (w *worker) acceptToken(e ident.FencingToken) bool {
+	if e < w.token && w.sim.cfg.Mutation != IgnoreFencingTokens {
 		return false
 	}
-	if e > k.token {
-		k.token = e
-		k.expediteHeartbeat()
+	if e > w.token {
+		w.token = e
+		w.expediteHeartbeat()
 	}
 	return true
 }
 
-func (k *worker) handleCommands(c api.CommandRequest, reply func(any)) {
-	if k.sim.now < k.sim.outboundBlockedUntil[string(k.id)] {
-		k.sim.countEvent("command to a mute machine")
+func (w *worker) handleCommands(c api.CommandRequest, reply func(any)) {
+	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
+		w.sim.countEvent("command to a mute machine")
 	}
-	if c.Incarnation != k.incarnation || !k.acceptToken(c.FencingToken) {
-		reply(workers.CommandResult{Status: 409, Heartbeat: k.buildHeartbeat()})
+	if c.Incarnation != w.incarnation || !w.acceptToken(c.FencingToken) {
+		reply(workers.CommandResult{Status: 409, Heartbeat: w.buildHeartbeat()})
 		return
 	}
-	k.execute(c.Commands)
-	reply(workers.CommandResult{Status: 200, Heartbeat: k.buildHeartbeat()})
+	w.execute(c.Commands)
+	reply(workers.CommandResult{Status: 200, Heartbeat: w.buildHeartbeat()})
 }
 
-func (k *worker) execute(orders []api.Command) {
+func (w *worker) execute(orders []api.Command) {
 	for _, o := range orders {
-		p := k.tasks[o.TaskID][o.Attempt]
+		t := w.tasks[o.TaskID][o.Attempt]
 		switch o.Verb {
 		case api.Launch:
-			if j := k.sim.jobs[o.TaskID.Job]; k.sim.cfg.Mutation == ReuseGangAttempt && j != nil && j.spec.Shape == api.Gang {
-				k.executeReusingAttempt(o)
+			if j := w.sim.jobs[o.TaskID.Job]; w.sim.cfg.Mutation == ReuseGangAttempt && j != nil && j.spec.Shape == api.Gang {
+				w.executeReusingAttempt(o)
 				continue
 			}
-			if p == nil {
-				k.launch(o.TaskID, o.Attempt)
+			if t == nil {
+				w.launch(o.TaskID, o.Attempt)
 			}
 		case api.Kill:
-			if p != nil && p.status != api.Ended {
-				k.kill(p, o.GracePeriodS)
+			if t != nil && t.status != api.Ended {
+				w.kill(t, o.GracePeriodS)
 			}
 		case api.Clear:
-			if p != nil && p.status == api.Ended {
-				delete(k.tasks[o.TaskID], o.Attempt)
-				if len(k.tasks[o.TaskID]) == 0 {
-					delete(k.tasks, o.TaskID)
+			if t != nil && t.status == api.Ended {
+				delete(w.tasks[o.TaskID], o.Attempt)
+				if len(w.tasks[o.TaskID]) == 0 {
+					delete(w.tasks, o.TaskID)
 				}
 			}
 		}
-		k.expediteHeartbeat()
+		w.expediteHeartbeat()
 	}
 }
 
 // kill stops a task; one that saves is ended by a second kill without time for it.
-func (k *worker) kill(p *task, windDown *float64) {
-	j := k.sim.jobs[p.id.Job]
+func (w *worker) kill(t *task, windDown *float64) {
+	j := w.sim.jobs[t.id.Job]
 	d := 0.0
 	if windDown != nil {
 		d = *windDown
 	}
 	if j == nil || j.spec.Shape != api.Gang {
-		k.stop(p, j, d)
+		w.stop(t, j, d)
 		return
 	}
-	if p.status == api.Flushing && d > 0 {
+	if t.status == api.Flushing && d > 0 {
 		return // it saves already
 	}
-	if k.sim.cfg.Mutation == StopPartOfGang && d > 0 && p.id.Index > 0 {
+	if w.sim.cfg.Mutation == StopPartOfGang && d > 0 && t.id.Index > 0 {
 		return
 	}
-	k.sim.gang(j, p.attempt).kill(k, p, d)
+	w.sim.gang(j, t.attempt).kill(w, t, d)
 }
 
 // stop ends a task of an array or a service; one of an array that has the time for it saves
 // its progress first.
-func (k *worker) stop(p *task, j *userJob, windDown float64) {
+func (w *worker) stop(t *task, j *userJob, windDown float64) {
 	if j != nil {
-		j.recordStop(p)
+		j.recordStop(t)
 	}
-	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || p.status == api.Pulling {
-		if j != nil && p.status == api.Running {
-			j.lostWork += k.sim.now.Sub(p.startedAt)
+	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || t.status == api.Pulling {
+		if j != nil && t.status == api.Running {
+			j.lostWork += w.sim.now.Sub(t.startedAt)
 		}
-		k.endTask(p, api.CauseStopped)
+		w.endTask(t, api.CauseStopped)
 		return
 	}
-	if p.status == api.Flushing {
+	if t.status == api.Flushing {
 		return // it saves already
 	}
-	ran := time.Duration(float64(k.sim.now.Sub(p.startedAt)) / k.slowdown)
-	p.status = api.Flushing
-	p.generation++
-	k.expediteHeartbeat()
-	k.scheduleStep(p, seconds(j.spec.CheckpointS), func() {
-		j.checkpointed[p.id.Index] += ran
-		p.stored = true
-		k.endTask(p, api.CauseStopped)
+	ran := time.Duration(float64(w.sim.now.Sub(t.startedAt)) / w.slowdown)
+	t.status = api.Flushing
+	t.generation++
+	w.expediteHeartbeat()
+	w.scheduleStep(t, seconds(j.spec.CheckpointS), func() {
+		j.checkpointed[t.id.Index] += ran
+		t.stored = true
+		w.endTask(t, api.CauseStopped)
 	})
 }
 
-func (k *worker) endTask(p *task, c api.Cause) {
-	p.status, p.cause = api.Ended, c
-	p.generation++
-	k.expediteHeartbeat()
+func (w *worker) endTask(t *task, c api.Cause) {
+	t.status, t.cause = api.Ended, c
+	t.generation++
+	w.expediteHeartbeat()
 }
 
 // usedCPUs returns the CPUs of the tasks that have not exited.
-func (k *worker) usedCPUs() float64 {
+func (w *worker) usedCPUs() float64 {
 	cpus := 0.0
-	for _, tries := range k.tasks {
+	for _, tries := range w.tasks {
 		for _, o := range tries {
 			if o.status != api.Ended {
-				cpus += k.sim.jobs[o.id.Job].spec.VCPUs
+				cpus += w.sim.jobs[o.id.Job].spec.VCPUs
 			}
 		}
 	}
 	return cpus
 }
 
-func (k *worker) launch(id ident.TaskID, try ident.Attempt) {
-	p := &task{id: id, attempt: try, status: api.Pulling}
+func (w *worker) launch(id ident.TaskID, try ident.Attempt) {
+	t := &task{id: id, attempt: try, status: api.Pulling}
 	busy := false
-	for _, o := range k.tasks[id] {
+	for _, o := range w.tasks[id] {
 		busy = busy || o.status != api.Ended
 	}
-	cpus := k.usedCPUs()
-	if k.tasks[id] == nil {
-		k.tasks[id] = map[ident.Attempt]*task{}
+	cpus := w.usedCPUs()
+	if w.tasks[id] == nil {
+		w.tasks[id] = map[ident.Attempt]*task{}
 	}
-	k.tasks[id][try] = p
-	j := k.sim.jobs[id.Job]
+	w.tasks[id][try] = t
+	j := w.sim.jobs[id.Job]
 	switch {
 	case j == nil || id.Index >= j.spec.Tasks:
-		k.endTask(p, api.CauseUnknown)
+		w.endTask(t, api.CauseUnknown)
 	case busy:
-		k.endTask(p, api.CauseBusy)
-	case cpus+j.spec.VCPUs > k.sim.cloud.models[0].VCPUs+1e-6:
-		k.endTask(p, api.CauseNoCapacity)
+		w.endTask(t, api.CauseBusy)
+	case cpus+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+1e-6:
+		w.endTask(t, api.CauseNoCapacity)
 	default:
 		d := time.Millisecond
-		if !k.images[j.spec.Image] {
-			d = time.Duration(500+k.sim.rng.IntN(3000)) * time.Millisecond
+		if !w.images[j.spec.Image] {
+			d = time.Duration(500+w.sim.rng.IntN(3000)) * time.Millisecond
 		}
-		k.scheduleStep(p, d, func() {
-			k.images[j.spec.Image] = true
-			if j.spec.Shape == api.Gang && !k.faulty {
-				try := p.attempt
-				if p.reusesAttempt {
+		w.scheduleStep(t, d, func() {
+			w.images[j.spec.Image] = true
+			if j.spec.Shape == api.Gang && !w.faulty {
+				try := t.attempt
+				if t.reusesAttempt {
 					try = 1
 				}
-				k.sim.gang(j, try).join(k, p)
+				w.sim.gang(j, try).join(w, t)
 				return
 			}
-			p.status, p.startedAt = api.Running, k.sim.now
-			k.expediteHeartbeat()
-			k.sim.checkTaskStart(k, p)
+			t.status, t.startedAt = api.Running, w.sim.now
+			w.expediteHeartbeat()
+			w.sim.checkTaskStart(w, t)
 			if j.done[id.Index] {
-				k.scheduleStep(p, time.Millisecond, func() { k.endTask(p, api.CauseDone) })
+				w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
 				return
 			}
-			if k.faulty || j.alwaysFails {
+			if w.faulty || j.alwaysFails {
 				j.failures++
-				k.scheduleStep(p, time.Second, func() { k.endTask(p, api.CauseError) })
+				w.scheduleStep(t, time.Second, func() { w.endTask(t, api.CauseError) })
 				return
 			}
 			if j.spec.Shape == api.Batch {
 				left := float64(j.durationOf(id.Index) - j.checkpointed[id.Index])
-				k.scheduleStep(p, max(time.Millisecond, time.Duration(left*k.slowdown)), func() {
+				w.scheduleStep(t, max(time.Millisecond, time.Duration(left*w.slowdown)), func() {
 					j.done[id.Index] = true
-					k.endTask(p, api.CauseDone)
-					k.sim.onTaskCompleted(j)
+					w.endTask(t, api.CauseDone)
+					w.sim.onTaskCompleted(j)
 				})
 			}
 		})
@@ -386,22 +386,22 @@
 }
 
 // executeReusingAttempt is the mutation that numbers every attempt of a gang alike.
-func (k *worker) executeReusingAttempt(o api.Command) {
-	if p := k.tasks[o.TaskID][o.Attempt]; p != nil {
+func (w *worker) executeReusingAttempt(o api.Command) {
+	if t := w.tasks[o.TaskID][o.Attempt]; t != nil {
 		return
 	}
-	k.launch(o.TaskID, o.Attempt)
-	if p := k.tasks[o.TaskID][o.Attempt]; p != nil && p.status != api.Ended {
-		p.reusesAttempt = true
+	w.launch(o.TaskID, o.Attempt)
+	if t := w.tasks[o.TaskID][o.Attempt]; t != nil && t.status != api.Ended {
+		t.reusesAttempt = true
 	}
 }
 
 // scheduleStep does something with a task later, unless it or its session ends before.
-func (k *worker) scheduleStep(p *task, d time.Duration, f func()) {
-	gen, incarnation := p.generation, k.incarnation
-	k.sim.schedule(d, func() {
-		k.whenResponsive(func() {
-			if !k.dead && k.incarnation == incarnation && p.generation == gen && p.status != api.Ended {
+func (w *worker) scheduleStep(t *task, d time.Duration, f func()) {
+	gen, incarnation := t.generation, w.incarnation
+	w.sim.schedule(d, func() {
+		w.whenResponsive(func() {
+			if !w.dead && w.incarnation == incarnation && t.generation == gen && t.status != api.Ended {
 				f()
 			}
 		})
@@ -409,9 +409,9 @@
 }
 
 // taskCount returns how many tasks of a job are on the machine.
-func (k *worker) taskCount(id ident.JobID) int {
+func (w *worker) taskCount(id ident.JobID) int {
 	n := 0
-	for p, tries := range k.tasks {
+	for p, tries := range w.tasks {
 		for _, o := range tries {
 			if p.Job == id && o.onMachine() {
 				n++
@@ -422,8 +422,8 @@
 }
 
 // onMachine is the protocol's word: from the image until the exit.
-func (p *task) onMachine() bool {
-	return p.status == api.Running || p.status == api.Flushing || p.status == api.Gathering
+func (t *task) onMachine() bool {
+	return t.status == api.Running || t.status == api.Flushing || t.status == api.Gathering
 }
 
 // launchBeforeCommit is the mutation that launches what a transaction is only about to
@@ -445,15 +445,15 @@
 				return nil
 			}
 			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation)
-			k := sim.workers[ident.MachineID(f[2])]
-			if k == nil {
+			w := sim.workers[ident.MachineID(f[2])]
+			if w == nil {
 				return nil
 			}
 			sim.deliver(from, f[2], func() {
-				k.whenResponsive(func() {
+				w.whenResponsive(func() {
 					taskID := ident.TaskID{Job: ident.JobID(id), Index: i}
-					if k.incarnation == incarnation && k.tasks[taskID][try] == nil {
-						k.launch(taskID, try)
+					if w.incarnation == incarnation && w.tasks[taskID][try] == nil {
+						w.launch(taskID, try)
 					}
 				})
 			})
