--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -17,7 +17,8 @@
 
 func floodCommand() *cobra.Command {
 	var seeds int
-	cmd := &cobra.Command{Use: "flood", Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "flood", Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -67,8 +68,10 @@
 		problems += o.Violations + o.Unfinished
 	}
 	fmt.Fprintf(out, "| %s | %.2f, %.2f, %.2f | %s | %s | %.0f | %.1f | %.0f | %.1f |\n", mode,
-		float64(imbalance.ValueAtQuantile(50))/perMille, float64(imbalance.ValueAtQuantile(90))/perMille, float64(imbalance.Max())/perMille,
-		formatQuantiles(hot), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds), float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
+		float64(imbalance.ValueAtQuantile(50))/perMille, float64(imbalance.ValueAtQuantile(90))/perMille,
+		float64(imbalance.Max())/perMille,
+		formatQuantiles(hot), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds),
+		float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
 	if problems > 0 {
 		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", problems)
 	}
--- a/cmd/study/golden_test.go
+++ b/cmd/study/golden_test.go
@@ -27,7 +27,8 @@
 // TestGoldenHelp pins the names of commands and flags, their help, and their errors.
 func TestGoldenHelp(t *testing.T) {
 	var d golden.Document
-	for _, line := range []string{"--help", "links --help", "flood --help", "moves --help", "links --seeds 0", "flood --seeds 0", "moves --seeds 0", "nonsense"} {
+	for _, line := range []string{"--help", "links --help", "flood --help", "moves --help", "links --seeds 0", "flood --seeds 0",
+		"moves --seeds 0", "nonsense"} {
 		cmd := exec.Command(os.Args[0], strings.Fields(line)...)
 		cmd.Env = []string{runMain + "=1", "GOCOVERDIR=" + t.TempDir()}
 		var out, faults strings.Builder
@@ -35,7 +36,8 @@
 		if err := cmd.Run(); cmd.ProcessState == nil {
 			t.Fatal(err)
 		}
-		d.Add("study "+line, fmt.Sprintf("%sexit %d, on standard error:\n%s", out.String(), cmd.ProcessState.ExitCode(), faults.String()))
+		d.Add("study "+line, fmt.Sprintf("%sexit %d, on standard error:\n%s", out.String(), cmd.ProcessState.ExitCode(),
+			faults.String()))
 	}
 	d.Compare(t, "help")
 }
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -61,7 +61,8 @@
 
 func linksCommand() *cobra.Command {
 	var seeds int
-	cmd := &cobra.Command{Use: "links", Short: "Break each directed link of a leader, with the view of links off and on", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "links", Short: "Break each directed link of a leader, with the view of links off and on",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -117,7 +118,8 @@
 func (t *linkTotals) printRow(out io.Writer, link simulator.DirectedLink, monitored bool) {
 	view := map[bool]string{false: "off", true: "on"}[monitored]
 	fmt.Fprintf(out, "| %s to %s | %s | %s | %s | %d | %d, %d | %d of %d | %d |\n", link.From, link.To, view,
-		formatQuantiles(t.lastDecision), formatQuantiles(t.nextPlacement), t.noNextPlacement, t.leaderChanges.ValueAtQuantile(50), t.leaderChanges.Max(),
+		formatQuantiles(t.lastDecision), formatQuantiles(t.nextPlacement), t.noNextPlacement, t.leaderChanges.ValueAtQuantile(50),
+		t.leaderChanges.Max(),
 		t.lateSubmissions, t.submissions, t.tasksLost)
 	if t.violations+t.unfinished > 0 {
 		fmt.Fprintf(out, "\nRULES BROKEN: %d, work left undone: %d\n\n", t.violations, t.unfinished)
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -39,7 +39,8 @@
 func movesCommand() *cobra.Command {
 	var seeds int
 	var recordPath, plotPath string
-	cmd := &cobra.Command{Use: "moves", Short: "Have wide tasks come to a fragmented fleet, with moves off and on", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "moves", Short: "Have wide tasks come to a fragmented fleet, with moves off and on",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -128,7 +129,8 @@
 		problems += o.Violations + o.Unfinished
 	}
 	n := float64(len(outcomes))
-	fmt.Fprintf(out, "| %s | %s | %s | %.0f | %.1f | %.1f | %.1f and %.1f | %d |\n", name, formatQuantiles(wide), formatQuantiles(narrow), lost/n, float64(moves)/n,
+	fmt.Fprintf(out, "| %s | %s | %s | %.0f | %.1f | %.1f | %.1f and %.1f | %d |\n", name, formatQuantiles(wide),
+		formatQuantiles(narrow), lost/n, float64(moves)/n,
 		float64(arrived)/n, expected/max(1, float64(arrived)), realised/max(1, float64(arrived)), most)
 	if problems > 0 {
 		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", problems)
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -44,7 +44,8 @@
 	if capacity == 0 {
 		capacity = zoneCapacity
 	}
-	return &provider{cluster: c, capacity: capacity, provisioned: map[string][]ident.MachineID{}, machines: map[ident.MachineID]*machine{}}
+	return &provider{cluster: c, capacity: capacity, provisioned: map[string][]ident.MachineID{},
+		machines: map[ident.MachineID]*machine{}}
 }
 
 func (p *provider) handler() http.Handler {
@@ -57,8 +58,9 @@
 }
 
 func (p *provider) catalog(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{SKU: machineType, VCPUs: machineCPUs, MemoryGB: 32, LocalDiskGB: 20,
-		PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 1, Zones: zones}}})
+	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{SKU: machineType, VCPUs: machineCPUs, MemoryGB: 32,
+		LocalDiskGB: 20,
+		PullGBPerS:  1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 1, Zones: zones}}})
 }
 
 func (p *provider) provisionMachines(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +144,8 @@
 		if h <= since {
 			continue
 		}
-		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting", AgeS: time.Since(m.createdAt).Seconds()}
+		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting",
+			AgeS: time.Since(m.createdAt).Seconds()}
 		if m.worker != nil {
 			l.Status, l.Addr = "running", m.worker.addr
 		}
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -136,7 +136,8 @@
 				Teams:   []settings.Team{{Name: "red", CPUs: 40, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 60}},
 				Workers: settings.WorkerTimes{HeartbeatS: 0.5, LeaseS: 8, CancelS: 20, GangWaitS: 5, GangPeerS: 1},
 				Store:   settings.StoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 24},
-				Cloud:   settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.NodeResources{Cores: 1, MemoryMB: 512, Sockets: 1000},
+				Cloud:   settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.NodeResources{Cores: 1, MemoryMB: 512,
+					Sockets: 1000},
 			},
 		}}
 		n.settings.Node = ident.NodeID(n.name)
@@ -147,7 +148,8 @@
 	for _, n := range c.nodes {
 		for _, o := range c.nodes {
 			if o != n {
-				n.settings.Peers = append(n.settings.Peers, settings.Peer{Node: o.settings.Node, Zone: o.settings.Zone, Address: o.settings.TransportAddr})
+				n.settings.Peers = append(n.settings.Peers,
+					settings.Peer{Node: o.settings.Node, Zone: o.settings.Zone, Address: o.settings.TransportAddr})
 			}
 		}
 	}
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -34,7 +34,8 @@
 	s.Tuning.Rebalance = settings.RebalanceMove
 	s.Tuning.PlanInterval = time.Second
 	s.Tuning.ScaleInDelay = time.Minute
-	s.Tuning.Migration.LeaderSettleTime, s.Tuning.Migration.MinTaskWait, s.Tuning.Migration.MinRunTime = time.Second, time.Second, 2*time.Second
+	s.Tuning.Migration.LeaderSettleTime, s.Tuning.Migration.MinTaskWait, s.Tuning.Migration.MinRunTime = time.Second, time.Second,
+		2*time.Second
 	for i := range s.Cluster.Teams {
 		s.Cluster.Teams[i].CPUs, s.Cluster.Teams[i].CPUsMax = 400, 500
 	}
@@ -49,8 +50,10 @@
 
 func (f *fleet) spec(team string, tasks int, cpus, runtime float64) api.Spec {
 	f.next++
-	return api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", f.next)), Class: "render", Team: team, Shape: api.Batch, Priority: api.Standard,
-		Tasks: tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime, CheckpointEveryS: 1, CheckpointS: 0.1}
+	return api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", f.next)), Class: "render", Team: team, Shape: api.Batch,
+		Priority: api.Standard,
+		Tasks:    tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime, CheckpointEveryS: 1,
+		CheckpointS: 0.1}
 }
 
 // askUntil asks nodes in turn until one gives an answer that counts.
--- a/internal/loopback/network.go
+++ b/internal/loopback/network.go
@@ -88,7 +88,8 @@
 }
 
 // Dialer opens connections of one party; names tells who is at an address.
-func (s *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (s *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn,
+	error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, addr)
--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -108,6 +108,7 @@
 		t.Errorf("after it healed: %v", err)
 	}
 	if s.HeldCount() < 2 || s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
-		t.Errorf("%d were held up, the connection is of %q", s.HeldCount(), s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
+		t.Errorf("%d were held up, the connection is of %q", s.HeldCount(),
+			s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
 	}
 }
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -95,7 +95,8 @@
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
+		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete,
+			Revision: ident.Revision(s.revision)})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -54,8 +54,9 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{cluster: c, id: host, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1, leaseRenewedAt: time.Now(),
-		tasks: map[taskKey]*task{}, heartbeatNow: make(chan struct{}, 1)}
+	w := &worker{cluster: c, id: host, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1,
+		leaseRenewedAt: time.Now(),
+		tasks:          map[taskKey]*task{}, heartbeatNow: make(chan struct{}, 1)}
 	// All machines of a zone are one end of a link.
 	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
@@ -133,7 +134,8 @@
 		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: k.task, Attempt: k.attempt, Status: t.status, Cause: t.cause})
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
-		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index), cmp.Compare(a.Attempt, b.Attempt))
+		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index),
+			cmp.Compare(a.Attempt, b.Attempt))
 	})
 	return r
 }
--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -11,7 +11,8 @@
 )
 
 // request is a request of a user or a worker to a node.
-func (sim *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
+func (sim *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration,
+	done func(*controller.Response)) {
 	if !n.alive {
 		sim.schedule(time.Millisecond, func() { done(nil) })
 		return
@@ -23,7 +24,8 @@
 	}
 	sim.call(from, n.name, timeout, func(reply func(any)) {
 		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == transport.GetJob && sim.cfg.Mutation == CacheStatusAnswers && c.body != nil && sim.now.Sub(c.at) < cacheTTL {
+			if c := n.cache[key]; v == transport.GetJob && sim.cfg.Mutation == CacheStatusAnswers && c.body != nil &&
+				sim.now.Sub(c.at) < cacheTTL {
 				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
@@ -98,8 +100,10 @@
 }
 
 func (sim *Simulation) poll(j *userJob) {
-	if quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime); sim.now > quiescentFrom && sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)) > maxStatusGap {
-		sim.reportViolation("forgotten: nothing about %s was answered for %v", j.spec.ID, sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)))
+	if quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime); sim.now > quiescentFrom &&
+		sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)) > maxStatusGap {
+		sim.reportViolation("forgotten: nothing about %s was answered for %v", j.spec.ID,
+			sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)))
 	}
 	if sim.cfg.Mutation == StarvePolls && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
 		sim.schedule(5*time.Second, func() { sim.poll(j) })
--- a/internal/simulator/arrivals.go
+++ b/internal/simulator/arrivals.go
@@ -47,7 +47,8 @@
 		s.Shape, s.Priority, s.OneZone = api.Batch, api.Standard, false
 	}
 	if gangs := 12; sim.gangsSupported() && r.IntN(gangs) < 2 || sim.cfg.MoreGangs && r.IntN(2) == 0 {
-		s.Shape, s.Priority, s.Spot, s.Spread, s.VCPUs = api.Gang, []api.Priority{api.High, api.Standard}[r.IntN(2)], r.IntN(3) == 0, false, 1
+		s.Shape, s.Priority, s.Spot, s.Spread, s.VCPUs = api.Gang, []api.Priority{api.High,
+			api.Standard}[r.IntN(2)], r.IntN(3) == 0, false, 1
 		s.Tasks, s.RuntimeS = 2+r.IntN(5), 40
 		s.OneZone = r.IntN(3) > 0
 		if r.IntN(4) > 0 {
@@ -91,8 +92,9 @@
 		return
 	}
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch, Priority: api.Standard,
-		Tasks: 2, VCPUs: 2, MemoryGB: 2, Image: "img-0", ImageGB: 1.5, Spot: true, RuntimeS: 10}
+	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch,
+		Priority: api.Standard,
+		Tasks:    2, VCPUs: 2, MemoryGB: 2, Image: "img-0", ImageGB: 1.5, Spot: true, RuntimeS: 10}
 	runs := 10 * time.Second
 	if sim.lastJobNumber%40 == 20 {
 		s.Tasks, s.VCPUs, s.RuntimeS, runs = 3, 7.5, 30, 30*time.Second
--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -19,7 +19,9 @@
 		var guaranteed []*userJob
 		for s := 40.0; s < 140; s += 5 {
 			sim.scheduleAt(s, func() {
-				guaranteed = append(guaranteed, sim.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1 }, 10*time.Second))
+				guaranteed = append(guaranteed, sim.submitJob(func(s *api.Spec) {
+					s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1
+				}, 10*time.Second))
 			})
 		}
 		if withBorrowers {
@@ -60,7 +62,9 @@
 		var list []*userJob
 		sim.scheduleAt(30, func() {
 			for i := range 3 {
-				list = append(list, sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 12, 1, sim.settings.Teams[i].Name }, 10*time.Second))
+				list = append(list, sim.submitJob(func(s *api.Spec) {
+					s.Tasks, s.VCPUs, s.Team = 12, 1, sim.settings.Teams[i].Name
+				}, 10*time.Second))
 				list[i].alwaysFails = true
 			}
 		})
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -29,8 +29,9 @@
 }
 
 func newProvider(sim *Simulation) *provider {
-	return &provider{sim: sim, provisioned: map[string][]ident.MachineID{}, models: []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
-		LocalDiskGB: 4, PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
+	return &provider{sim: sim, provisioned: map[string][]ident.MachineID{},
+		models: []cloud.MachineType{{SKU: "m8", VCPUs: 8, MemoryGB: 32,
+			LocalDiskGB: 4, PullGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
 }
 
 // zoneCapacity returns how many machines of a zone and kind there are.
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -23,7 +23,8 @@
 // concurrentFaultScenarios are those of the operators' page, in its order.
 var concurrentFaultScenarios = []concurrentFaults{
 	{
-		name: "workers reach no controller, commands reach them", guardsAgainst: "machines that answer commands being thought to keep their leases by that, and work started elsewhere before they are over",
+		name:          "workers reach no controller, commands reach them",
+		guardsAgainst: "machines that answer commands being thought to keep their leases by that, and work started elsewhere before they are over",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(60, func() {
@@ -40,7 +41,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "teams at their limit, cancelled machines away, leader changes", guardsAgainst: "cancelled tasks that may still run not being counted by the next leader",
+		name:          "teams at their limit, cancelled machines away, leader changes",
+		guardsAgainst: "cancelled tasks that may still run not being counted by the next leader",
 		inject: func(sim *Simulation) {
 			sim.saturateTeams()
 			sim.scheduleAt(60, func() {
@@ -65,7 +67,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "hand-overs and back within a second", guardsAgainst: "a term's unfinished acts, or a node's former key, being taken for the present one's",
+		name:          "hand-overs and back within a second",
+		guardsAgainst: "a term's unfinished acts, or a node's former key, being taken for the present one's",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			for s := 50.0; s < 80; s += 6 {
@@ -86,7 +89,8 @@
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
-		name: "machines up at once while writes lag, and the leader ends", guardsAgainst: "work on a machine that no successor knows of",
+		name:          "machines up at once while writes lag, and the leader ends",
+		guardsAgainst: "work on a machine that no successor knows of",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(1, func() { sim.fastBoots = faultWindow{1, timeAt(100)} })
 			sim.submitBaseLoad(3)
@@ -100,7 +104,8 @@
 			sim.scheduleAt(57, func() { sim.crashLeader(200 * time.Millisecond) })
 			sim.scheduleAt(61, func() {
 				for _, m := range sim.cloud.machines {
-					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second && len(w.tasks) > 0 {
+					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second &&
+						len(w.tasks) > 0 {
 						sim.countEvent("new machine has work")
 					}
 				}
@@ -128,7 +133,8 @@
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "one-task jobs four a second, a quarter cancelled", guardsAgainst: "the backlog of ends and cancellations, and elections with hundreds of ended jobs",
+		name:          "one-task jobs four a second, a quarter cancelled",
+		guardsAgainst: "the backlog of ends and cancellations, and elections with hundreds of ended jobs",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(1, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(90)} })
 			for s := 5.0; s < 105; s += 0.25 {
@@ -150,13 +156,15 @@
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "cancelled as the leader alone is refused, then an outage", guardsAgainst: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
-		inject: cancelDuringFailoverAndOutage, seeds: 12,
+		name:          "cancelled as the leader alone is refused, then an outage",
+		guardsAgainst: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
+		inject:        cancelDuringFailoverAndOutage, seeds: 12,
 		expectedEvents:    map[string]int{"another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
-		name: "commands and answers held up, and the machine goes on", guardsAgainst: "a command of before, carried out late, meeting what has replaced it; tokens are switched off in TestMutationsAreCaught, where more seeds show it",
+		name:          "commands and answers held up, and the machine goes on",
+		guardsAgainst: "a command of before, carried out late, meeting what has replaced it; tokens are switched off in TestMutationsAreCaught, where more seeds show it",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(30, func() { sim.delayedCommands = faultWindow{0.7, timeAt(100)} })
@@ -208,7 +216,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "only the answers of transactions are lost, others read", guardsAgainst: "a leader telling what it remembers while another node reads what is",
+		name:          "only the answers of transactions are lost, others read",
+		guardsAgainst: "a leader telling what it remembers while another node reads what is",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(4)
 			sim.scheduleAt(30, func() {
@@ -243,8 +252,9 @@
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "more work than room, urgent and not, over slow links", guardsAgainst: "large jobs and teams without a guarantee never having their turn",
-		overload: true, length: 400 * time.Second, seeds: 1,
+		name:          "more work than room, urgent and not, over slow links",
+		guardsAgainst: "large jobs and teams without a guarantee never having their turn",
+		overload:      true, length: 400 * time.Second, seeds: 1,
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, timeAt(400)} })
 			for s := 30.0; s < 400; s += 10 {
@@ -266,7 +276,9 @@
 			sim.submitBaseLoad(3)
 			for s := 20.0; s < 110; s += 1.2 {
 				sim.scheduleAt(s, func() {
-					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1 }, time.Duration(1+sim.rng.IntN(5))*time.Second)
+					j := sim.submitJob(func(s *api.Spec) {
+						s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1
+					}, time.Duration(1+sim.rng.IntN(5))*time.Second)
 					switch sim.rng.IntN(4) {
 					case 0:
 						sim.schedule(time.Duration(sim.rng.IntN(60))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
@@ -278,11 +290,13 @@
 			sim.scheduleAt(60, func() { sim.crashLeader(3 * time.Second) })
 			sim.scheduleAt(80, func() { sim.sendEdgeCaseRequests(timeAt(110)) })
 		},
-		expectedEvents:    map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1, "done job cancelled": 1},
+		expectedEvents: map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1,
+			"done job cancelled": 1},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "a leader keeps only workers and users, jobs cancelled through the next", guardsAgainst: "the old leader keeping the leases of what the new one has cancelled",
+		name:          "a leader keeps only workers and users, jobs cancelled through the next",
+		guardsAgainst: "the old leader keeping the leases of what the new one has cancelled",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(8)
 			sim.scheduleAt(60, func() {
@@ -316,7 +330,8 @@
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
-		name: "the leader ends while machines can't be reached or don't hear", guardsAgainst: "a successor starting elsewhere what goes on there",
+		name:          "the leader ends while machines can't be reached or don't hear",
+		guardsAgainst: "a successor starting elsewhere what goes on there",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(7)
 			sim.scheduleAt(60, func() {
@@ -358,7 +373,8 @@
 		detectedMutations: []Mutation{IgnoreRevisions},
 	},
 	{
-		name: "a zone with workers and a controller is cut off for longer than a lease", guardsAgainst: "leases kept inside for jobs cancelled outside",
+		name:          "a zone with workers and a controller is cut off for longer than a lease",
+		guardsAgainst: "leases kept inside for jobs cancelled outside",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(8)
 			sim.scheduleAt(60, func() {
@@ -382,7 +398,8 @@
 		detectedMutations: []Mutation{KeepLeasesForever}, seeds: 4,
 	},
 	{
-		name: "a job's tasks end far apart, across a change of leader", guardsAgainst: "an end of the term before being forgotten, or a task that goes on started again",
+		name:          "a job's tasks end far apart, across a change of leader",
+		guardsAgainst: "an end of the term before being forgotten, or a task that goes on started again",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(5, func() {
 				for range 6 {
@@ -413,7 +430,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "old reports reach every node as a new leader begins", guardsAgainst: "the first report of a term being taken for the newest",
+		name:          "old reports reach every node as a new leader begins",
+		guardsAgainst: "the first report of a term being taken for the newest",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(30, func() { sim.holdHeartbeatsForNextLeader(0.5, 60*time.Second) })
@@ -426,7 +444,8 @@
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "called off, asked and submitted again as the last task ends", guardsAgainst: "a job being cancelled for one node and done for another",
+		name:          "called off, asked and submitted again as the last task ends",
+		guardsAgainst: "a job being cancelled for one node and done for another",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(5, func() {
 				sim.cancelAtCompletion, sim.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
@@ -442,7 +461,8 @@
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
-		name: "the state service is slow, refuses the leader, then everybody", guardsAgainst: "cancellations confirmed and questions answered on the way into an outage",
+		name:          "the state service is slow, refuses the leader, then everybody",
+		guardsAgainst: "cancellations confirmed and questions answered on the way into an outage",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(30, func() { sim.slowStore = faultWindow{0.8, timeAt(60)} })
 			for s := 31.0; s < 60; s += 4 {
@@ -451,7 +471,8 @@
 			cancelDuringFailoverAndOutage(sim)
 			sim.scheduleAt(50, func() { sim.submitJob(nil, 60*time.Second); sim.submitJob(nil, 60*time.Second) })
 		},
-		expectedEvents:    map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
+		expectedEvents: map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1,
+			"outage after a confirmation": 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership}, seeds: 6,
 	},
 	{
@@ -492,7 +513,8 @@
 		detectedMutations: []Mutation{DropStopCommands},
 	},
 	{
-		name: "reports held back until a new leader has acted", guardsAgainst: "what a new leader has done being undone by an older report",
+		name:          "reports held back until a new leader has acted",
+		guardsAgainst: "what a new leader has done being undone by an older report",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(6)
 			sim.scheduleAt(56, func() {
@@ -511,7 +533,8 @@
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
-		name: "all controllers are away for longer than a lease", guardsAgainst: "what may still be on machines being started elsewhere",
+		name:          "all controllers are away for longer than a lease",
+		guardsAgainst: "what may still be on machines being started elsewhere",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(7)
 			sim.scheduleAt(60, func() {
@@ -531,7 +554,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "a team at its limit, machines not asked, leader changes, a cancellation", guardsAgainst: "room of the limit given away before its machine is heard",
+		name:          "a team at its limit, machines not asked, leader changes, a cancellation",
+		guardsAgainst: "room of the limit given away before its machine is heard",
 		inject: func(sim *Simulation) {
 			sim.saturateTeams()
 			sim.scheduleAt(59, func() {
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -117,9 +117,11 @@
 	checkFields(t, cloud.Request{}, func(d *Digest, r cloud.Request) { d.cloudRequest(at, "agent-0", r) })
 	checkFields(t, workers.CommandCall{}, func(d *Digest, c workers.CommandCall) { d.command(at, "agent-0", c) })
 	checkFields(t, sentReply{}, func(d *Digest, r sentReply) {
-		d.answer(at, "agent-0", "users", transport.GetJob, "j-1", controller.Response{Status: r.Status, RetryAfterS: r.Retry, Body: r.Body})
+		d.answer(at, "agent-0", "users", transport.GetJob, "j-1",
+			controller.Response{Status: r.Status, RetryAfterS: r.Retry, Body: r.Body})
 	})
-	for _, kind := range []transport.MessageType{transport.MsgHello, transport.MsgHeartbeat, transport.MsgRequest, transport.MsgResponse, transport.MsgTransferLeader} {
+	for _, kind := range []transport.MessageType{transport.MsgHello, transport.MsgHeartbeat, transport.MsgRequest,
+		transport.MsgResponse, transport.MsgTransferLeader} {
 		one, other := transport.Frame{Type: kind}, transport.Frame{Type: kind, Node: "agent-1", ID: 1}
 		sum := func(f transport.Frame) string {
 			return sumOf(func(d *Digest) { d.frame(at, "agent-0", "agent-1", f.Append(nil)) })
@@ -182,7 +184,8 @@
 // TestRecordingChangesNothing: a day is the same whether it is recorded or not.
 func TestRecordingChangesNothing(t *testing.T) {
 	t.Parallel()
-	cfg := Config{Seed: 6, Faults: true, ConcurrentFaults: true, LinkMonitoring: true, ActiveDuration: 120 * time.Second, QuiescentDuration: replayCalm}
+	cfg := Config{Seed: 6, Faults: true, ConcurrentFaults: true, LinkMonitoring: true, ActiveDuration: 120 * time.Second,
+		QuiescentDuration: replayCalm}
 	plain := New(cfg)
 	plain.Run()
 	cfg.Digest = NewDigest()
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -18,8 +18,9 @@
 	}
 	n := sim.randomNode()
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch, Priority: api.Standard,
-		Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
+	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch,
+		Priority: api.Standard,
+		Tasks:    1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
 		sim.countEvent("odd request")
 		sim.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -43,7 +43,9 @@
 				})
 				for s := 45.0; s < 125; s += 4 {
 					sim.scheduleAt(s, func() {
-						beside = append(beside, sim.submitJob(func(s *api.Spec) { s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1 }, 3*time.Second))
+						beside = append(beside, sim.submitJob(func(s *api.Spec) {
+							s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1
+						}, 3*time.Second))
 					})
 				}
 				sim.scheduleAt(80, func() { sim.crashLeader(3 * time.Second) })
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -188,10 +188,12 @@
 		g.finished, g.finishedAt = true, sim.now
 	}
 	switch {
-	case g.stopRequestedAt > 0 && !g.checkpointed && sim.now.Sub(g.stopRequestedAt) > peer && len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
+	case g.stopRequestedAt > 0 && !g.checkpointed && sim.now.Sub(g.stopRequestedAt) > peer &&
+		len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
 		g.checkpointFailed = true
 		if complete && sim.quiescentFor(peer) {
-			sim.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks, g.job.spec.ID)
+			sim.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks,
+				g.job.spec.ID)
 		}
 		for _, m := range g.sorted() {
 			if m.responsive() && !g.stopRequested[m.task.id.Index] {
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -45,7 +45,8 @@
 		sim := New(Config{Seed: seed, RollingUpgrade: true, Faults: seed%4 > 0, MoreGangs: true, ActiveDuration: 300 * time.Second})
 		sim.Run()
 		requireClean(t, seed, sim)
-		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
+		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
+			level != ident.NewestFormatLevel {
 			t.Errorf("seed %d: the format level ends as %d, %v", seed, level, err)
 		}
 		if sim.GangRuns == 0 {
@@ -57,12 +58,14 @@
 // TestGangMutationsAreDetected shows that the checks of gangs and of a rollout can fail.
 func TestGangMutationsAreDetected(t *testing.T) {
 	t.Parallel()
-	for name, m := range map[string]Mutation{"a new attempt beside an old task": HideWaitingGangTasks, "an attempt's number is used again": ReuseGangAttempt,
-		"level raised early": RaiseFormatEarly, "new field early": WriteNewFieldsEarly} {
+	for name, m := range map[string]Mutation{"a new attempt beside an old task": HideWaitingGangTasks,
+		"an attempt's number is used again": ReuseGangAttempt,
+		"level raised early":                RaiseFormatEarly, "new field early": WriteNewFieldsEarly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				sim := New(Config{Seed: seed, Mutation: m, Faults: seed > 0, MoreGangs: true, RollingUpgrade: m == RaiseFormatEarly || m == WriteNewFieldsEarly, ActiveDuration: 250 * time.Second})
+				sim := New(Config{Seed: seed, Mutation: m, Faults: seed > 0, MoreGangs: true, RollingUpgrade: m == RaiseFormatEarly ||
+					m == WriteNewFieldsEarly, ActiveDuration: 250 * time.Second})
 				if sim.Run(); len(sim.Violations) > 0 {
 					t.Logf("seed %d: %v", seed, sim.Violations)
 					return
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -342,7 +342,8 @@
 	if c.length == 0 {
 		c.length = 200 * time.Second
 	}
-	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade, NoArrivals: true, ActiveDuration: c.length})
+	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade,
+		NoArrivals: true, ActiveDuration: c.length})
 	sim.submitContinuously()
 	c.inject(sim)
 	sim.Run()
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -84,7 +84,8 @@
 		if n == best {
 			state = links.Up
 		}
-		peers := []links.Endpoint{{Kind: links.KVStore}, {Kind: links.Cloud}, {Kind: links.Machines, Name: "east"}, {Kind: links.Machines, Name: "west"}}
+		peers := []links.Endpoint{{Kind: links.KVStore}, {Kind: links.Cloud}, {Kind: links.Machines, Name: "east"},
+			{Kind: links.Machines, Name: "west"}}
 		for _, p := range peers {
 			r.Links = append(r.Links, links.LinkState{Endpoint: p, In: state, Out: state})
 		}
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -15,7 +15,8 @@
 func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		sim := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true, ActiveDuration: 300 * time.Second})
+		sim := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true,
+			ActiveDuration: 300 * time.Second})
 		sim.Run()
 		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
 			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(30))
@@ -245,6 +246,7 @@
 // sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
 func (sim *Simulation) sendForgedRows(from, to *node) {
 	sim.countEvent("lie")
-	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name], LinkState: forgedRows(sim, from)}
+	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name],
+		LinkState: forgedRows(sim, from)}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -27,7 +27,8 @@
 	for _, name := range []string{"red", "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: 100, CPUsMax: 200})
 	}
-	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: teams, ActiveDuration: 150 * time.Second}
+	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: teams,
+		ActiveDuration: 150 * time.Second}
 }
 
 // fragmentFleet fills the machines with jobs of four tasks, of which one ends early, and then asks
@@ -175,7 +176,10 @@
 func (sim *Simulation) workBesideSlow() {
 	sim.scheduleAt(2, func() {
 		for range 6 {
-			sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds() }, longTaskDuration)
+			sim.submitJob(func(s *api.Spec) {
+				sim.makeNarrow(s)
+				s.Tasks, s.VCPUs, s.RuntimeS = 2, 3, longTaskDuration.Seconds()
+			}, longTaskDuration)
 		}
 	})
 	sim.submitShortTasks(8, 140)
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -75,7 +75,10 @@
 // expectNewTerm notes that another term has begun.
 func (sim *Simulation) expectNewTerm(l *node) {
 	term := l.controller.Election().Term()
-	sim.waitUntil(func() bool { n := sim.leader(); return n != nil && n.controller.Election().Term() > term }, func() { sim.countEvent("new term") })
+	sim.waitUntil(func() bool {
+		n := sim.leader()
+		return n != nil && n.controller.Election().Term() > term
+	}, func() { sim.countEvent("new term") })
 }
 
 // reclaimMachine has the cloud take a machine, after a notice if there is time for one.
@@ -92,51 +95,60 @@
 const longerThanLease = 26 * time.Second // longer than a worker's lease
 
 var moveFaults = []moveFault{
-	{name: "leader killed with a second node down", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.peerOf(l).crash(12 * time.Second)
-		sim.expectNewLeader(l)
-		l.crash(9 * time.Second)
-	}},
-	{name: "leader back within a second", expectedEvents: []string{"new term"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewTerm(l)
-		sim.peerOf(l).crash(700 * time.Millisecond)
-		l.crash(300 * time.Millisecond)
-	}},
-	{name: "leader stands still", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewLeader(l)
-		l.pauseFor(15 * time.Second)
-	}},
-	{name: "leader cut from the state service alone", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewLeader(l)
-		sim.disconnect(l.name, "state", sim.cfg.Seed%2 == 0, 15*time.Second)
-	}},
-	{name: "leader refused by the state service alone", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewLeader(l)
-		sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
-	}},
-	{name: "leader cut from everything, a second node down", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewLeader(l)
-		sim.peerOf(l).crash(20 * time.Second)
-		sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 18*time.Second)
-	}},
-	{name: "lead handed over", links: true, expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewLeader(l)
-		sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
-	}},
-	{name: "all nodes end and one is back", expectedEvents: []string{"new term"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.expectNewTerm(l)
-		for i, n := range sim.nodes {
-			n.crash(time.Duration(1+15*i) * time.Second)
-		}
-	}},
-	{name: "the version in production takes the lead", legacyNodes: 2, expectedEvents: []string{"another leads", "old version leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.onNextLeader(l, func(n *node) {
-			if n.env.legacy {
-				sim.countEvent("old version leads")
+	{name: "leader killed with a second node down", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.peerOf(l).crash(12 * time.Second)
+			sim.expectNewLeader(l)
+			l.crash(9 * time.Second)
+		}},
+	{name: "leader back within a second", expectedEvents: []string{"new term"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewTerm(l)
+			sim.peerOf(l).crash(700 * time.Millisecond)
+			l.crash(300 * time.Millisecond)
+		}},
+	{name: "leader stands still", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewLeader(l)
+			l.pauseFor(15 * time.Second)
+		}},
+	{name: "leader cut from the state service alone", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewLeader(l)
+			sim.disconnect(l.name, "state", sim.cfg.Seed%2 == 0, 15*time.Second)
+		}},
+	{name: "leader refused by the state service alone", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewLeader(l)
+			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
+		}},
+	{name: "leader cut from everything, a second node down", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewLeader(l)
+			sim.peerOf(l).crash(20 * time.Second)
+			sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 18*time.Second)
+		}},
+	{name: "lead handed over", links: true, expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewLeader(l)
+			sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
+		}},
+	{name: "all nodes end and one is back", expectedEvents: []string{"new term"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.expectNewTerm(l)
+			for i, n := range sim.nodes {
+				n.crash(time.Duration(1+15*i) * time.Second)
 			}
-		})
-		l.crash(12 * time.Second)
-	}},
+		}},
+	{name: "the version in production takes the lead", legacyNodes: 2,
+		expectedEvents: []string{"another leads", "old version leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.onNextLeader(l, func(n *node) {
+				if n.env.legacy {
+					sim.countEvent("old version leads")
+				}
+			})
+			l.crash(12 * time.Second)
+		}},
 	{name: "state service down", inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 		sim.store.downUntil = sim.now.Add(10 * time.Second)
 	}},
@@ -148,70 +160,82 @@
 		_, to := sim.moveEndpoints(m)
 		to.hangFor(longerThanLease)
 	}},
-	{name: "source and destination cut off, and the leader killed", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
-		from, to := sim.moveEndpoints(m)
-		sim.disconnect(string(from.id), "*", sim.cfg.Seed%2 == 0, 12*time.Second)
-		sim.disconnect(string(to.id), "*", sim.cfg.Seed%2 == 1, longerThanLease)
-		sim.expectNewLeader(l)
-		l.crash(5 * time.Second)
-	}},
-	{name: "source hears nobody, and the lead changes", expectedEvents: []string{"another leads"}, inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
-		from, _ := sim.moveEndpoints(m)
-		sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
-		sim.expectNewLeader(l)
-		sim.schedule(2*time.Second, func() { l.crash(3 * time.Second) })
-	}},
+	{name: "source and destination cut off, and the leader killed", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
+			from, to := sim.moveEndpoints(m)
+			sim.disconnect(string(from.id), "*", sim.cfg.Seed%2 == 0, 12*time.Second)
+			sim.disconnect(string(to.id), "*", sim.cfg.Seed%2 == 1, longerThanLease)
+			sim.expectNewLeader(l)
+			l.crash(5 * time.Second)
+		}},
+	{name: "source hears nobody, and the lead changes", expectedEvents: []string{"another leads"},
+		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
+			from, _ := sim.moveEndpoints(m)
+			sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
+			sim.expectNewLeader(l)
+			sim.schedule(2*time.Second, func() { l.crash(3 * time.Second) })
+		}},
 	{name: "source reaches nobody", inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 		from, _ := sim.moveEndpoints(m)
 		sim.blockOutbound(from, longerThanLease)
 	}},
-	{name: "destination taken back, and the leader killed", expectedEvents: []string{"machine taken", "another leads"}, inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
-		_, to := sim.moveEndpoints(m)
-		sim.reclaimMachine(to, 0)
-		sim.expectNewLeader(l)
-		l.crash(4 * time.Second)
-	}},
-	{name: "source gets a spot notice", stopsOtherTasks: true, expectedEvents: []string{"machine taken"}, inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
-		from, _ := sim.moveEndpoints(m)
-		sim.reclaimMachine(from, 5*time.Second)
-	}},
+	{name: "destination taken back, and the leader killed", expectedEvents: []string{"machine taken", "another leads"},
+		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
+			_, to := sim.moveEndpoints(m)
+			sim.reclaimMachine(to, 0)
+			sim.expectNewLeader(l)
+			l.crash(4 * time.Second)
+		}},
+	{name: "source gets a spot notice", stopsOtherTasks: true, expectedEvents: []string{"machine taken"},
+		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
+			from, _ := sim.moveEndpoints(m)
+			sim.reclaimMachine(from, 5*time.Second)
+		}},
 	{name: "job cancelled", expectedEvents: []string{"cancelled"}, inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 		sim.cancelWhenAccepted(sim.jobOf(m), nil)
 		sim.countEvent("cancelled")
 	}},
-	{name: "cancelled at another node, then nobody is served", expectedEvents: []string{"another leads", "confirmed by another"}, inject: cancelThenOutage},
-	{name: "records late, after newer ones, and the lead changes", expectedEvents: []string{"another leads", "late write after newer ones"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
-		sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+2)
-		sim.expectNewLeader(l)
-		sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
-	}},
-	{name: "answers to records lost, and the lead changes", expectedEvents: []string{"another leads", "lost answer"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
-		sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
-		sim.expectNewLeader(l)
-		sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
-	}},
-	{name: "reports of before the move come to the next leader", expectedEvents: []string{"another leads", "copy for the next leader"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
-		sim.delayedHeartbeats = faultWindow{0.3, sim.now.Add(8 * time.Second)}
-		sim.expectNewLeader(l)
-		sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
-	}},
-	{name: "commands held up, and the leader back within a second", expectedEvents: []string{"new term", "held order"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-		sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
-		sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
-		sim.expectNewTerm(l)
-		sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
-	}},
-	{name: "work of higher priority wants the room", stopsOtherTasks: true, expectedEvents: []string{"urgent work"}, inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
-		for range 6 {
-			sim.submitJob(func(s *api.Spec) {
-				s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, 2, 1, "img-0"
-			}, 0)
-		}
-		sim.countEvent("urgent work")
-	}},
+	{name: "cancelled at another node, then nobody is served", expectedEvents: []string{"another leads", "confirmed by another"},
+		inject: cancelThenOutage},
+	{name: "records late, after newer ones, and the lead changes",
+		expectedEvents: []string{"another leads", "late write after newer ones"}, inject: func(sim *Simulation, l *node,
+			_ controller.MoveEntry) {
+			sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
+			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+2)
+			sim.expectNewLeader(l)
+			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
+		}},
+	{name: "answers to records lost, and the lead changes", expectedEvents: []string{"another leads", "lost answer"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
+			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
+			sim.expectNewLeader(l)
+			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
+		}},
+	{name: "reports of before the move come to the next leader",
+		expectedEvents: []string{"another leads", "copy for the next leader"}, inject: func(sim *Simulation, l *node,
+			_ controller.MoveEntry) {
+			sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
+			sim.delayedHeartbeats = faultWindow{0.3, sim.now.Add(8 * time.Second)}
+			sim.expectNewLeader(l)
+			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
+		}},
+	{name: "commands held up, and the leader back within a second", expectedEvents: []string{"new term", "held order"},
+		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+			sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
+			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
+			sim.expectNewTerm(l)
+			sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
+		}},
+	{name: "work of higher priority wants the room", stopsOtherTasks: true, expectedEvents: []string{"urgent work"},
+		inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
+			for range 6 {
+				sim.submitJob(func(s *api.Spec) {
+					s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, 2, 1, "img-0"
+				}, 0)
+			}
+			sim.countEvent("urgent work")
+		}},
 }
 
 // cancelThenOutage has the leader refused alone, the moved job cancelled at the next leader, and then
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -21,7 +21,8 @@
 	switch {
 	case sim.cfg.Mutation == RenewWithoutLeadership && !n.controller.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
-			return &controller.Response{Status: 200, Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
+			return &controller.Response{Status: 200,
+				Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
 	case sim.cfg.Mutation == DropStopCommands && r.Status == 200:
 		var o api.HeartbeatResponse
@@ -159,7 +160,8 @@
 	if sim.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
 		out := kvstore.Response{Outcome: kvstore.OK}
 		for _, n := range sim.nodes {
-			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: upgrade.NodeKeyPrefix + n.name, Value: json.RawMessage(`{"level":1}`)})
+			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: upgrade.NodeKeyPrefix + n.name,
+				Value: json.RawMessage(`{"level":1}`)})
 		}
 		sim.schedule(0, func() { f(out) })
 		return r, false
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -80,7 +80,8 @@
 			}
 		}
 	}
-	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now, clockRate: 1 + (n.sim.rng.Float64()-0.5)*0.001}
+	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now,
+		clockRate: 1 + (n.sim.rng.Float64()-0.5)*0.001}
 	n.env, n.eventPause = e, eventPause{}
 	n.controller = controller.New(e, set, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1)))
 	n.controller.Start()
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -68,7 +68,8 @@
 		})
 	}
 	send = e.afterPause(send)
-	if sim.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
+	if sim.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" &&
+		r.Compares[0].Revision != 0 {
 		sim.launchBeforeCommit(e.node.name, r)
 		sim.schedule(400*time.Millisecond, e.ifAlive(send))
 		return
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -256,7 +256,8 @@
 	}
 	sim.onLeader(100, func(l *node) { sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second) })
 	sim.scheduleAt(120, func() {
-		sim.delayedWrites, sim.slowStore = faultWindow{0.3, sim.now.Add(15 * time.Second)}, faultWindow{0.8, sim.now.Add(25 * time.Second)}
+		sim.delayedWrites, sim.slowStore = faultWindow{0.3, sim.now.Add(15 * time.Second)}, faultWindow{0.8,
+			sim.now.Add(25 * time.Second)}
 	})
 	if variant%3 == 2 {
 		sim.scheduleAt(80, sim.narrowState)
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -64,8 +64,11 @@
 // New makes a world of three controllers in two zones.
 func New(cfg Config) *Simulation {
 	sim := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{}, directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{}, inboundBlockedUntil: map[string]ident.MonotonicTime{},
-		linkMonitor:  linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{}, handovers: map[string]int{}, sentTransactions: map[string]bool{}},
+		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{},
+		directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{},
+		inboundBlockedUntil: map[string]ident.MonotonicTime{},
+		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
+			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
 		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[string]int{}}}
 	sim.settings = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
@@ -86,7 +89,8 @@
 	sim.store = newStore(sim)
 	sim.cloud = newProvider(sim)
 	for i := range sim.settings.Nodes {
-		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i), zone: sim.settings.Zones[i%2]}
+		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i),
+			zone: sim.settings.Zones[i%2]}
 		sim.nodes = append(sim.nodes, n)
 	}
 	for _, n := range sim.nodes {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -101,7 +101,8 @@
 	}
 	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 	for _, n := range s.history {
-		if uint64(n.Revision) > w.afterRevision && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
+		if uint64(n.Revision) > w.afterRevision &&
+			(strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
 			out.Events = append(out.Events, n)
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -39,7 +39,8 @@
 
 func newWorker(sim *Simulation, m *machine) *worker {
 	w := &worker{sim: sim, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: sim.now, nodeIndex: sim.rng.IntN(len(sim.nodes)),
-		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: sim.cfg.Faults && sim.rng.IntN(25) == 0, slowdown: 1}
+		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: sim.cfg.Faults &&
+			sim.rng.IntN(25) == 0, slowdown: 1}
 	if len(sim.workers) < sim.cfg.SlowMachines && sim.slowMachineCount < sim.cfg.SlowMachines {
 		sim.slowMachineCount++
 		w.slowdown = slowFactor
@@ -110,11 +111,13 @@
 			if w.sim.cfg.Mutation == HideWaitingGangTasks && t.status == api.Gathering {
 				continue
 			}
-			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.stored})
+			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause,
+				CheckpointStored: t.stored})
 		}
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
-		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index), cmp.Compare(a.Attempt, b.Attempt))
+		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index),
+			cmp.Compare(a.Attempt, b.Attempt))
 	})
 	return r
 }
