--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -19,25 +19,25 @@
 	}
 	incarnation := n.incarnation
 	key := n.name + " " + job
-	if v == transport.SubmitJob && sim.cfg.Mutation == DropZoneConstraint {
+	if v == transport.SubmitJob && sim.mutates(DropZoneConstraint) {
 		body = dropZoneConstraint(body)
 	}
 	sim.call(from, n.name, timeout, func(reply func(any)) {
 		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == transport.GetJob && sim.cfg.Mutation == CacheStatusAnswers && c.body != nil &&
+			if c := n.cache[key]; v == transport.GetJob && sim.mutates(CacheStatusAnswers) && c.body != nil &&
 				sim.now.Sub(c.at) < cacheTTL {
 				reply(&controller.Response{Status: 200, Body: c.body})
 				return
 			}
 			n.controller.HandleRequest(v, job, body, func(r controller.Response) {
 				n.env.afterPause(func() {
-					if sim.cfg.Mutation != IgnoreSendDeadlines {
+					if !sim.mutates(IgnoreSendDeadlines) {
 						r = r.IfValid(n.env.clock())
 					}
 					sim.cfg.Digest.answer(sim.now, n.name, from, v, job, r)
 					switch v {
 					case transport.GetJob:
-						if sim.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
+						if sim.mutates(CacheStatusAnswers) && r.Status == 200 {
 							n.cache[key] = cachedAnswer{sim.now, r.Body}
 						}
 					case transport.WorkerHeartbeat:
@@ -105,7 +105,7 @@
 		sim.reportViolation("forgotten: nothing about %s was answered for %v", j.spec.ID,
 			sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)))
 	}
-	if sim.cfg.Mutation == StarvePolls && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
+	if sim.mutates(StarvePolls) && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
 		sim.schedule(5*time.Second, func() { sim.poll(j) })
 		return
 	}
--- a/internal/simulator/heartbeat_faults.go
+++ b/internal/simulator/heartbeat_faults.go
@@ -31,7 +31,7 @@
 		}
 	}
 	c := *m
-	if sim.cfg.Mutation == AcceptStaleHeartbeats {
+	if sim.mutates(AcceptStaleHeartbeats) {
 		c.SequenceNumber += 1000
 	}
 	sim.request("copies", n, transport.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
--- a/internal/simulator/leadership.go
+++ b/internal/simulator/leadership.go
@@ -28,15 +28,13 @@
 // onNewTerm calls f whenever another term has begun.
 func (sim *Simulation) onNewTerm(f func()) {
 	newest := sim.newestTerm()
-	var look func()
-	look = func() {
+	sim.every(20*time.Millisecond, func() bool {
 		if n := sim.leader(); n != nil && n.controller.Election().Term() > newest {
 			newest = n.controller.Election().Term()
 			f()
 		}
-		sim.schedule(20*time.Millisecond, look)
-	}
-	look()
+		return true
+	})
 }
 
 // countLeaderChanges counts the changes of the lead from now on under a name.
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -301,9 +301,11 @@
 // fence within a time.
 func (sim *Simulation) countFencedWithin(d time.Duration) {
 	var counts [8]uint64 // by node, in its present term
-	var look func()
 	until := sim.now.Add(d)
-	look = func() {
+	for i, n := range sim.nodes {
+		counts[i] = n.controller.Stats().MachinesFenced
+	}
+	sim.every(200*time.Millisecond, func() bool {
 		for i, n := range sim.nodes {
 			if !n.alive {
 				continue
@@ -314,14 +316,8 @@
 			}
 			counts[i] = fenced
 		}
-		if sim.now < until {
-			sim.schedule(200*time.Millisecond, look)
-		}
-	}
-	for i, n := range sim.nodes {
-		counts[i] = n.controller.Stats().MachinesFenced
-	}
-	look()
+		return sim.now < until
+	})
 }
 
 // nodeOtherThan returns a node that is none of those.
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -64,7 +64,7 @@
 			return
 		}
 		sim.countEvent("old rows")
-		if sim.cfg.Mutation == FreshenStaleRows {
+		if sim.mutates(FreshenStaleRows) {
 			late.ID = sim.newestHeartbeat[reversePath]
 			late.LinkState[0].Sequence += staleSequenceOffset
 		}
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -19,12 +19,12 @@
 func (sim *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
-	case sim.cfg.Mutation == RenewWithoutLeadership && !n.controller.Election().LeaseValid():
+	case sim.mutates(RenewWithoutLeadership) && !n.controller.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
 			return &controller.Response{Status: 200,
 				Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
-	case sim.cfg.Mutation == DropStopCommands && r.Status == 200:
+	case sim.mutates(DropStopCommands) && r.Status == 200:
 		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
 			o.Commands = withoutStops(o.Commands)
@@ -119,6 +119,9 @@
 	NoFlapDamping                   // a link that broke a moment ago is as good as any
 )
 
+// mutates reports whether a safeguard is switched off in this run.
+func (sim *Simulation) mutates(m Mutation) bool { return sim.cfg.Mutation == m }
+
 // launchBeforeCommit is the mutation that launches what a transaction is only about to
 // make durable.
 func (sim *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
@@ -157,7 +160,7 @@
 
 // mutateRequest is what the mutations of a rollout do to the requests of a new node.
 func (sim *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
-	if sim.cfg.Mutation == RaiseFormatEarly && r.Prefix == upgrade.NodeKeyPrefix {
+	if sim.mutates(RaiseFormatEarly) && r.Prefix == upgrade.NodeKeyPrefix {
 		out := kvstore.Response{Outcome: kvstore.OK}
 		for _, n := range sim.nodes {
 			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: upgrade.NodeKeyPrefix + n.name,
@@ -166,7 +169,7 @@
 		sim.schedule(0, func() { f(out) })
 		return r, false
 	}
-	if sim.cfg.Mutation == WriteNewFieldsEarly && r.Op == kvstore.Txn {
+	if sim.mutates(WriteNewFieldsEarly) && r.Op == kvstore.Txn {
 		then := append([]kvstore.Mutation(nil), r.Mutations...)
 		for i, c := range then {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -59,13 +59,13 @@
 	if n.sim.cfg.Tune != nil {
 		n.sim.cfg.Tune(&set.Tuning)
 	}
-	if n.sim.cfg.Mutation == NoFlapDamping {
+	if n.sim.mutates(NoFlapDamping) {
 		set.Tuning.Links.PenaltyHalfLife = time.Millisecond
 	}
-	if n.sim.cfg.Mutation == UnboundedHandovers {
+	if n.sim.mutates(UnboundedHandovers) {
 		set.Tuning.Links.MinLeadTime, set.Tuning.Links.BetterPeerFor = 0, 0
 	}
-	if n.sim.cfg.Mutation == NoMaxWait {
+	if n.sim.mutates(NoMaxWait) {
 		set.Tuning.StarvationTimeout = 24 * time.Hour
 	}
 	for _, o := range n.sim.nodes {
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -50,7 +50,7 @@
 	if !ok {
 		return
 	}
-	if sim.cfg.Mutation == ForgetPlacements && r.Op == kvstore.List {
+	if sim.mutates(ForgetPlacements) && r.Op == kvstore.List {
 		g := f
 		f = func(a kvstore.Response) { g(forgetPlacements(a)) }
 	}
@@ -68,7 +68,7 @@
 		})
 	}
 	send = e.afterPause(send)
-	if sim.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" &&
+	if sim.mutates(LaunchBeforeCommit) && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" &&
 		r.Compares[0].Revision != 0 {
 		sim.launchBeforeCommit(e.node.name, r)
 		sim.schedule(400*time.Millisecond, e.ifAlive(send))
@@ -124,7 +124,7 @@
 		sim.schedule(0, func() { answer(workers.CommandResult{}) })
 		return
 	}
-	if sim.cfg.Mutation == DropStopCommands {
+	if sim.mutates(DropStopCommands) {
 		c.Body.Commands = withoutStops(c.Body.Commands)
 	}
 	sim.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
@@ -165,7 +165,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if sim.cfg.Mutation == KeepLeasesForever && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
+		if sim.mutates(KeepLeasesForever) && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
 			g.Heartbeat.LeaseAllowanceMS = transport.ToMillis(time.Hour)
 		}
 		if !sim.observeFrame(e.node, o, g) {
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -78,5 +78,5 @@
 
 // deadlinePassed says whether a time limit of the process is over; 0 is none.
 func (e *nodeEnv) deadlinePassed(limit ident.MonotonicTime) bool {
-	return limit > 0 && e.clock() >= limit && e.sim().cfg.Mutation != IgnoreSendDeadlines
+	return limit > 0 && e.clock() >= limit && !e.sim().mutates(IgnoreSendDeadlines)
 }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -5,7 +5,6 @@
 package simulator
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"sort"
@@ -18,11 +17,9 @@
 
 // Simulation is one run.
 type Simulation struct {
-	cfg           Config
-	rng           *rand.Rand
-	now           ident.MonotonicTime
-	events        eventHeap
-	eventSequence uint64
+	eventLoop
+	cfg Config
+	rng *rand.Rand
 
 	settings            settings.Cluster
 	nodes               []*node
@@ -127,14 +124,7 @@
 		quiescence = sim.cfg.QuiescentDuration
 	}
 	end := ident.MonotonicTime(sim.cfg.ActiveDuration + quiescence)
-	for len(sim.events) > 0 && len(sim.Violations) == 0 {
-		e := heap.Pop(&sim.events).(event)
-		if e.at > end {
-			break
-		}
-		sim.now = e.at
-		e.run()
-	}
+	sim.run(end, func() bool { return len(sim.Violations) > 0 })
 	if len(sim.Violations) == 0 {
 		sim.checkCompletion()
 	}
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -65,8 +65,7 @@
 // found it to be slow.
 func (sim *Simulation) checkNoStartsOn(w *worker) {
 	found := ident.Never
-	var look func()
-	look = func() {
+	sim.every(200*time.Millisecond, func() bool {
 		if l := sim.leader(); found == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
 			found = sim.now.Add(2 * time.Second)
 		}
@@ -77,9 +76,8 @@
 				}
 			}
 		}
-		sim.schedule(200*time.Millisecond, look)
-	}
-	look()
+		return true
+	})
 }
 
 // TestUniformMachinesAreNotSlow: where all machines are alike, and their tasks differ, none is called slow.
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -208,7 +208,7 @@
 		s.sim.reportViolation("transaction of %d bytes", size)
 	}
 	election := r.Compares[0].Key == "leader" && len(r.Compares) == 2 && r.Compares[1].Key == "term"
-	if s.sim.cfg.Mutation != IgnoreRevisions || election {
+	if !s.sim.mutates(IgnoreRevisions) || election {
 		var failed []string
 		for _, c := range r.Compares {
 			var have ident.Revision
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -47,17 +47,15 @@
 	sim.submitSteadyLoad()
 	sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
 	var out LoadOutcome
-	var sample func()
-	sample = func() {
-		out.Imbalance = append(out.Imbalance, sim.imbalance())
-		if sim.isOnlyHotTeam(hotTeam) {
-			out.HotSeconds++
-		}
-		if sim.now < ident.MonotonicTime(floodStart+floodDuration) {
-			sim.schedule(time.Second, sample)
-		}
-	}
-	sim.schedule(floodStart+10*time.Second, sample)
+	sim.schedule(floodStart+10*time.Second, func() {
+		sim.every(time.Second, func() bool {
+			out.Imbalance = append(out.Imbalance, sim.imbalance())
+			if sim.isOnlyHotTeam(hotTeam) {
+				out.HotSeconds++
+			}
+			return sim.now < ident.MonotonicTime(floodStart+floodDuration)
+		})
+	})
 	sim.Run()
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -108,7 +108,7 @@
 	}
 	for _, tries := range w.tasks {
 		for _, t := range tries {
-			if w.sim.cfg.Mutation == HideWaitingGangTasks && t.status == api.Gathering {
+			if w.sim.mutates(HideWaitingGangTasks) && t.status == api.Gathering {
 				continue
 			}
 			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause,
@@ -188,7 +188,7 @@
 
 // acceptToken checks and notes a token.
 func (w *worker) acceptToken(e ident.FencingToken) bool {
-	if e < w.token && w.sim.cfg.Mutation != IgnoreFencingTokens {
+	if e < w.token && !w.sim.mutates(IgnoreFencingTokens) {
 		return false
 	}
 	if e > w.token {
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -28,7 +28,7 @@
 		t := w.tasks[o.TaskID][o.Attempt]
 		switch o.Verb {
 		case api.Launch:
-			if j := w.sim.jobs[o.TaskID.Job]; w.sim.cfg.Mutation == ReuseGangAttempt && j != nil && j.spec.Shape == api.Gang {
+			if j := w.sim.jobs[o.TaskID.Job]; w.sim.mutates(ReuseGangAttempt) && j != nil && j.spec.Shape == api.Gang {
 				w.executeReusingAttempt(o)
 				continue
 			}
@@ -123,7 +123,7 @@
 	if t.status == api.Flushing && d > 0 {
 		return // it saves already
 	}
-	if w.sim.cfg.Mutation == StopPartOfGang && d > 0 && t.id.Index > 0 {
+	if w.sim.mutates(StopPartOfGang) && d > 0 && t.id.Index > 0 {
 		return
 	}
 	w.sim.gang(j, t.attempt).kill(w, t, d)
