--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -184,7 +184,7 @@
 	for _, n := range sim.nodes {
 		for i := range 3 {
 			sim.schedule(time.Duration(1+i*7+sim.rng.IntN(5))*time.Millisecond, func() {
-				sim.countEvent("close look")
+				sim.countEvent(nodesProbedEvent)
 				if i == 1 {
 					sim.resubmitAt(j, n)
 				} else {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -113,10 +113,10 @@
 	}
 	switch {
 	case sim.faultHits(sim.failedBoots):
-		sim.countEvent("machine never up")
+		sim.countEvent(bootFailedEvent)
 		m.neverBoots = true
 	case sim.faultHits(sim.slowBoots):
-		sim.countEvent("machine up late")
+		sim.countEvent(bootSlowEvent)
 		boot *= 6
 	}
 	if !m.neverBoots {
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -13,9 +13,9 @@
 	name              string
 	guardsAgainst     string // against what
 	inject            func(sim *Simulation)
-	expectedEvents    map[string]int // what must have come of it, so often at the least
-	detectedMutations []Mutation     // safeguards without which some seed breaks a rule
-	seeds             uint64         // 0: three
+	expectedEvents    map[eventName]int // what must have come of it, so often at the least
+	detectedMutations []Mutation        // safeguards without which some seed breaks a rule
+	seeds             uint64            // 0: three
 	overload          bool
 	length            time.Duration // 0: 130 s
 }
@@ -37,7 +37,8 @@
 			sim.scheduleAt(64, func() { sim.cancelRunning(3, 0) })
 			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"command to a mute machine": 2, "cancelled while it ran": 1, "another leads": 1},
+		expectedEvents: map[eventName]int{commandWhileOutboundBlockedEvent: 2, cancelledWhileRunningEvent: 1,
+			leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -57,13 +58,13 @@
 							w.hangFor(14 * time.Second)
 						}
 					}
-					sim.countEvent("cancelled while it ran")
+					sim.countEvent(cancelledWhileRunningEvent)
 					sim.cancelWhenAccepted(j, nil)
 				}
 			})
 			sim.scheduleAt(61, func() { sim.crashLeader(3 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"team at its limit": 2, "cancelled while it ran": 2, "another leads": 1},
+		expectedEvents:    map[eventName]int{teamAtLimitEvent: 2, cancelledWhileRunningEvent: 2, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -82,10 +83,10 @@
 						n.crash(time.Duration(100+8000*i) * time.Millisecond)
 					}
 				}
-				sim.countEvent("all end")
+				sim.countEvent(allNodesCrashedEvent)
 			})
 		},
-		expectedEvents:    map[string]int{"new term": 6, "all end": 1},
+		expectedEvents:    map[eventName]int{newTermEvent: 6, allNodesCrashedEvent: 1},
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
@@ -106,12 +107,12 @@
 				for _, m := range sim.cloud.machines {
 					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second &&
 						len(w.tasks) > 0 {
-						sim.countEvent("new machine has work")
+						sim.countEvent(newMachineHasTasksEvent)
 					}
 				}
 			})
 		},
-		expectedEvents:    map[string]int{"new machine has work": 1, "new term": 2, "late write after newer ones": 1},
+		expectedEvents:    map[eventName]int{newMachineHasTasksEvent: 1, newTermEvent: 2, lateWriteEvent: 1},
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
@@ -129,7 +130,7 @@
 			}
 			sim.scheduleAt(70, func() { sim.crashLeader(time.Second) })
 		},
-		expectedEvents:    map[string]int{"copy after newer reports": 20, "copy of an earlier session": 3},
+		expectedEvents:    map[eventName]int{staleHeartbeatEvent: 20, heartbeatOfEarlierIncarnationEvent: 3},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
@@ -143,7 +144,7 @@
 					if sim.rng.IntN(4) == 0 {
 						sim.schedule(time.Duration(sim.rng.IntN(9000))*time.Millisecond, func() {
 							if j.accepted && !isTerminal(j.lastStatus) {
-								sim.countEvent("one of many cancelled")
+								sim.countEvent(shortJobCancelledEvent)
 								sim.cancelWhenAccepted(j, nil)
 							}
 						})
@@ -152,14 +153,14 @@
 			}
 			sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"one of many cancelled": 40, "another leads": 1, "close look": 1000},
+		expectedEvents:    map[eventName]int{shortJobCancelledEvent: 40, leaderReplacedEvent: 1, nodesProbedEvent: 1000},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
 		name:          "cancelled as the leader alone is refused, then an outage",
 		guardsAgainst: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
 		inject:        cancelDuringFailoverAndOutage, seeds: 12,
-		expectedEvents:    map[string]int{"another leads": 1, "confirmed by another": 1, "outage after a confirmation": 1},
+		expectedEvents:    map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1, outageAfterConfirmationEvent: 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
@@ -182,7 +183,7 @@
 				sim.scheduleAt(s, func() { sim.crashLeader(4 * time.Second) })
 			}
 		},
-		expectedEvents:    map[string]int{"held order": 50, "cancelled while it ran": 3, "another leads": 1},
+		expectedEvents:    map[eventName]int{commandDelayedEvent: 50, cancelledWhileRunningEvent: 3, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -207,12 +208,12 @@
 			sim.scheduleAt(73, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
 			sim.scheduleAt(140, func() {
 				if sim.newestTerm() >= 10 {
-					sim.countEvent("ten terms")
+					sim.countEvent(tenTermsEvent)
 				}
 			})
 		},
 		length:            150 * time.Second,
-		expectedEvents:    map[string]int{"ten terms": 1, "new term": 8, "another leads": 1},
+		expectedEvents:    map[eventName]int{tenTermsEvent: 1, newTermEvent: 8, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -248,7 +249,7 @@
 				})
 			}
 		},
-		expectedEvents:    map[string]int{"lost answer": 10, "close look": 100},
+		expectedEvents:    map[eventName]int{replyDroppedEvent: 10, nodesProbedEvent: 100},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
@@ -266,7 +267,7 @@
 				})
 			}
 		},
-		expectedEvents:    map[string]int{"slow link": 100},
+		expectedEvents:    map[eventName]int{linkSlowEvent: 100},
 		detectedMutations: []Mutation{NoMaxWait},
 	},
 	{
@@ -290,8 +291,9 @@
 			sim.scheduleAt(60, func() { sim.crashLeader(3 * time.Second) })
 			sim.scheduleAt(80, func() { sim.sendEdgeCaseRequests(timeAt(110)) })
 		},
-		expectedEvents: map[string]int{"close look": 500, "another leads": 1, "odd request": 20, "other body": 1,
-			"done job cancelled": 1},
+		expectedEvents: map[eventName]int{nodesProbedEvent: 500, leaderReplacedEvent: 1, edgeCaseRequestEvent: 20,
+			submissionChangedEvent: 1,
+			doneJobCancelledEvent:  1},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
@@ -321,12 +323,12 @@
 			sim.scheduleAt(70, func() {
 				for _, w := range sim.sortedWorkers() {
 					if len(w.tasks) > 0 && sim.now.Sub(w.leaseRenewedAt) < 4*time.Second {
-						sim.countEvent("lease kept by the old leader")
+						sim.countEvent(leaseKeptByOldLeaderEvent)
 					}
 				}
 			})
 		},
-		expectedEvents:    map[string]int{"another leads": 1, "confirmed by another": 1, "lease kept by the old leader": 1},
+		expectedEvents:    map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1, leaseKeptByOldLeaderEvent: 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
@@ -341,17 +343,17 @@
 					}
 					switch i % 3 {
 					case 0:
-						sim.countEvent("machine away")
+						sim.countEvent(machineDisconnectedEvent)
 						sim.disconnect(string(w.id), "*", sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
 					case 1:
-						sim.countEvent("machine deaf")
+						sim.countEvent(machineInboundBlockedEvent)
 						sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(time.Duration(8+sim.rng.IntN(20)) * time.Second)
 					}
 				}
 			})
 			sim.scheduleAt(61, func() { sim.crashLeader(5 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"machine away": 1, "machine deaf": 1, "another leads": 1},
+		expectedEvents:    map[eventName]int{machineDisconnectedEvent: 1, machineInboundBlockedEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -369,7 +371,7 @@
 			}
 			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"late write after newer ones": 10, "another leads": 1},
+		expectedEvents:    map[eventName]int{lateWriteEvent: 10, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{IgnoreRevisions},
 	},
 	{
@@ -380,12 +382,12 @@
 			sim.scheduleAt(60, func() {
 				zone := sim.nodes[1].zone
 				sim.partitionZone(zone, sim.cfg.Seed%2 == 0, 60*time.Second)
-				sim.countEvent("zone cut off")
+				sim.countEvent(zonePartitionedEvent)
 				sim.schedule(4*time.Second, func() {
 					for _, j := range sim.runningJobs() {
 						for _, w := range sim.workersOf(j) {
 							if w.machine.zone == zone {
-								sim.countEvent("cancelled inside")
+								sim.countEvent(cancelledInPartitionEvent)
 								sim.cancelWhenAccepted(j, nil)
 								break
 							}
@@ -394,7 +396,7 @@
 				})
 			})
 		},
-		expectedEvents:    map[string]int{"zone cut off": 1, "cancelled inside": 1},
+		expectedEvents:    map[eventName]int{zonePartitionedEvent: 1, cancelledInPartitionEvent: 1},
 		detectedMutations: []Mutation{KeepLeasesForever}, seeds: 4,
 	},
 	{
@@ -419,14 +421,14 @@
 				for _, j := range sim.runningJobs() {
 					for i, d := range j.done {
 						if d && i < j.spec.Tasks {
-							sim.countEvent("ended before, others go on")
+							sim.countEvent(partlyCompletedEvent)
 							break
 						}
 					}
 				}
 			})
 		},
-		expectedEvents:    map[string]int{"ended before, others go on": 1, "another leads": 1},
+		expectedEvents:    map[eventName]int{partlyCompletedEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -440,7 +442,7 @@
 				sim.scheduleAt(s-5, func() { sim.submitJob(nil, 20*time.Second) })
 			}
 		},
-		expectedEvents:    map[string]int{"copy for the next leader": 20, "another leads": 2},
+		expectedEvents:    map[eventName]int{heldHeartbeatDeliveredEvent: 20, leaderReplacedEvent: 2},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
@@ -457,7 +459,7 @@
 				})
 			}
 		},
-		expectedEvents:    map[string]int{"called off at the end": 30, "close look": 300},
+		expectedEvents:    map[eventName]int{cancelledAtCompletionEvent: 30, nodesProbedEvent: 300},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
@@ -471,8 +473,8 @@
 			cancelDuringFailoverAndOutage(sim)
 			sim.scheduleAt(50, func() { sim.submitJob(nil, 60*time.Second); sim.submitJob(nil, 60*time.Second) })
 		},
-		expectedEvents: map[string]int{"slow state": 20, "another leads": 1, "confirmed by another": 1,
-			"outage after a confirmation": 1},
+		expectedEvents: map[eventName]int{storeSlowEvent: 20, leaderReplacedEvent: 1, cancellationConfirmedEvent: 1,
+			outageAfterConfirmationEvent: 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership}, seeds: 6,
 	},
 	{
@@ -488,7 +490,7 @@
 				sim.scheduleAt(s, func() {
 					for _, j := range sim.runningJobs() {
 						if list := sim.workersOf(j); (j.spec.OneZone || j.spec.Zone != nil) && len(list) > 0 {
-							sim.countEvent("machine lost")
+							sim.countEvent(machineLostEvent)
 							sim.cloud.terminate(list[sim.rng.IntN(len(list))].machine)
 							return
 						}
@@ -497,7 +499,7 @@
 			}
 			sim.scheduleAt(52, func() { sim.crashLeader(4 * time.Second) })
 		},
-		expectedEvents:    map[string]int{"machine lost": 3, "another leads": 1},
+		expectedEvents:    map[eventName]int{machineLostEvent: 3, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{DropZoneConstraint},
 	},
 	{
@@ -509,7 +511,7 @@
 				sim.scheduleAt(s, func() { sim.cancelRunning(1, 0) })
 			}
 		},
-		expectedEvents:    map[string]int{"cancelled while it ran": 4, "another leads": 1},
+		expectedEvents:    map[eventName]int{cancelledWhileRunningEvent: 4, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{DropStopCommands},
 	},
 	{
@@ -521,7 +523,7 @@
 				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 {
 						sim.disconnect(string(w.id), "*", true, 9*time.Second)
-						sim.countEvent("reports held back")
+						sim.countEvent(heartbeatsHeldEvent)
 					}
 				}
 				sim.holdHeartbeatsForNextLeader(0.8, 10*time.Second)
@@ -529,7 +531,7 @@
 			sim.scheduleAt(59, func() { sim.crashLeader(5 * time.Second) })
 			sim.scheduleAt(62, func() { sim.cancelRunning(2, 0); sim.submitJob(nil, 20*time.Second) })
 		},
-		expectedEvents:    map[string]int{"reports held back": 2, "copy for the next leader": 1, "another leads": 1},
+		expectedEvents:    map[eventName]int{heartbeatsHeldEvent: 2, heldHeartbeatDeliveredEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
@@ -547,10 +549,10 @@
 				for _, n := range sim.nodes {
 					n.crash(back)
 				}
-				sim.countEvent("all away")
+				sim.countEvent(allNodesDownEvent)
 			})
 		},
-		expectedEvents:    map[string]int{"all away": 1},
+		expectedEvents:    map[eventName]int{allNodesDownEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
@@ -561,7 +563,7 @@
 			sim.scheduleAt(59, func() {
 				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 && len(w.tasks) > 0 {
-						sim.countEvent("machine deaf")
+						sim.countEvent(machineInboundBlockedEvent)
 						sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(time.Duration(6+sim.rng.IntN(12)) * time.Second)
 					}
 				}
@@ -570,7 +572,8 @@
 			sim.scheduleAt(60.5, func() { sim.cancelRunning(2, 0) })
 			sim.scheduleAt(63, func() { sim.cancelRunning(2, 5*time.Second) })
 		},
-		expectedEvents:    map[string]int{"team at its limit": 2, "machine deaf": 2, "cancelled while it ran": 2, "another leads": 1},
+		expectedEvents: map[eventName]int{teamAtLimitEvent: 2, machineInboundBlockedEvent: 2, cancelledWhileRunningEvent: 2,
+			leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 }
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -42,7 +42,7 @@
 	})
 	sim.scheduleAt(90, func() {
 		if n := sim.leader(); n != nil && n.controller.Election().Term() > term {
-			sim.countEvent("another term")
+			sim.countEvent(laterTermEvent)
 		}
 	})
 	sim.Run()
@@ -65,7 +65,7 @@
 				sim := runConsecutivePartitions(seed, true, first, then)
 				requireClean(t, seed, sim)
 				checkNoTasksLost(t, sim)
-				if sim.eventCounts["another term"] == 0 {
+				if sim.eventCounts[laterTermEvent] == 0 {
 					t.Errorf("seed %d: the leader led on without %s and %s", seed, first.name, then.name)
 				}
 				sim = runConsecutivePartitions(seed+1, false, first, then)
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -22,7 +22,7 @@
 		Priority: api.Standard,
 		Tasks:    1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
-		sim.countEvent("odd request")
+		sim.countEvent(edgeCaseRequestEvent)
 		sim.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
 			if r != nil && !ok(r.Status) {
 				sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
@@ -48,7 +48,7 @@
 	case 3:
 		for _, id := range sim.jobOrder {
 			if j := sim.jobs[id]; j.lastStatus == "done" && sim.rng.IntN(3) == 0 {
-				sim.countEvent("done job cancelled")
+				sim.countEvent(doneJobCancelledEvent)
 				sim.request("users", n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
 					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
@@ -64,7 +64,7 @@
 				o := j.spec
 				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
 				asked := sim.now
-				sim.countEvent("other body")
+				sim.countEvent(submissionChangedEvent)
 				sim.request("users", n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
 					switch {
 					case r == nil || r.Status == 503:
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -37,11 +37,9 @@
 	awaitingNextLeader   bool // for the next leader, to deliver what is kept
 
 	// What came of them, for tests to see that they took place.
-	eventCounts map[string]int
+	eventCounts map[eventName]int
 }
 
-func (sim *Simulation) countEvent(what string) { sim.eventCounts[what]++ }
-
 // blockOutbound has a machine reach no node, though nodes reach it.
 func (sim *Simulation) blockOutbound(w *worker, d time.Duration) {
 	sim.logf("%s reaches no node for %v", w.id, d)
@@ -53,10 +51,10 @@
 	node := func(s string) bool { return strings.HasPrefix(s, "agent-") }
 	switch {
 	case node(from) && node(to) && sim.faultHits(sim.slowLinks):
-		sim.countEvent("slow link")
+		sim.countEvent(linkSlowEvent)
 		return time.Duration(100+sim.rng.IntN(400)) * time.Millisecond
 	case (from == "state" || to == "state") && sim.faultHits(sim.slowStore):
-		sim.countEvent("slow state")
+		sim.countEvent(storeSlowEvent)
 		return time.Duration(50+sim.rng.IntN(450)) * time.Millisecond
 	}
 	return 0
@@ -67,7 +65,7 @@
 	if !sim.faultHits(sim.delayedCommands) {
 		return 0
 	}
-	sim.countEvent("held order")
+	sim.countEvent(commandDelayedEvent)
 	return time.Duration(500+sim.rng.IntN(5500)) * time.Millisecond
 }
 
@@ -77,7 +75,7 @@
 	sim := s.sim
 	switch {
 	case sim.faultHits(sim.droppedReplies):
-		sim.countEvent("lost answer")
+		sim.countEvent(replyDroppedEvent)
 		s.transact(r)
 		return true
 	case sim.faultHits(sim.delayedWrites):
@@ -87,7 +85,7 @@
 				return
 			}
 			if s.revision > before {
-				sim.countEvent("late write after newer ones")
+				sim.countEvent(lateWriteEvent)
 			}
 			s.transact(r)
 		})
--- a/internal/simulator/health_check_test.go
+++ b/internal/simulator/health_check_test.go
@@ -16,13 +16,13 @@
 			sim.schedule(timeAt(faultAt).Sub(0)+time.Duration(ms)*time.Millisecond, func() {
 				for _, n := range sim.nodes {
 					if n.alive && !n.controller.Healthy() {
-						sim.countEvent("unhealthy")
+						sim.countEvent(nodeUnhealthyEvent)
 					}
 				}
 			})
 		}
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["unhealthy"] > 0 {
+		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[nodeUnhealthyEvent] > 0 {
 			t.Errorf("seed %d: %v %v %v", seed, sim.Violations, sim.Unfinished, sim.eventCounts)
 		}
 	}
--- a/internal/simulator/heartbeat_faults.go
+++ b/internal/simulator/heartbeat_faults.go
@@ -25,9 +25,9 @@
 	if w := sim.workers[m.MachineID]; w != nil {
 		switch {
 		case w.incarnation > m.Incarnation:
-			sim.countEvent("copy of an earlier session")
+			sim.countEvent(heartbeatOfEarlierIncarnationEvent)
 		case w.sequence > m.SequenceNumber:
-			sim.countEvent("copy after newer reports")
+			sim.countEvent(staleHeartbeatEvent)
 		}
 	}
 	c := *m
@@ -63,7 +63,7 @@
 		kept := sim.heldDeliveries
 		sim.heldDeliveries = nil
 		for _, f := range kept {
-			sim.countEvent("copy for the next leader")
+			sim.countEvent(heldHeartbeatDeliveredEvent)
 			f()
 		}
 	})
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -26,11 +26,11 @@
 					switch {
 					case r.State != load.Overloaded:
 					case r.Team == hotTeam && sim.now > timeAt(320):
-						sim.countEvent("never cooled")
+						sim.countEvent(teamStillHotEvent)
 					case r.Team == hotTeam:
-						sim.countEvent("hot")
+						sim.countEvent(floodingTeamHotEvent)
 					default:
-						sim.countEvent("another is hot")
+						sim.countEvent(otherTeamHotEvent)
 					}
 				}
 			})
@@ -44,7 +44,7 @@
 		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
 			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(20))
 		}
-		if sim.eventCounts["hot"] < 20 || sim.eventCounts["never cooled"] > 0 {
+		if sim.eventCounts[floodingTeamHotEvent] < 20 || sim.eventCounts[teamStillHotEvent] > 0 {
 			t.Errorf("seed %d: %v", seed, sim.eventCounts)
 		}
 	}
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -41,7 +41,7 @@
 	})
 	sim.scheduleAt(65, func() {
 		if l := sim.leader(); l != nil && l.controller.Election().Term() > term {
-			sim.countEvent("new term")
+			sim.countEvent(newTermEvent)
 		}
 	})
 	sim.scheduleAt(75, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
@@ -53,7 +53,7 @@
 	if most < 4000 {
 		t.Errorf("the fleet has only %d machines", most)
 	}
-	if sim.eventCounts["new term"] == 0 {
+	if sim.eventCounts[newTermEvent] == 0 {
 		t.Error("no leader followed the one that was killed")
 	}
 }
@@ -83,7 +83,7 @@
 	})
 	sim.scheduleAt(wideTasksAt, func() {
 		if len(sim.workers) > 4000 {
-			sim.countEvent("large fleet")
+			sim.countEvent(largeFleetUpEvent)
 		}
 		sim.cloud.outOfCapacity = true
 		for range 8 {
@@ -99,7 +99,7 @@
 		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
 	}
 	checkStopCounts(t, 1, sim)
-	if sim.Moves == 0 || sim.eventCounts["large fleet"] == 0 || sim.eventCounts["new term"] == 0 {
+	if sim.Moves == 0 || sim.eventCounts[largeFleetUpEvent] == 0 || sim.eventCounts[newTermEvent] == 0 {
 		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
 }
--- a/internal/simulator/leadership.go
+++ b/internal/simulator/leadership.go
@@ -38,6 +38,6 @@
 }
 
 // countLeaderChanges counts the changes of the lead from now on under a name.
-func (sim *Simulation) countLeaderChanges(what string) {
-	sim.onNewTerm(func() { sim.countEvent(what) })
+func (sim *Simulation) countLeaderChanges(name eventName) {
+	sim.onNewTerm(func() { sim.countEvent(name) })
 }
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -13,10 +13,10 @@
 	nodes          int // 0: three
 	rollingUpgrade bool
 	inject         func(sim *Simulation)
-	minEvents      map[string]int // what must have taken place, so often at the least
-	maxEvents      map[string]int // and at the most
-	seeds          uint64         // 0: three
-	length         time.Duration  // 0: 200 s
+	minEvents      map[eventName]int // what must have taken place, so often at the least
+	maxEvents      map[eventName]int // and at the most
+	seeds          uint64            // 0: three
+	length         time.Duration     // 0: 200 s
 }
 
 var linkScenarios = []linkScenario{
@@ -28,8 +28,8 @@
 				sim.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
-		maxEvents: map[string]int{"nobody leads": 0},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
+		maxEvents: map[eventName]int{leaderMissingEvent: 0},
 	},
 	{
 		name: "commands reach no machine",
@@ -40,8 +40,8 @@
 				sim.countFencedWithin(faultDuration)
 			})
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
-		maxEvents: map[string]int{"fenced meanwhile": 0},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
+		maxEvents: map[eventName]int{machineFencedEvent: 0},
 	},
 	{
 		name: "machines reach the leader's siblings only",
@@ -52,8 +52,8 @@
 				sim.countFencedWithin(faultDuration)
 			})
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
-		maxEvents: map[string]int{"fenced meanwhile": 0},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
+		maxEvents: map[eventName]int{machineFencedEvent: 0},
 	},
 	{
 		name: "answers of the state service are lost",
@@ -63,7 +63,7 @@
 				sim.recordLeaderAfter(l, 6*time.Second)
 			})
 		},
-		minEvents: map[string]int{"another leads": 1},
+		minEvents: map[eventName]int{leaderReplacedEvent: 1},
 	},
 	{
 		name: "a leader with machines and no state service, a sibling with the state service and no machines",
@@ -78,12 +78,12 @@
 				sim.schedule(15*time.Second, func() { starts = sim.TaskStarts })
 				sim.schedule(55*time.Second, func() {
 					for range sim.TaskStarts - starts {
-						sim.countEvent("started meanwhile")
+						sim.countEvent(taskStartedEvent)
 					}
 				})
 			})
 		},
-		minEvents: map[string]int{"another leads": 1, "started meanwhile": 5},
+		minEvents: map[eventName]int{leaderReplacedEvent: 1, taskStartedEvent: 5},
 	},
 	{
 		name: "no controller hears machines that are running",
@@ -96,13 +96,13 @@
 				rented := len(sim.cloud.machines)
 				sim.schedule(faultDuration, func() {
 					for range len(sim.cloud.machines) - rented {
-						sim.countEvent("rented meanwhile")
+						sim.countEvent(machineProvisionedEvent)
 					}
 				})
 			})
 		},
-		minEvents: map[string]int{"cancelled while it ran": 1},
-		maxEvents: map[string]int{"rented meanwhile": 12},
+		minEvents: map[eventName]int{cancelledWhileRunningEvent: 1},
+		maxEvents: map[eventName]int{machineProvisionedEvent: 12},
 	},
 	{
 		name: "a slow link beside a dead one",
@@ -113,19 +113,19 @@
 				sim.recordLeaderAfter(l, 20*time.Second)
 			})
 		},
-		minEvents: map[string]int{"slow link": 50, "handover announced": 1, "another leads": 1},
+		minEvents: map[eventName]int{linkSlowEvent: 50, handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "the leader freezes in the midst of its handover and wakes later",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, _ ident.NodeID) {
-				sim.countEvent("frozen while it yields")
+				sim.countEvent(pausedInHandoverEvent)
 				sim.schedule(time.Millisecond, func() { from.pauseFor(20 * time.Second) })
 				sim.recordLeaderAfter(from, 8*time.Second)
 			}
 			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		minEvents: map[string]int{"frozen while it yields": 1, "another leads": 1},
+		minEvents: map[eventName]int{pausedInHandoverEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "the successor dies between the terms",
@@ -133,7 +133,7 @@
 			sim.onHandover = func(from *node, to ident.NodeID) {
 				for _, n := range sim.nodes {
 					if n.name == string(to) {
-						sim.countEvent("successor killed")
+						sim.countEvent(successorCrashedEvent)
 						n.crash(20 * time.Second)
 					}
 				}
@@ -141,19 +141,19 @@
 			}
 			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		minEvents: map[string]int{"successor killed": 1, "another leads": 1},
+		minEvents: map[eventName]int{successorCrashedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "the successor is cut off between the terms",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, to ident.NodeID) {
-				sim.countEvent("successor cut off")
+				sim.countEvent(successorDisconnectedEvent)
 				sim.disconnect(string(to), "state", true, 20*time.Second)
 				sim.recordLeaderAfter(from, 6*time.Second)
 			}
 			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		minEvents: map[string]int{"successor cut off": 1, "another leads": 1},
+		minEvents: map[eventName]int{successorDisconnectedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "the announcement is lost",
@@ -164,7 +164,7 @@
 			}
 			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "a leader that only the state service hears",
@@ -175,7 +175,7 @@
 				sim.recordLeaderAfter(l, 9*time.Second)
 			})
 		},
-		minEvents: map[string]int{"another leads": 1},
+		minEvents: map[eventName]int{leaderReplacedEvent: 1},
 	},
 	{
 		name: "a follower reaches the leader by the third node only",
@@ -188,18 +188,18 @@
 						j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Second)
 						sim.resubmitAt(j, f)
 						if f.controller.Healthy() {
-							sim.countEvent("healthy")
+							sim.countEvent(followerHealthyEvent)
 						}
 					})
 				}
 				sim.schedule(55*time.Second, func() {
 					for range f.controller.Stats().Relayed {
-						sim.countEvent("relayed")
+						sim.countEvent(requestRelayedEvent)
 					}
 				})
 			})
 		},
-		minEvents: map[string]int{"relayed": 40, "healthy": 40},
+		minEvents: map[eventName]int{requestRelayedEvent: 40, followerHealthyEvent: 40},
 	},
 	{
 		name: "late copies of rows", // of when the sibling was well placed
@@ -211,8 +211,8 @@
 				sim.recordLeaderAfter(l, 7*time.Second)
 			})
 		},
-		minEvents: map[string]int{"old rows": 20, "the same leads": 1},
-		maxEvents: map[string]int{"handover announced": 0},
+		minEvents: map[eventName]int{rowsRedeliveredEvent: 20, leaderUnchangedEvent: 1},
+		maxEvents: map[eventName]int{handoverAnnouncedEvent: 0},
 	},
 	{
 		name: "two nodes", nodes: 2,
@@ -222,7 +222,7 @@
 				sim.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "two nodes, the link between them broken one way", nodes: 2,
@@ -230,10 +230,10 @@
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, sim.nodeOtherThan(l).name, false, faultDuration)
 				sim.disconnectOneWay(l.name, machines, false, 20*time.Second)
-				sim.countEvent("cut")
+				sim.countEvent(linkBrokenEvent)
 			})
 		},
-		minEvents: map[string]int{"cut": 1},
+		minEvents: map[eventName]int{linkBrokenEvent: 1},
 	},
 	{
 		name: "five nodes, two dead and one cut off", nodes: 5,
@@ -249,7 +249,7 @@
 				sim.recordLeaderAfter(l, 15*time.Second)
 			})
 		},
-		minEvents: map[string]int{"handover announced": 1, "another leads": 1},
+		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
 		name: "an upgrade in which old nodes lead", rollingUpgrade: true, length: 260 * time.Second,
@@ -262,7 +262,7 @@
 				}
 			})
 		},
-		minEvents: map[string]int{"rows sent": 20, "another leads": 1},
+		minEvents: map[eventName]int{rowsSentEvent: 20, leaderReplacedEvent: 1},
 	},
 }
 
@@ -272,7 +272,7 @@
 		if l := sim.leader(); l != nil {
 			f(l)
 		} else {
-			sim.countEvent("no leader")
+			sim.countEvent(noLeaderEvent)
 		}
 	})
 }
@@ -282,11 +282,11 @@
 	sim.schedule(d, func() {
 		switch n := sim.leader(); {
 		case n == nil:
-			sim.countEvent("nobody leads")
+			sim.countEvent(leaderMissingEvent)
 		case n == l:
-			sim.countEvent("the same leads")
+			sim.countEvent(leaderUnchangedEvent)
 		default:
-			sim.countEvent("another leads")
+			sim.countEvent(leaderReplacedEvent)
 		}
 	})
 }
@@ -312,7 +312,7 @@
 			}
 			fenced := n.controller.Stats().MachinesFenced
 			for range fenced - min(fenced, counts[i]) {
-				sim.countEvent("fenced meanwhile")
+				sim.countEvent(machineFencedEvent)
 			}
 			counts[i] = fenced
 		}
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -35,12 +35,12 @@
 	}
 	switch f.Type {
 	case transport.MsgLinkState:
-		sim.countEvent("rows sent")
+		sim.countEvent(rowsSentEvent)
 		sim.redeliverRows(from, to, reversePath, f)
 	case transport.MsgTransferLeader:
 		if !sim.announcedTerms[f.Term] {
 			sim.announcedTerms[f.Term] = true
-			sim.countEvent("handover announced")
+			sim.countEvent(handoverAnnouncedEvent)
 			sim.handovers[from.name] = from.incarnation
 			sim.logf("%s hands term %d over to %q", from.name, f.Term, f.Node)
 			if sim.onHandover != nil {
@@ -63,7 +63,7 @@
 		if !to.alive {
 			return
 		}
-		sim.countEvent("old rows")
+		sim.countEvent(rowsRedeliveredEvent)
 		if sim.mutates(FreshenStaleRows) {
 			late.ID = sim.newestHeartbeat[reversePath]
 			late.LinkState[0].Sequence += staleSequenceOffset
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -71,7 +71,7 @@
 		k := leaderLinks(l.name, others)[link]
 		period := time.Duration(1+(link+int(seed)*2)%5) * time.Second
 		sim.flapLink(k[0], k[1], period*7/10, period, 120*time.Second)
-		sim.countLeaderChanges("change")
+		sim.countLeaderChanges(leaderChangeEvent)
 	})
 	sim.Run()
 	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
@@ -80,7 +80,7 @@
 	if sim.blockedOneWay == 0 {
 		t.Error("the link did not flap")
 	}
-	return sim.eventCounts["change"]
+	return sim.eventCounts[leaderChangeEvent]
 }
 
 // TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any
@@ -118,7 +118,7 @@
 func leaderChangesUnderAlternatingFaults(seed uint64, m Mutation) int {
 	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
 	sim.submitContinuously()
-	sim.scheduleAt(40, func() { sim.countLeaderChanges("change") })
+	sim.scheduleAt(40, func() { sim.countLeaderChanges(leaderChangeEvent) })
 	for s := 40.0; s < 160; s += 8 {
 		sim.withLeaderAt(s, func(l *node) { sim.disconnectOneWay(l.name, machines, false, 8*time.Second) })
 	}
@@ -126,7 +126,7 @@
 	if len(sim.Violations) > 0 {
 		return -1
 	}
-	return sim.eventCounts["change"]
+	return sim.eventCounts[leaderChangeEvent]
 }
 
 // TestHandoverHoldBoundsLeaderChanges: whoever leads is soon worse placed than another. The lead moves no more
@@ -164,10 +164,10 @@
 			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
 				t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
 			}
-			if m == None && sim.eventCounts["another leads"] == 0 {
+			if m == None && sim.eventCounts[leaderReplacedEvent] == 0 {
 				t.Errorf("seed %d: the leader is not replaced: %v", seed, sim.eventCounts)
 			}
-			detected = detected || m == NoFlapDamping && sim.eventCounts["another leads"] == 0
+			detected = detected || m == NoFlapDamping && sim.eventCounts[leaderReplacedEvent] == 0
 		}
 	}
 	if !detected {
@@ -184,7 +184,7 @@
 			continue
 		}
 		for seed := range uint64(3) {
-			if sim := c.run(seed, FreshenStaleRows); sim.eventCounts["handover announced"] > 0 {
+			if sim := c.run(seed, FreshenStaleRows); sim.eventCounts[handoverAnnouncedEvent] > 0 {
 				return
 			}
 		}
@@ -204,7 +204,7 @@
 				j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 1 }, 10*time.Second)
 				sim.resubmitAt(j, l)
 				sim.schedule(time.Duration(step)*500*time.Microsecond, func() {
-					sim.countEvent("cut in a commit")
+					sim.countEvent(linkBrokenInCommitEvent)
 					if way {
 						sim.disconnectOneWay(l.name, "state", step%2 == 0, 20*time.Second)
 					} else {
@@ -213,7 +213,7 @@
 				})
 			})
 			sim.Run()
-			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["cut in a commit"] == 0 {
+			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[linkBrokenInCommitEvent] == 0 {
 				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, sim.Violations, sim.Unfinished, sim.eventCounts, sim.LogTail(30))
 			}
 		}
@@ -238,14 +238,14 @@
 		}
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts["lie"] < 40 {
-		t.Errorf("%v %v, %d lies\n%s", sim.Violations, sim.Unfinished, sim.eventCounts["lie"], sim.LogTail(30))
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[rowsForgedEvent] < 40 {
+		t.Errorf("%v %v, %d lies\n%s", sim.Violations, sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
 	}
 }
 
 // sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
 func (sim *Simulation) sendForgedRows(from, to *node) {
-	sim.countEvent("lie")
+	sim.countEvent(rowsForgedEvent)
 	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name],
 		LinkState: forgedRows(sim, from)}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -100,7 +100,7 @@
 		if m.State != state.String() {
 			return false
 		}
-		sim.countEvent("move " + m.State)
+		sim.countEvent(moveStateEvent(m.State))
 		f(l, m)
 		return true
 	})
@@ -130,7 +130,7 @@
 		k := key{l.name, l.incarnation, m.Task, m.From}
 		if m.Reason != "" && !seen[k] {
 			seen[k] = true
-			sim.countEvent("ended: " + m.Reason)
+			sim.countEvent(moveEndEvent(m.Reason))
 		}
 		return false
 	})
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -34,7 +34,7 @@
 		sim.Run()
 		requireClean(t, seed, sim)
 		checkStopCounts(t, seed, sim)
-		if sim.Moves == 0 || sim.eventCounts["ended: arrived"] == 0 {
+		if sim.Moves == 0 || sim.eventCounts[moveEndEvent(migration.Arrived.String())] == 0 {
 			t.Errorf("seed %d: %d moves, %v", seed, sim.Moves, sim.eventCounts)
 		}
 	}
@@ -46,7 +46,7 @@
 	links          bool // the nodes watch their links
 	legacyNodes    int  // nodes of the version in production
 	inject         func(sim *Simulation, l *node, m controller.MoveEntry)
-	expectedEvents []string // what must have come of it
+	expectedEvents []eventName // what must have come of it
 	// stopsOtherTasks says that tasks are stopped for other reasons as well.
 	stopsOtherTasks bool
 }
@@ -78,7 +78,7 @@
 	sim.waitUntil(func() bool {
 		n := sim.leader()
 		return n != nil && n.controller.Election().Term() > term
-	}, func() { sim.countEvent("new term") })
+	}, func() { sim.countEvent(newTermEvent) })
 }
 
 // reclaimMachine has the cloud take a machine, after a notice if there is time for one.
@@ -87,7 +87,7 @@
 		w.announceReclaim(notice)
 	}
 	sim.schedule(notice, func() {
-		sim.countEvent("machine taken")
+		sim.countEvent(machineReclaimedEvent)
 		sim.cloud.terminate(w.machine)
 	})
 }
@@ -95,45 +95,45 @@
 const longerThanLease = 26 * time.Second // longer than a worker's lease
 
 var moveFaults = []moveFault{
-	{name: "leader killed with a second node down", expectedEvents: []string{"another leads"},
+	{name: "leader killed with a second node down", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.peerOf(l).crash(12 * time.Second)
 			sim.expectNewLeader(l)
 			l.crash(9 * time.Second)
 		}},
-	{name: "leader back within a second", expectedEvents: []string{"new term"},
+	{name: "leader back within a second", expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			sim.peerOf(l).crash(700 * time.Millisecond)
 			l.crash(300 * time.Millisecond)
 		}},
-	{name: "leader stands still", expectedEvents: []string{"another leads"},
+	{name: "leader stands still", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			l.pauseFor(15 * time.Second)
 		}},
-	{name: "leader cut from the state service alone", expectedEvents: []string{"another leads"},
+	{name: "leader cut from the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, "state", sim.cfg.Seed%2 == 0, 15*time.Second)
 		}},
-	{name: "leader refused by the state service alone", expectedEvents: []string{"another leads"},
+	{name: "leader refused by the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
 		}},
-	{name: "leader cut from everything, a second node down", expectedEvents: []string{"another leads"},
+	{name: "leader cut from everything, a second node down", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.peerOf(l).crash(20 * time.Second)
 			sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 18*time.Second)
 		}},
-	{name: "lead handed over", links: true, expectedEvents: []string{"another leads"},
+	{name: "lead handed over", links: true, expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
 		}},
-	{name: "all nodes end and one is back", expectedEvents: []string{"new term"},
+	{name: "all nodes end and one is back", expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			for i, n := range sim.nodes {
@@ -141,10 +141,11 @@
 			}
 		}},
 	{name: "the version in production takes the lead", legacyNodes: 2,
-		expectedEvents: []string{"another leads", "old version leads"}, inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
+		expectedEvents: []eventName{leaderReplacedEvent, legacyNodeLeadsEvent}, inject: func(sim *Simulation, l *node,
+			_ controller.MoveEntry) {
 			sim.onNextLeader(l, func(n *node) {
 				if n.env.legacy {
-					sim.countEvent("old version leads")
+					sim.countEvent(legacyNodeLeadsEvent)
 				}
 			})
 			l.crash(12 * time.Second)
@@ -160,7 +161,7 @@
 		_, to := sim.moveEndpoints(m)
 		to.hangFor(longerThanLease)
 	}},
-	{name: "source and destination cut off, and the leader killed", expectedEvents: []string{"another leads"},
+	{name: "source and destination cut off, and the leader killed", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, to := sim.moveEndpoints(m)
 			sim.disconnect(string(from.id), "*", sim.cfg.Seed%2 == 0, 12*time.Second)
@@ -168,7 +169,7 @@
 			sim.expectNewLeader(l)
 			l.crash(5 * time.Second)
 		}},
-	{name: "source hears nobody, and the lead changes", expectedEvents: []string{"another leads"},
+	{name: "source hears nobody, and the lead changes", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
@@ -179,33 +180,35 @@
 		from, _ := sim.moveEndpoints(m)
 		sim.blockOutbound(from, longerThanLease)
 	}},
-	{name: "destination taken back, and the leader killed", expectedEvents: []string{"machine taken", "another leads"},
+	{name: "destination taken back, and the leader killed", expectedEvents: []eventName{machineReclaimedEvent, leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			_, to := sim.moveEndpoints(m)
 			sim.reclaimMachine(to, 0)
 			sim.expectNewLeader(l)
 			l.crash(4 * time.Second)
 		}},
-	{name: "source gets a spot notice", stopsOtherTasks: true, expectedEvents: []string{"machine taken"},
+	{name: "source gets a spot notice", stopsOtherTasks: true, expectedEvents: []eventName{machineReclaimedEvent},
 		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.reclaimMachine(from, 5*time.Second)
 		}},
-	{name: "job cancelled", expectedEvents: []string{"cancelled"}, inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
-		sim.cancelWhenAccepted(sim.jobOf(m), nil)
-		sim.countEvent("cancelled")
-	}},
-	{name: "cancelled at another node, then nobody is served", expectedEvents: []string{"another leads", "confirmed by another"},
-		inject: cancelThenOutage},
+	{name: "job cancelled", expectedEvents: []eventName{jobCancelledEvent},
+		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
+			sim.cancelWhenAccepted(sim.jobOf(m), nil)
+			sim.countEvent(jobCancelledEvent)
+		}},
+	{name: "cancelled at another node, then nobody is served",
+		expectedEvents: []eventName{leaderReplacedEvent, cancellationConfirmedEvent},
+		inject:         cancelThenOutage},
 	{name: "records late, after newer ones, and the lead changes",
-		expectedEvents: []string{"another leads", "late write after newer ones"}, inject: func(sim *Simulation, l *node,
+		expectedEvents: []eventName{leaderReplacedEvent, lateWriteEvent}, inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+2)
 			sim.expectNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		}},
-	{name: "answers to records lost, and the lead changes", expectedEvents: []string{"another leads", "lost answer"},
+	{name: "answers to records lost, and the lead changes", expectedEvents: []eventName{leaderReplacedEvent, replyDroppedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
@@ -213,28 +216,28 @@
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		}},
 	{name: "reports of before the move come to the next leader",
-		expectedEvents: []string{"another leads", "copy for the next leader"}, inject: func(sim *Simulation, l *node,
+		expectedEvents: []eventName{leaderReplacedEvent, heldHeartbeatDeliveredEvent}, inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
 			sim.delayedHeartbeats = faultWindow{0.3, sim.now.Add(8 * time.Second)}
 			sim.expectNewLeader(l)
 			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
 		}},
-	{name: "commands held up, and the leader back within a second", expectedEvents: []string{"new term", "held order"},
+	{name: "commands held up, and the leader back within a second", expectedEvents: []eventName{newTermEvent, commandDelayedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
 			sim.expectNewTerm(l)
 			sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
 		}},
-	{name: "work of higher priority wants the room", stopsOtherTasks: true, expectedEvents: []string{"urgent work"},
+	{name: "work of higher priority wants the room", stopsOtherTasks: true, expectedEvents: []eventName{urgentJobsEvent},
 		inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 			for range 6 {
 				sim.submitJob(func(s *api.Spec) {
 					s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, 2, 1, "img-0"
 				}, 0)
 			}
-			sim.countEvent("urgent work")
+			sim.countEvent(urgentJobsEvent)
 		}},
 }
 
@@ -249,7 +252,7 @@
 			sim.cancelWhenAccepted(j, n)
 			sim.schedule(250*time.Millisecond, func() {
 				if j.cancelConfirmedAt > 0 {
-					sim.countEvent("confirmed by another")
+					sim.countEvent(cancellationConfirmedEvent)
 				}
 				sim.store.downUntil = sim.now.Add(seconds(sim.settings.Workers.CancelS) + 8*time.Second)
 			})
@@ -315,7 +318,7 @@
 					if !f.stopsOtherTasks {
 						checkStopCounts(t, seed, sim)
 					}
-					for _, what := range append([]string{"move " + state.String()}, f.expectedEvents...) {
+					for _, what := range append([]eventName{moveStateEvent(state.String())}, f.expectedEvents...) {
 						if sim.eventCounts[what] == 0 {
 							t.Errorf("seed %d: %q did not take place: %v", seed, what, sim.eventCounts)
 						}
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -113,7 +113,7 @@
 		sim.reportViolation("%s starts a task while it hands the lead over", e.node.name)
 	}
 	if c.Launches() && !e.deadlinePassed(c.NotAfter) && !e.leads() {
-		sim.countEvent("launch without leadership")
+		sim.countEvent(launchWithoutLeadershipEvent)
 	}
 	target := sim.workers[ident.MachineID(c.Addr)]
 	switch {
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -39,9 +39,9 @@
 		return
 	}
 	h.paused = time.Duration(500+sim.rng.IntN(12_000)) * time.Millisecond
-	sim.countEvent("halt within an event")
+	sim.countEvent(processPausedEvent)
 	if e.leads() {
-		sim.countEvent("halt of a leader within an event")
+		sim.countEvent(leaderPausedEvent)
 	}
 	sim.logf("%s stands still for %v within an event", e.node.name, h.paused)
 	e.node.pausedUntil = max(e.node.pausedUntil, sim.now.Add(h.paused))
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -35,8 +35,8 @@
 	for seed := range uint64(10) {
 		sim := runWithPauses(seed, None)
 		requireClean(t, seed, sim)
-		leaders += sim.eventCounts["halt of a leader within an event"]
-		if n := sim.eventCounts["launch without leadership"]; n > 0 {
+		leaders += sim.eventCounts[leaderPausedEvent]
+		if n := sim.eventCounts[launchWithoutLeadershipEvent]; n > 0 {
 			t.Errorf("seed %d: %d launches were sent without leadership", seed, n)
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	launches := 0
 	for seed := uint64(0); seed < 10 && launches == 0; seed++ {
-		launches += runWithPauses(seed, IgnoreSendDeadlines).eventCounts["launch without leadership"]
+		launches += runWithPauses(seed, IgnoreSendDeadlines).eventCounts[launchWithoutLeadershipEvent]
 	}
 	if launches == 0 {
 		t.Error("without the limits no launch was sent without leadership: the test shows nothing")
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -118,7 +118,7 @@
 				for _, j := range wide {
 					sim.cancelWhenAccepted(j, nil)
 				}
-				sim.countEvent("cooled")
+				sim.countEvent(loadCancelledEvent)
 			})
 		})
 		recorded := 0
@@ -126,7 +126,7 @@
 		sim.Run()
 		requireClean(t, seed, sim)
 		checkStopCounts(t, seed, sim)
-		if sim.eventCounts["cooled"] == 0 || sim.Moves > recorded {
+		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > recorded {
 			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, sim.Moves, sim.Moves-recorded, sim.eventCounts)
 		}
 	}
@@ -241,7 +241,7 @@
 			sim.Run()
 			requireClean(t, seed, sim)
 			checkStopCounts(t, seed, sim)
-			if moves != (sim.Moves > 0) || sim.eventCounts["new term"] == 0 {
+			if moves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
 				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, sim.Moves, sim.eventCounts)
 			}
 		}
@@ -260,7 +260,7 @@
 				n.controller.MoveReport(func(r controller.MoveReport) {
 					for _, e := range r.Moves {
 						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
-							sim.countEvent("shown by another")
+							sim.countEvent(moveReportedByPeerEvent)
 						}
 					}
 				})
@@ -269,7 +269,7 @@
 	})
 	sim.Run()
 	requireClean(t, 1, sim)
-	if sim.eventCounts["shown by another"] != 2 {
+	if sim.eventCounts[moveReportedByPeerEvent] != 2 {
 		t.Errorf("%v", sim.eventCounts)
 	}
 }
@@ -290,7 +290,7 @@
 		sim.Run()
 		requireClean(t, seed, sim)
 		moves += sim.Moves
-		if early > 0 || sim.eventCounts["new term"] == 0 {
+		if early > 0 || sim.eventCounts[newTermEvent] == 0 {
 			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, sim.Moves, early, sim.eventCounts)
 		}
 	}
@@ -372,12 +372,12 @@
 	})
 	sim.scheduleAt(wideTasksAt+30, func() {
 		if sim.leader() != nil {
-			sim.countEvent("leads on")
+			sim.countEvent(leaderContinuesEvent)
 		}
 	})
 	sim.Run()
 	requireClean(t, 1, sim)
-	if sim.Moves > 0 || sim.eventCounts["leads on"] == 0 {
+	if sim.Moves > 0 || sim.eventCounts[leaderContinuesEvent] == 0 {
 		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
 	for path := range sim.store.keys {
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -59,7 +59,7 @@
 	cfg := scenario.config(seed, variant)
 	cfg.QuiescentDuration, cfg.Digest = replayCalm, NewDigest()
 	sim := New(cfg)
-	sim.countLeaderChanges("new term")
+	sim.countLeaderChanges(newTermEvent)
 	scenario.play(sim, variant)
 	return scenario, sim
 }
@@ -82,7 +82,7 @@
 // killLeader has the leader of a moment end and come back.
 func (sim *Simulation) killLeader(s float64, back time.Duration) {
 	sim.onLeader(s, func(l *node) {
-		sim.countEvent("leader killed")
+		sim.countEvent(leaderCrashedEvent)
 		l.crash(back)
 	})
 }
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -54,7 +54,7 @@
 	sim.scheduleAt(90, func() {
 		for _, w := range sim.sortedWorkers() {
 			if w.machine.spot && w.reclaimAt == 0 && len(w.tasks) > 0 {
-				sim.countEvent("spot notice")
+				sim.countEvent(reclaimNoticeEvent)
 				w.announceReclaim(14 * time.Second)
 				sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
 				return
@@ -138,7 +138,7 @@
 // troubleMove lets something go wrong with a move.
 func (sim *Simulation) troubleMove(l *node, m controller.MoveEntry, variant uint64) {
 	from, to := sim.workerByID(m.From), sim.workerByID(m.To)
-	sim.countEvent("trouble in a move")
+	sim.countEvent(moveFaultInjectedEvent)
 	switch variant % 5 {
 	case 1:
 		if from != nil {
@@ -195,7 +195,7 @@
 func playUpgrade(sim *Simulation, _ uint64) {
 	for _, n := range sim.nodes {
 		if n.legacy {
-			sim.countEvent("old node")
+			sim.countEvent(legacyNodeEvent)
 		}
 	}
 	if sim.cfg.LegacyNodes > 0 {
@@ -231,7 +231,7 @@
 	})
 	sim.scheduleAt(50, func() {
 		for range sim.workers {
-			sim.countEvent("machine of the fleet")
+			sim.countEvent(fleetMachineEvent)
 		}
 	})
 	sim.killLeader(55, 3*time.Second)
@@ -241,7 +241,7 @@
 
 // stopState has the state service be down for a while.
 func (sim *Simulation) stopState(d time.Duration) {
-	sim.countEvent("outage")
+	sim.countEvent(storeOutageEvent)
 	sim.store.downUntil = sim.now.Add(d)
 }
 
@@ -266,7 +266,7 @@
 
 // narrowState has the state service take less than it has announced.
 func (sim *Simulation) narrowState() {
-	sim.countEvent("limits lower than announced")
+	sim.countEvent(limitsBelowAnnouncedEvent)
 	sim.store.limits.ValueKB, sim.store.limits.TxnOps, sim.store.limits.Announced = 1, 3, nil
 }
 
@@ -283,7 +283,7 @@
 	}
 	if odd(variant) {
 		sim.scheduleAt(80, func() {
-			sim.countEvent("all end")
+			sim.countEvent(allNodesCrashedEvent)
 			for i, n := range sim.nodes {
 				n.crash(time.Duration(1+8*i) * time.Second)
 			}
@@ -309,7 +309,7 @@
 	})
 	for i := range 5 {
 		sim.onLeader(45+20*float64(i), func(l *node) {
-			sim.countEvent("partition")
+			sim.countEvent(partitionedEvent)
 			sim.partition(l, (int(variant)+i)%6, sim.between(4*time.Second, 18*time.Second))
 		})
 	}
@@ -354,7 +354,7 @@
 	}
 	sim.scheduleAt((floodStart + floodDuration/2).Seconds(), func() {
 		if sim.isOnlyHotTeam(hotTeam) {
-			sim.countEvent("hot team")
+			sim.countEvent(onlyHotTeamEvent)
 		}
 	})
 	sim.killLeader((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
@@ -395,7 +395,7 @@
 	sim.scheduleAt(120, func() {
 		for _, j := range list {
 			for range j.failures {
-				sim.countEvent("failed try")
+				sim.countEvent(attemptFailedEvent)
 			}
 			sim.cancelWhenAccepted(j, nil)
 		}
@@ -408,7 +408,7 @@
 	sim.submitBaseLoad(3)
 	sim.submitStream(40, 140, 5, 20*time.Second)
 	guest := func(class string, tasks int, cpus float64, runs time.Duration) {
-		sim.countEvent("guest")
+		sim.countEvent(borrowerJobEvent)
 		sim.submitJob(func(s *api.Spec) {
 			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks, cpus, 0.1, true
 		}, runs)
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -6,6 +6,7 @@
 
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
+	"opaldale/internal/migration"
 )
 
 // replayedDays is how many days of each kind the test plays.
@@ -19,12 +20,12 @@
 }
 
 // took counts what happened under a name.
-func took(what string, least int) aim {
-	return aim{what, func(sim *Simulation) int { return sim.eventCounts[what] }, least}
+func took(name eventName, least int) aim {
+	return aim{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
 }
 
 var (
-	leaderChange = took("new term", 2*replayedDays) // the first and one more each day
+	leaderChange = took(newTermEvent, 2*replayedDays) // the first and one more each day
 	gangRan      = aim{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
 	moveRecorded = aim{"move on record", func(sim *Simulation) int { return sim.Moves }, 1}
 	lostOneWay   = aim{"message lost one way", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
@@ -44,24 +45,24 @@
 var replayAims = map[string][]aim{
 	"faults":   {leaderChange},
 	"meetings": {leaderChange},
-	"gangs": {gangRan, took("new term", 1), took("spot notice", 1),
+	"gangs": {gangRan, took(newTermEvent, 1), took(reclaimNoticeEvent, 1),
 		{"gang stopped in order", func(sim *Simulation) int { return sim.GangStops }, 1}},
-	"links":    {took("rows sent", 100), lostOneWay, leaderChange},
-	"handover": {took("handover announced", 1), lostOneWay},
-	"moves": {moveRecorded, took("ended: arrived", 1), took("trouble in a move", replayedDays),
-		took("rows sent", 100), leaderChange},
+	"links":    {took(rowsSentEvent, 100), lostOneWay, leaderChange},
+	"handover": {took(handoverAnnouncedEvent, 1), lostOneWay},
+	"moves": {moveRecorded, took(moveEndEvent(migration.Arrived.String()), 1), took(moveFaultInjectedEvent, replayedDays),
+		took(rowsSentEvent, 100), leaderChange},
 	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int { return sim.slowMachineCount }, replayedDays}},
-	"upgrade":      {took("old node", 3*replayedDays-1), upgraded, gangRan, leaderChange},
-	"fleet":        {took("machine of the fleet", 900), took("outage", replayedDays), leaderChange},
-	"outage": {took("outage", replayedDays), took("slow state", 20), took("limits lower than announced", 1),
+	"upgrade":      {took(legacyNodeEvent, 3*replayedDays-1), upgraded, gangRan, leaderChange},
+	"fleet":        {took(fleetMachineEvent, 900), took(storeOutageEvent, replayedDays), leaderChange},
+	"outage": {took(storeOutageEvent, replayedDays), took(storeSlowEvent, 20), took(limitsBelowAnnouncedEvent, 1),
 		{"transaction too large", func(sim *Simulation) int { return sim.OversizedTransactions }, 1}, leaderChange},
-	"failover": {took("leader killed", 5*replayedDays), took("all end", 1), took("new term", 8*replayedDays)},
-	"partitions": {took("partition", 4*replayedDays), took("close look", 50),
-		took("machine up late", 1), leaderChange},
-	"flood":    {took("hot team", 1), leaderChange},
-	"mistakes": {took("failed try", 10), leaderChange},
-	"guests":   {took("guest", 70*replayedDays), leaderChange},
-	"crowd":    {took("slow link", 50)},
+	"failover": {took(leaderCrashedEvent, 5*replayedDays), took(allNodesCrashedEvent, 1), took(newTermEvent, 8*replayedDays)},
+	"partitions": {took(partitionedEvent, 4*replayedDays), took(nodesProbedEvent, 50),
+		took(bootSlowEvent, 1), leaderChange},
+	"flood":    {took(onlyHotTeamEvent, 1), leaderChange},
+	"mistakes": {took(attemptFailedEvent, 10), leaderChange},
+	"guests":   {took(borrowerJobEvent, 70*replayedDays), leaderChange},
+	"crowd":    {took(linkSlowEvent, 50)},
 }
 
 // TestReplayScenarios: a day of each kind comes to what it is for and breaks no rule; played
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -26,7 +26,7 @@
 		}
 		for _, t := range sim.settings.Teams {
 			if used[t.Name] > t.CPUsMax-2.5 {
-				sim.countEvent("team at its limit")
+				sim.countEvent(teamAtLimitEvent)
 			}
 		}
 	})
@@ -37,15 +37,15 @@
 func (sim *Simulation) crashLeader(restartAfter time.Duration) {
 	l := sim.leader()
 	if l == nil {
-		sim.countEvent("nobody to depose")
+		sim.countEvent(noLeaderToCrashEvent)
 		return
 	}
 	term := l.controller.Election().Term()
 	l.crash(restartAfter)
 	sim.waitUntil(func() bool { n := sim.leader(); return n != nil && n.controller.Election().Term() > term }, func() {
-		sim.countEvent("new term")
+		sim.countEvent(newTermEvent)
 		if sim.leader() != l {
-			sim.countEvent("another leads")
+			sim.countEvent(leaderReplacedEvent)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 // onNextLeader calls f when another node than old leads.
 func (sim *Simulation) onNextLeader(old *node, f func(n *node)) {
 	sim.waitUntil(func() bool { n := sim.leader(); return n != nil && n != old }, func() {
-		sim.countEvent("another leads")
+		sim.countEvent(leaderReplacedEvent)
 		f(sim.leader())
 	})
 }
@@ -104,7 +104,7 @@
 		sim.cancelWhenAccepted(j, at)
 		sim.schedule(250*time.Millisecond, func() {
 			if j.cancelConfirmedAt > 0 {
-				sim.countEvent("confirmed by another")
+				sim.countEvent(cancellationConfirmedEvent)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 					sim.logf("state service down for %v", long)
 					for _, j := range list {
 						if j.cancelConfirmedAt > 0 {
-							sim.countEvent("outage after a confirmation")
+							sim.countEvent(outageAfterConfirmationEvent)
 							sim.redirectHeartbeats(j, old)
 						}
 					}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -66,7 +66,7 @@
 		inboundBlockedUntil: map[string]ident.MonotonicTime{},
 		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
 			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
-		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[string]int{}}}
+		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[eventName]int{}}}
 	sim.settings = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -32,7 +32,7 @@
 				case slow == nil || m.From != slow.id:
 					sim.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
 				case m.Reason == "arrived":
-					sim.countEvent("left the slow machine")
+					sim.countEvent(slowMachineEvacuatedEvent)
 				}
 				return false
 			})
@@ -49,7 +49,7 @@
 			t.Errorf("seed %d: no machine is slow", seed)
 			continue
 		}
-		if sim.eventCounts["left the slow machine"] > 0 {
+		if sim.eventCounts[slowMachineEvacuatedEvent] > 0 {
 			left++
 			if !slow.dead {
 				t.Errorf("seed %d: the slow machine is still there", seed)
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -35,13 +35,13 @@
 					k := leaderLinks(l.name, others)[i]
 					period := time.Duration(1+(i+int(seed)*2)%5) * time.Second
 					sim.flapLink(k[0], k[1], period*6/10, period, 120*time.Second)
-					sim.countEvent("flap")
+					sim.countEvent(linkFlappingEvent)
 				})
 				sim.Run()
 				if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
 					t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
 				}
-				if sim.eventCounts["flap"] == 0 || sim.blockedOneWay == 0 {
+				if sim.eventCounts[linkFlappingEvent] == 0 || sim.blockedOneWay == 0 {
 					t.Errorf("the link did not flap: %v, %d messages lost", sim.eventCounts, sim.blockedOneWay)
 				}
 			})
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -64,7 +64,7 @@
 				if led < 80 {
 					t.Errorf("seed %d: somebody led at %d of 124 moments", seed, led)
 				}
-				if sim.eventCounts["close look"] < 200 {
+				if sim.eventCounts[nodesProbedEvent] < 200 {
 					t.Errorf("seed %d: users did not look closely: %v", seed, sim.eventCounts)
 				}
 			}
@@ -121,7 +121,7 @@
 		})
 		sim.Run()
 		requireClean(t, seed, sim)
-		if sim.eventCounts["machine never up"]+sim.eventCounts["machine up late"] < 2 {
+		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
 			t.Errorf("seed %d: all machines came up: %v", seed, sim.eventCounts)
 		}
 		for _, j := range list {
--- a/internal/simulator/user_faults.go
+++ b/internal/simulator/user_faults.go
@@ -44,7 +44,7 @@
 				w.hangFor(hang)
 			}
 		}
-		sim.countEvent("cancelled while it ran")
+		sim.countEvent(cancelledWhileRunningEvent)
 		sim.schedule(time.Duration(sim.rng.IntN(200))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 	}
 }
@@ -59,7 +59,7 @@
 	if j.spec.Shape == api.Service || !sim.faultHits(sim.cancelAtCompletion) {
 		return
 	}
-	sim.countEvent("called off at the end")
+	sim.countEvent(cancelledAtCompletionEvent)
 	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() {
 		sim.cancelWhenAccepted(j, nil)
 		sim.probeAllNodes(j)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -200,7 +200,7 @@
 
 func (w *worker) handleCommands(c api.CommandRequest, reply func(any)) {
 	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
-		w.sim.countEvent("command to a mute machine")
+		w.sim.countEvent(commandWhileOutboundBlockedEvent)
 	}
 	if c.Incarnation != w.incarnation || !w.acceptToken(c.FencingToken) {
 		reply(workers.CommandResult{Status: 409, Heartbeat: w.buildHeartbeat()})
