--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -22,7 +22,7 @@
 	if v == transport.SubmitJob && sim.mutates(DropZoneConstraint) {
 		body = dropZoneConstraint(body)
 	}
-	sim.call(from, n.name, timeout, func(reply func(any)) {
+	call(sim, from, n.name, timeout, func(reply func(*controller.Response)) {
 		n.whenResponsive(incarnation, func() {
 			if c := n.cache[key]; v == transport.GetJob && sim.mutates(CacheStatusAnswers) && c.body != nil &&
 				sim.now.Sub(c.at) < cacheTTL {
@@ -48,13 +48,7 @@
 				})()
 			})
 		})
-	}, func(a any) {
-		if a == nil {
-			done(nil)
-		} else {
-			done(a.(*controller.Response))
-		}
-	})
+	}, func(a *controller.Response, _ bool) { done(a) })
 }
 
 // randomNode returns a node that accepts connections, if there is one.
@@ -77,7 +71,7 @@
 func (sim *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.submitted = true
 	asked := sim.now
-	sim.request("users", n, transport.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
+	sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, sim.now
@@ -114,7 +108,7 @@
 	})
 	if sim.rng.IntN(20) == 0 {
 		id := fmt.Sprintf("j-9%05d", sim.rng.IntN(1000))
-		sim.request("users", sim.randomNode(), transport.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
+		sim.request(usersParty, sim.randomNode(), transport.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
 			if r != nil && r.Status == 200 {
 				sim.reportViolation("invented: %s got 200", id)
 			}
@@ -127,7 +121,7 @@
 
 func (sim *Simulation) queryStatus(j *userJob, n *node, then func()) {
 	asked := sim.now
-	sim.request("users", n, transport.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
+	sim.request(usersParty, n, transport.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
 		if r != nil {
 			if r.Status == 404 {
 				sim.reportViolation("forgotten: %s got 404", j.spec.ID)
@@ -150,7 +144,7 @@
 	if n == nil {
 		n = sim.randomNode()
 	}
-	sim.request("users", n, transport.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
+	sim.request(usersParty, n, transport.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
 		if r != nil && r.Status == 200 {
 			sim.checkAnswer(j, r, asked)
 			return
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -43,7 +43,7 @@
 	return max(small, p.sim.cfg.FleetSize/(2*len(p.sim.settings.Zones)))
 }
 
-func (p *provider) serve(r cloud.Request, reply func(any)) {
+func (p *provider) serve(r cloud.Request, reply func(cloud.Response)) {
 	sim := p.sim
 	if sim.now < p.downUntil {
 		reply(cloud.Response{Outcome: cloud.Unavailable})
@@ -101,7 +101,7 @@
 
 func (p *provider) provision(r cloud.Request) ident.MachineID {
 	sim := p.sim
-	m := &machine{id: ident.MachineID(fmt.Sprintf("host-%06d", len(p.machines)+1)), zone: r.Zone, spot: r.Spot, createdAt: sim.now,
+	m := &machine{id: ident.MachineID(fmt.Sprintf(machinePrefix+"%06d", len(p.machines)+1)), zone: r.Zone, spot: r.Spot, createdAt: sim.now,
 		neverBoots: sim.rng.IntN(40) == 0}
 	p.machines = append(p.machines, m)
 	boot := time.Duration(3000+sim.rng.IntN(6000)) * time.Millisecond
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -53,7 +53,7 @@
 					}
 					for _, w := range sim.workersOf(j) {
 						if sim.cfg.Seed%2 == 0 {
-							sim.disconnect(string(w.id), "*", false, 14*time.Second)
+							sim.disconnect(string(w.id), anyParty, false, 14*time.Second)
 						} else {
 							w.hangFor(14 * time.Second)
 						}
@@ -198,7 +198,7 @@
 				sim.scheduleAt(s-0.2, func() {
 					for i, w := range sim.sortedWorkers() {
 						if i%2 == 0 && len(w.tasks) > 0 {
-							sim.disconnect(string(w.id), "*", false, 6*time.Second)
+							sim.disconnect(string(w.id), anyParty, false, 6*time.Second)
 						}
 					}
 				})
@@ -344,7 +344,7 @@
 					switch i % 3 {
 					case 0:
 						sim.countEvent(machineDisconnectedEvent)
-						sim.disconnect(string(w.id), "*", sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
+						sim.disconnect(string(w.id), anyParty, sim.cfg.Seed%2 == 0, time.Duration(8+sim.rng.IntN(20))*time.Second)
 					case 1:
 						sim.countEvent(machineInboundBlockedEvent)
 						sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(time.Duration(8+sim.rng.IntN(20)) * time.Second)
@@ -412,7 +412,7 @@
 			sim.scheduleAt(51, func() {
 				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						sim.disconnect(string(w.id), "*", false, 8*time.Second)
+						sim.disconnect(string(w.id), anyParty, false, 8*time.Second)
 					}
 				}
 			})
@@ -522,7 +522,7 @@
 			sim.scheduleAt(56, func() {
 				for i, w := range sim.sortedWorkers() {
 					if i%2 == 0 {
-						sim.disconnect(string(w.id), "*", true, 9*time.Second)
+						sim.disconnect(string(w.id), anyParty, true, 9*time.Second)
 						sim.countEvent(heartbeatsHeldEvent)
 					}
 				}
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -15,8 +15,10 @@
 }
 
 var partitions = []partition{
-	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "*", hold, d) }},
-	{"the state service", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, "state", hold, d) }},
+	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, anyParty, hold, d) }},
+	{"the state service", func(sim *Simulation, n *node, hold bool, d time.Duration) {
+		sim.disconnect(n.name, storeParty, hold, d)
+	}},
 	{"the workers", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, machines, hold, d) }},
 	{"the state service's consent", func(sim *Simulation, n *node, _ bool, d time.Duration) {
 		sim.store.rejectUntil[n.name] = sim.now.Add(d)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -39,8 +39,8 @@
 
 // The parties of a run that have no name of their own.
 const (
-	stateParty = "state service"
-	cloudParty = "cloud"
+	storeLabel = "state service"
+	cloudLabel = "cloud"
 )
 
 var stateLabels = map[kvstore.Op]string{
@@ -67,7 +67,7 @@
 	if d == nil {
 		return
 	}
-	d.begin(stateRecord, now, from, stateParty)
+	d.begin(stateRecord, now, from, storeLabel)
 	d.text("operation", stateLabels[r.Op])
 	d.text("key", r.Key)
 	d.text("prefix", r.Prefix)
@@ -97,7 +97,7 @@
 	if d == nil {
 		return
 	}
-	d.begin(cloudRecord, now, from, cloudParty)
+	d.begin(cloudRecord, now, from, cloudLabel)
 	d.text("operation", cloudLabels[r.Op])
 	d.text("request", r.RequestID)
 	d.text("model", r.Model)
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -23,7 +23,7 @@
 		Tasks:    1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	send := func(body []byte, what string, ok func(status int) bool) {
 		sim.countEvent(edgeCaseRequestEvent)
-		sim.request("users", n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
+		sim.request(usersParty, n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
 			if r != nil && !ok(r.Status) {
 				sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
 			}
@@ -49,7 +49,7 @@
 		for _, id := range sim.jobOrder {
 			if j := sim.jobs[id]; j.lastStatus == "done" && sim.rng.IntN(3) == 0 {
 				sim.countEvent(doneJobCancelledEvent)
-				sim.request("users", n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
+				sim.request(usersParty, n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
 					var v api.JobView
 					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
 						sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
@@ -65,7 +65,7 @@
 				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
 				asked := sim.now
 				sim.countEvent(submissionChangedEvent)
-				sim.request("users", n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
+				sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
 					switch {
 					case r == nil || r.Status == 503:
 					case r.Status == 200 || r.Status == 201:
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -6,145 +6,264 @@
 	"opaldale/internal/ident"
 )
 
-// injectFault lets something go wrong, again and again until the calm.
+// faultKind is a kind of random fault. The numbers are drawn at random and decide what a seed does: they must not change.
+type faultKind int
+
+// The kinds of random faults. Kinds with two numbers are drawn twice as often as the others.
+const (
+	nodeCrash              faultKind = 0 // and 1
+	allNodesCrash          faultKind = 2
+	storeOutage            faultKind = 3
+	storeLinkLoss          faultKind = 4
+	nodePartition          faultKind = 5
+	peerLinksLoss          faultKind = 6
+	machineLinksLoss       faultKind = 7
+	workerPartition        faultKind = 8 // and 9
+	workerHang             faultKind = 10
+	spotReclaim            faultKind = 11
+	storeRejection         faultKind = 12
+	cloudOutage            faultKind = 13
+	workerInboundLoss      faultKind = 14
+	nodeIsolation          faultKind = 15 // and 16
+	workerRestart          faultKind = 17
+	zonePartition          faultKind = 18
+	nodePause              faultKind = 19
+	delayedWriteWindow     faultKind = 20
+	droppedReplyWindow     faultKind = 21
+	delayedHeartbeatWindow faultKind = 22
+	heldHeartbeatWindow    faultKind = 23
+	slowStoreWindow        faultKind = 24
+	slowLinkWindow         faultKind = 25
+	delayedCommandWindow   faultKind = 26
+	fastBootWindow         faultKind = 27
+	completionCancelling   faultKind = 28
+	answerProbing          faultKind = 29
+	workerOutboundLoss     faultKind = 30
+	runningJobsCancelled   faultKind = 31
+	edgeCaseRequests       faultKind = 32
+	leaderRejectionOutage  faultKind = 33
+	eventPauseWindow       faultKind = 34
+
+	// singleFaultKinds is how many kinds are drawn from, and concurrentFaultKinds how many with Config.ConcurrentFaults.
+	singleFaultKinds     = 20
+	concurrentFaultKinds = 35
+)
+
+// The longest times between two random faults beyond a second, in milliseconds.
+const (
+	faultPauseMS           = 14_000
+	concurrentFaultPauseMS = 7_000 // two or three faults overlap
+)
+
+// faultTarget is what a random fault hits. It is drawn before the kind of the fault.
+type faultTarget struct {
+	node         *node // the leader more often than the others
+	hold         bool  // messages on a broken link are delivered when it heals, not dropped
+	restartAfter time.Duration
+	worker       *worker // nil: no machine is up
+}
+
+// faultInjectors has a function for each kind of fault.
+var faultInjectors = [concurrentFaultKinds]func(sim *Simulation, t faultTarget){
+	nodeCrash:              crashNode,
+	nodeCrash + 1:          crashNode,
+	allNodesCrash:          crashAllNodes,
+	storeOutage:            stopStore,
+	storeLinkLoss:          disconnectNodeFromStore,
+	nodePartition:          disconnectNode,
+	peerLinksLoss:          disconnectPeers,
+	machineLinksLoss:       disconnectMachines,
+	workerPartition:        disconnectWorker,
+	workerPartition + 1:    disconnectWorker,
+	workerHang:             hangWorker,
+	spotReclaim:            func(sim *Simulation, _ faultTarget) { sim.cloud.reclaimSpot(0.5) },
+	storeRejection:         rejectNodeAtStore,
+	cloudOutage:            stopCloud,
+	workerInboundLoss:      blockInboundOfWorker,
+	nodeIsolation:          isolateNode,
+	nodeIsolation + 1:      isolateNode,
+	workerRestart:          restartWorker,
+	zonePartition:          partitionRandomZone,
+	nodePause:              func(sim *Simulation, t faultTarget) { t.node.pauseFor(sim.randomSeconds(3, 45)) },
+	delayedWriteWindow:     func(sim *Simulation, _ faultTarget) { sim.delayedWrites = sim.randomWindow(0.4) },
+	droppedReplyWindow:     func(sim *Simulation, _ faultTarget) { sim.droppedReplies = sim.randomWindow(0.5) },
+	delayedHeartbeatWindow: func(sim *Simulation, _ faultTarget) { sim.delayedHeartbeats = sim.randomWindow(0.3) },
+	heldHeartbeatWindow:    holdHeartbeats,
+	slowStoreWindow:        func(sim *Simulation, _ faultTarget) { sim.slowStore = sim.randomWindow(0.8) },
+	slowLinkWindow:         func(sim *Simulation, _ faultTarget) { sim.slowLinks = sim.randomWindow(0.7) },
+	delayedCommandWindow:   func(sim *Simulation, _ faultTarget) { sim.delayedCommands = sim.randomWindow(0.4) },
+	fastBootWindow:         func(sim *Simulation, _ faultTarget) { sim.fastBoots = sim.randomWindow(1) },
+	completionCancelling:   func(sim *Simulation, _ faultTarget) { sim.cancelAtCompletion = sim.randomWindow(0.7) },
+	answerProbing:          func(sim *Simulation, _ faultTarget) { sim.probeAfterAnswer = sim.randomWindow(1) },
+	workerOutboundLoss:     blockOutboundOfWorker,
+	runningJobsCancelled:   cancelRandomJobs,
+	edgeCaseRequests:       sendEdgeCasesForAWhile,
+	leaderRejectionOutage:  rejectLeaderThenStopStore,
+	eventPauseWindow:       func(sim *Simulation, t faultTarget) { t.node.eventPause.window = sim.randomWindow(0.01) },
+}
+
+// injectFault injects a random fault, again and again until the active part of the run is over.
 func (sim *Simulation) injectFault() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
 	}
-	sec := func(a, b int) time.Duration { return time.Duration(a+sim.rng.IntN(b-a)) * time.Second }
-	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
-	for _, o := range sim.nodes {
-		if o.alive && o.controller.Election().LeaseValid() && sim.rng.IntN(2) == 0 {
-			n = o
+	target := sim.drawFaultTarget()
+	if sim.cfg.LinkMonitoring && sim.rng.IntN(3) == 0 {
+		sim.injectOneWayFault(target.node)
+		sim.scheduleFault(faultPauseMS)
+		return
+	}
+	if sim.cfg.ConcurrentFaults {
+		faultInjectors[sim.rng.IntN(concurrentFaultKinds)](sim, target)
+		sim.scheduleFault(concurrentFaultPauseMS)
+		return
+	}
+	faultInjectors[sim.rng.IntN(singleFaultKinds)](sim, target)
+	sim.scheduleFault(faultPauseMS)
+}
+
+// scheduleFault schedules the next random fault.
+func (sim *Simulation) scheduleFault(maxPauseMS int) {
+	sim.schedule(time.Duration(1000+sim.rng.IntN(maxPauseMS))*time.Millisecond, sim.injectFault)
+}
+
+// drawFaultTarget draws what the next fault hits. The order of the draws decides what a seed does.
+func (sim *Simulation) drawFaultTarget() faultTarget {
+	t := faultTarget{node: sim.nodes[sim.rng.IntN(len(sim.nodes))]}
+	for _, n := range sim.nodes {
+		if n.alive && n.controller.Election().LeaseValid() && sim.rng.IntN(2) == 0 {
+			t.node = n
 		}
 	}
-	hold := sim.rng.IntN(2) == 0
-	restartAfter := sec(2, 8)
+	t.hold = sim.rng.IntN(2) == 0
+	t.restartAfter = sim.randomSeconds(2, 8)
 	if sim.rng.IntN(3) == 0 {
-		restartAfter = 200 * time.Millisecond
+		t.restartAfter = 200 * time.Millisecond
 	}
-	w := sim.anyWorker()
-	kinds := 20
-	if sim.cfg.ConcurrentFaults {
-		kinds = 35
+	t.worker = sim.anyWorker()
+	return t
+}
+
+// randomSeconds draws a whole number of seconds of at least atLeast and less than below.
+func (sim *Simulation) randomSeconds(atLeast, below int) time.Duration {
+	return time.Duration(atLeast+sim.rng.IntN(below-atLeast)) * time.Second
+}
+
+// randomWindow draws a window from now on in which a fault occurs with a probability.
+func (sim *Simulation) randomWindow(probability float64) faultWindow {
+	return faultWindow{probability, sim.now.Add(sim.randomSeconds(5, 30))}
+}
+
+func crashNode(_ *Simulation, t faultTarget) { t.node.crash(t.restartAfter) }
+
+func crashAllNodes(sim *Simulation, t faultTarget) {
+	for _, n := range sim.nodes {
+		n.crash(t.restartAfter)
 	}
-	if sim.cfg.LinkMonitoring && sim.rng.IntN(3) == 0 {
-		sim.injectOneWayFault(n)
-		sim.schedule(time.Duration(1000+sim.rng.IntN(14_000))*time.Millisecond, sim.injectFault)
-		return
+}
+
+func stopStore(sim *Simulation, _ faultTarget) {
+	sim.logf("key-value store down")
+	sim.store.downUntil = sim.now.Add(sim.randomSeconds(3, 30))
+}
+
+func stopCloud(sim *Simulation, _ faultTarget) {
+	sim.logf("cloud down")
+	sim.cloud.downUntil = sim.now.Add(sim.randomSeconds(3, 20))
+}
+
+func rejectNodeAtStore(sim *Simulation, t faultTarget) {
+	sim.logf("key-value store rejects %s", t.node.name)
+	sim.store.rejectUntil[t.node.name] = sim.now.Add(sim.randomSeconds(3, 20))
+}
+
+func disconnectNodeFromStore(sim *Simulation, t faultTarget) {
+	sim.disconnect(t.node.name, storeParty, t.hold, sim.randomSeconds(2, 20))
+}
+
+func disconnectNode(sim *Simulation, t faultTarget) {
+	sim.disconnect(t.node.name, anyParty, t.hold, sim.randomSeconds(3, 30))
+}
+
+func disconnectPeers(sim *Simulation, t faultTarget) {
+	sim.forEachPeer(t.node, func(n *node) {
+		sim.disconnect(t.node.name, n.name, t.hold, sim.randomSeconds(3, 20))
+	})
+}
+
+func disconnectMachines(sim *Simulation, t faultTarget) {
+	sim.disconnect(t.node.name, machines, t.hold, sim.randomSeconds(5, 45))
+}
+
+// isolateNode leaves a node in reach of workers and users only.
+func isolateNode(sim *Simulation, t faultTarget) {
+	sim.isolate(t.node, t.hold, sim.randomSeconds(3, 40))
+}
+
+func partitionRandomZone(sim *Simulation, t faultTarget) {
+	sim.partitionZone(sim.settings.Zones[sim.rng.IntN(2)], t.hold, sim.randomSeconds(5, 60))
+}
+
+func disconnectWorker(sim *Simulation, t faultTarget) {
+	if t.worker != nil {
+		sim.disconnect(string(t.worker.id), anyParty, t.hold, sim.randomSeconds(3, 50))
 	}
-	switch kind := sim.rng.IntN(kinds); kind {
-	case 0, 1:
-		n.crash(restartAfter)
-	case 2:
-		for _, o := range sim.nodes {
-			o.crash(restartAfter)
-		}
-	case 3:
-		sim.logf("state service down")
-		sim.store.downUntil = sim.now.Add(sec(3, 30))
-	case 4:
-		sim.disconnect(n.name, "state", hold, sec(2, 20))
-	case 5:
-		sim.disconnect(n.name, "*", hold, sec(3, 30))
-	case 6:
-		for _, o := range sim.nodes {
-			if o != n {
-				sim.disconnect(n.name, o.name, hold, sec(3, 20))
-			}
-		}
-	case 7:
-		sim.disconnect(n.name, machines, hold, sec(5, 45))
-	case 8, 9:
-		if w != nil {
-			sim.disconnect(string(w.id), "*", hold, sec(3, 50))
-		}
-	case 10:
-		if w != nil {
-			w.hangFor(sec(3, 40))
-		}
-	case 11:
-		sim.cloud.reclaimSpot(0.5)
-	case 12:
-		sim.logf("state service refuses %s", n.name)
-		sim.store.rejectUntil[n.name] = sim.now.Add(sec(3, 20))
-	case 13:
-		sim.logf("cloud trouble")
-		sim.cloud.downUntil = sim.now.Add(sec(3, 20))
-	case 14:
-		if w != nil {
-			sim.logf("nothing reaches %s", w.id)
-			sim.inboundBlockedUntil[string(w.id)] = sim.now.Add(sec(3, 50))
-		}
-	case 15, 16:
-		// Its workers still reach it.
-		sim.isolate(n, hold, sec(3, 40))
-	case 17:
-		if w != nil {
-			w.restart()
-		}
-	case 19:
-		n.pauseFor(sec(3, 45))
-	case 18:
-		sim.partitionZone(sim.settings.Zones[sim.rng.IntN(2)], hold, sec(5, 60))
-	default:
-		sim.injectConcurrentFault(kind, n, w)
+}
+
+func hangWorker(sim *Simulation, t faultTarget) {
+	if t.worker != nil {
+		t.worker.hangFor(sim.randomSeconds(3, 40))
 	}
-	pause := 14000
-	if sim.cfg.ConcurrentFaults {
-		pause = 7000 // two or three at once
+}
+
+func restartWorker(_ *Simulation, t faultTarget) {
+	if t.worker != nil {
+		t.worker.restart()
 	}
-	sim.schedule(time.Duration(1000+sim.rng.IntN(pause))*time.Millisecond, sim.injectFault)
-}
-
-// injectConcurrentFault lets one of the operators' further troubles happen, which may meet others.
-func (sim *Simulation) injectConcurrentFault(kind int, n *node, w *worker) {
-	sec := func(a, b int) time.Duration { return time.Duration(a+sim.rng.IntN(b-a)) * time.Second }
-	window := func(share float64) faultWindow { return faultWindow{share, sim.now.Add(sec(5, 30))} }
-	switch kind {
-	case 20:
-		sim.delayedWrites = window(0.4)
-	case 21:
-		sim.droppedReplies = window(0.5)
-	case 22:
-		sim.delayedHeartbeats = window(0.3)
-	case 23:
-		sim.holdHeartbeatsForNextLeader(0.3, sec(5, 30))
-	case 24:
-		sim.slowStore = window(0.8)
-	case 25:
-		sim.slowLinks = window(0.7)
-	case 26:
-		sim.delayedCommands = window(0.4)
-	case 27:
-		sim.fastBoots = window(1)
-	case 28:
-		sim.cancelAtCompletion = window(0.7)
-	case 29:
-		sim.probeAfterAnswer = window(1)
-	case 30:
-		if w != nil {
-			sim.blockOutbound(w, sec(3, 40))
-		}
-	case 31:
-		sim.cancelRunning(1+sim.rng.IntN(3), time.Duration(sim.rng.IntN(2))*sec(2, 19))
-	case 32:
-		sim.sendEdgeCaseRequests(sim.now.Add(10 * time.Second))
-	case 34:
-		n.eventPause.window = window(0.01)
-	case 33:
-		// The leader alone is refused, then everybody for longer than cancel_s.
-		if l := sim.leader(); l != nil {
-			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
-			sim.schedule(sec(1, 5), func() { sim.store.downUntil = sim.now.Add(seconds(sim.settings.Workers.CancelS) + sec(1, 12)) })
-		}
+}
+
+func blockInboundOfWorker(sim *Simulation, t faultTarget) {
+	if t.worker != nil {
+		sim.logf("nothing reaches %s", t.worker.id)
+		sim.inboundBlockedUntil[string(t.worker.id)] = sim.now.Add(sim.randomSeconds(3, 50))
+	}
+}
+
+func blockOutboundOfWorker(sim *Simulation, t faultTarget) {
+	if t.worker != nil {
+		sim.blockOutbound(t.worker, sim.randomSeconds(3, 40))
+	}
+}
+
+func holdHeartbeats(sim *Simulation, _ faultTarget) {
+	sim.holdHeartbeatsForNextLeader(0.3, sim.randomSeconds(5, 30))
+}
+
+func cancelRandomJobs(sim *Simulation, _ faultTarget) {
+	sim.cancelRunning(1+sim.rng.IntN(3), time.Duration(sim.rng.IntN(2))*sim.randomSeconds(2, 19))
+}
+
+func sendEdgeCasesForAWhile(sim *Simulation, _ faultTarget) {
+	sim.sendEdgeCaseRequests(sim.now.Add(10 * time.Second))
+}
+
+// rejectLeaderThenStopStore has the store reject the leader alone, and then everybody for longer than a cancellation may
+// take.
+func rejectLeaderThenStopStore(sim *Simulation, _ faultTarget) {
+	l := sim.leader()
+	if l == nil {
+		return
 	}
+	sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
+	sim.schedule(sim.randomSeconds(1, 5), func() {
+		sim.store.downUntil = sim.now.Add(seconds(sim.settings.Workers.CancelS) + sim.randomSeconds(1, 12))
+	})
 }
 
-// injectOneWayFault breaks one direction of a node's links, for a while or again and again.
+// injectOneWayFault breaks one direction of one of a node's links, either for a while or repeatedly.
 func (sim *Simulation) injectOneWayFault(n *node) {
 	o := sim.nodes[sim.rng.IntN(len(sim.nodes))]
-	ends := []string{"state", "cloud", machines}
+	ends := []string{storeParty, cloudParty, machines}
 	if o != n {
 		ends = append(ends, o.name)
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"strings"
 	"time"
 
 	"opaldale/internal/ident"
@@ -48,30 +47,30 @@
 
 // extraLatency is what the spells add to a message's time.
 func (sim *Simulation) extraLatency(from, to string) time.Duration {
-	node := func(s string) bool { return strings.HasPrefix(s, "agent-") }
 	switch {
-	case node(from) && node(to) && sim.faultHits(sim.slowLinks):
+	case isNode(from) && isNode(to) && sim.faultHits(sim.slowLinks):
 		sim.countEvent(linkSlowEvent)
 		return time.Duration(100+sim.rng.IntN(400)) * time.Millisecond
-	case (from == "state" || to == "state") && sim.faultHits(sim.slowStore):
+	case (from == storeParty || to == storeParty) && sim.faultHits(sim.slowStore):
 		sim.countEvent(storeSlowEvent)
 		return time.Duration(50+sim.rng.IntN(450)) * time.Millisecond
 	}
 	return 0
 }
 
-// commandDelay is for how long a command to a machine, or its answer, is held up.
-func (sim *Simulation) commandDelay() time.Duration {
+// delayCommand carries on with a command to a machine, or with its reply, after the delay that a fault adds.
+func (sim *Simulation) delayCommand(carryOn func()) {
 	if !sim.faultHits(sim.delayedCommands) {
-		return 0
+		carryOn()
+		return
 	}
 	sim.countEvent(commandDelayedEvent)
-	return time.Duration(500+sim.rng.IntN(5500)) * time.Millisecond
+	sim.schedule(time.Duration(500+sim.rng.IntN(5500))*time.Millisecond, carryOn)
 }
 
 // interceptTransaction has a transaction carried out late, or at once without an answer. It says
 // whether that is so.
-func (s *store) interceptTransaction(r kvstore.Request, reply func(any)) bool {
+func (s *store) interceptTransaction(r kvstore.Request) bool {
 	sim := s.sim
 	switch {
 	case sim.faultHits(sim.droppedReplies):
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -24,7 +24,7 @@
 		name: "answers of the cloud are lost",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
-				sim.disconnectOneWay("cloud", l.name, false, faultDuration)
+				sim.disconnectOneWay(cloudParty, l.name, false, faultDuration)
 				sim.recordLeaderAfter(l, 12*time.Second)
 			})
 		},
@@ -59,7 +59,7 @@
 		name: "answers of the state service are lost",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
-				sim.disconnectOneWay("state", l.name, false, faultDuration)
+				sim.disconnectOneWay(storeParty, l.name, false, faultDuration)
 				sim.recordLeaderAfter(l, 6*time.Second)
 			})
 		},
@@ -71,7 +71,7 @@
 			sim.withLeaderAt(faultAt, func(l *node) {
 				b := sim.nodeOtherThan(l)
 				sim.nodeOtherThan(l, b).crash(faultDuration)
-				sim.disconnectOneWay("state", l.name, false, faultDuration)
+				sim.disconnectOneWay(storeParty, l.name, false, faultDuration)
 				sim.disconnect(b.name, machines, false, faultDuration)
 				sim.recordLeaderAfter(l, 10*time.Second)
 				starts := 0
@@ -148,7 +148,7 @@
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, to ident.NodeID) {
 				sim.countEvent(successorDisconnectedEvent)
-				sim.disconnect(string(to), "state", true, 20*time.Second)
+				sim.disconnect(string(to), storeParty, true, 20*time.Second)
 				sim.recordLeaderAfter(from, 6*time.Second)
 			}
 			sim.withLeaderAt(faultAt, func(l *node) { sim.disconnectOneWay(l.name, machines, false, faultDuration) })
@@ -207,7 +207,7 @@
 			sim.staleRowDelay = 8 * time.Second
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, machines, false, faultDuration)
-				sim.forEachPeer(l, func(n *node) { sim.disconnectOneWay(n.name, "state", false, faultDuration) })
+				sim.forEachPeer(l, func(n *node) { sim.disconnectOneWay(n.name, storeParty, false, faultDuration) })
 				sim.recordLeaderAfter(l, 7*time.Second)
 			})
 		},
@@ -244,8 +244,8 @@
 				d := sim.nodeOtherThan(l, b, c)
 				b.crash(faultDuration)
 				c.crash(faultDuration)
-				sim.disconnect(d.name, "*", true, faultDuration)
-				sim.disconnectOneWay("cloud", l.name, false, faultDuration)
+				sim.disconnect(d.name, anyParty, true, faultDuration)
+				sim.disconnectOneWay(cloudParty, l.name, false, faultDuration)
 				sim.recordLeaderAfter(l, 15*time.Second)
 			})
 		},
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -70,7 +70,7 @@
 		sim.forEachPeer(l, func(n *node) { others = append(others, n.name) })
 		k := leaderLinks(l.name, others)[link]
 		period := time.Duration(1+(link+int(seed)*2)%5) * time.Second
-		sim.flapLink(k[0], k[1], period*7/10, period, 120*time.Second)
+		sim.flapLink(k.from, k.to, period*7/10, period, 120*time.Second)
 		sim.countLeaderChanges(leaderChangeEvent)
 	})
 	sim.Run()
@@ -157,7 +157,7 @@
 			sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
 			sim.submitContinuously()
 			sim.withLeaderAt(faultAt, func(l *node) {
-				sim.flapLink("state", l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
+				sim.flapLink(storeParty, l.name, 2400*time.Millisecond, 4*time.Second, 120*time.Second)
 				sim.recordLeaderAfter(l, 40*time.Second)
 			})
 			sim.Run()
@@ -206,9 +206,9 @@
 				sim.schedule(time.Duration(step)*500*time.Microsecond, func() {
 					sim.countEvent(linkBrokenInCommitEvent)
 					if way {
-						sim.disconnectOneWay(l.name, "state", step%2 == 0, 20*time.Second)
+						sim.disconnectOneWay(l.name, storeParty, step%2 == 0, 20*time.Second)
 					} else {
-						sim.disconnectOneWay("state", l.name, step%2 == 0, 20*time.Second)
+						sim.disconnectOneWay(storeParty, l.name, step%2 == 0, 20*time.Second)
 					}
 				})
 			})
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -115,7 +115,7 @@
 	{name: "leader cut from the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
-			sim.disconnect(l.name, "state", sim.cfg.Seed%2 == 0, 15*time.Second)
+			sim.disconnect(l.name, storeParty, sim.cfg.Seed%2 == 0, 15*time.Second)
 		}},
 	{name: "leader refused by the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
@@ -126,7 +126,7 @@
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.peerOf(l).crash(20 * time.Second)
-			sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 18*time.Second)
+			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 18*time.Second)
 		}},
 	{name: "lead handed over", links: true, expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
@@ -164,8 +164,8 @@
 	{name: "source and destination cut off, and the leader killed", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, to := sim.moveEndpoints(m)
-			sim.disconnect(string(from.id), "*", sim.cfg.Seed%2 == 0, 12*time.Second)
-			sim.disconnect(string(to.id), "*", sim.cfg.Seed%2 == 1, longerThanLease)
+			sim.disconnect(string(from.id), anyParty, sim.cfg.Seed%2 == 0, 12*time.Second)
+			sim.disconnect(string(to.id), anyParty, sim.cfg.Seed%2 == 1, longerThanLease)
 			sim.expectNewLeader(l)
 			l.crash(5 * time.Second)
 		}},
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -75,7 +75,7 @@
 	}
 	if len(set.Peers) == 0 {
 		for i := range n.sim.settings.Nodes {
-			if name := fmt.Sprintf("agent-%d", i); name != n.name {
+			if name := fmt.Sprintf(nodePrefix+"%d", i); name != n.name {
 				set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(name)})
 			}
 		}
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -57,14 +57,12 @@
 	sim.recordPlacement(e.node.name, r)
 	sim.recordTransaction(e.node, r)
 	send := func() {
-		sim.call(e.node.name, "state", r.Timeout, func(reply func(any)) { sim.store.serve(e.node.name, r, reply) }, func(a any) {
-			e.ifAlive(func() {
-				if a == nil {
-					f(kvstore.Response{Outcome: kvstore.NoAnswer})
-				} else {
-					f(a.(kvstore.Response))
-				}
-			})()
+		serve := func(reply func(kvstore.Response)) { sim.store.serve(e.node.name, r, reply) }
+		call(sim, e.node.name, storeParty, r.Timeout, serve, func(a kvstore.Response, ok bool) {
+			if !ok {
+				a = kvstore.Response{Outcome: kvstore.NoAnswer}
+			}
+			e.ifAlive(func() { f(a) })()
 		})
 	}
 	send = e.afterPause(send)
@@ -91,11 +89,12 @@
 			sim.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
 			return
 		}
-		sim.call(e.node.name, "cloud", 4*time.Second, func(reply func(any)) { sim.cloud.serve(r, reply) }, func(a any) {
-			if a == nil {
+		serve := func(reply func(cloud.Response)) { sim.cloud.serve(r, reply) }
+		call(sim, e.node.name, cloudParty, cloudTimeout, serve, func(a cloud.Response, ok bool) {
+			if !ok {
 				a = cloud.Response{Outcome: cloud.NoAnswer}
 			}
-			answer(a.(cloud.Response))
+			answer(a)
 		})
 	})()
 }
@@ -127,29 +126,16 @@
 	if sim.mutates(DropStopCommands) {
 		c.Body.Commands = withoutStops(c.Body.Commands)
 	}
-	sim.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
-		deliverCommand := func() {
+	handle := func(reply func(workers.CommandResult)) {
+		sim.delayCommand(func() {
 			target.whenResponsive(func() {
-				target.handleCommands(c.Body, func(a any) {
-					if d := sim.commandDelay(); d > 0 {
-						sim.schedule(d, func() { reply(a) })
-						return
-					}
-					reply(a)
+				target.handleCommands(c.Body, func(a workers.CommandResult) {
+					sim.delayCommand(func() { reply(a) })
 				})
 			})
-		}
-		if d := sim.commandDelay(); d > 0 {
-			sim.schedule(d, deliverCommand)
-			return
-		}
-		deliverCommand()
-	}, func(a any) {
-		if a == nil {
-			a = workers.CommandResult{}
-		}
-		answer(a.(workers.CommandResult))
-	})
+		})
+	}
+	call(sim, e.node.name, c.Addr, commandTimeout, handle, func(a workers.CommandResult, _ bool) { answer(a) })
 }
 
 func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
@@ -179,3 +165,9 @@
 		})()
 	}
 }
+
+const (
+	// cloudTimeout is how long a node waits for a reply of the cloud, and commandTimeout for one of a worker.
+	cloudTimeout   = 4 * time.Second
+	commandTimeout = 1200 * time.Millisecond
+)
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -320,9 +320,9 @@
 	hold := sim.rng.IntN(2) == 0
 	switch part {
 	case 0:
-		sim.disconnect(n.name, "*", hold, d)
+		sim.disconnect(n.name, anyParty, hold, d)
 	case 1:
-		sim.disconnect(n.name, "state", hold, d)
+		sim.disconnect(n.name, storeParty, hold, d)
 	case 2:
 		sim.disconnect(n.name, machines, hold, d)
 	case 3:
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -29,11 +29,11 @@
 	jobs                map[ident.JobID]*userJob
 	gangs               map[gangKey]*gangAttempt
 	jobOrder            []ident.JobID
-	partitions          map[[2]string]*networkPartition
-	directedPartitions  map[[2]string]*networkPartition // links broken in one direction, from the first to the second
-	sortedByID          []*worker                       // the workers by name, nil when they have changed
-	zonePartitions      map[string]*networkPartition    // zones cut off from everything outside
-	inboundBlockedUntil map[string]ident.MonotonicTime  // machines that nothing reaches until then
+	partitions          map[link]*networkPartition
+	directedPartitions  map[link]*networkPartition     // links broken in one direction, from the first to the second
+	sortedByID          []*worker                      // the workers by name, nil when they have changed
+	zonePartitions      map[string]*networkPartition   // zones cut off from everything outside
+	inboundBlockedUntil map[string]ident.MonotonicTime // machines that nothing reaches until then
 	lastJobNumber       int
 	activeFaults
 	linkMonitor
@@ -61,8 +61,8 @@
 // New makes a world of three controllers in two zones.
 func New(cfg Config) *Simulation {
 	sim := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{},
-		directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{},
+		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[link]*networkPartition{},
+		directedPartitions: map[link]*networkPartition{}, zonePartitions: map[string]*networkPartition{},
 		inboundBlockedUntil: map[string]ident.MonotonicTime{},
 		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
 			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
@@ -86,7 +86,7 @@
 	sim.store = newStore(sim)
 	sim.cloud = newProvider(sim)
 	for i := range sim.settings.Nodes {
-		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i),
+		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf(nodePrefix+"%d", i),
 			zone: sim.settings.Zones[i%2]}
 		sim.nodes = append(sim.nodes, n)
 	}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -37,7 +37,7 @@
 type watcher struct {
 	prefix        string
 	afterRevision uint64
-	reply         func(any)
+	reply         func(kvstore.Response)
 	done          bool
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *store) serve(from string, r kvstore.Request, reply func(any)) {
+func (s *store) serve(from string, r kvstore.Request, reply func(kvstore.Response)) {
 	if s.sim.now < s.downUntil || s.sim.now < s.rejectUntil[from] {
 		reply(kvstore.Response{Outcome: kvstore.Unavailable})
 		return
@@ -142,7 +142,7 @@
 			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
 		}
 	case kvstore.Txn:
-		if s.interceptTransaction(r, reply) {
+		if s.interceptTransaction(r) {
 			return
 		}
 		out = s.transact(r)
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -24,8 +24,8 @@
 
 // StudiedLinks are the links of a leader, in either direction.
 var StudiedLinks = []DirectedLink{
-	{Leader, "state"}, {"state", Leader},
-	{Leader, "cloud"}, {"cloud", Leader},
+	{Leader, storeParty}, {storeParty, Leader},
+	{Leader, cloudParty}, {cloudParty, Leader},
 	{Leader, machines}, {machines, Leader},
 	{Leader, Peer}, {Peer, Leader},
 }
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -7,11 +7,11 @@
 )
 
 // leaderLinks are the directed links of a leader.
-func leaderLinks(leader string, others []string) [][2]string {
-	links := [][2]string{{leader, "state"}, {"state", leader}, {leader, "cloud"}, {"cloud", leader},
+func leaderLinks(leader string, others []string) []link {
+	links := []link{{leader, storeParty}, {storeParty, leader}, {leader, cloudParty}, {cloudParty, leader},
 		{leader, machines}, {machines, leader}}
 	for _, o := range others {
-		links = append(links, [2]string{leader, o}, [2]string{o, leader})
+		links = append(links, link{leader, o}, link{o, leader})
 	}
 	return links
 }
@@ -34,7 +34,7 @@
 					sim.forEachPeer(l, func(n *node) { others = append(others, n.name) })
 					k := leaderLinks(l.name, others)[i]
 					period := time.Duration(1+(i+int(seed)*2)%5) * time.Second
-					sim.flapLink(k[0], k[1], period*6/10, period, 120*time.Second)
+					sim.flapLink(k.from, k.to, period*6/10, period, 120*time.Second)
 					sim.countEvent(linkFlappingEvent)
 				})
 				sim.Run()
@@ -59,7 +59,7 @@
 		var old *node
 		sim.scheduleAt(60, func() {
 			old = sim.leader()
-			sim.disconnectOneWay("state", old.name, false, 60*time.Second)
+			sim.disconnectOneWay(storeParty, old.name, false, 60*time.Second)
 		})
 		sim.scheduleAt(66, func() {
 			if n := sim.leader(); n == nil || n == old {
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -17,13 +17,13 @@
 	for name, inject := range map[string]func(sim *Simulation, l *node){
 		"the leader stands still": func(sim *Simulation, l *node) { l.pauseFor(70 * time.Second) },
 		"the leader loses the network": func(sim *Simulation, l *node) {
-			sim.disconnect(l.name, "*", sim.cfg.Seed%2 == 0, 70*time.Second)
+			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 70*time.Second)
 		},
 		"both followers stand still": func(sim *Simulation, l *node) {
 			sim.forEachPeer(l, func(n *node) { n.pauseFor(70 * time.Second) })
 		},
 		"a follower loses the network": func(sim *Simulation, l *node) {
-			sim.disconnect(sim.peerOf(l).name, "*", true, 70*time.Second)
+			sim.disconnect(sim.peerOf(l).name, anyParty, true, 70*time.Second)
 		},
 		"the leader and one more do": func(sim *Simulation, l *node) {
 			l.pauseFor(75 * time.Second)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -198,7 +198,7 @@
 	return true
 }
 
-func (w *worker) handleCommands(c api.CommandRequest, reply func(any)) {
+func (w *worker) handleCommands(c api.CommandRequest, reply func(workers.CommandResult)) {
 	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
 		w.sim.countEvent(commandWhileOutboundBlockedEvent)
 	}
