--- a/internal/simulator/arrivals.go
+++ b/internal/simulator/arrivals.go
@@ -112,7 +112,7 @@
 func (sim *Simulation) activeReplicas(team string) int {
 	n := 0
 	for _, j := range sim.jobs {
-		if j.spec.Team == team && j.spec.Shape == api.Service && j.lastStatus != "cancelled" {
+		if j.spec.Team == team && j.spec.Shape == api.Service && j.lastStatus != statusCancelled {
 			n += j.spec.Tasks
 		}
 	}
--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -84,7 +84,7 @@
 		sim.Run()
 		requireClean(t, seed, sim)
 		for _, j := range list {
-			if j.failures > 30 || j.failures < 4 || j.lastStatus != "cancelled" {
+			if j.failures > 30 || j.failures < 4 || j.lastStatus != statusCancelled {
 				t.Errorf("seed %d: %d tries of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
 			}
 		}
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"time"
 
 	"opaldale/internal/api"
@@ -11,7 +12,13 @@
 	"opaldale/internal/transport"
 )
 
-// sendEdgeCaseRequests has users send what is odd, but defined, until a time.
+// requestTimeout is how long users wait for the reply to a submission or a cancellation.
+const requestTimeout = 5 * time.Second
+
+// requiredFields are fields of a submission without which it is malformed.
+var requiredFields = []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}
+
+// sendEdgeCaseRequests has users send unusual requests, for which the protocol defines the reply, until a time.
 func (sim *Simulation) sendEdgeCaseRequests(until ident.MonotonicTime) {
 	if sim.now > until {
 		return
@@ -19,64 +26,96 @@
 	n := sim.randomNode()
 	sim.lastJobNumber++
 	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch,
-		Priority: api.Standard,
-		Tasks:    1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
-	send := func(body []byte, what string, ok func(status int) bool) {
-		sim.countEvent(edgeCaseRequestEvent)
-		sim.request(usersParty, n, transport.SubmitJob, "", body, 5*time.Second, func(r *controller.Response) {
-			if r != nil && !ok(r.Status) {
-				sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
-			}
-		})
-	}
-	rejected := func(status int) bool { return status == 422 || status == 503 }
+		Priority: api.Standard, Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	switch sim.rng.IntN(5) {
 	case 0:
 		s.VCPUs = 9
-		send(api.JSON(s), "a job that fits no machine", rejected)
+		sim.sendInvalidJob(n, api.JSON(s), "a job that fits no machine", isRejected)
 	case 1:
 		s.Team = "mauve"
-		send(api.JSON(s), "a job of an unknown team", rejected)
+		sim.sendInvalidJob(n, api.JSON(s), "a job of an unknown team", isRejected)
 	case 2:
-		var m map[string]any
-		if json.Unmarshal(api.JSON(s), &m) == nil {
-			f := []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}[sim.rng.IntN(6)]
-			delete(m, f)
-			body, _ := json.Marshal(m)
-			send(body, "a job without "+f, func(status int) bool { return status == 400 })
-		}
+		sim.sendWithoutField(n, s)
 	case 3:
-		for _, id := range sim.jobOrder {
-			if j := sim.jobs[id]; j.lastStatus == "done" && sim.rng.IntN(3) == 0 {
-				sim.countEvent(doneJobCancelledEvent)
-				sim.request(usersParty, n, transport.CancelJob, string(id), nil, 5*time.Second, func(r *controller.Response) {
-					var v api.JobView
-					if r != nil && r.Status != 503 && (r.Status != 200 || json.Unmarshal(r.Body, &v) != nil || v.Status != "done") {
-						sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
-					}
-				})
-				break
-			}
-		}
+		sim.cancelDoneJob(n)
 	case 4:
-		for _, id := range sim.jobOrder {
-			if j := sim.jobs[id]; j.accepted && sim.rng.IntN(3) == 0 {
-				o := j.spec
-				o.RuntimeS, o.Image = o.RuntimeS+1, "another"
-				asked := sim.now
-				sim.countEvent(submissionChangedEvent)
-				sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(o), 5*time.Second, func(r *controller.Response) {
-					switch {
-					case r == nil || r.Status == 503:
-					case r.Status == 200 || r.Status == 201:
-						sim.checkAnswer(j, r, asked)
-					default:
-						sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
-					}
-				})
-				break
+		sim.resubmitChanged(n)
+	}
+	sim.schedule(time.Duration(100+sim.rng.IntN(400))*time.Millisecond, func() { sim.sendEdgeCaseRequests(until) })
+}
+
+// isRejected reports whether a status rejects a well-formed job that cannot be accepted.
+func isRejected(status int) bool {
+	return status == http.StatusUnprocessableEntity || status == http.StatusServiceUnavailable
+}
+
+// sendInvalidJob submits a body for which a reply with any other status than the expected ones is a violation.
+func (sim *Simulation) sendInvalidJob(n *node, body []byte, what string, expected func(status int) bool) {
+	sim.countEvent(edgeCaseRequestEvent)
+	sim.request(usersParty, n, transport.SubmitJob, "", body, requestTimeout, func(r *controller.Response) {
+		if r != nil && !expected(r.Status) {
+			sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
+		}
+	})
+}
+
+// sendWithoutField submits a job without one of its required fields.
+func (sim *Simulation) sendWithoutField(n *node, s api.Spec) {
+	var m map[string]any
+	if json.Unmarshal(api.JSON(s), &m) != nil {
+		return
+	}
+	field := requiredFields[sim.rng.IntN(len(requiredFields))]
+	delete(m, field)
+	body, _ := json.Marshal(m)
+	sim.sendInvalidJob(n, body, "a job without "+field, func(status int) bool { return status == http.StatusBadRequest })
+}
+
+// cancelDoneJob cancels a job that is done, which must stay done.
+func (sim *Simulation) cancelDoneJob(n *node) {
+	for _, id := range sim.jobOrder {
+		if j := sim.jobs[id]; j.lastStatus != statusDone || sim.rng.IntN(3) > 0 {
+			continue
+		}
+		sim.countEvent(doneJobCancelledEvent)
+		sim.request(usersParty, n, transport.CancelJob, string(id), nil, requestTimeout, func(r *controller.Response) {
+			if r == nil || r.Status == http.StatusServiceUnavailable {
+				return
 			}
+			var v api.JobView
+			if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != statusDone {
+				sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
+			}
+		})
+		return
+	}
+}
+
+// resubmitChanged repeats the submission of a job with another body, which must return the job as it was accepted.
+func (sim *Simulation) resubmitChanged(n *node) {
+	for _, id := range sim.jobOrder {
+		j := sim.jobs[id]
+		if !j.accepted || sim.rng.IntN(3) > 0 {
+			continue
 		}
+		changed := j.spec
+		changed.RuntimeS, changed.Image = changed.RuntimeS+1, "another"
+		asked := sim.now
+		sim.countEvent(submissionChangedEvent)
+		sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout, func(r *controller.Response) {
+			switch {
+			case r == nil || r.Status == http.StatusServiceUnavailable:
+			case isAccepted(r):
+				sim.checkAnswer(j, r, asked)
+			default:
+				sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
+			}
+		})
+		return
 	}
-	sim.schedule(time.Duration(100+sim.rng.IntN(400))*time.Millisecond, func() { sim.sendEdgeCaseRequests(until) })
+}
+
+// isAccepted reports whether a reply accepts a submission.
+func isAccepted(r *controller.Response) bool {
+	return r.Status == http.StatusOK || r.Status == http.StatusCreated
 }
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -59,7 +59,7 @@
 				tries := 0
 				for _, j := range list {
 					tries += j.failures
-					if j.lastStatus != "cancelled" {
+					if j.lastStatus != statusCancelled {
 						t.Errorf("seed %d: %s ended as %q", seed, j.spec.ID, j.lastStatus)
 					}
 				}
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -157,79 +157,113 @@
 	}
 }
 
-// tick plays the time of a gang that runs.
+// tick advances an attempt by one interval.
 func (g *gangAttempt) tick() {
-	sim := g.sim
-	peer := seconds(sim.settings.Workers.GangPeerS)
-	left, complete := 0, true
+	present, complete := g.countMembers()
+	if g.started && present == 0 {
+		g.finish()
+		return
+	}
+	g.sim.schedule(gangTick, g.tick)
+	if !g.started {
+		return
+	}
+	if !complete && !g.finished {
+		g.finish()
+	}
+	switch {
+	case g.checkpointOverdue():
+		g.failCheckpoint(complete)
+	case g.stopRequestedAt > 0:
+	case complete:
+		g.advance()
+	default:
+		g.endIfMemberLost()
+	}
+}
+
+// countMembers returns how many members are on their machines, and whether all of them respond. It notes since when
+// the others do not.
+func (g *gangAttempt) countMembers() (present int, complete bool) {
+	complete = true
 	for _, m := range g.sorted() {
 		if m.responsive() {
 			m.unresponsiveSince = 0
-			left++
+			present++
 			continue
 		}
 		complete = false
 		if m.present() {
-			left++ // hangs
+			present++
 		}
 		if m.unresponsiveSince == 0 {
-			m.unresponsiveSince = sim.now
+			m.unresponsiveSince = g.sim.now
 		}
 	}
-	if g.started && left == 0 {
-		g.finished, g.finishedAt = true, sim.now
+	return present, complete
+}
+
+// finish notes that a member of a started attempt has exited.
+func (g *gangAttempt) finish() { g.finished, g.finishedAt = true, g.sim.now }
+
+// peerTimeout is how long members wait for each other.
+func (g *gangAttempt) peerTimeout() time.Duration { return seconds(g.sim.settings.Workers.GangPeerS) }
+
+// checkpointOverdue reports whether members wait to checkpoint for others that were not asked to stop in time.
+func (g *gangAttempt) checkpointOverdue() bool {
+	return g.stopRequestedAt > 0 && !g.checkpointed && !g.checkpointFailed && len(g.stopRequested) < g.job.spec.Tasks &&
+		g.sim.now.Sub(g.stopRequestedAt) > g.peerTimeout()
+}
+
+// failCheckpoint ends the members that were not asked to stop. Without faults all must have been asked.
+func (g *gangAttempt) failCheckpoint(complete bool) {
+	g.checkpointFailed = true
+	if complete && g.sim.quiescentFor(g.peerTimeout()) {
+		g.sim.reportViolation("only %d of %d tasks of %s were asked to stop in time", len(g.stopRequested), g.job.spec.Tasks,
+			g.job.spec.ID)
+	}
+	for _, m := range g.sorted() {
+		if m.responsive() && !g.stopRequested[m.task.id.Index] {
+			m.worker.endTask(m.task, api.CauseGangMemberLost)
+		}
+	}
+}
+
+// endIfMemberLost ends the attempt once a member has not responded for the time that members wait for each other.
+func (g *gangAttempt) endIfMemberLost() {
+	lost := false
+	for _, m := range g.members {
+		lost = lost || m.unresponsiveSince > 0 && g.sim.now.Sub(m.unresponsiveSince) >= g.peerTimeout()
+	}
+	if !lost {
 		return
 	}
-	sim.schedule(gangTick, g.tick)
-	if !g.started {
+	for _, m := range g.sorted() {
+		if m.responsive() {
+			m.worker.endTask(m.task, api.CauseGangMemberLost)
+		}
+	}
+}
+
+// advance adds an interval to the progress of a complete gang, and ends the gang once it has run for its duration.
+func (g *gangAttempt) advance() {
+	g.progress += gangTick.Seconds()
+	if interval := g.job.spec.CheckpointEveryS; interval > 0 {
+		g.job.checkpointedSeconds = max(g.job.checkpointedSeconds, math.Floor(g.progress/interval)*interval)
+	}
+	if g.progress < g.job.duration.Seconds() {
 		return
 	}
-	if !complete && !g.finished {
-		g.finished, g.finishedAt = true, sim.now
+	for i := range g.job.done {
+		g.job.done[i] = true
 	}
-	switch {
-	case g.stopRequestedAt > 0 && !g.checkpointed && sim.now.Sub(g.stopRequestedAt) > peer &&
-		len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
-		g.checkpointFailed = true
-		if complete && sim.quiescentFor(peer) {
-			sim.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks,
-				g.job.spec.ID)
-		}
-		for _, m := range g.sorted() {
-			if m.responsive() && !g.stopRequested[m.task.id.Index] {
-				m.worker.endTask(m.task, api.CauseGangMemberLost)
-			}
-		}
-	case !complete && g.stopRequestedAt == 0:
-		for _, m := range g.members {
-			if m.unresponsiveSince > 0 && sim.now.Sub(m.unresponsiveSince) >= peer {
-				for _, o := range g.sorted() {
-					if o.responsive() {
-						o.worker.endTask(o.task, api.CauseGangMemberLost)
-					}
-				}
-				return
-			}
-		}
-	case complete && g.stopRequestedAt == 0:
-		g.progress += gangTick.Seconds()
-		if every := g.job.spec.CheckpointEveryS; every > 0 {
-			g.job.checkpointedSeconds = max(g.job.checkpointedSeconds, math.Floor(g.progress/every)*every)
-		}
-		if g.progress >= g.job.duration.Seconds() {
-			for i := range g.job.done {
-				g.job.done[i] = true
-			}
-			for _, m := range g.sorted() {
-				m.worker.endTask(m.task, api.CauseDone)
-			}
-			g.finished, g.finishedAt = true, sim.now
-		}
+	for _, m := range g.sorted() {
+		m.worker.endTask(m.task, api.CauseDone)
 	}
+	g.finish()
 }
 
-// quiescentFor says whether nothing has gone wrong for so long, that could have kept an
-// order from a machine.
+// quiescentFor reports whether no fault has been able to keep a command from a machine for d.
 func (sim *Simulation) quiescentFor(d time.Duration) bool {
 	return !sim.cfg.Faults || sim.now.Sub(ident.MonotonicTime(sim.cfg.ActiveDuration+faultDrainTime)) > d
 }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -84,13 +84,11 @@
 		sim.schedule(at, func() {
 			for _, w := range sim.sortedWorkers() {
 				runningGangTasks := 0
-				for id, tries := range w.tasks {
-					for _, t := range tries {
-						if sim.jobs[id.Job].spec.Shape == api.Gang && t.status == api.Running {
-							runningGangTasks++
-						}
+				w.forEachTask(func(t *task) {
+					if sim.jobs[t.id.Job].spec.Shape == api.Gang && t.status == api.Running {
+						runningGangTasks++
 					}
-				}
+				})
 				if w.machine.spot && w.reclaimAt == 0 && runningGangTasks > 0 {
 					w.announceReclaim(14 * time.Second)
 					sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
@@ -19,66 +20,61 @@
 	sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f: ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// checkTaskStart checks the rules at the start of a task on k.
-func (sim *Simulation) checkTaskStart(w *worker, p *task) {
+// checkTaskStart checks the rules that hold when a task starts on a machine.
+func (sim *Simulation) checkTaskStart(w *worker, t *task) {
 	sim.TaskStarts++
-	j := sim.jobs[p.id.Job]
-	s := &j.spec
+	j := sim.jobs[t.id.Job]
 	if j.firstStartAt == 0 {
 		j.firstStartAt = sim.now
 	}
-	cpus := 0.0
-	zones := map[string]int{}
+	used := newUsage(j)
 	for _, o := range sim.sortedWorkers() {
-		if o.dead || sim.now.Sub(o.leaseRenewedAt).Seconds() > sim.settings.Workers.LeaseS {
-			continue // its lease is over; it will notice when it goes on
+		if o.dead || o.leaseExpired() {
+			continue // its tasks end before it does anything else
 		}
-		for _, tries := range o.tasks {
-			for _, q := range tries {
-				if q == p || !q.onMachine() {
-					continue
-				}
-				if q.id == p.id && o != w {
-					sim.reportViolation("ran_twice: %s starts on %s (try %d) while on %s (try %d)", p.id, w.id, p.attempt, o.id, q.attempt)
-				}
-				t := sim.jobs[q.id.Job]
-				if t.spec.Team == s.Team {
-					cpus += t.spec.VCPUs
-				}
-				if q.id.Job == p.id.Job {
-					zones[o.machine.zone]++
-				}
+		o.forEachTask(func(other *task) {
+			if other == t || !other.onMachine() {
+				return
 			}
-		}
+			if other.id == t.id && o != w {
+				sim.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", t.id, w.id, t.attempt, o.id,
+					other.attempt)
+			}
+			used.add(sim.jobs[other.id.Job], o, other)
+		})
 	}
-	for _, t := range sim.settings.Teams {
-		if t.Name == s.Team && t.CPUsMax > 0 && cpus+s.VCPUs > t.CPUsMax+1e-6 {
-			sim.reportViolation("quota: %s uses %v of %v with %s", t.Name, cpus+s.VCPUs, t.CPUsMax, p.id)
-		}
+	sim.checkQuota(j, t, used)
+	sim.checkPlacement(j, w, t, used)
+	if j.cancelConfirmedAt > 0 && sim.now.Sub(j.cancelConfirmedAt).Seconds() > sim.settings.Workers.CancelS {
+		sim.reportViolation("ran_cancelled: %s starts", t.id)
+	}
+}
+
+// checkQuota checks that a team stays within its limit with a task that starts.
+func (sim *Simulation) checkQuota(j *userJob, t *task, used *usage) {
+	limit := sim.cpuLimit(j.spec.Team)
+	if cpus := used.teamCPUs + j.spec.VCPUs; limit > 0 && cpus > limit+roundingError {
+		sim.reportViolation("quota: %s uses %v of %v with %s", j.spec.Team, cpus, limit, t.id)
 	}
+}
+
+// checkPlacement checks that a machine is one that a job admits, given where its other tasks are.
+func (sim *Simulation) checkPlacement(j *userJob, w *worker, t *task, used *usage) {
 	zone := w.machine.zone
 	switch {
-	case s.Zone != nil && *s.Zone != zone:
-		sim.reportViolation("wrong_place: %s in %s", p.id, zone)
-	case w.machine.spot && !s.Spot:
-		sim.reportViolation("wrong_place: %s on a spot machine", p.id)
-	case s.Spread && zones[zone]+1 > (s.Tasks+1)/2:
-		sim.reportViolation("wrong_place: %s is one of %d in %s", p.id, zones[zone]+1, zone)
-	}
-	if s.OneZone {
-		for z, n := range zones {
-			if z != zone && n > 0 {
-				sim.reportViolation("wrong_place: %s in %s, others in %s", p.id, zone, z)
-			}
-		}
+	case j.spec.Zone != nil && *j.spec.Zone != zone:
+		sim.reportViolation("wrong_place: %s in %s", t.id, zone)
+	case w.machine.spot && !j.spec.Spot:
+		sim.reportViolation("wrong_place: %s on a spot machine", t.id)
+	case used.exceedsSpread(zone):
+		sim.reportViolation("wrong_place: %s is one of %d in %s", t.id, used.tasksByZone[zone]+1, zone)
 	}
-	if j.cancelConfirmedAt > 0 && sim.now.Sub(j.cancelConfirmedAt).Seconds() > sim.settings.Workers.CancelS {
-		sim.reportViolation("ran_cancelled: %s starts", p.id)
+	if j.spec.OneZone && used.runsOutside(zone) {
+		sim.reportViolation("wrong_place: %s in %s, others in another zone", t.id, zone)
 	}
 }
 
-// checkAnswer checks an answer against what the user knew when asking: requests that
-// overlap have no order.
+// checkAnswer checks a reply against what the user knew at the time of the request, as requests that overlap have no order.
 func (sim *Simulation) checkAnswer(j *userJob, r *controller.Response, asked ident.MonotonicTime) {
 	var v api.JobView
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
@@ -88,48 +84,56 @@
 	if isTerminal(j.lastStatus) && v.Status != j.lastStatus && asked > j.lastStatusAt {
 		sim.reportViolation("went_back: %s was %s, is %s", j.spec.ID, j.lastStatus, v.Status)
 	}
-	if v.Status == "cancelled" && j.cancelSentAt == 0 {
+	switch v.Status {
+	case statusCancelled:
+		sim.checkCancelled(j)
+	case statusDone:
+		if i := slices.Index(j.done, false); i >= 0 {
+			sim.reportViolation("not_done: %s is called done, task %d is not", j.spec.ID, i)
+		}
+	}
+	if isTerminal(j.lastStatus) {
+		return
+	}
+	j.lastStatus, j.lastStatusAt = v.Status, sim.now
+	if isTerminal(j.lastStatus) {
+		sim.probeAllNodes(j)
+	}
+}
+
+// checkCancelled checks that a job which is called cancelled was cancelled by its user, and that none of its tasks is on
+// a machine once the time of a cancellation is over.
+func (sim *Simulation) checkCancelled(j *userJob) {
+	if j.cancelSentAt == 0 {
 		sim.reportViolation("went_back: %s was not cancelled by its user", j.spec.ID)
 	}
-	if v.Status == "done" {
-		for i, d := range j.done {
-			if !d {
-				sim.reportViolation("not_done: %s is called done, task %d is not", j.spec.ID, i)
-				break
-			}
-		}
+	if j.cancelConfirmedAt > 0 {
+		return
 	}
-	if v.Status == "cancelled" && j.cancelConfirmedAt == 0 {
-		j.cancelConfirmedAt = sim.now
-		limit := time.Duration(sim.settings.Workers.CancelS * float64(time.Second))
-		sim.schedule(limit+time.Millisecond, func() {
-			for _, w := range sim.sortedWorkers() {
-				if w.sim.now < w.hungUntil && w.sim.now.Sub(w.leaseRenewedAt).Seconds() > sim.settings.Workers.LeaseS {
-					continue // over with its lease, though the machine hasn't noticed
-				}
-				if w.taskCount(j.spec.ID) > 0 {
-					sim.reportViolation("ran_cancelled: %s is still on %s", j.spec.ID, w.id)
-				}
+	j.cancelConfirmedAt = sim.now
+	sim.schedule(seconds(sim.settings.Workers.CancelS)+time.Millisecond, func() {
+		for _, w := range sim.sortedWorkers() {
+			if sim.now < w.hungUntil && w.leaseExpired() {
+				continue // its tasks end before it does anything else
+			}
+			if w.taskCount(j.spec.ID) > 0 {
+				sim.reportViolation("ran_cancelled: %s is still on %s", j.spec.ID, w.id)
 			}
-		})
-	}
-	if !isTerminal(j.lastStatus) {
-		j.lastStatus, j.lastStatusAt = v.Status, sim.now
-		if isTerminal(j.lastStatus) {
-			sim.probeAllNodes(j)
 		}
-	}
+	})
 }
 
-func isTerminal(s string) bool { return s == "done" || s == "cancelled" }
+func isTerminal(s string) bool { return s == statusDone || s == statusCancelled }
 
 const (
-	// faultDrainTime is how long after the last fault's beginning all are over.
+	// faultDrainTime is how long after the start of the last fault all faults are over.
 	faultDrainTime = 50 * time.Second
-	// maxStatusGap is how long a user may go without an answer then.
+	// maxStatusGap is how long a user may go without an answer from then on.
 	maxStatusGap = 75 * time.Second
 	// maxStartDelay is how long the largest jobs may wait for their first task.
 	maxStartDelay = 4 * time.Minute
+	// roundingError is the imprecision of sums of CPUs.
+	roundingError = 1e-6
 )
 
 // maxMovesPerJob is how often the tasks of a job may be moved in its life.
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -33,60 +33,49 @@
 // maxWaitBesideCapacity is how long a job may wait then.
 const maxWaitBesideCapacity = 90 * time.Second
 
-// hasCapacityFor says whether a task of a job waits and could start.
+// hasCapacityFor reports whether a task of a job waits though it could start.
 func (sim *Simulation) hasCapacityFor(j *userJob) bool {
 	if j.alwaysFails {
-		return false // it could, and would fail
+		return false // retries are held back on purpose
 	}
-	s := &j.spec
-	on := map[int]bool{}
-	cpus, tasksByZone := 0.0, map[string]int{}
+	used := newUsage(j)
 	for _, w := range sim.workers {
-		for p, tries := range w.tasks {
-			for _, q := range tries {
-				if q.status == api.Ended {
-					continue
-				}
-				t := sim.jobs[p.Job]
-				if t.spec.Team == s.Team {
-					cpus += t.spec.VCPUs
-				}
-				if p.Job == s.ID {
-					on[p.Index] = true
-					tasksByZone[w.machine.zone]++
-				}
+		w.forEachTask(func(t *task) {
+			if t.status != api.Ended {
+				used.add(sim.jobs[t.id.Job], w, t)
 			}
-		}
-	}
-	waits := false
-	for i, d := range j.done {
-		waits = waits || !d && !on[i]
+		})
 	}
-	if !waits {
+	if !used.hasWaitingTask() {
 		return false
 	}
-	for _, t := range sim.settings.Teams {
-		if t.Name == s.Team && t.CPUsMax > 0 && cpus+s.VCPUs > t.CPUsMax {
-			return false
-		}
+	if limit := sim.cpuLimit(j.spec.Team); limit > 0 && used.teamCPUs+j.spec.VCPUs > limit {
+		return false
 	}
 	for _, w := range sim.workers {
-		zone := w.machine.zone
-		if w.faulty || w.reclaimAt > 0 || sim.now < w.hungUntil || s.Zone != nil && *s.Zone != zone || w.machine.spot && !s.Spot ||
-			s.Spread && tasksByZone[zone]+1 > (s.Tasks+1)/2 {
-			continue
-		}
-		elsewhere := false
-		for z, n := range tasksByZone {
-			elsewhere = elsewhere || z != zone && n > 0
-		}
-		if sim.cloud.models[0].VCPUs-w.usedCPUs() >= s.VCPUs && !(s.OneZone && elsewhere) {
+		if sim.admits(w, j, used) {
 			return true
 		}
 	}
 	return false
 }
 
+// admits reports whether a machine is in order, and has room for a task of a job whose constraints it meets.
+func (sim *Simulation) admits(w *worker, j *userJob, used *usage) bool {
+	zone := w.machine.zone
+	switch {
+	case w.faulty || w.reclaimAt > 0 || sim.now < w.hungUntil:
+		return false
+	case j.spec.Zone != nil && *j.spec.Zone != zone:
+		return false
+	case w.machine.spot && !j.spec.Spot:
+		return false
+	case used.exceedsSpread(zone) || j.spec.OneZone && used.runsOutside(zone):
+		return false
+	}
+	return sim.cloud.models[0].VCPUs-w.usedCPUs() >= j.spec.VCPUs
+}
+
 // largestJobs lists the jobs of each class that are its largest, by CPUs in all.
 func (sim *Simulation) largestJobs() (out []*userJob) {
 	most := map[string]float64{}
@@ -119,7 +108,7 @@
 		}
 	}
 	good := func(j *userJob) bool {
-		return j.lastStatus == "done" || j.spec.Shape == api.Service && j.firstStartAt > 0
+		return j.lastStatus == statusDone || j.spec.Shape == api.Service && j.firstStartAt > 0
 	}
 	for _, id := range sim.jobOrder {
 		if j := sim.jobs[id]; j.accepted && j.cancelSentAt == 0 {
@@ -154,7 +143,7 @@
 		j := sim.jobs[id]
 		switch {
 		case !j.accepted:
-		case j.lastStatus == "cancelled" || j.lastStatus == "done":
+		case j.lastStatus == statusCancelled || j.lastStatus == statusDone:
 		case j.cancelSentAt > 0:
 			sim.reportUnfinished("%s: its cancellation was never confirmed", id)
 		case j.spec.Shape != api.Service:
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -16,13 +16,11 @@
 	sim.scheduleAt(58, func() {
 		used := map[string]float64{}
 		for _, w := range sim.workers {
-			for p, tries := range w.tasks {
-				for _, q := range tries {
-					if q.onMachine() {
-						used[sim.jobs[p.Job].spec.Team] += sim.jobs[p.Job].spec.VCPUs
-					}
+			w.forEachTask(func(t *task) {
+				if t.onMachine() {
+					used[sim.jobs[t.id.Job].spec.Team] += sim.jobs[t.id.Job].spec.VCPUs
 				}
-			}
+			})
 		}
 		for _, t := range sim.settings.Teams {
 			if used[t.Name] > t.CPUsMax-2.5 {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -182,7 +182,7 @@
 	done, all := map[string]int{}, map[string]int{}
 	for _, j := range sim.jobs {
 		all[j.spec.Team]++
-		if j.lastStatus == "done" {
+		if j.lastStatus == statusDone {
 			done[j.spec.Team]++
 		}
 	}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -77,9 +77,10 @@
 	}
 }
 
-func (s *store) apply(changes []kvstore.Mutation) {
+// apply carries out mutations as one revision, and notifies watchers.
+func (s *store) apply(mutations []kvstore.Mutation) {
 	s.revision++
-	for _, c := range changes {
+	for _, c := range mutations {
 		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
 		s.sim.checkMoveRecord(c)
 		if c.Put != "" {
@@ -94,16 +95,15 @@
 	}
 }
 
-// notify answers a watcher that has news, or whose time is over.
+// notify replies to a watcher for which there are changes, or whose time is over.
 func (s *store) notify(w *watcher, over bool) {
 	if w.done {
 		return
 	}
-	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
-	for _, n := range s.history {
-		if uint64(n.Revision) > w.afterRevision &&
-			(strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
-			out.Events = append(out.Events, n)
+	out := s.ok()
+	for _, e := range s.history {
+		if uint64(e.Revision) > w.afterRevision && strings.HasPrefix(e.Put+e.Delete, w.prefix) {
+			out.Events = append(out.Events, e)
 		}
 	}
 	if len(out.Events) > 0 || over {
@@ -112,66 +112,104 @@
 	}
 }
 
+// serve serves a request of a node. A watch is answered later.
 func (s *store) serve(from string, r kvstore.Request, reply func(kvstore.Response)) {
 	if s.sim.now < s.downUntil || s.sim.now < s.rejectUntil[from] {
 		reply(kvstore.Response{Outcome: kvstore.Unavailable})
 		return
 	}
-	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 	switch r.Op {
 	case kvstore.Get:
-		e := s.keys[r.Key]
-		if e == nil {
-			out.Outcome = kvstore.NotFound
-			break
-		}
-		out.Value, out.Revision, out.LeaseID = e.value, e.revision, e.leaseID
+		reply(s.get(r))
 	case kvstore.List:
-		var names []string
-		for k := range s.keys {
-			if strings.HasPrefix(k, r.Prefix) && k > r.StartAfter {
-				names = append(names, k)
-			}
-		}
-		sort.Strings(names)
-		for _, k := range names {
-			if len(out.KeyValues) == 7 { // small pages, so that paging is tested
-				out.Truncated = true
-				break
-			}
-			out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
-		}
+		reply(s.list(r))
 	case kvstore.Txn:
-		if s.interceptTransaction(r) {
-			return
+		if !s.interceptTransaction(r) {
+			reply(s.transact(r))
 		}
-		out = s.transact(r)
 	case kvstore.GrantLease:
-		s.lastLeaseID++
-		s.leaseTTLs[s.lastLeaseID] = r.TTL
-		s.leases[s.lastLeaseID] = s.sim.now.Add(r.TTL)
-		out.LeaseID = s.lastLeaseID
+		reply(s.grantLease(r))
 	case kvstore.RenewLease:
-		if _, ok := s.leases[r.LeaseID]; !ok {
-			out.Outcome = kvstore.NotFound
-			break
-		}
-		s.leases[r.LeaseID] = s.sim.now.Add(s.leaseTTLs[r.LeaseID])
+		reply(s.renewLease(r))
 	case kvstore.RevokeLease:
+		out := s.ok() // the revision is that of before
 		if _, ok := s.leases[r.LeaseID]; ok {
 			s.endLease(r.LeaseID)
 		}
+		reply(out)
 	case kvstore.Watch:
-		w := &watcher{prefix: r.Prefix, afterRevision: r.Revision, reply: reply}
-		s.watchers = append(s.watchers, w)
-		s.notify(w, false)
-		s.sim.schedule(r.Block, func() { s.notify(w, true) })
-		if len(s.watchers) > 100 {
-			s.watchers = s.watchers[50:]
+		s.watch(r, reply)
+	default:
+		reply(s.ok())
+	}
+}
+
+// ok is the response to a request that was carried out and returns nothing more.
+func (s *store) ok() kvstore.Response {
+	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
+}
+
+func (s *store) get(r kvstore.Request) kvstore.Response {
+	out := s.ok()
+	e := s.keys[r.Key]
+	if e == nil {
+		out.Outcome = kvstore.NotFound
+		return out
+	}
+	out.Value, out.Revision, out.LeaseID = e.value, e.revision, e.leaseID
+	return out
+}
+
+// listPageSize is how many keys a list returns. Pages are small, so that paging is tested.
+const listPageSize = 7
+
+func (s *store) list(r kvstore.Request) kvstore.Response {
+	var names []string
+	for k := range s.keys {
+		if strings.HasPrefix(k, r.Prefix) && k > r.StartAfter {
+			names = append(names, k)
 		}
-		return
 	}
-	reply(out)
+	sort.Strings(names)
+	out := s.ok()
+	out.Truncated = len(names) > listPageSize
+	for _, k := range names[:min(len(names), listPageSize)] {
+		out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
+	}
+	return out
+}
+
+func (s *store) grantLease(r kvstore.Request) kvstore.Response {
+	s.lastLeaseID++
+	s.leaseTTLs[s.lastLeaseID] = r.TTL
+	s.leases[s.lastLeaseID] = s.sim.now.Add(r.TTL)
+	out := s.ok()
+	out.LeaseID = s.lastLeaseID
+	return out
+}
+
+func (s *store) renewLease(r kvstore.Request) kvstore.Response {
+	out := s.ok()
+	if _, ok := s.leases[r.LeaseID]; !ok {
+		out.Outcome = kvstore.NotFound
+		return out
+	}
+	s.leases[r.LeaseID] = s.sim.now.Add(s.leaseTTLs[r.LeaseID])
+	return out
+}
+
+// maxWatchers bounds the list of watchers; half of it, the oldest, is dropped beyond that.
+const maxWatchers = 100
+
+// watch replies as soon as a change is there, or when the time of the request is over.
+func (s *store) watch(r kvstore.Request, reply func(kvstore.Response)) {
+	w := &watcher{prefix: r.Prefix, afterRevision: r.Revision, reply: reply}
+	s.watchers = append(s.watchers, w)
+	s.notify(w, false)
+	s.sim.schedule(r.Block, func() { s.notify(w, true) })
+	if len(s.watchers) > maxWatchers {
+		s.watchers = s.watchers[maxWatchers/2:]
+	}
 }
 
 // lowerLimits brings the announced limits into force.
@@ -180,49 +218,70 @@
 	s.sim.logf("the state service has its new limits")
 }
 
+// maxTransactionBytes bounds the values of a transaction together.
+const maxTransactionBytes = 64 << 10
+
+// transact carries out a transaction, if it is within the limits and its conditions hold.
 func (s *store) transact(r kvstore.Request) kvstore.Response {
-	reject := func(format string, a ...any) kvstore.Response {
-		s.sim.OversizedTransactions++
-		s.sim.logf(format, a...)
-		if s.limits == s.sim.settings.Store {
-			s.sim.reportViolation(format, a...)
-		}
-		return kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}
+	if rejected, ok := s.checkLimits(r); !ok {
+		return rejected
+	}
+	if failed := s.failedCompares(r); failed != nil {
+		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed, StoreRevision: s.revision}
 	}
+	s.apply(r.Mutations)
+	return s.ok()
+}
+
+// checkLimits rejects a transaction that is over a limit or uses a lease that is not there.
+func (s *store) checkLimits(r kvstore.Request) (rejected kvstore.Response, ok bool) {
 	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
-		return reject("transaction over the limits: %d changes, %d conditions", len(r.Mutations), len(r.Compares))
+		return s.rejectOversized("transaction over the limits: %d mutations, %d compares", len(r.Mutations), len(r.Compares)), false
 	}
 	size := 0
-	for _, c := range r.Mutations {
-		size += len(c.Value)
-		if float64(len(c.Value)) > s.limits.ValueKB*1024 {
-			return reject("value of %s over the limit: %d bytes", c.Put, len(c.Value))
+	for _, m := range r.Mutations {
+		size += len(m.Value)
+		if float64(len(m.Value)) > s.limits.ValueKB*1024 {
+			return s.rejectOversized("value of %s over the limit: %d bytes", m.Put, len(m.Value)), false
+		}
+		if m.Put == "" || m.LeaseID == 0 {
+			continue
 		}
-		if c.Put != "" && c.LeaseID != 0 {
-			if _, ok := s.leases[c.LeaseID]; !ok {
-				return kvstore.Response{Outcome: kvstore.Invalid, Error: "no such lease"}
-			}
+		if _, ok := s.leases[m.LeaseID]; !ok {
+			return kvstore.Response{Outcome: kvstore.Invalid, Error: "no such lease"}, false
 		}
 	}
-	if size > 64<<10 {
+	if size > maxTransactionBytes {
 		s.sim.reportViolation("transaction of %d bytes", size)
 	}
+	return kvstore.Response{}, true
+}
+
+// rejectOversized rejects a transaction for a limit. That is a violation unless the limits were lowered: a node may not
+// have learnt of it yet.
+func (s *store) rejectOversized(format string, a ...any) kvstore.Response {
+	s.sim.OversizedTransactions++
+	s.sim.logf(format, a...)
+	if s.limits == s.sim.settings.Store {
+		s.sim.reportViolation(format, a...)
+	}
+	return kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}
+}
+
+// failedCompares lists the keys whose revision is not what a transaction demands.
+func (s *store) failedCompares(r kvstore.Request) (failed []string) {
 	election := r.Compares[0].Key == "leader" && len(r.Compares) == 2 && r.Compares[1].Key == "term"
-	if !s.sim.mutates(IgnoreRevisions) || election {
-		var failed []string
-		for _, c := range r.Compares {
-			var have ident.Revision
-			if e := s.keys[c.Key]; e != nil {
-				have = e.revision
-			}
-			if have != c.Revision {
-				failed = append(failed, c.Key)
-			}
+	if s.sim.mutates(IgnoreRevisions) && !election {
+		return nil
+	}
+	for _, c := range r.Compares {
+		var have ident.Revision
+		if e := s.keys[c.Key]; e != nil {
+			have = e.revision
 		}
-		if failed != nil {
-			return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed, StoreRevision: s.revision}
+		if have != c.Revision {
+			failed = append(failed, c.Key)
 		}
 	}
-	s.apply(r.Mutations)
-	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
+	return failed
 }
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -59,7 +59,7 @@
 	sim.Run()
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
-		if j.lastStatus != "done" || j.submittedAt < ident.MonotonicTime(floodStart) {
+		if j.lastStatus != statusDone || j.submittedAt < ident.MonotonicTime(floodStart) {
 			continue
 		}
 		if latency := j.lastStatusAt.Sub(j.submittedAt); j.spec.Team == hotTeam {
--- a/internal/simulator/study_moves.go
+++ b/internal/simulator/study_moves.go
@@ -93,7 +93,7 @@
 		out.WideWaitS = append(out.WideWaitS, j.firstStartAt.Sub(j.submittedAt).Seconds())
 	}
 	for _, j := range *narrow {
-		if j.lastStatus == "done" {
+		if j.lastStatus == statusDone {
 			out.NarrowDoneS = append(out.NarrowDoneS, j.lastStatusAt.Sub(j.submittedAt).Seconds())
 		}
 		out.LostCPUS += j.lostWork.Seconds() * j.spec.VCPUs
--- a/internal/simulator/user_job.go
+++ b/internal/simulator/user_job.go
@@ -58,3 +58,9 @@
 	}
 	return n
 }
+
+// The statuses of jobs at which users stop asking.
+const (
+	statusDone      = "done"
+	statusCancelled = "cancelled"
+)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -73,13 +73,18 @@
 
 // checkLease ends the session when its time is over.
 func (w *worker) checkLease() {
-	if w.sim.now.Sub(w.leaseRenewedAt) > time.Duration(w.sim.settings.Workers.LeaseS*float64(time.Second)) {
+	if w.leaseExpired() {
 		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
 		w.sim.TasksLostWithLease += len(w.tasks)
 		w.beginIncarnation()
 	}
 }
 
+// leaseExpired reports whether the worker's lease is over, though it may not have noticed.
+func (w *worker) leaseExpired() bool {
+	return w.sim.now.Sub(w.leaseRenewedAt).Seconds() > w.sim.settings.Workers.LeaseS
+}
+
 // tick reports now and then.
 func (w *worker) tick() {
 	if w.dead {
@@ -106,15 +111,13 @@
 		s := w.reclaimAt.Sub(w.sim.now).Seconds()
 		r.ReclaimNoticeS = &s
 	}
-	for _, tries := range w.tasks {
-		for _, t := range tries {
-			if w.sim.mutates(HideWaitingGangTasks) && t.status == api.Gathering {
-				continue
-			}
-			r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause,
-				CheckpointStored: t.stored})
+	w.forEachTask(func(t *task) {
+		if w.sim.mutates(HideWaitingGangTasks) && t.status == api.Gathering {
+			return
 		}
-	}
+		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause,
+			CheckpointStored: t.stored})
+	})
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
 		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index),
 			cmp.Compare(a.Attempt, b.Attempt))
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -188,25 +188,21 @@
 // taskCount returns how many tasks of a job are on the machine.
 func (w *worker) taskCount(id ident.JobID) int {
 	n := 0
-	for p, tries := range w.tasks {
-		for _, o := range tries {
-			if p.Job == id && o.onMachine() {
-				n++
-			}
+	w.forEachTask(func(t *task) {
+		if t.id.Job == id && t.onMachine() {
+			n++
 		}
-	}
+	})
 	return n
 }
 
 // usedCPUs returns the CPUs of the tasks that have not exited.
 func (w *worker) usedCPUs() float64 {
 	cpus := 0.0
-	for _, tries := range w.tasks {
-		for _, o := range tries {
-			if o.status != api.Ended {
-				cpus += w.sim.jobs[o.id.Job].spec.VCPUs
-			}
+	w.forEachTask(func(t *task) {
+		if t.status != api.Ended {
+			cpus += w.sim.jobs[t.id.Job].spec.VCPUs
 		}
-	}
+	})
 	return cpus
 }
