--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,13 +8,13 @@
 	"opaldale/internal/golden"
 )
 
-// TestGoldenRentals pins the names under which machines are rented: a name is never used again,
-// by whichever term.
-func TestGoldenRentals(t *testing.T) {
+// TestGoldenProvisionRequests pins the requests for machines: an identifier is never used again, by
+// whichever term.
+func TestGoldenProvisionRequests(t *testing.T) {
 	r := newHarness()
-	r.manager.rateTokens = 10
-	r.manager.provision(pool{model: "m8", zone: "east", spot: true}, 3)
-	r.manager.provision(pool{model: "g8", zone: "west"}, 4)
+	r.manager.requester.limiter.tokens = 10
+	r.manager.provisioner.provision(pool{model: "m8", zone: "east", spot: true}, 3)
+	r.manager.provisioner.provision(pool{model: "g8", zone: "west"}, 4)
 	var d golden.Document
 	for i, c := range r.calls {
 		d.Add(fmt.Sprintf("request %d", i), string(api.JSON(c)))
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -74,7 +74,7 @@
 // cancelDoneJob cancels a job that is done, which must stay done.
 func (sim *Simulation) cancelDoneJob(n *node) {
 	for _, id := range sim.jobOrder {
-		if j := sim.jobs[id]; j.lastStatus != statusDone || sim.rng.IntN(3) > 0 {
+		if j := sim.jobs[id]; j.lastStatus != api.StatusDone || sim.rng.IntN(3) > 0 {
 			continue
 		}
 		sim.countEvent(doneJobCancelledEvent)
@@ -83,7 +83,7 @@
 				return
 			}
 			var v api.JobView
-			if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != statusDone {
+			if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != api.StatusDone {
 				sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
 			}
 		})
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -85,9 +85,9 @@
 		sim.reportViolation("went_back: %s was %s, is %s", j.spec.ID, j.lastStatus, v.Status)
 	}
 	switch v.Status {
-	case statusCancelled:
+	case api.StatusCancelled:
 		sim.checkCancelled(j)
-	case statusDone:
+	case api.StatusDone:
 		if i := slices.Index(j.done, false); i >= 0 {
 			sim.reportViolation("not_done: %s is called done, task %d is not", j.spec.ID, i)
 		}
@@ -123,7 +123,7 @@
 	})
 }
 
-func isTerminal(s string) bool { return s == statusDone || s == statusCancelled }
+func isTerminal(s api.Status) bool { return s == api.StatusDone || s == api.StatusCancelled }
 
 const (
 	// faultDrainTime is how long after the start of the last fault all faults are over.
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -108,7 +108,7 @@
 		}
 	}
 	good := func(j *userJob) bool {
-		return j.lastStatus == statusDone || j.spec.Shape == api.Service && j.firstStartAt > 0
+		return j.lastStatus == api.StatusDone || j.spec.Shape == api.Service && j.firstStartAt > 0
 	}
 	for _, id := range sim.jobOrder {
 		if j := sim.jobs[id]; j.accepted && j.cancelSentAt == 0 {
@@ -143,7 +143,7 @@
 		j := sim.jobs[id]
 		switch {
 		case !j.accepted:
-		case j.lastStatus == statusCancelled || j.lastStatus == statusDone:
+		case j.lastStatus == api.StatusCancelled || j.lastStatus == api.StatusDone:
 		case j.cancelSentAt > 0:
 			sim.reportUnfinished("%s: its cancellation was never confirmed", id)
 		case j.spec.Shape != api.Service:
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -4,6 +4,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"opaldale/internal/api"
 )
 
 func runWithFaults(seed uint64, m Mutation) *Simulation {
@@ -182,7 +184,7 @@
 	done, all := map[string]int{}, map[string]int{}
 	for _, j := range sim.jobs {
 		all[j.spec.Team]++
-		if j.lastStatus == statusDone {
+		if j.lastStatus == api.StatusDone {
 			done[j.spec.Team]++
 		}
 	}
--- a/internal/simulator/user_job.go
+++ b/internal/simulator/user_job.go
@@ -22,7 +22,7 @@
 	done                []bool
 	submitted           bool
 	accepted            bool
-	lastStatus          string
+	lastStatus          api.Status
 	lastStatusAt        ident.MonotonicTime
 	cancelSentAt        ident.MonotonicTime
 	cancelConfirmedAt   ident.MonotonicTime
@@ -58,9 +58,3 @@
 	}
 	return n
 }
-
-// The statuses of jobs at which users stop asking.
-const (
-	statusDone      = "done"
-	statusCancelled = "cancelled"
-)
