--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -5,7 +5,6 @@
 package simulator
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"sort"
@@ -16,50 +15,11 @@
 	"opaldale/internal/settings"
 )
 
-// Config sets a run up.
-type Config struct {
-	Seed             uint64
-	Mutation         Mutation
-	Faults           bool
-	ActiveDuration   time.Duration // of the part with faults and arrivals
-	RollingUpgrade   bool          // all nodes are of the version in production at first, and replaced one by one
-	MoreGangs        bool          // more gangs than otherwise
-	Overload         bool          // small jobs of one team all the time, and large ones now and then
-	NoArrivals       bool          // no jobs come by themselves
-	ConcurrentFaults bool          // the faults are those of the page on two at once as well
-	LinkMonitoring   bool          // the nodes watch their links
-	// Rebalance is what the nodes do about uneven load.
-	Rebalance settings.Rebalance
-	// Tune changes the tuning of each node; nil: nothing more.
-	Tune         func(*settings.Tuning)
-	Nodes        int // controllers; 0: three
-	LegacyNodes  int // so many of them are of the version in production, until they are replaced
-	ZoneCapacity int // machines of each zone and kind that the cloud has; 0: by Fleet
-	FleetSize    int // machines that the cloud has in all, with limits of teams to match; 0: a small one
-	// SlowMachines is how many of the first machines are much slower than the others.
-	SlowMachines int
-	// Teams are those of the cluster; nil: four of different kinds.
-	Teams             []settings.Team
-	QuiescentDuration time.Duration // after the faults; 0: calm
-	// Digest records what the controllers send; nil: nothing is recorded.
-	Digest *Digest
-}
-
-// nodeCount returns how many controllers there are.
-func (c Config) nodeCount() int {
-	if c.Nodes > 0 {
-		return c.Nodes
-	}
-	return 3
-}
-
 // Simulation is one run.
 type Simulation struct {
-	cfg           Config
-	rng           *rand.Rand
-	now           ident.MonotonicTime
-	events        eventHeap
-	eventSequence uint64
+	eventLoop
+	cfg Config
+	rng *rand.Rand
 
 	settings            settings.Cluster
 	nodes               []*node
@@ -69,11 +29,11 @@
 	jobs                map[ident.JobID]*userJob
 	gangs               map[gangKey]*gangAttempt
 	jobOrder            []ident.JobID
-	partitions          map[[2]string]*networkPartition
-	directedPartitions  map[[2]string]*networkPartition // links broken in one direction, from the first to the second
-	sortedByID          []*worker                       // the workers by name, nil when they have changed
-	zonePartitions      map[string]*networkPartition    // zones cut off from everything outside
-	inboundBlockedUntil map[string]ident.MonotonicTime  // machines that nothing reaches until then
+	partitions          map[link]*networkPartition
+	directedPartitions  map[link]*networkPartition     // links broken in one direction, from the first to the second
+	sortedByID          []*worker                      // the workers by name, nil when they have changed
+	zonePartitions      map[string]*networkPartition   // zones cut off from everything outside
+	inboundBlockedUntil map[string]ident.MonotonicTime // machines that nothing reaches until then
 	lastJobNumber       int
 	activeFaults
 	linkMonitor
@@ -98,34 +58,16 @@
 	OversizedTransactions int
 }
 
-type event struct {
-	at  ident.MonotonicTime
-	seq uint64
-	run func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, k int) bool {
-	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].seq < h[k].seq
-}
-func (h eventHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
-}
-
 // New makes a world of three controllers in two zones.
 func New(cfg Config) *Simulation {
-	w := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[[2]string]*networkPartition{}, directedPartitions: map[[2]string]*networkPartition{}, zonePartitions: map[string]*networkPartition{}, inboundBlockedUntil: map[string]ident.MonotonicTime{},
-		linkMonitor:  linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{}, handovers: map[string]int{}, sentTransactions: map[string]bool{}},
-		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[string]int{}}}
-	w.settings = settings.Cluster{
+	sim := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
+		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[link]*networkPartition{},
+		directedPartitions: map[link]*networkPartition{}, zonePartitions: map[string]*networkPartition{},
+		inboundBlockedUntil: map[string]ident.MonotonicTime{},
+		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
+			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
+		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[eventName]int{}}}
+	sim.settings = settings.Cluster{
 		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
 			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: "guest"}},
@@ -136,122 +78,78 @@
 		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
 	}
 	if cfg.FleetSize > 0 {
-		w.configureLargeFleet()
+		sim.configureLargeFleet()
 	}
 	if cfg.Teams != nil {
-		w.settings.Teams = cfg.Teams
+		sim.settings.Teams = cfg.Teams
 	}
-	w.store = newStore(w)
-	w.cloud = newProvider(w)
-	for i := range w.settings.Nodes {
-		n := &node{sim: w, legacy: cfg.RollingUpgrade || i >= w.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf("agent-%d", i), zone: w.settings.Zones[i%2]}
-		w.nodes = append(w.nodes, n)
+	sim.store = newStore(sim)
+	sim.cloud = newProvider(sim)
+	for i := range sim.settings.Nodes {
+		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf(nodePrefix+"%d", i),
+			zone: sim.settings.Zones[i%2]}
+		sim.nodes = append(sim.nodes, n)
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.start()
 	}
-	return w
-}
-
-// configureLargeFleet sets the cluster up for a large fleet: as on the operators' largest, reports come
-// less often.
-func (w *Simulation) configureLargeFleet() {
-	for i := range w.settings.Teams {
-		w.settings.Teams[i].CPUs *= float64(w.cfg.FleetSize)
-		w.settings.Teams[i].CPUsMax *= float64(w.cfg.FleetSize)
-	}
-	w.settings.Workers.HeartbeatS, w.settings.Workers.LeaseS, w.settings.Workers.CancelS = 8, 36, 70
-}
-
-func (w *Simulation) schedule(d time.Duration, f func()) {
-	w.eventSequence++
-	heap.Push(&w.events, event{w.now.Add(d), w.eventSequence, f})
+	return sim
 }
 
-func (w *Simulation) logf(format string, a ...any) {
-	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
-}
-
-func (w *Simulation) reportViolation(format string, a ...any) {
-	w.logf("BROKEN: "+format, a...)
-	w.Violations = append(w.Violations, fmt.Sprintf("%.3f: ", w.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
+func (sim *Simulation) logf(format string, a ...any) {
+	sim.Log = append(sim.Log, fmt.Sprintf("%8.3f ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
 // Run plays the world: cfg.Length with arrivals and faults, then a while of calm
 // in which everything must come to its end.
-func (w *Simulation) Run() {
+func (sim *Simulation) Run() {
 	switch {
-	case w.cfg.Overload:
-		w.generateOverload()
-	case !w.cfg.NoArrivals:
-		w.generateArrivals()
+	case sim.cfg.Overload:
+		sim.generateOverload()
+	case !sim.cfg.NoArrivals:
+		sim.generateArrivals()
 	}
-	w.checkIdleCapacity()
-	if w.cfg.Faults {
-		w.schedule(10*time.Second, w.injectFault)
+	sim.checkIdleCapacity()
+	if sim.cfg.Faults {
+		sim.schedule(10*time.Second, sim.injectFault)
 	}
 	limitChange := limitChangeDelay
-	if w.cfg.RollingUpgrade {
-		w.schedule(upgradeStart, func() { w.rollingUpgrade(0) })
+	if sim.cfg.RollingUpgrade {
+		sim.schedule(upgradeStart, func() { sim.rollingUpgrade(0) })
 		limitChange += upgradeStart
 	}
-	w.schedule(limitChange, w.store.lowerLimits)
+	sim.schedule(limitChange, sim.store.lowerLimits)
 	quiescence := defaultQuiescence
-	if w.cfg.QuiescentDuration > 0 {
-		quiescence = w.cfg.QuiescentDuration
-	}
-	end := ident.MonotonicTime(w.cfg.ActiveDuration + quiescence)
-	for len(w.events) > 0 && len(w.Violations) == 0 {
-		e := heap.Pop(&w.events).(event)
-		if e.at > end {
-			break
-		}
-		w.now = e.at
-		e.run()
+	if sim.cfg.QuiescentDuration > 0 {
+		quiescence = sim.cfg.QuiescentDuration
 	}
-	if len(w.Violations) == 0 {
-		w.checkCompletion()
-	}
-}
-
-const (
-	upgradeStart    = 40 * time.Second
-	upgradeInterval = 20 * time.Second
-	// limitChangeDelay is when the state service lowers its limits, or so long after an upgrade
-	// has begun.
-	limitChangeDelay = 90 * time.Second
-)
-
-// leader returns the node that surely leads, nil if none does.
-func (w *Simulation) leader() *node {
-	for _, n := range w.nodes {
-		if n.alive && n.controller.Election().LeaseValid() {
-			return n
-		}
+	end := ident.MonotonicTime(sim.cfg.ActiveDuration + quiescence)
+	sim.run(end, func() bool { return len(sim.Violations) > 0 })
+	if len(sim.Violations) == 0 {
+		sim.checkCompletion()
 	}
-	return nil
 }
 
-func (w *Simulation) sortedWorkers() []*worker {
-	if w.sortedByID == nil {
-		w.sortedByID = make([]*worker, 0, len(w.workers))
-		for _, k := range w.workers {
-			w.sortedByID = append(w.sortedByID, k)
+func (sim *Simulation) sortedWorkers() []*worker {
+	if sim.sortedByID == nil {
+		sim.sortedByID = make([]*worker, 0, len(sim.workers))
+		for _, w := range sim.workers {
+			sim.sortedByID = append(sim.sortedByID, w)
 		}
-		sort.Slice(w.sortedByID, func(i, k int) bool { return w.sortedByID[i].id < w.sortedByID[k].id })
+		sort.Slice(sim.sortedByID, func(i, k int) bool { return sim.sortedByID[i].id < sim.sortedByID[k].id })
 	}
-	return w.sortedByID
+	return sim.sortedByID
 }
 
-func (w *Simulation) anyWorker() *worker {
-	all := w.sortedWorkers()
+func (sim *Simulation) anyWorker() *worker {
+	all := sim.sortedWorkers()
 	if len(all) == 0 {
 		return nil
 	}
-	return all[w.rng.IntN(len(all))]
+	return all[sim.rng.IntN(len(all))]
 }
 
 // LogTail returns the end of the log.
-func (w *Simulation) LogTail(n int) string {
-	return strings.Join(w.Log[max(0, len(w.Log)-n):], "\n")
+func (sim *Simulation) LogTail(n int) string {
+	return strings.Join(sim.Log[max(0, len(sim.Log)-n):], "\n")
 }
