--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -35,7 +35,7 @@
 		switch response.Outcome {
 		case kvstore.OK:
 			c.noteAvailability(true)
-			c.handleCommitted(t, ident.Revision(response.StoreRevision))
+			c.handleCommitted(t, response.StoreRevision)
 		case kvstore.Conflict:
 			c.noteAvailability(true)
 			c.handleConflict(t, response.FailedKeys)
--- a/internal/controller/leader_term_test.go
+++ b/internal/controller/leader_term_test.go
@@ -29,7 +29,7 @@
 	probedAddrs map[string]bool
 	values      map[string]string  // of single keys
 	frames      []*transport.Frame // sent to siblings
-	revision    uint64
+	revision    ident.Revision
 }
 
 type timer struct {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -42,7 +42,7 @@
 				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
 			}
 			if c.Put != "" {
-				s.pairs[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.revision)}
+				s.pairs[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: s.revision}
 			} else {
 				delete(s.pairs, c.Delete)
 			}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -75,10 +75,6 @@
 	return [...]string{"following", "granting", "claiming", "leading"}[s]
 }
 
-// driftMargin is the part by which a lease is counted shorter: steady clocks drift
-// apart by at most 0.05%.
-const driftMargin = 0.001
-
 const (
 	callTimeout     = time.Second
 	recheckInterval = 300 * time.Millisecond
@@ -252,7 +248,7 @@
 				return
 			}
 			e.observeLeader(rec)
-			e.watchLeader(uint64(response.Revision))
+			e.watchLeader(response.Revision)
 		case kvstore.NotFound:
 			e.campaign(0)
 		default:
@@ -269,7 +265,7 @@
 }
 
 // watchLeader waits for the leader key to change.
-func (e *Elector) watchLeader(fromRevision uint64) {
+func (e *Elector) watchLeader(fromRevision ident.Revision) {
 	e.callStore(kvstore.Request{Op: kvstore.Watch, Prefix: LeaderKey, Revision: fromRevision, Block: watchBlock,
 		Timeout: watchBlock + 2*time.Second}, func(response kvstore.Response) {
 		if response.Outcome != kvstore.OK {
@@ -371,7 +367,7 @@
 		}
 		e.setState(Leading, "claim carried out")
 		e.term, e.leaseID = term, leaseID
-		e.leaderKey = kvstore.Compare{Key: LeaderKey, Revision: ident.Revision(response.StoreRevision)}
+		e.leaderKey = kvstore.Compare{Key: LeaderKey, Revision: response.StoreRevision}
 		e.preferred, e.campaignDelayed = successorPreference{}, false
 		e.renewalUnanswered = false
 		e.extendValidity(sentAt)
@@ -385,7 +381,7 @@
 // extendValidity counts from before the renewal was sent, on our own steady clock:
 // the service's lease surely lasts longer.
 func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
-	e.validUntil = max(e.validUntil, sentAt.Add(time.Duration(float64(e.leaseTTL)*(1-driftMargin))))
+	e.validUntil = max(e.validUntil, sentAt.Add(ident.DiscountDrift(e.leaseTTL)))
 }
 
 func (e *Elector) scheduleRenewal() {
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -15,7 +15,7 @@
 	now         ident.MonotonicTime
 	timers      []fakeTimer
 	keys        map[string]kvstore.KeyValue
-	revision    uint64
+	revision    ident.Revision
 	leaseCount  uint64
 	loseDeletes bool // transactions on the leader key are lost
 }
@@ -62,7 +62,7 @@
 			if c.Delete != "" {
 				delete(s.keys, c.Delete)
 			} else {
-				s.keys[c.Put] = kvstore.KeyValue{Value: c.Value, Revision: ident.Revision(s.revision)}
+				s.keys[c.Put] = kvstore.KeyValue{Value: c.Value, Revision: s.revision}
 			}
 		}
 		return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}, true
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -25,7 +25,7 @@
 	sent          map[ident.MachineID][]api.Command
 	unresponsive  map[string]bool
 	sequence      ident.SequenceNumber
-	revision      uint64
+	revision      ident.Revision
 	commits       *commit.Committer
 	jobs          *jobs.Table
 	workers       *workers.Table
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -22,6 +22,16 @@
 // Sub returns the time that passed from o to m.
 func (m MonotonicTime) Sub(o MonotonicTime) time.Duration { return time.Duration(m - o) }
 
+// ClockDriftMargin is the share by which a duration that another process relies on is
+// counted shorter here. The monotonic clocks of two machines drift apart by at most 0.05%.
+const ClockDriftMargin = 0.001
+
+// DiscountDrift returns d shortened by ClockDriftMargin: the part of it that has
+// certainly not passed on any machine before d has passed on this one.
+func DiscountDrift(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - ClockDriftMargin))
+}
+
 type (
 	// NodeID names a controller.
 	NodeID string
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -135,7 +135,7 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	for _, p := range g.Pairs {
 		k.Entries[p.Key] = p
-		k.Revision = max(k.Revision, uint64(p.Revision))
+		k.Revision = max(k.Revision, p.Revision)
 	}
 	return k
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -44,10 +44,10 @@
 // Request is one call; only the fields of its Op are used.
 type Request struct {
 	Op         Op
-	Key        string // Get
-	Prefix     string // List, Follow
-	StartAfter string // List
-	Revision   uint64 // Follow
+	Key        string         // Get
+	Prefix     string         // List, Follow
+	StartAfter string         // List
+	Revision   ident.Revision // Follow
 	Compares   []Compare
 	Mutations  []Mutation
 	TTL        time.Duration // Grant
@@ -96,7 +96,7 @@
 	Value         json.RawMessage `json:"value"`
 	Revision      ident.Revision  `json:"stamp"`
 	LeaseID       uint64          `json:"grant"`
-	StoreRevision uint64          `json:"ledger"`
+	StoreRevision ident.Revision  `json:"ledger"`
 	FailedKeys    []string        `json:"failed"`
 	KeyValues     []KeyValue      `json:"pairs"`
 	Truncated     bool            `json:"truncated"`
@@ -180,7 +180,7 @@
 	case RevokeLease:
 		return http.MethodDelete, "/leases/" + strconv.FormatUint(r.LeaseID, 10), nil
 	case Watch:
-		query := url.Values{"starts": {r.Prefix}, "since": {strconv.FormatUint(r.Revision, 10)},
+		query := url.Values{"starts": {r.Prefix}, "since": {strconv.FormatUint(uint64(r.Revision), 10)},
 			"block_ms": {strconv.FormatInt(r.Block.Milliseconds(), 10)}}
 		return http.MethodGet, "/follow?" + query.Encode(), nil
 	}
--- a/internal/kvstoretest/memory_store.go
+++ b/internal/kvstoretest/memory_store.go
@@ -14,7 +14,7 @@
 // MemoryStore holds keys as the state service does.
 type MemoryStore struct {
 	Entries  map[string]kvstore.KeyValue
-	Revision uint64
+	Revision ident.Revision
 }
 
 // NewMemoryStore makes a store with those keys, the newest of them changed last.
@@ -22,7 +22,7 @@
 	s := &MemoryStore{Entries: map[string]kvstore.KeyValue{}}
 	for _, p := range pairs {
 		s.Entries[p.Key] = p
-		s.Revision = max(s.Revision, uint64(p.Revision))
+		s.Revision = max(s.Revision, p.Revision)
 	}
 	return s
 }
@@ -51,7 +51,7 @@
 	s.Revision++
 	for _, c := range changes {
 		if c.Put != "" {
-			s.Entries[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.Revision)}
+			s.Entries[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: s.Revision}
 		} else {
 			delete(s.Entries, c.Delete)
 		}
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -17,7 +17,7 @@
 // store is a state service by its protocol, in memory.
 type store struct {
 	mu        sync.Mutex
-	revision  uint64
+	revision  ident.Revision
 	entries   map[string]storeEntry
 	leases    map[uint64]*storeLease
 	lastLease uint64
@@ -91,11 +91,11 @@
 	for _, c := range changes {
 		s.onChange(c)
 		if c.Put != "" {
-			s.entries[c.Put] = storeEntry{Key: c.Put, Value: c.Value, Revision: ident.Revision(s.revision), LeaseID: c.LeaseID}
+			s.entries[c.Put] = storeEntry{Key: c.Put, Value: c.Value, Revision: s.revision, LeaseID: c.LeaseID}
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)})
+		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: s.revision})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -216,7 +216,7 @@
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		news := s.changesSince(query.Get("starts"), since)
+		news := s.changesSince(query.Get("starts"), ident.Revision(since))
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(news) > 0 {
@@ -236,10 +236,10 @@
 }
 
 // changesSince returns the changes of keys with a prefix after a revision.
-func (s *store) changesSince(prefix string, revision uint64) []kvstore.WatchEvent {
+func (s *store) changesSince(prefix string, revision ident.Revision) []kvstore.WatchEvent {
 	var news []kvstore.WatchEvent
 	for _, n := range s.history {
-		if uint64(n.Revision) > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
+		if n.Revision > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
 			news = append(news, n)
 		}
 	}
--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -17,10 +17,6 @@
 // MinLeaderSilence is how long a node must be without the leader before it keeps leases.
 const MinLeaderSilence = 4 * time.Second
 
-// driftMargin is the part by which times are counted against the one who counts: steady
-// clocks drift apart by at most 0.05%.
-const driftMargin = 0.001
-
 // SentHeartbeats remembers when the newest beats were sent.
 type SentHeartbeats struct {
 	ids   [64]uint64
@@ -71,7 +67,7 @@
 // token of a later term is a successor's.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	age := now.Sub(r.leaderSeenAt)
-	return r.permitted && age > MinLeaderSilence && age < time.Duration(float64(r.allowance)*(1-driftMargin)) && token != 0 && token.Term() <= r.term
+	return r.permitted && age > MinLeaderSilence && age < ident.DiscountDrift(r.allowance) && token != 0 && token.Term() <= r.term
 }
 
 // RecordRenewal notes that a lease was renewed.
@@ -121,9 +117,9 @@
 			e.lastRenewal = max(e.lastRenewal, min(startedAt, e.latestPossibleRenewal(r)))
 		}
 		if status.HasRenewed {
-			e.lastRenewal = max(e.lastRenewal, now.Add(-time.Duration(float64(status.SinceRenewal)*(1-driftMargin))))
+			e.lastRenewal = max(e.lastRenewal, now.Add(-ident.DiscountDrift(status.SinceRenewal)))
 		}
-		e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, time.Duration(float64(MinLeaderSilence-status.SinceLeader)*(1-driftMargin)))))
+		e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, ident.DiscountDrift(MinLeaderSilence-status.SinceLeader))))
 	}
 	e.lastHeard = now
 }
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -72,7 +72,7 @@
 	d.text("key", r.Key)
 	d.text("prefix", r.Prefix)
 	d.text("after", r.StartAfter)
-	d.number("revision", r.Revision)
+	d.number("revision", uint64(r.Revision))
 	d.number("conditions", uint64(len(r.Compares)))
 	for _, c := range r.Compares {
 		d.text("key", c.Key)
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -363,7 +363,7 @@
 	w.fragmentFleet(4)
 	w.scheduleAt(40, func() {
 		for _, id := range w.jobOrder {
-			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(w.store.revision)}
+			w.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: w.store.revision}
 		}
 		l := w.leader()
 		l.crash(time.Second)
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -18,7 +18,7 @@
 // store is the state service.
 type store struct {
 	sim         *Simulation
-	revision    uint64
+	revision    ident.Revision
 	keys        map[string]*entry
 	leases      map[uint64]ident.MonotonicTime // when each ends
 	leaseTTLs   map[uint64]time.Duration
@@ -38,7 +38,7 @@
 
 type watcher struct {
 	prefix        string
-	afterRevision uint64
+	afterRevision ident.Revision
 	reply         func(any)
 	done          bool
 }
@@ -82,10 +82,10 @@
 func (s *store) apply(changes []kvstore.Mutation) {
 	s.revision++
 	for _, c := range changes {
-		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
+		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: s.revision}
 		s.sim.checkMoveRecord(c)
 		if c.Put != "" {
-			s.keys[c.Put] = &entry{c.Value, ident.Revision(s.revision), c.LeaseID}
+			s.keys[c.Put] = &entry{c.Value, s.revision, c.LeaseID}
 		} else {
 			delete(s.keys, c.Delete)
 		}
@@ -103,7 +103,7 @@
 	}
 	out := kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 	for _, n := range s.history {
-		if uint64(n.Revision) > w.afterRevision && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
+		if n.Revision > w.afterRevision && (strings.HasPrefix(n.Put, w.prefix) && n.Put != "" || strings.HasPrefix(n.Delete, w.prefix) && n.Delete != "") {
 			out.Events = append(out.Events, n)
 		}
 	}
