--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -120,7 +120,14 @@
 	case List:
 		path = "/machines?" + url.Values{"since": {string(request.StartAfter)}, "most": {listPageSize}}.Encode()
 	}
-	status, response, err := httpcall.Do(c.httpClient, requestTimeout, method, c.baseURL+path, body, maxResponseBytes)
+	call := httpcall.Call{
+		Method:           method,
+		URL:              c.baseURL + path,
+		Body:             body,
+		Timeout:          requestTimeout,
+		MaxResponseBytes: maxResponseBytes,
+	}
+	status, response, err := call.Do(c.httpClient)
 	if err != nil {
 		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -10,6 +10,7 @@
 package commit
 
 import (
+	"errors"
 	"time"
 
 	"opaldale/internal/ident"
@@ -63,7 +64,7 @@
 	expectedLimits Limits          // what the service may come to
 	textFormat     bool            // the log is in its own format
 	leaderCompare  kvstore.Compare // holds as long as we are the leader
-	onTermLost     func(why string)
+	onTermLost     func(error)
 
 	urgentQueue           []*Document // urgent
 	lazyQueue             []*Document
@@ -94,9 +95,22 @@
 	Txns, Puts, Retries, LogRecords, Rejected uint64
 }
 
-// New makes the committer of a term. onTermLost is called when the leader key is not
-// ours any more, or when the service contradicts what we know.
-func New(port Port, limits Limits, leaderCompare kvstore.Compare, onTermLost func(string)) *Committer {
+// The reasons for which a committer ends its term. Each means that the content in memory may
+// differ from the stored one.
+var (
+	// ErrAnotherLeader means that the leader key has changed.
+	ErrAnotherLeader = errors.New("another leader")
+	// ErrConflict means that a key has a revision that no write of this leader gave it.
+	ErrConflict = errors.New("unexpected conflict")
+	// ErrKeyLost means that a key that the leader has put does not exist.
+	ErrKeyLost = errors.New("key lost")
+	// ErrUnexpectedResponse means that the store gave an answer that does not belong to the request.
+	ErrUnexpectedResponse = errors.New("unexpected response of the store")
+)
+
+// New makes the committer of a term. onTermLost is called at most once, with one of the errors
+// above; the committer has stopped by then.
+func New(port Port, limits Limits, leaderCompare kvstore.Compare, onTermLost func(error)) *Committer {
 	return &Committer{port: port, limits: limits, expectedLimits: limits, leaderCompare: leaderCompare, onTermLost: onTermLost,
 		rateTokens: limits.MutationsPerSecond, refilledAt: port.Now(), lastRecordAt: port.Now().Add(-time.Hour), entryCallbacks: map[Entry][]func(){}, inFlightLSNs: map[uint64]bool{}}
 }
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -97,7 +97,7 @@
 	for seed := range uint64(60) {
 		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
 		called := map[string]int{}
 		values := make([]int, 12)
 		docs := make([]*Document, 12)
@@ -159,7 +159,7 @@
 func TestOtherLeader(t *testing.T) {
 	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
 	lost := 0
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(string) { lost++ })
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(error) { lost++ })
 	c.MarkDirty(&Document{Key: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
 	c.Flush()
 	f.run(time.Minute)
@@ -172,7 +172,7 @@
 // of the transaction are written.
 func TestExists(t *testing.T) {
 	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}, kvstore.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	exists, stored := 0, 0
 	render := func() json.RawMessage { return json.RawMessage("1") }
 	c.MarkDirty(&Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}, func() { t.Error("called durable") })
@@ -216,7 +216,7 @@
 		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
 		var all [docs][parts]*testEntry
 		for d := range docs {
 			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -41,7 +41,7 @@
 	for _, packed := range []bool{false, true} {
 		r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
 		r.Revision = 100
-		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 17}, func(why string) { t.Error(why) })
+		c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 17}, func(err error) { t.Error(err) })
 		if packed {
 			c.UseTextFormat()
 		}
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -45,7 +45,7 @@
 		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
 		c.textFormat = true
 		if seed%2 == 0 {
 			c.ExpectLimits(Limits{MutationsPerTxn: 2, MutationsPerSecond: 50, MaxValueBytes: 400})
@@ -131,7 +131,7 @@
 		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
 			puts: map[string][]string{}}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(why string) { t.Errorf("seed %d: term lost: %s", seed, why) })
+			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
 		c.UseTextFormat()
 		var all []*testEntry
 		for d := range 40 {
@@ -184,7 +184,7 @@
 // TestLongLogIsCompacted: records of which little is still held don't pile up.
 func TestLongLogIsCompacted(t *testing.T) {
 	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
 	var idle []*testEntry // each in a record of its own, among others that change again and again
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -1,7 +1,9 @@
 package commit
 
 import (
+	"fmt"
 	"log/slog"
+	"strings"
 	"time"
 
 	"opaldale/internal/ident"
@@ -57,7 +59,7 @@
 			}
 			c.retry(t, func() { c.attempt(t) })
 		default:
-			c.failTerm("state service: " + response.Error)
+			c.failTerm(fmt.Errorf("%w: %v", ErrUnexpectedResponse, response.Outcome))
 		}
 	})
 }
@@ -89,7 +91,7 @@
 		isFailed[key] = true
 	}
 	if isFailed[c.leaderCompare.Key] {
-		c.failTerm("another leader")
+		c.failTerm(ErrAnotherLeader)
 		return
 	}
 	var existing, others []*Document
@@ -124,7 +126,7 @@
 		return
 	}
 	if !t.uncertain {
-		c.failTerm("conflict on " + t.documents[0].Key)
+		c.failTerm(fmt.Errorf("%w on %s", ErrConflict, strings.Join(failed, ", ")))
 		return
 	}
 	c.recoverRevision(t)
@@ -264,7 +266,7 @@
 		case response.Outcome == kvstore.NoAnswer || response.Outcome == kvstore.Unavailable || response.Outcome == kvstore.RateLimited:
 			c.retry(t, func() { c.recoverRevision(t) })
 		default:
-			c.failTerm("lost " + key)
+			c.failTerm(fmt.Errorf("%w: %s", ErrKeyLost, key))
 		}
 	})
 }
@@ -323,8 +325,8 @@
 }
 
 // failTerm ends the term: what memory holds may differ from the truth.
-func (c *Committer) failTerm(reason string) {
-	slog.Error("commit failed", "why", reason)
+func (c *Committer) failTerm(err error) {
+	slog.Error("term lost", "err", err)
 	c.stopped = true
-	c.onTermLost(reason)
+	c.onTermLost(err)
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -108,7 +108,7 @@
 	}
 	tight := limits(storeSettings.Strictest())
 	l.maxValueBytes = tight.MaxValueBytes
-	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(why string) { c.election.Deposed(why) })
+	l.committer = commit.New(c.env, limits(storeSettings), leaderKey, func(err error) { c.election.Deposed(err.Error()) })
 	l.committer.ExpectLimits(tight)
 	l.committer.OnUnavailable = l.failPendingReplies
 	l.jobs = jobs.NewTable(l.committer, limits(storeSettings).MaxValueBytes, c.env.Now, c.env.WallMS)
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -78,7 +78,7 @@
 	r := &harness{fakePort: &fakePort{now: ident.MonotonicTime(time.Hour)}, reached: true}
 	r.reply = func(q cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: []string{"east"}}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(string) {})
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(error) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.table = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
 		Catalog: func(string) *cloud.MachineType { return &kind }, OnDeposed: func() {}, OnCapacityChanged: func() {},
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -78,7 +78,7 @@
 func newHarness(t *testing.T) *harness {
 	r := &harness{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Command{}, unresponsive: map[string]bool{}}
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.UsePackedLog()
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,4 +1,5 @@
-// Package httpcall makes one bounded HTTP call with JSON bodies.
+// Package httpcall makes HTTP calls with JSON bodies, each bounded in time and in the size of
+// its response.
 package httpcall
 
 import (
@@ -12,35 +13,49 @@
 	"time"
 )
 
-// Do sends a request, with body as JSON unless it is nil, and reads at most limit
-// bytes of the answer. After an error the request may have been carried out.
-func Do(client *http.Client, timeout time.Duration, method, url string, body any, maxBytes int64) (status int, responseBody []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+// Call is one request and the bounds within which it must be answered.
+type Call struct {
+	Method string
+	URL    string
+	Body   any // encoded as JSON; nil for a request without a body
+
+	Timeout          time.Duration // for the whole call, including the body of the response
+	MaxResponseBytes int64         // a longer body is cut off there without an error
+}
+
+// Do sends the request and returns the status and the body of the response. After an error the
+// server may still have processed the request, unless ConnectionRefused is true of the error.
+func (c Call) Do(client *http.Client) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	var reader io.Reader
-	if body != nil {
-		data, err := json.Marshal(body)
-		if err != nil {
-			return 0, nil, err
-		}
-		reader = bytes.NewReader(data)
+	request, err := c.newRequest(ctx)
+	if err != nil {
+		return 0, nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, reader)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	if reader != nil {
-		req.Header.Set("Content-Type", "application/json")
+	defer response.Body.Close()
+	body, err = io.ReadAll(io.LimitReader(response.Body, c.MaxResponseBytes))
+	return response.StatusCode, body, err
+}
+
+func (c Call) newRequest(ctx context.Context) (*http.Request, error) {
+	if c.Body == nil {
+		return http.NewRequestWithContext(ctx, c.Method, c.URL, nil)
 	}
-	resp, err := client.Do(req)
+	encoded, err := json.Marshal(c.Body)
 	if err != nil {
-		return 0, nil, err
+		return nil, err
+	}
+	request, err := http.NewRequestWithContext(ctx, c.Method, c.URL, bytes.NewReader(encoded))
+	if err != nil {
+		return nil, err
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
-	return resp.StatusCode, data, err
+	request.Header.Set("Content-Type", "application/json")
+	return request, nil
 }
 
-// ConnectionRefused says whether a call failed because the connection was refused. Nothing was sent
-// then.
+// ConnectionRefused reports whether err is a refused connection, so that nothing was sent.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -40,7 +40,7 @@
 // open makes a table that writes in that way.
 func (s storage) open(r *recorder) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
 	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
 	if s.packed {
 		c.UseTextFormat()
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -33,7 +33,7 @@
 func (k *fakeStore) run() { k.Run() }
 
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
-	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -125,7 +125,14 @@
 // is Lost.
 func (c *Client) Do(r Request) Response {
 	method, path, requestBody := httpRequest(r)
-	status, responseBody, err := httpcall.Do(c.httpClient, r.Timeout, method, c.baseURL+path, requestBody, maxResponseBytes)
+	call := httpcall.Call{
+		Method:           method,
+		URL:              c.baseURL + path,
+		Body:             requestBody,
+		Timeout:          r.Timeout,
+		MaxResponseBytes: maxResponseBytes,
+	}
+	status, responseBody, err := call.Do(c.httpClient)
 	if err != nil {
 		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -27,7 +27,7 @@
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
 	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(err error) { t.Error(err) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
 		Purpose:        rebalance.FreesCapacity,
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -13,7 +13,7 @@
 
 // newTermHistory makes the history of a term, with what is stored.
 func newTermHistory(t *testing.T, s *kvstoretest.SteppedStore) (*History, *commit.Committer) {
-	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Entries {
 		if strings.HasPrefix(path, Prefix) {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -65,7 +65,7 @@
 func newTestCluster(machines int) *testCluster {
 	l := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
-	l.commits = commit.New(l, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader"}, func(string) {})
+	l.commits = commit.New(l, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader"}, func(error) {})
 	l.jobs = jobs.NewTable(l.commits, 16<<10, l.Now, func() int64 { return 0 })
 	l.machines = workers.NewTable(l, l.jobs, workers.Config{Term: 1, LeaseDuration: time.Minute, Catalog: func(string) *cloud.MachineType { return &kind },
 		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -210,7 +210,14 @@
 	if s.loop.expired(command.NotAfter) {
 		return workers.CommandResult{NotSent: true}
 	}
-	status, b, err := httpcall.Do(s.workerClient, commandTimeout, http.MethodPost, "http://"+command.Addr+"/commands", command.Body, maxHeartbeatBytes)
+	call := httpcall.Call{
+		Method:           http.MethodPost,
+		URL:              "http://" + command.Addr + "/commands",
+		Body:             command.Body,
+		Timeout:          commandTimeout,
+		MaxResponseBytes: maxHeartbeatBytes,
+	}
+	status, b, err := call.Do(s.workerClient)
 	if err != nil {
 		return workers.CommandResult{ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -57,7 +57,7 @@
 	other := newest
 	other.Key = NodeKeyPrefix + "agent-2"
 	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore(newest, other))}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(err error) { t.Error(err) })
 	done := false
 	raiser := New(r, 41, kvstore.Compare{Key: "leader", Revision: 61}, []ident.NodeID{"agent-1", "agent-2"}, c.MarkDirty, func() { done = true })
 	raiser.Poll()
--- a/internal/workers/table_test.go
+++ b/internal/workers/table_test.go
@@ -63,7 +63,7 @@
 func newHarness(t *testing.T) *harness {
 	r := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.tb = NewTable(r, r.jobs, Config{Term: term, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
 		Catalog: func(string) *cloud.MachineType { return &kind }, OnCommandResult: func(*Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }, OnDeposed: func() { t.Error("deposed") }, OnCapacityChanged: func() {},
