--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -1,167 +1,131 @@
 package commit
 
 import (
-	"encoding/json"
-	"strings"
+	"time"
 
 	"opaldale/internal/kvstore"
 )
 
-// queuedEntry is an entry in a record that is under way.
-type queuedEntry struct {
-	entry     Entry
-	callbacks []func()
+// txn is one transaction. Its request never changes: a repetition is the same request, so the
+// revisions that it compares let it be applied at most once.
+type txn struct {
+	documents  []*Document
+	records    []openRecord
+	request    kvstore.Request
+	uncertain  bool // a copy of it may have been applied, or may yet be
+	retryDelay time.Duration
 }
 
-// txnDraft is a transaction while it is put together.
+// hasUncertainKeys reports whether a transaction that was given up may yet change, or have
+// changed, a key of this one.
+func (t *txn) hasUncertainKeys() bool {
+	for _, d := range t.documents {
+		if d.uncertain {
+			return true
+		}
+	}
+	for _, record := range t.records {
+		if record.slot.uncertain {
+			return true
+		}
+	}
+	return false
+}
+
+// firstPut returns the first key that the transaction puts, or "" if it only deletes.
+func (t *txn) firstPut() string {
+	for _, mutation := range t.request.Mutations {
+		if mutation.Put != "" {
+			return mutation.Put
+		}
+	}
+	return ""
+}
+
+// txnDraft is a transaction under construction.
 type txnDraft struct {
 	txn       *txn
 	compares  []kvstore.Compare
 	mutations []kvstore.Mutation
-	size      int
+	size      int // estimated, in bytes
+}
+
+// add adds compares and mutations to the draft. valueBytes is the size of the values.
+func (d *txnDraft) add(compares []kvstore.Compare, mutations []kvstore.Mutation, valueBytes int) {
+	d.compares = append(d.compares, compares...)
+	d.mutations = append(d.mutations, mutations...)
+	d.size += mutationsBytes(mutations, valueBytes)
 }
 
+// fits reports whether compares and mutations can be added within the limits. An empty draft
+// takes whatever comes first: it can't be made smaller.
+func (d *txnDraft) fits(l *limiter, compares []kvstore.Compare, mutations []kvstore.Mutation, valueBytes int) bool {
+	if len(d.mutations) == 0 {
+		return true
+	}
+	total := len(d.mutations) + len(mutations)
+	return total <= l.limits.MutationsPerTxn &&
+		float64(total) <= l.tokens &&
+		len(d.compares)+len(compares) <= comparesPerMutation*l.limits.MutationsPerTxn &&
+		d.size+mutationsBytes(mutations, valueBytes) <= maxTxnBytes
+}
+
+func mutationsBytes(mutations []kvstore.Mutation, valueBytes int) int {
+	return valueBytes + mutationOverheadBytes*len(mutations)
+}
+
+// buildTxn makes a transaction of what is queued: records of the log first, then urgent documents
+// and, if there is capacity to spare, others. It returns nil if nothing is left to write.
 func (c *Committer) buildTxn() *txn {
 	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []kvstore.Compare{c.leaderCompare}}
-	draft.txn.textFormat = c.textFormat
 	c.addLogRecords(draft)
 	c.urgentQueue = c.addDocuments(draft, c.urgentQueue, urgent)
-	if len(c.urgentQueue) == 0 && c.hasSpareTokens() {
+	if len(c.urgentQueue) == 0 && c.limiter.hasSpareTokens() {
 		c.lazyQueue = c.addDocuments(draft, c.lazyQueue, lazy)
 	}
-	if len(draft.txn.documents) == 0 && len(draft.txn.slots) == 0 {
+	if len(draft.txn.documents) == 0 && len(draft.txn.records) == 0 {
 		return nil
 	}
-	draft.txn.request = kvstore.Request{Op: kvstore.Txn, Compares: draft.compares, Mutations: draft.mutations, Timeout: txnTimeout}
+	draft.txn.request = kvstore.Request{
+		Op:        kvstore.Txn,
+		Compares:  draft.compares,
+		Mutations: draft.mutations,
+		Timeout:   txnTimeout,
+	}
 	return draft.txn
 }
 
-// addLogRecords packs the lines that wait into records.
+// addLogRecords adds records with the pending entries of the log.
 func (c *Committer) addLogRecords(draft *txnDraft) {
-	for n := 0; n < min(maxRecordsPerTxn, c.limits.MutationsPerTxn) && len(c.pendingEntries) > 0; n++ {
-		c.lastLSN++
-		c.lastRecordAt = c.port.Now()
-		c.LogRecords++
-		record := logRecord{LSN: c.lastLSN}
-		var batch []Entry
-		if c.textFormat {
-			batch = c.fillText(&record)
-		} else {
-			linesPerRecord := max(1, (c.limits.MaxValueBytes-64)/MaxLineBytes)
-			batch = c.pendingEntries[:min(linesPerRecord, len(c.pendingEntries))]
-			for _, e := range batch {
-				record.Lines = append(record.Lines, e.JSONLine())
-			}
-		}
-		c.pendingEntries = c.pendingEntries[len(batch):]
-		queued := make([]queuedEntry, len(batch))
-		for i, e := range batch {
-			queued[i] = queuedEntry{e, c.entryCallbacks[e]}
-			delete(c.entryCallbacks, e)
-		}
-		value, err := json.Marshal(record)
-		if err != nil {
-			panic(err)
-		}
-		slot := c.allocateSlot()
-		slot.lsn = c.lastLSN
-		c.inFlightLSNs[c.lastLSN] = true
-		draft.txn.slots = append(draft.txn.slots, slot)
-		draft.txn.entries = append(draft.txn.entries, queued)
-		draft.compares = append(draft.compares, kvstore.Compare{Key: slot.key, Revision: slot.revision})
-		draft.mutations = append(draft.mutations, kvstore.Mutation{Put: slot.key, Value: value})
-		draft.size += len(value) + mutationOverheadBytes
-	}
-	if len(c.pendingEntries) == 0 {
-		c.pendingEntries = nil
-	}
-}
-
-// fillText fills a record with lines of text, as many as surely fit into a value, and
-// returns their entries.
-func (c *Committer) fillText(record *logRecord) []Entry {
-	const envelope = 64 // the record without its text
-	var text strings.Builder
-	lastGroup, count, size := "", 0, envelope
-	for _, e := range c.pendingEntries {
-		group, line := e.TextLine()
-		added := len(line) + 1
-		if group != lastGroup {
-			added += len(group) + 2 // the end of a line takes two bytes in JSON
-		}
-		if count > 0 && size+added > c.limits.MaxValueBytes {
-			break
-		}
-		if group != lastGroup {
-			if count > 0 {
-				text.WriteByte('\n')
-			}
-			text.WriteString(group)
-			lastGroup = group
-		}
-		text.WriteByte(' ')
-		text.WriteString(line)
-		size += added
-		count++
+	limits := c.limiter.limits
+	maxRecords := min(maxRecordsPerTxn, limits.MutationsPerTxn)
+	for len(draft.txn.records) < maxRecords && len(c.log.pending) > 0 {
+		record, value := c.log.takeRecord(c.port.Now(), limits.MaxValueBytes)
+		draft.txn.records = append(draft.txn.records, record)
+		draft.add(
+			[]kvstore.Compare{{Key: record.slot.key, Revision: record.slot.revision}},
+			[]kvstore.Mutation{{Put: record.slot.key, Value: value}},
+			len(value))
 	}
-	record.Text = text.String()
-	return c.pendingEntries[:count]
 }
 
-// ParseText calls f for each line of a record's text.
-func ParseText(text string, visit func(group, line string) error) error {
-	for len(text) > 0 {
-		var groupLine string
-		groupLine, text, _ = strings.Cut(text, "\n")
-		group, rest, _ := strings.Cut(groupLine, " ")
-		for len(rest) > 0 {
-			var line string
-			line, rest, _ = strings.Cut(rest, " ")
-			if err := visit(group, line); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// addDocuments adds documents from the front of a queue as far as the limits allow,
-// and returns the rest of it.
+// addDocuments adds documents from the front of a queue as far as the limits allow, and returns
+// the rest of the queue.
 func (c *Committer) addDocuments(draft *txnDraft, queue []*Document, u urgency) []*Document {
 	taken := 0
 	for _, d := range queue {
 		if d.queuedAs != u || d.state != dirty {
-			taken++ // went with the other queue
+			taken++ // sent from the other queue
 			continue
 		}
-		var mutations []kvstore.Mutation
-		value := d.Render()
-		if value == nil {
-			if d.Revision != 0 {
-				mutations = append(mutations, kvstore.Mutation{Delete: d.Key})
-			}
-		} else {
-			mutations = append(mutations, kvstore.Mutation{Put: d.Key, Value: value})
-		}
-		if d.ExtraMutations != nil {
-			mutations = append(mutations, d.ExtraMutations()...)
-		}
-		added := len(value) + mutationOverheadBytes*len(mutations)
-		if len(draft.mutations) > 0 && (len(draft.mutations)+len(mutations) > c.limits.MutationsPerTxn || draft.size+added > maxTxnBytes ||
-			float64(len(draft.mutations)+len(mutations)) > c.rateTokens || len(draft.compares)+len(d.MustNotExist)+1 > 4*c.limits.MutationsPerTxn) {
+		mutations, valueBytes := d.mutations()
+		compares := d.compares()
+		if !draft.fits(&c.limiter, compares, mutations, valueBytes) {
 			break
 		}
 		taken++
-		draft.size += added
-		draft.compares = append(draft.compares, kvstore.Compare{Key: d.Key, Revision: d.Revision})
-		for _, key := range d.MustNotExist {
-			draft.compares = append(draft.compares, kvstore.Compare{Key: key})
-		}
-		draft.mutations = append(draft.mutations, mutations...)
-		d.inFlightCallbacks, d.pendingCallbacks = d.pendingCallbacks, nil
-		d.renderedLSN = c.LSN()
-		d.queuedAs = notQueued
-		d.setState(inFlight)
+		draft.add(compares, mutations, valueBytes)
+		d.noteSent(c.LSN())
 		draft.txn.documents = append(draft.txn.documents, d)
 	}
 	return append(queue[:0], queue[taken:]...)
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,100 +1,43 @@
-// Package commit writes the leader's documents to the state service: in groups,
-// within its limits, and each change at most once however often a transaction is
-// repeated, late or lost.
+// Package commit writes the leader's documents to the key-value store: grouped into
+// transactions, within the limits of the store, and each change at most once, although
+// transactions may be repeated, delayed or lost.
 //
-// Small and frequent changes go to a log instead of their documents: a record of
-// the log holds the changes of many documents in one put. Its slot is used again
-// when all of them have been put as a whole, or deleted, since. In the log's own
-// format (Pack) a record holds lines of text, and its slot is used again when each
-// entry has a newer line; a log that has become long writes such lines once more.
+// Small and frequent changes are written to a log instead of to their documents: a record of
+// the log holds changes of many documents in one put. The slot of a record, its key, is reused
+// once the record is obsolete. Which records are obsolete depends on the format of the log:
+//
+//   - In the JSON format, a record is obsolete when each document with a change in it has been
+//     put as a whole, or deleted, since.
+//   - In the text format, a record is obsolete when each of its entries has a newer line in
+//     another record. Lines of the oldest records are written again when the log becomes long.
 package commit
 
 import (
 	"errors"
+	"log/slog"
 	"time"
 
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
 
-// Port is what the committer needs of the world.
+// Port is the environment of a committer.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
 }
 
-// Limits are those of the state service, already reduced by what other requests
-// need.
-type Limits struct {
-	MutationsPerTxn    int     // puts and deletes in a transaction
-	MutationsPerSecond float64 // puts and deletes a second
-	MaxValueBytes      int     // of a value
-}
-
-// Min returns the smaller of both for each.
-func (l Limits) Min(other Limits) Limits {
-	return Limits{MutationsPerTxn: min(l.MutationsPerTxn, other.MutationsPerTxn), MutationsPerSecond: min(l.MutationsPerSecond, other.MutationsPerSecond), MaxValueBytes: min(l.MaxValueBytes, other.MaxValueBytes)}
-}
-
 const (
-	maxOpenTxns         = 3       // transactions whose outcome is open
-	maxRecordsPerTxn    = 2       // records of the log in a transaction
-	jsonLogShare        = 0.25    // part of the puts that records may take
-	textLogShare        = 0.5     // and in the log's own format: jobs' own keys are then put only as they come and go
-	compactAfterRecords = 200     // records kept before documents are put to free them
-	compactAfterBytes   = 2 << 20 // or so much of them, in the log's own format
-	estimatedLineBytes  = 24      // bytes of such a line
-	minValueBytes       = 256     // a record is not made smaller than that, whatever the service says
-	// maxImmediateRejections is how many refusals in a row are answered at once with smaller pieces,
-	// and maxRejectionPause how long the pauses between more of them become.
-	maxImmediateRejections = 20
-	maxRejectionPause      = time.Minute
-	maxTxnBytes            = 48 << 10 // of a transaction, below the service's 64 KiB
-	mutationOverheadBytes  = 200      // bytes around a value
-	initialRetryDelay      = 100 * time.Millisecond
-	maxRetryDelay          = time.Second
-	txnTimeout             = 1500 * time.Millisecond
+	maxOpenTxns           = 3 // transactions whose outcome is open
+	lazyRecheckInterval   = 100 * time.Millisecond
+	initialRetryDelay     = 100 * time.Millisecond
+	maxRetryDelay         = time.Second
+	txnTimeout            = 1500 * time.Millisecond
+	maxTxnBytes           = 48 << 10 // of a transaction, below the 64 KiB that the store takes
+	mutationOverheadBytes = 200      // bytes of a mutation beside its value
 )
 
-// Committer is the leader's only way to write. It lives for one term.
-type Committer struct {
-	port           Port
-	limits         Limits
-	expectedLimits Limits          // what the service may come to
-	textFormat     bool            // the log is in its own format
-	leaderCompare  kvstore.Compare // holds as long as we are the leader
-	onTermLost     func(error)
-
-	urgentQueue           []*Document // urgent
-	lazyQueue             []*Document
-	openTxns              int
-	rateTokens            float64
-	refilledAt            ident.MonotonicTime
-	flushScheduled        bool
-	consecutiveRejections int                 // transactions refused in a row
-	pausedUntil           ident.MonotonicTime // nothing is sent earlier
-	stopped               bool
-	quiesced              bool // nothing new is sent
-	unavailable           bool // the service refused or did not answer last time
-
-	pendingEntries []Entry             // changed, not yet in a record
-	entryCallbacks map[Entry][]func()  // to call when they are durable
-	lastLSN        uint64              // of the newest record
-	inFlightLSNs   map[uint64]bool     // records under way
-	lastRecordAt   ident.MonotonicTime // when it was built
-	slotCount      int                 // keys of the log ever used
-	freeSlots      []*logSlot
-	usedSlots      []*logSlot // durable, oldest first, some of them free again
-	liveSlots      int        // those of them that are not
-	pinnedEntries  int        // entries that hold one
-
-	// OnUnavailable is called when the service doesn't take a transaction.
-	OnUnavailable func()
-
-	Txns, Puts, Retries, LogRecords, Rejected uint64
-}
-
 // The reasons for which a committer ends its term. Each means that the content in memory may
 // differ from the stored one.
 var (
@@ -108,113 +51,175 @@
 	ErrUnexpectedResponse = errors.New("unexpected response of the store")
 )
 
+// lifecycle is the state of a committer. It only moves forward.
+type lifecycle uint8
+
+const (
+	running   lifecycle = iota
+	quiescing           // open transactions are settled, no others are sent
+	stopped             // nothing is sent, and responses are dropped
+)
+
+// Counters count what a committer has sent.
+type Counters struct {
+	Txns     uint64 // transactions, each counted once however often it is sent
+	Puts     uint64 // mutations of these transactions
+	Retries  uint64 // requests that were sent again
+	Rejected uint64 // transactions that the store found malformed or too large
+}
+
+// Committer is the only writer of the leader's keys. It serves one term.
+type Committer struct {
+	Counters
+
+	// OnUnavailable is called whenever the store does not take a transaction. It may be nil.
+	OnUnavailable func()
+
+	port          Port
+	leaderCompare kvstore.Compare // holds as long as this node is the leader
+	onTermLost    func(error)
+
+	lifecycle      lifecycle
+	unavailable    bool // the store refused the last transaction, or did not answer
+	limiter        limiter
+	log            changeLog
+	urgentQueue    []*Document
+	lazyQueue      []*Document
+	openTxns       int
+	flushScheduled bool
+}
+
 // New makes the committer of a term. onTermLost is called at most once, with one of the errors
 // above; the committer has stopped by then.
 func New(port Port, limits Limits, leaderCompare kvstore.Compare, onTermLost func(error)) *Committer {
-	return &Committer{port: port, limits: limits, expectedLimits: limits, leaderCompare: leaderCompare, onTermLost: onTermLost,
-		rateTokens: limits.MutationsPerSecond, refilledAt: port.Now(), lastRecordAt: port.Now().Add(-time.Hour), entryCallbacks: map[Entry][]func(){}, inFlightLSNs: map[uint64]bool{}}
+	return &Committer{
+		port:          port,
+		leaderCompare: leaderCompare,
+		onTermLost:    onTermLost,
+		limiter:       newLimiter(limits, port.Now()),
+		log:           newChangeLog(port.Now()),
+	}
 }
 
-// ExpectLimits tells to which limits the service may come without notice.
-func (c *Committer) ExpectLimits(l Limits) { c.expectedLimits = c.limits.Min(l) }
+// ExpectLimits sets the limits that the store may introduce without notice.
+func (c *Committer) ExpectLimits(l Limits) { c.limiter.expected = c.limiter.limits.Min(l) }
 
-// TightenLimits keeps within those limits from now on, and says whether that is less.
-func (c *Committer) TightenLimits() bool {
-	before := c.limits
-	c.limits = c.limits.Min(c.expectedLimits)
-	c.rateTokens = min(c.rateTokens, c.limits.MutationsPerSecond)
-	return c.limits != before
-}
+// TightenLimits puts the expected limits into force and reports whether they are stricter than
+// those before.
+func (c *Committer) TightenLimits() bool { return c.limiter.tighten() }
 
-// UseTextFormat has the log written in its own format from now on, within the tight limits.
+// UseTextFormat has the log written in the text format from now on, within the expected limits.
 func (c *Committer) UseTextFormat() {
-	c.textFormat = true
+	c.log.format = textFormat{}
 	c.TightenLimits()
 }
 
-// HasSpareCapacity says whether there are puts left for what may wait.
+// HasSpareCapacity reports whether nothing urgent is queued and content that is not urgent may be
+// sent now.
 func (c *Committer) HasSpareCapacity() bool {
-	return len(c.urgentQueue)+len(c.pendingEntries) == 0 && c.hasSpareTokens()
+	return len(c.urgentQueue)+len(c.log.pending) == 0 && c.limiter.hasSpareTokens()
 }
 
-// Quiesce has nothing new sent from now on; what is under way is still settled.
-func (c *Committer) Quiesce() { c.quiesced = true }
+// Quiesce ends the sending of transactions; the open ones are still settled.
+func (c *Committer) Quiesce() { c.advance(quiescing) }
 
-// Drained says whether no transaction is under way.
+// Drained reports whether no transaction is open.
 func (c *Committer) Drained() bool { return c.openTxns == 0 }
 
-// Stop ends the committer; nothing of it is called any more.
-func (c *Committer) Stop() { c.stopped = true }
+// Stop ends the committer. It calls nothing of its owner any more.
+func (c *Committer) Stop() { c.advance(stopped) }
+
+// advance changes the state of the committer, unless it is in a later one.
+func (c *Committer) advance(to lifecycle) { c.lifecycle = max(c.lifecycle, to) }
 
-// StoreUnavailable says whether the service did not take the last transaction.
+// failTerm stops the committer and ends the term.
+func (c *Committer) failTerm(err error) {
+	slog.Error("term lost", "err", err)
+	c.advance(stopped)
+	c.onTermLost(err)
+}
+
+// StoreUnavailable reports whether the store did not take the last transaction.
 func (c *Committer) StoreUnavailable() bool { return c.unavailable }
 
-// Backlog is the number of urgent documents not yet carried out.
+func (c *Committer) setUnavailable(unavailable bool) {
+	if c.unavailable != unavailable {
+		slog.Info("key-value store availability changed", "available", !unavailable)
+	}
+	c.unavailable = unavailable
+}
+
+// Backlog is the number of urgent documents that wait for a transaction.
 func (c *Committer) Backlog() int { return len(c.urgentQueue) }
 
 // Flush sends what is queued, as far as the limits allow.
 func (c *Committer) Flush() {
-	for !c.stopped && !c.quiesced && c.openTxns < maxOpenTxns {
-		now := c.port.Now()
-		if now < c.pausedUntil {
-			c.scheduleFlush(c.pausedUntil.Sub(now))
+	for c.lifecycle == running && c.openTxns < maxOpenTxns {
+		wait, queued := c.timeToNextTxn(c.port.Now())
+		if wait > 0 {
+			c.scheduleFlush(wait)
 			return
 		}
-		c.rateTokens = min(c.limits.MutationsPerSecond, c.rateTokens+c.limits.MutationsPerSecond*now.Sub(c.refilledAt).Seconds())
-		c.refilledAt = now
-		due, wait := c.due(now)
-		if !due {
-			if wait > 0 {
-				c.scheduleFlush(wait)
-			}
-			return
-		}
-		if c.rateTokens < float64(min(c.limits.MutationsPerTxn, 4)) {
-			c.scheduleFlush(50 * time.Millisecond)
+		if !queued {
 			return
 		}
 		t := c.buildTxn()
 		if t == nil {
 			return
 		}
-		c.rateTokens -= float64(len(t.request.Mutations))
+		c.limiter.spend(len(t.request.Mutations))
 		c.send(t)
 	}
 }
 
-// due says whether a transaction should be sent now, else when to look again.
-func (c *Committer) due(now ident.MonotonicTime) (bool, time.Duration) {
-	if len(c.urgentQueue) > 0 {
-		return true, 0
+// timeToNextTxn returns how long to wait before a transaction may be sent, and whether anything
+// is queued for one.
+func (c *Committer) timeToNextTxn(now ident.MonotonicTime) (wait time.Duration, queued bool) {
+	if now < c.limiter.pausedUntil {
+		return c.limiter.pausedUntil.Sub(now), true
 	}
-	if len(c.pendingEntries) > 0 {
-		// Records are paced, so that puts are left for documents; what comes
-		// meanwhile goes into the same one.
-		share := jsonLogShare
-		if c.textFormat {
-			share = textLogShare
-		}
-		interval := time.Duration(float64(time.Second) / (share * c.limits.MutationsPerSecond))
-		wait := c.lastRecordAt.Add(interval).Sub(now)
-		return wait <= 0, wait
+	c.limiter.refill(now)
+	switch {
+	case len(c.urgentQueue) > 0:
+	case len(c.log.pending) > 0:
+		wait = c.log.timeToNextRecord(now, c.limiter.limits.MutationsPerSecond)
+	case len(c.lazyQueue) == 0:
+		return 0, false
+	case !c.limiter.hasSpareTokens():
+		wait = lazyRecheckInterval
 	}
-	if len(c.lazyQueue) > 0 {
-		return c.hasSpareTokens(), 100 * time.Millisecond
+	if wait <= 0 && !c.limiter.allowsTxn() {
+		wait = tokenRefillWait
 	}
-	return false, 0
+	return wait, true
 }
 
-// hasSpareTokens says whether there are puts left for what may wait.
-func (c *Committer) hasSpareTokens() bool { return c.rateTokens > c.limits.MutationsPerSecond/2 }
-
-// scheduleFlush flushes again later.
+// scheduleFlush calls Flush after d, unless a call is scheduled already.
 func (c *Committer) scheduleFlush(d time.Duration) {
 	if c.flushScheduled {
 		return
 	}
 	c.flushScheduled = true
-	c.port.After(d, func() {
+	c.after(d, func() {
 		c.flushScheduled = false
 		c.Flush()
 	})
 }
+
+// after calls f after d, unless the committer has stopped by then.
+func (c *Committer) after(d time.Duration, f func()) {
+	c.port.After(d, func() {
+		if c.lifecycle != stopped {
+			f()
+		}
+	})
+}
+
+// request sends a request; its response is dropped if the committer has stopped by then.
+func (c *Committer) request(r kvstore.Request, onResponse func(kvstore.Response)) {
+	c.port.Store(r, func(response kvstore.Response) {
+		if c.lifecycle != stopped {
+			onResponse(response)
+		}
+	})
+}
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -46,7 +46,7 @@
 			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
 		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, kvstore.Compare{Key: "leader", Revision: 1},
 			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		c.textFormat = true
+		c.log.format = textFormat{}
 		if seed%2 == 0 {
 			c.ExpectLimits(Limits{MutationsPerTxn: 2, MutationsPerSecond: 50, MaxValueBytes: 400})
 		}
@@ -166,12 +166,12 @@
 				t.Errorf("seed %d: nothing holds the line of %s/%d", seed, p.document.Key, p.index)
 			}
 		}
-		held := c.liveSlots
+		held := c.log.slots.live
 		for _, p := range all {
 			c.Release(&p.pin)
 		}
-		if c.liveSlots != 0 || held == 0 || c.pinnedEntries != 0 {
-			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.liveSlots)
+		if c.log.slots.live != 0 || held == 0 || c.log.slots.pinnedEntries != 0 {
+			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.log.slots.live)
 		}
 		for k, p := range f.Entries {
 			if len(p.Value) > 256 {
@@ -204,8 +204,8 @@
 		f.run(f.now + 20*time.Millisecond)
 	}
 	f.run(f.now + time.Minute)
-	if c.liveSlots > maxRecords+20 {
-		t.Errorf("%d records are held, for %d lines", c.liveSlots, c.pinnedEntries)
+	if c.log.slots.live > maxRecords+20 {
+		t.Errorf("%d records are held, for %d lines", c.log.slots.live, c.log.slots.pinnedEntries)
 	}
 	for _, p := range idle {
 		if !p.pin.Held() {
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -1,247 +1,200 @@
 package commit
 
 import (
-	"fmt"
-	"slices"
-	"strconv"
-	"strings"
+	"encoding/json"
+	"time"
 
 	"opaldale/internal/ident"
 )
 
-// Entry is something small of a document whose changes go to the log.
+// Entry is a small part of a document whose changes are written to the log.
 type Entry interface {
-	// JSONLine is its present content, and Home the document that it is part of; both are of
-	// the first format, as are slots' homes, keep, cover and fold.
+	// JSONLine is the entry's present content in the JSON format of the log.
 	JSONLine() any
+	// Document is the document that the entry is part of. Only the JSON format needs it.
 	Document() *Document
-	// TextLine is its present content in the log's own format, beside the name that
-	// lines of one group share; neither has a space in it.
+	// TextLine is the entry's present content in the text format, and the group that it is
+	// listed under. Neither contains a space.
 	TextLine() (group, line string)
-	// Pin is the entry's hold on the record with its newest line.
+	// Pin is the entry's reference to the record with its newest line in the text format.
 	Pin() *Pin
 }
 
-// Pin is an entry's hold on a record of the log.
-type Pin struct {
-	slot     *logSlot
-	released bool // the entry needs no line any more
-}
-
-// Held says whether a durable record holds the entry's newest content.
-func (p *Pin) Held() bool { return p.slot != nil }
-
-// MaxLineBytes bounds a line in JSON, comma included.
+// MaxLineBytes bounds the size of a JSONLine, including the comma after it.
 const MaxLineBytes = 130
 
-// LogPrefix is where the records of the log are.
+// LogPrefix is the prefix of the keys of the log.
 const LogPrefix = "log/"
 
+const (
+	// maxRecordsPerTxn bounds the records of the log in a transaction.
+	maxRecordsPerTxn = 2
+	// idleBeforeStart is the time for which a new log counts as idle, so that its first
+	// record is not delayed.
+	idleBeforeStart = time.Hour
+)
+
 // logRecord is the value of a slot of the log.
 type logRecord struct {
 	LSN   uint64 `json:"n"`
-	Lines []any  `json:"l,omitempty"`
-	Text  string `json:"t,omitempty"` // a line for each group: its name, then its lines, with spaces between
-}
-
-// logSlot is a key of the log.
-type logSlot struct {
-	key        string
-	revision   ident.Revision
-	lsn        uint64
-	references int         // documents that have not taken over their lines, or entries whose newest line it has
-	documents  []*Document // of its lines
-	entries    []Entry     // that held it when it was written
-	rewriting  bool        // they are being written once more
-	uncertain  bool        // as in Doc
-}
-
-// LSN is the number of the newest record of the log up to which all are durable: for
-// documents to put beside their content, which has all lines up to it. (It was that of
-// the newest one under way. When that never came to be, but such a document did, the
-// next term gave the number out again, and the record's lines were passed over.)
-func (c *Committer) LSN() uint64 {
-	lsn := c.lastLSN
-	for n := range c.inFlightLSNs {
-		lsn = min(lsn, n-1)
-	}
-	return lsn
+	Lines []any  `json:"l,omitempty"` // JSON format
+	Text  string `json:"t,omitempty"` // text format: a line for each group, with its name and its entries' lines
 }
 
-// ObserveLSN notes the number of a record that a document of an earlier term has taken over:
-// no later record may have it or a lower one.
-func (c *Committer) ObserveLSN(lsn uint64) { c.lastLSN = max(c.lastLSN, lsn) }
+// pendingEntry is an entry in a record of an open transaction.
+type pendingEntry struct {
+	entry     Entry
+	callbacks []func() // to call when it is durable
+}
+
+// openRecord is a record in an open transaction.
+type openRecord struct {
+	slot    *logSlot
+	format  logFormat
+	entries []pendingEntry
+}
 
-// Append queues an entry's present content for the log; then is called once that,
-// or later content, is durable.
-func (c *Committer) Append(e Entry, onDurable func()) {
-	callbacks, queued := c.entryCallbacks[e]
+// changeLog is the log of small changes. Records are numbered by their LSN, in the order in which
+// they were made.
+type changeLog struct {
+	format       logFormat
+	slots        slotTable
+	pending      []Entry            // changed, not yet in a record
+	callbacks    map[Entry][]func() // of the pending entries
+	lastLSN      uint64             // of the newest record
+	inFlightLSNs map[uint64]bool    // of records in open transactions
+	lastRecordAt ident.MonotonicTime
+}
+
+func newChangeLog(now ident.MonotonicTime) changeLog {
+	return changeLog{
+		format:       jsonFormat{},
+		callbacks:    map[Entry][]func(){},
+		inFlightLSNs: map[uint64]bool{},
+		lastRecordAt: now.Add(-idleBeforeStart),
+	}
+}
+
+// append queues an entry's present content for the next record.
+func (l *changeLog) append(e Entry, onDurable func()) {
+	callbacks, queued := l.callbacks[e]
 	if !queued {
-		c.pendingEntries = append(c.pendingEntries, e)
+		l.pending = append(l.pending, e)
 	}
 	if onDurable != nil {
 		callbacks = append(callbacks, onDurable)
 	}
-	c.entryCallbacks[e] = callbacks
+	l.callbacks[e] = callbacks
 }
 
-// RestoreJSON takes in a record that an earlier term left, with those of its
-// documents that were not put since.
-func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
-	c.noteRestoredSlot(key, lsn)
-	c.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
+// timeToNextRecord returns how long the next record must wait. Records are paced so that
+// capacity is left for documents; entries that change meanwhile share the record.
+func (l *changeLog) timeToNextRecord(now ident.MonotonicTime, mutationsPerSecond float64) time.Duration {
+	interval := time.Duration(float64(time.Second) / (l.format.rateShare() * mutationsPerSecond))
+	return l.lastRecordAt.Add(interval).Sub(now)
 }
 
-func (c *Committer) noteRestoredSlot(key string, lsn uint64) {
-	c.lastLSN = max(c.lastLSN, lsn)
-	// There may be gaps, of slots whose first record never came to be.
-	if n, err := strconv.Atoi(strings.TrimPrefix(key, LogPrefix)); err == nil {
-		c.slotCount = max(c.slotCount, n+1)
+// takeRecord moves pending entries, as many as fit, into a new record and returns it with its value.
+func (l *changeLog) takeRecord(now ident.MonotonicTime, maxValueBytes int) (openRecord, json.RawMessage) {
+	l.lastLSN++
+	l.lastRecordAt = now
+	record := logRecord{LSN: l.lastLSN}
+	count := l.format.fill(&record, l.pending, maxValueBytes)
+	value, err := json.Marshal(record)
+	if err != nil {
+		panic(err) // the lines are made of plain fields
+	}
+	open := openRecord{slot: l.slots.allocate(), format: l.format, entries: l.takePending(count)}
+	open.slot.lsn = record.LSN
+	l.inFlightLSNs[record.LSN] = true
+	return open, value
+}
+
+// takePending removes the first pending entries.
+func (l *changeLog) takePending(count int) []pendingEntry {
+	taken := make([]pendingEntry, count)
+	for i, e := range l.pending[:count] {
+		taken[i] = pendingEntry{entry: e, callbacks: l.callbacks[e]}
+		delete(l.callbacks, e)
 	}
+	l.pending = l.pending[count:]
+	if len(l.pending) == 0 {
+		l.pending = nil
+	}
+	return taken
 }
 
-// RestoreText takes in a record that an earlier term left, whose lines hold it by
-// themselves. Records come in the order of their numbers.
-func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
-	c.noteRestoredSlot(key, lsn)
-	c.pinEntries(&logSlot{key: key, revision: revision, lsn: lsn}, entries)
-}
-
-// pinEntries has entries hold a durable record from now on, instead of an earlier one.
-func (c *Committer) pinEntries(slot *logSlot, entries []Entry) {
-	slot.references, slot.documents, slot.entries = 0, nil, nil
-	for _, e := range entries {
-		pin := e.Pin()
-		if pin.released || pin.slot == slot || pin.slot != nil && pin.slot.lsn > slot.lsn {
-			continue
-		}
-		c.unpin(pin)
-		pin.slot = slot
-		slot.references++
-		c.pinnedEntries++
-		slot.entries = append(slot.entries, e)
+// settle notes that a record is durable, and returns the callbacks of its entries.
+func (l *changeLog) settle(record openRecord, revision ident.Revision) (callbacks []func()) {
+	record.slot.revision, record.slot.uncertain = revision, false
+	delete(l.inFlightLSNs, record.slot.lsn)
+	entries := make([]Entry, len(record.entries))
+	for i, p := range record.entries {
+		entries[i] = p.entry
+		callbacks = append(callbacks, p.callbacks...)
+	}
+	record.format.retain(&l.slots, record.slot, entries)
+	return callbacks
+}
+
+// withdraw takes a record out of a transaction that is given up: its entries wait for another
+// record, and its slot is free. If the outcome of the transaction is uncertain, so is the content
+// of the slot.
+func (l *changeLog) withdraw(record openRecord, uncertain bool) {
+	delete(l.inFlightLSNs, record.slot.lsn)
+	record.slot.uncertain = record.slot.uncertain || uncertain
+	l.slots.free = append(l.slots.free, record.slot)
+	for _, p := range record.entries {
+		l.append(p.entry, nil)
+		l.callbacks[p.entry] = append(p.callbacks, l.callbacks[p.entry]...)
 	}
-	c.retainSlot(slot)
 }
 
-// retainSlot keeps a record for as long as something holds it.
-func (c *Committer) retainSlot(s *logSlot) {
-	if s.references == 0 {
-		c.freeSlots = append(c.freeSlots, s)
-		return
+// durableLSN is the newest LSN up to which all records are durable.
+func (l *changeLog) durableLSN() uint64 {
+	lsn := l.lastLSN
+	for n := range l.inFlightLSNs {
+		lsn = min(lsn, n-1)
 	}
-	c.usedSlots = append(c.usedSlots, s)
-	c.liveSlots++
+	return lsn
 }
 
-func (c *Committer) unpin(p *Pin) {
-	s := p.slot
-	if s == nil {
-		return
-	}
-	p.slot = nil
-	c.pinnedEntries--
-	c.releaseReference(s)
-}
-
-// releaseReference notes that one thing less holds a record; without any its slot is free.
-func (c *Committer) releaseReference(s *logSlot) {
-	if s.references--; s.references == 0 {
-		// A new one: this is still in its place among the used.
-		c.freeSlots = append(c.freeSlots, &logSlot{key: s.key, revision: s.revision})
-		s.documents, s.entries = nil, nil
-		c.liveSlots--
-	}
+// noteRestored takes notice of a record of an earlier term.
+func (l *changeLog) noteRestored(key string, lsn uint64) {
+	l.lastLSN = max(l.lastLSN, lsn)
+	l.slots.noteUsed(key)
 }
 
-// Release notes that an entry needs no line any more: its document is gone for good.
+// LSN is the newest LSN up to which all records of the log are durable. Documents store it beside
+// their content, which includes the changes of all these records. The LSN of a record in an open
+// transaction must not be stored: if that record is lost, the next term assigns its LSN again, and
+// the document would hide the changes of that later record.
+func (c *Committer) LSN() uint64 { return c.log.durableLSN() }
+
+// ObserveLSN notes that a document of an earlier term includes the record with an LSN: no later
+// record may have the same LSN or a lower one.
+func (c *Committer) ObserveLSN(lsn uint64) { c.log.lastLSN = max(c.log.lastLSN, lsn) }
+
+// Append queues an entry's present content for the log. onDurable, unless nil, is called once that
+// content, or a later one, is durable.
+func (c *Committer) Append(e Entry, onDurable func()) { c.log.append(e, onDurable) }
+
+// Release notes that an entry's line is not needed any more: its document is gone for good.
 func (c *Committer) Release(p *Pin) {
 	p.released = true
-	c.unpin(p)
-}
-
-// pinDocuments notes a durable record, until all its documents have its lines.
-func (c *Committer) pinDocuments(slot *logSlot, documents []*Document) {
-	slot.references, slot.documents = 0, nil
-	seen := map[*Document]bool{}
-	for _, d := range documents {
-		if !d.deleted && d.LSN < slot.lsn && !seen[d] {
-			seen[d] = true
-			d.slots = append(d.slots, slot)
-			slot.documents = append(slot.documents, d)
-		}
-	}
-	slot.references = len(slot.documents)
-	c.retainSlot(slot)
-}
-
-// releaseCovered notes that a document has taken over all lines up to its LSN.
-func (c *Committer) releaseCovered(d *Document) {
-	remaining := d.slots[:0]
-	for _, s := range d.slots {
-		if !d.deleted && s.lsn > d.LSN {
-			remaining = append(remaining, s)
-			continue
-		}
-		c.releaseReference(s)
-	}
-	d.slots = remaining
+	c.log.slots.unpin(p)
 }
 
-// compactLog has the documents put that hold up the oldest records of a log that has
-// become long: a successor reads all of it.
-func (c *Committer) compactLog() {
-	if len(c.usedSlots) > 2*c.liveSlots+compactAfterRecords {
-		c.usedSlots = slices.DeleteFunc(c.usedSlots, func(s *logSlot) bool { return s.references == 0 })
-	}
-	if c.textFormat {
-		c.rewriteOldestRecords()
-		return
-	}
-	excess := c.liveSlots - compactAfterRecords
-	for i := 0; i < len(c.usedSlots) && excess > 0; i++ {
-		if c.usedSlots[i].references == 0 {
-			continue
-		}
-		excess--
-		for _, d := range c.usedSlots[i].documents {
-			if d.state == clean && d.LSN < c.usedSlots[i].lsn {
-				c.MarkDirtyLazily(d, nil)
-			}
-		}
-	}
-}
-
-// rewriteOldestRecords has the lines of the oldest records written once more, while more records
-// are held than twice what their lines need: a successor reads all of them.
-func (c *Committer) rewriteOldestRecords() {
-	maxRecords := max(compactAfterRecords, compactAfterBytes/c.limits.MaxValueBytes, 2*c.pinnedEntries*estimatedLineBytes/c.limits.MaxValueBytes)
-	excess := c.liveSlots - maxRecords
-	for i := 0; i < len(c.usedSlots) && excess > 0; i++ {
-		slot := c.usedSlots[i]
-		if slot.references == 0 {
-			continue
-		}
-		excess--
-		if slot.rewriting {
-			continue
-		}
-		slot.rewriting = true
-		for _, e := range slot.entries {
-			if e.Pin().slot == slot {
-				c.Append(e, nil)
-			}
-		}
-	}
+// RestoreJSON takes over a record in the JSON format of an earlier term, with those of its
+// documents that were not put since.
+func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
+	c.log.noteRestored(key, lsn)
+	c.log.slots.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
 }
 
-// allocateSlot takes a key of the log that is free, or a new one.
-func (c *Committer) allocateSlot() *logSlot {
-	if n := len(c.freeSlots); n > 0 {
-		s := c.freeSlots[n-1]
-		c.freeSlots = c.freeSlots[:n-1]
-		return s
-	}
-	c.slotCount++
-	return &logSlot{key: fmt.Sprintf("%s%05d", LogPrefix, c.slotCount-1)}
+// RestoreText takes over a record in the text format of an earlier term, with its entries.
+// Records must be restored in the order of their LSNs.
+func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
+	c.log.noteRestored(key, lsn)
+	c.log.slots.pinEntries(&logSlot{key: key, revision: revision, lsn: lsn}, entries)
 }
