--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,5 +1,4 @@
-// Package ident holds the small types that the other packages speak in:
-// names, versions and times.
+// Package ident defines the identifiers, counters and times that all other packages share.
 package ident
 
 import (
@@ -10,17 +9,17 @@
 	"time"
 )
 
-// MonotonicTime is a reading of the steady clock, counted from the start of the process.
+// MonotonicTime is a reading of the monotonic clock, in nanoseconds since the start of the process.
 type MonotonicTime time.Duration
 
-// Never lies beyond every reading of the steady clock.
+// Never is later than every reading of the monotonic clock.
 const Never = MonotonicTime(1<<63 - 1)
 
 // Add returns the reading d later.
 func (m MonotonicTime) Add(d time.Duration) MonotonicTime { return m + MonotonicTime(d) }
 
-// Sub returns the time that passed from o to m.
-func (m MonotonicTime) Sub(o MonotonicTime) time.Duration { return time.Duration(m - o) }
+// Sub returns the time that passed from an earlier reading to m.
+func (m MonotonicTime) Sub(earlier MonotonicTime) time.Duration { return time.Duration(m - earlier) }
 
 // ClockDriftMargin is the share by which a duration that another process relies on is
 // counted shorter here. The monotonic clocks of two machines drift apart by at most 0.05%.
@@ -33,58 +32,67 @@
 }
 
 type (
-	// NodeID names a controller.
+	// NodeID identifies a controller.
 	NodeID string
-	// MachineID names a rented machine.
+	// MachineID identifies a provisioned machine.
 	MachineID string
-	// JobID names a job; users choose it.
+	// JobID identifies a job, in the form that ParseJobID checks. The submitter chooses it.
 	JobID string
-	// Term counts elections.
+	// Term is the number of an election. Each leader has a higher one than all before it.
 	Term uint64
-	// FencingToken is the token that entitles to command a worker.
+	// FencingToken orders the commands to a worker: the worker rejects those with a token lower
+	// than the highest that it has seen.
 	FencingToken uint64
-	// Incarnation counts the sessions of a worker.
+	// Incarnation counts the registrations of a worker.
 	Incarnation uint64
-	// SequenceNumber orders the messages of one session of a worker.
+	// SequenceNumber orders the messages of one incarnation of a worker.
 	SequenceNumber uint64
-	// Revision is the revision of a key's last change; 0: the key does not exist.
+	// Revision orders the writes to the key-value store. That of a key is the revision of its
+	// last put; 0 means that the key does not exist.
 	Revision uint64
-	// Attempt counts the attempts at a task.
+	// Attempt counts the times that a task was started.
 	Attempt uint64
-	// FormatLevel is the format of what is stored, once all nodes can read it; 0: that of
-	// the first version.
+	// FormatLevel is the version of the format of stored data; 0 is the first one. It is raised
+	// once all controllers can read the next.
 	FormatLevel uint8
 )
 
-// The format levels. What reads and writes the format below Packed is marked in the
-// code as of the first format; it can go, with package upgrade, once no deployment is
-// below that level.
+// The format levels above the first. Code that reads or writes a lower level than FormatPacked is
+// marked as being of the first format; it can be removed, together with package upgrade, once no
+// deployment stores data of that level.
 const (
-	// FormatPacked keeps tasks in the log alone, in lines of text, and every value within the
-	// limits that the state service may come to. Gangs need it.
+	// FormatPacked stores tasks only in the log, as lines of text, and keeps every value within
+	// the limits that the key-value store may introduce. Gangs require it.
 	FormatPacked FormatLevel = 1
-	// NewestFormatLevel is the newest that this program can read and write.
+	// NewestFormatLevel is the newest level that this program can read and write.
 	NewestFormatLevel = FormatPacked
 )
 
-// tokenCounterBits is the room for the fence counter below the term in an Epoch.
+// tokenCounterBits is the size of the counter in a FencingToken; the term is above it.
 const tokenCounterBits = 20
 
-// MakeFencingToken puts the term above the worker's fence counter.
+// MakeFencingToken returns the token of a leader in a term. counter separates tokens for the same
+// worker in that term; only its low tokenCounterBits bits count.
 func MakeFencingToken(term Term, counter uint32) FencingToken {
 	return FencingToken(uint64(term)<<tokenCounterBits | uint64(counter)&(1<<tokenCounterBits-1))
 }
 
-// Term returns the term that an epoch was made in.
+// Term returns the term in which the token was made.
 func (t FencingToken) Term() Term { return Term(t >> tokenCounterBits) }
 
-// ErrMalformed is returned for a name that does not have its form.
+// ErrMalformed means that the text of an identifier does not have the required form.
 var ErrMalformed = errors.New("malformed name")
 
-// ParseJobID checks the form j-000412.
+const (
+	jobIDPrefix    = "j-"
+	maxJobIDDigits = 20
+)
+
+// ParseJobID checks that s has the form of a job ID, as in j-000412: jobIDPrefix and one to
+// maxJobIDDigits digits. If not, it returns ErrMalformed.
 func ParseJobID(s string) (JobID, error) {
-	digits, ok := strings.CutPrefix(s, "j-")
-	if !ok || len(digits) < 1 || len(digits) > 20 {
+	digits, ok := strings.CutPrefix(s, jobIDPrefix)
+	if !ok || len(digits) < 1 || len(digits) > maxJobIDDigits {
 		return "", ErrMalformed
 	}
 	for _, c := range digits {
@@ -95,7 +103,8 @@
 	return JobID(s), nil
 }
 
-// TaskID names one task of a job, as in j-000412/3.
+// TaskID identifies a task by its job and its index within the job, from 0. Its text form is
+// j-000412/3.
 type TaskID struct {
 	Job   JobID
 	Index int
@@ -103,23 +112,18 @@
 
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// MarshalText writes the piece's name.
+// MarshalText encodes the ID in its text form.
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText reads a piece's name.
-func (t *TaskID) UnmarshalText(b []byte) error {
-	job, index, ok := strings.Cut(string(b), "/")
-	if !ok {
-		return fmt.Errorf("piece %q: %w", b, ErrMalformed)
-	}
-	id, err := ParseJobID(job)
-	if err != nil {
-		return fmt.Errorf("piece %q: %w", b, err)
-	}
-	n, err := strconv.Atoi(index)
-	if err != nil || n < 0 {
-		return fmt.Errorf("piece %q: %w", b, ErrMalformed)
+// UnmarshalText decodes the text form. Its errors wrap ErrMalformed.
+func (t *TaskID) UnmarshalText(text []byte) error {
+	jobText, indexText, _ := strings.Cut(string(text), "/")
+	job, jobErr := ParseJobID(jobText)
+	index, indexErr := strconv.Atoi(indexText)
+	if jobErr != nil || indexErr != nil || index < 0 {
+		// The text reaches workers, for which the protocol calls a task a piece.
+		return fmt.Errorf("piece %q: %w", text, ErrMalformed)
 	}
-	t.Job, t.Index = id, n
+	t.Job, t.Index = job, index
 	return nil
 }
--- /dev/null
+++ b/internal/ident/ident_test.go
@@ -0,0 +1,82 @@
+package ident
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestParseJobID(t *testing.T) {
+	for _, tc := range []struct {
+		name, text string
+		valid      bool
+	}{
+		{"leading zeros", "j-000412", true},
+		{"one digit", "j-0", true},
+		{"most digits", "j-" + strings.Repeat("9", maxJobIDDigits), true},
+		{"too many digits", "j-" + strings.Repeat("9", maxJobIDDigits+1), false},
+		{"no digits", "j-", false},
+		{"no prefix", "000412", false},
+		{"letter", "j-00a", false},
+		{"sign", "j-+1", false},
+		{"empty", "", false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			id, err := ParseJobID(tc.text)
+			if tc.valid && (err != nil || id != JobID(tc.text)) {
+				t.Errorf("%q: got %q, %v", tc.text, id, err)
+			}
+			if !tc.valid && !errors.Is(err, ErrMalformed) {
+				t.Errorf("%q: got %q, %v, want ErrMalformed", tc.text, id, err)
+			}
+		})
+	}
+}
+
+func TestTaskIDText(t *testing.T) {
+	want := TaskID{Job: "j-000412", Index: 3}
+	text, err := want.MarshalText()
+	if err != nil || string(text) != "j-000412/3" {
+		t.Fatalf("%+v is encoded as %q, %v", want, text, err)
+	}
+	var got TaskID
+	if err := got.UnmarshalText(text); err != nil || got != want {
+		t.Errorf("%q is decoded as %+v, %v", text, got, err)
+	}
+}
+
+func TestMalformedTaskIDText(t *testing.T) {
+	for _, text := range []string{"", "j-1", "j-1/", "j-1/-1", "j-1/x", "j-1/1/1", "/1", "1/1"} {
+		var id TaskID
+		err := id.UnmarshalText([]byte(text))
+		if !errors.Is(err, ErrMalformed) || id != (TaskID{}) {
+			t.Errorf("%q is decoded as %+v, %v, want ErrMalformed", text, id, err)
+		}
+	}
+}
+
+// TestFencingTokenOrder: tokens are ordered by the term first, then by the counter.
+func TestFencingTokenOrder(t *testing.T) {
+	const lastCounter = 1<<tokenCounterBits - 1
+	ascending := []FencingToken{MakeFencingToken(1, 0), MakeFencingToken(1, 1), MakeFencingToken(1, lastCounter), MakeFencingToken(2, 0)}
+	for i, token := range ascending[1:] {
+		if token <= ascending[i] {
+			t.Errorf("token %d is not above token %d", token, ascending[i])
+		}
+	}
+	if term := MakeFencingToken(7, lastCounter).Term(); term != 7 {
+		t.Errorf("the term of the token is %d, want 7", term)
+	}
+}
+
+// TestDiscountDrift: two clocks may drift apart by 0.05% each way.
+func TestDiscountDrift(t *testing.T) {
+	const maxDrift = 0.0005
+	for _, d := range []time.Duration{time.Millisecond, time.Second, time.Hour} {
+		onSlowClock := time.Duration(float64(d) * (1 - maxDrift))
+		if got := DiscountDrift(d); got > onSlowClock || got < d-d/500 {
+			t.Errorf("%v is discounted to %v", d, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/kvstore/client.go
@@ -0,0 +1,132 @@
+package kvstore
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+
+	"opaldale/internal/httpcall"
+)
+
+const (
+	// listPageSize is the number of keys asked for in a page of a list.
+	listPageSize = 1000
+	// maxResponseBytes bounds what is read of a response. A page of a list has at most
+	// 512 KiB, the events of a watch may have more.
+	maxResponseBytes = 8 << 20
+)
+
+// Client is the HTTP client of the store.
+type Client struct {
+	baseURL    string
+	httpClient *http.Client
+}
+
+// NewClient makes a client for the store at addr, given as host:port.
+func NewClient(addr string, transport http.RoundTripper) *Client {
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
+}
+
+// Do carries out a request, once. Whatever is not a response of the protocol is NoAnswer.
+func (c *Client) Do(r Request) Response {
+	method, path, requestBody := httpRequest(r)
+	call := httpcall.Call{
+		Method:           method,
+		URL:              c.baseURL + path,
+		Body:             requestBody,
+		Timeout:          r.Timeout,
+		MaxResponseBytes: maxResponseBytes,
+	}
+	status, responseBody, err := call.Do(c.httpClient)
+	if err != nil {
+		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
+	}
+	return decodeResponse(status, responseBody)
+}
+
+// decodeResponse makes a response of an HTTP status and body.
+func decodeResponse(status int, body []byte) Response {
+	outcome := outcomeOf(status)
+	switch outcome {
+	case NoAnswer, RateLimited, Unavailable:
+		return Response{Outcome: outcome, Error: http.StatusText(status)} // without a body of the protocol
+	}
+	response := Response{Outcome: outcome}
+	if len(body) == 0 {
+		return response
+	}
+	if err := json.Unmarshal(body, &response); err != nil && outcome == OK {
+		return Response{Outcome: NoAnswer, Error: err.Error()}
+	}
+	return response
+}
+
+// outcomeOf returns the outcome that an HTTP status stands for. A status that the protocol does
+// not define is NoAnswer, as the request may have been applied.
+func outcomeOf(status int) Outcome {
+	switch status {
+	case http.StatusOK:
+		return OK
+	case http.StatusNotFound:
+		return NotFound
+	case http.StatusConflict:
+		return Conflict
+	case http.StatusGone:
+		return Compacted
+	case http.StatusTooManyRequests:
+		return RateLimited
+	case http.StatusServiceUnavailable:
+		return Unavailable
+	case http.StatusBadRequest:
+		return Invalid
+	}
+	return NoAnswer
+}
+
+// httpRequest returns the method, the path with its query, and the body of a request.
+func httpRequest(r Request) (method, path string, body any) {
+	switch r.Op {
+	case Get:
+		return http.MethodGet, "/keys/" + r.Key, nil
+	case List:
+		return http.MethodGet, "/keys?" + listQuery(r).Encode(), nil
+	case Txn:
+		return http.MethodPost, "/txn", txnBody{If: r.Compares, Then: r.Mutations}
+	case GrantLease:
+		return http.MethodPost, "/leases", grantLeaseBody{TTL: r.TTL.Milliseconds()}
+	case RenewLease:
+		return http.MethodPost, "/leases/" + strconv.FormatUint(r.LeaseID, 10) + "/extend", nil
+	case RevokeLease:
+		return http.MethodDelete, "/leases/" + strconv.FormatUint(r.LeaseID, 10), nil
+	case Watch:
+		return http.MethodGet, "/follow?" + watchQuery(r).Encode(), nil
+	}
+	panic(fmt.Sprintf("kvstore: no operation %d", r.Op))
+}
+
+type txnBody struct {
+	If   []Compare  `json:"if"`
+	Then []Mutation `json:"then,omitempty"`
+}
+
+type grantLeaseBody struct {
+	TTL int64 `json:"ttl_ms"`
+}
+
+func listQuery(r Request) url.Values {
+	query := url.Values{"starts": {r.Prefix}, "most": {strconv.Itoa(listPageSize)}}
+	if r.StartAfter != "" {
+		query.Set("since", r.StartAfter)
+	}
+	return query
+}
+
+func watchQuery(r Request) url.Values {
+	return url.Values{
+		"starts":   {r.Prefix},
+		"since":    {strconv.FormatUint(uint64(r.Revision), 10)},
+		"block_ms": {strconv.FormatInt(r.Block.Milliseconds(), 10)},
+	}
+}
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -17,15 +17,22 @@
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
 	c := NewClient("state:1", transport)
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name    string
 		request Request
 	}{
 		{"get", Request{Op: Get, Key: "live/j-1"}},
 		{"first page of a list", Request{Op: List, Prefix: "live/"}},
 		{"next page of a list", Request{Op: List, Prefix: "live/", StartAfter: "live/j-1"}},
-		{"transaction", Request{Op: Txn, Compares: []Compare{{Key: "leader", Revision: 11}, {Key: "over/j-1"}},
-			Mutations: []Mutation{{Put: "leader", Value: json.RawMessage(`{"node":"agent-1"}`), LeaseID: 12}, {Put: "term", Value: json.RawMessage("13")}, {Delete: "live/j-1"}}}},
+		{"transaction", Request{
+			Op:       Txn,
+			Compares: []Compare{{Key: "leader", Revision: 11}, {Key: "over/j-1"}},
+			Mutations: []Mutation{
+				{Put: "leader", Value: json.RawMessage(`{"node":"agent-1"}`), LeaseID: 12},
+				{Put: "term", Value: json.RawMessage("13")},
+				{Delete: "live/j-1"},
+			},
+		}},
 		{"transaction without changes", Request{Op: Txn, Compares: []Compare{{Key: "leader", Revision: 14}}}},
 		{"transaction without conditions", Request{Op: Txn, Mutations: []Mutation{{Delete: "live/j-1"}}}},
 		{"grant of a lease", Request{Op: GrantLease, TTL: 1500 * time.Millisecond}},
@@ -33,9 +40,9 @@
 		{"end of a lease", Request{Op: RevokeLease, LeaseID: 16}},
 		{"watch", Request{Op: Watch, Prefix: "leader", Revision: 17, Block: 18 * time.Second}},
 	} {
-		x.request.Timeout = time.Minute
-		c.Do(x.request)
-		d.Add(x.name, transport.Saw)
+		tc.request.Timeout = time.Minute
+		c.Do(tc.request)
+		d.Add(tc.name, transport.Saw)
 	}
 	d.Compare(t, "requests")
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,195 +1,120 @@
-// Package kvstore speaks to the state service, the only place where
-// controllers keep anything.
+// Package kvstore is the client of the key-value store, the only place where controllers keep
+// state. The store orders all writes by a revision, applies transactions on the condition that
+// the compared keys have given revisions, and deletes keys whose lease has expired.
 package kvstore
 
 import (
 	"encoding/json"
-	"net/http"
-	"net/url"
-	"strconv"
 	"time"
 
-	"opaldale/internal/httpcall"
 	"opaldale/internal/ident"
 )
 
-// Op is what a request asks for.
+// Op is the operation of a request.
 type Op uint8
 
-// The operations of the state service.
+// The operations of the store.
 const (
-	Get Op = iota
-	List
-	Txn
-	GrantLease
-	RenewLease
-	RevokeLease
-	Watch
+	Get         Op = iota // read a key
+	List                  // read a page of the keys with a prefix
+	Txn                   // apply mutations if all compares hold
+	GrantLease            // make a lease
+	RenewLease            // restart the TTL of a lease
+	RevokeLease           // end a lease and delete its keys
+	Watch                 // wait for changes of the keys with a prefix
 )
 
-// Compare requires a key to have a stamp; 0: the key must not exist.
+// Compare requires a key to have a revision; 0 requires that the key does not exist.
 type Compare struct {
 	Key      string         `json:"path"`
 	Revision ident.Revision `json:"stamp"`
 }
 
-// Mutation puts or deletes one key.
+// Mutation puts or deletes one key. Exactly one of Put and Delete is set.
 type Mutation struct {
-	Put     string          `json:"put,omitempty"`
+	Put     string          `json:"put,omitempty"` // the key to put
 	Value   json.RawMessage `json:"value,omitempty"`
-	LeaseID uint64          `json:"grant,omitempty"`
-	Delete  string          `json:"delete,omitempty"`
+	LeaseID uint64          `json:"grant,omitempty"`  // deletes the key when it ends; 0: no lease
+	Delete  string          `json:"delete,omitempty"` // the key to delete
 }
 
 // Request is one call; only the fields of its Op are used.
 type Request struct {
 	Op         Op
 	Key        string         // Get
-	Prefix     string         // List, Follow
-	StartAfter string         // List
-	Revision   ident.Revision // Follow
-	Compares   []Compare
-	Mutations  []Mutation
-	TTL        time.Duration // Grant
-	LeaseID    uint64        // Extend, Revoke
-	Block      time.Duration // Follow
-	Timeout    time.Duration
+	Prefix     string         // List, Watch
+	StartAfter string         // List: last key of the page before; "" for the first page
+	Revision   ident.Revision // Watch: changes after it are returned
+	Compares   []Compare      // Txn
+	Mutations  []Mutation     // Txn
+	TTL        time.Duration  // GrantLease; sent in whole milliseconds
+	LeaseID    uint64         // RenewLease, RevokeLease
+	Block      time.Duration  // Watch: how long the store may wait for a change; in whole milliseconds
+	Timeout    time.Duration  // of the call; for Watch, longer than Block
 }
 
-// Outcome is what is known after a call.
+// Outcome is what is known about a request after a call.
 type Outcome uint8
 
-// The outcomes. Only after Lost may the request still be carried out.
+// The outcomes. Only after NoAnswer may the request have been applied, or be applied later, without
+// the caller knowing; after all others but OK it was not applied.
 const (
-	NoAnswer    Outcome = iota // no answer: carried out, or not, or later
+	NoAnswer    Outcome = iota // no response, or one that the protocol does not define
 	OK                         // 200
-	NotFound                   // 404
-	Conflict                   // 409
-	Compacted                  // 410
-	Unavailable                // 503: not executed
-	RateLimited                // 429: not executed, the rate was too high
-	Invalid                    // 400 and what the protocol does not name
+	NotFound                   // 404: no such key or lease
+	Conflict                   // 409: compares failed
+	Compacted                  // 410: the revision to watch from is too old
+	Unavailable                // 503: the store can't serve requests at present
+	RateLimited                // 429: the request rate was too high
+	Invalid                    // 400: malformed, or over a limit of the store
 )
 
+// outcomeNames are pinned by golden tests, so some differ from the constants' names.
+var outcomeNames = [...]string{
+	NoAnswer:    "lost",
+	OK:          "ok",
+	NotFound:    "not found",
+	Conflict:    "conflict",
+	Compacted:   "too old",
+	Unavailable: "refused",
+	RateLimited: "limited",
+	Invalid:     "bad",
+}
+
 func (o Outcome) String() string {
-	return [...]string{"lost", "ok", "not found", "conflict", "too old", "refused", "limited", "bad"}[o]
+	if int(o) >= len(outcomeNames) {
+		return "unknown"
+	}
+	return outcomeNames[o]
 }
 
 // KeyValue is a key with its value.
 type KeyValue struct {
 	Key      string          `json:"path"`
 	Value    json.RawMessage `json:"value"`
-	Revision ident.Revision  `json:"stamp"`
+	Revision ident.Revision  `json:"stamp"` // of the last put of the key
 }
 
-// WatchEvent is one change seen by Follow.
+// WatchEvent is one change of a key. Exactly one of Put and Delete is set.
 type WatchEvent struct {
-	Put      string          `json:"put"`
+	Put      string          `json:"put"` // the key that was put
 	Value    json.RawMessage `json:"value"`
-	Delete   string          `json:"delete"`
-	Revision ident.Revision  `json:"stamp"`
+	Delete   string          `json:"delete"` // the key that was deleted
+	Revision ident.Revision  `json:"stamp"`  // of the store after the change
 }
 
-// Response is the answer to any request.
+// Response is the answer to any request; only the fields of the request's Op are set.
 type Response struct {
 	Outcome       Outcome         `json:"-"`
-	Value         json.RawMessage `json:"value"`
-	Revision      ident.Revision  `json:"stamp"`
-	LeaseID       uint64          `json:"grant"`
-	StoreRevision ident.Revision  `json:"ledger"`
-	FailedKeys    []string        `json:"failed"`
-	KeyValues     []KeyValue      `json:"pairs"`
-	Truncated     bool            `json:"truncated"`
-	Events        []WatchEvent    `json:"news"`
-	Error         string          `json:"error"`
-	// ConnectionRefused says that the connection was refused; the request was not sent.
+	Value         json.RawMessage `json:"value"`     // Get
+	Revision      ident.Revision  `json:"stamp"`     // Get: of the key
+	LeaseID       uint64          `json:"grant"`     // GrantLease; Get: of the key
+	StoreRevision ident.Revision  `json:"ledger"`    // of the whole store; after Txn, that of the keys put
+	FailedKeys    []string        `json:"failed"`    // Conflict: keys whose compare failed
+	KeyValues     []KeyValue      `json:"pairs"`     // List: in the order of their keys
+	Truncated     bool            `json:"truncated"` // List: there are more pages
+	Events        []WatchEvent    `json:"news"`      // Watch: in the order of their revisions
+	Error         string          `json:"error"`     // for the log: what the store or the transport says
+	// ConnectionRefused reports, with NoAnswer, that the request was certainly not sent.
 	ConnectionRefused bool `json:"-"`
 }
-
-// maxResponseBytes bounds what is read of an answer: a list has at most 512 KiB, the
-// news may have more.
-const maxResponseBytes = 8 << 20
-
-// Client is the HTTP client of the state service.
-type Client struct {
-	baseURL    string
-	httpClient *http.Client
-}
-
-// NewClient makes a client for the service at addr.
-func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
-}
-
-// Do carries out a request. It never guesses: whatever is not a clear answer
-// is Lost.
-func (c *Client) Do(r Request) Response {
-	method, path, requestBody := httpRequest(r)
-	call := httpcall.Call{
-		Method:           method,
-		URL:              c.baseURL + path,
-		Body:             requestBody,
-		Timeout:          r.Timeout,
-		MaxResponseBytes: maxResponseBytes,
-	}
-	status, responseBody, err := call.Do(c.httpClient)
-	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
-	}
-	var response Response
-	switch status {
-	case http.StatusOK:
-		response.Outcome = OK
-	case http.StatusNotFound:
-		response.Outcome = NotFound
-	case http.StatusConflict:
-		response.Outcome = Conflict
-	case http.StatusGone:
-		response.Outcome = Compacted
-	case http.StatusTooManyRequests:
-		return Response{Outcome: RateLimited, Error: http.StatusText(status)}
-	case http.StatusServiceUnavailable:
-		return Response{Outcome: Unavailable, Error: http.StatusText(status)}
-	case http.StatusBadRequest:
-		response.Outcome = Invalid
-	default:
-		// Not in the protocol: it may have been carried out.
-		return Response{Outcome: NoAnswer, Error: http.StatusText(status)}
-	}
-	if len(responseBody) > 0 {
-		if err := json.Unmarshal(responseBody, &response); err != nil && response.Outcome == OK {
-			return Response{Outcome: NoAnswer, Error: err.Error()}
-		}
-	}
-	return response
-}
-
-// httpRequest puts a request in the service's words.
-func httpRequest(r Request) (method, path string, body any) {
-	switch r.Op {
-	case List:
-		query := url.Values{"starts": {r.Prefix}, "most": {"1000"}}
-		if r.StartAfter != "" {
-			query.Set("since", r.StartAfter)
-		}
-		return http.MethodGet, "/keys?" + query.Encode(), nil
-	case Txn:
-		return http.MethodPost, "/txn", struct {
-			If   []Compare  `json:"if"`
-			Then []Mutation `json:"then,omitempty"`
-		}{r.Compares, r.Mutations}
-	case GrantLease:
-		return http.MethodPost, "/leases", struct {
-			TTL int64 `json:"ttl_ms"`
-		}{r.TTL.Milliseconds()}
-	case RenewLease:
-		return http.MethodPost, "/leases/" + strconv.FormatUint(r.LeaseID, 10) + "/extend", nil
-	case RevokeLease:
-		return http.MethodDelete, "/leases/" + strconv.FormatUint(r.LeaseID, 10), nil
-	case Watch:
-		query := url.Values{"starts": {r.Prefix}, "since": {strconv.FormatUint(uint64(r.Revision), 10)},
-			"block_ms": {strconv.FormatInt(r.Block.Milliseconds(), 10)}}
-		return http.MethodGet, "/follow?" + query.Encode(), nil
-	}
-	return http.MethodGet, "/keys/" + r.Key, nil
-}
