--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -4,92 +4,13 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"sort"
-	"strings"
 	"testing"
 	"time"
 
-	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/kvstoretest"
 )
 
-// flakyStore is a state service whose answers get lost and whose requests are carried
-// out late, or twice.
-type flakyStore struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	events []scheduledEvent
-	*kvstoretest.MemoryStore
-	puts map[string][]string // the values each key went through
-}
-
-type scheduledEvent struct {
-	at  time.Duration
-	run func()
-}
-
-func (f *flakyStore) Now() ident.MonotonicTime { return ident.MonotonicTime(f.now) }
-
-func (f *flakyStore) After(d time.Duration, run func()) {
-	f.events = append(f.events, scheduledEvent{f.now + d, run})
-}
-
-func (f *flakyStore) Store(r kvstore.Request, done func(kvstore.Response)) {
-	answer := func(a kvstore.Response) { f.After(time.Millisecond, func() { done(a) }) }
-	switch f.rng.IntN(5) {
-	case 0: // never carried out
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
-	case 1: // carried out now, the answer lost
-		f.serve(r)
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
-	case 2: // carried out later
-		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
-	case 3:
-		answer(kvstore.Response{Outcome: kvstore.Unavailable})
-	default:
-		answer(f.serve(r))
-	}
-}
-
-func (f *flakyStore) serve(r kvstore.Request) kvstore.Response {
-	if r.Op == kvstore.Get {
-		return f.Get(r.Key)
-	}
-	if failed := f.FailedKeys(r.Compares); failed != nil {
-		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}
-	}
-	if len(r.Mutations) > 8 {
-		f.t.Errorf("%d changes in a transaction", len(r.Mutations))
-	}
-	for _, c := range r.Mutations {
-		if c.Put != "" {
-			f.puts[c.Put] = append(f.puts[c.Put], string(c.Value))
-		}
-	}
-	return f.Apply(r.Mutations)
-}
-
-func (f *flakyStore) run(limit time.Duration) {
-	for len(f.events) > 0 {
-		n := 0
-		for i, e := range f.events {
-			if e.at < f.events[n].at {
-				n = i
-			}
-		}
-		e := f.events[n]
-		if e.at > limit {
-			return
-		}
-		f.events = append(f.events[:n], f.events[n+1:]...)
-		f.now = max(f.now, e.at)
-		e.run()
-	}
-}
-
 // TestAtMostOnce: whatever gets lost or comes late, every document ends with its
 // last content, never goes through an older one again, and every callback is
 // called once.
@@ -146,14 +67,6 @@
 	}
 }
 
-// reliableStore carries everything out at once.
-type reliableStore struct{ *flakyStore }
-
-func (s reliableStore) Store(r kvstore.Request, done func(kvstore.Response)) {
-	a := s.serve(r)
-	s.After(time.Millisecond, func() { done(a) })
-}
-
 // TestOtherLeader: once the leader key has changed nothing is written, and the
 // term ends.
 func TestOtherLeader(t *testing.T) {
@@ -183,111 +96,3 @@
 		t.Errorf("exists %d, stored %d", exists, stored)
 	}
 }
-
-// testEntry is one value of a document that has several.
-type testEntry struct {
-	document *Document
-	index    int
-	value    int
-	pin      Pin
-}
-
-type testLine struct {
-	Doc, N, Value int
-}
-
-func (p *testEntry) JSONLine() any       { return testLine{int(p.document.Key[2] - '0'), p.index, p.value} }
-func (p *testEntry) Document() *Document { return p.document }
-func (p *testEntry) Pin() *Pin           { return &p.pin }
-func (p *testEntry) TextLine() (group, line string) {
-	return p.document.Key, fmt.Sprint(p.index, ",", p.value)
-}
-
-// TestLog: what is durable of a document's parts is what the document, as last
-// put, and the records of the log after it say together, however requests get
-// lost or late; and a long log is folded into the documents.
-func TestLog(t *testing.T) {
-	const docs, parts = 5, 4
-	type whole struct {
-		LSN    uint64
-		Values [parts]int
-	}
-	for seed := range uint64(5) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
-			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		var all [docs][parts]*testEntry
-		for d := range docs {
-			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
-			for n := range parts {
-				all[d][n] = &testEntry{document: doc, index: n}
-			}
-			doc.Render = func() json.RawMessage {
-				w := whole{LSN: c.LSN()}
-				for n := range parts {
-					w.Values[n] = all[d][n].value
-				}
-				b, _ := json.Marshal(w)
-				return b
-			}
-		}
-		load := func() (out [docs]whole, records int) {
-			for d := range docs {
-				json.Unmarshal(f.Entries[fmt.Sprintf("d/%d", d)].Value, &out[d])
-			}
-			type rec struct {
-				N uint64
-				L []testLine
-			}
-			var recs []rec
-			for k, p := range f.Entries {
-				if strings.HasPrefix(k, LogPrefix) {
-					var r rec
-					json.Unmarshal(p.Value, &r)
-					recs = append(recs, r)
-				}
-			}
-			sort.Slice(recs, func(i, k int) bool { return recs[i].N < recs[k].N })
-			for _, r := range recs {
-				for _, l := range r.L {
-					if out[l.Doc].LSN < r.N {
-						out[l.Doc].Values[l.N] = l.Value
-					}
-				}
-			}
-			return out, len(recs)
-		}
-		called := 0
-		const steps = 1500
-		for range steps {
-			f.After(time.Duration(f.rng.IntN(200_000))*time.Millisecond, func() {
-				p := all[f.rng.IntN(docs)][f.rng.IntN(parts)]
-				p.value++
-				v := p.value
-				c.Append(p, func() {
-					called++
-					if have, _ := load(); have[p.document.Key[2]-'0'].Values[p.index] < v {
-						t.Errorf("seed %d: %s/%d is called durable at %d, is %v", seed, p.document.Key, p.index, v, have)
-					}
-				})
-				if f.rng.IntN(20) == 0 {
-					c.MarkDirty(p.document, nil)
-				}
-				c.Flush()
-			})
-		}
-		f.run(10 * time.Minute)
-		have, records := load()
-		for d := range docs {
-			for n := range parts {
-				if have[d].Values[n] != all[d][n].value {
-					t.Errorf("seed %d: %d/%d ends as %d, want %d", seed, d, n, have[d].Values[n], all[d][n].value)
-				}
-			}
-		}
-		if called != steps || records > 2*compactAfterRecords {
-			t.Errorf("seed %d: %d of %d called back, %d records are left", seed, called, steps, records)
-		}
-	}
-}
