--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -2,97 +2,177 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"opaldale/internal/kvstore"
-	"opaldale/internal/kvstoretest"
 )
 
-// TestAtMostOnce: whatever gets lost or comes late, every document ends with its
-// last content, never goes through an older one again, and every callback is
-// called once.
-func TestAtMostOnce(t *testing.T) {
-	for seed := range uint64(60) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 1)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
-			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		called := map[string]int{}
-		values := make([]int, 12)
-		docs := make([]*Document, 12)
-		for i := range docs {
-			docs[i] = &Document{Key: fmt.Sprintf("d/%d", i), Render: func() json.RawMessage { return json.RawMessage(fmt.Sprint(values[i])) }}
+// documentWorkload changes documents, each of which holds a number that only grows.
+type documentWorkload struct {
+	t         *testing.T
+	store     *flakyStore
+	committer *Committer
+	documents []*Document
+	values    []int
+	durable   map[documentValue]int // times that each value was reported durable
+}
+
+type documentValue struct{ document, value int }
+
+func newDocumentWorkload(t *testing.T, seed uint64, documents int) *documentWorkload {
+	t.Helper()
+	store := newFlakyStore(t, seed, 1)
+	w := &documentWorkload{
+		t:         t,
+		store:     store,
+		committer: newTestCommitter(t, store, testLimits),
+		values:    make([]int, documents),
+		durable:   map[documentValue]int{},
+	}
+	for i := range documents {
+		render := func() json.RawMessage { return json.RawMessage(fmt.Sprint(w.values[i])) }
+		w.documents = append(w.documents, &Document{Key: fmt.Sprintf("d/%d", i), Render: render})
+	}
+	return w
+}
+
+// change changes one document.
+func (w *documentWorkload) change() {
+	i := w.store.rng.IntN(len(w.documents))
+	w.values[i]++
+	value := w.values[i]
+	w.committer.MarkDirty(w.documents[i], func() {
+		w.durable[documentValue{i, value}]++
+		var stored int
+		json.Unmarshal(w.store.Entries[w.documents[i].Key].Value, &stored)
+		if stored < value {
+			w.t.Errorf("%s is reported durable at %d, is %d", w.documents[i].Key, value, stored)
 		}
-		for step := 1; step <= 100; step++ {
-			f.After(time.Duration(f.rng.IntN(20_000))*time.Millisecond, func() {
-				i := f.rng.IntN(len(docs))
-				values[i]++
-				v := values[i]
-				c.MarkDirty(docs[i], func() {
-					called[fmt.Sprint(i, "/", v)]++
-					var have int
-					json.Unmarshal(f.Entries[docs[i].Key].Value, &have)
-					if have < v {
-						t.Errorf("seed %d: %s is called durable at %d, is %d", seed, docs[i].Key, v, have)
-					}
-				})
-				c.Flush()
-			})
+	})
+	w.committer.Flush()
+}
+
+// check checks the stored content of a document, how it came about, and the callbacks.
+func (w *documentWorkload) check(i int) {
+	w.t.Helper()
+	d := w.documents[i]
+	if got := string(w.store.Entries[d.Key].Value); w.values[i] > 0 && got != fmt.Sprint(w.values[i]) {
+		w.t.Errorf("%s ends as %s, want %d", d.Key, got, w.values[i])
+	}
+	if d.Revision != w.store.Entries[d.Key].Revision || !d.Idle() {
+		w.t.Errorf("%s: revision %d, is %d", d.Key, d.Revision, w.store.Entries[d.Key].Revision)
+	}
+	last := 0
+	for _, put := range w.store.puts[d.Key] {
+		var value int
+		json.Unmarshal([]byte(put), &value)
+		if value <= last {
+			w.t.Errorf("%s goes through %v", d.Key, w.store.puts[d.Key])
 		}
-		f.run(10 * time.Minute)
-		for i, d := range docs {
-			if got := string(f.Entries[d.Key].Value); values[i] > 0 && got != fmt.Sprint(values[i]) {
-				t.Errorf("seed %d: %s ends as %s, want %d", seed, d.Key, got, values[i])
-			}
-			if d.Revision != f.Entries[d.Key].Revision || !d.Idle() {
-				t.Errorf("seed %d: %s: stamp %d, is %d", seed, d.Key, d.Revision, f.Entries[d.Key].Revision)
-			}
-			last := 0
-			for _, p := range f.puts[d.Key] {
-				var v int
-				json.Unmarshal([]byte(p), &v)
-				if v <= last {
-					t.Errorf("seed %d: %s goes through %v", seed, d.Key, f.puts[d.Key])
-				}
-				last = v
-			}
-			for v := 1; v <= values[i]; v++ {
-				if n := called[fmt.Sprint(i, "/", v)]; n != 1 {
-					t.Errorf("seed %d: %d of %s called %d times", seed, v, d.Key, n)
-				}
-			}
+		last = value
+	}
+	for value := 1; value <= w.values[i]; value++ {
+		if n := w.durable[documentValue{i, value}]; n != 1 {
+			w.t.Errorf("%d of %s is reported durable %d times", value, d.Key, n)
 		}
 	}
 }
 
-// TestOtherLeader: once the leader key has changed nothing is written, and the
-// term ends.
+// TestAtMostOnce: whatever is lost or late, every document ends with its newest content, never
+// returns to an older one, and every callback is called once.
+func TestAtMostOnce(t *testing.T) {
+	runSeeds(t, 60, func(t *testing.T, seed uint64) {
+		w := newDocumentWorkload(t, seed, 12)
+		for range 100 {
+			w.store.After(time.Duration(w.store.rng.IntN(20_000))*time.Millisecond, w.change)
+		}
+		w.store.run(10 * time.Minute)
+		for i := range w.documents {
+			w.check(i)
+		}
+	})
+}
+
+// TestOtherLeader: once the leader key has changed nothing is written, and the term ends.
 func TestOtherLeader(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 5}), puts: map[string][]string{}}}
-	lost := 0
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(error) { lost++ })
-	c.MarkDirty(&Document{Key: "d", Render: func() json.RawMessage { return json.RawMessage("1") }}, func() { t.Error("called durable") })
+	store := newReliableStore(t, kvstore.KeyValue{Key: leaderKey.Key, Revision: 5})
+	var lost []error
+	c := New(store, testLimits, leaderKey, func(err error) { lost = append(lost, err) })
+	render := func() json.RawMessage { return json.RawMessage("1") }
+	c.MarkDirty(&Document{Key: "d", Render: render}, func() { t.Error("reported durable") })
 	c.Flush()
-	f.run(time.Minute)
-	if lost != 1 || len(f.puts) != 0 {
-		t.Errorf("term lost %d times, puts %v", lost, f.puts)
+	store.run(time.Minute)
+	if len(lost) != 1 || !errors.Is(lost[0], ErrAnotherLeader) || len(store.puts) != 0 {
+		t.Errorf("term lost by %v, puts %v", lost, store.puts)
 	}
 }
 
-// TestExists: a key that must be absent fails its own document alone; the others
-// of the transaction are written.
+// TestExists: a MustNotExist key that exists fails its own document alone; the others of the
+// transaction are written.
 func TestExists(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}, kvstore.KeyValue{Key: "over/1", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
+	store := newReliableStore(t, kvstore.KeyValue{Key: "over/1", Revision: 1})
+	c := newTestCommitter(t, store, testLimits)
 	exists, stored := 0, 0
 	render := func() json.RawMessage { return json.RawMessage("1") }
-	c.MarkDirty(&Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}, func() { t.Error("called durable") })
-	c.MarkDirty(&Document{Key: "live/2", Render: render, MustNotExist: []string{"over/2"}}, func() { stored++ })
+	first := &Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}
+	second := &Document{Key: "live/2", Render: render, MustNotExist: []string{"over/2"}}
+	c.MarkDirty(first, func() { t.Error("reported durable") })
+	c.MarkDirty(second, func() { stored++ })
 	c.Flush()
-	f.run(time.Minute)
+	store.run(time.Minute)
 	if exists != 1 || stored != 1 {
 		t.Errorf("exists %d, stored %d", exists, stored)
 	}
 }
+
+// TestConflictOfLogRecord: a record of the log alone in a transaction whose key was written by
+// another process ends the term.
+func TestConflictOfLogRecord(t *testing.T) {
+	store := newReliableStore(t, kvstore.KeyValue{Key: LogPrefix + "00000", Revision: 1})
+	var lost []error
+	c := New(store, testLimits, leaderKey, func(err error) { lost = append(lost, err) })
+	c.Append(&testEntry{document: &Document{Key: "d/0"}}, func() { t.Error("reported durable") })
+	c.Flush()
+	store.run(time.Minute)
+	if len(lost) != 1 || !errors.Is(lost[0], ErrConflict) {
+		t.Errorf("term lost by %v, want ErrConflict", lost)
+	}
+}
+
+func stopAndQuiesce(c *Committer) {
+	c.Stop()
+	c.Quiesce()
+}
+
+// TestLifecycle: a quiescing committer settles what is open and sends nothing else; a stopped one
+// calls nothing.
+func TestLifecycle(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		end         func(*Committer)
+		wantDurable int
+	}{
+		{"quiesced", (*Committer).Quiesce, 1},
+		{"stopped", (*Committer).Stop, 0},
+		{"quiesced after the stop", stopAndQuiesce, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			store := newReliableStore(t)
+			c := newTestCommitter(t, store, testLimits)
+			render := func() json.RawMessage { return json.RawMessage("1") }
+			durable := 0
+			c.MarkDirty(&Document{Key: "d/1", Render: render}, func() { durable++ })
+			c.Flush()
+			tc.end(c)
+			c.MarkDirty(&Document{Key: "d/2", Render: render}, func() { t.Error("reported durable") })
+			c.Flush()
+			store.run(time.Minute)
+			if durable != tc.wantDurable || len(store.puts["d/2"]) != 0 {
+				t.Errorf("durable %d, puts %v, want %d durable", durable, store.puts, tc.wantDurable)
+			}
+		})
+	}
+}
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -3,16 +3,14 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"opaldale/internal/kvstore"
-	"opaldale/internal/kvstoretest"
 )
 
-// limitedStore is a flaky state service that refuses what is too large, from some moment on,
-// and now and then answers that the rate is too high.
+// limitedStore is a flaky store that rejects what is too large, from some time on, and now and
+// then answers that the rate is too high.
 type limitedStore struct {
 	*flakyStore
 	maxMutations, maxValueBytes int
@@ -20,79 +18,137 @@
 	rejected                    int
 }
 
-func (s *limitedStore) Store(r kvstore.Request, done func(kvstore.Response)) {
-	large := len(r.Mutations) > s.maxMutations
-	for _, c := range r.Mutations {
-		large = large || len(c.Value) > s.maxValueBytes
+func (s *limitedStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
+	tooLarge := len(r.Mutations) > s.maxMutations
+	for _, mutation := range r.Mutations {
+		tooLarge = tooLarge || len(mutation.Value) > s.maxValueBytes
 	}
 	switch {
 	case r.Op == kvstore.Txn && s.rng.IntN(20) == 0:
-		s.After(time.Millisecond, func() { done(kvstore.Response{Outcome: kvstore.RateLimited}) })
-	case r.Op == kvstore.Txn && s.now >= s.enforcedFrom && large:
+		s.respond(kvstore.Response{Outcome: kvstore.RateLimited}, onResponse)
+	case r.Op == kvstore.Txn && s.now >= s.enforcedFrom && tooLarge:
 		s.rejected++
-		s.After(time.Millisecond, func() { done(kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}) })
+		s.respond(kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}, onResponse)
 	default:
-		s.flakyStore.Store(r, done)
+		s.flakyStore.Store(r, onResponse)
 	}
 }
 
-// TestLowerLimits: limits that fall without notice, beside answers that get lost and
-// transactions that are carried out late, cost neither the term nor any content, with
-// the next limits announced or not. What came before a 400 may still be carried out.
-func TestLowerLimits(t *testing.T) {
-	for seed := range uint64(40) {
-		f := &limitedStore{flakyStore: &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 3)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
-			puts: map[string][]string{}}, maxMutations: 2, maxValueBytes: 400, enforcedFrom: 10 * time.Second}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 4096}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		c.log.format = textFormat{}
-		if seed%2 == 0 {
-			c.ExpectLimits(Limits{MutationsPerTxn: 2, MutationsPerSecond: 50, MaxValueBytes: 400})
+// mixedWorkload changes documents and entries, with a log in the text format.
+type mixedWorkload struct {
+	t         *testing.T
+	store     *limitedStore
+	committer *Committer
+	documents []*Document
+	values    []int
+	entries   [][]*testEntry // of each document
+	changes   int
+	durable   int // callbacks called
+}
+
+func newMixedWorkload(t *testing.T, seed uint64, documents, entries int) *mixedWorkload {
+	t.Helper()
+	store := &limitedStore{
+		flakyStore:    newFlakyStore(t, seed, 3),
+		maxMutations:  2,
+		maxValueBytes: 400,
+		enforcedFrom:  10 * time.Second,
+	}
+	limits := testLimits
+	limits.MaxValueBytes = 4096
+	w := &mixedWorkload{
+		t:         t,
+		store:     store,
+		committer: newTestCommitter(t, store, limits),
+		values:    make([]int, documents),
+		entries:   make([][]*testEntry, documents),
+	}
+	w.committer.log.format = textFormat{} // without the expected limits, unlike UseTextFormat
+	for d := range documents {
+		document := &Document{Key: fmt.Sprintf("d/%d", d), MustNotExist: []string{fmt.Sprintf("x/%d", d)}}
+		document.Render = func() json.RawMessage { return json.RawMessage(fmt.Sprint(w.values[d])) }
+		w.documents = append(w.documents, document)
+		for n := range entries {
+			w.entries[d] = append(w.entries[d], &testEntry{document: document, index: n})
 		}
-		const docs, parts = 6, 10
-		values := make([]int, docs)
-		var all [docs][parts]*testEntry
-		var list [docs]*Document
-		for d := range docs {
-			list[d] = &Document{Key: fmt.Sprintf("d/%d", d), MustNotExist: []string{fmt.Sprintf("x/%d", d)}}
-			list[d].Render = func() json.RawMessage { return json.RawMessage(fmt.Sprint(values[d])) }
-			for n := range parts {
-				all[d][n] = &testEntry{document: list[d], index: n}
+	}
+	return w
+}
+
+// change changes a document or an entry of it.
+func (w *mixedWorkload) change() {
+	rng := w.store.rng
+	d := rng.IntN(len(w.documents))
+	w.changes++
+	if rng.IntN(3) == 0 {
+		w.values[d]++
+		w.committer.MarkDirty(w.documents[d], func() { w.durable++ })
+	} else {
+		entry := w.entries[d][rng.IntN(len(w.entries[d]))]
+		entry.value++
+		w.committer.Append(entry, func() { w.durable++ })
+	}
+	w.committer.Flush()
+}
+
+// check checks the stored content of the documents and entries.
+func (w *mixedWorkload) check() {
+	w.t.Helper()
+	stored := readText(w.store.flakyStore)
+	for d, document := range w.documents {
+		if got := string(w.store.Entries[document.Key].Value); w.values[d] > 0 && got != fmt.Sprint(w.values[d]) {
+			w.t.Errorf("%s ends as %s, want %d", document.Key, got, w.values[d])
+		}
+		for _, entry := range w.entries[d] {
+			if entry.value > 0 && stored[entry.name()] != entry.value {
+				w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
 			}
 		}
-		want, called := 0, 0
+	}
+}
+
+// TestLowerLimits: limits that become stricter without notice, expected or not, cost neither the
+// term nor any content, although responses are lost and transactions are applied late. Copies that
+// were sent before one was rejected may still be applied.
+func TestLowerLimits(t *testing.T) {
+	runSeeds(t, 40, func(t *testing.T, seed uint64) {
+		w := newMixedWorkload(t, seed, 6, 10)
+		expected := seed%2 == 0
+		if expected {
+			w.committer.ExpectLimits(Limits{MutationsPerTxn: 2, MutationsPerSecond: 50, MaxValueBytes: 400})
+		}
 		for range 600 {
-			f.After(time.Duration(f.rng.IntN(25_000))*time.Millisecond, func() {
-				d := f.rng.IntN(docs)
-				want++
-				if f.rng.IntN(3) == 0 {
-					values[d]++
-					c.MarkDirty(list[d], func() { called++ })
-				} else {
-					p := all[d][f.rng.IntN(parts)]
-					p.value++
-					c.Append(p, func() { called++ })
-				}
-				c.Flush()
-			})
+			w.store.After(time.Duration(w.store.rng.IntN(25_000))*time.Millisecond, w.change)
 		}
-		f.run(10 * time.Minute)
-		if called != want {
-			t.Errorf("seed %d: %d of %d called back", seed, called, want)
+		w.store.run(10 * time.Minute)
+		if w.durable != w.changes {
+			t.Errorf("%d of %d called back", w.durable, w.changes)
 		}
-		if seed%2 == 1 && f.rejected == 0 { // else the first 429 is warning enough
-			t.Errorf("seed %d: nothing was refused: the test shows nothing", seed)
+		// Expected limits may come into force with the first response that the rate is too high.
+		if !expected && w.store.rejected == 0 {
+			t.Error("nothing was rejected: the test shows nothing")
 		}
-		got := readText(f.flakyStore)
-		for d := range docs {
-			if s := string(f.Entries[list[d].Key].Value); values[d] > 0 && s != fmt.Sprint(values[d]) {
-				t.Errorf("seed %d: %s ends as %s, want %d", seed, list[d].Key, s, values[d])
-			}
-			for n, p := range all[d] {
-				if have := got[fmt.Sprintf("%s %d", list[d].Key, n)]; p.value > 0 && have != p.value {
-					t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, list[d].Key, n, have, p.value)
-				}
+		w.check()
+	})
+}
+
+// TestRejectionPause: the pause doubles from two seconds up to the longest.
+func TestRejectionPause(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		rejections int
+		want       time.Duration
+	}{
+		{"first", 1, 2 * time.Second},
+		{"second", 2, 4 * time.Second},
+		{"last below the longest", 5, 32 * time.Second},
+		{"longest", 6, time.Minute},
+		{"many", 1000, time.Minute},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := rejectionPause(tc.rejections); got != tc.want {
+				t.Errorf("pause after %d rejections is %v, want %v", tc.rejections, got, tc.want)
 			}
-		}
+		})
 	}
 }
--- a/internal/commit/log_test.go
+++ b/internal/commit/log_test.go
@@ -9,186 +9,259 @@
 	"testing"
 	"time"
 
-	"opaldale/internal/kvstore"
 	"opaldale/internal/kvstoretest"
 )
 
-// TestLog: what is durable of a document's parts is what the document, as last
-// put, and the records of the log after it say together, however requests get
-// lost or late; and a long log is folded into the documents.
-func TestLog(t *testing.T) {
-	const docs, parts = 5, 4
-	type whole struct {
-		LSN    uint64
-		Values [parts]int
-	}
-	for seed := range uint64(5) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 2)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
-			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 1024}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		var all [docs][parts]*testEntry
-		for d := range docs {
-			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
-			for n := range parts {
-				all[d][n] = &testEntry{document: doc, index: n}
-			}
-			doc.Render = func() json.RawMessage {
-				w := whole{LSN: c.LSN()}
-				for n := range parts {
-					w.Values[n] = all[d][n].value
-				}
-				b, _ := json.Marshal(w)
-				return b
-			}
+const (
+	logDocuments       = 5
+	entriesPerDocument = 4
+)
+
+// storedDocument is a document with the values of its entries.
+type storedDocument struct {
+	LSN    uint64
+	Values [entriesPerDocument]int
+}
+
+// jsonLogWorkload changes entries of documents, with a log in the JSON format.
+type jsonLogWorkload struct {
+	t         *testing.T
+	store     *flakyStore
+	committer *Committer
+	entries   [logDocuments][entriesPerDocument]*testEntry
+	durable   int // callbacks called
+}
+
+func newJSONLogWorkload(t *testing.T, seed uint64) *jsonLogWorkload {
+	t.Helper()
+	store := newFlakyStore(t, seed, 2)
+	limits := testLimits
+	limits.MaxValueBytes = 1024
+	w := &jsonLogWorkload{t: t, store: store, committer: newTestCommitter(t, store, limits)}
+	for d := range logDocuments {
+		document := &Document{Key: fmt.Sprintf("d/%d", d)}
+		document.Render = func() json.RawMessage { return w.render(d) }
+		for n := range entriesPerDocument {
+			w.entries[d][n] = &testEntry{document: document, index: n}
 		}
-		load := func() (out [docs]whole, records int) {
-			for d := range docs {
-				json.Unmarshal(f.Entries[fmt.Sprintf("d/%d", d)].Value, &out[d])
-			}
-			type rec struct {
-				N uint64
-				L []testLine
-			}
-			var recs []rec
-			for k, p := range f.Entries {
-				if strings.HasPrefix(k, LogPrefix) {
-					var r rec
-					json.Unmarshal(p.Value, &r)
-					recs = append(recs, r)
-				}
-			}
-			sort.Slice(recs, func(i, k int) bool { return recs[i].N < recs[k].N })
-			for _, r := range recs {
-				for _, l := range r.L {
-					if out[l.Doc].LSN < r.N {
-						out[l.Doc].Values[l.N] = l.Value
-					}
-				}
+	}
+	return w
+}
+
+func (w *jsonLogWorkload) render(document int) json.RawMessage {
+	stored := storedDocument{LSN: w.committer.LSN()}
+	for n, entry := range w.entries[document] {
+		stored.Values[n] = entry.value
+	}
+	encoded, err := json.Marshal(stored)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return encoded
+}
+
+// load reads the documents as a successor does: as last put, with the later records of the log.
+func (w *jsonLogWorkload) load() (documents [logDocuments]storedDocument, records int) {
+	for d := range documents {
+		json.Unmarshal(w.store.Entries[fmt.Sprintf("d/%d", d)].Value, &documents[d])
+	}
+	type jsonRecord struct {
+		N uint64
+		L []testLine
+	}
+	var log []jsonRecord
+	for key, pair := range w.store.Entries {
+		if strings.HasPrefix(key, LogPrefix) {
+			var record jsonRecord
+			json.Unmarshal(pair.Value, &record)
+			log = append(log, record)
+		}
+	}
+	sort.Slice(log, func(i, k int) bool { return log[i].N < log[k].N })
+	for _, record := range log {
+		for _, line := range record.L {
+			if documents[line.Doc].LSN < record.N {
+				documents[line.Doc].Values[line.N] = line.Value
 			}
-			return out, len(recs)
-		}
-		called := 0
-		const steps = 1500
-		for range steps {
-			f.After(time.Duration(f.rng.IntN(200_000))*time.Millisecond, func() {
-				p := all[f.rng.IntN(docs)][f.rng.IntN(parts)]
-				p.value++
-				v := p.value
-				c.Append(p, func() {
-					called++
-					if have, _ := load(); have[p.document.Key[2]-'0'].Values[p.index] < v {
-						t.Errorf("seed %d: %s/%d is called durable at %d, is %v", seed, p.document.Key, p.index, v, have)
-					}
-				})
-				if f.rng.IntN(20) == 0 {
-					c.MarkDirty(p.document, nil)
-				}
-				c.Flush()
-			})
-		}
-		f.run(10 * time.Minute)
-		have, records := load()
-		for d := range docs {
-			for n := range parts {
-				if have[d].Values[n] != all[d][n].value {
-					t.Errorf("seed %d: %d/%d ends as %d, want %d", seed, d, n, have[d].Values[n], all[d][n].value)
+		}
+	}
+	return documents, len(log)
+}
+
+// change changes one entry and, now and then, puts its document.
+func (w *jsonLogWorkload) change() {
+	rng := w.store.rng
+	entry := w.entries[rng.IntN(logDocuments)][rng.IntN(entriesPerDocument)]
+	entry.value++
+	value := entry.value
+	w.committer.Append(entry, func() {
+		w.durable++
+		if stored, _ := w.load(); stored[entry.documentNumber()].Values[entry.index] < value {
+			w.t.Errorf("%s is reported durable at %d, is %v", entry.name(), value, stored)
+		}
+	})
+	if rng.IntN(20) == 0 {
+		w.committer.MarkDirty(entry.document, nil)
+	}
+	w.committer.Flush()
+}
+
+// TestLog: what is durable of the entries is what the documents, as last put, and the later records
+// of the log say together, whatever requests are lost or late; and a long log is compacted.
+func TestLog(t *testing.T) {
+	const changes = 1500
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		w := newJSONLogWorkload(t, seed)
+		for range changes {
+			w.store.After(time.Duration(w.store.rng.IntN(200_000))*time.Millisecond, w.change)
+		}
+		w.store.run(10 * time.Minute)
+		stored, records := w.load()
+		for d := range w.entries {
+			for n, entry := range w.entries[d] {
+				if stored[d].Values[n] != entry.value {
+					t.Errorf("%s ends as %d, want %d", entry.name(), stored[d].Values[n], entry.value)
 				}
 			}
 		}
-		if called != steps || records > 2*compactAfterRecords {
-			t.Errorf("seed %d: %d of %d called back, %d records are left", seed, called, steps, records)
+		if w.durable != changes || records > 2*compactAfterRecords {
+			t.Errorf("%d of %d called back, %d records are left", w.durable, changes, records)
 		}
+	})
+}
+
+// TestLSN: the LSN does not include records in open transactions, and stays below the first of
+// them until it is durable.
+func TestLSN(t *testing.T) {
+	store := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
+	unpaced := Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e10, MaxValueBytes: 1024}
+	c := newTestCommitter(t, store, unpaced)
+	c.ObserveLSN(7)
+	entry := &testEntry{document: &Document{Key: "d/0"}}
+	for range 2 {
+		c.Append(entry, nil)
+		c.Flush()
+	}
+	if lsn := c.LSN(); lsn != 7 || len(store.Pending) != 2 {
+		t.Errorf("LSN %d with records in %d open transactions, want 7 and 2", lsn, len(store.Pending))
+	}
+	store.Run()
+	if lsn := c.LSN(); lsn != 9 {
+		t.Errorf("LSN %d after two records, want 9", lsn)
 	}
 }
 
-// readText is what the records of the log say, the newest of each line.
-func readText(f *flakyStore) map[string]int {
-	type rec struct {
+// readText returns the newest value of each entry in the records of the log, by its name.
+func readText(store *flakyStore) map[string]int {
+	type textRecord struct {
 		N uint64 `json:"n"`
 		T string `json:"t"`
 	}
-	out, newest := map[string]int{}, map[string]uint64{}
-	for k, p := range f.Entries {
-		var r rec
-		if !strings.HasPrefix(k, LogPrefix) || json.Unmarshal(p.Value, &r) != nil {
+	values, newest := map[string]int{}, map[string]uint64{}
+	for key, pair := range store.Entries {
+		var record textRecord
+		if !strings.HasPrefix(key, LogPrefix) || json.Unmarshal(pair.Value, &record) != nil {
 			continue
 		}
-		ParseText(r.T, func(group, line string) error {
-			var n, v int
-			fmt.Sscanf(line, "%d,%d", &n, &v)
-			key := fmt.Sprintf("%s %d", group, n)
-			if r.N > newest[key] {
-				newest[key], out[key] = r.N, v
+		ParseText(record.T, func(group, line string) error {
+			var index, value int
+			fmt.Sscanf(line, "%d,%d", &index, &value)
+			name := fmt.Sprintf("%s %d", group, index)
+			if record.N > newest[name] {
+				newest[name], values[name] = record.N, value
 			}
 			return nil
 		})
 	}
-	return out
+	return values
 }
 
-// TestPackedLog: with records in the log's own format, the newest line of each entry is
-// always in some record, though slots are used again and a long log is written anew;
-// entries that are released hold nothing.
-func TestPackedLog(t *testing.T) {
-	for seed := range uint64(2) {
-		f := &flakyStore{t: t, rng: rand.New(rand.NewPCG(seed, 4)), MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}),
-			puts: map[string][]string{}}
-		c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: 256}, kvstore.Compare{Key: "leader", Revision: 1},
-			func(err error) { t.Errorf("seed %d: term lost: %v", seed, err) })
-		c.UseTextFormat()
-		var all []*testEntry
-		for d := range 40 {
-			doc := &Document{Key: fmt.Sprintf("d/%d", d)}
-			for n := range 30 {
-				all = append(all, &testEntry{document: doc, index: n})
-			}
+// textLogWorkload changes entries, with a log in the text format.
+type textLogWorkload struct {
+	t         *testing.T
+	store     *flakyStore
+	committer *Committer
+	entries   []*testEntry
+}
+
+func newTextLogWorkload(t *testing.T, seed uint64, maxValueBytes int) *textLogWorkload {
+	t.Helper()
+	store := newFlakyStore(t, seed, 4)
+	limits := Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: maxValueBytes}
+	w := &textLogWorkload{t: t, store: store, committer: newTestCommitter(t, store, limits)}
+	w.committer.UseTextFormat()
+	for d := range 40 {
+		document := &Document{Key: fmt.Sprintf("d/%d", d)}
+		for n := range 30 {
+			w.entries = append(w.entries, &testEntry{document: document, index: n})
 		}
+	}
+	return w
+}
+
+// change changes one entry. Reading the log is slow, so it is done for one value in four.
+func (w *textLogWorkload) change() {
+	entry := w.entries[w.store.rng.IntN(len(w.entries))]
+	entry.value++
+	value := entry.value
+	w.committer.Append(entry, func() {
+		if value%4 > 0 {
+			return
+		}
+		if stored := readText(w.store)[entry.name()]; stored < value {
+			w.t.Errorf("%s is reported durable at %d, is %d", entry.name(), value, stored)
+		}
+	})
+	w.committer.Flush()
+}
+
+// checkEntries checks that the newest line of each entry is in a record that it holds.
+func (w *textLogWorkload) checkEntries() {
+	w.t.Helper()
+	stored := readText(w.store)
+	for _, entry := range w.entries {
+		if stored[entry.name()] != entry.value {
+			w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
+		}
+		if entry.value > 0 && !entry.pin.Held() {
+			w.t.Errorf("nothing holds the line of %s", entry.name())
+		}
+	}
+}
+
+// TestTextLog: with records in the text format, the newest line of each entry is always in some
+// record, although slots are reused and a long log is compacted; entries that are released hold
+// nothing.
+func TestTextLog(t *testing.T) {
+	const maxValueBytes = 256
+	runSeeds(t, 2, func(t *testing.T, seed uint64) {
+		w := newTextLogWorkload(t, seed, maxValueBytes)
 		for range 4000 {
-			f.After(time.Duration(f.rng.IntN(100_000))*time.Millisecond, func() {
-				p := all[f.rng.IntN(len(all))]
-				p.value++
-				v, key := p.value, fmt.Sprintf("%s %d", p.document.Key, p.index)
-				c.Append(p, func() {
-					if v%4 > 0 {
-						return
-					}
-					if have := readText(f)[key]; have < v {
-						t.Errorf("seed %d: %s is called durable at %d, is %d", seed, key, v, have)
-					}
-				})
-				c.Flush()
-			})
-		}
-		f.run(10 * time.Minute)
-		got := readText(f)
-		for _, p := range all {
-			if have := got[fmt.Sprintf("%s %d", p.document.Key, p.index)]; have != p.value {
-				t.Errorf("seed %d: %s/%d ends as %d, want %d", seed, p.document.Key, p.index, have, p.value)
-			}
-			if p.value > 0 && !p.pin.Held() {
-				t.Errorf("seed %d: nothing holds the line of %s/%d", seed, p.document.Key, p.index)
-			}
+			w.store.After(time.Duration(w.store.rng.IntN(100_000))*time.Millisecond, w.change)
 		}
-		held := c.log.slots.live
-		for _, p := range all {
-			c.Release(&p.pin)
+		w.store.run(10 * time.Minute)
+		w.checkEntries()
+		slots := &w.committer.log.slots
+		held := slots.live
+		for _, entry := range w.entries {
+			w.committer.Release(&entry.pin)
 		}
-		if c.log.slots.live != 0 || held == 0 || c.log.slots.pinnedEntries != 0 {
-			t.Errorf("seed %d: %d records held, %d after all were released", seed, held, c.log.slots.live)
+		if slots.live != 0 || held == 0 || slots.pinnedEntries != 0 {
+			t.Errorf("%d records held, %d after all were released", held, slots.live)
 		}
-		for k, p := range f.Entries {
-			if len(p.Value) > 256 {
-				t.Errorf("seed %d: %s has %d bytes", seed, k, len(p.Value))
+		for key, pair := range w.store.Entries {
+			if len(pair.Value) > maxValueBytes {
+				t.Errorf("%s has %d bytes", key, len(pair.Value))
 			}
 		}
-	}
+	})
 }
 
-// TestLongLogIsCompacted: records of which little is still held don't pile up.
+// TestLongLogIsCompacted: records of which few entries still hold do not accumulate.
 func TestLongLogIsCompacted(t *testing.T) {
-	f := reliableStore{&flakyStore{t: t, MemoryStore: kvstoretest.NewMemoryStore(kvstore.KeyValue{Key: "leader", Revision: 1}), puts: map[string][]string{}}}
-	c := New(f, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: 1 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
+	const maxValueBytes = 1 << 10
+	store := newReliableStore(t)
+	c := newTestCommitter(t, store, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: maxValueBytes})
 	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
 	var idle []*testEntry // each in a record of its own, among others that change again and again
@@ -196,24 +269,24 @@
 	for i := range busy {
 		busy[i] = &testEntry{document: &Document{Key: "d/0"}, index: i}
 	}
-	maxRecords := max(compactAfterRecords, compactAfterBytes/(1<<10))
+	maxRecords := max(compactAfterRecords, compactAfterBytes/maxValueBytes)
 	for i := range 2*maxRecords + 50 {
-		p := &testEntry{document: &Document{Key: "d/1"}, index: i}
-		idle = append(idle, p)
-		c.Append(p, nil)
+		entry := &testEntry{document: &Document{Key: "d/1"}, index: i}
+		idle = append(idle, entry)
+		c.Append(entry, nil)
 		for _, k := range rng.Perm(len(busy))[:30] {
 			c.Append(busy[k], nil)
 		}
 		c.Flush()
-		f.run(f.now + 20*time.Millisecond)
+		store.run(store.now + 20*time.Millisecond)
 	}
-	f.run(f.now + time.Minute)
+	store.run(store.now + time.Minute)
 	if c.log.slots.live > maxRecords+20 {
 		t.Errorf("%d records are held, for %d lines", c.log.slots.live, c.log.slots.pinnedEntries)
 	}
-	for _, p := range idle {
-		if !p.pin.Held() {
-			t.Fatalf("the line of %d is in no record", p.index)
+	for _, entry := range idle {
+		if !entry.pin.Held() {
+			t.Fatalf("the line of %s is in no record", entry.name())
 		}
 	}
 }
--- a/internal/commit/store_test.go
+++ b/internal/commit/store_test.go
@@ -11,15 +11,35 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// flakyStore is a state service whose answers get lost and whose requests are carried
-// out late, or twice.
+// leaderKey is the key of the leader in the test stores, as the committers compare it.
+var leaderKey = kvstore.Compare{Key: "leader", Revision: 1}
+
+// testLimits leave room for several documents in a transaction.
+var testLimits = Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}
+
+// newTestCommitter makes a committer whose term must not be lost.
+func newTestCommitter(t *testing.T, port Port, limits Limits) *Committer {
+	t.Helper()
+	return New(port, limits, leaderKey, func(err error) { t.Errorf("term lost: %v", err) })
+}
+
+// runSeeds runs a test with each of the first seeds.
+func runSeeds(t *testing.T, count uint64, test func(t *testing.T, seed uint64)) {
+	t.Helper()
+	for seed := range count {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { test(t, seed) })
+	}
+}
+
+// flakyStore is a store, with a clock, that loses responses and applies requests late, twice or
+// never.
 type flakyStore struct {
+	*kvstoretest.MemoryStore
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Duration
 	events []scheduledEvent
-	*kvstoretest.MemoryStore
-	puts map[string][]string // the values each key went through
+	puts   map[string][]string // the values put to each key, in order
 }
 
 type scheduledEvent struct {
@@ -27,30 +47,47 @@
 	run func()
 }
 
+// newFlakyStore makes a store that has the leader key and the given ones. Tests use a stream of
+// random numbers each.
+func newFlakyStore(t *testing.T, seed, stream uint64, pairs ...kvstore.KeyValue) *flakyStore {
+	t.Helper()
+	leader := kvstore.KeyValue{Key: leaderKey.Key, Revision: leaderKey.Revision}
+	return &flakyStore{
+		MemoryStore: kvstoretest.NewMemoryStore(append([]kvstore.KeyValue{leader}, pairs...)...),
+		t:           t,
+		rng:         rand.New(rand.NewPCG(seed, stream)),
+		puts:        map[string][]string{},
+	}
+}
+
 func (f *flakyStore) Now() ident.MonotonicTime { return ident.MonotonicTime(f.now) }
 
 func (f *flakyStore) After(d time.Duration, run func()) {
 	f.events = append(f.events, scheduledEvent{f.now + d, run})
 }
 
-func (f *flakyStore) Store(r kvstore.Request, done func(kvstore.Response)) {
-	answer := func(a kvstore.Response) { f.After(time.Millisecond, func() { done(a) }) }
+func (f *flakyStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
 	switch f.rng.IntN(5) {
-	case 0: // never carried out
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
-	case 1: // carried out now, the answer lost
+	case 0: // never applied
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+	case 1: // applied, but the response is lost
 		f.serve(r)
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
-	case 2: // carried out later
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+	case 2: // applied later
 		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
-		answer(kvstore.Response{Outcome: kvstore.NoAnswer})
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
 	case 3:
-		answer(kvstore.Response{Outcome: kvstore.Unavailable})
+		f.respond(kvstore.Response{Outcome: kvstore.Unavailable}, onResponse)
 	default:
-		answer(f.serve(r))
+		f.respond(f.serve(r), onResponse)
 	}
 }
 
+func (f *flakyStore) respond(response kvstore.Response, onResponse func(kvstore.Response)) {
+	f.After(time.Millisecond, func() { onResponse(response) })
+}
+
+// serve applies a request.
 func (f *flakyStore) serve(r kvstore.Request) kvstore.Response {
 	if r.Op == kvstore.Get {
 		return f.Get(r.Key)
@@ -58,44 +95,49 @@
 	if failed := f.FailedKeys(r.Compares); failed != nil {
 		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}
 	}
-	if len(r.Mutations) > 8 {
-		f.t.Errorf("%d changes in a transaction", len(r.Mutations))
+	if len(r.Mutations) > testLimits.MutationsPerTxn {
+		f.t.Errorf("%d mutations in a transaction", len(r.Mutations))
 	}
-	for _, c := range r.Mutations {
-		if c.Put != "" {
-			f.puts[c.Put] = append(f.puts[c.Put], string(c.Value))
+	for _, mutation := range r.Mutations {
+		if mutation.Put != "" {
+			f.puts[mutation.Put] = append(f.puts[mutation.Put], string(mutation.Value))
 		}
 	}
 	return f.Apply(r.Mutations)
 }
 
-func (f *flakyStore) run(limit time.Duration) {
+// run runs the scheduled events up to a time, including those that they add.
+func (f *flakyStore) run(until time.Duration) {
 	for len(f.events) > 0 {
-		n := 0
+		first := 0
 		for i, e := range f.events {
-			if e.at < f.events[n].at {
-				n = i
+			if e.at < f.events[first].at {
+				first = i
 			}
 		}
-		e := f.events[n]
-		if e.at > limit {
+		e := f.events[first]
+		if e.at > until {
 			return
 		}
-		f.events = append(f.events[:n], f.events[n+1:]...)
+		f.events = append(f.events[:first], f.events[first+1:]...)
 		f.now = max(f.now, e.at)
 		e.run()
 	}
 }
 
-// reliableStore carries everything out at once.
+// reliableStore applies every request at once and answers it.
 type reliableStore struct{ *flakyStore }
 
-func (s reliableStore) Store(r kvstore.Request, done func(kvstore.Response)) {
-	a := s.serve(r)
-	s.After(time.Millisecond, func() { done(a) })
+func newReliableStore(t *testing.T, pairs ...kvstore.KeyValue) reliableStore {
+	t.Helper()
+	return reliableStore{newFlakyStore(t, 0, 0, pairs...)}
 }
 
-// testEntry is one value of a document that has several.
+func (s reliableStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
+	s.respond(s.serve(r), onResponse)
+}
+
+// testEntry is one of several values of a document.
 type testEntry struct {
 	document *Document
 	index    int
@@ -103,13 +145,20 @@
 	pin      Pin
 }
 
+// testLine is the JSON line of a testEntry.
 type testLine struct {
 	Doc, N, Value int
 }
 
-func (p *testEntry) JSONLine() any       { return testLine{int(p.document.Key[2] - '0'), p.index, p.value} }
-func (p *testEntry) Document() *Document { return p.document }
-func (p *testEntry) Pin() *Pin           { return &p.pin }
-func (p *testEntry) TextLine() (group, line string) {
-	return p.document.Key, fmt.Sprint(p.index, ",", p.value)
+// documentNumber is the number of the entry's document, the last byte of its key.
+func (e *testEntry) documentNumber() int { return int(e.document.Key[len(e.document.Key)-1] - '0') }
+
+func (e *testEntry) JSONLine() any       { return testLine{e.documentNumber(), e.index, e.value} }
+func (e *testEntry) Document() *Document { return e.document }
+func (e *testEntry) Pin() *Pin           { return &e.pin }
+func (e *testEntry) TextLine() (group, line string) {
+	return e.document.Key, fmt.Sprint(e.index, ",", e.value)
 }
+
+// name is the entry's name in the result of readText.
+func (e *testEntry) name() string { return fmt.Sprintf("%s %d", e.document.Key, e.index) }
