--- /dev/null
+++ b/internal/workers/failures_test.go
@@ -0,0 +1,57 @@
+package workers
+
+import (
+	"testing"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/ident"
+	"opaldale/internal/jobs"
+)
+
+// TestFailuresBlamedOnJob: what fails on several machines is rather the job's fault. What it has
+// said of machines counts no more, and its further failures say nothing; two other jobs
+// that fail in a row, and run well elsewhere, still show a faulty machine. (Many jobs with a
+// mistake at once had 150 sound machines returned, for nobody knew yet that it was theirs.)
+func TestFailuresBlamedOnJob(t *testing.T) {
+	r := newHarness(t)
+	r.answers[0](CommandResult{})
+	fail := func(id string, suspect bool) *jobs.Job {
+		j := r.jobs.Add(&api.Spec{ID: ident.JobID(id), Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
+		r.runUntilIdle()
+		j.Suspect = suspect
+		r.jobs.Place(&j.Tasks[0], "h", 1, func() {})
+		r.runUntilIdle()
+		r.heartbeat(1, api.TaskReport{TaskID: j.Tasks[0].TaskID(), Attempt: 1, Status: api.Ended, Cause: api.CauseError})
+		r.runUntilIdle()
+		return j
+	}
+	j := fail("j-2", false)
+	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
+		t.Fatalf("a first failure: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+	}
+	j.Suspect = true
+	if fail("j-3", true); r.worker.PossiblyFaulty() || r.worker.Faulty() {
+		t.Errorf("jobs that fail everywhere: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+	}
+	r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
+	list := []*jobs.Job{fail("j-4", false), fail("j-5", false), fail("j-6", false)}
+	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
+		t.Errorf("jobs of which nobody knows better: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+	}
+	for i, j := range list[:2] {
+		if r.worker.Faulty() {
+			t.Errorf("%d sound jobs have failed there, and it is faulty", i)
+		}
+		r.jobs.Place(&j.Tasks[0], "other", 1, func() {})
+		r.runUntilIdle()
+		r.now = r.now.Add(time.Second)
+		r.jobs.UpdateStatus(&j.Tasks[0], api.Running)
+		r.jobs.NoteFailure(j)
+		r.now = r.now.Add(11 * time.Second)
+		r.jobs.ClearProvenHealthy()
+	}
+	if !r.worker.Faulty() {
+		t.Error("two jobs in a row that run well elsewhere failed there, and it is not faulty")
+	}
+}
