--- a/internal/workers/command_test.go
+++ b/internal/workers/command_test.go
@@ -8,11 +8,12 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnansweredCommand: the launch may be carried out at any later time, so a
-// report without the task proves nothing until it carries the raised token.
+// TestUnansweredCommand: a launch without a response may be carried out at any later time, so a heartbeat
+// without the task proves nothing until it has the raised token.
 func TestUnansweredCommand(t *testing.T) {
 	r := newHarness(t)
-	if len(r.sent) != 1 || r.sent[0].Commands[0].Verb != api.Launch || r.sent[0].FencingToken != ident.MakeFencingToken(term, 0) {
+	firstToken := ident.MakeFencingToken(term, 0)
+	if len(r.sent) != 1 || r.sent[0].Commands[0].Verb != api.Launch || r.sent[0].FencingToken != firstToken {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	if got := verbs(r.heartbeat(0)); got != "" {
@@ -20,26 +21,25 @@
 	}
 	r.answers[0](CommandResult{})
 	r.tb.StopTask(r.worker, r.task(), 0)
-	o := r.heartbeat(0)
-	if r.task().State != jobs.Stopping || o.FencingToken != ident.MakeFencingToken(term, 1) {
-		t.Fatalf("a report with the old token: task %v, token %x", r.task().State, o.FencingToken)
+	response := r.heartbeat(0)
+	if r.task().State != jobs.Stopping || response.FencingToken != ident.MakeFencingToken(term, 1) {
+		t.Fatalf("a heartbeat with the old token: task %v, token %x", r.task().State, response.FencingToken)
 	}
 	r.heartbeat(1)
 	if r.task().State != jobs.Waiting {
-		t.Errorf("a report with the new token: task %v", r.task().State)
+		t.Errorf("a heartbeat with the new token: task %v", r.task().State)
 	}
 }
 
-// TestResultAfterTermination: a command's answer that arrives after its machine was returned
-// says nothing of what is there. A task that it listed was thought to be on it in an
-// unknown try, and waited for ever.
+// TestResultAfterTermination: the response to a command that arrives after its machine was terminated
+// says nothing about tasks. Otherwise a task in it would be kept waiting for ever as an
+// unknown attempt.
 func TestResultAfterTermination(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
 	r.tb.MarkTerminated(r.worker, ReasonTerminated)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 40,
-		FencingToken: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{stray}}})
+	r.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, ident.MakeFencingToken(term, 0), stray)})
 	if r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Error("thought to be on a machine that is gone")
+		t.Error("counts as on a machine that is terminated")
 	}
 }
--- a/internal/workers/failures_test.go
+++ b/internal/workers/failures_test.go
@@ -9,10 +9,10 @@
 	"opaldale/internal/jobs"
 )
 
-// TestFailuresBlamedOnJob: what fails on several machines is rather the job's fault. What it has
-// said of machines counts no more, and its further failures say nothing; two other jobs
-// that fail in a row, and run well elsewhere, still show a faulty machine. (Many jobs with a
-// mistake at once had 150 sound machines returned, for nobody knew yet that it was theirs.)
+// TestFailuresBlamedOnJob: a job that fails on several machines is rather at fault itself. Its failures count
+// no more against machines, neither earlier nor later ones; two other jobs that fail in a row,
+// and run well elsewhere, still show a faulty machine. Jobs of which neither is known yet do
+// not: many of them could be submitted with a mistake at once.
 func TestFailuresBlamedOnJob(t *testing.T) {
 	r := newHarness(t)
 	r.answers[0](CommandResult{})
@@ -22,26 +22,27 @@
 		j.Suspect = suspect
 		r.jobs.Place(&j.Tasks[0], "h", 1, func() {})
 		r.runUntilIdle()
-		r.heartbeat(1, api.TaskReport{TaskID: j.Tasks[0].TaskID(), Attempt: 1, Status: api.Ended, Cause: api.CauseError})
+		failed := api.TaskReport{TaskID: j.Tasks[0].TaskID(), Attempt: 1, Status: api.Ended, Cause: api.CauseError}
+		r.heartbeat(1, failed)
 		r.runUntilIdle()
 		return j
 	}
 	j := fail("j-2", false)
 	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
-		t.Fatalf("a first failure: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+		t.Fatalf("a first failure: possibly faulty %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
 	}
 	j.Suspect = true
 	if fail("j-3", true); r.worker.PossiblyFaulty() || r.worker.Faulty() {
-		t.Errorf("jobs that fail everywhere: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+		t.Errorf("jobs that fail everywhere: possibly faulty %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
 	}
 	r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	list := []*jobs.Job{fail("j-4", false), fail("j-5", false), fail("j-6", false)}
 	if !r.worker.PossiblyFaulty() || r.worker.Faulty() {
-		t.Errorf("jobs of which nobody knows better: doubtful %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
+		t.Errorf("jobs that may be at fault or not: possibly faulty %v, faulty %v", r.worker.PossiblyFaulty(), r.worker.Faulty())
 	}
 	for i, j := range list[:2] {
 		if r.worker.Faulty() {
-			t.Errorf("%d sound jobs have failed there, and it is faulty", i)
+			t.Errorf("%d healthy jobs have failed there, and it is faulty", i)
 		}
 		r.jobs.Place(&j.Tasks[0], "other", 1, func() {})
 		r.runUntilIdle()
--- a/internal/workers/harness_test.go
+++ b/internal/workers/harness_test.go
@@ -10,10 +10,11 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
+	_ "opaldale/internal/kvstoretest" // discards the log
 )
 
-// fakeEnvironment lets the test decide when a transaction is carried out and what becomes
-// of a command.
+// fakeEnvironment lets the test decide when timers and transactions are done, and what the results
+// of commands are.
 type fakeEnvironment struct {
 	now     ident.MonotonicTime
 	timers  []func()
@@ -22,19 +23,22 @@
 	answers []func(CommandResult)
 }
 
-func (w *fakeEnvironment) Now() ident.MonotonicTime { return w.now }
-func (w *fakeEnvironment) After(d time.Duration, f func()) {
-	w.timers = append(w.timers, func() {
-		w.now = w.now.Add(min(d, time.Millisecond))
+func (e *fakeEnvironment) Now() ident.MonotonicTime { return e.now }
+
+func (e *fakeEnvironment) After(d time.Duration, f func()) {
+	e.timers = append(e.timers, func() {
+		e.now = e.now.Add(min(d, time.Millisecond))
 		f()
 	})
 }
-func (w *fakeEnvironment) Store(r kvstore.Request, f func(kvstore.Response)) {
-	w.txns = append(w.txns, func() { f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 9}) })
+
+func (e *fakeEnvironment) Store(_ kvstore.Request, f func(kvstore.Response)) {
+	e.txns = append(e.txns, func() { f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 9}) })
 }
-func (w *fakeEnvironment) Worker(c CommandCall, f func(CommandResult)) {
-	w.sent = append(w.sent, c.Body)
-	w.answers = append(w.answers, f)
+
+func (e *fakeEnvironment) Worker(c CommandCall, f func(CommandResult)) {
+	e.sent = append(e.sent, c.Body)
+	e.answers = append(e.answers, f)
 }
 
 func runAll(list *[]func()) {
@@ -57,18 +61,27 @@
 	sequence ident.SequenceNumber
 }
 
-// newHarness has one machine, up, and a job of one task placed on it durably.
+// newHarness makes a table with one machine that is up, and a job of which one task is durably placed
+// on it.
 func newHarness(t *testing.T) *harness {
+	t.Helper()
 	r := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
-	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	machineType := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
+	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
-	r.tb = NewTable(r, r.jobs, Config{Term: term, LeaseDuration: 30 * time.Second, LeaderGrace: 10 * time.Second,
-		Catalog: func(string) *cloud.MachineType { return &kind }, OnCommandResult: func(*Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }, OnDeposed: func() { t.Error("deposed") }, OnCapacityChanged: func() {},
-		OnTaskFailed: func(*jobs.Task, *Worker, api.Cause) {},
-		Persist: func(w *Worker) {
-			w.Persisted = true
-		}})
+	r.tb = NewTable(r, r.jobs, Config{
+		Term:              term,
+		LeaseDuration:     30 * time.Second,
+		LeaderGrace:       10 * time.Second,
+		Catalog:           func(string) *cloud.MachineType { return &machineType },
+		OnDeposed:         func() { t.Error("deposed") },
+		OnCapacityChanged: func() {},
+		OnTaskFailed:      func(*jobs.Task, *Worker, api.Cause) {},
+		Persist:           func(w *Worker) { w.Persisted = true },
+		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
+		OnCommandResult:   func(*Worker, bool) {},
+	})
 	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
 		w := r.tb.Workers[task.MachineID]
 		if !from.Allocated() && to.Allocated() {
@@ -88,7 +101,7 @@
 
 func (r *harness) task() *jobs.Task { return &r.job.Tasks[0] }
 
-// runUntilIdle lets transactions and timers happen.
+// runUntilIdle runs transactions and timers until there are none.
 func (r *harness) runUntilIdle() {
 	r.commits.Flush()
 	for len(r.txns)+len(r.timers) > 0 {
@@ -97,16 +110,25 @@
 	}
 }
 
+// newHeartbeat is a heartbeat of the harness's machine.
+func newHeartbeat(
+	incarnation ident.Incarnation, sequence ident.SequenceNumber, token ident.FencingToken, tasks ...api.TaskReport,
+) *api.Heartbeat {
+	return &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east",
+		Incarnation: incarnation, SequenceNumber: sequence, FencingToken: token, Tasks: tasks}
+}
+
+// heartbeat has the table handle the next heartbeat of its machine.
 func (r *harness) heartbeat(fenceCount uint32, tasks ...api.TaskReport) *api.HeartbeatResponse {
 	r.sequence++
-	return r.tb.HandleHeartbeat(&api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: r.sequence,
-		FencingToken: ident.MakeFencingToken(term, fenceCount), Tasks: tasks})
+	return r.tb.HandleHeartbeat(newHeartbeat(1, r.sequence, ident.MakeFencingToken(term, fenceCount), tasks...))
 }
 
 func (r *harness) taskReport(status api.TaskStatus, cause api.Cause) api.TaskReport {
 	return api.TaskReport{TaskID: r.task().TaskID(), Attempt: r.task().Attempt, Status: status, Cause: cause}
 }
 
+// verbs lists the verbs of the commands in a response, each with a space behind it.
 func verbs(response *api.HeartbeatResponse) string {
 	s := ""
 	if response != nil {
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -9,33 +9,37 @@
 	"opaldale/internal/jobs"
 )
 
-// TestStaleHeartbeatRenewsLease have no effect, but count as answered: their answer renews the
-// lease all the same.
+// TestStaleHeartbeatRenewsLease: a stale heartbeat has no effect, but the response to it renews the lease all
+// the same.
 func TestStaleHeartbeatRenewsLease(t *testing.T) {
 	r := newHarness(t)
 	r.heartbeat(0, r.taskReport(api.Running, ""))
 	r.sequence -= 2
-	r.now = r.now.Add(15 * time.Second) // an earlier leader's grace is over
-	if o := r.heartbeat(0); o == nil || len(o.Commands) > 0 || r.task().State != jobs.Assigned || r.task().ReportedStatus != api.Running {
-		t.Errorf("orders %+v, task %v %v", o, r.task().State, r.task().ReportedStatus)
+	r.now = r.now.Add(15 * time.Second) // the grace period of an earlier leader is over
+	response := r.heartbeat(0)
+	if response == nil || len(response.Commands) > 0 {
+		t.Errorf("response %+v", response)
+	}
+	if r.task().State != jobs.Assigned || r.task().ReportedStatus != api.Running {
+		t.Errorf("task %v %v", r.task().State, r.task().ReportedStatus)
 	}
 	r.now = r.now.Add(30 * time.Second)
 	if r.tb.LeaseExpired(r.worker) {
-		t.Error("expired 30 s after the answer to an old report")
+		t.Error("expired 30 s after the response to a stale heartbeat")
 	}
 	r.now = r.now.Add(2 * time.Second)
 	if !r.tb.LeaseExpired(r.worker) {
-		t.Error("not expired 32 s after the last answer")
+		t.Error("not expired 32 s after the last response")
 	}
 }
 
-// TestLeaseIncludesLeaderGrace: an earlier leader may have answered for a while into the term.
+// TestLeaseIncludesLeaderGrace: an earlier leader may have renewed leases for a while into the term.
 func TestLeaseIncludesLeaderGrace(t *testing.T) {
 	r := newHarness(t)
 	w := r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
 	r.now = r.now.Add(40 * time.Second)
 	if r.tb.LeaseExpired(w) {
-		t.Error("expired within lease and grace")
+		t.Error("expired within lease and grace period")
 	}
 	r.now = r.now.Add(2 * time.Second)
 	if !r.tb.LeaseExpired(w) {
@@ -43,19 +47,19 @@
 	}
 }
 
-// TestNewIncarnationLease: a session that nobody has answered yet has its full lease,
-// however long ago the one before was answered.
+// TestNewIncarnationLease: an incarnation whose lease was not renewed yet has its full lease, however long
+// ago that of the one before was renewed.
 func TestNewIncarnationLease(t *testing.T) {
 	r := newHarness(t)
 	r.now = r.now.Add(10 * time.Minute)
-	// Learned from the answer to a command, which renews nothing.
-	r.answers[0](CommandResult{Status: 409, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: 1}})
+	// Known from the response to a command, which renews no lease.
+	r.answers[0](CommandResult{Status: 409, Heartbeat: newHeartbeat(2, 1, 0)})
 	if r.worker.Incarnation() != 2 || r.tb.LeaseExpired(r.worker) {
-		t.Errorf("tenure %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
+		t.Errorf("incarnation %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
 	}
 	r.now = r.now.Add(30 * time.Second)
 	if r.tb.LeaseExpired(r.worker) {
-		t.Error("expired within the session's first lease")
+		t.Error("expired within the first lease of the incarnation")
 	}
 	r.now = r.now.Add(2 * time.Second)
 	if !r.tb.LeaseExpired(r.worker) {
@@ -63,63 +67,59 @@
 	}
 }
 
-// TestNoRenewalAfterSuccessorToken: in its grace a leader doesn't answer a worker that shows a
-// later token. The worker would have to drop the answer, and would stay until its
-// lease is over.
+// TestNoRenewalAfterSuccessorToken: in its grace period a leader does not respond to a worker that has a
+// later token. The worker would drop the response, and keep reporting to it until its lease is
+// over.
 func TestNoRenewalAfterSuccessorToken(t *testing.T) {
 	r := newHarness(t)
-	heartbeat := &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 50, FencingToken: ident.MakeFencingToken(term, 0)}
+	heartbeat := newHeartbeat(1, 50, ident.MakeFencingToken(term, 0))
 	if r.tb.RenewLeaseOnly(heartbeat) == nil {
-		t.Error("no answer in the grace")
+		t.Error("no response in the grace period")
 	}
 	heartbeat.FencingToken = ident.MakeFencingToken(term+1, 0)
 	if r.tb.RenewLeaseOnly(heartbeat) != nil {
-		t.Error("answered, though a successor has spoken")
+		t.Error("responded, though the worker has a successor's token")
 	}
 }
 
-// TestRenewalKillsCancelledTasks: a leader that may not be one any more still tells a
-// worker to stop what was cancelled, beside any other answer that renews the lease. It
-// renews a lease later than the grace after a cancellation only if nothing of that job
-// can come to run there any more. (Whole machines were given up with their leases for
-// one cancelled task, while the leader that knew of it talked to them.)
+// TestRenewalKillsCancelledTasks: a leader that may have lost its leadership still kills tasks of cancelled
+// jobs with each response that renews a lease. Later than the grace period after a
+// cancellation it renews the lease only if no task of the job can be started there any more.
 func TestRenewalKillsCancelledTasks(t *testing.T) {
 	r := newHarness(t)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 40,
-		FencingToken: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{r.taskReport(api.Running, "")}}})
+	firstToken := ident.MakeFencingToken(term, 0)
+	r.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, firstToken, r.taskReport(api.Running, ""))})
 	sequence := ident.SequenceNumber(50)
-	newHeartbeat := func(fence uint32, tasks ...api.TaskReport) *api.Heartbeat {
+	nextHeartbeat := func(fenceCount uint32, tasks ...api.TaskReport) *api.Heartbeat {
 		sequence++
-		return &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: sequence,
-			FencingToken: ident.MakeFencingToken(term, fence), Tasks: tasks}
+		return newHeartbeat(1, sequence, ident.MakeFencingToken(term, fenceCount), tasks...)
 	}
-	if got := verbs(r.tb.RenewLeaseOnly(newHeartbeat(0, r.taskReport(api.Running, "")))); got != "" {
+	if got := verbs(r.tb.RenewLeaseOnly(nextHeartbeat(0, r.taskReport(api.Running, "")))); got != "" {
 		t.Errorf("before the cancellation: %q", got)
 	}
 	r.jobs.Cancel(r.job, func() {})
 	r.tb.StopTask(r.worker, r.task(), 0)
 	r.runUntilIdle()
 	r.now = r.now.Add(time.Hour)
-	if got := verbs(r.tb.RenewLeaseOnly(newHeartbeat(0, r.taskReport(api.Running, "")))); got != "kill " {
-		t.Errorf("listed, long after: %q", got)
+	if got := verbs(r.tb.RenewLeaseOnly(nextHeartbeat(0, r.taskReport(api.Running, "")))); got != "kill " {
+		t.Errorf("reported, long after the cancellation: %q", got)
 	}
-	if got := verbs(r.tb.HandleHeartbeat(&api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: 3,
-		FencingToken: ident.MakeFencingToken(term, 0), Tasks: []api.TaskReport{r.taskReport(api.Running, "")}})); got != "kill " {
-		t.Errorf("an older report: %q", got)
+	if got := verbs(r.tb.HandleHeartbeat(newHeartbeat(1, 3, firstToken, r.taskReport(api.Running, "")))); got != "kill " {
+		t.Errorf("a stale heartbeat: %q", got)
 	}
-	if r.tb.RenewLeaseOnly(newHeartbeat(0)) != nil {
+	if r.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
 		t.Error("renewed while a command is under way that may start it")
 	}
 	r.answers[len(r.answers)-1](CommandResult{})
-	if r.tb.RenewLeaseOnly(newHeartbeat(0)) != nil {
-		t.Error("renewed with the old token, when the command may still come")
+	if r.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
+		t.Error("renewed with the old token, when the command may still be carried out")
 	}
 	r.runUntilIdle()
 	if c := r.sent[len(r.sent)-1]; c.FencingToken != ident.MakeFencingToken(term, 1) {
-		t.Errorf("the worker was not told the new token: %+v", c)
+		t.Errorf("the worker was not sent the new token: %+v", c)
 	}
-	r.answers[len(r.answers)-1](CommandResult{Status: 200, Heartbeat: newHeartbeat(1)})
-	if r.tb.RenewLeaseOnly(newHeartbeat(1)) == nil {
-		t.Error("with the new token nothing can come late, and it was not renewed")
+	r.answers[len(r.answers)-1](CommandResult{Status: 200, Heartbeat: nextHeartbeat(1)})
+	if r.tb.RenewLeaseOnly(nextHeartbeat(1)) == nil {
+		t.Error("not renewed with the new token, when no command can be carried out late")
 	}
 }
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -9,25 +9,24 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnknownAttempts: a try that we don't know of is killed, and its piece starts
-// nowhere else while it is there.
+// TestUnknownAttempts: an attempt that is not known is killed, and its task is started nowhere else while it
+// may run.
 func TestUnknownAttempts(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 3, Status: api.Running}
 	if got := verbs(r.heartbeat(0, stray)); got != "kill " || !r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Errorf("orders %q", got)
+		t.Errorf("commands %q", got)
 	}
 	stray.Status, stray.Cause = api.Ended, api.CauseStopped
 	if got := verbs(r.heartbeat(0, stray)); got != "clear " || r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Errorf("orders %q", got)
+		t.Errorf("commands %q", got)
 	}
 }
 
-// TestPlacementsOfAnEarlierTerm: a leader launches no task that an earlier term has placed,
-// for that term may have given its room to others, of which alone it got durable. One of an
-// earlier session than the report's is gone; one of the same session is, once the report
-// has the newest token. (A leader that found a new session's placement beside two of the
-// session before launched all three, and a team was over its limit.)
+// TestPlacementsOfAnEarlierTerm: a leader launches no task that an earlier term has placed: that term may have
+// given its room, or its team's quota, to other tasks, and only their placement may have become
+// durable. A task of an earlier incarnation than the heartbeat's is lost; one of the same
+// incarnation is, once the heartbeat has the newest token.
 func TestPlacementsOfAnEarlierTerm(t *testing.T) {
 	for _, tokenCurrent := range []bool{false, true} {
 		r := newHarness(t)
@@ -44,15 +43,15 @@
 		if tokenCurrent {
 			token = ident.MakeFencingToken(term, 1)
 		}
-		o := r.tb.HandleHeartbeat(&api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east", Incarnation: 2, SequenceNumber: 100, FencingToken: token})
-		if got := verbs(o); got != "" {
-			t.Errorf("fresh %v: orders %q", tokenCurrent, got)
+		response := r.tb.HandleHeartbeat(newHeartbeat(2, 100, token))
+		if got := verbs(response); got != "" {
+			t.Errorf("current token %v: commands %q", tokenCurrent, got)
 		}
 		if before.State != jobs.Waiting {
-			t.Errorf("fresh %v: the task of the session before is %v", tokenCurrent, before.State)
+			t.Errorf("current token %v: the task of the incarnation before is %v", tokenCurrent, before.State)
 		}
 		if (same.State == jobs.Waiting) != tokenCurrent {
-			t.Errorf("fresh %v: the task of this session is %v", tokenCurrent, same.State)
+			t.Errorf("current token %v: the task of this incarnation is %v", tokenCurrent, same.State)
 		}
 	}
 }
