--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -17,9 +17,9 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// golden is testdata/production.json: what the version in production (the commit in
-// deploy/service.toml) wrote in the test script of scripted below, and what it held in
-// memory then. It can go with the format of before ident.FormatPacked.
+// golden is testdata/production.json: what the version in production (the commit in deploy/service.toml)
+// writes in runScript, and what it has in memory then. It can go with the format before
+// ident.FormatPacked.
 type golden struct {
 	Pairs []kvstore.KeyValue
 	Jobs  map[string]goldenJob
@@ -42,12 +42,13 @@
 	return g
 }
 
-// runScript does what the golden values come from.
+// runScript makes the changes that the golden values come from.
 func runScript(k *fakeStore, tb *Table, c *commit.Committer) {
 	zone, deadline := "east", 90.5
 	add := func(id string, shape api.Shape, tasks int) *Job {
-		s := &api.Spec{ID: ident.JobID(id), Class: "lane", Team: "red", Shape: shape, Priority: api.High, Tasks: tasks, VCPUs: 1.5,
-			MemoryGB: 2, Image: "img-1", ImageGB: 0.5, Models: []string{"m8"}, Zone: &zone, DeadlineS: &deadline, RuntimeS: 30}
+		s := &api.Spec{ID: ident.JobID(id), Class: "lane", Team: "red", Shape: shape, Priority: api.High, Tasks: tasks,
+			VCPUs: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 0.5,
+			Models: []string{"m8"}, Zone: &zone, DeadlineS: &deadline, RuntimeS: 30}
 		j := tb.Add(s, func() {}, nil)
 		c.Flush()
 		k.run()
@@ -60,7 +61,8 @@
 		c.Flush()
 		k.run()
 	}
-	small, service, large, cancelled := add("j-1", api.Batch, 3), add("j-2", api.Service, 4), add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
+	small, service := add("j-1", api.Batch, 3), add("j-2", api.Service, 4)
+	large, cancelled := add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
 	add("j-5", api.Batch, 400)
 	place(small, 3)
 	place(service, 4)
@@ -84,7 +86,7 @@
 	k.run()
 }
 
-// assertSameJobs compares a table with what production held.
+// assertSameJobs compares a table with the jobs in memory of the version in production.
 func assertSameJobs(t *testing.T, what string, tb *Table, g golden) {
 	t.Helper()
 	if len(tb.Jobs) != len(g.Jobs) {
@@ -102,7 +104,7 @@
 	}
 }
 
-// loadTable reads a state service as a new leader does.
+// loadTable makes the table of a new leader, which writes tasks to the log alone if packed.
 func loadTable(t *testing.T, k *fakeStore, packed bool) (*Table, *commit.Committer) {
 	t.Helper()
 	tb, c := newTestTable(k)
@@ -112,22 +114,7 @@
 		c.UseTextFormat()
 		tb.UsePackedLog()
 	}
-	var log []kvstore.KeyValue
-	for _, path := range sortedKeys(k.Entries) {
-		p := k.Entries[path]
-		switch {
-		case strings.HasPrefix(path, LivePrefix):
-			if err := tb.Load(path, p.Value, p.Revision); err != nil {
-				t.Fatal(err)
-			}
-		case strings.HasPrefix(path, commit.LogPrefix):
-			log = append(log, p)
-		}
-	}
-	if err := tb.LoadLog(log); err != nil {
-		t.Fatal(err)
-	}
-	tb.FinishLoading()
+	loadAll(t, k, tb)
 	return tb, c
 }
 
@@ -140,9 +127,9 @@
 	return k
 }
 
-// TestProductionFormatLoads: values written by the version in production are read at either
-// level, and stay what they are when they are moved to the newest form, in whichever
-// state a term ends on the way; nothing is then larger than the limits to come.
+// TestProductionFormatLoads: values written by the version in production are read in either format, and mean
+// the same once they are converted, in whichever state a term ends on the way. Nothing is larger
+// than the announced limits then.
 func TestProductionFormatLoads(t *testing.T) {
 	g := readGolden(t)
 	old, _ := loadTable(t, g.store(), false)
@@ -158,7 +145,7 @@
 			if n < steps-1 {
 				k.run()
 			} else {
-				k.Pending = nil // the term ends before the answer comes
+				k.Pending = nil // the term ends before the response comes
 			}
 		}
 		next, _ := loadTable(t, k, true)
@@ -197,8 +184,8 @@
 	return true
 }
 
-// TestFirstFormatRoundTrip: below the level this program writes just what production
-// does, so that an old leader reads it, keeps all of it and writes it again.
+// TestFirstFormatRoundTrip: in the first format this version writes exactly what the one in production does, so
+// that a leader of that version reads all of it and writes it again.
 func TestFirstFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
 	k := newFakeStore(kvstoretest.NewMemoryStore())
@@ -217,7 +204,7 @@
 		if err := json.Unmarshal(p.Value, &want); err != nil {
 			t.Fatal(err)
 		}
-		// A header may say that it has taken over fewer records, never more.
+		// A header may have a lower LSN, so that records of the log are applied again, but never a higher one.
 		if a, ok := got["lsn"].(float64); ok && a <= want["lsn"].(float64) {
 			got["lsn"] = want["lsn"]
 		}
@@ -227,19 +214,20 @@
 	}
 }
 
-// TestReusedLogSequenceNumber: a header was put with the number of a log record still under way;
-// that record never came to be, and the next term gave its number out again. What the
-// new record says must not be passed over for it.
+// TestReusedLogSequenceNumber: a header may have the number of a log record that was never written, which the next
+// term has given out again. The lines of the new record must not count as part of the header.
 func TestReusedLogSequenceNumber(t *testing.T) {
 	k := newFakeStore(kvstoretest.NewMemoryStore())
-	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open","lsn":9,"tasks":[{},{}]}`
+	head := `{"spec":{"id":"j-1","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open",
+		"lsn":9,"tasks":[{},{}]}`
 	k.Entries["live/j-1"] = kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(head), Revision: 20}
-	k.Entries["log/00000"] = kvstore.KeyValue{Key: "log/00000", Value: json.RawMessage(`{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`), Revision: 31}
+	record := `{"n":9,"l":[{"j":"j-1","t":1,"h":"host-1","n":1}]}`
+	k.Entries["log/00000"] = kvstore.KeyValue{Key: "log/00000", Value: json.RawMessage(record), Revision: 31}
 	k.Revision = 40
 	for _, packed := range []bool{false, true} {
 		tb, _ := loadTable(t, k, packed)
 		if got := tb.Jobs["j-1"].Tasks[0].MachineID; got != "host-1" {
-			t.Errorf("packed %v: the placement is passed over: %q", packed, got)
+			t.Errorf("packed %v: the placement is not applied: %q", packed, got)
 		}
 	}
 	delete(k.Entries, "log/00000")
@@ -251,7 +239,7 @@
 		N uint64 `json:"n"`
 	}
 	if err := json.Unmarshal(k.Entries["log/00000"].Value, &r); err != nil || r.N <= 9 {
-		t.Errorf("record %d after a header that has taken over 9 (%v)", r.N, err)
+		t.Errorf("record %d after a header with LSN 9 (%v)", r.N, err)
 	}
 }
 
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a state service that keeps the requests that came, in words.
+// recorder is a store that keeps a description of all requests.
 type recorder struct {
 	*fakeStore
 	requests strings.Builder
@@ -24,23 +24,23 @@
 	r.fakeStore.Store(q, f)
 }
 
-// storage is a way to keep tasks in the state service.
-type storage struct {
+// storageVariant is a way to keep tasks in the store.
+type storageVariant struct {
 	name       string
 	packed     bool
 	valueBytes int // by which tasks are divided into segments
 }
 
-var storages = []storage{
+var storageVariants = []storageVariant{
 	{"first format, tasks in the header", false, 16 << 10},
 	{"first format, tasks in segments", false, 64 + 2*maxRecordBytes},
 	{"packed", true, 16 << 10},
 }
 
-// open makes a table that writes in that way.
-func (s storage) open(r *recorder) (*Table, *commit.Committer) {
+// open makes a table that writes in this way.
+func (s storageVariant) open(r *recorder) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { panic(reason) })
 	tb := NewTable(c, s.valueBytes, r.Now, func() int64 { return 1_700_000_000_123 })
 	if s.packed {
 		c.UseTextFormat()
@@ -56,8 +56,8 @@
 	return &s
 }
 
-// play takes jobs through all that is written of them.
-func play(r *recorder, tb *Table, c *commit.Committer) {
+// runLifecycles takes jobs through all changes that are written.
+func runLifecycles(r *recorder, tb *Table, c *commit.Committer) {
 	settle := func() {
 		c.Flush()
 		r.run()
@@ -92,20 +92,21 @@
 	settle()
 }
 
-// describe puts the jobs of a table into words.
+// describe returns a description of the jobs in a table.
 func describe(tb *Table) string {
 	var b strings.Builder
 	for _, j := range tb.Sorted() {
 		fmt.Fprintf(&b, "%s is %s, number %d of %d\n", j.Spec.ID, j.Phase, j.Seq, j.SubmittedAtMS)
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			fmt.Fprintf(&b, "  %d is %s in attempt %d on %q, incarnation %d\n", t.Index, t.State, t.Attempt, t.MachineID, t.Incarnation)
+			fmt.Fprintf(&b, "  %d is %s in attempt %d on %q, incarnation %d\n",
+				t.Index, t.State, t.Attempt, t.MachineID, t.Incarnation)
 		}
 	}
 	return b.String()
 }
 
-// stored lists the keys and values of a state service.
+// stored lists the keys and values of a store.
 func stored(k *fakeStore) string {
 	var b strings.Builder
 	for _, path := range sortedKeys(k.Entries) {
@@ -114,7 +115,7 @@
 	return b.String()
 }
 
-// views lists what a node that doesn't lead reads of the jobs that are live.
+// views lists the views of all live jobs as a node that does not lead reads them.
 func views(t *testing.T, k *fakeStore) string {
 	t.Helper()
 	var b strings.Builder
@@ -127,14 +128,14 @@
 	return b.String()
 }
 
-// TestGoldenStorage pins every key, value and condition that jobs are written with in either
-// format, and what the next term reads of them.
+// TestGoldenStorage pins every key, value and condition with which jobs are written in either format, and what
+// the next term reads.
 func TestGoldenStorage(t *testing.T) {
 	var d goldenfile.Document
-	for _, s := range storages {
+	for _, s := range storageVariants {
 		r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
 		tb, c := s.open(r)
-		play(r, tb, c)
+		runLifecycles(r, tb, c)
 		d.Add(s.name+": requests", r.requests.String())
 		d.Add(s.name+": stored", stored(r.fakeStore))
 		d.Add(s.name+": views", views(t, r.fakeStore))
@@ -149,12 +150,11 @@
 	d.Compare(t, "storage")
 }
 
-// TestGoldenConversion pins what is written when jobs of the first format are brought to the
-// packed one.
+// TestGoldenConversion pins what is written when jobs are converted from the first format to the packed one.
 func TestGoldenConversion(t *testing.T) {
 	r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
-	tb, c := storages[1].open(r)
-	play(r, tb, c)
+	tb, c := storageVariants[1].open(r)
+	runLifecycles(r, tb, c)
 	next, c := loadTable(t, r.fakeStore, true)
 	for next.ConvertToLog(1) || !allConverted(next) {
 		c.Flush()
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -21,7 +21,7 @@
 	DurablePhase      Phase               // known to be in the store
 	SubmissionDurable bool                // the job is known to be in the store
 	callbacks         callbacks
-	storage           jobStorage
+	storage           storage
 
 	// What the owner of the table keeps of failed tasks.
 	AvoidedMachines map[ident.MachineID]bool // where a task of the job ended with an error
--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -77,9 +77,9 @@
 
 // Document returns the document that has the task in the first format: the header or a segment.
 func (t *Task) Document() *commit.Document {
-	storage := &t.Job.storage
-	if len(storage.segments) == 0 {
-		return storage.header
+	s := &t.Job.storage
+	if len(s.segments) == 0 {
+		return s.header
 	}
-	return storage.segments[t.Index/storage.tasksPerSegment]
+	return s.segments[t.Index/s.tasksPerSegment]
 }
--- a/internal/jobs/logline_test.go
+++ b/internal/jobs/logline_test.go
@@ -7,14 +7,14 @@
 	"opaldale/internal/ident"
 )
 
-// TestLogLineRoundTrip: whatever a machine is called, its line is one word, and says
-// what the task was.
+// TestLogLineRoundTrip: whatever the ID of a machine is, the line of a task has no spaces or special characters,
+// and parses as the same task.
 func TestLogLineRoundTrip(t *testing.T) {
 	j := &Job{Spec: &api.Spec{ID: "j-1"}, Tasks: make([]Task, 3)}
-	for _, host := range []ident.MachineID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
+	for _, machineID := range []ident.MachineID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
 		for _, s := range []State{Waiting, Assigned, Stopping, Completed} {
 			task := &j.Tasks[2]
-			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, MachineID: host, Incarnation: 1<<64 - 1}
+			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, MachineID: machineID, Incarnation: 1<<64 - 1}
 			group, line := task.TextLine()
 			if group != "j-1" {
 				t.Errorf("group %q", group)
@@ -37,7 +37,7 @@
 	}
 }
 
-// FuzzParseLogLine: any line is read or refused, never more.
+// FuzzParseLogLine: any line is parsed or refused, without a panic or an invalid index.
 func FuzzParseLogLine(f *testing.F) {
 	for _, s := range []string{"1,2", "1,2,+", "1,2,host-1,3", ",,,"} {
 		f.Add(s)
--- a/internal/jobs/storage.go
+++ b/internal/jobs/storage.go
@@ -20,8 +20,8 @@
 	inLog                            // in the log alone
 )
 
-// jobStorage is what of a job is where in the store.
-type jobStorage struct {
+// storage is what of a job is where in the store.
+type storage struct {
 	format          storageFormat
 	header          *commit.Document
 	segments        []*commit.Document // of the tasks of larger jobs; nil if they are not in segments
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -13,8 +13,8 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// fakeStore is a state service that carries everything out in order, and takes no larger values than
-// the service does.
+// fakeStore is a store that carries out all requests in order, and takes no larger values than the store
+// does.
 type fakeStore struct{ *kvstoretest.SteppedStore }
 
 func newFakeStore(s *kvstoretest.MemoryStore) *fakeStore {
@@ -33,79 +33,110 @@
 func (k *fakeStore) run() { k.Run() }
 
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
-	c := commit.New(k, commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { panic(why) })
+	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
+	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { panic(reason) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
-// TestSegments: an array too large for one value is split, survives a change of
-// leader task by task, and goes over as a whole.
+// TestSegments: a job too large for one value is divided, is taken over by a new leader task by task, and is
+// archived as a whole.
 func TestSegments(t *testing.T) {
 	for _, tasks := range []int{1, 100, 5000} {
-		k := newFakeStore(kvstoretest.NewMemoryStore())
-		tb, c := newTestTable(k)
-		s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
-		accepted := false
-		j := tb.Add(s, func() { accepted = true }, nil)
-		c.Flush()
-		k.run()
-		for i := range j.Tasks {
-			task := &j.Tasks[i]
-			tb.Place(task, "host-999999", 1<<40, func() {})
+		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) { testSegments(t, tasks) })
+	}
+}
+
+func testSegments(t *testing.T, tasks int) {
+	k := newFakeStore(kvstoretest.NewMemoryStore())
+	tb, c := newTestTable(k)
+	j := placeHalfCompleted(t, k, tb, c, tasks)
+	if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
+		t.Fatalf("%d completed, %d allocated", j.CompletedTasks, j.AllocatedTasks)
+	}
+
+	for key := range k.Entries {
+		if !strings.HasPrefix(key, LivePrefix) && !strings.HasPrefix(key, commit.LogPrefix) {
+			t.Fatalf("%s is written before the job is over", key)
 		}
-		c.Flush()
-		k.run()
-		for i := 0; i < tasks/2; i++ {
-			tb.Complete(&j.Tasks[i], nil)
+	}
+	successor, successorCommits := newTestTable(k)
+	loadAll(t, k, successor)
+	j = successor.Jobs["j-1"]
+	if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
+		t.Fatalf("loaded %d completed, %d allocated", j.CompletedTasks, j.AllocatedTasks)
+	}
+	if last := j.Tasks[tasks-1]; last.MachineID != "host-999999" || last.Incarnation != 1<<40 {
+		t.Fatalf("loaded the last task on %s in incarnation %d", last.MachineID, last.Incarnation)
+	}
+	if v, err := ParseLiveView(k.Entries["live/j-1"].Value); err != nil || v.ID != "j-1" {
+		t.Errorf("%+v, %v", v, err)
+	}
+
+	for i := range j.Tasks {
+		if j.Tasks[i].State == Assigned {
+			successor.Complete(&j.Tasks[i], nil)
 		}
-		c.Flush()
-		k.run()
-		if !accepted || j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
-			t.Fatalf("%d pieces: accepted %v, %d done, %d held", tasks, accepted, j.CompletedTasks, j.AllocatedTasks)
+	}
+	successorCommits.Flush()
+	k.run()
+	for p := range k.Entries {
+		if strings.HasPrefix(p, commit.LogPrefix) {
+			delete(k.Entries, p) // keys of the log are kept to be reused
 		}
+	}
+	var archived ArchivedJob
+	if len(k.Entries) != 1 || json.Unmarshal(k.Entries["over/j-1"].Value, &archived) != nil || archived.Phase != Done {
+		t.Errorf("%d keys are left, archived: %+v", len(k.Entries), archived)
+	}
+}
 
-		successor, successorCommits := newTestTable(k)
-		var log []kvstore.KeyValue
-		for _, p := range sortedKeys(k.Entries) { // as the state service lists them
-			if strings.HasPrefix(p, commit.LogPrefix) {
-				log = append(log, k.Entries[p])
-				continue
-			}
-			if err := successor.Load(p, k.Entries[p].Value, k.Entries[p].Revision); err != nil {
+// placeHalfCompleted submits j-1, places all its tasks, and completes the first half of them.
+func placeHalfCompleted(t *testing.T, k *fakeStore, tb *Table, c *commit.Committer, tasks int) *Job {
+	t.Helper()
+	s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
+	accepted := false
+	j := tb.Add(s, func() { accepted = true }, nil)
+	c.Flush()
+	k.run()
+	for i := range j.Tasks {
+		tb.Place(&j.Tasks[i], "host-999999", 1<<40, func() {})
+	}
+	c.Flush()
+	k.run()
+	for i := 0; i < tasks/2; i++ {
+		tb.Complete(&j.Tasks[i], nil)
+	}
+	c.Flush()
+	k.run()
+	if !accepted {
+		t.Fatal("the submission is not durable")
+	}
+	return j
+}
+
+// loadAll loads all keys of a store in their order, as a new leader does.
+func loadAll(t *testing.T, k *fakeStore, tb *Table) {
+	t.Helper()
+	var log []kvstore.KeyValue
+	for _, key := range sortedKeys(k.Entries) {
+		pair := k.Entries[key]
+		switch {
+		case strings.HasPrefix(key, LivePrefix):
+			if err := tb.Load(key, pair.Value, pair.Revision); err != nil {
 				t.Fatal(err)
 			}
+		case strings.HasPrefix(key, commit.LogPrefix):
+			log = append(log, pair)
 		}
-		if err := successor.LoadLog(log); err != nil {
-			t.Fatal(err)
-		}
-		successor.FinishLoading()
-		j = successor.Jobs["j-1"]
-		if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 || j.Tasks[tasks-1].MachineID != "host-999999" || j.Tasks[tasks-1].Incarnation != 1<<40 {
-			t.Fatalf("%d pieces: loaded %d done, %d held", tasks, j.CompletedTasks, j.AllocatedTasks)
-		}
-		if v, err := ParseLiveView(k.Entries["live/j-1"].Value); err != nil || v.ID != "j-1" {
-			t.Errorf("%+v, %v", v, err)
-		}
-		for i := range j.Tasks {
-			if j.Tasks[i].State == Assigned {
-				successor.Complete(&j.Tasks[i], nil)
-			}
-		}
-		successorCommits.Flush()
-		k.run()
-		for p := range k.Entries {
-			if strings.HasPrefix(p, commit.LogPrefix) {
-				delete(k.Entries, p) // slots are kept, and used again
-			}
-		}
-		var e ArchivedJob
-		if len(k.Entries) != 1 || json.Unmarshal(k.Entries["over/j-1"].Value, &e) != nil || e.Phase != Done {
-			t.Errorf("%d pieces: %d keys are left, over: %+v", tasks, len(k.Entries), e)
-		}
 	}
+	if err := tb.LoadLog(log); err != nil {
+		t.Fatal(err)
+	}
+	tb.FinishLoading()
 }
 
-// TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone,
-// so that a successor knows of them, but is told as cancelled at once.
+// TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone, so that
+// a new leader knows of them, but its view is that of a cancelled job at once.
 func TestCancelledJobStaysLiveUntilTasksGone(t *testing.T) {
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
@@ -115,11 +146,11 @@
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
 	c.Flush()
 	k.run()
-	told, over := api.Status(""), 0
+	told, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
-		over++
+		archived++
 		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
-			t.Errorf("%s is called over before that is durable", id)
+			t.Errorf("OnArchived is called for %s before that is durable", id)
 		}
 	}
 	tb.Cancel(j, func() { told = j.View().Status })
@@ -131,8 +162,8 @@
 	tb.MarkGone(&j.Tasks[0], nil)
 	c.Flush()
 	k.run()
-	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || over != 1 {
-		t.Errorf("keys %v, called over %d times", k.Entries, over)
+	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || archived != 1 {
+		t.Errorf("keys %v, archived %d times", k.Entries, archived)
 	}
 }
 
@@ -160,9 +191,9 @@
 	}
 }
 
-// TestViewWithheldUntilSettled: while the end of a job is being written another node may read it or
-// not, so this one tells neither. (The answer to a cancellation's transaction was lost; a
-// follower read "cancelled", and the leader still said "running".)
+// TestViewWithheldUntilSettled: while the end of a job is being written another node may read it or not, so
+// no view is given here: a user must not be told "running" after "cancelled", as when the response to
+// the transaction of a cancellation is lost.
 func TestViewWithheldUntilSettled(t *testing.T) {
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
