--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -36,29 +36,36 @@
 	commands := golden.Filled[CommandRequest](0)
 	none := 0.0
 	id := ident.TaskID{Job: "j-7", Index: 8}
-	commands.Commands = append(commands.Commands, Command{Verb: Launch, TaskID: id, Attempt: 9}, Command{Verb: Kill, TaskID: id, Attempt: 10, GracePeriodS: &none},
+	commands.Commands = append(commands.Commands,
+		Command{Verb: Launch, TaskID: id, Attempt: 9},
+		Command{Verb: Kill, TaskID: id, Attempt: 10, GracePeriodS: &none},
 		Command{Verb: Clear, TaskID: id, Attempt: 11})
 	golden.RoundTrip(t, &d, "commands", commands)
 	d.Add("words", fmt.Sprintln(Batch, Service, Gang)+fmt.Sprintln(Critical, High, Standard, BestEffort)+
 		fmt.Sprintln(Pulling, Gathering, Running, Flushing, Ended)+
-		fmt.Sprintln(CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown, CauseGangMemberLost, CauseGangIncomplete))
+		fmt.Sprintln(CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown, CauseGangMemberLost,
+			CauseGangIncomplete))
 	d.Compare(t, "messages")
 }
 
-// TestGoldenRefusals pins what is said of malformed submissions and reports: the errors are
-// part of the answers.
+// TestGoldenRefusals pins the errors of malformed submissions and heartbeats, which are part of the responses.
 func TestGoldenRefusals(t *testing.T) {
 	var d golden.Document
 	var submissions, reports strings.Builder
 	spec := golden.Filled[Spec](0)
 	spec.Shape, spec.Priority = Batch, Standard
 	for _, change := range []struct{ from, to string }{
-		{`{`, `[`}, {`"id"`, `"x"`}, {`"lane"`, `"x"`}, {`"desk"`, `"x"`}, {`"shape"`, `"x"`}, {`"rank"`, `"x"`}, {`"pieces"`, `"x"`}, {`"vcpus"`, `"x"`},
-		{`"cards"`, `"x"`}, {`"memory_gb"`, `"x"`}, {`"bundle"`, `"x"`}, {`"image_gb"`, `"x"`}, {`"models"`, `"x"`}, {`"site"`, `"x"`}, {`"one_zone"`, `"x"`},
-		{`"apart"`, `"x"`}, {`"standby"`, `"x"`}, {`"runtime_s"`, `"x"`}, {`"snapshot_every_s"`, `"x"`}, {`"snapshot_s"`, `"x"`}, {`"due_s"`, `"x"`},
-		{`"id":"j-2"`, `"id":"2"`}, {`"batch"`, `"flock"`}, {`"standard"`, `"urgent"`}, {`"pieces":7`, `"pieces":0`}, {`"pieces":7`, `"pieces":"7"`},
-		{`"lane":"j-3"`, `"lane":""`}, {`"desk":"j-4"`, `"desk":""`}, {`"bundle":"j-11"`, `"bundle":""`}, {`8.5`, `-1`}, {`9.5`, `-1`}, {`10.5`, `-1`},
-		{`12.5`, `-1`}, {`20.5`, `-1`}, {`21.5`, `-1`}, {`22.5`, `-1`}, {`24.5`, `-1`}, {`12.5`, `1e10`}, {`["j-14"]`, `{}`},
+		{`{`, `[`}, {`"id"`, `"x"`}, {`"lane"`, `"x"`}, {`"desk"`, `"x"`},
+		{`"shape"`, `"x"`}, {`"rank"`, `"x"`}, {`"pieces"`, `"x"`}, {`"vcpus"`, `"x"`},
+		{`"cards"`, `"x"`}, {`"memory_gb"`, `"x"`}, {`"bundle"`, `"x"`}, {`"image_gb"`, `"x"`},
+		{`"models"`, `"x"`}, {`"site"`, `"x"`}, {`"one_zone"`, `"x"`}, {`"apart"`, `"x"`},
+		{`"standby"`, `"x"`}, {`"runtime_s"`, `"x"`}, {`"snapshot_every_s"`, `"x"`}, {`"snapshot_s"`, `"x"`},
+		{`"due_s"`, `"x"`}, {`"id":"j-2"`, `"id":"2"`}, {`"batch"`, `"flock"`}, {`"standard"`, `"urgent"`},
+		{`"pieces":7`, `"pieces":0`}, {`"pieces":7`, `"pieces":"7"`}, {`"lane":"j-3"`, `"lane":""`},
+		{`"desk":"j-4"`, `"desk":""`},
+		{`"bundle":"j-11"`, `"bundle":""`}, {`8.5`, `-1`}, {`9.5`, `-1`}, {`10.5`, `-1`},
+		{`12.5`, `-1`}, {`20.5`, `-1`}, {`21.5`, `-1`}, {`22.5`, `-1`},
+		{`24.5`, `-1`}, {`12.5`, `1e10`}, {`["j-14"]`, `{}`},
 	} {
 		body := strings.Replace(string(JSON(spec)), change.from, change.to, 1)
 		_, err := ParseSpec([]byte(body))
@@ -67,8 +74,10 @@
 	d.Add("submissions", submissions.String())
 	report := golden.Filled[Heartbeat](0)
 	for _, change := range []struct{ from, to string }{
-		{`{`, `[`}, {`"host"`, `"x"`}, {`"addr"`, `"x"`}, {`"model"`, `"x"`}, {`"site"`, `"x"`}, {`"standby"`, `"x"`}, {`"tenure"`, `"x"`}, {`"serial"`, `"x"`},
-		{`"epoch"`, `"x"`}, {`"warning_s"`, `"x"`}, {`"pieces"`, `"x"`}, {`"status"`, `"x"`}, {`/16`, ``}, {`"try":17`, `"try":"x"`},
+		{`{`, `[`}, {`"host"`, `"x"`}, {`"addr"`, `"x"`}, {`"model"`, `"x"`},
+		{`"site"`, `"x"`}, {`"standby"`, `"x"`}, {`"tenure"`, `"x"`}, {`"serial"`, `"x"`},
+		{`"epoch"`, `"x"`}, {`"warning_s"`, `"x"`}, {`"pieces"`, `"x"`}, {`"status"`, `"x"`},
+		{`/16`, ``}, {`"try":17`, `"try":"x"`},
 	} {
 		body := strings.Replace(string(JSON(report)), change.from, change.to, 1)
 		_, err := ParseHeartbeat([]byte(body))
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestDecode: "no capacity" is the one 503 after which the pool is empty, and
-// only what the protocol names is a clear answer.
+// TestDecode: only a 503 with "no capacity" says that there are no machines, and only what the API defines is
+// a definite outcome.
 func TestDecode(t *testing.T) {
 	for _, testCase := range []struct {
 		op     Op
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -17,29 +17,31 @@
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
 	c := NewClient("cloud:1", transport)
-	rent := Request{Op: Provision, RequestID: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Count: 9, MachineIDs: []ident.MachineID{"host-1"}, StartAfter: "host-2", NotAfter: 10}
-	for _, x := range []struct {
+	allFields := Request{Op: Provision, RequestID: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Count: 9,
+		MachineIDs: []ident.MachineID{"host-1"}, StartAfter: "host-2", NotAfter: 10}
+	onDemand := Request{Op: Provision, RequestID: "opaldale-7-9", Model: "g8", Zone: "east", Count: 1}
+	for _, testCase := range []struct {
 		name    string
 		request Request
 	}{
 		{"catalog", Request{Op: Catalog}},
-		{"rental", rent},
-		{"rental of a machine that stays", Request{Op: Provision, RequestID: "opaldale-7-9", Model: "g8", Zone: "east", Count: 1}},
+		{"rental", allFields},
+		{"rental of a machine that stays", onDemand},
 		{"return", Request{Op: Terminate, MachineIDs: []ident.MachineID{"host-3", "host-4"}}},
 		{"first page of the list", Request{Op: List}},
 		{"next page of the list", Request{Op: List, StartAfter: "host-5"}},
 	} {
-		c.Do(x.request)
-		d.Add(x.name, transport.Saw)
+		c.Do(testCase.request)
+		d.Add(testCase.name, transport.Saw)
 	}
 	d.Compare(t, "requests")
 }
 
-// TestGoldenAnswers pins what is read of each kind of answer, field by field, and what each
-// status means.
+// TestGoldenAnswers pins how each kind of response is decoded, field by field, and the outcome of each status.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
-	models, machines := []MachineType{golden.Filled[MachineType](0)}, []ListedMachine{golden.Filled[ListedMachine](0)}
+	models := []MachineType{golden.Filled[MachineType](0)}
+	machines := []ListedMachine{golden.Filled[ListedMachine](0)}
 	golden.RoundTrip(t, &d, "machine type", models[0])
 	golden.RoundTrip(t, &d, "machine", machines[0])
 	text := func(v any) string {
@@ -49,7 +51,7 @@
 		}
 		return string(b)
 	}
-	for _, x := range []struct {
+	for _, testCase := range []struct {
 		op   Op
 		body string
 		want Response
@@ -59,9 +61,9 @@
 		{Terminate, `{}`, Response{Outcome: OK}},
 		{List, `{"hosts":` + text(machines) + `,"truncated":true}`, Response{Outcome: OK, Machines: machines, Truncated: true}},
 	} {
-		c := NewClient("cloud:1", &golden.Transport{Status: http.StatusOK, Body: x.body})
-		if got := c.Do(Request{Op: x.op}); !reflect.DeepEqual(got, x.want) {
-			t.Errorf("%s is read as %+v", x.body, got)
+		c := NewClient("cloud:1", &golden.Transport{Status: http.StatusOK, Body: testCase.body})
+		if got := c.Do(Request{Op: testCase.op}); !reflect.DeepEqual(got, testCase.want) {
+			t.Errorf("%s is decoded as %+v", testCase.body, got)
 		}
 	}
 	names := map[Outcome]string{NoAnswer: "lost", OK: "ok", NoCapacity: "no capacity", Unavailable: "refused", Invalid: "bad"}
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -11,16 +11,16 @@
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
-	_ "opaldale/internal/kvstoretest"
+	_ "opaldale/internal/kvstoretest" // discards the log
 	"opaldale/internal/workers"
 )
 
-// harness is one gang of three on machines that note what they are sent.
+// harness is a gang of three tasks, on five machines that keep the commands that they are sent.
 type harness struct {
 	t             *testing.T
 	now           ident.MonotonicTime
 	queue         []func()
-	heldResponses []func() // answers of the state service that are kept back
+	heldResponses []func() // responses of the store that are held back
 	holdResponses bool
 	sent          map[ident.MachineID][]api.Command
 	unresponsive  map[string]bool
@@ -37,12 +37,12 @@
 func (r *harness) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
 func (r *harness) Store(_ kvstore.Request, f func(kvstore.Response)) {
 	r.revision++
-	a := kvstore.Response{Outcome: kvstore.OK, StoreRevision: r.revision}
+	response := kvstore.Response{Outcome: kvstore.OK, StoreRevision: r.revision}
 	if r.holdResponses {
-		r.heldResponses = append(r.heldResponses, func() { f(a) })
+		r.heldResponses = append(r.heldResponses, func() { f(response) })
 		return
 	}
-	r.queue = append(r.queue, func() { f(a) })
+	r.queue = append(r.queue, func() { f(response) })
 }
 
 func (r *harness) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
@@ -51,14 +51,15 @@
 		r.queue = append(r.queue, func() { f(workers.CommandResult{}) })
 		return
 	}
-	h := ident.MachineID(addr)
-	r.sent[h] = append(r.sent[h], c.Body.Commands...)
-	// An answer that tells nothing new: reports come as the test says.
+	machineID := ident.MachineID(addr)
+	r.sent[machineID] = append(r.sent[machineID], c.Body.Commands...)
+	// A stale response: heartbeats come only from the test.
 	r.queue = append(r.queue, func() {
-		f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: h, Addr: addr, Incarnation: 1}})
+		f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: machineID, Addr: addr, Incarnation: 1}})
 	})
 }
 
+// run handles events until there are none.
 func (r *harness) run() {
 	for {
 		r.now = r.now.Add(time.Millisecond)
@@ -76,16 +77,17 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	r := &harness{t: t, now: ident.MonotonicTime(time.Hour), sent: map[ident.MachineID][]api.Command{}, unresponsive: map[string]bool{}}
-	kind := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
-	r.commits = commit.New(r, commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	t.Helper()
+	r := &harness{t: t, now: ident.MonotonicTime(time.Hour)}
+	r.sent, r.unresponsive = map[ident.MachineID][]api.Command{}, map[string]bool{}
+	limits := commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.UsePackedLog()
-	r.workers = workers.NewTable(r, r.jobs, workers.Config{Term: 3, LeaseDuration: 30 * time.Second, Catalog: func(string) *cloud.MachineType { return &kind },
-		OnDeposed: func() { t.Error("deposed") }, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }, Persist: func(w *workers.Worker) { w.Persisted = true }})
-	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second})
+	r.workers = workers.NewTable(r, r.jobs, r.workersConfig())
+	config := Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second}
+	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, config)
 	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
 		r.gangs.MarkChanged(task.Job)
 		if w := r.workers.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
@@ -95,36 +97,54 @@
 		}
 	}
 	for i := range 5 {
-		r.workers.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%d", i)), Model: "m8", Zone: "east", CreatedAt: r.now})
+		r.workers.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
 		r.heartbeat(i)
 	}
-	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1, CheckpointEveryS: 20, CheckpointS: 3}, func() {}, nil)
+	spec := &api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1,
+		CheckpointEveryS: 20, CheckpointS: 3}
+	r.job = r.jobs.Add(spec, func() {}, nil)
 	r.run()
 	return r
 }
 
-// heartbeat has a machine report pieces; without any it reports none.
-func (r *harness) heartbeat(host int, tasks ...api.TaskReport) *api.HeartbeatResponse {
+func (r *harness) workersConfig() workers.Config {
+	machineType := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
+	return workers.Config{
+		Term:              3,
+		LeaseDuration:     30 * time.Second,
+		Catalog:           func(string) *cloud.MachineType { return &machineType },
+		OnDeposed:         func() { r.t.Error("deposed") },
+		OnCapacityChanged: func() {},
+		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
+		Persist:           func(w *workers.Worker) { w.Persisted = true },
+		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
+		OnCommandResult:   func(*workers.Worker, bool) {},
+	}
+}
+
+func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%d", i)) }
+
+// heartbeat handles the next heartbeat of a machine, which reports the given tasks and no other.
+func (r *harness) heartbeat(machine int, tasks ...api.TaskReport) *api.HeartbeatResponse {
 	r.sequence++
-	machineID := ident.MachineID(fmt.Sprintf("host-%d", host))
-	response := r.workers.HandleHeartbeat(&api.Heartbeat{MachineID: machineID, Addr: string(machineID), Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: r.sequence,
-		FencingToken: ident.MakeFencingToken(3, 0), Tasks: tasks})
-	return response
+	id := machineID(machine)
+	return r.workers.HandleHeartbeat(&api.Heartbeat{MachineID: id, Addr: string(id), Model: "m8", Zone: "east",
+		Incarnation: 1, SequenceNumber: r.sequence, FencingToken: ident.MakeFencingToken(3, 0), Tasks: tasks})
 }
 
 func (r *harness) taskReport(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
 	return api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: i}, Attempt: r.job.Tasks[i].Attempt, Status: s, Cause: c}
 }
 
-// place puts the waiting tasks on machines from the given one on.
+// place places the waiting tasks, each on the next machine from a given one on.
 func (r *harness) place(from int) {
-	var picks []Placement
+	var placements []Placement
 	for i := range r.job.Tasks {
 		if t := &r.job.Tasks[i]; t.State == jobs.Waiting {
-			picks = append(picks, Placement{t, r.workers.Workers[ident.MachineID(fmt.Sprintf("host-%d", from+len(picks)))]})
+			placements = append(placements, Placement{t, r.workers.Workers[machineID(from+len(placements))]})
 		}
 	}
-	r.gangs.Place(r.job, picks)
+	r.gangs.Place(r.job, placements)
 	r.run()
 }
 
@@ -149,11 +169,11 @@
 	}
 }
 
-// countCommands counts the orders of a kind that were sent.
+// countCommands counts the commands with a verb that were sent.
 func (r *harness) countCommands(v api.Verb) (n int) {
-	for _, list := range r.sent {
-		for _, o := range list {
-			if o.Verb == v {
+	for _, commands := range r.sent {
+		for _, command := range commands {
+			if command.Verb == v {
 				n++
 			}
 		}
@@ -161,18 +181,17 @@
 	return n
 }
 
-// TestLaunchWaitsForAllPlacements: no task is launched, by command or by the answer to a
-// report, before all placements of the attempt are durable.
+// TestLaunchWaitsForAllPlacements: no task is launched, by a command or the response to a heartbeat, before all
+// placements of the attempt are durable.
 func TestLaunchWaitsForAllPlacements(t *testing.T) {
 	r := newHarness(t)
 	r.holdResponses = true
 	r.place(0)
 	for i := range 3 {
-		if o := r.heartbeat(i); len(o.Commands) > 0 {
-			t.Errorf("host-%d is told %v", i, o.Commands)
+		if response := r.heartbeat(i); len(response.Commands) > 0 {
+			t.Errorf("host-%d is sent %v", i, response.Commands)
 		}
 	}
-	// One becomes durable by itself, the rest of the record doesn't.
 	r.wantState("placed")
 	if n := r.countCommands(api.Launch); n > 0 {
 		t.Fatalf("%d launches before anything is durable", n)
@@ -187,14 +206,14 @@
 	r.reportAll(api.Gathering)
 	r.wantState("gathering")
 	if v := r.job.View(); v.Running != 0 || v.Status != "queued" {
-		t.Errorf("tasks that wait for their gang are called running: %+v", v)
+		t.Errorf("tasks that wait for the others are counted as running: %+v", v)
 	}
 	r.reportAll(api.Running)
 	r.wantState("running")
 }
 
-// TestReplacementBeforeStart: a task refused before the start comes back elsewhere with the same
-// number, and only where the attempt has not been.
+// TestReplacementBeforeStart: a task that is lost before the start is placed again in the same attempt, on a
+// machine that the attempt has not used.
 func TestReplacementBeforeStart(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -203,15 +222,15 @@
 	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseNoCapacity))
 	r.run()
 	if r.wantState("gathering"); !r.job.AcceptsReplacements || r.job.Tasks[2].State != jobs.Waiting {
-		t.Fatalf("joinable %v, task %v", r.job.AcceptsReplacements, r.job.Tasks[2].State)
+		t.Fatalf("accepts replacements %v, task %v", r.job.AcceptsReplacements, r.job.Tasks[2].State)
 	}
 	if !r.gangs.HasUsed(r.job, "host-2") || r.gangs.HasUsed(r.job, "host-3") {
-		t.Error("where the attempt was is not known")
+		t.Error("the machines that the attempt has used are not known")
 	}
-	try := r.job.Tasks[0].Attempt
+	number := r.job.Tasks[0].Attempt
 	r.place(3)
-	if r.job.Tasks[2].Attempt != try || r.job.Tasks[2].MachineID != "host-3" || len(r.sent["host-3"]) != 1 {
-		t.Errorf("try %d on %s, sent %v", r.job.Tasks[2].Attempt, r.job.Tasks[2].MachineID, r.sent["host-3"])
+	if r.job.Tasks[2].Attempt != number || r.job.Tasks[2].MachineID != "host-3" || len(r.sent["host-3"]) != 1 {
+		t.Errorf("attempt %d on %s, sent %v", r.job.Tasks[2].Attempt, r.job.Tasks[2].MachineID, r.sent["host-3"])
 	}
 	r.heartbeat(3, r.taskReport(2, api.Running, ""))
 	r.heartbeat(0, r.taskReport(0, api.Running, ""))
@@ -220,7 +239,7 @@
 	r.wantState("running")
 }
 
-// TestNoReplacementInTime: the others don't hold their room for long.
+// TestNoReplacementInTime: the other tasks keep their room for a limited time.
 func TestNoReplacementInTime(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -231,12 +250,12 @@
 	r.gangs.Tick()
 	r.run()
 	if r.wantState("ending"); r.job.AcceptsReplacements || r.countCommands(api.Kill) != 2 {
-		t.Errorf("joinable %v, %d kills", r.job.AcceptsReplacements, r.countCommands(api.Kill))
+		t.Errorf("accepts replacements %v, %d kills", r.job.AcceptsReplacements, r.countCommands(api.Kill))
 	}
 }
 
-// TestTaskLossEndsAttempt: after the start the loss of one task ends the attempt; the next one begins
-// with a new number when each of the old tasks is proven gone, and not before.
+// TestTaskLossEndsAttempt: after the start the loss of one task ends the attempt. The next one begins with a new
+// number, once all tasks of the old one are proven gone.
 func TestTaskLossEndsAttempt(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -249,25 +268,25 @@
 			t.Errorf("task %d is %v", i, s)
 		}
 	}
-	try := r.job.HighestAttempt()
+	number := r.job.HighestAttempt()
 	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseStopped))
 	r.run()
 	if r.wantState("ending"); r.job.AllocatedTasks != 1 {
-		t.Fatalf("%d held", r.job.AllocatedTasks)
+		t.Fatalf("%d allocated", r.job.AllocatedTasks)
 	}
 	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseStopped))
 	r.run()
 	r.wantState("none")
 	r.place(0)
 	for i := range r.job.Tasks {
-		if got := r.job.Tasks[i].Attempt; got != try+1 {
-			t.Errorf("task %d has number %d after %d", i, got, try)
+		if got := r.job.Tasks[i].Attempt; got != number+1 {
+			t.Errorf("task %d is in attempt %d after %d", i, got, number)
 		}
 	}
 }
 
-// TestCompletionOfOneCompletesAll: one task that is done is the whole gang, also when another was
-// lost in that moment.
+// TestCompletionOfOneCompletesAll: a gang is done with the first task that completes, also when another one was
+// lost before.
 func TestCompletionOfOneCompletesAll(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -275,17 +294,19 @@
 	r.heartbeat(1, r.taskReport(1, api.Ended, api.CauseGangMemberLost))
 	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseDone))
 	r.run()
-	if e, ok := r.jobs.LookupArchived("j-1"); !ok || e.Phase != jobs.Done || r.state() != "none" {
-		t.Errorf("%+v %v, %s", e, ok, r.state())
+	if archived, ok := r.jobs.LookupArchived("j-1"); !ok || archived.Phase != jobs.Done || r.state() != "none" {
+		t.Errorf("%+v %v, %s", archived, ok, r.state())
 	}
-	// What the others report later finds nothing to do.
-	if o := r.heartbeat(2, api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}); len(o.Commands) != 1 || o.Commands[0].Verb != api.Clear {
-		t.Errorf("%v", o.Commands)
+	// What the other tasks report later is only cleared.
+	last := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}
+	response := r.heartbeat(2, last)
+	if len(response.Commands) != 1 || response.Commands[0].Verb != api.Clear {
+		t.Errorf("%v", response.Commands)
 	}
 }
 
-// TestGracefulStop: all are told at once, with time to save and to wait for each other;
-// and none is while one of the machines was not heard lately.
+// TestGracefulStop: all tasks are stopped at once, with time to save and to wait for each other, but none while a
+// machine has sent no heartbeat lately.
 func TestGracefulStop(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -293,7 +314,7 @@
 	r.now = r.now.Add(6 * time.Second)
 	r.heartbeat(0, r.taskReport(0, api.Running, ""))
 	if r.gangs.Stop(r.job, "test") || r.countCommands(api.Kill) > 0 {
-		t.Fatal("stopped though two machines were not heard lately")
+		t.Fatal("stopped though two machines have sent no heartbeat lately")
 	}
 	r.reportAll(api.Running)
 	if !r.gangs.Stop(r.job, "test") {
@@ -302,16 +323,16 @@
 	r.run()
 	r.wantState("saving")
 	for i := range 3 {
-		list := r.sent[ident.MachineID(fmt.Sprintf("host-%d", i))]
-		o := list[len(list)-1]
-		if o.Verb != api.Kill || o.GracePeriodS == nil || *o.GracePeriodS < 3+5 {
-			t.Errorf("host-%d is told %+v", i, o)
+		commands := r.sent[machineID(i)]
+		last := commands[len(commands)-1]
+		if last.Verb != api.Kill || last.GracePeriodS == nil || *last.GracePeriodS < 3+5 {
+			t.Errorf("host-%d is sent %+v", i, last)
 		}
 	}
 	for i := range 3 {
-		p := r.taskReport(i, api.Ended, api.CauseStopped)
-		p.CheckpointStored = true
-		r.heartbeat(i, p)
+		report := r.taskReport(i, api.Ended, api.CauseStopped)
+		report.CheckpointStored = true
+		r.heartbeat(i, report)
 	}
 	r.run()
 	if r.wantState("none"); r.job.WaitingCount() != 3 {
@@ -319,26 +340,26 @@
 	}
 }
 
-// TestAdopt: a successor goes on with a whole attempt, and ends a part of one.
+// TestAdopt: a new leader goes on with a complete attempt, and aborts an incomplete one.
 func TestAdopt(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		r := newHarness(t)
 		r.place(0)
 		r.reportAll(api.Gathering)
-		if !whole {
+		if !complete {
 			r.jobs.MarkGone(&r.job.Tasks[1], nil)
 		}
 		r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, r.gangs.cfg)
 		r.gangs.Adopt(r.job)
 		r.run()
-		if whole {
+		if complete {
 			r.wantState("gathering")
 			r.reportAll(api.Running)
 			r.wantState("running")
 			continue
 		}
 		if r.wantState("ending"); r.job.AcceptsReplacements {
-			t.Error("a part of an attempt of an earlier term may be joined")
+			t.Error("an incomplete attempt of an earlier term accepts replacements")
 		}
 	}
 }
