--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -10,134 +10,194 @@
 
 const grace = 20 * time.Second
 
-// peerProcess is a sibling's process in the test below.
+// peerProcess is a process of the peer.
 type peerProcess struct {
 	SentHeartbeats
 	Renewer
-	startedAt ident.MonotonicTime // in the leader's time
+	startedAt ident.MonotonicTime // by the leader's clock
 	clockRate float64
+	lastHeard uint64 // newest heartbeat received from the leader
 }
 
-func (n *peerProcess) now(at ident.MonotonicTime) ident.MonotonicTime {
-	return ident.MonotonicTime(float64(at-n.startedAt) * n.clockRate)
+// now returns the reading of the process's clock at a time of the leader's clock.
+func (p *peerProcess) now(at ident.MonotonicTime) ident.MonotonicTime {
+	return ident.MonotonicTime(float64(at-p.startedAt) * p.clockRate)
 }
 
-// TestRegistry plays beats that are lost, held up and late, and a sibling that is
-// restarted and keeps leases whenever it may: the leader's bound is never below what it
-// did, and it never does so later than the grace after a moment of sure leadership.
-func TestRegistry(t *testing.T) {
-	type heartbeat struct {
-		at   ident.MonotonicTime
-		f    func(now ident.MonotonicTime)
-		seen bool
+// delivery is a heartbeat in transit.
+type delivery struct {
+	at      ident.MonotonicTime
+	receive func(at ident.MonotonicTime)
+}
+
+const (
+	registryStep      = 100 * time.Millisecond
+	heartbeatInterval = 700 * time.Millisecond
+)
+
+// registryRun is a leader and a peer that exchange heartbeats over a link which loses and delays
+// them. All times are by the leader's clock.
+type registryRun struct {
+	rng       *rand.Rand
+	now       ident.MonotonicTime
+	cutUntil  ident.MonotonicTime // the link is cut
+	inTransit []delivery
+	newestID  uint64
+
+	registry  *Registry
+	sent      SentHeartbeats // of the leader
+	lastHeard uint64         // newest heartbeat that the leader has received from the peer
+
+	peer        *peerProcess
+	lastRenewal ident.MonotonicTime // of a lease, by the peer; 0: never
+
+	renewals, tightBounds int
+}
+
+func newRegistryRun(seed uint64) *registryRun {
+	r := &registryRun{rng: rand.New(rand.NewPCG(seed, 3)), registry: NewRegistry(grace)}
+	r.restartPeer()
+	r.now = ident.MonotonicTime(time.Second)
+	return r
+}
+
+func (r *registryRun) restartPeer() {
+	r.peer = &peerProcess{startedAt: r.now, clockRate: 1 + (r.rng.Float64()-0.5)*0.001}
+}
+
+func (r *registryRun) step(t *testing.T, seed uint64) {
+	t.Helper()
+	if r.rng.IntN(400) == 0 {
+		r.cutUntil = r.now.Add(time.Duration(r.rng.IntN(40)) * time.Second)
+	}
+	if r.rng.IntN(500) == 0 {
+		r.restartPeer()
 	}
+	if int64(r.now)%int64(heartbeatInterval) == 0 {
+		r.sendLeaderHeartbeat()
+		r.sendPeerHeartbeat()
+	}
+	r.deliver()
+	if peerNow := r.peer.now(r.now); r.peer.MayRenew(peerNow, ident.MakeFencingToken(1, 0)) {
+		r.peer.RecordRenewal(peerNow)
+		r.lastRenewal = r.now
+		r.renewals++
+	}
+	bound := r.registry.LatestRenewal(r.now)
+	if bound < r.lastRenewal.Add(-10*time.Millisecond) && r.lastRenewal > 0 {
+		t.Fatalf("seed %d, %v: renewed at %v, bound %v", seed, r.now.Sub(0), r.lastRenewal.Sub(0), bound.Sub(0))
+	}
+	if bound < r.now.Add(-time.Minute) {
+		r.tightBounds++
+	}
+}
+
+func (r *registryRun) sendLeaderHeartbeat() {
+	r.newestID++
+	id, echo, process := r.newestID, r.lastHeard, r.peer
+	r.sent.Record(id, r.now)
+	r.send(func(ident.MonotonicTime) {
+		if r.peer != process {
+			return
+		}
+		process.lastHeard = id
+		if sentAt, ok := process.SentAt(echo); ok {
+			process.Permit(1, sentAt, grace)
+		}
+	})
+}
+
+func (r *registryRun) sendPeerHeartbeat() {
+	r.newestID++
+	id, echo := r.newestID, r.peer.lastHeard
+	peerNow := r.peer.now(r.now)
+	r.peer.Record(id, peerNow)
+	status := PeerStatus{ProcessAge: peerNow.Sub(0), SinceLeader: time.Hour}
+	if silence, ok := r.peer.SinceLeader(peerNow); ok {
+		status.SinceLeader = silence
+	}
+	status.SinceRenewal, status.HasRenewed = r.peer.SinceRenewal(peerNow)
+	r.send(func(at ident.MonotonicTime) {
+		r.lastHeard = id
+		if sentAt, ok := r.sent.SentAt(echo); ok {
+			r.registry.ObserveEcho("s", at, sentAt, status)
+		} else {
+			r.registry.ObserveHeartbeat("s", at)
+		}
+	})
+}
+
+// send delays a heartbeat by a few milliseconds. While the link is cut, and at times otherwise, it
+// is lost or delayed until after the cut.
+func (r *registryRun) send(receive func(at ident.MonotonicTime)) {
+	delay := time.Duration(r.rng.IntN(5)) * time.Millisecond
+	if r.now < r.cutUntil || r.rng.IntN(20) == 0 {
+		if r.rng.IntN(2) == 0 {
+			return
+		}
+		delay = max(r.cutUntil.Sub(r.now), 0) + time.Duration(r.rng.IntN(2000))*time.Millisecond
+	}
+	r.inTransit = append(r.inTransit, delivery{at: r.now.Add(delay), receive: receive})
+}
+
+// deliver has all heartbeats received that are due, in the order in which they were sent.
+func (r *registryRun) deliver() {
+	var remaining []delivery
+	for _, d := range r.inTransit {
+		if d.at <= r.now {
+			d.receive(r.now)
+		} else {
+			remaining = append(remaining, d)
+		}
+	}
+	r.inTransit = remaining
+}
+
+// TestRegistry exchanges heartbeats that are lost and delayed with a peer that is restarted, and that
+// renews leases whenever it may: the leader's bound is never before the peer's last renewal.
+func TestRegistry(t *testing.T) {
 	renewals, tightBounds := 0, 0
 	for seed := range uint64(200) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		registry := NewRegistry(grace)
-		var leaderHeartbeats SentHeartbeats
-		var inTransit []heartbeat
-		startPeer := func(at ident.MonotonicTime) *peerProcess {
-			return &peerProcess{startedAt: at, clockRate: 1 + (rng.Float64()-0.5)*0.001}
-		}
-		peer := startPeer(0)
-		var lastAtPeer, lastAtLeader uint64 // newest beats received, of the leader's and of the sibling's
-		lastRenewed, lastID := ident.MonotonicTime(0), uint64(0)
-		cutUntil := ident.MonotonicTime(0)
-		for now := ident.MonotonicTime(time.Second); now < ident.MonotonicTime(5*time.Minute); now = now.Add(100 * time.Millisecond) {
-			if rng.IntN(400) == 0 {
-				cutUntil = now.Add(time.Duration(rng.IntN(40)) * time.Second)
-			}
-			if rng.IntN(500) == 0 {
-				peer, lastAtPeer = startPeer(now), 0
-			}
-			send := func(f func(ident.MonotonicTime)) {
-				d := time.Duration(rng.IntN(5)) * time.Millisecond
-				if now < cutUntil || rng.IntN(20) == 0 {
-					if rng.IntN(2) == 0 {
-						return
-					}
-					d = max(cutUntil.Sub(now), 0) + time.Duration(rng.IntN(2000))*time.Millisecond
-				}
-				inTransit = append(inTransit, heartbeat{at: now.Add(d), f: f})
-			}
-			if int64(now)%int64(700*time.Millisecond) == 0 {
-				lastID++
-				id, echo := lastID, lastAtLeader
-				leaderHeartbeats.Record(id, now)
-				process := peer
-				send(func(at ident.MonotonicTime) {
-					if peer != process {
-						return
-					}
-					lastAtPeer = id
-					if sent, ok := peer.SentAt(echo); ok {
-						peer.Permit(1, sent, grace)
-					}
-				})
-				lastID++
-				peerHeartbeatID, echoOfLeader := lastID, lastAtPeer
-				peerNow := peer.now(now)
-				peer.Record(peerHeartbeatID, peerNow)
-				status := PeerStatus{ProcessAge: peerNow.Sub(0), SinceLeader: time.Hour}
-				if age, ok := peer.SinceLeader(peerNow); ok {
-					status.SinceLeader = age
-				}
-				status.SinceRenewal, status.HasRenewed = peer.SinceRenewal(peerNow)
-				send(func(at ident.MonotonicTime) {
-					lastAtLeader = peerHeartbeatID
-					sent, ok := leaderHeartbeats.SentAt(echoOfLeader)
-					if ok {
-						registry.ObserveEcho("s", at, sent, status)
-					} else {
-						registry.ObserveHeartbeat("s", at)
-					}
-				})
-			}
-			for i := range inTransit {
-				if b := &inTransit[i]; !b.seen && b.at <= now {
-					b.seen = true
-					b.f(now)
-				}
-			}
-			if peerNow := peer.now(now); peer.MayRenew(peerNow, ident.MakeFencingToken(1, 0)) {
-				peer.RecordRenewal(peerNow)
-				lastRenewed = now
-				renewals++
-			}
-			bound := registry.LatestRenewal(now)
-			if bound < lastRenewed.Add(-10*time.Millisecond) && lastRenewed > 0 {
-				t.Fatalf("seed %d, %v: kept at %v, bound %v", seed, now.Sub(0), lastRenewed.Sub(0), bound.Sub(0))
-			}
-			if bound < now.Add(-time.Minute) {
-				tightBounds++
-			}
+		r := newRegistryRun(seed)
+		for r.now < ident.MonotonicTime(5*time.Minute) {
+			r.step(t, seed)
+			r.now = r.now.Add(registryStep)
 		}
+		renewals += r.renewals
+		tightBounds += r.tightBounds
 	}
 	if renewals == 0 || tightBounds == 0 {
-		t.Errorf("kept %d times, bound a minute back %d times: the test shows nothing", renewals, tightBounds)
+		t.Errorf("%d renewals, %d bounds more than a minute back: the test covers nothing", renewals, tightBounds)
 	}
 }
 
-// TestMayRenew: not while the leader is heard, not beyond what it allowed, not for a
-// worker that knows a successor, and never without a leader.
+// TestMayRenew: leases are renewed only after the leader has been silent for a while, within its
+// allowance, and for a worker that knows no later leader.
 func TestMayRenew(t *testing.T) {
 	var renewer Renewer
 	token := ident.MakeFencingToken(7, 2)
 	if renewer.MayRenew(ident.MonotonicTime(time.Hour), token) {
-		t.Error("without a leader")
+		t.Error("renewed without a permit")
 	}
 	at := ident.MonotonicTime(time.Minute)
 	renewer.Permit(7, at, grace)
-	renewer.Permit(6, at.Add(time.Minute), grace) // an earlier term's, late
-	for _, tc := range []struct {
+	renewer.Permit(6, at.Add(time.Minute), grace) // of an earlier term, delayed
+	for _, c := range []struct {
+		name  string
 		after time.Duration
-		epoch ident.FencingToken
-		may   bool
-	}{{3 * time.Second, token, false}, {5 * time.Second, token, true}, {19 * time.Second, token, true}, {20 * time.Second, token, false},
-		{5 * time.Second, ident.MakeFencingToken(8, 0), false}, {5 * time.Second, ident.MakeFencingToken(6, 9), true}, {5 * time.Second, 0, false}} {
-		if renewer.MayRenew(at.Add(tc.after), tc.epoch) != tc.may {
-			t.Errorf("after %v with %d: %v", tc.after, tc.epoch, !tc.may)
+		token ident.FencingToken
+		want  bool
+	}{
+		{"leader silent for too short", 3 * time.Second, token, false},
+		{"leader silent", 5 * time.Second, token, true},
+		{"end of the allowance", 19 * time.Second, token, true},
+		{"allowance used up", 20 * time.Second, token, false},
+		{"token of a later term", 5 * time.Second, ident.MakeFencingToken(8, 0), false},
+		{"token of an earlier term", 5 * time.Second, ident.MakeFencingToken(6, 9), true},
+		{"no token", 5 * time.Second, 0, false},
+	} {
+		if got := renewer.MayRenew(at.Add(c.after), c.token); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
