--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -14,7 +14,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a state service that keeps the requests that came, in words.
+// recorder is a key-value store that keeps a description of each request.
 type recorder struct {
 	*kvstoretest.SteppedStore
 	requests strings.Builder
@@ -26,21 +26,23 @@
 	case kvstore.Get:
 		f(r.Get(q.Key))
 	case kvstore.List:
-		f(kvstore.Response{Outcome: kvstore.OK, KeyValues: []kvstore.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}})
+		pairs := []kvstore.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}
+		f(kvstore.Response{Outcome: kvstore.OK, KeyValues: pairs})
 	default:
 		f(r.Apply(q.Mutations))
 	}
 }
 
-// TestGoldenAnnouncements pins what a node announces, over what it has announced before, and
-// what others read of it.
+// TestGoldenAnnouncements pins what a node announces, for each earlier value of its key, and how other
+// nodes decode it.
 func TestGoldenAnnouncements(t *testing.T) {
 	var d golden.Document
 	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
 	for _, before := range []string{"", `{"level":1}`, `{"level":1,"frames":1}`} {
 		r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
 		if before != "" {
-			r.Entries[NodeKeyPrefix+"agent-1"] = kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(before), Revision: 27}
+			key := NodeKeyPrefix + "agent-1"
+			r.Entries[key] = kvstore.KeyValue{Key: key, Value: json.RawMessage(before), Revision: 27}
 		}
 		Announce(r, rand.New(rand.NewPCG(1, 2)), "agent-1")
 		d.Add("announced before: "+before, r.requests.String())
@@ -51,7 +53,7 @@
 	d.Compare(t, "announcements")
 }
 
-// TestGoldenRaise pins what is asked and written to raise the level.
+// TestGoldenRaise pins the requests that raise the level.
 func TestGoldenRaise(t *testing.T) {
 	newest := kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
