--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/authority"
 )
 
-// updateAuthority returns what this node may decide at this moment.
+// updateAuthority returns what this node may decide at this moment, and logs a change of it.
 func (c *Controller) updateAuthority() authority.State {
 	facts := authority.Facts{IsLeader: c.leader != nil}
 	if l := c.leader; l != nil && !l.closed() {
@@ -24,12 +24,12 @@
 	return after
 }
 
-// allows says whether this node may do something at this moment. All decisions of a leader, and
-// what it tells users and workers, are checked by it.
+// allows reports whether this node may do something at this moment. All decisions of a leader, and what it answers
+// users and workers, are checked by it.
 func (c *Controller) allows(action authority.Action) bool { return c.updateAuthority().Allows(action) }
 
-// mayManageFleet says whether the fleet may be looked after. Without the view of links a leader
-// that can't record goes on to rent and to fence.
+// mayManageFleet reports whether machines may be provisioned, terminated and fenced. If links are not watched, a
+// leader goes on with that while it can't write.
 func (c *Controller) mayManageFleet() bool {
 	state := c.updateAuthority()
 	return state.Allows(authority.Scale) || !c.links.Enabled() && state == authority.StoreDown
--- a/internal/controller/dispatch.go
+++ b/internal/controller/dispatch.go
@@ -99,8 +99,7 @@
 	if c.allows(authority.AcceptSubmissions) {
 		return true
 	}
-	c.Refused++
-	reply(unavailable("no leader at present"))
+	c.refuse(reply, "no leader at present")
 	return false
 }
 
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -4,19 +4,26 @@
 	"encoding/json"
 	"errors"
 	"log/slog"
-	"net/http"
 
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 	"opaldale/internal/kvstore"
 )
 
-// tokenBucket bounds the state service requests that polls cause.
+const (
+	// pollReads is the most reads that a poll takes that is answered from the store, and archiveReads that of a
+	// poll for a job that is known not to be live.
+	pollReads    = 2
+	archiveReads = 1
+)
+
+// tokenBucket bounds the store requests that polls cause. It holds the tokens of one second at most.
 type tokenBucket struct {
 	tokens, perSecond float64
 	refilledAt        ident.MonotonicTime
 }
 
+// allow takes n tokens if there are as many.
 func (b *tokenBucket) allow(now ident.MonotonicTime, n float64) bool {
 	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -27,76 +34,75 @@
 	return true
 }
 
-// pollFromStore answers a poll from the state service. A job only ever moves from live to
-// over, so reading in this order can't miss it.
+// pollFromStore answers a poll from the store. A job only ever moves from the live jobs to the archive, so reading in
+// this order can't miss it.
 func (c *Controller) pollFromStore(id ident.JobID, reply func(Response)) {
-	deadline, unbounded := c.env.Now().Add(2*storeTimeout), reply
-	reply = func(r Response) { unbounded(r.limitValidity(deadline)) }
-	if !c.pollLimiter.allow(c.env.Now(), 2) {
-		c.Refused++
-		reply(unavailable("too many polls at present"))
+	deadline := c.env.Now().Add(pollReads * storeTimeout)
+	replyInTime := func(r Response) { reply(r.limitValidity(deadline)) }
+	if !c.pollLimiter.allow(c.env.Now(), pollReads) {
+		c.refuse(replyInTime, "too many polls at present")
 		return
 	}
-	c.storeGet(jobs.LiveKey(id), reply, func(r kvstore.Response) {
-		v, err := jobs.ParseLiveView(r.Value)
-		if err != nil {
-			slog.Error("unreadable job", "job", string(id), "err", err)
-			reply(unavailable("unreadable job"))
-			return
+	read := kvstore.Request{Op: kvstore.Get, Key: jobs.LiveKey(id), Timeout: storeTimeout}
+	c.env.Store(read, func(r kvstore.Response) {
+		switch r.Outcome {
+		case kvstore.OK:
+			c.replyLive(id, r.Value, replyInTime)
+		case kvstore.NotFound:
+			c.pollFinished(id, replyInTime)
+		default:
+			c.refuse(replyInTime, "state service unavailable")
 		}
-		c.rememberIfCancelled(v.ID, v.Status)
-		reply(jsonResponse(http.StatusOK, v))
-	}, func() { c.pollFinished(id, reply) })
+	})
+}
+
+// replyLive answers a poll with the record of a live job.
+func (c *Controller) replyLive(id ident.JobID, record json.RawMessage, reply func(Response)) {
+	view, err := jobs.ParseLiveView(record)
+	if err != nil {
+		slog.Error("unreadable job record in store", "job", string(id), "err", err)
+		reply(unavailable("unreadable job"))
+		return
+	}
+	c.rememberIfCancelled(view.ID, view.Status)
+	reply(viewResponse(view))
 }
 
 // pollFinished answers a poll for a job that is not live.
 func (c *Controller) pollFinished(id ident.JobID, reply func(Response)) {
-	c.lookUpFinished(id, func(ended jobs.ArchivedJob, found bool, err error) {
+	c.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
 		case !found:
-			reply(errorResponse(http.StatusNotFound, "no such job"))
+			reply(noSuchJob())
 		default:
-			c.rememberIfCancelled(id, ended.Phase.String())
-			reply(jsonResponse(http.StatusOK, ended.View(id)))
+			c.rememberIfCancelled(id, job.Phase.String())
+			reply(viewResponse(job.View(id)))
 		}
 	})
 }
 
-// errStoreUnavailable says that the state service gave no clear answer.
+// errStoreUnavailable says that the store gave no clear answer.
 var errStoreUnavailable = errors.New("state service unavailable")
 
-// lookUpFinished looks a job up among those that are over.
-func (c *Controller) lookUpFinished(id ident.JobID, done func(ended jobs.ArchivedJob, found bool, err error)) {
-	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}, func(r kvstore.Response) {
-		var ended jobs.ArchivedJob
+// lookUpFinished looks a job up in the archive of those that are over.
+func (c *Controller) lookUpFinished(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
+	read := kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}
+	c.env.Store(read, func(r kvstore.Response) {
+		var job jobs.ArchivedJob
 		switch r.Outcome {
 		case kvstore.OK:
-			if err := json.Unmarshal(r.Value, &ended); err != nil {
-				slog.Error("unreadable job", "id", string(id), "err", err)
-				done(ended, false, err)
+			if err := json.Unmarshal(r.Value, &job); err != nil {
+				slog.Error("unreadable job record in store", "job", string(id), "err", err)
+				done(job, false, err)
 				return
 			}
-			done(ended, true, nil)
-		case kvstore.NotFound:
-			done(ended, false, nil)
-		default:
-			done(ended, false, errStoreUnavailable)
-		}
-	})
-}
-
-func (c *Controller) storeGet(path string, reply func(Response), found func(kvstore.Response), missing func()) {
-	c.env.Store(kvstore.Request{Op: kvstore.Get, Key: path, Timeout: storeTimeout}, func(r kvstore.Response) {
-		switch r.Outcome {
-		case kvstore.OK:
-			found(r)
+			done(job, true, nil)
 		case kvstore.NotFound:
-			missing()
+			done(job, false, nil)
 		default:
-			c.Refused++
-			reply(unavailable("state service unavailable"))
+			done(job, false, errStoreUnavailable)
 		}
 	})
 }
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"net/http"
@@ -16,19 +17,17 @@
 // maxBacklog bounds the writes that may wait while submissions are accepted.
 const maxBacklog = 400
 
-// failPendingReplies answers those who wait for a state service that doesn't answer:
-// they are not kept waiting for it.
+// failPendingReplies refuses the requests that wait for a store which doesn't answer.
 func (l *leaderTerm) failPendingReplies() {
 	for _, id := range slices.Sorted(maps.Keys(l.pendingReplies)) {
 		reply := l.pendingReplies[id]
 		delete(l.pendingReplies, id)
-		l.controller.Refused++
-		reply(unavailable("state service unavailable"))
+		l.controller.refuse(reply, "state service unavailable")
 	}
 }
 
-// withStoreTimeout makes a reply that is refused when the state service doesn't answer in
-// time; the returned function answers unless that has happened.
+// withStoreTimeout returns a reply to a request that waits for the store. The request is refused when the store doesn't
+// answer in time; what the returned function is called with after that is dropped.
 func (l *leaderTerm) withStoreTimeout(reply func(Response)) func(Response) {
 	l.lastReplyID++
 	id := l.lastReplyID
@@ -36,8 +35,7 @@
 	l.env.After(storeTimeout, func() {
 		if l.pendingReplies[id] != nil {
 			delete(l.pendingReplies, id)
-			l.controller.Refused++
-			reply(unavailable("state service is slow"))
+			l.controller.refuse(reply, "state service is slow")
 		}
 	})
 	return func(r Response) {
@@ -48,59 +46,68 @@
 	}
 }
 
-// submit takes a job in.
+// submit accepts a job. The request is idempotent: a job that is known already is acknowledged as it is.
 func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
-	replyKnown := func(v api.JobView) { reply(ackResponse(v)) }
 	if j := l.jobs.Jobs[spec.ID]; j != nil {
 		l.replyWhenDurable(j, reply, ackResponse)
 		return
 	}
-	if e, ok := l.jobs.LookupArchived(spec.ID); ok {
-		replyKnown(e.View(spec.ID))
+	if job, ok := l.jobs.LookupArchived(spec.ID); ok {
+		reply(ackResponse(job.View(spec.ID)))
 		return
 	}
-	if reason := l.rejectionReason(spec); reason != "" {
-		// Unless it was accepted, by other rules, and is over.
-		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(errorResponse(http.StatusUnprocessableEntity, reason)) })
+	if err := l.validate(spec); err != nil {
+		// It may have been accepted under other settings and be over.
+		l.replyArchived(spec.ID, reply, ackResponse, errorResponse(http.StatusUnprocessableEntity, err.Error()))
 		return
 	}
-	// A gang, or a header that the first format has no room for, waits for the level.
-	size, maxSize := l.jobs.HeaderSize(spec)
-	if size > maxSize {
-		reason := fmt.Sprintf("the description takes %d bytes, and %d can be kept", size, maxSize)
-		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(errorResponse(http.StatusUnprocessableEntity, reason)) })
-		return
-	}
-	if l.formatLevel < ident.FormatPacked && (spec.Shape == api.Gang || size > jobs.HeaderSpecBytes) {
-		l.controller.Refused++
-		reply(unavailable("some nodes still run an earlier version"))
+	if l.formatLevel < ident.FormatPacked && l.needsPackedFormat(spec) {
+		l.controller.refuse(reply, "some nodes still run an earlier version")
 		return
 	}
 	if l.committer.StoreUnavailable() || l.committer.Backlog() > maxBacklog {
-		l.controller.Refused++
-		reply(unavailable("state service unavailable"))
+		l.controller.refuse(reply, "state service unavailable")
 		return
 	}
-	reply = l.withStoreTimeout(reply)
+	l.addJob(spec, l.withStoreTimeout(reply))
+}
+
+// addJob records a new job, and acknowledges it once it is durable.
+func (l *leaderTerm) addJob(spec *api.Spec, reply func(Response)) {
 	var j *jobs.Job
-	j = l.jobs.Add(spec, func() {
+	onDurable := func() {
 		l.fleet.RecordArrival(spec, l.env.Now())
 		if j.Phase != jobs.Open {
-			// Its user cancelled it meanwhile.
+			// It was cancelled meanwhile.
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		reply(l.limitToLeaderLease(jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})))
-	}, func() {
-		l.lookUpFinished(spec.ID, reply, replyKnown, func() { reply(unavailable("try again")) })
-	})
+		created := jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})
+		reply(l.limitToLeaderLease(created))
+	}
+	onConflict := func() { l.replyArchived(spec.ID, reply, ackResponse, unavailable("try again")) }
+	j = l.jobs.Add(spec, onDurable, onConflict)
 }
 
-// rejectionReason says why a job can never run.
-func (l *leaderTerm) rejectionReason(spec *api.Spec) string {
+// validate returns why a job can never run, or can't be stored.
+func (l *leaderTerm) validate(spec *api.Spec) error {
 	if reason := l.teams.RejectReason(spec); reason != "" {
-		return reason
+		return errors.New(reason)
+	}
+	if !l.fitsAnyMachineType(spec) {
+		return errNoMachineTypeFits
 	}
+	if size, maxSize := l.jobs.HeaderSize(spec); size > maxSize {
+		return fmt.Errorf("the description takes %d bytes, and %d can be kept", size, maxSize)
+	}
+	return nil
+}
+
+// errNoMachineTypeFits says that no machine that the cloud offers is large enough for a task.
+var errNoMachineTypeFits = errors.New("models: no machine type fits")
+
+// fitsAnyMachineType reports whether a task of the job fits an empty machine of a type and zone that the job allows.
+func (l *leaderTerm) fitsAnyMachineType(spec *api.Spec) bool {
 	types := l.catalog.Types()
 	for i := range types {
 		machineType := &types[i]
@@ -109,46 +116,50 @@
 		}
 		for _, zone := range machineType.Zones {
 			if spec.Zone == nil || *spec.Zone == zone {
-				return ""
+				return true
 			}
 		}
 	}
-	return "models: no machine type fits"
+	return false
 }
 
-// lookUpFinished looks for a job that went over in an earlier term.
-func (l *leaderTerm) lookUpFinished(id ident.JobID, reply func(Response), found func(api.JobView), missing func()) {
-	l.controller.lookUpFinished(id, func(e jobs.ArchivedJob, ok bool, err error) {
+// needsPackedFormat reports whether the first format has no room for a job.
+func (l *leaderTerm) needsPackedFormat(spec *api.Spec) bool {
+	size, _ := l.jobs.HeaderSize(spec)
+	return spec.Shape == api.Gang || size > jobs.HeaderSpecBytes
+}
+
+// replyArchived answers with the view of a job that was over in an earlier term, or with missing if there is none.
+func (l *leaderTerm) replyArchived(id ident.JobID, reply func(Response), render func(api.JobView) Response, missing Response) {
+	l.controller.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable("state service unavailable"))
-		case ok:
-			l.jobs.RememberArchived(id, e)
-			found(e.View(id))
+		case found:
+			l.jobs.RememberArchived(id, job)
+			reply(render(job.View(id)))
 		default:
-			missing()
+			reply(missing)
 		}
 	})
 }
 
-// replyWhenDurable answers with a job's view, once that is what every node would say.
+// replyWhenDurable answers with a job's view, once every node would answer the same.
 func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
-	respond := func() {
+	if !j.ViewSettled() {
+		reply = l.withStoreTimeout(reply)
+	}
+	j.WhenViewSettled(func() {
 		r := render(j.View())
 		if j.DurablePhase == jobs.Open {
 			r = l.limitToLeaderLease(r)
 		}
 		reply(r)
-	}
-	if !j.ViewSettled() {
-		reply = l.withStoreTimeout(reply)
-	}
-	j.WhenViewSettled(respond)
+	})
 }
 
-// limitToLeaderLease bounds an answer from memory by the time for which leadership is sure: it is
-// judged once more right before the answer goes out, as the process may stand still
-// meanwhile.
+// limitToLeaderLease bounds the validity of an answer from memory by the leader's lease. The server checks it once more
+// right before the answer goes out, since the process may pause in between.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
 	if l.closed() || !l.controller.allows(authority.ServeReads) {
 		return unavailable("no leader at present")
@@ -156,43 +167,44 @@
 	return r.limitValidity(l.controller.election.LeaseExpiry())
 }
 
-// getJob answers from memory.
+// getJob answers a poll from memory, and for a job that it doesn't know from the archive.
 func (l *leaderTerm) getJob(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
-		l.replyWhenDurable(j, reply, func(v api.JobView) Response { return jsonResponse(http.StatusOK, v) })
+		l.replyWhenDurable(j, reply, viewResponse)
 		return
 	}
-	if e, ok := l.jobs.LookupArchived(id); ok {
-		reply(jsonResponse(http.StatusOK, e.View(id)))
+	if job, ok := l.jobs.LookupArchived(id); ok {
+		reply(viewResponse(job.View(id)))
 		return
 	}
-	if !l.controller.pollLimiter.allow(l.env.Now(), 1) {
-		l.controller.Refused++
-		reply(unavailable("too many polls at present"))
+	if !l.controller.pollLimiter.allow(l.env.Now(), archiveReads) {
+		l.controller.refuse(reply, "too many polls at present")
 		return
 	}
-	l.lookUpFinished(id, reply, func(v api.JobView) { reply(jsonResponse(http.StatusOK, v)) },
-		func() { reply(errorResponse(http.StatusNotFound, "no such job")) })
+	l.replyArchived(id, reply, viewResponse, noSuchJob())
 }
 
-// cancel ends a job. Its tasks are stopped at once; nobody has any use for them.
+// cancel ends a job. Its tasks are stopped before that is durable, since nobody needs them any more.
 func (l *leaderTerm) cancel(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
-		if j.DurablePhase != jobs.Open {
-			reply(ackResponse(j.View()))
-			return
-		}
-		reply = l.withStoreTimeout(reply)
-		l.jobs.Cancel(j, func() { reply(ackResponse(j.View())) })
-		if j.Phase == jobs.Cancelled {
-			l.stopJob(j)
-		}
+		l.cancelLive(j, reply)
+		return
+	}
+	if job, ok := l.jobs.LookupArchived(id); ok {
+		reply(ackResponse(job.View(id)))
 		return
 	}
-	replyAck := func(v api.JobView) { reply(ackResponse(v)) }
-	if e, ok := l.jobs.LookupArchived(id); ok {
-		replyAck(e.View(id))
+	l.replyArchived(id, reply, ackResponse, noSuchJob())
+}
+
+func (l *leaderTerm) cancelLive(j *jobs.Job, reply func(Response)) {
+	if j.DurablePhase != jobs.Open {
+		reply(ackResponse(j.View()))
 		return
 	}
-	l.lookUpFinished(id, reply, replyAck, func() { reply(errorResponse(http.StatusNotFound, "no such job")) })
+	reply = l.withStoreTimeout(reply)
+	l.jobs.Cancel(j, func() { reply(ackResponse(j.View())) })
+	if j.Phase == jobs.Cancelled {
+		l.stopJob(j)
+	}
 }
--- a/internal/controller/leader_env.go
+++ b/internal/controller/leader_env.go
@@ -6,28 +6,26 @@
 	"opaldale/internal/workers"
 )
 
-// leaderEnv is the world as a leader's tables act on it. What only a leader may do
-// carries the time until which leadership is sure and isn't sent after it: between a
-// decision and the call that follows from it the process may stand still, or wait for a
-// free socket.
+// leaderEnv is the environment in which a leader's term acts. What only a leader may do carries the time until which
+// leadership is certain, and isn't sent after it: between a decision and the call that follows from it the
+// process may pause, or wait for a free connection.
 type leaderEnv struct {
 	Env
 	validUntil func() ident.MonotonicTime
 }
 
-// Cloud sends a request; machines are rented and returned by a sure leader only.
-func (p leaderEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
+// Cloud sends a request; only a certain leader may provision and terminate machines.
+func (e leaderEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	if r.Op == cloud.Provision || r.Op == cloud.Terminate {
-		r.NotAfter = p.validUntil()
+		r.NotAfter = e.validUntil()
 	}
-	p.Env.Cloud(r, done)
+	e.Env.Cloud(r, done)
 }
 
-// Worker sends a command; tasks are started by a sure leader only. To stop one is safe
-// whoever leads.
-func (p leaderEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
+// Worker sends commands; only a certain leader may launch tasks. Stopping one is safe whoever leads.
+func (e leaderEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	if command.Launches() {
-		command.NotAfter = p.validUntil()
+		command.NotAfter = e.validUntil()
 	}
-	p.Env.Worker(command, done)
+	e.Env.Worker(command, done)
 }
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -9,14 +9,14 @@
 
 // Response answers a request of a user or a worker.
 type Response struct {
-	Status      int
+	Status      int // of HTTP
 	RetryAfterS int // Retry-After in seconds, 0 for none
 	Body        []byte
-	// ValidUntil is when the answer may be out of date, by this node's clock; 0: never.
+	// ValidUntil is when the answer may become outdated, by this node's clock; 0: never.
 	ValidUntil ident.MonotonicTime
 }
 
-// limitValidity bounds an answer's time, if it says that the request was taken.
+// limitValidity bounds the validity of an answer, unless that refuses the request.
 func (r Response) limitValidity(deadline ident.MonotonicTime) Response {
 	if r.Status < http.StatusInternalServerError && (r.ValidUntil == 0 || deadline < r.ValidUntil) {
 		r.ValidUntil = deadline
@@ -24,7 +24,7 @@
 	return r
 }
 
-// IfValid returns the answer if it still holds at that time.
+// IfValid returns the answer if it is still valid at a time, and a refusal otherwise.
 func (r Response) IfValid(now ident.MonotonicTime) Response {
 	if r.ValidUntil > 0 && now >= r.ValidUntil {
 		return unavailable("the answer came too late")
@@ -38,16 +38,28 @@
 	return jsonResponse(status, api.ErrorResponse{Error: text})
 }
 
+// viewResponse is the answer to a poll.
+func viewResponse(v api.JobView) Response { return jsonResponse(http.StatusOK, v) }
+
 // ackResponse is the short answer about a job that is known.
 func ackResponse(v api.JobView) Response {
 	return jsonResponse(http.StatusOK, api.JobStatus{ID: v.ID, Status: v.Status})
 }
 
-// failoverRetryAfterS tells a client when to come back: about the time of a failover.
+func noSuchJob() Response { return errorResponse(http.StatusNotFound, "no such job") }
+
+// failoverRetryAfterS tells a client when to retry: after about the time of a failover.
 const failoverRetryAfterS = 1
 
+// unavailable is the answer to a request that may succeed later.
 func unavailable(text string) Response {
 	r := errorResponse(http.StatusServiceUnavailable, text)
 	r.RetryAfterS = failoverRetryAfterS
 	return r
 }
+
+// refuse answers a request with unavailable, and counts it.
+func (c *Controller) refuse(reply func(Response), text string) {
+	c.Refused++
+	reply(unavailable(text))
+}
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -13,8 +13,23 @@
 	"opaldale/internal/workers"
 )
 
-// adjustUsage keeps machines, teams and zones in step with a task that counts, or
-// doesn't any more.
+const (
+	// minBackoff and maxBackoff bound the pause between two tries of a job whose tasks fail. The latter is shorter
+	// than any job may be left waiting.
+	minBackoff = 4 * time.Second
+	maxBackoff = time.Minute
+	// suspectMachines is on how many machines a job's tasks must have failed for the job to be suspected.
+	suspectMachines = 3
+	// fullMachineQuarantine is how long nothing is placed on a machine that had no capacity for a task.
+	fullMachineQuarantine = time.Second
+	// rejectionBackoff is how much longer a rejected task waits with each rejection, up to maxRejectionBackoff.
+	rejectionBackoff    = time.Second
+	maxRejectionBackoff = 10 * time.Second
+	// drainHeartbeats is how many heartbeats before it must stop a task is told to, ahead of a reclaim.
+	drainHeartbeats = 2
+)
+
+// adjustUsage adds a task to the usage of its machine, team and zone, or removes it: sign is 1 or -1.
 func (l *leaderTerm) adjustUsage(t *jobs.Task, w *workers.Worker, sign int) {
 	j := t.Job
 	l.teams.AddUsage(j.Spec, float64(sign))
@@ -37,6 +52,7 @@
 	}
 }
 
+// onTaskStateChange keeps the usage in step with a task's state.
 func (l *leaderTerm) onTaskStateChange(t *jobs.Task, from, to jobs.State) {
 	w := l.workers.Workers[t.MachineID]
 	l.gangs.MarkChanged(t.Job)
@@ -48,13 +64,15 @@
 	}
 }
 
-// Place carries out a decision: it is launched once it is durable.
+// Place implements placement.Actions: the task is launched once its placement is durable. If that can't be commanded
+// then, the answer to the worker's next heartbeat launches it.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
-	slog.Debug("place", "task", t.TaskID().String(), "host", string(w.ID), "held", w.HasImage(t.Job.Spec.Image), "within", l.planner.WithinGuarantee(t.Job),
+	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
+		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", l.planner.WithinGuarantee(t.Job),
 		"age_s", l.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation, func() {
 		if l.closed() || !l.controller.allows(authority.Launch) {
-			return // the answer to its worker's next report launches it
+			return
 		}
 		if w.State == workers.Terminating || w.State == workers.Terminated {
 			return
@@ -63,30 +81,31 @@
 	})
 }
 
-// PlaceGang carries out the decision for all tasks of a gang that wait.
-func (l *leaderTerm) PlaceGang(j *jobs.Job, picks []gang.Placement) {
-	slog.Debug("place gang", "id", string(j.Spec.ID), "tasks", len(picks), "of", len(j.Tasks), "within", l.planner.WithinGuarantee(j),
-		"age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
-	l.gangs.Place(j, picks)
+// PlaceGang implements placement.Actions: it places all waiting tasks of a gang.
+func (l *leaderTerm) PlaceGang(j *jobs.Job, placements []gang.Placement) {
+	slog.Debug("placing gang", "job", string(j.Spec.ID), "tasks", len(placements), "total_tasks", len(j.Tasks),
+		"within_quota", l.planner.WithinGuarantee(j), "age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
+	l.gangs.Place(j, placements)
 }
 
-// GangUsedMachine says whether the gang's present attempt was on a machine before.
+// GangUsedMachine implements placement.Actions: it reports whether the gang's present attempt was on a machine before.
 func (l *leaderTerm) GangUsedMachine(j *jobs.Job, w *workers.Worker) bool {
 	return l.gangs.HasUsed(j, w.ID)
 }
 
-// CanStopGang says whether a gang can be stopped in order.
+// CanStopGang implements placement.Actions: it reports whether a gang can be stopped gracefully.
 func (l *leaderTerm) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
-// StopGang stops a whole gang so that others find room.
+// StopGang implements placement.Actions: it stops a whole gang to make room.
 func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
 
-// Preempt stops a task so that another finds room.
-func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, windDown time.Duration) {
-	slog.Info("preempting", "task", t.TaskID().String(), "host", string(w.ID))
-	l.workers.StopTask(w, t, windDown)
+// Preempt implements placement.Actions: it stops a task to make room.
+func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration) {
+	slog.Info("preempting task", "task", t.TaskID().String(), "machine", string(w.ID))
+	l.workers.StopTask(w, t, gracePeriod)
 }
 
+// stopJob stops all tasks of a job at once.
 func (l *leaderTerm) stopJob(j *jobs.Job) {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Allocated() {
@@ -95,71 +114,81 @@
 	}
 }
 
-// drainBeforeReclaim moves the tasks of a machine that will be taken, unless they will
-// probably complete before.
+// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, unless they will probably complete before.
 func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
 	now := l.env.Now()
 	untilReclaim := w.ReclaimAt.Sub(now)
 	for _, t := range l.workers.SortedTasks(w) {
-		spec := t.Job.Spec
-		if t.State != jobs.Assigned {
-			continue
+		if t.State == jobs.Assigned {
+			l.drainTask(w, t, untilReclaim, now)
 		}
-		remaining := settings.Seconds(spec.RuntimeS)
-		if t.RunningSince > 0 {
-			remaining -= now.Sub(t.RunningSince)
+	}
+}
+
+// drainTask stops a task if that is due. One that saves checkpoints is stopped as late as it can still save one, with a
+// heartbeat's time to spare. A gang is stopped as a whole, or not at all: what can't be commanded in time is
+// lost anyway.
+func (l *leaderTerm) drainTask(w *workers.Worker, t *jobs.Task, untilReclaim time.Duration, now ident.MonotonicTime) {
+	spec := t.Job.Spec
+	times := l.controller.settings.Cluster.Workers
+	commandTime := drainHeartbeats * settings.Seconds(times.HeartbeatS)
+	remaining := settings.Seconds(spec.RuntimeS)
+	if t.RunningSince > 0 {
+		remaining -= now.Sub(t.RunningSince)
+	}
+	completes := remaining <= untilReclaim
+	checkpointTime := settings.Seconds(spec.CheckpointS)
+	switch {
+	case spec.Shape == api.Gang:
+		if !completes && untilReclaim < checkpointTime+settings.Seconds(times.GangPeerS)+commandTime {
+			l.gangs.Stop(t.Job, "a machine will be taken")
 		}
-		saveTime := settings.Seconds(spec.CheckpointS)
-		switch {
-		case spec.Shape == api.Gang:
-			// The whole gang, or none of it: what can't be told in time is lost anyway.
-			saveTime += settings.Seconds(l.controller.settings.Cluster.Workers.GangPeerS)
-			if remaining > untilReclaim && untilReclaim < saveTime+2*settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS) {
-				l.gangs.Stop(t.Job, "a machine will be taken")
-			}
-		case spec.CanCheckpoint():
-			// As late as it can still save, with a report's time to spare.
-			if untilReclaim < saveTime+2*settings.Seconds(l.controller.settings.Cluster.Workers.HeartbeatS) {
-				l.workers.StopTask(w, t, t.CheckpointGracePeriod())
-			}
-		case spec.Shape == api.Service || remaining > untilReclaim:
-			l.workers.StopTask(w, t, 0)
+	case spec.CanCheckpoint():
+		if untilReclaim < checkpointTime+commandTime {
+			l.workers.StopTask(w, t, t.CheckpointGracePeriod())
 		}
+	case spec.Shape == api.Service || !completes:
+		l.workers.StopTask(w, t, 0)
 	}
 }
 
-// maxBackoff is the longest pause between two tries of a job whose tasks fail: shorter
-// than any job may be left waiting.
-const maxBackoff = time.Minute
-
 // onTaskFailed decides when and where a task that ended early is tried again.
 func (l *leaderTerm) onTaskFailed(t *jobs.Task, machine *workers.Worker, cause api.Cause) {
 	now := l.env.Now()
-	j := t.Job
+	if cause == api.CauseError {
+		slog.Info("task failed", "task", t.TaskID().String(), "machine", string(machine.ID))
+		l.noteTaskError(t, machine, now)
+		return
+	}
 	switch cause {
-	case api.CauseError:
-		slog.Info("task failed", "task", t.TaskID().String(), "host", string(machine.ID))
-		t.ConsecutiveErrors++
-		l.jobs.NoteFailure(j)
-		if j.AvoidedMachines == nil {
-			j.AvoidedMachines = map[ident.MachineID]bool{}
-		}
-		j.AvoidedMachines[machine.ID] = true
-		if len(j.AvoidedMachines) >= 3 {
-			// Rather the job's fault than that of so many machines.
-			clear(j.AvoidedMachines)
-			j.Suspect = !j.IsGang()
-		}
-		if (j.Suspect || len(j.AvoidedMachines) == 0) && now >= j.RetryAt { // once for all that fail together
-			j.Backoff = min(max(2*j.Backoff, 4*time.Second), maxBackoff)
-			j.RetryAt = now.Add(j.Backoff)
-		}
 	case api.CauseNoCapacity:
-		slog.Info("refused: full", "task", t.TaskID().String(), "host", string(machine.ID))
-		machine.QuarantinedUntil = now.Add(time.Second)
+		machine.QuarantinedUntil = now.Add(fullMachineQuarantine)
 	case api.CauseBusy, api.CauseUnknown:
-		slog.Info("refused", "task", t.TaskID().String(), "host", string(machine.ID), "cause", string(cause))
 		t.ConsecutiveErrors++
-		t.RetryAt = now.Add(min(time.Duration(t.ConsecutiveErrors)*time.Second, 10*time.Second))
+		t.RetryAt = now.Add(min(time.Duration(t.ConsecutiveErrors)*rejectionBackoff, maxRejectionBackoff))
+	default:
+		return
+	}
+	slog.Info("machine rejected task", "task", t.TaskID().String(), "machine", string(machine.ID), "cause", string(cause))
+}
+
+// noteTaskError has a job avoid the machine on which one of its tasks has failed. Failures on several machines are
+// rather the job's fault than that of all of them: it is tried more and more seldom then.
+func (l *leaderTerm) noteTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
+	j := t.Job
+	t.ConsecutiveErrors++
+	l.jobs.NoteFailure(j)
+	if j.AvoidedMachines == nil {
+		j.AvoidedMachines = map[ident.MachineID]bool{}
+	}
+	j.AvoidedMachines[machine.ID] = true
+	if len(j.AvoidedMachines) >= suspectMachines {
+		clear(j.AvoidedMachines)
+		j.Suspect = !j.IsGang()
+	}
+	backOff := j.Suspect || len(j.AvoidedMachines) == 0
+	if backOff && now >= j.RetryAt { // once for all tasks that fail together
+		j.Backoff = min(max(2*j.Backoff, minBackoff), maxBackoff)
+		j.RetryAt = now.Add(j.Backoff)
 	}
 }
--- a/internal/linktracker/tracker.go
+++ b/internal/linktracker/tracker.go
@@ -75,12 +75,13 @@
 
 // New returns the tracker of a node, which acts by env once it is started.
 func New(config Config, node Node, env Env, rng *rand.Rand) *Tracker {
+	monitorConfig := links.Config{SuspectGrace: config.Links.SuspectAfter, HalfLife: config.Links.PenaltyHalfLife}
 	t := &Tracker{
 		node:           node,
 		rng:            rng,
 		id:             config.Node,
 		peers:          map[ident.NodeID]bool{},
-		monitor:        links.NewMonitor(links.Config{SuspectGrace: config.Links.SuspectAfter, HalfLife: config.Links.PenaltyHalfLife}),
+		monitor:        links.NewMonitor(monitorConfig),
 		advertisements: links.NewDatabase(config.Peers),
 		incarnation:    uint64(max(1, env.WallMS())),
 		capabilities:   capabilities{linkState: map[ident.NodeID]bool{}},
