--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -77,7 +77,7 @@
 		case !found:
 			reply(noSuchJob())
 		default:
-			c.rememberIfCancelled(id, job.Phase.String())
+			c.rememberIfCancelled(id, job.Phase.Status())
 			reply(viewResponse(job.View(id)))
 		}
 	})
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -82,7 +82,7 @@
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		created := jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: "queued"})
+		created := jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: api.StatusQueued})
 		reply(l.limitToLeaderLease(created))
 	}
 	onConflict := func() { l.replyArchived(spec.ID, reply, ackResponse, unavailable("try again")) }
@@ -91,8 +91,8 @@
 
 // validate returns why a job can never run, or can't be stored.
 func (l *leaderTerm) validate(spec *api.Spec) error {
-	if reason := l.teams.RejectReason(spec); reason != "" {
-		return errors.New(reason)
+	if err := l.teams.Validate(spec); err != nil {
+		return err
 	}
 	if !l.fitsAnyMachineType(spec) {
 		return errNoMachineTypeFits
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -7,6 +7,7 @@
 	"opaldale/internal/authority"
 	"opaldale/internal/catalog"
 	"opaldale/internal/commit"
+	"opaldale/internal/election"
 	"opaldale/internal/fleet"
 	"opaldale/internal/gang"
 	"opaldale/internal/handover"
@@ -131,7 +132,7 @@
 func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
-	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(reason) })
+	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(election.StepDownReason(reason)) })
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.failPendingReplies
 	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
@@ -142,7 +143,14 @@
 		l.jobs.UsePackedLog()
 	}
 	nodes := append([]ident.NodeID{c.settings.Node}, c.peerIDs()...)
-	l.formatUpgrader = upgrade.New(l.env, l.term, leaderKey, nodes, l.committer.MarkDirty, l.enablePackedFormat)
+	l.formatUpgrader = upgrade.New(upgrade.Config{
+		Port:      l.env,
+		Term:      l.term,
+		LeaderKey: leaderKey,
+		Nodes:     nodes,
+		Persist:   l.committer.MarkDirty,
+		OnRaised:  l.enablePackedFormat,
+	})
 	l.reader = storereader.New(l.env, l.closed)
 	catalogConfig := catalog.Config{Packed: packed, MaxValueBytes: strictest.MaxValueBytes, Closed: l.closed}
 	l.catalog = catalog.New(catalogConfig, l.env, l.reader, l.committer)
@@ -182,11 +190,12 @@
 
 func (l *leaderTerm) newPlanner() *placement.Planner {
 	cfg := l.controller.settings
-	useASM1 := cfg.Tuning.PlanMode == planModeASM1
-	planner := placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, useASM1, cfg.Cluster.Objectives)
-	planner.MaxWait = cfg.Tuning.StarvationTimeout
-	planner.GangWait = cfg.Tuning.GangPreemptAfter
-	return planner
+	return placement.NewPlanner(l.teams, l.jobs, l.workers, l, l.env.Now, placement.Config{
+		UseASM1:    cfg.Tuning.PlanMode == planModeASM1,
+		Objectives: cfg.Cluster.Objectives,
+		MaxWait:    cfg.Tuning.StarvationTimeout,
+		GangWait:   cfg.Tuning.GangPreemptAfter,
+	})
 }
 
 func (l *leaderTerm) newHandover() *handover.Coordinator {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -110,13 +110,23 @@
 	if echoed && frame.Node == from {
 		c.renewer.Permit(frame.Term, sentAt, transport.FromMillis(heartbeat.LeaseAllowanceMS))
 	}
-	if c.leader != nil {
-		c.leader.renewals.ObserveHeartbeat(from, now, sentAt, echoed, renewal.PeerStatus{
-			ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
-			SinceLeader:  transport.FromMillis(heartbeat.SinceLeaderMS),
-			HasRenewed:   heartbeat.SinceRenewalMS != transport.Never,
-			SinceRenewal: transport.FromMillis(heartbeat.SinceRenewalMS),
-		})
+	if c.leader == nil {
+		return
+	}
+	if echoed {
+		c.leader.renewals.ObserveEcho(from, now, sentAt, peerStatus(heartbeat))
+	} else {
+		c.leader.renewals.ObserveHeartbeat(from, now)
+	}
+}
+
+// peerStatus returns what a heartbeat says of its sender.
+func peerStatus(heartbeat *transport.PeerHeartbeat) renewal.PeerStatus {
+	return renewal.PeerStatus{
+		ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
+		SinceLeader:  transport.FromMillis(heartbeat.SinceLeaderMS),
+		HasRenewed:   heartbeat.SinceRenewalMS != transport.Never,
+		SinceRenewal: transport.FromMillis(heartbeat.SinceRenewalMS),
 	}
 }
 
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -68,9 +68,9 @@
 // then, the answer to the worker's next heartbeat launches it.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
-		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", l.planner.WithinGuarantee(t.Job),
+		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinQuota,
 		"age_s", l.env.Now().Sub(t.Job.SubmittedAt).Seconds())
-	l.jobs.Place(t, w.ID, w.Incarnation, func() {
+	l.jobs.Place(t, w.ID, w.Incarnation(), func() {
 		if l.closed() || !l.controller.allows(authority.Launch) {
 			return
 		}
@@ -84,7 +84,7 @@
 // PlaceGang implements placement.Actions: it places all waiting tasks of a gang.
 func (l *leaderTerm) PlaceGang(j *jobs.Job, placements []gang.Placement) {
 	slog.Debug("placing gang", "job", string(j.Spec.ID), "tasks", len(placements), "total_tasks", len(j.Tasks),
-		"within_quota", l.planner.WithinGuarantee(j), "age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
+		"within_quota", j.WithinQuota, "age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, placements)
 }
 
@@ -97,7 +97,7 @@
 func (l *leaderTerm) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
 // StopGang implements placement.Actions: it stops a whole gang to make room.
-func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, "makes room") }
+func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, gang.ReasonPreempted) }
 
 // Preempt implements placement.Actions: it stops a task to make room.
 func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration) {
@@ -141,7 +141,7 @@
 	switch {
 	case spec.Shape == api.Gang:
 		if !completes && untilReclaim < checkpointTime+settings.Seconds(times.GangPeerS)+commandTime {
-			l.gangs.Stop(t.Job, "a machine will be taken")
+			l.gangs.Stop(t.Job, gang.ReasonReclaimNotice)
 		}
 	case spec.CanCheckpoint():
 		if untilReclaim < checkpointTime+commandTime {
@@ -162,7 +162,7 @@
 	}
 	switch cause {
 	case api.CauseNoCapacity:
-		machine.QuarantinedUntil = now.Add(fullMachineQuarantine)
+		machine.Quarantine(now.Add(fullMachineQuarantine))
 	case api.CauseBusy, api.CauseUnknown:
 		t.ConsecutiveErrors++
 		t.RetryAt = now.Add(min(time.Duration(t.ConsecutiveErrors)*rejectionBackoff, maxRejectionBackoff))
--- a/internal/linktracker/report.go
+++ b/internal/linktracker/report.go
@@ -119,7 +119,7 @@
 				State:     verdict.State.String(),
 				StateCode: int(verdict.State),
 				Evidence:  verdict.Evidence.String(),
-				Level:     verdict.Level,
+				Level:     verdict.Suspicion,
 				DurationS: roundSeconds(now.Sub(verdict.Since)),
 				Damped:    verdict.Damped,
 				Refusing:  t.monitor.Refusing(p),
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -29,7 +29,7 @@
 		switch {
 		case w.State == workers.Terminated:
 			r.speedTracker.RemoveMachine(w.ID)
-		case w.State == workers.Up && r.speedTracker.IsSlow(w.ID, len(all)):
+		case w.State == workers.Up && r.speedTracker.DetectSlow(w.ID, len(all)):
 			r.slowMachines++
 			r.markSlow(w)
 		}
