--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -38,13 +38,13 @@
 	attempt ident.Attempt
 }
 
-func (w *Simulation) gang(j *userJob, try ident.Attempt) *gangAttempt {
+func (sim *Simulation) gang(j *userJob, try ident.Attempt) *gangAttempt {
 	k := gangKey{j.spec.ID, try}
-	g := w.gangs[k]
+	g := sim.gangs[k]
 	if g == nil {
-		g = &gangAttempt{sim: w, job: j, attempt: try, members: map[int]*member{}, stopRequested: map[int]bool{}}
-		w.gangs[k] = g
-		w.schedule(gangTick, g.tick)
+		g = &gangAttempt{sim: sim, job: j, attempt: try, members: map[int]*member{}, stopRequested: map[int]bool{}}
+		sim.gangs[k] = g
+		sim.schedule(gangTick, g.tick)
 	}
 	return g
 }
@@ -59,31 +59,31 @@
 func (m *member) responsive() bool { return m.present() && m.worker.sim.now >= m.worker.hungUntil }
 
 // join takes in a task that has its image.
-func (g *gangAttempt) join(k *worker, p *task) {
-	w := g.sim
-	p.status = api.Gathering
-	k.expediteHeartbeat()
-	w.checkTaskStart(k, p)
-	i := p.id.Index
+func (g *gangAttempt) join(w *worker, t *task) {
+	sim := g.sim
+	t.status = api.Gathering
+	w.expediteHeartbeat()
+	sim.checkTaskStart(w, t)
+	i := t.id.Index
 	if g.job.done[i] {
-		k.scheduleStep(p, time.Millisecond, func() { k.endTask(p, api.CauseDone) })
+		w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
 		return
 	}
-	for o := range w.gangs {
-		if o.job == g.job.spec.ID && o.attempt > g.attempt && w.gangs[o].started {
-			w.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
+	for o := range sim.gangs {
+		if o.job == g.job.spec.ID && o.attempt > g.attempt && sim.gangs[o].started {
+			sim.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
 		}
 	}
-	if m := g.members[i]; m != nil && m.worker == k && m.incarnation == k.incarnation {
-		w.reportViolation("attempt %d of %s begins twice on %s", g.attempt, p.id, k.id)
+	if m := g.members[i]; m != nil && m.worker == w && m.incarnation == w.incarnation {
+		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, t.id, w.id)
 	}
-	if g.finished && w.now.Sub(g.finishedAt).Seconds() > 4*w.settings.Workers.LeaseS {
-		w.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, p.id)
+	if g.finished && sim.now.Sub(g.finishedAt).Seconds() > 4*sim.settings.Workers.LeaseS {
+		sim.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, t.id)
 	}
-	g.members[i] = &member{worker: k, task: p, incarnation: k.incarnation}
-	k.scheduleStep(p, seconds(w.settings.Workers.GangWaitS), func() {
-		if p.status == api.Gathering {
-			k.endTask(p, api.CauseGangIncomplete)
+	g.members[i] = &member{worker: w, task: t, incarnation: w.incarnation}
+	w.scheduleStep(t, seconds(sim.settings.Workers.GangWaitS), func() {
+		if t.status == api.Gathering {
+			w.endTask(t, api.CauseGangIncomplete)
 		}
 	})
 	g.start()
@@ -123,113 +123,149 @@
 }
 
 // kill tells one task to stop.
-func (g *gangAttempt) kill(k *worker, p *task, windDown float64) {
+func (g *gangAttempt) kill(w *worker, t *task, windDown float64) {
 	s := &g.job.spec
-	if p.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
+	if t.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
 		if g.stopRequestedAt > 0 && !g.checkpointed {
 			g.checkpointFailed = true
 		}
-		k.endTask(p, api.CauseStopped)
+		w.endTask(t, api.CauseStopped)
 		return
 	}
 	if g.stopRequestedAt == 0 {
 		g.stopRequestedAt = g.sim.now
 		g.sim.GangStops++
 	}
-	g.stopRequested[p.id.Index] = true
-	p.status = api.Flushing
-	k.expediteHeartbeat()
-	k.scheduleStep(p, seconds(s.CheckpointS), func() { g.finishCheckpoint(k, p) })
+	g.stopRequested[t.id.Index] = true
+	t.status = api.Flushing
+	w.expediteHeartbeat()
+	w.scheduleStep(t, seconds(s.CheckpointS), func() { g.finishCheckpoint(w, t) })
 }
 
 // finishCheckpoint ends a task that has saved, once the others have.
-func (g *gangAttempt) finishCheckpoint(k *worker, p *task) {
+func (g *gangAttempt) finishCheckpoint(w *worker, t *task) {
 	switch {
 	case !g.checkpointFailed && len(g.stopRequested) == g.job.spec.Tasks:
 		g.checkpointed = true
 		g.job.checkpointedSeconds = g.progress
-		p.stored = true
-		k.endTask(p, api.CauseStopped)
+		t.stored = true
+		w.endTask(t, api.CauseStopped)
 	case g.checkpointFailed || g.sim.now.Sub(g.stopRequestedAt).Seconds() > g.sim.settings.Workers.GangPeerS:
-		k.endTask(p, api.CauseStopped)
+		w.endTask(t, api.CauseStopped)
 	default:
-		k.scheduleStep(p, gangTick, func() { g.finishCheckpoint(k, p) })
+		w.scheduleStep(t, gangTick, func() { g.finishCheckpoint(w, t) })
 	}
 }
 
-// tick plays the time of a gang that runs.
+// tick advances an attempt by one interval.
 func (g *gangAttempt) tick() {
-	w := g.sim
-	peer := seconds(w.settings.Workers.GangPeerS)
-	left, complete := 0, true
+	present, complete := g.countMembers()
+	if g.started && present == 0 {
+		g.finish()
+		return
+	}
+	g.sim.schedule(gangTick, g.tick)
+	if !g.started {
+		return
+	}
+	if !complete && !g.finished {
+		g.finish()
+	}
+	switch {
+	case g.checkpointOverdue():
+		g.failCheckpoint(complete)
+	case g.stopRequestedAt > 0:
+	case complete:
+		g.advance()
+	default:
+		g.endIfMemberLost()
+	}
+}
+
+// countMembers returns how many members are on their machines, and whether all of them respond. It notes since when
+// the others do not.
+func (g *gangAttempt) countMembers() (present int, complete bool) {
+	complete = true
 	for _, m := range g.sorted() {
 		if m.responsive() {
 			m.unresponsiveSince = 0
-			left++
+			present++
 			continue
 		}
 		complete = false
 		if m.present() {
-			left++ // hangs
+			present++
 		}
 		if m.unresponsiveSince == 0 {
-			m.unresponsiveSince = w.now
+			m.unresponsiveSince = g.sim.now
+		}
+	}
+	return present, complete
+}
+
+// finish notes that a member of a started attempt has exited.
+func (g *gangAttempt) finish() { g.finished, g.finishedAt = true, g.sim.now }
+
+// peerTimeout is how long members wait for each other.
+func (g *gangAttempt) peerTimeout() time.Duration { return seconds(g.sim.settings.Workers.GangPeerS) }
+
+// checkpointOverdue reports whether members wait to checkpoint for others that were not asked to stop in time.
+func (g *gangAttempt) checkpointOverdue() bool {
+	return g.stopRequestedAt > 0 && !g.checkpointed && !g.checkpointFailed && len(g.stopRequested) < g.job.spec.Tasks &&
+		g.sim.now.Sub(g.stopRequestedAt) > g.peerTimeout()
+}
+
+// failCheckpoint ends the members that were not asked to stop. Without faults all must have been asked.
+func (g *gangAttempt) failCheckpoint(complete bool) {
+	g.checkpointFailed = true
+	if complete && g.sim.quiescentFor(g.peerTimeout()) {
+		g.sim.reportViolation("only %d of %d tasks of %s were asked to stop in time", len(g.stopRequested), g.job.spec.Tasks,
+			g.job.spec.ID)
+	}
+	for _, m := range g.sorted() {
+		if m.responsive() && !g.stopRequested[m.task.id.Index] {
+			m.worker.endTask(m.task, api.CauseGangMemberLost)
 		}
 	}
-	if g.started && left == 0 {
-		g.finished, g.finishedAt = true, w.now
+}
+
+// endIfMemberLost ends the attempt once a member has not responded for the time that members wait for each other.
+func (g *gangAttempt) endIfMemberLost() {
+	lost := false
+	for _, m := range g.members {
+		lost = lost || m.unresponsiveSince > 0 && g.sim.now.Sub(m.unresponsiveSince) >= g.peerTimeout()
+	}
+	if !lost {
 		return
 	}
-	w.schedule(gangTick, g.tick)
-	if !g.started {
+	for _, m := range g.sorted() {
+		if m.responsive() {
+			m.worker.endTask(m.task, api.CauseGangMemberLost)
+		}
+	}
+}
+
+// advance adds an interval to the progress of a complete gang, and ends the gang once it has run for its duration.
+func (g *gangAttempt) advance() {
+	g.progress += gangTick.Seconds()
+	if interval := g.job.spec.CheckpointEveryS; interval > 0 {
+		g.job.checkpointedSeconds = max(g.job.checkpointedSeconds, math.Floor(g.progress/interval)*interval)
+	}
+	if g.progress < g.job.duration.Seconds() {
 		return
 	}
-	if !complete && !g.finished {
-		g.finished, g.finishedAt = true, w.now
+	for i := range g.job.done {
+		g.job.done[i] = true
 	}
-	switch {
-	case g.stopRequestedAt > 0 && !g.checkpointed && w.now.Sub(g.stopRequestedAt) > peer && len(g.stopRequested) < g.job.spec.Tasks && !g.checkpointFailed:
-		g.checkpointFailed = true
-		if complete && w.quiescentFor(peer) {
-			w.reportViolation("only %d of %d tasks of %s were told to stop in time", len(g.stopRequested), g.job.spec.Tasks, g.job.spec.ID)
-		}
-		for _, m := range g.sorted() {
-			if m.responsive() && !g.stopRequested[m.task.id.Index] {
-				m.worker.endTask(m.task, api.CauseGangMemberLost)
-			}
-		}
-	case !complete && g.stopRequestedAt == 0:
-		for _, m := range g.members {
-			if m.unresponsiveSince > 0 && w.now.Sub(m.unresponsiveSince) >= peer {
-				for _, o := range g.sorted() {
-					if o.responsive() {
-						o.worker.endTask(o.task, api.CauseGangMemberLost)
-					}
-				}
-				return
-			}
-		}
-	case complete && g.stopRequestedAt == 0:
-		g.progress += gangTick.Seconds()
-		if every := g.job.spec.CheckpointEveryS; every > 0 {
-			g.job.checkpointedSeconds = max(g.job.checkpointedSeconds, math.Floor(g.progress/every)*every)
-		}
-		if g.progress >= g.job.duration.Seconds() {
-			for i := range g.job.done {
-				g.job.done[i] = true
-			}
-			for _, m := range g.sorted() {
-				m.worker.endTask(m.task, api.CauseDone)
-			}
-			g.finished, g.finishedAt = true, w.now
-		}
+	for _, m := range g.sorted() {
+		m.worker.endTask(m.task, api.CauseDone)
 	}
+	g.finish()
 }
 
-// quiescentFor says whether nothing has gone wrong for so long, that could have kept an
-// order from a machine.
-func (w *Simulation) quiescentFor(d time.Duration) bool {
-	return !w.cfg.Faults || w.now.Sub(ident.MonotonicTime(w.cfg.ActiveDuration+faultDrainTime)) > d
+// quiescentFor reports whether no fault has been able to keep a command from a machine for d.
+func (sim *Simulation) quiescentFor(d time.Duration) bool {
+	return !sim.cfg.Faults || sim.now.Sub(ident.MonotonicTime(sim.cfg.ActiveDuration+faultDrainTime)) > d
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
