--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -140,7 +140,7 @@
 
 // OnStoppedLeading ends the term: it implements election.Callbacks. Of what the term knew only what is final
 // is used again.
-func (c *Controller) OnStoppedLeading(string) {
+func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader == nil {
 		return
 	}
--- /dev/null
+++ b/internal/simulator/store.go
@@ -0,0 +1,287 @@
+package simulator
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"sort"
+	"strings"
+	"time"
+
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/settings"
+)
+
+// store is the state service.
+type store struct {
+	sim         *Simulation
+	revision    uint64
+	keys        map[string]*entry
+	leases      map[uint64]ident.MonotonicTime // when each ends
+	leaseTTLs   map[uint64]time.Duration
+	lastLeaseID uint64
+	watchers    []*watcher
+	history     []kvstore.WatchEvent
+	downUntil   ident.MonotonicTime
+	rejectUntil map[string]ident.MonotonicTime
+	limits      settings.StoreLimits
+}
+
+type entry struct {
+	value    json.RawMessage
+	revision ident.Revision
+	leaseID  uint64
+}
+
+type watcher struct {
+	prefix        string
+	afterRevision uint64
+	reply         func(kvstore.Response)
+	done          bool
+}
+
+func newStore(sim *Simulation) *store {
+	s := &store{sim: sim, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, leaseTTLs: map[uint64]time.Duration{},
+		rejectUntil: map[string]ident.MonotonicTime{}, limits: sim.settings.Store}
+	sim.schedule(0, s.expireLeases)
+	return s
+}
+
+// expireLeases ends leases; an outage gives each its full time again.
+func (s *store) expireLeases() {
+	if s.sim.now < s.downUntil {
+		for g := range s.leases {
+			s.leases[g] = s.downUntil.Add(s.leaseTTLs[g])
+		}
+	}
+	for _, g := range slices.Sorted(maps.Keys(s.leases)) {
+		if s.sim.now > s.leases[g] {
+			s.endLease(g)
+		}
+	}
+	s.sim.schedule(20*time.Millisecond, s.expireLeases)
+}
+
+func (s *store) endLease(leaseID uint64) {
+	delete(s.leases, leaseID)
+	var gone []kvstore.Mutation
+	for k, e := range s.keys {
+		if e.leaseID == leaseID {
+			gone = append(gone, kvstore.Mutation{Delete: k})
+		}
+	}
+	if len(gone) > 0 {
+		sort.Slice(gone, func(i, k int) bool { return gone[i].Delete < gone[k].Delete })
+		s.apply(gone)
+	}
+}
+
+// apply carries out mutations as one revision, and notifies watchers.
+func (s *store) apply(mutations []kvstore.Mutation) {
+	s.revision++
+	for _, c := range mutations {
+		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
+		s.sim.checkMoveRecord(c)
+		if c.Put != "" {
+			s.keys[c.Put] = &entry{c.Value, ident.Revision(s.revision), c.LeaseID}
+		} else {
+			delete(s.keys, c.Delete)
+		}
+		s.history = append(s.history, n)
+	}
+	for _, w := range s.watchers {
+		s.notify(w, false)
+	}
+}
+
+// notify replies to a watcher for which there are changes, or whose time is over.
+func (s *store) notify(w *watcher, over bool) {
+	if w.done {
+		return
+	}
+	out := s.ok()
+	for _, e := range s.history {
+		if uint64(e.Revision) > w.afterRevision && strings.HasPrefix(e.Put+e.Delete, w.prefix) {
+			out.Events = append(out.Events, e)
+		}
+	}
+	if len(out.Events) > 0 || over {
+		w.done = true
+		w.reply(out)
+	}
+}
+
+// serve serves a request of a node. A watch is answered later.
+func (s *store) serve(from string, r kvstore.Request, reply func(kvstore.Response)) {
+	if s.sim.now < s.downUntil || s.sim.now < s.rejectUntil[from] {
+		reply(kvstore.Response{Outcome: kvstore.Unavailable})
+		return
+	}
+	switch r.Op {
+	case kvstore.Get:
+		reply(s.get(r))
+	case kvstore.List:
+		reply(s.list(r))
+	case kvstore.Txn:
+		if !s.interceptTransaction(r) {
+			reply(s.transact(r))
+		}
+	case kvstore.GrantLease:
+		reply(s.grantLease(r))
+	case kvstore.RenewLease:
+		reply(s.renewLease(r))
+	case kvstore.RevokeLease:
+		out := s.ok() // the revision is that of before
+		if _, ok := s.leases[r.LeaseID]; ok {
+			s.endLease(r.LeaseID)
+		}
+		reply(out)
+	case kvstore.Watch:
+		s.watch(r, reply)
+	default:
+		reply(s.ok())
+	}
+}
+
+// ok is the response to a request that was carried out and returns nothing more.
+func (s *store) ok() kvstore.Response {
+	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
+}
+
+func (s *store) get(r kvstore.Request) kvstore.Response {
+	out := s.ok()
+	e := s.keys[r.Key]
+	if e == nil {
+		out.Outcome = kvstore.NotFound
+		return out
+	}
+	out.Value, out.Revision, out.LeaseID = e.value, e.revision, e.leaseID
+	return out
+}
+
+// listPageSize is how many keys a list returns. Pages are small, so that paging is tested.
+const listPageSize = 7
+
+func (s *store) list(r kvstore.Request) kvstore.Response {
+	var names []string
+	for k := range s.keys {
+		if strings.HasPrefix(k, r.Prefix) && k > r.StartAfter {
+			names = append(names, k)
+		}
+	}
+	sort.Strings(names)
+	out := s.ok()
+	out.Truncated = len(names) > listPageSize
+	for _, k := range names[:min(len(names), listPageSize)] {
+		out.KeyValues = append(out.KeyValues, kvstore.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].revision})
+	}
+	return out
+}
+
+func (s *store) grantLease(r kvstore.Request) kvstore.Response {
+	s.lastLeaseID++
+	s.leaseTTLs[s.lastLeaseID] = r.TTL
+	s.leases[s.lastLeaseID] = s.sim.now.Add(r.TTL)
+	out := s.ok()
+	out.LeaseID = s.lastLeaseID
+	return out
+}
+
+func (s *store) renewLease(r kvstore.Request) kvstore.Response {
+	out := s.ok()
+	if _, ok := s.leases[r.LeaseID]; !ok {
+		out.Outcome = kvstore.NotFound
+		return out
+	}
+	s.leases[r.LeaseID] = s.sim.now.Add(s.leaseTTLs[r.LeaseID])
+	return out
+}
+
+// maxWatchers bounds the list of watchers; half of it, the oldest, is dropped beyond that.
+const maxWatchers = 100
+
+// watch replies as soon as a change is there, or when the time of the request is over.
+func (s *store) watch(r kvstore.Request, reply func(kvstore.Response)) {
+	w := &watcher{prefix: r.Prefix, afterRevision: r.Revision, reply: reply}
+	s.watchers = append(s.watchers, w)
+	s.notify(w, false)
+	s.sim.schedule(r.Block, func() { s.notify(w, true) })
+	if len(s.watchers) > maxWatchers {
+		s.watchers = s.watchers[maxWatchers/2:]
+	}
+}
+
+// lowerLimits brings the announced limits into force.
+func (s *store) lowerLimits() {
+	s.limits = s.limits.Strictest()
+	s.sim.logf("the state service has its new limits")
+}
+
+// maxTransactionBytes bounds the values of a transaction together.
+const maxTransactionBytes = 64 << 10
+
+// transact carries out a transaction, if it is within the limits and its conditions hold.
+func (s *store) transact(r kvstore.Request) kvstore.Response {
+	if rejected, ok := s.checkLimits(r); !ok {
+		return rejected
+	}
+	if failed := s.failedCompares(r); failed != nil {
+		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed, StoreRevision: s.revision}
+	}
+	s.apply(r.Mutations)
+	return s.ok()
+}
+
+// checkLimits rejects a transaction that is over a limit or uses a lease that is not there.
+func (s *store) checkLimits(r kvstore.Request) (rejected kvstore.Response, ok bool) {
+	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
+		return s.rejectOversized("transaction over the limits: %d mutations, %d compares", len(r.Mutations), len(r.Compares)), false
+	}
+	size := 0
+	for _, m := range r.Mutations {
+		size += len(m.Value)
+		if float64(len(m.Value)) > s.limits.ValueKB*1024 {
+			return s.rejectOversized("value of %s over the limit: %d bytes", m.Put, len(m.Value)), false
+		}
+		if m.Put == "" || m.LeaseID == 0 {
+			continue
+		}
+		if _, ok := s.leases[m.LeaseID]; !ok {
+			return kvstore.Response{Outcome: kvstore.Invalid, Error: "no such lease"}, false
+		}
+	}
+	if size > maxTransactionBytes {
+		s.sim.reportViolation("transaction of %d bytes", size)
+	}
+	return kvstore.Response{}, true
+}
+
+// rejectOversized rejects a transaction for a limit. That is a violation unless the limits were lowered: a node may not
+// have learnt of it yet.
+func (s *store) rejectOversized(format string, a ...any) kvstore.Response {
+	s.sim.OversizedTransactions++
+	s.sim.logf(format, a...)
+	if s.limits == s.sim.settings.Store {
+		s.sim.reportViolation(format, a...)
+	}
+	return kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}
+}
+
+// failedCompares lists the keys whose revision is not what a transaction demands.
+func (s *store) failedCompares(r kvstore.Request) (failed []string) {
+	election := r.Compares[0].Key == "leader" && len(r.Compares) == 2 && r.Compares[1].Key == "term"
+	if s.sim.mutates(IgnoreRevisions) && !election {
+		return nil
+	}
+	for _, c := range r.Compares {
+		var have ident.Revision
+		if e := s.keys[c.Key]; e != nil {
+			have = e.revision
+		}
+		if have != c.Revision {
+			failed = append(failed, c.Key)
+		}
+	}
+	return failed
+}
