--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -5,13 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"opaldale/internal/cloud"
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
-	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
-	"opaldale/internal/transport"
-	"opaldale/internal/workers"
 )
 
 // node is a controller's machine; its process comes and goes.
@@ -63,13 +59,13 @@
 	if n.sim.cfg.Tune != nil {
 		n.sim.cfg.Tune(&set.Tuning)
 	}
-	if n.sim.cfg.Mutation == NoFlapDamping {
+	if n.sim.mutates(NoFlapDamping) {
 		set.Tuning.Links.PenaltyHalfLife = time.Millisecond
 	}
-	if n.sim.cfg.Mutation == UnboundedHandovers {
+	if n.sim.mutates(UnboundedHandovers) {
 		set.Tuning.Links.MinLeadTime, set.Tuning.Links.BetterPeerFor = 0, 0
 	}
-	if n.sim.cfg.Mutation == NoMaxWait {
+	if n.sim.mutates(NoMaxWait) {
 		set.Tuning.StarvationTimeout = 24 * time.Hour
 	}
 	for _, o := range n.sim.nodes {
@@ -79,12 +75,13 @@
 	}
 	if len(set.Peers) == 0 {
 		for i := range n.sim.settings.Nodes {
-			if name := fmt.Sprintf("agent-%d", i); name != n.name {
+			if name := fmt.Sprintf(nodePrefix+"%d", i); name != n.name {
 				set.Peers = append(set.Peers, settings.Peer{Node: ident.NodeID(name)})
 			}
 		}
 	}
-	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now, clockRate: 1 + (n.sim.rng.Float64()-0.5)*0.001}
+	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now,
+		clockRate: 1 + (n.sim.rng.Float64()-0.5)*0.001}
 	n.env, n.eventPause = e, eventPause{}
 	n.controller = controller.New(e, set, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1)))
 	n.controller.Start()
@@ -100,217 +97,3 @@
 	n.incarnation++
 	n.sim.schedule(restartAfter, n.start)
 }
-
-// nodeEnv is the world as one process sees it.
-type nodeEnv struct {
-	node        *node
-	incarnation int
-	legacy      bool // the process is of the version in production
-	startedAt   ident.MonotonicTime
-	clockRate   float64 // of its steady clock
-}
-
-func (e *nodeEnv) sim() *Simulation { return e.node.sim }
-
-func (e *nodeEnv) Now() ident.MonotonicTime {
-	e.maybePause()
-	return ident.MonotonicTime(float64(e.sim().now.Add(e.node.eventPause.paused)-e.startedAt) * e.clockRate)
-}
-
-func (e *nodeEnv) WallMS() int64 { return 1_700_000_000_000 + e.sim().now.Sub(0).Milliseconds() }
-
-// ifAlive runs f if the process still lives.
-func (e *nodeEnv) ifAlive(f func()) func() {
-	return func() { e.node.whenResponsive(e.incarnation, f) }
-}
-
-func (e *nodeEnv) After(d time.Duration, f func()) {
-	e.maybePause()
-	e.sim().schedule(e.node.eventPause.paused+max(0, time.Duration(float64(d)/e.clockRate)+time.Microsecond), e.ifAlive(f))
-}
-
-func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
-	w := e.sim()
-	w.cfg.Digest.stateRequest(w.now, e.node.name, r)
-	ok := true
-	if e.legacy {
-		f, ok = e.legacyRequest(r, f)
-	} else {
-		r, ok = w.mutateRequest(r, e.replyIfAlive(f))
-	}
-	if !ok {
-		return
-	}
-	if w.cfg.Mutation == ForgetPlacements && r.Op == kvstore.List {
-		g := f
-		f = func(a kvstore.Response) { g(forgetPlacements(a)) }
-	}
-	w.recordPlacement(e.node.name, r)
-	w.recordTransaction(e.node, r)
-	send := func() {
-		w.call(e.node.name, "state", r.Timeout, func(reply func(any)) { w.store.serve(e.node.name, r, reply) }, func(a any) {
-			e.ifAlive(func() {
-				if a == nil {
-					f(kvstore.Response{Outcome: kvstore.NoAnswer})
-				} else {
-					f(a.(kvstore.Response))
-				}
-			})()
-		})
-	}
-	send = e.afterPause(send)
-	if w.cfg.Mutation == LaunchBeforeCommit && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" && r.Compares[0].Revision != 0 {
-		w.launchBeforeCommit(e.node.name, r)
-		w.schedule(400*time.Millisecond, e.ifAlive(send))
-		return
-	}
-	send()
-}
-
-// replyIfAlive has an answer come to the process, if it still lives.
-func (e *nodeEnv) replyIfAlive(f func(kvstore.Response)) func(kvstore.Response) {
-	return func(a kvstore.Response) { e.ifAlive(func() { f(a) })() }
-}
-
-func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
-	w := e.sim()
-	w.cfg.Digest.cloudRequest(w.now, e.node.name, r)
-	answer := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
-	e.afterPause(func() {
-		if e.deadlinePassed(r.NotAfter) {
-			w.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
-			return
-		}
-		w.call(e.node.name, "cloud", 4*time.Second, func(reply func(any)) { w.cloud.serve(r, reply) }, func(a any) {
-			if a == nil {
-				a = cloud.Response{Outcome: cloud.NoAnswer}
-			}
-			answer(a.(cloud.Response))
-		})
-	})()
-}
-
-func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
-	e.sim().cfg.Digest.command(e.sim().now, e.node.name, c)
-	e.afterPause(func() { e.command(c, f) })()
-}
-
-func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
-	w := e.sim()
-	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
-	w.recordLaunch(e.node.name, c)
-	if c.Launches() && w.handingOver(e.node) {
-		w.reportViolation("%s starts a task while it hands the lead over", e.node.name)
-	}
-	if c.Launches() && !e.deadlinePassed(c.NotAfter) && !e.leads() {
-		w.countEvent("launch without leadership")
-	}
-	target := w.workers[ident.MachineID(c.Addr)]
-	switch {
-	case e.deadlinePassed(c.NotAfter):
-		w.schedule(0, func() { answer(workers.CommandResult{NotSent: true}) })
-		return
-	case target == nil:
-		w.schedule(0, func() { answer(workers.CommandResult{}) })
-		return
-	}
-	if w.cfg.Mutation == DropStopCommands {
-		c.Body.Commands = withoutStops(c.Body.Commands)
-	}
-	w.call(e.node.name, c.Addr, 1200*time.Millisecond, func(reply func(any)) {
-		deliverCommand := func() {
-			target.whenResponsive(func() {
-				target.handleCommands(c.Body, func(a any) {
-					if d := w.commandDelay(); d > 0 {
-						w.schedule(d, func() { reply(a) })
-						return
-					}
-					reply(a)
-				})
-			})
-		}
-		if d := w.commandDelay(); d > 0 {
-			w.schedule(d, deliverCommand)
-			return
-		}
-		deliverCommand()
-	}, func(a any) {
-		if a == nil {
-			a = workers.CommandResult{}
-		}
-		answer(a.(workers.CommandResult))
-	})
-}
-
-func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
-	w := e.sim()
-	for _, o := range w.nodes {
-		if o.name != string(to) {
-			continue
-		}
-		// Through the wire format, as between processes.
-		encoded := f.Append(nil)
-		w.cfg.Digest.frame(w.now, e.node.name, o.name, encoded)
-		g, err := transport.Decode(encoded[4:])
-		if err != nil {
-			panic(err)
-		}
-		if w.cfg.Mutation == KeepLeasesForever && g.Type == transport.MsgHeartbeat && g.Heartbeat.LeaseAllowanceMS > 0 {
-			g.Heartbeat.LeaseAllowanceMS = transport.ToMillis(time.Hour)
-		}
-		if !w.observeFrame(e.node, o, g) {
-			return
-		}
-		incarnation := o.incarnation
-		e.afterPause(func() {
-			w.deliver(e.node.name, o.name, func() {
-				o.whenResponsive(incarnation, func() { o.controller.HandleFrame(ident.NodeID(e.node.name), g) })
-			})
-		})()
-	}
-}
-
-// request is a request of a user or a worker to a node.
-func (w *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration, done func(*controller.Response)) {
-	if !n.alive {
-		w.schedule(time.Millisecond, func() { done(nil) })
-		return
-	}
-	incarnation := n.incarnation
-	key := n.name + " " + job
-	if v == transport.SubmitJob && w.cfg.Mutation == DropZoneConstraint {
-		body = dropZoneConstraint(body)
-	}
-	w.call(from, n.name, timeout, func(reply func(any)) {
-		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == transport.GetJob && w.cfg.Mutation == CacheStatusAnswers && c.body != nil && w.now.Sub(c.at) < cacheTTL {
-				reply(&controller.Response{Status: 200, Body: c.body})
-				return
-			}
-			n.controller.HandleRequest(v, job, body, func(r controller.Response) {
-				n.env.afterPause(func() {
-					if w.cfg.Mutation != IgnoreSendDeadlines {
-						r = r.IfValid(n.env.clock())
-					}
-					w.cfg.Digest.answer(w.now, n.name, from, v, job, r)
-					switch v {
-					case transport.GetJob:
-						if w.cfg.Mutation == CacheStatusAnswers && r.Status == 200 {
-							n.cache[key] = cachedAnswer{w.now, r.Body}
-						}
-					case transport.WorkerHeartbeat:
-						reply(w.mutateHeartbeatReply(n, body, &r))
-						return
-					}
-					reply(&r)
-				})()
-			})
-		})
-	}, func(a any) {
-		if a == nil {
-			done(nil)
-		} else {
-			done(a.(*controller.Response))
-		}
-	})
-}
