--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -1,26 +1,18 @@
 package election
 
 import (
-	"time"
-
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
 
-const (
-	// maxClockDrift bounds the share by which two nodes' monotonic clocks differ in rate: each
-	// is off by at most 0.05%.
-	maxClockDrift = 0.001
-	// renewalsPerTTL is how many renewals are sent within the TTL of a lease.
-	renewalsPerTTL = 4
-)
+// renewalsPerTTL is how many renewals are sent within the TTL of a lease.
+const renewalsPerTTL = 4
 
 // extendValidity takes note that the lease was granted or renewed at some time after sentAt. The
-// store counts the TTL from then on, and this node from sentAt by the slower clock possible, so
+// store counts the TTL from then on. This node counts from sentAt, and allows for clock drift, so
 // that the lease outlasts the validity.
 func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
-	shortest := time.Duration(float64(e.leaseTTL) * (1 - maxClockDrift))
-	e.validUntil = max(e.validUntil, sentAt.Add(shortest))
+	e.validUntil = max(e.validUntil, sentAt.Add(ident.LeastElapsed(e.leaseTTL)))
 }
 
 func (e *Elector) scheduleRenewal() {
--- a/internal/renewal/registry.go
+++ b/internal/renewal/registry.go
@@ -52,10 +52,10 @@
 		e.lastRenewal = max(e.lastRenewal, min(startedAt, r.latestPossible(e)))
 	}
 	if status.HasRenewed {
-		e.lastRenewal = max(e.lastRenewal, now.Add(-shorten(status.SinceRenewal)))
+		e.lastRenewal = max(e.lastRenewal, now.Add(-ident.LeastElapsed(status.SinceRenewal)))
 	}
 	// The peer renews nothing before MinLeaderSilence is over.
-	silenceLeft := shorten(MinLeaderSilence - status.SinceLeader)
+	silenceLeft := ident.LeastElapsed(MinLeaderSilence - status.SinceLeader)
 	e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, silenceLeft)))
 	e.lastHeard = now
 }
--- a/internal/renewal/renewer.go
+++ b/internal/renewal/renewer.go
@@ -20,13 +20,6 @@
 // MinLeaderSilence is how long a node must be without the leader before it renews leases.
 const MinLeaderSilence = 4 * time.Second
 
-// maxClockDrift bounds the share by which two nodes' monotonic clocks differ in rate: each is off
-// by at most 0.05%.
-const maxClockDrift = 0.001
-
-// shorten returns the least time that passes on another node's clock while d passes on this one's.
-func shorten(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - maxClockDrift)) }
-
 // Renewer decides when a node that does not lead may renew worker leases. The zero Renewer has no
 // permit.
 type Renewer struct {
@@ -64,7 +57,7 @@
 // known. A token of a later term than the permit's shows that another leader has followed.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	silence, permitted := r.SinceLeader(now)
-	if !permitted || silence <= MinLeaderSilence || silence >= shorten(r.permit.allowance) {
+	if !permitted || silence <= MinLeaderSilence || silence >= ident.LeastElapsed(r.permit.allowance) {
 		return false
 	}
 	return token != 0 && token.Term() <= r.permit.term
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -71,8 +71,8 @@
 	Node      ident.NodeID
 	Term      ident.Term    // MsgHeartbeat, MsgTransferLeader
 	Heartbeat PeerHeartbeat // MsgHeartbeat
-	// ID identifies a heartbeat among all ever sent, and a request with its response. In
-	// MsgLinkState it is that of the newest heartbeat that came from the receiver.
+	// ID identifies a heartbeat among all ever sent, and a response's request. In MsgLinkState it
+	// is that of the newest heartbeat that came from the receiver.
 	ID          uint64                // MsgHeartbeat, MsgRequest, MsgRelayRequest, MsgResponse, MsgLinkState
 	LinkState   []links.Advertisement // MsgLinkState
 	Method      Method                // MsgRequest, MsgRelayRequest
