--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -3,9 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"net/http"
-	"slices"
 
 	"opaldale/internal/api"
 	"opaldale/internal/authority"
@@ -17,35 +15,6 @@
 // maxBacklog bounds the writes that may wait while submissions are accepted.
 const maxBacklog = 400
 
-// failPendingReplies refuses the requests that wait for a store which doesn't answer.
-func (l *leaderTerm) failPendingReplies() {
-	for _, id := range slices.Sorted(maps.Keys(l.pendingReplies)) {
-		reply := l.pendingReplies[id]
-		delete(l.pendingReplies, id)
-		l.controller.refuse(reply, "state service unavailable")
-	}
-}
-
-// withStoreTimeout returns a reply to a request that waits for the store. The request is refused when the store doesn't
-// answer in time; what the returned function is called with after that is dropped.
-func (l *leaderTerm) withStoreTimeout(reply func(Response)) func(Response) {
-	l.lastReplyID++
-	id := l.lastReplyID
-	l.pendingReplies[id] = reply
-	l.env.After(storeTimeout, func() {
-		if l.pendingReplies[id] != nil {
-			delete(l.pendingReplies, id)
-			l.controller.refuse(reply, "state service is slow")
-		}
-	})
-	return func(r Response) {
-		if l.pendingReplies[id] != nil {
-			delete(l.pendingReplies, id)
-			reply(r)
-		}
-	}
-}
-
 // submit accepts a job. The request is idempotent: a job that is known already is acknowledged as it is.
 func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
 	if j := l.jobs.Jobs[spec.ID]; j != nil {
@@ -69,7 +38,7 @@
 		l.controller.refuse(reply, "state service unavailable")
 		return
 	}
-	l.addJob(spec, l.withStoreTimeout(reply))
+	l.addJob(spec, l.replies.withTimeout(reply))
 }
 
 // addJob records a new job, and acknowledges it once it is durable.
@@ -147,7 +116,7 @@
 // replyWhenDurable answers with a job's view, once every node would answer the same.
 func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
 	if !j.ViewSettled() {
-		reply = l.withStoreTimeout(reply)
+		reply = l.replies.withTimeout(reply)
 	}
 	j.WhenViewSettled(func() {
 		r := render(j.View())
@@ -202,7 +171,7 @@
 		reply(ackResponse(j.View()))
 		return
 	}
-	reply = l.withStoreTimeout(reply)
+	reply = l.replies.withTimeout(reply)
 	l.jobs.Cancel(j, func() { reply(ackResponse(j.View())) })
 	if j.Phase == jobs.Cancelled {
 		l.stopJob(j)
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -51,7 +51,7 @@
 	slog.Info("handing over leadership", "term", uint64(l.term), "to", string(decision.Successor), "reason", decision.Reason.String(),
 		"own_score", int(assessment.OwnScore), "peer_score", int(assessment.BestScore))
 	l.committer.Quiesce()
-	l.failPendingReplies()
+	l.replies.failAll()
 	for _, n := range l.controller.peerIDs() {
 		if tracker.SupportsLinks(n) {
 			frame := &transport.Frame{Type: transport.MsgTransferLeader, Node: decision.Successor, Term: l.term}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -66,14 +66,9 @@
 	nextConversionAt ident.MonotonicTime // no look for records in the first format before
 	nextDispatchAt   ident.MonotonicTime // no dispatch before
 
-	// pendingReplies holds the users whose answers wait for the store.
-	pendingReplies map[uint64]func(Response)
-	lastReplyID    uint64
-
-	renewals          *renewal.Registry
-	lastDirectContact ident.MonotonicTime      // when a machine last reached this node, or this node it
-	unreachable       map[*workers.Worker]bool // heard by peers, and not reached from here since
-	lastReachProbe    ident.MonotonicTime      // when one of them was last probed
+	replies  *pendingReplies
+	renewals *renewal.Registry
+	contact  machineContact
 
 	handover       *handover.Coordinator  // nil unless links are watched
 	machinesByZone map[string]int         // machines that should be reachable
@@ -85,16 +80,15 @@
 func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
 	now := c.env.Now()
 	l := &leaderTerm{
-		controller:        c,
-		env:               leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry},
-		term:              term,
-		startedAt:         now,
-		formatLevel:       level,
-		pendingReplies:    map[uint64]func(Response){},
-		renewals:          renewal.NewRegistry(c.renewalGrace),
-		lastDirectContact: now,
-		unreachable:       map[*workers.Worker]bool{},
-		machinesByZone:    map[string]int{},
+		controller:     c,
+		env:            leaderEnv{Env: c.env, validUntil: c.election.LeaseExpiry},
+		term:           term,
+		startedAt:      now,
+		formatLevel:    level,
+		replies:        newPendingReplies(c.env.After, c.refuse),
+		renewals:       renewal.NewRegistry(c.renewalGrace),
+		contact:        machineContact{last: now, unreachable: map[*workers.Worker]bool{}},
+		machinesByZone: map[string]int{},
 	}
 	l.openStore(leaderKey)
 	l.teams = placement.NewTeams(c.settings.Cluster.Teams)
@@ -132,7 +126,7 @@
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
 	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(election.StepDownReason(reason)) })
 	l.committer.ExpectLimits(strictest)
-	l.committer.OnUnavailable = l.failPendingReplies
+	l.committer.OnUnavailable = l.replies.failAll
 	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
 	l.jobs.LimitValueBytes(strictest.MaxValueBytes)
 	packed := l.formatLevel >= ident.FormatPacked
@@ -224,7 +218,7 @@
 		Catalog:          l.catalog.Types,
 		ReachableViaPeer: l.requireHeartbeatSource,
 		ZonePeersSilent:  l.zonePeersSilent,
-		DirectContact:    func() bool { return l.hasDirectContact(l.env.Now()) },
+		DirectContact:    func() bool { return l.contact.recent(l.env.Now()) },
 		Objective:        l.planner.Objective,
 		Movable: func(t *jobs.Task, from *workers.Worker) bool {
 			return c.allows(authority.Place) && l.planner.Movable(t, from)
@@ -246,7 +240,7 @@
 	l.workers.Close()
 	l.fleet.Close()
 	l.formatUpgrader.Close()
-	l.failPendingReplies()
+	l.replies.failAll()
 }
 
 // enablePackedFormat goes over to the packed format, now that it is in force. To be removed with the first
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -27,26 +27,17 @@
 	resignationPause = 12 * time.Second
 )
 
-// resignReason says why a leader gives up its term by itself.
-type resignReason uint8
-
+// The reasons for which a leader gives up its term by itself.
 const (
-	unreadableRecord     resignReason = iota // a stored record of an earlier term can't be read
-	leaderIsolated                           // neither peers nor machines are heard
-	machinesHeardByPeers                     // machines are heard by peers, and don't answer this node
-	noHeartbeatSource                        // heartbeats come neither from machines nor by peers
-	resignReasonCount                        // must be last
+	unreadableRecord     election.StepDownReason = "unreadable record"
+	leaderIsolated       election.StepDownReason = "neither peers nor machines are heard"
+	machinesHeardByPeers election.StepDownReason = "machines are heard by peers only"
+	noHeartbeatSource    election.StepDownReason = "no source of heartbeats"
 )
 
-var resignReasonNames = [resignReasonCount]string{
-	"unreadable record", "isolated", "machines are heard by peers only", "no source of heartbeats",
-}
-
-func (r resignReason) String() string { return resignReasonNames[r] }
-
 // resign ends the term and leaves leadership to a peer.
-func (l *leaderTerm) resign(reason resignReason) {
-	l.controller.election.Resign(resignationPause, election.StepDownReason(reason.String()))
+func (l *leaderTerm) resign(reason election.StepDownReason) {
+	l.controller.election.Resign(resignationPause, reason)
 }
 
 // isolated reports whether this node hears no peer and, with several machines up, none of them either. A
@@ -79,49 +70,59 @@
 		unanswered >= minUnansweredProbes
 }
 
-// noteWorkerHeartbeat notes that a machine's heartbeat arrived, directly or by a peer. A leader without any
-// direct contact of late probes the machines that its peers hear.
-func (l *leaderTerm) noteWorkerHeartbeat(machine *workers.Worker, direct bool) {
-	if direct {
-		l.noteDirectContact()
-		return
-	}
-	now := l.env.Now()
-	probeDue := now.Sub(l.lastDirectContact) > directContactTimeout && now.Sub(l.lastReachProbe) > reachProbeInterval
-	if machine != nil && probeDue && l.workers.Probe(machine) {
-		l.lastReachProbe = now
-	}
+// machineContact is what a leader knows of its own exchanges with machines.
+type machineContact struct {
+	last        ident.MonotonicTime      // when a machine last reached this node, or this node a machine
+	unreachable map[*workers.Worker]bool // heard by peers, and not reached from here since then
+	probedAt    ident.MonotonicTime      // when a machine that peers hear was last probed
 }
 
-// noteDirectContact notes an exchange between this node and a machine.
-func (l *leaderTerm) noteDirectContact() {
-	l.lastDirectContact = l.env.Now()
-	clear(l.unreachable)
+// recent reports whether there was an exchange of late.
+func (c *machineContact) recent(now ident.MonotonicTime) bool {
+	return now.Sub(c.last) < directContactTimeout
 }
 
-// hasDirectContact reports whether this node has had an exchange with any machine of late.
-func (l *leaderTerm) hasDirectContact(now ident.MonotonicTime) bool {
-	return now.Sub(l.lastDirectContact) < directContactTimeout
+// probeDue reports whether a machine that peers hear should be probed.
+func (c *machineContact) probeDue(now ident.MonotonicTime) bool {
+	return now.Sub(c.last) > directContactTimeout && now.Sub(c.probedAt) > reachProbeInterval
 }
 
-// noteCommandOutcome notes whether a machine answered a command. Machines that peers hear and this node doesn't
-// reach show that the leader is cut off from them, not they from the cluster. It must leave leadership to a
-// peer rather than fence them for their silence, which would take the whole fleet with all its replicas.
+// note notes an exchange.
+func (c *machineContact) note(now ident.MonotonicTime) {
+	c.last = now
+	clear(c.unreachable)
+}
+
+// noteWorkerHeartbeat notes that a machine's heartbeat arrived, directly or by a peer. A leader without any direct
+// contact of late probes the machines that its peers hear.
+func (l *leaderTerm) noteWorkerHeartbeat(machine *workers.Worker, direct bool) {
+	now := l.env.Now()
+	switch {
+	case direct:
+		l.contact.note(now)
+	case machine != nil && l.contact.probeDue(now) && l.workers.Probe(machine):
+		l.contact.probedAt = now
+	}
+}
+
+// noteCommandOutcome notes whether a machine answered a command. Machines that peers hear and this node doesn't reach
+// show that the leader is cut off from them, not they from the cluster. It must leave leadership to a peer
+// rather than fence them for their silence, which would take the whole fleet with all its replicas.
 func (l *leaderTerm) noteCommandOutcome(machine *workers.Worker, answered bool) {
+	now := l.env.Now()
 	if answered {
-		l.noteDirectContact()
+		l.contact.note(now)
 		return
 	}
-	now := l.env.Now()
 	heardByPeers := machine.HeardThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
-	if l.hasDirectContact(now) || !heardByPeers {
+	if l.contact.recent(now) || !heardByPeers {
 		return
 	}
 	if l.controller.links.Enabled() {
 		return // the handover to a better placed peer takes care of it
 	}
-	l.unreachable[machine] = true
-	if len(l.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
+	l.contact.unreachable[machine] = true
+	if len(l.contact.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
 		l.resign(machinesHeardByPeers)
 	}
 }
