--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -1,49 +1,14 @@
 package placement
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
 
-// newTwoZoneCluster is a fleet of ordinary machines with 16 CPUs in two zones, and no work.
-func newTwoZoneCluster(east, west int) *testCluster {
-	l := newTestCluster(0)
-	onMove := l.jobs.OnStateChange
-	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
-		onMove(t, from, to)
-		if !from.Allocated() && to.Allocated() {
-			l.planner.teams.AddUsage(t.Job.Spec, 1)
-		} else if from.Allocated() && !to.Allocated() {
-			l.planner.teams.AddUsage(t.Job.Spec, -1)
-		}
-	}
-	for i := range east + west {
-		zone := "east"
-		if i >= east {
-			zone = "west"
-		}
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", zone, false, l.now)
-		l.sequence++
-		l.machines.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: zone, Incarnation: 1, SequenceNumber: l.sequence})
-	}
-	return l
-}
-
-func (l *testCluster) submitGang(tasks int, vcpus float64, oneZone bool) *jobs.Job {
-	l.jobCount++
-	id := ident.JobID(fmt.Sprintf("j-%d", l.jobCount))
-	l.jobs.Add(&api.Spec{ID: id, Team: "red", Shape: api.Gang, Priority: api.High, Tasks: tasks, VCPUs: vcpus, MemoryGB: 2, Image: "img-gang",
-		ImageGB: 1, OneZone: oneZone, RuntimeS: 30}, func() {}, nil)
-	l.commits.Flush()
-	return l.jobs.Jobs[id]
-}
-
 func zonesOf(l *testCluster, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -1,32 +1,12 @@
 package placement
 
 import (
-	"fmt"
 	"testing"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
 
-// newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
-func newClusterWithHolders(machines, holding int) *testCluster {
-	l := newTestCluster(0)
-	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
-		l.heartbeat(w)
-	}
-	first := l.submitAs("red", api.Standard, holding)
-	for i := range holding {
-		l.Place(&first.Tasks[i], l.machines.Sorted()[i])
-	}
-	l.commits.Flush()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
-	}
-	return l
-}
-
 // usedVCPURange returns the CPUs in use on the fullest and on the emptiest of the first machines.
 func usedVCPURange(l *testCluster, machines int) (most, least float64) {
 	least = 1e9
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -1,14 +1,11 @@
 package placement
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/settings"
 )
 
 // TestRecentlyPreemptedIsSpared: a task that was stopped to make room is not the cheapest to
@@ -43,34 +40,6 @@
 	}
 }
 
-// newBorrowedCluster makes a fleet that a team without a guarantee has filled, but for what is
-// left free on the first machine.
-func newBorrowedCluster(machines, leftFree int) *testCluster {
-	l := newTestCluster(0)
-	l.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
-	for i := range machines {
-		l.heartbeat(l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
-	}
-	backlog := l.submitAs("guest", api.BestEffort, 16*machines+20)
-	for i := range 16*machines - leftFree {
-		l.Place(&backlog.Tasks[i], l.machines.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
-	}
-	l.commits.Flush()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
-	}
-	return l
-}
-
-// submitAs submits an array of tasks of one CPU whose image is the team's own.
-func (l *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
-	l.jobCount++
-	j := l.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", l.jobCount)), Team: team, Shape: api.Batch, Priority: priority, Tasks: tasks,
-		VCPUs: 1, MemoryGB: 1, Image: "img-" + team, ImageGB: 1, Spot: true, RuntimeS: 60}, func() {}, nil)
-	l.commits.Flush()
-	return j
-}
-
 // TestGuaranteedJobIsPlacedAtOnce: all tasks of a guaranteed job take the places of others
 // in one dispatch, on a fleet with more machines than a dispatch may search for each task.
 // (One task was placed in each dispatch, and the last of eighty waited for seconds.)
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -4,21 +4,9 @@
 	"testing"
 	"time"
 
-	"opaldale/internal/api"
 	"opaldale/internal/jobs"
 )
 
-// newReservedCluster makes one empty machine whose room is kept for a job that can't be placed yet, and
-// another job that waits.
-func newReservedCluster() (l *testCluster, first, other *jobs.Job) {
-	l = newTestCluster(0)
-	l.heartbeat(l.machines.Add("host-000001", "m16", "east", true, l.now))
-	first, other = l.submitAs("red", api.Standard, 1), l.submitAs("red", api.Standard, 1)
-	first.Tasks[0].RetryAt = l.now.Add(time.Hour)
-	l.planner.ReserveFor(l.machines.Sorted()[0], first, l.now.Add(10*time.Second))
-	return l, first, other
-}
-
 // TestReservation: room that is kept for a job goes to no other one, until that has it, the time is
 // over, or the promise is withdrawn.
 func TestReservation(t *testing.T) {
