--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -33,9 +33,9 @@
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				l := newTestCluster(n)
+				c := newTestCluster(n)
 				b.StartTimer()
-				l.dispatchAll()
+				c.dispatchAll()
 			}
 		})
 	}
@@ -47,19 +47,19 @@
 	for _, n := range fleetSizes {
 		for _, full := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d machines, full %v", n, full), func(b *testing.B) {
-				l := newTestCluster(n)
+				c := newTestCluster(n)
 				for i := 0; full && i < 2*n/20; i++ {
-					l.submit(api.Batch, 20, 4)
+					c.submit(api.Batch, 20, 4)
 				}
-				l.dispatchAll()
-				for _, w := range l.machines.Sorted() {
-					l.heartbeat(w)
+				c.dispatchAll()
+				for _, w := range c.machines.Sorted() {
+					c.heartbeat(w)
 				}
 				for b.Loop() {
-					l.submit(api.Service, 8, 2)
-					l.planner.Dispatch()
+					c.submit(api.Service, 8, 2)
+					c.planner.Dispatch()
 					b.StopTimer()
-					l.cancel()
+					c.cancel()
 					b.StartTimer()
 				}
 			})
@@ -72,11 +72,11 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
-			l := newTestCluster(n)
-			l.dispatchAll()
-			w := l.machines.Sorted()[1]
+			c := newTestCluster(n)
+			c.dispatchAll()
+			w := c.machines.Sorted()[1]
 			r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Incarnation: 1, FencingToken: ident.MakeFencingToken(1, 0)}
-			for _, t := range l.machines.SortedTasks(w) {
+			for _, t := range c.machines.SortedTasks(w) {
 				r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 			}
 			body, _ := json.Marshal(r)
@@ -85,9 +85,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l.sequence++
-				got.SequenceNumber = l.sequence
-				api.JSON(l.machines.HandleHeartbeat(got))
+				c.sequence++
+				got.SequenceNumber = c.sequence
+				api.JSON(c.machines.HandleHeartbeat(got))
 			}
 		})
 	}
@@ -97,18 +97,18 @@
 // that a team without a guarantee has filled, and of which 25,000 tasks and 800 small jobs
 // wait.
 func BenchmarkBorrowerBacklog(b *testing.B) {
-	l := newBorrowedCluster(1900, 0)
-	l.submitAs("guest", api.BestEffort, 25_000)
+	c := newBorrowedCluster(1900, 0)
+	c.submitAs("guest", api.BestEffort, 25_000)
 	for range 800 {
-		l.submitAs("guest", api.BestEffort, 1)
+		c.submitAs("guest", api.BestEffort, 1)
 	}
-	l.planner.Round()
+	c.planner.Round()
 	for b.Loop() {
-		l.submitAs("red", api.Standard, 40)
-		l.now = l.now.Add(time.Second)
-		l.planner.Dispatch()
+		c.submitAs("red", api.Standard, 40)
+		c.now = c.now.Add(time.Second)
+		c.planner.Dispatch()
 		b.StopTimer()
-		l.cancel()
+		c.cancel()
 		b.StartTimer()
 	}
 }
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -9,11 +9,11 @@
 	"opaldale/internal/jobs"
 )
 
-func zonesOf(l *testCluster, j *jobs.Job) map[string]int {
+func zonesOf(c *testCluster, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Allocated() {
-			out[l.machines.Workers[t.MachineID].Zone]++
+			out[c.machines.Workers[t.MachineID].Zone]++
 		}
 	}
 	return out
@@ -22,32 +22,32 @@
 // TestGangsPlaceAllOrNothing: a gang is placed when a zone has room for all of it, not for
 // a part, and never holds room while it waits for more.
 func TestGangsPlaceAllOrNothing(t *testing.T) {
-	l := newTwoZoneCluster(2, 1) // two tasks of 8 CPUs on each machine
-	j := l.submitGang(5, 8, true)
-	l.dispatchAll()
+	c := newTwoZoneCluster(2, 1) // two tasks of 8 CPUs on each machine
+	j := c.submitGang(5, 8, true)
+	c.dispatchAll()
 	if j.AllocatedTasks > 0 {
 		t.Fatalf("%d of 5 tasks hold room for 4", j.AllocatedTasks)
 	}
-	anywhere := l.submitGang(6, 8, false)
-	if l.dispatchAll(); anywhere.AllocatedTasks != 6 {
+	anywhere := c.submitGang(6, 8, false)
+	if c.dispatchAll(); anywhere.AllocatedTasks != 6 {
 		t.Fatalf("%d of 6 tasks are placed where there is room for 6", anywhere.AllocatedTasks)
 	}
-	l = newTwoZoneCluster(2, 3)
-	j = l.submitGang(5, 8, true)
-	if l.dispatchAll(); j.AllocatedTasks != 5 || zonesOf(l, j)["west"] != 5 {
-		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, zonesOf(l, j))
+	c = newTwoZoneCluster(2, 3)
+	j = c.submitGang(5, 8, true)
+	if c.dispatchAll(); j.AllocatedTasks != 5 || zonesOf(c, j)["west"] != 5 {
+		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, zonesOf(c, j))
 	}
 }
 
 // TestGangsGoToHolders: where the image is comes before where there is most room.
 func TestGangsGoToHolders(t *testing.T) {
-	l := newTwoZoneCluster(6, 0)
-	first := l.submitGang(2, 2, true)
-	l.dispatchAll()
-	w := l.machines.Workers[first.Tasks[0].MachineID]
-	l.heartbeat(w)
-	second := l.submitGang(4, 2, true)
-	l.dispatchAll()
+	c := newTwoZoneCluster(6, 0)
+	first := c.submitGang(2, 2, true)
+	c.dispatchAll()
+	w := c.machines.Workers[first.Tasks[0].MachineID]
+	c.heartbeat(w)
+	second := c.submitGang(4, 2, true)
+	c.dispatchAll()
 	for i := range second.Tasks {
 		if second.Tasks[i].MachineID != w.ID {
 			t.Errorf("task %d is on %s, which has no image", i, second.Tasks[i].MachineID)
@@ -58,15 +58,15 @@
 // TestGangsPreemptBatch: arrays of a lower priority make room for all of a gang at once,
 // after the time that they are given to end by themselves.
 func TestGangsPreemptBatch(t *testing.T) {
-	l := newTwoZoneCluster(3, 0)
-	l.submit(api.Batch, 12, 4)
-	l.dispatchAll()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
+	c := newTwoZoneCluster(3, 0)
+	c.submit(api.Batch, 12, 4)
+	c.dispatchAll()
+	for _, w := range c.machines.Sorted() {
+		c.heartbeat(w)
 	}
-	j := l.submitGang(6, 4, true)
-	l.now = l.now.Add(2 * reclaimAfter)
-	l.dispatchAll()
+	j := c.submitGang(6, 4, true)
+	c.now = c.now.Add(2 * reclaimAfter)
+	c.dispatchAll()
 	if j.AllocatedTasks != 6 {
 		t.Errorf("%d of 6 tasks are placed", j.AllocatedTasks)
 	}
@@ -75,25 +75,25 @@
 // TestGangsDontStarve: a gang that finds no place for long gets machines kept for it,
 // though smaller tasks would fill each gap.
 func TestGangsDontStarve(t *testing.T) {
-	l := newTwoZoneCluster(2, 0)
-	l.planner.config.MaxWait = 40 * time.Second
+	c := newTwoZoneCluster(2, 0)
+	c.planner.config.MaxWait = 40 * time.Second
 	for range 8 {
-		l.submit(api.Batch, 1, 4)
+		c.submit(api.Batch, 1, 4)
 	}
-	l.dispatchAll()
-	j := l.submitGang(2, 16, true)
+	c.dispatchAll()
+	j := c.submitGang(2, 16, true)
 	j.Spec.Priority = api.Standard // nothing gives way to it
 	for step := 0; step < 60 && j.AllocatedTasks == 0; step++ {
-		l.now = l.now.Add(time.Second)
+		c.now = c.now.Add(time.Second)
 		// Each second a task ends and another comes.
-		for _, w := range l.machines.Sorted() {
-			if list := l.machines.SortedTasks(w); len(list) > 0 {
-				l.jobs.Complete(list[0], nil)
+		for _, w := range c.machines.Sorted() {
+			if list := c.machines.SortedTasks(w); len(list) > 0 {
+				c.jobs.Complete(list[0], nil)
 				break
 			}
 		}
-		l.submit(api.Batch, 1, 4)
-		l.dispatchAll()
+		c.submit(api.Batch, 1, 4)
+		c.dispatchAll()
 	}
 	if j.AllocatedTasks != 2 {
 		t.Errorf("%d of 2 tasks are placed after a minute", j.AllocatedTasks)
@@ -105,36 +105,36 @@
 func TestGangsAtRandom(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		l := newTwoZoneCluster(1+rng.IntN(6), 1+rng.IntN(6))
-		l.planner.teams.byName["red"].CPUsMax = float64(20 + rng.IntN(200))
+		c := newTwoZoneCluster(1+rng.IntN(6), 1+rng.IntN(6))
+		c.planner.teams.byName["red"].CPUsMax = float64(20 + rng.IntN(200))
 		var gangs []*jobs.Job
 		for step := range 40 {
-			l.now = l.now.Add(time.Second)
+			c.now = c.now.Add(time.Second)
 			switch rng.IntN(4) {
 			case 0:
-				gangs = append(gangs, l.submitGang(1+rng.IntN(8), float64(1+rng.IntN(8)), rng.IntN(2) == 0))
+				gangs = append(gangs, c.submitGang(1+rng.IntN(8), float64(1+rng.IntN(8)), rng.IntN(2) == 0))
 			case 1:
-				l.submit(api.Batch, 1+rng.IntN(10), float64(1+rng.IntN(4)))
+				c.submit(api.Batch, 1+rng.IntN(10), float64(1+rng.IntN(4)))
 			case 2:
 				for _, j := range gangs {
 					if j.AllocatedTasks == len(j.Tasks) && rng.IntN(3) == 0 {
-						l.jobs.Complete(&j.Tasks[0], nil)
+						c.jobs.Complete(&j.Tasks[0], nil)
 					}
 				}
 			}
-			l.dispatchAll()
+			c.dispatchAll()
 			used := 0.0
-			for _, w := range l.machines.Sorted() {
+			for _, w := range c.machines.Sorted() {
 				used += w.VCPUs
 			}
-			if most := l.planner.teams.byName["red"].CPUsMax; used > most+tolerance {
+			if most := c.planner.teams.byName["red"].CPUsMax; used > most+tolerance {
 				t.Fatalf("seed %d step %d: the team uses %v of %v", seed, step, used, most)
 			}
 			for _, j := range gangs {
 				if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
 					t.Fatalf("seed %d step %d: %d of %d tasks of %s hold room", seed, step, j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
 				}
-				if z := zonesOf(l, j); j.Spec.OneZone && len(z) > 1 {
+				if z := zonesOf(c, j); j.Spec.OneZone && len(z) > 1 {
 					t.Fatalf("seed %d step %d: %s is in %v", seed, step, j.Spec.ID, z)
 				}
 			}
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -37,101 +37,101 @@
 }
 
 // PlaceGang places the tasks of a gang; its attempts are not played.
-func (l *testCluster) PlaceGang(j *jobs.Job, picks []gang.Placement) {
+func (c *testCluster) PlaceGang(j *jobs.Job, picks []gang.Placement) {
 	for _, p := range picks {
-		l.Place(p.Task, p.Worker)
+		c.Place(p.Task, p.Worker)
 	}
 }
-func (l *testCluster) GangUsedMachine(*jobs.Job, *workers.Worker) bool { return false }
-func (l *testCluster) CanStopGang(*jobs.Job) bool                      { return false }
-func (l *testCluster) StopGang(*jobs.Job) bool                         { return false }
+func (c *testCluster) GangUsedMachine(*jobs.Job, *workers.Worker) bool { return false }
+func (c *testCluster) CanStopGang(*jobs.Job) bool                      { return false }
+func (c *testCluster) StopGang(*jobs.Job) bool                         { return false }
 
 func newTestCluster(machines int) *testCluster {
-	l := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
+	c := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
 	kind := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
-	l.commits = commit.New(l, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader"}, func(string) {})
-	l.jobs = jobs.NewTable(l.commits, 16<<10, l.Now, func() int64 { return 0 })
-	l.machines = workers.NewTable(l, l.jobs, workers.Config{Term: 1, LeaseDuration: time.Minute, Catalog: func(string) *cloud.MachineType { return &kind },
+	c.commits = commit.New(c, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader"}, func(string) {})
+	c.jobs = jobs.NewTable(c.commits, 16<<10, c.Now, func() int64 { return 0 })
+	c.machines = workers.NewTable(c, c.jobs, workers.Config{Term: 1, LeaseDuration: time.Minute, Catalog: func(string) *cloud.MachineType { return &kind },
 		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
 		Persist: func(w *workers.Worker) { w.Persisted = true }, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }})
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
-	l.planner = NewPlanner(teams, l.jobs, l.machines, l, l.Now, Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour})
-	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
-		w := l.machines.Workers[t.MachineID]
+	c.planner = NewPlanner(teams, c.jobs, c.machines, c, c.Now, Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour})
+	c.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
+		w := c.machines.Workers[t.MachineID]
 		if !from.Allocated() && to.Allocated() {
-			l.machines.AddTask(w, t)
+			c.machines.AddTask(w, t)
 		} else if from.Allocated() && !to.Allocated() {
-			l.machines.RemoveTask(w, t)
+			c.machines.RemoveTask(w, t)
 		}
 	}
 	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, l.now)
-		l.heartbeat(w)
+		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, c.now)
+		c.heartbeat(w)
 	}
 	for range 3 * machines / 20 {
-		l.submit(api.Batch, 20, 4)
+		c.submit(api.Batch, 20, 4)
 	}
-	return l
+	return c
 }
 
-func (l *testCluster) heartbeat(w *workers.Worker) {
-	l.sequence++
-	r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Spot: w.Spot, Incarnation: 1, SequenceNumber: l.sequence}
-	for _, t := range l.machines.SortedTasks(w) {
+func (c *testCluster) heartbeat(w *workers.Worker) {
+	c.sequence++
+	r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Spot: w.Spot, Incarnation: 1, SequenceNumber: c.sequence}
+	for _, t := range c.machines.SortedTasks(w) {
 		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 	}
-	l.machines.HandleHeartbeat(r)
+	c.machines.HandleHeartbeat(r)
 }
 
-func (l *testCluster) submit(shape api.Shape, tasks int, vcpus float64) {
-	l.jobCount++
-	l.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", l.jobCount)), Team: "red", Shape: shape, Priority: api.Standard, Tasks: tasks,
-		VCPUs: vcpus, MemoryGB: 2, Image: fmt.Sprintf("img-%d", l.jobCount%16), ImageGB: 1, Spot: shape == api.Batch, RuntimeS: 60}, func() {}, nil)
-	l.commits.Flush()
+func (c *testCluster) submit(shape api.Shape, tasks int, vcpus float64) {
+	c.jobCount++
+	c.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", c.jobCount)), Team: "red", Shape: shape, Priority: api.Standard, Tasks: tasks,
+		VCPUs: vcpus, MemoryGB: 2, Image: fmt.Sprintf("img-%d", c.jobCount%16), ImageGB: 1, Spot: shape == api.Batch, RuntimeS: 60}, func() {}, nil)
+	c.commits.Flush()
 }
 
 // Place and Preempt carry out what the planner decides.
-func (l *testCluster) Place(t *jobs.Task, w *workers.Worker) {
-	l.jobs.Place(t, w.ID, 1, func() {})
+func (c *testCluster) Place(t *jobs.Task, w *workers.Worker) {
+	c.jobs.Place(t, w.ID, 1, func() {})
 }
-func (l *testCluster) Preempt(t *jobs.Task, w *workers.Worker, d time.Duration) {
+func (c *testCluster) Preempt(t *jobs.Task, w *workers.Worker, d time.Duration) {
 	if w.ID != t.MachineID {
 		panic("a task is stopped on another machine than its own")
 	}
-	l.machines.StopTask(w, t, d)
+	c.machines.StopTask(w, t, d)
 }
 
 // dispatchAll places all there is, in as many dispatches as it takes.
-func (l *testCluster) dispatchAll() {
-	for l.planner.Dispatch() {
-		l.now = l.now.Add(time.Second)
-		l.commits.Flush()
+func (c *testCluster) dispatchAll() {
+	for c.planner.Dispatch() {
+		c.now = c.now.Add(time.Second)
+		c.commits.Flush()
 	}
-	l.now = l.now.Add(time.Second)
-	l.commits.Flush()
+	c.now = c.now.Add(time.Second)
+	c.commits.Flush()
 }
 
-func (l *testCluster) cancel() {
-	j := l.jobs.Jobs[ident.JobID(fmt.Sprintf("j-%d", l.jobCount))]
-	l.now = l.now.Add(time.Second)
-	l.commits.Flush()
-	l.jobs.Cancel(j, func() {})
+func (c *testCluster) cancel() {
+	j := c.jobs.Jobs[ident.JobID(fmt.Sprintf("j-%d", c.jobCount))]
+	c.now = c.now.Add(time.Second)
+	c.commits.Flush()
+	c.jobs.Cancel(j, func() {})
 	for i := range j.Tasks {
-		l.jobs.MarkGone(&j.Tasks[i], nil)
+		c.jobs.MarkGone(&j.Tasks[i], nil)
 	}
-	l.commits.Flush()
+	c.commits.Flush()
 }
 
 // newTwoZoneCluster is a fleet of ordinary machines with 16 CPUs in two zones, and no work.
 func newTwoZoneCluster(east, west int) *testCluster {
-	l := newTestCluster(0)
-	onMove := l.jobs.OnStateChange
-	l.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
+	c := newTestCluster(0)
+	onMove := c.jobs.OnStateChange
+	c.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
 		onMove(t, from, to)
 		if !from.Allocated() && to.Allocated() {
-			l.planner.teams.AddUsage(t.Job.Spec, 1)
+			c.planner.teams.AddUsage(t.Job.Spec, 1)
 		} else if from.Allocated() && !to.Allocated() {
-			l.planner.teams.AddUsage(t.Job.Spec, -1)
+			c.planner.teams.AddUsage(t.Job.Spec, -1)
 		}
 	}
 	for i := range east + west {
@@ -139,75 +139,75 @@
 		if i >= east {
 			zone = "west"
 		}
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", zone, false, l.now)
-		l.sequence++
-		l.machines.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: zone, Incarnation: 1, SequenceNumber: l.sequence})
+		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", zone, false, c.now)
+		c.sequence++
+		c.machines.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: zone, Incarnation: 1, SequenceNumber: c.sequence})
 	}
-	return l
+	return c
 }
 
-func (l *testCluster) submitGang(tasks int, vcpus float64, oneZone bool) *jobs.Job {
-	l.jobCount++
-	id := ident.JobID(fmt.Sprintf("j-%d", l.jobCount))
-	l.jobs.Add(&api.Spec{ID: id, Team: "red", Shape: api.Gang, Priority: api.High, Tasks: tasks, VCPUs: vcpus, MemoryGB: 2, Image: "img-gang",
+func (c *testCluster) submitGang(tasks int, vcpus float64, oneZone bool) *jobs.Job {
+	c.jobCount++
+	id := ident.JobID(fmt.Sprintf("j-%d", c.jobCount))
+	c.jobs.Add(&api.Spec{ID: id, Team: "red", Shape: api.Gang, Priority: api.High, Tasks: tasks, VCPUs: vcpus, MemoryGB: 2, Image: "img-gang",
 		ImageGB: 1, OneZone: oneZone, RuntimeS: 30}, func() {}, nil)
-	l.commits.Flush()
-	return l.jobs.Jobs[id]
+	c.commits.Flush()
+	return c.jobs.Jobs[id]
 }
 
 // newBorrowedCluster makes a fleet that a team without a guarantee has filled, but for what is
 // left free on the first machine.
 func newBorrowedCluster(machines, leftFree int) *testCluster {
-	l := newTestCluster(0)
-	l.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
+	c := newTestCluster(0)
+	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		l.heartbeat(l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now))
+		c.heartbeat(c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, c.now))
 	}
-	backlog := l.submitAs("guest", api.BestEffort, 16*machines+20)
+	backlog := c.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
-		l.Place(&backlog.Tasks[i], l.machines.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
+		c.Place(&backlog.Tasks[i], c.machines.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
 	}
-	l.commits.Flush()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
+	c.commits.Flush()
+	for _, w := range c.machines.Sorted() {
+		c.heartbeat(w)
 	}
-	return l
+	return c
 }
 
 // submitAs submits an array of tasks of one CPU whose image is the team's own.
-func (l *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
-	l.jobCount++
-	j := l.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", l.jobCount)), Team: team, Shape: api.Batch, Priority: priority, Tasks: tasks,
+func (c *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
+	c.jobCount++
+	j := c.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", c.jobCount)), Team: team, Shape: api.Batch, Priority: priority, Tasks: tasks,
 		VCPUs: 1, MemoryGB: 1, Image: "img-" + team, ImageGB: 1, Spot: true, RuntimeS: 60}, func() {}, nil)
-	l.commits.Flush()
+	c.commits.Flush()
 	return j
 }
 
 // newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
 func newClusterWithHolders(machines, holding int) *testCluster {
-	l := newTestCluster(0)
+	c := newTestCluster(0)
 	for i := range machines {
-		w := l.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, l.now)
-		l.heartbeat(w)
+		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, c.now)
+		c.heartbeat(w)
 	}
-	first := l.submitAs("red", api.Standard, holding)
+	first := c.submitAs("red", api.Standard, holding)
 	for i := range holding {
-		l.Place(&first.Tasks[i], l.machines.Sorted()[i])
+		c.Place(&first.Tasks[i], c.machines.Sorted()[i])
 	}
-	l.commits.Flush()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
+	c.commits.Flush()
+	for _, w := range c.machines.Sorted() {
+		c.heartbeat(w)
 	}
-	return l
+	return c
 }
 
 // newReservedCluster makes one empty machine whose room is kept for a job that can't be placed yet, and
 // another job that waits.
-func newReservedCluster() (l *testCluster, first, other *jobs.Job) {
-	l = newTestCluster(0)
-	l.heartbeat(l.machines.Add("host-000001", "m16", "east", true, l.now))
-	first, other = l.submitAs("red", api.Standard, 1), l.submitAs("red", api.Standard, 1)
-	first.Tasks[0].RetryAt = l.now.Add(time.Hour)
-	l.planner.ReserveFor(l.machines.Sorted()[0], first, l.now.Add(10*time.Second))
-	return l, first, other
+func newReservedCluster() (c *testCluster, first, other *jobs.Job) {
+	c = newTestCluster(0)
+	c.heartbeat(c.machines.Add("host-000001", "m16", "east", true, c.now))
+	first, other = c.submitAs("red", api.Standard, 1), c.submitAs("red", api.Standard, 1)
+	first.Tasks[0].RetryAt = c.now.Add(time.Hour)
+	c.planner.ReserveFor(c.machines.Sorted()[0], first, c.now.Add(10*time.Second))
+	return c, first, other
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -11,31 +11,31 @@
 // TestRecentlyPreemptedIsSpared: a task that was stopped to make room is not the cheapest to
 // stop again just because it has just started. (One was stopped sixty times.)
 func TestRecentlyPreemptedIsSpared(t *testing.T) {
-	l := newTestCluster(1)
-	l.submit(api.Batch, 4, 4)
-	l.dispatchAll()
-	w := l.machines.Sorted()[0]
-	l.heartbeat(w)
+	c := newTestCluster(1)
+	c.submit(api.Batch, 4, 4)
+	c.dispatchAll()
+	w := c.machines.Sorted()[0]
+	c.heartbeat(w)
 	j := &jobs.Job{Spec: &api.Spec{Priority: api.Critical, VCPUs: 4, Shape: api.Service}}
-	l.now = l.now.Add(30 * time.Second)
-	request := victimRequest{job: j, need: jobs.ResourcesOf(j.Spec), now: l.now}
-	first := l.planner.chooseVictims(w, request)
+	c.now = c.now.Add(30 * time.Second)
+	request := victimRequest{job: j, need: jobs.ResourcesOf(j.Spec), now: c.now}
+	first := c.planner.chooseVictims(w, request)
 	if first == nil || len(first.victims) != 1 {
 		t.Fatalf("%+v", first)
 	}
-	first.victims[0].PreemptedAt = l.now
-	if next := l.planner.chooseVictims(w, request); next == nil || next.victims[0] == first.victims[0] {
+	first.victims[0].PreemptedAt = c.now
+	if next := c.planner.chooseVictims(w, request); next == nil || next.victims[0] == first.victims[0] {
 		t.Errorf("the same task again: %+v", next)
 	}
 	for _, v := range w.Tasks {
-		v.PreemptedAt = l.now
+		v.PreemptedAt = c.now
 	}
 	sparing := request
 	sparing.skipRecent = true
-	if l.planner.chooseVictims(w, sparing) != nil {
+	if c.planner.chooseVictims(w, sparing) != nil {
 		t.Error("a task that gave way is stopped where there is room elsewhere")
 	}
-	if l.planner.chooseVictims(w, request) == nil {
+	if c.planner.chooseVictims(w, request) == nil {
 		t.Error("nothing is stopped though there is no other room")
 	}
 }
@@ -44,14 +44,14 @@
 // in one dispatch, on a fleet with more machines than a dispatch may search for each task.
 // (One task was placed in each dispatch, and the last of eighty waited for seconds.)
 func TestGuaranteedJobIsPlacedAtOnce(t *testing.T) {
-	l := newBorrowedCluster(900, 0)
-	j := l.submitAs("red", api.Standard, 80)
-	l.now = l.now.Add(time.Second)
-	l.planner.Dispatch()
+	c := newBorrowedCluster(900, 0)
+	j := c.submitAs("red", api.Standard, 80)
+	c.now = c.now.Add(time.Second)
+	c.planner.Dispatch()
 	if j.AllocatedTasks != 80 {
 		t.Errorf("%d of 80 tasks are placed by the first dispatch", j.AllocatedTasks)
 	}
-	if n := l.planner.Stats.Preempted; n != 80 {
+	if n := c.planner.Stats.Preempted; n != 80 {
 		t.Errorf("%d tasks were stopped for 80 of the same size", n)
 	}
 }
@@ -61,12 +61,12 @@
 // the team has what is left. (Its waiting tasks were local there and took the place, and
 // were stopped for the other half a second later.)
 func TestBorrowersComeLast(t *testing.T) {
-	l := newBorrowedCluster(2, 3)
-	j := l.submitAs("red", api.Standard, 2)
-	borrower := l.jobs.Jobs["j-1"]
+	c := newBorrowedCluster(2, 3)
+	j := c.submitAs("red", api.Standard, 2)
+	borrower := c.jobs.Jobs["j-1"]
 	held := borrower.AllocatedTasks
-	l.planner.Round()
-	l.planner.Dispatch()
+	c.planner.Round()
+	c.planner.Dispatch()
 	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != held+1 {
 		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.AllocatedTasks, borrower.AllocatedTasks-held)
 	}
