--- a/internal/placement/asm1_test.go
+++ b/internal/placement/asm1_test.go
@@ -79,32 +79,6 @@
 	for i := range owner {
 		owner[i] = -1
 	}
-	augment := func(p int32) bool {
-		via, from, seen := map[int32]int32{}, map[int32]int32{p: -1}, []int32{p}
-		for head := 0; head < len(seen); head++ {
-			m := seen[head]
-			for _, t := range machines[m] {
-				if _, ok := via[t]; ok || owner[t] == m {
-					continue
-				}
-				via[t] = m
-				o := owner[t]
-				if o < 0 {
-					for t >= 0 {
-						m := via[t]
-						owner[t] = m
-						t = from[m]
-					}
-					return true
-				}
-				if _, ok := from[o]; !ok {
-					from[o] = t
-					seen = append(seen, o)
-				}
-			}
-		}
-		return false
-	}
 	var active []int32
 	for p := range machines {
 		active = append(active, int32(p))
@@ -112,7 +86,7 @@
 	for len(active) > 0 {
 		var kept []int32
 		for _, p := range active {
-			if augment(p) {
+			if referenceAugment(machines, owner, p) {
 				kept = append(kept, p)
 			}
 		}
@@ -121,6 +95,35 @@
 	return owner
 }
 
+// referenceAugment flips the shortest alternating path from machine p to an unassigned task, and
+// returns false if there is none.
+func referenceAugment(machines [][]int32, owner []int32, p int32) bool {
+	via, from, seen := map[int32]int32{}, map[int32]int32{p: -1}, []int32{p}
+	for head := 0; head < len(seen); head++ {
+		m := seen[head]
+		for _, t := range machines[m] {
+			if _, ok := via[t]; ok || owner[t] == m {
+				continue
+			}
+			via[t] = m
+			o := owner[t]
+			if o < 0 {
+				for t >= 0 {
+					m := via[t]
+					owner[t] = m
+					t = from[m]
+				}
+				return true
+			}
+			if _, ok := from[o]; !ok {
+				from[o] = t
+				seen = append(seen, o)
+			}
+		}
+	}
+	return false
+}
+
 // randomGroups makes random groups, and the same tasks one by one.
 func randomGroups(r *rand.Rand, groups, machines, most int, p float64) (gs []Group, single [][]int32, tasks int) {
 	single = make([][]int32, machines)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/ident"
 )
 
-// BenchmarkASM1 plans for fleets of growing size, each image on a third of the
-// machines and twenty tasks a job.
+// BenchmarkASM1 plans for clusters of growing size, each image on a third of the machines and twenty
+// tasks a job.
 func BenchmarkASM1(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
@@ -24,10 +24,10 @@
 	}
 }
 
-// fleetSizes are fleets up to more machines than the users run.
+// fleetSizes are numbers of machines up to the largest clusters that are supported.
 var fleetSizes = []int{500, 1000, 2000, 4500}
 
-// BenchmarkFill places three tasks a machine on an empty fleet.
+// BenchmarkFill places three tasks a machine in an empty cluster.
 func BenchmarkFill(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
@@ -41,8 +41,7 @@
 	}
 }
 
-// BenchmarkDispatch looks for room for one job on a fleet that has some, and on
-// one that has none.
+// BenchmarkDispatch looks for room for one job in a cluster that has some, and in one that has none.
 func BenchmarkDispatch(b *testing.B) {
 	for _, n := range fleetSizes {
 		for _, full := range []bool{false, true} {
@@ -67,15 +66,22 @@
 	}
 }
 
-// BenchmarkHeartbeat reads and answers the report of a machine with four tasks that
-// has nothing new to say.
+// BenchmarkHeartbeat parses and answers the heartbeat of a machine with four tasks on which nothing
+// has changed.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
 			c := newTestCluster(n)
 			c.dispatchAll()
 			w := c.machines.Sorted()[1]
-			r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Incarnation: 1, FencingToken: ident.MakeFencingToken(1, 0)}
+			r := &api.Heartbeat{
+				MachineID:    w.ID,
+				Addr:         "a",
+				Model:        "m16",
+				Zone:         "east",
+				Incarnation:  1,
+				FencingToken: ident.MakeFencingToken(1, 0),
+			}
 			for _, t := range c.machines.SortedTasks(w) {
 				r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
 			}
@@ -93,7 +99,7 @@
 	}
 }
 
-// BenchmarkBorrowerBacklog places one guaranteed job of 40 tasks on a fleet of 1,900 machines
+// BenchmarkBorrowerBacklog places one guaranteed job of 40 tasks in a cluster of 1,900 machines
 // that a team without a guarantee has filled, and of which 25,000 tasks and 800 small jobs
 // wait.
 func BenchmarkBorrowerBacklog(b *testing.B) {
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -9,6 +10,7 @@
 	"opaldale/internal/jobs"
 )
 
+// zonesOf counts the allocated tasks of a job by zone.
 func zonesOf(c *testCluster, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
@@ -55,7 +57,7 @@
 	}
 }
 
-// TestGangsPreemptBatch: arrays of a lower priority make room for all of a gang at once,
+// TestGangsPreemptBatch: batch jobs of a lower priority make room for all of a gang at once,
 // after the time that they are given to end by themselves.
 func TestGangsPreemptBatch(t *testing.T) {
 	c := newTwoZoneCluster(3, 0)
@@ -100,8 +102,8 @@
 	}
 }
 
-// TestGangsAtRandom: whatever the fleet and the work, a gang is held whole or not at
-// all, in one zone if it must be, within its team's limit.
+// TestGangsAtRandom: whatever the machines and the jobs, a gang is allocated whole or not at all, in
+// one zone if it must be, and within its team's limit.
 func TestGangsAtRandom(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -116,28 +118,41 @@
 			case 1:
 				c.submit(api.Batch, 1+rng.IntN(10), float64(1+rng.IntN(4)))
 			case 2:
-				for _, j := range gangs {
-					if j.AllocatedTasks == len(j.Tasks) && rng.IntN(3) == 0 {
-						c.jobs.Complete(&j.Tasks[0], nil)
-					}
-				}
+				completeSome(c, gangs, rng)
 			}
 			c.dispatchAll()
-			used := 0.0
-			for _, w := range c.machines.Sorted() {
-				used += w.VCPUs
-			}
-			if most := c.planner.teams.byName["red"].CPUsMax; used > most+tolerance {
-				t.Fatalf("seed %d step %d: the team uses %v of %v", seed, step, used, most)
-			}
-			for _, j := range gangs {
-				if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
-					t.Fatalf("seed %d step %d: %d of %d tasks of %s hold room", seed, step, j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
-				}
-				if z := zonesOf(c, j); j.Spec.OneZone && len(z) > 1 {
-					t.Fatalf("seed %d step %d: %s is in %v", seed, step, j.Spec.ID, z)
-				}
+			if err := checkGangs(c, gangs); err != nil {
+				t.Fatalf("seed %d step %d: %v", seed, step, err)
 			}
 		}
 	}
 }
+
+// completeSome completes the first task of about a third of the gangs that are allocated whole.
+func completeSome(c *testCluster, gangs []*jobs.Job, rng *rand.Rand) {
+	for _, j := range gangs {
+		if j.AllocatedTasks == len(j.Tasks) && rng.IntN(3) == 0 {
+			c.jobs.Complete(&j.Tasks[0], nil)
+		}
+	}
+}
+
+// checkGangs checks the limit of the team red and the constraints of its gangs.
+func checkGangs(c *testCluster, gangs []*jobs.Job) error {
+	used := 0.0
+	for _, w := range c.machines.Sorted() {
+		used += w.VCPUs
+	}
+	if most := c.planner.teams.byName["red"].CPUsMax; used > most+tolerance {
+		return fmt.Errorf("the team uses %v of %v CPUs", used, most)
+	}
+	for _, j := range gangs {
+		if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
+			return fmt.Errorf("%d of %d tasks of %s are allocated", j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
+		}
+		if z := zonesOf(c, j); j.Spec.OneZone && len(z) > 1 {
+			return fmt.Errorf("%s is in %v", j.Spec.ID, z)
+		}
+	}
+	return nil
+}
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -15,17 +15,17 @@
 	"opaldale/internal/workers"
 )
 
-// instantEnv is a world in which everything is carried out at once.
+// instantEnv is an environment whose store carries out each request at once.
 type instantEnv struct{ now ident.MonotonicTime }
 
-func (s *instantEnv) Now() ident.MonotonicTime    { return s.now }
-func (s *instantEnv) After(time.Duration, func()) {}
-func (s *instantEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
-	f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 5})
+func (e *instantEnv) Now() ident.MonotonicTime    { return e.now }
+func (e *instantEnv) After(time.Duration, func()) {}
+func (e *instantEnv) Store(_ kvstore.Request, reply func(kvstore.Response)) {
+	reply(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 5})
 }
-func (s *instantEnv) Worker(workers.CommandCall, func(workers.CommandResult)) {}
+func (e *instantEnv) Worker(workers.CommandCall, func(workers.CommandResult)) {}
 
-// testCluster is a fleet with three waiting tasks a machine.
+// testCluster is a planner with its tables, in which decisions are carried out at once.
 type testCluster struct {
 	instantEnv
 	jobs     *jobs.Table
@@ -36,8 +36,8 @@
 	jobCount int
 }
 
-// PlaceGang places the tasks of a gang; its attempts are not played.
-func (c *testCluster) PlaceGang(j *jobs.Job, picks []gang.Placement) {
+// PlaceGang places the tasks of a gang. Attempts of gangs are not simulated.
+func (c *testCluster) PlaceGang(_ *jobs.Job, picks []gang.Placement) {
 	for _, p := range picks {
 		c.Place(p.Task, p.Worker)
 	}
@@ -46,16 +46,37 @@
 func (c *testCluster) CanStopGang(*jobs.Job) bool                      { return false }
 func (c *testCluster) StopGang(*jobs.Job) bool                         { return false }
 
+// machineID returns the ID of the i-th machine.
+func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%06d", i)) }
+
+// workersConfig returns the configuration of a table of machines of one type, whose events have no
+// effect.
+func workersConfig(machineType *cloud.MachineType) workers.Config {
+	return workers.Config{
+		Term:              1,
+		LeaseDuration:     time.Minute,
+		Catalog:           func(string) *cloud.MachineType { return machineType },
+		OnDeposed:         func() {},
+		OnCapacityChanged: func() {},
+		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
+		Persist:           func(w *workers.Worker) { w.Persisted = true },
+		OnCommandResult:   func(*workers.Worker, bool) {},
+		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
+	}
+}
+
+// newTestCluster makes a cluster of machines with 16 CPUs and three waiting tasks for each machine.
 func newTestCluster(machines int) *testCluster {
+	const maxValueBytes = 16 << 10
 	c := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
-	kind := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
-	c.commits = commit.New(c, commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}, kvstore.Compare{Key: "leader"}, func(string) {})
-	c.jobs = jobs.NewTable(c.commits, 16<<10, c.Now, func() int64 { return 0 })
-	c.machines = workers.NewTable(c, c.jobs, workers.Config{Term: 1, LeaseDuration: time.Minute, Catalog: func(string) *cloud.MachineType { return &kind },
-		OnDeposed: func() {}, OnCapacityChanged: func() {}, OnTaskFailed: func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Persist: func(w *workers.Worker) { w.Persisted = true }, OnCommandResult: func(*workers.Worker, bool) {}, LastPeerRenewal: func() ident.MonotonicTime { return 0 }})
+	machineType := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
+	limits := commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: maxValueBytes}
+	c.commits = commit.New(c, limits, kvstore.Compare{Key: "leader"}, func(string) {})
+	c.jobs = jobs.NewTable(c.commits, maxValueBytes, c.Now, func() int64 { return 0 })
+	c.machines = workers.NewTable(c, c.jobs, workersConfig(&machineType))
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
-	c.planner = NewPlanner(teams, c.jobs, c.machines, c, c.Now, Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour})
+	config := Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour}
+	c.planner = NewPlanner(teams, c.jobs, c.machines, c, c.Now, config)
 	c.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
 		w := c.machines.Workers[t.MachineID]
 		if !from.Allocated() && to.Allocated() {
@@ -65,7 +86,7 @@
 		}
 	}
 	for i := range machines {
-		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", i%3 == 0, c.now)
+		w := c.machines.Add(machineID(i), "m16", "east", i%3 == 0, c.now)
 		c.heartbeat(w)
 	}
 	for range 3 * machines / 20 {
@@ -74,20 +95,51 @@
 	return c
 }
 
+// heartbeat delivers a heartbeat of a machine on which all tasks run.
 func (c *testCluster) heartbeat(w *workers.Worker) {
 	c.sequence++
-	r := &api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: "east", Spot: w.Spot, Incarnation: 1, SequenceNumber: c.sequence}
+	heartbeat := &api.Heartbeat{
+		MachineID:      w.ID,
+		Addr:           "a",
+		Model:          "m16",
+		Zone:           w.Zone,
+		Spot:           w.Spot,
+		Incarnation:    1,
+		SequenceNumber: c.sequence,
+	}
 	for _, t := range c.machines.SortedTasks(w) {
-		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running})
+		report := api.TaskReport{TaskID: t.TaskID(), Attempt: t.Attempt, Status: api.Running}
+		heartbeat.Tasks = append(heartbeat.Tasks, report)
 	}
-	c.machines.HandleHeartbeat(r)
+	c.machines.HandleHeartbeat(heartbeat)
 }
 
-func (c *testCluster) submit(shape api.Shape, tasks int, vcpus float64) {
+// add submits a job with the next ID.
+func (c *testCluster) add(spec api.Spec) *jobs.Job {
 	c.jobCount++
-	c.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", c.jobCount)), Team: "red", Shape: shape, Priority: api.Standard, Tasks: tasks,
-		VCPUs: vcpus, MemoryGB: 2, Image: fmt.Sprintf("img-%d", c.jobCount%16), ImageGB: 1, Spot: shape == api.Batch, RuntimeS: 60}, func() {}, nil)
+	spec.ID = c.lastJobID()
+	j := c.jobs.Add(&spec, func() {}, nil)
 	c.commits.Flush()
+	return j
+}
+
+// lastJobID returns the ID of the job submitted last.
+func (c *testCluster) lastJobID() ident.JobID { return ident.JobID(fmt.Sprintf("j-%d", c.jobCount)) }
+
+// submit submits a job of the team red, with one of sixteen images.
+func (c *testCluster) submit(shape api.Shape, tasks int, vcpus float64) {
+	c.add(api.Spec{
+		Team:     "red",
+		Shape:    shape,
+		Priority: api.Standard,
+		Tasks:    tasks,
+		VCPUs:    vcpus,
+		MemoryGB: 2,
+		Image:    fmt.Sprintf("img-%d", (c.jobCount+1)%16),
+		ImageGB:  1,
+		Spot:     shape == api.Batch,
+		RuntimeS: 60,
+	})
 }
 
 // Place and Preempt carry out what the planner decides.
@@ -111,8 +163,9 @@
 	c.commits.Flush()
 }
 
+// cancel cancels the job submitted last, and has its tasks leave their machines.
 func (c *testCluster) cancel() {
-	j := c.jobs.Jobs[ident.JobID(fmt.Sprintf("j-%d", c.jobCount))]
+	j := c.jobs.Jobs[c.lastJobID()]
 	c.now = c.now.Add(time.Second)
 	c.commits.Flush()
 	c.jobs.Cancel(j, func() {})
@@ -122,12 +175,12 @@
 	c.commits.Flush()
 }
 
-// newTwoZoneCluster is a fleet of ordinary machines with 16 CPUs in two zones, and no work.
+// newTwoZoneCluster makes a cluster of on-demand machines with 16 CPUs in two zones, without jobs.
 func newTwoZoneCluster(east, west int) *testCluster {
 	c := newTestCluster(0)
-	onMove := c.jobs.OnStateChange
+	onStateChange := c.jobs.OnStateChange
 	c.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
-		onMove(t, from, to)
+		onStateChange(t, from, to)
 		if !from.Allocated() && to.Allocated() {
 			c.planner.teams.AddUsage(t.Job.Spec, 1)
 		} else if from.Allocated() && !to.Allocated() {
@@ -139,33 +192,38 @@
 		if i >= east {
 			zone = "west"
 		}
-		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", zone, false, c.now)
-		c.sequence++
-		c.machines.HandleHeartbeat(&api.Heartbeat{MachineID: w.ID, Addr: "a", Model: "m16", Zone: zone, Incarnation: 1, SequenceNumber: c.sequence})
+		c.heartbeat(c.machines.Add(machineID(i), "m16", zone, false, c.now))
 	}
 	return c
 }
 
+// submitGang submits a gang of the team red.
 func (c *testCluster) submitGang(tasks int, vcpus float64, oneZone bool) *jobs.Job {
-	c.jobCount++
-	id := ident.JobID(fmt.Sprintf("j-%d", c.jobCount))
-	c.jobs.Add(&api.Spec{ID: id, Team: "red", Shape: api.Gang, Priority: api.High, Tasks: tasks, VCPUs: vcpus, MemoryGB: 2, Image: "img-gang",
-		ImageGB: 1, OneZone: oneZone, RuntimeS: 30}, func() {}, nil)
-	c.commits.Flush()
-	return c.jobs.Jobs[id]
+	return c.add(api.Spec{
+		Team:     "red",
+		Shape:    api.Gang,
+		Priority: api.High,
+		Tasks:    tasks,
+		VCPUs:    vcpus,
+		MemoryGB: 2,
+		Image:    "img-gang",
+		ImageGB:  1,
+		OneZone:  oneZone,
+		RuntimeS: 30,
+	})
 }
 
-// newBorrowedCluster makes a fleet that a team without a guarantee has filled, but for what is
-// left free on the first machine.
+// newBorrowedCluster makes a cluster that a team without a guarantee has filled, except for so many
+// CPUs of the first machine.
 func newBorrowedCluster(machines, leftFree int) *testCluster {
 	c := newTestCluster(0)
 	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		c.heartbeat(c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, c.now))
+		c.heartbeat(c.machines.Add(machineID(i), "m16", "east", true, c.now))
 	}
 	backlog := c.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
-		c.Place(&backlog.Tasks[i], c.machines.Workers[ident.MachineID(fmt.Sprintf("host-%06d", (i+leftFree)/16))])
+		c.Place(&backlog.Tasks[i], c.machines.Workers[machineID((i+leftFree)/16)])
 	}
 	c.commits.Flush()
 	for _, w := range c.machines.Sorted() {
@@ -174,21 +232,27 @@
 	return c
 }
 
-// submitAs submits an array of tasks of one CPU whose image is the team's own.
+// submitAs submits a batch job of tasks of one CPU with an image of the team's own.
 func (c *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
-	c.jobCount++
-	j := c.jobs.Add(&api.Spec{ID: ident.JobID(fmt.Sprintf("j-%d", c.jobCount)), Team: team, Shape: api.Batch, Priority: priority, Tasks: tasks,
-		VCPUs: 1, MemoryGB: 1, Image: "img-" + team, ImageGB: 1, Spot: true, RuntimeS: 60}, func() {}, nil)
-	c.commits.Flush()
-	return j
+	return c.add(api.Spec{
+		Team:     team,
+		Shape:    api.Batch,
+		Priority: priority,
+		Tasks:    tasks,
+		VCPUs:    1,
+		MemoryGB: 1,
+		Image:    "img-" + team,
+		ImageGB:  1,
+		Spot:     true,
+		RuntimeS: 60,
+	})
 }
 
-// newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
+// newClusterWithHolders makes a cluster in which so many machines hold the image of the team red.
 func newClusterWithHolders(machines, holding int) *testCluster {
 	c := newTestCluster(0)
 	for i := range machines {
-		w := c.machines.Add(ident.MachineID(fmt.Sprintf("host-%06d", i)), "m16", "east", true, c.now)
-		c.heartbeat(w)
+		c.heartbeat(c.machines.Add(machineID(i), "m16", "east", true, c.now))
 	}
 	first := c.submitAs("red", api.Standard, holding)
 	for i := range holding {
@@ -201,7 +265,7 @@
 	return c
 }
 
-// newReservedCluster makes one empty machine whose room is kept for a job that can't be placed yet, and
+// newReservedCluster makes one empty machine that is reserved for a job that can't be placed yet, and
 // another job that waits.
 func newReservedCluster() (c *testCluster, first, other *jobs.Job) {
 	c = newTestCluster(0)
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestRecentlyPreemptedIsSpared: a task that was stopped to make room is not the cheapest to
-// stop again just because it has just started. (One was stopped sixty times.)
+// TestRecentlyPreemptedIsSpared: a task that was preempted is not the cheapest to preempt again just
+// because it has just started.
 func TestRecentlyPreemptedIsSpared(t *testing.T) {
 	c := newTestCluster(1)
 	c.submit(api.Batch, 4, 4)
@@ -41,8 +41,7 @@
 }
 
 // TestGuaranteedJobIsPlacedAtOnce: all tasks of a guaranteed job take the places of others
-// in one dispatch, on a fleet with more machines than a dispatch may search for each task.
-// (One task was placed in each dispatch, and the last of eighty waited for seconds.)
+// in one dispatch, in a cluster with more machines than a dispatch could search for each task.
 func TestGuaranteedJobIsPlacedAtOnce(t *testing.T) {
 	c := newBorrowedCluster(900, 0)
 	j := c.submitAs("red", api.Standard, 80)
@@ -57,9 +56,8 @@
 }
 
 // TestBorrowersComeLast: a place that becomes free on a machine with the image of a team
-// without a guarantee is taken by another team's task, though that must fetch its image;
-// the team has what is left. (Its waiting tasks were local there and took the place, and
-// were stopped for the other half a second later.)
+// without a guarantee is taken by another team's task, though that must pull its image, and the
+// first team's waiting tasks are local there; that team has what is left.
 func TestBorrowersComeLast(t *testing.T) {
 	c := newBorrowedCluster(2, 3)
 	j := c.submitAs("red", api.Standard, 2)
@@ -68,6 +66,7 @@
 	c.planner.Round()
 	c.planner.Dispatch()
 	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != held+1 {
-		t.Errorf("%d of 2 tasks of the other team have a place, and %d more of the guest", j.AllocatedTasks, borrower.AllocatedTasks-held)
+		t.Errorf("%d of 2 tasks of the other team are placed, and %d more of the borrower",
+			j.AllocatedTasks, borrower.AllocatedTasks-held)
 	}
 }
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/settings"
 )
 
-// TestBorrowerHasNoLimit: a guest team has neither guarantee nor limit; its settings say 0 for all,
-// which means none. Every job of such a team was refused with 422.
+// TestBorrowerHasNoLimit: a team whose settings are all 0 has neither guarantee nor limit, and may use
+// whatever is free.
 func TestBorrowerHasNoLimit(t *testing.T) {
 	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "guest"}})
 	bigJob := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestReservation: room that is kept for a job goes to no other one, until that has it, the time is
-// over, or the promise is withdrawn.
+// TestReservation: room that is reserved for a job goes to no other one, until the job has it, the
+// time is over, or the reservation is released.
 func TestReservation(t *testing.T) {
 	held := func(j *jobs.Job) bool { return j.Tasks[0].State.Allocated() }
 	c, first, other := newReservedCluster()
@@ -32,10 +32,10 @@
 	c, first, other = newReservedCluster()
 	c.planner.ReleaseReservation(c.machines.Sorted()[0], other)
 	if c.planner.Dispatch(); held(other) {
-		t.Error("another job withdraws the promise")
+		t.Error("a release for another job ends the reservation")
 	}
 	c.planner.ReleaseReservation(c.machines.Sorted()[0], first)
 	if c.planner.Dispatch(); !held(other) {
-		t.Error("room is kept though the promise is withdrawn")
+		t.Error("room is kept though the reservation is released")
 	}
 }
