--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -16,16 +16,23 @@
 
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
+// jobID returns the ID of a job by its number.
+func jobID(n int) ident.JobID { return ident.JobID(fmt.Sprintf("j-%d", n)) }
+
+// fitsAnywhere lets all tasks run on all machines, with a pull of a second.
+func fitsAnywhere(*Task, *Machine) (time.Duration, bool) { return time.Second, true }
+
 // drawCluster makes a cluster of small machines with running and waiting tasks.
 func drawCluster(t *rapid.T) *Cluster {
-	p := &Cluster{Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
+	p := &Cluster{Fits: fitsAnywhere}
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-		m := &Machine{ID: ident.MachineID(fmt.Sprintf("host-%02d", i)), Zone: []string{"east", "west"}[i%2], Free: drawNeed(t, 0, 6)}
+		m := &Machine{
+			ID:   ident.MachineID(fmt.Sprintf("host-%02d", i)),
+			Zone: []string{"east", "west"}[i%2],
+			Free: drawNeed(t, 0, 6),
+		}
 		for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
-			m.Tasks = append(m.Tasks, Task{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", rapid.IntRange(1, 5).Draw(t, "job"))), Index: 10*i + k},
-				Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Need: drawNeed(t, 1, 4), PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
-				RunningFor: seconds(t, "ran", 90), Remaining: seconds(t, "left", 120), CheckpointInterval: seconds(t, "saves", 1), CheckpointTime: seconds(t, "save", 4),
-				Replica: rapid.Bool().Draw(t, "replica"), MoveCount: rapid.IntRange(0, 2).Draw(t, "moved")})
+			m.Tasks = append(m.Tasks, drawTask(t, 10*i+k))
 		}
 		for _, x := range m.Tasks {
 			if x.Remaining > 0 {
@@ -35,26 +42,59 @@
 		p.Machines = append(p.Machines, m)
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "active") {
-		p.ActiveMoves = append(p.ActiveMoves, ActiveMove{Job: ident.JobID(fmt.Sprintf("j-%d", 1+i)), Team: "red", From: "host-00", To: "host-01", Zone: "east",
-			BeneficiaryID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", 100+i))}})
+		p.ActiveMoves = append(p.ActiveMoves, ActiveMove{
+			Job:           jobID(1 + i),
+			Team:          "red",
+			From:          "host-00",
+			To:            "host-01",
+			Zone:          "east",
+			BeneficiaryID: ident.TaskID{Job: jobID(100 + i)},
+		})
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "waiting") {
 		zone := rapid.SampledFrom([]string{"", "east"}).Draw(t, "zone")
-		p.Waiting = append(p.Waiting, WaitingTask{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", 100+i))},
-			Need: drawNeed(t, 2, 8), PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"), WaitedFor: seconds(t, "waited", 20), BootRemaining: seconds(t, "arriving", 60), Allowed: func(m *Machine) bool { return zone == "" || m.Zone == zone }})
+		p.Waiting = append(p.Waiting, WaitingTask{
+			ID:            ident.TaskID{Job: jobID(100 + i)},
+			Need:          drawNeed(t, 2, 8),
+			PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
+			WaitedFor:     seconds(t, "waited", 20),
+			BootRemaining: seconds(t, "arriving", 60),
+			Allowed:       func(m *Machine) bool { return zone == "" || m.Zone == zone },
+		})
 	}
 	return p
 }
 
+// drawTask makes a running task of one of five jobs.
+func drawTask(t *rapid.T, index int) Task {
+	return Task{
+		ID:                 ident.TaskID{Job: jobID(rapid.IntRange(1, 5).Draw(t, "job")), Index: index},
+		Team:               rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+		Need:               drawNeed(t, 1, 4),
+		PriorityLevel:      rapid.IntRange(0, 3).Draw(t, "level"),
+		RunningFor:         seconds(t, "ran", 90),
+		Remaining:          seconds(t, "left", 120),
+		CheckpointInterval: seconds(t, "saves", 1),
+		CheckpointTime:     seconds(t, "save", 4),
+		Replica:            rapid.Bool().Draw(t, "replica"),
+		MoveCount:          rapid.IntRange(0, 2).Draw(t, "moved"),
+	}
+}
+
+// drawNeed draws a need of CPUs and memory.
 func drawNeed(t *rapid.T, least, most int) jobs.Resources {
-	return jobs.Resources{VCPUs: float64(rapid.IntRange(least, most).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(least, most).Draw(t, "memory"))}
+	return jobs.Resources{
+		VCPUs:    float64(rapid.IntRange(least, most).Draw(t, "cpus")),
+		MemoryGB: float64(rapid.IntRange(least, most).Draw(t, "memory")),
+	}
 }
 
+// seconds draws a time of whole seconds.
 func seconds(t *rapid.T, name string, most int) time.Duration {
 	return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Second
 }
 
-// cloneCluster returns a picture of its own, since a plan uses it up.
+// cloneCluster copies a cluster, since Plan changes it.
 func cloneCluster(p *Cluster) *Cluster {
 	out := &Cluster{Fits: p.Fits, Waiting: p.Waiting, ActiveMoves: p.ActiveMoves}
 	for _, m := range p.Machines {
@@ -66,8 +106,8 @@
 	return out
 }
 
-// TestPlan: whatever the picture, each move pays with its margin, has room to go to and makes
-// enough for the task it is for; budgets are kept; and the same picture has the same plan.
+// TestPlan: whatever the cluster, each move pays with its margin, has room at its destination and makes
+// enough for its beneficiary; budgets are kept; and the same cluster has the same plan.
 func TestPlan(t *testing.T) {
 	planned := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -101,12 +141,17 @@
 				t.Fatalf("%+v: %v free there, %v here, %v needed", m, to.Free, from.Free, w.Need)
 			case x.Remaining > 0 && x.Remaining <= x.CheckpointTime+c.StartOverhead:
 				t.Fatalf("%+v ends before its move", m)
-			case x.PriorityLevel < w.PriorityLevel || x.RunningFor < c.MinRuntime || w.WaitedFor < c.MinWait || served[m.BeneficiaryID]:
+			case x.PriorityLevel < w.PriorityLevel || x.RunningFor < c.MinRuntime ||
+				w.WaitedFor < c.MinWait || served[m.BeneficiaryID]:
 				t.Fatalf("%+v: moved %+v for %+v", m, x, w)
 			case w.BootRemaining > 0 && m.ExpectedWait > w.BootRemaining:
 				t.Fatalf("%+v: a machine comes in %v", m, w.BootRemaining)
-			case x.MoveCount+used.jobs[m.Task.Job] > c.Budgets.Job || used.zones[from.Zone] > c.Budgets.Zone || used.teams[x.Team] > c.Budgets.Team ||
-				used.machines[m.From] > c.Budgets.Machine || used.machines[m.To] > c.Budgets.Machine || used.cluster > c.Budgets.Cluster:
+			case x.MoveCount+used.jobs[m.Task.Job] > c.Budgets.Job ||
+				used.zones[from.Zone] > c.Budgets.Zone ||
+				used.teams[x.Team] > c.Budgets.Team ||
+				used.machines[m.From] > c.Budgets.Machine ||
+				used.machines[m.To] > c.Budgets.Machine ||
+				used.cluster > c.Budgets.Cluster:
 				t.Fatalf("over a budget: %+v beside %+v", moves, p.ActiveMoves)
 			}
 			served[m.BeneficiaryID] = true
@@ -114,7 +159,7 @@
 		}
 	})
 	if planned == 0 {
-		t.Error("no move in any picture: the test shows nothing")
+		t.Error("no move in any cluster: the test shows nothing")
 	}
 }
 
@@ -130,15 +175,37 @@
 // cpuNeed is a need of CPUs alone.
 func cpuNeed(n float64) jobs.Resources { return jobs.Resources{VCPUs: n} }
 
-// smallCluster is a picture in which one task waits for 4 CPUs and two machines have 3 and 2 free.
+// allowedAnywhere lets a waiting task run on all machines.
+func allowedAnywhere(*Machine) bool { return true }
+
+// smallCluster is a cluster in which one task waits for 4 CPUs and two machines have 3 and 2 free.
 func smallCluster(change func(*Cluster)) *Cluster {
-	p := &Cluster{Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
+	running := Task{
+		ID:                 ident.TaskID{Job: "j-1"},
+		Team:               "red",
+		Need:               cpuNeed(1),
+		RunningFor:         40 * time.Second,
+		Remaining:          2 * time.Minute,
+		CheckpointInterval: 10 * time.Second,
+		CheckpointTime:     time.Second,
+	}
+	p := &Cluster{Fits: fitsAnywhere}
 	p.Machines = []*Machine{
-		{ID: "host-1", Zone: "east", Free: cpuNeed(3), Completions: []Completion{{Remaining: 2 * time.Minute, Frees: cpuNeed(1)}},
-			Tasks: []Task{{ID: ident.TaskID{Job: "j-1"}, Team: "red", Need: cpuNeed(1), RunningFor: 40 * time.Second, Remaining: 2 * time.Minute, CheckpointInterval: 10 * time.Second, CheckpointTime: time.Second}}},
+		{
+			ID:          "host-1",
+			Zone:        "east",
+			Free:        cpuNeed(3),
+			Completions: []Completion{{Remaining: 2 * time.Minute, Frees: cpuNeed(1)}},
+			Tasks:       []Task{running},
+		},
 		{ID: "host-2", Zone: "east", Free: cpuNeed(2)},
 	}
-	p.Waiting = []WaitingTask{{ID: ident.TaskID{Job: "j-9"}, Need: cpuNeed(4), WaitedFor: time.Minute, Allowed: func(*Machine) bool { return true }}}
+	p.Waiting = []WaitingTask{{
+		ID:        ident.TaskID{Job: "j-9"},
+		Need:      cpuNeed(4),
+		WaitedFor: time.Minute,
+		Allowed:   allowedAnywhere,
+	}}
 	if change != nil {
 		change(p)
 	}
@@ -174,9 +241,13 @@
 		{"it may not go there", func(p *Cluster) {
 			p.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
 		}, 0},
-		{"it is as large as what waits", func(p *Cluster) { p.Machines[0].Free, p.Machines[0].Tasks[0].Need = cpuNeed(0), cpuNeed(4) }, 0},
+		{"it is as large as what waits", func(p *Cluster) {
+			p.Machines[0].Free, p.Machines[0].Tasks[0].Need = cpuNeed(0), cpuNeed(4)
+		}, 0},
 		{"memory is short there", func(p *Cluster) { p.Machines[0].Tasks[0].Need.MemoryGB = 1 }, 0},
-		{"what waits may not run there", func(p *Cluster) { p.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-2" } }, 0},
+		{"what waits may not run there", func(p *Cluster) {
+			p.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-2" }
+		}, 0},
 		{"one machine is much larger, and has the room", func(p *Cluster) { p.Machines[1].Free = cpuNeed(60) }, 0},
 		{"one machine is much larger, and what waits may not run there", func(p *Cluster) {
 			p.Machines[1].Free = cpuNeed(60)
@@ -202,7 +273,9 @@
 	}{
 		{"worth it", func(*Cluster, *Task) {}, 1},
 		{"it never saves, and has long to run", func(_ *Cluster, x *Task) { x.CheckpointInterval = 0 }, 1},
-		{"it never saves, and is nearly done", func(_ *Cluster, x *Task) { x.CheckpointInterval, x.RunningFor = 0, 230*time.Second }, 0},
+		{"it never saves, and is nearly done", func(_ *Cluster, x *Task) {
+			x.CheckpointInterval, x.RunningFor = 0, 230*time.Second
+		}, 0},
 		{"it saves, and is nearly done", func(_ *Cluster, x *Task) { x.RunningFor = 296 * time.Second }, 0},
 		{"it should have ended long ago", func(_ *Cluster, x *Task) { x.RunningFor = 20 * time.Minute }, 0},
 		{"nothing is known of its end", func(_ *Cluster, x *Task) { x.EstimatedRuntime = 0 }, 0},
@@ -219,28 +292,66 @@
 		{"the team has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{Team: "red"}, {Team: "red"}} }, 0},
 		{"the cluster has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = make([]ActiveMove, 4) }, 0},
 	} {
-		p := &Cluster{Machines: []*Machine{{ID: "host-1", Zone: "east", Free: cpuNeed(4)}}, Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
-		p.SlowMachines = []*SlowMachine{{Slowness: 3, Machine: Machine{ID: "slow", Zone: "west", Tasks: []Task{{ID: ident.TaskID{Job: "j-1"}, Team: "red", Need: cpuNeed(2),
-			RunningFor: time.Minute, EstimatedRuntime: 100 * time.Second, CheckpointInterval: time.Second, CheckpointTime: time.Second}}}}}
+		p := clusterWithSlowMachine()
 		c.change(p, &p.SlowMachines[0].Tasks[0])
 		moves := Plan(DefaultConfig(), p)
-		if len(moves) != c.moves || len(moves) == 1 && (moves[0].Purpose != LeavesSlowMachine || moves[0].From != "slow" || moves[0].To != "host-1") {
+		if len(moves) != c.moves {
+			t.Errorf("%s: %+v", c.name, moves)
+		}
+		if len(moves) == 1 && (moves[0].Purpose != LeavesSlowMachine || moves[0].From != "slow" || moves[0].To != "host-1") {
 			t.Errorf("%s: %+v", c.name, moves)
 		}
 	}
 }
 
-// manyWaiting is a picture in which eight tasks wait for room that a move each would make: sources in
-// the zone and of the team that they are given, and a destination for each.
+// clusterWithSlowMachine is a cluster in which one task runs on a slow machine, and another machine has
+// room for it.
+func clusterWithSlowMachine() *Cluster {
+	running := Task{
+		ID:                 ident.TaskID{Job: "j-1"},
+		Team:               "red",
+		Need:               cpuNeed(2),
+		RunningFor:         time.Minute,
+		EstimatedRuntime:   100 * time.Second,
+		CheckpointInterval: time.Second,
+		CheckpointTime:     time.Second,
+	}
+	return &Cluster{
+		Machines: []*Machine{{ID: "host-1", Zone: "east", Free: cpuNeed(4)}},
+		SlowMachines: []*SlowMachine{{
+			Slowness: 3,
+			Machine:  Machine{ID: "slow", Zone: "west", Tasks: []Task{running}},
+		}},
+		Fits: fitsAnywhere,
+	}
+}
+
+// manyWaiting is a cluster in which eight tasks wait for room that one move each would make: sources in
+// the given zone and of the given team, and a destination for each.
 func manyWaiting(zone, team func(i int) string) *Cluster {
 	p := &Cluster{Fits: func(_ *Task, m *Machine) (time.Duration, bool) { return 0, m.Zone == "far" }}
 	for i := range 8 {
 		p.Machines = append(p.Machines,
-			&Machine{ID: ident.MachineID(fmt.Sprintf("source-%d", i)), Zone: zone(i), Free: cpuNeed(3), Tasks: []Task{{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", i))},
-				Team: team(i), Need: cpuNeed(1), RunningFor: time.Minute, CheckpointInterval: time.Second}}},
-			&Machine{ID: ident.MachineID(fmt.Sprintf("target-%d", i)), Zone: "far", Free: cpuNeed(1)})
-		p.Waiting = append(p.Waiting, WaitingTask{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", 100+i))}, Need: cpuNeed(4), WaitedFor: time.Minute,
-			Allowed: func(*Machine) bool { return true }})
+			&Machine{
+				ID:   ident.MachineID(fmt.Sprintf("source-%d", i)),
+				Zone: zone(i),
+				Free: cpuNeed(3),
+				Tasks: []Task{{
+					ID:                 ident.TaskID{Job: jobID(i)},
+					Team:               team(i),
+					Need:               cpuNeed(1),
+					RunningFor:         time.Minute,
+					CheckpointInterval: time.Second,
+				}},
+			},
+			&Machine{ID: ident.MachineID(fmt.Sprintf("target-%d", i)), Zone: "far", Free: cpuNeed(1)},
+		)
+		p.Waiting = append(p.Waiting, WaitingTask{
+			ID:        ident.TaskID{Job: jobID(100 + i)},
+			Need:      cpuNeed(4),
+			WaitedFor: time.Minute,
+			Allowed:   allowedAnywhere,
+		})
 	}
 	return p
 }
@@ -278,21 +389,32 @@
 	}
 }
 
-// BenchmarkPlan tells how the time of a plan grows with the fleet.
+// BenchmarkPlan measures how the time for a plan grows with the machines.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
-			p := &Cluster{Fits: func(*Task, *Machine) (time.Duration, bool) { return time.Second, true }}
+			p := &Cluster{Fits: fitsAnywhere}
 			for i := range machines {
 				m := &Machine{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Zone: "east", Free: cpuNeed(float64(i % 4))}
 				for k := range 4 {
-					m.Tasks = append(m.Tasks, Task{ID: ident.TaskID{Job: ident.JobID(fmt.Sprintf("j-%d", i)), Index: k}, Need: cpuNeed(3), RunningFor: time.Minute, Remaining: 5 * time.Minute, CheckpointInterval: time.Second})
+					m.Tasks = append(m.Tasks, Task{
+						ID:                 ident.TaskID{Job: jobID(i), Index: k},
+						Need:               cpuNeed(3),
+						RunningFor:         time.Minute,
+						Remaining:          5 * time.Minute,
+						CheckpointInterval: time.Second,
+					})
 					m.Completions = append(m.Completions, Completion{Remaining: 5 * time.Minute, Frees: cpuNeed(3)})
 				}
 				p.Machines = append(p.Machines, m)
 			}
 			for i := range 100 {
-				p.Waiting = append(p.Waiting, WaitingTask{ID: ident.TaskID{Job: "j-w", Index: i}, Need: cpuNeed(6), WaitedFor: time.Minute, Allowed: func(*Machine) bool { return true }})
+				p.Waiting = append(p.Waiting, WaitingTask{
+					ID:        ident.TaskID{Job: "j-w", Index: i},
+					Need:      cpuNeed(6),
+					WaitedFor: time.Minute,
+					Allowed:   allowedAnywhere,
+				})
 			}
 			for b.Loop() {
 				Plan(DefaultConfig(), cloneCluster(p))
