--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,13 +15,26 @@
 
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
+// simple is the use of one machine in a simple model.
+type simple struct {
+	zone       string
+	cpus, used float64
+}
+
+// sharesOf returns the utilizations of the machines of a zone, of all machines if zone is empty.
+func sharesOf(model map[ident.MachineID]*simple, zone string) []float64 {
+	var shares []float64
+	for _, k := range model {
+		if k.cpus > 0 && (zone == "" || k.zone == zone) {
+			shares = append(shares, k.used/k.cpus)
+		}
+	}
+	return shares
+}
+
 // TestImbalance compares the sums that updates keep with a walk over a simple model: machines
 // come, grow, are used and go in any order.
 func TestImbalance(t *testing.T) {
-	type simple struct {
-		zone       string
-		cpus, used float64
-	}
 	rapid.Check(t, func(t *rapid.T) {
 		m, model := New(DefaultConfig(), nil), map[ident.MachineID]*simple{}
 		host := rapid.Custom(func(t *rapid.T) ident.MachineID {
@@ -37,7 +50,8 @@
 			h := host.Draw(t, "machine")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				zone, cpus := rapid.SampledFrom([]string{"east", "west"}).Draw(t, "zone"), float64(rapid.IntRange(1, 64).Draw(t, "cpus"))
+				zone := rapid.SampledFrom([]string{"east", "west"}).Draw(t, "zone")
+				cpus := float64(rapid.IntRange(1, 64).Draw(t, "cpus"))
 				m.SetMachine(h, zone, cpus)
 				get(h).zone, get(h).cpus = zone, cpus
 			case 1:
@@ -52,12 +66,7 @@
 			}
 		}
 		for _, zone := range []string{"", "east", "west"} {
-			var shares []float64
-			for _, k := range model {
-				if k.cpus > 0 && (zone == "" || k.zone == zone) {
-					shares = append(shares, k.used/k.cpus)
-				}
-			}
+			shares := sharesOf(model, zone)
 			got := m.Imbalance()
 			if zone != "" {
 				got = m.ZoneImbalance(zone)
@@ -85,7 +94,8 @@
 	return math.Sqrt(square/float64(len(shares))) / mean
 }
 
-// TestAverage: after one half-life half of a step has come through, and rest changes nothing.
+// TestAverage: after one half-life the average has gone half of a step, and setting the same level
+// again changes nothing.
 func TestAverage(t *testing.T) {
 	var a Average
 	now, half := ident.MonotonicTime(time.Hour), 10*time.Second
@@ -100,8 +110,9 @@
 	}
 }
 
-// runDemand has a team ask for demand by a function of time, and returns its states.
-func runDemand(d time.Duration, demand func(time.Duration) float64) (states []DemandState, hotFor time.Duration) {
+// runDemand has the demand of a team follow a function of time, and returns the states of the team.
+func runDemand(d time.Duration, demand func(time.Duration) float64) []DemandState {
+	var states []DemandState
 	m := New(DefaultConfig(), map[string]float64{"red": 100, "blue": 100})
 	start := ident.MonotonicTime(time.Hour)
 	for at := time.Duration(0); at < d; at += 500 * time.Millisecond {
@@ -114,18 +125,15 @@
 			}
 			states = append(states, c.To)
 		}
-		if m.IsOverloaded("red") {
-			hotFor += 500 * time.Millisecond
-		}
 		if m.AnyOverloaded() != m.IsOverloaded("red") {
-			panic("any hot")
+			panic("AnyOverloaded doesn't follow the one team that is overloaded")
 		}
 	}
-	return states, hotFor
+	return states
 }
 
-// TestDemandStates: a flood makes a team hot within seconds and it cools some time after; what lasts
-// for a moment, or hovers between the bounds, changes nothing to and fro.
+// TestDemandStates: a flood of jobs makes a team overloaded within seconds, and it recovers some time
+// after; what lasts for a moment, or hovers between the bounds, doesn't make the state oscillate.
 func TestDemandStates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -133,7 +141,7 @@
 		states []DemandState
 	}{
 		{"within its share", func(time.Duration) float64 { return 90 }, nil},
-		{"a hundred times hotter for a minute", func(at time.Duration) float64 {
+		{"a hundred times its share for a minute", func(at time.Duration) float64 {
 			if at < time.Minute {
 				return 10_000
 			}
@@ -152,21 +160,21 @@
 			return 160 + 40*math.Sin(at.Seconds())
 		}, []DemandState{Rising, Overloaded}},
 	} {
-		states, _ := runDemand(4*time.Minute, c.demand)
+		states := runDemand(4*time.Minute, c.demand)
 		if fmt.Sprint(states) != fmt.Sprint(c.states) {
 			t.Errorf("%s: %v, want %v", c.name, states, c.states)
 		}
 	}
 }
 
-// TestPulsesDontOscillate: demand in short pulses makes a team hot or leaves it cool, and
+// TestPulsesDontOscillate: demand in short pulses makes a team overloaded or leaves it normal, and
 // changes that no more than twice; in longer ones each pulse does so once at the most.
 func TestPulsesDontOscillate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1, 60).Draw(t, "period_s")) * time.Second
 		high := rapid.Float64Range(100, 2000).Draw(t, "high")
 		const long = 10 * time.Minute
-		states, _ := runDemand(long, func(at time.Duration) float64 {
+		states := runDemand(long, func(at time.Duration) float64 {
 			if at%period < period/2 {
 				return high
 			}
@@ -183,12 +191,12 @@
 			most = 2
 		}
 		if flips > most {
-			t.Fatalf("%d changes between hot and cool with pulses every %v, at the most %d", flips, period, most)
+			t.Fatalf("%d changes between overloaded and normal with pulses every %v, at the most %d", flips, period, most)
 		}
 	})
 }
 
-// BenchmarkUse tells that a change costs the same whatever the number of machines.
+// BenchmarkUse shows that a change costs the same whatever the number of machines.
 func BenchmarkUse(b *testing.B) {
 	for _, machines := range []int{500, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/rebalance"
 )
 
-// recorder is a state service that keeps the requests that came, in words.
+// recorder is a key-value store that keeps a description of each request.
 type recorder struct {
 	*kvstoretest.SteppedStore
 	requests strings.Builder
@@ -27,7 +27,7 @@
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
 	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
-	c := commit.New(r, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 61}, func(why string) { t.Error(why) })
+	c := commit.New(r, testLimits, kvstore.Compare{Key: "leader", Revision: 61}, func(reason string) { t.Error(reason) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
 		Purpose:        rebalance.FreesCapacity,
@@ -42,8 +42,8 @@
 		CheckpointTime: 74 * time.Second,
 		FetchTime:      75 * time.Second,
 	}
-	for _, source := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
-		move.Purpose = source
+	for _, purpose := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
+		move.Purpose = purpose
 		h.RecordMove(&Move{Move: move, Attempt: 8}, nil)
 		c.Flush()
 		r.Run()
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -11,9 +11,13 @@
 	"opaldale/internal/kvstoretest"
 )
 
+// testLimits are limits of a store that allows small transactions.
+var testLimits = commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
+
 // newTermHistory makes the history of a term, with what is stored.
 func newTermHistory(t *testing.T, s *kvstoretest.SteppedStore) (*History, *commit.Committer) {
-	c := commit.New(s, commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}, kvstore.Compare{Key: "leader", Revision: 1}, func(why string) { t.Error(why) })
+	t.Helper()
+	c := commit.New(s, testLimits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Entries {
 		if strings.HasPrefix(path, Prefix) {
@@ -66,8 +70,8 @@
 	}
 }
 
-// TestUnreadable: a record that can't be read bars its job and no other, and stays until that
-// is over.
+// TestUnreadable: a record that can't be decoded bars its job and no other, and stays until the job is
+// over.
 func TestUnreadable(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
 		s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -23,29 +23,49 @@
 
 // proposal is a move of a task in its third attempt.
 func proposal() rebalance.Move {
-	return rebalance.Move{Task: ident.TaskID{Job: "j-1"}, From: source, To: destination, BeneficiaryID: ident.TaskID{Job: "j-9"},
-		ExpectedWait: time.Minute, Gain: 50 * time.Second, Cost: 4 * time.Second, CheckpointTime: time.Second, FetchTime: 2 * time.Second}
+	return rebalance.Move{
+		Task:           ident.TaskID{Job: "j-1"},
+		From:           source,
+		To:             destination,
+		BeneficiaryID:  ident.TaskID{Job: "j-9"},
+		ExpectedWait:   time.Minute,
+		Gain:           50 * time.Second,
+		Cost:           4 * time.Second,
+		CheckpointTime: time.Second,
+		FetchTime:      2 * time.Second,
+	}
 }
 
-// observationAt returns what is so of the task in its usual course.
-func observationAt(task jobs.State, attempt ident.Attempt, host ident.MachineID) Observation {
-	return Observation{JobOpen: true, Task: task, Attempt: attempt, Machine: host, BeneficiaryWaiting: true, HasAuthority: true, LinksHealthy: true, TeamAllows: true}
+// observationAt returns what is observed of a task in a state, with nothing that speaks against its
+// move.
+func observationAt(task jobs.State, attempt ident.Attempt, machine ident.MachineID) Observation {
+	return Observation{
+		JobOpen:            true,
+		Task:               task,
+		Attempt:            attempt,
+		Machine:            machine,
+		BeneficiaryWaiting: true,
+		HasAuthority:       true,
+		LinksHealthy:       true,
+		TeamAllows:         true,
+	}
 }
 
-// moveHarness is a move on its way through the states.
+// moveHarness takes one move through its states.
 type moveHarness struct {
 	table *Table
 	move  *Move
 	now   ident.MonotonicTime
 }
 
+// newMoveHarness begins a move.
 func newMoveHarness() *moveHarness {
 	w := &moveHarness{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
 	w.move = w.table.Begin(proposal(), 3, w.now)
 	return w
 }
 
-// observe lets time go by and the table see something.
+// observe advances the table after a time, and returns the effects.
 func (w *moveHarness) observe(d time.Duration, o Observation) []EffectKind {
 	w.now = w.now.Add(d)
 	var kinds []EffectKind
@@ -94,24 +114,42 @@
 	}
 	o := observationAt(jobs.Assigned, 4, destination)
 	o.TaskRunning = true
-	if got := w.observe(time.Second, o); !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
+	got := w.observe(time.Second, o)
+	if !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
 		t.Fatalf("%v in %s, %d active", got, w.move.State, len(w.table.Active()))
 	}
 	o.BeneficiaryPlaced = true
 	w.observe(time.Second, o)
 	if got := w.table.TotalGain; got != w.move.RealizedGain() || got < 45*time.Second || got > time.Minute {
-		t.Errorf("gained %v, realised %v", got, w.move.RealizedGain())
+		t.Errorf("gained %v, realized %v", got, w.move.RealizedGain())
 	}
 }
 
+// with returns an observation with a change.
+func with(o Observation, change func(*Observation)) Observation {
+	change(&o)
+	return o
+}
+
+// Changes of an observation that speak against a move.
+var (
+	closed            = func(o *Observation) { o.JobOpen = false }
+	unauthorized      = func(o *Observation) { o.HasAuthority = false }
+	unschedulable     = func(o *Observation) { o.Destination = DestinationUnschedulable }
+	full              = func(o *Observation) { o.Destination = DestinationFull }
+	linkSuspected     = func(o *Observation) { o.LinksHealthy = false }
+	recovered         = func(o *Observation) { o.DemandRecovered = true }
+	noneWaiting       = func(o *Observation) { o.BeneficiaryWaiting = false }
+	atLimit           = func(o *Observation) { o.TeamAllows = false }
+	reportedElsewhere = func(o *Observation) { o.ReportedElsewhere = true }
+)
+
 // TestAbandoned: in each state, whatever ends a move ends it for its reason, and what was
 // reserved is released.
 func TestAbandoned(t *testing.T) {
-	with := func(o Observation, change func(*Observation)) Observation {
-		change(&o)
-		return o
-	}
-	here, leaving, gone := observationAt(jobs.Assigned, 3, source), observationAt(jobs.Stopping, 3, source), observationAt(jobs.Waiting, 3, "")
+	here := observationAt(jobs.Assigned, 3, source)
+	leaving := observationAt(jobs.Stopping, 3, source)
+	gone := observationAt(jobs.Waiting, 3, "")
 	there := observationAt(jobs.Assigned, 4, destination)
 	for _, c := range []struct {
 		name  string
@@ -121,31 +159,31 @@
 		want  Reason
 	}{
 		{"it completes", Proposed, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
-		{"its job is cancelled", Proposed, 0, with(here, func(o *Observation) { o.JobOpen = false }), JobClosed},
+		{"its job is cancelled", Proposed, 0, with(here, closed), JobClosed},
 		{"it is stopped by something else", Proposed, 0, leaving, TaskChanged},
 		{"it was placed anew", Proposed, 0, observationAt(jobs.Assigned, 4, source), TaskChanged},
-		{"nothing can be recorded", Proposed, 0, with(here, func(o *Observation) { o.HasAuthority = false }), AuthorityLost},
-		{"a link is in doubt", Proposed, 0, with(here, func(o *Observation) { o.LinksHealthy = false }), LinkSuspected},
-		{"the destination shuts", Proposed, 0, with(here, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
-		{"the room is taken", Proposed, 0, with(here, func(o *Observation) { o.Destination = DestinationFull }), DestinationTaken},
-		{"a hot team cools", Proposed, 0, with(here, func(o *Observation) { o.DemandRecovered = true }), TeamRecovered},
-		{"nobody waits for it", Proposed, 0, with(here, func(o *Observation) { o.BeneficiaryWaiting = false }), NotNeeded},
+		{"nothing can be recorded", Proposed, 0, with(here, unauthorized), AuthorityLost},
+		{"a link is in doubt", Proposed, 0, with(here, linkSuspected), LinkSuspected},
+		{"the destination shuts", Proposed, 0, with(here, unschedulable), DestinationClosed},
+		{"the room is taken", Proposed, 0, with(here, full), DestinationTaken},
+		{"an overloaded team recovers", Proposed, 0, with(here, recovered), TeamRecovered},
+		{"nobody waits for it", Proposed, 0, with(here, noneWaiting), NotNeeded},
 		{"the record is late", Proposed, 3 * time.Second, here, RecordOverdue},
 		{"it completes as it is stopped", Stopping, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
-		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.JobOpen = false }), JobClosed},
-		{"the destination is lost meanwhile", Stopping, 0, with(leaving, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
+		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, closed), JobClosed},
+		{"the destination is lost meanwhile", Stopping, 0, with(leaving, unschedulable), DestinationClosed},
 		{"the proof is late", Stopping, 5 * time.Second, leaving, StopOverdue},
 		{"something else placed it", Stopping, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
-		{"its job is cancelled after the stop", Stopped, 0, with(gone, func(o *Observation) { o.JobOpen = false }), JobClosed},
-		{"the destination is lost after the stop", Stopped, 0, with(gone, func(o *Observation) { o.Destination = DestinationUnschedulable }), DestinationClosed},
-		{"the room is taken after the stop", Stopped, 0, with(gone, func(o *Observation) { o.Destination = DestinationFull }), DestinationTaken},
-		{"its team is at its limit", Stopped, 0, with(gone, func(o *Observation) { o.TeamAllows = false }), TeamAtLimit},
-		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.HasAuthority = false }), PlacementOverdue},
-		{"a machine goes on reporting it", Stopped, 6 * time.Second, with(gone, func(o *Observation) { o.ReportedElsewhere = true }), PlacementOverdue},
+		{"its job is cancelled after the stop", Stopped, 0, with(gone, closed), JobClosed},
+		{"the destination is lost after the stop", Stopped, 0, with(gone, unschedulable), DestinationClosed},
+		{"the room is taken after the stop", Stopped, 0, with(gone, full), DestinationTaken},
+		{"its team is at its limit", Stopped, 0, with(gone, atLimit), TeamAtLimit},
+		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, unauthorized), PlacementOverdue},
+		{"a machine goes on reporting it", Stopped, 6 * time.Second, with(gone, reportedElsewhere), PlacementOverdue},
 		{"it is placed by something else", Stopped, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
 		{"it is lost at the destination", Placing, 0, observationAt(jobs.Waiting, 4, ""), LostAtDestination},
 		{"it is placed elsewhere", Placing, 0, observationAt(jobs.Assigned, 5, "host-3"), LostAtDestination},
-		{"its job is cancelled as it starts", Placing, 0, with(there, func(o *Observation) { o.JobOpen = false }), JobClosed},
+		{"its job is cancelled as it starts", Placing, 0, with(there, closed), JobClosed},
 		{"it doesn't start", Placing, 8 * time.Second, there, StartOverdue},
 	} {
 		w := newMoveHarness().advanceTo(c.state)
@@ -153,7 +191,8 @@
 			t.Fatalf("%s: brought to %s", c.name, w.move.State)
 		}
 		got := w.observe(c.after, c.see)
-		if w.move.State != Abandoned || w.move.Reason != c.want || !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
+		if w.move.State != Abandoned || w.move.Reason != c.want ||
+			!slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
 			t.Errorf("%s: %s, %s, %v", c.name, w.move.State, w.move.Reason, got)
 		}
 	}
@@ -162,7 +201,11 @@
 // TestIrrelevantObservationsKeepMove: what doesn't speak against a move in a state doesn't end it.
 func TestIrrelevantObservationsKeepMove(t *testing.T) {
 	leaving := observationAt(jobs.Stopping, 3, source)
-	leaving.HasAuthority, leaving.LinksHealthy, leaving.BeneficiaryWaiting, leaving.DemandRecovered, leaving.TeamAllows = false, false, false, true, false
+	leaving.HasAuthority = false
+	leaving.LinksHealthy = false
+	leaving.BeneficiaryWaiting = false
+	leaving.DemandRecovered = true
+	leaving.TeamAllows = false
 	if w := newMoveHarness().advanceTo(Stopping); w.observe(time.Second, leaving) != nil || w.move.State != Stopping {
 		t.Errorf("stopping: %s, %s", w.move.State, w.move.Reason)
 	}
@@ -192,7 +235,8 @@
 	}
 	o := rapid.SampledFrom(usual).Draw(t, "usual")
 	if rapid.IntRange(0, 19).Draw(t, "odd") == 0 {
-		o.Task = rapid.SampledFrom([]jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Completed}).Draw(t, "task")
+		states := []jobs.State{jobs.Assigned, jobs.Stopping, jobs.Waiting, jobs.Placing, jobs.Completed}
+		o.Task = rapid.SampledFrom(states).Draw(t, "task")
 		o.Attempt = rapid.SampledFrom([]ident.Attempt{3, 3, 4}).Draw(t, "attempt")
 		o.Machine = rapid.SampledFrom([]ident.MachineID{source, source, destination, ""}).Draw(t, "host")
 	}
@@ -206,6 +250,28 @@
 	return o
 }
 
+// effectCounts counts the effects of a move.
+type effectCounts struct{ stopped, placed, released int }
+
+// add counts an effect, and checks that what was observed allows it.
+func (n *effectCounts) add(t *rapid.T, kind EffectKind, m *Move, o Observation) {
+	switch kind {
+	case StopTask:
+		n.stopped++
+		if !m.recorded || o.Task != jobs.Assigned || o.Machine != source || !o.JobOpen {
+			t.Fatalf("stopped in %+v", o)
+		}
+	case PlaceTask:
+		n.placed++
+		if o.Task != jobs.Waiting || o.Attempt != 3 || o.ReportedElsewhere || !o.JobOpen ||
+			!o.HasAuthority || !o.TeamAllows || o.Destination != DestinationReady {
+			t.Fatalf("placed in %+v", o)
+		}
+	case ReleaseReservation:
+		n.released++
+	}
+}
+
 // TestSafeInAnyOrder: whatever is seen in whatever order, the task is stopped once at the most
 // and only after the record, placed only while it waits in the attempt that was stopped, and
 // what is reserved is released exactly once, in any end.
@@ -213,28 +279,16 @@
 	ends := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newMoveHarness()
-		stopped, placed, released := 0, 0, 0
+		var counts effectCounts
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "record") {
 				w.table.Recorded(w.move)
 			}
 			o := drawObservation(t, w.move.State)
 			was := w.move.State
-			for _, k := range w.observe(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms"))*time.Millisecond, o) {
-				switch k {
-				case StopTask:
-					stopped++
-					if !w.move.recorded || o.Task != jobs.Assigned || o.Machine != source || !o.JobOpen {
-						t.Fatalf("stopped in %+v", o)
-					}
-				case PlaceTask:
-					placed++
-					if o.Task != jobs.Waiting || o.Attempt != 3 || o.ReportedElsewhere || !o.JobOpen || !o.HasAuthority || !o.TeamAllows || o.Destination != DestinationReady {
-						t.Fatalf("placed in %+v", o)
-					}
-				case ReleaseReservation:
-					released++
-				}
+			after := time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
+			for _, k := range w.observe(after, o) {
+				counts.add(t, k, w.move, o)
 			}
 			if was.Ended() && w.move.State != was {
 				t.Fatalf("from %s to %s", was, w.move.State)
@@ -245,8 +299,8 @@
 			ended = 1
 			ends[w.move.Reason]++
 		}
-		if stopped > 1 || placed > stopped || released != ended {
-			t.Fatalf("stopped %d times, placed %d, released %d, in %s", stopped, placed, released, w.move.State)
+		if counts.stopped > 1 || counts.placed > counts.stopped || counts.released != ended {
+			t.Fatalf("%+v in %s", counts, w.move.State)
 		}
 	})
 	if len(ends) < 10 {
