--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -140,12 +140,12 @@
 
 // OnStoppedLeading ends the term: it implements election.Callbacks. Of what the term knew only what is final
 // is used again.
-func (c *Controller) OnStoppedLeading(string) {
+func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader == nil {
 		return
 	}
 	for _, j := range c.leader.jobs.Sorted() {
-		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.String()) // a durable cancellation is final
+		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status()) // a durable cancellation is final
 	}
 	c.leader.close()
 	c.leader = nil
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -6,7 +6,6 @@
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
-	"opaldale/internal/jobs"
 	"opaldale/internal/workers"
 )
 
@@ -39,8 +38,8 @@
 }
 
 // rememberIfCancelled records a job whose status is known to be cancelled, which is final.
-func (c *Controller) rememberIfCancelled(id ident.JobID, status string) {
-	if status == jobs.Cancelled.String() {
+func (c *Controller) rememberIfCancelled(id ident.JobID, status api.Status) {
+	if status == api.StatusCancelled {
 		c.cancelledJobs.Put(id, struct{}{})
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -119,8 +119,8 @@
 			if w == nil {
 				// The record of its machine was deleted, so the machine is certainly gone; terminating it
 				// again proves that.
-				w = l.workers.Add(t.MachineID, "", "", false, l.env.Now())
-				l.fleet.Terminate(w, "not on record")
+				w = l.workers.Add(workers.MachineInfo{ID: t.MachineID, CreatedAt: l.env.Now()})
+				l.fleet.Terminate(w, workers.ReasonNotOnRecord)
 			}
 			l.adjustUsage(t, w, 1)
 		}
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -86,8 +86,7 @@
 		}
 	}
 	for i := range machines {
-		w := c.machines.Add(machineID(i), "m16", "east", i%3 == 0, c.now)
-		c.heartbeat(w)
+		c.addMachine(i, "east", i%3 == 0)
 	}
 	for range 3 * machines / 20 {
 		c.submit(api.Batch, 20, 4)
@@ -95,6 +94,17 @@
 	return c
 }
 
+// addMachine adds the i-th machine, which sends its first heartbeat.
+func (c *testCluster) addMachine(i int, zone string, spot bool) {
+	c.heartbeat(c.machines.Add(workers.MachineInfo{
+		ID:        machineID(i),
+		Model:     "m16",
+		Zone:      zone,
+		Spot:      spot,
+		CreatedAt: c.now,
+	}))
+}
+
 // heartbeat delivers a heartbeat of a machine on which all tasks run.
 func (c *testCluster) heartbeat(w *workers.Worker) {
 	c.sequence++
@@ -192,7 +202,7 @@
 		if i >= east {
 			zone = "west"
 		}
-		c.heartbeat(c.machines.Add(machineID(i), "m16", zone, false, c.now))
+		c.addMachine(i, zone, false)
 	}
 	return c
 }
@@ -219,7 +229,7 @@
 	c := newTestCluster(0)
 	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
 	for i := range machines {
-		c.heartbeat(c.machines.Add(machineID(i), "m16", "east", true, c.now))
+		c.addMachine(i, "east", true)
 	}
 	backlog := c.submitAs("guest", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
@@ -252,7 +262,7 @@
 func newClusterWithHolders(machines, holding int) *testCluster {
 	c := newTestCluster(0)
 	for i := range machines {
-		c.heartbeat(c.machines.Add(machineID(i), "m16", "east", true, c.now))
+		c.addMachine(i, "east", true)
 	}
 	first := c.submitAs("red", api.Standard, holding)
 	for i := range holding {
@@ -269,7 +279,7 @@
 // another job that waits.
 func newReservedCluster() (c *testCluster, first, other *jobs.Job) {
 	c = newTestCluster(0)
-	c.heartbeat(c.machines.Add("host-000001", "m16", "east", true, c.now))
+	c.addMachine(1, "east", true)
 	first, other = c.submitAs("red", api.Standard, 1), c.submitAs("red", api.Standard, 1)
 	first.Tasks[0].RetryAt = c.now.Add(time.Hour)
 	c.planner.ReserveFor(c.machines.Sorted()[0], first, c.now.Add(10*time.Second))
