--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -9,10 +9,10 @@
 const renewalsPerTTL = 4
 
 // extendValidity takes note that the lease was granted or renewed at some time after sentAt. The
-// store counts the TTL from then on, and this node from sentAt by the slower clock possible, so
+// store counts the TTL from then on. This node counts from sentAt, and allows for clock drift, so
 // that the lease outlasts the validity.
 func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
-	e.validUntil = max(e.validUntil, sentAt.Add(ident.DiscountDrift(e.leaseTTL)))
+	e.validUntil = max(e.validUntil, sentAt.Add(ident.LeastElapsed(e.leaseTTL)))
 }
 
 func (e *Elector) scheduleRenewal() {
--- a/internal/renewal/renewer.go
+++ b/internal/renewal/renewer.go
@@ -57,7 +57,7 @@
 // known. A token of a later term than the permit's shows that another leader has followed.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	silence, permitted := r.SinceLeader(now)
-	if !permitted || silence <= MinLeaderSilence || silence >= ident.DiscountDrift(r.permit.allowance) {
+	if !permitted || silence <= MinLeaderSilence || silence >= ident.LeastElapsed(r.permit.allowance) {
 		return false
 	}
 	return token != 0 && token.Term() <= r.permit.term
