--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -18,7 +18,7 @@
 	maxResponseBytes = 8 << 20
 )
 
-// Client is the HTTP client of the store.
+// Client is the HTTP client of the store. It is safe for concurrent use.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
