--- a/internal/placement/gang_planner.go
+++ b/internal/placement/gang_planner.go
@@ -14,7 +14,7 @@
 type gangPlan struct {
 	picks             []gang.Placement
 	victims           []*jobs.Task  // preempted to make room
-	fetchTime         time.Duration // the longest pull of the image
+	pullTime          time.Duration // the longest pull of the image
 	cost              float64       // work lost by preemption, in CPU seconds
 	machines          int
 	waitForCheckpoint bool // a victim writes a checkpoint first
@@ -24,7 +24,7 @@
 // machines. Any plan is better than none.
 func (a *gangPlan) better(b *gangPlan) bool {
 	return b == nil || cmp.Or(
-		cmp.Compare(a.fetchTime, b.fetchTime),
+		cmp.Compare(a.pullTime, b.pullTime),
 		cmp.Compare(a.cost, b.cost),
 		cmp.Compare(a.machines, b.machines),
 	) < 0
@@ -62,14 +62,14 @@
 	for _, s := range holders {
 		g.assign(s)
 	}
-	if !g.done() && d.hasVictims(j) && g.fetchTooSlow() {
+	if !g.done() && d.hasVictims(j) && g.pullTooSlow() {
 		g.preemptOn(holdsImage(j.Spec.Image))
 	}
 	for _, s := range others {
 		if g.done() {
 			break
 		}
-		g.noteFetch(s.worker)
+		g.notePull(s.worker)
 		g.assign(s)
 	}
 	if !g.done() && d.hasVictims(j) && d.now().Sub(j.SubmittedAt) > reclaimAfter {
@@ -139,15 +139,15 @@
 	return true
 }
 
-// noteFetch accounts for the pull of the image on a machine that doesn't hold it.
-func (g *gangPlanner) noteFetch(w *workers.Worker) {
-	g.plan.fetchTime = max(g.plan.fetchTime, w.ImagePullTime(g.job.Spec))
+// notePull accounts for the pull of the image on a machine that doesn't hold it.
+func (g *gangPlanner) notePull(w *workers.Worker) {
+	g.plan.pullTime = max(g.plan.pullTime, w.ImagePullTime(g.job.Spec))
 }
 
-// fetchTooSlow says whether the pull of the image takes a good part of the time within which the
+// pullTooSlow says whether the pull of the image takes a good part of the time within which the
 // gang should start. One machine stands for all.
-func (g *gangPlanner) fetchTooSlow() bool {
-	return len(g.openMachines) > 0 && g.fetchExceedsObjective(g.job, g.openMachines[0], gangFetchDivisor)
+func (g *gangPlanner) pullTooSlow() bool {
+	return len(g.openMachines) > 0 && g.pullExceedsObjective(g.job, g.openMachines[0], gangPullDivisor)
 }
 
 // gangOffer is what a gang can have preempted on a machine, and for how many of its tasks that
@@ -184,7 +184,7 @@
 		g.plan.cost += o.cost
 		g.plan.waitForCheckpoint = g.plan.waitForCheckpoint || o.needsCheckpoint()
 		if !o.worker.HasImage(g.job.Spec.Image) {
-			g.noteFetch(o.worker)
+			g.notePull(o.worker)
 		}
 	}
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -21,9 +21,9 @@
 	// finds no place, and maxGangReserved bounds those machines.
 	gangReserveDivisor = 8
 	maxGangReserved    = 16
-	// gangFetchDivisor is the part of the start objective that the pull of a gang's image may take
+	// gangPullDivisor is the part of the start objective that the pull of a gang's image may take
 	// before victims are sought on the machines that hold it.
-	gangFetchDivisor = 2
+	gangPullDivisor = 2
 )
 
 // placeGang finds machines for all waiting tasks of a gang at once, or for none.
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -159,9 +159,9 @@
 	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
 }
 
-// fetchExceedsObjective says whether a machine needs longer to pull a job's image than the part
+// pullExceedsObjective says whether a machine needs longer to pull a job's image than the part
 // 1/divisor of the time within which tasks of its class should start.
-func (p *Planner) fetchExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
+func (p *Planner) pullExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
 	limit, ok := p.startObjectives[j.Spec.Class]
 	return ok && w.ImagePullTime(j.Spec) > limit/divisor
 }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -28,7 +28,7 @@
 	if w == nil {
 		return d.preemptAnywhere(t)
 	}
-	if d.fetchExceedsObjective(t.Job, w, 1) && d.preemptOnHolder(t) {
+	if d.pullExceedsObjective(t.Job, w, 1) && d.preemptOnHolder(t) {
 		return true
 	}
 	d.place(t, w)
