--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -160,10 +160,12 @@
 			return 160 + 40*math.Sin(at.Seconds())
 		}, []DemandState{Rising, Overloaded}},
 	} {
-		states := runDemand(4*time.Minute, c.demand)
-		if fmt.Sprint(states) != fmt.Sprint(c.states) {
-			t.Errorf("%s: %v, want %v", c.name, states, c.states)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			states := runDemand(4*time.Minute, c.demand)
+			if fmt.Sprint(states) != fmt.Sprint(c.states) {
+				t.Errorf("%v, want %v", states, c.states)
+			}
+		})
 	}
 }
 
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestUnreadable: a record that can't be decoded bars its job and no other, and stays until the job is
+// TestUnreadableRecord: a record that can't be decoded bars its job and no other, and stays until the job is
 // over.
-func TestUnreadable(t *testing.T) {
+func TestUnreadableRecord(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
 		s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
 		s.Entries[Key("j-1")] = kvstore.KeyValue{Key: Key("j-1"), Value: json.RawMessage(value), Revision: 5}
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -65,8 +65,8 @@
 	return w
 }
 
-// observe advances the table after a time, and returns the effects.
-func (w *moveHarness) observe(d time.Duration, o Observation) []EffectKind {
+// advance advances the table after a time, and returns the effects.
+func (w *moveHarness) advance(d time.Duration, o Observation) []EffectKind {
 	w.now = w.now.Add(d)
 	var kinds []EffectKind
 	for _, e := range w.table.Advance(w.now, func(*Move) Observation { return o }) {
@@ -75,22 +75,23 @@
 	return kinds
 }
 
-// advanceTo brings the move into a state by its usual course.
+// advanceTo brings the move into a state with nothing that speaks against it.
 func (w *moveHarness) advanceTo(s State) *moveHarness {
 	if s >= Stopping {
 		w.table.Recorded(w.move)
-		w.observe(time.Millisecond, observationAt(jobs.Assigned, 3, source))
+		w.advance(time.Millisecond, observationAt(jobs.Assigned, 3, source))
 	}
 	if s >= Stopped {
 		o := observationAt(jobs.Waiting, 3, "")
 		o.HasAuthority = s > Stopped
-		w.observe(time.Second, o)
+		w.advance(time.Second, o)
 	}
 	return w
 }
 
-// TestUsualCourse: recorded, stopped, placed once the source is proven free, and running.
-func TestUsualCourse(t *testing.T) {
+// TestSuccessfulMove: a move is recorded, its task is stopped, placed once it is proven to have left its
+// machine, and runs.
+func TestSuccessfulMove(t *testing.T) {
 	w := newMoveHarness()
 	for i, step := range []struct {
 		record bool
@@ -108,18 +109,18 @@
 		if step.record {
 			w.table.Recorded(w.move)
 		}
-		if got := w.observe(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
+		if got := w.advance(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
 			t.Fatalf("step %d: %v in %s", i, got, w.move.State)
 		}
 	}
 	o := observationAt(jobs.Assigned, 4, destination)
 	o.TaskRunning = true
-	got := w.observe(time.Second, o)
+	got := w.advance(time.Second, o)
 	if !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
 		t.Fatalf("%v in %s, %d active", got, w.move.State, len(w.table.Active()))
 	}
 	o.BeneficiaryPlaced = true
-	w.observe(time.Second, o)
+	w.advance(time.Second, o)
 	if got := w.table.TotalGain; got != w.move.RealizedGain() || got < 45*time.Second || got > time.Minute {
 		t.Errorf("gained %v, realized %v", got, w.move.RealizedGain())
 	}
@@ -186,19 +187,21 @@
 		{"its job is cancelled as it starts", Placing, 0, with(there, closed), JobClosed},
 		{"it doesn't start", Placing, 8 * time.Second, there, StartOverdue},
 	} {
-		w := newMoveHarness().advanceTo(c.state)
-		if w.move.State != c.state {
-			t.Fatalf("%s: brought to %s", c.name, w.move.State)
-		}
-		got := w.observe(c.after, c.see)
-		if w.move.State != Abandoned || w.move.Reason != c.want ||
-			!slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
-			t.Errorf("%s: %s, %s, %v", c.name, w.move.State, w.move.Reason, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			w := newMoveHarness().advanceTo(c.state)
+			if w.move.State != c.state {
+				t.Fatalf("brought to %s", w.move.State)
+			}
+			got := w.advance(c.after, c.see)
+			if w.move.State != Abandoned || w.move.Reason != c.want ||
+				!slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
+				t.Errorf("%s, %s, %v", w.move.State, w.move.Reason, got)
+			}
+		})
 	}
 }
 
-// TestIrrelevantObservationsKeepMove: what doesn't speak against a move in a state doesn't end it.
+// TestIrrelevantObservationsKeepMove: an observation that doesn't matter in a state doesn't end a move.
 func TestIrrelevantObservationsKeepMove(t *testing.T) {
 	leaving := observationAt(jobs.Stopping, 3, source)
 	leaving.HasAuthority = false
@@ -206,17 +209,17 @@
 	leaving.BeneficiaryWaiting = false
 	leaving.DemandRecovered = true
 	leaving.TeamAllows = false
-	if w := newMoveHarness().advanceTo(Stopping); w.observe(time.Second, leaving) != nil || w.move.State != Stopping {
+	if w := newMoveHarness().advanceTo(Stopping); w.advance(time.Second, leaving) != nil || w.move.State != Stopping {
 		t.Errorf("stopping: %s, %s", w.move.State, w.move.Reason)
 	}
 	gone := observationAt(jobs.Waiting, 3, "")
 	gone.ReportedElsewhere = true
 	w := newMoveHarness().advanceTo(Stopped)
-	if w.observe(time.Second, gone) != nil || w.move.State != Stopped {
+	if w.advance(time.Second, gone) != nil || w.move.State != Stopped {
 		t.Errorf("stopped: %s, %s", w.move.State, w.move.Reason)
 	}
 	gone.ReportedElsewhere = false
-	if got := w.observe(time.Second, gone); !slices.Equal(got, []EffectKind{PlaceTask}) {
+	if got := w.advance(time.Second, gone); !slices.Equal(got, []EffectKind{PlaceTask}) {
 		t.Errorf("once it may be placed: %v in %s", got, w.move.State)
 	}
 }
@@ -272,10 +275,10 @@
 	}
 }
 
-// TestSafeInAnyOrder: whatever is seen in whatever order, the task is stopped once at the most
+// TestEffectsInAnyOrder: whatever is seen in whatever order, the task is stopped once at the most
 // and only after the record, placed only while it waits in the attempt that was stopped, and
 // what is reserved is released exactly once, in any end.
-func TestSafeInAnyOrder(t *testing.T) {
+func TestEffectsInAnyOrder(t *testing.T) {
 	ends := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newMoveHarness()
@@ -287,7 +290,7 @@
 			o := drawObservation(t, w.move.State)
 			was := w.move.State
 			after := time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			for _, k := range w.observe(after, o) {
+			for _, k := range w.advance(after, o) {
 				counts.add(t, k, w.move, o)
 			}
 			if was.Ended() && w.move.State != was {
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -158,7 +158,7 @@
 }
 func (c *testCluster) Preempt(t *jobs.Task, w *workers.Worker, d time.Duration) {
 	if w.ID != t.MachineID {
-		panic("a task is stopped on another machine than its own")
+		panic("a task is preempted on another machine than its own")
 	}
 	c.machines.StopTask(w, t, d)
 }
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -16,31 +16,31 @@
 	return most, least
 }
 
-// TestSpreadLoadOverHolders: with even placement the tasks of a job go to its holders in
-// turn; without it the first by name are filled. Neither goes to machines that would fetch.
+// TestSpreadLoadOverHolders: if load is spread, the tasks of a job go in turn to the machines that hold
+// its image; otherwise the first by name are filled. No task goes to machines that would pull it.
 func TestSpreadLoadOverHolders(t *testing.T) {
-	for _, even := range []bool{false, true} {
+	for _, spread := range []bool{false, true} {
 		c := newClusterWithHolders(12, 8)
-		c.planner.SpreadLoad = func() bool { return even }
+		c.planner.SpreadLoad = func() bool { return spread }
 		c.submitAs("red", api.Standard, 48)
 		c.dispatchAll()
 		most, least := usedVCPURange(c, 8)
-		if even && most-least > 1 || !even && most-least < 8 {
-			t.Errorf("even %v: between %v and %v CPUs are in use", even, least, most)
+		if spread && most-least > 1 || !spread && most-least < 8 {
+			t.Errorf("spread %v: between %v and %v CPUs are in use", spread, least, most)
 		}
 		for _, w := range c.machines.Sorted()[8:] {
 			if w.VCPUs > 0 {
-				t.Errorf("even %v: %s, which doesn't hold the image, has work", even, w.ID)
+				t.Errorf("spread %v: %s, which doesn't hold the image, has work", spread, w.ID)
 			}
 		}
 	}
 }
 
-// TestSpreadLoadServices: replicas go to the least used holder.
+// TestSpreadLoadServices: if load is spread, replicas go to the least used machine that holds their image.
 func TestSpreadLoadServices(t *testing.T) {
-	for _, even := range []bool{false, true} {
+	for _, spread := range []bool{false, true} {
 		c := newClusterWithHolders(6, 6)
-		c.planner.SpreadLoad = func() bool { return even }
+		c.planner.SpreadLoad = func() bool { return spread }
 		j := c.submitAs("red", api.Critical, 12)
 		j.Spec.Shape = api.Service
 		c.dispatchAll()
@@ -51,8 +51,8 @@
 			}
 		}
 		most, least := usedVCPURange(c, 6)
-		if held != 12 || even && most-least > 1 || !even && most-least < 4 {
-			t.Errorf("even %v: %d replicas are placed, between %v and %v CPUs in use", even, held, least, most)
+		if held != 12 || spread && most-least > 1 || !spread && most-least < 4 {
+			t.Errorf("spread %v: %d replicas are placed, between %v and %v CPUs in use", spread, held, least, most)
 		}
 	}
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -33,10 +33,10 @@
 	sparing := request
 	sparing.skipRecent = true
 	if c.planner.chooseVictims(w, sparing) != nil {
-		t.Error("a task that gave way is stopped where there is room elsewhere")
+		t.Error("a task that was preempted recently is preempted though there is room elsewhere")
 	}
 	if c.planner.chooseVictims(w, request) == nil {
-		t.Error("nothing is stopped though there is no other room")
+		t.Error("nothing is preempted though there is no other room")
 	}
 }
 
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -212,8 +212,8 @@
 	return p
 }
 
-// TestWhatIsMoved: a small task makes room when that is worth it, and only then.
-func TestWhatIsMoved(t *testing.T) {
+// TestMakeRoom: a small task is moved to make room when that is worth its cost, and only then.
+func TestMakeRoom(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Cluster)
@@ -222,10 +222,12 @@
 		{"worth it", nil, 1},
 		{"there is room without it", func(p *Cluster) { p.Machines[1].Free = cpuNeed(4) }, 0},
 		{"all machines are full", func(p *Cluster) { p.Machines[1].Free = cpuNeed(0) }, 0},
-		{"it has run for long and never saves", func(p *Cluster) {
+		{"it has run for long and writes no checkpoints", func(p *Cluster) {
 			p.Machines[0].Tasks[0].RunningFor, p.Machines[0].Tasks[0].CheckpointInterval = time.Minute, 0
 		}, 0},
-		{"it never saves and has not run for long", func(p *Cluster) { p.Machines[0].Tasks[0].CheckpointInterval = 0 }, 1},
+		{"it writes no checkpoints and has not run for long", func(p *Cluster) {
+			p.Machines[0].Tasks[0].CheckpointInterval = 0
+		}, 1},
 		{"it has just started", func(p *Cluster) { p.Machines[0].Tasks[0].RunningFor = 20 * time.Second }, 0},
 		{"it ends soon", func(p *Cluster) { p.Machines[0].Completions[0].Remaining = 6 * time.Second }, 0},
 		{"it ends before it could move", func(p *Cluster) { p.Machines[0].Tasks[0].Remaining = 3 * time.Second }, 0},
@@ -235,7 +237,7 @@
 		{"it was moved once", func(p *Cluster) { p.Machines[0].Tasks[0].MoveCount = 1 }, 1},
 		{"it has a higher priority", func(p *Cluster) { p.Waiting[0].PriorityLevel = 1 }, 0},
 		{"what waits has just begun to", func(p *Cluster) { p.Waiting[0].WaitedFor = time.Second }, 0},
-		{"its image is far", func(p *Cluster) {
+		{"its image takes long to pull", func(p *Cluster) {
 			p.Fits = func(*Task, *Machine) (time.Duration, bool) { return 2 * time.Minute, true }
 		}, 0},
 		{"it may not go there", func(p *Cluster) {
@@ -257,9 +259,11 @@
 		{"a move uses its machine", func(p *Cluster) { p.ActiveMoves = []ActiveMove{{From: "host-3", To: "host-1"}} }, 0},
 		{"the cluster has its moves", func(p *Cluster) { p.ActiveMoves = make([]ActiveMove, 4) }, 0},
 	} {
-		if moves := Plan(DefaultConfig(), smallCluster(c.change)); len(moves) != c.moves {
-			t.Errorf("%s: %+v", c.name, moves)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if moves := Plan(DefaultConfig(), smallCluster(c.change)); len(moves) != c.moves {
+				t.Errorf("%d moves, want %d: %+v", len(moves), c.moves, moves)
+			}
+		})
 	}
 }
 
@@ -272,11 +276,11 @@
 		moves  int
 	}{
 		{"worth it", func(*Cluster, *Task) {}, 1},
-		{"it never saves, and has long to run", func(_ *Cluster, x *Task) { x.CheckpointInterval = 0 }, 1},
-		{"it never saves, and is nearly done", func(_ *Cluster, x *Task) {
+		{"it writes no checkpoints, and has long to run", func(_ *Cluster, x *Task) { x.CheckpointInterval = 0 }, 1},
+		{"it writes no checkpoints, and is nearly done", func(_ *Cluster, x *Task) {
 			x.CheckpointInterval, x.RunningFor = 0, 230*time.Second
 		}, 0},
-		{"it saves, and is nearly done", func(_ *Cluster, x *Task) { x.RunningFor = 296 * time.Second }, 0},
+		{"it writes checkpoints, and is nearly done", func(_ *Cluster, x *Task) { x.RunningFor = 296 * time.Second }, 0},
 		{"it should have ended long ago", func(_ *Cluster, x *Task) { x.RunningFor = 20 * time.Minute }, 0},
 		{"nothing is known of its end", func(_ *Cluster, x *Task) { x.EstimatedRuntime = 0 }, 0},
 		{"the machine is hardly slower", func(p *Cluster, _ *Task) { p.SlowMachines[0].Slowness = 1.05 }, 0},
@@ -292,15 +296,17 @@
 		{"the team has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{Team: "red"}, {Team: "red"}} }, 0},
 		{"the cluster has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = make([]ActiveMove, 4) }, 0},
 	} {
-		p := clusterWithSlowMachine()
-		c.change(p, &p.SlowMachines[0].Tasks[0])
-		moves := Plan(DefaultConfig(), p)
-		if len(moves) != c.moves {
-			t.Errorf("%s: %+v", c.name, moves)
-		}
-		if len(moves) == 1 && (moves[0].Purpose != LeavesSlowMachine || moves[0].From != "slow" || moves[0].To != "host-1") {
-			t.Errorf("%s: %+v", c.name, moves)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			p := clusterWithSlowMachine()
+			c.change(p, &p.SlowMachines[0].Tasks[0])
+			moves := Plan(DefaultConfig(), p)
+			if len(moves) != c.moves {
+				t.Errorf("%d moves, want %d: %+v", len(moves), c.moves, moves)
+			}
+			if len(moves) == 1 && (moves[0].Purpose != LeavesSlowMachine || moves[0].From != "slow" || moves[0].To != "host-1") {
+				t.Errorf("the move is %+v", moves[0])
+			}
+		})
 	}
 }
 
@@ -379,13 +385,15 @@
 		{"destinations in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{To: "target-0"}, {From: "target-1"}}, 6},
 		{"job, with two under way", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
 	} {
-		config := DefaultConfig()
-		config.Budgets = wide
-		c.lower(&config.Budgets)
-		c.p.ActiveMoves = c.active
-		if got := Plan(config, c.p); len(got) != c.want {
-			t.Errorf("%s: %d moves, want %d", c.name, len(got), c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			config := DefaultConfig()
+			config.Budgets = wide
+			c.lower(&config.Budgets)
+			c.p.ActiveMoves = c.active
+			if got := Plan(config, c.p); len(got) != c.want {
+				t.Errorf("%d moves, want %d", len(got), c.want)
+			}
+		})
 	}
 }
 
