--- /dev/null
+++ b/internal/commit/store_test.go
@@ -0,0 +1,164 @@
+package commit
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
+)
+
+// leaderKey is the key of the leader in the test stores, as the committers compare it.
+var leaderKey = kvstore.Compare{Key: "leader", Revision: 1}
+
+// testLimits leave room for several documents in a transaction.
+var testLimits = Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}
+
+// newTestCommitter makes a committer whose term must not be lost.
+func newTestCommitter(t *testing.T, port Port, limits Limits) *Committer {
+	t.Helper()
+	return New(port, limits, leaderKey, func(err error) { t.Errorf("term lost: %v", err) })
+}
+
+// runSeeds runs a test with each of the first seeds.
+func runSeeds(t *testing.T, count uint64, test func(t *testing.T, seed uint64)) {
+	t.Helper()
+	for seed := range count {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { test(t, seed) })
+	}
+}
+
+// flakyStore is a store, with a clock, that loses responses and applies requests late, twice or
+// never.
+type flakyStore struct {
+	*kvstoretest.MemoryStore
+	t      *testing.T
+	rng    *rand.Rand
+	now    time.Duration
+	events []scheduledEvent
+	puts   map[string][]string // the values put to each key, in order
+}
+
+type scheduledEvent struct {
+	at  time.Duration
+	run func()
+}
+
+// newFlakyStore makes a store that has the leader key and the given ones. Tests use a stream of
+// random numbers each.
+func newFlakyStore(t *testing.T, seed, stream uint64, pairs ...kvstore.KeyValue) *flakyStore {
+	t.Helper()
+	leader := kvstore.KeyValue{Key: leaderKey.Key, Revision: leaderKey.Revision}
+	return &flakyStore{
+		MemoryStore: kvstoretest.NewMemoryStore(append([]kvstore.KeyValue{leader}, pairs...)...),
+		t:           t,
+		rng:         rand.New(rand.NewPCG(seed, stream)),
+		puts:        map[string][]string{},
+	}
+}
+
+func (f *flakyStore) Now() ident.MonotonicTime { return ident.MonotonicTime(f.now) }
+
+func (f *flakyStore) After(d time.Duration, run func()) {
+	f.events = append(f.events, scheduledEvent{f.now + d, run})
+}
+
+func (f *flakyStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
+	switch f.rng.IntN(5) {
+	case 0: // never applied
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+	case 1: // applied, but the response is lost
+		f.serve(r)
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+	case 2: // applied later
+		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
+		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+	case 3:
+		f.respond(kvstore.Response{Outcome: kvstore.Unavailable}, onResponse)
+	default:
+		f.respond(f.serve(r), onResponse)
+	}
+}
+
+func (f *flakyStore) respond(response kvstore.Response, onResponse func(kvstore.Response)) {
+	f.After(time.Millisecond, func() { onResponse(response) })
+}
+
+// serve applies a request.
+func (f *flakyStore) serve(r kvstore.Request) kvstore.Response {
+	if r.Op == kvstore.Get {
+		return f.Get(r.Key)
+	}
+	if failed := f.FailedKeys(r.Compares); failed != nil {
+		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}
+	}
+	if len(r.Mutations) > testLimits.MutationsPerTxn {
+		f.t.Errorf("%d mutations in a transaction", len(r.Mutations))
+	}
+	for _, mutation := range r.Mutations {
+		if mutation.Put != "" {
+			f.puts[mutation.Put] = append(f.puts[mutation.Put], string(mutation.Value))
+		}
+	}
+	return f.Apply(r.Mutations)
+}
+
+// run runs the scheduled events up to a time, including those that they add.
+func (f *flakyStore) run(until time.Duration) {
+	for len(f.events) > 0 {
+		first := 0
+		for i, e := range f.events {
+			if e.at < f.events[first].at {
+				first = i
+			}
+		}
+		e := f.events[first]
+		if e.at > until {
+			return
+		}
+		f.events = append(f.events[:first], f.events[first+1:]...)
+		f.now = max(f.now, e.at)
+		e.run()
+	}
+}
+
+// reliableStore applies every request at once and answers it.
+type reliableStore struct{ *flakyStore }
+
+func newReliableStore(t *testing.T, pairs ...kvstore.KeyValue) reliableStore {
+	t.Helper()
+	return reliableStore{newFlakyStore(t, 0, 0, pairs...)}
+}
+
+func (s reliableStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
+	s.respond(s.serve(r), onResponse)
+}
+
+// testEntry is one of several values of a document.
+type testEntry struct {
+	document *Document
+	index    int
+	value    int
+	pin      Pin
+}
+
+// testLine is the JSON line of a testEntry.
+type testLine struct {
+	Doc, N, Value int
+}
+
+// documentNumber is the number of the entry's document, the last byte of its key.
+func (e *testEntry) documentNumber() int { return int(e.document.Key[len(e.document.Key)-1] - '0') }
+
+func (e *testEntry) JSONLine() any       { return testLine{e.documentNumber(), e.index, e.value} }
+func (e *testEntry) Document() *Document { return e.document }
+func (e *testEntry) Pin() *Pin           { return &e.pin }
+func (e *testEntry) TextLine() (group, line string) {
+	return e.document.Key, fmt.Sprint(e.index, ",", e.value)
+}
+
+// name is the entry's name in the result of readText.
+func (e *testEntry) name() string { return fmt.Sprintf("%s %d", e.document.Key, e.index) }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -25,7 +25,7 @@
 	sent          map[ident.MachineID][]api.Command
 	unresponsive  map[string]bool
 	sequence      ident.SequenceNumber
-	revision      uint64
+	revision      ident.Revision
 	commits       *commit.Committer
 	jobs          *jobs.Table
 	workers       *workers.Table
@@ -81,7 +81,7 @@
 	r := &harness{t: t, now: ident.MonotonicTime(time.Hour)}
 	r.sent, r.unresponsive = map[ident.MachineID][]api.Command{}, map[string]bool{}
 	limits := commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
-	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.UsePackedLog()
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -17,7 +17,7 @@
 // newTermHistory makes the history of a term, with what is stored.
 func newTermHistory(t *testing.T, s *kvstoretest.SteppedStore) (*History, *commit.Committer) {
 	t.Helper()
-	c := commit.New(s, testLimits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
+	c := commit.New(s, testLimits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	h := NewHistory(c, func() int64 { return 1000 })
 	for path, p := range s.Entries {
 		if strings.HasPrefix(path, Prefix) {
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -365,7 +365,7 @@
 	sim.fragmentFleet(4)
 	sim.scheduleAt(40, func() {
 		for _, id := range sim.jobOrder {
-			sim.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(sim.store.revision)}
+			sim.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: sim.store.revision}
 		}
 		l := sim.leader()
 		l.crash(time.Second)
