--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
@@ -18,8 +17,7 @@
 	"opaldale/internal/settings"
 )
 
-// storedFleet is a state service's content: machines in groups, and three running tasks
-// on each, in the newest format.
+// storedFleet returns the content of a store: machines in groups, and three running tasks on each, in the newest format.
 func storedFleet(machines int) []kvstore.KeyValue {
 	var pairs []kvstore.KeyValue
 	put := func(path string, v any) {
@@ -29,12 +27,13 @@
 		}
 		pairs = append(pairs, kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(len(pairs) + 1)})
 	}
-	host := func(i int) string { return fmt.Sprintf("host-%06d", i) }
+	machineID := func(i int) string { return fmt.Sprintf("host-%06d", i) }
 	for at := 0; at < machines; at += machinestore.MaxGroupMachines {
 		g := machinestore.GroupRecord{Model: "m8", Zone: "a"}
 		var list []machinestore.MachineRecord
 		for i := at; i < min(at+machinestore.MaxGroupMachines, machines); i++ {
-			list = append(list, machinestore.MachineRecord{ID: ident.MachineID(host(i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+			addr := fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)
+			list = append(list, machinestore.MachineRecord{ID: ident.MachineID(machineID(i)), Addr: addr})
 		}
 		g.Encode(list)
 		put(fmt.Sprintf("%s1-%d", machinestore.Prefix, at), g)
@@ -46,32 +45,32 @@
 	const tasks = 60
 	for j := range 3 * machines / tasks {
 		id := fmt.Sprintf("j-%06d", j)
-		put("live/"+id, json.RawMessage(fmt.Sprintf(`{"spec":{"id":%q,"desk":"red","shape":"batch","rank":"standard","pieces":%d,"vcpus":2,"bundle":"img-%d","image_gb":1},"seq":%d,"phase":"open","lsn":0}`,
-			id, tasks, j%16, j+1)))
+		spec := fmt.Sprintf(`{"id":%q,"desk":"red","shape":"batch","rank":"standard","pieces":%d,`+
+			`"vcpus":2,"bundle":"img-%d","image_gb":1}`, id, tasks, j%16)
+		put("live/"+id, json.RawMessage(fmt.Sprintf(`{"spec":%s,"seq":%d,"phase":"open","lsn":0}`, spec, j+1)))
 		var lines strings.Builder
 		lines.WriteString(id)
 		for i := range tasks {
-			fmt.Fprintf(&lines, " %d,1,%s,1", i, host((j*tasks+i)%machines))
+			fmt.Fprintf(&lines, " %d,1,%s,1", i, machineID((j*tasks+i)%machines))
 		}
 		put(fmt.Sprintf("%s%05d", commit.LogPrefix, j), record{LSN: uint64(j + 1), Text: lines.String()})
 	}
 	return pairs
 }
 
-// BenchmarkFailover loads what a term left, until the next leader may place.
+// BenchmarkFailover measures how long a new leader loads what a term left, until it may place tasks.
 func BenchmarkFailover(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, machines := range []int{500, 1000, 2000, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
 			pairs := storedFleet(machines)
-			set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-				Teams:   []settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}},
-				Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
-				Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: settings.CloudLimits{RPS: 5}}}
+			cfg := testSettings()
+			cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}}
 			for b.Loop() {
-				w := &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}, listed: pairs,
-					values: map[string]string{catalog.Key: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}}
-				c := New(w, set, rand.New(rand.NewPCG(1, 2)))
+				w := newFakeEnv(ident.MonotonicTime(time.Hour))
+				w.listed = pairs
+				w.values = map[string]string{catalog.Key: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}
+				c := New(w, cfg, newTestRand())
 				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
 				if c.leader == nil || !c.leader.loaded() || len(c.leader.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 
@@ -15,15 +15,14 @@
 	"opaldale/internal/transport"
 )
 
-// newTestLeader makes a leader without siblings at a format level, and its world.
+// newTestLeader returns a leader without peers at a format level, and its environment.
 func newTestLeader(level ident.FormatLevel) (*Controller, *fakeEnv) {
-	w := &fakeEnv{now: ident.MonotonicTime(1 << 40), probedAddrs: map[string]bool{}}
-	c := New(w, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
-		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61, GangWaitS: 50, GangPeerS: 5},
-		Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
-			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}},
-		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+	w := newFakeEnv(ident.MonotonicTime(1 << 40))
+	cfg := testSettings()
+	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
+	cfg.Cluster.Workers.GangWaitS, cfg.Cluster.Workers.GangPeerS = 50, 5
+	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}
+	c := New(w, cfg, newTestRand())
 	w.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
 	c.Start()
 	w.advance(4 * machineProbeInterval)
@@ -31,12 +30,14 @@
 }
 
 func gangSpecJSON(change ...string) []byte {
-	s := `{"id":"j-1","lane":"l","desk":"red","shape":"gang","rank":"high","pieces":4,"vcpus":2,"cards":0,"memory_gb":0,"bundle":"b",
-	"image_gb":1,"models":null,"one_zone":true,"apart":false,"standby":false,"runtime_s":9,"snapshot_every_s":0,"snapshot_s":0}`
+	s := `{"id":"j-1","lane":"l","desk":"red","shape":"gang","rank":"high",
+	"pieces":4,"vcpus":2,"cards":0,"memory_gb":0,"bundle":"b",
+	"image_gb":1,"models":null,"one_zone":true,"apart":false,"standby":false,
+	"runtime_s":9,"snapshot_every_s":0,"snapshot_s":0}`
 	return []byte(strings.NewReplacer(change...).Replace(s))
 }
 
-// submitStatus is the answer to a submission, 0 while there is none.
+// submitStatus returns the status of the answer to a submission, 0 while there is none.
 func submitStatus(c *Controller, body []byte) (out int) {
 	spec, err := api.ParseSpec(body)
 	if err != nil {
@@ -47,57 +48,68 @@
 	return out
 }
 
-// TestGangAdmission: below the level a gang is to come again, as an old leader could
-// not read it; above it, it is refused if all its tasks together are over the limit of
-// the team, or if it can't be stored within the limits that may come, which is said at
-// either level.
+// TestGangAdmission: below the packed format level a gang is refused for the time being, as an old leader could not
+// read it. At the level it is invalid if all its tasks together exceed the team's quota. At either level it is invalid
+// if it can't be stored within the announced limits.
 func TestGangAdmission(t *testing.T) {
 	var many []string
 	for i := range 200 {
 		many = append(many, fmt.Sprintf("model-%04d", i))
 	}
-	list, _ := json.Marshal(append(many, "m8"))
+	list, err := json.Marshal(append(many, "m8"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	longModels := []string{`"models":null`, `"models":` + string(list)}
+	nineTasks := []string{`"pieces":4`, `"pieces":9`}
+	asBatch := []string{`"gang"`, `"batch"`}
 	for _, x := range []struct {
-		what  string
-		level ident.FormatLevel
-		body  []byte
-		want  int
+		name   string
+		level  ident.FormatLevel
+		change []string
+		want   int
 	}{
-		{"a gang below the level", 0, gangSpecJSON(), http.StatusServiceUnavailable},
-		{"an array below it", 0, gangSpecJSON(`"gang"`, `"batch"`), http.StatusCreated},
-		{"a gang", ident.FormatPacked, gangSpecJSON(), http.StatusCreated},
-		{"a gang over the limit", ident.FormatPacked, gangSpecJSON(`"pieces":4`, `"pieces":9`), http.StatusUnprocessableEntity},
-		{"an array of as many", ident.FormatPacked, gangSpecJSON(`"pieces":4`, `"pieces":9`, `"gang"`, `"batch"`), http.StatusCreated},
-		{"too long a description below the level", 0, gangSpecJSON(`"gang"`, `"batch"`, `"models":null`, `"models":`+string(list)), http.StatusUnprocessableEntity},
-		{"too long a description", ident.FormatPacked, gangSpecJSON(`"models":null`, `"models":`+string(list)), http.StatusUnprocessableEntity},
+		{"a gang below the level", 0, nil, http.StatusServiceUnavailable},
+		{"an array below the level", 0, asBatch, http.StatusCreated},
+		{"a gang", ident.FormatPacked, nil, http.StatusCreated},
+		{"a gang over the quota", ident.FormatPacked, nineTasks, http.StatusUnprocessableEntity},
+		{"an array of as many tasks", ident.FormatPacked, slices.Concat(nineTasks, asBatch), http.StatusCreated},
+		{"too long a description below the level", 0, slices.Concat(asBatch, longModels), http.StatusUnprocessableEntity},
+		{"too long a description", ident.FormatPacked, longModels, http.StatusUnprocessableEntity},
 	} {
-		c, _ := newTestLeader(x.level)
-		if got := submitStatus(c, x.body); got != x.want {
-			t.Errorf("%s: %d, want %d", x.what, got, x.want)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			c, _ := newTestLeader(x.level)
+			if got := submitStatus(c, gangSpecJSON(x.change...)); got != x.want {
+				t.Errorf("%d, want %d", got, x.want)
+			}
+		})
 	}
 }
 
-// TestGangForwardingNeedsPackedFormat: a node that doesn't lead passes a gang on only when it has
-// read that the level is raised: an old leader would call the gang malformed.
+// TestGangForwardingNeedsPackedFormat: a follower forwards a gang only when it has read that the format level is raised,
+// since an old leader would call the gang malformed.
 func TestGangForwardingNeedsPackedFormat(t *testing.T) {
-	for _, x := range []struct{ term, want string }{{`5`, "503"}, {`{"term":5,"level":1}`, "passed on"}} {
-		w := &fakeEnv{now: ident.MonotonicTime(1 << 40), probedAddrs: map[string]bool{}}
-		w.values = map[string]string{"term": x.term}
-		set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
-			Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
-		c := New(w, set, rand.New(rand.NewPCG(1, 2)))
-		c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
-		got := ""
-		w.frames = nil
-		c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(), func(r Response) { got = fmt.Sprint(r.Status) })
-		for _, f := range w.frames {
-			if f.Type == transport.MsgRequest {
-				got = "passed on"
+	const forwarded = "forwarded"
+	for _, x := range []struct{ name, term, want string }{
+		{"below the level", `5`, "503"},
+		{"at the level", `{"term":5,"level":1}`, forwarded},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			w := newFakeEnv(ident.MonotonicTime(1 << 40))
+			w.values = map[string]string{"term": x.term}
+			c := New(w, followerSettings(), newTestRand())
+			c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
+			got := ""
+			w.frames = nil
+			c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(), func(r Response) { got = fmt.Sprint(r.Status) })
+			for _, f := range w.frames {
+				if f.Type == transport.MsgRequest {
+					got = forwarded
+				}
+			}
+			if got != x.want {
+				t.Errorf("%s, want %s", got, x.want)
 			}
-		}
-		if got != x.want {
-			t.Errorf("term %s: %s, want %s", x.term, got, x.want)
-		}
+		})
 	}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"testing"
@@ -44,13 +43,11 @@
 	}
 }
 
-// lead begins a term at a format level over what is stored.
+// lead starts a term at a format level over what is stored.
 func (s goldenStore) lead(term ident.Term, level ident.FormatLevel) *Controller {
-	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Teams:   []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}},
-		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
-		Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-		Cloud:   settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+	cfg := testSettings()
+	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
+	c := New(s, cfg, newTestRand())
 	c.OnStartedLeading(term, level, kvstore.Compare{Key: "leader", Revision: 9})
 	s.settle(c)
 	return c
@@ -86,18 +83,26 @@
 	return b.String()
 }
 
-// TestGoldenMachines pins the keys and values of machines and their types in either format, and
-// what the next term reads of them.
+// TestGoldenMachines pins the keys and values of machines and their types in either format, and what the next term reads of
+// them.
 func TestGoldenMachines(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
-		s := goldenStore{&recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(9 * time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 16 << 10, txnsLeft: 1 << 30}}
+		s := goldenStore{newRecordingStore(t, ident.MonotonicTime(9*time.Hour), 16<<10)}
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.leader.workers.Add(workers.MachineInfo{ID: h, Model: "m8", Zone: []string{"a", "a", "b", "a"}[i], Spot: i == 3,
 				CreatedAt: s.now.Add(-time.Duration(i) * time.Hour)})
 			if i != 1 {
-				c.leader.workers.HandleHeartbeat(&api.Heartbeat{MachineID: h, Addr: fmt.Sprintf("10.1.0.%d:9000", i), Model: w.Model, Zone: w.Zone, Spot: w.Spot, Incarnation: 1, SequenceNumber: 1})
+				c.leader.workers.HandleHeartbeat(&api.Heartbeat{
+					MachineID:      h,
+					Addr:           fmt.Sprintf("10.1.0.%d:9000", i),
+					Model:          w.Model,
+					Zone:           w.Zone,
+					Spot:           w.Spot,
+					Incarnation:    1,
+					SequenceNumber: 1,
+				})
 			}
 		}
 		s.settle(c)
@@ -113,7 +118,9 @@
 		}
 	}
 	golden.RoundTrip(t, &d, "group", golden.Filled[machinestore.GroupRecord](0))
-	d.Add("prefixes", strings.Join([]string{machinestore.Prefix, catalog.Key, catalog.Prefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix}, "\n"))
+	d.Add("prefixes", strings.Join([]string{
+		machinestore.Prefix, catalog.Key, catalog.Prefix, jobs.LivePrefix, jobs.ArchivePrefix, migration.Prefix,
+	}, "\n"))
 	d.Compare(t, "machines")
 }
 
@@ -124,9 +131,9 @@
 	b strings.Builder
 }
 
-func (a *asker) ask(what string, v transport.Method, job string, body []byte) {
+func (a *asker) ask(what string, method transport.Method, job string, body []byte) {
 	answered := false
-	a.c.HandleRequest(v, job, body, func(r Response) {
+	a.c.HandleRequest(method, job, body, func(r Response) {
 		answered = true
 		fmt.Fprintf(&a.b, "%s: %d, retry after %d: %s\n", what, r.Status, r.RetryAfterS, r.Body)
 	})
@@ -136,8 +143,7 @@
 	}
 }
 
-// TestGoldenAnswers pins status, time to come back and body of what users and workers are
-// answered.
+// TestGoldenAnswers pins the status, Retry-After and body of answers to users and workers.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
@@ -154,6 +160,18 @@
 	d.Compare(t, "answers")
 }
 
+// heartbeatJSON returns the first heartbeat of a machine.
+func heartbeatJSON() []byte {
+	return api.JSON(api.Heartbeat{
+		MachineID:      "host-1",
+		Addr:           "10.1.0.1:9000",
+		Model:          "m8",
+		Zone:           "a",
+		Incarnation:    1,
+		SequenceNumber: 1,
+	})
+}
+
 // askLeader asks whatever a leader answers by itself.
 func askLeader(a *asker) {
 	batch := func(change ...string) []byte { return gangSpecJSON(append(change, `"gang"`, `"batch"`)...) }
@@ -162,7 +180,7 @@
 		many = append(many, fmt.Sprintf("model-%04d", i))
 	}
 	models := string(api.JSON(append(many, "m8")))
-	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
+	report := heartbeatJSON()
 	a.w.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
 	a.w.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
 	a.w.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
@@ -191,21 +209,21 @@
 	a.ask("report to a leader that is not sure", transport.WorkerHeartbeat, "", report)
 }
 
-// goldenFollower makes a node with a sibling that leads, if it is known.
+// goldenFollower returns a node with a peer that leads, if the leader is known.
 func goldenFollower(known bool) *asker {
-	w := &fakeEnv{now: ident.MonotonicTime(1 << 40), probedAddrs: map[string]bool{}, values: map[string]string{"term": "5"}}
-	set := &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Peers: []settings.Peer{{Node: "agent-1"}},
-		Cluster: settings.Cluster{Nodes: 2, Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61}, Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}}}
-	a := &asker{c: New(w, set, rand.New(rand.NewPCG(1, 2))), w: w}
+	w := newFakeEnv(ident.MonotonicTime(1 << 40))
+	w.values = map[string]string{"term": "5"}
+	a := &asker{c: New(w, followerSettings(), newTestRand()), w: w}
 	if known {
 		a.c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 	}
 	return a
 }
 
-// askFollower asks a node that passes requests on to a leader, which doesn't answer.
+// askFollower asks a node that forwards requests to a leader, which doesn't answer.
 func askFollower(a *asker) {
-	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open","tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
+	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open",` +
+		`"tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
 	a.w.values[jobs.LiveKey("j-80")] = live
 	a.w.values[jobs.LiveKey("j-81")] = `{}`
 	a.w.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
@@ -213,7 +231,7 @@
 	a.ask("gang", transport.SubmitJob, "", gangSpecJSON())
 	a.ask("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
 	a.ask("cancellation", transport.CancelJob, "j-1", nil)
-	report := api.JSON(api.Heartbeat{MachineID: "host-1", Addr: "10.1.0.1:9000", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 1})
+	report := heartbeatJSON()
 	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
 	a.ask("report", transport.WorkerHeartbeat, "", report)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
@@ -230,9 +248,9 @@
 	}
 	d.JSON(t, "no links", linktracker.Report{})
 	d.JSON(t, "no moves", MoveReport{})
-	recordedMoves := recordedMoves(kvstore.KeyValue{Key: "moves/j-7",
-		Value: json.RawMessage(`{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6","source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`)}, 17_500)
-	d.JSON(t, "moves on record", recordedMoves)
+	record := `{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6",` +
+		`"source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`
+	d.JSON(t, "moves on record", recordedMoves(kvstore.KeyValue{Key: "moves/j-7", Value: json.RawMessage(record)}, 17_500))
 	d.Compare(t, "reports")
 }
 
@@ -245,17 +263,19 @@
 	return b.String()
 }
 
-// TestGoldenNames pins the words of reports, of labels of metrics and of stored values.
+// TestGoldenNames pins the names in reports, in labels of metrics and in stored values.
 func TestGoldenNames(t *testing.T) {
 	var d golden.Document
-	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+links.Endpoint{Kind: links.PeerNode, Name: "agent-1"}.String())
+	peer := links.Endpoint{Kind: links.PeerNode, Name: "agent-1"}
+	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+peer.String())
 	d.Add("directions", namesOf(links.Outbound, links.Direction.String))
 	d.Add("states of links", namesOf(links.Down, links.State.String))
 	d.Add("evidence", namesOf(links.Silence, links.Evidence.String))
 	d.Add("rows not taken", namesOf(links.Superseded, links.MergeResult.String))
 	d.Add("authority", namesOf(authority.Active, authority.State.String))
 	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
-	d.Add("moves", namesOf(migration.Abandoned, migration.State.String)+namesOf(migration.LostAtDestination, migration.Reason.String))
+	moveStates := namesOf(migration.Abandoned, migration.State.String)
+	d.Add("moves", moveStates+namesOf(migration.LostAtDestination, migration.Reason.String))
 	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
 	d.Add("rounds without a plan", namesOf(rebalancer.HoldNothingWaiting, rebalancer.HoldReason.String))
 	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
@@ -264,26 +284,57 @@
 	d.Compare(t, "names")
 }
 
-// TestGoldenSnapshot pins which counters of a leader its snapshot shows.
-func TestGoldenSnapshot(t *testing.T) {
+// TestGoldenStats pins which counters of a leader its Stats show.
+func TestGoldenStats(t *testing.T) {
 	c, _ := newTestLeader(ident.FormatPacked)
 	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
 	l := c.leader
 	p := &l.planner.Stats
-	p.Planned, p.Local, p.Uncached, p.Stolen, p.Services, p.Gangs, p.Preempted, p.Rounds, p.ExtraRounds = 201, 202, 203, 204, 205, 206, 207, 208, 209
+	p.Planned, p.Local, p.Uncached, p.Stolen, p.Services, p.Gangs, p.Preempted = 201, 202, 203, 204, 205, 206, 207
+	p.Rounds, p.ExtraRounds = 208, 209
 	p.FetchedGB, p.PlanTime = 210.5, 211*time.Second
 	l.fleet.Provisioned, l.fleet.Terminated, l.fleet.Fenced = 301, 302, 303
 	l.committer.Txns, l.committer.Puts, l.committer.Retries, l.committer.Rejected = 401, 402, 403, 404
 	l.gangs.Started, l.gangs.Lost, l.gangs.Replaced, l.gangs.Stopped = 501, 502, 503, 504
 	l.workers.LostTasks, l.workers.FencedCommands, l.workers.StaleHeartbeats = 601, 602, 603
 	s := c.Stats()
-	for _, pair := range [][2]uint64{{s.Forwarded, 101}, {s.Refused, 102}, {s.TermsBegun, 103}, {s.LeasesKept, 104}, {s.Relayed, 105},
-		{s.PlacedPlanned, 201}, {s.PlacedLocal, 202}, {s.PlacedNew, 203}, {s.PlacedStolen, 204}, {s.PlacedServices, 205}, {s.PlacedGangs, 206}, {s.Preempted, 207}, {s.PlanRounds, 208},
-		{s.PlanExtraRounds, 209}, {uint64(s.FetchedGB), 210}, {uint64(s.PlanSeconds), 211}, {s.MachinesProvisioned, 301}, {s.MachinesTerminated, 302}, {s.MachinesFenced, 303},
-		{s.Txns, 401}, {s.Puts, 402}, {s.TxnRetries, 403}, {s.TxnsRejected, 404}, {s.GangsStarted, 501}, {s.GangsLost, 502}, {s.GangsReplaced, 503},
-		{s.GangsStopped, 504}, {s.TasksLost, 601}, {s.CommandFences, 602}, {s.StaleHeartbeats, 603}} {
-		if pair[0] != pair[1] {
-			t.Errorf("%d where %d is counted", pair[0], pair[1])
+	for _, x := range []struct {
+		name      string
+		got, want uint64
+	}{
+		{"forwarded", s.Forwarded, 101},
+		{"refused", s.Refused, 102},
+		{"terms begun", s.TermsBegun, 103},
+		{"leases kept", s.LeasesKept, 104},
+		{"relayed", s.Relayed, 105},
+		{"placed as planned", s.PlacedPlanned, 201},
+		{"placed locally", s.PlacedLocal, 202},
+		{"placed without the image", s.PlacedNew, 203},
+		{"placed by stealing", s.PlacedStolen, 204},
+		{"placed services", s.PlacedServices, 205},
+		{"placed gangs", s.PlacedGangs, 206},
+		{"preempted", s.Preempted, 207},
+		{"plan rounds", s.PlanRounds, 208},
+		{"extra plan rounds", s.PlanExtraRounds, 209},
+		{"fetched GB", uint64(s.FetchedGB), 210},
+		{"plan seconds", uint64(s.PlanSeconds), 211},
+		{"machines provisioned", s.MachinesProvisioned, 301},
+		{"machines terminated", s.MachinesTerminated, 302},
+		{"machines fenced", s.MachinesFenced, 303},
+		{"transactions", s.Txns, 401},
+		{"puts", s.Puts, 402},
+		{"transaction retries", s.TxnRetries, 403},
+		{"transactions rejected", s.TxnsRejected, 404},
+		{"gangs started", s.GangsStarted, 501},
+		{"gangs lost", s.GangsLost, 502},
+		{"gangs replaced", s.GangsReplaced, 503},
+		{"gangs stopped", s.GangsStopped, 504},
+		{"tasks lost", s.TasksLost, 601},
+		{"command fences", s.CommandFences, 602},
+		{"stale heartbeats", s.StaleHeartbeats, 603},
+	} {
+		if x.got != x.want {
+			t.Errorf("%s: %d, want %d", x.name, x.got, x.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/harness_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/catalog"
+	"opaldale/internal/cloud"
+	"opaldale/internal/election"
+	"opaldale/internal/ident"
+	"opaldale/internal/jobs"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/settings"
+	"opaldale/internal/transport"
+	"opaldale/internal/workers"
+)
+
+// fakeEnv has a store with a fleet on record, and machines that don't answer.
+type fakeEnv struct {
+	now         ident.MonotonicTime
+	timers      []timer
+	listed      []kvstore.KeyValue
+	probedAddrs map[string]bool
+	values      map[string]string  // of single keys
+	frames      []*transport.Frame // sent to peers
+	revision    uint64
+}
+
+type timer struct {
+	due ident.MonotonicTime
+	run func()
+}
+
+func (w *fakeEnv) Now() ident.MonotonicTime { return w.now }
+func (w *fakeEnv) WallMS() int64            { return 0 }
+func (w *fakeEnv) After(d time.Duration, f func()) {
+	w.timers = append(w.timers, timer{w.now.Add(d), f})
+}
+func (w *fakeEnv) Cloud(cloud.Request, func(cloud.Response))   {}
+func (w *fakeEnv) SendPeer(_ ident.NodeID, f *transport.Frame) { w.frames = append(w.frames, f) }
+
+func (w *fakeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
+	switch r.Op {
+	case kvstore.Txn:
+		w.revision++
+		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: w.revision})
+	case kvstore.Get:
+		if v, ok := w.values[r.Key]; ok {
+			f(kvstore.Response{Outcome: kvstore.OK, Value: json.RawMessage(v)})
+			return
+		}
+		if strings.HasPrefix(r.Key, jobs.ArchivePrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
+			f(kvstore.Response{Outcome: kvstore.NotFound})
+			return
+		}
+		if r.Key == catalog.Key {
+			f(kvstore.Response{Outcome: kvstore.OK, Value: api.JSON(testMachineTypes())})
+		}
+	case kvstore.GrantLease, kvstore.RenewLease:
+		f(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
+	case kvstore.List:
+		out := kvstore.Response{Outcome: kvstore.OK}
+		for _, p := range w.listed {
+			if strings.HasPrefix(p.Key, r.Prefix) {
+				out.KeyValues = append(out.KeyValues, p)
+			}
+		}
+		f(out)
+	}
+}
+
+func (w *fakeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+	w.probedAddrs[c.Addr] = true
+	w.After(1200*time.Millisecond, func() { f(workers.CommandResult{}) })
+}
+
+// advance runs what is due within d.
+func (w *fakeEnv) advance(d time.Duration) {
+	for end := w.now.Add(d); ; {
+		i := -1
+		for k, t := range w.timers {
+			if t.due <= end && (i < 0 || t.due < w.timers[i].due) {
+				i = k
+			}
+		}
+		if i < 0 {
+			w.now = end
+			return
+		}
+		t := w.timers[i]
+		w.timers = slices.Delete(w.timers, i, i+1)
+		w.now = max(w.now, t.due)
+		t.run()
+	}
+}
+
+// newFakeEnv returns an environment without anything in it.
+func newFakeEnv(now ident.MonotonicTime) *fakeEnv {
+	return &fakeEnv{now: now, probedAddrs: map[string]bool{}}
+}
+
+// newTestRand returns random numbers that are the same in each run.
+func newTestRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+
+// testMachineTypes lists one machine type, in zone a.
+func testMachineTypes() []cloud.MachineType {
+	return []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}
+}
+
+// testSettings returns the settings of a node without peers and teams.
+func testSettings() *settings.Settings {
+	return &settings.Settings{
+		Node:   "agent-0",
+		Tuning: settings.DefaultTuning(),
+		Cluster: settings.Cluster{
+			Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
+			Store:   settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+			Cloud:   settings.CloudLimits{RPS: 5},
+		},
+	}
+}
+
+// followerSettings returns the settings of one of two nodes, without a cloud.
+func followerSettings() *settings.Settings {
+	cfg := testSettings()
+	cfg.Peers = []settings.Peer{{Node: "agent-1"}}
+	cfg.Cluster.Nodes = 2
+	cfg.Cluster.Cloud = settings.CloudLimits{}
+	return cfg
+}
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -48,8 +48,8 @@
 		OwnScore:       assessment.OwnScore,
 		SuccessorScore: assessment.BestScore,
 	})
-	slog.Info("handing over leadership", "term", uint64(l.term), "to", string(decision.Successor), "reason", decision.Reason.String(),
-		"own_score", int(assessment.OwnScore), "peer_score", int(assessment.BestScore))
+	slog.Info("handing over leadership", "term", uint64(l.term), "to", string(decision.Successor),
+		"reason", decision.Reason.String(), "own_score", int(assessment.OwnScore), "peer_score", int(assessment.BestScore))
 	l.committer.Quiesce()
 	l.replies.failAll()
 	for _, n := range l.controller.peerIDs() {
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -124,7 +124,8 @@
 func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
-	l.committer = commit.New(l.env, limits, leaderKey, func(reason string) { c.election.Deposed(election.StepDownReason(reason)) })
+	onTermLost := func(reason string) { c.election.Deposed(election.StepDownReason(reason)) }
+	l.committer = commit.New(l.env, limits, leaderKey, onTermLost)
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.replies.failAll
 	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
@@ -166,7 +167,7 @@
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           l.catalog.Type,
-		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
+		OnDeposed:         func() { c.election.Deposed(laterTermSeen) },
 		OnCapacityChanged: l.requestDispatch,
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"testing"
@@ -16,15 +15,15 @@
 	"opaldale/internal/settings"
 )
 
-// recordingStore keeps what a leader writes, beside its world; with left at 0 nothing more is
-// answered: the term ends there. One transaction may be lost before.
+// recordingStore keeps what a leader writes, in the environment of fakeEnv. Once txnsLeft is 0 no transaction is answered
+// any more: the term ends there. One transaction may be lost before.
 type recordingStore struct {
 	*fakeEnv
 	t             *testing.T
 	pairs         map[string]kvstore.KeyValue
 	maxValueBytes int
 	txnsLeft      int
-	txnToLose     int // counts down to it
+	txnToLose     int // counts down to the transaction that is lost
 }
 
 func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
@@ -69,17 +68,15 @@
 
 func (s *recordingStore) Cloud(r cloud.Request, f func(cloud.Response)) {
 	if r.Op == cloud.Catalog {
-		f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}})
+		f(cloud.Response{Outcome: cloud.OK, MachineTypes: testMachineTypes()})
 	}
 }
 
 // startLeader begins a term over what is stored.
 func (s *recordingStore) startLeader(term ident.Term) *Controller {
-	c := New(s, &settings.Settings{Node: "agent-0", Tuning: settings.DefaultTuning(), Cluster: settings.Cluster{
-		Workers: settings.WorkerTimes{HeartbeatS: 8, LeaseS: 36, CancelS: 61},
-		Store: settings.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16,
-			Announced: &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}},
-		Cloud: settings.CloudLimits{RPS: 5}}}, rand.New(rand.NewPCG(1, 2)))
+	cfg := testSettings()
+	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}
+	c := New(s, cfg, newTestRand())
 	c.OnStartedLeading(term, ident.FormatPacked, kvstore.Compare{Key: "leader", Revision: 9})
 	for _, w := range c.leader.workers.Sorted() {
 		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
@@ -91,62 +88,98 @@
 	return c
 }
 
-// TestMachineGroupsSplitToLimit: records of 50 machines, as the version before wrote them,
-// are brought within the limits to come, whichever transaction a term ends with; every
-// machine stays on record, and none is known twice.
-func TestMachineGroupsSplitToLimit(t *testing.T) {
-	const machines = 150
-	for run := range 80 {
-		left, lose := run/2, 0
-		if run%2 == 1 {
-			left, lose = 1<<30, run/2
+// newRecordingStore returns an empty store that answers all transactions.
+func newRecordingStore(t *testing.T, now ident.MonotonicTime, maxValueBytes int) *recordingStore {
+	return &recordingStore{
+		fakeEnv:       newFakeEnv(now),
+		t:             t,
+		pairs:         map[string]kvstore.KeyValue{},
+		maxValueBytes: maxValueBytes,
+		txnsLeft:      1 << 30,
+	}
+}
+
+const (
+	legacyGroups   = 3
+	legacyMachines = 50 // of each group
+	spotGroup      = 2
+)
+
+// putLegacyGroups stores machines as the version before wrote them.
+func (s *recordingStore) putLegacyGroups() {
+	for g := range legacyGroups {
+		r := machinestore.GroupRecord{Model: "m8", Zone: "a", Spot: g == spotGroup}
+		for i := range legacyMachines {
+			r.Machines = append(r.Machines, machinestore.MachineRecord{
+				ID:        ident.MachineID(fmt.Sprintf("host-%06d", legacyMachines*g+i)),
+				Addr:      fmt.Sprintf("10.1.%d.%d:9000", g, i),
+				CreatedMS: int64(-1000 * i),
+			})
 		}
-		s := &recordingStore{fakeEnv: &fakeEnv{now: ident.MonotonicTime(time.Hour), probedAddrs: map[string]bool{}}, t: t, pairs: map[string]kvstore.KeyValue{}, maxValueBytes: 1536, txnsLeft: left, txnToLose: lose}
-		s.revision = 50
-		for g := range 3 {
-			r := machinestore.GroupRecord{Model: "m8", Zone: "a", Spot: g == 2}
-			for i := range 50 {
-				r.Machines = append(r.Machines, machinestore.MachineRecord{ID: ident.MachineID(fmt.Sprintf("host-%06d", 50*g+i)), Addr: fmt.Sprintf("10.1.%d.%d:9000", g, i), CreatedMS: int64(-1000 * i)})
-			}
-			b, err := json.Marshal(r)
-			if err != nil {
-				t.Fatal(err)
-			}
-			path := fmt.Sprintf("%s1-%d", machinestore.Prefix, g)
-			s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
+		b, err := json.Marshal(r)
+		if err != nil {
+			s.t.Fatal(err)
 		}
-		s.startLeader(2) // ends with its last transaction
-		s.txnsLeft, s.txnToLose = 1<<30, 0
-		c := s.startLeader(3)
-		if n := len(c.leader.workers.Workers); n != machines {
-			t.Fatalf("after %d transactions %d machines are known", left, n)
+		path := fmt.Sprintf("%s1-%d", machinestore.Prefix, g)
+		s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
+	}
+}
+
+// TestMachineGroupsSplitToLimit: records of 50 machines, as the version before wrote them, are brought within the announced
+// limits, whichever transaction a term ends with or loses; every machine stays on record, and none is on record twice.
+func TestMachineGroupsSplitToLimit(t *testing.T) {
+	for n := range 40 {
+		t.Run(fmt.Sprintf("term ends after %d transactions", n), func(t *testing.T) { testGroupsSplit(t, n, 0) })
+		t.Run(fmt.Sprintf("transaction %d is lost", n), func(t *testing.T) { testGroupsSplit(t, 1<<30, n) })
+	}
+}
+
+// testGroupsSplit has one term begin to split groups until a number of transactions are answered, of which one may be lost,
+// and checks what the next term makes of that.
+func testGroupsSplit(t *testing.T, txnsLeft, txnToLose int) {
+	const machines = legacyGroups * legacyMachines
+	s := newRecordingStore(t, ident.MonotonicTime(time.Hour), 1536)
+	s.txnsLeft, s.txnToLose = txnsLeft, txnToLose
+	s.revision = 50
+	s.putLegacyGroups()
+	s.startLeader(2) // ends with its last transaction
+	s.txnsLeft, s.txnToLose = 1<<30, 0
+	c := s.startLeader(3)
+	if n := len(c.leader.workers.Workers); n != machines {
+		t.Fatalf("%d machines are known", n)
+	}
+	seen := map[ident.MachineID]string{}
+	for path, p := range s.pairs {
+		if strings.HasPrefix(path, machinestore.Prefix) {
+			s.checkGroup(path, p.Value, seen, txnToLose == 0)
 		}
-		seen := map[ident.MachineID]string{}
-		for path, p := range s.pairs {
-			if !strings.HasPrefix(path, machinestore.Prefix) {
-				continue
-			}
-			var r machinestore.GroupRecord
-			if err := json.Unmarshal(p.Value, &r); err != nil {
-				t.Fatal(err)
-			}
-			list, err := r.Decode()
-			if err != nil || len(r.Machines) > 0 || len(p.Value) > s.maxValueBytes {
-				t.Errorf("%s: %v, %d in the old form, %d bytes", path, err, len(r.Machines), len(p.Value))
-			}
-			for _, m := range list {
-				if seen[m.ID] != "" {
-					t.Errorf("after %d transactions %s is in %s and %s", left, m.ID, seen[m.ID], path)
-				}
-				seen[m.ID] = path
-				// What was lost on its way from one record to the next is told by a report.
-				if want := m.ID >= "host-000100"; r.Spot != want || lose == 0 && !strings.HasPrefix(m.Addr, "10.1.") {
-					t.Errorf("%s: standby %v, address %q", m.ID, r.Spot, m.Addr)
-				}
-			}
+	}
+	if len(seen) != machines {
+		t.Errorf("%d machines are on record", len(seen))
+	}
+}
+
+// checkGroup checks a record of the packed format, and that none of its machines is in those seen before. Addresses may be
+// missing if a transaction was lost: then heartbeats bring them back.
+func (s *recordingStore) checkGroup(path string, value json.RawMessage, seen map[ident.MachineID]string, wantAddresses bool) {
+	t := s.t
+	t.Helper()
+	var r machinestore.GroupRecord
+	if err := json.Unmarshal(value, &r); err != nil {
+		t.Fatal(err)
+	}
+	list, err := r.Decode()
+	if err != nil || len(r.Machines) > 0 || len(value) > s.maxValueBytes {
+		t.Errorf("%s: %v, %d in the first format, %d bytes", path, err, len(r.Machines), len(value))
+	}
+	for _, m := range list {
+		if seen[m.ID] != "" {
+			t.Errorf("%s is in %s and %s", m.ID, seen[m.ID], path)
 		}
-		if len(seen) != machines {
-			t.Errorf("after %d transactions %d machines are on record", left, len(seen))
+		seen[m.ID] = path
+		wantSpot := m.ID >= ident.MachineID(fmt.Sprintf("host-%06d", legacyMachines*spotGroup))
+		if r.Spot != wantSpot || wantAddresses && !strings.HasPrefix(m.Addr, "10.1.") {
+			t.Errorf("%s: spot %v, address %q", m.ID, r.Spot, m.Addr)
 		}
 	}
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -27,12 +27,13 @@
 	resignationPause = 12 * time.Second
 )
 
-// The reasons for which a leader gives up its term by itself.
+// The reasons for which a leader gives up its term, beside those of the election itself.
 const (
 	unreadableRecord     election.StepDownReason = "unreadable record"
 	leaderIsolated       election.StepDownReason = "neither peers nor machines are heard"
 	machinesHeardByPeers election.StepDownReason = "machines are heard by peers only"
 	noHeartbeatSource    election.StepDownReason = "no source of heartbeats"
+	laterTermSeen        election.StepDownReason = "a worker has seen a later term"
 )
 
 // resign ends the term and leaves leadership to a peer.
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -11,9 +11,8 @@
 	"opaldale/internal/workers"
 )
 
-// TestResponsesExpireWithLeaderLease: what a leader says from memory holds until its leadership is
-// not sure any more. The rim judges it again right before it goes out, since the process
-// may have stood still in between; what is final holds for ever.
+// TestResponsesExpireWithLeaderLease: an answer from a leader's memory is valid until its lease expires. The server checks
+// that right before the answer goes out, since the process may have paused in between. What is final stays valid.
 func TestResponsesExpireWithLeaderLease(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
 	if got := submitStatus(c, gangSpecJSON()); got != http.StatusCreated {
@@ -26,25 +25,25 @@
 	}
 	r := ask(transport.GetJob)
 	if r.Status != http.StatusOK || r.ValidUntil != c.election.LeaseExpiry() {
-		t.Fatalf("a question: %+v", r)
+		t.Fatalf("a poll: %+v", r)
 	}
 	if a := r.IfValid(r.ValidUntil.Add(-time.Millisecond)); a.Status != http.StatusOK {
-		t.Errorf("in its time: %+v", a)
+		t.Errorf("before it expires: %+v", a)
 	}
 	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
-		t.Errorf("after it: %+v", a)
+		t.Errorf("when it expires: %+v", a)
 	}
 	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("a cancellation: %+v", r)
 	}
 	w.now = w.now.Add(time.Hour)
 	if r = ask(transport.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
-		t.Errorf("a question to a leader that stood still: %+v", r)
+		t.Errorf("a poll of a leader that was paused: %+v", r)
 	}
 }
 
-// TestMalformedSubmissionWithoutLeader: a submission that lacks a field gets 400 from a node that has
-// just lost the lead, too.
+// TestMalformedSubmissionWithoutLeader: a submission that lacks a field gets 400 also from a node that has just lost
+// leadership.
 func TestMalformedSubmissionWithoutLeader(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
 	w.now = w.now.Add(time.Hour)
@@ -55,8 +54,8 @@
 	})
 }
 
-// TestLeaseRenewalKillsCancelledTasks: a node that keeps leases without a leader stops what it knows to be
-// cancelled.
+// TestLeaseRenewalKillsCancelledTasks: a node that renews leases without a leader kills the tasks of jobs that it knows to
+// be cancelled.
 func TestLeaseRenewalKillsCancelledTasks(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
 	c.OnStoppedLeading("test")
@@ -67,18 +66,26 @@
 	taskReport := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
 	}
-	rep := &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "a", Incarnation: 1, SequenceNumber: 2, FencingToken: ident.MakeFencingToken(5, 0),
-		Tasks: []api.TaskReport{taskReport("j-7"), taskReport("j-8")}}
-	r, ok := c.renewLeaseWithoutLeader(rep)
-	want := string(api.JSON(api.HeartbeatResponse{FencingToken: rep.FencingToken, Commands: []api.Command{{Verb: api.Kill, TaskID: taskReport("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}}}))
+	heartbeat := &api.Heartbeat{
+		MachineID:      "h",
+		Addr:           "a",
+		Model:          "m8",
+		Zone:           "a",
+		Incarnation:    1,
+		SequenceNumber: 2,
+		FencingToken:   ident.MakeFencingToken(5, 0),
+		Tasks:          []api.TaskReport{taskReport("j-7"), taskReport("j-8")},
+	}
+	r, ok := c.renewLeaseWithoutLeader(heartbeat)
+	kill := api.Command{Verb: api.Kill, TaskID: taskReport("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}
+	want := string(api.JSON(api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{kill}}))
 	if !ok || string(r.Body) != want {
 		t.Errorf("%v %s, want %s", ok, r.Body, want)
 	}
 }
 
-// TestLeaseAllowanceAfterCancellation: siblings may keep leases for a leader for the grace, less the age of the
-// oldest cancelled job with a task that may be on a machine; once that is proven gone, for
-// the whole of it again. A successor doesn't know when a job was cancelled: for none.
+// TestLeaseAllowanceAfterCancellation: peers may renew leases for a leader for the renewal grace, less the age of the
+// oldest cancellation of a job with a task that may be on a machine; once that is proven gone, for all of it again.
 func TestLeaseAllowanceAfterCancellation(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
 	if got := submitStatus(c, gangSpecJSON(`"gang"`, `"batch"`)); got != http.StatusCreated {
