--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -38,7 +38,14 @@
 // Do makes a call and waits for its response.
 func (c *Client) Do(request Request) Response {
 	method, path, body := request.encode()
-	status, response, err := httpcall.Do(c.httpClient, requestTimeout, method, c.baseURL+path, body, maxResponseBytes)
+	call := httpcall.Call{
+		Method:           method,
+		URL:              c.baseURL + path,
+		Body:             body,
+		Timeout:          requestTimeout,
+		MaxResponseBytes: maxResponseBytes,
+	}
+	status, response, err := call.Do(c.httpClient)
 	if err != nil {
 		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
--- /dev/null
+++ b/internal/commit/log_test.go
@@ -0,0 +1,292 @@
+package commit
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"sort"
+	"strings"
+	"testing"
+	"time"
+
+	"opaldale/internal/kvstoretest"
+)
+
+const (
+	logDocuments       = 5
+	entriesPerDocument = 4
+)
+
+// storedDocument is a document with the values of its entries.
+type storedDocument struct {
+	LSN    uint64
+	Values [entriesPerDocument]int
+}
+
+// jsonLogWorkload changes entries of documents, with a log in the JSON format.
+type jsonLogWorkload struct {
+	t         *testing.T
+	store     *flakyStore
+	committer *Committer
+	entries   [logDocuments][entriesPerDocument]*testEntry
+	durable   int // callbacks called
+}
+
+func newJSONLogWorkload(t *testing.T, seed uint64) *jsonLogWorkload {
+	t.Helper()
+	store := newFlakyStore(t, seed, 2)
+	limits := testLimits
+	limits.MaxValueBytes = 1024
+	w := &jsonLogWorkload{t: t, store: store, committer: newTestCommitter(t, store, limits)}
+	for d := range logDocuments {
+		document := &Document{Key: fmt.Sprintf("d/%d", d)}
+		document.Render = func() json.RawMessage { return w.render(d) }
+		for n := range entriesPerDocument {
+			w.entries[d][n] = &testEntry{document: document, index: n}
+		}
+	}
+	return w
+}
+
+func (w *jsonLogWorkload) render(document int) json.RawMessage {
+	stored := storedDocument{LSN: w.committer.LSN()}
+	for n, entry := range w.entries[document] {
+		stored.Values[n] = entry.value
+	}
+	encoded, err := json.Marshal(stored)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return encoded
+}
+
+// load reads the documents as a successor does: as last put, with the later records of the log.
+func (w *jsonLogWorkload) load() (documents [logDocuments]storedDocument, records int) {
+	for d := range documents {
+		json.Unmarshal(w.store.Entries[fmt.Sprintf("d/%d", d)].Value, &documents[d])
+	}
+	type jsonRecord struct {
+		N uint64
+		L []testLine
+	}
+	var log []jsonRecord
+	for key, pair := range w.store.Entries {
+		if strings.HasPrefix(key, LogPrefix) {
+			var record jsonRecord
+			json.Unmarshal(pair.Value, &record)
+			log = append(log, record)
+		}
+	}
+	sort.Slice(log, func(i, k int) bool { return log[i].N < log[k].N })
+	for _, record := range log {
+		for _, line := range record.L {
+			if documents[line.Doc].LSN < record.N {
+				documents[line.Doc].Values[line.N] = line.Value
+			}
+		}
+	}
+	return documents, len(log)
+}
+
+// change changes one entry and, now and then, puts its document.
+func (w *jsonLogWorkload) change() {
+	rng := w.store.rng
+	entry := w.entries[rng.IntN(logDocuments)][rng.IntN(entriesPerDocument)]
+	entry.value++
+	value := entry.value
+	w.committer.Append(entry, func() {
+		w.durable++
+		if stored, _ := w.load(); stored[entry.documentNumber()].Values[entry.index] < value {
+			w.t.Errorf("%s is reported durable at %d, is %v", entry.name(), value, stored)
+		}
+	})
+	if rng.IntN(20) == 0 {
+		w.committer.MarkDirty(entry.document, nil)
+	}
+	w.committer.Flush()
+}
+
+// TestLog: what is durable of the entries is what the documents, as last put, and the later records
+// of the log say together, whatever requests are lost or late; and a long log is compacted.
+func TestLog(t *testing.T) {
+	const changes = 1500
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		w := newJSONLogWorkload(t, seed)
+		for range changes {
+			w.store.After(time.Duration(w.store.rng.IntN(200_000))*time.Millisecond, w.change)
+		}
+		w.store.run(10 * time.Minute)
+		stored, records := w.load()
+		for d := range w.entries {
+			for n, entry := range w.entries[d] {
+				if stored[d].Values[n] != entry.value {
+					t.Errorf("%s ends as %d, want %d", entry.name(), stored[d].Values[n], entry.value)
+				}
+			}
+		}
+		if w.durable != changes || records > 2*compactAfterRecords {
+			t.Errorf("%d of %d called back, %d records are left", w.durable, changes, records)
+		}
+	})
+}
+
+// TestLSN: the LSN does not include records in open transactions, and stays below the first of
+// them until it is durable.
+func TestLSN(t *testing.T) {
+	store := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
+	unpaced := Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e10, MaxValueBytes: 1024}
+	c := newTestCommitter(t, store, unpaced)
+	c.ObserveLSN(7)
+	entry := &testEntry{document: &Document{Key: "d/0"}}
+	for range 2 {
+		c.Append(entry, nil)
+		c.Flush()
+	}
+	if lsn := c.LSN(); lsn != 7 || len(store.Pending) != 2 {
+		t.Errorf("LSN %d with records in %d open transactions, want 7 and 2", lsn, len(store.Pending))
+	}
+	store.Run()
+	if lsn := c.LSN(); lsn != 9 {
+		t.Errorf("LSN %d after two records, want 9", lsn)
+	}
+}
+
+// readText returns the newest value of each entry in the records of the log, by its name.
+func readText(store *flakyStore) map[string]int {
+	type textRecord struct {
+		N uint64 `json:"n"`
+		T string `json:"t"`
+	}
+	values, newest := map[string]int{}, map[string]uint64{}
+	for key, pair := range store.Entries {
+		var record textRecord
+		if !strings.HasPrefix(key, LogPrefix) || json.Unmarshal(pair.Value, &record) != nil {
+			continue
+		}
+		ParseText(record.T, func(group, line string) error {
+			var index, value int
+			fmt.Sscanf(line, "%d,%d", &index, &value)
+			name := fmt.Sprintf("%s %d", group, index)
+			if record.N > newest[name] {
+				newest[name], values[name] = record.N, value
+			}
+			return nil
+		})
+	}
+	return values
+}
+
+// textLogWorkload changes entries, with a log in the text format.
+type textLogWorkload struct {
+	t         *testing.T
+	store     *flakyStore
+	committer *Committer
+	entries   []*testEntry
+}
+
+func newTextLogWorkload(t *testing.T, seed uint64, maxValueBytes int) *textLogWorkload {
+	t.Helper()
+	store := newFlakyStore(t, seed, 4)
+	limits := Limits{MutationsPerTxn: 8, MutationsPerSecond: 200, MaxValueBytes: maxValueBytes}
+	w := &textLogWorkload{t: t, store: store, committer: newTestCommitter(t, store, limits)}
+	w.committer.UseTextFormat()
+	for d := range 40 {
+		document := &Document{Key: fmt.Sprintf("d/%d", d)}
+		for n := range 30 {
+			w.entries = append(w.entries, &testEntry{document: document, index: n})
+		}
+	}
+	return w
+}
+
+// change changes one entry. Reading the log is slow, so it is done for one value in four.
+func (w *textLogWorkload) change() {
+	entry := w.entries[w.store.rng.IntN(len(w.entries))]
+	entry.value++
+	value := entry.value
+	w.committer.Append(entry, func() {
+		if value%4 > 0 {
+			return
+		}
+		if stored := readText(w.store)[entry.name()]; stored < value {
+			w.t.Errorf("%s is reported durable at %d, is %d", entry.name(), value, stored)
+		}
+	})
+	w.committer.Flush()
+}
+
+// checkEntries checks that the newest line of each entry is in a record that it holds.
+func (w *textLogWorkload) checkEntries() {
+	w.t.Helper()
+	stored := readText(w.store)
+	for _, entry := range w.entries {
+		if stored[entry.name()] != entry.value {
+			w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
+		}
+		if entry.value > 0 && !entry.pin.Held() {
+			w.t.Errorf("nothing holds the line of %s", entry.name())
+		}
+	}
+}
+
+// TestTextLog: with records in the text format, the newest line of each entry is always in some
+// record, although slots are reused and a long log is compacted; entries that are released hold
+// nothing.
+func TestTextLog(t *testing.T) {
+	const maxValueBytes = 256
+	runSeeds(t, 2, func(t *testing.T, seed uint64) {
+		w := newTextLogWorkload(t, seed, maxValueBytes)
+		for range 4000 {
+			w.store.After(time.Duration(w.store.rng.IntN(100_000))*time.Millisecond, w.change)
+		}
+		w.store.run(10 * time.Minute)
+		w.checkEntries()
+		slots := &w.committer.log.slots
+		held := slots.live
+		for _, entry := range w.entries {
+			w.committer.Release(&entry.pin)
+		}
+		if slots.live != 0 || held == 0 || slots.pinnedEntries != 0 {
+			t.Errorf("%d records held, %d after all were released", held, slots.live)
+		}
+		for key, pair := range w.store.Entries {
+			if len(pair.Value) > maxValueBytes {
+				t.Errorf("%s has %d bytes", key, len(pair.Value))
+			}
+		}
+	})
+}
+
+// TestLongLogIsCompacted: records of which few entries still hold do not accumulate.
+func TestLongLogIsCompacted(t *testing.T) {
+	const maxValueBytes = 1 << 10
+	store := newReliableStore(t)
+	c := newTestCommitter(t, store, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: maxValueBytes})
+	c.UseTextFormat()
+	rng := rand.New(rand.NewPCG(1, 1))
+	var idle []*testEntry // each in a record of its own, among others that change again and again
+	busy := make([]*testEntry, 60)
+	for i := range busy {
+		busy[i] = &testEntry{document: &Document{Key: "d/0"}, index: i}
+	}
+	maxRecords := max(compactAfterRecords, compactAfterBytes/maxValueBytes)
+	for i := range 2*maxRecords + 50 {
+		entry := &testEntry{document: &Document{Key: "d/1"}, index: i}
+		idle = append(idle, entry)
+		c.Append(entry, nil)
+		for _, k := range rng.Perm(len(busy))[:30] {
+			c.Append(busy[k], nil)
+		}
+		c.Flush()
+		store.run(store.now + 20*time.Millisecond)
+	}
+	store.run(store.now + time.Minute)
+	if c.log.slots.live > maxRecords+20 {
+		t.Errorf("%d records are held, for %d lines", c.log.slots.live, c.log.slots.pinnedEntries)
+	}
+	for _, entry := range idle {
+		if !entry.pin.Held() {
+			t.Fatalf("the line of %s is in no record", entry.name())
+		}
+	}
+}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -124,8 +124,9 @@
 func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
-	onTermLost := func(reason string) { c.election.Deposed(election.StepDownReason(reason)) }
-	l.committer = commit.New(l.env, limits, leaderKey, onTermLost)
+	l.committer = commit.New(l.env, limits, leaderKey, func(err error) {
+		c.election.Deposed(election.StepDownReason(err.Error()))
+	})
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.replies.failAll
 	l.jobs = jobs.NewTable(l.committer, limits.MaxValueBytes, l.env.Now, l.env.WallMS)
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -113,7 +113,7 @@
 			e.claimFailed(c, response.Outcome)
 			return
 		}
-		e.startLeading(c, term, ident.Revision(response.StoreRevision))
+		e.startLeading(c, term, response.StoreRevision)
 	})
 }
 
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -89,7 +89,7 @@
 	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
 	machineType := testMachineType("east")
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(string) {})
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(error) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.table = workers.NewTable(r, r.jobs, workers.Config{
 		Term:              3,
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -71,7 +71,7 @@
 	c := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
 	machineType := cloud.MachineType{SKU: "m16", VCPUs: 16, MemoryGB: 32, LocalDiskGB: 25, PullGBPerS: 0.3}
 	limits := commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: maxValueBytes}
-	c.commits = commit.New(c, limits, kvstore.Compare{Key: "leader"}, func(string) {})
+	c.commits = commit.New(c, limits, kvstore.Compare{Key: "leader"}, func(error) {})
 	c.jobs = jobs.NewTable(c.commits, maxValueBytes, c.Now, func() int64 { return 0 })
 	c.machines = workers.NewTable(c, c.jobs, workersConfig(&machineType))
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -16,7 +16,7 @@
 // store is the state service.
 type store struct {
 	sim         *Simulation
-	revision    uint64
+	revision    ident.Revision
 	keys        map[string]*entry
 	leases      map[uint64]ident.MonotonicTime // when each ends
 	leaseTTLs   map[uint64]time.Duration
@@ -36,7 +36,7 @@
 
 type watcher struct {
 	prefix        string
-	afterRevision uint64
+	afterRevision ident.Revision
 	reply         func(kvstore.Response)
 	done          bool
 }
@@ -81,10 +81,10 @@
 func (s *store) apply(mutations []kvstore.Mutation) {
 	s.revision++
 	for _, c := range mutations {
-		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: ident.Revision(s.revision)}
+		n := kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete, Revision: s.revision}
 		s.sim.checkMoveRecord(c)
 		if c.Put != "" {
-			s.keys[c.Put] = &entry{c.Value, ident.Revision(s.revision), c.LeaseID}
+			s.keys[c.Put] = &entry{c.Value, s.revision, c.LeaseID}
 		} else {
 			delete(s.keys, c.Delete)
 		}
@@ -102,7 +102,7 @@
 	}
 	out := s.ok()
 	for _, e := range s.history {
-		if uint64(e.Revision) > w.afterRevision && strings.HasPrefix(e.Put+e.Delete, w.prefix) {
+		if e.Revision > w.afterRevision && strings.HasPrefix(e.Put+e.Delete, w.prefix) {
 			out.Events = append(out.Events, e)
 		}
 	}
