--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -168,7 +168,7 @@
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           l.catalog.Type,
-		OnDeposed:         func() { c.election.Deposed("a worker has seen a later term") },
+		OnDeposed:         func() { c.election.Deposed(laterTermSeen) },
 		OnCapacityChanged: l.requestDispatch,
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
