--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -104,14 +104,11 @@
 // ExpectLimits sets the limits that the store may introduce without notice.
 func (c *Committer) ExpectLimits(l Limits) { c.limiter.expected = c.limiter.limits.Min(l) }
 
-// TightenLimits puts the expected limits into force and reports whether they are stricter than
-// those before.
-func (c *Committer) TightenLimits() bool { return c.limiter.tighten() }
-
-// UseTextFormat has the log written in the text format from now on, within the expected limits.
+// UseTextFormat has the log written in the text format from now on, and all content within the
+// expected limits.
 func (c *Committer) UseTextFormat() {
 	c.log.format = textFormat{}
-	c.TightenLimits()
+	c.limiter.tighten()
 }
 
 // HasSpareCapacity reports whether nothing urgent is queued and content that is not urgent may be
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -33,10 +33,10 @@
 	minValueBytes = 256
 	// maxImmediateRejections is how many rejections in a row are followed at once by smaller
 	// transactions. Each further one is followed by a pause, up to maxRejectionPause.
-	maxImmediateRejections  = 20
-	maxRejectionPause       = time.Minute
-	initialRejectionPause   = time.Second
-	maxRejectionPauseDouble = 10 // doublings after which the pause is surely the longest
+	maxImmediateRejections = 20
+	maxRejectionPause      = time.Minute
+	initialRejectionPause  = time.Second
+	maxPauseDoublings      = 10 // doublings after which the pause is surely the longest
 )
 
 // limiter keeps transactions within the limits of the store. Mutations take tokens from a bucket
@@ -110,5 +110,5 @@
 
 // rejectionPause is the pause after the nth rejection: it doubles each time.
 func rejectionPause(n int) time.Duration {
-	return min(initialRejectionPause<<min(n, maxRejectionPauseDouble), maxRejectionPause)
+	return min(initialRejectionPause<<min(n, maxPauseDoublings), maxRejectionPause)
 }
