--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// minTokensPerTxn keeps transactions from being sent one mutation at a time: fewer tokens
-	// than that, or than a full transaction takes, are saved up for tokenRefillWait.
+	// minTokensPerTxn keeps transactions from being sent one mutation at a time: as long as there
+	// are fewer tokens, and fewer than a full transaction takes, sending waits for tokenRefillWait.
 	minTokensPerTxn = 4
 	tokenRefillWait = 50 * time.Millisecond
 	// comparesPerMutation is how many compares the store takes for each mutation of the limit.
