--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,8 +58,16 @@
 	links           *linktracker.Tracker // nil unless links are watched
 	authority       authority.Tracker
 
-	// Counters for the metrics.
-	Forwarded, Relayed, Refused, Elections, LeasesKept uint64
+	Counters
+}
+
+// Counters count events of a node since it was started.
+type Counters struct {
+	Forwarded  uint64 // requests to the leader
+	Relayed    uint64 // of these, by way of a peer
+	Refused    uint64 // requests
+	Elections  uint64 // terms that the node has begun
+	LeasesKept uint64 // leases of workers that it has renewed without a leader
 }
 
 const (
