--- /dev/null
+++ b/internal/controller/pending_replies_test.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"opaldale/internal/ident"
+)
+
+// TestPendingRepliesAnswerOnce: a request is answered by what comes first, and not again.
+func TestPendingRepliesAnswerOnce(t *testing.T) {
+	const done, slow, failed = http.StatusOK, http.StatusGatewayTimeout, http.StatusServiceUnavailable
+	for _, x := range []struct {
+		name string
+		run  func(*fakeEnv, *pendingReplies, func(Response))
+		want []int
+	}{
+		{"answered in time", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
+			reply(Response{Status: done})
+			w.advance(2 * storeTimeout)
+		}, []int{done}},
+		{"answered too late", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
+			w.advance(2 * storeTimeout)
+			reply(Response{Status: done})
+		}, []int{slow}},
+		{"answered after the store has failed", func(w *fakeEnv, p *pendingReplies, reply func(Response)) {
+			p.failAll()
+			reply(Response{Status: done})
+			w.advance(2 * storeTimeout)
+		}, []int{failed}},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			w := newFakeEnv(ident.MonotonicTime(time.Hour))
+			refuse := func(reply func(Response), text string) {
+				if text == "state service is slow" {
+					reply(Response{Status: slow})
+				} else {
+					reply(Response{Status: failed})
+				}
+			}
+			p := newPendingReplies(w.After, refuse)
+			var got []int
+			x.run(w, p, p.withTimeout(func(r Response) { got = append(got, r.Status) }))
+			if !slices.Equal(got, x.want) {
+				t.Errorf("%v, want %v", got, x.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/storereader/storereader_test.go
@@ -0,0 +1,88 @@
+package storereader
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"opaldale/internal/kvstore"
+)
+
+// scriptedEnv answers requests with a list of responses, and runs timers at once.
+type scriptedEnv struct {
+	responses []kvstore.Response
+	requests  []kvstore.Request
+	waits     []time.Duration
+}
+
+func (e *scriptedEnv) After(d time.Duration, f func()) {
+	e.waits = append(e.waits, d)
+	f()
+}
+
+func (e *scriptedEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
+	e.requests = append(e.requests, r)
+	next := e.responses[0]
+	e.responses = e.responses[1:]
+	done(next)
+}
+
+func neverClosed() bool { return false }
+
+// TestGetRetries: a read is repeated until the store answers, also with an absent key.
+func TestGetRetries(t *testing.T) {
+	for _, final := range []kvstore.Outcome{kvstore.OK, kvstore.NotFound} {
+		env := &scriptedEnv{responses: []kvstore.Response{
+			{Outcome: kvstore.NoAnswer}, {Outcome: kvstore.Unavailable}, {Outcome: kvstore.RateLimited}, {Outcome: final},
+		}}
+		var got []kvstore.Outcome
+		New(env, neverClosed).Get("key", func(r kvstore.Response) { got = append(got, r.Outcome) })
+		if !slices.Equal(got, []kvstore.Outcome{final}) {
+			t.Errorf("outcomes %v, want one of %v", got, final)
+		}
+		if want := []time.Duration{retryInterval, retryInterval, retryInterval}; !slices.Equal(env.waits, want) {
+			t.Errorf("waits %v, want %v", env.waits, want)
+		}
+	}
+}
+
+// TestListAllPages: all pages are read, each after the last key of the one before, and a failed page is read again.
+func TestListAllPages(t *testing.T) {
+	page := func(truncated bool, keys ...string) kvstore.Response {
+		r := kvstore.Response{Outcome: kvstore.OK, Truncated: truncated}
+		for _, k := range keys {
+			r.KeyValues = append(r.KeyValues, kvstore.KeyValue{Key: k})
+		}
+		return r
+	}
+	env := &scriptedEnv{responses: []kvstore.Response{
+		page(true, "p/1", "p/2"), {Outcome: kvstore.NoAnswer}, page(true, "p/3"), page(false, "p/4"),
+	}}
+	var got []string
+	New(env, neverClosed).ListAll("p/", func(pairs []kvstore.KeyValue) {
+		for _, p := range pairs {
+			got = append(got, p.Key)
+		}
+	})
+	if want := []string{"p/1", "p/2", "p/3", "p/4"}; !slices.Equal(got, want) {
+		t.Errorf("keys %v, want %v", got, want)
+	}
+	var starts []string
+	for _, r := range env.requests {
+		starts = append(starts, r.StartAfter)
+	}
+	if want := []string{"", "p/2", "p/2", "p/3"}; !slices.Equal(starts, want) {
+		t.Errorf("pages begin after %q, want %q", starts, want)
+	}
+}
+
+// TestClosedReaderIsSilent: nothing is called back or read again for a closed owner.
+func TestClosedReaderIsSilent(t *testing.T) {
+	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoAnswer} {
+		env := &scriptedEnv{responses: []kvstore.Response{{Outcome: outcome}}}
+		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: called back", outcome) })
+		if len(env.requests) != 1 || len(env.waits) != 0 {
+			t.Errorf("%v: %d requests, %d timers", outcome, len(env.requests), len(env.waits))
+		}
+	}
+}
