--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -153,6 +153,9 @@
 	w.reachability.commandAnswered()
 	tb.applyCommandResponse(w, result.Heartbeat)
 	if len(w.commands.queued) > 0 {
+		// Known limitation: a command that applyCommandResponse has queued has its timer as well.
+		// That finds the queue empty and counts it as idle while this call is under way, so that
+		// another call may overlap it.
 		w.commands.sending = true
 		tb.sendQueued(w)
 	}
