--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -70,7 +70,7 @@
 // Outcome is what is known after a call.
 type Outcome uint8
 
-// The outcomes of a call. Only after NoAnswer the request may have been carried out, or may still be.
+// The outcomes of a call. Only a request without an answer may be carried out later, or have been.
 const (
 	NoAnswer    Outcome = iota // no response, or one that the API does not define
 	OK                         // carried out
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -32,12 +32,14 @@
 	Suspect       bool
 	provenHealthy bool // a task has run for a while
 
-	// What other packages keep on the job: the number of allocated tasks by zone, for jobs whose
-	// zones matter; whether the job fits into its team's guarantee along with the team's
-	// earlier open jobs (planner); whether lost tasks of a gang may be replaced in its
-	// present attempt (gang).
-	AllocatedByZone     map[string]int
-	WithinQuota         bool
+	// AllocatedByZone holds the numbers of allocated tasks, for a job whose zones matter. The owner
+	// of the table keeps it.
+	AllocatedByZone map[string]int
+	// WithinQuota says whether the job fits into its team's guarantee along with the team's earlier
+	// open jobs. The planner keeps it.
+	WithinQuota bool
+	// AcceptsReplacements says whether lost tasks of a gang may be replaced in its present attempt.
+	// Package gang keeps it.
 	AcceptsReplacements bool
 }
 
