--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -32,7 +32,7 @@
 		{"next page of the list", Request{Op: List, StartAfter: "host-5"}},
 	} {
 		c.Do(testCase.request)
-		d.Add(testCase.name, transport.Saw)
+		d.Add(testCase.name, transport.NewestRequest)
 	}
 	d.Compare(t, "requests")
 }
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -34,7 +34,7 @@
 
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { panic(reason) })
+	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -1,80 +1,58 @@
 package placement
 
 import (
-	"fmt"
 	"testing"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
-	"opaldale/internal/workers"
 )
 
-// newClusterWithHolders makes a fleet of which so many machines hold the image of a job to come.
-func newClusterWithHolders(machines, holding int) *testCluster {
-	l := newTestCluster(0)
-	for i := range machines {
-		w := l.machines.Add(workers.MachineInfo{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Model: "m16", Zone: "east", Spot: true,
-			CreatedAt: l.now})
-		l.heartbeat(w)
-	}
-	first := l.submitAs("red", api.Standard, holding)
-	for i := range holding {
-		l.Place(&first.Tasks[i], l.machines.Sorted()[i])
-	}
-	l.commits.Flush()
-	for _, w := range l.machines.Sorted() {
-		l.heartbeat(w)
-	}
-	return l
-}
-
 // usedVCPURange returns the CPUs in use on the fullest and on the emptiest of the first machines.
-func usedVCPURange(l *testCluster, machines int) (most, least float64) {
+func usedVCPURange(c *testCluster, machines int) (most, least float64) {
 	least = 1e9
-	for _, w := range l.machines.Sorted()[:machines] {
+	for _, w := range c.machines.Sorted()[:machines] {
 		most, least = max(most, w.VCPUs), min(least, w.VCPUs)
 	}
 	return most, least
 }
 
-// TestSpreadLoadOverHolders: with even placement the tasks of a job go to its holders in
-// turn; without it the first by name are filled. Neither goes to machines that would fetch.
+// TestSpreadLoadOverHolders: if load is spread, the tasks of a job go in turn to the machines that hold
+// its image; otherwise the first by name are filled. No task goes to machines that would pull it.
 func TestSpreadLoadOverHolders(t *testing.T) {
-	for _, even := range []bool{false, true} {
-		l := newClusterWithHolders(12, 8)
-		l.planner.SpreadLoad = func() bool { return even }
-		l.submitAs("red", api.Standard, 48)
-		l.dispatchAll()
-		most, least := usedVCPURange(l, 8)
-		if even && most-least > 1 || !even && most-least < 8 {
-			t.Errorf("even %v: between %v and %v CPUs are in use", even, least, most)
+	for _, spread := range []bool{false, true} {
+		c := newClusterWithHolders(12, 8)
+		c.planner.SpreadLoad = func() bool { return spread }
+		c.submitAs("red", api.Standard, 48)
+		c.dispatchAll()
+		most, least := usedVCPURange(c, 8)
+		if spread && most-least > 1 || !spread && most-least < 8 {
+			t.Errorf("spread %v: between %v and %v CPUs are in use", spread, least, most)
 		}
-		for _, w := range l.machines.Sorted()[8:] {
+		for _, w := range c.machines.Sorted()[8:] {
 			if w.VCPUs > 0 {
-				t.Errorf("even %v: %s, which doesn't hold the image, has work", even, w.ID)
+				t.Errorf("spread %v: %s, which doesn't hold the image, has work", spread, w.ID)
 			}
 		}
 	}
 }
 
-// TestSpreadLoadServices: replicas go to the least used holder.
+// TestSpreadLoadServices: if load is spread, replicas go to the least used machine that holds their image.
 func TestSpreadLoadServices(t *testing.T) {
-	for _, even := range []bool{false, true} {
-		l := newClusterWithHolders(6, 6)
-		l.planner.SpreadLoad = func() bool { return even }
-		j := l.submitAs("red", api.Critical, 12)
+	for _, spread := range []bool{false, true} {
+		c := newClusterWithHolders(6, 6)
+		c.planner.SpreadLoad = func() bool { return spread }
+		j := c.submitAs("red", api.Critical, 12)
 		j.Spec.Shape = api.Service
-		l.dispatchAll()
+		c.dispatchAll()
 		held := 0
 		for i := range j.Tasks {
 			if j.Tasks[i].State != jobs.Waiting {
 				held++
 			}
 		}
-		most, least := usedVCPURange(l, 6)
-		if held != 12 || even && most-least > 1 || !even && most-least < 4 {
-			t.Errorf("even %v: %d replicas are placed, between %v and %v CPUs in use", even, held, least, most)
+		most, least := usedVCPURange(c, 6)
+		if held != 12 || spread && most-least > 1 || !spread && most-least < 4 {
+			t.Errorf("spread %v: %d replicas are placed, between %v and %v CPUs in use", spread, held, least, most)
 		}
 	}
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -61,7 +61,7 @@
 	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore(newest, other))}
 	leaderKey := kvstore.Compare{Key: "leader", Revision: 61}
 	limits := commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
-	c := commit.New(r, limits, leaderKey, func(reason string) { t.Error(reason) })
+	c := commit.New(r, limits, leaderKey, func(err error) { t.Error(err) })
 	done := false
 	raiser := New(Config{
 		Port:      r,
--- a/internal/workers/harness_test.go
+++ b/internal/workers/harness_test.go
@@ -68,7 +68,7 @@
 	r := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
 	machineType := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(reason string) { t.Error(reason) })
+	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
 	r.tb = NewTable(r, r.jobs, Config{
 		Term:              term,
