--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -10,45 +10,60 @@
 	"opaldale/internal/transport"
 )
 
-// request is a request of a user or a worker to a node.
-func (sim *Simulation) request(from string, n *node, v transport.Method, job string, body []byte, timeout time.Duration,
-	done func(*controller.Response)) {
+// apiRequest is a request of a user or a worker to a node.
+type apiRequest struct {
+	from    string
+	node    *node
+	method  transport.Method
+	job     string // "" for requests that are not about a job
+	body    []byte
+	timeout time.Duration
+}
+
+const (
+	// requestTimeout is how long users wait for the reply to a submission or a cancellation, and queryTimeout for that to
+	// a query.
+	requestTimeout = 5 * time.Second
+	queryTimeout   = 2 * time.Second
+)
+
+// request sends a request to a node and passes the reply to done, nil if there is none in time.
+func (sim *Simulation) request(r apiRequest, done func(*controller.Response)) {
+	n := r.node
 	if !n.alive {
 		sim.schedule(time.Millisecond, func() { done(nil) })
 		return
 	}
 	incarnation := n.incarnation
-	key := n.name + " " + job
-	if v == transport.SubmitJob && sim.mutates(DropZoneConstraint) {
-		body = dropZoneConstraint(body)
+	if r.method == transport.SubmitJob && sim.mutates(DropZoneConstraint) {
+		r.body = dropZoneConstraint(r.body)
 	}
-	call(sim, from, n.name, timeout, func(reply func(*controller.Response)) {
-		n.whenResponsive(incarnation, func() {
-			if c := n.cache[key]; v == transport.GetJob && sim.mutates(CacheStatusAnswers) && c.body != nil &&
-				sim.now.Sub(c.at) < cacheTTL {
-				reply(&controller.Response{Status: 200, Body: c.body})
+	handle := func(reply func(*controller.Response)) {
+		n.whenResponsive(incarnation, func() { n.handleRequest(r, reply) })
+	}
+	call(sim, r.from, n.name, r.timeout, handle, func(a *controller.Response, _ bool) { done(a) })
+}
+
+// handleRequest has the node's process handle a request.
+func (n *node) handleRequest(r apiRequest, reply func(*controller.Response)) {
+	if cached := n.cachedReply(r); cached != nil {
+		reply(cached)
+		return
+	}
+	n.controller.HandleRequest(r.method, r.job, r.body, func(a controller.Response) {
+		n.env.afterPause(func() {
+			if !n.sim.mutates(IgnoreSendDeadlines) {
+				a = a.IfValid(n.env.clock())
+			}
+			n.sim.cfg.Digest.answer(n.sim.now, n.name, r.from, r.method, r.job, a)
+			n.cacheReply(r, a)
+			if r.method == transport.WorkerHeartbeat {
+				reply(n.sim.mutateHeartbeatReply(n, r.body, &a))
 				return
 			}
-			n.controller.HandleRequest(v, job, body, func(r controller.Response) {
-				n.env.afterPause(func() {
-					if !sim.mutates(IgnoreSendDeadlines) {
-						r = r.IfValid(n.env.clock())
-					}
-					sim.cfg.Digest.answer(sim.now, n.name, from, v, job, r)
-					switch v {
-					case transport.GetJob:
-						if sim.mutates(CacheStatusAnswers) && r.Status == 200 {
-							n.cache[key] = cachedAnswer{sim.now, r.Body}
-						}
-					case transport.WorkerHeartbeat:
-						reply(sim.mutateHeartbeatReply(n, body, &r))
-						return
-					}
-					reply(&r)
-				})()
-			})
-		})
-	}, func(a *controller.Response, _ bool) { done(a) })
+			reply(&a)
+		})()
+	})
 }
 
 // randomNode returns a node that accepts connections, if there is one.
@@ -71,7 +86,7 @@
 func (sim *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.submitted = true
 	asked := sim.now
-	sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), 5*time.Second, func(r *controller.Response) {
+	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), requestTimeout}, func(r *controller.Response) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, sim.now
@@ -108,7 +123,7 @@
 	})
 	if sim.rng.IntN(20) == 0 {
 		id := fmt.Sprintf("j-9%05d", sim.rng.IntN(1000))
-		sim.request(usersParty, sim.randomNode(), transport.GetJob, id, nil, 2*time.Second, func(r *controller.Response) {
+		sim.request(apiRequest{usersParty, sim.randomNode(), transport.GetJob, id, nil, queryTimeout}, func(r *controller.Response) {
 			if r != nil && r.Status == 200 {
 				sim.reportViolation("invented: %s got 200", id)
 			}
@@ -121,7 +136,7 @@
 
 func (sim *Simulation) queryStatus(j *userJob, n *node, then func()) {
 	asked := sim.now
-	sim.request(usersParty, n, transport.GetJob, string(j.spec.ID), nil, 2*time.Second, func(r *controller.Response) {
+	sim.request(apiRequest{usersParty, n, transport.GetJob, string(j.spec.ID), nil, queryTimeout}, func(r *controller.Response) {
 		if r != nil {
 			if r.Status == 404 {
 				sim.reportViolation("forgotten: %s got 404", j.spec.ID)
@@ -144,7 +159,7 @@
 	if n == nil {
 		n = sim.randomNode()
 	}
-	sim.request(usersParty, n, transport.CancelJob, string(j.spec.ID), nil, 5*time.Second, func(r *controller.Response) {
+	sim.request(apiRequest{usersParty, n, transport.CancelJob, string(j.spec.ID), nil, requestTimeout}, func(r *controller.Response) {
 		if r != nil && r.Status == 200 {
 			sim.checkAnswer(j, r, asked)
 			return
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -12,9 +12,6 @@
 	"opaldale/internal/transport"
 )
 
-// requestTimeout is how long users wait for the reply to a submission or a cancellation.
-const requestTimeout = 5 * time.Second
-
 // requiredFields are fields of a submission without which it is malformed.
 var requiredFields = []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}
 
@@ -52,7 +49,7 @@
 // sendInvalidJob submits a body for which a reply with any other status than the expected ones is a violation.
 func (sim *Simulation) sendInvalidJob(n *node, body []byte, what string, expected func(status int) bool) {
 	sim.countEvent(edgeCaseRequestEvent)
-	sim.request(usersParty, n, transport.SubmitJob, "", body, requestTimeout, func(r *controller.Response) {
+	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", body, requestTimeout}, func(r *controller.Response) {
 		if r != nil && !expected(r.Status) {
 			sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
 		}
@@ -78,7 +75,7 @@
 			continue
 		}
 		sim.countEvent(doneJobCancelledEvent)
-		sim.request(usersParty, n, transport.CancelJob, string(id), nil, requestTimeout, func(r *controller.Response) {
+		sim.request(apiRequest{usersParty, n, transport.CancelJob, string(id), nil, requestTimeout}, func(r *controller.Response) {
 			if r == nil || r.Status == http.StatusServiceUnavailable {
 				return
 			}
@@ -102,7 +99,7 @@
 		changed.RuntimeS, changed.Image = changed.RuntimeS+1, "another"
 		asked := sim.now
 		sim.countEvent(submissionChangedEvent)
-		sim.request(usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout, func(r *controller.Response) {
+		sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout}, func(r *controller.Response) {
 			switch {
 			case r == nil || r.Status == http.StatusServiceUnavailable:
 			case isAccepted(r):
--- a/internal/simulator/heartbeat_faults.go
+++ b/internal/simulator/heartbeat_faults.go
@@ -34,7 +34,7 @@
 	if sim.mutates(AcceptStaleHeartbeats) {
 		c.SequenceNumber += 1000
 	}
-	sim.request(duplicatesParty, n, transport.WorkerHeartbeat, "", api.JSON(&c), 4*time.Second, func(*controller.Response) {})
+	sim.request(apiRequest{duplicatesParty, n, transport.WorkerHeartbeat, "", api.JSON(&c), heartbeatTimeout}, func(*controller.Response) {})
 }
 
 // duplicateHeartbeat has copies of a report come to all nodes again.
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"strings"
 	"time"
 
@@ -12,6 +13,7 @@
 	"opaldale/internal/controller"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/transport"
 	"opaldale/internal/upgrade"
 )
 
@@ -44,7 +46,7 @@
 	return out
 }
 
-// cachedAnswer is the mutation that has nodes answer questions from memory for a while.
+// cachedAnswer is a reply to a query that a node repeats for a while, under CacheStatusAnswers.
 type cachedAnswer struct {
 	at   ident.MonotonicTime
 	body []byte
@@ -52,6 +54,25 @@
 
 const cacheTTL = 3 * time.Second
 
+// cachedReply returns the cached reply to a query, nil if there is none or nothing is cached in this run.
+func (n *node) cachedReply(r apiRequest) *controller.Response {
+	if r.method != transport.GetJob || !n.sim.mutates(CacheStatusAnswers) {
+		return nil
+	}
+	c := n.cache[r.job]
+	if c.body == nil || n.sim.now.Sub(c.at) >= cacheTTL {
+		return nil
+	}
+	return &controller.Response{Status: http.StatusOK, Body: c.body}
+}
+
+// cacheReply keeps the reply to a query, if replies are cached in this run.
+func (n *node) cacheReply(r apiRequest, a controller.Response) {
+	if r.method == transport.GetJob && n.sim.mutates(CacheStatusAnswers) && a.Status == http.StatusOK {
+		n.cache[r.job] = cachedAnswer{n.sim.now, a.Body}
+	}
+}
+
 // forgetPlacements is the mutation in which a new leader doesn't know where tasks are.
 func forgetPlacements(a kvstore.Response) kvstore.Response {
 	pairs := append([]kvstore.KeyValue(nil), a.KeyValues...)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"net/http"
 	"slices"
 	"time"
 
@@ -125,6 +126,14 @@
 	return r
 }
 
+const (
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat; later ones don't count.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryDelay is how long it waits before it tries the next node.
+	heartbeatRetryDelay = time.Second
+)
+
+// sendHeartbeat sends a heartbeat to the worker's node.
 func (w *worker) sendHeartbeat() {
 	w.heartbeatInFlight = true
 	w.lastHeartbeat = w.sim.now
@@ -133,45 +142,56 @@
 	m := w.buildHeartbeat()
 	w.duplicateLate(m)
 	w.sim.duplicateHeartbeat(m)
-	w.sim.request(string(w.id), n, transport.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
+	r := apiRequest{string(w.id), n, transport.WorkerHeartbeat, "", api.JSON(m), heartbeatTimeout}
+	w.sim.request(r, func(a *controller.Response) {
 		if w.dead {
 			return
 		}
-		// A hanging machine comes back to the answer later.
-		w.whenResponsive(func() {
-			if r != nil && r.Status == 200 && w.sim.now.Sub(sentAt) <= 4*time.Second {
-				w.heartbeatInFlight = false
-				var o api.HeartbeatResponse
-				if json.Unmarshal(r.Body, &o) != nil || incarnation != w.incarnation || !w.acceptToken(o.FencingToken) {
-					return
-				}
-				w.leaseRenewedAt = sentAt
-				w.execute(o.Commands)
-				return
-			}
-			if r != nil && r.Status == 421 {
-				var home struct {
-					Home string `json:"home"`
-				}
-				json.Unmarshal(r.Body, &home)
-				for i, o := range w.sim.nodes {
-					if o.name == home.Home && i != w.nodeIndex {
-						w.nodeIndex = i
-						w.heartbeatInFlight = false
-						w.lastHeartbeat = 0
-						return
-					}
-				}
-			}
-			w.sim.schedule(time.Second, func() {
-				w.nodeIndex = (w.nodeIndex + 1) % len(w.sim.nodes)
-				w.heartbeatInFlight = false
-				w.lastHeartbeat = 0
-			})
-		})
+		// A machine that hangs handles the reply when it goes on.
+		w.whenResponsive(func() { w.handleHeartbeatReply(a, sentAt, incarnation) })
 	})
 }
 
+// handleHeartbeatReply renews the lease and executes the commands of a reply, or turns to another node.
+func (w *worker) handleHeartbeatReply(a *controller.Response, sentAt ident.MonotonicTime, incarnation ident.Incarnation) {
+	if a != nil && a.Status == http.StatusOK && w.sim.now.Sub(sentAt) <= heartbeatTimeout {
+		w.heartbeatInFlight = false
+		var o api.HeartbeatResponse
+		if json.Unmarshal(a.Body, &o) != nil || incarnation != w.incarnation || !w.acceptToken(o.FencingToken) {
+			return
+		}
+		w.leaseRenewedAt = sentAt
+		w.execute(o.Commands)
+		return
+	}
+	if a != nil && a.Status == http.StatusMisdirectedRequest && w.redirect(a.Body) {
+		return
+	}
+	w.sim.schedule(heartbeatRetryDelay, func() { w.turnToNode((w.nodeIndex + 1) % len(w.sim.nodes)) })
+}
+
+// redirect turns to the node that a reply names. It returns false if that is the present one or none.
+func (w *worker) redirect(body []byte) bool {
+	var home struct {
+		Home string `json:"home"`
+	}
+	json.Unmarshal(body, &home)
+	for i, n := range w.sim.nodes {
+		if n.name == home.Home && i != w.nodeIndex {
+			w.turnToNode(i)
+			return true
+		}
+	}
+	return false
+}
+
+// turnToNode has the next heartbeat go to a node, at once.
+func (w *worker) turnToNode(i int) {
+	w.nodeIndex = i
+	w.heartbeatInFlight = false
+	w.lastHeartbeat = 0
+}
+
 // restart ends the worker with all its tasks; it is back at once, in its next
 // session.
 func (w *worker) restart() {
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -51,62 +51,77 @@
 	}
 }
 
-func (w *worker) launch(id ident.TaskID, try ident.Attempt) {
-	t := &task{id: id, attempt: try, status: api.Pulling}
-	busy := false
-	for _, o := range w.tasks[id] {
-		busy = busy || o.status != api.Ended
-	}
-	cpus := w.usedCPUs()
+// launch starts an attempt of a task: it ends at once if the worker cannot run it, and runs once its image is there.
+func (w *worker) launch(id ident.TaskID, attempt ident.Attempt) {
+	t := &task{id: id, attempt: attempt, status: api.Pulling}
+	cause, rejected := w.rejects(id)
 	if w.tasks[id] == nil {
 		w.tasks[id] = map[ident.Attempt]*task{}
 	}
-	w.tasks[id][try] = t
+	w.tasks[id][attempt] = t
+	if rejected {
+		w.endTask(t, cause)
+		return
+	}
+	j := w.sim.jobs[id.Job]
+	pull := time.Millisecond
+	if !w.images[j.spec.Image] {
+		pull = time.Duration(500+w.sim.rng.IntN(3000)) * time.Millisecond
+	}
+	w.scheduleStep(t, pull, func() {
+		w.images[j.spec.Image] = true
+		w.run(t, j)
+	})
+}
+
+// rejects reports whether, and why, the worker cannot run another attempt of a task.
+func (w *worker) rejects(id ident.TaskID) (cause api.Cause, rejected bool) {
 	j := w.sim.jobs[id.Job]
-	switch {
-	case j == nil || id.Index >= j.spec.Tasks:
-		w.endTask(t, api.CauseUnknown)
-	case busy:
-		w.endTask(t, api.CauseBusy)
-	case cpus+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+1e-6:
-		w.endTask(t, api.CauseNoCapacity)
-	default:
-		d := time.Millisecond
-		if !w.images[j.spec.Image] {
-			d = time.Duration(500+w.sim.rng.IntN(3000)) * time.Millisecond
+	if j == nil || id.Index >= j.spec.Tasks {
+		return api.CauseUnknown, true
+	}
+	for _, t := range w.tasks[id] {
+		if t.status != api.Ended {
+			return api.CauseBusy, true
 		}
-		w.scheduleStep(t, d, func() {
-			w.images[j.spec.Image] = true
-			if j.spec.Shape == api.Gang && !w.faulty {
-				try := t.attempt
-				if t.reusesAttempt {
-					try = 1
-				}
-				w.sim.gang(j, try).join(w, t)
-				return
-			}
-			t.status, t.startedAt = api.Running, w.sim.now
-			w.expediteHeartbeat()
-			w.sim.checkTaskStart(w, t)
-			if j.done[id.Index] {
-				w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
-				return
-			}
-			if w.faulty || j.alwaysFails {
-				j.failures++
-				w.scheduleStep(t, time.Second, func() { w.endTask(t, api.CauseError) })
-				return
-			}
-			if j.spec.Shape == api.Batch {
-				left := float64(j.durationOf(id.Index) - j.checkpointed[id.Index])
-				w.scheduleStep(t, max(time.Millisecond, time.Duration(left*w.slowdown)), func() {
-					j.done[id.Index] = true
-					w.endTask(t, api.CauseDone)
-					w.sim.onTaskCompleted(j)
-				})
-			}
-		})
 	}
+	if w.usedCPUs()+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+roundingError {
+		return api.CauseNoCapacity, true
+	}
+	return cause, false
+}
+
+// run runs a task whose image is there, until it fails or has run for its duration.
+func (w *worker) run(t *task, j *userJob) {
+	if j.spec.Shape == api.Gang && !w.faulty {
+		attempt := t.attempt
+		if t.reusesAttempt {
+			attempt = 1
+		}
+		w.sim.gang(j, attempt).join(w, t)
+		return
+	}
+	t.status, t.startedAt = api.Running, w.sim.now
+	w.expediteHeartbeat()
+	w.sim.checkTaskStart(w, t)
+	if j.done[t.id.Index] {
+		w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
+		return
+	}
+	if w.faulty || j.alwaysFails {
+		j.failures++
+		w.scheduleStep(t, time.Second, func() { w.endTask(t, api.CauseError) })
+		return
+	}
+	if j.spec.Shape != api.Batch {
+		return
+	}
+	left := float64(j.durationOf(t.id.Index) - j.checkpointed[t.id.Index])
+	w.scheduleStep(t, max(time.Millisecond, time.Duration(left*w.slowdown)), func() {
+		j.done[t.id.Index] = true
+		w.endTask(t, api.CauseDone)
+		w.sim.onTaskCompleted(j)
+	})
 }
 
 // kill stops a task; one that saves is ended by a second kill without time for it.
