--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -1,54 +1,88 @@
 package simulator
 
 import (
+	"cmp"
 	"time"
 
 	"opaldale/internal/settings"
 )
 
-// Config sets a run up.
+// Config configures a run. The zero value of a field means its default.
 type Config struct {
-	Seed             uint64
-	Mutation         Mutation
-	Faults           bool
-	ActiveDuration   time.Duration // of the part with faults and arrivals
-	RollingUpgrade   bool          // all nodes are of the version in production at first, and replaced one by one
-	MoreGangs        bool          // more gangs than otherwise
-	Overload         bool          // small jobs of one team all the time, and large ones now and then
-	NoArrivals       bool          // no jobs come by themselves
-	ConcurrentFaults bool          // the faults are those of the page on two at once as well
-	LinkMonitoring   bool          // the nodes watch their links
-	// Rebalance is what the nodes do about uneven load.
-	Rebalance settings.Rebalance
-	// Tune changes the tuning of each node; nil: nothing more.
-	Tune         func(*settings.Tuning)
-	Nodes        int // controllers; 0: three
-	LegacyNodes  int // so many of them are of the version in production, until they are replaced
-	ZoneCapacity int // machines of each zone and kind that the cloud has; 0: by Fleet
-	FleetSize    int // machines that the cloud has in all, with limits of teams to match; 0: a small one
+	// Seed determines the run: two runs with the same configuration do the same.
+	Seed uint64
+	// Mutation is a safeguard that is switched off.
+	Mutation Mutation
+	// ActiveDuration is how long jobs arrive and faults are injected, and QuiescentDuration for how long the run goes on
+	// after that, so that all work can end.
+	ActiveDuration, QuiescentDuration time.Duration
+	// Faults injects random faults; with ConcurrentFaults they are of more kinds, and several overlap.
+	Faults, ConcurrentFaults bool
+	// NoArrivals leaves all submissions to the scenario. MoreGangs has more gangs arrive, and Overload more work than
+	// there is capacity for.
+	NoArrivals, MoreGangs, Overload bool
+	// RollingUpgrade starts all nodes with the version in production and replaces them one by one. LegacyNodes is how
+	// many run that version otherwise.
+	RollingUpgrade bool
+	LegacyNodes    int
+	// Nodes is the number of controllers, by default three.
+	Nodes int
+	// FleetSize is how many machines the cloud has in all, with limits of the teams to match, by default a few.
+	// ZoneCapacity overrides how many it has of each zone and kind.
+	FleetSize, ZoneCapacity int
 	// SlowMachines is how many of the first machines are much slower than the others.
 	SlowMachines int
-	// Teams are those of the cluster; nil: four of different kinds.
-	Teams             []settings.Team
-	QuiescentDuration time.Duration // after the faults; 0: calm
-	// Digest records what the controllers send; nil: nothing is recorded.
+	// Teams replaces the default teams.
+	Teams []settings.Team
+	// LinkMonitoring has the nodes monitor their links, and Rebalance sets what they do about uneven load.
+	LinkMonitoring bool
+	Rebalance      settings.Rebalance
+	// Tune changes the tuning of each node.
+	Tune func(*settings.Tuning)
+	// Digest records what the controllers send.
 	Digest *Digest
 }
 
-// nodeCount returns how many controllers there are.
-func (c Config) nodeCount() int {
-	if c.Nodes > 0 {
-		return c.Nodes
+// defaultNodes is the number of controllers unless the configuration says otherwise.
+const defaultNodes = 3
+
+// clusterSettings returns the settings of the cluster.
+func (c Config) clusterSettings() settings.Cluster {
+	s := settings.Cluster{
+		Nodes: cmp.Or(c.Nodes, defaultNodes), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
+		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
+			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: borrowers}},
+		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 42, GangWaitS: 20, GangPeerS: 4},
+		Store: settings.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16,
+			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 60, ValueKB: 2, TxnOps: 5}},
+		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 4},
+		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
+	}
+	if c.FleetSize > 0 {
+		scaleToFleet(&s, c.FleetSize)
+	}
+	if c.Teams != nil {
+		s.Teams = c.Teams
+	}
+	return s
+}
+
+// borrowers is the default team that has neither a guarantee nor a limit.
+const borrowers = "guest"
+
+// scaleToFleet sets limits of teams for a large fleet, and the longer intervals of heartbeats that go with it.
+func scaleToFleet(s *settings.Cluster, machines int) {
+	for i := range s.Teams {
+		s.Teams[i].CPUs *= float64(machines)
+		s.Teams[i].CPUsMax *= float64(machines)
 	}
-	return 3
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 8, 36, 70
 }
 
-// configureLargeFleet sets the cluster up for a large fleet: as on the operators' largest, reports come
-// less often.
-func (sim *Simulation) configureLargeFleet() {
-	for i := range sim.settings.Teams {
-		sim.settings.Teams[i].CPUs *= float64(sim.cfg.FleetSize)
-		sim.settings.Teams[i].CPUsMax *= float64(sim.cfg.FleetSize)
+// equalTeams returns the three teams that submit jobs, with the same guarantee and limit each.
+func equalTeams(cpus, limit float64) (teams []settings.Team) {
+	for _, name := range []string{"red", "blue", "grey"} {
+		teams = append(teams, settings.Team{Name: name, CPUs: cpus, CPUsMax: limit})
 	}
-	sim.settings.Workers.HeartbeatS, sim.settings.Workers.LeaseS, sim.settings.Workers.CancelS = 8, 36, 70
+	return teams
 }
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -23,11 +23,7 @@
 
 // rebalancingConfig sets up a small fleet that can't grow, whose nodes move running tasks.
 func rebalancingConfig(seed uint64) Config {
-	var teams []settings.Team
-	for _, name := range []string{"red", "blue", "grey"} {
-		teams = append(teams, settings.Team{Name: name, CPUs: 100, CPUsMax: 200})
-	}
-	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: teams,
+	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: equalTeams(100, 200),
 		ActiveDuration: 150 * time.Second}
 }
 
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -10,34 +10,38 @@
 	"opaldale/internal/workers"
 )
 
-// nodeEnv is the world as one process sees it.
+// nodeEnv is the environment of one process of a node.
 type nodeEnv struct {
 	node        *node
 	incarnation int
-	legacy      bool // the process is of the version in production
+	legacy      bool // the process runs the version in production
 	startedAt   ident.MonotonicTime
-	clockRate   float64 // of its steady clock
+	clockRate   float64 // of its monotonic clock, relative to simulated time
 }
 
 func (e *nodeEnv) sim() *Simulation { return e.node.sim }
 
+// Now implements the environment of a controller.
 func (e *nodeEnv) Now() ident.MonotonicTime {
 	e.maybePause()
 	return ident.MonotonicTime(float64(e.sim().now.Add(e.node.eventPause.paused)-e.startedAt) * e.clockRate)
 }
 
-func (e *nodeEnv) WallMS() int64 { return 1_700_000_000_000 + e.sim().now.Sub(0).Milliseconds() }
+// WallMS implements the environment of a controller.
+func (e *nodeEnv) WallMS() int64 { return startWallMS + e.sim().now.Sub(0).Milliseconds() }
 
-// ifAlive runs f if the process still lives.
+// ifAlive returns a function that runs f if the process still runs.
 func (e *nodeEnv) ifAlive(f func()) func() {
 	return func() { e.node.whenResponsive(e.incarnation, f) }
 }
 
+// After implements the environment of a controller.
 func (e *nodeEnv) After(d time.Duration, f func()) {
 	e.maybePause()
 	e.sim().schedule(e.node.eventPause.paused+max(0, time.Duration(float64(d)/e.clockRate)+time.Microsecond), e.ifAlive(f))
 }
 
+// Store implements the environment of a controller.
 func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	sim := e.sim()
 	sim.cfg.Digest.stateRequest(sim.now, e.node.name, r)
@@ -56,16 +60,7 @@
 	}
 	sim.recordPlacement(e.node.name, r)
 	sim.recordTransaction(e.node, r)
-	send := func() {
-		serve := func(reply func(kvstore.Response)) { sim.store.serve(e.node.name, r, reply) }
-		call(sim, e.node.name, storeParty, r.Timeout, serve, func(a kvstore.Response, ok bool) {
-			if !ok {
-				a = kvstore.Response{Outcome: kvstore.NoAnswer}
-			}
-			e.ifAlive(func() { f(a) })()
-		})
-	}
-	send = e.afterPause(send)
+	send := e.afterPause(func() { e.callStore(r, f) })
 	if sim.mutates(LaunchBeforeCommit) && r.Op == kvstore.Txn && r.Compares[0].Key == "leader" &&
 		r.Compares[0].Revision != 0 {
 		sim.launchBeforeCommit(e.node.name, r)
@@ -75,11 +70,23 @@
 	send()
 }
 
-// replyIfAlive has an answer come to the process, if it still lives.
+// callStore sends a request to the store.
+func (e *nodeEnv) callStore(r kvstore.Request, f func(kvstore.Response)) {
+	serve := func(reply func(kvstore.Response)) { e.sim().store.serve(e.node.name, r, reply) }
+	call(e.sim(), e.node.name, storeParty, r.Timeout, serve, func(a kvstore.Response, ok bool) {
+		if !ok {
+			a = kvstore.Response{Outcome: kvstore.NoAnswer}
+		}
+		e.ifAlive(func() { f(a) })()
+	})
+}
+
+// replyIfAlive returns a function that passes a response on to f if the process still runs.
 func (e *nodeEnv) replyIfAlive(f func(kvstore.Response)) func(kvstore.Response) {
 	return func(a kvstore.Response) { e.ifAlive(func() { f(a) })() }
 }
 
+// Cloud implements the environment of a controller.
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	sim := e.sim()
 	sim.cfg.Digest.cloudRequest(sim.now, e.node.name, r)
@@ -99,17 +106,19 @@
 	})()
 }
 
+// Worker implements the environment of a controller.
 func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	e.sim().cfg.Digest.command(e.sim().now, e.node.name, c)
 	e.afterPause(func() { e.command(c, f) })()
 }
 
+// command sends a command call to its worker.
 func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
 	sim := e.sim()
 	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
 	sim.recordLaunch(e.node.name, c)
 	if c.Launches() && sim.handingOver(e.node) {
-		sim.reportViolation("%s starts a task while it hands the lead over", e.node.name)
+		sim.reportViolation("%s launches a task during its handover", e.node.name)
 	}
 	if c.Launches() && !e.deadlinePassed(c.NotAfter) && !e.leads() {
 		sim.countEvent(launchWithoutLeadershipEvent)
@@ -138,13 +147,14 @@
 	call(sim, e.node.name, c.Addr, commandTimeout, handle, func(a workers.CommandResult, _ bool) { answer(a) })
 }
 
+// SendPeer implements the environment of a controller.
 func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
 	sim := e.sim()
 	for _, o := range sim.nodes {
 		if o.name != string(to) {
 			continue
 		}
-		// Through the wire format, as between processes.
+		// Encoded and decoded as between processes.
 		encoded := f.Append(nil)
 		sim.cfg.Digest.frame(sim.now, e.node.name, o.name, encoded)
 		g, err := transport.Decode(encoded[4:])
@@ -167,6 +177,8 @@
 }
 
 const (
+	// startWallMS is the time of the wall clock at the start of a run, in milliseconds since the epoch.
+	startWallMS = 1_700_000_000_000
 	// cloudTimeout is how long a node waits for a reply of the cloud, and commandTimeout for one of a worker.
 	cloudTimeout   = 4 * time.Second
 	commandTimeout = 1200 * time.Millisecond
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -1,10 +1,10 @@
-// Package simulator is a small world for tests, written from the protocol: a state
-// service, a cloud, workers, users and a network with cuts, losses and late
-// deliveries, all in simulated time and from a seed. It checks every rule at
-// every step.
+// Package simulator runs controllers in simulated time against a key-value store, a cloud, workers, users and a network,
+// all implemented from the protocol. Faults and arrivals follow from a seed, so that a run can be repeated exactly.
+// The invariants of the scheduler are checked at every step.
 package simulator
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"sort"
@@ -15,7 +15,7 @@
 	"opaldale/internal/settings"
 )
 
-// Simulation is one run.
+// Simulation is one run. It is used by one goroutine.
 type Simulation struct {
 	eventLoop
 	cfg Config
@@ -38,57 +38,52 @@
 	activeFaults
 	linkMonitor
 
-	// Violations lists the rules broken, in words; Undone what was not brought to its
-	// end in the calm; Log what happened.
-	Violations []string
-	Unfinished []string
-	Log        []string
+	// Violations lists the invariants that were violated, and Unfinished the work that did not end in the quiescent part.
+	Violations, Unfinished []string
+	// Log has a line for each event worth noting, with its time.
+	Log []string
+	// TaskStarts counts the starts of tasks.
 	TaskStarts int
-	// GangRuns and GangStops count what gangs did.
+	// GangRuns counts the attempts of gangs that ran, and GangStops those that were stopped to checkpoint.
 	GangRuns, GangStops int
-	// blockedOneWay counts the messages that a link broken in one direction has held up.
+	// blockedOneWay counts the messages that did not pass a link broken in one direction.
 	blockedOneWay int
 	// TasksLostWithLease counts the tasks that ended with their machines' leases.
 	TasksLostWithLease int
 	linkStudy          linkStudy
-	slowMachineCount   int // machines that are slow, so far
-	// Moves counts the moves of running tasks that were recorded.
+	slowMachineCount   int // slow machines so far
+	// Moves counts the moves of running tasks that were recorded in the store.
 	Moves int
-	// OversizedTransactions counts the transactions that the state service refused for its limits.
+	// OversizedTransactions counts the transactions that the store rejected for its limits.
 	OversizedTransactions int
 }
 
-// New makes a world of three controllers in two zones.
+// New makes a simulation with its nodes started. The scenario adds what shall happen before Run.
 func New(cfg Config) *Simulation {
-	sim := &Simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), workers: map[ident.MachineID]*worker{},
-		jobs: map[ident.JobID]*userJob{}, gangs: map[gangKey]*gangAttempt{}, partitions: map[link]*networkPartition{},
-		directedPartitions: map[link]*networkPartition{}, zonePartitions: map[string]*networkPartition{},
+	sim := &Simulation{
+		cfg:                 cfg,
+		rng:                 rand.New(rand.NewPCG(cfg.Seed, 7)),
+		settings:            cfg.clusterSettings(),
+		workers:             map[ident.MachineID]*worker{},
+		jobs:                map[ident.JobID]*userJob{},
+		gangs:               map[gangKey]*gangAttempt{},
+		partitions:          map[link]*networkPartition{},
+		directedPartitions:  map[link]*networkPartition{},
+		zonePartitions:      map[string]*networkPartition{},
 		inboundBlockedUntil: map[string]ident.MonotonicTime{},
 		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
 			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
-		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[eventName]int{}}}
-	sim.settings = settings.Cluster{
-		Nodes: cfg.nodeCount(), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
-		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
-			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: "guest"}},
-		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 42, GangWaitS: 20, GangPeerS: 4},
-		Store: settings.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16,
-			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 60, ValueKB: 2, TxnOps: 5}},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 4},
-		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
-	}
-	if cfg.FleetSize > 0 {
-		sim.configureLargeFleet()
-	}
-	if cfg.Teams != nil {
-		sim.settings.Teams = cfg.Teams
+		activeFaults: activeFaults{outboundBlockedUntil: map[string]ident.MonotonicTime{}, eventCounts: map[eventName]int{}},
 	}
 	sim.store = newStore(sim)
 	sim.cloud = newProvider(sim)
 	for i := range sim.settings.Nodes {
-		n := &node{sim: sim, legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes, name: fmt.Sprintf(nodePrefix+"%d", i),
-			zone: sim.settings.Zones[i%2]}
-		sim.nodes = append(sim.nodes, n)
+		sim.nodes = append(sim.nodes, &node{
+			sim:    sim,
+			name:   fmt.Sprintf(nodePrefix+"%d", i),
+			zone:   sim.settings.Zones[i%2],
+			legacy: cfg.RollingUpgrade || i >= sim.settings.Nodes-cfg.LegacyNodes,
+		})
 	}
 	for _, n := range sim.nodes {
 		n.start()
@@ -96,12 +91,13 @@
 	return sim
 }
 
+// logf adds a line to the log.
 func (sim *Simulation) logf(format string, a ...any) {
 	sim.Log = append(sim.Log, fmt.Sprintf("%8.3f ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// Run plays the world: cfg.Length with arrivals and faults, then a while of calm
-// in which everything must come to its end.
+// Run runs the simulation: the active part with arrivals and faults, then the quiescent part in which all work must end.
+// It stops at the first violation.
 func (sim *Simulation) Run() {
 	switch {
 	case sim.cfg.Overload:
@@ -119,17 +115,14 @@
 		limitChange += upgradeStart
 	}
 	sim.schedule(limitChange, sim.store.lowerLimits)
-	quiescence := defaultQuiescence
-	if sim.cfg.QuiescentDuration > 0 {
-		quiescence = sim.cfg.QuiescentDuration
-	}
-	end := ident.MonotonicTime(sim.cfg.ActiveDuration + quiescence)
+	end := ident.MonotonicTime(sim.cfg.ActiveDuration + cmp.Or(sim.cfg.QuiescentDuration, defaultQuiescence))
 	sim.run(end, func() bool { return len(sim.Violations) > 0 })
 	if len(sim.Violations) == 0 {
 		sim.checkCompletion()
 	}
 }
 
+// sortedWorkers returns the workers in the order of their machines.
 func (sim *Simulation) sortedWorkers() []*worker {
 	if sim.sortedByID == nil {
 		sim.sortedByID = make([]*worker, 0, len(sim.workers))
@@ -141,6 +134,7 @@
 	return sim.sortedByID
 }
 
+// anyWorker draws a worker, nil if there is none.
 func (sim *Simulation) anyWorker() *worker {
 	all := sim.sortedWorkers()
 	if len(all) == 0 {
@@ -149,7 +143,7 @@
 	return all[sim.rng.IntN(len(all))]
 }
 
-// LogTail returns the end of the log.
+// LogTail returns the last n lines of the log.
 func (sim *Simulation) LogTail(n int) string {
 	return strings.Join(sim.Log[max(0, len(sim.Log)-n):], "\n")
 }
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -30,13 +30,9 @@
 	hotTeam        = "red"
 )
 
-// floodConfig sets up fifty machines and three teams that are entitled to a part of them each.
+// floodConfig has fifty machines and three teams with a guarantee of a part of them each.
 func floodConfig(seed uint64, mode settings.Rebalance) Config {
-	var teams []settings.Team
-	for _, name := range []string{hotTeam, "blue", "grey"} {
-		teams = append(teams, settings.Team{Name: name, CPUs: 60, CPUsMax: 400})
-	}
-	return Config{Seed: seed, Rebalance: mode, NoArrivals: true, FleetSize: floodFleetSize, Teams: teams,
+	return Config{Seed: seed, Rebalance: mode, NoArrivals: true, FleetSize: floodFleetSize, Teams: equalTeams(60, 400),
 		ActiveDuration: floodStart + floodDuration + 20*time.Second, QuiescentDuration: 200 * time.Second}
 }
 
