--- a/cmd/study/replay.go
+++ b/cmd/study/replay.go
@@ -42,8 +42,8 @@
 		if _, err := fmt.Fprintln(out, o.Seed, o.Scenario, o.Digest); err != nil {
 			return err
 		}
-		if len(o.Broken) > 0 {
-			faults = append(faults, fmt.Errorf("%w with seed %d: %v", errRulesBroken, o.Seed, o.Broken))
+		if len(o.Violations) > 0 {
+			faults = append(faults, fmt.Errorf("%w with seed %d: %v", errRulesBroken, o.Seed, o.Violations))
 		}
 	}
 	return errors.Join(faults...)
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -185,7 +185,7 @@
 func TestRecordingChangesNothing(t *testing.T) {
 	t.Parallel()
 	cfg := Config{Seed: 6, Faults: true, ConcurrentFaults: true, LinkMonitoring: true, ActiveDuration: 120 * time.Second,
-		QuiescentDuration: replayCalm}
+		QuiescentDuration: replayQuiescence}
 	plain := New(cfg)
 	plain.Run()
 	cfg.Digest = NewDigest()
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -2,75 +2,77 @@
 
 import "time"
 
-// ReplayOutcome is what came of a day that is played to be compared with the same day of
-// another build.
+// ReplayOutcome is the outcome of a run that is compared with the same run of another build.
 type ReplayOutcome struct {
+	// Seed and Scenario identify the run.
 	Seed     uint64
 	Scenario string
-	Digest   string   // of all that the controllers sent, in hexadecimal
-	Broken   []string // the rules broken
+	// Digest is that of all that the controllers sent, in hexadecimal.
+	Digest string
+	// Violations lists the invariants that were violated.
+	Violations []string
 }
 
-// replayScenario is a kind of day. The variant counts the days of the kind that come before,
-// by seed, and what differs between them beside chance follows from it.
+// replayScenario is a kind of run. The variant counts the smaller seeds of the same scenario; what differs between runs
+// of a scenario beside chance follows from it.
 type replayScenario struct {
 	name   string
 	config func(seed, variant uint64) Config
-	play   func(sim *Simulation, variant uint64)
+	setUp  func(sim *Simulation, variant uint64)
 }
 
 const (
 	replayLength = 150 * time.Second
-	// replayCalm is shorter than work may take to end: the days are compared, not judged.
-	replayCalm = 90 * time.Second
+	// replayQuiescence is shorter than work may take to end, as replays are compared and need not complete.
+	replayQuiescence = 90 * time.Second
 )
 
-// replayScenarios are the kinds of days, which take turns by seed.
+// replayScenarios are the scenarios, which take turns by seed.
 var replayScenarios = []replayScenario{
 	{"faults", faultyConfig, asConfigured},
-	{"meetings", meetingsConfig, asConfigured},
-	{"gangs", gangsConfig, playGangs},
+	{"concurrent-faults", concurrentFaultsConfig, asConfigured},
+	{"gangs", gangsConfig, setUpGangs},
 	{"links", linksConfig, asConfigured},
-	{"handover", handoverConfig, playHandover},
-	{"moves", replayedMovesConfig, playReplayedMoves},
-	{"slow-machine", slowMachineConfig, playSlowMachine},
-	{"upgrade", upgradeConfig, playUpgrade},
-	{"fleet", fleetConfig, playFleet},
-	{"outage", quietConfig, playOutage},
-	{"failover", quietConfig, playFailover},
-	{"partitions", quietConfig, playPartitions},
-	{"flood", floodedConfig, playFlood},
-	{"mistakes", quietConfig, playMistakes},
-	{"guests", quietConfig, playGuests},
-	{"crowd", crowdConfig, playCrowd},
+	{"handover", handoverConfig, setUpHandover},
+	{"moves", movesConfig, setUpMoves},
+	{"slow-machine", slowMachineConfig, setUpSlowMachine},
+	{"upgrade", upgradeConfig, setUpUpgrade},
+	{"large-fleet", largeFleetConfig, setUpLargeFleet},
+	{"store-outage", scriptedConfig, setUpStoreOutage},
+	{"failover", scriptedConfig, setUpFailover},
+	{"partitions", scriptedConfig, setUpPartitions},
+	{"flood", floodedConfig, setUpFlood},
+	{"failing-jobs", scriptedConfig, setUpFailingJobs},
+	{"borrowers", scriptedConfig, setUpBorrowers},
+	{"overload", overloadConfig, setUpOverload},
 }
 
-// Replay plays the day of a seed. It is the same in every run of one build.
+// Replay runs the scenario of a seed. All runs of one build have the same outcome.
 func Replay(seed uint64) ReplayOutcome {
-	scenario, sim := replayDay(seed)
+	scenario, sim := newReplay(seed)
 	sim.Run()
-	return ReplayOutcome{Seed: seed, Scenario: scenario.name, Digest: sim.cfg.Digest.Sum(), Broken: sim.Violations}
+	return ReplayOutcome{Seed: seed, Scenario: scenario.name, Digest: sim.cfg.Digest.Sum(), Violations: sim.Violations}
 }
 
-// replayDay sets the day of a seed up.
-func replayDay(seed uint64) (replayScenario, *Simulation) {
+// newReplay makes the simulation of a seed.
+func newReplay(seed uint64) (replayScenario, *Simulation) {
 	kinds := uint64(len(replayScenarios))
 	scenario, variant := replayScenarios[seed%kinds], seed/kinds
 	cfg := scenario.config(seed, variant)
-	cfg.QuiescentDuration, cfg.Digest = replayCalm, NewDigest()
+	cfg.QuiescentDuration, cfg.Digest = replayQuiescence, NewDigest()
 	sim := New(cfg)
 	sim.countLeaderChanges(newTermEvent)
-	scenario.play(sim, variant)
+	scenario.setUp(sim, variant)
 	return scenario, sim
 }
 
-// odd says whether every other day of a kind is meant.
+// odd reports whether a variant is odd, to have every other run differ.
 func odd(variant uint64) bool { return variant%2 == 1 }
 
-// asConfigured adds nothing to what the configuration has happen by itself.
+// asConfigured adds nothing to what the configuration injects.
 func asConfigured(*Simulation, uint64) {}
 
-// onLeader calls f with the leader of a moment, if there is one.
+// onLeader calls f at a time with the leader, if there is one.
 func (sim *Simulation) onLeader(s float64, f func(l *node)) {
 	sim.scheduleAt(s, func() {
 		if l := sim.leader(); l != nil {
@@ -79,15 +81,15 @@
 	})
 }
 
-// killLeader has the leader of a moment end and come back.
-func (sim *Simulation) killLeader(s float64, back time.Duration) {
+// crashLeaderAt crashes the leader at a time.
+func (sim *Simulation) crashLeaderAt(s float64, restartAfter time.Duration) {
 	sim.onLeader(s, func(l *node) {
 		sim.countEvent(leaderCrashedEvent)
-		l.crash(back)
+		l.crash(restartAfter)
 	})
 }
 
-// between returns a time at random.
+// between draws a duration.
 func (sim *Simulation) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -11,31 +11,30 @@
 	"opaldale/internal/settings"
 )
 
-// faultyConfig has jobs of all kinds come amid random faults.
+// faultyConfig has jobs of all kinds arrive during random faults.
 func faultyConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, Faults: true, ActiveDuration: replayLength}
 }
 
-// meetingsConfig has two or three faults at once, of more kinds.
-func meetingsConfig(seed, _ uint64) Config {
+// concurrentFaultsConfig has two or three faults of more kinds at a time.
+func concurrentFaultsConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, Faults: true, ConcurrentFaults: true, ActiveDuration: replayLength}
 }
 
-// crowdedGangs says whether gangs leave no room to other work on the days of a variant.
-func crowdedGangs(variant uint64) bool { return variant%3 == 0 }
+// gangsFillFleet reports whether gangs leave no capacity to other work in a variant.
+func gangsFillFleet(variant uint64) bool { return variant%3 == 0 }
 
-// gangsConfig has many gangs come with and without faults, or fill a small fleet.
+// gangsConfig has many gangs arrive with and without faults, or fill a small fleet.
 func gangsConfig(seed, variant uint64) Config {
-	if crowdedGangs(variant) {
+	if gangsFillFleet(variant) {
 		return rebalancingConfig(seed)
 	}
 	return Config{Seed: seed, Faults: odd(variant), MoreGangs: true, ActiveDuration: replayLength}
 }
 
-// playGangs has services come for which whole gangs must be stopped, and spot machines with
-// gangs be taken back.
-func playGangs(sim *Simulation, variant uint64) {
-	if !crowdedGangs(variant) {
+// setUpGangs submits services that preempt whole gangs, and reclaims a spot machine with members of a gang.
+func setUpGangs(sim *Simulation, variant uint64) {
+	if !gangsFillFleet(variant) {
 		return
 	}
 	sim.scheduleAt(2, func() {
@@ -48,50 +47,51 @@
 	})
 	sim.scheduleAt(50, func() {
 		for range 4 {
-			sim.service(6)
+			sim.submitService(6)
 		}
 	})
 	sim.scheduleAt(90, func() {
 		for _, w := range sim.sortedWorkers() {
 			if w.machine.spot && w.reclaimAt == 0 && len(w.tasks) > 0 {
 				sim.countEvent(reclaimNoticeEvent)
-				w.announceReclaim(14 * time.Second)
-				sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
+				w.announceReclaim(reclaimNotice)
+				sim.schedule(reclaimNotice, func() { sim.cloud.terminate(w.machine) })
 				return
 			}
 		}
 	})
 }
 
-// service submits an urgent service of one replica.
-func (sim *Simulation) service(cpus float64) *userJob {
+// reclaimNotice is how long before a spot machine is reclaimed its worker learns of it.
+const reclaimNotice = 14 * time.Second
+
+// submitService submits a critical service of one replica.
+func (sim *Simulation) submitService(cpus float64) *userJob {
 	return sim.submitJob(func(s *api.Spec) {
 		s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, cpus, 1, "img-0"
 	}, 0)
 }
 
-// linksConfig has nodes watch their links, of which some break in one direction.
+// linksConfig has nodes monitor their links, some of which break in one direction.
 func linksConfig(seed, variant uint64) Config {
 	return Config{Seed: seed, Faults: true, ConcurrentFaults: odd(variant), LinkMonitoring: true, ActiveDuration: replayLength}
 }
 
-// quietConfig has nothing happen by itself.
-func quietConfig(seed, _ uint64) Config {
+// scriptedConfig leaves all arrivals and faults to the scenario.
+func scriptedConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, NoArrivals: true, ActiveDuration: replayLength}
 }
 
-// handoverConfig has nodes watch their links, and nothing else happen by itself.
+// handoverConfig has nodes monitor their links, and leaves arrivals and faults to the scenario.
 func handoverConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, LinkMonitoring: true, NoArrivals: true, ActiveDuration: replayLength}
 }
 
-// firstHandoverLink is the place in StudiedLinks of the first link whose loss makes a leader
-// hand the lead over.
+// firstHandoverLink is the index in StudiedLinks of the first link whose loss makes a leader hand over.
 const firstHandoverLink = 4
 
-// playHandover breaks a link of the leader for a minute, or a part of every few seconds, or those
-// of all nodes to the machines.
-func playHandover(sim *Simulation, variant uint64) {
+// setUpHandover breaks a link of the leader for a minute, has it flap, or breaks the links of all nodes to the machines.
+func setUpHandover(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, replayLength.Seconds(), 1.3, 20*time.Second)
 	sim.onLeader(linkBreakAt.Seconds(), func(l *node) {
@@ -111,9 +111,9 @@
 	})
 }
 
-// replayedMovesConfig has running tasks moved, with the tuning of deploy/moves.sexp: links are
-// watched, and the budgets are the defaults.
-func replayedMovesConfig(seed, variant uint64) Config {
+// movesConfig has running tasks moved, with the tuning of deploy/moves.sexp: links are monitored, and the budgets are the
+// defaults.
+func movesConfig(seed, variant uint64) Config {
 	cfg := rebalancingConfig(seed)
 	cfg.LinkMonitoring, cfg.ZoneCapacity = true, 4
 	cfg.Faults, cfg.NoArrivals = odd(variant), !odd(variant)
@@ -121,22 +121,22 @@
 	return cfg
 }
 
-// playReplayedMoves has wide tasks find no room on a fragmented fleet. Something goes wrong in the
-// midst of the first move, and the leader ends later.
-func playReplayedMoves(sim *Simulation, variant uint64) {
+// setUpMoves submits wide tasks that fit nowhere on a fragmented fleet. A fault is injected during the first move, and the
+// leader crashes later.
+func setUpMoves(sim *Simulation, variant uint64) {
 	sim.fragmentFleet(4)
 	sim.submitWideTasks(wideTasksAt, 140)
 	sim.submitShortTasks(30, 140)
 	states := []migration.State{migration.Stopping, migration.Proposed, migration.Placing}
 	sim.scheduleAt(wideTasksAt, func() {
 		sim.countMoveOutcomes()
-		sim.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) { sim.troubleMove(l, m, variant) })
+		sim.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) { sim.injectMoveFault(l, m, variant) })
 	})
-	sim.killLeader(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
+	sim.crashLeaderAt(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
 }
 
-// troubleMove lets something go wrong with a move.
-func (sim *Simulation) troubleMove(l *node, m controller.MoveEntry, variant uint64) {
+// injectMoveFault injects a fault during a move.
+func (sim *Simulation) injectMoveFault(l *node, m controller.MoveEntry, variant uint64) {
 	from, to := sim.workerByID(m.From), sim.workerByID(m.To)
 	sim.countEvent(moveFaultInjectedEvent)
 	switch variant % 5 {
@@ -153,46 +153,45 @@
 		}
 	case 4:
 		for range 6 {
-			sim.service(2)
+			sim.submitService(2)
 		}
 	default:
 		l.crash(4 * time.Second)
 	}
 }
 
-// slowMachineConfig has one machine be much slower than the others.
+// slowMachineConfig has one machine that is much slower than the others.
 func slowMachineConfig(seed, variant uint64) Config {
 	cfg := slowConfig(seed, settings.RebalanceMove, 1)
 	cfg.LinkMonitoring = odd(variant)
 	return cfg
 }
 
-// playSlowMachine has the slow machine be found and left; the leader ends on some days.
-func playSlowMachine(sim *Simulation, variant uint64) {
+// setUpSlowMachine submits work by which the slow machine is detected; in odd variants the leader crashes.
+func setUpSlowMachine(sim *Simulation, variant uint64) {
 	sim.workBesideSlow()
 	sim.scheduleAt(30, sim.countMoveOutcomes)
 	if odd(variant) {
-		sim.killLeader(100, 3*time.Second)
+		sim.crashLeaderAt(100, 3*time.Second)
 	}
 }
 
-// replayedOldNodes is how many nodes are of the version in production on a day on which not all
-// are.
-const replayedOldNodes = 2
+// replayedLegacyNodes is how many nodes run the version in production where not all do.
+const replayedLegacyNodes = 2
 
-// upgradeConfig has all nodes, or some of them, begin as of the version in production.
+// upgradeConfig has all nodes, or some, start with the version in production.
 func upgradeConfig(seed, variant uint64) Config {
 	cfg := Config{Seed: seed, Faults: odd(variant), MoreGangs: true, LinkMonitoring: variant%4 > 1, ActiveDuration: replayLength}
 	if variant%3 == 2 {
-		cfg.LegacyNodes = replayedOldNodes
+		cfg.LegacyNodes = replayedLegacyNodes
 	} else {
 		cfg.RollingUpgrade = true
 	}
 	return cfg
 }
 
-// playUpgrade replaces the old nodes one by one.
-func playUpgrade(sim *Simulation, _ uint64) {
+// setUpUpgrade replaces the legacy nodes one by one.
+func setUpUpgrade(sim *Simulation, _ uint64) {
 	for _, n := range sim.nodes {
 		if n.legacy {
 			sim.countEvent(legacyNodeEvent)
@@ -204,21 +203,20 @@
 }
 
 const (
-	// replayedFleet is the smallest number of machines of a large fleet here, and fleetStep by
-	// how many more there are on further days.
-	replayedFleet = 300
-	fleetStep     = 100
-	arrayTasks    = 50
+	// smallestReplayedFleet is the number of machines of the smallest fleet, and replayedFleetStep the difference between
+	// the fleets of consecutive variants.
+	smallestReplayedFleet = 300
+	replayedFleetStep     = 100
+	arrayTasks            = 50
 )
 
-// fleetConfig has several hundred machines.
-func fleetConfig(seed, variant uint64) Config {
-	return Config{Seed: seed, NoArrivals: true, FleetSize: replayedFleet + int(variant%3)*fleetStep, ActiveDuration: replayLength}
+// largeFleetConfig has several hundred machines.
+func largeFleetConfig(seed, variant uint64) Config {
+	return Config{Seed: seed, NoArrivals: true, FleetSize: smallestReplayedFleet + int(variant%3)*replayedFleetStep, ActiveDuration: replayLength}
 }
 
-// playFleet has a large fleet go through a change of leader, an outage of the state service and
-// the loss of a zone.
-func playFleet(sim *Simulation, variant uint64) {
+// setUpLargeFleet has a large fleet go through a leader change, an outage of the store and the partition of a zone.
+func setUpLargeFleet(sim *Simulation, variant uint64) {
 	sim.scheduleAt(1, func() {
 		for range sim.cfg.FleetSize / arrayTasks {
 			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = arrayTasks, 7, true }, 60*time.Second)
@@ -234,25 +232,25 @@
 			sim.countEvent(fleetMachineEvent)
 		}
 	})
-	sim.killLeader(55, 3*time.Second)
-	sim.scheduleAt(75, func() { sim.stopState(12 * time.Second) })
+	sim.crashLeaderAt(55, 3*time.Second)
+	sim.scheduleAt(75, func() { sim.stopStoreFor(12 * time.Second) })
 	sim.scheduleAt(100, func() { sim.partitionZone(sim.settings.Zones[variant%2], false, 25*time.Second) })
 }
 
-// stopState has the state service be down for a while.
-func (sim *Simulation) stopState(d time.Duration) {
+// stopStoreFor makes the store unavailable for d.
+func (sim *Simulation) stopStoreFor(d time.Duration) {
 	sim.countEvent(storeOutageEvent)
 	sim.store.downUntil = sim.now.Add(d)
 }
 
-// playOutage has outages of the state service for all and for the leader alone; on some days
-// the leader ends in one.
-func playOutage(sim *Simulation, variant uint64) {
+// setUpStoreOutage has outages of the store for all nodes and for the leader alone; in odd variants the leader crashes in
+// one.
+func setUpStoreOutage(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 20*time.Second)
-	sim.scheduleAt(50, func() { sim.stopState(sim.between(5*time.Second, 35*time.Second)) })
+	sim.scheduleAt(50, func() { sim.stopStoreFor(sim.between(5*time.Second, 35*time.Second)) })
 	if odd(variant) {
-		sim.killLeader(51.5, sim.between(time.Second, 30*time.Second))
+		sim.crashLeaderAt(51.5, sim.between(time.Second, 30*time.Second))
 	}
 	sim.onLeader(100, func(l *node) { sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second) })
 	sim.scheduleAt(120, func() {
@@ -260,18 +258,18 @@
 			sim.now.Add(25 * time.Second)}
 	})
 	if variant%3 == 2 {
-		sim.scheduleAt(80, sim.narrowState)
+		sim.scheduleAt(80, sim.tightenStoreLimits)
 	}
 }
 
-// narrowState has the state service take less than it has announced.
-func (sim *Simulation) narrowState() {
+// tightenStoreLimits sets limits of the store below the announced ones.
+func (sim *Simulation) tightenStoreLimits() {
 	sim.countEvent(limitsBelowAnnouncedEvent)
 	sim.store.limits.ValueKB, sim.store.limits.TxnOps, sim.store.limits.Announced = 1, 3, nil
 }
 
-// playFailover ends the leader again and again; it is back at once or after another leads.
-func playFailover(sim *Simulation, variant uint64) {
+// setUpFailover crashes the leader repeatedly; it restarts either at once or after a failover.
+func setUpFailover(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(4)
 	sim.submitStream(10, replayLength.Seconds(), 0.8, 15*time.Second)
 	for s := 30.0; s < 140; s += 11 {
@@ -279,7 +277,7 @@
 		if sim.rng.IntN(2) == 0 {
 			back = 3200 * time.Millisecond
 		}
-		sim.killLeader(s, back)
+		sim.crashLeaderAt(s, back)
 	}
 	if odd(variant) {
 		sim.scheduleAt(80, func() {
@@ -291,9 +289,8 @@
 	}
 }
 
-// playPartitions takes parts of the world from the leader, one after the other, while users
-// look closely.
-func playPartitions(sim *Simulation, variant uint64) {
+// setUpPartitions separates the leader from one party after the other, while users probe all nodes.
+func setUpPartitions(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(5)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 10*time.Second)
 	sim.scheduleAt(30, func() {
@@ -315,7 +312,7 @@
 	}
 }
 
-// partition takes a part of the world from a node.
+// partition separates a node from a party, or pauses it.
 func (sim *Simulation) partition(n *node, part int, d time.Duration) {
 	hold := sim.rng.IntN(2) == 0
 	switch part {
@@ -334,7 +331,7 @@
 	}
 }
 
-// floodedConfig has a team flood the cluster, by mode of rebalancing.
+// floodedConfig has a flood by one team, with the modes of rebalancing in turn.
 func floodedConfig(seed, variant uint64) Config {
 	modes := []settings.Rebalance{settings.RebalanceMove, settings.RebalancePlace, settings.RebalanceReport}
 	cfg := floodConfig(seed, modes[variant%uint64(len(modes))])
@@ -342,13 +339,13 @@
 	return cfg
 }
 
-// playFlood has one team flood the cluster; the leader ends meanwhile.
-func playFlood(sim *Simulation, _ uint64) {
+// setUpFlood has one team flood the cluster, during which the leader crashes.
+func setUpFlood(sim *Simulation, _ uint64) {
 	sim.submitSteadyLoad()
 	sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
 	for s := 10 * time.Second; s < floodDuration; s += 8 * time.Second {
 		sim.schedule(floodStart+s, func() {
-			j := sim.service(1)
+			j := sim.submitService(1)
 			sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 		})
 	}
@@ -357,11 +354,11 @@
 			sim.countEvent(onlyHotTeamEvent)
 		}
 	})
-	sim.killLeader((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
+	sim.crashLeaderAt((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
 }
 
-// mistakenJobs are ways in which jobs come that fail on every machine.
-var mistakenJobs = []struct {
+// failingJobKinds are kinds of jobs that fail on every machine.
+var failingJobKinds = []struct {
 	jobs   int
 	change func(s *api.Spec)
 }{
@@ -372,13 +369,13 @@
 	{40, func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 0.5 }},
 }
 
-// playMistakes has jobs fail on every machine until they are cancelled, beside sound ones and a
-// faulty machine; the leader ends meanwhile.
-func playMistakes(sim *Simulation, variant uint64) {
+// setUpFailingJobs has jobs that fail on every machine until they are cancelled, beside sound ones and a faulty machine.
+// The leader crashes meanwhile.
+func setUpFailingJobs(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(3)
 	var list []*userJob
 	sim.scheduleAt(30, func() {
-		m := mistakenJobs[variant%uint64(len(mistakenJobs))]
+		m := failingJobKinds[variant%uint64(len(failingJobKinds))]
 		for range m.jobs {
 			j := sim.submitJob(m.change, 10*time.Second)
 			j.alwaysFails = true
@@ -391,7 +388,7 @@
 		}
 	})
 	sim.submitStream(40, 140, 3, 20*time.Second)
-	sim.killLeader(80, 3*time.Second)
+	sim.crashLeaderAt(80, 3*time.Second)
 	sim.scheduleAt(120, func() {
 		for _, j := range list {
 			for range j.failures {
@@ -402,33 +399,33 @@
 	})
 }
 
-// playGuests has a team without guarantee or limit come with a vast array, a swarm of jobs of
-// one task and work for spare hours.
-func playGuests(sim *Simulation, _ uint64) {
+// setUpBorrowers has a team without a guarantee and a limit submit a vast array, a swarm of jobs of one task and
+// backfill work.
+func setUpBorrowers(sim *Simulation, _ uint64) {
 	sim.submitBaseLoad(3)
 	sim.submitStream(40, 140, 5, 20*time.Second)
-	guest := func(class string, tasks int, cpus float64, runs time.Duration) {
+	borrow := func(class string, tasks int, cpus float64, runs time.Duration) {
 		sim.countEvent(borrowerJobEvent)
 		sim.submitJob(func(s *api.Spec) {
-			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks, cpus, 0.1, true
+			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, cpus, 0.1, true
 		}, runs)
 	}
-	sim.scheduleAt(45, func() { guest("vast", 1000, 0.25, 4*time.Second) })
-	sim.scheduleAt(50, func() { guest("backfill", 60, 1, 20*time.Second) })
+	sim.scheduleAt(45, func() { borrow("vast", 1000, 0.25, 4*time.Second) })
+	sim.scheduleAt(50, func() { borrow("backfill", 60, 1, 20*time.Second) })
 	for s := 60.0; s < 75; s += 0.2 {
-		sim.scheduleAt(s, func() { guest("swarm", 1, 0.25, 10*time.Second) })
+		sim.scheduleAt(s, func() { borrow("swarm", 1, 0.25, 10*time.Second) })
 	}
-	sim.killLeader(70, 4*time.Second)
+	sim.crashLeaderAt(70, 4*time.Second)
 }
 
-// crowdConfig has more work come than there is room for.
-func crowdConfig(seed, variant uint64) Config {
+// overloadConfig has more work arrive than there is capacity for.
+func overloadConfig(seed, variant uint64) Config {
 	return Config{Seed: seed, Overload: true, Faults: odd(variant), ActiveDuration: replayLength}
 }
 
-// playCrowd has the links between nodes be slow, services come and go, and jobs come that are due
-// soon and bound to a type of machine.
-func playCrowd(sim *Simulation, _ uint64) {
+// setUpOverload slows the links between nodes, and submits services that are cancelled soon and jobs with a deadline and a
+// machine type.
+func setUpOverload(sim *Simulation, _ uint64) {
 	sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, sim.now.Add(replayLength)} })
 	for s := 25.0; s < replayLength.Seconds(); s += 7 {
 		sim.scheduleAt(s, func() {
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -9,28 +9,28 @@
 	"opaldale/internal/migration"
 )
 
-// replayedDays is how many days of each kind the test plays.
-const replayedDays = 3
+// replaysPerScenario is how many days of each kind the test plays.
+const replaysPerScenario = 3
 
-// aim is what days of a kind must have come to, in all.
-type aim struct {
+// expectation is what days of a kind must have come to, in all.
+type expectation struct {
 	what  string
 	count func(sim *Simulation) int
 	least int
 }
 
 // took counts what happened under a name.
-func took(name eventName, least int) aim {
-	return aim{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
+func counted(name eventName, least int) expectation {
+	return expectation{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
 }
 
 var (
-	leaderChange = took(newTermEvent, 2*replayedDays) // the first and one more each day
-	gangRan      = aim{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
-	moveRecorded = aim{"move on record", func(sim *Simulation) int { return sim.Moves }, 1}
-	lostOneWay   = aim{"message lost one way", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
-	tasksStarted = aim{"task started", func(sim *Simulation) int { return sim.TaskStarts }, 20 * replayedDays}
-	upgraded     = aim{"format level raised", upgradesOf, replayedDays}
+	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first and one more each run
+	gangRan      = expectation{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
+	moveRecorded = expectation{"move on record", func(sim *Simulation) int { return sim.Moves }, 1}
+	lostOneWay   = expectation{"message lost one way", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
+	tasksStarted = expectation{"task started", func(sim *Simulation) int { return sim.TaskStarts }, 20 * replaysPerScenario}
+	upgraded     = expectation{"format level raised", upgradesOf, replaysPerScenario}
 )
 
 // upgradesOf returns 1 if the newest format is in use at the end.
@@ -41,32 +41,32 @@
 	return 1
 }
 
-// replayAims are what the kinds of days are for.
-var replayAims = map[string][]aim{
-	"faults":   {leaderChange},
-	"meetings": {leaderChange},
-	"gangs": {gangRan, took(newTermEvent, 1), took(reclaimNoticeEvent, 1),
+// replayExpectations are what the kinds of days are for.
+var replayExpectations = map[string][]expectation{
+	"faults":            {leaderChange},
+	"concurrent-faults": {leaderChange},
+	"gangs": {gangRan, counted(newTermEvent, 1), counted(reclaimNoticeEvent, 1),
 		{"gang stopped in order", func(sim *Simulation) int { return sim.GangStops }, 1}},
-	"links":    {took(rowsSentEvent, 100), lostOneWay, leaderChange},
-	"handover": {took(handoverAnnouncedEvent, 1), lostOneWay},
-	"moves": {moveRecorded, took(moveEndEvent(migration.Arrived.String()), 1), took(moveFaultInjectedEvent, replayedDays),
-		took(rowsSentEvent, 100), leaderChange},
-	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int { return sim.slowMachineCount }, replayedDays}},
-	"upgrade":      {took(legacyNodeEvent, 3*replayedDays-1), upgraded, gangRan, leaderChange},
-	"fleet":        {took(fleetMachineEvent, 900), took(storeOutageEvent, replayedDays), leaderChange},
-	"outage": {took(storeOutageEvent, replayedDays), took(storeSlowEvent, 20), took(limitsBelowAnnouncedEvent, 1),
+	"links":    {counted(rowsSentEvent, 100), lostOneWay, leaderChange},
+	"handover": {counted(handoverAnnouncedEvent, 1), lostOneWay},
+	"moves": {moveRecorded, counted(moveEndEvent(migration.Arrived.String()), 1), counted(moveFaultInjectedEvent, replaysPerScenario),
+		counted(rowsSentEvent, 100), leaderChange},
+	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int { return sim.slowMachineCount }, replaysPerScenario}},
+	"upgrade":      {counted(legacyNodeEvent, 3*replaysPerScenario-1), upgraded, gangRan, leaderChange},
+	"large-fleet":  {counted(fleetMachineEvent, 900), counted(storeOutageEvent, replaysPerScenario), leaderChange},
+	"store-outage": {counted(storeOutageEvent, replaysPerScenario), counted(storeSlowEvent, 20), counted(limitsBelowAnnouncedEvent, 1),
 		{"transaction too large", func(sim *Simulation) int { return sim.OversizedTransactions }, 1}, leaderChange},
-	"failover": {took(leaderCrashedEvent, 5*replayedDays), took(allNodesCrashedEvent, 1), took(newTermEvent, 8*replayedDays)},
-	"partitions": {took(partitionedEvent, 4*replayedDays), took(nodesProbedEvent, 50),
-		took(bootSlowEvent, 1), leaderChange},
-	"flood":    {took(onlyHotTeamEvent, 1), leaderChange},
-	"mistakes": {took(attemptFailedEvent, 10), leaderChange},
-	"guests":   {took(borrowerJobEvent, 70*replayedDays), leaderChange},
-	"crowd":    {took(linkSlowEvent, 50)},
+	"failover": {counted(leaderCrashedEvent, 5*replaysPerScenario), counted(allNodesCrashedEvent, 1), counted(newTermEvent, 8*replaysPerScenario)},
+	"partitions": {counted(partitionedEvent, 4*replaysPerScenario), counted(nodesProbedEvent, 50),
+		counted(bootSlowEvent, 1), leaderChange},
+	"flood":        {counted(onlyHotTeamEvent, 1), leaderChange},
+	"failing-jobs": {counted(attemptFailedEvent, 10), leaderChange},
+	"borrowers":    {counted(borrowerJobEvent, 70*replaysPerScenario), leaderChange},
+	"overload":     {counted(linkSlowEvent, 50)},
 }
 
-// TestReplayScenarios: a day of each kind comes to what it is for and breaks no rule; played
-// again it has the same digest, and no other day has it.
+// TestReplayScenarios: a run of each kind comes to what it is for and breaks no rule; played
+// again it has the same digest, and no other run has it.
 func TestReplayScenarios(t *testing.T) {
 	t.Parallel()
 	kinds := uint64(len(replayScenarios))
@@ -74,18 +74,18 @@
 		name := replayScenarios[kind].name
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			aims := slices.Concat(replayAims[name], []aim{tasksStarted})
-			totals := make([]int, len(aims))
+			expectations := slices.Concat(replayExpectations[name], []expectation{tasksStarted})
+			totals := make([]int, len(expectations))
 			sums := map[string]bool{}
-			for day := range uint64(replayedDays) {
-				seed := kind + day*kinds
-				_, sim := replayDay(seed)
+			for run := range uint64(replaysPerScenario) {
+				seed := kind + run*kinds
+				_, sim := newReplay(seed)
 				sim.Run()
 				if len(sim.Violations) > 0 {
 					t.Errorf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(30))
 				}
-				for i, a := range aims {
-					totals[i] += a.count(sim)
+				for i, e := range expectations {
+					totals[i] += e.count(sim)
 				}
 				sum := sim.cfg.Digest.Sum()
 				if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
@@ -93,15 +93,15 @@
 				}
 				sums[sum] = true
 			}
-			if len(sums) != replayedDays {
-				t.Errorf("%d digests of %d days", len(sums), replayedDays)
+			if len(sums) != replaysPerScenario {
+				t.Errorf("%d digests of %d days", len(sums), replaysPerScenario)
 			}
-			if len(aims) == 1 {
+			if len(expectations) == 1 {
 				t.Error("nothing says what these days are for")
 			}
-			for i, a := range aims {
-				if totals[i] < a.least {
-					t.Errorf("%s: %d times, want %d", a.what, totals[i], a.least)
+			for i, e := range expectations {
+				if totals[i] < e.least {
+					t.Errorf("%s: %d times, want %d", e.what, totals[i], e.least)
 				}
 			}
 		})
