--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -70,7 +70,8 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			for _, s := range []linkStudy{
 				{name: "broken for a minute", duration: time.Minute},
-				{name: "flapping for ten minutes, down for 2.4 of every 4 s", duration: 10 * time.Minute, period: 4 * time.Second},
+				{name: "flapping for ten minutes, down for 2.4 of every 4 s", duration: 10 * time.Minute,
+					period: 4 * time.Second},
 			} {
 				if err := s.run(cmd.OutOrStdout(), seeds); err != nil {
 					return err
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -129,7 +129,8 @@
 			return err
 		}
 		n := &node{name: fmt.Sprintf("agent-%d", i), settings: &settings.Settings{
-			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: mesh, Endpoints: settings.Endpoints{Cloud: cloudAddr, Store: stateAddr},
+			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: mesh, Endpoints: settings.Endpoints{Cloud: cloudAddr,
+				Store: stateAddr},
 			Tuning: settings.DefaultTuning(),
 			Cluster: settings.Cluster{
 				Nodes: nodes, Zones: zones, ClockErrorBoundMS: 100,
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -52,8 +52,9 @@
 	f.next++
 	return api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", f.next)), Class: "render", Team: team, Shape: api.Batch,
 		Priority: api.Standard,
-		Tasks:    tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime, CheckpointEveryS: 1,
-		CheckpointS: 0.1}
+		Tasks:    tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime,
+		CheckpointEveryS: 1,
+		CheckpointS:      0.1}
 }
 
 // askUntil asks nodes in turn until one gives an answer that counts.
@@ -70,7 +71,9 @@
 }
 
 func (f *fleet) submit(t *testing.T, s api.Spec, w Workload) {
-	f.askUntil(t, func(n int) Answer { return f.Submit(n, s, w) }, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
+	f.askUntil(t, func(n int) Answer {
+		return f.Submit(n, s, w)
+	}, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
 }
 
 // fill fills all machines with jobs whose first tasks end soon: each machine then has room for
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -126,7 +126,8 @@
 	}
 	slices.SortFunc(page, func(a, b storeEntry) int { return cmp.Compare(a.Key, b.Key) })
 	truncated := len(page) > pageSize
-	answer(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated, "ledger": s.revision})
+	answer(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated,
+		"ledger": s.revision})
 }
 
 func (s *store) transact(w http.ResponseWriter, r *http.Request) {
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -61,7 +61,9 @@
 	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", w.handleCommands)
-	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) { answer(rw, http.StatusOK, w.currentHeartbeat()) })
+	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) {
+		answer(rw, http.StatusOK, w.currentHeartbeat())
+	})
 	w.server = &http.Server{Handler: mux}
 	go w.server.Serve(listener)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -86,26 +86,27 @@
 func (sim *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.submitted = true
 	asked := sim.now
-	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), requestTimeout}, func(r *controller.Response) {
-		if r != nil && (r.Status == 200 || r.Status == 201) {
-			if !j.accepted {
-				j.accepted, j.acceptedAt = true, sim.now
-				sim.poll(j)
-				sim.probeAllNodes(j)
+	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), requestTimeout},
+		func(r *controller.Response) {
+			if r != nil && (r.Status == 200 || r.Status == 201) {
+				if !j.accepted {
+					j.accepted, j.acceptedAt = true, sim.now
+					sim.poll(j)
+					sim.probeAllNodes(j)
+				}
+				sim.checkAnswer(j, r, asked)
+				if sim.rng.IntN(6) == 0 { // asked again, much later
+					sim.schedule(time.Duration(sim.rng.IntN(60_000))*time.Millisecond, func() { sim.submit(j, 0) })
+				}
+				return
 			}
-			sim.checkAnswer(j, r, asked)
-			if sim.rng.IntN(6) == 0 { // asked again, much later
-				sim.schedule(time.Duration(sim.rng.IntN(60_000))*time.Millisecond, func() { sim.submit(j, 0) })
+			if r != nil && (r.Status == 400 || r.Status == 422) {
+				sim.reportViolation("%s: a submission that is in order got %d %s", j.spec.ID, r.Status, r.Body)
 			}
-			return
-		}
-		if r != nil && (r.Status == 400 || r.Status == 422) {
-			sim.reportViolation("%s: a submission that is in order got %d %s", j.spec.ID, r.Status, r.Body)
-		}
-		if sim.now < until {
-			sim.schedule(time.Second, func() { sim.submit(j, until) })
-		}
-	})
+			if sim.now < until {
+				sim.schedule(time.Second, func() { sim.submit(j, until) })
+			}
+		})
 }
 
 func (sim *Simulation) poll(j *userJob) {
@@ -123,11 +124,12 @@
 	})
 	if sim.rng.IntN(20) == 0 {
 		id := fmt.Sprintf("j-9%05d", sim.rng.IntN(1000))
-		sim.request(apiRequest{usersParty, sim.randomNode(), transport.GetJob, id, nil, queryTimeout}, func(r *controller.Response) {
-			if r != nil && r.Status == 200 {
-				sim.reportViolation("invented: %s got 200", id)
-			}
-		})
+		sim.request(apiRequest{usersParty, sim.randomNode(), transport.GetJob, id, nil, queryTimeout},
+			func(r *controller.Response) {
+				if r != nil && r.Status == 200 {
+					sim.reportViolation("invented: %s got 200", id)
+				}
+			})
 	}
 }
 
@@ -159,16 +161,17 @@
 	if n == nil {
 		n = sim.randomNode()
 	}
-	sim.request(apiRequest{usersParty, n, transport.CancelJob, string(j.spec.ID), nil, requestTimeout}, func(r *controller.Response) {
-		if r != nil && r.Status == 200 {
-			sim.checkAnswer(j, r, asked)
-			return
-		}
-		if r != nil && r.Status == 404 {
-			sim.reportViolation("forgotten: cancelling %s got 404", j.spec.ID)
-		}
-		sim.schedule(time.Second, func() { sim.cancelAt(j, at) })
-	})
+	sim.request(apiRequest{usersParty, n, transport.CancelJob, string(j.spec.ID), nil, requestTimeout},
+		func(r *controller.Response) {
+			if r != nil && r.Status == 200 {
+				sim.checkAnswer(j, r, asked)
+				return
+			}
+			if r != nil && r.Status == 404 {
+				sim.reportViolation("forgotten: cancelling %s got 404", j.spec.ID)
+			}
+			sim.schedule(time.Second, func() { sim.cancelAt(j, at) })
+		})
 }
 
 // cancelWhenAccepted has a job's user cancel it, at a node if one is given.
--- a/internal/simulator/arrivals.go
+++ b/internal/simulator/arrivals.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// generateArrivals submits jobs, more at the start.
+// generateArrivals submits random jobs throughout the active part, the first ones in quick succession.
 func (sim *Simulation) generateArrivals() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
@@ -21,40 +21,11 @@
 	sim.schedule(d, sim.generateArrivals)
 }
 
+// submitRandomJob draws a job and submits it. Some jobs fail on every machine until they are cancelled, and of the others
+// some are cancelled as well.
 func (sim *Simulation) submitRandomJob() {
-	sim.lastJobNumber++
+	s := sim.drawSpec()
 	r := sim.rng
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber)), Class: "lane", Team: sim.settings.Teams[r.IntN(3)].Name,
-		Shape: api.Batch, Priority: api.Standard, Tasks: 1 + r.IntN(6), VCPUs: float64(1 + r.IntN(4)), MemoryGB: 2,
-		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1.5, Spot: r.IntN(3) > 0, RuntimeS: 20}
-	switch r.IntN(6) {
-	case 0:
-		s.OneZone = true
-		s.Tasks = min(s.Tasks, 3)
-	case 1:
-		s.Spread = true
-	case 2:
-		z := sim.settings.Zones[r.IntN(2)]
-		s.Zone = &z
-	}
-	if r.IntN(3) == 0 && sim.activeReplicas(s.Team) < 4 { // services must leave their team room for arrays
-		s.Shape, s.Priority, s.Spot, s.RuntimeS = api.Service, api.Critical, false, 0
-		s.Tasks = 1 + r.IntN(2)
-		s.VCPUs = 1
-	}
-	if r.IntN(40) == 0 {
-		s.Tasks, s.VCPUs = 200, 0.1 // more than a header holds
-		s.Shape, s.Priority, s.OneZone = api.Batch, api.Standard, false
-	}
-	if gangs := 12; sim.gangsSupported() && r.IntN(gangs) < 2 || sim.cfg.MoreGangs && r.IntN(2) == 0 {
-		s.Shape, s.Priority, s.Spot, s.Spread, s.VCPUs = api.Gang, []api.Priority{api.High,
-			api.Standard}[r.IntN(2)], r.IntN(3) == 0, false, 1
-		s.Tasks, s.RuntimeS = 2+r.IntN(5), 40
-		s.OneZone = r.IntN(3) > 0
-		if r.IntN(4) > 0 {
-			s.CheckpointEveryS, s.CheckpointS = 8, 2
-		}
-	}
 	j := &userJob{spec: s, duration: time.Duration(2000+r.IntN(40_000)) * time.Millisecond, done: make([]bool, s.Tasks)}
 	if sim.cfg.ConcurrentFaults && s.Shape == api.Batch && r.IntN(12) == 0 {
 		j.alwaysFails = true
@@ -74,7 +45,69 @@
 	}
 }
 
-// registerJob submits a job.
+// drawSpec draws an array, a service or a gang. The order of the draws decides what a seed does.
+func (sim *Simulation) drawSpec() api.Spec {
+	sim.lastJobNumber++
+	r := sim.rng
+	s := api.Spec{ID: sim.jobID(), Class: jobClass, Team: sim.settings.Teams[r.IntN(3)].Name, Shape: api.Batch,
+		Priority: api.Standard, Tasks: 1 + r.IntN(6), VCPUs: float64(1 + r.IntN(4)), MemoryGB: 2,
+		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1.5, Spot: r.IntN(3) > 0, RuntimeS: 20}
+	sim.drawZoneConstraint(&s)
+	if r.IntN(3) == 0 && sim.activeReplicas(s.Team) < maxReplicas {
+		s.Shape, s.Priority, s.Spot, s.RuntimeS = api.Service, api.Critical, false, 0
+		s.Tasks = 1 + r.IntN(2)
+		s.VCPUs = 1
+	}
+	if r.IntN(40) == 0 {
+		s.Tasks, s.VCPUs = 200, 0.1 // more tasks than a job's header holds
+		s.Shape, s.Priority, s.OneZone = api.Batch, api.Standard, false
+	}
+	if sim.gangsSupported() && r.IntN(12) < 2 || sim.cfg.MoreGangs && r.IntN(2) == 0 {
+		sim.drawGang(&s)
+	}
+	return s
+}
+
+const (
+	// jobClass is the class of all jobs but a few.
+	jobClass = "lane"
+	// maxReplicas bounds the replicas of a team, so that its limit leaves capacity for arrays.
+	maxReplicas = 4
+)
+
+// jobID returns the name of the job with the last number.
+func (sim *Simulation) jobID() ident.JobID {
+	return ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber))
+}
+
+// drawZoneConstraint draws whether a job is bound to one zone, to a given zone, or spread over zones.
+func (sim *Simulation) drawZoneConstraint(s *api.Spec) {
+	switch sim.rng.IntN(6) {
+	case 0:
+		s.OneZone = true
+		s.Tasks = min(s.Tasks, 3)
+	case 1:
+		s.Spread = true
+	case 2:
+		zone := sim.settings.Zones[sim.rng.IntN(2)]
+		s.Zone = &zone
+	}
+}
+
+// drawGang makes a job a gang.
+func (sim *Simulation) drawGang(s *api.Spec) {
+	r := sim.rng
+	s.Shape, s.Spread, s.VCPUs, s.RuntimeS = api.Gang, false, 1, 40
+	s.Priority = []api.Priority{api.High, api.Standard}[r.IntN(2)]
+	s.Spot = r.IntN(3) == 0
+	s.Tasks = 2 + r.IntN(5)
+	s.OneZone = r.IntN(3) > 0
+	if r.IntN(4) > 0 {
+		s.CheckpointEveryS, s.CheckpointS = 8, 2
+	}
+}
+
+// registerJob has a user submit a job, again and again for a minute until it is accepted.
 func (sim *Simulation) registerJob(j *userJob) {
 	if j.checkpointed == nil {
 		j.checkpointed = map[int]time.Duration{}
@@ -85,14 +118,14 @@
 	sim.submit(j, sim.now.Add(60*time.Second))
 }
 
-// generateOverload submits more small jobs of a team than its limit can take, and now and
-// then a job whose tasks are large, and one of a team without a guarantee.
+// generateOverload submits more small jobs of a team than its limit admits, among them some whose tasks are large and some
+// of a team without a guarantee.
 func (sim *Simulation) generateOverload() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
 	}
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch,
+	s := api.Spec{ID: sim.jobID(), Class: jobClass, Team: "red", Shape: api.Batch,
 		Priority: api.Standard,
 		Tasks:    2, VCPUs: 2, MemoryGB: 2, Image: "img-0", ImageGB: 1.5, Spot: true, RuntimeS: 10}
 	runs := 10 * time.Second
@@ -108,7 +141,7 @@
 	sim.schedule(600*time.Millisecond, sim.generateOverload)
 }
 
-// activeReplicas counts a team's replicas that nobody has cancelled.
+// activeReplicas counts the replicas of a team's services that are not cancelled.
 func (sim *Simulation) activeReplicas(team string) int {
 	n := 0
 	for _, j := range sim.jobs {
--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -27,7 +27,8 @@
 		if withBorrowers {
 			submitBorrowerJob := func(class string, tasks int, vcpus float64, runs time.Duration) {
 				sim.submitJob(func(s *api.Spec) {
-					s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks, vcpus, 0.1, true
+					s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks,
+						vcpus, 0.1, true
 				}, runs)
 			}
 			sim.scheduleAt(45, func() { submitBorrowerJob("vast", 2000, 0.25, 4*time.Second) })
@@ -74,7 +75,9 @@
 			faultyWorker.faulty = true
 		})
 		for s := 52.0; s < 150; s += 4 {
-			sim.scheduleAt(s, func() { sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.ImageGB = 3, 1, 0.1 }, 3*time.Second) })
+			sim.scheduleAt(s, func() {
+				sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.ImageGB = 3, 1, 0.1 }, 3*time.Second)
+			})
 		}
 		sim.scheduleAt(140, func() {
 			for _, j := range list {
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -105,7 +105,8 @@
 			sim.scheduleAt(57, func() { sim.crashLeader(200 * time.Millisecond) })
 			sim.scheduleAt(61, func() {
 				for _, m := range sim.cloud.machines {
-					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) && m.bootedAt.Sub(m.createdAt) < 2*time.Second &&
+					if w := sim.workers[m.id]; w != nil && m.createdAt > timeAt(40) &&
+						m.bootedAt.Sub(m.createdAt) < 2*time.Second &&
 						len(w.tasks) > 0 {
 						sim.countEvent(newMachineHasTasksEvent)
 					}
@@ -116,7 +117,8 @@
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
-		name: "old reports after newer ones", guardsAgainst: "a copy of an earlier session or attempt proving that a task is gone",
+		name:          "old reports after newer ones",
+		guardsAgainst: "a copy of an earlier session or attempt proving that a task is gone",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(5)
 			sim.scheduleAt(30, func() { sim.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
@@ -140,7 +142,9 @@
 			sim.scheduleAt(1, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(90)} })
 			for s := 5.0; s < 105; s += 0.25 {
 				sim.scheduleAt(s, func() {
-					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 0.5 }, time.Duration(2+sim.rng.IntN(6))*time.Second)
+					j := sim.submitJob(func(s *api.Spec) {
+						s.Tasks, s.VCPUs = 1, 0.5
+					}, time.Duration(2+sim.rng.IntN(6))*time.Second)
 					if sim.rng.IntN(4) == 0 {
 						sim.schedule(time.Duration(sim.rng.IntN(9000))*time.Millisecond, func() {
 							if j.accepted && !isTerminal(j.lastStatus) {
@@ -160,7 +164,8 @@
 		name:          "cancelled as the leader alone is refused, then an outage",
 		guardsAgainst: "a lease renewed by whoever doesn't know of a cancellation, for longer than that may take",
 		inject:        cancelDuringFailoverAndOutage, seeds: 12,
-		expectedEvents:    map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1, outageAfterConfirmationEvent: 1},
+		expectedEvents: map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1,
+			outageAfterConfirmationEvent: 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
@@ -229,7 +234,9 @@
 			})
 			for s := 31.0; s < 90; s += 1.5 {
 				sim.scheduleAt(s, func() {
-					j := sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, time.Duration(1+sim.rng.IntN(8))*time.Second)
+					j := sim.submitJob(func(s *api.Spec) {
+						s.Tasks, s.VCPUs = 1, 1
+					}, time.Duration(1+sim.rng.IntN(8))*time.Second)
 					if sim.rng.IntN(2) == 0 {
 						sim.schedule(time.Duration(500+sim.rng.IntN(6000))*time.Millisecond, func() {
 							if j.accepted {
@@ -261,7 +268,8 @@
 			for s := 30.0; s < 400; s += 10 {
 				sim.scheduleAt(s, func() {
 					j := sim.submitJob(func(s *api.Spec) {
-						s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1, "blue"
+						s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0,
+							1, 1, "blue"
 					}, 0)
 					sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 				})
@@ -284,7 +292,9 @@
 					case 0:
 						sim.schedule(time.Duration(sim.rng.IntN(60))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
 					case 1:
-						sim.schedule(time.Duration(1000+sim.rng.IntN(5000))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
+						sim.schedule(time.Duration(1000+sim.rng.IntN(5000))*time.Millisecond, func() {
+							sim.cancelWhenAccepted(j, nil)
+						})
 					}
 				})
 			}
@@ -357,7 +367,8 @@
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
-		name: "transactions are carried out late, after newer ones", guardsAgainst: "something old being written over something new",
+		name:          "transactions are carried out late, after newer ones",
+		guardsAgainst: "something old being written over something new",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(4)
 			sim.scheduleAt(20, func() { sim.delayedWrites = faultWindow{0.4, timeAt(100)} })
@@ -365,7 +376,9 @@
 				sim.scheduleAt(s, func() {
 					j := sim.submitJob(nil, time.Duration(5+sim.rng.IntN(15))*time.Second)
 					if sim.rng.IntN(3) == 0 {
-						sim.schedule(time.Duration(1000+sim.rng.IntN(9000))*time.Millisecond, func() { sim.cancelWhenAccepted(j, nil) })
+						sim.schedule(time.Duration(1000+sim.rng.IntN(9000))*time.Millisecond, func() {
+							sim.cancelWhenAccepted(j, nil)
+						})
 					}
 				})
 			}
@@ -455,7 +468,9 @@
 			sim.submitBaseLoad(2)
 			for s := 10.0; s < 110; s += 1 {
 				sim.scheduleAt(s, func() {
-					sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1 }, time.Duration(1+sim.rng.IntN(4))*time.Second)
+					sim.submitJob(func(s *api.Spec) {
+						s.Tasks, s.VCPUs = 1+sim.rng.IntN(2), 1
+					}, time.Duration(1+sim.rng.IntN(4))*time.Second)
 				})
 			}
 		},
@@ -503,7 +518,8 @@
 		detectedMutations: []Mutation{DropZoneConstraint},
 	},
 	{
-		name: "cancelled while one controller's work changes hands", guardsAgainst: "a cancellation that neither leader carries out",
+		name:          "cancelled while one controller's work changes hands",
+		guardsAgainst: "a cancellation that neither leader carries out",
 		inject: func(sim *Simulation) {
 			sim.submitBaseLoad(8)
 			sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
@@ -607,11 +623,13 @@
 			for seed := range seeds {
 				sim := m.run(seed, None)
 				if len(sim.Violations) > 0 || m.unfinished(sim) {
-					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, sim.Violations, sim.Unfinished, sim.LogTail(40))
+					t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, sim.Violations, sim.Unfinished,
+						sim.LogTail(40))
 				}
 				for what, n := range m.expectedEvents {
 					if sim.eventCounts[what] < n {
-						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, sim.eventCounts[what], n, sim.eventCounts)
+						t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, what, sim.eventCounts[what], n,
+							sim.eventCounts)
 					}
 				}
 			}
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -15,35 +15,35 @@
 	"opaldale/internal/workers"
 )
 
-// Digest hashes what the controllers of a run send: requests to the state service and the
+// Digest hashes what the controllers of a run send: requests to the key-value store and the
 // cloud, commands to workers, frames to other controllers, and answers to users and workers,
 // in order, each with its simulated time, sender and addressee. A nil Digest records nothing.
 //
-// Two builds with the same digest for a seed have behaved alike on that day. The encoding is
+// Two builds with the same digest for a seed have behaved alike in that run. The encoding is
 // made of the labels below and of wire formats only, so that no renaming of a type, a field
-// or a constant changes it. Log lines and metrics are no part of it.
+// or a constant changes it. Log lines and metrics are not part of it.
 type Digest struct {
 	hash   hash.Hash
-	record []byte         // the one that is being encoded
+	record []byte         // being encoded
 	counts map[string]int // records by kind
 }
 
 // The kinds of records.
 const (
-	stateRecord   = "state"
+	storeRecord   = "state"
 	cloudRecord   = "cloud"
 	commandRecord = "command"
 	frameRecord   = "frame"
 	answerRecord  = "answer"
 )
 
-// The parties of a run that have no name of their own.
+// The labels of the parties that have no name of their own.
 const (
 	storeLabel = "state service"
 	cloudLabel = "cloud"
 )
 
-var stateLabels = map[kvstore.Op]string{
+var storeLabels = map[kvstore.Op]string{
 	kvstore.Get: "get", kvstore.List: "list", kvstore.Txn: "txn", kvstore.GrantLease: "grant",
 	kvstore.RenewLease: "extend", kvstore.RevokeLease: "revoke", kvstore.Watch: "follow",
 }
@@ -62,13 +62,13 @@
 // Sum returns the digest of all records so far, in hexadecimal.
 func (d *Digest) Sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// stateRequest records a request of a controller to the state service.
-func (d *Digest) stateRequest(now ident.MonotonicTime, from string, r kvstore.Request) {
+// storeRequest records a request of a controller to the key-value store.
+func (d *Digest) storeRequest(now ident.MonotonicTime, from string, r kvstore.Request) {
 	if d == nil {
 		return
 	}
-	d.begin(stateRecord, now, from, storeLabel)
-	d.text("operation", stateLabels[r.Op])
+	d.begin(storeRecord, now, from, storeLabel)
+	d.text("operation", storeLabels[r.Op])
 	d.text("key", r.Key)
 	d.text("prefix", r.Prefix)
 	d.text("after", r.StartAfter)
@@ -135,7 +135,7 @@
 	d.end()
 }
 
-// answer records the answer of a controller to a request of a user or a worker.
+// answer records the reply of a controller to a request of a user or a worker.
 func (d *Digest) answer(now ident.MonotonicTime, from, to string, v transport.Method, job string, r controller.Response) {
 	if d == nil {
 		return
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -113,7 +113,7 @@
 func TestEveryFieldCounts(t *testing.T) {
 	t.Parallel()
 	at := timeAt(1)
-	checkFields(t, kvstore.Request{}, func(d *Digest, r kvstore.Request) { d.stateRequest(at, "agent-0", r) })
+	checkFields(t, kvstore.Request{}, func(d *Digest, r kvstore.Request) { d.storeRequest(at, "agent-0", r) })
 	checkFields(t, cloud.Request{}, func(d *Digest, r cloud.Request) { d.cloudRequest(at, "agent-0", r) })
 	checkFields(t, workers.CommandCall{}, func(d *Digest, c workers.CommandCall) { d.command(at, "agent-0", c) })
 	checkFields(t, sentReply{}, func(d *Digest, r sentReply) {
@@ -145,7 +145,7 @@
 	}
 	check("nothing", func(*Digest) {})
 	for op := kvstore.Get; op <= kvstore.Watch; op++ {
-		check("state "+stateLabels[op], func(d *Digest) { d.stateRequest(0, "a", kvstore.Request{Op: op}) })
+		check("state "+storeLabels[op], func(d *Digest) { d.storeRequest(0, "a", kvstore.Request{Op: op}) })
 	}
 	for op := cloud.Catalog; op <= cloud.List; op++ {
 		check("cloud "+cloudLabels[op], func(d *Digest) { d.cloudRequest(0, "a", cloud.Request{Op: op}) })
@@ -194,7 +194,7 @@
 	if plain.LogTail(len(plain.Log)) != recorded.LogTail(len(recorded.Log)) {
 		t.Error("a recorded day went another way")
 	}
-	for _, kind := range []string{stateRecord, cloudRecord, commandRecord, frameRecord, answerRecord} {
+	for _, kind := range []string{storeRecord, cloudRecord, commandRecord, frameRecord, answerRecord} {
 		if cfg.Digest.counts[kind] == 0 {
 			t.Errorf("no record of kind %s: %v", kind, cfg.Digest.counts)
 		}
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -22,7 +22,7 @@
 	}
 	n := sim.randomNode()
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: "lane", Team: "red", Shape: api.Batch,
+	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: jobClass, Team: "red", Shape: api.Batch,
 		Priority: api.Standard, Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
 	switch sim.rng.IntN(5) {
 	case 0:
@@ -75,15 +75,16 @@
 			continue
 		}
 		sim.countEvent(doneJobCancelledEvent)
-		sim.request(apiRequest{usersParty, n, transport.CancelJob, string(id), nil, requestTimeout}, func(r *controller.Response) {
-			if r == nil || r.Status == http.StatusServiceUnavailable {
-				return
-			}
-			var v api.JobView
-			if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != api.StatusDone {
-				sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
-			}
-		})
+		sim.request(apiRequest{usersParty, n, transport.CancelJob, string(id), nil, requestTimeout},
+			func(r *controller.Response) {
+				if r == nil || r.Status == http.StatusServiceUnavailable {
+					return
+				}
+				var v api.JobView
+				if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != api.StatusDone {
+					sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
+				}
+			})
 		return
 	}
 }
@@ -99,15 +100,16 @@
 		changed.RuntimeS, changed.Image = changed.RuntimeS+1, "another"
 		asked := sim.now
 		sim.countEvent(submissionChangedEvent)
-		sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout}, func(r *controller.Response) {
-			switch {
-			case r == nil || r.Status == http.StatusServiceUnavailable:
-			case isAccepted(r):
-				sim.checkAnswer(j, r, asked)
-			default:
-				sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
-			}
-		})
+		sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout},
+			func(r *controller.Response) {
+				switch {
+				case r == nil || r.Status == http.StatusServiceUnavailable:
+				case isAccepted(r):
+					sim.checkAnswer(j, r, asked)
+				default:
+					sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
+				}
+			})
 		return
 	}
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -7,45 +7,46 @@
 	"opaldale/internal/kvstore"
 )
 
-// faultWindow is a trouble that befalls a share of what it is about until a time.
+// faultWindow is a fault that occurs with a probability until a time.
 type faultWindow struct {
 	probability float64
 	until       ident.MonotonicTime
 }
 
-func (sim *Simulation) faultHits(s faultWindow) bool {
-	return sim.now < s.until && sim.rng.Float64() < s.probability
+// faultHits draws whether a fault occurs. It draws nothing outside of the window.
+func (sim *Simulation) faultHits(f faultWindow) bool {
+	return sim.now < f.until && sim.rng.Float64() < f.probability
 }
 
-// activeFaults are those of the operators' page on two at once.
+// activeFaults has the faults that several parts of the simulation consult.
 type activeFaults struct {
-	delayedWrites        faultWindow // transactions get no answer, and are carried out 2 to 12 s later
-	droppedReplies       faultWindow // or at once
-	delayedHeartbeats    faultWindow // copies of reports come up to two leases later
-	heldHeartbeats       faultWindow // or when the next leader begins
-	slowStore            faultWindow // answers of the state service take up to a second
-	slowLinks            faultWindow // what nodes say to each other takes up to half a second
-	delayedCommands      faultWindow // commands to machines, and their answers, are held up for seconds
-	fastBoots            faultWindow // machines are up within two seconds
-	slowBoots            faultWindow // several times as late as they should be
-	failedBoots          faultWindow // or never
-	cancelAtCompletion   faultWindow // jobs are called off at the moment in which their last task ends
-	probeAfterAnswer     faultWindow // users ask at all nodes within milliseconds of what they are told
+	delayedWrites        faultWindow // transactions get no reply, and are carried out 2 to 12 s later
+	droppedReplies       faultWindow // transactions get no reply, and are carried out at once
+	delayedHeartbeats    faultWindow // duplicates of heartbeats arrive up to two lease durations later
+	heldHeartbeats       faultWindow // duplicates of heartbeats arrive when the next leader begins
+	slowStore            faultWindow // messages to and from the store take up to half a second longer
+	slowLinks            faultWindow // messages between nodes take up to half a second longer
+	delayedCommands      faultWindow // commands to machines, and their replies, take seconds longer
+	fastBoots            faultWindow // machines boot within two seconds
+	slowBoots            faultWindow // machines take six times as long to boot
+	failedBoots          faultWindow // machines never boot
+	cancelAtCompletion   faultWindow // users cancel jobs when their last task completes
+	probeAfterAnswer     faultWindow // users query all nodes within milliseconds of an answer
 	outboundBlockedUntil map[string]ident.MonotonicTime
 	heldDeliveries       []func()
-	awaitingNextLeader   bool // for the next leader, to deliver what is kept
+	awaitingNextLeader   bool // heldDeliveries are delivered when the next leader begins
 
-	// What came of them, for tests to see that they took place.
+	// eventCounts counts what took place.
 	eventCounts map[eventName]int
 }
 
-// blockOutbound has a machine reach no node, though nodes reach it.
+// blockOutbound keeps messages of a machine from all nodes, while theirs reach it.
 func (sim *Simulation) blockOutbound(w *worker, d time.Duration) {
-	sim.logf("%s reaches no node for %v", w.id, d)
+	sim.logf("%s cannot send for %v", w.id, d)
 	sim.outboundBlockedUntil[string(w.id)] = sim.now.Add(d)
 }
 
-// extraLatency is what the spells add to a message's time.
+// extraLatency draws the latency that faults add to a message.
 func (sim *Simulation) extraLatency(from, to string) time.Duration {
 	switch {
 	case isNode(from) && isNode(to) && sim.faultHits(sim.slowLinks):
@@ -68,8 +69,8 @@
 	sim.schedule(time.Duration(500+sim.rng.IntN(5500))*time.Millisecond, carryOn)
 }
 
-// interceptTransaction has a transaction carried out late, or at once without an answer. It says
-// whether that is so.
+// interceptTransaction carries a transaction out without a reply, at once or late, during such faults. It returns false if
+// none applies.
 func (s *store) interceptTransaction(r kvstore.Request) bool {
 	sim := s.sim
 	switch {
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -9,20 +9,20 @@
 	"opaldale/internal/ident"
 )
 
-// gangAttempt is an attempt of a gang, played from the page alone.
+// gangAttempt simulates an attempt of a gang by the protocol.
 type gangAttempt struct {
 	sim              *Simulation
 	job              *userJob
 	attempt          ident.Attempt
 	members          map[int]*member
 	started          bool
-	finished         bool                // started, and a task has exited since
-	finishedAt       ident.MonotonicTime //
-	progress         float64             // progress in seconds
-	stopRequestedAt  ident.MonotonicTime // of the first kill
+	finished         bool // a task has exited since the start
+	finishedAt       ident.MonotonicTime
+	progress         float64             // in seconds
+	stopRequestedAt  ident.MonotonicTime // of the first request, 0: none
 	stopRequested    map[int]bool
-	checkpointFailed bool // the save has failed
-	checkpointed     bool // a task has exited with its progress saved
+	checkpointFailed bool
+	checkpointed     bool // a task has exited with a stored checkpoint
 }
 
 // member is a task of an attempt on its machine.
@@ -30,35 +30,39 @@
 	worker            *worker
 	task              *task
 	incarnation       ident.Incarnation
-	unresponsiveSince ident.MonotonicTime // when it was first found to be gone or hung, 0: it is there
+	unresponsiveSince ident.MonotonicTime // when it was first found to be gone or hung, 0: it responds
 }
 
+// gangKey identifies an attempt of a gang.
 type gangKey struct {
 	job     ident.JobID
 	attempt ident.Attempt
 }
 
-func (sim *Simulation) gang(j *userJob, try ident.Attempt) *gangAttempt {
-	k := gangKey{j.spec.ID, try}
+// gang returns an attempt of a gang, a new one if it is not there yet.
+func (sim *Simulation) gang(j *userJob, attempt ident.Attempt) *gangAttempt {
+	k := gangKey{j.spec.ID, attempt}
 	g := sim.gangs[k]
 	if g == nil {
-		g = &gangAttempt{sim: sim, job: j, attempt: try, members: map[int]*member{}, stopRequested: map[int]bool{}}
+		g = &gangAttempt{sim: sim, job: j, attempt: attempt, members: map[int]*member{}, stopRequested: map[int]bool{}}
 		sim.gangs[k] = g
 		sim.schedule(gangTick, g.tick)
 	}
 	return g
 }
 
+// gangTick is the interval at which gangs advance.
 const gangTick = 250 * time.Millisecond
 
-// present says whether a member is still on its machine, and acts whether that goes on.
+// present reports whether a member is still on its machine.
 func (m *member) present() bool {
 	return !m.worker.dead && m.worker.incarnation == m.incarnation && m.task.status != api.Ended
 }
 
+// responsive reports whether a member is on its machine and the machine does not hang.
 func (m *member) responsive() bool { return m.present() && m.worker.sim.now >= m.worker.hungUntil }
 
-// join takes in a task that has its image.
+// join adds a task whose image is there to the attempt.
 func (g *gangAttempt) join(w *worker, t *task) {
 	sim := g.sim
 	t.status = api.Gathering
@@ -78,7 +82,7 @@
 		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, t.id, w.id)
 	}
 	if g.finished && sim.now.Sub(g.finishedAt).Seconds() > 4*sim.settings.Workers.LeaseS {
-		sim.reportViolation("attempt %d of %s is used again, long after it was over", g.attempt, t.id)
+		sim.reportViolation("attempt %d of %s is used again long after its end", g.attempt, t.id)
 	}
 	g.members[i] = &member{worker: w, task: t, incarnation: w.incarnation}
 	w.scheduleStep(t, seconds(sim.settings.Workers.GangWaitS), func() {
@@ -89,7 +93,7 @@
 	g.start()
 }
 
-// start lets the gang run when its last task is there.
+// start starts the gang once its last task has joined.
 func (g *gangAttempt) start() {
 	if g.started || len(g.members) < g.job.spec.Tasks {
 		return
@@ -113,6 +117,7 @@
 	g.sim.GangRuns++
 }
 
+// sorted returns the members by index.
 func (g *gangAttempt) sorted() []*member {
 	out := make([]*member, 0, len(g.members))
 	for _, m := range g.members {
@@ -122,10 +127,10 @@
 	return out
 }
 
-// kill tells one task to stop.
-func (g *gangAttempt) kill(w *worker, t *task, windDown float64) {
+// kill handles the command to stop a task, which checkpoints first if it has the time for it.
+func (g *gangAttempt) kill(w *worker, t *task, gracePeriod float64) {
 	s := &g.job.spec
-	if t.status != api.Running || !s.CanCheckpoint() || windDown < s.CheckpointS {
+	if t.status != api.Running || !s.CanCheckpoint() || gracePeriod < s.CheckpointS {
 		if g.stopRequestedAt > 0 && !g.checkpointed {
 			g.checkpointFailed = true
 		}
@@ -142,7 +147,7 @@
 	w.scheduleStep(t, seconds(s.CheckpointS), func() { g.finishCheckpoint(w, t) })
 }
 
-// finishCheckpoint ends a task that has saved, once the others have.
+// finishCheckpoint ends a task that has checkpointed, once the others have.
 func (g *gangAttempt) finishCheckpoint(w *worker, t *task) {
 	switch {
 	case !g.checkpointFailed && len(g.stopRequested) == g.job.spec.Tasks:
@@ -268,4 +273,5 @@
 	return !sim.cfg.Faults || sim.now.Sub(ident.MonotonicTime(sim.cfg.ActiveDuration+faultDrainTime)) > d
 }
 
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulator/heartbeat_faults.go
+++ b/internal/simulator/heartbeat_faults.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/transport"
 )
 
-// duplicateLate has a copy of a report come late now and then, up to twice the lease,
-// whatever has become of the machine. Nobody waits for its answer.
+// duplicateLate delivers a duplicate of some heartbeats up to two lease durations late, even if the machine is gone by
+// then. Nobody waits for the reply.
 func (w *worker) duplicateLate(m *api.Heartbeat) {
 	sim := w.sim
 	if !sim.cfg.Faults || sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) || sim.rng.IntN(30) > 0 {
@@ -20,7 +20,7 @@
 	sim.schedule(late, func() { sim.deliverStaleHeartbeat(m, sim.nodes[sim.rng.IntN(len(sim.nodes))]) })
 }
 
-// deliverStaleHeartbeat has a copy of a report come to a node.
+// deliverStaleHeartbeat delivers a duplicate of a heartbeat to a node.
 func (sim *Simulation) deliverStaleHeartbeat(m *api.Heartbeat, n *node) {
 	if w := sim.workers[m.MachineID]; w != nil {
 		switch {
@@ -34,10 +34,11 @@
 	if sim.mutates(AcceptStaleHeartbeats) {
 		c.SequenceNumber += 1000
 	}
-	sim.request(apiRequest{duplicatesParty, n, transport.WorkerHeartbeat, "", api.JSON(&c), heartbeatTimeout}, func(*controller.Response) {})
+	sim.request(apiRequest{duplicatesParty, n, transport.WorkerHeartbeat, "", api.JSON(&c), heartbeatTimeout},
+		func(*controller.Response) {})
 }
 
-// duplicateHeartbeat has copies of a report come to all nodes again.
+// duplicateHeartbeat delivers duplicates of a heartbeat to all nodes, late or to the next leader, during such faults.
 func (sim *Simulation) duplicateHeartbeat(m *api.Heartbeat) {
 	deliverCopies := func(delay time.Duration) {
 		for i, n := range sim.nodes {
@@ -48,11 +49,13 @@
 	case sim.faultHits(sim.delayedHeartbeats):
 		deliverCopies(time.Duration(2000+sim.rng.Float64()*2000*sim.settings.Workers.LeaseS) * time.Millisecond)
 	case sim.faultHits(sim.heldHeartbeats):
-		sim.heldDeliveries = append(sim.heldDeliveries, func() { deliverCopies(time.Duration(sim.rng.IntN(4000)) * time.Millisecond) })
+		sim.heldDeliveries = append(sim.heldDeliveries, func() {
+			deliverCopies(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
+		})
 	}
 }
 
-// holdHeartbeatsForNextLeader has copies wait for the next leader.
+// holdHeartbeatsForNextLeader keeps duplicates of heartbeats until the next leader begins.
 func (sim *Simulation) holdHeartbeatsForNextLeader(share float64, d time.Duration) {
 	sim.heldHeartbeats = faultWindow{share, sim.now.Add(d)}
 	if sim.awaitingNextLeader {
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -37,7 +37,8 @@
 				return
 			}
 			if other.id == t.id && o != w {
-				sim.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", t.id, w.id, t.attempt, o.id,
+				sim.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", t.id, w.id, t.attempt,
+					o.id,
 					other.attempt)
 			}
 			used.add(sim.jobs[other.id.Job], o, other)
--- a/internal/simulator/leadership.go
+++ b/internal/simulator/leadership.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/ident"
 )
 
-// leader returns the node that surely leads, nil if none does.
+// leader returns the node with a valid leader lease, nil if there is none.
 func (sim *Simulation) leader() *node {
 	for _, n := range sim.nodes {
 		if n.alive && n.controller.Election().LeaseValid() {
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// newestTerm returns the newest term, which is also how many there were.
+// newestTerm returns the newest term, which is also the number of terms so far.
 func (sim *Simulation) newestTerm() ident.Term {
 	most := ident.Term(0)
 	for _, n := range sim.nodes {
@@ -25,7 +25,7 @@
 	return most
 }
 
-// onNewTerm calls f whenever another term has begun.
+// onNewTerm calls f whenever a leader of a newer term is there.
 func (sim *Simulation) onNewTerm(f func()) {
 	newest := sim.newestTerm()
 	sim.every(20*time.Millisecond, func() bool {
@@ -37,7 +37,7 @@
 	})
 }
 
-// countLeaderChanges counts the changes of the lead from now on under a name.
+// countLeaderChanges counts an event for each newer term from now on.
 func (sim *Simulation) countLeaderChanges(name eventName) {
 	sim.onNewTerm(func() { sim.countEvent(name) })
 }
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -9,19 +9,19 @@
 	"opaldale/internal/transport"
 )
 
-// linkMonitor is what the stand-in does when nodes speak of their links.
+// linkMonitor follows what nodes announce of their links and handovers.
 type linkMonitor struct {
 	announcedTerms  map[ident.Term]bool
-	onHandover      func(from *node, to ident.NodeID) // at the first announcement of a term
-	staleRowDelay   time.Duration                     // copies of rows come so much later as well
-	newestHeartbeat map[string]uint64                 // the newest heartbeat from one node to another
-	// sentTransactions holds the transactions that were sent.
+	onHandover      func(from *node, to ident.NodeID) // called at the first announcement of a term
+	staleRowDelay   time.Duration                     // delay of duplicates of link states; 0: none
+	newestHeartbeat map[string]uint64                 // number of the newest heartbeat from one node to another
+	// sentTransactions has the transactions that were sent, by transactionKey.
 	sentTransactions map[string]bool
-	handovers        map[string]int // nodes that hand the lead over, by their process
+	handovers        map[string]int // incarnations of the nodes that hand over leadership
 }
 
-// observeFrame takes note of a frame about links before it is sent; false drops it. A node of
-// the version in production would close the connection on one.
+// observeFrame observes a frame before it is sent. It returns false for one that the version in production does not know,
+// which closes the connection on it.
 func (sim *Simulation) observeFrame(from, to *node, f *transport.Frame) bool {
 	reversePath := to.name + " " + from.name
 	switch f.Type {
@@ -29,7 +29,7 @@
 		sim.newestHeartbeat[from.name+" "+to.name] = f.ID
 	case transport.MsgLinkState, transport.MsgTransferLeader, transport.MsgRelayRequest:
 		if to.alive && to.env.legacy || from.env.legacy {
-			sim.reportViolation("%s sent a frame about links to %s, of which one is old", from.name, to.name)
+			sim.reportViolation("%s sent a frame about links to %s, one of which is a legacy node", from.name, to.name)
 			return false
 		}
 	}
@@ -51,14 +51,14 @@
 	return true
 }
 
-// redeliverRows has a copy of a message of rows come late. Of the mutation FreshenStaleRows, it names
-// the receiver's newest heartbeat, as if it had been made just before.
+// redeliverRows delivers a duplicate of link states late. With the mutation FreshenStaleRows it refers to the newest
+// heartbeat of the receiver, as if it had just been made.
 func (sim *Simulation) redeliverRows(from, to *node, reversePath string, f *transport.Frame) {
 	if sim.staleRowDelay == 0 {
 		return
 	}
 	late := *f
-	late.LinkState = slices.Clone(f.LinkState[:1]) // that of the sender
+	late.LinkState = slices.Clone(f.LinkState[:1]) // the sender's own
 	sim.schedule(sim.staleRowDelay, func() {
 		if !to.alive {
 			return
@@ -72,10 +72,10 @@
 	})
 }
 
-// staleSequenceOffset makes the sequence of an old row larger than that of any newer one.
+// staleSequenceOffset makes the sequence number of a stale row larger than that of any newer one.
 const staleSequenceOffset = 100_000
 
-// forgedRows says of one node that all its links work, and of the others that none does.
+// forgedRows returns link states by which all links of one node are up, and all of the others down.
 func forgedRows(sim *Simulation, best *node) []links.Advertisement {
 	var rows []links.Advertisement
 	for _, n := range sim.nodes {
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -214,7 +214,8 @@
 			})
 			sim.Run()
 			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[linkBrokenInCommitEvent] == 0 {
-				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, sim.Violations, sim.Unfinished, sim.eventCounts, sim.LogTail(30))
+				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, sim.Violations, sim.Unfinished, sim.eventCounts,
+					sim.LogTail(30))
 			}
 		}
 	}
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// checkIdleCapacity checks that no job waits beside room for it, once all troubles are over.
+// checkIdleCapacity checks that no job waits while there is capacity for it, once all faults are over.
 func (sim *Simulation) checkIdleCapacity() {
 	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
 	sim.schedule(5*time.Second, sim.checkIdleCapacity)
@@ -18,7 +18,7 @@
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
 		if j.idleCapacitySince > 0 && sim.now.Sub(j.idleCapacitySince) > maxWaitBesideCapacity {
-			sim.reportViolation("%s waits for %v beside room for it", id, sim.now.Sub(j.idleCapacitySince))
+			sim.reportViolation("%s waits for %v while there is capacity for it", id, sim.now.Sub(j.idleCapacitySince))
 			return
 		}
 		switch {
@@ -30,7 +30,7 @@
 	}
 }
 
-// maxWaitBesideCapacity is how long a job may wait then.
+// maxWaitBesideCapacity is how long a job may wait while there is capacity for it.
 const maxWaitBesideCapacity = 90 * time.Second
 
 // hasCapacityFor reports whether a task of a job waits though it could start.
@@ -60,7 +60,7 @@
 	return false
 }
 
-// admits reports whether a machine is in order, and has room for a task of a job whose constraints it meets.
+// admits reports whether a machine works, meets the constraints of a job and has capacity for a task of it.
 func (sim *Simulation) admits(w *worker, j *userJob, used *usage) bool {
 	zone := w.machine.zone
 	switch {
@@ -76,7 +76,7 @@
 	return sim.cloud.models[0].VCPUs-w.usedCPUs() >= j.spec.VCPUs
 }
 
-// largestJobs lists the jobs of each class that are its largest, by CPUs in all.
+// largestJobs lists the largest jobs of each class, by CPUs in total.
 func (sim *Simulation) largestJobs() (out []*userJob) {
 	most := map[string]float64{}
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.VCPUs }
@@ -91,8 +91,8 @@
 	return out
 }
 
-// checkFairness checks that at least half of each class, of each team and of the largest jobs
-// were served, and that those began in time.
+// checkFairness checks that at least half of the jobs of each class, of each team and of the largest ones were served, and
+// that the largest ones started in time.
 func (sim *Simulation) checkFairness() {
 	type share struct{ all, ok int }
 	by := map[string]*share{}
@@ -132,12 +132,13 @@
 	}
 }
 
+// defaultQuiescence is the duration of the quiescent part unless the configuration says otherwise.
 const defaultQuiescence = 260 * time.Second
 
-// checkCompletion checks that nothing was left undone.
+// checkCompletion checks that all work has ended.
 func (sim *Simulation) checkCompletion() {
 	if !sim.cfg.Overload {
-		sim.checkFairness() // more is asked for there than there is room for
+		sim.checkFairness() // with overload there is not enough capacity for that
 	}
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -147,7 +148,7 @@
 		case j.cancelSentAt > 0:
 			sim.reportUnfinished("%s: its cancellation was never confirmed", id)
 		case j.spec.Shape != api.Service:
-			sim.reportUnfinished("%s: never done, last told %q", id, j.lastStatus)
+			sim.reportUnfinished("%s: never done, last status %q", id, j.lastStatus)
 		default:
 			n := 0
 			for _, w := range sim.workers {
@@ -160,6 +161,7 @@
 	}
 }
 
+// reportUnfinished records work that has not ended.
 func (sim *Simulation) reportUnfinished(format string, a ...any) {
 	sim.Unfinished = append(sim.Unfinished, fmt.Sprintf(format, a...))
 }
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -180,7 +180,8 @@
 		from, _ := sim.moveEndpoints(m)
 		sim.blockOutbound(from, longerThanLease)
 	}},
-	{name: "destination taken back, and the leader killed", expectedEvents: []eventName{machineReclaimedEvent, leaderReplacedEvent},
+	{name: "destination taken back, and the leader killed",
+		expectedEvents: []eventName{machineReclaimedEvent, leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			_, to := sim.moveEndpoints(m)
 			sim.reclaimMachine(to, 0)
@@ -223,7 +224,8 @@
 			sim.expectNewLeader(l)
 			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
 		}},
-	{name: "commands held up, and the leader back within a second", expectedEvents: []eventName{newTermEvent, commandDelayedEvent},
+	{name: "commands held up, and the leader back within a second",
+		expectedEvents: []eventName{newTermEvent, commandDelayedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
@@ -234,7 +236,8 @@
 		inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 			for range 6 {
 				sim.submitJob(func(s *api.Spec) {
-					s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, 2, 1, "img-0"
+					s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, 2, 1,
+						"img-0"
 				}, 0)
 			}
 			sim.countEvent(urgentJobsEvent)
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -17,7 +17,7 @@
 	"opaldale/internal/upgrade"
 )
 
-// mutateHeartbeatReply is what mutations make of an answer to a report.
+// mutateHeartbeatReply applies mutations to the reply to a heartbeat.
 func (sim *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
@@ -36,6 +36,7 @@
 	return r
 }
 
+// withoutStops drops the commands that stop tasks.
 func withoutStops(list []api.Command) []api.Command {
 	out := []api.Command{}
 	for _, o := range list {
@@ -73,7 +74,7 @@
 	}
 }
 
-// forgetPlacements is the mutation in which a new leader doesn't know where tasks are.
+// forgetPlacements drops the placements from a page of the log, for the mutation ForgetPlacements.
 func forgetPlacements(a kvstore.Response) kvstore.Response {
 	pairs := append([]kvstore.KeyValue(nil), a.KeyValues...)
 	for i, p := range pairs {
@@ -100,8 +101,7 @@
 	return a
 }
 
-// dropZoneConstraint is the mutation in which the controllers don't know that a job is bound to
-// one zone.
+// dropZoneConstraint drops the constraints to a zone from a submission, for the mutation DropZoneConstraint.
 func dropZoneConstraint(body []byte) []byte {
 	var s api.Spec
 	if json.Unmarshal(body, &s) != nil {
@@ -111,40 +111,61 @@
 	return api.JSON(s)
 }
 
-// Mutation switches off one of the safeguards, to show that the checks notice.
+// Mutation names a safeguard that is switched off, to show that the checks detect its absence.
 type Mutation uint8
 
 // The mutations.
 const (
-	None                   Mutation = iota
-	LaunchBeforeCommit              // launches are sent before the placement is durable
-	IgnoreFencingTokens             // workers carry out commands with any token
-	IgnoreRevisions                 // transactions are carried out whatever their stamps
-	StarvePolls                     // polls for some jobs get no answer
-	AcceptStaleHeartbeats           // late copies of reports have new serials, as if they were sent now
-	NoMaxWait                       // nothing bounds how long a job waits for its first task
-	KeepLeasesForever               // nodes that are cut off with workers answer them for as long as it lasts
-	StopPartOfGang                  // only the first task of a gang hears that it should save and stop
-	HideWaitingGangTasks            // reports don't tell of tasks that wait for their gang
-	ReuseGangAttempt                // every attempt of a gang has the same number
-	RaiseFormatEarly                // the format level is raised while old nodes are there
-	WriteNewFieldsEarly             // new fields are written below the level
-	RenewWithoutLeadership          // nodes that don't surely lead renew every lease for ever
-	DropStopCommands                // no order to stop a task reaches a machine
-	CacheStatusAnswers              // nodes answer questions from memory for a while
-	ForgetPlacements                // a new leader doesn't know which machines tasks are on
-	DropZoneConstraint              // the controllers don't know that a job is bound to one zone
-	IgnoreSendDeadlines             // what a node decided goes out however long after
-	FreshenStaleRows                // late copies of what siblings say of their links look new
-	UnboundedHandovers              // nothing bounds how often the lead is given up
-	NoFlapDamping                   // a link that broke a moment ago is as good as any
+	// None switches nothing off.
+	None Mutation = iota
+	// LaunchBeforeCommit sends launches before their placement is durable.
+	LaunchBeforeCommit
+	// IgnoreFencingTokens has workers execute commands with any token.
+	IgnoreFencingTokens
+	// IgnoreRevisions carries out transactions whatever the revisions they demand.
+	IgnoreRevisions
+	// StarvePolls leaves the queries for some jobs unanswered.
+	StarvePolls
+	// AcceptStaleHeartbeats gives delayed copies of heartbeats new sequence numbers, as if they were sent just then.
+	AcceptStaleHeartbeats
+	// NoMaxWait leaves the wait of a job for its first task unbounded.
+	NoMaxWait
+	// KeepLeasesForever has nodes that are partitioned with workers renew their leases without a bound.
+	KeepLeasesForever
+	// StopPartOfGang has only the first task of a gang learn that it shall checkpoint and stop.
+	StopPartOfGang
+	// HideWaitingGangTasks leaves tasks that wait for their gang out of heartbeats.
+	HideWaitingGangTasks
+	// ReuseGangAttempt numbers every attempt of a gang alike.
+	ReuseGangAttempt
+	// RaiseFormatEarly raises the format level while legacy nodes are there.
+	RaiseFormatEarly
+	// WriteNewFieldsEarly writes new fields below their format level.
+	WriteNewFieldsEarly
+	// RenewWithoutLeadership has nodes that may not lead renew every lease.
+	RenewWithoutLeadership
+	// DropStopCommands has no command to stop a task reach a machine.
+	DropStopCommands
+	// CacheStatusAnswers has nodes repeat replies to queries for a while.
+	CacheStatusAnswers
+	// ForgetPlacements hides from a new leader which machines tasks are on.
+	ForgetPlacements
+	// DropZoneConstraint hides from the controllers that a job is bound to one zone.
+	DropZoneConstraint
+	// IgnoreSendDeadlines sends out what a node decided however long ago.
+	IgnoreSendDeadlines
+	// FreshenStaleRows makes delayed copies of link states look new.
+	FreshenStaleRows
+	// UnboundedHandovers leaves the rate of handovers unbounded.
+	UnboundedHandovers
+	// NoFlapDamping takes a link that broke just before for as good as any other.
+	NoFlapDamping
 )
 
 // mutates reports whether a safeguard is switched off in this run.
 func (sim *Simulation) mutates(m Mutation) bool { return sim.cfg.Mutation == m }
 
-// launchBeforeCommit is the mutation that launches what a transaction is only about to
-// make durable.
+// launchBeforeCommit sends the launches of a transaction before it is committed, for the mutation LaunchBeforeCommit.
 func (sim *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
 	for _, c := range r.Mutations {
 		var v struct {
@@ -179,7 +200,8 @@
 	}
 }
 
-// mutateRequest is what the mutations of a rollout do to the requests of a new node.
+// mutateRequest applies the mutations of a rolling upgrade to a request of a new node to the store. It returns false if it
+// has answered the request itself.
 func (sim *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
 	if sim.mutates(RaiseFormatEarly) && r.Prefix == upgrade.NodeKeyPrefix {
 		out := kvstore.Response{Outcome: kvstore.OK}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -192,7 +192,8 @@
 
 // call sends a request and passes its reply to done. handle serves the request and may reply at any time; done gets
 // false if no reply comes within the timeout.
-func call[T any](sim *Simulation, from, to string, timeout time.Duration, handle func(reply func(T)), done func(reply T, ok bool)) {
+func call[T any](sim *Simulation, from, to string, timeout time.Duration, handle func(reply func(T)),
+	done func(reply T, ok bool)) {
 	over := false
 	finish := func(reply T, ok bool) {
 		if !over {
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -44,7 +44,7 @@
 // Store implements the environment of a controller.
 func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	sim := e.sim()
-	sim.cfg.Digest.stateRequest(sim.now, e.node.name, r)
+	sim.cfg.Digest.storeRequest(sim.now, e.node.name, r)
 	ok := true
 	if e.legacy {
 		f, ok = e.legacyRequest(r, f)
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -7,29 +7,28 @@
 	"opaldale/internal/ident"
 )
 
-// eventPause lets a process stand still in the middle of an event: between any two of its
-// looks at the clock and calls to the outside, while its clocks run on. What it sends
-// after that goes out when it moves again.
+// eventPause pauses a process in the midst of an event: between any two of its readings of the clock and calls to the
+// outside, while its clocks go on. What it sends after that goes out when the pause is over.
 type eventPause struct {
-	window          faultWindow   // the share is that of the events in which it happens
-	stepsUntilPause int           // it happens before that many further looks and calls; 0: not in this event
-	paused          time.Duration // in this event, so far
+	window          faultWindow   // its probability is that of a pause in an event
+	stepsUntilPause int           // readings and calls until the pause; 0: none in this event
+	paused          time.Duration // in this event so far
 }
 
-// maxStepsBeforePause bounds how far into an event a process stands still.
+// maxStepsBeforePause bounds how many readings and calls of an event precede a pause.
 const maxStepsBeforePause = 12
 
-// beginEvent begins an event, which may be one in which the process stands still.
+// beginEvent begins an event, and draws whether it has a pause.
 func (h *eventPause) beginEvent(sim *Simulation) {
 	if sim.faultHits(h.window) {
 		h.stepsUntilPause = 1 + sim.rng.IntN(maxStepsBeforePause)
 	}
 }
 
-// endEvent ends it.
+// endEvent ends the event.
 func (h *eventPause) endEvent() { h.stepsUntilPause, h.paused = 0, 0 }
 
-// maybePause has the process stand still now, if it is time for that.
+// maybePause begins the pause if it is due.
 func (e *nodeEnv) maybePause() {
 	h, sim := &e.node.eventPause, e.sim()
 	if h.stepsUntilPause == 0 {
@@ -43,12 +42,12 @@
 	if e.leads() {
 		sim.countEvent(leaderPausedEvent)
 	}
-	sim.logf("%s stands still for %v within an event", e.node.name, h.paused)
+	sim.logf("%s paused for %v within an event", e.node.name, h.paused)
 	e.node.pausedUntil = max(e.node.pausedUntil, sim.now.Add(h.paused))
 }
 
-// afterPause makes a call to the outside wait until the process moves again, if it
-// stands still. It is lost with the process.
+// afterPause returns a function that makes a call to the outside once the process is not paused. The call is lost with the
+// process.
 func (e *nodeEnv) afterPause(send func()) func() {
 	return func() {
 		e.maybePause()
@@ -65,18 +64,18 @@
 	}
 }
 
-// clock reads the steady clock; the process doesn't stand still for it.
+// clock reads the monotonic clock without a pause.
 func (e *nodeEnv) clock() ident.MonotonicTime {
 	return ident.MonotonicTime(float64(e.sim().now-e.startedAt) * e.clockRate)
 }
 
-// leads says whether the process surely leads, to an observer who isn't held up by it.
+// leads reports whether the process holds a valid leader lease, without a pause.
 func (e *nodeEnv) leads() bool {
 	m := e.node.controller.Election()
 	return m.State() == election.Leading && e.clock() < m.LeaseExpiry()
 }
 
-// deadlinePassed says whether a time limit of the process is over; 0 is none.
+// deadlinePassed reports whether a deadline of the process has passed; 0 is none.
 func (e *nodeEnv) deadlinePassed(limit ident.MonotonicTime) bool {
 	return limit > 0 && e.clock() >= limit && !e.sim().mutates(IgnoreSendDeadlines)
 }
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -154,7 +154,10 @@
 		{"tasks that never save have run for long", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
-					j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.CheckpointEveryS, s.RuntimeS = 0, 150 }, firstTaskDuration)
+					j := sim.submitJob(func(s *api.Spec) {
+						sim.makeNarrow(s)
+						s.CheckpointEveryS, s.RuntimeS = 0, 150
+					}, firstTaskDuration)
 					j.durationStep = taskDurationStep
 				}
 			})
@@ -165,7 +168,10 @@
 		{"the wide job fails everywhere", func(sim *Simulation) {
 			sim.fragmentFleet(0)
 			sim.scheduleAt(wideTasksAt, func() {
-				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0 }, wideTaskDuration)
+				j := sim.submitJob(func(s *api.Spec) {
+					sim.makeNarrow(s)
+					s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0
+				}, wideTaskDuration)
 				j.alwaysFails = true
 				sim.schedule(60*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 			})
@@ -259,7 +265,8 @@
 			sim.forEachPeer(l, func(n *node) {
 				n.controller.MoveReport(func(r controller.MoveReport) {
 					for _, e := range r.Moves {
-						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For && e.State == "recorded" {
+						if !r.Leader && e.Task == m.Task && e.From == m.From && e.To == m.To && e.For == m.For &&
+							e.State == "recorded" {
 							sim.countEvent(moveReportedByPeerEvent)
 						}
 					}
@@ -309,7 +316,10 @@
 		sim.fragmentFleet(4)
 		for s := wideTasksAt; s < wideTasksAt+40; s += 0.7 {
 			sim.scheduleAt(s, func() {
-				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5 }, 5*time.Second)
+				sim.submitJob(func(s *api.Spec) {
+					sim.makeNarrow(s)
+					s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5
+				}, 5*time.Second)
 			})
 		}
 		gains := sim.collectFinishedMoves()
@@ -365,7 +375,8 @@
 	sim.fragmentFleet(4)
 	sim.scheduleAt(40, func() {
 		for _, id := range sim.jobOrder {
-			sim.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`), revision: ident.Revision(sim.store.revision)}
+			sim.store.keys[migration.Key(id)] = &entry{value: []byte(`{"moves":"many"}`),
+				revision: ident.Revision(sim.store.revision)}
 		}
 		l := sim.leader()
 		l.crash(time.Second)
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -130,7 +130,9 @@
 	states := []migration.State{migration.Stopping, migration.Proposed, migration.Placing}
 	sim.scheduleAt(wideTasksAt, func() {
 		sim.countMoveOutcomes()
-		sim.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) { sim.injectMoveFault(l, m, variant) })
+		sim.onMoveState(states[variant%uint64(len(states))], func(l *node, m controller.MoveEntry) {
+			sim.injectMoveFault(l, m, variant)
+		})
 	})
 	sim.crashLeaderAt(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
 }
@@ -212,7 +214,8 @@
 
 // largeFleetConfig has several hundred machines.
 func largeFleetConfig(seed, variant uint64) Config {
-	return Config{Seed: seed, NoArrivals: true, FleetSize: smallestReplayedFleet + int(variant%3)*replayedFleetStep, ActiveDuration: replayLength}
+	return Config{Seed: seed, NoArrivals: true, FleetSize: smallestReplayedFleet + int(variant%3)*replayedFleetStep,
+		ActiveDuration: replayLength}
 }
 
 // setUpLargeFleet has a large fleet go through a leader change, an outage of the store and the partition of a zone.
@@ -407,7 +410,8 @@
 	borrow := func(class string, tasks int, cpus float64, runs time.Duration) {
 		sim.countEvent(borrowerJobEvent)
 		sim.submitJob(func(s *api.Spec) {
-			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, cpus, 0.1, true
+			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, cpus,
+				0.1, true
 		}, runs)
 	}
 	sim.scheduleAt(45, func() { borrow("vast", 1000, 0.25, 4*time.Second) })
@@ -438,7 +442,8 @@
 	for s := 30.0; s < replayLength.Seconds(); s += 10 {
 		sim.scheduleAt(s, func() {
 			j := sim.submitJob(func(s *api.Spec) {
-				s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1, "blue"
+				s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Team = api.Service, api.Critical, false, 0, 1, 1,
+					"blue"
 			}, 0)
 			sim.schedule(30*time.Second, func() { sim.cancelWhenAccepted(j, nil) })
 		})
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -35,7 +35,8 @@
 
 // upgradesOf returns 1 if the newest format is in use at the end.
 func upgradesOf(sim *Simulation) int {
-	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil || level != ident.NewestFormatLevel {
+	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
+		level != ident.NewestFormatLevel {
 		return 0
 	}
 	return 1
@@ -49,14 +50,19 @@
 		{"gang stopped in order", func(sim *Simulation) int { return sim.GangStops }, 1}},
 	"links":    {counted(rowsSentEvent, 100), lostOneWay, leaderChange},
 	"handover": {counted(handoverAnnouncedEvent, 1), lostOneWay},
-	"moves": {moveRecorded, counted(moveEndEvent(migration.Arrived.String()), 1), counted(moveFaultInjectedEvent, replaysPerScenario),
+	"moves": {moveRecorded, counted(moveEndEvent(migration.Arrived.String()), 1),
+		counted(moveFaultInjectedEvent, replaysPerScenario),
 		counted(rowsSentEvent, 100), leaderChange},
-	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int { return sim.slowMachineCount }, replaysPerScenario}},
-	"upgrade":      {counted(legacyNodeEvent, 3*replaysPerScenario-1), upgraded, gangRan, leaderChange},
-	"large-fleet":  {counted(fleetMachineEvent, 900), counted(storeOutageEvent, replaysPerScenario), leaderChange},
-	"store-outage": {counted(storeOutageEvent, replaysPerScenario), counted(storeSlowEvent, 20), counted(limitsBelowAnnouncedEvent, 1),
+	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int {
+		return sim.slowMachineCount
+	}, replaysPerScenario}},
+	"upgrade":     {counted(legacyNodeEvent, 3*replaysPerScenario-1), upgraded, gangRan, leaderChange},
+	"large-fleet": {counted(fleetMachineEvent, 900), counted(storeOutageEvent, replaysPerScenario), leaderChange},
+	"store-outage": {counted(storeOutageEvent, replaysPerScenario), counted(storeSlowEvent, 20),
+		counted(limitsBelowAnnouncedEvent, 1),
 		{"transaction too large", func(sim *Simulation) int { return sim.OversizedTransactions }, 1}, leaderChange},
-	"failover": {counted(leaderCrashedEvent, 5*replaysPerScenario), counted(allNodesCrashedEvent, 1), counted(newTermEvent, 8*replaysPerScenario)},
+	"failover": {counted(leaderCrashedEvent, 5*replaysPerScenario), counted(allNodesCrashedEvent, 1),
+		counted(newTermEvent, 8*replaysPerScenario)},
 	"partitions": {counted(partitionedEvent, 4*replaysPerScenario), counted(nodesProbedEvent, 50),
 		counted(bootSlowEvent, 1), leaderChange},
 	"flood":        {counted(onlyHotTeamEvent, 1), leaderChange},
--- a/internal/simulator/rolling_upgrade.go
+++ b/internal/simulator/rolling_upgrade.go
@@ -5,12 +5,11 @@
 const (
 	upgradeStart    = 40 * time.Second
 	upgradeInterval = 20 * time.Second
-	// limitChangeDelay is when the state service lowers its limits, or so long after an upgrade
-	// has begun.
+	// limitChangeDelay is how long after the start, or after that of a rolling upgrade, the store lowers its limits.
 	limitChangeDelay = 90 * time.Second
 )
 
-// rollingUpgrade replaces the nodes by new ones, one after the other.
+// rollingUpgrade restarts the nodes from i on with the new version, one after the other.
 func (sim *Simulation) rollingUpgrade(i int) {
 	if i == len(sim.nodes) {
 		return
@@ -25,7 +24,7 @@
 	sim.schedule(upgradeInterval, func() { sim.rollingUpgrade(i + 1) })
 }
 
-// gangsSupported says whether users may ask for what only new nodes know.
+// gangsSupported reports whether no node runs the version in production, which has no gangs.
 func (sim *Simulation) gangsSupported() bool {
 	for _, n := range sim.nodes {
 		if n.legacy {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -77,7 +77,8 @@
 			for _, id := range sim.jobOrder {
 				j := sim.jobs[id]
 				for _, w := range sim.sortedWorkers() {
-					if j.accepted && j.cancelSentAt == 0 && !isTerminal(j.lastStatus) && w.machine.zone == zone && w.taskCount(id) > 0 {
+					if j.accepted && j.cancelSentAt == 0 && !isTerminal(j.lastStatus) && w.machine.zone == zone &&
+						w.taskCount(id) > 0 {
 						j.cancelSentAt = sim.now
 						sim.cancel(j)
 						cancelled++
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -13,12 +13,12 @@
 	"opaldale/internal/settings"
 )
 
-// store is the state service.
+// store simulates the key-value store by its protocol.
 type store struct {
 	sim         *Simulation
 	revision    uint64
 	keys        map[string]*entry
-	leases      map[uint64]ident.MonotonicTime // when each ends
+	leases      map[uint64]ident.MonotonicTime // expiry by lease
 	leaseTTLs   map[uint64]time.Duration
 	lastLeaseID uint64
 	watchers    []*watcher
@@ -28,12 +28,14 @@
 	limits      settings.StoreLimits
 }
 
+// entry is the value of a key.
 type entry struct {
 	value    json.RawMessage
 	revision ident.Revision
 	leaseID  uint64
 }
 
+// watcher is a watch that waits for its reply.
 type watcher struct {
 	prefix        string
 	afterRevision uint64
@@ -42,13 +44,14 @@
 }
 
 func newStore(sim *Simulation) *store {
-	s := &store{sim: sim, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{}, leaseTTLs: map[uint64]time.Duration{},
+	s := &store{sim: sim, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{},
+		leaseTTLs:   map[uint64]time.Duration{},
 		rejectUntil: map[string]ident.MonotonicTime{}, limits: sim.settings.Store}
 	sim.schedule(0, s.expireLeases)
 	return s
 }
 
-// expireLeases ends leases; an outage gives each its full time again.
+// expireLeases ends the leases that have expired. An outage extends each to its full time after the outage.
 func (s *store) expireLeases() {
 	if s.sim.now < s.downUntil {
 		for g := range s.leases {
@@ -63,6 +66,7 @@
 	s.sim.schedule(20*time.Millisecond, s.expireLeases)
 }
 
+// endLease deletes a lease with its keys.
 func (s *store) endLease(leaseID uint64) {
 	delete(s.leases, leaseID)
 	var gone []kvstore.Mutation
@@ -212,10 +216,10 @@
 	}
 }
 
-// lowerLimits brings the announced limits into force.
+// lowerLimits puts the announced limits into force.
 func (s *store) lowerLimits() {
 	s.limits = s.limits.Strictest()
-	s.sim.logf("the state service has its new limits")
+	s.sim.logf("key-value store has its new limits")
 }
 
 // maxTransactionBytes bounds the values of a transaction together.
@@ -236,7 +240,8 @@
 // checkLimits rejects a transaction that is over a limit or uses a lease that is not there.
 func (s *store) checkLimits(r kvstore.Request) (rejected kvstore.Response, ok bool) {
 	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
-		return s.rejectOversized("transaction over the limits: %d mutations, %d compares", len(r.Mutations), len(r.Compares)), false
+		return s.rejectOversized("transaction over the limits: %d mutations, %d compares", len(r.Mutations),
+			len(r.Compares)), false
 	}
 	size := 0
 	for _, m := range r.Mutations {
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -95,7 +95,8 @@
 // StudyLink plays a day of steady submissions on which one link of the leader breaks for a
 // time, or, with a period, for six tenths of each.
 func StudyLink(seed uint64, monitored bool, link DirectedLink, broken, period time.Duration) LinkOutcome {
-	sim := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true, ActiveDuration: linkBreakAt + broken + 20*time.Second,
+	sim := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true,
+		ActiveDuration:    linkBreakAt + broken + 20*time.Second,
 		QuiescentDuration: linkStudyQuiescence})
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, (linkBreakAt + broken).Seconds(), 1.3, 20*time.Second)
--- a/internal/simulator/user_faults.go
+++ b/internal/simulator/user_faults.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/api"
 )
 
-// runningJobs lists the jobs with tasks on machines that nobody has cancelled.
+// runningJobs lists the jobs with tasks on machines that are not cancelled.
 func (sim *Simulation) runningJobs() (out []*userJob) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -20,7 +20,7 @@
 	return out
 }
 
-// workersOf lists the machines with tasks of a job.
+// workersOf lists the workers with tasks of a job.
 func (sim *Simulation) workersOf(j *userJob) (out []*worker) {
 	for _, w := range sim.sortedWorkers() {
 		if w.taskCount(j.spec.ID) > 0 {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// cancelRunning calls up to n running jobs off within a fifth of a second; with hang, up to
-// eight of their machines hang that long.
+// cancelRunning cancels up to n running jobs within a fifth of a second. If hang is positive, up to eight of their
+// machines hang for that long.
 func (sim *Simulation) cancelRunning(n int, hang time.Duration) {
 	hung := 0
 	for i, j := range sim.runningJobs() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// onTaskCompleted is called when a task has completed, before its machine says so.
+// onTaskCompleted is called when a task has completed, before its machine reports it.
 func (sim *Simulation) onTaskCompleted(j *userJob) {
 	for _, d := range j.done {
 		if !d {
--- a/internal/simulator/user_job.go
+++ b/internal/simulator/user_job.go
@@ -7,18 +7,18 @@
 	"opaldale/internal/ident"
 )
 
-// userJob is a job with its user, who remembers what it was told.
+// userJob is a job, with what its user knows of it and what its tasks have done.
 type userJob struct {
 	spec                api.Spec
 	duration            time.Duration
 	alwaysFails         bool                                    // its tasks fail on every machine
-	failures            int                                     // that failed for it
+	failures            int                                     // attempts that failed for that
 	durationStep        time.Duration                           // by which each task runs longer than the one before
-	idleCapacitySince   ident.MonotonicTime                     // since when it waits beside room for it, 0: it doesn't
-	checkpointedSeconds float64                                 // progress of a gang that is safe, in seconds
-	checkpointed        map[int]time.Duration                   // progress of an array's tasks that is safe
-	lostWork            time.Duration                           // of its tasks' run time, by stops without saving
-	stops               map[ident.TaskID]map[ident.Attempt]bool // attempts that a command has stopped before the job was called off
+	idleCapacitySince   ident.MonotonicTime                     // since when it waits though there is capacity, 0: it does not
+	checkpointedSeconds float64                                 // checkpointed progress of a gang, in seconds
+	checkpointed        map[int]time.Duration                   // checkpointed progress of the tasks of an array
+	lostWork            time.Duration                           // run time lost by stops without a checkpoint
+	stops               map[ident.TaskID]map[ident.Attempt]bool // attempts stopped by commands before its cancellation
 	done                []bool
 	submitted           bool
 	accepted            bool
@@ -29,9 +29,10 @@
 	submittedAt         ident.MonotonicTime
 	acceptedAt          ident.MonotonicTime
 	firstStartAt        ident.MonotonicTime // when its first task started, 0: not yet
-	lastAnsweredAt      ident.MonotonicTime // when a question about it was last answered
+	lastAnsweredAt      ident.MonotonicTime // when a query was last answered
 }
 
+// durationOf returns the run time of a task.
 func (j *userJob) durationOf(i int) time.Duration {
 	return j.duration + time.Duration(i)*j.durationStep
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -14,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// worker is a machine's worker.
+// worker simulates the worker of a machine by its protocol.
 type worker struct {
 	sim               *Simulation
 	machine           *machine
@@ -29,13 +29,13 @@
 	nodeIndex         int
 	tasks             map[ident.TaskID]map[ident.Attempt]*task
 	images            map[string]bool
-	heartbeatInFlight bool // a report is under way
+	heartbeatInFlight bool
 	lastHeartbeat     ident.MonotonicTime
 	faulty            bool
-	slowdown          float64 // how many times as long arrays' tasks take
+	slowdown          float64 // factor by which tasks of arrays take longer
 }
 
-// slowFactor is that of slow machines.
+// slowFactor is the slowdown of slow machines.
 const slowFactor = 4
 
 func newWorker(sim *Simulation, m *machine) *worker {
@@ -52,7 +52,7 @@
 	return w
 }
 
-// whenResponsive runs f once the machine doesn't hang.
+// whenResponsive runs f once the machine does not hang.
 func (w *worker) whenResponsive(f func()) {
 	if w.dead {
 		return
@@ -65,14 +65,16 @@
 	f()
 }
 
+// hangFor makes the machine hang. What it holds up goes on later.
 func (w *worker) hangFor(d time.Duration) {
 	w.sim.logf("%s hangs for %v", w.id, d)
 	w.hungUntil = max(w.hungUntil, w.sim.now.Add(d))
 }
 
+// announceReclaim has heartbeats announce that the machine will be reclaimed.
 func (w *worker) announceReclaim(d time.Duration) { w.reclaimAt = w.sim.now.Add(d) }
 
-// checkLease ends the session when its time is over.
+// checkLease begins the next incarnation if the lease has expired.
 func (w *worker) checkLease() {
 	if w.leaseExpired() {
 		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
@@ -81,12 +83,12 @@
 	}
 }
 
-// leaseExpired reports whether the worker's lease is over, though it may not have noticed.
+// leaseExpired reports whether the worker's lease has expired, even if the worker has not checked yet.
 func (w *worker) leaseExpired() bool {
 	return w.sim.now.Sub(w.leaseRenewedAt).Seconds() > w.sim.settings.Workers.LeaseS
 }
 
-// tick reports now and then.
+// tick sends a heartbeat whenever one is due.
 func (w *worker) tick() {
 	if w.dead {
 		return
@@ -99,14 +101,18 @@
 	w.sim.schedule(250*time.Millisecond, w.tick)
 }
 
-// expediteHeartbeat brings the next report forward.
+// expeditedAge is how long ago the last heartbeat counts as sent once the next is expedited.
+const expeditedAge = 2500 * time.Millisecond
+
+// expediteHeartbeat has the next heartbeat sent sooner, as there is news.
 func (w *worker) expediteHeartbeat() {
-	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-2500*time.Millisecond))
+	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-expeditedAge))
 }
 
+// buildHeartbeat returns a heartbeat with the present status.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
-	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: "m8", Zone: w.machine.zone, Spot: w.machine.spot,
+	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: machineModel, Zone: w.machine.zone, Spot: w.machine.spot,
 		Incarnation: w.incarnation, SequenceNumber: w.sequence, FencingToken: w.token}
 	if w.reclaimAt > 0 {
 		s := w.reclaimAt.Sub(w.sim.now).Seconds()
@@ -192,15 +198,14 @@
 	w.lastHeartbeat = 0
 }
 
-// restart ends the worker with all its tasks; it is back at once, in its next
-// session.
+// restart ends the worker with all of its tasks, and starts its next incarnation at once.
 func (w *worker) restart() {
 	w.sim.logf("%s restarts", w.id)
 	w.beginIncarnation()
 	w.lastHeartbeat = 0
 }
 
-// beginIncarnation begins the next one, without any task.
+// beginIncarnation begins the next incarnation, without any task.
 func (w *worker) beginIncarnation() {
 	w.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
 	w.images = map[string]bool{}
@@ -209,7 +214,7 @@
 	w.leaseRenewedAt = w.sim.now
 }
 
-// acceptToken checks and notes a token.
+// acceptToken checks a fencing token, and keeps it if it is newer. It returns false for an older one.
 func (w *worker) acceptToken(e ident.FencingToken) bool {
 	if e < w.token && !w.sim.mutates(IgnoreFencingTokens) {
 		return false
@@ -221,14 +226,15 @@
 	return true
 }
 
+// handleCommands executes a command request unless it is fenced or for another incarnation.
 func (w *worker) handleCommands(c api.CommandRequest, reply func(workers.CommandResult)) {
 	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
 		w.sim.countEvent(commandWhileOutboundBlockedEvent)
 	}
 	if c.Incarnation != w.incarnation || !w.acceptToken(c.FencingToken) {
-		reply(workers.CommandResult{Status: 409, Heartbeat: w.buildHeartbeat()})
+		reply(workers.CommandResult{Status: http.StatusConflict, Heartbeat: w.buildHeartbeat()})
 		return
 	}
 	w.execute(c.Commands)
-	reply(workers.CommandResult{Status: 200, Heartbeat: w.buildHeartbeat()})
+	reply(workers.CommandResult{Status: http.StatusOK, Heartbeat: w.buildHeartbeat()})
 }
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -7,24 +7,26 @@
 	"opaldale/internal/ident"
 )
 
+// task is an attempt of a task on a worker.
 type task struct {
 	id            ident.TaskID
 	attempt       ident.Attempt
 	status        api.TaskStatus
 	cause         api.Cause
 	stored        bool
-	reusesAttempt bool // of the mutation ReuseGangAttempt
-	generation    int
-	startedAt     ident.MonotonicTime // when it started to run
+	reusesAttempt bool // under ReuseGangAttempt
+	generation    int  // counts the changes of status that cancel scheduled steps
+	startedAt     ident.MonotonicTime
 }
 
-// onMachine is the protocol's word: from the image until the exit.
+// onMachine reports whether a task has its image and has not exited.
 func (t *task) onMachine() bool {
 	return t.status == api.Running || t.status == api.Flushing || t.status == api.Gathering
 }
 
-func (w *worker) execute(orders []api.Command) {
-	for _, o := range orders {
+// execute executes commands.
+func (w *worker) execute(commands []api.Command) {
+	for _, o := range commands {
 		t := w.tasks[o.TaskID][o.Attempt]
 		switch o.Verb {
 		case api.Launch:
@@ -124,19 +126,19 @@
 	})
 }
 
-// kill stops a task; one that saves is ended by a second kill without time for it.
-func (w *worker) kill(t *task, windDown *float64) {
+// kill stops a task. A second command without a grace period ends one that is checkpointing.
+func (w *worker) kill(t *task, gracePeriod *float64) {
 	j := w.sim.jobs[t.id.Job]
 	d := 0.0
-	if windDown != nil {
-		d = *windDown
+	if gracePeriod != nil {
+		d = *gracePeriod
 	}
 	if j == nil || j.spec.Shape != api.Gang {
 		w.stop(t, j, d)
 		return
 	}
 	if t.status == api.Flushing && d > 0 {
-		return // it saves already
+		return // it checkpoints already
 	}
 	if w.sim.mutates(StopPartOfGang) && d > 0 && t.id.Index > 0 {
 		return
@@ -144,13 +146,13 @@
 	w.sim.gang(j, t.attempt).kill(w, t, d)
 }
 
-// stop ends a task of an array or a service; one of an array that has the time for it saves
-// its progress first.
-func (w *worker) stop(t *task, j *userJob, windDown float64) {
+// stop ends a task of an array or a service. One of an array checkpoints first if it has the time for it.
+func (w *worker) stop(t *task, j *userJob, gracePeriod float64) {
 	if j != nil {
 		j.recordStop(t)
 	}
-	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || t.status == api.Pulling {
+	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || gracePeriod < j.spec.CheckpointS ||
+		t.status == api.Pulling {
 		if j != nil && t.status == api.Running {
 			j.lostWork += w.sim.now.Sub(t.startedAt)
 		}
@@ -158,7 +160,7 @@
 		return
 	}
 	if t.status == api.Flushing {
-		return // it saves already
+		return // it checkpoints already
 	}
 	ran := time.Duration(float64(w.sim.now.Sub(t.startedAt)) / w.slowdown)
 	t.status = api.Flushing
@@ -171,13 +173,14 @@
 	})
 }
 
+// endTask ends a task for a cause.
 func (w *worker) endTask(t *task, c api.Cause) {
 	t.status, t.cause = api.Ended, c
 	t.generation++
 	w.expediteHeartbeat()
 }
 
-// executeReusingAttempt is the mutation that numbers every attempt of a gang alike.
+// executeReusingAttempt launches a task that joins the first attempt of its gang, for the mutation ReuseGangAttempt.
 func (w *worker) executeReusingAttempt(o api.Command) {
 	if t := w.tasks[o.TaskID][o.Attempt]; t != nil {
 		return
@@ -188,7 +191,7 @@
 	}
 }
 
-// scheduleStep does something with a task later, unless it or its session ends before.
+// scheduleStep runs f later, unless the task changes or its incarnation ends before.
 func (w *worker) scheduleStep(t *task, d time.Duration, f func()) {
 	gen, incarnation := t.generation, w.incarnation
 	w.sim.schedule(d, func() {
@@ -200,7 +203,7 @@
 	})
 }
 
-// taskCount returns how many tasks of a job are on the machine.
+// taskCount returns the number of tasks of a job on the machine.
 func (w *worker) taskCount(id ident.JobID) int {
 	n := 0
 	w.forEachTask(func(t *task) {
@@ -211,7 +214,7 @@
 	return n
 }
 
-// usedCPUs returns the CPUs of the tasks that have not exited.
+// usedCPUs returns the CPUs in use by tasks that have not ended.
 func (w *worker) usedCPUs() float64 {
 	cpus := 0.0
 	w.forEachTask(func(t *task) {
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -5,13 +5,12 @@
 	"time"
 
 	"opaldale/internal/api"
-	"opaldale/internal/ident"
 )
 
 // submitJob submits a job like most here: an array of long tasks.
 func (sim *Simulation) submitJob(change func(s *api.Spec), duration time.Duration) *userJob {
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber)), Class: "lane",
+	s := api.Spec{ID: sim.jobID(), Class: jobClass,
 		Team: sim.settings.Teams[sim.lastJobNumber%3].Name, Shape: api.Batch,
 		Priority: api.Standard, Tasks: 3, VCPUs: 2, MemoryGB: 2, Image: fmt.Sprintf("img-%d",
 			sim.lastJobNumber%2), ImageGB: 1.5, Spot: sim.lastJobNumber%2 == 0,
