--- a/internal/election/follow.go
+++ b/internal/election/follow.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
 
@@ -60,7 +61,7 @@
 		return
 	}
 	e.observeLeader(record)
-	e.watchLeader(uint64(response.Revision))
+	e.watchLeader(response.Revision)
 }
 
 func (e *Elector) observeLeader(record leaderRecord) {
@@ -71,7 +72,7 @@
 }
 
 // watchLeader waits for changes of the leader key after a revision of the store.
-func (e *Elector) watchLeader(fromRevision uint64) {
+func (e *Elector) watchLeader(fromRevision ident.Revision) {
 	request := kvstore.Request{
 		Op:       kvstore.Watch,
 		Prefix:   LeaderKey,
@@ -89,7 +90,7 @@
 }
 
 // handleWatchEvents acts on the changes up to a revision of the store.
-func (e *Elector) handleWatchEvents(events []kvstore.WatchEvent, revision uint64) {
+func (e *Elector) handleWatchEvents(events []kvstore.WatchEvent, revision ident.Revision) {
 	deleted := false
 	for _, event := range events {
 		switch {
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -109,12 +109,6 @@
 	GangWait time.Duration
 }
 
-// The kinds of service-level objectives.
-const (
-	objectiveFinish = "finished" // a job is done within a time
-	objectiveStart  = "wait"     // a task starts within a time
-)
-
 // NewPlanner makes a planner without a plan.
 func NewPlanner(
 	teams *Teams,
@@ -140,9 +134,9 @@
 	}
 	for _, o := range config.Objectives {
 		switch o.Kind {
-		case objectiveFinish:
+		case settings.ObjectiveFinished:
 			p.finishObjectives[o.Class] = append(p.finishObjectives[o.Class], settings.Seconds(o.WithinS))
-		case objectiveStart:
+		case settings.ObjectiveWait:
 			p.startObjectives[o.Class] = settings.Seconds(o.WithinS)
 		}
 	}
@@ -165,9 +159,9 @@
 	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
 }
 
-// fetchExceedsObjective says whether a machine needs longer to pull a job's image than the part
+// pullExceedsObjective says whether a machine needs longer to pull a job's image than the part
 // 1/divisor of the time within which tasks of its class should start.
-func (p *Planner) fetchExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
+func (p *Planner) pullExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
 	limit, ok := p.startObjectives[j.Spec.Class]
 	return ok && w.ImagePullTime(j.Spec) > limit/divisor
 }
