--- /dev/null
+++ b/internal/controller/machine_groups_test.go
@@ -0,0 +1,185 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"opaldale/internal/cloud"
+	"opaldale/internal/ident"
+	"opaldale/internal/kvstore"
+	"opaldale/internal/machinestore"
+	"opaldale/internal/settings"
+)
+
+// recordingStore keeps what a leader writes, in the environment of fakeEnv. Once txnsLeft is 0 no transaction is answered
+// any more: the term ends there. One transaction may be lost before.
+type recordingStore struct {
+	*fakeEnv
+	t             *testing.T
+	pairs         map[string]kvstore.KeyValue
+	maxValueBytes int
+	txnsLeft      int
+	txnToLose     int // counts down to the transaction that is lost
+}
+
+func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
+	switch r.Op {
+	case kvstore.Txn:
+		if s.txnsLeft == 0 {
+			return
+		}
+		s.txnsLeft--
+		if s.txnToLose--; s.txnToLose == 0 {
+			return
+		}
+		s.revision++
+		for _, c := range r.Mutations {
+			if len(c.Value) > s.maxValueBytes {
+				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
+			}
+			if c.Put != "" {
+				s.pairs[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: s.revision}
+			} else {
+				delete(s.pairs, c.Delete)
+			}
+		}
+		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision})
+	case kvstore.Get:
+		if p, ok := s.pairs[r.Key]; ok {
+			f(kvstore.Response{Outcome: kvstore.OK, Value: p.Value, Revision: p.Revision})
+			return
+		}
+		f(kvstore.Response{Outcome: kvstore.NotFound})
+	case kvstore.List:
+		out := kvstore.Response{Outcome: kvstore.OK}
+		for k, p := range s.pairs {
+			if strings.HasPrefix(k, r.Prefix) {
+				out.KeyValues = append(out.KeyValues, p)
+			}
+		}
+		slices.SortFunc(out.KeyValues, func(a, b kvstore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
+		f(out)
+	}
+}
+
+func (s *recordingStore) Cloud(r cloud.Request, f func(cloud.Response)) {
+	if r.Op == cloud.Catalog {
+		f(cloud.Response{Outcome: cloud.OK, MachineTypes: testMachineTypes()})
+	}
+}
+
+// startLeader begins a term over what is stored.
+func (s *recordingStore) startLeader(term ident.Term) *Controller {
+	cfg := testSettings()
+	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}
+	c := New(s, cfg, newTestRand())
+	c.OnStartedLeading(term, ident.FormatPacked, kvstore.Compare{Key: "leader", Revision: 9})
+	for _, w := range c.leader.workers.Sorted() {
+		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
+	}
+	for range 200 {
+		s.advance(100 * time.Millisecond)
+		c.AfterEvent()
+	}
+	return c
+}
+
+// newRecordingStore returns an empty store that answers all transactions.
+func newRecordingStore(t *testing.T, now ident.MonotonicTime, maxValueBytes int) *recordingStore {
+	return &recordingStore{
+		fakeEnv:       newFakeEnv(now),
+		t:             t,
+		pairs:         map[string]kvstore.KeyValue{},
+		maxValueBytes: maxValueBytes,
+		txnsLeft:      1 << 30,
+	}
+}
+
+const (
+	legacyGroups   = 3
+	legacyMachines = 50 // of each group
+	spotGroup      = 2
+)
+
+// putLegacyGroups stores machines as the version before wrote them.
+func (s *recordingStore) putLegacyGroups() {
+	for g := range legacyGroups {
+		r := machinestore.GroupRecord{Model: "m8", Zone: "a", Spot: g == spotGroup}
+		for i := range legacyMachines {
+			r.Machines = append(r.Machines, machinestore.MachineRecord{
+				ID:        ident.MachineID(fmt.Sprintf("host-%06d", legacyMachines*g+i)),
+				Addr:      fmt.Sprintf("10.1.%d.%d:9000", g, i),
+				CreatedMS: int64(-1000 * i),
+			})
+		}
+		b, err := json.Marshal(r)
+		if err != nil {
+			s.t.Fatal(err)
+		}
+		path := fmt.Sprintf("%s1-%d", machinestore.Prefix, g)
+		s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
+	}
+}
+
+// TestMachineGroupsSplitToLimit: records of 50 machines, as the version before wrote them, are brought within the announced
+// limits, whichever transaction a term ends with or loses; every machine stays on record, and none is on record twice.
+func TestMachineGroupsSplitToLimit(t *testing.T) {
+	for n := range 40 {
+		t.Run(fmt.Sprintf("term ends after %d transactions", n), func(t *testing.T) { testGroupsSplit(t, n, 0) })
+		t.Run(fmt.Sprintf("transaction %d is lost", n), func(t *testing.T) { testGroupsSplit(t, 1<<30, n) })
+	}
+}
+
+// testGroupsSplit has one term begin to split groups until a number of transactions are answered, of which one may be lost,
+// and checks what the next term makes of that.
+func testGroupsSplit(t *testing.T, txnsLeft, txnToLose int) {
+	const machines = legacyGroups * legacyMachines
+	s := newRecordingStore(t, ident.MonotonicTime(time.Hour), 1536)
+	s.txnsLeft, s.txnToLose = txnsLeft, txnToLose
+	s.revision = 50
+	s.putLegacyGroups()
+	s.startLeader(2) // ends with its last transaction
+	s.txnsLeft, s.txnToLose = 1<<30, 0
+	c := s.startLeader(3)
+	if n := len(c.leader.workers.Workers); n != machines {
+		t.Fatalf("%d machines are known", n)
+	}
+	seen := map[ident.MachineID]string{}
+	for path, p := range s.pairs {
+		if strings.HasPrefix(path, machinestore.Prefix) {
+			s.checkGroup(path, p.Value, seen, txnToLose == 0)
+		}
+	}
+	if len(seen) != machines {
+		t.Errorf("%d machines are on record", len(seen))
+	}
+}
+
+// checkGroup checks a record of the packed format, and that none of its machines is in those seen before. Addresses may be
+// missing if a transaction was lost: then heartbeats bring them back.
+func (s *recordingStore) checkGroup(path string, value json.RawMessage, seen map[ident.MachineID]string, wantAddresses bool) {
+	t := s.t
+	t.Helper()
+	var r machinestore.GroupRecord
+	if err := json.Unmarshal(value, &r); err != nil {
+		t.Fatal(err)
+	}
+	list, err := r.Decode()
+	if err != nil || len(r.Machines) > 0 || len(value) > s.maxValueBytes {
+		t.Errorf("%s: %v, %d in the first format, %d bytes", path, err, len(r.Machines), len(value))
+	}
+	for _, m := range list {
+		if seen[m.ID] != "" {
+			t.Errorf("%s is in %s and %s", m.ID, seen[m.ID], path)
+		}
+		seen[m.ID] = path
+		wantSpot := m.ID >= ident.MachineID(fmt.Sprintf("host-%06d", legacyMachines*spotGroup))
+		if r.Spot != wantSpot || wantAddresses && !strings.HasPrefix(m.Addr, "10.1.") {
+			t.Errorf("%s: spot %v, address %q", m.ID, r.Spot, m.Addr)
+		}
+	}
+}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"net/http"
 	"slices"
 	"time"
 
@@ -13,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// worker is a machine's worker.
+// worker simulates the worker of a machine by its protocol.
 type worker struct {
 	sim               *Simulation
 	machine           *machine
@@ -28,13 +29,13 @@
 	nodeIndex         int
 	tasks             map[ident.TaskID]map[ident.Attempt]*task
 	images            map[string]bool
-	heartbeatInFlight bool // a report is under way
+	heartbeatInFlight bool
 	lastHeartbeat     ident.MonotonicTime
 	faulty            bool
-	slowdown          float64 // how many times as long arrays' tasks take
+	slowdown          float64 // factor by which tasks of arrays take longer
 }
 
-// slowFactor is that of slow machines.
+// slowFactor is the slowdown of slow machines.
 const slowFactor = 4
 
 func newWorker(sim *Simulation, m *machine) *worker {
@@ -51,7 +52,7 @@
 	return w
 }
 
-// whenResponsive runs f once the machine doesn't hang.
+// whenResponsive runs f once the machine does not hang.
 func (w *worker) whenResponsive(f func()) {
 	if w.dead {
 		return
@@ -64,14 +65,16 @@
 	f()
 }
 
+// hangFor makes the machine hang. What it holds up goes on later.
 func (w *worker) hangFor(d time.Duration) {
 	w.sim.logf("%s hangs for %v", w.id, d)
 	w.hungUntil = max(w.hungUntil, w.sim.now.Add(d))
 }
 
+// announceReclaim has heartbeats announce that the machine will be reclaimed.
 func (w *worker) announceReclaim(d time.Duration) { w.reclaimAt = w.sim.now.Add(d) }
 
-// checkLease ends the session when its time is over.
+// checkLease begins the next incarnation if the lease has expired.
 func (w *worker) checkLease() {
 	if w.leaseExpired() {
 		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
@@ -80,12 +83,12 @@
 	}
 }
 
-// leaseExpired reports whether the worker's lease is over, though it may not have noticed.
+// leaseExpired reports whether the worker's lease has expired, even if the worker has not checked yet.
 func (w *worker) leaseExpired() bool {
 	return w.sim.now.Sub(w.leaseRenewedAt).Seconds() > w.sim.settings.Workers.LeaseS
 }
 
-// tick reports now and then.
+// tick sends a heartbeat whenever one is due.
 func (w *worker) tick() {
 	if w.dead {
 		return
@@ -98,14 +101,18 @@
 	w.sim.schedule(250*time.Millisecond, w.tick)
 }
 
-// expediteHeartbeat brings the next report forward.
+// expeditedAge is how long ago the last heartbeat counts as sent once the next is expedited.
+const expeditedAge = 2500 * time.Millisecond
+
+// expediteHeartbeat has the next heartbeat sent sooner, as there is news.
 func (w *worker) expediteHeartbeat() {
-	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-2500*time.Millisecond))
+	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-expeditedAge))
 }
 
+// buildHeartbeat returns a heartbeat with the present status.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
-	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: "m8", Zone: w.machine.zone, Spot: w.machine.spot,
+	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: machineModel, Zone: w.machine.zone, Spot: w.machine.spot,
 		Incarnation: w.incarnation, SequenceNumber: w.sequence, FencingToken: w.token}
 	if w.reclaimAt > 0 {
 		s := w.reclaimAt.Sub(w.sim.now).Seconds()
@@ -125,6 +132,14 @@
 	return r
 }
 
+const (
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat; later ones don't count.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryDelay is how long it waits before it tries the next node.
+	heartbeatRetryDelay = time.Second
+)
+
+// sendHeartbeat sends a heartbeat to the worker's node.
 func (w *worker) sendHeartbeat() {
 	w.heartbeatInFlight = true
 	w.lastHeartbeat = w.sim.now
@@ -133,54 +148,64 @@
 	m := w.buildHeartbeat()
 	w.duplicateLate(m)
 	w.sim.duplicateHeartbeat(m)
-	w.sim.request(string(w.id), n, transport.WorkerHeartbeat, "", api.JSON(m), 4*time.Second, func(r *controller.Response) {
+	r := apiRequest{string(w.id), n, transport.WorkerHeartbeat, "", api.JSON(m), heartbeatTimeout}
+	w.sim.request(r, func(a *controller.Response) {
 		if w.dead {
 			return
 		}
-		// A hanging machine comes back to the answer later.
-		w.whenResponsive(func() {
-			if r != nil && r.Status == 200 && w.sim.now.Sub(sentAt) <= 4*time.Second {
-				w.heartbeatInFlight = false
-				var o api.HeartbeatResponse
-				if json.Unmarshal(r.Body, &o) != nil || incarnation != w.incarnation || !w.acceptToken(o.FencingToken) {
-					return
-				}
-				w.leaseRenewedAt = sentAt
-				w.execute(o.Commands)
-				return
-			}
-			if r != nil && r.Status == 421 {
-				var home struct {
-					Home string `json:"home"`
-				}
-				json.Unmarshal(r.Body, &home)
-				for i, o := range w.sim.nodes {
-					if o.name == home.Home && i != w.nodeIndex {
-						w.nodeIndex = i
-						w.heartbeatInFlight = false
-						w.lastHeartbeat = 0
-						return
-					}
-				}
-			}
-			w.sim.schedule(time.Second, func() {
-				w.nodeIndex = (w.nodeIndex + 1) % len(w.sim.nodes)
-				w.heartbeatInFlight = false
-				w.lastHeartbeat = 0
-			})
-		})
+		// A machine that hangs handles the reply when it goes on.
+		w.whenResponsive(func() { w.handleHeartbeatReply(a, sentAt, incarnation) })
 	})
 }
 
-// restart ends the worker with all its tasks; it is back at once, in its next
-// session.
+// handleHeartbeatReply renews the lease and executes the commands of a reply, or turns to another node.
+func (w *worker) handleHeartbeatReply(a *controller.Response, sentAt ident.MonotonicTime, incarnation ident.Incarnation) {
+	if a != nil && a.Status == http.StatusOK && w.sim.now.Sub(sentAt) <= heartbeatTimeout {
+		w.heartbeatInFlight = false
+		var o api.HeartbeatResponse
+		if json.Unmarshal(a.Body, &o) != nil || incarnation != w.incarnation || !w.acceptToken(o.FencingToken) {
+			return
+		}
+		w.leaseRenewedAt = sentAt
+		w.execute(o.Commands)
+		return
+	}
+	if a != nil && a.Status == http.StatusMisdirectedRequest && w.redirect(a.Body) {
+		return
+	}
+	w.sim.schedule(heartbeatRetryDelay, func() { w.turnToNode((w.nodeIndex + 1) % len(w.sim.nodes)) })
+}
+
+// redirect turns to the node that a reply names. It returns false if that is the present one or none.
+func (w *worker) redirect(body []byte) bool {
+	var home struct {
+		Home string `json:"home"`
+	}
+	json.Unmarshal(body, &home)
+	for i, n := range w.sim.nodes {
+		if n.name == home.Home && i != w.nodeIndex {
+			w.turnToNode(i)
+			return true
+		}
+	}
+	return false
+}
+
+// turnToNode has the next heartbeat go to a node, at once.
+func (w *worker) turnToNode(i int) {
+	w.nodeIndex = i
+	w.heartbeatInFlight = false
+	w.lastHeartbeat = 0
+}
+
+// restart ends the worker with all of its tasks, and starts its next incarnation at once.
 func (w *worker) restart() {
 	w.sim.logf("%s restarts", w.id)
 	w.beginIncarnation()
 	w.lastHeartbeat = 0
 }
 
-// beginIncarnation begins the next one, without any task.
+// beginIncarnation begins the next incarnation, without any task.
 func (w *worker) beginIncarnation() {
 	w.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
 	w.images = map[string]bool{}
@@ -189,7 +214,7 @@
 	w.leaseRenewedAt = w.sim.now
 }
 
-// acceptToken checks and notes a token.
+// acceptToken checks a fencing token, and keeps it if it is newer. It returns false for an older one.
 func (w *worker) acceptToken(e ident.FencingToken) bool {
 	if e < w.token && !w.sim.mutates(IgnoreFencingTokens) {
 		return false
@@ -201,14 +226,15 @@
 	return true
 }
 
+// handleCommands executes a command request unless it is fenced or for another incarnation.
 func (w *worker) handleCommands(c api.CommandRequest, reply func(workers.CommandResult)) {
 	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
 		w.sim.countEvent(commandWhileOutboundBlockedEvent)
 	}
 	if c.Incarnation != w.incarnation || !w.acceptToken(c.FencingToken) {
-		reply(workers.CommandResult{Status: 409, Heartbeat: w.buildHeartbeat()})
+		reply(workers.CommandResult{Status: http.StatusConflict, Heartbeat: w.buildHeartbeat()})
 		return
 	}
 	w.execute(c.Commands)
-	reply(workers.CommandResult{Status: 200, Heartbeat: w.buildHeartbeat()})
+	reply(workers.CommandResult{Status: http.StatusOK, Heartbeat: w.buildHeartbeat()})
 }
