--- a/cmd/opaldale/report_command_test.go
+++ b/cmd/opaldale/report_command_test.go
@@ -12,6 +12,7 @@
 
 // fakeNode is a node that serves one report.
 type fakeNode struct {
+	t      *testing.T // set by runAgainst
 	path   string
 	status int
 	report any
@@ -23,12 +24,15 @@
 		return
 	}
 	w.WriteHeader(n.status)
-	json.NewEncoder(w).Encode(n.report)
+	if err := json.NewEncoder(w).Encode(n.report); err != nil {
+		n.t.Error(err)
+	}
 }
 
 // runAgainst returns a function that runs a command against a node, and returns what it prints.
 func runAgainst(t *testing.T, node *fakeNode, command func() *cobra.Command) func(args ...string) (string, error) {
 	t.Helper()
+	node.t = t
 	web := httptest.NewServer(node)
 	t.Cleanup(web.Close)
 	return func(args ...string) (string, error) {
--- a/cmd/opaldale/serve.go
+++ b/cmd/opaldale/serve.go
@@ -30,7 +30,9 @@
 	}
 	cmd.Flags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
 	cmd.Flags().StringVar(&tuningPath, "tuning", os.Getenv(tuningVariable), tuningUsage)
-	cmd.MarkFlagRequired("config")
+	if err := cmd.MarkFlagRequired("config"); err != nil {
+		panic(err) // there is no such flag
+	}
 	return cmd
 }
 
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -47,7 +47,9 @@
 	w.committer.MarkDirty(w.documents[i], func() {
 		w.durable[documentValue{i, value}]++
 		var stored int
-		json.Unmarshal(w.store.Entries[w.documents[i].Key].Value, &stored)
+		if err := json.Unmarshal(w.store.Entries[w.documents[i].Key].Value, &stored); err != nil {
+			w.t.Errorf("%s: %v", w.documents[i].Key, err)
+		}
 		if stored < value {
 			w.t.Errorf("%s is reported durable at %d, is %d", w.documents[i].Key, value, stored)
 		}
@@ -68,7 +70,9 @@
 	last := 0
 	for _, put := range w.store.puts[d.Key] {
 		var value int
-		json.Unmarshal([]byte(put), &value)
+		if err := json.Unmarshal([]byte(put), &value); err != nil {
+			w.t.Errorf("%s: %v", d.Key, err)
+		}
 		if value <= last {
 			w.t.Errorf("%s goes through %v", d.Key, w.store.puts[d.Key])
 		}
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -94,7 +94,7 @@
 // check checks the stored content of the documents and entries.
 func (w *mixedWorkload) check() {
 	w.t.Helper()
-	stored := readText(w.store.flakyStore)
+	stored := readText(w.t, w.store.flakyStore)
 	for d, document := range w.documents {
 		if got := string(w.store.Entries[document.Key].Value); w.values[d] > 0 && got != fmt.Sprint(w.values[d]) {
 			w.t.Errorf("%s ends as %s, want %d", document.Key, got, w.values[d])
--- a/internal/commit/log_test.go
+++ b/internal/commit/log_test.go
@@ -63,7 +63,13 @@
 // load reads the documents as a successor does: as last put, with the later records of the log.
 func (w *jsonLogWorkload) load() (documents [logDocuments]storedDocument, records int) {
 	for d := range documents {
-		json.Unmarshal(w.store.Entries[fmt.Sprintf("d/%d", d)].Value, &documents[d])
+		pair, exists := w.store.Entries[fmt.Sprintf("d/%d", d)]
+		if !exists {
+			continue
+		}
+		if err := json.Unmarshal(pair.Value, &documents[d]); err != nil {
+			w.t.Fatalf("%s: %v", pair.Key, err)
+		}
 	}
 	type jsonRecord struct {
 		N uint64
@@ -73,7 +79,9 @@
 	for key, pair := range w.store.Entries {
 		if strings.HasPrefix(key, LogPrefix) {
 			var record jsonRecord
-			json.Unmarshal(pair.Value, &record)
+			if err := json.Unmarshal(pair.Value, &record); err != nil {
+				w.t.Fatalf("%s: %v", key, err)
+			}
 			log = append(log, record)
 		}
 	}
@@ -152,7 +160,8 @@
 }
 
 // readText returns the newest value of each entry in the records of the log, by its name.
-func readText(store *flakyStore) map[string]int {
+func readText(t *testing.T, store *flakyStore) map[string]int {
+	t.Helper()
 	type textRecord struct {
 		N uint64 `json:"n"`
 		T string `json:"t"`
@@ -163,15 +172,20 @@
 		if !strings.HasPrefix(key, LogPrefix) || json.Unmarshal(pair.Value, &record) != nil {
 			continue
 		}
-		ParseText(record.T, func(group, line string) error {
+		err := ParseText(record.T, func(group, line string) error {
 			var index, value int
-			fmt.Sscanf(line, "%d,%d", &index, &value)
+			if _, err := fmt.Sscanf(line, "%d,%d", &index, &value); err != nil {
+				return fmt.Errorf("%q: %w", line, err)
+			}
 			name := fmt.Sprintf("%s %d", group, index)
 			if record.N > newest[name] {
 				newest[name], values[name] = record.N, value
 			}
 			return nil
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 	}
 	return values
 }
@@ -208,7 +222,7 @@
 		if value%4 > 0 {
 			return
 		}
-		if stored := readText(w.store)[entry.name()]; stored < value {
+		if stored := readText(w.t, w.store)[entry.name()]; stored < value {
 			w.t.Errorf("%s is reported durable at %d, is %d", entry.name(), value, stored)
 		}
 	})
@@ -218,7 +232,7 @@
 // checkEntries checks that the newest line of each entry is in a record that it holds.
 func (w *textLogWorkload) checkEntries() {
 	w.t.Helper()
-	stored := readText(w.store)
+	stored := readText(w.t, w.store)
 	for _, entry := range w.entries {
 		if stored[entry.name()] != entry.value {
 			w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/fnv"
-	"io"
+	"log/slog"
 	"math"
 	"net"
 	"net/http"
@@ -103,10 +104,17 @@
 	web := &http.Server{Handler: h}
 	c.services = append(c.services, web)
 	c.parties[listener.Addr().String()] = name
-	go web.Serve(listener)
+	go serveHTTP(name, web, listener)
 	return listener.Addr().String(), nil
 }
 
+// serveHTTP serves requests to a party until its server is closed, and logs any other end.
+func serveHTTP(name string, web *http.Server, listener net.Listener) {
+	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		slog.Error("HTTP server failed", "party", name, "err", err)
+	}
+}
+
 // freeAddr returns an address that nobody uses at present.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -186,7 +194,7 @@
 	c.mu.Lock()
 	n.server = s
 	c.mu.Unlock()
-	go s.Serve()
+	go func() { slog.Debug("node stopped serving", "node", n.name, "err", s.Serve()) }()
 	return nil
 }
 
@@ -209,7 +217,7 @@
 	}
 	c.provider.terminateAll()
 	for _, s := range c.services {
-		s.Close()
+		_ = s.Close() // nothing uses the service any more
 	}
 }
 
@@ -225,7 +233,7 @@
 
 func (c *Cluster) homeNode(h ident.MachineID) uint32 {
 	f := fnv.New32()
-	io.WriteString(f, string(h))
+	f.Write([]byte(h))
 	return f.Sum32() % uint32(len(c.nodes))
 }
 
--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -75,7 +75,9 @@
 				return
 			}
 			got <- b[0]
-			conn.Write(b)
+			if _, err := conn.Write(b); err != nil {
+				return
+			}
 		}
 	}()
 	s := NewNetwork()
@@ -88,12 +90,18 @@
 	if _, err := conn.Write([]byte{1}); err != nil || <-got != 1 {
 		t.Fatalf("the working direction: %v", err)
 	}
-	conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("an answer came by the broken direction")
 	}
 	s.Break("a", "b")
-	go conn.Write([]byte{2})
+	written := make(chan error, 1)
+	go func() {
+		_, err := conn.Write([]byte{2})
+		written <- err
+	}()
 	select {
 	case b := <-got:
 		t.Errorf("%d passed the broken direction", b)
@@ -103,7 +111,12 @@
 	if b := <-got; b != 2 {
 		t.Errorf("%d was delivered", b)
 	}
-	conn.SetReadDeadline(time.Time{})
+	if err := <-written; err != nil {
+		t.Errorf("the delayed write: %v", err)
+	}
+	if err := conn.SetReadDeadline(time.Time{}); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		t.Errorf("after it healed: %v", err)
 	}
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"log/slog"
 	"net/http"
 	"slices"
 	"strconv"
@@ -60,7 +61,9 @@
 func answer(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(v)
+	if err := json.NewEncoder(w).Encode(v); err != nil {
+		slog.Debug("response not written", "err", err)
+	}
 }
 
 // expireLeases ends leases whose time is over. It is called before each request is served.
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -63,7 +63,7 @@
 	mux.HandleFunc("POST /commands", w.handleCommands)
 	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) { answer(rw, http.StatusOK, w.currentHeartbeat()) })
 	w.server = &http.Server{Handler: mux}
-	go w.server.Serve(listener)
+	go serveHTTP(string(host), w.server, listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
 	go w.heartbeatLoop(ctx)
@@ -73,7 +73,7 @@
 // terminate takes the machine away with all that is on it.
 func (w *worker) terminate() {
 	w.stop()
-	w.server.Close()
+	_ = w.server.Close() // the machine is gone, whatever its listener says
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.terminated = true
--- a/internal/server/conn_limiter.go
+++ b/internal/server/conn_limiter.go
@@ -73,7 +73,7 @@
 			return false
 		}
 		s.evicted.Add(1)
-		idle.Close()
+		_ = idle.Close() // it is given up in any case
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -181,7 +182,7 @@
 	s.closeOnce.Do(func() {
 		close(s.loop.done)
 		s.peerListener.Close()
-		s.httpServer.Close()
+		_ = s.httpServer.Close() // the node ends in any case
 		s.transport.Close()
 		for _, t := range s.httpTransports {
 			t.CloseIdleConnections()
@@ -233,5 +234,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(v)
+	if err := json.NewEncoder(w).Encode(v); err != nil {
+		slog.Debug("response not written", "err", err)
+	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -122,7 +123,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+		if _, err := io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
@@ -137,9 +140,11 @@
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, resp.Body)
+		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		return true
+		if err == nil {
+			return true
+		}
 	}
 	return false
 }
@@ -155,8 +160,16 @@
 		t.Fatal(err)
 	}
 	web := &http.Server{Handler: s.handler(), ConnState: s.connLimiter.onConnState}
-	go web.Serve(s.connLimiter.limitListener(l))
-	defer web.Close()
+	go func() {
+		if err := web.Serve(s.connLimiter.limitListener(l)); !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}()
+	defer func() {
+		if err := web.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	url := "http://" + l.Addr().String()
 
 	// Three quarters of the room are taken by connections that stay open and do nothing.
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -64,13 +64,13 @@
 			continue
 		}
 		var rows []string
-		commit.ParseText(v.Text, func(group, line string) error {
+		_ = commit.ParseText(v.Text, func(group, line string) error {
 			if f := strings.Split(line, ","); len(f) < 4 {
 				rows = append(rows, group+" "+line)
 			} else {
 				rows = append(rows, group+" "+f[0]+","+f[1])
 			}
-			return nil
+			return nil // for every line
 		})
 		v.Text = strings.Join(rows, "\n")
 		pairs[i].Value = api.JSON(v)
@@ -132,7 +132,7 @@
 		if !strings.HasPrefix(c.Put, commit.LogPrefix) || json.Unmarshal(c.Value, &v) != nil {
 			continue
 		}
-		commit.ParseText(v.Text, func(id, line string) error {
+		err := commit.ParseText(v.Text, func(id, line string) error {
 			var i int
 			var try ident.Attempt
 			var incarnation ident.Incarnation
@@ -140,7 +140,9 @@
 			if len(f) != 4 {
 				return nil
 			}
-			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation)
+			if _, err := fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation); err != nil {
+				return err
+			}
 			w := sim.workers[ident.MachineID(f[2])]
 			if w == nil {
 				return nil
@@ -155,6 +157,9 @@
 			})
 			return nil
 		})
+		if err != nil {
+			panic(fmt.Sprintf("simulator: line of the log: %v", err))
+		}
 	}
 }
 
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -153,7 +153,7 @@
 				var home struct {
 					Home string `json:"home"`
 				}
-				json.Unmarshal(r.Body, &home)
+				_ = json.Unmarshal(r.Body, &home) // without a home node the next one is tried
 				for i, o := range w.sim.nodes {
 					if o.name == home.Home && i != w.nodeIndex {
 						w.nodeIndex = i
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -115,14 +115,17 @@
 var echoFrame = (&Frame{Type: MsgHeartbeat}).Append(nil)
 
 func (c *inboundConn) sendEcho() bool {
-	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
+		return false
+	}
 	_, err := c.conn.Write(echoFrame)
 	return err == nil
 }
 
 // readFrame reads the next frame. It logs why there is none.
 func (c *inboundConn) readFrame() (*Frame, bool) {
-	c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
+	// It fails only on a closed connection, where the read fails after the frames in the buffer.
+	_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	f, err := Read(c.reader)
 	switch {
 	case err == nil:
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -40,7 +40,9 @@
 	hello := Frame{Type: MsgHello, Node: t.self}
 	buf := hello.Append(nil)
 	for {
-		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
+			return
+		}
 		if _, err := conn.Write(buf); err != nil {
 			return
 		}
@@ -61,7 +63,9 @@
 func discardEchoes(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
-		conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		if conn.SetReadDeadline(time.Now().Add(idleTimeout)) != nil {
+			return
+		}
 		if _, err := Read(r); err != nil {
 			return
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -136,7 +136,9 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		b.Serve(l)
+		if err := b.Serve(l); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("it ended with %v", err)
+		}
 	}()
 
 	a := New("a", func(ident.NodeID, *Frame) {})
@@ -175,7 +177,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(sent)
+	if _, err := c.Write(sent); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%s: the connection stays open", name)
 	}
