--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -54,6 +54,25 @@
 	}
 }
 
+// echoBytes passes on what comes in by the first connection, and sends it back.
+func echoBytes(l net.Listener, got chan<- byte) {
+	conn, err := l.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	b := make([]byte, 1)
+	for {
+		if _, err := conn.Read(b); err != nil {
+			return
+		}
+		got <- b[0]
+		if _, err := conn.Write(b); err != nil {
+			return
+		}
+	}
+}
+
 // TestBrokenLinkHoldsTraffic: a broken direction holds up what is sent and lets the other pass; what
 // was held is delivered when it heals, and a deadline ends the wait.
 func TestBrokenLinkHoldsTraffic(t *testing.T) {
@@ -63,23 +82,7 @@
 	}
 	defer l.Close()
 	got := make(chan byte, 10)
-	go func() {
-		conn, err := l.Accept()
-		if err != nil {
-			return
-		}
-		defer conn.Close()
-		b := make([]byte, 1)
-		for {
-			if _, err := conn.Read(b); err != nil {
-				return
-			}
-			got <- b[0]
-			if _, err := conn.Write(b); err != nil {
-				return
-			}
-		}
-	}()
+	go echoBytes(l, got)
 	s := NewNetwork()
 	conn, err := s.Dialer("a", func(string) string { return "b" })(context.Background(), "tcp4", l.Addr().String())
 	if err != nil {
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -7,24 +7,26 @@
 	"opaldale/internal/ident"
 )
 
+// task is an attempt of a task on a worker.
 type task struct {
 	id            ident.TaskID
 	attempt       ident.Attempt
 	status        api.TaskStatus
 	cause         api.Cause
 	stored        bool
-	reusesAttempt bool // of the mutation ReuseGangAttempt
-	generation    int
-	startedAt     ident.MonotonicTime // when it started to run
+	reusesAttempt bool // under ReuseGangAttempt
+	generation    int  // counts the changes of status that cancel scheduled steps
+	startedAt     ident.MonotonicTime
 }
 
-// onMachine is the protocol's word: from the image until the exit.
+// onMachine reports whether a task has its image and has not exited.
 func (t *task) onMachine() bool {
 	return t.status == api.Running || t.status == api.Flushing || t.status == api.Gathering
 }
 
-func (w *worker) execute(orders []api.Command) {
-	for _, o := range orders {
+// execute executes commands.
+func (w *worker) execute(commands []api.Command) {
+	for _, o := range commands {
 		t := w.tasks[o.TaskID][o.Attempt]
 		switch o.Verb {
 		case api.Launch:
@@ -51,77 +53,92 @@
 	}
 }
 
-func (w *worker) launch(id ident.TaskID, try ident.Attempt) {
-	t := &task{id: id, attempt: try, status: api.Pulling}
-	busy := false
-	for _, o := range w.tasks[id] {
-		busy = busy || o.status != api.Ended
-	}
-	cpus := w.usedCPUs()
+// launch starts an attempt of a task: it ends at once if the worker cannot run it, and runs once its image is there.
+func (w *worker) launch(id ident.TaskID, attempt ident.Attempt) {
+	t := &task{id: id, attempt: attempt, status: api.Pulling}
+	cause, rejected := w.rejects(id)
 	if w.tasks[id] == nil {
 		w.tasks[id] = map[ident.Attempt]*task{}
 	}
-	w.tasks[id][try] = t
+	w.tasks[id][attempt] = t
+	if rejected {
+		w.endTask(t, cause)
+		return
+	}
+	j := w.sim.jobs[id.Job]
+	pull := time.Millisecond
+	if !w.images[j.spec.Image] {
+		pull = time.Duration(500+w.sim.rng.IntN(3000)) * time.Millisecond
+	}
+	w.scheduleStep(t, pull, func() {
+		w.images[j.spec.Image] = true
+		w.run(t, j)
+	})
+}
+
+// rejects reports whether, and why, the worker cannot run another attempt of a task.
+func (w *worker) rejects(id ident.TaskID) (cause api.Cause, rejected bool) {
 	j := w.sim.jobs[id.Job]
-	switch {
-	case j == nil || id.Index >= j.spec.Tasks:
-		w.endTask(t, api.CauseUnknown)
-	case busy:
-		w.endTask(t, api.CauseBusy)
-	case cpus+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+1e-6:
-		w.endTask(t, api.CauseNoCapacity)
-	default:
-		d := time.Millisecond
-		if !w.images[j.spec.Image] {
-			d = time.Duration(500+w.sim.rng.IntN(3000)) * time.Millisecond
+	if j == nil || id.Index >= j.spec.Tasks {
+		return api.CauseUnknown, true
+	}
+	for _, t := range w.tasks[id] {
+		if t.status != api.Ended {
+			return api.CauseBusy, true
 		}
-		w.scheduleStep(t, d, func() {
-			w.images[j.spec.Image] = true
-			if j.spec.Shape == api.Gang && !w.faulty {
-				try := t.attempt
-				if t.reusesAttempt {
-					try = 1
-				}
-				w.sim.gang(j, try).join(w, t)
-				return
-			}
-			t.status, t.startedAt = api.Running, w.sim.now
-			w.expediteHeartbeat()
-			w.sim.checkTaskStart(w, t)
-			if j.done[id.Index] {
-				w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
-				return
-			}
-			if w.faulty || j.alwaysFails {
-				j.failures++
-				w.scheduleStep(t, time.Second, func() { w.endTask(t, api.CauseError) })
-				return
-			}
-			if j.spec.Shape == api.Batch {
-				left := float64(j.durationOf(id.Index) - j.checkpointed[id.Index])
-				w.scheduleStep(t, max(time.Millisecond, time.Duration(left*w.slowdown)), func() {
-					j.done[id.Index] = true
-					w.endTask(t, api.CauseDone)
-					w.sim.onTaskCompleted(j)
-				})
-			}
-		})
 	}
+	if w.usedCPUs()+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+roundingError {
+		return api.CauseNoCapacity, true
+	}
+	return cause, false
+}
+
+// run runs a task whose image is there, until it fails or has run for its duration.
+func (w *worker) run(t *task, j *userJob) {
+	if j.spec.Shape == api.Gang && !w.faulty {
+		attempt := t.attempt
+		if t.reusesAttempt {
+			attempt = 1
+		}
+		w.sim.gang(j, attempt).join(w, t)
+		return
+	}
+	t.status, t.startedAt = api.Running, w.sim.now
+	w.expediteHeartbeat()
+	w.sim.checkTaskStart(w, t)
+	if j.done[t.id.Index] {
+		w.scheduleStep(t, time.Millisecond, func() { w.endTask(t, api.CauseDone) })
+		return
+	}
+	if w.faulty || j.alwaysFails {
+		j.failures++
+		w.scheduleStep(t, time.Second, func() { w.endTask(t, api.CauseError) })
+		return
+	}
+	if j.spec.Shape != api.Batch {
+		return
+	}
+	left := float64(j.durationOf(t.id.Index) - j.checkpointed[t.id.Index])
+	w.scheduleStep(t, max(time.Millisecond, time.Duration(left*w.slowdown)), func() {
+		j.done[t.id.Index] = true
+		w.endTask(t, api.CauseDone)
+		w.sim.onTaskCompleted(j)
+	})
 }
 
-// kill stops a task; one that saves is ended by a second kill without time for it.
-func (w *worker) kill(t *task, windDown *float64) {
+// kill stops a task. A second command without a grace period ends one that is checkpointing.
+func (w *worker) kill(t *task, gracePeriod *float64) {
 	j := w.sim.jobs[t.id.Job]
 	d := 0.0
-	if windDown != nil {
-		d = *windDown
+	if gracePeriod != nil {
+		d = *gracePeriod
 	}
 	if j == nil || j.spec.Shape != api.Gang {
 		w.stop(t, j, d)
 		return
 	}
 	if t.status == api.Flushing && d > 0 {
-		return // it saves already
+		return // it checkpoints already
 	}
 	if w.sim.mutates(StopPartOfGang) && d > 0 && t.id.Index > 0 {
 		return
@@ -129,13 +146,13 @@
 	w.sim.gang(j, t.attempt).kill(w, t, d)
 }
 
-// stop ends a task of an array or a service; one of an array that has the time for it saves
-// its progress first.
-func (w *worker) stop(t *task, j *userJob, windDown float64) {
+// stop ends a task of an array or a service. One of an array checkpoints first if it has the time for it.
+func (w *worker) stop(t *task, j *userJob, gracePeriod float64) {
 	if j != nil {
 		j.recordStop(t)
 	}
-	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || windDown < j.spec.CheckpointS || t.status == api.Pulling {
+	if j == nil || j.spec.Shape != api.Batch || !j.spec.CanCheckpoint() || gracePeriod < j.spec.CheckpointS ||
+		t.status == api.Pulling {
 		if j != nil && t.status == api.Running {
 			j.lostWork += w.sim.now.Sub(t.startedAt)
 		}
@@ -143,7 +160,7 @@
 		return
 	}
 	if t.status == api.Flushing {
-		return // it saves already
+		return // it checkpoints already
 	}
 	ran := time.Duration(float64(w.sim.now.Sub(t.startedAt)) / w.slowdown)
 	t.status = api.Flushing
@@ -156,13 +173,14 @@
 	})
 }
 
+// endTask ends a task for a cause.
 func (w *worker) endTask(t *task, c api.Cause) {
 	t.status, t.cause = api.Ended, c
 	t.generation++
 	w.expediteHeartbeat()
 }
 
-// executeReusingAttempt is the mutation that numbers every attempt of a gang alike.
+// executeReusingAttempt launches a task that joins the first attempt of its gang, for the mutation ReuseGangAttempt.
 func (w *worker) executeReusingAttempt(o api.Command) {
 	if t := w.tasks[o.TaskID][o.Attempt]; t != nil {
 		return
@@ -173,7 +191,7 @@
 	}
 }
 
-// scheduleStep does something with a task later, unless it or its session ends before.
+// scheduleStep runs f later, unless the task changes or its incarnation ends before.
 func (w *worker) scheduleStep(t *task, d time.Duration, f func()) {
 	gen, incarnation := t.generation, w.incarnation
 	w.sim.schedule(d, func() {
@@ -185,7 +203,7 @@
 	})
 }
 
-// taskCount returns how many tasks of a job are on the machine.
+// taskCount returns the number of tasks of a job on the machine.
 func (w *worker) taskCount(id ident.JobID) int {
 	n := 0
 	w.forEachTask(func(t *task) {
@@ -196,7 +214,7 @@
 	return n
 }
 
-// usedCPUs returns the CPUs of the tasks that have not exited.
+// usedCPUs returns the CPUs in use by tasks that have not ended.
 func (w *worker) usedCPUs() float64 {
 	cpus := 0.0
 	w.forEachTask(func(t *task) {
