--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strings"
 	"testing"
 
 	"opaldale/internal/golden"
@@ -11,17 +10,6 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a store that keeps the requests as text.
-type recorder struct {
-	*kvstoretest.SteppedStore
-	requests strings.Builder
-}
-
-func (r *recorder) Store(request kvstore.Request, onResponse func(kvstore.Response)) {
-	r.requests.WriteString(kvstoretest.Describe(request))
-	r.SteppedStore.Store(request, onResponse)
-}
-
 // goldenEntry is a small part of a document.
 type goldenEntry struct {
 	document    *Document
@@ -37,17 +25,13 @@
 // recordTransactions writes documents and records of the log, and returns the transactions.
 func recordTransactions(t *testing.T, useTextFormat bool) string {
 	t.Helper()
-	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
+	r := kvstoretest.NewRecordingStore()
 	r.Revision = 100
 	c := New(r, Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 2048},
 		kvstore.Compare{Key: "leader", Revision: 17}, func(err error) { t.Error(err) })
 	if useTextFormat {
 		c.UseTextFormat()
 	}
-	settle := func() {
-		c.Flush()
-		r.Run()
-	}
 	value := json.RawMessage(`{"first":1}`)
 	first := &Document{Key: "docs/1", MustNotExist: []string{"over/1"}, Render: func() json.RawMessage { return value }}
 	second := &Document{Key: "docs/2", Revision: 23, Render: func() json.RawMessage { return nil }}
@@ -56,7 +40,7 @@
 	}
 	c.MarkDirty(first, nil)
 	c.MarkDirty(second, nil)
-	settle()
+	r.Settle(c)
 	entries := []*goldenEntry{
 		{document: first, group: "a", line: "0,1"},
 		{document: first, group: "a", line: "1,2,+"},
@@ -65,13 +49,13 @@
 	for _, e := range entries {
 		c.Append(e, nil)
 	}
-	settle()
+	r.Settle(c)
 	c.Append(entries[1], nil)
-	settle()
+	r.Settle(c)
 	value = json.RawMessage(`{"first":2}`)
 	c.MarkDirty(first, nil)
-	settle()
-	return r.requests.String()
+	r.Settle(c)
+	return r.Requests()
 }
 
 // TestGoldenTransactions pins the transactions in which documents and records of the log are
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -64,8 +64,8 @@
 // stored lists the keys and values.
 func (s goldenStore) stored() string {
 	var b strings.Builder
-	for _, path := range slices.Sorted(maps.Keys(s.pairs)) {
-		fmt.Fprintf(&b, "%s: %s\n", path, s.pairs[path].Value)
+	for _, path := range slices.Sorted(maps.Keys(s.Entries)) {
+		fmt.Fprintf(&b, "%s: %s\n", path, s.Entries[path].Value)
 	}
 	return b.String()
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,6 +10,7 @@
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 	"opaldale/internal/machinestore"
 	"opaldale/internal/settings"
 )
@@ -19,8 +19,8 @@
 // any more: the term ends there. One transaction may be lost before.
 type recordingStore struct {
 	*fakeEnv
+	*kvstoretest.MemoryStore
 	t             *testing.T
-	pairs         map[string]kvstore.KeyValue
 	maxValueBytes int
 	txnsLeft      int
 	txnToLose     int // counts down to the transaction that is lost
@@ -36,33 +36,16 @@
 		if s.txnToLose--; s.txnToLose == 0 {
 			return
 		}
-		s.revision++
 		for _, c := range r.Mutations {
 			if len(c.Value) > s.maxValueBytes {
 				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
 			}
-			if c.Put != "" {
-				s.pairs[c.Put] = kvstore.KeyValue{Key: c.Put, Value: c.Value, Revision: s.revision}
-			} else {
-				delete(s.pairs, c.Delete)
-			}
 		}
-		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision})
+		f(s.Apply(r.Mutations))
 	case kvstore.Get:
-		if p, ok := s.pairs[r.Key]; ok {
-			f(kvstore.Response{Outcome: kvstore.OK, Value: p.Value, Revision: p.Revision})
-			return
-		}
-		f(kvstore.Response{Outcome: kvstore.NotFound})
+		f(s.Get(r.Key))
 	case kvstore.List:
-		out := kvstore.Response{Outcome: kvstore.OK}
-		for k, p := range s.pairs {
-			if strings.HasPrefix(k, r.Prefix) {
-				out.KeyValues = append(out.KeyValues, p)
-			}
-		}
-		slices.SortFunc(out.KeyValues, func(a, b kvstore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
-		f(out)
+		f(s.List(r.Prefix))
 	}
 }
 
@@ -90,10 +73,11 @@
 
 // newRecordingStore returns an empty store that answers all transactions.
 func newRecordingStore(t *testing.T, now ident.MonotonicTime, maxValueBytes int) *recordingStore {
+	t.Helper()
 	return &recordingStore{
 		fakeEnv:       newFakeEnv(now),
 		t:             t,
-		pairs:         map[string]kvstore.KeyValue{},
+		MemoryStore:   kvstoretest.NewMemoryStore(),
 		maxValueBytes: maxValueBytes,
 		txnsLeft:      1 << 30,
 	}
@@ -121,7 +105,7 @@
 			s.t.Fatal(err)
 		}
 		path := fmt.Sprintf("%s1-%d", machinestore.Prefix, g)
-		s.pairs[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
+		s.Entries[path] = kvstore.KeyValue{Key: path, Value: b, Revision: ident.Revision(10 + g)}
 	}
 }
 
@@ -140,7 +124,7 @@
 	const machines = legacyGroups * legacyMachines
 	s := newRecordingStore(t, ident.MonotonicTime(time.Hour), 1536)
 	s.txnsLeft, s.txnToLose = txnsLeft, txnToLose
-	s.revision = 50
+	s.Revision = 50
 	s.putLegacyGroups()
 	s.startLeader(2) // ends with its last transaction
 	s.txnsLeft, s.txnToLose = 1<<30, 0
@@ -149,7 +133,7 @@
 		t.Fatalf("%d machines are known", n)
 	}
 	seen := map[ident.MachineID]string{}
-	for path, p := range s.pairs {
+	for path, p := range s.Entries {
 		if strings.HasPrefix(path, machinestore.Prefix) {
 			s.checkGroup(path, p.Value, seen, txnToLose == 0)
 		}
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -7,15 +7,15 @@
 
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
+	"opaldale/internal/kvstoretest"
 )
 
 // fakeStore is a key-value store and a clock for the electors of a test. Responses arrive after a
 // millisecond; watches never respond.
 type fakeStore struct {
+	*kvstoretest.MemoryStore
 	now         ident.MonotonicTime
 	timers      []fakeTimer
-	keys        map[string]kvstore.KeyValue
-	revision    ident.Revision
 	leaseCount  uint64
 	loseDeletes bool // transactions that delete a key are lost
 }
@@ -41,10 +41,7 @@
 func (s *fakeStore) serve(r kvstore.Request) (kvstore.Response, bool) {
 	switch r.Op {
 	case kvstore.Get:
-		if p, ok := s.keys[r.Key]; ok {
-			return kvstore.Response{Outcome: kvstore.OK, Value: p.Value, Revision: p.Revision}, true
-		}
-		return kvstore.Response{Outcome: kvstore.NotFound}, true
+		return s.Get(r.Key), true
 	case kvstore.GrantLease:
 		s.leaseCount++
 		return kvstore.Response{Outcome: kvstore.OK, LeaseID: s.leaseCount}, true
@@ -52,20 +49,10 @@
 		if s.loseDeletes && r.Mutations[0].Delete != "" {
 			return kvstore.Response{}, false
 		}
-		for _, c := range r.Compares {
-			if s.keys[c.Key].Revision != c.Revision {
-				return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: []string{c.Key}}, true
-			}
-		}
-		s.revision++
-		for _, c := range r.Mutations {
-			if c.Delete != "" {
-				delete(s.keys, c.Delete)
-			} else {
-				s.keys[c.Put] = kvstore.KeyValue{Value: c.Value, Revision: s.revision}
-			}
+		if failed := s.FailedKeys(r.Compares); failed != nil {
+			return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}, true
 		}
-		return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}, true
+		return s.Apply(r.Mutations), true
 	case kvstore.Watch:
 		return kvstore.Response{}, false // followers learn of changes by checkLeader alone
 	}
@@ -92,7 +79,7 @@
 func (noCallbacks) OnStoppedLeading(StepDownReason)                                 {}
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{now: ident.MonotonicTime(time.Hour), keys: map[string]kvstore.KeyValue{}}
+	return &fakeStore{MemoryStore: kvstoretest.NewMemoryStore(), now: ident.MonotonicTime(time.Hour)}
 }
 
 func (s *fakeStore) newElector(name string) *Elector {
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"time"
 
@@ -16,11 +15,11 @@
 // recordingStore is a fakeStore that keeps a description of each request.
 type recordingStore struct {
 	*fakeStore
-	requests strings.Builder
+	kvstoretest.RequestLog
 }
 
 func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
-	s.requests.WriteString(kvstoretest.Describe(r))
+	s.Record(r)
 	s.fakeStore.Store(r, f)
 }
 
@@ -38,16 +37,16 @@
 		{"term with a level", `{"term":41,"level":1}`, func(e *Elector) { e.HandOver(time.Minute, "test") }},
 	} {
 		s := &recordingStore{fakeStore: newFakeStore()}
-		s.revision = 200
+		s.Revision = 200
 		if c.term != "" {
-			s.keys[TermKey] = kvstore.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
+			s.Entries[TermKey] = kvstore.KeyValue{Key: TermKey, Value: json.RawMessage(c.term), Revision: 33}
 		}
 		e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 		e.Start()
 		s.advance(700 * time.Millisecond)
 		c.end(e)
 		s.advance(50 * time.Millisecond)
-		d.Add(c.name, s.requests.String())
+		d.Add(c.name, s.Requests())
 	}
 	d.Compare(t, "election")
 }
@@ -56,14 +55,14 @@
 func TestGoldenLeaderKey(t *testing.T) {
 	s := &recordingStore{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
-	s.keys[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
+	s.Entries[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
 	e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	e.Start()
 	s.advance(50 * time.Millisecond)
 	if node, known := e.Leader(); node != "agent-7" || !known || e.knownLeader.Term != 43 || e.knownLeader.Nonce != 99 {
 		t.Errorf("%+v", e.knownLeader)
 	}
-	golden.Compare(t, "follower", s.requests.String())
+	golden.Compare(t, "follower", s.Requests())
 }
 
 // TestGoldenRecords pins the values of the leader key and of the term key.
--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -23,7 +23,7 @@
 			t.Fatal("the former leader still leads")
 		}
 		s.advance(5 * time.Millisecond)
-		if _, held := s.keys[LeaderKey]; held {
+		if _, held := s.Entries[LeaderKey]; held {
 			t.Fatal("the leader key is still there")
 		}
 		other.Start()
@@ -57,7 +57,7 @@
 	if old.LeaseValid() || other.LeaseValid() {
 		t.Errorf("the former leader leads %v, another node %v, while the key exists", old.LeaseValid(), other.LeaseValid())
 	}
-	delete(s.keys, LeaderKey) // its lease has expired
+	delete(s.Entries, LeaderKey) // its lease has expired
 	other.checkLeader()
 	s.advance(time.Second)
 	if !other.LeaseValid() {
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -50,16 +50,14 @@
 			VCPUs: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 0.5,
 			Models: []string{"m8"}, Zone: &zone, DeadlineS: &deadline, RuntimeS: 30}
 		j := tb.Add(s, func() {}, nil)
-		c.Flush()
-		k.run()
+		k.Settle(c)
 		return j
 	}
 	place := func(j *Job, n int) {
 		for i := range n {
 			tb.Place(&j.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i)), ident.Incarnation(1+i%3), func() {})
 		}
-		c.Flush()
-		k.run()
+		k.Settle(c)
 	}
 	small, service := add("j-1", api.Batch, 3), add("j-2", api.Service, 4)
 	large, cancelled := add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
@@ -70,20 +68,17 @@
 	place(cancelled, 2)
 	tb.Complete(&small.Tasks[1], nil)
 	tb.MarkGone(&service.Tasks[2], nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	for _, d := range large.storage.segments {
 		c.MarkDirty(d, nil)
 	}
 	c.MarkDirty(service.storage.header, nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	tb.MarkGone(&large.Tasks[148], nil)
 	tb.Complete(&large.Tasks[7], nil)
 	tb.Place(&service.Tasks[2], "host-000999", 7, func() {})
 	tb.Cancel(cancelled, func() {})
-	c.Flush()
-	k.run()
+	k.Settle(c)
 }
 
 // assertSameJobs compares a table with the jobs in memory of the version in production.
@@ -143,7 +138,7 @@
 			more = tb.ConvertToLog(1)
 			c.Flush()
 			if n < steps-1 {
-				k.run()
+				k.Run()
 			} else {
 				k.Pending = nil // the term ends before the response comes
 			}
@@ -157,11 +152,9 @@
 	k := g.store()
 	tb, c := loadTable(t, k, true)
 	for tb.ConvertToLog(1) || !allConverted(tb) {
-		c.Flush()
-		k.run()
+		k.Settle(c)
 	}
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	assertSameJobs(t, "converted", tb, g)
 	next, _ := loadTable(t, k, true)
 	assertSameJobs(t, "loaded again", next, g)
@@ -233,8 +226,7 @@
 	delete(k.Entries, "log/00000")
 	tb, c := loadTable(t, k, false)
 	tb.Place(&tb.Jobs["j-1"].Tasks[1], "host-2", 1, func() {})
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	var r struct {
 		N uint64 `json:"n"`
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -16,11 +16,11 @@
 // recorder is a store that keeps a description of all requests.
 type recorder struct {
 	*fakeStore
-	requests strings.Builder
+	kvstoretest.RequestLog
 }
 
 func (r *recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
-	r.requests.WriteString(kvstoretest.Describe(q))
+	r.Record(q)
 	r.fakeStore.Store(q, f)
 }
 
@@ -58,10 +58,7 @@
 
 // runLifecycles takes jobs through all changes that are written.
 func runLifecycles(r *recorder, tb *Table, c *commit.Committer) {
-	settle := func() {
-		c.Flush()
-		r.run()
-	}
+	settle := func() { r.Settle(c) }
 	add := func(id ident.JobID) *Job {
 		j := tb.Add(goldenSpec(id), func() {}, nil)
 		settle()
@@ -136,7 +133,7 @@
 		r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
 		tb, c := s.open(r)
 		runLifecycles(r, tb, c)
-		d.Add(s.name+": requests", r.requests.String())
+		d.Add(s.name+": requests", r.Requests())
 		d.Add(s.name+": stored", stored(r.fakeStore))
 		d.Add(s.name+": views", views(t, r.fakeStore))
 		for _, packed := range []bool{false, true} {
@@ -157,11 +154,9 @@
 	runLifecycles(r, tb, c)
 	next, c := loadTable(t, r.fakeStore, true)
 	for next.ConvertToLog(1) || !allConverted(next) {
-		c.Flush()
-		r.run()
+		r.Settle(c)
 	}
-	c.Flush()
-	r.run()
+	r.Settle(c)
 	goldenfile.Compare(t, "conversion", stored(r.fakeStore))
 }
 
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -30,8 +30,6 @@
 	k.SteppedStore.Store(r, f)
 }
 
-func (k *fakeStore) run() { k.Run() }
-
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
 	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
@@ -78,7 +76,7 @@
 		}
 	}
 	successorCommits.Flush()
-	k.run()
+	k.Run()
 	for p := range k.Entries {
 		if strings.HasPrefix(p, commit.LogPrefix) {
 			delete(k.Entries, p) // keys of the log are kept to be reused
@@ -96,18 +94,15 @@
 	s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 	accepted := false
 	j := tb.Add(s, func() { accepted = true }, nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	for i := range j.Tasks {
 		tb.Place(&j.Tasks[i], "host-999999", 1<<40, func() {})
 	}
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	for i := 0; i < tasks/2; i++ {
 		tb.Complete(&j.Tasks[i], nil)
 	}
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	if !accepted {
 		t.Fatal("the submission is not durable")
 	}
@@ -141,11 +136,9 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	told, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		archived++
@@ -154,14 +147,12 @@
 		}
 	}
 	tb.Cancel(j, func() { told = j.View().Status })
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	if told != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
 		t.Fatalf("told %q, keys %v", told, k.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || archived != 1 {
 		t.Errorf("keys %v, archived %d times", k.Entries, archived)
 	}
@@ -205,7 +196,7 @@
 	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
 		t.Errorf("while the submission is written: %q", told)
 	}
-	k.run()
+	k.Run()
 	if told != "queued" || !j.ViewSettled() {
 		t.Errorf("once it is: %q", told)
 	}
@@ -219,7 +210,7 @@
 	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
 		t.Errorf("while the cancellation is written: %q", told)
 	}
-	k.run()
+	k.Run()
 	if told != "cancelled" {
 		t.Errorf("once it is: %q", told)
 	}
--- a/internal/kvstoretest/memory_store.go
+++ b/internal/kvstoretest/memory_store.go
@@ -4,6 +4,9 @@
 
 import (
 	"log/slog"
+	"maps"
+	"slices"
+	"strings"
 
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
@@ -37,6 +40,17 @@
 	return kvstore.Response{Outcome: kvstore.OK, Revision: pair.Revision, Value: pair.Value}
 }
 
+// List returns the response to a list of the keys with a prefix, in their order on one page.
+func (s *MemoryStore) List(prefix string) kvstore.Response {
+	response := kvstore.Response{Outcome: kvstore.OK}
+	for _, key := range slices.Sorted(maps.Keys(s.Entries)) {
+		if strings.HasPrefix(key, prefix) {
+			response.KeyValues = append(response.KeyValues, s.Entries[key])
+		}
+	}
+	return response
+}
+
 // FailedKeys returns the keys of the compares that do not hold.
 func (s *MemoryStore) FailedKeys(compares []kvstore.Compare) (failed []string) {
 	for _, compare := range compares {
--- a/internal/kvstoretest/stepped_store.go
+++ b/internal/kvstoretest/stepped_store.go
@@ -44,3 +44,12 @@
 		next()
 	}
 }
+
+// flusher is a committer.
+type flusher interface{ Flush() }
+
+// Settle has a committer write what it holds back, and runs what is pending.
+func (s *SteppedStore) Settle(committer flusher) {
+	committer.Flush()
+	s.Run()
+}
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -1,7 +1,6 @@
 package migration
 
 import (
-	"strings"
 	"testing"
 	"time"
 
@@ -13,20 +12,9 @@
 	"opaldale/internal/rebalance"
 )
 
-// recorder is a key-value store that keeps a description of each request.
-type recorder struct {
-	*kvstoretest.SteppedStore
-	requests strings.Builder
-}
-
-func (r *recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
-	r.requests.WriteString(kvstoretest.Describe(q))
-	r.SteppedStore.Store(q, f)
-}
-
 // TestGoldenHistory pins the keys and values that moves are recorded with.
 func TestGoldenHistory(t *testing.T) {
-	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
+	r := kvstoretest.NewRecordingStore()
 	c := commit.New(r, testLimits, kvstore.Compare{Key: "leader", Revision: 61}, func(err error) { t.Error(err) })
 	h := NewHistory(c, func() int64 { return 1_700_000_000_123 })
 	move := rebalance.Move{
@@ -45,14 +33,12 @@
 	for _, purpose := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
 		move.Purpose = purpose
 		h.RecordMove(&Move{Move: move, Attempt: 8}, nil)
-		c.Flush()
-		r.Run()
+		r.Settle(c)
 	}
 	h.Forget("j-11")
-	c.Flush()
-	r.Run()
+	r.Settle(c)
 	var d golden.Document
-	d.Add("requests", r.requests.String())
+	d.Add("requests", r.Requests())
 	golden.RoundTrip(t, &d, "record", golden.Filled[Record](0))
 	d.Compare(t, "history")
 }
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -38,8 +38,7 @@
 		if durable {
 			t.Error("durable before it is written")
 		}
-		c.Flush()
-		s.Run()
+		s.Settle(c)
 		if !durable || h.MoveCount("j-1") != n+1 || h.MoveCount("j-2") != 0 {
 			t.Errorf("durable %v, %d moves on record, %d of another job", durable, h.MoveCount("j-1"), h.MoveCount("j-2"))
 		}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -3,12 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"net/http"
 	"net/http/httptest"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -141,13 +139,7 @@
 	case kvstore.Get:
 		f(w.Get(r.Key))
 	case kvstore.List:
-		a := kvstore.Response{Outcome: kvstore.OK}
-		for _, path := range slices.Sorted(maps.Keys(w.Entries)) {
-			if strings.HasPrefix(path, r.Prefix) {
-				a.KeyValues = append(a.KeyValues, w.Entries[path])
-			}
-		}
-		f(a)
+		f(w.List(r.Prefix))
 	case kvstore.GrantLease:
 		f(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
 	default:
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"testing"
 
 	"opaldale/internal/commit"
@@ -14,20 +13,16 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a key-value store that keeps a description of each request.
-type recorder struct {
-	*kvstoretest.SteppedStore
-	requests strings.Builder
-}
+// recorder is a key-value store that records its requests, and responds at once.
+type recorder struct{ *kvstoretest.RecordingStore }
 
-func (r *recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
-	r.requests.WriteString(kvstoretest.Describe(q))
+func (r recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
+	r.Record(q)
 	switch q.Op {
 	case kvstore.Get:
 		f(r.Get(q.Key))
 	case kvstore.List:
-		pairs := []kvstore.KeyValue{r.Entries[NodeKeyPrefix+"agent-1"], r.Entries[NodeKeyPrefix+"agent-2"]}
-		f(kvstore.Response{Outcome: kvstore.OK, KeyValues: pairs})
+		f(r.List(q.Prefix))
 	default:
 		f(r.Apply(q.Mutations))
 	}
@@ -39,13 +34,13 @@
 	var d golden.Document
 	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
 	for _, before := range []string{"", `{"level":1}`, `{"level":1,"frames":1}`} {
-		r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())}
+		r := recorder{kvstoretest.NewRecordingStore()}
 		if before != "" {
 			key := NodeKeyPrefix + "agent-1"
 			r.Entries[key] = kvstore.KeyValue{Key: key, Value: json.RawMessage(before), Revision: 27}
 		}
 		Announce(r, rand.New(rand.NewPCG(1, 2)), "agent-1")
-		d.Add("announced before: "+before, r.requests.String())
+		d.Add("announced before: "+before, r.Requests())
 	}
 	frames := FrameCapabilities([]kvstore.KeyValue{{Key: "nodes/agent-1", Value: json.RawMessage(`{"level":2,"frames":3}`)},
 		{Key: "nodes/agent-2", Value: json.RawMessage(`{"level":1}`)}})
@@ -58,7 +53,7 @@
 	newest := kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
 	other.Key = NodeKeyPrefix + "agent-2"
-	r := &recorder{SteppedStore: kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore(newest, other))}
+	r := recorder{kvstoretest.NewRecordingStore(newest, other)}
 	leaderKey := kvstore.Compare{Key: "leader", Revision: 61}
 	limits := commit.Limits{MutationsPerTxn: 5, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
 	c := commit.New(r, limits, leaderKey, func(err error) { t.Error(err) })
@@ -76,5 +71,5 @@
 	if !done || raiser.State() != Raised {
 		t.Errorf("done %v, %s", done, raiser.State())
 	}
-	golden.Compare(t, "raise", r.requests.String())
+	golden.Compare(t, "raise", r.Requests())
 }
