--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -158,7 +158,7 @@
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
-			c.refuse(reply, "some nodes may run an earlier version")
+			c.refuse(reply, earlierVersionMayRun)
 			return
 		}
 		then()
@@ -181,7 +181,7 @@
 // forwardOrRefuse forwards a request, or refuses it if the leader is out of reach or doesn't answer in time.
 func (c *Controller) forwardOrRefuse(r request, toLeader route, reply func(Response)) {
 	if !toLeader.reachable {
-		c.refuse(reply, "no leader at present")
+		c.refuse(reply, noLeader)
 		return
 	}
 	c.forward(r, toLeader, forwardTimeout, func(response Response) {
@@ -190,7 +190,7 @@
 		}
 		reply(response)
 	}, func() {
-		c.refuse(reply, "the leader did not answer")
+		c.refuse(reply, leaderSilent)
 	})
 }
 
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -40,7 +40,7 @@
 	deadline := c.env.Now().Add(pollReads * storeTimeout)
 	replyInTime := func(r Response) { reply(r.limitValidity(deadline)) }
 	if !c.pollLimiter.allow(c.env.Now(), pollReads) {
-		c.refuse(replyInTime, "too many polls at present")
+		c.refuse(replyInTime, tooManyPolls)
 		return
 	}
 	read := kvstore.Request{Op: kvstore.Get, Key: jobs.LiveKey(id), Timeout: storeTimeout}
@@ -51,7 +51,7 @@
 		case kvstore.NotFound:
 			c.pollFinished(id, replyInTime)
 		default:
-			c.refuse(replyInTime, "state service unavailable")
+			c.refuse(replyInTime, storeUnavailable)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 	view, err := jobs.ParseLiveView(record)
 	if err != nil {
 		slog.Error("unreadable job record in store", "job", string(id), "err", err)
-		reply(unavailable("unreadable job"))
+		reply(unavailable(unreadableJob))
 		return
 	}
 	c.rememberIfCancelled(view.ID, view.Status)
@@ -73,7 +73,7 @@
 	c.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
-			reply(unavailable("state service unavailable"))
+			reply(unavailable(storeUnavailable))
 		case !found:
 			reply(noSuchJob())
 		default:
@@ -84,7 +84,7 @@
 }
 
 // errStoreUnavailable says that the store gave no clear answer.
-var errStoreUnavailable = errors.New("state service unavailable")
+var errStoreUnavailable = errors.New(string(storeUnavailable))
 
 // lookUpFinished looks a job up in the archive of those that are over.
 func (c *Controller) lookUpFinished(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -31,11 +31,11 @@
 		return
 	}
 	if l.formatLevel < ident.FormatPacked && l.needsPackedFormat(spec) {
-		l.controller.refuse(reply, "some nodes still run an earlier version")
+		l.controller.refuse(reply, earlierVersionRuns)
 		return
 	}
 	if l.committer.StoreUnavailable() || l.committer.Backlog() > maxBacklog {
-		l.controller.refuse(reply, "state service unavailable")
+		l.controller.refuse(reply, storeUnavailable)
 		return
 	}
 	l.addJob(spec, l.replies.withTimeout(reply))
@@ -54,7 +54,7 @@
 		created := jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: api.StatusQueued})
 		reply(l.limitToLeaderLease(created))
 	}
-	onConflict := func() { l.replyArchived(spec.ID, reply, ackResponse, unavailable("try again")) }
+	onConflict := func() { l.replyArchived(spec.ID, reply, ackResponse, unavailable(tryAgain)) }
 	j = l.jobs.Add(spec, onDurable, onConflict)
 }
 
@@ -103,7 +103,7 @@
 	l.controller.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
-			reply(unavailable("state service unavailable"))
+			reply(unavailable(storeUnavailable))
 		case found:
 			l.jobs.RememberArchived(id, job)
 			reply(render(job.View(id)))
@@ -131,7 +131,7 @@
 // right before the answer goes out, since the process may pause in between.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
 	if l.closed() || !l.controller.allows(authority.ServeReads) {
-		return unavailable("no leader at present")
+		return unavailable(noLeader)
 	}
 	return r.limitValidity(l.controller.election.LeaseExpiry())
 }
@@ -147,7 +147,7 @@
 		return
 	}
 	if !l.controller.pollLimiter.allow(l.env.Now(), archiveReads) {
-		l.controller.refuse(reply, "too many polls at present")
+		l.controller.refuse(reply, tooManyPolls)
 		return
 	}
 	l.replyArchived(id, reply, viewResponse, noSuchJob())
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// announceHandover has the leader stop deciding, and tells the peers who should follow.
+// announceHandover has the leader stop deciding, and announces the successor to the peers.
 func (l *leaderTerm) announceHandover(assessment links.Assessment, now ident.MonotonicTime) {
 	tracker := l.controller.links
 	decision := l.handover.Decision()
--- a/internal/controller/pending_replies.go
+++ b/internal/controller/pending_replies.go
@@ -10,12 +10,12 @@
 // refusal when that takes too long.
 type pendingReplies struct {
 	after  func(time.Duration, func())
-	refuse func(reply func(Response), text string)
+	refuse func(reply func(Response), reason refusal)
 	byID   map[uint64]func(Response)
 	lastID uint64
 }
 
-func newPendingReplies(after func(time.Duration, func()), refuse func(func(Response), string)) *pendingReplies {
+func newPendingReplies(after func(time.Duration, func()), refuse func(func(Response), refusal)) *pendingReplies {
 	return &pendingReplies{after: after, refuse: refuse, byID: map[uint64]func(Response){}}
 }
 
@@ -27,7 +27,7 @@
 	p.byID[id] = reply
 	p.after(storeTimeout, func() {
 		if p.remove(id) {
-			p.refuse(reply, "state service is slow")
+			p.refuse(reply, storeSlow)
 		}
 	})
 	return func(r Response) {
@@ -49,6 +49,6 @@
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
 		reply := p.byID[id]
 		delete(p.byID, id)
-		p.refuse(reply, "state service unavailable")
+		p.refuse(reply, storeUnavailable)
 	}
 }
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -33,8 +33,8 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newFakeEnv(ident.MonotonicTime(time.Hour))
-			refuse := func(reply func(Response), text string) {
-				if text == "state service is slow" {
+			refuse := func(reply func(Response), reason refusal) {
+				if reason == storeSlow {
 					reply(Response{Status: slow})
 				} else {
 					reply(Response{Status: failed})
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -99,7 +99,7 @@
 	if c.allows(authority.AcceptSubmissions) {
 		return true
 	}
-	c.refuse(reply, "no leader at present")
+	c.refuse(reply, noLeader)
 	return false
 }
 
@@ -127,7 +127,7 @@
 		}
 	}
 	if commands == nil {
-		reply(unavailable("not entitled to answer"))
+		reply(unavailable(notEntitled))
 		return
 	}
 	response := jsonResponse(http.StatusOK, commands)
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -27,7 +27,7 @@
 // IfValid returns the answer if it is still valid at a time, and a refusal otherwise.
 func (r Response) IfValid(now ident.MonotonicTime) Response {
 	if r.ValidUntil > 0 && now >= r.ValidUntil {
-		return unavailable("the answer came too late")
+		return unavailable(responseExpired)
 	}
 	return r
 }
@@ -51,15 +51,32 @@
 // failoverRetryAfterS tells a client when to retry: after about the time of a failover.
 const failoverRetryAfterS = 1
 
+// refusal says why a request is refused that may succeed later. The client is shown it.
+type refusal string
+
+const (
+	noLeader             refusal = "no leader at present"
+	leaderSilent         refusal = "the leader did not answer"
+	notEntitled          refusal = "not entitled to answer"
+	storeUnavailable     refusal = "state service unavailable"
+	storeSlow            refusal = "state service is slow"
+	tooManyPolls         refusal = "too many polls at present"
+	unreadableJob        refusal = "unreadable job"
+	earlierVersionRuns   refusal = "some nodes still run an earlier version"
+	earlierVersionMayRun refusal = "some nodes may run an earlier version"
+	responseExpired      refusal = "the answer came too late"
+	tryAgain             refusal = "try again"
+)
+
 // unavailable is the answer to a request that may succeed later.
-func unavailable(text string) Response {
-	r := errorResponse(http.StatusServiceUnavailable, text)
+func unavailable(reason refusal) Response {
+	r := errorResponse(http.StatusServiceUnavailable, string(reason))
 	r.RetryAfterS = failoverRetryAfterS
 	return r
 }
 
 // refuse answers a request with unavailable, and counts it.
-func (c *Controller) refuse(reply func(Response), text string) {
+func (c *Controller) refuse(reply func(Response), reason refusal) {
 	c.Refused++
-	reply(unavailable(text))
+	reply(unavailable(reason))
 }
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -25,7 +25,7 @@
 	// rejectionBackoff is how much longer a rejected task waits with each rejection, up to maxRejectionBackoff.
 	rejectionBackoff    = time.Second
 	maxRejectionBackoff = 10 * time.Second
-	// drainHeartbeats is how many heartbeats before it must stop a task is told to, ahead of a reclaim.
+	// drainHeartbeats is how many heartbeats before it must stop a task is commanded to, ahead of a reclaim.
 	drainHeartbeats = 2
 )
 
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/workers"
 )
 
-// NoteCompletion notes how long a task ran, if that is comparable with its siblings: a task that has resumed from a
+// NoteCompletion notes how long a task ran, if that is comparable with other tasks of the job: a task that has resumed from a
 // checkpoint needs less, and of one that an earlier term placed the start is not known.
 func (r *Rebalancer) NoteCompletion(t *jobs.Task, w *workers.Worker) {
 	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
