--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -181,7 +181,7 @@
 	var home struct {
 		Home string `json:"home"`
 	}
-	json.Unmarshal(body, &home)
+	_ = json.Unmarshal(body, &home) // without a home node the next one is tried
 	for i, n := range w.sim.nodes {
 		if n.name == home.Home && i != w.nodeIndex {
 			w.turnToNode(i)
