--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -108,17 +108,26 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
+	resp, answer, err := do(req)
 	if err != nil {
 		return err
 	}
+	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(answer)))
+	return statusError(resp)
+}
+
+// do sends a request to a node, and returns the response with its body, which it has read.
+func do(req *http.Request) (*http.Response, []byte, error) {
+	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
+	if err != nil {
+		return nil, nil, err
+	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return err
+		return nil, nil, err
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(answer)))
-	return statusError(resp)
+	return resp, body, nil
 }
 
 // statusError returns an error for a response that is not a success.
--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -41,12 +41,11 @@
 
 // fetchReport reads a report of a node.
 func fetchReport(addr, name string) ([]byte, error) {
-	resp, err := (&http.Client{Timeout: clientTimeout}).Get("http://" + addr + "/" + name)
+	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/"+name, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	resp, body, err := do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/linktracker/env.go
+++ b/internal/linktracker/env.go
@@ -42,46 +42,83 @@
 	monitor *links.Monitor
 }
 
+// callEnd is how a call to an endpoint ended, as evidence on the link.
+type callEnd uint8
+
+const (
+	callUnanswered callEnd = iota // no evidence: the monitor counts the time since the call itself
+	callNotSent
+	callRejected // the endpoint responded that it does not serve this node
+	callAnswered
+	callRefused // the connection was refused
+)
+
+// beginCall records a call to an endpoint, and returns the function that records how it ended.
+func (e monitoredEnv) beginCall(endpoint links.Endpoint) func(callEnd) {
+	sent := e.Now()
+	e.monitor.Sent(endpoint, sent)
+	return func(end callEnd) {
+		switch end {
+		case callNotSent:
+			e.monitor.Unsent(endpoint, sent)
+		case callRejected:
+			e.monitor.AnsweredWithError(endpoint, sent, e.Now())
+		case callAnswered:
+			e.monitor.Answered(endpoint, sent, e.Now())
+		case callRefused:
+			e.monitor.ConnectionRefused(endpoint, e.Now())
+		}
+	}
+}
+
 // Store sends a request to the store. A watch is no evidence, since it takes long by design.
 func (e monitoredEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	if r.Op == kvstore.Watch {
 		e.Env.Store(r, done)
 		return
 	}
-	sent := e.Now()
-	e.monitor.Sent(storeEndpoint, sent)
+	end := e.beginCall(storeEndpoint)
 	e.Env.Store(r, func(response kvstore.Response) {
-		switch {
-		case response.Outcome == kvstore.Unavailable:
-			e.monitor.AnsweredWithError(storeEndpoint, sent, e.Now())
-		case response.Outcome != kvstore.NoAnswer:
-			e.monitor.Answered(storeEndpoint, sent, e.Now())
-		case response.ConnectionRefused:
-			e.monitor.ConnectionRefused(storeEndpoint, e.Now())
-		}
+		end(storeCallEnd(response))
 		done(response)
 	})
 }
 
+func storeCallEnd(response kvstore.Response) callEnd {
+	switch {
+	case response.Outcome == kvstore.Unavailable:
+		return callRejected
+	case response.Outcome != kvstore.NoAnswer:
+		return callAnswered
+	case response.ConnectionRefused:
+		return callRefused
+	}
+	return callUnanswered
+}
+
 // Cloud sends a request to the cloud.
 func (e monitoredEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
-	sent := e.Now()
-	e.monitor.Sent(cloudEndpoint, sent)
+	end := e.beginCall(cloudEndpoint)
 	e.Env.Cloud(r, func(response cloud.Response) {
-		switch {
-		case response.Outcome == cloud.NotSent:
-			e.monitor.Unsent(cloudEndpoint, sent)
-		case response.Outcome == cloud.Unavailable:
-			e.monitor.AnsweredWithError(cloudEndpoint, sent, e.Now())
-		case response.Outcome != cloud.NoAnswer:
-			e.monitor.Answered(cloudEndpoint, sent, e.Now())
-		case response.ConnectionRefused:
-			e.monitor.ConnectionRefused(cloudEndpoint, e.Now())
-		}
+		end(cloudCallEnd(response))
 		done(response)
 	})
 }
 
+func cloudCallEnd(response cloud.Response) callEnd {
+	switch {
+	case response.Outcome == cloud.NotSent:
+		return callNotSent
+	case response.Outcome == cloud.Unavailable:
+		return callRejected
+	case response.Outcome != cloud.NoAnswer:
+		return callAnswered
+	case response.ConnectionRefused:
+		return callRefused
+	}
+	return callUnanswered
+}
+
 // Worker sends a command to a machine. A refused connection is that machine's fault, not its zone's, and shows
 // that the network carries both ways.
 func (e monitoredEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
@@ -89,15 +126,19 @@
 		e.Env.Worker(command, done)
 		return
 	}
-	zone, sent := machinesEndpoint(command.Zone), e.Now()
-	e.monitor.Sent(zone, sent)
+	end := e.beginCall(machinesEndpoint(command.Zone))
 	e.Env.Worker(command, func(result workers.CommandResult) {
-		switch {
-		case result.NotSent:
-			e.monitor.Unsent(zone, sent)
-		case result.Status != 0 || result.ConnectionRefused:
-			e.monitor.Answered(zone, sent, e.Now())
-		}
+		end(workerCallEnd(result))
 		done(result)
 	})
 }
+
+func workerCallEnd(result workers.CommandResult) callEnd {
+	switch {
+	case result.NotSent:
+		return callNotSent
+	case result.Status != 0 || result.ConnectionRefused:
+		return callAnswered
+	}
+	return callUnanswered
+}
