--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -31,7 +31,7 @@
 	if !known {
 		return best, false
 	}
-	best.reachable = c.reachable(best.leader)
+	best.reachable = c.peerReachable(best.leader)
 	if best.reachable && !c.links.PeerDown(best.leader) {
 		return best, true
 	}
@@ -71,6 +71,17 @@
 	})
 }
 
+// completeForward passes the leader's answer to the request that waits for it. An answer that comes after the timeout of
+// the request is dropped.
+func (c *Controller) completeForward(frame *transport.Frame) {
+	reply := c.pendingForwards[frame.ID]
+	if reply == nil {
+		return
+	}
+	delete(c.pendingForwards, frame.ID)
+	reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
+}
+
 // HandleRequest takes a request of a user or a worker that came to this node. reply is called once, now or
 // in a later event.
 func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
@@ -210,5 +221,5 @@
 		return
 	}
 	leader, known := c.election.Leader()
-	c.forwardOrRefuse(r, route{leader: leader, reachable: known && c.reachable(leader)}, reply)
+	c.forwardOrRefuse(r, route{leader: leader, reachable: known && c.peerReachable(leader)}, reply)
 }
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -47,17 +47,17 @@
 	c.env.Store(read, func(r kvstore.Response) {
 		switch r.Outcome {
 		case kvstore.OK:
-			c.replyLive(id, r.Value, replyInTime)
+			c.replyWithLiveJob(id, r.Value, replyInTime)
 		case kvstore.NotFound:
-			c.pollFinished(id, replyInTime)
+			c.pollFromArchive(id, replyInTime)
 		default:
 			c.refuse(replyInTime, storeUnavailable)
 		}
 	})
 }
 
-// replyLive answers a poll with the record of a live job.
-func (c *Controller) replyLive(id ident.JobID, record json.RawMessage, reply func(Response)) {
+// replyWithLiveJob answers a poll with the record of a live job.
+func (c *Controller) replyWithLiveJob(id ident.JobID, record json.RawMessage, reply func(Response)) {
 	view, err := jobs.ParseLiveView(record)
 	if err != nil {
 		slog.Error("unreadable job record in store", "job", string(id), "err", err)
@@ -68,9 +68,9 @@
 	reply(viewResponse(view))
 }
 
-// pollFinished answers a poll for a job that is not live.
-func (c *Controller) pollFinished(id ident.JobID, reply func(Response)) {
-	c.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
+// pollFromArchive answers a poll for a job that is not live.
+func (c *Controller) pollFromArchive(id ident.JobID, reply func(Response)) {
+	c.lookUpArchived(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable(storeUnavailable))
@@ -86,8 +86,8 @@
 // errStoreUnavailable says that the store gave no clear answer.
 var errStoreUnavailable = errors.New(string(storeUnavailable))
 
-// lookUpFinished looks a job up in the archive of those that are over.
-func (c *Controller) lookUpFinished(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
+// lookUpArchived looks a job up in the archive of those that are over.
+func (c *Controller) lookUpArchived(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
 	read := kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
 		var job jobs.ArchivedJob
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -100,7 +100,7 @@
 
 // replyArchived answers with the view of a job that was over in an earlier term, or with missing if there is none.
 func (l *leaderTerm) replyArchived(id ident.JobID, reply func(Response), render func(api.JobView) Response, missing Response) {
-	l.controller.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
+	l.controller.lookUpArchived(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable(storeUnavailable))
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -33,7 +33,7 @@
 		l.countMachinesByZone()
 	}
 	l.evaluateLoad()
-	if !l.controller.links.Enabled() && l.controller.election.LeaseValid() && l.isolated() {
+	if !l.controller.links.Enabled() && l.controller.election.LeaseValid() && l.detectIsolation() {
 		l.resign(leaderIsolated)
 		return
 	}
@@ -139,8 +139,8 @@
 	now := l.env.Now()
 	if now < l.nextDispatchAt {
 		if !l.state.timerSet() {
-			l.handle(dispatchPostponed)
-			l.env.After(l.nextDispatchAt.Sub(now), func() { l.handle(wakeUpTimerFired) })
+			l.transition(dispatchPostponed)
+			l.env.After(l.nextDispatchAt.Sub(now), func() { l.transition(wakeUpTimerFired) })
 		}
 		return
 	}
@@ -148,7 +148,7 @@
 	if l.planner.Dispatch() {
 		result = dispatchTruncated
 	}
-	l.handle(result)
+	l.transition(result)
 	// With thousands of jobs waiting a dispatch is long. It may take part of the time only, or the lease would
 	// not be renewed.
 	done := l.env.Now()
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -156,11 +156,11 @@
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
 			if l.rebalancer != nil {
-				l.rebalancer.NoteCompletion(t, w)
+				l.rebalancer.RecordCompletion(t, w)
 			}
 		},
 		Persist:         func(w *workers.Worker) { l.machines.Commit(w) },
-		OnCommandResult: l.noteCommandOutcome,
+		OnCommandResult: l.recordCommandOutcome,
 		LastPeerRenewal: func() ident.MonotonicTime { return l.renewals.LatestRenewal(l.env.Now()) },
 	}
 }
@@ -220,7 +220,7 @@
 
 // close ends the term. The state changes first: what is stopped below calls back, and must find the term closed.
 func (l *leaderTerm) close() {
-	l.handle(termEnded)
+	l.transition(termEnded)
 	l.committer.Stop()
 	l.workers.Close()
 	l.fleet.Close()
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -27,14 +27,14 @@
 	}
 	c.renewer.RecordRenewal(now)
 	c.LeasesKept++
-	commands := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
+	response := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
 	for _, task := range heartbeat.Tasks {
 		// A kill is safe whoever leads; without it the task ends only with the lease.
 		if _, ok := c.cancelledJobs.Get(task.TaskID.Job); ok && task.Status != api.Ended {
-			commands.Commands = append(commands.Commands, workers.KillCommand(task.TaskID, task.Attempt))
+			response.Commands = append(response.Commands, workers.KillCommand(task.TaskID, task.Attempt))
 		}
 	}
-	return jsonResponse(http.StatusOK, commands), true
+	return jsonResponse(http.StatusOK, response), true
 }
 
 // rememberIfCancelled records a job whose status is known to be cancelled, which is final.
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -25,7 +25,7 @@
 
 func (n trackedNode) ProbeStore() { n.controller.probeStore() }
 
-func (n trackedNode) Reachable(id ident.NodeID) bool { return n.controller.reachable(id) }
+func (n trackedNode) Reachable(id ident.NodeID) bool { return n.controller.peerReachable(id) }
 
 func (n trackedNode) LastHeartbeatID(id ident.NodeID) uint64 {
 	return n.controller.peers[id].lastHeartbeatID
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -64,21 +64,21 @@
 			report.Error = errStoreUnavailable.Error()
 		}
 		report.Truncated = r.Truncated
-		for _, p := range r.KeyValues {
-			report.Moves = append(report.Moves, recordedMoves(p, c.env.WallMS())...)
+		for _, pair := range r.KeyValues {
+			report.Moves = append(report.Moves, recordedMoves(pair, c.env.WallMS())...)
 		}
 		reply(report)
 	})
 }
 
 // recordedMoves lists the moves of one key.
-func recordedMoves(p kvstore.KeyValue, nowMS int64) []MoveEntry {
-	record, err := migration.ReadRecord(p.Value)
+func recordedMoves(pair kvstore.KeyValue, nowMS int64) []MoveEntry {
+	record, err := migration.ReadRecord(pair.Value)
 	if err != nil {
-		slog.Error("unreadable move record in store", "path", p.Key, "err", err)
+		slog.Error("unreadable move record in store", "path", pair.Key, "err", err)
 		return nil
 	}
-	job := ident.JobID(p.Key[len(migration.Prefix):])
+	job := ident.JobID(pair.Key[len(migration.Prefix):])
 	var out []MoveEntry
 	for _, e := range record.Moves {
 		age := time.Duration(max(0, nowMS-e.AtMS)) * time.Millisecond
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -95,8 +95,12 @@
 	})
 }
 
-// handleHeartbeat takes in a peer's heartbeat.
-func (c *Controller) handleHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
+// receivePeerHeartbeat processes a peer's heartbeat: which node it reports to lead, and which heartbeat of this node it
+// echoes.
+func (c *Controller) receivePeerHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
+	if frame.Node != "" {
+		c.election.PeerReportedLeader(frame.Node, frame.Term)
+	}
 	now := c.env.Now()
 	sender.lastHeartbeatID = frame.ID
 	heartbeat := &frame.Heartbeat
@@ -158,8 +162,8 @@
 	return false
 }
 
-// reachable reports whether frames to a peer probably arrive.
-func (c *Controller) reachable(n ident.NodeID) bool {
+// peerReachable reports whether frames to a peer probably arrive.
+func (c *Controller) peerReachable(n ident.NodeID) bool {
 	if !c.links.PeerDelivering(n) {
 		return false // it is heard, but cannot receive
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -41,11 +41,10 @@
 	l.controller.election.Resign(resignationPause, reason)
 }
 
-// isolated reports whether this node hears no peer and, with several machines up, none of them either. A
-// leader that is cut off from everything but the store would keep its lease, and the cluster, for as long
-// as the partition lasts. Machines that have been silent for long are probed: in a small fleet heartbeats leave longer
-// gaps than isolatedAfter.
-func (l *leaderTerm) isolated() bool {
+// detectIsolation reports whether this node hears neither its peers nor, with several machines up, any of these. A
+// leader that is cut off from everything but the store would keep its lease for as long as the partition lasts. Silent
+// machines are probed, since in a small fleet the gaps between heartbeats are longer than isolatedAfter.
+func (l *leaderTerm) detectIsolation() bool {
 	now := l.env.Now()
 	if len(l.controller.settings.Peers) == 0 || now.Sub(l.startedAt) < isolatedAfter {
 		return false
@@ -53,7 +52,15 @@
 	if l.controller.heardAnyPeerWithin(isolatedAfter / 2) {
 		return false
 	}
-	unanswered, probed, lastHeard := 0, 0, ident.MonotonicTime(0)
+	unanswered, lastHeard := l.probeSilentMachines(now)
+	return !l.controller.heardAnyPeerWithin(peerTimeout) && now.Sub(lastHeard) >= isolatedAfter &&
+		unanswered >= minUnansweredProbes
+}
+
+// probeSilentMachines probes some of the machines that have not been heard recently. It returns how many machines have
+// left an earlier probe unanswered, and when a machine was last heard.
+func (l *leaderTerm) probeSilentMachines(now ident.MonotonicTime) (unanswered int, lastHeard ident.MonotonicTime) {
+	probed := 0
 	for _, w := range l.workers.Sorted() {
 		if w.State != workers.Up && w.State != workers.Unreachable {
 			continue
@@ -67,8 +74,7 @@
 			probed++
 		}
 	}
-	return !l.controller.heardAnyPeerWithin(peerTimeout) && now.Sub(lastHeard) >= isolatedAfter &&
-		unanswered >= minUnansweredProbes
+	return unanswered, lastHeard
 }
 
 // machineContact is what a leader knows of its own exchanges with machines.
@@ -88,31 +94,31 @@
 	return now.Sub(c.last) > directContactTimeout && now.Sub(c.probedAt) > reachProbeInterval
 }
 
-// note notes an exchange.
-func (c *machineContact) note(now ident.MonotonicTime) {
+// record records an exchange with a machine: its links and those of this node work.
+func (c *machineContact) record(now ident.MonotonicTime) {
 	c.last = now
 	clear(c.unreachable)
 }
 
-// noteWorkerHeartbeat notes that a machine's heartbeat arrived, directly or by a peer. A leader without any direct
+// recordHeartbeatContact records that a machine's heartbeat arrived, directly or by a peer. A leader without any direct
 // contact of late probes the machines that its peers hear.
-func (l *leaderTerm) noteWorkerHeartbeat(machine *workers.Worker, direct bool) {
+func (l *leaderTerm) recordHeartbeatContact(machine *workers.Worker, direct bool) {
 	now := l.env.Now()
 	switch {
 	case direct:
-		l.contact.note(now)
+		l.contact.record(now)
 	case machine != nil && l.contact.probeDue(now) && l.workers.Probe(machine):
 		l.contact.probedAt = now
 	}
 }
 
-// noteCommandOutcome notes whether a machine answered a command. Machines that peers hear and this node doesn't reach
+// recordCommandOutcome records whether a machine answered a command. Machines that peers hear and this node doesn't reach
 // show that the leader is cut off from them, not they from the cluster. It must leave leadership to a peer
 // rather than fence them for their silence, which would take the whole fleet with all its replicas.
-func (l *leaderTerm) noteCommandOutcome(machine *workers.Worker, answered bool) {
+func (l *leaderTerm) recordCommandOutcome(machine *workers.Worker, answered bool) {
 	now := l.env.Now()
 	if answered {
-		l.contact.note(now)
+		l.contact.record(now)
 		return
 	}
 	heardByPeers := machine.HeardThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
@@ -148,7 +154,7 @@
 		if s.Zone != zone {
 			continue
 		}
-		if l.controller.reachable(s.Node) {
+		if l.controller.peerReachable(s.Node) {
 			return false
 		}
 		silentPeers++
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -96,7 +96,7 @@
 	if l.rebalancer != nil {
 		l.rebalancer.TakeOver()
 	}
-	l.handle(stateLoaded)
+	l.transition(stateLoaded)
 	if l.formatLevel < ident.NewestFormatLevel {
 		l.formatUpgrader.Poll()
 	} else {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -9,12 +9,12 @@
 	"opaldale/internal/transport"
 )
 
-// request is a request of a user or a worker, as it comes in and as it is forwarded.
+// request is a request of a user or a worker, as received and as forwarded to the leader.
 type request struct {
 	method transport.Method
 	jobID  ident.JobID // of GetJob and CancelJob
 	body   []byte      // of SubmitJob and WorkerHeartbeat
-	direct bool        // it came to this node from its sender, not by a peer
+	direct bool        // received from the client itself, not forwarded by a peer
 }
 
 // requestOf returns the request that a peer's frame carries.
@@ -22,7 +22,7 @@
 	return request{method: frame.Method, jobID: ident.JobID(frame.JobID), body: frame.Body}
 }
 
-// HandleFrame takes in a message of a peer. One of an unknown node is ignored.
+// HandleFrame processes a message from a peer. A message from a node that is not configured as a peer is ignored.
 func (c *Controller) HandleFrame(from ident.NodeID, frame *transport.Frame) {
 	sender := c.peers[from]
 	if sender == nil {
@@ -36,19 +36,13 @@
 	case transport.MsgTransferLeader:
 		c.election.PreferSuccessor(frame.Node, frame.Term)
 	case transport.MsgHeartbeat:
-		if frame.Node != "" {
-			c.election.PeerReportedLeader(frame.Node, frame.Term)
-		}
-		c.handleHeartbeat(from, sender, frame)
+		c.receivePeerHeartbeat(from, sender, frame)
 	case transport.MsgRequest:
 		c.serveAsLeader(requestOf(frame), c.responder(from, frame.ID))
 	case transport.MsgRelayRequest:
 		c.serveRelayed(requestOf(frame), c.responder(from, frame.ID))
 	case transport.MsgResponse:
-		if reply := c.pendingForwards[frame.ID]; reply != nil {
-			delete(c.pendingForwards, frame.ID)
-			reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
-		}
+		c.completeForward(frame)
 	}
 }
 
@@ -65,11 +59,12 @@
 	}
 }
 
-// serveAsLeader answers a request as the leader, or refuses it.
+// serveAsLeader answers a request from the leader's tables, or refuses it. Peers may still
+// forward requests to a node whose term has ended, so c.leader may be nil here.
 func (c *Controller) serveAsLeader(r request, reply func(Response)) {
 	switch r.method {
 	case transport.SubmitJob:
-		// A malformed submission gets the same status at every node at any time, also between two leaders.
+		// A malformed submission gets the same status from every node, whether it leads or not.
 		spec, err := api.ParseSpec(r.body)
 		switch {
 		case err != nil:
@@ -79,7 +74,7 @@
 		}
 	case transport.GetJob:
 		if !c.allows(authority.ServeReads) {
-			// Past the validity of its lease a leader's memory may be behind its successor's.
+			// After its lease has expired, a leader's tables may be older than its successor's.
 			c.pollFromStore(r.jobID, reply)
 			return
 		}
@@ -89,7 +84,7 @@
 			c.leader.cancel(r.jobID, reply)
 		}
 	case transport.WorkerHeartbeat:
-		c.handleWorkerHeartbeat(r, reply)
+		c.serveWorkerHeartbeat(r, reply)
 	}
 }
 
@@ -103,8 +98,8 @@
 	return false
 }
 
-// handleWorkerHeartbeat answers a worker's heartbeat.
-func (c *Controller) handleWorkerHeartbeat(r request, reply func(Response)) {
+// serveWorkerHeartbeat answers a worker's heartbeat.
+func (c *Controller) serveWorkerHeartbeat(r request, reply func(Response)) {
 	heartbeat, err := api.ParseHeartbeat(r.body)
 	if err != nil {
 		reply(errorResponse(http.StatusBadRequest, err.Error()))
@@ -112,19 +107,8 @@
 	}
 	var commands *api.HeartbeatResponse
 	var validUntil ident.MonotonicTime
-	if l := c.leader; l != nil {
-		c.links.NoteWorkerHeartbeat(heartbeat, r.direct)
-		if c.allows(authority.CommandWorkers) {
-			commands = l.workers.HandleHeartbeat(heartbeat)
-			if commands != nil && api.ContainsLaunch(commands.Commands) {
-				// Should this process pause now, a successor may have reported the job as cancelled before
-				// the answer goes out.
-				validUntil = c.election.LeaseExpiry()
-			}
-			l.noteWorkerHeartbeat(l.workers.Workers[heartbeat.MachineID], r.direct)
-		} else if c.allows(authority.RenewWorkerLeases) {
-			commands = l.workers.RenewLeaseOnly(heartbeat)
-		}
+	if c.leader != nil {
+		commands, validUntil = c.leader.answerHeartbeat(heartbeat, r.direct)
 	}
 	if commands == nil {
 		reply(unavailable(notEntitled))
@@ -134,3 +118,26 @@
 	response.ValidUntil = validUntil
 	reply(response)
 }
+
+// answerHeartbeat renews the lease of a worker and returns the commands for it, as far as the leader's authority
+// goes; nil if it may do neither. validUntil bounds the validity of the answer; 0: none.
+func (l *leaderTerm) answerHeartbeat(heartbeat *api.Heartbeat, direct bool) (
+	commands *api.HeartbeatResponse, validUntil ident.MonotonicTime,
+) {
+	c := l.controller
+	c.links.RecordWorkerHeartbeat(heartbeat, direct)
+	if !c.allows(authority.CommandWorkers) {
+		if c.allows(authority.RenewWorkerLeases) {
+			commands = l.workers.RenewLeaseOnly(heartbeat)
+		}
+		return commands, 0
+	}
+	commands = l.workers.HandleHeartbeat(heartbeat)
+	if commands != nil && api.ContainsLaunch(commands.Commands) {
+		// If the process pauses before the answer goes out, a successor may have reported the job as
+		// cancelled by then.
+		validUntil = c.election.LeaseExpiry()
+	}
+	l.recordHeartbeatContact(l.workers.Workers[heartbeat.MachineID], direct)
+	return commands, validUntil
+}
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -157,7 +157,7 @@
 	now := l.env.Now()
 	if cause == api.CauseError {
 		slog.Info("task failed", "task", t.TaskID().String(), "machine", string(machine.ID))
-		l.noteTaskError(t, machine, now)
+		l.recordTaskError(t, machine, now)
 		return
 	}
 	switch cause {
@@ -172,9 +172,9 @@
 	slog.Info("machine rejected task", "task", t.TaskID().String(), "machine", string(machine.ID), "cause", string(cause))
 }
 
-// noteTaskError has a job avoid the machine on which one of its tasks has failed. Failures on several machines are
+// recordTaskError has a job avoid the machine on which one of its tasks has failed. Failures on several machines are
 // rather the job's fault than that of all of them: it is tried more and more seldom then.
-func (l *leaderTerm) noteTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
+func (l *leaderTerm) recordTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
 	j := t.Job
 	t.ConsecutiveErrors++
 	l.jobs.NoteFailure(j)
--- a/internal/controller/term_state.go
+++ b/internal/controller/term_state.go
@@ -107,8 +107,8 @@
 // timerSet reports whether the wake-up timer is set.
 func (s termState) timerSet() bool { return s == termDispatchScheduled || s == termCoolingDown }
 
-// handle takes an event; every change of the term's state passes through here.
-func (l *leaderTerm) handle(event termEvent) { l.state = l.state.next(event) }
+// transition changes the state on an event. No other function changes it.
+func (l *leaderTerm) transition(event termEvent) { l.state = l.state.next(event) }
 
 // loaded reports whether what earlier terms stored has been taken over.
 func (l *leaderTerm) loaded() bool { return l.state != termLoading }
@@ -117,4 +117,4 @@
 func (l *leaderTerm) closed() bool { return l.state == termClosed }
 
 // requestDispatch has waiting tasks looked at after the present event.
-func (l *leaderTerm) requestDispatch() { l.handle(dispatchRequested) }
+func (l *leaderTerm) requestDispatch() { l.transition(dispatchRequested) }
--- a/internal/linktracker/probe.go
+++ b/internal/linktracker/probe.go
@@ -114,9 +114,9 @@
 	return byZone
 }
 
-// NoteWorkerHeartbeat notes a machine's heartbeat; one that came directly from the machine shows that its zone
+// RecordWorkerHeartbeat records a machine's heartbeat; one that came directly from the machine shows that its zone
 // reaches this node.
-func (t *Tracker) NoteWorkerHeartbeat(heartbeat *api.Heartbeat, direct bool) {
+func (t *Tracker) RecordWorkerHeartbeat(heartbeat *api.Heartbeat, direct bool) {
 	if t == nil {
 		return
 	}
@@ -145,6 +145,6 @@
 	}
 	t.probes.sampledAt = now
 	if heartbeat, err := api.ParseHeartbeat(body); err == nil {
-		t.NoteWorkerHeartbeat(heartbeat, true)
+		t.RecordWorkerHeartbeat(heartbeat, true)
 	}
 }
--- a/internal/linktracker/tracker_test.go
+++ b/internal/linktracker/tracker_test.go
@@ -16,7 +16,7 @@
 	tracker.HeartbeatSent("agent-1", 1)
 	tracker.HeartbeatEchoed("agent-1", 1, 2)
 	tracker.FrameReceived("agent-1", 2)
-	tracker.NoteWorkerHeartbeat(&api.Heartbeat{}, true)
+	tracker.RecordWorkerHeartbeat(&api.Heartbeat{}, true)
 	tracker.SampleWorkerHeartbeat(nil)
 	tracker.MergeAdvertisements(&transport.Frame{})
 	if tracker.Enabled() {
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -339,8 +339,8 @@
 		"state", move.State.String(), "reason", move.Reason.String(), "took_s", r.leader.Now().Sub(move.StartedAt).Seconds())
 }
 
-// NoteTeamCooled notes that an overloaded team asks for no more than its quota again.
-func (r *Rebalancer) NoteTeamCooled(now ident.MonotonicTime) { r.teamCooledAt = now }
+// RecordTeamCooled records that an overloaded team asks for no more than its quota again.
+func (r *Rebalancer) RecordTeamCooled(now ident.MonotonicTime) { r.teamCooledAt = now }
 
 // Moves lists the moves under way, and those that have ended of late.
 func (r *Rebalancer) Moves() []*migration.Move {
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -7,9 +7,9 @@
 	"opaldale/internal/workers"
 )
 
-// NoteCompletion notes how long a task ran, if that is comparable with other tasks of the job: a task that has resumed from a
+// RecordCompletion records how long a task ran, if that is comparable with other tasks of the job: a task that has resumed from a
 // checkpoint needs less, and of one that an earlier term placed the start is not known.
-func (r *Rebalancer) NoteCompletion(t *jobs.Task, w *workers.Worker) {
+func (r *Rebalancer) RecordCompletion(t *jobs.Task, w *workers.Worker) {
 	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
