--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -1,12 +1,14 @@
 package controller
 
+// This file derives what the node may decide from its leadership, its store and a handover under way.
+
 import (
 	"log/slog"
 
 	"opaldale/internal/authority"
 )
 
-// updateAuthority returns what this node may decide at this moment, and logs a change of it.
+// updateAuthority brings the node's authority up to date, logs a change of it, and returns it.
 func (c *Controller) updateAuthority() authority.State {
 	from, to := c.authority.Update(c.authorityFacts())
 	if from != to && c.links.Enabled() {
@@ -41,12 +43,12 @@
 	return authority.LeaseExpired
 }
 
-// allows reports whether this node may do something at this moment. All decisions of a leader, and what it answers
-// users and workers, are checked by it.
+// allows reports whether this node has the authority for an action at this moment. Every decision of a leader, and every
+// answer from its tables, must be guarded by it.
 func (c *Controller) allows(action authority.Action) bool { return c.updateAuthority().Allows(action) }
 
-// mayManageFleet reports whether machines may be provisioned, terminated and fenced. If links are not watched, a
-// leader goes on with that while it can't write.
+// mayManageFleet reports whether machines may be provisioned, terminated and fenced. If links are not watched, that
+// includes a leader that can't write to the store.
 func (c *Controller) mayManageFleet() bool {
 	state := c.updateAuthority()
 	return state.Allows(authority.Scale) || !c.links.Enabled() && state == authority.StoreDown
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,12 @@
 // Package controller is one node of the replicated controller: it takes requests of users and heartbeats of
 // workers, forwards them to the leader, and schedules the cluster while it is the leader itself.
 //
-// It does no I/O of its own. Events and the time come in by its methods and callbacks, and whatever is to be
-// done goes out by Env. It is not safe for concurrent use: all calls come from one event loop.
+// It does no I/O of its own: events arrive as calls of its methods and as callbacks, and Env carries out its calls. It is
+// not safe for concurrent use: all calls come from one event loop, which calls AfterEvent after each event.
+//
+// Where to begin reading: HandleRequest (forwarding.go) takes requests of users and workers, HandleFrame
+// (requests.go) messages of peers, and AfterEvent (leader_loop.go) acts on what an event has changed. leaderTerm
+// (leader_term.go) holds all that a node knows as the leader; recovery.go loads it when a term begins.
 package controller
 
 import (
@@ -23,8 +27,8 @@
 	"opaldale/internal/workers"
 )
 
-// Env is what a controller needs of its process: clocks, timers, and the services and nodes that it calls.
-// Callbacks run one at a time in the event loop, each followed by Controller.AfterEvent.
+// Env provides clocks, timers, and calls to the services and nodes that a controller depends on. Callbacks run one at a
+// time on the goroutine of the event loop, each followed by Controller.AfterEvent.
 type Env interface {
 	Now() ident.MonotonicTime
 	WallMS() int64 // the wall clock, in milliseconds since the epoch
@@ -46,7 +50,7 @@
 	renewalGrace time.Duration     // see renewalGrace
 
 	peers           map[ident.NodeID]*peer
-	pendingForwards map[uint64]func(Response)
+	pendingForwards map[uint64]func(Response) // replies to forwarded requests, by the ID of their frame
 	lastForwardID   uint64
 	pollLimiter     tokenBucket
 
@@ -123,8 +127,8 @@
 	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
-// AfterEvent is called after every event, when all its consequences are in the tables: a leader places
-// what can be placed and writes what has changed.
+// AfterEvent must be called after every event. A leader then places waiting tasks, if the event may have made that
+// possible, and writes to the store what the event has changed.
 func (c *Controller) AfterEvent() {
 	if c.leader != nil {
 		c.leader.afterEvent()
@@ -146,21 +150,21 @@
 	c.leader.loadState()
 }
 
-// OnStoppedLeading ends the term: it implements election.Callbacks. Of what the term knew only what is final
-// is used again.
+// OnStoppedLeading ends the term: it implements election.Callbacks. Only the cancellations that are durable outlive the
+// term, since they are final.
 func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader == nil {
 		return
 	}
 	for _, j := range c.leader.jobs.Sorted() {
-		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status()) // a durable cancellation is final
+		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status())
 	}
 	c.leader.close()
 	c.leader = nil
 }
 
-// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the
-// leader, or nobody is known to be better off.
+// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the leader, or no
+// other node is known to lead and a peer is heard. A node without peers is always healthy.
 func (c *Controller) Healthy() bool {
 	if c.election.LeaseValid() {
 		return true
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file forwards requests to the leader, and answers those that a follower can answer itself.
+
 import (
 	"encoding/json"
 	"net/http"
@@ -18,14 +20,15 @@
 	pollForwardTimeout = 700 * time.Millisecond
 )
 
-// route is how requests come to the leader.
+// route is the path by which this node forwards requests to the leader.
 type route struct {
 	leader    ident.NodeID
 	via       ident.NodeID // the peer that relays them; empty: directly
-	reachable bool         // they probably arrive
+	reachable bool         // frames probably arrive
 }
 
-// leaderRoute returns the route to the leader: directly, or by a peer that reaches it.
+// leaderRoute returns the route to the leader: direct, or by a peer that reaches it if the direct link is down. known is
+// false, and the route not reachable, while no leader is known.
 func (c *Controller) leaderRoute() (best route, known bool) {
 	best.leader, known = c.election.Leader()
 	if !known {
@@ -41,13 +44,13 @@
 	return best, true
 }
 
-// forward sends a request to the leader; without an answer in time, onTimeout is called in place of reply.
+// forward sends a request to the leader. Exactly one of reply and onTimeout is called.
 func (c *Controller) forward(r request, to route, timeout time.Duration, reply func(Response), onTimeout func()) {
 	c.Forwarded++
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
-	// Should this process pause, the answer may be read before the timer runs.
+	// If the process pauses, the answer may be read before the timer fires, and be too old.
 	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
 	frame := &transport.Frame{
 		Type:   transport.MsgRequest,
@@ -82,8 +85,9 @@
 	reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
 }
 
-// HandleRequest takes a request of a user or a worker that came to this node. reply is called once, now or
-// in a later event.
+// HandleRequest serves a request that a user or a worker has sent to this node, or forwards it to the leader. jobID is used
+// by GetJob and CancelJob, body by SubmitJob and WorkerHeartbeat. reply is called once, during this call or in a later
+// event.
 func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
 	r := request{method: method, jobID: ident.JobID(jobID), body: body, direct: true}
 	if c.leader != nil {
@@ -164,8 +168,8 @@
 	c.forwardOrRefuse(r, toLeader, reply)
 }
 
-// requirePackedFormat reads the format level, and calls then if gangs may be forwarded. To be removed with the
-// first format.
+// requirePackedFormat reads the format level and calls then if the packed format is in force; otherwise it refuses the
+// request. To be removed with the first format.
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
@@ -176,7 +180,7 @@
 	})
 }
 
-// refreshFormatLevel reads the format level from the store, as far as that answers, and calls then either way.
+// refreshFormatLevel reads the format level from the store, and calls then whether or not the store has answered.
 func (c *Controller) refreshFormatLevel(then func()) {
 	read := kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
@@ -213,8 +217,8 @@
 	}
 }
 
-// serveRelayed forwards a peer's request to the leader, or answers it as the leader. It takes the direct route
-// from here, so that no request takes more than two hops.
+// serveRelayed forwards a request to the leader on behalf of a peer, or answers it as the leader. It uses only the direct
+// route, so that no request takes more than two hops.
 func (c *Controller) serveRelayed(r request, reply func(Response)) {
 	if c.leader != nil {
 		c.serveAsLeader(r, reply)
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file answers polls from the store, and limits the reads that they cause.
+
 import (
 	"encoding/json"
 	"errors"
@@ -11,19 +13,19 @@
 )
 
 const (
-	// pollReads is the most reads that a poll takes that is answered from the store, and archiveReads that of a
-	// poll for a job that is known not to be live.
+	// pollReads is the largest number of reads that answer a poll from the store; archiveReads is the number for a
+	// job that is known not to be live.
 	pollReads    = 2
 	archiveReads = 1
 )
 
-// tokenBucket bounds the store requests that polls cause. It holds the tokens of one second at most.
+// tokenBucket limits the rate of store reads for polls. Its burst is the rate of one second.
 type tokenBucket struct {
 	tokens, perSecond float64
 	refilledAt        ident.MonotonicTime
 }
 
-// allow takes n tokens if there are as many.
+// allow takes n tokens, and reports whether there were as many.
 func (b *tokenBucket) allow(now ident.MonotonicTime, n float64) bool {
 	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -83,10 +85,11 @@
 	})
 }
 
-// errStoreUnavailable says that the store gave no clear answer.
+// errStoreUnavailable is returned for a read that the store did not answer.
 var errStoreUnavailable = errors.New(string(storeUnavailable))
 
-// lookUpArchived looks a job up in the archive of those that are over.
+// lookUpArchived reads a job from the archive. If found is false and err nil, the job is not in the archive; err is
+// errStoreUnavailable if the store gave no answer.
 func (c *Controller) lookUpArchived(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
 	read := kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file submits, shows and cancels jobs on behalf of users, as the leader.
+
 import (
 	"errors"
 	"fmt"
@@ -15,7 +17,7 @@
 // maxBacklog bounds the writes that may wait while submissions are accepted.
 const maxBacklog = 400
 
-// submit accepts a job. The request is idempotent: a job that is known already is acknowledged as it is.
+// submit accepts a job. The request is idempotent: for a job that exists, the answer is its present status.
 func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
 	if j := l.jobs.Jobs[spec.ID]; j != nil {
 		l.replyWhenDurable(j, reply, ackResponse)
@@ -26,7 +28,7 @@
 		return
 	}
 	if err := l.validate(spec); err != nil {
-		// It may have been accepted under other settings and be over.
+		// The job may have been accepted under earlier settings, and be archived.
 		l.replyArchived(spec.ID, reply, ackResponse, errorResponse(http.StatusUnprocessableEntity, err.Error()))
 		return
 	}
@@ -47,7 +49,7 @@
 	onDurable := func() {
 		l.fleet.RecordArrival(spec, l.env.Now())
 		if j.Phase != jobs.Open {
-			// It was cancelled meanwhile.
+			// The job was cancelled before its record became durable.
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
@@ -58,7 +60,7 @@
 	j = l.jobs.Add(spec, onDurable, onConflict)
 }
 
-// validate returns why a job can never run, or can't be stored.
+// validate returns an error if a job can never run, or can't be stored.
 func (l *leaderTerm) validate(spec *api.Spec) error {
 	if err := l.teams.Validate(spec); err != nil {
 		return err
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// errNoMachineTypeFits says that no machine that the cloud offers is large enough for a task.
+// errNoMachineTypeFits is returned for a job with tasks that fit no machine type that the job allows.
 var errNoMachineTypeFits = errors.New("models: no machine type fits")
 
 // fitsAnyMachineType reports whether a task of the job fits an empty machine of a type and zone that the job allows.
@@ -92,13 +94,13 @@
 	return false
 }
 
-// needsPackedFormat reports whether the first format has no room for a job.
+// needsPackedFormat reports whether a job can't be stored in the first format.
 func (l *leaderTerm) needsPackedFormat(spec *api.Spec) bool {
 	size, _ := l.jobs.HeaderSize(spec)
 	return spec.Shape == api.Gang || size > jobs.HeaderSpecBytes
 }
 
-// replyArchived answers with the view of a job that was over in an earlier term, or with missing if there is none.
+// replyArchived answers with the view of a job that the store has in its archive, or with missing if there is none.
 func (l *leaderTerm) replyArchived(id ident.JobID, reply func(Response), render func(api.JobView) Response, missing Response) {
 	l.controller.lookUpArchived(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
@@ -113,7 +115,7 @@
 	})
 }
 
-// replyWhenDurable answers with a job's view, once every node would answer the same.
+// replyWhenDurable answers with a job's view once it is durable, so that no later leader contradicts the answer.
 func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
 	if !j.ViewSettled() {
 		reply = l.replies.withTimeout(reply)
@@ -127,8 +129,8 @@
 	})
 }
 
-// limitToLeaderLease bounds the validity of an answer from memory by the leader's lease. The server checks it once more
-// right before the answer goes out, since the process may pause in between.
+// limitToLeaderLease bounds the validity of an answer from memory by the leader's lease. The server checks the validity
+// immediately before it sends the answer, since the process may pause in between.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
 	if l.closed() || !l.controller.allows(authority.ServeReads) {
 		return unavailable(noLeader)
@@ -136,7 +138,7 @@
 	return r.limitValidity(l.controller.election.LeaseExpiry())
 }
 
-// getJob answers a poll from memory, and for a job that it doesn't know from the archive.
+// getJob answers a poll from memory, or from the archive for a job that is not in memory.
 func (l *leaderTerm) getJob(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
 		l.replyWhenDurable(j, reply, viewResponse)
@@ -153,7 +155,7 @@
 	l.replyArchived(id, reply, viewResponse, noSuchJob())
 }
 
-// cancel ends a job. Its tasks are stopped before that is durable, since nobody needs them any more.
+// cancel cancels a job. Its tasks are stopped before the cancellation is durable, since the user no longer needs them.
 func (l *leaderTerm) cancel(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
 		l.cancelLive(j, reply)
--- a/internal/controller/leader_env.go
+++ b/internal/controller/leader_env.go
@@ -1,20 +1,22 @@
 package controller
 
+// This file bounds the calls of a leader by its lease.
+
 import (
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
 	"opaldale/internal/workers"
 )
 
-// leaderEnv is the environment in which a leader's term acts. What only a leader may do carries the time until which
-// leadership is certain, and isn't sent after it: between a decision and the call that follows from it the
-// process may pause, or wait for a free connection.
+// leaderEnv is the environment of a leader's term. It stamps the calls that only a leader may make with the expiry of the
+// leader's lease, after which they are not sent: between a decision and its call the process may pause, or wait for
+// a free connection.
 type leaderEnv struct {
 	Env
-	validUntil func() ident.MonotonicTime
+	validUntil func() ident.MonotonicTime // the expiry of the leader's lease
 }
 
-// Cloud sends a request; only a certain leader may provision and terminate machines.
+// Cloud sends a request. Provisioning and terminating machines require a valid lease.
 func (e leaderEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	if r.Op == cloud.Provision || r.Op == cloud.Terminate {
 		r.NotAfter = e.validUntil()
@@ -22,7 +24,7 @@
 	e.Env.Cloud(r, done)
 }
 
-// Worker sends commands; only a certain leader may launch tasks. Stopping one is safe whoever leads.
+// Worker sends commands. Launching a task requires a valid lease; stopping one is safe without.
 func (e leaderEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	if command.Launches() {
 		command.NotAfter = e.validUntil()
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file hands leadership over to a peer with better links.
+
 import (
 	"log/slog"
 
@@ -12,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// evaluateHandover has the leader compare itself with its peers, and takes a handover further.
+// evaluateHandover compares the leader's links with those of its peers, and begins or continues a handover.
 func (l *leaderTerm) evaluateHandover(now ident.MonotonicTime) {
 	if l.handover == nil || !l.controller.election.LeaseValid() {
 		return
@@ -36,7 +38,7 @@
 	}
 }
 
-// announceHandover has the leader stop deciding, and announces the successor to the peers.
+// announceHandover stops the leader from making further decisions, and announces the successor to the peers.
 func (l *leaderTerm) announceHandover(assessment links.Assessment, now ident.MonotonicTime) {
 	tracker := l.controller.links
 	decision := l.handover.Decision()
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file holds what a leader does periodically and after each event.
+
 import (
 	"log/slog"
 	"time"
@@ -10,21 +12,22 @@
 
 const (
 	tickInterval = 500 * time.Millisecond
-	// idleFactor bounds the share of the time that ticks and dispatches take: after one that was long, the next
-	// comes no sooner than so many times as long.
+	// idleFactor bounds the share of the time that ticks and dispatches take: the pause after one is at least
+	// idleFactor times its duration.
 	idleFactor = 4
-	// dispatchInterval has what arrives at short intervals placed together.
+	// dispatchInterval is the shortest pause between dispatches, so that tasks which arrive together are placed
+	// together.
 	dispatchInterval = 30 * time.Millisecond
-	// convertBatch bounds the lines and headers that one tick begins to rewrite in the newest format, and
-	// convertInterval is how long after the last one it looks for more.
+	// convertBatch bounds the records that one tick begins to rewrite in the newest format. When none is left,
+	// convertInterval passes before the next search for more.
 	convertBatch    = 50
 	convertInterval = 5 * time.Second
-	// statsLogRounds is how many planning rounds go by between two log lines of statistics.
+	// statsLogRounds is the number of planning rounds between two log lines of statistics.
 	statsLogRounds = 12
 )
 
-// tick does what is due at intervals: it judges the leader's own links and the load, scales the fleet, and
-// retries gangs.
+// tick runs the leader's periodic work: it checks the leader's own links, evaluates the load, scales the fleet and retries
+// gangs.
 func (l *leaderTerm) tick() {
 	if l.closed() {
 		return
@@ -44,7 +47,7 @@
 	l.env.After(delay, l.tick)
 }
 
-// manageFleet does the part of a tick that changes the cluster, and returns how long it took.
+// manageFleet runs the part of a tick that changes the cluster, and returns how long it took.
 func (l *leaderTerm) manageFleet() time.Duration {
 	began := l.env.Now()
 	l.jobs.ClearProvenHealthy()
@@ -66,7 +69,7 @@
 	}
 }
 
-// schedulePlanningRound has the next planning round run after the plan interval, and all that follow.
+// schedulePlanningRound runs a planning round after each plan interval, until the term ends.
 func (l *leaderTerm) schedulePlanningRound() {
 	l.env.After(l.controller.settings.Tuning.PlanInterval, func() {
 		if l.closed() {
@@ -100,7 +103,8 @@
 		"plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 }
 
-// capacitySummary returns how many tasks wait, how many of them for their team's quota, and how much CPU is free.
+// capacitySummary returns the number of waiting tasks, the number of those that exceed their team's quota, and the free
+// CPUs.
 func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
 		n := j.WaitingCount()
@@ -115,7 +119,7 @@
 	return waiting, atQuota, freeVCPUs
 }
 
-// afterEvent acts on what an event has changed, and writes it.
+// afterEvent advances gangs and moves, dispatches waiting tasks if that is due, and writes what has changed.
 func (l *leaderTerm) afterEvent() {
 	if l.closed() {
 		return
@@ -132,9 +136,8 @@
 	l.committer.Flush()
 }
 
-// dispatch places what waits, or sets the wake-up timer if the last dispatch is too recent. It is called with
-// authority to place only: while nothing becomes durable nothing can be launched, and what would be
-// preempted for it would be preempted for nothing.
+// dispatch places waiting tasks, or sets the wake-up timer if the last dispatch is too recent. The caller must have
+// authority to place: without durable placements nothing can be launched, so preemptions would be in vain.
 func (l *leaderTerm) dispatch() {
 	now := l.env.Now()
 	if now < l.nextDispatchAt {
@@ -149,8 +152,7 @@
 		result = dispatchTruncated
 	}
 	l.transition(result)
-	// With thousands of jobs waiting a dispatch is long. It may take part of the time only, or the lease would
-	// not be renewed.
+	// With thousands of waiting jobs a dispatch takes long. The pause leaves time for lease renewals.
 	done := l.env.Now()
 	l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file creates and closes a term of leadership, and connects its components.
+
 import (
 	"opaldale/internal/authority"
 	"opaldale/internal/catalog"
@@ -25,10 +27,11 @@
 // writeShare leaves part of the store's write rate for lease renewals and elections.
 const writeShare = 0.85
 
-// leaderTerm is all that a leader knows, for one term only.
+// leaderTerm is the state of a leader. It lives for one term: a new one begins empty and loads the store. Callbacks that
+// may run after the end of the term must check closed.
 type leaderTerm struct {
 	controller *Controller
-	env        Env // bounds by the lease what only a leader may do
+	env        Env // a leaderEnv
 	term       ident.Term
 	state      termState
 	startedAt  ident.MonotonicTime
@@ -46,8 +49,8 @@
 
 	formatUpgrader   *upgrade.Raiser
 	formatLevel      ident.FormatLevel   // the format that is written
-	nextConversionAt ident.MonotonicTime // no look for records in the first format before
-	nextDispatchAt   ident.MonotonicTime // no dispatch before
+	nextConversionAt ident.MonotonicTime // earliest next search for records in the first format
+	nextDispatchAt   ident.MonotonicTime // earliest next dispatch
 
 	replies  *pendingReplies
 	renewals *renewal.Registry
@@ -59,7 +62,8 @@
 	rebalancer     *rebalancer.Rebalancer // nil unless load is watched
 }
 
-// newLeaderTerm returns a term that has loaded nothing yet.
+// newLeaderTerm returns a term that has not loaded the stored state. leaderKey is the condition under which its
+// transactions are applied: that the leader key still belongs to this term.
 func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
 	now := c.env.Now()
 	l := &leaderTerm{
@@ -89,7 +93,7 @@
 	return l
 }
 
-// commitLimits returns the limits for writes that the limits of the store allow.
+// commitLimits returns the limits for the committer under given limits of the store.
 func commitLimits(s settings.StoreLimits) commit.Limits {
 	return commit.Limits{
 		MutationsPerTxn:    s.TxnOps,
@@ -98,12 +102,12 @@
 	}
 }
 
-// strictestLimits returns the limits for writes under every limit of the store that is announced.
+// strictestLimits returns the limits for the committer under both the present and the announced limits of the store.
 func (l *leaderTerm) strictestLimits() commit.Limits {
 	return commitLimits(l.controller.settings.Cluster.Store.Strictest())
 }
 
-// openStore makes the components that read and write the store, at the term's format level.
+// openStore creates the components that read and write the store, at the term's format level.
 func (l *leaderTerm) openStore(leaderKey kvstore.Compare) {
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
@@ -218,7 +222,8 @@
 	return config
 }
 
-// close ends the term. The state changes first: what is stopped below calls back, and must find the term closed.
+// close ends the term. The state changes first, since components that are closed may call back, and must find the term
+// closed.
 func (l *leaderTerm) close() {
 	l.transition(termEnded)
 	l.committer.Stop()
@@ -228,7 +233,7 @@
 	l.replies.failAll()
 }
 
-// enablePackedFormat goes over to the packed format, now that it is in force. To be removed with the first
+// enablePackedFormat switches to the packed format when it comes into force during the term. To be removed with the first
 // format.
 func (l *leaderTerm) enablePackedFormat() {
 	if l.closed() {
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file renews leases of workers while neither the leader nor the store is reachable.
+
 import (
 	"net/http"
 	"time"
@@ -12,14 +14,14 @@
 const (
 	// storeCutOffAfter is how long a node goes without being served by the store before it counts as cut off.
 	storeCutOffAfter = 2 * time.Second
-	// maxCancelledJobs bounds the memory kept for jobs that are known to be cancelled: those of the last
-	// minute, were 4,000 machines each to lose several to cancellations in it.
+	// maxCancelledJobs bounds the cancelled jobs that are remembered. It is enough for a minute in which each of
+	// 4,000 machines loses several jobs to cancellations.
 	maxCancelledJobs = 20_000
 )
 
-// renewLeaseWithoutLeader answers a worker while neither the leader nor the store serves this node: both are
-// cut off alike, or the leader has died and no successor can be elected. The work goes on for as long as the
-// last leader allowed.
+// renewLeaseWithoutLeader answers a worker's heartbeat while neither the leader nor the store is reachable: both are cut
+// off from this node, or the leader has failed and no successor can be elected. The worker keeps its tasks for as
+// long as the last leader allowed. It returns false if this node may not renew the lease.
 func (c *Controller) renewLeaseWithoutLeader(heartbeat *api.Heartbeat) (Response, bool) {
 	now := c.env.Now()
 	if !c.renewer.MayRenew(now, heartbeat.FencingToken) || now.Sub(c.storeLastServed) < storeCutOffAfter {
@@ -29,7 +31,7 @@
 	c.LeasesKept++
 	response := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
 	for _, task := range heartbeat.Tasks {
-		// A kill is safe whoever leads; without it the task ends only with the lease.
+		// A kill is safe without leadership; otherwise the task would run until the lease expires.
 		if _, ok := c.cancelledJobs.Get(task.TaskID.Job); ok && task.Status != api.Ended {
 			response.Commands = append(response.Commands, workers.KillCommand(task.TaskID, task.Attempt))
 		}
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -1,11 +1,13 @@
 package controller
 
+// This file connects the controller to its link tracker, and reports on the node's links.
+
 import (
 	"opaldale/internal/ident"
 	"opaldale/internal/linktracker"
 )
 
-// trackedNode is the controller as its link tracker sees it.
+// trackedNode implements linktracker.Node.
 type trackedNode struct{ controller *Controller }
 
 // newLinkTracker returns the node's link tracker, nil if links are not watched.
@@ -35,7 +37,7 @@
 	return n.controller.sentHeartbeats.SentAt(id)
 }
 
-// LinksEvaluated has a leader compare itself with its peers.
+// LinksEvaluated implements linktracker.Node: a leader compares itself with its peers.
 func (n trackedNode) LinksEvaluated(now ident.MonotonicTime) {
 	if l := n.controller.leader; l != nil && l.loaded() {
 		l.evaluateHandover(now)
@@ -43,7 +45,7 @@
 	n.controller.updateAuthority()
 }
 
-// LinkReport returns what is known of the node's links.
+// LinkReport returns the report on the node's links for operators.
 func (c *Controller) LinkReport() linktracker.Report {
 	report := linktracker.Report{
 		Node:           c.settings.Node,
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file reports moves of running tasks to operators.
+
 import (
 	"log/slog"
 	"time"
@@ -10,17 +12,17 @@
 	"opaldale/internal/settings"
 )
 
-// MoveReport is what operators are shown of moves of running tasks.
+// MoveReport is the report on moves of running tasks for operators.
 type MoveReport struct {
 	Node ident.NodeID       `json:"node"`
 	Mode settings.Rebalance `json:"mode"`
-	// Leader says that the node leads, and knows the state of each move. Another node shows what the
-	// store has on record of the jobs that are not over.
+	// Leader reports whether the node leads, and thus knows the state of each move. Other nodes list the moves that
+	// the store has on record.
 	Leader bool        `json:"leads"`
 	Moves  []MoveEntry `json:"moves"`
-	// Truncated says that more is on record than is shown.
+	// Truncated reports whether the store has more moves on record than are listed.
 	Truncated bool `json:"truncated,omitempty"`
-	// Error says why nothing is shown.
+	// Error is the reason for which no moves could be read; empty if they were.
 	Error string `json:"error,omitempty"`
 }
 
@@ -41,10 +43,11 @@
 	RealisedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
 
-// stateRecorded is shown as the state of a move that another node carries out.
+// stateRecorded is the state listed for a move that another node carries out.
 const stateRecorded = "recorded"
 
-// MoveReport reports what this node knows of moves. reply is called once, now or in a later event.
+// MoveReport reports the moves that this node knows, or reads them from the store if it doesn't lead. reply is called once,
+// during this call or in a later event.
 func (c *Controller) MoveReport(reply func(MoveReport)) {
 	report := MoveReport{Node: c.settings.Node, Mode: c.settings.Tuning.Rebalance, Moves: []MoveEntry{}}
 	if l := c.leader; l != nil && l.loaded() && l.rebalancer != nil {
@@ -71,7 +74,7 @@
 	})
 }
 
-// recordedMoves lists the moves of one key.
+// recordedMoves lists the moves in the record of one job.
 func recordedMoves(pair kvstore.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(pair.Value)
 	if err != nil {
@@ -97,7 +100,7 @@
 	return out
 }
 
-// moveEntries lists moves that this node knows.
+// moveEntries lists the moves that a leader carries out.
 func moveEntries(moves []*migration.Move, now ident.MonotonicTime) []MoveEntry {
 	out := []MoveEntry{}
 	for _, move := range moves {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file exchanges heartbeats with the other controllers, and tells which of them are reachable.
+
 import (
 	"time"
 
@@ -17,7 +19,7 @@
 	// leaderLinkGrace is how long the link to the leader may be down before the load balancer should use
 	// another node: longer than an election takes.
 	leaderLinkGrace = 4 * time.Second
-	// storeProbeAfter is how long a node goes without hearing of the leader before it probes the store.
+	// storeProbeAfter is how long a node goes without hearing from the leader before it probes the store.
 	storeProbeAfter = 2 * time.Second
 )
 
@@ -33,8 +35,8 @@
 	return p.everHeard && now.Sub(p.lastHeard) < d
 }
 
-// sendHeartbeats sends a heartbeat to each peer: that this node lives, whether it leads, and which heartbeat
-// it received last.
+// sendHeartbeats sends each peer a heartbeat now and at intervals from then on. It says whether this node leads, and which
+// heartbeat of the peer it received last.
 func (c *Controller) sendHeartbeats() {
 	now := c.env.Now()
 	frame := c.heartbeatFrame(now)
@@ -55,8 +57,8 @@
 	c.env.After(heartbeatInterval, c.sendHeartbeats)
 }
 
-// heartbeatFrame returns the heartbeat of this moment without an echo. A follower that has not heard of the
-// leader for a while probes the store as well: both being silent is what lets it renew leases by itself.
+// heartbeatFrame returns the next heartbeat, without an echo. A follower that has not heard from the leader for
+// storeProbeAfter also probes the store, since it may renew leases by itself only if both are unreachable.
 func (c *Controller) heartbeatFrame(now ident.MonotonicTime) transport.Frame {
 	frame := transport.Frame{
 		Type: transport.MsgHeartbeat,
@@ -134,9 +136,8 @@
 	}
 }
 
-// leaderLinkBrieflyDown reports whether the link to the leader has been down for less time than a load
-// balancer needs to drop this node. A link is found down sooner than a lease ends, so every change of
-// leader would otherwise take all nodes out of service for seconds.
+// leaderLinkBrieflyDown reports whether the link to the leader has been down for at most leaderLinkGrace. A link counts as
+// down before the lease expires, so without the grace a failover would make all nodes unhealthy for seconds.
 func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
 	if !c.links.Enabled() || !c.heardWithin(leader, peerTimeout) {
 		return false
@@ -165,7 +166,7 @@
 // peerReachable reports whether frames to a peer probably arrive.
 func (c *Controller) peerReachable(n ident.NodeID) bool {
 	if !c.links.PeerDelivering(n) {
-		return false // it is heard, but cannot receive
+		return false // the peer may still be heard, but does not receive
 	}
 	return c.heardWithin(n, peerTimeout)
 }
--- a/internal/controller/pending_replies.go
+++ b/internal/controller/pending_replies.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file holds replies that wait for the store, with their timeouts.
+
 import (
 	"maps"
 	"slices"
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file detects that a leader is cut off from its peers or machines, and makes it resign.
+
 import (
 	"time"
 
@@ -19,11 +21,11 @@
 	// directContactTimeout is how long a leader may go without an exchange with any machine itself before it
 	// suspects its own links.
 	directContactTimeout = 2 * time.Second
-	// minUnreachableMachines is how many machines that peers hear must be out of the leader's reach before it resigns.
+	// minUnreachableMachines is how many machines must be heard by peers only before the leader resigns.
 	minUnreachableMachines = 3
-	// reachProbeInterval paces the probes that find them.
+	// reachProbeInterval is the shortest interval between probes of machines that are heard by peers only.
 	reachProbeInterval = 100 * time.Millisecond
-	// resignationPause is how long a node that has resigned is no candidate.
+	// resignationPause is how long a node that has resigned does not campaign.
 	resignationPause = 12 * time.Second
 )
 
@@ -36,7 +38,7 @@
 	laterTermSeen        election.StepDownReason = "a worker has seen a later term"
 )
 
-// resign ends the term and leaves leadership to a peer.
+// resign ends the term, and leaves leadership to a peer for at least resignationPause.
 func (l *leaderTerm) resign(reason election.StepDownReason) {
 	l.controller.election.Resign(resignationPause, reason)
 }
@@ -77,14 +79,14 @@
 	return unanswered, lastHeard
 }
 
-// machineContact is what a leader knows of its own exchanges with machines.
+// machineContact records a leader's own exchanges with machines, as opposed to heartbeats that peers forward.
 type machineContact struct {
 	last        ident.MonotonicTime      // when a machine last reached this node, or this node a machine
-	unreachable map[*workers.Worker]bool // heard by peers, and not reached from here since then
+	unreachable map[*workers.Worker]bool // heard by peers, and not reached by this node since last
 	probedAt    ident.MonotonicTime      // when a machine that peers hear was last probed
 }
 
-// recent reports whether there was an exchange of late.
+// recent reports whether there was an exchange within directContactTimeout.
 func (c *machineContact) recent(now ident.MonotonicTime) bool {
 	return now.Sub(c.last) < directContactTimeout
 }
@@ -100,8 +102,8 @@
 	clear(c.unreachable)
 }
 
-// recordHeartbeatContact records that a machine's heartbeat arrived, directly or by a peer. A leader without any direct
-// contact of late probes the machines that its peers hear.
+// recordHeartbeatContact records that a machine's heartbeat arrived, directly or by a peer. A leader without
+// recent contact of its own probes the machines that its peers hear.
 func (l *leaderTerm) recordHeartbeatContact(machine *workers.Worker, direct bool) {
 	now := l.env.Now()
 	switch {
@@ -112,9 +114,9 @@
 	}
 }
 
-// recordCommandOutcome records whether a machine answered a command. Machines that peers hear and this node doesn't reach
-// show that the leader is cut off from them, not they from the cluster. It must leave leadership to a peer
-// rather than fence them for their silence, which would take the whole fleet with all its replicas.
+// recordCommandOutcome records whether a machine answered a command. If several
+// machines are heard by peers but not reached by the leader, it is the leader that is partitioned: it resigns, since
+// otherwise it would fence the whole fleet for its silence.
 func (l *leaderTerm) recordCommandOutcome(machine *workers.Worker, answered bool) {
 	now := l.env.Now()
 	if answered {
@@ -126,7 +128,7 @@
 		return
 	}
 	if l.controller.links.Enabled() {
-		return // the handover to a better placed peer takes care of it
+		return // evaluateHandover hands over to a peer with better links
 	}
 	l.contact.unreachable[machine] = true
 	if len(l.contact.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
@@ -134,9 +136,9 @@
 	}
 }
 
-// leaseAllowance returns for how long from now on peers may renew leases of workers for this leader. A lease
-// that is renewed at the very end of it must expire before cancel_s is over, for each cancelled job that may
-// still have tasks on machines.
+// leaseAllowance returns for how long from now on peers may renew leases of workers without the leader. A lease renewed at
+// the end of the allowance must expire within cancel_s of the cancellation of each job that may still have tasks on
+// machines.
 func (l *leaderTerm) leaseAllowance(now ident.MonotonicTime) time.Duration {
 	left := l.controller.renewalGrace
 	for _, j := range l.jobs.Jobs {
@@ -162,14 +164,13 @@
 	return silentPeers > 0
 }
 
-// hasHeartbeatSource reports whether a peer is heard that would forward heartbeats of workers, or there are no
-// peers at all.
+// hasHeartbeatSource reports whether a peer is heard, which would forward heartbeats of workers, or there are no peers.
 func (l *leaderTerm) hasHeartbeatSource() bool {
 	return l.controller.heardAnyPeerWithin(peerTimeout) || len(l.controller.settings.Peers) == 0
 }
 
 // requireHeartbeatSource is hasHeartbeatSource for a leader that hears no machine either. Without a source of
-// heartbeats it resigns, since a peer may have one; with links watched the handover takes care of that.
+// heartbeats it resigns, since a peer may have one; if links are watched, evaluateHandover hands over instead.
 func (l *leaderTerm) requireHeartbeatSource() bool {
 	if l.hasHeartbeatSource() {
 		return true
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file connects a leader to the load model and the rebalancer.
+
 import (
 	"log/slog"
 
@@ -12,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// rebalancedTerm is the term as its rebalancer sees it.
+// rebalancedTerm implements rebalancer.Leader.
 type rebalancedTerm struct{ term *leaderTerm }
 
 func (t rebalancedTerm) Now() ident.MonotonicTime { return t.term.env.Now() }
@@ -31,7 +33,7 @@
 
 func (t rebalancedTerm) RequestDispatch() { t.term.requestDispatch() }
 
-// enableLoadTracking begins to track the load of machines and teams, if the operators want that.
+// enableLoadTracking creates the load model and the rebalancer, unless the settings turn rebalancing off.
 func (l *leaderTerm) enableLoadTracking() {
 	cfg := l.controller.settings
 	mode := cfg.Tuning.Rebalance
@@ -61,7 +63,7 @@
 	}
 }
 
-// evaluateLoad brings the load up to date: which machines count, and how much CPU each team asks for.
+// evaluateLoad updates the load model with the machines that are up and the CPUs that each team demands.
 func (l *leaderTerm) evaluateLoad() {
 	if l.loadModel == nil {
 		return
@@ -73,7 +75,7 @@
 		case w.State == workers.Terminated && len(w.Tasks) == 0:
 			l.loadModel.RemoveMachine(w.ID)
 		default:
-			l.loadModel.SetMachine(w.ID, w.Zone, 0) // its tasks are remembered, and don't count
+			l.loadModel.SetMachine(w.ID, w.Zone, 0) // keeps its usage for when it is up again
 		}
 	}
 	l.rebalancer.DetectSlowMachines()
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file loads what earlier terms stored when a term begins, and continues their work.
+
 import (
 	"errors"
 	"log/slog"
@@ -15,17 +17,17 @@
 )
 
 const (
-	// maxMachineProbes bounds the machines of earlier terms that a new leader probes at a time.
+	// maxMachineProbes bounds the machines of earlier terms that a new leader probes per machineProbeInterval.
 	maxMachineProbes     = 16
 	machineProbeInterval = 200 * time.Millisecond
 )
 
-// storedState is what earlier terms left in the store, as it was read.
+// storedState holds the records of earlier terms as read from the store.
 type storedState struct {
 	liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
 }
 
-// loadState reads what earlier terms left; the leader acts only after that.
+// loadState reads the records of earlier terms, and restores the tables from them. The term leaves termLoading only then.
 func (l *leaderTerm) loadState() {
 	began := l.env.Now()
 	var stored storedState
@@ -53,8 +55,8 @@
 	}
 }
 
-// restore rebuilds the tables from what was read. On part of the state a leader would forget jobs, or start
-// tasks that run already: it resigns if it can't read any of the records.
+// restore rebuilds the tables from the stored records. If any record is unreadable, the leader resigns: with part of the
+// state it would lose jobs, or start tasks that run already.
 func (l *leaderTerm) restore(stored *storedState, began ident.MonotonicTime) {
 	var errs []error
 	for _, p := range stored.machineGroups {
@@ -77,7 +79,7 @@
 	l.takeOver()
 }
 
-// takeOver continues what earlier terms left, and begins to lead.
+// takeOver continues the work of earlier terms from the restored tables, and starts the periodic work of the term.
 func (l *leaderTerm) takeOver() {
 	l.takeOverTasks()
 	l.jobs.FinishLoading()
@@ -117,8 +119,8 @@
 			}
 			w := l.workers.Workers[t.MachineID]
 			if w == nil {
-				// The record of its machine was deleted, so the machine is certainly gone; terminating it
-				// again proves that.
+				// The machine's record was deleted, so it was terminated. Terminating it again confirms that
+				// before its tasks are placed elsewhere.
 				w = l.workers.Add(workers.MachineInfo{ID: t.MachineID, CreatedAt: l.env.Now()})
 				l.fleet.Terminate(w, workers.ReasonNotOnRecord)
 			}
@@ -127,10 +129,9 @@
 	}
 }
 
-// probeUnreportedMachines probes machines of earlier terms that have not reported in this one, those with
-// replicas of services first: nothing is placed on a machine until it is heard. Only a few are probed at
-// a time, and a machine that has not answered yet takes no part of that budget, so that a silent rack doesn't
-// keep all others from being probed.
+// probeUnreportedMachines probes machines of earlier terms that have not been heard in this one, those with replicas of
+// services first: nothing is placed on a machine until it is heard. At most maxMachineProbes are sent per interval.
+// Probes that are still unanswered don't count, so that silent machines can't keep others from being probed.
 func (l *leaderTerm) probeUnreportedMachines() {
 	if l.closed() {
 		return
@@ -152,8 +153,8 @@
 	}
 }
 
-// awaitsFirstReport reports whether a machine should be up, but has neither been heard in this term nor failed to
-// answer.
+// awaitsFirstReport reports whether a machine is on record as up, and has neither been heard nor left a command unanswered
+// in this term.
 func awaitsFirstReport(w *workers.Worker) bool {
 	return w.State == workers.Up && !w.HeardThisTerm() && w.MissedResponses() == 0
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file dispatches messages of peers, and serves requests as the leader.
+
 import (
 	"net/http"
 
@@ -46,7 +48,7 @@
 	}
 }
 
-// responder returns the function that answers a peer's request.
+// responder returns a function that sends a peer the answer to its request with an ID.
 func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
 	return func(r Response) {
 		c.env.SendPeer(to, &transport.Frame{
@@ -88,8 +90,8 @@
 	}
 }
 
-// acceptsSubmissions reports whether this node may take requests of users that change jobs; otherwise it
-// has refused the request.
+// acceptsSubmissions reports whether this node may accept requests that change jobs. If not, it has refused the request by
+// reply.
 func (c *Controller) acceptsSubmissions(reply func(Response)) bool {
 	if c.allows(authority.AcceptSubmissions) {
 		return true
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file defines the answers to requests, and the reasons for refusing one.
+
 import (
 	"net/http"
 
@@ -7,16 +9,17 @@
 	"opaldale/internal/ident"
 )
 
-// Response answers a request of a user or a worker.
+// Response is the answer to a request of a user or a worker.
 type Response struct {
 	Status      int // of HTTP
 	RetryAfterS int // Retry-After in seconds, 0 for none
 	Body        []byte
-	// ValidUntil is when the answer may become outdated, by this node's clock; 0: never.
+	// ValidUntil is when the answer may become outdated, by this node's clock; 0 means never. The server must pass
+	// the answer through IfValid immediately before it sends it.
 	ValidUntil ident.MonotonicTime
 }
 
-// limitValidity bounds the validity of an answer, unless that refuses the request.
+// limitValidity bounds the validity of an answer. Refusals don't become outdated, and are returned unchanged.
 func (r Response) limitValidity(deadline ident.MonotonicTime) Response {
 	if r.Status < http.StatusInternalServerError && (r.ValidUntil == 0 || deadline < r.ValidUntil) {
 		r.ValidUntil = deadline
@@ -48,10 +51,10 @@
 
 func noSuchJob() Response { return errorResponse(http.StatusNotFound, "no such job") }
 
-// failoverRetryAfterS tells a client when to retry: after about the time of a failover.
+// failoverRetryAfterS is the Retry-After of refusals, in seconds.
 const failoverRetryAfterS = 1
 
-// refusal says why a request is refused that may succeed later. The client is shown it.
+// refusal is the reason for refusing a request that may succeed later. It is the error text that the client receives.
 type refusal string
 
 const (
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -1,12 +1,14 @@
 package controller
 
+// This file collects the counters and gauges that are exported as metrics.
+
 import (
 	"opaldale/internal/load"
 	"opaldale/internal/migration"
 )
 
-// Stats are the counters and gauges that the metrics show of a node. Those that concern the cluster are zero unless the
-// node leads.
+// Stats are the counters and gauges of a node that are exported as metrics. Those of the cluster are zero unless the node
+// leads and has loaded the stored state.
 type Stats struct {
 	Leading         bool // also past the validity of the lease
 	LeadershipValid bool
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file places, preempts and drains tasks, and keeps the usage of machines and teams up to date.
+
 import (
 	"log/slog"
 	"time"
@@ -14,18 +16,19 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause between two tries of a job whose tasks fail. The latter is shorter
-	// than any job may be left waiting.
+	// minBackoff and maxBackoff bound the pause between two attempts of a job whose tasks fail. maxBackoff is
+	// shorter than the time for which any job may be left waiting.
 	minBackoff = 4 * time.Second
 	maxBackoff = time.Minute
-	// suspectMachines is on how many machines a job's tasks must have failed for the job to be suspected.
+	// suspectMachines is the number of machines on which tasks of a job must fail before the job itself is
+	// suspected.
 	suspectMachines = 3
-	// fullMachineQuarantine is how long nothing is placed on a machine that had no capacity for a task.
+	// fullMachineQuarantine is the quarantine of a machine that has rejected a task for lack of capacity.
 	fullMachineQuarantine = time.Second
 	// rejectionBackoff is how much longer a rejected task waits with each rejection, up to maxRejectionBackoff.
 	rejectionBackoff    = time.Second
 	maxRejectionBackoff = 10 * time.Second
-	// drainHeartbeats is how many heartbeats before it must stop a task is commanded to, ahead of a reclaim.
+	// drainHeartbeats is the time reserved for the command to stop a task ahead of a reclaim, in heartbeat intervals.
 	drainHeartbeats = 2
 )
 
@@ -52,7 +55,7 @@
 	}
 }
 
-// onTaskStateChange keeps the usage in step with a task's state.
+// onTaskStateChange updates the usage when a task is allocated to a machine or leaves it.
 func (l *leaderTerm) onTaskStateChange(t *jobs.Task, from, to jobs.State) {
 	w := l.workers.Workers[t.MachineID]
 	l.gangs.MarkChanged(t.Job)
@@ -64,8 +67,8 @@
 	}
 }
 
-// Place implements placement.Actions: the task is launched once its placement is durable. If that can't be commanded
-// then, the answer to the worker's next heartbeat launches it.
+// Place implements placement.Actions: the task is launched once its placement is durable. If the command is not allowed at
+// that moment, the answer to a later heartbeat of the worker launches the task.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
 		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinQuota,
@@ -114,7 +117,7 @@
 	}
 }
 
-// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, unless they will probably complete before.
+// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, except those that will probably complete before.
 func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
 	now := l.env.Now()
 	untilReclaim := w.ReclaimAt.Sub(now)
@@ -125,9 +128,8 @@
 	}
 }
 
-// drainTask stops a task if that is due. One that saves checkpoints is stopped as late as it can still save one, with a
-// heartbeat's time to spare. A gang is stopped as a whole, or not at all: what can't be commanded in time is
-// lost anyway.
+// drainTask stops a task of a machine that will be reclaimed, if that is due. A task that saves checkpoints is stopped as
+// late as it can still save one. A gang is stopped as a whole, unless this task will probably complete before.
 func (l *leaderTerm) drainTask(w *workers.Worker, t *jobs.Task, untilReclaim time.Duration, now ident.MonotonicTime) {
 	spec := t.Job.Spec
 	times := l.controller.settings.Cluster.Workers
@@ -152,7 +154,8 @@
 	}
 }
 
-// onTaskFailed decides when and where a task that ended early is tried again.
+// onTaskFailed handles a task that failed or that its machine rejected: it delays the next attempt, quarantines the machine,
+// or makes the job avoid it, depending on the cause.
 func (l *leaderTerm) onTaskFailed(t *jobs.Task, machine *workers.Worker, cause api.Cause) {
 	now := l.env.Now()
 	if cause == api.CauseError {
@@ -172,8 +175,8 @@
 	slog.Info("machine rejected task", "task", t.TaskID().String(), "machine", string(machine.ID), "cause", string(cause))
 }
 
-// recordTaskError has a job avoid the machine on which one of its tasks has failed. Failures on several machines are
-// rather the job's fault than that of all of them: it is tried more and more seldom then.
+// recordTaskError makes a job avoid the machine on which one of its tasks has failed. After failures on suspectMachines
+// machines the job itself is the likely cause, and is retried with exponential backoff.
 func (l *leaderTerm) recordTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
 	j := t.Job
 	t.ConsecutiveErrors++
@@ -187,7 +190,7 @@
 		j.Suspect = !j.IsGang()
 	}
 	backOff := j.Suspect || len(j.AvoidedMachines) == 0
-	if backOff && now >= j.RetryAt { // once for all tasks that fail together
+	if backOff && now >= j.RetryAt { // tasks that fail together count once
 		j.Backoff = min(max(2*j.Backoff, minBackoff), maxBackoff)
 		j.RetryAt = now.Add(j.Backoff)
 	}
--- a/internal/controller/term_state.go
+++ b/internal/controller/term_state.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file is the state machine of a leader's term.
+
 // termState is the state of a leader's term: whether it has loaded what earlier terms stored, and
 // whether a dispatch of waiting tasks is due.
 type termState uint8
@@ -31,7 +33,7 @@
 type termEvent uint8
 
 const (
-	// stateLoaded: all records of earlier terms have been taken over.
+	// stateLoaded: all records of earlier terms have been restored.
 	stateLoaded termEvent = iota
 	// dispatchRequested: something has happened that could make a waiting task placeable.
 	dispatchRequested
@@ -41,9 +43,9 @@
 	wakeUpTimerFired
 	// dispatchCompleted: a dispatch has placed all that it could.
 	dispatchCompleted
-	// dispatchTruncated: a dispatch has used up its time with tasks left to look at.
+	// dispatchTruncated: a dispatch has used up its time before it considered all tasks.
 	dispatchTruncated
-	// termEnded: the node doesn't lead any more.
+	// termEnded: the node no longer leads.
 	termEnded
 
 	termEventCount
@@ -56,8 +58,7 @@
 
 func (e termEvent) String() string { return termEventNames[e] }
 
-// next returns the state that follows on an event. An event that means nothing in a state leaves it
-// unchanged.
+// next returns the state that follows on an event. An event that has no meaning in a state leaves it unchanged.
 func (s termState) next(event termEvent) termState {
 	switch {
 	case s == termClosed || event == termEnded:
@@ -82,10 +83,10 @@
 	return s
 }
 
-// withDispatchDue returns the state of a loaded term with a dispatch due or not, its timer as it is.
+// withDispatchDue returns the state of a loaded term with a dispatch due or not, and the timer unchanged.
 func (s termState) withDispatchDue(due bool) termState { return runningState(due, s.timerSet()) }
 
-// withTimerSet returns the state of a loaded term with the wake-up timer set or not.
+// withTimerSet returns the state of a loaded term with the wake-up timer set or not, and a due dispatch unchanged.
 func (s termState) withTimerSet(set bool) termState { return runningState(s.dispatchDue(), set) }
 
 // runningState returns the state of a loaded term.
@@ -110,11 +111,11 @@
 // transition changes the state on an event. No other function changes it.
 func (l *leaderTerm) transition(event termEvent) { l.state = l.state.next(event) }
 
-// loaded reports whether what earlier terms stored has been taken over.
+// loaded reports whether the records of earlier terms have been restored. It is also true of a closed term.
 func (l *leaderTerm) loaded() bool { return l.state != termLoading }
 
 // closed reports whether the term has ended.
 func (l *leaderTerm) closed() bool { return l.state == termClosed }
 
-// requestDispatch has waiting tasks looked at after the present event.
+// requestDispatch makes afterEvent dispatch waiting tasks.
 func (l *leaderTerm) requestDispatch() { l.transition(dispatchRequested) }
--- a/internal/linktracker/env.go
+++ b/internal/linktracker/env.go
@@ -1,5 +1,7 @@
 package linktracker
 
+// This file observes the calls of a node as evidence on its links.
+
 import (
 	"time"
 
@@ -11,7 +13,7 @@
 	"opaldale/internal/workers"
 )
 
-// Env is what a node needs of its process.
+// Env provides clocks, timers, and calls to the services and nodes that a node depends on.
 type Env interface {
 	Now() ident.MonotonicTime
 	WallMS() int64
@@ -36,7 +38,7 @@
 	return links.Endpoint{Kind: links.Machines, Name: zone}
 }
 
-// monitoredEnv is an environment in which what is sent and answered is evidence on the links.
+// monitoredEnv wraps an environment, and reports calls and their answers to the monitor.
 type monitoredEnv struct {
 	Env
 	monitor *links.Monitor
@@ -71,7 +73,7 @@
 	}
 }
 
-// Store sends a request to the store. A watch is no evidence, since it takes long by design.
+// Store sends a request to the store. Watches are not monitored, since their answers are delayed by design.
 func (e monitoredEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	if r.Op == kvstore.Watch {
 		e.Env.Store(r, done)
@@ -119,8 +121,8 @@
 	return callUnanswered
 }
 
-// Worker sends a command to a machine. A refused connection is that machine's fault, not its zone's, and shows
-// that the network carries both ways.
+// Worker sends a command to a machine. A refused connection counts as an answer: it is the machine that has failed, and the
+// link to its zone works in both directions.
 func (e monitoredEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	if command.Zone == "" {
 		e.Env.Worker(command, done)
--- a/internal/linktracker/exchange.go
+++ b/internal/linktracker/exchange.go
@@ -1,5 +1,7 @@
 package linktracker
 
+// This file exchanges verdicts on links with the peers.
+
 import (
 	"maps"
 	"slices"
@@ -12,29 +14,29 @@
 	"opaldale/internal/upgrade"
 )
 
-// capabilityCheckInterval paces the look for peers that can read frames about links.
+// capabilityCheckInterval is the interval between checks of which peers support frames about links.
 const capabilityCheckInterval = 3 * time.Second
 
-// capabilities is what is known of the frames that peers can read.
+// capabilities records which frames peers support.
 type capabilities struct {
-	linkState    map[ident.NodeID]bool // peers that can read frames about links
-	checkedAt    ident.MonotonicTime   // 0: not yet
+	linkState    map[ident.NodeID]bool // peers that support frames about links
+	checkedAt    ident.MonotonicTime   // time of the last check; 0: none yet
 	checkPending bool
 }
 
-// droppedAdvertisements counts the advertisements of peers that were not taken.
+// droppedAdvertisements counts the advertisements of peers that were not merged.
 type droppedAdvertisements struct {
 	byReason map[links.MergeResult]uint64
 	undated  uint64 // messages that echo no recent heartbeat of this node
 }
 
-// refreshCapabilities looks for peers that can read frames about links, until all can.
+// refreshCapabilities reads from the store at intervals which peers support frames about links, until all do.
 func (t *Tracker) refreshCapabilities(now ident.MonotonicTime) {
 	packed := t.node.FormatLevel() >= ident.FormatPacked
 	known := &t.capabilities
 	allKnown := len(known.linkState) == len(t.peers) && packed
-	checkedLately := known.checkedAt > 0 && now.Sub(known.checkedAt) < capabilityCheckInterval
-	if known.checkPending || allKnown || checkedLately {
+	checkedRecently := known.checkedAt > 0 && now.Sub(known.checkedAt) < capabilityCheckInterval
+	if known.checkPending || allKnown || checkedRecently {
 		return
 	}
 	known.checkedAt, known.checkPending = now, true
@@ -55,12 +57,12 @@
 	}
 }
 
-// SupportsLinks reports whether a peer can read frames about links.
+// SupportsLinks reports whether a peer supports frames about links.
 func (t *Tracker) SupportsLinks(n ident.NodeID) bool {
 	return t.capabilities.linkState[n] && t.node.FormatLevel() >= ident.FormatPacked
 }
 
-// OwnAdvertisement returns a new advertisement of this node's links. A leader's names machines to probe as well.
+// OwnAdvertisement returns a new advertisement of this node's links. A leader's also names machines for its peers to probe.
 func (t *Tracker) OwnAdvertisement() links.Advertisement {
 	t.sequence++
 	advertisement := t.monitor.Advertisement(t.id, t.incarnation, t.sequence)
@@ -75,7 +77,7 @@
 	return advertisement
 }
 
-// SendAdvertisements sends a peer this node's advertisement, and those of the others.
+// SendAdvertisements sends a peer this node's own advertisement, and those received from other peers.
 func (t *Tracker) SendAdvertisements(to ident.NodeID, own links.Advertisement, now ident.MonotonicTime) {
 	if !t.SupportsLinks(to) {
 		return
@@ -94,8 +96,8 @@
 	})
 }
 
-// MergeAdvertisements takes in the advertisements that a peer sends. They were made after the peer had received the
-// heartbeat that the frame names, which bounds their age; without a recent heartbeat they can't be dated.
+// MergeAdvertisements merges the advertisements in a peer's frame. The peer sent them after it had received the heartbeat
+// that the frame names, which bounds their age. They are dropped if that heartbeat is not a recent one.
 func (t *Tracker) MergeAdvertisements(frame *transport.Frame) {
 	if t == nil {
 		return
--- a/internal/linktracker/probe.go
+++ b/internal/linktracker/probe.go
@@ -1,5 +1,7 @@
 package linktracker
 
+// This file probes links that carry no traffic.
+
 import (
 	"maps"
 	"slices"
@@ -13,8 +15,8 @@
 )
 
 const (
-	// storeIdleAfter, machinesIdleAfter and cloudIdleAfter are how long a link goes without any traffic before
-	// it is probed.
+	// storeIdleAfter, machinesIdleAfter and cloudIdleAfter are how long a link must be without traffic to be
+	// probed.
 	storeIdleAfter    = time.Second
 	machinesIdleAfter = 1500 * time.Millisecond
 	cloudIdleAfter    = 5 * time.Second
@@ -22,15 +24,15 @@
 	// one lost machine is not taken for a lost zone; zoneProbeInterval paces these probes.
 	zoneOverdueAfter  = 300 * time.Millisecond
 	zoneProbeInterval = 500 * time.Millisecond
-	// sampleInterval paces the heartbeats that a follower parses for the zone of their machine.
+	// sampleInterval is the shortest interval between heartbeats of workers that a follower parses.
 	sampleInterval = 500 * time.Millisecond
-	// targetsPerZone is how many machines of each zone are known to be probed, and named to peers.
+	// targetsPerZone bounds the machines of each zone that are kept as targets of probes, and named to peers.
 	targetsPerZone = 3
-	// maxAdvertisedZones bounds the zones of which a leader names machines.
+	// maxAdvertisedZones bounds the zones for which a leader names machines.
 	maxAdvertisedZones = links.MaxProbeTargets / targetsPerZone
 )
 
-// probes is what a node needs for probing the zones.
+// probes holds the targets of probes, and when they were last used.
 type probes struct {
 	targets      map[string][]links.ProbeTarget // by zone: machines whose heartbeats came here
 	zoneProbedAt map[string]ident.MonotonicTime // when all targets of a zone were last probed
@@ -41,7 +43,7 @@
 	return probes{targets: map[string][]links.ProbeTarget{}, zoneProbedAt: map[string]ident.MonotonicTime{}}
 }
 
-// probeIdleLinks probes where there is no traffic to judge by.
+// probeIdleLinks probes the links that carry no traffic.
 func (t *Tracker) probeIdleLinks(now ident.MonotonicTime) {
 	if t.monitor.Idle(storeEndpoint, now, storeIdleAfter) {
 		t.node.ProbeStore()
@@ -57,7 +59,7 @@
 	}
 }
 
-// probeZone probes one machine of an idle zone, and all that are known of a zone whose answer is overdue.
+// probeZone probes one target of an idle zone, or all targets of a zone with an overdue answer.
 func (t *Tracker) probeZone(zone string, targets []links.ProbeTarget, now ident.MonotonicTime) {
 	link := machinesEndpoint(zone)
 	switch {
@@ -74,8 +76,8 @@
 	}
 }
 
-// probeMachine sends a machine an empty list of commands without a fencing token: it answers with a heartbeat and
-// does nothing.
+// probeMachine sends a machine an empty list of commands without a fencing token, which has no effect except that the
+// machine answers.
 func (t *Tracker) probeMachine(target links.ProbeTarget) {
 	command := workers.CommandCall{
 		Addr: target.Address,
@@ -89,8 +91,8 @@
 	})
 }
 
-// removeTarget forgets a machine that didn't answer, since it may be gone: kept as a target, it would take the probes
-// of those that are left, and its zone would be found down.
+// removeTarget removes a machine that didn't answer from the targets. It may have been terminated: further probes of it
+// would make its zone look down.
 func (t *Tracker) removeTarget(target links.ProbeTarget) {
 	isTarget := func(other links.ProbeTarget) bool { return other == target }
 	t.probes.targets[target.Zone] = slices.DeleteFunc(t.probes.targets[target.Zone], isTarget)
@@ -134,7 +136,7 @@
 	t.probes.targets[heartbeat.Zone] = append(targets, target)
 }
 
-// SampleWorkerHeartbeat parses some of the heartbeats that a follower forwards, for the zone of their machine.
+// SampleWorkerHeartbeat records some of the heartbeats that a follower forwards. Parsing all of them would take too long.
 func (t *Tracker) SampleWorkerHeartbeat(body []byte) {
 	if t == nil {
 		return
--- a/internal/linktracker/report.go
+++ b/internal/linktracker/report.go
@@ -1,5 +1,7 @@
 package linktracker
 
+// This file reports on links and handovers to operators.
+
 import (
 	"slices"
 	"time"
@@ -9,7 +11,7 @@
 	"opaldale/internal/links"
 )
 
-// Report is what operators are shown of a node's links.
+// Report is the report on a node's links for operators.
 type Report struct {
 	Node           ident.NodeID         `json:"node"`
 	Enabled        bool                 `json:"enabled"`
@@ -37,7 +39,7 @@
 	Breaks    uint64  `json:"breaks"`
 }
 
-// AdvertisementEntry is a peer's account of its links, as it is known here.
+// AdvertisementEntry is the newest advertisement that was received from a peer.
 type AdvertisementEntry struct {
 	Origin ident.NodeID     `json:"origin"`
 	AgeS   float64          `json:"age_s"`
@@ -53,7 +55,7 @@
 	Damped   bool   `json:"damped,omitempty"`
 }
 
-// HandoverEntry is one term that the node has ended by its own choice.
+// HandoverEntry is one handover of leadership by the node.
 type HandoverEntry struct {
 	Term           uint64       `json:"term"`
 	AgoS           float64      `json:"ago_s"`
@@ -63,7 +65,7 @@
 	SuccessorScore int          `json:"successor_standing"`
 }
 
-// HandoverRecord is one term that this node has ended by its own choice.
+// HandoverRecord is one handover of leadership by this node.
 type HandoverRecord struct {
 	Term           ident.Term
 	At             ident.MonotonicTime
@@ -104,7 +106,8 @@
 	report.Dropped[undatedLabel] = t.dropped.undated
 }
 
-// undatedLabel stands for advertisements that could not be dated, beside the reasons of links.MergeResult.
+// undatedLabel is the reason in reports for dropping advertisements that could not be dated, in addition to those of
+// links.MergeResult.
 const undatedLabel = "undated"
 
 // linkEntries lists the verdicts on all directions of the node's links.
--- a/internal/linktracker/tracker.go
+++ b/internal/linktracker/tracker.go
@@ -1,7 +1,6 @@
 // Package linktracker watches a node's links to the store, the cloud, its peers and the machines of each zone.
-// What the node sends and receives anyway is the evidence; links without traffic are probed. Nodes exchange
-// their verdicts, so that each knows whom its peers reach, and the leader can hand over to a peer that is
-// better placed.
+// The node's regular traffic is the evidence; links without traffic are probed. Nodes exchange their verdicts, so that
+// each knows which links its peers have, and the leader can hand over to a peer with better links.
 package linktracker
 
 import (
@@ -17,11 +16,10 @@
 )
 
 const (
-	// evaluateInterval paces the verdicts on links.
+	// evaluateInterval is the interval between evaluations of all links.
 	evaluateInterval = 250 * time.Millisecond
 	storeTimeout     = time.Second
-	// dampedCandidacyDelay is for how long a node whose own link to the store is damped lets others campaign
-	// first.
+	// dampedCandidacyDelay is how long a node with a damped link to the store waits before it campaigns.
 	dampedCandidacyDelay = 2 * time.Second
 )
 
@@ -29,7 +27,7 @@
 type Node interface {
 	IsLeader() bool
 	FormatLevel() ident.FormatLevel
-	// RefreshFormatLevel reads the format level from the store, and calls done either way.
+	// RefreshFormatLevel reads the format level from the store, and calls done whether or not the store has answered.
 	RefreshFormatLevel(done func())
 	// ProbeStore sends the store a request whose only use is the answer.
 	ProbeStore()
@@ -39,21 +37,21 @@
 	LastHeartbeatID(ident.NodeID) uint64
 	// HeartbeatSentAt returns when a recent heartbeat of this node was sent.
 	HeartbeatSentAt(id uint64) (sentAt ident.MonotonicTime, ok bool)
-	// LinksEvaluated is called when the verdicts are up to date.
+	// LinksEvaluated is called after each evaluation of the links.
 	LinksEvaluated(now ident.MonotonicTime)
 }
 
-// Config says which node's links are watched.
+// Config configures a Tracker.
 type Config struct {
 	Node  ident.NodeID
 	Peers []ident.NodeID
 	Links settings.Links
 }
 
-// Tracker is what a node knows of its own links and of its peers' links.
+// Tracker tracks a node's own links, and those that its peers advertise. It is not safe for concurrent use.
 //
-// A nil Tracker is that of a node which doesn't watch its links: the methods that note an event do nothing, and
-// those that ask for a fault find none.
+// A nil Tracker is that of a node that doesn't watch its links: Enabled returns false, methods that record an event do
+// nothing, and methods that look for a fault find none. The other methods must not be called on it.
 type Tracker struct {
 	node           Node
 	env            Env
@@ -69,11 +67,11 @@
 	capabilities  capabilities
 	probes        probes
 	dropped       droppedAdvertisements
-	handovers     []HandoverRecord // the last ones that this node has made
+	handovers     []HandoverRecord // the last handovers by this node, oldest first
 	handoverCount uint64
 }
 
-// New returns the tracker of a node, which acts by env once it is started.
+// New returns the tracker of a node. It does nothing before Start, except that calls through its Env are monitored.
 func New(config Config, node Node, env Env, rng *rand.Rand) *Tracker {
 	monitorConfig := links.Config{SuspectGrace: config.Links.SuspectAfter, HalfLife: config.Links.PenaltyHalfLife}
 	t := &Tracker{
@@ -98,13 +96,13 @@
 	return t
 }
 
-// Env returns the environment by which the node has to act: what is sent and answered there is evidence.
+// Env returns the environment through which the node must make its calls, so that they are monitored.
 func (t *Tracker) Env() Env { return t.env }
 
 // Enabled reports whether links are watched.
 func (t *Tracker) Enabled() bool { return t != nil }
 
-// LeaderHistory returns what is known of recent changes of the leader.
+// LeaderHistory returns the history of recent changes of the leader, which ObserveTerm extends.
 func (t *Tracker) LeaderHistory() *handover.History { return &t.leaderHistory }
 
 // Start evaluates the links now and at intervals from then on.
@@ -114,7 +112,7 @@
 	}
 }
 
-// evaluate brings the verdicts up to date, and probes what carries no traffic.
+// evaluate updates the verdicts, probes idle links, and schedules the next evaluation.
 func (t *Tracker) evaluate() {
 	now := t.env.Now()
 	for _, change := range t.monitor.Evaluate(now) {
@@ -126,7 +124,7 @@
 	t.env.After(evaluateInterval, t.evaluate)
 }
 
-// logVerdictChange logs a change of a verdict. One that is no more than a suspicion is a matter of debugging.
+// logVerdictChange logs a change of a verdict, at debug level unless the link goes down or comes up again.
 func logVerdictChange(change links.VerdictChange) {
 	level := slog.LevelInfo
 	if change.From.State != links.Down && change.To.State != links.Down {
@@ -138,35 +136,35 @@
 		"evidence", change.To.Evidence.String(), "damped", change.To.Damped)
 }
 
-// ObserveTerm notes that a node leads in a term.
+// ObserveTerm records that some node leads in a term.
 func (t *Tracker) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
 	if t != nil {
 		t.leaderHistory.ObserveTerm(term, now)
 	}
 }
 
-// HeartbeatSent notes a heartbeat to a peer.
+// HeartbeatSent records a heartbeat to a peer.
 func (t *Tracker) HeartbeatSent(to ident.NodeID, now ident.MonotonicTime) {
 	if t != nil {
 		t.monitor.Sent(peerEndpoint(to), now)
 	}
 }
 
-// HeartbeatEchoed notes that a peer has received the heartbeat that was sent to it at a time.
+// HeartbeatEchoed records that a peer has received the heartbeat that this node sent at sentAt.
 func (t *Tracker) HeartbeatEchoed(from ident.NodeID, sentAt, now ident.MonotonicTime) {
 	if t != nil {
 		t.monitor.Echoed(peerEndpoint(from), sentAt, now)
 	}
 }
 
-// FrameReceived notes a message of a peer.
+// FrameReceived records that a message from a peer has arrived.
 func (t *Tracker) FrameReceived(from ident.NodeID, now ident.MonotonicTime) {
 	if t != nil {
 		t.monitor.Received(peerEndpoint(from), now)
 	}
 }
 
-// CandidacyDelay returns for how long other nodes may campaign first.
+// CandidacyDelay returns how long this node waits before it campaigns, so that nodes with better links come first.
 func (t *Tracker) CandidacyDelay() time.Duration {
 	if t.monitor.Verdict(storeEndpoint, links.Outbound).Damped {
 		return dampedCandidacyDelay
@@ -174,19 +172,19 @@
 	return 0
 }
 
-// PeerDelivering reports whether frames to a peer arrive, as far as is known.
+// PeerDelivering reports whether frames to a peer arrive, as far as this node can tell.
 func (t *Tracker) PeerDelivering(n ident.NodeID) bool {
 	return t == nil || t.monitor.Delivering(peerEndpoint(n))
 }
 
-// StoreDelivering reports whether the store serves this node at this moment. The verdict is no measure of
-// that: a link that flaps is down most of the time by its verdict, and transactions pass all the same.
+// StoreDelivering reports whether the store serves this node at this moment. That differs from the verdict: a flapping link
+// counts as down most of the time, although transactions still succeed.
 func (t *Tracker) StoreDelivering() bool {
 	return t.monitor.Delivering(storeEndpoint) && !t.monitor.Refusing(storeEndpoint)
 }
 
-// PeerDownFor returns for how long the link to a peer has counted as down in either direction, and whether it
-// does. A link that passes messages at this moment may count as down, for breaking again and again.
+// PeerDownFor returns for how long the link to a peer has counted as down in either direction, and whether it does. A
+// flapping link may count as down while it delivers messages.
 func (t *Tracker) PeerDownFor(n ident.NodeID) (longest time.Duration, down bool) {
 	if t == nil {
 		return 0, false
@@ -206,7 +204,8 @@
 	return down
 }
 
-// RelayFor returns a peer that this node reaches, and that reaches another node by its own account.
+// RelayFor returns a peer through which requests to another node can be relayed: this node reaches the peer, and the peer
+// advertises a working link to the other node.
 func (t *Tracker) RelayFor(to ident.NodeID) (relay ident.NodeID, ok bool) {
 	if t == nil {
 		return "", false
@@ -223,8 +222,8 @@
 	return "", false
 }
 
-// Assess compares this node with its peers as a leader, by what their links reach. machines is how many machines
-// each zone has.
+// Assess compares how well this node and its peers are suited to lead, by their links. machines is the number of machines in
+// each zone.
 func (t *Tracker) Assess(machines map[string]int, peers []ident.NodeID, now ident.MonotonicTime) links.Assessment {
 	cluster := links.Cluster{Peers: peers, Machines: machines}
 	return cluster.Assess(t.OwnAdvertisement(), t.advertisements, now)
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -1,5 +1,7 @@
 package machinestore
 
+// This file defines the stored form of a group of machines, and encodes it.
+
 import (
 	"fmt"
 	"net/url"
--- a/internal/rebalancer/hold.go
+++ b/internal/rebalancer/hold.go
@@ -1,5 +1,7 @@
 package rebalancer
 
+// This file decides when no moves are planned.
+
 import (
 	"fmt"
 	"time"
--- a/internal/rebalancer/input.go
+++ b/internal/rebalancer/input.go
@@ -1,5 +1,7 @@
 package rebalancer
 
+// This file describes the cluster to the planner of moves.
+
 import (
 	"time"
 
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -1,5 +1,7 @@
 package rebalancer
 
+// This file detects machines that are slower than others.
+
 import (
 	"log/slog"
 
--- a/internal/rebalancer/stats.go
+++ b/internal/rebalancer/stats.go
@@ -1,5 +1,7 @@
 package rebalancer
 
+// This file collects the counters of moves.
+
 import (
 	"time"
 
