--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -245,12 +245,12 @@
 func (r *scalingRun) cheapestBin(spec *api.Spec, constraint binConstraint) *bin {
 	var best *bin
 	cheapest, fewest := 0.0, 0
-	r.eachAvailablePool(constraint, func(model *cloud.MachineType, p pool) {
-		b := newBin(model, p)
+	r.eachAvailablePool(constraint, func(machineType *cloud.MachineType, p pool) {
+		b := newBin(machineType, p)
 		if !b.allows(spec) {
 			return
 		}
-		price := hourlyPrice(model, p.spot) / float64(max(b.tasksPerMachine(spec), 1))
+		price := hourlyPrice(machineType, p.spot) / float64(max(b.tasksPerMachine(spec), 1))
 		count := r.capacity.machines[p]
 		if best == nil || price < cheapest-priceTolerance || price < cheapest+priceTolerance && count < fewest {
 			best, cheapest, fewest = b, price, count
@@ -260,16 +260,16 @@
 }
 
 // hourlyPrice returns the price of a machine.
-func hourlyPrice(model *cloud.MachineType, spot bool) float64 {
+func hourlyPrice(machineType *cloud.MachineType, spot bool) float64 {
 	if spot {
-		return model.SpotPrice
+		return machineType.SpotPrice
 	}
-	return model.HourlyPrice
+	return machineType.HourlyPrice
 }
 
 // eachAvailablePool visits the pools that a constraint allows and that may have capacity.
 func (r *scalingRun) eachAvailablePool(constraint binConstraint, visit func(*cloud.MachineType, pool)) {
-	eachPool(r.catalog, func(model *cloud.MachineType, p pool) {
+	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		if constraint.zone != "" && constraint.zone != p.zone || slices.Contains(constraint.fullZones, p.zone) {
 			return
 		}
@@ -277,7 +277,7 @@
 			return
 		}
 		if (p.spot || !constraint.spotOnly) && r.provisioner.available(p, r.now) {
-			visit(model, p)
+			visit(machineType, p)
 		}
 	})
 }
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -15,12 +15,12 @@
 // bin is a number of equal machines, there or to come, while tasks are packed. A fleet of thousands
 // has some hundred different ones.
 type bin struct {
-	model    *cloud.MachineType
-	pool     pool
-	tier     binTier
-	machines int
-	free     jobs.Resources    // of each machine
-	cordoned []*workers.Worker // the machines, in the cordoned tier
+	machineType *cloud.MachineType
+	pool        pool
+	tier        binTier
+	machines    int
+	free        jobs.Resources    // of each machine
+	cordoned    []*workers.Worker // the machines, in the cordoned tier
 }
 
 // binTier orders the bins by which of them is used first.
@@ -43,8 +43,8 @@
 }
 
 // newBin returns the bin of one empty machine.
-func newBin(model *cloud.MachineType, p pool) *bin {
-	return &bin{model: model, pool: p, tier: p.tier(), machines: 1, free: modelResources(model)}
+func newBin(machineType *cloud.MachineType, p pool) *bin {
+	return &bin{machineType: machineType, pool: p, tier: p.tier(), machines: 1, free: machineTypeResources(machineType)}
 }
 
 // tasksPerMachine returns how many tasks of a job each machine has room for.
@@ -58,17 +58,17 @@
 	if b.tier == endingTier && spec.Shape != api.Batch {
 		return false
 	}
-	return workers.AllowsModel(spec, b.pool.model) && workers.FitsEmpty(b.model, spec)
+	return workers.AllowsModel(spec, b.pool.model) && workers.FitsEmpty(b.machineType, spec)
 }
 
 // split returns a bin of some of the machines, each less the resources of a number of tasks.
 func (b *bin) split(machines, tasks int, spec *api.Spec) *bin {
 	part := &bin{
-		model:    b.model,
-		pool:     b.pool,
-		tier:     b.tier,
-		machines: machines,
-		free:     b.free.Sub(multiply(jobs.ResourcesOf(spec), tasks)),
+		machineType: b.machineType,
+		pool:        b.pool,
+		tier:        b.tier,
+		machines:    machines,
+		free:        b.free.Sub(multiply(jobs.ResourcesOf(spec), tasks)),
 	}
 	if part.tier == cordonedTier {
 		part.tier = part.pool.tier()
@@ -76,9 +76,9 @@
 	return part
 }
 
-// modelResources returns what an empty machine of a type has.
-func modelResources(model *cloud.MachineType) jobs.Resources {
-	return jobs.Resources{VCPUs: model.VCPUs, GPUs: model.GPUs, MemoryGB: model.MemoryGB}
+// machineTypeResources returns what an empty machine of a type has.
+func machineTypeResources(machineType *cloud.MachineType) jobs.Resources {
+	return jobs.Resources{VCPUs: machineType.VCPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
 // multiply returns the resources of a number of equal tasks.
@@ -114,7 +114,7 @@
 }
 
 // add adds machines to the bin of their kind, and returns it.
-func (g *binBuilder) add(model *cloud.MachineType, p pool, tier binTier, free jobs.Resources, machines int) *bin {
+func (g *binBuilder) add(machineType *cloud.MachineType, p pool, tier binTier, free jobs.Resources, machines int) *bin {
 	key := binKey{p, tier, floorResources(free, g.quantum)}
 	if tier == endingTier {
 		// The place of a task is as large as the task: rounded down, an equal task would not fit.
@@ -122,7 +122,7 @@
 	}
 	b := g.bins[key]
 	if b == nil {
-		b = &bin{model: model, pool: p, tier: tier, free: key.free}
+		b = &bin{machineType: machineType, pool: p, tier: tier, free: key.free}
 		g.bins[key] = b
 		g.order = append(g.order, b)
 	}
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -61,11 +61,11 @@
 		c.addBin(b.split(full, perMachine, spec))
 	}
 	b.machines -= used
-	return allocated, c.account(b, spec, allocated, used)
+	return allocated, c.consume(b, spec, allocated, used)
 }
 
-// account subtracts packed tasks from the free CPUs, and uncordons the machines used for them.
-func (c *capacityModel) account(b *bin, spec *api.Spec, tasks, machines int) (uncordoned []*workers.Worker) {
+// consume subtracts packed tasks from the free CPUs, and uncordons the machines used for them.
+func (c *capacityModel) consume(b *bin, spec *api.Spec, tasks, machines int) (uncordoned []*workers.Worker) {
 	switch b.tier {
 	case cordonedTier:
 		uncordoned, b.cordoned = b.cordoned[:machines], b.cordoned[machines:]
--- a/internal/fleet/capacity_measurement.go
+++ b/internal/fleet/capacity_measurement.go
@@ -45,7 +45,7 @@
 		return
 	}
 	p := poolOf(w)
-	free := modelResources(w.Type)
+	free := machineTypeResources(w.Type)
 	switch w.State {
 	case workers.Booting:
 		if r.now.Sub(w.CreatedAt) > lateBootFactor*bootTime(w) {
@@ -80,13 +80,13 @@
 
 // addPending adds the machines that were requested and are not on record yet.
 func (r *scalingRun) addPending(capacity *capacityModel, builder *binBuilder) {
-	eachPool(r.catalog, func(model *cloud.MachineType, p pool) {
+	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		state := r.provisioner.pools[p]
 		if state == nil || state.pending <= 0 {
 			return
 		}
-		builder.add(model, p, p.tier(), modelResources(model), state.pending)
-		cpus := float64(state.pending) * model.VCPUs
+		builder.add(machineType, p, p.tier(), machineTypeResources(machineType), state.pending)
+		cpus := float64(state.pending) * machineType.VCPUs
 		capacity.machines[p] += state.pending
 		capacity.freeVCPUs[p] += cpus
 		capacity.bootingVCPUs[p] += cpus
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -241,15 +241,15 @@
 	if contact.inboundSilence > h.fenceTimeout/2 {
 		sweep.urgent = append(sweep.urgent, w)
 	}
-	h.handleFaults(w, contact, sweep)
+	h.respondToFault(w, contact, sweep)
 	if h.machines.LeaseExpired(w) {
 		h.machines.ExpireLease(w)
 		h.terminateUnreachable(w, workers.ReasonLeaseExpired, sweep.now)
 	}
 }
 
-// handleFaults acts on the first of the faults that a machine shows.
-func (h *healthMonitor) handleFaults(w *workers.Worker, contact machineContact, sweep *healthSweep) {
+// respondToFault acts on the first of the faults that a machine shows.
+func (h *healthMonitor) respondToFault(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	switch {
 	case w.ReclaimAt > 0 && sweep.now > w.ReclaimAt && contact.silence > h.fenceTimeout/2:
 		h.terminator.terminate(w, workers.ReasonReclaimed)
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -36,10 +36,10 @@
 // eachPool visits the pools of a catalog in a fixed order.
 func eachPool(catalog []cloud.MachineType, visit func(*cloud.MachineType, pool)) {
 	for i := range catalog {
-		model := &catalog[i]
-		for _, zone := range model.Zones {
+		machineType := &catalog[i]
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				visit(model, pool{model.SKU, zone, spot})
+				visit(machineType, pool{machineType.SKU, zone, spot})
 			}
 		}
 	}
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -47,6 +47,12 @@
 	return Resources{r.VCPUs - o.VCPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
+// Times returns the amounts multiplied by a count, such as what a number of equal tasks takes.
+func (r Resources) Times(count int) Resources {
+	n := float64(count)
+	return Resources{VCPUs: n * r.VCPUs, GPUs: n * r.GPUs, MemoryGB: n * r.MemoryGB}
+}
+
 // Covers says whether other amounts have room in these.
 func (r Resources) Covers(o Resources) bool {
 	return o.VCPUs <= r.VCPUs+roundingTolerance &&
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -17,26 +17,26 @@
 type Average struct {
 	current     float64 // level since updated
 	mean        float64 // average at updated
-	updated     ident.MonotonicTime
+	updatedAt   ident.MonotonicTime
 	initialized bool
 }
 
 // Set notes that the level changes at a time. The first level is the average as well.
 func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
 	if !a.initialized {
-		*a = Average{current: level, mean: level, updated: now, initialized: true}
+		*a = Average{current: level, mean: level, updatedAt: now, initialized: true}
 		return
 	}
 	a.mean = a.Value(now, halfLife)
-	a.current, a.updated = level, max(a.updated, now)
+	a.current, a.updatedAt = level, max(a.updatedAt, now)
 }
 
 // Value returns the average at a time.
 func (a *Average) Value(now ident.MonotonicTime, halfLife time.Duration) float64 {
-	if now <= a.updated {
+	if now <= a.updatedAt {
 		return a.mean
 	}
-	return a.current + (a.mean-a.current)*math.Exp2(-float64(now.Sub(a.updated))/float64(halfLife))
+	return a.current + (a.mean-a.current)*math.Exp2(-float64(now.Sub(a.updatedAt))/float64(halfLife))
 }
 
 // Config holds the times and bounds of a model.
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -28,7 +28,7 @@
 		Gain:           72500 * time.Millisecond,
 		Cost:           73250 * time.Millisecond,
 		CheckpointTime: 74 * time.Second,
-		FetchTime:      75 * time.Second,
+		ImagePullTime:  75 * time.Second,
 	}
 	for _, purpose := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
 		move.Purpose = purpose
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -169,7 +169,7 @@
 		if n := len(j.record.Moves); n > 0 {
 			last := j.record.Moves[n-1]
 			task := ident.TaskID{Job: id, Index: last.Index}
-			if now, ok := attempt(task); ok && now == last.Attempt {
+			if current, ok := attempt(task); ok && current == last.Attempt {
 				out = append(out, task)
 			}
 		}
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -197,9 +197,9 @@
 	return m
 }
 
-// Recorded notes that the record of a move is durable. A move that was abandoned meanwhile stays
+// MarkRecorded notes that the record of a move is durable. A move that was abandoned meanwhile stays
 // abandoned.
-func (t *Table) Recorded(m *Move) { m.recorded = true }
+func (t *Table) MarkRecorded(m *Move) { m.recorded = true }
 
 // transition changes the state of a move. Nothing else does.
 func (t *Table) transition(m *Move, state State, reason Reason, now ident.MonotonicTime) {
@@ -385,7 +385,7 @@
 		return t.abandon(m, JobClosed, now)
 	case !atDestination || o.Task == jobs.Waiting:
 		return t.abandon(m, LostAtDestination, now)
-	case now.Sub(m.StateSince) > m.FetchTime+t.config.StartTimeout:
+	case now.Sub(m.StateSince) > m.ImagePullTime+t.config.StartTimeout:
 		return t.abandon(m, StartOverdue, now)
 	}
 	return nil
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -32,7 +32,7 @@
 		Gain:           50 * time.Second,
 		Cost:           4 * time.Second,
 		CheckpointTime: time.Second,
-		FetchTime:      2 * time.Second,
+		ImagePullTime:  2 * time.Second,
 	}
 }
 
@@ -78,7 +78,7 @@
 // advanceTo brings the move into a state with nothing that speaks against it.
 func (w *moveHarness) advanceTo(s State) *moveHarness {
 	if s >= Stopping {
-		w.table.Recorded(w.move)
+		w.table.MarkRecorded(w.move)
 		w.advance(time.Millisecond, observationAt(jobs.Assigned, 3, source))
 	}
 	if s >= Stopped {
@@ -107,7 +107,7 @@
 		{false, observationAt(jobs.Assigned, 4, destination), nil, Placing},
 	} {
 		if step.record {
-			w.table.Recorded(w.move)
+			w.table.MarkRecorded(w.move)
 		}
 		if got := w.advance(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
 			t.Fatalf("step %d: %v in %s", i, got, w.move.State)
@@ -285,7 +285,7 @@
 		var counts effectCounts
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "record") {
-				w.table.Recorded(w.move)
+				w.table.MarkRecorded(w.move)
 			}
 			o := drawObservation(t, w.move.State)
 			was := w.move.State
--- a/internal/placement/asm1.go
+++ b/internal/placement/asm1.go
@@ -1,17 +1,18 @@
 // Package placement decides which task goes to which machine.
 //
 // Batch tasks are assigned to the machines that hold their image by a plan, which Algorithm 1 of
-// the paper (ASM1) computes in rounds as a semi-matching of tasks and machines. Between the rounds,
-// machines with room take their planned tasks, then local ones, and steal from the plans of others.
-// Services go first-fit, gangs are placed as a whole. The package also keeps the teams' quotas and
-// guarantees, and chooses what is preempted for work of higher precedence.
+// the paper (ASM1; docs/design.md cites it) computes in rounds as a semi-matching of tasks and
+// machines. Between the rounds, machines with room take their planned tasks, then local ones, and
+// steal from the plans of others. Services are placed first-fit, and gangs as a whole. The package
+// also keeps the teams' quotas and guarantees, and chooses the tasks that are preempted for work of
+// higher precedence.
 package placement
 
-// Group is a number of tasks with the same edges in the bipartite graph of tasks and machines, as
-// the tasks of one job have.
+// Group is a set of tasks with the same edges in the bipartite graph of tasks and machines, such as
+// the tasks of one job.
 type Group struct {
 	Tasks    int
-	Machines []int32 // the other ends of the edges: machines that could take the tasks locally
+	Machines []int32 // indexes of the machines that hold the image of the tasks: the other ends of the edges
 }
 
 // Share is how many tasks of a group a machine takes.
@@ -63,8 +64,7 @@
 	candidateGroups [][]int32 // groups that have an edge to the machine
 	cursor          []int32   // index of the first of those that may have unassigned tasks
 
-	// The search, of which round is the number: what was reached in an earlier round counts as not
-	// reached.
+	// The search. round is its number; nodes reached in an earlier round count as not reached.
 	round              int32
 	groupRound         []int32 // by group: the round in which it was reached
 	reachedFromMachine []int32 // by group: the machine from which it was reached
@@ -114,8 +114,8 @@
 		}
 		s.expand(m)
 	}
-	// All that can be reached is assigned, and paths of other machines can't change that without
-	// reaching it: no later search need come here.
+	// Every reachable task is assigned, and a path of another machine can change that only by
+	// reaching one of these groups. So no later search needs to visit them.
 	for _, g := range s.reachedGroups {
 		s.exhausted[g] = true
 	}
--- a/internal/placement/batch.go
+++ b/internal/placement/batch.go
@@ -31,15 +31,16 @@
 	}
 }
 
-// spotFirst lists the two kinds of machines, spot or not, as they are filled.
+// spotFirst holds the values of Worker.Spot in the order in which machines are filled: spot
+// instances before on-demand machines.
 var spotFirst = [...]bool{true, false}
 
-// jobRange is a range of batch jobs by precedence, from an index to before another.
+// jobRange is the half-open range [from, to) of indexes in dispatch.batchJobs.
 type jobRange struct{ from, to int }
 
 // fillIdleMachines lets every machine with room take work. Teams without a guarantee have what the
-// others leave: since their tasks are local to the machines that they fill, they would otherwise
-// take each place there that becomes free before guaranteed work, which then had to preempt.
+// others leave. Their tasks are local to the machines that they fill, so they would otherwise take
+// all room that becomes free there, and guaranteed work would have to preempt them.
 func (d *dispatch) fillIdleMachines() {
 	d.fillFrom(jobRange{0, d.firstBorrower})
 	if d.firstBorrower < len(d.batchJobs) {
@@ -91,7 +92,7 @@
 // resetCursors makes the searches for tasks start over.
 func (d *dispatch) resetCursors() {
 	clear(d.taskCursor)
-	clear(d.firstByImage)
+	clear(d.imageCursor)
 }
 
 // listUncachedJobs lists the active jobs whose image no eligible machine holds.
@@ -105,7 +106,7 @@
 	sort.Slice(d.uncachedJobs, func(i, k int) bool { return d.uncachedJobs[i].Seq < d.uncachedJobs[k].Seq })
 }
 
-// activeJobs are the batch jobs whose turn it is.
+// activeJobs returns the batch jobs in the active range.
 func (d *dispatch) activeJobs() []*jobs.Job { return d.batchJobs[d.activeRange.from:d.activeRange.to] }
 
 // minNeed returns the least that any waiting task of a range of the batch jobs needs.
@@ -119,12 +120,12 @@
 	return need
 }
 
-// inActiveRange says whether a task's job is one of those whose turn it is, or precedes them.
+// inActiveRange says whether a task's job is in the active range or precedes it.
 func (d *dispatch) inActiveRange(t *jobs.Task) bool {
 	return d.activeRange.to > d.firstBorrower || !d.teams.IsBorrower(t.Job.Spec.Team)
 }
 
-// canTakeTask says whether a machine may have a task now.
+// canTakeTask says whether a task may be placed on a machine now.
 func (d *dispatch) canTakeTask(t *jobs.Task, w *workers.Worker) bool {
 	if t.State != jobs.Waiting || t.Job.Phase != jobs.Open || t.Job.PlaceableCount() <= 0 {
 		return false
@@ -136,13 +137,14 @@
 	return d.canRunOn(t.Job, w) && !d.machineTable.HasUnknownAttempt(t.TaskID())
 }
 
-// canTakeAnyOf says whether a machine may have any task of a job now.
+// canTakeAnyOf says whether any task of a job may be placed on a machine now.
 func (d *dispatch) canTakeAnyOf(j *jobs.Job, w *workers.Worker) bool {
 	return j.WaitingCount() > 0 && d.canRunOn(j, w) && d.nextTask(j) != nil
 }
 
-// localTask chooses a batch task for a machine that need not pull its image: what is planned for
-// the machine, then the first by precedence whose image it holds. It returns nil if there is none.
+// localTask chooses a batch task that a machine can run without an image pull: one that the plan
+// assigns to the machine, else the first by precedence whose image it holds. It returns nil if there
+// is none. A reserved machine takes only tasks of the job that it is reserved for.
 func (d *dispatch) localTask(w *workers.Worker) (*jobs.Task, placementRule) {
 	if j := d.reservations.jobOn(w); j != nil {
 		return d.reservedTask(j, w), ruleLocal
@@ -176,13 +178,13 @@
 func (d *dispatch) firstCachedJob(w *workers.Worker) *jobs.Job {
 	best := d.activeRange.to
 	for _, image := range w.CachedImages() {
-		list := d.byImage[image.Name]
-		first := d.firstByImage[image.Name]
-		for first < len(list) && d.batchJobs[list[first]].WaitingCount() == 0 {
+		indexes := d.batchJobsByImage[image.Name]
+		first := d.imageCursor[image.Name]
+		for first < len(indexes) && d.batchJobs[indexes[first]].WaitingCount() == 0 {
 			first++
 		}
-		d.firstByImage[image.Name] = first
-		for _, i := range list[first:] {
+		d.imageCursor[image.Name] = first
+		for _, i := range indexes[first:] {
 			if i >= best {
 				break
 			}
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/workers"
 )
 
-// dispatch is the state of one dispatch or round of a planner: the waiting jobs and the machines
-// as they are sorted for it, and what it has placed so far.
+// dispatch is the state of one dispatch or round of a planner: the sorted waiting jobs and
+// machines, and the progress so far.
 type dispatch struct {
 	*Planner
 
@@ -19,15 +19,15 @@
 	services []*jobs.Job // by precedence
 	gangs    []*jobs.Job // by precedence
 
-	batchJobs     []*jobs.Job      // batch jobs that wait, by precedence
-	firstBorrower int              // index in batchJobs of the first job of a team without a guarantee
-	activeRange   jobRange         // the batch jobs whose turn it is
-	byImage       map[string][]int // indexes in batchJobs
-	firstByImage  map[string]int   // index in byImage of the first job that may still have something to place
-	uncachedJobs  []*jobs.Job      // whose image no eligible machine holds, oldest first
-	imageCached   map[*jobs.Job]bool
-	taskCursor    map[*jobs.Job]int // index of the first task that may still be placed
-	plans         []*planQueue      // fullest first
+	batchJobs        []*jobs.Job      // batch jobs that wait, by precedence
+	firstBorrower    int              // index in batchJobs of the first job of a team without a guarantee
+	activeRange      jobRange         // the batch jobs that are being placed
+	batchJobsByImage map[string][]int // indexes in batchJobs
+	imageCursor      map[string]int   // index in batchJobsByImage of the first job that may have waiting tasks
+	uncachedJobs     []*jobs.Job      // whose image no eligible machine holds, oldest first
+	imageCached      map[*jobs.Job]bool
+	taskCursor       map[*jobs.Job]int // index of the first task that may still be placed
+	plans            []*planQueue      // fullest first
 
 	quotaBlocked     map[string]*jobs.Job // by team: the starved job for which the team's quota is kept
 	victimSearches   map[victimSearchKey]*preemptionHeap
@@ -94,17 +94,17 @@
 	d.placeFirstTasks()
 	d.fillIdleMachines()
 	if !d.full() && d.hasStrandedTask() {
-		// Waiting tasks whose holders are full and that no plan names yet could not be stolen:
-		// an extra round lets the idle machines have them.
+		// Tasks that are in no plan can't be stolen. An extra round plans them, so that machines with
+		// room can steal them from holders that are full.
 		d.Stats.ExtraRounds++
-		d.plan()
+		d.makePlan()
 		d.fillIdleMachines()
 	}
 	d.reclaimGuarantees()
 	return d.full()
 }
 
-// full says whether the dispatch has placed as much as it may.
+// full says whether the dispatch has placed maxPlacedPerDispatch tasks.
 func (d *dispatch) full() bool { return d.placed >= maxPlacedPerDispatch }
 
 // place assigns a task to a machine.
@@ -121,12 +121,12 @@
 	if !w.Spot {
 		d.freeOnDemand[w.Zone] -= t.Job.Spec.VCPUs
 	}
-	d.reservations.use(w, t.Job)
+	d.reservations.consume(w, t.Job)
 	d.placed++
 }
 
-// blockQuota keeps a team's quota for a starved job, unless another one has it already: the
-// team's other batch jobs take nothing in this dispatch.
+// blockQuota keeps a team's quota for a starved job, unless it is kept for another one already.
+// No other batch job of the team is placed in this dispatch.
 func (d *dispatch) blockQuota(j *jobs.Job) {
 	if d.quotaBlocked[j.Spec.Team] == nil {
 		d.quotaBlocked[j.Spec.Team] = j
@@ -152,6 +152,7 @@
 	return queues, need
 }
 
+// jobsOf returns the jobs of a list of queued jobs.
 func jobsOf(list []queuedJob) []*jobs.Job {
 	var out []*jobs.Job
 	for i := range list {
@@ -162,7 +163,7 @@
 
 // indexBatchJobs lists the batch jobs by precedence, and by image.
 func (d *dispatch) indexBatchJobs(list []queuedJob) {
-	d.byImage, d.firstByImage = map[string][]int{}, map[string]int{}
+	d.batchJobsByImage, d.imageCursor = map[string][]int{}, map[string]int{}
 	d.firstBorrower = len(list)
 	for i := range list {
 		j := list[i].job
@@ -170,7 +171,7 @@
 			d.firstBorrower = min(d.firstBorrower, i)
 		}
 		d.batchJobs = append(d.batchJobs, j)
-		d.byImage[j.Spec.Image] = append(d.byImage[j.Spec.Image], i)
+		d.batchJobsByImage[j.Spec.Image] = append(d.batchJobsByImage[j.Spec.Image], i)
 	}
 }
 
--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -21,11 +21,11 @@
 			}
 		}
 	}
-	return !s.Spread || j.AllocatedByZone[zone] < maxTasksPerZone(s)
+	return !s.Spread || j.AllocatedByZone[zone] < MaxTasksPerZone(s)
 }
 
-// maxTasksPerZone is how many tasks of a job that is spread over zones may be in one of them.
-func maxTasksPerZone(s *api.Spec) int { return (s.Tasks + 1) / 2 }
+// MaxTasksPerZone is how many tasks of a job that is spread over zones may be in one of them.
+func MaxTasksPerZone(s *api.Spec) int { return (s.Tasks + 1) / 2 }
 
 // unusedVCPUs are the CPUs of a machine that no task uses, reserved or not.
 func unusedVCPUs(w *workers.Worker) float64 { return w.Type.VCPUs - w.VCPUs }
@@ -41,12 +41,12 @@
 	return w.Spot || !isBatch(j) || p.freeOnDemand[w.Zone]-j.Spec.VCPUs >= p.ServiceHeadroom[w.Zone]-tolerance
 }
 
-// eligible checks everything but room.
+// eligible says whether a machine may take a task of a job, apart from room.
 func (d *dispatch) eligible(j *jobs.Job, w *workers.Worker) bool {
-	if o := d.reservations.jobOn(w); o != nil && o != j {
+	if reservedFor := d.reservations.jobOn(w); reservedFor != nil && reservedFor != j {
 		return false
 	}
-	if o := d.quotaBlocked[j.Spec.Team]; o != nil && o != j && isBatch(j) {
+	if blockedFor := d.quotaBlocked[j.Spec.Team]; blockedFor != nil && blockedFor != j && isBatch(j) {
 		return false
 	}
 	return allows(w, j) && zoneAllows(j, w.Zone) && d.teams.Allows(j.Spec, 1)
@@ -58,8 +58,8 @@
 }
 
 // isImageCached says whether a machine that may take the job's tasks holds its image. Machines in
-// other zones and those that take no work don't count: if they kept idle machines from pulling
-// the image, the tasks would wait for ever.
+// other zones and those that take no work don't count: if they did, no other machine would pull
+// the image, and the tasks would never be placed.
 func (d *dispatch) isImageCached(j *jobs.Job) bool {
 	cached, ok := d.imageCached[j]
 	if !ok {
--- a/internal/placement/first_task.go
+++ b/internal/placement/first_task.go
@@ -7,15 +7,15 @@
 	"opaldale/internal/workers"
 )
 
-// firstTaskPacing paces first tasks that go before all others: so many in each team within
-// MaxWait. In a backlog every job waits too long; if each got its first task at once, there would
-// be hardly any room for the other tasks, and few jobs would ever be done.
+// firstTaskPacing is the number of starved jobs of a team that may get their first task ahead of
+// other work within Config.MaxWait. In a backlog every job is starved; if each got its first task
+// at once, hardly any room would be left for the other tasks, and few jobs would ever complete.
 const firstTaskPacing = 24
 
-// placeFirstTasks gives each starved batch job a place for its first task, or else reserves a
-// machine or the team's quota for it: smaller tasks would take each time what becomes free before
-// it is enough. The largest jobs come first, since one task of each is all they take here; their
-// other tasks go in the usual order.
+// placeFirstTasks places the first task of each starved batch job, or else reserves a machine or
+// the team's quota for it: smaller tasks would otherwise take any room that becomes free before it
+// is enough. The largest jobs go first, since each takes room for one task only; the rest of its
+// tasks are placed in the usual order.
 func (d *dispatch) placeFirstTasks() {
 	for _, j := range d.starvedJobs() {
 		team := j.Spec.Team
@@ -31,7 +31,7 @@
 			d.place(d.nextTask(j), w)
 			continue
 		}
-		if d.reservations.starvedCount() < maxStarvationReserved && !d.reservations.hasMachineFor(j) {
+		if d.reservations.starvedCount() < maxStarvationReserved && !d.reservations.hasStarvedReservation(j) {
 			d.reserveRoomiestFor(j)
 		}
 	}
@@ -78,7 +78,7 @@
 func (d *dispatch) reserveRoomiestFor(j *jobs.Job) {
 	var best *workers.Worker
 	for _, w := range d.openMachines {
-		if d.reservations.hasStarved(w) || !d.eligible(j, w) {
+		if d.reservations.isReservedForStarved(w) || !d.eligible(j, w) {
 			continue
 		}
 		if best == nil || unusedVCPUs(w) > unusedVCPUs(best)+tolerance {
--- a/internal/placement/gang_planner.go
+++ b/internal/placement/gang_planner.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -10,9 +11,9 @@
 	"opaldale/internal/workers"
 )
 
-// gangPlan says where a gang's waiting tasks would go.
+// gangPlan is a possible placement of all waiting tasks of a gang.
 type gangPlan struct {
-	picks             []gang.Placement
+	placements        []gang.Placement
 	victims           []*jobs.Task  // preempted to make room
 	pullTime          time.Duration // the longest pull of the image
 	cost              float64       // work lost by preemption, in CPU seconds
@@ -20,9 +21,9 @@
 	waitForCheckpoint bool // a victim writes a checkpoint first
 }
 
-// better says whether a gang starts sooner by a than by b, or else loses less, or else uses fewer
-// machines. Any plan is better than none.
-func (a *gangPlan) better(b *gangPlan) bool {
+// betterThan says whether a gang starts sooner by a than by b, or else preempts less work, or else
+// uses fewer machines. Any plan is better than none.
+func (a *gangPlan) betterThan(b *gangPlan) bool {
 	return b == nil || cmp.Or(
 		cmp.Compare(a.pullTime, b.pullTime),
 		cmp.Compare(a.cost, b.cost),
@@ -41,10 +42,10 @@
 	byZone    map[string]int           // the gang's tasks, allocated or in the plan
 }
 
-// planGang plans a gang's tasks in a zone, and returns nil if not all of them find a place. It
-// takes machines that hold the image first; then, if that is quicker than to pull it, such
-// machines with work of lower precedence; then the machines with the most room, so that few must
-// pull the image; then any with work of lower precedence.
+// planGang plans a gang's tasks in a zone, and returns nil if not all of them can be placed. It uses
+// machines in this order: those with room that hold the image; if the image pull takes long, those
+// that hold the image and have work to preempt; those with the most room, so that few must pull the
+// image; any that have work to preempt.
 func (d *dispatch) planGang(j *jobs.Job, tasks []*jobs.Task, zone string) *gangPlan {
 	g := &gangPlanner{
 		dispatch:  d,
@@ -55,49 +56,47 @@
 		used:      map[*workers.Worker]bool{},
 		byZone:    map[string]int{},
 	}
-	for z, n := range j.AllocatedByZone {
-		g.byZone[z] = n
-	}
-	holders, others := g.slots()
+	maps.Copy(g.byZone, j.AllocatedByZone)
+	holders, others := g.machinesWithSlots()
 	for _, s := range holders {
 		g.assign(s)
 	}
-	if !g.done() && d.hasVictims(j) && g.pullTooSlow() {
+	if !g.allAssigned() && d.hasVictims(j) && g.pullTooSlow() {
 		g.preemptOn(holdsImage(j.Spec.Image))
 	}
 	for _, s := range others {
-		if g.done() {
+		if g.allAssigned() {
 			break
 		}
-		g.notePull(s.worker)
+		g.addPullTime(s.worker)
 		g.assign(s)
 	}
-	if !g.done() && d.hasVictims(j) && d.now().Sub(j.SubmittedAt) > reclaimAfter {
+	if !g.allAssigned() && d.hasVictims(j) && d.now().Sub(j.SubmittedAt) > reclaimAfter {
 		g.preemptOn(anyMachine)
 	}
-	if !g.done() {
+	if !g.allAssigned() {
 		return nil
 	}
 	return g.plan
 }
 
-// done says whether all tasks have a machine.
-func (g *gangPlanner) done() bool { return len(g.remaining) == 0 }
+// allAssigned says whether every task is assigned to a machine.
+func (g *gangPlanner) allAssigned() bool { return len(g.remaining) == 0 }
 
 // allowed says whether the gang may use a machine, apart from room.
 func (g *gangPlanner) allowed(w *workers.Worker) bool {
 	return inZone(w, g.zone) && g.eligible(g.job, w) && !g.actions.GangUsedMachine(g.job, w)
 }
 
-// machineSlots is how many tasks of a gang find room on a machine.
+// machineSlots is a machine and the number of a gang's tasks that it has room for.
 type machineSlots struct {
 	worker *workers.Worker
 	tasks  int
 }
 
-// slots lists the allowed machines with room, those that hold the image and the others apart, the
-// most room first.
-func (g *gangPlanner) slots() (holders, others []machineSlots) {
+// machinesWithSlots lists the allowed machines with room, those that hold the image and the others,
+// each list by room in descending order.
+func (g *gangPlanner) machinesWithSlots() (holders, others []machineSlots) {
 	spec := g.job.Spec
 	for _, w := range g.machinesWithRoom {
 		n := w.TaskCapacity(spec)
@@ -117,20 +116,20 @@
 	return holders, others
 }
 
-// assign gives tasks to a machine, as many as it has slots for and the zone may have. It returns
-// false if that is none.
+// assign assigns remaining tasks to a machine, as many as its slots and the spread over zones allow.
+// It returns false if it assigned none.
 func (g *gangPlanner) assign(s machineSlots) bool {
 	spec := g.job.Spec
 	n := s.tasks
 	if spec.Spread {
-		n = min(n, maxTasksPerZone(spec)-g.byZone[s.worker.Zone])
+		n = min(n, MaxTasksPerZone(spec)-g.byZone[s.worker.Zone])
 	}
 	n = min(n, len(g.remaining))
 	if n <= 0 {
 		return false
 	}
 	for _, t := range g.remaining[:n] {
-		g.plan.picks = append(g.plan.picks, gang.Placement{Task: t, Worker: s.worker})
+		g.plan.placements = append(g.plan.placements, gang.Placement{Task: t, Worker: s.worker})
 	}
 	g.remaining = g.remaining[n:]
 	g.byZone[s.worker.Zone] += n
@@ -139,26 +138,25 @@
 	return true
 }
 
-// notePull accounts for the pull of the image on a machine that doesn't hold it.
-func (g *gangPlanner) notePull(w *workers.Worker) {
+// addPullTime accounts for the image pull of a machine that doesn't hold the image.
+func (g *gangPlanner) addPullTime(w *workers.Worker) {
 	g.plan.pullTime = max(g.plan.pullTime, w.ImagePullTime(g.job.Spec))
 }
 
-// pullTooSlow says whether the pull of the image takes a good part of the time within which the
-// gang should start. One machine stands for all.
+// pullTooSlow says whether an image pull takes more of the start objective than gangPullDivisor
+// allows, as estimated for the first open machine.
 func (g *gangPlanner) pullTooSlow() bool {
 	return len(g.openMachines) > 0 && g.pullExceedsObjective(g.job, g.openMachines[0], gangPullDivisor)
 }
 
-// gangOffer is what a gang can have preempted on a machine, and for how many of its tasks that
-// makes room.
-type gangOffer struct {
+// gangPreemption is a preemption that makes room for a number of a gang's tasks.
+type gangPreemption struct {
 	*preemption
 	tasks int
 }
 
-// costPerTask is the work lost for each task that finds room.
-func (o gangOffer) costPerTask() float64 { return o.cost / float64(o.tasks) }
+// costPerTask is the work lost for each task that gets room, in CPU seconds.
+func (p gangPreemption) costPerTask() float64 { return p.cost / float64(p.tasks) }
 
 // holdsImage returns a filter of the machines that hold an image.
 func holdsImage(image string) func(*workers.Worker) bool {
@@ -168,64 +166,56 @@
 // anyMachine is a filter that accepts all machines.
 func anyMachine(*workers.Worker) bool { return true }
 
-// preemptOn assigns tasks to machines that a filter accepts and where work of lower precedence can
-// be preempted, the least loss for each task first.
+// preemptOn assigns tasks to machines that a filter accepts and on which work of lower precedence
+// can be preempted, by cost per task in ascending order.
 func (g *gangPlanner) preemptOn(accepts func(*workers.Worker) bool) {
-	offers := g.offers(accepts)
-	slices.SortStableFunc(offers, func(a, b gangOffer) int { return cmp.Compare(a.costPerTask(), b.costPerTask()) })
-	for _, o := range offers {
-		if g.done() {
+	preemptions := g.findPreemptions(accepts)
+	slices.SortStableFunc(preemptions, func(a, b gangPreemption) int { return cmp.Compare(a.costPerTask(), b.costPerTask()) })
+	for _, candidate := range preemptions {
+		if g.allAssigned() {
 			return
 		}
-		if !g.assign(machineSlots{worker: o.worker, tasks: o.tasks}) {
+		if !g.assign(machineSlots{worker: candidate.worker, tasks: candidate.tasks}) {
 			continue
 		}
-		g.plan.victims = append(g.plan.victims, o.victims...)
-		g.plan.cost += o.cost
-		g.plan.waitForCheckpoint = g.plan.waitForCheckpoint || o.needsCheckpoint()
-		if !o.worker.HasImage(g.job.Spec.Image) {
-			g.notePull(o.worker)
+		g.plan.victims = append(g.plan.victims, candidate.victims...)
+		g.plan.cost += candidate.cost
+		g.plan.waitForCheckpoint = g.plan.waitForCheckpoint || candidate.needsCheckpoint()
+		if !candidate.worker.HasImage(g.job.Spec.Image) {
+			g.addPullTime(candidate.worker)
 		}
 	}
 }
 
-// offers searches the machines that a filter accepts for victims.
-func (g *gangPlanner) offers(accepts func(*workers.Worker) bool) []gangOffer {
-	var offers []gangOffer
+// findPreemptions searches the machines that a filter accepts for victims, within the limit of the
+// dispatch.
+func (g *gangPlanner) findPreemptions(accepts func(*workers.Worker) bool) []gangPreemption {
+	var preemptions []gangPreemption
 	enough := max(minGangSearch, g.job.Spec.Tasks)
 	for _, w := range g.openMachines {
-		if len(offers) >= enough || g.machinesSearched >= g.searchLimit() {
+		if len(preemptions) >= enough || g.machinesSearched >= g.searchLimit() {
 			break
 		}
 		if g.used[w] || !accepts(w) || !mayHaveVictims(w, g.job) || !g.allowed(w) {
 			continue
 		}
 		g.machinesSearched++
-		if offer, ok := g.offerOn(w); ok {
-			offers = append(offers, offer)
+		if candidate, ok := g.findPreemptionOn(w); ok {
+			preemptions = append(preemptions, candidate)
 		}
 	}
-	return offers
+	return preemptions
 }
 
-// offerOn finds room for as many of the remaining tasks on a machine as is found by halving their
-// number.
-func (g *gangPlanner) offerOn(w *workers.Worker) (gangOffer, bool) {
+// findPreemptionOn finds a preemption that makes room for remaining tasks on a machine. It halves
+// the number of tasks until there are enough victims.
+func (g *gangPlanner) findPreemptionOn(w *workers.Worker) (gangPreemption, bool) {
 	request := victimRequest{job: g.job, now: g.now(), skipRecent: true}
 	for n := len(g.remaining); n > 0; n /= 2 {
-		request.need = tasksNeed(g.job, n)
+		request.need = jobs.ResourcesOf(g.job.Spec).Times(n)
 		if found := g.chooseVictims(w, request); found != nil {
-			return gangOffer{preemption: found, tasks: n}, true
+			return gangPreemption{preemption: found, tasks: n}, true
 		}
 	}
-	return gangOffer{}, false
-}
-
-// tasksNeed is what n tasks of a job need together.
-func tasksNeed(j *jobs.Job, n int) jobs.Resources {
-	return jobs.Resources{
-		VCPUs:    float64(n) * j.Spec.VCPUs,
-		GPUs:     float64(n) * j.Spec.GPUs,
-		MemoryGB: float64(n) * j.Spec.MemoryGB,
-	}
+	return gangPreemption{}, false
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -8,21 +8,20 @@
 	"opaldale/internal/workers"
 )
 
-// Gangs are the one kind of work that neither the plan nor first-fit covers: the plan assigns
-// tasks to machines one by one (paper, §2.1 and §5.2: independent tasks), and a part of a gang is
-// of no use. What remains of the plan's preference is that machines that hold the image come
-// first.
+// Gangs are placed neither by the plan nor first-fit: both place tasks independently of each other
+// (paper, §2.1 and §5.2), while a gang needs all of its tasks at once. As in the plan, machines that
+// hold the image are preferred.
 
 const (
-	// minGangSearch bounds the machines that are offered for preemption by a gang; the bound is
-	// the number of its tasks where that is larger.
+	// minGangSearch bounds the candidate machines for preemption by a gang; the bound is the number
+	// of its tasks where that is larger.
 	minGangSearch = 64
-	// gangReserveDivisor is the part of MaxWait after which machines are reserved for a gang that
-	// finds no place, and maxGangReserved bounds those machines.
+	// Once a gang has waited for Config.MaxWait/gangReserveDivisor, machines are reserved for it, at
+	// most maxGangReserved of them.
 	gangReserveDivisor = 8
 	maxGangReserved    = 16
-	// gangPullDivisor is the part of the start objective that the pull of a gang's image may take
-	// before victims are sought on the machines that hold it.
+	// If an image pull takes longer than the start objective divided by gangPullDivisor, a gang
+	// preempts work on the machines that hold the image before others pull it.
 	gangPullDivisor = 2
 )
 
@@ -73,7 +72,7 @@
 func (d *dispatch) bestGangPlan(j *jobs.Job, tasks []*jobs.Task) *gangPlan {
 	var best *gangPlan
 	for _, zone := range d.candidateZones(j) {
-		if plan := d.planGang(j, tasks, zone); plan != nil && plan.better(best) {
+		if plan := d.planGang(j, tasks, zone); plan != nil && plan.betterThan(best) {
 			best = plan
 		}
 	}
@@ -93,12 +92,12 @@
 		}
 		return
 	}
-	for _, pick := range plan.picks {
+	for _, pick := range plan.placements {
 		d.recordPlacement(pick.Task, pick.Worker)
 	}
 	d.reservations.releaseStarved(j)
 	d.Stats.Gangs++
-	d.actions.PlaceGang(j, plan.picks)
+	d.actions.PlaceGang(j, plan.placements)
 }
 
 // anyZone stands for all zones together.
@@ -123,9 +122,9 @@
 	return out
 }
 
-// reserveForGang reserves machines of a zone for a gang that finds no place, as smaller tasks
-// would take whatever becomes free each time: as few machines as possible, those with the most
-// work that ends by itself. One gang has reservations at a time.
+// reserveForGang reserves machines of a zone for a gang that can't be placed, since smaller tasks
+// would otherwise take any room that becomes free. It reserves as few machines as possible, and
+// none while any are reserved for a starved job.
 func (d *dispatch) reserveForGang(j *jobs.Job, tasks int) {
 	if d.reservations.starvedCount() > 0 {
 		return
@@ -145,8 +144,8 @@
 	}
 }
 
-// fewestMachinesFor returns as few machines of a zone as have room for so many tasks of a gang
-// once their batch tasks have ended, nil if all of them together have not.
+// fewestMachinesFor returns the fewest machines of a zone that have room for a number of a gang's
+// tasks once their batch tasks have ended, nil if the whole zone has too little.
 func (d *dispatch) fewestMachinesFor(j *jobs.Job, zone string, tasks int) []*workers.Worker {
 	slots := func(w *workers.Worker) int {
 		if j.Spec.VCPUs <= 0 {
--- a/internal/placement/least_used.go
+++ b/internal/placement/least_used.go
@@ -29,9 +29,9 @@
 	return last
 }
 
-// fillLeastUsedFirst lets the machines of a kind take planned and local tasks one at a time, the
-// least used machine next, so that work doesn't pile up on the first of the machines that hold its
-// image. Tasks whose image must be pulled are not spread: each further machine would pull it too.
+// fillLeastUsedFirst lets the machines of a kind take planned and local tasks one at a time, always
+// the least used machine next, so that work is spread over the machines that hold its image. Tasks
+// whose image must be pulled are not spread, since every machine would have to pull it.
 func (d *dispatch) fillLeastUsedFirst(spot bool, need jobs.Resources) {
 	queue := leastUsedHeap{}
 	for _, w := range d.machinesWithRoom {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/workers"
 )
 
-// The bound on the tasks that a plan covers, and with it on the time for making it: so many, or a
-// few for each machine where the fleet is larger.
+// A plan covers at most minPlanned tasks, or plannedPerMachine tasks per machine where that is more.
+// This bounds the time for making it.
 const (
 	minPlanned        = 4000
 	plannedPerMachine = 2
@@ -17,25 +17,25 @@
 // planLimit returns the number of tasks that a plan may cover.
 func planLimit(machines int) int { return max(minPlanned, plannedPerMachine*machines) }
 
-// demand is what a plan is made for: the bipartite graph of waiting tasks, in groups with the same
+// demand is the input of a plan: the bipartite graph of waiting tasks, in groups with the same
 // edges, and of the machines that hold their images.
 type demand struct {
 	groups []Group
 	tasks  [][]*jobs.Task // of each group
 }
 
-// plan joins the waiting batch tasks within their teams' quota to the machines that hold their
+// makePlan joins the waiting batch tasks within their teams' quota to the machines that hold their
 // image, and runs ASM1 on that graph.
-func (d *dispatch) plan() {
+func (d *dispatch) makePlan() {
 	began := time.Now()
 	d.Stats.Rounds++
 	d.clearPlans()
 	if !d.config.UseASM1 {
 		return
 	}
-	waiting := d.demand()
+	waiting := d.gatherDemand()
+	// Groups are in the order of precedence, and so are the tasks in each machine's plan.
 	for g, shares := range ASM1(len(d.openMachines), waiting.groups) {
-		// Groups come by precedence, and so do the tasks of each machine's plan.
 		tasks := waiting.tasks[g]
 		for _, share := range shares {
 			w := d.openMachines[share.Machine]
@@ -59,8 +59,9 @@
 	}
 }
 
-// demand gathers the waiting tasks, as many as a plan may cover and their teams' quotas admit.
-func (d *dispatch) demand() demand {
+// gatherDemand groups the waiting tasks by job, as many as a plan may cover and their teams' quotas
+// admit.
+func (d *dispatch) gatherDemand() demand {
 	machineIndex := make(map[*workers.Worker]int32, len(d.openMachines))
 	for i, w := range d.openMachines {
 		machineIndex[w] = int32(i)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -20,17 +20,19 @@
 	// Preempt stops a task on its machine, with the grace period that it has for a checkpoint.
 	Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration)
 	// PlaceGang places all waiting tasks of a gang.
-	PlaceGang(j *jobs.Job, picks []gang.Placement)
-	// GangUsedMachine says whether the present attempt of a gang was on a machine before.
+	PlaceGang(j *jobs.Job, placements []gang.Placement)
+	// GangUsedMachine says whether the present attempt of a gang has had tasks on a machine.
 	GangUsedMachine(j *jobs.Job, w *workers.Worker) bool
 	// CanStopGang says whether all tasks of a gang can be stopped together.
 	CanStopGang(j *jobs.Job) bool
-	// StopGang stops all tasks of a gang, and returns false if that is impossible.
+	// StopGang stops all tasks of a gang together, and lets them write checkpoints if they can. It
+	// returns false if CanStopGang does.
 	StopGang(j *jobs.Job) bool
 }
 
 // Planner assigns waiting tasks to machines. It keeps the plan, the reservations and the
-// statistics; what is known for the time of one dispatch only is in dispatch.
+// statistics; the state of a single dispatch is in dispatch. A planner belongs to one term of a
+// leader and is used on that leader's event loop only.
 type Planner struct {
 	teams            *Teams
 	jobs             *jobs.Table
@@ -70,8 +72,7 @@
 	maxPlansSearched = 64
 	// maxStarvationReserved bounds the machines reserved for starved batch jobs.
 	maxStarvationReserved = 4
-	// preemptionRetry is when the placement of a task is tried again after victims were told to
-	// write a checkpoint and leave.
+	// preemptionRetry is the delay before a task is placed whose victims write checkpoints first.
 	preemptionRetry = 500 * time.Millisecond
 )
 
@@ -101,11 +102,12 @@
 	UseASM1 bool
 	// Objectives are the service-level objectives by class of work.
 	Objectives []settings.Objective
-	// MaxWait is how long a job may wait for its first task before it goes first.
+	// MaxWait is how long a job may wait for its first task before it counts as starved and goes
+	// first.
 	MaxWait time.Duration
 	// GangWait is how long other work waits for room before a gang is preempted for it. It
-	// exceeds the time in which most work finds room by itself, for instance after the loss of
-	// a rack or while a gang pulls its images.
+	// exceeds the time in which most work gets room without preemption, for instance after the
+	// loss of a rack or while a gang pulls its image.
 	GangWait time.Duration
 }
 
@@ -146,13 +148,12 @@
 	return p
 }
 
-// Dispatch places what can be placed now: work that could start at once does not wait for the
-// next round. It returns true if it stopped at maxPlacedPerDispatch, and there may be more to
-// place.
+// Dispatch places the waiting tasks that can start now, without waiting for the next round. It
+// returns true if it stopped at maxPlacedPerDispatch, so that there may be more to place.
 func (p *Planner) Dispatch() bool { return p.newDispatch().run() }
 
-// Round makes a new plan.
-func (p *Planner) Round() { p.newDispatch().plan() }
+// Round replaces the plan by a new one, and places nothing.
+func (p *Planner) Round() { p.newDispatch().makePlan() }
 
 // starved says whether a job has waited too long for its first task.
 func (p *Planner) starved(j *jobs.Job) bool {
@@ -166,5 +167,5 @@
 	return ok && w.ImagePullTime(j.Spec) > limit/divisor
 }
 
-// isBatch says whether a job's tasks are independent of each other and end by themselves.
+// isBatch says whether a job's tasks are independent of each other and run to completion.
 func isBatch(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// maxPreemptions bounds the machines that a search finds for a job, beside two for each of its
-	// tasks: the least work lost on so many is little more than that on all.
-	maxPreemptions = 100
-	// pullCostFactor weighs the pull of an image against work lost by preemption.
+	// A search collects at most maxPreemptions candidates for a job, and preemptionsPerTask more for
+	// each of its waiting tasks. The cheapest of them costs little more than the cheapest of all.
+	maxPreemptions     = 100
+	preemptionsPerTask = 2
+	// pullCostFactor weighs the time of an image pull against work lost by preemption.
 	pullCostFactor = 2
-	// reclaimAfter is how long guaranteed work waits for room before others' borrowed room is taken
-	// back: long enough for tasks that end by themselves, short against objectives of a few seconds.
+	// reclaimAfter is how long guaranteed work waits before borrowers are preempted for it: long
+	// enough for running tasks to complete, short against objectives of a few seconds.
 	reclaimAfter = 500 * time.Millisecond
 )
 
-// victimSearchKey names a search for victims: for which job, and where.
+// victimSearchKey identifies a search for victims within a dispatch.
 type victimSearchKey struct {
 	job          *jobs.Job
 	holdersOnly  bool // only on machines that hold the image
@@ -30,32 +31,31 @@
 // preemptionHeap is a heap.Interface of preemptions, the cheapest first.
 type preemptionHeap []*preemption
 
-func (o preemptionHeap) Len() int           { return len(o) }
-func (o preemptionHeap) Less(i, k int) bool { return o[i].cost < o[k].cost }
-func (o preemptionHeap) Swap(i, k int)      { o[i], o[k] = o[k], o[i] }
-func (o *preemptionHeap) Push(x any)        { *o = append(*o, x.(*preemption)) }
-func (o *preemptionHeap) Pop() any {
-	old := *o
-	x := old[len(old)-1]
-	*o = old[:len(old)-1]
-	return x
+func (h preemptionHeap) Len() int           { return len(h) }
+func (h preemptionHeap) Less(i, k int) bool { return h[i].cost < h[k].cost }
+func (h preemptionHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *preemptionHeap) Push(x any)        { *h = append(*h, x.(*preemption)) }
+func (h *preemptionHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
-// preemptOnHolder makes room for a task on a machine that holds its image, and places it there. It
-// returns false if there is no room to be made.
+// preemptOnHolder makes room for a task on a machine that holds its image, as preempt does.
 func (d *dispatch) preemptOnHolder(t *jobs.Task) bool {
 	return d.preempt(t, victimSearchKey{job: t.Job, holdersOnly: true})
 }
 
-// preemptAnywhere makes room for a task on any machine, and places it there. Gangs are preempted
-// only once the task has waited for GangWait. It returns false if there is no room to be made.
+// preemptAnywhere makes room for a task on any machine, as preempt does. Gangs are preempted only
+// once the task has waited for Config.GangWait.
 func (d *dispatch) preemptAnywhere(t *jobs.Task) bool {
 	waitedLong := d.now().Sub(t.StateSince) > d.config.GangWait
 	return d.preempt(t, victimSearchKey{job: t.Job, includeGangs: waitedLong})
 }
 
 // preempt makes room for a task where the least work is lost, and places it there; if a victim
-// writes a checkpoint first, the task waits for that.
+// writes a checkpoint first, the task waits for that. It returns false if no room can be made.
 func (d *dispatch) preempt(t *jobs.Task, key victimSearchKey) bool {
 	if !d.hasVictims(t.Job) {
 		return false
@@ -97,9 +97,9 @@
 	p.actions.Preempt(victim, w, victim.CheckpointGracePeriod())
 }
 
-// cheapestPreemption takes the cheapest preemption of a search, nil if there is none left. The
-// tasks of a job share one search in a dispatch: with one for each task, the bound on the machines
-// searched would leave room for few tasks of a large job.
+// cheapestPreemption removes the cheapest preemption from a search and returns it, nil if there is
+// none left. The tasks of a job share one search in a dispatch: with a search for each task, the
+// bound on the machines searched would be reached after few tasks of a large job.
 func (d *dispatch) cheapestPreemption(key victimSearchKey, now ident.MonotonicTime) *preemption {
 	found := d.victimSearches[key]
 	if found == nil {
@@ -115,6 +115,7 @@
 		current := d.preemptionOn(key, old.worker, now)
 		switch {
 		case current == nil:
+			// The machine no longer has enough victims.
 		case current.cost > old.cost+tolerance && found.Len() > 0 && current.cost > (*found)[0].cost:
 			heap.Push(found, current)
 		default:
@@ -127,11 +128,11 @@
 // searchLimit returns how many machines a dispatch may search for victims.
 func (d *dispatch) searchLimit() int { return max(minVictimSearch, len(d.openMachines)) }
 
-// searchVictims searches machines for victims, as many as the dispatch may still search: first
-// those that hold the image, then the others, from where the search before ended.
+// searchVictims searches machines for victims, up to the limit of the dispatch: those that hold the
+// image, then the others, starting where the previous search ended.
 func (d *dispatch) searchVictims(key victimSearchKey, now ident.MonotonicTime) *preemptionHeap {
 	found := &preemptionHeap{}
-	enough := maxPreemptions + 2*key.job.WaitingCount()
+	enough := maxPreemptions + preemptionsPerTask*key.job.WaitingCount()
 	search := func(w *workers.Worker) bool {
 		if d.machinesSearched >= d.searchLimit() || found.Len() >= enough {
 			return false
@@ -140,8 +141,8 @@
 			return true
 		}
 		d.machinesSearched++
-		if o := d.preemptionOn(key, w, now); o != nil {
-			*found = append(*found, o)
+		if candidate := d.preemptionOn(key, w, now); candidate != nil {
+			*found = append(*found, candidate)
 		}
 		return true
 	}
@@ -157,8 +158,8 @@
 	return found
 }
 
-// searchNonHolders passes the machines that don't hold an image to a search until that returns
-// false. The next search goes on from there.
+// searchNonHolders calls search for the machines that don't hold an image until it returns false.
+// The next search resumes there.
 func (d *dispatch) searchNonHolders(image string, search func(*workers.Worker) bool) {
 	for i := range d.openMachines {
 		at := (d.searchFrom + i) % len(d.openMachines)
@@ -184,8 +185,8 @@
 	return d.eligible(key.job, w)
 }
 
-// preemptionOn finds what would be preempted on a machine for one task of a job, nil if that makes
-// no room. The pull of the image counts in its cost.
+// preemptionOn finds the cheapest preemption on a machine for one task of a job, nil if there is
+// none. An image pull adds to its cost.
 func (d *dispatch) preemptionOn(key victimSearchKey, w *workers.Worker, now ident.MonotonicTime) *preemption {
 	if !d.worthSearching(key, w) {
 		return nil
@@ -204,9 +205,8 @@
 	return found
 }
 
-// reclaimGuarantees gives jobs within their team's guarantee what other teams have borrowed, and
-// other jobs what teams without a guarantee use at a lower priority: those teams have only what
-// nobody else wants.
+// reclaimGuarantees preempts work for batch jobs within their team's guarantee, and work of
+// borrowers for other batch jobs: borrowers are entitled to idle capacity only. See canPreempt.
 func (d *dispatch) reclaimGuarantees() {
 	now := d.now()
 	clear(d.taskCursor)
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -15,10 +15,10 @@
 	borrower bool
 	priority int
 	urgency  urgency
-	work     float64
+	work     float64 // see remainingWork
 }
 
-// newQueuedJob works out what the precedence of a job depends on.
+// newQueuedJob evaluates what the precedence of a job depends on.
 func (p *Planner) newQueuedJob(j *jobs.Job) queuedJob {
 	return queuedJob{
 		job:      j,
@@ -64,6 +64,7 @@
 	})
 }
 
+// sortByPrecedence sorts batch jobs or gangs by precedence.
 func sortByPrecedence(list []queuedJob) {
 	sort.Slice(list, func(i, k int) bool { return list[i].before(&list[k]) })
 }
@@ -89,11 +90,11 @@
 	firstMissed                 // the first objective can't be met, the last is far
 )
 
-// urgency works out the urgency of a job.
+// urgency returns the urgency of a job.
 func (p *Planner) urgency(j *jobs.Job) urgency {
 	age := p.now().Sub(j.SubmittedAt)
-	// The other levels put off what is large or late for as long as other work comes. This one
-	// bounds how long.
+	// The other levels defer large and late jobs for as long as other jobs arrive. This one bounds
+	// the deferral.
 	if age > overdueFactor*p.config.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
 		return overdue
 	}
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -35,8 +35,7 @@
 	for _, t := range list {
 		borrower := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
-			// In the settings 0 means that there is no limit: a team that may use nothing at all
-			// would be of no use.
+			// In the settings 0 stands for no limit.
 			t.CPUsMax, t.GPUsMax = unlimited, unlimited
 		}
 		ts.byName[t.Name] = &team{Team: t, borrower: borrower}
@@ -68,7 +67,8 @@
 	return nil
 }
 
-// AddUsage adds what a task uses if sign is 1, and removes it if sign is -1.
+// AddUsage adds the resources of a task like s to its team's usage if sign is 1, and subtracts them
+// if sign is -1.
 func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
 	if t := ts.byName[s.Team]; t != nil {
 		t.usedVCPUs += sign * s.VCPUs
@@ -123,8 +123,8 @@
 	return largest
 }
 
-// UpdateGuarantees sets WithinQuota on the jobs of teams that have changed: it is true for those
-// that fit into their team's guarantee together with the team's earlier unfinished jobs.
+// UpdateGuarantees sets jobs.Job.WithinQuota for the teams whose jobs have changed: it is true for
+// jobs that fit into their team's guarantee together with the team's earlier open jobs.
 func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
@@ -151,7 +151,7 @@
 		}
 		for _, j := range slices.Backward(list.OpenJobs) {
 			if j.WithinQuota {
-				break // and so are all before it
+				break // earlier jobs are within the guarantee as well
 			}
 			if j.AllocatedTasks > 0 && j.Spec.Shape == api.Batch {
 				return true
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -35,16 +35,16 @@
 	return r.timed[w].job
 }
 
-// hasStarved says whether a machine is reserved for a starved job.
-func (r *reservations) hasStarved(w *workers.Worker) bool { return r.starved[w] != nil }
+// isReservedForStarved says whether a machine is reserved for a starved job.
+func (r *reservations) isReservedForStarved(w *workers.Worker) bool { return r.starved[w] != nil }
 
 // starvedCount is how many machines are reserved for starved jobs.
 func (r *reservations) starvedCount() int { return len(r.starved) }
 
-// hasMachineFor says whether a machine is reserved for a starved job already.
-func (r *reservations) hasMachineFor(j *jobs.Job) bool {
-	for _, o := range r.starved {
-		if o == j {
+// hasStarvedReservation says whether a machine is reserved for a starved job already.
+func (r *reservations) hasStarvedReservation(j *jobs.Job) bool {
+	for _, reservedFor := range r.starved {
+		if reservedFor == j {
 			return true
 		}
 	}
@@ -54,8 +54,8 @@
 // reserveStarved reserves a machine for a starved job.
 func (r *reservations) reserveStarved(w *workers.Worker, j *jobs.Job) { r.starved[w] = j }
 
-// use ends the reservations of a machine for a job of which a task is placed there.
-func (r *reservations) use(w *workers.Worker, j *jobs.Job) {
+// consume ends the reservations of a machine for a job once a task of the job is placed there.
+func (r *reservations) consume(w *workers.Worker, j *jobs.Job) {
 	if r.starved[w] == j {
 		delete(r.starved, w)
 	}
@@ -64,8 +64,8 @@
 
 // releaseStarved ends all reservations for a starved job.
 func (r *reservations) releaseStarved(j *jobs.Job) {
-	for w, o := range r.starved {
-		if o == j {
+	for w, reservedFor := range r.starved {
+		if reservedFor == j {
 			delete(r.starved, w)
 		}
 	}
@@ -78,7 +78,8 @@
 	}
 }
 
-// expire drops the reservations that are no longer needed, or have lasted long enough.
+// expire ends the reservations that have timed out, whose job has got what it waits for, or whose
+// machine takes no work.
 func (r *reservations) expire(now ident.MonotonicTime) {
 	for w, j := range r.starved {
 		if j.WaitingCount() == 0 || j.AllocatedTasks > 0 || !w.Schedulable(now) {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// placeServiceTask places one task of a service, and returns false if there is no room to be had.
+// placeServiceTask places one task of a service. It returns false if there is no room and none can
+// be made.
 func (d *dispatch) placeServiceTask(t *jobs.Task, holders *holderSearch) bool {
 	if w := holders.next(); w != nil {
 		d.place(t, w)
@@ -39,7 +40,7 @@
 type holderSearch struct {
 	*dispatch
 	job    *jobs.Job
-	cursor int // room only shrinks, so a machine that was passed over needs no second look
+	cursor int // index in machinesWithRoom; room only shrinks, so earlier machines are not searched again
 }
 
 // next returns a machine that holds the image and has room, nil if there is none.
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// roomiest returns the machine with the most room, nil if none has enough. Where the image must be
-// pulled anyway, the next tasks then find it there.
+// roomiest returns the machine with the most room, nil if none has enough. Where the image must
+// be pulled, it serves the most tasks with one image pull.
 func (d *dispatch) roomiest(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
 	for _, w := range d.machinesWithRoom {
@@ -81,7 +82,7 @@
 		if w == from || !w.Fits(j.Spec) || !w.Schedulable(now) || !w.Allows(j.Spec) || !w.HasImage(j.Spec.Image) {
 			continue
 		}
-		// In its own zone it takes its own place.
+		// A move within the zone leaves the spread over zones as it is.
 		if w.Zone == from.Zone || zoneAllows(j, w.Zone) {
 			return true
 		}
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// gangRestartSeconds is what a gang loses by being preempted, in seconds of each of its tasks.
+	// gangRestartSeconds is the time that each task of a preempted gang loses beside its progress.
 	gangRestartSeconds = 30
-	// preemptionCooldown is how long a task that was preempted is spared. Preempting what has just
-	// started costs least, so without it the same tasks would be preempted over and over.
+	// preemptionCooldown is how long a preempted task is spared. Tasks that have just started cost
+	// least, so without it the same tasks would be preempted repeatedly.
 	preemptionCooldown = time.Minute
 )
 
@@ -43,6 +43,7 @@
 	return w.LowerPriorityTasks(j.Spec.Priority) > 0 || j.WithinQuota && w.BatchVCPUs != 0
 }
 
+// recentlyPreempted says whether a task was preempted within preemptionCooldown.
 func recentlyPreempted(t *jobs.Task, now ident.MonotonicTime) bool {
 	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < preemptionCooldown
 }
@@ -71,15 +72,15 @@
 	includeGangs bool
 }
 
-// candidateVictim is a task that may be preempted, and what is lost by that.
+// candidateVictim is a task that may be preempted, with the cost of its preemption.
 type candidateVictim struct {
 	task *jobs.Task
-	cost float64
+	cost float64 // work lost, in CPU seconds
 }
 
-// chooseVictims finds the cheapest set of tasks to preempt on a machine for the room that is
-// asked for, nil if all candidates together don't make enough. Room that tasks being ended
-// without a grace period leave counts as free.
+// chooseVictims chooses tasks to preempt on a machine, in ascending order of cost until the
+// requested room is free. It returns nil if all candidates together don't make enough. The room of
+// tasks that are being stopped without a grace period counts as free.
 func (p *Planner) chooseVictims(w *workers.Worker, r victimRequest) *preemption {
 	free := w.FreeFor(r.job.Spec.Priority)
 	var candidates []candidateVictim
@@ -107,8 +108,8 @@
 	return found
 }
 
-// isCandidate says whether a task may be preempted as a request has it. A gang is preempted as a
-// whole or not at all.
+// isCandidate says whether a task may be preempted for a request. A gang is preempted as a whole or
+// not at all.
 func (p *Planner) isCandidate(t *jobs.Task, r *victimRequest) bool {
 	if t.Job.IsGang() {
 		return r.includeGangs && !recentlyPreempted(t, r.now) && p.canPreempt(t, r.job) && p.actions.CanStopGang(t.Job)
@@ -125,7 +126,7 @@
 	)
 }
 
-// lostWork says how much work is lost when a task is preempted, in CPU seconds.
+// lostWork returns the work that is lost when a task is preempted, in CPU seconds.
 func lostWork(t *jobs.Task, now ident.MonotonicTime) float64 {
 	lost := now.Sub(t.StateSince).Seconds()
 	if t.ReportedStatus == "" || t.ReportedStatus == api.Pulling {
@@ -140,7 +141,7 @@
 		lost += preemptionCooldown.Seconds()
 	}
 	if t.Job.IsGang() {
-		// All of its tasks write a checkpoint, wait for each other and start again.
+		// All tasks of a gang write a checkpoint, wait for each other and restart.
 		lost = (lost + gangRestartSeconds) * float64(t.Job.Spec.Tasks)
 	}
 	return lost * max(t.Job.Spec.VCPUs, 1)
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -8,14 +8,14 @@
 	"opaldale/internal/workers"
 )
 
-// planQueue is a machine's plan while others steal from it.
+// planQueue is a machine's plan, from which other machines steal.
 type planQueue struct {
 	owner     *workers.Worker
-	remaining int
-	next      int // earlier tasks of the plan are placed
+	remaining int // tasks that wait
+	next      int // index in the plan; earlier tasks are placed
 }
 
-// waiting returns what is left of the plan, from its first task that still waits.
+// waiting returns the plan from its first waiting task on.
 func (q *planQueue) waiting() []*jobs.Task {
 	plan := q.owner.PlannedTasks
 	for q.next < len(plan) && plan[q.next].State != jobs.Waiting {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// shrinkPlan takes a task off a plan, and brings the plan back to its place in the order.
+// shrinkPlan removes a task from the count of a plan, and moves the plan to its place in the order.
 func (d *dispatch) shrinkPlan(i int) {
 	queue := d.plans[i]
 	queue.remaining--
@@ -73,16 +73,16 @@
 	}
 }
 
-// hasStrandedTask says whether a waiting task that is in no plan, of an image that is cached, could
-// be taken by a machine with room.
+// hasStrandedTask says whether a machine with room could take a waiting task that is in no plan and
+// whose image is cached.
 func (d *dispatch) hasStrandedTask() bool {
 	if !d.config.UseASM1 {
 		return false
 	}
 	clear(d.taskCursor)
 	planned := map[ident.MachineID]bool{}
-	for _, s := range d.plans {
-		planned[s.owner.ID] = true
+	for _, queue := range d.plans {
+		planned[queue.owner.ID] = true
 	}
 	need := d.minNeed(jobRange{0, len(d.batchJobs)})
 	var withRoom []*workers.Worker
@@ -109,7 +109,7 @@
 	return false
 }
 
-// canRunOnAny says whether one of some machines may take a task of a job, and has room for it.
+// canRunOnAny says whether any of the machines may take a task of a job, and has room for it.
 func (d *dispatch) canRunOnAny(j *jobs.Job, machines []*workers.Worker) bool {
 	for _, w := range machines {
 		if d.canRunOn(j, w) {
--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -154,7 +154,7 @@
 	Gain           time.Duration // by which the beneficiary starts sooner, or the moved task ends sooner
 	Cost           time.Duration // work lost and time spent
 	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is ended at once
-	FetchTime      time.Duration // for the pull of the image at the destination
+	ImagePullTime  time.Duration // for the pull of the image at the destination
 }
 
 // Beneficiary names the task that a move makes room for, "" if that is not its purpose.
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -186,20 +186,20 @@
 			continue
 		}
 		searched++
-		fetch, ok := p.cluster.Fits(c.task, to)
-		if !ok || found && fetch >= best.FetchTime || !p.pays(c.gain, c.cost+fetch) {
+		pullTime, ok := p.cluster.Fits(c.task, to)
+		if !ok || found && pullTime >= best.ImagePullTime || !p.pays(c.gain, c.cost+pullTime) {
 			continue
 		}
-		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+fetch+p.config.StartOverhead {
+		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+pullTime+p.config.StartOverhead {
 			continue // it ends before the move does
 		}
-		best, found = p.newMove(c, to, fetch), true
+		best, found = p.newMove(c, to, pullTime), true
 	}
 	return best, found
 }
 
 // newMove makes a proposal from a candidate and its destination.
-func (p *planner) newMove(c candidate, to *Machine, fetch time.Duration) Move {
+func (p *planner) newMove(c candidate, to *Machine, pullTime time.Duration) Move {
 	checkpointTime := time.Duration(0)
 	if c.task.CheckpointInterval > 0 {
 		checkpointTime = c.task.CheckpointTime
@@ -212,9 +212,9 @@
 		To:             to.ID,
 		ExpectedWait:   c.expectedWait,
 		Gain:           c.gain,
-		Cost:           c.cost + fetch,
+		Cost:           c.cost + pullTime,
 		CheckpointTime: checkpointTime,
-		FetchTime:      fetch,
+		ImagePullTime:  pullTime,
 	}
 }
 
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -227,7 +227,7 @@
 	logMove("move started", planned)
 	r.history.RecordMove(move, func() {
 		if !r.leader.Closed() {
-			r.moves.Recorded(move)
+			r.moves.MarkRecorded(move)
 		}
 	})
 }
