--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -39,7 +39,7 @@
 			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 		}
 		sim.Run()
-		requireClean(t, 4, sim)
+		requireClean(t, sim)
 		if withBorrowers && len(sim.jobs) < 200 {
 			t.Errorf("%d jobs: the guests did not come", len(sim.jobs))
 		}
@@ -85,7 +85,7 @@
 			}
 		})
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		for _, j := range list {
 			if j.failures > 30 || j.failures < 4 || j.lastStatus != api.StatusCancelled {
 				t.Errorf("seed %d: %d tries of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -65,13 +65,13 @@
 			t.Run(fmt.Sprintf("%s, then %s", first.name, then.name), func(t *testing.T) {
 				t.Parallel()
 				sim := runConsecutivePartitions(seed, true, first, then)
-				requireClean(t, seed, sim)
+				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 				if sim.eventCounts[laterTermEvent] == 0 {
 					t.Errorf("seed %d: the leader led on without %s and %s", seed, first.name, then.name)
 				}
 				sim = runConsecutivePartitions(seed+1, false, first, then)
-				requireClean(t, seed+1, sim)
+				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 			})
 		}
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -55,7 +55,7 @@
 					}
 				})
 				sim.Run()
-				requireClean(t, seed, sim)
+				requireClean(t, sim)
 				tries := 0
 				for _, j := range list {
 					tries += j.failures
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -17,7 +17,7 @@
 	for seed := range uint64(20) {
 		sim := New(Config{Seed: seed, Faults: true, MoreGangs: true, ActiveDuration: 300 * time.Second})
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		runs += sim.GangRuns
 	}
 	if runs < 100 {
@@ -30,7 +30,7 @@
 	t.Parallel()
 	sim := New(Config{Seed: 3, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	sim.Run()
-	requireClean(t, 3, sim)
+	requireClean(t, sim)
 	if sim.GangRuns < 5 {
 		t.Errorf("%d gangs ran", sim.GangRuns)
 	}
@@ -45,7 +45,7 @@
 		sim := New(Config{Seed: seed, RollingUpgrade: true, Faults: seed%4 > 0, MoreGangs: true,
 			ActiveDuration: 300 * time.Second})
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 			level != ident.NewestFormatLevel {
 			t.Errorf("seed %d: the format level ends as %d, %v", seed, level, err)
@@ -109,7 +109,7 @@
 	stops := 0
 	for seed := range uint64(20) {
 		sim := runWithReclaimNotices(seed, None)
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		stops += sim.GangStops
 	}
 	if stops < 3 {
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -41,9 +41,7 @@
 			}
 		})
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(20))
-		}
+		requireClean(t, sim)
 		if sim.eventCounts[floodingTeamHotEvent] < 20 || sim.eventCounts[teamStillHotEvent] > 0 {
 			t.Errorf("seed %d: %v", seed, sim.eventCounts)
 		}
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -47,9 +47,7 @@
 	sim.scheduleAt(75, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
 	sim.scheduleAt(100, func() { sim.partitionZone("west", false, 25*time.Second) })
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
-	}
+	requireClean(t, sim)
 	if most < 4000 {
 		t.Errorf("the fleet has only %d machines", most)
 	}
@@ -95,10 +93,8 @@
 		sim.onMoveState(migration.Stopping, func(*node, controller.MoveEntry) { sim.crashLeader(3 * time.Second) })
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
-	}
-	checkStopCounts(t, 1, sim)
+	requireClean(t, sim)
+	checkStopCounts(t, sim)
 	if sim.Moves == 0 || sim.eventCounts[largeFleetUpEvent] == 0 || sim.eventCounts[newTermEvent] == 0 {
 		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -18,9 +18,7 @@
 		sim := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true,
 			ActiveDuration: 300 * time.Second})
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(30))
-		}
+		requireClean(t, sim)
 		if sim.TaskStarts < 20 || sim.blockedOneWay == 0 {
 			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, sim.TaskStarts, sim.blockedOneWay)
 		}
@@ -43,9 +41,7 @@
 			seeds := max(c.seeds, 3)
 			for seed := range seeds {
 				sim := c.run(seed, None)
-				if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-					t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(30))
-				}
+				requireClean(t, sim)
 				for what, n := range c.minEvents {
 					if sim.eventCounts[what] < n {
 						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, sim.eventCounts[what], n, sim.eventCounts)
@@ -74,9 +70,7 @@
 		sim.countLeaderChanges(leaderChangeEvent)
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Errorf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(30))
-	}
+	requireClean(t, sim)
 	if sim.blockedOneWay == 0 {
 		t.Error("the link did not flap")
 	}
@@ -161,9 +155,7 @@
 				sim.recordLeaderAfter(l, 40*time.Second)
 			})
 			sim.Run()
-			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-				t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
-			}
+			requireClean(t, sim)
 			if m == None && sim.eventCounts[leaderReplacedEvent] == 0 {
 				t.Errorf("seed %d: the leader is not replaced: %v", seed, sim.eventCounts)
 			}
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -14,11 +14,11 @@
 
 // checkStopCounts checks, by the workers' own record, that no job which nothing else stops was
 // stopped more often than it may be moved.
-func checkStopCounts(t *testing.T, seed uint64, sim *Simulation) {
+func checkStopCounts(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, id := range sim.jobOrder {
 		if n := sim.jobs[id].stopCount(); n > maxMovesPerJob {
-			t.Errorf("seed %d: tasks of %s were stopped %d times", seed, id, n)
+			t.Errorf("seed %d: tasks of %s were stopped %d times", sim.cfg.Seed, id, n)
 		}
 	}
 }
@@ -32,8 +32,8 @@
 		sim.fragmentFleet(4)
 		sim.scheduleAt(wideTasksAt, sim.countMoveOutcomes)
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		if sim.Moves == 0 || sim.eventCounts[moveEndEvent(migration.Arrived.String())] == 0 {
 			t.Errorf("seed %d: %d moves, %v", seed, sim.Moves, sim.eventCounts)
 		}
@@ -317,9 +317,9 @@
 				t.Parallel()
 				for seed := range uint64(2) {
 					sim := runMoveFault(f, state, seed)
-					requireClean(t, seed, sim)
+					requireClean(t, sim)
 					if !f.stopsOtherTasks {
-						checkStopCounts(t, seed, sim)
+						checkStopCounts(t, sim)
 					}
 					for _, what := range append([]eventName{moveStateEvent(state.String())}, f.expectedEvents...) {
 						if sim.eventCounts[what] == 0 {
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -34,7 +34,7 @@
 	leaders := 0
 	for seed := range uint64(10) {
 		sim := runWithPauses(seed, None)
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		leaders += sim.eventCounts[leaderPausedEvent]
 		if n := sim.eventCounts[launchWithoutLeadershipEvent]; n > 0 {
 			t.Errorf("seed %d: %d launches were sent without leadership", seed, n)
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -20,8 +20,8 @@
 		sim := New(rebalancingConfig(seed))
 		inject(sim)
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		moves += sim.Moves
 	}
 	return moves
@@ -56,7 +56,7 @@
 		sim.submitWideTasks(wideTasksAt, 180)
 		sim.submitShortTasks(30, 150)
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 	}
 	t.Logf("%d moves", moves)
@@ -92,7 +92,7 @@
 			})
 		}
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		if mean := sum / float64(n); mean > maxImbalance {
 			t.Errorf("seed %d: imbalance %.2f a minute after the flood began", seed, mean)
 		}
@@ -124,8 +124,8 @@
 		recorded := 0
 		sim.scheduleAt(wideTasksAt+20, func() { recorded = sim.Moves })
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > recorded {
 			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, sim.Moves, sim.Moves-recorded, sim.eventCounts)
 		}
@@ -245,8 +245,8 @@
 				sim.crashLeader(2 * time.Second)
 			})
 			sim.Run()
-			requireClean(t, seed, sim)
-			checkStopCounts(t, seed, sim)
+			requireClean(t, sim)
+			checkStopCounts(t, sim)
 			if moves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
 				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, sim.Moves, sim.eventCounts)
 			}
@@ -275,7 +275,7 @@
 		})
 	})
 	sim.Run()
-	requireClean(t, 1, sim)
+	requireClean(t, sim)
 	if sim.eventCounts[moveReportedByPeerEvent] != 2 {
 		t.Errorf("%v", sim.eventCounts)
 	}
@@ -295,7 +295,7 @@
 		early := 0
 		sim.scheduleAt(wideTasksAt+3+25, func() { early = sim.Moves })
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 		if early > 0 || sim.eventCounts[newTermEvent] == 0 {
 			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, sim.Moves, early, sim.eventCounts)
@@ -324,7 +324,7 @@
 		}
 		gains := sim.collectFinishedMoves()
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		for _, m := range *gains {
 			if m.Reason != migration.Arrived.String() {
 				continue
@@ -386,7 +386,7 @@
 		}
 	})
 	sim.Run()
-	requireClean(t, 1, sim)
+	requireClean(t, sim)
 	if sim.Moves > 0 || sim.eventCounts[leaderContinuesEvent] == 0 {
 		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
@@ -407,7 +407,7 @@
 		sim.fragmentFleet(4)
 		sim.scheduleAt(wideTasksAt+25, func() { sim.crashLeader(2 * time.Second) })
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 		for path := range sim.store.keys {
 			if id, ok := jobOfMoveKey(path); ok {
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -159,13 +159,13 @@
 	})
 }
 
-// requireClean checks that a run broke no rule and left nothing undone.
-func requireClean(t *testing.T, seed uint64, sim *Simulation) {
+// requireClean checks that a run violated no invariant, left no work unfinished and stayed within the limits of the store.
+func requireClean(t *testing.T, sim *Simulation) {
 	t.Helper()
 	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Fatalf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(60))
+		t.Fatalf("seed %d: %v %v\n%s", sim.cfg.Seed, sim.Violations, sim.Unfinished, sim.LogTail(60))
 	}
 	if sim.OversizedTransactions > 0 {
-		t.Errorf("seed %d: %d transactions were over the new limits", seed, sim.OversizedTransactions)
+		t.Errorf("seed %d: %d transactions over the lowered limits", sim.cfg.Seed, sim.OversizedTransactions)
 	}
 }
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -39,9 +39,7 @@
 	t.Parallel()
 	sim := New(Config{Seed: 1, ActiveDuration: 200 * time.Second})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(60))
-	}
+	requireClean(t, sim)
 }
 
 // TestMutationsAreDetected shows that the checks can fail: without a safeguard,
@@ -98,9 +96,7 @@
 	cancelled, detected := 0, false
 	for seed := range uint64(10) {
 		sim, n := cancelInPartitionedZone(seed, None)
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
-		}
+		requireClean(t, sim)
 		cancelled += n
 		sim, _ = cancelInPartitionedZone(seed, KeepLeasesForever)
 		detected = detected || len(sim.Violations) > 0
@@ -149,9 +145,7 @@
 		t.Error("nobody else leads 7 s after the cut")
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
-	}
+	requireClean(t, sim)
 }
 
 // largeJobsStartedLate lists the jobs of the largest tasks that did not begin in time.
@@ -233,9 +227,7 @@
 		}
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
-	}
+	requireClean(t, sim)
 	checkNoTasksLost(t, sim)
 }
 
@@ -273,9 +265,7 @@
 			}
 		})
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
-		}
+		requireClean(t, sim)
 	}
 }
 
@@ -305,9 +295,7 @@
 			}
 		})
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
-		}
+		requireClean(t, sim)
 		if inside == 0 {
 			t.Errorf("seed %d: no work inside", seed)
 		}
@@ -341,9 +329,7 @@
 		}
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Errorf("%v %v", sim.Violations, sim.Unfinished)
-	}
+	requireClean(t, sim)
 	checkNoTasksLost(t, sim)
 	if kept == 0 {
 		t.Error("no node kept: the test shows nothing")
@@ -374,9 +360,7 @@
 			})
 		}
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v", seed, sim.Violations, sim.Unfinished)
-		}
+		requireClean(t, sim)
 		checkNoTasksLost(t, sim)
 	}
 }
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -43,8 +43,8 @@
 			sim.scheduleAt(30, func() { sim.checkNoStartsOn(slow) })
 		}
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		if slow == nil {
 			t.Errorf("seed %d: no machine is slow", seed)
 			continue
@@ -93,6 +93,6 @@
 			})
 		}
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 	}
 }
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -38,9 +38,7 @@
 					sim.countEvent(linkFlappingEvent)
 				})
 				sim.Run()
-				if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-					t.Fatalf("%v %v\n%s", sim.Violations, sim.Unfinished, sim.LogTail(40))
-				}
+				requireClean(t, sim)
 				if sim.eventCounts[linkFlappingEvent] == 0 || sim.blockedOneWay == 0 {
 					t.Errorf("the link did not flap: %v, %d messages lost", sim.eventCounts, sim.blockedOneWay)
 				}
@@ -67,9 +65,7 @@
 			}
 		})
 		sim.Run()
-		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-			t.Errorf("seed %d: %v %v\n%s", seed, sim.Violations, sim.Unfinished, sim.LogTail(40))
-		}
+		requireClean(t, sim)
 		checkNoTasksLost(t, sim)
 	}
 }
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -60,7 +60,7 @@
 					})
 				}
 				sim.Run()
-				requireClean(t, seed, sim)
+				requireClean(t, sim)
 				if led < 80 {
 					t.Errorf("seed %d: somebody led at %d of 124 moments", seed, led)
 				}
@@ -120,7 +120,7 @@
 			}
 		})
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
 			t.Errorf("seed %d: all machines came up: %v", seed, sim.eventCounts)
 		}
