--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -1,60 +1,64 @@
 package simulator
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"opaldale/internal/api"
 )
 
-// TestBorrowersDoNotDelayGuaranteedJobs: a team without guarantee or limit comes with a vast array, a swarm of
-// one-task jobs and work for spare hours. It is served, and the house's guaranteed work
-// starts as it would without it. (Guests were refused with 422, and no day failed for
-// it, since what isn't accepted isn't counted.)
+// TestBorrowersDoNotDelayGuaranteedJobs: a team without a guarantee and a limit submits a vast array, a swarm of jobs of one
+// task and backfill work. All of it is accepted and ends, and jobs within a guarantee start as soon as without it.
 func TestBorrowersDoNotDelayGuaranteedJobs(t *testing.T) {
 	t.Parallel()
 	for _, withBorrowers := range []bool{false, true} {
-		sim := New(Config{Seed: 4, NoArrivals: true, ActiveDuration: 150 * time.Second})
-		sim.submitBaseLoad(3)
-		var guaranteed []*userJob
-		for s := 40.0; s < 140; s += 5 {
-			sim.scheduleAt(s, func() {
-				guaranteed = append(guaranteed, sim.submitJob(func(s *api.Spec) {
-					s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1
-				}, 10*time.Second))
-			})
-		}
-		if withBorrowers {
-			submitBorrowerJob := func(class string, tasks int, vcpus float64, runs time.Duration) {
-				sim.submitJob(func(s *api.Spec) {
-					s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, "guest", api.BestEffort, tasks,
-						vcpus, 0.1, true
-				}, runs)
+		t.Run(fmt.Sprintf("borrowers=%v", withBorrowers), func(t *testing.T) {
+			t.Parallel()
+			sim := New(Config{Seed: 4, NoArrivals: true, ActiveDuration: 150 * time.Second})
+			sim.submitBaseLoad(3)
+			var guaranteed []*userJob
+			for s := 40.0; s < 140; s += 5 {
+				sim.scheduleAt(s, func() {
+					guaranteed = append(guaranteed, sim.submitJob(func(s *api.Spec) {
+						s.Team, s.Tasks, s.VCPUs, s.ImageGB = "blue", 2, 1, 0.1
+					}, 10*time.Second))
+				})
 			}
-			sim.scheduleAt(45, func() { submitBorrowerJob("vast", 2000, 0.25, 4*time.Second) })
-			sim.scheduleAt(50, func() { submitBorrowerJob("backfill", 60, 1, 20*time.Second) })
-			for s := 60.0; s < 80; s += 0.1 {
-				sim.scheduleAt(s, func() { submitBorrowerJob("swarm", 1, 0.25, 10*time.Second) })
+			if withBorrowers {
+				sim.submitBorrowerJobs()
 			}
-			sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
-		}
-		sim.Run()
-		requireClean(t, sim)
-		if withBorrowers && len(sim.jobs) < 200 {
-			t.Errorf("%d jobs: the guests did not come", len(sim.jobs))
-		}
-		for _, j := range guaranteed {
-			if wait := j.firstStartAt.Sub(j.submittedAt); wait > 12*time.Second {
-				t.Errorf("guests %v: %s of the house began after %v", withBorrowers, j.spec.ID, wait)
+			sim.Run()
+			requireClean(t, sim)
+			if withBorrowers && len(sim.jobs) < 200 {
+				t.Errorf("%d jobs: those of the borrowers are missing", len(sim.jobs))
 			}
-		}
+			for _, j := range guaranteed {
+				if wait := j.firstStartAt.Sub(j.submittedAt); wait > 12*time.Second {
+					t.Errorf("%s, within a guarantee, started after %v", j.spec.ID, wait)
+				}
+			}
+		})
+	}
+}
+
+// submitBorrowerJobs submits the work of a team without a guarantee and a limit, and crashes the leader meanwhile.
+func (sim *Simulation) submitBorrowerJobs() {
+	submit := func(class string, tasks int, vcpus float64, duration time.Duration) {
+		sim.submitJob(func(s *api.Spec) {
+			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, vcpus, 0.1, true
+		}, duration)
+	}
+	sim.scheduleAt(45, func() { submit("vast", 2000, 0.25, 4*time.Second) })
+	sim.scheduleAt(50, func() { submit("backfill", 60, 1, 20*time.Second) })
+	for s := 60.0; s < 80; s += 0.1 {
+		sim.scheduleAt(s, func() { submit("swarm", 1, 0.25, 10*time.Second) })
 	}
+	sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 }
 
-// TestAlwaysFailingJobsKeepMachines fail on every machine until their users cancel them. Machines are not
-// returned for it, the tries are few, and what fails beside other work for a machine's
-// own fault still is found. (Two such jobs at a time had healthy machines returned as
-// faulty.)
+// TestAlwaysFailingJobsKeepMachines: jobs fail on every machine until their users cancel them. No machine is terminated for
+// it and the attempts are few, while a machine that is really faulty is still detected.
 func TestAlwaysFailingJobsKeepMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -88,7 +92,7 @@
 		requireClean(t, sim)
 		for _, j := range list {
 			if j.failures > 30 || j.failures < 4 || j.lastStatus != api.StatusCancelled {
-				t.Errorf("seed %d: %d tries of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
+				t.Errorf("seed %d: %d attempts of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
 			}
 		}
 		if faultyWorker.machine.terminatedAt == 0 {
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -108,9 +108,8 @@
 	}
 }
 
-// cancelDuringFailoverAndOutage is the one that was seen first: the leader alone is refused, another one confirms
-// cancellations, and then nobody is served for longer than these may take. The old
-// leader's workers still report to it.
+// cancelDuringFailoverAndOutage has the store reject the leader alone, another leader confirm cancellations, and then the
+// store be down for longer than these may take. The workers of the old leader still report to it.
 func cancelDuringFailoverAndOutage(sim *Simulation) {
 	sim.submitBaseLoad(8)
 	sim.scheduleAt(60, func() {
@@ -119,46 +118,58 @@
 			return
 		}
 		sim.store.rejectUntil[old.name] = sim.now.Add(14 * time.Second)
-		long := seconds(sim.settings.Workers.CancelS) + time.Duration(6+sim.rng.IntN(8))*time.Second
+		outage := seconds(sim.settings.Workers.CancelS) + time.Duration(6+sim.rng.IntN(8))*time.Second
 		if sim.cfg.Seed%4 == 1 {
 			sim.forEachPeer(old, func(n *node) { sim.disconnect(old.name, n.name, sim.cfg.Seed%8 < 4, 40*time.Second) })
 		}
 		sim.onNextLeader(old, func(n *node) {
 			list := sim.runningJobs()
 			for _, j := range list {
-				sim.redirectHeartbeats(j, old)
-				if sim.cfg.Seed%2 == 0 { // whoever is told by no command hears of it by reports
-					for _, w := range sim.workersOf(j) {
-						sim.disconnect(n.name, string(w.id), false, 70*time.Second)
-						if sim.cfg.Seed%6 == 4 {
-							w.hangFor(time.Duration(2+sim.rng.IntN(15)) * time.Second)
-						}
-					}
-				}
+				sim.keepWorkersAtOldLeader(j, old, n)
 			}
 			sim.onceServing(n, func() {
 				sim.cancelAndConfirm(n, 4)
 				sim.schedule(time.Duration(60+sim.rng.IntN(240))*time.Millisecond, func() {
-					sim.store.downUntil = sim.now.Add(long)
-					sim.logf("state service down for %v", long)
-					for _, j := range list {
-						if j.cancelConfirmedAt > 0 {
-							sim.countEvent(outageAfterConfirmationEvent)
-							sim.redirectHeartbeats(j, old)
-						}
-					}
-					switch sim.cfg.Seed % 5 {
-					case 2:
-						n.crash(300 * time.Millisecond)
-					case 3:
-						n.pauseFor(20 * time.Second)
-					}
+					sim.stopStoreAfterConfirmation(list, old, n, outage)
 				})
 			})
 		})
 	})
 }
 
+// keepWorkersAtOldLeader has the workers of a job report to the old leader. With even seeds commands of the next leader do
+// not reach them, so that they learn of a cancellation by heartbeats alone.
+func (sim *Simulation) keepWorkersAtOldLeader(j *userJob, old, next *node) {
+	sim.redirectHeartbeats(j, old)
+	if sim.cfg.Seed%2 > 0 {
+		return
+	}
+	for _, w := range sim.workersOf(j) {
+		sim.disconnect(next.name, string(w.id), false, 70*time.Second)
+		if sim.cfg.Seed%6 == 4 {
+			w.hangFor(time.Duration(2+sim.rng.IntN(15)) * time.Second)
+		}
+	}
+}
+
+// stopStoreAfterConfirmation stops the store for d. With some seeds the next leader crashes or is paused at the same time.
+func (sim *Simulation) stopStoreAfterConfirmation(list []*userJob, old, next *node, d time.Duration) {
+	sim.store.downUntil = sim.now.Add(d)
+	sim.logf("key-value store down for %v", d)
+	for _, j := range list {
+		if j.cancelConfirmedAt > 0 {
+			sim.countEvent(outageAfterConfirmationEvent)
+			sim.redirectHeartbeats(j, old)
+		}
+	}
+	switch sim.cfg.Seed % 5 {
+	case 2:
+		next.crash(300 * time.Millisecond)
+	case 3:
+		next.pauseFor(20 * time.Second)
+	}
+}
+
 // requireClean checks that a run violated no invariant, left no work unfinished and stayed within the limits of the store.
 func requireClean(t *testing.T, sim *Simulation) {
 	t.Helper()
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -8,79 +8,86 @@
 	"opaldale/internal/api"
 )
 
-// TestUnresponsiveControllers: controllers stand still, or are cut off, for a minute and more
-// without a word; as leader, as follower, two of three, and back in the middle of an
-// election. The rest lead within seconds, and who is back acts on nothing old: no rule
-// breaks, and no answer is older than another node's, though users look closely.
+// TestUnresponsiveControllers: controllers are paused or partitioned for more than a minute: the leader, a follower, two of
+// three, and one that is back in the midst of an election. The others lead within seconds, a node that is back acts on
+// nothing old, no invariant is violated, and no answer is older than another node's.
 func TestUnresponsiveControllers(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(sim *Simulation, l *node){
-		"the leader stands still": func(sim *Simulation, l *node) { l.pauseFor(70 * time.Second) },
-		"the leader loses the network": func(sim *Simulation, l *node) {
+		"leader paused": func(_ *Simulation, l *node) { l.pauseFor(70 * time.Second) },
+		"leader partitioned": func(sim *Simulation, l *node) {
 			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 70*time.Second)
 		},
-		"both followers stand still": func(sim *Simulation, l *node) {
+		"both followers paused": func(sim *Simulation, l *node) {
 			sim.forEachPeer(l, func(n *node) { n.pauseFor(70 * time.Second) })
 		},
-		"a follower loses the network": func(sim *Simulation, l *node) {
+		"follower partitioned": func(sim *Simulation, l *node) {
 			sim.disconnect(sim.peerOf(l).name, anyParty, true, 70*time.Second)
 		},
-		"the leader and one more do": func(sim *Simulation, l *node) {
+		"leader and a follower paused": func(sim *Simulation, l *node) {
 			l.pauseFor(75 * time.Second)
 			sim.peerOf(l).pauseFor(65 * time.Second)
 		},
-		"the leader is back as one ends": func(sim *Simulation, l *node) {
+		"leader back as the next one crashes": func(sim *Simulation, l *node) {
 			l.pauseFor(70 * time.Second)
 			sim.schedule(69800*time.Millisecond, func() { sim.crashLeader(3 * time.Second) })
 		},
-		"standing still again and again": func(sim *Simulation, l *node) {
-			for s := range 8 {
-				sim.schedule(time.Duration(s)*9*time.Second, func() {
-					if n := sim.leader(); n != nil {
-						n.pauseFor(time.Duration(1500+sim.rng.IntN(6000)) * time.Millisecond)
-					}
-				})
-			}
-		},
+		"leaders paused repeatedly": pauseLeadersRepeatedly,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
-				sim.submitBaseLoad(5)
-				sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
-				sim.submitStream(40.0, 140, 2, 8*time.Second)
-				sim.scheduleAt(60, func() { inject(sim, sim.leader()) })
-				led := 0
-				for s := 66.0; s < 128; s += 0.5 {
-					sim.scheduleAt(s, func() {
-						if sim.leader() != nil {
-							led++
-						}
-					})
-				}
-				sim.Run()
-				requireClean(t, sim)
-				if led < 80 {
-					t.Errorf("seed %d: somebody led at %d of 124 moments", seed, led)
-				}
-				if sim.eventCounts[nodesProbedEvent] < 200 {
-					t.Errorf("seed %d: users did not look closely: %v", seed, sim.eventCounts)
-				}
+				checkUnresponsive(t, seed, inject)
+			}
+		})
+	}
+}
+
+func pauseLeadersRepeatedly(sim *Simulation, _ *node) {
+	for s := range 8 {
+		sim.schedule(time.Duration(s)*9*time.Second, func() {
+			if n := sim.leader(); n != nil {
+				n.pauseFor(time.Duration(1500+sim.rng.IntN(6000)) * time.Millisecond)
+			}
+		})
+	}
+}
+
+// checkUnresponsive injects a fault after a minute, while users probe all nodes.
+func checkUnresponsive(t *testing.T, seed uint64, inject func(sim *Simulation, l *node)) {
+	t.Helper()
+	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
+	sim.submitBaseLoad(5)
+	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
+	sim.submitStream(40.0, 140, 2, 8*time.Second)
+	sim.scheduleAt(60, func() { inject(sim, sim.leader()) })
+	led := 0
+	for s := 66.0; s < 128; s += 0.5 {
+		sim.scheduleAt(s, func() {
+			if sim.leader() != nil {
+				led++
 			}
 		})
 	}
+	sim.Run()
+	requireClean(t, sim)
+	if led < 80 {
+		t.Errorf("seed %d: a node led at %d of 124 times", seed, led)
+	}
+	if sim.eventCounts[nodesProbedEvent] < 200 {
+		t.Errorf("seed %d: users did not probe the nodes: %v", seed, sim.eventCounts)
+	}
 }
 
-// peerOf returns a node beside one.
+// peerOf returns another node than n.
 func (sim *Simulation) peerOf(n *node) (found *node) {
 	sim.forEachPeer(n, func(o *node) { found = cmp.Or(found, o) })
 	return found
 }
 
-// TestSlowAndFailedBoots: new machines come up six times as late as they should, or never, while
-// arrays and services wait for room. Others are rented in time, those that never come are
-// returned, and not many more are paid for than are needed.
+// TestSlowAndFailedBoots: new machines take six times as long to boot, or never do, while arrays and services wait for
+// capacity. Others are provisioned in time, those that never boot are terminated, and not many more are paid for than are
+// needed.
 func TestSlowAndFailedBoots(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -102,31 +109,23 @@
 		})
 		most := 0
 		for s := 33.0; s < 200; s++ {
-			sim.scheduleAt(s, func() {
-				n := 0
-				for _, m := range sim.cloud.machines {
-					if m.terminatedAt == 0 {
-						n++
-					}
-				}
-				most = max(most, n)
-			})
+			sim.scheduleAt(s, func() { most = max(most, len(sim.paidMachines())) })
 		}
 		sim.scheduleAt(240, func() {
-			for _, m := range sim.cloud.machines {
-				if m.terminatedAt == 0 && m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
-					t.Errorf("seed %d: %s never came up and is still paid for", seed, m.id)
+			for _, m := range sim.paidMachines() {
+				if m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
+					t.Errorf("seed %d: %s never booted and is still paid for", seed, m.id)
 				}
 			}
 		})
 		sim.Run()
 		requireClean(t, sim)
 		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
-			t.Errorf("seed %d: all machines came up: %v", seed, sim.eventCounts)
+			t.Errorf("seed %d: all machines booted in time: %v", seed, sim.eventCounts)
 		}
 		for _, j := range list {
 			if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 45*time.Second {
-				t.Errorf("seed %d: %s of %s began after %v", seed, j.spec.ID, j.spec.Team, wait)
+				t.Errorf("seed %d: %s of %s started after %v", seed, j.spec.ID, j.spec.Team, wait)
 			}
 		}
 		if most > 20 {
@@ -134,3 +133,13 @@
 		}
 	}
 }
+
+// paidMachines lists the machines that are not terminated.
+func (sim *Simulation) paidMachines() (out []*machine) {
+	for _, m := range sim.cloud.machines {
+		if m.terminatedAt == 0 {
+			out = append(out, m)
+		}
+	}
+	return out
+}
