--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// randomNode returns a node that accepts connections, if there is one.
+// randomNode draws a node, up to three times if it does not accept connections.
 func (sim *Simulation) randomNode() *node {
 	for range 3 {
 		if n := sim.nodes[sim.rng.IntN(len(sim.nodes))]; n.alive {
@@ -76,6 +76,7 @@
 	return sim.nodes[0]
 }
 
+// submit submits a job at any node, again and again until it is accepted or the time is over.
 func (sim *Simulation) submit(j *userJob, until ident.MonotonicTime) {
 	sim.submitTo(j, until, sim.randomNode())
 }
@@ -83,6 +84,7 @@
 // resubmitAt repeats the submission of a job at a node, once.
 func (sim *Simulation) resubmitAt(j *userJob, n *node) { sim.submitTo(j, 0, n) }
 
+// submitTo is submit with the first attempt at a node.
 func (sim *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
 	j.submitted = true
 	asked := sim.now
@@ -95,7 +97,7 @@
 					sim.probeAllNodes(j)
 				}
 				sim.checkAnswer(j, r, asked)
-				if sim.rng.IntN(6) == 0 { // asked again, much later
+				if sim.rng.IntN(6) == 0 { // an idempotent submission, much later
 					sim.schedule(time.Duration(sim.rng.IntN(60_000))*time.Millisecond, func() { sim.submit(j, 0) })
 				}
 				return
@@ -109,6 +111,7 @@
 		})
 }
 
+// poll has a user query the status of a job throughout the run, and sometimes that of a job that does not exist.
 func (sim *Simulation) poll(j *userJob) {
 	if quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime); sim.now > quiescentFrom &&
 		sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)) > maxStatusGap {
@@ -133,9 +136,10 @@
 	}
 }
 
-// pollNode asks a node about a job once.
+// pollNode queries a node about a job once.
 func (sim *Simulation) pollNode(j *userJob, n *node) { sim.queryStatus(j, n, func() {}) }
 
+// queryStatus queries a node about a job, checks the reply, and calls then, whether there is one or not.
 func (sim *Simulation) queryStatus(j *userJob, n *node, then func()) {
 	asked := sim.now
 	sim.request(apiRequest{usersParty, n, transport.GetJob, string(j.spec.ID), nil, queryTimeout}, func(r *controller.Response) {
@@ -152,9 +156,10 @@
 	})
 }
 
+// cancel cancels a job at any node.
 func (sim *Simulation) cancel(j *userJob) { sim.cancelAt(j, nil) }
 
-// cancelAt cancels a job at a node, or at any.
+// cancelAt cancels a job at a node, at any if it is nil, again and again until that is confirmed.
 func (sim *Simulation) cancelAt(j *userJob, at *node) {
 	asked := sim.now
 	n := at
@@ -174,12 +179,12 @@
 		})
 }
 
-// cancelWhenAccepted has a job's user cancel it, at a node if one is given.
+// cancelWhenAccepted has a user cancel a job once it is accepted, at a node, or at any if it is nil.
 func (sim *Simulation) cancelWhenAccepted(j *userJob, at *node) {
 	if j.cancelSentAt > 0 || isTerminal(j.lastStatus) {
 		return
 	}
-	if !j.accepted { // its user doesn't know yet that there is something to cancel
+	if !j.accepted { // the user does not know yet that there is something to cancel
 		sim.schedule(3*time.Millisecond, func() { sim.cancelWhenAccepted(j, at) })
 		return
 	}
@@ -187,8 +192,8 @@
 	sim.cancelAt(j, at)
 }
 
-// probeAllNodes has a user ask about a job at every node, again and again within milliseconds,
-// and repeat its submission.
+// probeAllNodes has a user query all nodes about a job several times within milliseconds, and repeat its submission, during
+// such a fault window.
 func (sim *Simulation) probeAllNodes(j *userJob) {
 	if sim.now >= sim.probeAfterAnswer.until {
 		return
--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -46,7 +46,8 @@
 func (sim *Simulation) submitBorrowerJobs() {
 	submit := func(class string, tasks int, vcpus float64, duration time.Duration) {
 		sim.submitJob(func(s *api.Spec) {
-			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, vcpus, 0.1, true
+			s.Class, s.Team, s.Priority, s.Tasks, s.VCPUs, s.MemoryGB, s.Spot = class, borrowers, api.BestEffort, tasks, vcpus,
+				0.1, true
 		}, duration)
 	}
 	sim.scheduleAt(45, func() { submit("vast", 2000, 0.25, 4*time.Second) })
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -15,6 +15,7 @@
 	"opaldale/internal/migration"
 )
 
+// reportViolation records the violation of an invariant, which ends the run.
 func (sim *Simulation) reportViolation(format string, a ...any) {
 	sim.logf("BROKEN: "+format, a...)
 	sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f: ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
@@ -124,6 +125,7 @@
 	})
 }
 
+// isTerminal reports whether a status is final.
 func isTerminal(s api.Status) bool { return s == api.StatusDone || s == api.StatusCancelled }
 
 const (
@@ -140,8 +142,8 @@
 // maxMovesPerJob is how often the tasks of a job may be moved in its life.
 const maxMovesPerJob = 2
 
-// checkMoveRecord checks what is written about moves: a job's record only grows, to two moves at
-// the most, until the job is over.
+// checkMoveRecord checks a mutation of a record of moves: it only grows, up to maxMovesPerJob, and is not deleted before the
+// job has ended.
 func (sim *Simulation) checkMoveRecord(c kvstore.Mutation) {
 	id, ok := jobOfMoveKey(c.Put + c.Delete)
 	if !ok {
@@ -155,7 +157,7 @@
 	}
 	if c.Delete != "" {
 		if sim.store.keys["live/"+id] != nil {
-			sim.reportViolation("the moves of %s are forgotten before it is over", id)
+			sim.reportViolation("the record of moves of %s is deleted before its end", id)
 		}
 		return
 	}
@@ -172,10 +174,10 @@
 	sim.logf("move of %s on record, its %d.", id, len(r.Moves))
 }
 
-// jobOfMoveKey returns the job of a key of moves.
+// jobOfMoveKey returns the job of the key of a record of moves.
 func jobOfMoveKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
 
-// handingOver says whether a node's process has announced a handover and its term is not over.
+// handingOver reports whether a node's process has announced a handover and its term is not over.
 func (sim *Simulation) handingOver(n *node) bool {
 	life, ok := sim.handovers[n.name]
 	if ok && (life != n.incarnation || n.controller.Election().State() != election.Leading) {
@@ -185,23 +187,23 @@
 	return ok
 }
 
-// checkHandoverWrites checks that a node which hands the lead over writes nothing new but the end of
-// its term, and starts nothing. Repeats of what was under way come with it.
+// checkHandoverWrites checks that a node which hands over leadership writes nothing new but the end of its term. It may repeat
+// transactions that were under way.
 func (sim *Simulation) checkHandoverWrites(n *node, r kvstore.Request) {
 	if r.Op != kvstore.Txn || !sim.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
 		return
 	}
 	if !sim.sentTransactions[transactionKey(n, r)] {
-		sim.reportViolation("%s writes %s%s while it hands the lead over", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
+		sim.reportViolation("%s writes %s%s during its handover", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
 	}
 }
 
-// transactionKey names a transaction of a process: a repeat is the same.
+// transactionKey identifies a transaction of a process; a repeat has the same key.
 func transactionKey(n *node, r kvstore.Request) string {
 	return fmt.Sprint(n.name, n.incarnation, r.Compares, len(r.Mutations), r.Mutations[0].Put, r.Mutations[0].Delete)
 }
 
-// recordTransaction remembers a transaction, for its repeats to be known.
+// recordTransaction records a transaction of a node that monitors its links, after the checks of a handover.
 func (sim *Simulation) recordTransaction(n *node, r kvstore.Request) {
 	if sim.cfg.LinkMonitoring && r.Op == kvstore.Txn && len(r.Mutations) > 0 {
 		sim.checkHandoverWrites(n, r)
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -72,7 +72,7 @@
 		QuiescentDuration: 250 * time.Second, NoArrivals: true, FleetSize: largeFleet})
 	sim.scheduleAt(1, func() {
 		for range fragmented {
-			j := sim.submitJob(sim.makeNarrow, firstTaskDuration)
+			j := sim.submitJob(makeNarrow, firstTaskDuration)
 			j.durationStep = taskDurationStep
 		}
 		for range full {
@@ -86,8 +86,7 @@
 		sim.cloud.outOfCapacity = true
 		for range 8 {
 			sim.submitJob(func(s *api.Spec) {
-				sim.makeNarrow(s)
-				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
+				makeWide(s, 4, wideTaskDuration.Seconds())
 			}, wideTaskDuration)
 		}
 		sim.onMoveState(migration.Stopping, func(*node, controller.MoveEntry) { sim.crashLeader(3 * time.Second) })
--- a/internal/simulator/legacy_node.go
+++ b/internal/simulator/legacy_node.go
@@ -11,9 +11,10 @@
 	"opaldale/internal/upgrade"
 )
 
-// What follows stands for nodes of the version in production (deploy/service.toml):
-// its formats, frozen, and what it refuses. It can go with package upgrade.
+// The types below are the formats of the version in production (deploy/service.toml). They can be removed with package
+// upgrade.
 
+// legacyRecord is the placement of a task.
 type legacyRecord struct {
 	Attempt ident.Attempt     `json:"t,omitempty"`
 	Host    ident.MachineID   `json:"h,omitempty"`
@@ -21,6 +22,7 @@
 	Done    bool              `json:"d,omitempty"`
 }
 
+// legacyHeader is the header of a job.
 type legacyHeader struct {
 	Spec  json.RawMessage `json:"spec"`
 	Seq   uint64          `json:"seq"`
@@ -30,11 +32,13 @@
 	Tasks []legacyRecord  `json:"tasks,omitempty"`
 }
 
+// legacySegment is a further part of a job with many tasks.
 type legacySegment struct {
 	LSN   uint64         `json:"lsn,omitempty"`
 	Tasks []legacyRecord `json:"tasks"`
 }
 
+// legacyLog is a record of the log.
 type legacyLog struct {
 	LSN   uint64 `json:"n"`
 	Lines []struct {
@@ -44,6 +48,7 @@
 	} `json:"l"`
 }
 
+// legacyGroup is the record of the machines of a type and zone.
 type legacyGroup struct {
 	Model string `json:"model"`
 	Zone  string `json:"site"`
@@ -55,8 +60,8 @@
 	} `json:"hosts"`
 }
 
-// checkLegacyValue reads a value as the old version does, which keeps nothing that it doesn't
-// know when it puts the value again: what it doesn't know must not be there.
+// checkLegacyValue decodes a value as the version in production does. That version drops unknown fields when it writes the
+// value again, so there must be none.
 func checkLegacyValue(path string, value json.RawMessage) error {
 	var v any
 	prefix, rest, _ := strings.Cut(path, "/")
@@ -90,10 +95,11 @@
 	return nil
 }
 
-// legacyRequest has a request of an old node answered as that one sees it.
+// legacyRequest returns f with a check that a legacy node can read the response. It returns false for a request that such a
+// node does not make.
 func (e *nodeEnv) legacyRequest(r kvstore.Request, f func(kvstore.Response)) (func(kvstore.Response), bool) {
 	if r.Prefix == upgrade.NodeKeyPrefix || strings.HasPrefix(r.Key, upgrade.NodeKeyPrefix) {
-		return nil, false // it knows of no such thing
+		return nil, false // legacy nodes know no format levels of nodes
 	}
 	return func(a kvstore.Response) {
 		pairs := a.KeyValues
@@ -102,7 +108,7 @@
 		}
 		for _, p := range pairs {
 			if err := checkLegacyValue(p.Key, p.Value); err != nil {
-				e.sim().reportViolation("an old node can't read, or would not keep: %v", err)
+				e.sim().reportViolation("a legacy node cannot read, or would not keep: %v", err)
 			}
 		}
 		f(a)
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -110,7 +110,7 @@
 		sim.scheduleAt(wideTasksAt, func() {
 			for range 6 {
 				wide = append(wide, sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration))
 			}
@@ -142,12 +142,12 @@
 		{"all machines are hot", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
-					sim.submitJob(sim.makeNarrow, 150*time.Second)
+					sim.submitJob(makeNarrow, 150*time.Second)
 				}
 			})
 			sim.scheduleAt(wideTasksAt, func() {
 				for range 4 {
-					sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
+					sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
 				}
 			})
 		}},
@@ -155,21 +155,21 @@
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
 					j := sim.submitJob(func(s *api.Spec) {
-						sim.makeNarrow(s)
+						makeNarrow(s)
 						s.CheckpointEveryS, s.RuntimeS = 0, 150
 					}, firstTaskDuration)
 					j.durationStep = taskDurationStep
 				}
 			})
 			sim.scheduleAt(100, func() {
-				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
+				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
 			})
 		}},
 		{"the wide job fails everywhere", func(sim *Simulation) {
 			sim.fragmentFleet(0)
 			sim.scheduleAt(wideTasksAt, func() {
 				j := sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0
 				}, wideTaskDuration)
 				j.alwaysFails = true
@@ -195,13 +195,13 @@
 		sim.scheduleAt(2, func() {
 			for i := range 4 * sim.cfg.ZoneCapacity {
 				factor := []float64{0.5, 1, 1.5}[(i+int(sim.cfg.Seed))%3]
-				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
+				j := sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
 			sim.scheduleAt(s, func() {
-				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
+				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
 		left := map[string]map[ident.MachineID]bool{}
@@ -317,7 +317,7 @@
 		for s := wideTasksAt; s < wideTasksAt+40; s += 0.7 {
 			sim.scheduleAt(s, func() {
 				sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5
 				}, 5*time.Second)
 			})
@@ -348,14 +348,14 @@
 		image := func(s *api.Spec, n int) { s.Image = fmt.Sprintf("img-%d", n%4) }
 		sim.scheduleAt(2, func() {
 			for n := range 4 * sim.cfg.ZoneCapacity {
-				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); image(s, n) }, firstTaskDuration)
+				j := sim.submitJob(func(s *api.Spec) { makeNarrow(s); image(s, n) }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 110; s += 6 {
 			sim.scheduleAt(s, func() {
 				sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					image(s, sim.lastJobNumber)
 					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration)
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -10,19 +10,18 @@
 	"opaldale/internal/workers"
 )
 
-// DirectedLink names the directed links of a leader that a study breaks. Sibling stands for one
-// of the other nodes.
+// DirectedLink is a directed link of a leader that a study breaks, by its ends.
 type DirectedLink struct {
 	From, To string
 }
 
-// The ends of links in a study, beside the services' own names.
+// The ends of links in a study, beside the names of the services. Peer is one of the other nodes.
 const (
 	Leader = "leader"
 	Peer   = "sibling"
 )
 
-// StudiedLinks are the links of a leader, in either direction.
+// StudiedLinks are the links of a leader, in both directions.
 var StudiedLinks = []DirectedLink{
 	{Leader, storeParty}, {storeParty, Leader},
 	{Leader, cloudParty}, {cloudParty, Leader},
@@ -30,38 +29,39 @@
 	{Leader, Peer}, {Peer, Leader},
 }
 
-// LinkOutcome is what came of a broken link.
+// LinkOutcome is the outcome of a run with a broken link.
 type LinkOutcome struct {
-	// LastDecision is from the break to the last placement or launch of the leader that
-	// was cut, while the link was broken.
+	// LastDecision is the time from the break to the last placement or launch of the disconnected leader while the link was
+	// broken.
 	LastDecision time.Duration
-	// NextPlacement is from the break to the first placement of another leader, while the link
-	// was broken; negative if none followed.
+	// NextPlacement is the time from the break to the first placement of another leader while the link was broken, negative
+	// if there was none.
 	NextPlacement time.Duration
-	// LeaderChanges counts the changes of the lead while the link was broken.
+	// LeaderChanges counts the newer terms that began while the link was broken.
 	LeaderChanges int
-	// LateSubmissions and Submitted count the submissions while it was broken, those that were not
-	// accepted within a second apart.
+	// Submissions counts the submissions while the link was broken, and LateSubmissions those of them that were not accepted
+	// within a second.
 	LateSubmissions, Submissions int
-	// TasksLost counts the tasks that ended with their machines' leases.
+	// TasksLost counts the tasks that ended as the lease of their machine expired.
 	TasksLost int
-	// Violations and Undone are the rules broken and the work not brought to its end.
+	// Violations counts the violated invariants, and Unfinished the work that did not end.
 	Violations, Unfinished int
 }
 
-// linkStudy notes what nodes decide while a link is broken.
+// linkStudy records what nodes decide while a link is broken.
 type linkStudy struct {
 	from, until        ident.MonotonicTime
-	disconnectedLeader string // the leader that was cut
+	disconnectedLeader string // the leader with the broken link
 	lastDecision       ident.MonotonicTime
 	nextPlacement      ident.MonotonicTime
 }
 
+// active reports whether the link is broken.
 func (s *linkStudy) active(now ident.MonotonicTime) bool {
 	return s.from > 0 && now >= s.from && now < s.until
 }
 
-// recordPlacement notes a transaction of a node: a record of the log is a placement, or the end of one.
+// recordPlacement records a transaction of a node that writes the log: a placement, or the end of one.
 func (sim *Simulation) recordPlacement(node string, r kvstore.Request) {
 	s := &sim.linkStudy
 	if !s.active(sim.now) || r.Op != kvstore.Txn {
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordLaunch notes a command of a node.
+// recordLaunch records a command of a node that launches a task.
 func (sim *Simulation) recordLaunch(node string, c workers.CommandCall) {
 	if s := &sim.linkStudy; s.active(sim.now) && c.Launches() && node == s.disconnectedLeader {
 		s.lastDecision = sim.now
@@ -92,8 +92,8 @@
 	acceptanceDeadline  = time.Second
 )
 
-// StudyLink plays a day of steady submissions on which one link of the leader breaks for a
-// time, or, with a period, for six tenths of each.
+// StudyLink runs steady submissions during which one link of the leader is broken: throughout a time, or, with a period, for
+// six tenths of each period in it.
 func StudyLink(seed uint64, monitored bool, link DirectedLink, broken, period time.Duration) LinkOutcome {
 	sim := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true,
 		ActiveDuration:    linkBreakAt + broken + 20*time.Second,
@@ -131,7 +131,7 @@
 	return out
 }
 
-// resolveLinkEnd turns the end of a link into the name of a party.
+// resolveLinkEnd returns the party at the end of a link.
 func (sim *Simulation) resolveLinkEnd(name string, leader *node) string {
 	switch name {
 	case Leader:
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -10,17 +10,23 @@
 	"opaldale/internal/settings"
 )
 
-// LoadOutcome is what came of a flood by one team.
+// LoadOutcome is the outcome of a run with a flood by one team.
 type LoadOutcome struct {
-	Imbalance []float64 // of the machines' use in each second of the flood, by the workers' own record
-	// HotTeamLatencies and OtherTeamLatencies are from the submission of an array to its end, for the hot team
+	// Imbalance is the coefficient of variation of the machines' use in each second of the flood, by the workers' own record.
+	Imbalance []float64
+	// HotTeamLatencies and OtherTeamLatencies are the times from the submission of an array to its end, for the flooding team
 	// and for the others.
 	HotTeamLatencies, OtherTeamLatencies []time.Duration
-	FetchedGB                            float64
-	Machines                             int    // rented in all
-	Moves                                uint64 // that would pay, by the last leader
-	HotSeconds                           int    // in which the leader called the flooding team, and it alone, hot
-	Violations, Unfinished               int
+	// FetchedGB is the size of the images fetched.
+	FetchedGB float64
+	// Machines counts the machines provisioned.
+	Machines int
+	// Moves counts the moves proposed by the nodes that run at the end.
+	Moves uint64
+	// HotSeconds counts the seconds in which the leader took the flooding team, and no other, for overloaded.
+	HotSeconds int
+	// Violations counts the violated invariants, and Unfinished the work that did not end.
+	Violations, Unfinished int
 }
 
 const (
@@ -36,8 +42,7 @@
 		ActiveDuration: floodStart + floodDuration + 20*time.Second, QuiescentDuration: 200 * time.Second}
 }
 
-// StudyFlood plays a day on which one team floods the cluster with arrays while the others
-// submit steadily.
+// StudyFlood runs a flood of the cluster with arrays by one team, while the others submit steadily.
 func StudyFlood(seed uint64, mode settings.Rebalance) LoadOutcome {
 	sim := New(floodConfig(seed, mode))
 	sim.submitSteadyLoad()
@@ -74,7 +79,7 @@
 	return out
 }
 
-// submitSteadyLoad has the other teams submit small arrays throughout, and a few services.
+// submitSteadyLoad has the other teams submit small arrays throughout, and now and then a task that takes most of a machine.
 func (sim *Simulation) submitSteadyLoad() {
 	for s := 2.0; s < (floodStart + floodDuration).Seconds(); s += 0.8 {
 		sim.scheduleAt(s, func() {
@@ -82,7 +87,7 @@
 				s.Team = []string{"blue", "grey"}[sim.rng.IntN(2)]
 				s.Tasks, s.VCPUs, s.Spot = 1+sim.rng.IntN(4), 1, true
 				if sim.rng.IntN(5) == 0 {
-					s.Tasks, s.VCPUs = 1, 6 // finds no room among small ones
+					s.Tasks, s.VCPUs = 1, 6 // hard to place among small tasks
 				}
 			}, time.Duration(8+sim.rng.IntN(15))*time.Second)
 		})
@@ -100,7 +105,7 @@
 	sim.schedule(time.Duration(150+sim.rng.IntN(200))*time.Millisecond, func() { sim.flood(until) })
 }
 
-// imbalance is the coefficient of variation of the machines' use, by what workers run.
+// imbalance returns the coefficient of variation of the machines' use, by what workers run.
 func (sim *Simulation) imbalance() float64 {
 	n, sum, square := 0.0, 0.0, 0.0
 	for _, w := range sim.sortedWorkers() {
@@ -116,7 +121,7 @@
 	return math.Sqrt(max(0, square/n-mean*mean)) / mean
 }
 
-// isOnlyHotTeam says whether the leader calls a team hot, and no other.
+// isOnlyHotTeam reports whether the leader takes a team, and no other, for overloaded.
 func (sim *Simulation) isOnlyHotTeam(team string) bool {
 	l := sim.leader()
 	if l == nil {
--- a/internal/simulator/study_moves.go
+++ b/internal/simulator/study_moves.go
@@ -9,24 +9,24 @@
 	"opaldale/internal/settings"
 )
 
-// MovesOutcome is what came of a day on which wide tasks find no room on a fragmented fleet.
+// MovesOutcome is the outcome of a run in which wide tasks fit nowhere on a fragmented fleet.
 type MovesOutcome struct {
 	Seed         uint64             `json:"seed"`
 	Mode         settings.Rebalance `json:"mode"`
-	Estimate     float64            `json:"estimate"` // of run times, as a multiple of what is true
+	Estimate     float64            `json:"estimate"` // of run times, as a multiple of the true ones
 	SlowMachines int                `json:"slow"`     // machines that are much slower than the others
-	// WideWaitS is from the submission of each wide task to its start, and NarrowDoneS from the
-	// submission of each other job to its end.
+	// WideWaitS has the time from submission to start of each wide task, and NarrowDoneS that from submission to end of each
+	// other job that ended, in seconds.
 	WideWaitS   []float64 `json:"wide_wait_s"`
 	NarrowDoneS []float64 `json:"narrow_done_s"`
-	// LostCPUS is the work thrown away by stops, in CPU seconds.
+	// LostCPUS is the work lost by stops without a checkpoint, in CPU seconds.
 	LostCPUS float64        `json:"lost_cpu_s"`
 	Moves    int            `json:"moves"`
 	Ended    map[string]int `json:"ended"`
-	// ExpectedS and RealisedS are the gains, less the costs, of the moves that arrived.
+	// ExpectedS has the expected gains less the costs of the moves that arrived, and RealisedS the realised ones, in seconds.
 	ExpectedS  []float64 `json:"expected_s"`
 	RealisedS  []float64 `json:"realised_s"`
-	MostMoved  int       `json:"most_moved"` // how often the job that was moved most was
+	MostMoved  int       `json:"most_moved"` // largest number of stops of a job
 	Violations int       `json:"broken"`
 	Unfinished int       `json:"undone"`
 }
@@ -38,8 +38,8 @@
 	wideArrivalInterval = 2.0
 )
 
-// StudyMoves plays a day on which a fleet is fragmented by tasks of which one on each machine
-// ends early, and wide tasks come every few seconds; a controller dies meanwhile.
+// StudyMoves runs a fleet that is fragmented as one task on each machine ends early, with wide tasks submitted every few
+// seconds. The leader crashes meanwhile.
 func StudyMoves(seed uint64, mode settings.Rebalance, estimate float64) MovesOutcome {
 	cfg := rebalancingConfig(seed)
 	cfg.Rebalance, cfg.ZoneCapacity, cfg.QuiescentDuration = mode, studyZoneCapacity, 400*time.Second
@@ -47,7 +47,7 @@
 	var wide, narrow []*userJob
 	sim.scheduleAt(2, func() {
 		for range 4 * cfg.ZoneCapacity {
-			j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.RuntimeS *= estimate }, firstTaskDuration)
+			j := sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.RuntimeS *= estimate }, firstTaskDuration)
 			j.durationStep = taskDurationStep
 			narrow = append(narrow, j)
 		}
@@ -55,21 +55,16 @@
 	for s := wideTasksAt; s < wideTasksAt+wideArrivalSeconds; s += wideArrivalInterval {
 		sim.scheduleAt(s, func() {
 			wide = append(wide, sim.submitJob(func(s *api.Spec) {
-				sim.makeNarrow(s)
-				s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()*estimate
+				makeWide(s, 4, wideTaskDuration.Seconds()*estimate)
 			}, wideTaskDuration))
 		})
 	}
-	sim.scheduleAt(wideTasksAt+35, func() {
-		if l := sim.leader(); l != nil {
-			l.crash(3 * time.Second)
-		}
-	})
+	sim.onLeader(wideTasksAt+35, func(l *node) { l.crash(3 * time.Second) })
 	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
 }
 
-// StudySlow plays a day on which one machine of eight takes four times as long as the others; its
-// narrow jobs are the long ones.
+// StudySlow runs a fleet of eight machines, one of which takes four times as long as the others. NarrowDoneS of the outcome is
+// that of the long jobs.
 func StudySlow(seed uint64, mode settings.Rebalance) MovesOutcome {
 	sim := slowMachineScenario(seed, mode, 1)
 	var long []*userJob
@@ -83,7 +78,7 @@
 	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, SlowMachines: 1}, &[]*userJob{}, &long)
 }
 
-// runMovesStudy plays a day and gathers what comes of it.
+// runMovesStudy runs the simulation and completes the outcome.
 func (sim *Simulation) runMovesStudy(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
 	out.Ended, out.ExpectedS, out.RealisedS = map[string]int{}, []float64{}, []float64{}
 	out.WideWaitS, out.NarrowDoneS = []float64{}, []float64{}
@@ -110,8 +105,7 @@
 	return out
 }
 
-// collectFinishedMoves collects the moves that have ended, as they are told last by the leader that
-// carried them out.
+// collectFinishedMoves collects the moves that have ended, as last reported by the leader that carried them out.
 func (sim *Simulation) collectFinishedMoves() *[]controller.MoveEntry {
 	var all []controller.MoveEntry
 	same := func(a, b controller.MoveEntry) bool { return a.Task == b.Task && a.From == b.From && a.To == b.To }
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/api"
 )
 
-// submitJob submits a job like most here: an array of long tasks.
+// submitJob submits an array of three tasks of 2 CPUs, which change may alter.
 func (sim *Simulation) submitJob(change func(s *api.Spec), duration time.Duration) *userJob {
 	sim.lastJobNumber++
 	s := api.Spec{ID: sim.jobID(), Class: jobClass,
@@ -23,7 +23,7 @@
 	return j
 }
 
-// submitBaseLoad submits long jobs of all teams, so many, and a few services and gangs.
+// submitBaseLoad submits n long jobs, of all teams, and two services.
 func (sim *Simulation) submitBaseLoad(n int) {
 	sim.scheduleAt(2, func() {
 		for i := range n {
@@ -37,8 +37,7 @@
 	})
 }
 
-// submitStream submits jobs of one short task every so many seconds of a run. A third of them
-// are cancelled within a time.
+// submitStream submits a job of one short task at each interval, in seconds. A third of them are cancelled within a time.
 func (sim *Simulation) submitStream(from, to, every float64, cancelWithin time.Duration) {
 	for s := from; s < to; s += every {
 		sim.scheduleAt(s, func() {
