--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// partition is one way in which a controller loses a part of its world.
+// partition is a way in which a controller is separated from others.
 type partition struct {
 	name  string
 	apply func(sim *Simulation, n *node, hold bool, d time.Duration)
@@ -16,16 +16,16 @@
 
 var partitions = []partition{
 	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, anyParty, hold, d) }},
-	{"the state service", func(sim *Simulation, n *node, hold bool, d time.Duration) {
+	{"the store", func(sim *Simulation, n *node, hold bool, d time.Duration) {
 		sim.disconnect(n.name, storeParty, hold, d)
 	}},
 	{"the workers", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, machines, hold, d) }},
-	{"the state service's consent", func(sim *Simulation, n *node, _ bool, d time.Duration) {
+	{"acceptance by the store", func(sim *Simulation, n *node, _ bool, d time.Duration) {
 		sim.store.rejectUntil[n.name] = sim.now.Add(d)
 	}},
 }
 
-// runConsecutivePartitions plays a day on which a controller loses one thing, and then another.
+// runConsecutivePartitions runs a simulation in which a controller has one partition and then another.
 func runConsecutivePartitions(seed uint64, leader bool, first, then partition) *Simulation {
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
 	sim.submitBaseLoad(4)
@@ -51,10 +51,9 @@
 	return sim
 }
 
-// TestConsecutivePartitions: a controller loses the network, only the state service,
-// only the workers, or is refused by the state service alone, and then something else,
-// with what was queued delivered at the end or lost; the leader as well as a follower. No
-// rule breaks, jobs that come meanwhile are served, and the workers keep their leases.
+// TestConsecutivePartitions: a controller, leader or follower, is separated from the network, the store or the workers,
+// or rejected by the store, and then once more; held messages are delivered at the end or dropped. No invariant is
+// violated, jobs submitted meanwhile are served, and workers keep their leases.
 func TestConsecutivePartitions(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(0)
@@ -68,7 +67,7 @@
 				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 				if sim.eventCounts[laterTermEvent] == 0 {
-					t.Errorf("seed %d: the leader led on without %s and %s", seed, first.name, then.name)
+					t.Errorf("seed %d: the leader continued without %s and %s", seed, first.name, then.name)
 				}
 				sim = runConsecutivePartitions(seed+1, false, first, then)
 				requireClean(t, sim)
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestRecordingChangesNothing: a day is the same whether it is recorded or not.
+// TestRecordingChangesNothing: a run is the same whether it is recorded or not.
 func TestRecordingChangesNothing(t *testing.T) {
 	t.Parallel()
 	cfg := Config{Seed: 6, Faults: true, ConcurrentFaults: true, LinkMonitoring: true, ActiveDuration: 120 * time.Second,
@@ -192,7 +192,7 @@
 	recorded := New(cfg)
 	recorded.Run()
 	if plain.LogTail(len(plain.Log)) != recorded.LogTail(len(recorded.Log)) {
-		t.Error("a recorded day went another way")
+		t.Error("a recorded run differs")
 	}
 	for _, kind := range []string{storeRecord, cloudRecord, commandRecord, frameRecord, answerRecord} {
 		if cfg.Digest.counts[kind] == 0 {
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -9,8 +9,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestGangsUnderFaults plays days of trouble with many gangs: tasks run together or not at all,
-// and every gang comes to its end.
+// TestGangsUnderFaults runs many gangs during faults: their tasks run together or not at all, and every gang ends.
 func TestGangsUnderFaults(t *testing.T) {
 	t.Parallel()
 	runs := 0
@@ -25,7 +24,7 @@
 	}
 }
 
-// TestGangsWithoutFaults start once each, and again only for those stopped in order.
+// TestGangsWithoutFaults: without faults gangs run, and nothing is violated.
 func TestGangsWithoutFaults(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 3, MoreGangs: true, ActiveDuration: 250 * time.Second})
@@ -36,9 +35,8 @@
 	}
 }
 
-// TestRollingUpgradeUnderFaults upgrades a cluster that serves, amid troubles: nodes of both versions
-// read each other's data, no level is raised before all are new, and after it nothing
-// is larger than the limits to come.
+// TestRollingUpgradeUnderFaults upgrades a cluster during faults: nodes of both versions read each other's data, the
+// format level is not raised before all are new, and afterwards nothing exceeds the announced limits.
 func TestRollingUpgradeUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -48,7 +46,7 @@
 		requireClean(t, sim)
 		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 			level != ident.NewestFormatLevel {
-			t.Errorf("seed %d: the format level ends as %d, %v", seed, level, err)
+			t.Errorf("seed %d: the format level is %d at the end, %v", seed, level, err)
 		}
 		if sim.GangRuns == 0 {
 			t.Errorf("seed %d: no gang ran", seed)
@@ -56,12 +54,12 @@
 	}
 }
 
-// TestGangMutationsAreDetected shows that the checks of gangs and of a rollout can fail.
+// TestGangMutationsAreDetected shows that the checks of gangs and of a rolling upgrade can fail.
 func TestGangMutationsAreDetected(t *testing.T) {
 	t.Parallel()
-	for name, m := range map[string]Mutation{"a new attempt beside an old task": HideWaitingGangTasks,
-		"an attempt's number is used again": ReuseGangAttempt,
-		"level raised early":                RaiseFormatEarly, "new field early": WriteNewFieldsEarly} {
+	for name, m := range map[string]Mutation{"new attempt while an old task runs": HideWaitingGangTasks,
+		"attempt number reused":     ReuseGangAttempt,
+		"format level raised early": RaiseFormatEarly, "new field written early": WriteNewFieldsEarly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
@@ -73,13 +71,13 @@
 					return
 				}
 			}
-			t.Fatal("no seed noticed")
+			t.Fatal("no seed detects it")
 		})
 	}
 }
 
-// runWithReclaimNotices plays a day on which nothing goes wrong but that spot machines on which a gang
-// runs are taken, all with a notice.
+// runWithReclaimNotices runs a simulation without faults in which spot machines with running gangs are reclaimed after
+// a notice.
 func runWithReclaimNotices(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	for at := 40 * time.Second; at < 240*time.Second; at += 3 * time.Second {
@@ -92,8 +90,8 @@
 					}
 				})
 				if w.machine.spot && w.reclaimAt == 0 && runningGangTasks > 0 {
-					w.announceReclaim(14 * time.Second)
-					sim.schedule(14*time.Second, func() { sim.cloud.terminate(w.machine) })
+					w.announceReclaim(reclaimNotice)
+					sim.schedule(reclaimNotice, func() { sim.cloud.terminate(w.machine) })
 				}
 			}
 		})
@@ -102,8 +100,8 @@
 	return sim
 }
 
-// TestGangsCheckpointOnReclaimNotice: a gang with a machine that will be taken saves as a whole and
-// goes on elsewhere. If only a part of it were told, the checks would say so.
+// TestGangsCheckpointOnReclaimNotice: a gang on a machine that will be reclaimed checkpoints as a whole and continues
+// elsewhere. The checks detect that only a part of it is told to stop.
 func TestGangsCheckpointOnReclaimNotice(t *testing.T) {
 	t.Parallel()
 	stops := 0
@@ -113,9 +111,9 @@
 		stops += sim.GangStops
 	}
 	if stops < 3 {
-		t.Errorf("%d gangs were stopped in order", stops)
+		t.Errorf("%d gangs were stopped to checkpoint", stops)
 	} else {
-		t.Logf("%d gangs were stopped in order", stops)
+		t.Logf("%d gangs were stopped to checkpoint", stops)
 	}
 	for seed := range uint64(20) {
 		if sim := runWithReclaimNotices(seed, StopPartOfGang); len(sim.Violations) > 0 {
@@ -123,5 +121,5 @@
 			return
 		}
 	}
-	t.Error("that a part of a gang is stopped was not noticed")
+	t.Error("no seed detects that only a part of a gang is stopped")
 }
--- a/internal/simulator/health_check_test.go
+++ b/internal/simulator/health_check_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestNodesStayHealthyDuringElection: while a leader that was killed is followed, no node tells the
-// load balancer that it can't take requests, as that would be without all of them for seconds.
+// TestNodesStayHealthyDuringElection: during the election after a leader crash no node reports to the load balancer
+// that it cannot take requests, as all would do so at once.
 func TestNodesStayHealthyDuringElection(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/settings"
 )
 
-// TestHotTeamIsDetected: a team that floods is hot while it does, no other is, and it cools; the
-// rules hold with the work spread over holders, and through a change of leader meanwhile.
+// TestHotTeamIsDetected: a team that floods the cluster is overloaded while it does, no other is, and it ceases to be.
+// Invariants hold through a leader change meanwhile.
 func TestHotTeamIsDetected(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -14,8 +14,8 @@
 // largeFleet is more machines than the users run.
 const largeFleet = 4500
 
-// TestLargeFleet: with 4,500 machines every rule holds through a change of leader, an outage
-// of the state service and the loss of a zone, and all work is done.
+// TestLargeFleet: with 4,500 machines every invariant holds through a leader change, an outage of the store and the
+// partition of a zone, and all work ends.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 1, ActiveDuration: 150 * time.Second, QuiescentDuration: 110 * time.Second, NoArrivals: true,
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestLargeFleetMoves: on 4,500 machines, all in use, wide tasks find no room but by moves among
-// a few of them, and the leader dies as the first moves begin.
+// TestLargeFleetMoves: on 4,500 machines, all in use, wide tasks fit only after moves among a few of them, and the
+// leader crashes as the first moves begin.
 func TestLargeFleetMoves(t *testing.T) {
 	t.Parallel()
 	const (
-		fragmented = 100 // machines with room for half of a wide task
+		fragmented = 100 // machines with capacity for half of a wide task
 		full       = 88  // jobs of 50 tasks that fill a machine each
 	)
 	var teams []settings.Team
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -7,21 +7,24 @@
 	"opaldale/internal/ident"
 )
 
-// linkScenario is a way in which links break, and what must come of it.
+// linkScenario is a scenario with broken links, and bounds for what it must lead to.
 type linkScenario struct {
 	name           string
 	nodes          int // 0: three
 	rollingUpgrade bool
 	inject         func(sim *Simulation)
-	minEvents      map[eventName]int // what must have taken place, so often at the least
-	maxEvents      map[eventName]int // and at the most
+	minEvents      map[eventName]int // lower bounds
+	maxEvents      map[eventName]int // upper bounds
 	seeds          uint64            // 0: three
 	length         time.Duration     // 0: 200 s
 }
 
+// staleRowsScenario delivers link states late, when the followers were still better placed than the leader.
+const staleRowsScenario = "link states delivered late"
+
 var linkScenarios = []linkScenario{
 	{
-		name: "answers of the cloud are lost",
+		name: "replies of the cloud are lost",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(cloudParty, l.name, false, faultDuration)
@@ -32,7 +35,7 @@
 		maxEvents: map[eventName]int{leaderMissingEvent: 0},
 	},
 	{
-		name: "commands reach no machine",
+		name: "no command reaches a machine",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, machines, false, faultDuration)
@@ -44,7 +47,7 @@
 		maxEvents: map[eventName]int{machineFencedEvent: 0},
 	},
 	{
-		name: "machines reach the leader's siblings only",
+		name: "machines reach only the followers",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(machines, l.name, false, faultDuration)
@@ -56,7 +59,7 @@
 		maxEvents: map[eventName]int{machineFencedEvent: 0},
 	},
 	{
-		name: "answers of the state service are lost",
+		name: "replies of the store are lost",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(storeParty, l.name, false, faultDuration)
@@ -66,7 +69,7 @@
 		minEvents: map[eventName]int{leaderReplacedEvent: 1},
 	},
 	{
-		name: "a leader with machines and no state service, a sibling with the state service and no machines",
+		name: "leader without the store, follower without machines",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				b := sim.nodeOtherThan(l)
@@ -86,16 +89,16 @@
 		minEvents: map[eventName]int{leaderReplacedEvent: 1, taskStartedEvent: 5},
 	},
 	{
-		name: "no controller hears machines that are running",
+		name: "no controller reaches any machine",
 		inject: func(sim *Simulation) {
 			sim.scheduleAt(faultAt, func() {
 				for _, n := range sim.nodes {
 					sim.disconnect(n.name, machines, false, faultDuration)
 				}
 				sim.cancelRunning(2, 0)
-				rented := len(sim.cloud.machines)
+				provisioned := len(sim.cloud.machines)
 				sim.schedule(faultDuration, func() {
-					for range len(sim.cloud.machines) - rented {
+					for range len(sim.cloud.machines) - provisioned {
 						sim.countEvent(machineProvisionedEvent)
 					}
 				})
@@ -105,7 +108,7 @@
 		maxEvents: map[eventName]int{machineProvisionedEvent: 12},
 	},
 	{
-		name: "a slow link beside a dead one",
+		name: "slow links beside a broken one",
 		inject: func(sim *Simulation) {
 			sim.slowLinks = faultWindow{1, timeAt(faultAt).Add(faultDuration)}
 			sim.withLeaderAt(faultAt, func(l *node) {
@@ -116,7 +119,7 @@
 		minEvents: map[eventName]int{linkSlowEvent: 50, handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "the leader freezes in the midst of its handover and wakes later",
+		name: "leader paused during its handover",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, _ ident.NodeID) {
 				sim.countEvent(pausedInHandoverEvent)
@@ -128,7 +131,7 @@
 		minEvents: map[eventName]int{pausedInHandoverEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "the successor dies between the terms",
+		name: "successor crashes between the terms",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, to ident.NodeID) {
 				for _, n := range sim.nodes {
@@ -144,7 +147,7 @@
 		minEvents: map[eventName]int{successorCrashedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "the successor is cut off between the terms",
+		name: "successor loses the store between the terms",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, to ident.NodeID) {
 				sim.countEvent(successorDisconnectedEvent)
@@ -156,7 +159,7 @@
 		minEvents: map[eventName]int{successorDisconnectedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "the announcement is lost",
+		name: "handover announcement lost",
 		inject: func(sim *Simulation) {
 			sim.onHandover = func(from *node, _ ident.NodeID) {
 				sim.forEachPeer(from, func(n *node) { sim.disconnectOneWay(from.name, n.name, false, 3*time.Second) })
@@ -167,7 +170,7 @@
 		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "a leader that only the state service hears",
+		name: "leader reaches only the store",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.forEachPeer(l, func(n *node) { sim.disconnect(l.name, n.name, false, faultDuration) })
@@ -178,7 +181,7 @@
 		minEvents: map[eventName]int{leaderReplacedEvent: 1},
 	},
 	{
-		name: "a follower reaches the leader by the third node only",
+		name: "follower reaches the leader only through the third node",
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				f := sim.nodeOtherThan(l)
@@ -202,7 +205,7 @@
 		minEvents: map[eventName]int{requestRelayedEvent: 40, followerHealthyEvent: 40},
 	},
 	{
-		name: "late copies of rows", // of when the sibling was well placed
+		name: staleRowsScenario,
 		inject: func(sim *Simulation) {
 			sim.staleRowDelay = 8 * time.Second
 			sim.withLeaderAt(faultAt, func(l *node) {
@@ -225,7 +228,7 @@
 		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "two nodes, the link between them broken one way", nodes: 2,
+		name: "two nodes, link between them broken in one direction", nodes: 2,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, sim.nodeOtherThan(l).name, false, faultDuration)
@@ -236,7 +239,7 @@
 		minEvents: map[eventName]int{linkBrokenEvent: 1},
 	},
 	{
-		name: "five nodes, two dead and one cut off", nodes: 5,
+		name: "five nodes, two down and one partitioned", nodes: 5,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				b := sim.nodeOtherThan(l)
@@ -252,7 +255,7 @@
 		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "an upgrade in which old nodes lead", rollingUpgrade: true, length: 260 * time.Second,
+		name: "rolling upgrade with legacy leaders", rollingUpgrade: true, length: 260 * time.Second,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(70, func(l *node) { sim.disconnectOneWay(l.name, machines, false, 20*time.Second) })
 			sim.scheduleAt(200, func() {
@@ -266,7 +269,7 @@
 	},
 }
 
-// withLeaderAt calls f with the leader of a moment.
+// withLeaderAt calls f at a time with the leader, and counts an event if there is none.
 func (sim *Simulation) withLeaderAt(s float64, f func(l *node)) {
 	sim.scheduleAt(s, func() {
 		if l := sim.leader(); l != nil {
@@ -277,7 +280,7 @@
 	})
 }
 
-// recordLeaderAfter notes who leads so long after a moment, and whether it is another.
+// recordLeaderAfter counts an event, d from now, for whether l leads, another node does, or none.
 func (sim *Simulation) recordLeaderAfter(l *node, d time.Duration) {
 	sim.schedule(d, func() {
 		switch n := sim.leader(); {
@@ -297,8 +300,7 @@
 	sim.submitStream(20, 150, 1.5, 20*time.Second)
 }
 
-// countFencedWithin notes how many machines the node that is the leader, or those that follow,
-// fence within a time.
+// countFencedWithin counts the machines that nodes fence within d.
 func (sim *Simulation) countFencedWithin(d time.Duration) {
 	var counts [8]uint64 // by node, in its present term
 	until := sim.now.Add(d)
@@ -320,7 +322,7 @@
 	})
 }
 
-// nodeOtherThan returns a node that is none of those.
+// nodeOtherThan returns a node that is none of the given ones.
 func (sim *Simulation) nodeOtherThan(not ...*node) *node {
 	for _, n := range sim.nodes {
 		found := false
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/transport"
 )
 
-// TestInvariantsHoldWithLinkMonitoring plays days of trouble, with links that break in one direction
-// among them, with nodes that watch their links: every rule holds and all work ends.
+// TestInvariantsHoldWithLinkMonitoring runs random faults, links broken in one direction among them, with nodes that
+// monitor their links: every invariant holds and all work ends.
 func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
@@ -20,19 +20,19 @@
 		sim.Run()
 		requireClean(t, sim)
 		if sim.TaskStarts < 20 || sim.blockedOneWay == 0 {
-			t.Errorf("seed %d: only %d tasks started, %d messages were lost one way", seed, sim.TaskStarts, sim.blockedOneWay)
+			t.Errorf("seed %d: only %d tasks started, %d messages lost in one direction", seed, sim.TaskStarts, sim.blockedOneWay)
 		}
 	}
 }
 
-// faultAt is when the links of the cases break, and faultDuration for how long.
+// faultAt is when the links of the scenarios break, in seconds, and faultDuration for how long.
 const (
 	faultAt       = 60
 	faultDuration = 60 * time.Second
 )
 
-// TestUnidirectionalPartitions plays the cases: every rule holds, all work ends, and the lead goes
-// where it should.
+// TestUnidirectionalPartitions runs the scenarios: every invariant holds, all work ends, and leadership changes or
+// stays as it should.
 func TestUnidirectionalPartitions(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
@@ -57,8 +57,8 @@
 	}
 }
 
-// leaderChangesWhileFlapping plays a link of the leader that breaks for a part of every period, for two
-// minutes, and returns the changes of the lead in that time.
+// leaderChangesWhileFlapping runs a simulation in which a link of the leader flaps for two minutes, and returns the
+// number of leader changes in that time.
 func leaderChangesWhileFlapping(t *testing.T, link int, seed uint64) int {
 	sim := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
 	sim.withLeaderAt(40, func(l *node) {
@@ -77,8 +77,8 @@
 	return sim.eventCounts[leaderChangeEvent]
 }
 
-// TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any
-// period: the lead moves away from it at the most, and not to and fro.
+// TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any period. Leadership
+// moves away from it at most, and not back and forth.
 func TestFlappingLinkBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
 	for link := range 10 {
@@ -86,17 +86,16 @@
 			t.Parallel()
 			for seed := range uint64(5) {
 				if n := leaderChangesWhileFlapping(t, link, seed); n > 2 {
-					t.Errorf("seed %d: the lead changed %d times in two minutes", seed, n)
+					t.Errorf("seed %d: the leader changed %d times in two minutes", seed, n)
 				}
 			}
 		})
 	}
 }
 
-// TestFlappingPeerLinkKeepsLeader: the link to one sibling flaps for ten minutes, while machines of
-// small zones come and go. The lead stays, and submissions at that sibling pass by the third
-// node. (The last command to the last machine of a zone counted against its next one, and the
-// lead moved in a fifth of the days.)
+// TestFlappingPeerLinkKeepsLeader: the link to one peer flaps for ten minutes, while machines of small zones come and
+// go. Leadership stays, and submissions at that peer are relayed by the third node. Machines that are terminated must
+// not count against the link to their zone.
 func TestFlappingPeerLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -107,8 +106,8 @@
 	}
 }
 
-// leaderChangesUnderAlternatingFaults has the links of each leader to the machines break in turn, and returns the
-// changes of the lead in two minutes.
+// leaderChangesUnderAlternatingFaults breaks the links of each leader to the machines in turn, and returns the number
+// of leader changes in two minutes, -1 if an invariant is violated.
 func leaderChangesUnderAlternatingFaults(seed uint64, m Mutation) int {
 	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
 	sim.submitContinuously()
@@ -123,26 +122,26 @@
 	return sim.eventCounts[leaderChangeEvent]
 }
 
-// TestHandoverHoldBoundsLeaderChanges: whoever leads is soon worse placed than another. The lead moves no more
-// often than the hold allows, and without the hold this is noticed.
+// TestHandoverHoldBoundsLeaderChanges: whichever node leads is soon worse placed than another. Leadership changes no
+// more often than the hold between handovers allows, and without the hold the test detects it.
 func TestHandoverHoldBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
 	const most = 6 // 15, 15, 30 and 60 s, and what the first hold had already passed
 	detected := false
 	for seed := range uint64(3) {
 		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > most {
-			t.Errorf("seed %d: the lead changed %d times in two minutes", seed, n)
+			t.Errorf("seed %d: the leader changed %d times in two minutes", seed, n)
 		}
 		detected = detected || leaderChangesUnderAlternatingFaults(seed, UnboundedHandovers) > most
 	}
 	if !detected {
-		t.Error("handovers without end were not noticed")
+		t.Error("no seed detects unbounded handovers")
 	}
 }
 
-// TestFlappingLeaderIsReplaced: a leader that hears the state service for a part of every few
-// seconds only is replaced for good, though its lease lives on. Without damping its link is as
-// good as any between two breaks, and it stays.
+// TestFlappingLeaderIsReplaced: a leader that receives replies of the store for only a part of every few seconds is
+// replaced, though its lease does not expire. Without damping of flaps its link looks good between two breaks, and it
+// stays.
 func TestFlappingLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	detected := false
@@ -163,16 +162,16 @@
 		}
 	}
 	if !detected {
-		t.Error("no seed noticed that nothing was damped")
+		t.Error("no seed detects that flaps are not damped")
 	}
 }
 
-// TestStaleRowsMutationIsDetected: were late copies of rows taken for new ones, a leader would hand
-// over to a node that can't write.
+// TestStaleRowsMutationIsDetected: if late duplicates of link states were taken for new ones, a leader would hand over
+// to a node that cannot write.
 func TestStaleRowsMutationIsDetected(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
-		if c.name != "late copies of rows" {
+		if c.name != staleRowsScenario {
 			continue
 		}
 		for seed := range uint64(3) {
@@ -181,11 +180,11 @@
 			}
 		}
 	}
-	t.Error("no seed noticed")
+	t.Error("no seed detects it")
 }
 
-// TestPartitionAtEachCommitStep breaks the leader's link to the state service, in one direction,
-// around a transaction with a submission: whatever came of it, the job has one end.
+// TestPartitionAtEachCommitStep breaks one direction of the leader's link to the store around a transaction with a
+// submission: whatever its outcome, the job ends once.
 func TestPartitionAtEachCommitStep(t *testing.T) {
 	t.Parallel()
 	for step := range 12 {
@@ -213,8 +212,8 @@
 	}
 }
 
-// TestForgedRowsViolateNothing: a sibling that says of itself whatever it likes may get the lead, and no
-// rule is broken by it.
+// TestForgedRowsViolateNothing: a peer that forges its link states may become leader, but no invariant is violated by
+// it.
 func TestForgedRowsViolateNothing(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 2, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
@@ -232,11 +231,11 @@
 	})
 	sim.Run()
 	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[rowsForgedEvent] < 40 {
-		t.Errorf("%v %v, %d lies\n%s", sim.Violations, sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
+		t.Errorf("%v %v, %d forged rows\n%s", sim.Violations, sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
 	}
 }
 
-// sendForgedRows has a node hear from another that it is the best placed of all, and the others worst.
+// sendForgedRows sends link states to a node by which the sender is the best placed of all nodes.
 func (sim *Simulation) sendForgedRows(from, to *node) {
 	sim.countEvent(rowsForgedEvent)
 	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name],
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -12,8 +12,8 @@
 	"opaldale/internal/migration"
 )
 
-// checkStopCounts checks, by the workers' own record, that no job which nothing else stops was
-// stopped more often than it may be moved.
+// checkStopCounts checks, by the workers' own record, that the tasks of no job were stopped more often than they may be
+// moved.
 func checkStopCounts(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, id := range sim.jobOrder {
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestMovesFreeCapacity: wide tasks that find no room on any machine get it by moves, no job is
-// moved more than twice, and all work ends.
+// TestMovesFreeCapacity: wide tasks that fit on no machine are placed after moves, no job is moved more than twice, and
+// all work ends.
 func TestMovesFreeCapacity(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -40,18 +40,18 @@
 	}
 }
 
-// moveFault is what goes wrong in the midst of a move.
+// moveFault is a fault during a move.
 type moveFault struct {
 	name           string
-	links          bool // the nodes watch their links
+	links          bool // the nodes monitor their links
 	legacyNodes    int  // nodes of the version in production
 	inject         func(sim *Simulation, l *node, m controller.MoveEntry)
-	expectedEvents []eventName // what must have come of it
+	expectedEvents []eventName // at least once each
 	// stopsOtherTasks says that tasks are stopped for other reasons as well.
 	stopsOtherTasks bool
 }
 
-// from and to return the machines of a move; one that is gone already is replaced by any.
+// moveEndpoints returns the workers of a move; one that is gone is replaced by any other.
 func (sim *Simulation) moveEndpoints(m controller.MoveEntry) (from, to *worker) {
 	from, to = sim.workerByID(m.From), sim.workerByID(m.To)
 	if from == nil {
@@ -69,10 +69,10 @@
 	return sim.jobs[ident.JobID(id)]
 }
 
-// expectNewLeader notes that another node leads than before.
+// expectNewLeader counts an event when another node than l leads.
 func (sim *Simulation) expectNewLeader(l *node) { sim.onNextLeader(l, func(*node) {}) }
 
-// expectNewTerm notes that another term has begun.
+// expectNewTerm counts an event when a newer term has begun.
 func (sim *Simulation) expectNewTerm(l *node) {
 	term := l.controller.Election().Term()
 	sim.waitUntil(func() bool {
@@ -81,7 +81,7 @@
 	}, func() { sim.countEvent(newTermEvent) })
 }
 
-// reclaimMachine has the cloud take a machine, after a notice if there is time for one.
+// reclaimMachine has the cloud reclaim a machine, after a notice unless that is 0.
 func (sim *Simulation) reclaimMachine(w *worker, notice time.Duration) {
 	if notice > 0 {
 		w.announceReclaim(notice)
@@ -95,52 +95,52 @@
 const longerThanLease = 26 * time.Second // longer than a worker's lease
 
 var moveFaults = []moveFault{
-	{name: "leader killed with a second node down", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "leader and another node crash", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.peerOf(l).crash(12 * time.Second)
 			sim.expectNewLeader(l)
 			l.crash(9 * time.Second)
 		}},
-	{name: "leader back within a second", expectedEvents: []eventName{newTermEvent},
+	{name: "leader restarts within a second", expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			sim.peerOf(l).crash(700 * time.Millisecond)
 			l.crash(300 * time.Millisecond)
 		}},
-	{name: "leader stands still", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "leader paused", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			l.pauseFor(15 * time.Second)
 		}},
-	{name: "leader cut from the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "leader loses the store alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, storeParty, sim.cfg.Seed%2 == 0, 15*time.Second)
 		}},
-	{name: "leader refused by the state service alone", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "leader rejected by the store alone", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
 		}},
-	{name: "leader cut from everything, a second node down", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "leader partitioned, another node crashes", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.peerOf(l).crash(20 * time.Second)
 			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 18*time.Second)
 		}},
-	{name: "lead handed over", links: true, expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "handover", links: true, expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
 		}},
-	{name: "all nodes end and one is back", expectedEvents: []eventName{newTermEvent},
+	{name: "all nodes crash and one restarts", expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			for i, n := range sim.nodes {
 				n.crash(time.Duration(1+15*i) * time.Second)
 			}
 		}},
-	{name: "the version in production takes the lead", legacyNodes: 2,
+	{name: "legacy node becomes leader", legacyNodes: 2,
 		expectedEvents: []eventName{leaderReplacedEvent, legacyNodeLeadsEvent}, inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.onNextLeader(l, func(n *node) {
@@ -150,7 +150,7 @@
 			})
 			l.crash(12 * time.Second)
 		}},
-	{name: "state service down", inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
+	{name: "store down", inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 		sim.store.downUntil = sim.now.Add(10 * time.Second)
 	}},
 	{name: "source hangs", inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
@@ -161,7 +161,7 @@
 		_, to := sim.moveEndpoints(m)
 		to.hangFor(longerThanLease)
 	}},
-	{name: "source and destination cut off, and the leader killed", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "source and destination partitioned, leader crashes", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, to := sim.moveEndpoints(m)
 			sim.disconnect(string(from.id), anyParty, sim.cfg.Seed%2 == 0, 12*time.Second)
@@ -169,18 +169,18 @@
 			sim.expectNewLeader(l)
 			l.crash(5 * time.Second)
 		}},
-	{name: "source hears nobody, and the lead changes", expectedEvents: []eventName{leaderReplacedEvent},
+	{name: "source cannot receive, leader changes", expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
 			sim.expectNewLeader(l)
 			sim.schedule(2*time.Second, func() { l.crash(3 * time.Second) })
 		}},
-	{name: "source reaches nobody", inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
+	{name: "source cannot send", inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 		from, _ := sim.moveEndpoints(m)
 		sim.blockOutbound(from, longerThanLease)
 	}},
-	{name: "destination taken back, and the leader killed",
+	{name: "destination reclaimed, leader crashes",
 		expectedEvents: []eventName{machineReclaimedEvent, leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			_, to := sim.moveEndpoints(m)
@@ -188,7 +188,7 @@
 			sim.expectNewLeader(l)
 			l.crash(4 * time.Second)
 		}},
-	{name: "source gets a spot notice", stopsOtherTasks: true, expectedEvents: []eventName{machineReclaimedEvent},
+	{name: "source gets a reclaim notice", stopsOtherTasks: true, expectedEvents: []eventName{machineReclaimedEvent},
 		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.reclaimMachine(from, 5*time.Second)
@@ -198,10 +198,10 @@
 			sim.cancelWhenAccepted(sim.jobOf(m), nil)
 			sim.countEvent(jobCancelledEvent)
 		}},
-	{name: "cancelled at another node, then nobody is served",
+	{name: "cancelled at the next leader, then an outage",
 		expectedEvents: []eventName{leaderReplacedEvent, cancellationConfirmedEvent},
 		inject:         cancelThenOutage},
-	{name: "records late, after newer ones, and the lead changes",
+	{name: "writes delayed, leader changes",
 		expectedEvents: []eventName{leaderReplacedEvent, lateWriteEvent}, inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
@@ -209,14 +209,14 @@
 			sim.expectNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		}},
-	{name: "answers to records lost, and the lead changes", expectedEvents: []eventName{leaderReplacedEvent, replyDroppedEvent},
+	{name: "replies to writes lost, leader changes", expectedEvents: []eventName{leaderReplacedEvent, replyDroppedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
 			sim.expectNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		}},
-	{name: "reports of before the move come to the next leader",
+	{name: "heartbeats from before the move reach the next leader",
 		expectedEvents: []eventName{leaderReplacedEvent, heldHeartbeatDeliveredEvent}, inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
@@ -224,7 +224,7 @@
 			sim.expectNewLeader(l)
 			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
 		}},
-	{name: "commands held up, and the leader back within a second",
+	{name: "commands delayed, leader restarts within a second",
 		expectedEvents: []eventName{newTermEvent, commandDelayedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
@@ -232,7 +232,7 @@
 			sim.expectNewTerm(l)
 			sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
 		}},
-	{name: "work of higher priority wants the room", stopsOtherTasks: true, expectedEvents: []eventName{urgentJobsEvent},
+	{name: "preemption by critical services", stopsOtherTasks: true, expectedEvents: []eventName{urgentJobsEvent},
 		inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 			for range 6 {
 				sim.submitJob(func(s *api.Spec) {
@@ -244,8 +244,8 @@
 		}},
 }
 
-// cancelThenOutage has the leader refused alone, the moved job cancelled at the next leader, and then
-// the state service down for all for longer than a cancellation may take.
+// cancelThenOutage has the store reject the leader alone, the moved job cancelled at the next leader, and then the
+// store down for longer than a cancellation may take.
 func cancelThenOutage(sim *Simulation, l *node, m controller.MoveEntry) {
 	sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
 	j := sim.jobOf(m)
@@ -263,8 +263,8 @@
 	})
 }
 
-// delayPlacementAfterStop keeps the next move that stops its task from being placed for a while: what the
-// leader writes is refused, and it knows that.
+// delayPlacementAfterStop delays the placement of the next task that is stopped for a move: the store rejects what the
+// leader writes meanwhile.
 func (sim *Simulation) delayPlacementAfterStop() {
 	sim.onMoveState(migration.Stopping, func(l *node, _ controller.MoveEntry) {
 		sim.store.rejectUntil[l.name] = sim.now.Add(1800 * time.Millisecond)
@@ -273,7 +273,7 @@
 	})
 }
 
-// runMoveFault plays a day on which something goes wrong in a state of a move.
+// runMoveFault runs a simulation with a fault during a move in a state.
 func runMoveFault(f moveFault, state migration.State, seed uint64) *Simulation {
 	cfg := rebalancingConfig(seed)
 	cfg.LinkMonitoring, cfg.LegacyNodes = f.links, f.legacyNodes
@@ -294,7 +294,7 @@
 	return sim
 }
 
-// crashUntilNewVersionLeads kills old nodes that lead until a new one does.
+// crashUntilNewVersionLeads crashes legacy leaders until a node of the new version leads.
 func (sim *Simulation) crashUntilNewVersionLeads() {
 	l := sim.leader()
 	if l != nil && !l.env.legacy {
@@ -306,9 +306,9 @@
 	sim.schedule(3*time.Second, sim.crashUntilNewVersionLeads)
 }
 
-// TestMovesWithFaultInEachState: in each state of a move controllers end, stand still, are cut off or
-// hand over, machines stop answering or go, records and reports come late, and jobs are
-// cancelled. No task runs twice, none is lost, no job is moved a third time, and all work ends.
+// TestMovesWithFaultInEachState: in each state of a move controllers crash, are paused, partitioned or hand over,
+// machines hang or go, writes and heartbeats are late, and jobs are cancelled. No task runs twice, none is lost, no job
+// is moved a third time, and all work ends.
 func TestMovesWithFaultInEachState(t *testing.T) {
 	t.Parallel()
 	for _, f := range moveFaults {
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// runWithPauses plays a day on which processes stand still for up to 12 s in the middle of
-// what they do, a few of them at a time, while jobs come one a second, are cancelled,
-// and asked about at all nodes.
+// runWithPauses runs a simulation in which processes pause for up to 12 s in the midst of events, while jobs are
+// submitted and cancelled every second.
 func runWithPauses(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, NoArrivals: true, ActiveDuration: 150 * time.Second})
 	sim.submitBaseLoad(5)
@@ -24,11 +23,10 @@
 	return sim
 }
 
-// TestProcessPausesWithinEvents: a process that stands still between a decision and what follows
-// from it acts on nothing old when it moves again: no rule breaks, no node's answer is
-// older than another's, and no task is started by a node that may not lead any more.
-// Without the limits on what goes out such tasks are. (An answer to a user that goes out
-// late can't be noticed: it was asked for before the other one was given.)
+// TestProcessPausesWithinEvents: a process that is paused between a decision and its effects acts on nothing old
+// afterwards: no invariant is violated, no answer is older than another node's, and no task is launched by a node that
+// may not lead any more. An answer that is itself delayed does not count as older, as it was asked for before the other
+// one was given.
 func TestProcessPausesWithinEvents(t *testing.T) {
 	t.Parallel()
 	leaders := 0
@@ -41,13 +39,13 @@
 		}
 	}
 	if leaders < 60 {
-		t.Errorf("leaders stood still %d times within an event", leaders)
+		t.Errorf("leaders were paused %d times within an event", leaders)
 	}
 	launches := 0
 	for seed := uint64(0); seed < 10 && launches == 0; seed++ {
 		launches += runWithPauses(seed, IgnoreSendDeadlines).eventCounts[launchWithoutLeadershipEvent]
 	}
 	if launches == 0 {
-		t.Error("without the limits no launch was sent without leadership: the test shows nothing")
+		t.Error("without send deadlines no launch was sent without leadership: the test shows nothing")
 	}
 }
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/settings"
 )
 
-// runMoveScenario plays days of one kind and checks each; it returns how many moves were recorded.
+// runMoveScenario runs a scenario with each seed, checks the runs, and returns the number of recorded moves.
 func runMoveScenario(t *testing.T, seeds uint64, inject func(sim *Simulation)) (moves int) {
 	t.Helper()
 	for seed := range seeds {
@@ -27,29 +27,28 @@
 	return moves
 }
 
-// tuneForFrequentMoves has moves made as often as can be.
+// tuneForFrequentMoves has moves made as often as possible.
 func tuneForFrequentMoves(t *settings.Tuning) {
 	t.PlanInterval = time.Second
 	t.Migration.LeaderSettleTime, t.Migration.MinTaskWait, t.Migration.MinRunTime = time.Second, 500*time.Millisecond, 0
 	t.Migration.Cluster, t.Migration.Zone, t.Migration.Team, t.Migration.MinGainFactor = 20, 20, 20, 1
 }
 
-// TestMovesUnderFaults plays days on which moves pay amid faults of all kinds, several at
-// once, with jobs that come and are cancelled: every rule holds, no job is moved a third time,
-// and all work ends.
+// TestMovesUnderFaults runs moves during faults of all kinds, several at once, with jobs that arrive and are cancelled:
+// every invariant holds, no job is moved a third time, and all work ends.
 func TestMovesUnderFaults(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(24) {
 		cfg := rebalancingConfig(seed)
-		cfg.ZoneCapacity = 4 // with fewer, arrays may wait beside the room that is kept for services
+		cfg.ZoneCapacity = 4 // with fewer, arrays may wait for the capacity that is kept for services
 		cfg.Faults, cfg.ConcurrentFaults, cfg.LinkMonitoring, cfg.NoArrivals = true, seed%2 == 1, seed%4 > 1, false
 		if seed%3 > 0 {
 			cfg.Tune = tuneForFrequentMoves
 		}
-		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // the long tasks may begin anew late
+		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // long tasks may restart late
 		if cfg.SlowMachines = int(seed % 2); cfg.SlowMachines > 0 {
-			cfg.QuiescentDuration = 20 * time.Minute // or end on the slow machine
+			cfg.QuiescentDuration = 20 * time.Minute // or complete on the slow machine
 		}
 		sim := New(cfg)
 		sim.fragmentFleet(4)
@@ -61,20 +60,20 @@
 	}
 	t.Logf("%d moves", moves)
 	if moves < 60 {
-		t.Errorf("only %d moves in all: the test shows little", moves)
+		t.Errorf("only %d moves in all: the test proves little", moves)
 	}
 }
 
 const (
-	// convergenceTime is within what time of a flood's beginning the load must have evened out, and
-	// maxImbalance what imbalance counts as even then, on average over half a minute.
+	// convergenceTime is how long after the start of a flood the load must have evened out: the mean imbalance of the next
+	// half a minute is at most maxImbalance.
 	convergenceTime = time.Minute
 	maxImbalance    = 0.45
 )
 
-// TestLoadConverges: fifty machines, one team that floods while the others submit small and
-// large work, with the settings of deploy/moves.sexp: within a minute the load has evened out,
-// though a controller dies meanwhile, and no job is moved more than twice.
+// TestLoadConverges: on fifty machines one team floods while the others submit small and large tasks, with the settings
+// of deploy/moves.sexp. Within a minute the load has evened out, though the leader crashes meanwhile, and no job is
+// moved more than twice.
 func TestLoadConverges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -99,8 +98,8 @@
 	}
 }
 
-// TestFloodEndsAsMovesBegin: the flood ends at the moment in which the first move begins.
-// Whatever was not stopped yet stays where it is, and nothing swings back.
+// TestFloodEndsAsMovesBegin: the flood ends as the first move begins. Tasks that were not stopped yet stay where they
+// are, and nothing moves back.
 func TestFloodEndsAsMovesBegin(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -132,14 +131,14 @@
 	}
 }
 
-// TestNoMovesWithoutGain: where no move can pay, nothing is moved.
+// TestNoMovesWithoutGain: where no move can gain, nothing is moved.
 func TestNoMovesWithoutGain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name string
-		play func(sim *Simulation)
+		name   string
+		inject func(sim *Simulation)
 	}{
-		{"all machines are hot", func(sim *Simulation) {
+		{"all machines are loaded", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
 					sim.submitJob(makeNarrow, 150*time.Second)
@@ -151,7 +150,7 @@
 				}
 			})
 		}},
-		{"tasks that never save have run for long", func(sim *Simulation) {
+		{"tasks without checkpoints have run for long", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
 					j := sim.submitJob(func(s *api.Spec) {
@@ -165,7 +164,7 @@
 				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
 			})
 		}},
-		{"the wide job fails everywhere", func(sim *Simulation) {
+		{"the wide job fails on every machine", func(sim *Simulation) {
 			sim.fragmentFleet(0)
 			sim.scheduleAt(wideTasksAt, func() {
 				j := sim.submitJob(func(s *api.Spec) {
@@ -179,16 +178,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if n := runMoveScenario(t, 2, c.play); n > 0 {
+			if n := runMoveScenario(t, 2, c.inject); n > 0 {
 				t.Errorf("%d moves", n)
 			}
 		})
 	}
 }
 
-// TestPulsingLoadDoesNotOscillate: wide work comes and goes at the period of the planner, with estimates that
-// are wrong by half in either direction. No job is moved more than twice, and no task comes
-// back to a machine that a move took it from.
+// TestPulsingLoadDoesNotOscillate: wide tasks arrive and end at the interval of the planner, with estimates that are
+// wrong by half in either direction. No job is moved more than twice, and no task returns to a machine that a move took
+// it from.
 func TestPulsingLoadDoesNotOscillate(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 6, func(sim *Simulation) {
@@ -219,7 +218,7 @@
 		})
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
@@ -254,8 +253,7 @@
 	}
 }
 
-// TestEveryNodeReportsMoves: the leader tells of a move under way, and each other node of what is
-// on record of it.
+// TestEveryNodeReportsMoves: the leader reports a move under way, and the other nodes report its record.
 func TestEveryNodeReportsMoves(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -281,8 +279,7 @@
 	}
 }
 
-// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for as long as the settings
-// say, and does so then.
+// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for LeaderSettleTime, and does so afterwards.
 func TestNoMovesSoonAfterElection(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -302,12 +299,12 @@
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
-// TestReservedCapacityGoesToItsTask: while small tasks that would fit into the room that a move
-// makes come all the time, the task that it was made for gets it.
+// TestReservedCapacityGoesToItsTask: small tasks that would fit into the capacity freed by a move arrive all the time,
+// and the task that it was freed for gets it.
 func TestReservedCapacityGoesToItsTask(t *testing.T) {
 	t.Parallel()
 	arrived := 0
@@ -331,17 +328,17 @@
 			}
 			arrived++
 			if *m.RealisedGainS < 0 {
-				t.Errorf("seed %d: %s was moved for %s, which did not get the room", seed, m.Task, m.For)
+				t.Errorf("seed %d: %s was moved for %s, which did not get the capacity", seed, m.Task, m.For)
 			}
 		}
 	}
 	if arrived == 0 {
-		t.Error("no move arrived: the test shows nothing")
+		t.Error("no move arrived: the test proves nothing")
 	}
 }
 
-// TestImagesEvictEachOther: the machines hold two images and the work has four, so that a move
-// fetches an image and costs another one its place. Nothing is moved to and fro for it.
+// TestImagesEvictEachOther: machines hold two images and there are four, so that a move fetches an image and evicts
+// another. Nothing moves back and forth for it.
 func TestImagesEvictEachOther(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 4, func(sim *Simulation) {
@@ -363,12 +360,12 @@
 		}
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
-// TestUnreadableMoveRecord: a record of moves that can't be read keeps its job from being moved, and
-// the leader leads on.
+// TestUnreadableMoveRecord: a record of moves that cannot be decoded keeps its job from being moved, and the leader
+// continues.
 func TestUnreadableMoveRecord(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -397,8 +394,7 @@
 	}
 }
 
-// TestMoveRecordsAreDeleted: the records of jobs that are over are deleted, by later terms as well,
-// and by none before.
+// TestMoveRecordsAreDeleted: the records of ended jobs are deleted, by later terms as well, and none before.
 func TestMoveRecordsAreDeleted(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -411,11 +407,11 @@
 		moves += sim.Moves
 		for path := range sim.store.keys {
 			if id, ok := jobOfMoveKey(path); ok {
-				t.Errorf("seed %d: the moves of %s are left", seed, id)
+				t.Errorf("seed %d: the record of moves of %s is left", seed, id)
 			}
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -9,31 +9,31 @@
 	"opaldale/internal/migration"
 )
 
-// replaysPerScenario is how many days of each kind the test plays.
+// replaysPerScenario is how many runs of each scenario the test makes.
 const replaysPerScenario = 3
 
-// expectation is what days of a kind must have come to, in all.
+// expectation is what the runs of a scenario must lead to, in total.
 type expectation struct {
 	what  string
 	count func(sim *Simulation) int
 	least int
 }
 
-// took counts what happened under a name.
+// counted expects an event.
 func counted(name eventName, least int) expectation {
 	return expectation{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
 }
 
 var (
-	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first and one more each run
+	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first term and one more in each run
 	gangRan      = expectation{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
-	moveRecorded = expectation{"move on record", func(sim *Simulation) int { return sim.Moves }, 1}
-	lostOneWay   = expectation{"message lost one way", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
+	moveRecorded = expectation{"move recorded", func(sim *Simulation) int { return sim.Moves }, 1}
+	lostOneWay   = expectation{"message lost in one direction", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
 	tasksStarted = expectation{"task started", func(sim *Simulation) int { return sim.TaskStarts }, 20 * replaysPerScenario}
 	upgraded     = expectation{"format level raised", upgradesOf, replaysPerScenario}
 )
 
-// upgradesOf returns 1 if the newest format is in use at the end.
+// upgradesOf returns 1 if the newest format level is in use at the end.
 func upgradesOf(sim *Simulation) int {
 	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 		level != ident.NewestFormatLevel {
@@ -42,12 +42,12 @@
 	return 1
 }
 
-// replayExpectations are what the kinds of days are for.
+// replayExpectations are those of each scenario.
 var replayExpectations = map[string][]expectation{
 	"faults":            {leaderChange},
 	"concurrent-faults": {leaderChange},
 	"gangs": {gangRan, counted(newTermEvent, 1), counted(reclaimNoticeEvent, 1),
-		{"gang stopped in order", func(sim *Simulation) int { return sim.GangStops }, 1}},
+		{"gang stopped to checkpoint", func(sim *Simulation) int { return sim.GangStops }, 1}},
 	"links":    {counted(rowsSentEvent, 100), lostOneWay, leaderChange},
 	"handover": {counted(handoverAnnouncedEvent, 1), lostOneWay},
 	"moves": {moveRecorded, counted(moveEndEvent(migration.Arrived.String()), 1),
@@ -71,8 +71,8 @@
 	"overload":     {counted(linkSlowEvent, 50)},
 }
 
-// TestReplayScenarios: a run of each kind comes to what it is for and breaks no rule; played
-// again it has the same digest, and no other run has it.
+// TestReplayScenarios: the runs of each scenario meet its expectations and violate no invariant. Run again, a seed has
+// the same digest, and no other seed has it.
 func TestReplayScenarios(t *testing.T) {
 	t.Parallel()
 	kinds := uint64(len(replayScenarios))
@@ -100,10 +100,10 @@
 				sums[sum] = true
 			}
 			if len(sums) != replaysPerScenario {
-				t.Errorf("%d digests of %d days", len(sums), replaysPerScenario)
+				t.Errorf("%d digests of %d runs", len(sums), replaysPerScenario)
 			}
 			if len(expectations) == 1 {
-				t.Error("nothing says what these days are for")
+				t.Error("the scenario has no expectations")
 			}
 			for i, e := range expectations {
 				if totals[i] < e.least {
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// crashLeader has the leader killed, and notes the next term and whether another node leads
-// in it: one that is back at once goes on.
+// crashLeader crashes the leader, and counts events for the next term and for another node leading in it. A leader that
+// restarts at once leads again.
 func (sim *Simulation) crashLeader(restartAfter time.Duration) {
 	l := sim.leader()
 	if l == nil {
@@ -48,7 +48,7 @@
 	})
 }
 
-// waitUntil calls f as soon as something is so.
+// waitUntil calls f as soon as a condition holds.
 func (sim *Simulation) waitUntil(condition func() bool, f func()) {
 	if condition() {
 		f()
@@ -57,7 +57,7 @@
 	sim.schedule(10*time.Millisecond, func() { sim.waitUntil(condition, f) })
 }
 
-// submitBurst submits jobs from one moment to another, so that placements are under way.
+// submitBurst submits a job every 50 ms between two times, in seconds, so that placements are under way.
 func (sim *Simulation) submitBurst(from, to float64) {
 	for s := from; s < to; s += 0.05 {
 		sim.scheduleAt(s, func() { sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, 15*time.Second) })
@@ -72,7 +72,7 @@
 	})
 }
 
-// onceServing calls f once a node that leads has loaded, and can answer.
+// onceServing calls f once a node that leads has loaded its state and can answer.
 func (sim *Simulation) onceServing(n *node, f func()) {
 	leads := func() bool { return n.alive && n.controller.Election().LeaseValid() }
 	sim.waitUntil(func() bool { return !leads() || n.controller.Stats().Jobs > 0 }, func() {
@@ -82,7 +82,7 @@
 	})
 }
 
-// redirectHeartbeats has the machines of a job report to a node, as they do after a failover.
+// redirectHeartbeats has the workers of a job report to a node, as they do after a failover.
 func (sim *Simulation) redirectHeartbeats(j *userJob, to *node) {
 	for _, w := range sim.workersOf(j) {
 		for i, n := range sim.nodes {
@@ -93,7 +93,7 @@
 	}
 }
 
-// cancelAndConfirm calls up to n running jobs off at a node, and notes those that it confirmed.
+// cancelAndConfirm cancels up to n running jobs at a node, and counts those that it confirms.
 func (sim *Simulation) cancelAndConfirm(at *node, n int) {
 	for i, j := range sim.runningJobs() {
 		if i == n {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -14,9 +14,8 @@
 	return sim
 }
 
-// TestInvariantsHoldUnderFaults plays days of trouble from fixed seeds; each must keep every
-// rule at every step and bring every job to its end. On every other day the troubles of
-// the page on meetings come as well, two or three at once.
+// TestInvariantsHoldUnderFaults runs random faults with fixed seeds: every invariant holds at every step and every job
+// ends. In every other run two or three faults overlap.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(80) {
@@ -34,7 +33,7 @@
 	}
 }
 
-// TestInvariantsHoldWithoutFaults has no faults: nothing may start twice.
+// TestInvariantsHoldWithoutFaults: without faults nothing is violated either.
 func TestInvariantsHoldWithoutFaults(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 1, ActiveDuration: 200 * time.Second})
@@ -42,12 +41,12 @@
 	requireClean(t, sim)
 }
 
-// TestMutationsAreDetected shows that the checks can fail: without a safeguard,
-// some seed breaks a rule.
+// TestMutationsAreDetected shows that the checks can fail: without a safeguard, some seed violates an invariant.
 func TestMutationsAreDetected(t *testing.T) {
 	t.Parallel()
-	for name, m := range map[string]Mutation{"launch before durable": LaunchBeforeCommit, "no epoch fence": IgnoreFencingTokens,
-		"no stamp comparison": IgnoreRevisions, "polls starve": StarvePolls, "copies count as new": AcceptStaleHeartbeats} {
+	for name, m := range map[string]Mutation{"launch before commit": LaunchBeforeCommit, "no fencing tokens": IgnoreFencingTokens,
+		"no revision comparison": IgnoreRevisions, "polls starved": StarvePolls,
+		"stale heartbeats accepted": AcceptStaleHeartbeats} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
@@ -56,19 +55,18 @@
 					return
 				}
 			}
-			t.Fatal("no seed noticed")
+			t.Fatal("no seed detects it")
 		})
 	}
 }
 
-// cancelInPartitionedZone plays a zone that is cut off for longer than any lease may be kept,
-// while its users cancel what runs there.
+// cancelInPartitionedZone partitions a zone for longer than any lease may be kept, while users cancel what runs there.
 func cancelInPartitionedZone(seed uint64, m Mutation) (sim *Simulation, cancelled int) {
 	sim = New(Config{Seed: seed, Mutation: m, ActiveDuration: 220 * time.Second})
 	sim.schedule(70*time.Second, func() {
 		zone := sim.nodes[1].zone
 		if l := sim.leader(); l == nil || l.zone == zone {
-			return // the leader would be inside
+			return // the leader is inside
 		}
 		sim.partitionZone(zone, false, 120*time.Second)
 		sim.schedule(3*time.Second, func() {
@@ -89,8 +87,8 @@
 	return sim, cancelled
 }
 
-// TestKeptLeasesExpire: nodes that are cut off with workers keep their leases no longer than
-// a cancellation may take; without that bound the checks notice.
+// TestKeptLeasesExpire: nodes that are partitioned with workers renew their leases no longer than a cancellation may
+// take. The checks detect the lack of that bound.
 func TestKeptLeasesExpire(t *testing.T) {
 	t.Parallel()
 	cancelled, detected := 0, false
@@ -102,11 +100,11 @@
 		detected = detected || len(sim.Violations) > 0
 	}
 	if cancelled == 0 || !detected {
-		t.Errorf("%d jobs were cancelled; keeping leases without end was noticed: %v", cancelled, detected)
+		t.Errorf("%d jobs were cancelled; unbounded leases were detected: %v", cancelled, detected)
 	}
 }
 
-// TestRunsAreDeterministic checks that a seed always plays the same day.
+// TestRunsAreDeterministic checks that two runs with a seed are the same.
 func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	a, b := runWithFaults(3, None), runWithFaults(3, None)
@@ -125,8 +123,8 @@
 	}
 }
 
-// TestLeaderReachingOnlyStoreIsReplaced: a leader that only the state service hears keeps its lease;
-// it must leave the lead to a node that users and machines can reach.
+// TestLeaderReachingOnlyStoreIsReplaced: a leader that reaches only the store could keep its lease; it must give way to
+// a node that users and machines can reach.
 func TestLeaderReachingOnlyStoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
@@ -142,13 +140,13 @@
 				return
 			}
 		}
-		t.Error("nobody else leads 7 s after the cut")
+		t.Error("no other node leads 7 s after the partition")
 	})
 	sim.Run()
 	requireClean(t, sim)
 }
 
-// largeJobsStartedLate lists the jobs of the largest tasks that did not begin in time.
+// largeJobsStartedLate lists the jobs with the largest tasks that did not start in time, and counts all of these jobs.
 func largeJobsStartedLate(sim *Simulation) (out []string, large int) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -163,9 +161,8 @@
 	return
 }
 
-// TestLargeJobsAreNotStarved: more small jobs than a team's limit takes don't keep large
-// ones waiting, nor those of a team without a guarantee, though small ones go
-// first as long as they can.
+// TestLargeJobsAreNotStarved: more small jobs than the limit of a team admits neither starve large ones nor those of a
+// team without a guarantee, though small ones go first as long as possible.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second})
@@ -191,14 +188,13 @@
 	sim = New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second, Mutation: NoMaxWait})
 	sim.Run()
 	if ids, _ := largeJobsStartedLate(sim); len(ids) == 0 {
-		t.Error("without the bound no large job is late: the test shows nothing")
+		t.Error("without the bound no large job is late: the test proves nothing")
 	}
 }
 
-// TestLeaderReachingOnlyWorkersIsReplaced: a leader that loses the state service and its siblings
-// says so at /up, and its workers keep their tasks: they are answered until they show
-// a successor's token, and then go to another node. Answered on, they would drop the
-// answers and lose their tasks with their leases.
+// TestLeaderReachingOnlyWorkersIsReplaced: a leader that loses the store and its peers reports so at /up, and its
+// workers keep their tasks: it answers them until they show a successor's token, when they turn to another node. If it
+// went on, they would drop its answers as fenced and lose their tasks with their leases.
 func TestLeaderReachingOnlyWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
@@ -216,14 +212,14 @@
 	})
 	sim.schedule(67*time.Second, func() {
 		if old.controller.Healthy() {
-			t.Error("/up says yes 7 s after the cut")
+			t.Error("/up reports health 7 s after the partition")
 		}
 		led := false
 		for _, n := range sim.nodes {
 			led = led || n != old && n.controller.Election().LeaseValid()
 		}
 		if !led {
-			t.Error("nobody else leads 7 s after the cut")
+			t.Error("no other node leads 7 s after the partition")
 		}
 	})
 	sim.Run()
@@ -231,16 +227,15 @@
 	checkNoTasksLost(t, sim)
 }
 
-// TestLeaderLosingWorkersIsReplaced: a leader that loses the workers alone leaves the lead to
-// a sibling that reaches them. It once took their silence for theirs and fenced every
-// machine with replicas within seconds.
+// TestLeaderLosingWorkersIsReplaced: a leader that loses the workers alone gives way to a peer that reaches them. It
+// must not take their silence for their failure, and fence machines with replicas.
 func TestLeaderLosingWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		var old *node
 		fenced := 0
-		busy := map[*machine]bool{} // idle ones may be returned for that
+		busy := map[*machine]bool{} // idle ones may be terminated for that
 		sim.schedule(80*time.Second, func() {
 			old = sim.leader()
 			sim.disconnect(old.name, machines, seed%2 == 0, 41*time.Second)
@@ -253,7 +248,7 @@
 		})
 		sim.schedule(92*time.Second, func() {
 			if n := sim.leader(); n == nil || n == old {
-				t.Errorf("seed %d: nobody else leads 12 s after the cut", seed)
+				t.Errorf("seed %d: no other node leads 12 s after the partition", seed)
 			}
 			for _, m := range sim.cloud.machines {
 				if m.terminatedAt == 0 && busy[m] {
@@ -261,7 +256,7 @@
 				}
 			}
 			if fenced < -1 {
-				t.Errorf("seed %d: %d machines were returned", seed, -fenced)
+				t.Errorf("seed %d: %d machines were terminated", seed, -fenced)
 			}
 		})
 		sim.Run()
@@ -269,8 +264,8 @@
 	}
 }
 
-// TestTasksSurviveZonePartition: in a zone that is cut off for less than a lease and the grace, work
-// goes on, whether the leader is inside or a node that keeps leases for it.
+// TestTasksSurviveZonePartition: in a zone that is partitioned for less than a lease and its grace period tasks keep
+// running, whether the leader is inside or a node that renews leases for it.
 func TestTasksSurviveZonePartition(t *testing.T) {
 	t.Parallel()
 	kept := uint64(0)
@@ -302,13 +297,12 @@
 		checkNoTasksLost(t, sim)
 	}
 	if kept == 0 {
-		t.Error("no node kept: the test shows nothing")
+		t.Error("no node kept leases: the test proves nothing")
 	}
 }
 
-// TestLeaderCrashDuringStoreOutage: with the state service down nobody can follow a leader that
-// dies; the others keep leases for it, and no worker loses its lease before the service is
-// back, for as long as lease and grace last together.
+// TestLeaderCrashDuringStoreOutage: during an outage of the store no node can succeed a leader that crashes. The others
+// renew leases for it, and no worker loses its lease for as long as lease and grace period last together.
 func TestLeaderCrashDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 3, ActiveDuration: 160 * time.Second})
@@ -332,12 +326,12 @@
 	requireClean(t, sim)
 	checkNoTasksLost(t, sim)
 	if kept == 0 {
-		t.Error("no node kept: the test shows nothing")
+		t.Error("no node kept leases: the test proves nothing")
 	}
 }
 
-// TestPausedLeaderIsReplaced: a leader that stands still wakes with its lease over: it launches
-// nothing, a sibling has led meanwhile, and no machine is fenced for what it missed.
+// TestPausedLeaderIsReplaced: a leader that was paused finds its lease expired: it launches nothing, a peer has led
+// meanwhile, and no machine is fenced for what the leader missed.
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -349,13 +343,13 @@
 		})
 		sim.schedule(76*time.Second, func() {
 			if n := sim.leader(); n == nil || n == old {
-				t.Errorf("seed %d: nobody else leads 6 s after the leader froze", seed)
+				t.Errorf("seed %d: no other node leads 6 s after the pause", seed)
 			}
 		})
 		for ms := 112_000; ms < 114_000; ms += 10 {
 			sim.schedule(time.Duration(ms)*time.Millisecond+time.Microsecond, func() {
 				if old.controller.Election().LeaseValid() {
-					t.Errorf("seed %d: the woken node thinks that it leads", seed)
+					t.Errorf("seed %d: the node believes after its pause that it leads", seed)
 				}
 			})
 		}
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -9,12 +9,12 @@
 	"opaldale/internal/settings"
 )
 
-// TestSlowMachineIsEvacuated: a machine that takes four times as long is found by the ends of short
-// tasks; nothing more is placed on it, what gains by it is moved, and it is returned once it is
-// empty. Controllers fail meanwhile, and no other machine is taken for slow.
+// TestSlowMachineIsEvacuated: a machine that takes four times as long is detected by the ends of short tasks. Nothing
+// more is placed on it, tasks that gain are moved away, and it is terminated once it is empty. Leaders crash meanwhile,
+// and no other machine is taken for slow.
 func TestSlowMachineIsEvacuated(t *testing.T) {
 	t.Parallel()
-	left := 0
+	evacuated := 0
 	for seed := range uint64(4) {
 		sim := slowMachineScenario(seed, settings.RebalanceMove, 1)
 		var slow *worker
@@ -50,19 +50,18 @@
 			continue
 		}
 		if sim.eventCounts[slowMachineEvacuatedEvent] > 0 {
-			left++
+			evacuated++
 			if !slow.dead {
-				t.Errorf("seed %d: the slow machine is still there", seed)
+				t.Errorf("seed %d: the slow machine is not terminated", seed)
 			}
 		}
 	}
-	if left < 2 {
-		t.Errorf("the slow machine was left on %d days", left)
+	if evacuated < 2 {
+		t.Errorf("the slow machine was evacuated in %d runs", evacuated)
 	}
 }
 
-// checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has
-// found it to be slow.
+// checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has detected that it is slow.
 func (sim *Simulation) checkNoStartsOn(w *worker) {
 	found := ident.Never
 	sim.every(200*time.Millisecond, func() bool {
@@ -80,7 +79,7 @@
 	})
 }
 
-// TestUniformMachinesAreNotSlow: where all machines are alike, and their tasks differ, none is called slow.
+// TestUniformMachinesAreNotSlow: where all machines are alike and tasks differ, none is taken for slow.
 func TestUniformMachinesAreNotSlow(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -16,8 +16,8 @@
 	return links
 }
 
-// TestUnidirectionalLinkFlaps: each directed link of the leader breaks for a part of every few seconds,
-// for minutes. No rule is broken, and all work ends.
+// TestUnidirectionalLinkFlaps: each directed link of the leader flaps for two minutes. No invariant is violated, and
+// all work ends.
 func TestUnidirectionalLinkFlaps(t *testing.T) {
 	t.Parallel()
 	for i := range 10 {
@@ -47,9 +47,8 @@
 	}
 }
 
-// TestLeaderIsReplacedWhenStoreRepliesAreLost: the leader's renewals reach the state service, and their answers don't
-// come back. Somebody else leads within seconds. (The renewals were carried out, so that the
-// lease lived on with a leader that could not be sure of it, for as long as the break.)
+// TestLeaderIsReplacedWhenStoreRepliesAreLost: the leader's lease renewals reach the store, but the replies are lost.
+// Another node leads within seconds: a lease that the leader cannot rely on must not live on.
 func TestLeaderIsReplacedWhenStoreRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -61,7 +60,7 @@
 		})
 		sim.scheduleAt(66, func() {
 			if n := sim.leader(); n == nil || n == old {
-				t.Errorf("seed %d: nobody else leads 6 s after the answers were cut off", seed)
+				t.Errorf("seed %d: no other node leads 6 s after the replies were lost", seed)
 			}
 		})
 		sim.Run()
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -94,7 +94,8 @@
 		return
 	}
 	w.whenResponsive(func() {
-		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= time.Duration(w.sim.settings.Workers.HeartbeatS*900)*time.Millisecond {
+		interval := time.Duration(w.sim.settings.Workers.HeartbeatS*900) * time.Millisecond // a little less than announced
+		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= interval {
 			w.sendHeartbeat()
 		}
 	})
