--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -75,41 +75,45 @@
 // the same digest, and no other seed has it.
 func TestReplayScenarios(t *testing.T) {
 	t.Parallel()
-	kinds := uint64(len(replayScenarios))
-	for kind := range kinds {
-		name := replayScenarios[kind].name
-		t.Run(name, func(t *testing.T) {
+	for i, scenario := range replayScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			expectations := slices.Concat(replayExpectations[name], []expectation{tasksStarted})
+			expectations := slices.Concat(replayExpectations[scenario.name], []expectation{tasksStarted})
+			if len(expectations) == 1 {
+				t.Error("the scenario has no expectations")
+			}
 			totals := make([]int, len(expectations))
 			sums := map[string]bool{}
-			for run := range uint64(replaysPerScenario) {
-				seed := kind + run*kinds
-				_, sim := newReplay(seed)
-				sim.Run()
-				if len(sim.Violations) > 0 {
-					t.Errorf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(30))
+			for run := range replaysPerScenario {
+				sim := checkReplay(t, uint64(i+run*len(replayScenarios)), scenario.name)
+				for k, e := range expectations {
+					totals[k] += e.count(sim)
 				}
-				for i, e := range expectations {
-					totals[i] += e.count(sim)
-				}
-				sum := sim.cfg.Digest.Sum()
-				if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
-					t.Errorf("seed %d: %+v, before it was %s", seed, again, sum)
-				}
-				sums[sum] = true
+				sums[sim.cfg.Digest.Sum()] = true
 			}
 			if len(sums) != replaysPerScenario {
 				t.Errorf("%d digests of %d runs", len(sums), replaysPerScenario)
 			}
-			if len(expectations) == 1 {
-				t.Error("the scenario has no expectations")
-			}
-			for i, e := range expectations {
-				if totals[i] < e.least {
-					t.Errorf("%s: %d times, want %d", e.what, totals[i], e.least)
+			for k, e := range expectations {
+				if totals[k] < e.least {
+					t.Errorf("%s: %d times, want %d", e.what, totals[k], e.least)
 				}
 			}
 		})
 	}
 }
+
+// checkReplay runs a seed twice, and checks that nothing is violated and that both runs have the same digest.
+func checkReplay(t *testing.T, seed uint64, name string) *Simulation {
+	t.Helper()
+	_, sim := newReplay(seed)
+	sim.Run()
+	if len(sim.Violations) > 0 {
+		t.Errorf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(30))
+	}
+	sum := sim.cfg.Digest.Sum()
+	if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
+		t.Errorf("seed %d: %+v, before it was %s", seed, again, sum)
+	}
+	return sim
+}
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -27,13 +27,7 @@
 		})
 		sim.scheduleAt(30, func() {
 			sim.pollMoves(100*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
-				switch {
-				case m.Source != "leaves a slow machine":
-				case slow == nil || m.From != slow.id:
-					sim.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
-				case m.Reason == "arrived":
-					sim.countEvent(slowMachineEvacuatedEvent)
-				}
+				sim.checkEvacuation(m, slow)
 				return false
 			})
 		})
@@ -61,6 +55,17 @@
 	}
 }
 
+// checkEvacuation checks that a move of an evacuation leaves the slow machine, and counts an event when it has arrived.
+func (sim *Simulation) checkEvacuation(m controller.MoveEntry, slow *worker) {
+	switch {
+	case m.Source != "leaves a slow machine":
+	case slow == nil || m.From != slow.id:
+		sim.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
+	case m.Reason == "arrived":
+		sim.countEvent(slowMachineEvacuatedEvent)
+	}
+}
+
 // checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has detected that it is slow.
 func (sim *Simulation) checkNoStartsOn(w *worker) {
 	found := ident.Never
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -111,13 +111,7 @@
 		for s := 33.0; s < 200; s++ {
 			sim.scheduleAt(s, func() { most = max(most, len(sim.paidMachines())) })
 		}
-		sim.scheduleAt(240, func() {
-			for _, m := range sim.paidMachines() {
-				if m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
-					t.Errorf("seed %d: %s never booted and is still paid for", seed, m.id)
-				}
-			}
-		})
+		sim.scheduleAt(240, func() { checkBootedMachines(t, sim) })
 		sim.Run()
 		requireClean(t, sim)
 		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
@@ -134,6 +128,16 @@
 	}
 }
 
+// checkBootedMachines checks that no machine which never booted is kept.
+func checkBootedMachines(t *testing.T, sim *Simulation) {
+	t.Helper()
+	for _, m := range sim.paidMachines() {
+		if m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
+			t.Errorf("seed %d: %s never booted and is still paid for", sim.cfg.Seed, m.id)
+		}
+	}
+}
+
 // paidMachines lists the machines that are not terminated.
 func (sim *Simulation) paidMachines() (out []*machine) {
 	for _, m := range sim.cloud.machines {
