--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -5,16 +5,16 @@
 	"io"
 	"log/slog"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
 	"opaldale/internal/settings"
 	"opaldale/internal/simulator"
 )
 
-// perMille is the unit in which imbalance is kept in histograms.
+// perMille is the unit of imbalance in histograms.
 const perMille = 1000
 
+// floodCommand returns the command that studies a flood by one team.
 func floodCommand() *cobra.Command {
 	var seeds int
 	cmd := &cobra.Command{Use: "flood", Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing",
@@ -25,7 +25,8 @@
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			out := cmd.OutOrStdout()
-			fmt.Fprintln(out, "| mode | imbalance (p50, p90, max) | hot team's arrays done after, s (p50, p90, max) | others' | fetched GB a day | machines a day | hot, of 81 s | moves that would pay |")
+			fmt.Fprintln(out, "| mode | imbalance (p50, p90, max) | hot team's arrays done after, s (p50, p90, max) | others' "+
+				"| fetched GB a day | machines a day | hot, of 81 s | moves that would pay |")
 			fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 			for _, mode := range []settings.Rebalance{settings.RebalanceReport, settings.RebalancePlace, settings.RebalanceMove} {
 				if err := runFlood(out, mode, seeds); err != nil {
@@ -38,12 +39,10 @@
 	return cmd
 }
 
-// runFlood prints one row.
+// runFlood runs all seeds with a mode of rebalancing and prints a row.
 func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
-	outcomes := make([]simulator.LoadOutcome, seeds)
-	inParallel(seeds, func(seed int) { outcomes[seed] = simulator.StudyFlood(uint64(seed), mode) })
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
-	imbalance, hot, others := h(), h(), h()
+	outcomes := runAll(seeds, func(seed int) simulator.LoadOutcome { return simulator.StudyFlood(uint64(seed), mode) })
+	imbalance, hot, others := newHistogram(), newHistogram(), newHistogram()
 	fetched, machines, problems, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
 	for _, o := range outcomes {
 		for _, x := range o.Imbalance {
--- a/cmd/study/golden_test.go
+++ b/cmd/study/golden_test.go
@@ -44,10 +44,10 @@
 
 // TestGoldenOutcomes pins the record and the table of moves, with all of their fields set.
 func TestGoldenOutcomes(t *testing.T) {
-	day := golden.Filled[simulator.MovesOutcome](0)
-	day.Mode, day.Violations, day.Unfinished = settings.RebalanceMove, 0, 0
+	outcome := golden.Filled[simulator.MovesOutcome](0)
+	outcome.Mode, outcome.Violations, outcome.Unfinished = settings.RebalanceMove, 0, 0
 	path := filepath.Join(t.TempDir(), "moves.json")
-	if err := recordMoves(path, []simulator.MovesOutcome{day}); err != nil {
+	if err := recordMoves(path, []simulator.MovesOutcome{outcome}); err != nil {
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
@@ -56,12 +56,12 @@
 	}
 	var d golden.Document
 	d.Add("record", string(body))
-	day.Violations, day.Unfinished = 101, 102
-	d.JSON(t, "rules broken", day)
+	outcome.Violations, outcome.Unfinished = 101, 102
+	d.JSON(t, "rules broken", outcome)
 	var table strings.Builder
-	other := day
+	other := outcome
 	other.SlowMachines, other.Estimate = 0, 1.5
-	if err := writeMoves(&table, []simulator.MovesOutcome{day, other}); err != nil {
+	if err := writeMoves(&table, []simulator.MovesOutcome{outcome, other}); err != nil {
 		t.Fatal(err)
 	}
 	d.Add("table", table.String())
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -12,13 +12,13 @@
 	"opaldale/internal/simulator"
 )
 
-// linkStudy is how a link is broken, and for how long.
+// linkStudy is a way to break links: throughout a duration or, with a period, for a part of each period.
 type linkStudy struct {
 	name             string
 	duration, period time.Duration
 }
 
-// linkTotals gathers the outcomes of one link over all seeds.
+// linkTotals has the outcomes of one link over all seeds.
 type linkTotals struct {
 	lastDecision, nextPlacement             *hdrhistogram.Histogram // in ms
 	leaderChanges                           *hdrhistogram.Histogram
@@ -28,17 +28,17 @@
 }
 
 const (
-	// histogramMax is the largest time in a histogram, in ms, and histogramDigits its
-	// precision.
+	// histogramMax is the largest time in a histogram, in ms, and histogramDigits the number of significant digits.
 	histogramMax    = 3_600_000
 	histogramDigits = 3
 )
 
+// newLinkTotals returns totals without an outcome.
 func newLinkTotals() *linkTotals {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
-	return &linkTotals{lastDecision: h(), nextPlacement: h(), leaderChanges: h()}
+	return &linkTotals{lastDecision: newHistogram(), nextPlacement: newHistogram(), leaderChanges: newHistogram()}
 }
 
+// add adds the outcome of a seed.
 func (t *linkTotals) add(o simulator.LinkOutcome) error {
 	if err := t.lastDecision.RecordValue(o.LastDecision.Milliseconds()); err != nil {
 		return err
@@ -59,6 +59,7 @@
 	return nil
 }
 
+// linksCommand returns the command that studies broken links.
 func linksCommand() *cobra.Command {
 	var seeds int
 	cmd := &cobra.Command{Use: "links", Short: "Break each directed link of a leader, with the view of links off and on",
@@ -83,10 +84,11 @@
 	return cmd
 }
 
-// run prints a table with a row for each link, off and on.
+// run prints a table with two rows for each link, without and with link monitoring.
 func (s linkStudy) run(out io.Writer, seeds int) error {
 	fmt.Fprintf(out, "### %s, %d seeds\n\n", s.name, seeds)
-	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) | another places after, s (p50, p90, max) | never | changes of the lead (p50, max) | late submissions | tasks lost with leases |")
+	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) "+
+		"| another places after, s (p50, p90, max) | never | changes of the lead (p50, max) | late submissions | tasks lost with leases |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, link := range simulator.StudiedLinks {
 		for _, monitored := range []bool{false, true} {
@@ -101,11 +103,10 @@
 	return nil
 }
 
-// runSeeds plays all seeds, as many at a time as there are cores.
+// runSeeds runs all seeds with a broken link and returns their totals.
 func (s linkStudy) runSeeds(link simulator.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
-	outcomes := make([]simulator.LinkOutcome, seeds)
-	inParallel(seeds, func(seed int) {
-		outcomes[seed] = simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
+	outcomes := runAll(seeds, func(seed int) simulator.LinkOutcome {
+		return simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
 	})
 	t := newLinkTotals()
 	for _, o := range outcomes {
@@ -116,6 +117,7 @@
 	return t, nil
 }
 
+// printRow prints the totals.
 func (t *linkTotals) printRow(out io.Writer, link simulator.DirectedLink, monitored bool) {
 	view := map[bool]string{false: "off", true: "on"}[monitored]
 	fmt.Fprintf(out, "| %s to %s | %s | %s | %s | %d | %d, %d | %d of %d | %d |\n", link.From, link.To, view,
@@ -127,7 +129,7 @@
 	}
 }
 
-// formatQuantiles tells the middle, the ninth tenth and the largest of a histogram of milliseconds.
+// formatQuantiles formats the median, the 90th percentile and the maximum of a histogram of milliseconds, in seconds.
 func formatQuantiles(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return "-"
--- a/cmd/study/main.go
+++ b/cmd/study/main.go
@@ -1,5 +1,4 @@
-// Command study plays the stand-in world many times over, in simulated time, and prints the
-// distributions of what came of it, or a digest of each day.
+// Command study runs the simulator with many seeds and prints the distributions of the outcomes, or a digest of each run.
 package main
 
 import (
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -25,7 +25,7 @@
 //go:embed moves.schema.json
 var movesSchema []byte
 
-// moveCases is what is played: modes, and estimates of run times as multiples of what is true.
+// moveCases are the modes that are studied, with estimates of run times as multiples of the true ones.
 var moveCases = []struct {
 	mode     settings.Rebalance
 	estimate float64
@@ -36,6 +36,7 @@
 	{settings.RebalanceReport, 1, true}, {settings.RebalanceMove, 1, true},
 }
 
+// movesCommand returns the command that studies moves of running tasks.
 func movesCommand() *cobra.Command {
 	var seeds int
 	var recordPath, plotPath string
@@ -66,21 +67,18 @@
 	return cmd
 }
 
-// runMoves plays all days, as many at a time as there are cores.
+// runMoves runs all seeds of all cases, in their order.
 func runMoves(seeds int) []simulator.MovesOutcome {
-	outcomes := make([]simulator.MovesOutcome, seeds*len(moveCases))
-	inParallel(len(outcomes), func(i int) {
-		study := moveCases[i/seeds]
-		if seed := uint64(i % seeds); study.slow {
-			outcomes[i] = simulator.StudySlow(seed, study.mode)
-		} else {
-			outcomes[i] = simulator.StudyMoves(seed, study.mode, study.estimate)
+	return runAll(seeds*len(moveCases), func(i int) simulator.MovesOutcome {
+		seed, study := uint64(i%seeds), moveCases[i/seeds]
+		if study.slow {
+			return simulator.StudySlow(seed, study.mode)
 		}
+		return simulator.StudyMoves(seed, study.mode, study.estimate)
 	})
-	return outcomes
 }
 
-// caseName names the kind of a day.
+// caseName returns the name of the case of an outcome.
 func caseName(o simulator.MovesOutcome) string {
 	switch {
 	case o.SlowMachines > 0:
@@ -91,9 +89,11 @@
 	return fmt.Sprintf("%s, estimates times %.1f", o.Mode, o.Estimate)
 }
 
-// writeMoves prints a row for each kind of day.
+// writeMoves prints a table with a row for each case.
 func writeMoves(out io.Writer, outcomes []simulator.MovesOutcome) error {
-	fmt.Fprintln(out, "| mode | wide tasks wait, s (p50, p90, max) | other jobs done after, s (p50, p90, max) | CPU s thrown away a day | moves a day | arrived | gain of those, s, expected and realised (mean) | most stops of a job |")
+	fmt.Fprintln(out, "| mode | wide tasks wait, s (p50, p90, max) | other jobs done after, s (p50, p90, max) "+
+		"| CPU s thrown away a day | moves a day | arrived | gain of those, s, expected and realised (mean) "+
+		"| most stops of a job |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for len(outcomes) > 0 {
 		kind := caseName(outcomes[0])
@@ -109,6 +109,7 @@
 	return nil
 }
 
+// writeCase prints the row of a case.
 func writeCase(out io.Writer, name string, outcomes []simulator.MovesOutcome) error {
 	wide, narrow := newHistogram(), newHistogram()
 	moves, arrived, most, problems := 0, 0, 0, 0
@@ -138,6 +139,7 @@
 	return nil
 }
 
+// newHistogram returns an empty histogram.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, histogramMax, histogramDigits)
 }
@@ -160,7 +162,7 @@
 	return total
 }
 
-// recordMoves writes the outcomes, once they are in the form of moves.schema.json.
+// recordMoves writes outcomes that conform to moves.schema.json as JSON.
 func recordMoves(path string, outcomes []simulator.MovesOutcome) error {
 	body, err := json.MarshalIndent(outcomes, "", " ")
 	if err != nil {
@@ -172,7 +174,7 @@
 	return os.WriteFile(path, body, 0o644)
 }
 
-// validateMoves says what is wrong with recorded outcomes.
+// validateMoves returns how recorded outcomes violate moves.schema.json.
 func validateMoves(body []byte) error {
 	const name = "moves.schema.json"
 	schema, err := jsonschema.UnmarshalJSON(bytes.NewReader(movesSchema))
@@ -194,7 +196,7 @@
 	return compiled.Validate(recorded)
 }
 
-// plotMoves draws which part of the wide tasks has started within which time.
+// plotMoves plots, for each case, the share of the wide tasks that have started after a wait.
 func plotMoves(path string, outcomes []simulator.MovesOutcome) error {
 	p := plot.New()
 	p.Title.Text = "Wide tasks on a fragmented fleet (simulated)"
--- a/cmd/study/moves_test.go
+++ b/cmd/study/moves_test.go
@@ -11,15 +11,15 @@
 	"opaldale/internal/simulator"
 )
 
-// TestMovesRecord: outcomes are recorded, plotted and printed; one that breaks a rule, or isn't
-// in the form of the schema, is not recorded.
+// TestMovesRecord: outcomes are recorded, plotted and printed; one with a violation, or one that does not conform to the
+// schema, is not recorded.
 func TestMovesRecord(t *testing.T) {
-	day := simulator.StudyMoves(1, settings.RebalanceMove, 1)
+	outcome := simulator.StudyMoves(1, settings.RebalanceMove, 1)
 	path, picture := filepath.Join(t.TempDir(), "moves.json"), filepath.Join(t.TempDir(), "moves.svg")
-	if err := recordMoves(path, []simulator.MovesOutcome{day}); err != nil {
+	if err := recordMoves(path, []simulator.MovesOutcome{outcome}); err != nil {
 		t.Fatal(err)
 	}
-	if err := plotMoves(picture, []simulator.MovesOutcome{day}); err != nil {
+	if err := plotMoves(picture, []simulator.MovesOutcome{outcome}); err != nil {
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
@@ -30,11 +30,11 @@
 		t.Errorf("plot: %v", err)
 	}
 	var table strings.Builder
-	if err := writeMoves(&table, []simulator.MovesOutcome{day}); err != nil || !strings.Contains(table.String(), "| move |") {
+	if err := writeMoves(&table, []simulator.MovesOutcome{outcome}); err != nil || !strings.Contains(table.String(), "| move |") {
 		t.Errorf("%v: %s", err, table.String())
 	}
-	if day.Moves == 0 || len(day.RealisedS) == 0 {
-		t.Errorf("nothing was moved: %+v", day)
+	if outcome.Moves == 0 || len(outcome.RealisedS) == 0 {
+		t.Errorf("nothing was moved: %+v", outcome)
 	}
 	for _, change := range []func(*simulator.MovesOutcome){
 		func(o *simulator.MovesOutcome) { o.Violations = 1 },
@@ -42,7 +42,7 @@
 		func(o *simulator.MovesOutcome) { o.WideWaitS = []float64{-1} },
 		func(o *simulator.MovesOutcome) { o.Estimate = 0 },
 	} {
-		bad := day
+		bad := outcome
 		change(&bad)
 		body, err := json.Marshal([]simulator.MovesOutcome{bad})
 		if err != nil || validateMoves(body) == nil {
--- a/cmd/study/parallel.go
+++ b/cmd/study/parallel.go
@@ -5,16 +5,18 @@
 	"sync"
 )
 
-// inParallel plays n days, as many at a time as there are cores.
-func inParallel(n int, play func(i int)) {
+// runAll returns the results of n runs, as many at a time as there are cores.
+func runAll[T any](n int, run func(i int) T) []T {
+	results := make([]T, n)
 	var all sync.WaitGroup
-	turns := make(chan struct{}, runtime.NumCPU())
+	slots := make(chan struct{}, runtime.NumCPU())
 	for i := range n {
 		all.Go(func() {
-			turns <- struct{}{}
-			play(i)
-			<-turns
+			slots <- struct{}{}
+			results[i] = run(i)
+			<-slots
 		})
 	}
 	all.Wait()
+	return results
 }
--- a/cmd/study/replay.go
+++ b/cmd/study/replay.go
@@ -11,13 +11,15 @@
 	"opaldale/internal/simulator"
 )
 
-// errRulesBroken is returned when a replayed day broke a rule.
-var errRulesBroken = errors.New("rules broken")
+// errViolation is returned when a replayed run violated an invariant.
+var errViolation = errors.New("rules broken")
 
+// replayCommand returns the command that replays scenarios and prints their digests.
 func replayCommand() *cobra.Command {
 	var seed uint64
 	var days int
-	cmd := &cobra.Command{Use: "replay", Short: "Print a digest of all that the controllers send on days of trouble, to compare builds", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "replay", Args: cobra.NoArgs,
+		Short: "Print a digest of all that the controllers send on days of trouble, to compare builds",
 		Long: "Replay plays days of the stand-in world, of a kind that follows from the seed, and prints a line for each: its\n" +
 			"seed, its kind, and a SHA-256 of all that the controllers send and answer, in order. Two builds that print the\n" +
 			"same lines have behaved alike on these days.",
@@ -33,18 +35,17 @@
 	return cmd
 }
 
-// replay prints a line for each day, and what went wrong on any of them.
+// replay prints a line for each run, and returns an error for those that violated an invariant.
 func replay(out io.Writer, seed uint64, days int) error {
-	outcomes := make([]simulator.ReplayOutcome, days)
-	inParallel(days, func(i int) { outcomes[i] = simulator.Replay(seed + uint64(i)) })
-	var faults []error
+	outcomes := runAll(days, func(i int) simulator.ReplayOutcome { return simulator.Replay(seed + uint64(i)) })
+	var violations []error
 	for _, o := range outcomes {
 		if _, err := fmt.Fprintln(out, o.Seed, o.Scenario, o.Digest); err != nil {
 			return err
 		}
 		if len(o.Violations) > 0 {
-			faults = append(faults, fmt.Errorf("%w with seed %d: %v", errRulesBroken, o.Seed, o.Violations))
+			violations = append(violations, fmt.Errorf("%w with seed %d: %v", errViolation, o.Seed, o.Violations))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(violations...)
 }
--- a/cmd/study/replay_test.go
+++ b/cmd/study/replay_test.go
@@ -9,8 +9,7 @@
 	"opaldale/internal/simulator"
 )
 
-// TestReplay: a line for each day, in the order of the seeds, with the digest that the day has
-// when it is played alone.
+// TestReplay: replay prints a line for each run, in the order of the seeds, with the digest that the run has alone.
 func TestReplay(t *testing.T) {
 	const seed, days = 9, 4
 	var want strings.Builder
@@ -35,12 +34,12 @@
 	}
 }
 
-// TestReplayRefusesNoDays: at least one day must be asked for.
+// TestReplayRefusesNoDays: at least one run must be asked for.
 func TestReplayRefusesNoDays(t *testing.T) {
 	cmd := replayCommand()
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
 	cmd.SetArgs([]string{"--days", "0"})
-	if err := cmd.Execute(); err == nil || errors.Is(err, errRulesBroken) {
+	if err := cmd.Execute(); err == nil || errors.Is(err, errViolation) {
 		t.Errorf("%v", err)
 	}
 }
