--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -88,7 +88,8 @@
 func (s linkStudy) run(out io.Writer, seeds int) error {
 	fmt.Fprintf(out, "### %s, %d seeds\n\n", s.name, seeds)
 	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) "+
-		"| another places after, s (p50, p90, max) | never | changes of the lead (p50, max) | late submissions | tasks lost with leases |")
+		"| another places after, s (p50, p90, max) | never "+
+		"| changes of the lead (p50, max) | late submissions | tasks lost with leases |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, link := range simulator.StudiedLinks {
 		for _, monitored := range []bool{false, true} {
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -17,12 +17,12 @@
 const (
 	machineType = "m8"
 	machineCPUs = 8
-	// zoneCapacity is how many machines of a zone and kind there are where nothing is said.
+	// zoneCapacity is how many machines of a zone and kind there are by default.
 	zoneCapacity = 8
 	bootTime     = 100 * time.Millisecond
 )
 
-// provider is a cloud by its protocol, whose machines are workers in this process.
+// provider implements the protocol of the cloud. Its machines are workers in this process.
 type provider struct {
 	cluster  *Cluster
 	capacity int // of a zone and kind
@@ -33,6 +33,7 @@
 	machines          map[ident.MachineID]*machine
 }
 
+// machine is a machine of the cloud.
 type machine struct {
 	zone      string
 	spot      bool
@@ -71,7 +72,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hosts, known := p.provisioned[q.RequestID]
+	ids, known := p.provisioned[q.RequestID]
 	if !known {
 		have := 0
 		for _, m := range p.machines {
@@ -80,34 +81,34 @@
 			}
 		}
 		for range min(q.Count, p.capacity-have) {
-			hosts = append(hosts, p.boot(q.Zone, q.Spot))
+			ids = append(ids, p.boot(q.Zone, q.Spot))
 		}
-		if len(hosts) == 0 {
+		if len(ids) == 0 {
 			answer(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 			return
 		}
-		p.provisioned[q.RequestID] = hosts
+		p.provisioned[q.RequestID] = ids
 	}
-	answer(w, http.StatusOK, map[string]any{"hosts": hosts})
+	answer(w, http.StatusOK, map[string]any{"hosts": ids})
 }
 
-// boot starts a machine, whose worker is up a little later.
+// boot provisions a machine, whose worker starts after the time of a boot.
 func (p *provider) boot(zone string, spot bool) ident.MachineID {
 	p.lastMachineNumber++
-	host := ident.MachineID(fmt.Sprintf("host-%06d", p.lastMachineNumber))
+	id := ident.MachineID(fmt.Sprintf("host-%06d", p.lastMachineNumber))
 	m := &machine{zone: zone, spot: spot, createdAt: time.Now()}
-	p.machines[host] = m
+	p.machines[id] = m
 	time.AfterFunc(bootTime, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.machines[host] != m || p.cluster.stopped() {
+		if p.machines[id] != m || p.cluster.stopped() {
 			return
 		}
-		if k, err := newWorker(p.cluster, host, zone, spot); err == nil {
-			m.worker = k
+		if w, err := newWorker(p.cluster, id, zone, spot); err == nil {
+			m.worker = w
 		}
 	})
-	return host
+	return id
 }
 
 func (p *provider) terminateMachines(w http.ResponseWriter, r *http.Request) {
@@ -118,17 +119,17 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	for _, h := range q.Hosts {
-		p.terminate(h)
+	for _, id := range q.Hosts {
+		p.terminate(id)
 	}
 	answer(w, http.StatusOK, struct{}{})
 }
 
-// terminate ends a machine.
-func (p *provider) terminate(h ident.MachineID) {
+// terminate terminates a machine with its worker.
+func (p *provider) terminate(id ident.MachineID) {
 	p.mu.Lock()
-	m := p.machines[h]
-	delete(p.machines, h)
+	m := p.machines[id]
+	delete(p.machines, id)
 	p.mu.Unlock()
 	if m != nil && m.worker != nil {
 		m.worker.terminate()
@@ -139,46 +140,46 @@
 	since := ident.MachineID(r.URL.Query().Get("since"))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hosts := []cloud.ListedMachine{}
-	for h, m := range p.machines {
-		if h <= since {
+	list := []cloud.ListedMachine{}
+	for id, m := range p.machines {
+		if id <= since {
 			continue
 		}
-		l := cloud.ListedMachine{ID: h, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting",
+		l := cloud.ListedMachine{ID: id, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting",
 			AgeS: time.Since(m.createdAt).Seconds()}
 		if m.worker != nil {
 			l.Status, l.Addr = "running", m.worker.addr
 		}
-		hosts = append(hosts, l)
+		list = append(list, l)
 	}
-	slices.SortFunc(hosts, func(a, b cloud.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
-	answer(w, http.StatusOK, map[string]any{"hosts": hosts, "truncated": false})
+	slices.SortFunc(list, func(a, b cloud.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	answer(w, http.StatusOK, map[string]any{"hosts": list, "truncated": false})
 }
 
-// runningMachines lists the machines that are up, with nothing in use.
+// runningMachines returns the machines that have booted, each with no CPUs in use.
 func (p *provider) runningMachines() map[ident.MachineID]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	up := map[ident.MachineID]float64{}
-	for h, m := range p.machines {
+	for id, m := range p.machines {
 		if m.worker != nil {
-			up[h] = 0
+			up[id] = 0
 		}
 	}
 	return up
 }
 
-// worker returns a machine's worker, nil if it has none.
-func (p *provider) worker(h ident.MachineID) *worker {
+// worker returns the worker of a machine, nil if there is none.
+func (p *provider) worker(id ident.MachineID) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.machines[h]; m != nil {
+	if m := p.machines[id]; m != nil {
 		return m.worker
 	}
 	return nil
 }
 
-// zoneOf returns the zone whose machine is at an address, empty if none is.
+// zoneOf returns the zone of the machine at an address, "" if there is none.
 func (p *provider) zoneOf(addr string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,15 +191,15 @@
 	return ""
 }
 
-// terminateAll ends all machines.
+// terminateAll terminates all machines.
 func (p *provider) terminateAll() {
 	p.mu.Lock()
-	var hosts []ident.MachineID
-	for h := range p.machines {
-		hosts = append(hosts, h)
+	var ids []ident.MachineID
+	for id := range p.machines {
+		ids = append(ids, id)
 	}
 	p.mu.Unlock()
-	for _, h := range hosts {
-		p.terminate(h)
+	for _, id := range ids {
+		p.terminate(id)
 	}
 }
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -20,10 +20,10 @@
 	"opaldale/internal/settings"
 )
 
-// zones are those of the cluster's machines; nodes are spread over them.
+// zones are the zones of the machines, over which the nodes are spread.
 var zones = []string{"east", "west"}
 
-// The ends of links beside nodes and zones.
+// The ends of links beside the nodes, by name, and the machines, by zone.
 const (
 	Store = "state"
 	Cloud = "cloud"
@@ -40,42 +40,42 @@
 
 	mu       sync.Mutex
 	nodes    []*node
-	parties  map[string]string // who is at an address
+	parties  map[string]string // by address
 	jobs     map[ident.JobID]Workload
 	stopping bool
 }
 
-// Options say what a cluster is like.
+// Options configure a cluster.
 type Options struct {
 	Nodes int
-	// ZoneCapacity is how many machines of each zone and kind there are; 0: a few.
+	// ZoneCapacity is how many machines of each zone and kind the cloud has, by default a few.
 	ZoneCapacity int
-	// Tune changes the settings of each node.
+	// Tune changes the settings of each node. It must not be nil.
 	Tune func(*settings.Settings)
 }
 
 // Workload is what the tasks of a job do.
 type Workload struct {
-	FirstDuration time.Duration // how long the first task runs; 0: a replica
+	FirstDuration time.Duration // run time of the first task; 0: a replica
 	DurationStep  time.Duration // by which each task runs longer than the one before
-	CPUs          float64       // of each
+	CPUs          float64       // of each task, set by Submit
 }
 
-// node is one controller; its process, a server, comes and goes.
+// node is a controller, whose process is a server that can be killed and restarted.
 type node struct {
 	name     string
 	settings *settings.Settings
 	server   *server.Server
 }
 
-// Start brings a cluster up.
+// Start starts a cluster.
 func Start(o Options) (*Cluster, error) {
 	c := &Cluster{Network: NewNetwork(), Recorder: newRecorder(), parties: map[string]string{}, jobs: map[ident.JobID]Workload{},
 		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	c.provider = newProvider(c, o.ZoneCapacity)
 	kv := newStore()
 	kv.onChange = c.Recorder.recordChange
-	stateAddr, err := c.serve(Store, kv.handler())
+	storeAddr, err := c.serve(Store, kv.handler())
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.configureNodes(o.Nodes, stateAddr, cloudAddr, o.Tune); err != nil {
+	if err := c.configureNodes(o.Nodes, storeAddr, cloudAddr, o.Tune); err != nil {
 		return nil, err
 	}
 	for i := range c.nodes {
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// serve brings an outside service up.
+// serve starts a service and returns its address.
 func (c *Cluster) serve(name string, h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +107,7 @@
 	return listener.Addr().String(), nil
 }
 
-// freeAddr returns an address that nobody uses at present.
+// freeAddr returns an address that is not in use at present.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -117,20 +117,20 @@
 	return listener.Addr().String(), nil
 }
 
-// configureNodes makes the nodes' settings.
-func (c *Cluster) configureNodes(nodes int, stateAddr, cloudAddr string, tune func(*settings.Settings)) error {
+// configureNodes makes the settings of the nodes.
+func (c *Cluster) configureNodes(nodes int, storeAddr, cloudAddr string, tune func(*settings.Settings)) error {
 	for i := range nodes {
 		bind, err := freeAddr()
 		if err != nil {
 			return err
 		}
-		mesh, err := freeAddr()
+		transportAddr, err := freeAddr()
 		if err != nil {
 			return err
 		}
 		n := &node{name: fmt.Sprintf("agent-%d", i), settings: &settings.Settings{
-			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: mesh, Endpoints: settings.Endpoints{Cloud: cloudAddr,
-				Store: stateAddr},
+			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: transportAddr, Endpoints: settings.Endpoints{Cloud: cloudAddr,
+				Store: storeAddr},
 			Tuning: settings.DefaultTuning(),
 			Cluster: settings.Cluster{
 				Nodes: nodes, Zones: zones, ClockErrorBoundMS: 100,
@@ -143,7 +143,7 @@
 		}}
 		n.settings.Node = ident.NodeID(n.name)
 		tune(n.settings)
-		c.parties[bind], c.parties[mesh] = n.name, n.name
+		c.parties[bind], c.parties[transportAddr] = n.name, n.name
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// partyAt tells who is at an address: a node, a service, or the zone of a machine.
+// partyAt returns the party at an address: a node, a service, or the zone of a machine.
 func (c *Cluster) partyAt(addr string) string {
 	c.mu.Lock()
 	name, ok := c.parties[addr]
@@ -177,7 +177,7 @@
 	return names
 }
 
-// Restart brings a node's next process up.
+// Restart starts the next process of a node.
 func (c *Cluster) Restart(i int) error {
 	n := c.nodes[i]
 	s, err := server.New(n.settings, c.Network.Dialer(n.name, c.partyAt))
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// Kill ends a node's process.
+// Kill kills the process of a node.
 func (c *Cluster) Kill(i int) {
 	c.mu.Lock()
 	s := c.nodes[i].server
@@ -199,7 +199,7 @@
 	s.Close()
 }
 
-// Stop ends everything.
+// Stop stops the nodes, the machines and the services.
 func (c *Cluster) Stop() {
 	c.Network.HealAll()
 	c.mu.Lock()
@@ -224,9 +224,9 @@
 	return c.nodes[i%len(c.nodes)].settings.Bind
 }
 
-func (c *Cluster) homeNode(h ident.MachineID) uint32 {
+func (c *Cluster) homeNode(id ident.MachineID) uint32 {
 	f := fnv.New32()
-	io.WriteString(f, string(h))
+	io.WriteString(f, string(id))
 	return f.Sum32() % uint32(len(c.nodes))
 }
 
@@ -238,18 +238,18 @@
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.LeaseS)
 }
 
-// CancelDeadline is how long a cancelled job's tasks may still be there.
+// CancelDeadline returns how long tasks of a cancelled job may still run.
 func (c *Cluster) CancelDeadline() time.Duration {
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.CancelS)
 }
 
-// mayStillRun says whether a machine may still run what it did.
-func (c *Cluster) mayStillRun(h ident.MachineID) bool {
-	w := c.provider.worker(h)
+// mayStillRun reports whether tasks of a machine may still run, as its lease has not expired.
+func (c *Cluster) mayStillRun(id ident.MachineID) bool {
+	w := c.provider.worker(id)
 	return w != nil && w.mayStillRun()
 }
 
-// workload tells what a job's tasks do.
+// workload returns what the tasks of a job do.
 func (c *Cluster) workload(id ident.JobID) (Workload, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,13 +257,13 @@
 	return w, ok
 }
 
-// Answer is what a node told a user.
+// Answer is a node's reply to a user.
 type Answer struct {
-	Status int // 0: nothing
+	Status int // HTTP status, 0: no reply
 	Job    api.JobView
 }
 
-// Submit asks a node to run a job whose tasks do that work.
+// Submit submits a job with a workload at a node.
 func (c *Cluster) Submit(i int, s api.Spec, w Workload) Answer {
 	w.CPUs = s.VCPUs
 	c.mu.Lock()
@@ -276,16 +276,17 @@
 	return c.ask(i, http.MethodPost, "/v2/runs", body)
 }
 
-// Get asks a node about a job.
+// Get queries a node about a job.
 func (c *Cluster) Get(i int, id ident.JobID) Answer {
 	return c.ask(i, http.MethodGet, "/v2/runs/"+string(id), nil)
 }
 
-// Cancel asks a node to cancel a job.
+// Cancel cancels a job at a node.
 func (c *Cluster) Cancel(i int, id ident.JobID) Answer {
 	return c.ask(i, http.MethodPost, "/v2/runs/"+string(id)+"/cancel", nil)
 }
 
+// ask sends a request to a node.
 func (c *Cluster) ask(i int, method, path string, body []byte) Answer {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.nodeAddr(i)+path, bytes.NewReader(body))
 	if err != nil {
@@ -303,14 +304,14 @@
 	return a
 }
 
-// Violations returns the rules that were broken, by the workers' own record.
+// Violations returns the invariants that were violated, by the workers' own record.
 func (c *Cluster) Violations() []string {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
 	return slices.Clone(c.Recorder.violations)
 }
 
-// Moves counts the moves of running tasks that were recorded.
+// Moves returns how many moves of running tasks were recorded.
 func (c *Cluster) Moves() int {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
@@ -321,15 +322,15 @@
 	return total
 }
 
-// Load returns how many machines run tasks, how many tasks those are, and the imbalance: the
-// coefficient of variation of the CPUs in use on all machines that are up.
+// Load returns the number of machines that run tasks, the number of these tasks, and the imbalance: the coefficient of
+// variation of the CPUs in use on all machines that have booted.
 func (c *Cluster) Load() (machines, tasks int, imbalance float64) {
 	used := c.provider.runningMachines()
-	for host, list := range c.Recorder.running() {
+	for machine, list := range c.Recorder.running() {
 		machines++
 		for _, task := range list {
 			w, _ := c.workload(task.Job)
-			used[host] += w.CPUs
+			used[machine] += w.CPUs
 			tasks++
 		}
 	}
@@ -346,7 +347,7 @@
 	return machines, tasks, math.Sqrt(max(0, square/n-mean*mean)) / mean
 }
 
-// StartCount counts the starts of tasks.
+// StartCount returns how many tasks were started.
 func (c *Cluster) StartCount() int {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -15,20 +15,20 @@
 const (
 	fleetNodes   = 3
 	fleetWorkers = 50
-	// narrowCPUs and wideCPUs are what the tasks take that fill the machines, and those that
-	// then find no room; narrowTasks of the former fill a machine.
+	// narrowCPUs is the size of the tasks that fill the machines, narrowTasks to each, and wideCPUs that of the tasks that
+	// then fit on no machine.
 	narrowCPUs  = 2
 	narrowTasks = 4
 	wideCPUs    = 4
 	wideJobs    = 30
-	// narrowTaskDuration is how long the tasks run that fill the machines, but for the first of each job:
-	// longer than the test on the busiest machine, so that its course doesn't depend on that.
+	// narrowTaskDuration is how long the narrow tasks run, except the first of each job: longer than the test on a busy
+	// machine, so that the test does not depend on it.
 	narrowTaskDuration = time.Hour
 	// maxImbalance is the imbalance that the fleet must fall below.
 	maxImbalance = 0.35
 )
 
-// tuneFleet has moves begin soon, as everything here is short.
+// tuneFleet has moves begin soon, as the test is short.
 func tuneFleet(s *settings.Settings) {
 	s.Tuning.Links.Enabled = true
 	s.Tuning.Rebalance = settings.RebalanceMove
@@ -41,13 +41,14 @@
 	}
 }
 
-// fleet is a cluster of fifty workers whose machines are filled.
+// fleet is a cluster of fifty workers.
 type fleet struct {
 	*Cluster
 	rng  *rand.Rand
 	next int
 }
 
+// spec returns an array of a team.
 func (f *fleet) spec(team string, tasks int, cpus, runtime float64) api.Spec {
 	f.next++
 	return api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", f.next)), Class: "render", Team: team, Shape: api.Batch,
@@ -57,7 +58,7 @@
 		CheckpointS:      0.1}
 }
 
-// askUntil asks nodes in turn until one gives an answer that counts.
+// askUntil asks nodes in turn until one gives an accepted answer.
 func (f *fleet) askUntil(t *testing.T, ask func(node int) Answer, accepted func(Answer) bool) bool {
 	for end := time.Now().Add(userTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for node := range fleetNodes {
@@ -66,7 +67,7 @@
 			}
 		}
 	}
-	t.Error("no answer that counts")
+	t.Error("no accepted answer")
 	return false
 }
 
@@ -76,8 +77,8 @@
 	}, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
 }
 
-// fill fills all machines with jobs whose first tasks end soon: each machine then has room for
-// half of a wide task.
+// fill fills all machines with jobs whose first tasks end soon, so that each machine then has capacity for half of a wide
+// task.
 func (f *fleet) fill(t *testing.T) []ident.JobID {
 	var jobs []ident.JobID
 	for range fleetWorkers {
@@ -92,7 +93,7 @@
 	return jobs
 }
 
-// waitUntil waits for something; how long that takes is no verdict.
+// waitUntil waits for a condition, within a generous timeout.
 func (f *fleet) waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(userTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
@@ -103,11 +104,11 @@
 	}
 }
 
-// minFaults is how many controllers are ended, and how many links broken, at the least.
+// minFaults is the minimum number of controllers that are killed and of links that are broken.
 const minFaults = 3
 
-// injectFaults ends controllers one after the other, each back in half a second, and breaks links
-// in between, until it is told to stop and has done enough of either.
+// injectFaults kills controllers, which restart after half a second, and breaks links in turn, until stop is closed and
+// there were minFaults of both.
 func (f *fleet) injectFaults(t *testing.T, stop <-chan struct{}) (killed, broken int) {
 	names := f.Names()
 	for {
@@ -141,10 +142,9 @@
 	}
 }
 
-// TestFleetLoadConverges: three real controllers and fifty workers on sockets. One team floods with
-// wide tasks that find no room on any machine, while controllers end and links break: running
-// tasks are moved for them, all of them complete, no job is moved more than twice, no task is
-// in two places by the workers' own record, and the load evens out.
+// TestFleetLoadConverges: three real controllers and fifty workers on sockets. One team submits many wide tasks that fit on
+// no machine, while controllers are killed and links break. Running tasks are moved for them, all of them complete, no job
+// is moved more than twice, no task runs twice by the workers' own record, and the load evens out.
 func TestFleetLoadConverges(t *testing.T) {
 	t.Parallel()
 	const seed = 1
@@ -168,7 +168,7 @@
 	for _, id := range wide {
 		f.askUntil(t, func(n int) Answer { return f.Get(n, id) }, func(a Answer) bool { return a.Job.Status == "done" })
 		if !f.Recorder.complete(id, 1) {
-			t.Errorf("%s is called done, and is not", id)
+			t.Errorf("%s is reported as done, and is not", id)
 		}
 	}
 	close(stop)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -16,7 +16,7 @@
 
 func init() { slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) }
 
-// user submits a job, follows it to its end, and remembers what it was told.
+// user submits a job, queries it until it has ended, and checks the answers.
 type user struct {
 	id                ident.JobID
 	tasks             int
@@ -27,28 +27,27 @@
 	violations        []string
 }
 
-// userTimeout bounds how long a user asks on. It is no verdict on how fast the cluster is: all
-// links heal long before.
+// userTimeout bounds how long a user waits. It says nothing of how fast the cluster is, as all links heal long before.
 const userTimeout = 4 * time.Minute
 
 func (u *user) reportViolation(format string, args ...any) {
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// run plays the user. rng is its own.
+// run runs the user. rng is used by no one else.
 func (u *user) run(c *Cluster, rng *rand.Rand, nodes int) {
 	spec := api.Spec{ID: u.id, Class: "render", Team: []string{"red", "blue"}[rng.IntN(2)], Shape: api.Batch,
 		Priority: api.Standard,
 		Tasks:    u.tasks, VCPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d",
 			rng.IntN(3)), ImageGB: 0.1, Spot: rng.IntN(2) == 0, RuntimeS: 1}
-	runs := time.Duration(300+rng.IntN(1500)) * time.Millisecond
+	duration := time.Duration(300+rng.IntN(1500)) * time.Millisecond
 	end := time.Now().Add(userTimeout)
 	for !u.accepted && time.Now().Before(end) {
-		switch a := c.Submit(rng.IntN(nodes), spec, Workload{FirstDuration: runs}); a.Status {
+		switch a := c.Submit(rng.IntN(nodes), spec, Workload{FirstDuration: duration}); a.Status {
 		case 200, 201:
 			u.accepted = true
 		case 400, 422:
-			u.reportViolation("a submission that is in order got %d", a.Status)
+			u.reportViolation("a valid submission got %d", a.Status)
 			return
 		default:
 			time.Sleep(200 * time.Millisecond)
@@ -69,7 +68,7 @@
 	}
 }
 
-// checkAnswer takes an answer about the job.
+// checkAnswer checks an answer about the job against earlier ones.
 func (u *user) checkAnswer(a Answer) {
 	switch {
 	case a.Status == 404:
@@ -92,7 +91,7 @@
 	}
 }
 
-// checkOutcome compares what the user was told with what workers ran.
+// checkOutcome checks the final answer against what workers ran.
 func (u *user) checkOutcome(c *Cluster) {
 	switch u.finalStatus {
 	case "":
@@ -108,8 +107,7 @@
 	}
 }
 
-// breakLinks breaks directed links one at a time, or the way there of one and the way back of
-// another, for a while each, until the time is over.
+// breakLinks breaks directed links, one at a time, until a time. It returns how many it broke.
 func breakLinks(c *Cluster, rng *rand.Rand, over time.Time) int {
 	names := c.Names()
 	broken := 0
@@ -135,10 +133,9 @@
 	return broken
 }
 
-// TestUnidirectionalPartitionsOnSockets: real controllers on real sockets, whose directed links break one at a
-// time under steady submissions and cancellations, one of them being killed as well: every
-// job has one final result, nothing starts after its cancellation, and no two nodes act for
-// one term, by the record of workers and users.
+// TestUnidirectionalPartitionsOnSockets: real controllers on real sockets, whose directed links break one at a time during
+// steady submissions and cancellations, while one node is killed as well. Every job has one final result, nothing starts
+// after its cancellation, and no two nodes act in one term, by the record of workers and users.
 func TestUnidirectionalPartitionsOnSockets(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
@@ -148,6 +145,7 @@
 	}
 }
 
+// runWithPartitions runs a cluster while links break and a node is killed.
 func runWithPartitions(t *testing.T, nodes int, seed uint64) {
 	c, err := Start(Options{Nodes: nodes, Tune: func(s *settings.Settings) { s.Tuning.Links.Enabled = true }})
 	if err != nil {
@@ -178,7 +176,7 @@
 	all.Wait()
 	done := 0
 	for _, u := range users {
-		for i := range nodes { // and no node says otherwise
+		for i := range nodes { // no node may answer otherwise
 			u.checkAnswer(c.Get(i, u.id))
 		}
 		u.checkOutcome(c)
@@ -189,11 +187,12 @@
 			done++
 		}
 	}
-	if rules := c.Violations(); len(rules) > 0 {
-		t.Errorf("rules broken: %v", rules)
+	if violations := c.Violations(); len(violations) > 0 {
+		t.Errorf("violations: %v", violations)
 	}
 	if broken == 0 || c.Network.HeldCount() == 0 || done < jobs/2 || c.StartCount() < jobs/2 || c.Recorder.commandCount == 0 {
-		t.Errorf("%d links were broken, %d messages held up, %d jobs done, %d tasks started, %d commands: the test shows nothing",
+		t.Errorf("%d links were broken, %d messages held up, %d jobs done, %d tasks started, "+
+			"%d commands: the test proves nothing",
 			broken, c.Network.HeldCount(), done, c.StartCount(), c.Recorder.commandCount)
 	}
 }
--- a/internal/loopback/network.go
+++ b/internal/loopback/network.go
@@ -1,7 +1,6 @@
-// Package loopback is a cluster for tests on real sockets of the loopback interface: real
-// controllers, and stand-ins for the state service, the cloud and the workers, with a switch
-// on every directed link. What workers ran and users were told is recorded apart from the
-// controllers, and checked when all is over.
+// Package loopback runs a cluster for tests on sockets of the loopback interface: real controllers, and implementations of
+// the protocols of the key-value store, the cloud and the workers. Every directed link can be broken. What workers run is
+// recorded independently of the controllers, and checked at the end.
 package loopback
 
 import (
@@ -12,83 +11,84 @@
 	"time"
 )
 
-// Network holds the links that are broken, by their two ends in the direction of what is
-// sent.
+// link is a link from one party to another.
+type link struct{ from, to string }
+
+// Network breaks and heals directed links between parties. Its methods may be called concurrently.
 type Network struct {
 	mu     sync.Mutex
-	broken map[[2]string]chan struct{} // of a broken link, closed when it heals
-	held   int
-	// dialers tells which party opened a connection.
+	broken map[link]chan struct{} // closed when the link heals
+	held   int                    // reads and writes that were held up
+	// dialers has the party that opened each connection.
 	dialers map[connection]string
 }
 
-// connection names a connection by both addresses: a local port may be in use for several, to
-// different addresses.
+// connection identifies a connection by both addresses, as a local port may be in use for several.
 type connection struct {
 	from, to string
 }
 
-// NewNetwork makes links that all work.
+// NewNetwork returns a network without a broken link.
 func NewNetwork() *Network {
-	return &Network{broken: map[[2]string]chan struct{}{}, dialers: map[connection]string{}}
+	return &Network{broken: map[link]chan struct{}{}, dialers: map[connection]string{}}
 }
 
-// Break holds up all that is sent from one party to another until the link heals.
-func (s *Network) Break(from, to string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if k := [2]string{from, to}; s.broken[k] == nil {
-		s.broken[k] = make(chan struct{})
+// Break holds up all data from one party to another until the link heals.
+func (n *Network) Break(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if l := (link{from, to}); n.broken[l] == nil {
+		n.broken[l] = make(chan struct{})
 	}
 }
 
-// Heal delivers what was held up.
-func (s *Network) Heal(from, to string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if gate := s.broken[[2]string{from, to}]; gate != nil {
+// Heal heals a link, which delivers what was held up.
+func (n *Network) Heal(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if gate := n.broken[link{from, to}]; gate != nil {
 		close(gate)
-		delete(s.broken, [2]string{from, to})
+		delete(n.broken, link{from, to})
 	}
 }
 
-// HealAll heals all links.
-func (s *Network) HealAll() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for k, gate := range s.broken {
+// HealAll heals all broken links.
+func (n *Network) HealAll() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for k, gate := range n.broken {
 		close(gate)
-		delete(s.broken, k)
+		delete(n.broken, k)
 	}
 }
 
-// HeldCount counts how often something was held up.
-func (s *Network) HeldCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.held
+// HeldCount returns how many reads and writes were held up.
+func (n *Network) HeldCount() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.held
 }
 
-// dialedFrom tells which party opened a connection from an address to another, empty if none of
-// these did.
-func (s *Network) dialedFrom(from, to string) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.dialers[connection{from, to}]
+// dialedFrom returns the party that opened the connection from one address to another, "" if it is not known.
+func (n *Network) dialedFrom(from, to string) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.dialers[connection{from, to}]
 }
 
-func (s *Network) gate(from, to string) chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	gate := s.broken[[2]string{from, to}]
+// gate returns a channel that is closed when a link heals, nil if the link works.
+func (n *Network) gate(from, to string) chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	gate := n.broken[link{from, to}]
 	if gate != nil {
-		s.held++
+		n.held++
 	}
 	return gate
 }
 
-// Dialer opens connections of one party; names tells who is at an address.
-func (s *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn,
+// Dialer returns a function that opens connections of a party. nameOf returns the party at an address.
+func (n *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn,
 	error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -96,14 +96,14 @@
 		if err != nil {
 			return nil, err
 		}
-		s.mu.Lock()
-		s.dialers[connection{conn.LocalAddr().String(), conn.RemoteAddr().String()}] = party
-		s.mu.Unlock()
-		return &gatedConn{Conn: conn, network: s, self: party, peer: nameOf(addr), done: make(chan struct{})}, nil
+		n.mu.Lock()
+		n.dialers[connection{conn.LocalAddr().String(), conn.RemoteAddr().String()}] = party
+		n.mu.Unlock()
+		return &gatedConn{Conn: conn, network: n, self: party, peer: nameOf(addr), done: make(chan struct{})}, nil
 	}
 }
 
-// gatedConn is a connection whose bytes wait while their direction is broken.
+// gatedConn is a connection whose data waits while the link in its direction is broken.
 type gatedConn struct {
 	net.Conn
 	network    *Network
@@ -122,7 +122,7 @@
 	return *which
 }
 
-// waitUntilHealed returns when the direction works.
+// waitUntilHealed waits until a link works. It returns an error if the connection is closed or its deadline passes before.
 func (c *gatedConn) waitUntilHealed(from, to string, which *time.Time) error {
 	for {
 		gate := c.network.gate(from, to)
--- a/internal/loopback/recorder.go
+++ b/internal/loopback/recorder.go
@@ -11,24 +11,24 @@
 	"opaldale/internal/migration"
 )
 
-// execution is one time that a task was on a machine.
+// execution is one run of a task on a machine.
 type execution struct {
-	task  ident.TaskID
-	host  ident.MachineID
-	begin time.Time
-	end   time.Time // zero while it runs
+	task    ident.TaskID
+	machine ident.MachineID
+	begin   time.Time
+	end     time.Time // zero while the task runs
 }
 
-// Recorder is what workers ran and whom they obeyed, noted apart from the controllers.
+// Recorder records what workers run and whose commands they execute, independently of the controllers.
 type Recorder struct {
 	mu           sync.Mutex
 	executions   []*execution
-	leaders      map[ident.Term]string // who acted in a term
-	completed    map[ident.TaskID]bool // tasks that have completed
+	leaders      map[ident.Term]string // node that acted in each term
+	completed    map[ident.TaskID]bool // that have completed
 	violations   []string
 	startCount   int
 	commandCount int
-	moves        map[ident.JobID]int // of running tasks, as the state service has them on record
+	moves        map[ident.JobID]int // recorded moves of running tasks
 }
 
 func newRecorder() *Recorder {
@@ -39,81 +39,82 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// recordCommand notes that a node's token was obeyed. A follower passes the leader's answers on, so
-// only commands sent directly tell who leads.
-func (r *Recorder) recordCommand(node string, e ident.FencingToken) {
+// recordCommand records that a command of a node with a token was executed. Only commands sent by the node itself count, as
+// followers pass on the replies of the leader.
+func (r *Recorder) recordCommand(node string, token ident.FencingToken) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e == 0 || node == "" {
+	if token == 0 || node == "" {
 		return
 	}
 	r.commandCount++
-	if other, ok := r.leaders[e.Term()]; ok && other != node {
-		r.reportViolation("%s and %s both acted in term %d", other, node, e.Term())
+	if other, ok := r.leaders[token.Term()]; ok && other != node {
+		r.reportViolation("%s and %s both acted in term %d", other, node, token.Term())
 	}
-	r.leaders[e.Term()] = node
+	r.leaders[token.Term()] = node
 }
 
-// recordStart notes a start. A task on another machine at that time is a broken rule, unless that
-// machine's lease was over, which it notices when it next looks.
-func (r *Recorder) recordStart(task ident.TaskID, host ident.MachineID, mayStillRun func(ident.MachineID) bool) *execution {
+// recordStart records the start of a task. It is a violation if the task runs on another machine, unless the lease of that
+// machine has expired, which its worker may not have noticed yet.
+func (r *Recorder) recordStart(task ident.TaskID, machine ident.MachineID, mayStillRun func(ident.MachineID) bool) *execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.startCount++
 	for _, other := range r.executions {
-		if other.task == task && other.end.IsZero() && other.host != host && mayStillRun(other.host) {
-			r.reportViolation("%s starts on %s while on %s", task, host, other.host)
+		if other.task == task && other.end.IsZero() && other.machine != machine && mayStillRun(other.machine) {
+			r.reportViolation("%s starts on %s while on %s", task, machine, other.machine)
 		}
 	}
-	n := &execution{task: task, host: host, begin: time.Now()}
-	r.executions = append(r.executions, n)
-	return n
+	x := &execution{task: task, machine: machine, begin: time.Now()}
+	r.executions = append(r.executions, x)
+	return x
 }
 
-func (r *Recorder) recordEnd(n *execution, done bool) {
+// recordEnd records the end of an execution.
+func (r *Recorder) recordEnd(x *execution, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n.end.IsZero() {
-		n.end = time.Now()
+	if x.end.IsZero() {
+		x.end = time.Now()
 	}
 	if done {
-		r.completed[n.task] = true
+		r.completed[x.task] = true
 	}
 }
 
 // maxMovesPerJob is how often the tasks of a job may be moved in its life.
 const maxMovesPerJob = 2
 
-// recordChange notes a change in the state service: the moves of a job only become more, to two.
-func (r *Recorder) recordChange(c kvstore.Mutation) {
-	id, ok := strings.CutPrefix(c.Put, migration.Prefix)
+// recordChange records a mutation in the store. The recorded moves of a job must only grow, up to maxMovesPerJob.
+func (r *Recorder) recordChange(m kvstore.Mutation) {
+	id, ok := strings.CutPrefix(m.Put, migration.Prefix)
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record, err := migration.ReadRecord(c.Value)
+	record, err := migration.ReadRecord(m.Value)
 	job := ident.JobID(id)
 	if err != nil || len(record.Moves) > maxMovesPerJob || len(record.Moves) < r.moves[job] {
-		r.reportViolation("%s: %d moves after %d, %v", c.Put, len(record.Moves), r.moves[job], err)
+		r.reportViolation("%s: %d moves after %d, %v", m.Put, len(record.Moves), r.moves[job], err)
 	}
 	r.moves[job] = len(record.Moves)
 }
 
-// running lists the tasks on each machine.
+// running returns the tasks that run on each machine.
 func (r *Recorder) running() map[ident.MachineID][]ident.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := map[ident.MachineID][]ident.TaskID{}
 	for _, x := range r.executions {
 		if x.end.IsZero() {
-			on[x.host] = append(on[x.host], x.task)
+			on[x.machine] = append(on[x.machine], x.task)
 		}
 	}
 	return on
 }
 
-// startsAfter returns the starts of a job later than a time.
+// startsAfter returns how many tasks of a job were started after a time.
 func (r *Recorder) startsAfter(id ident.JobID, at time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +127,7 @@
 	return n
 }
 
-// complete says whether all tasks of a job have completed.
+// complete reports whether all tasks of a job have completed.
 func (r *Recorder) complete(id ident.JobID, tasks int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -11,51 +11,51 @@
 	"opaldale/internal/ident"
 )
 
-// TestRecorderDetectsViolations: the record can fail.
+// TestRecorderDetectsViolations shows that the checks of the recorder and of users can fail.
 func TestRecorderDetectsViolations(t *testing.T) {
 	r := newRecorder()
 	task := ident.TaskID{Job: "j-1"}
 	alive := func(ident.MachineID) bool { return true }
 	first := r.recordStart(task, "host-1", alive)
 	if r.recordStart(task, "host-2", func(ident.MachineID) bool { return false }); len(r.violations) != 0 {
-		t.Errorf("a task whose machine's lease is over counts: %v", r.violations)
+		t.Errorf("a task whose machine's lease has expired counts: %v", r.violations)
 	}
 	if r.recordStart(task, "host-3", alive); len(r.violations) == 0 {
-		t.Error("a task that runs twice is not noticed")
+		t.Error("a task that runs twice is not detected")
 	}
 	before := len(r.violations)
 	r.recordCommand("agent-0", ident.MakeFencingToken(4, 1))
 	r.recordCommand("agent-0", ident.MakeFencingToken(4, 2))
 	r.recordCommand("agent-1", ident.MakeFencingToken(5, 0))
 	if len(r.violations) != before {
-		t.Errorf("one node a term is a fault: %v", r.violations)
+		t.Errorf("one node a term is a violation: %v", r.violations)
 	}
 	if r.recordCommand("agent-1", ident.MakeFencingToken(4, 3)); len(r.violations) == before {
-		t.Error("two nodes in one term are not noticed")
+		t.Error("two nodes in one term are not detected")
 	}
 	if r.complete("j-1", 1) {
-		t.Error("complete before it is done")
+		t.Error("complete before its end")
 	}
 	if r.recordEnd(first, true); !r.complete("j-1", 1) || r.complete("j-1", 2) {
-		t.Error("completion is not told by tasks")
+		t.Error("completion is not counted by tasks")
 	}
 	if r.startsAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startsAfter("j-1", time.Now()) != 0 {
-		t.Error("starts are not told by time")
+		t.Error("starts are not counted by time")
 	}
-	for _, told := range []Answer{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
+	for _, a := range []Answer{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
 		u := &user{id: "j-1"}
-		if u.checkAnswer(told); len(u.violations) == 0 {
-			t.Errorf("%+v is no fault", told)
+		if u.checkAnswer(a); len(u.violations) == 0 {
+			t.Errorf("%+v is no violation", a)
 		}
 	}
 	u := &user{id: "j-1", finalStatus: "done"}
 	if u.checkAnswer(Answer{Status: 200, Job: api.JobView{Status: "running"}}); len(u.violations) == 0 {
-		t.Error("an answer that went back is no fault")
+		t.Error("an answer that went back is no violation")
 	}
 }
 
-// TestBrokenLinkHoldsTraffic: a broken direction holds up what is sent and lets the other pass; what
-// was held is delivered when it heals, and a deadline ends the wait.
+// TestBrokenLinkHoldsTraffic: a broken link holds up data in its direction and lets the other pass. Held data is delivered
+// when the link heals, and a deadline ends the wait.
 func TestBrokenLinkHoldsTraffic(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -78,13 +78,13 @@
 			conn.Write(b)
 		}
 	}()
-	s := NewNetwork()
-	conn, err := s.Dialer("a", func(string) string { return "b" })(context.Background(), "tcp4", l.Addr().String())
+	n := NewNetwork()
+	conn, err := n.Dialer("a", func(string) string { return "b" })(context.Background(), "tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	s.Break("b", "a")
+	n.Break("b", "a")
 	if _, err := conn.Write([]byte{1}); err != nil || <-got != 1 {
 		t.Fatalf("the working direction: %v", err)
 	}
@@ -92,23 +92,23 @@
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("an answer came by the broken direction")
 	}
-	s.Break("a", "b")
+	n.Break("a", "b")
 	go conn.Write([]byte{2})
 	select {
 	case b := <-got:
 		t.Errorf("%d passed the broken direction", b)
 	case <-time.After(20 * time.Millisecond):
 	}
-	s.HealAll()
+	n.HealAll()
 	if b := <-got; b != 2 {
 		t.Errorf("%d was delivered", b)
 	}
 	conn.SetReadDeadline(time.Time{})
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-		t.Errorf("after it healed: %v", err)
+		t.Errorf("after healing: %v", err)
 	}
-	if s.HeldCount() < 2 || s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
-		t.Errorf("%d were held up, the connection is of %q", s.HeldCount(),
-			s.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
+	if n.HeldCount() < 2 || n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
+		t.Errorf("%d were held up, the connection is of %q", n.HeldCount(),
+			n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
 	}
 }
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -14,7 +14,7 @@
 	"opaldale/internal/kvstore"
 )
 
-// store is a state service by its protocol, in memory.
+// store implements the protocol of the key-value store in memory.
 type store struct {
 	mu        sync.Mutex
 	revision  ident.Revision
@@ -22,7 +22,7 @@
 	leases    map[uint64]*storeLease
 	lastLease uint64
 	history   []kvstore.WatchEvent
-	changed   chan struct{} // closed at the next change
+	changed   chan struct{} // closed at the next revision
 	onChange  func(kvstore.Mutation)
 }
 
@@ -38,7 +38,7 @@
 	end time.Time
 }
 
-// pageSize is how many entries a list returns at the most.
+// pageSize is the maximum number of entries that a list returns.
 const pageSize = 1000
 
 func newStore() *store {
@@ -57,13 +57,14 @@
 	return mux
 }
 
+// answer writes a JSON response.
 func answer(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// expireLeases ends leases whose time is over. It is called before each request is served.
+// expireLeases ends the leases that have expired. It is called before each request is served.
 func (s *store) expireLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
@@ -178,6 +179,7 @@
 	answer(w, http.StatusOK, kvstore.Response{LeaseID: s.lastLease})
 }
 
+// requestedLease returns the lease that a request names, nil if it is not there. Called with the lock.
 func (s *store) requestedLease(r *http.Request) (uint64, *storeLease) {
 	s.expireLeases()
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
@@ -207,7 +209,7 @@
 	answer(w, http.StatusOK, kvstore.Response{})
 }
 
-// watchPollInterval is how often a watch looks for leases that have ended.
+// watchPollInterval is how often a watch checks for leases that have expired.
 const watchPollInterval = 20 * time.Millisecond
 
 func (s *store) watch(w http.ResponseWriter, r *http.Request) {
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -31,7 +31,7 @@
 	incarnation    ident.Incarnation
 	sequence       ident.SequenceNumber
 	token          ident.FencingToken
-	leaseRenewedAt time.Time // when the last answered report was sent
+	leaseRenewedAt time.Time // when the last answered heartbeat was sent
 	tasks          map[taskKey]*task
 	heartbeatNow   chan struct{}
 	terminated     bool
@@ -49,15 +49,15 @@
 	timer     *time.Timer
 }
 
-func newWorker(c *Cluster, host ident.MachineID, zone string, spot bool) (*worker, error) {
+func newWorker(c *Cluster, id ident.MachineID, zone string, spot bool) (*worker, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{cluster: c, id: host, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1,
+	w := &worker{cluster: c, id: id, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1,
 		leaseRenewedAt: time.Now(),
 		tasks:          map[taskKey]*task{}, heartbeatNow: make(chan struct{}, 1)}
-	// All machines of a zone are one end of a link.
+	// The machines of a zone are one end of a link.
 	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", w.handleCommands)
@@ -72,7 +72,7 @@
 	return w, nil
 }
 
-// terminate takes the machine away with all that is on it.
+// terminate ends the worker with all of its tasks.
 func (w *worker) terminate() {
 	w.stop()
 	w.server.Close()
@@ -82,7 +82,7 @@
 	w.endAllTasks()
 }
 
-// endAllTasks ends all tasks.
+// endAllTasks ends all tasks. Called with the lock.
 func (w *worker) endAllTasks() {
 	for _, t := range w.tasks {
 		t.end(w, api.CauseStopped)
@@ -90,6 +90,7 @@
 	w.tasks = map[taskKey]*task{}
 }
 
+// end ends the task for a cause, unless it has ended. Called with the lock of its worker.
 func (t *task) end(w *worker, cause api.Cause) {
 	if t.status == api.Ended {
 		return
@@ -103,7 +104,7 @@
 	}
 }
 
-// checkLease ends the session when its lease is over. Called with the lock.
+// checkLease begins the next incarnation if the lease has expired. Called with the lock.
 func (w *worker) checkLease() {
 	if time.Since(w.leaseRenewedAt) > w.cluster.leaseDuration() {
 		w.endAllTasks()
@@ -113,7 +114,7 @@
 	}
 }
 
-// mayStillRun says whether a task may still be on the machine, as its lease is not over.
+// mayStillRun reports whether tasks may still run on the machine, as its lease has not expired.
 func (w *worker) mayStillRun() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +128,7 @@
 	return w.buildHeartbeat()
 }
 
-// buildHeartbeat makes a report. Called with the lock.
+// buildHeartbeat returns a heartbeat with the present status. Called with the lock.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
 	r := &api.Heartbeat{MachineID: w.id, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation,
@@ -161,9 +162,9 @@
 	answer(rw, http.StatusOK, w.buildHeartbeat())
 }
 
-// execute carries out orders. Called with the lock.
-func (w *worker) execute(orders []api.Command) {
-	for _, o := range orders {
+// execute executes commands. Called with the lock.
+func (w *worker) execute(commands []api.Command) {
+	for _, o := range commands {
 		k := taskKey{o.TaskID, o.Attempt}
 		t := w.tasks[k]
 		switch o.Verb {
@@ -181,14 +182,20 @@
 			}
 		}
 	}
-	if len(orders) > 0 {
-		select {
-		case w.heartbeatNow <- struct{}{}:
-		default:
-		}
+	if len(commands) > 0 {
+		w.expediteHeartbeat()
 	}
 }
 
+// expediteHeartbeat has the next heartbeat sent at once.
+func (w *worker) expediteHeartbeat() {
+	select {
+	case w.heartbeatNow <- struct{}{}:
+	default:
+	}
+}
+
+// launch starts an attempt of a task. Called with the lock.
 func (w *worker) launch(k taskKey) {
 	t := &task{status: api.Running}
 	w.tasks[k] = t
@@ -205,7 +212,7 @@
 	}
 	t.execution = w.cluster.Recorder.recordStart(k.task, w.id, w.cluster.mayStillRun)
 	if work.FirstDuration == 0 {
-		return // a replica
+		return // a replica runs until it is stopped
 	}
 	runs := work.FirstDuration + time.Duration(k.task.Index)*work.DurationStep
 	incarnation := w.incarnation
@@ -215,15 +222,12 @@
 		w.checkLease()
 		if w.incarnation == incarnation && w.tasks[k] == t {
 			t.end(w, api.CauseDone)
-			select {
-			case w.heartbeatNow <- struct{}{}:
-			default:
-			}
+			w.expediteHeartbeat()
 		}
 	})
 }
 
-// heartbeatLoop reports to one node after another, and stays with the one that answers.
+// heartbeatLoop sends heartbeats to one node after another, and stays with the one that answers.
 func (w *worker) heartbeatLoop(ctx context.Context) {
 	node := int(w.cluster.homeNode(w.id))
 	for ctx.Err() == nil {
@@ -244,7 +248,7 @@
 const (
 	retryInterval        = 200 * time.Millisecond
 	minHeartbeatInterval = 50 * time.Millisecond
-	// heartbeatTimeout is how long a report waits for its answer.
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	heartbeatTimeout = 2 * time.Second
 )
 
@@ -255,7 +259,7 @@
 	}
 }
 
-// sendHeartbeat makes one report and carries out the answer.
+// sendHeartbeat sends a heartbeat and executes the commands of the reply. It returns false if there is no reply.
 func (w *worker) sendHeartbeat(ctx context.Context, addr string) bool {
 	sentAt := time.Now()
 	body, err := json.Marshal(w.currentHeartbeat())
@@ -277,18 +281,18 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return false
 	}
-	var orders api.HeartbeatResponse
-	if json.Unmarshal(b, &orders) != nil {
+	var reply api.HeartbeatResponse
+	if json.Unmarshal(b, &reply) != nil {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	incarnation := w.incarnation
 	w.checkLease()
-	if w.terminated || incarnation != w.incarnation || orders.FencingToken < w.token {
+	if w.terminated || incarnation != w.incarnation || reply.FencingToken < w.token {
 		return true
 	}
-	w.token, w.leaseRenewedAt = orders.FencingToken, sentAt
-	w.execute(orders.Commands)
+	w.token, w.leaseRenewedAt = reply.FencingToken, sentAt
+	w.execute(reply.Commands)
 	return true
 }
