--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -54,6 +54,25 @@
 	}
 }
 
+// echoBytes sends back the data of the first connection, and passes it on.
+func echoBytes(l net.Listener, got chan<- byte) {
+	conn, err := l.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	b := make([]byte, 1)
+	for {
+		if _, err := conn.Read(b); err != nil {
+			return
+		}
+		got <- b[0]
+		if _, err := conn.Write(b); err != nil {
+			return
+		}
+	}
+}
+
 // TestBrokenLinkHoldsTraffic: a broken link holds up data in its direction and lets the other pass. Held data is delivered
 // when the link heals, and a deadline ends the wait.
 func TestBrokenLinkHoldsTraffic(t *testing.T) {
@@ -63,21 +82,7 @@
 	}
 	defer l.Close()
 	got := make(chan byte, 10)
-	go func() {
-		conn, err := l.Accept()
-		if err != nil {
-			return
-		}
-		defer conn.Close()
-		b := make([]byte, 1)
-		for {
-			if _, err := conn.Read(b); err != nil {
-				return
-			}
-			got <- b[0]
-			conn.Write(b)
-		}
-	}()
+	go echoBytes(l, got)
 	n := NewNetwork()
 	conn, err := n.Dialer("a", func(string) string { return "b" })(context.Background(), "tcp4", l.Addr().String())
 	if err != nil {
@@ -88,12 +93,18 @@
 	if _, err := conn.Write([]byte{1}); err != nil || <-got != 1 {
 		t.Fatalf("the working direction: %v", err)
 	}
-	conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("an answer came by the broken direction")
 	}
 	n.Break("a", "b")
-	go conn.Write([]byte{2})
+	written := make(chan error, 1)
+	go func() {
+		_, err := conn.Write([]byte{2})
+		written <- err
+	}()
 	select {
 	case b := <-got:
 		t.Errorf("%d passed the broken direction", b)
@@ -103,7 +114,12 @@
 	if b := <-got; b != 2 {
 		t.Errorf("%d was delivered", b)
 	}
-	conn.SetReadDeadline(time.Time{})
+	if err := <-written; err != nil {
+		t.Errorf("the delayed write: %v", err)
+	}
+	if err := conn.SetReadDeadline(time.Time{}); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		t.Errorf("after healing: %v", err)
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -65,7 +65,7 @@
 		answer(rw, http.StatusOK, w.currentHeartbeat())
 	})
 	w.server = &http.Server{Handler: mux}
-	go w.server.Serve(listener)
+	go serveHTTP(string(id), w.server, listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
 	go w.heartbeatLoop(ctx)
@@ -75,7 +75,7 @@
 // terminate ends the worker with all of its tasks.
 func (w *worker) terminate() {
 	w.stop()
-	w.server.Close()
+	_ = w.server.Close() // the machine is gone, whatever its listener says
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.terminated = true
