--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,7 +1,7 @@
-// Package authority derives what a node may decide at a moment: from its leadership, from whether
-// its decisions can be recorded, and from a handover under way.
+// Package authority derives which actions a node may take at a given moment from its leadership,
+// from whether the key-value store accepts its writes, and from a handover in progress.
 //
-// The package is pure: facts come in, a state with its permissions comes out.
+// The package performs no I/O and reads no clock.
 package authority
 
 import "fmt"
@@ -9,14 +9,14 @@
 // State is the extent of a node's authority.
 type State uint8
 
-// The states, from no authority to all.
+// The states, from no authority to full authority.
 const (
-	None        State = iota // the node does not lead, or its lease expired longer than the grace ago
+	None        State = iota // the node does not lead, or the grace period after its lease expiry is over
 	Grace                    // its lease has expired, and only worker leases may be renewed
-	Loading                  // it leads, and has not read the stored state yet
-	HandingOver              // it leads, and hands over to another node
-	StoreDown                // it leads, and the key-value store does not accept its writes
-	Active                   // it leads
+	Loading                  // it leads, but has not read the stored state yet
+	HandingOver              // it leads, and is handing over to another node
+	StoreDown                // it leads, but the key-value store does not accept its writes
+	Active                   // it leads without restrictions
 )
 
 // String returns the state's name in reports and metrics, where it must not change. It differs from
@@ -30,7 +30,7 @@
 
 var stateNames = [...]string{"none", "grace", "loading", "yielding", "holding", "deciding"}
 
-// Action is something that only a node with authority may do.
+// Action is an operation that only a node with authority may perform.
 type Action uint8
 
 // The actions.
@@ -78,9 +78,9 @@
 
 func (s actionSet) contains(a Action) bool { return a < actionCount && s&(1<<a) != 0 }
 
-// permissions are the actions that each state allows. Commands to workers need nothing recorded,
-// and are allowed in HandingOver and StoreDown as well: one that stops a task is safe whichever
-// node leads, and one that starts a task is for a placement that is durable.
+// permissions are the actions that each state allows. Commands to workers require no write to the
+// store, and are allowed in HandingOver and StoreDown as well: a command that stops a task is safe
+// whichever node leads, and a command that starts one belongs to a durable placement.
 var permissions = [...]actionSet{
 	None:        newActionSet(),
 	Grace:       newActionSet(RenewWorkerLeases),
@@ -90,31 +90,32 @@
 	Active:      newActionSet(Place, Launch, AcceptSubmissions, ServeReads, RenewWorkerLeases, CommandWorkers, Scale, Fence),
 }
 
-// Allows reports whether a node in this state may do something.
+// Allows reports whether a node in this state may perform an action. It is false for unknown states
+// and actions.
 func (s State) Allows(a Action) bool {
 	return int(s) < len(permissions) && permissions[s].contains(a)
 }
 
-// Leadership is how sure a node can be that no other node leads.
+// Leadership is the certainty of a node that no other node leads.
 type Leadership uint8
 
 // The degrees of leadership, from none to full.
 const (
 	NotLeader    Leadership = iota // the node leads no term, or its term has ended
-	LeaseExpired                   // it led, and the grace after the expiry of its lease is over
-	LeaseInGrace                   // its lease has expired at most the grace ago
+	LeaseExpired                   // its lease has expired, and the grace period after that is over
+	LeaseInGrace                   // its lease has expired within the grace period
 	LeaseValid                     // no other node can lead at this moment
 )
 
-// Facts are what a node's authority is derived from.
+// Facts are the inputs from which a node's authority is derived.
 type Facts struct {
 	Leadership    Leadership
-	StateLoaded   bool // what earlier terms stored has been read
+	StateLoaded   bool // the state stored by earlier terms has been read
 	StoreWritable bool // the key-value store accepts writes
 	HandingOver   bool // a handover has begun
 }
 
-// Evaluate returns the state that the facts result in.
+// Evaluate returns the state that follows from the facts.
 func Evaluate(f Facts) State {
 	switch {
 	case f.Leadership == LeaseInGrace && f.StateLoaded:
@@ -131,7 +132,8 @@
 	return Active
 }
 
-// Tracker holds a node's present state. The zero Tracker is in None.
+// Tracker holds a node's present state. The zero Tracker is in state None. It is not safe for
+// concurrent use.
 type Tracker struct {
 	state State
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -15,8 +15,9 @@
 	}
 }
 
-// TestNothingUnconfirmed: whatever the facts, a node takes only actions for which its leadership is
-// sure enough, its state is loaded and its writes are accepted, and places nothing during a handover.
+// TestNothingUnconfirmed: for all facts, a node takes only actions for which its leadership is
+// certain enough, its state is loaded and its writes are accepted, and it places nothing during a
+// handover.
 func TestNothingUnconfirmed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
@@ -41,7 +42,7 @@
 	})
 }
 
-// TestMoreFactsMoreAuthority: worse facts never give a permission, but for the renewal of worker
+// TestMoreFactsMoreAuthority: weaker facts never add a permission, except for the renewal of worker
 // leases, which Grace allows as well.
 func TestMoreFactsMoreAuthority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -19,7 +19,7 @@
 	}
 	tracker := l.controller.links
 	assessment := tracker.Assess(l.machinesByZone, l.controller.peerIDs(), now)
-	step := l.handover.Handle(handover.Event{
+	step := l.handover.Advance(handover.Conditions{
 		Now:           now,
 		Successor:     assessment.Successor(),
 		Isolated:      assessment.Isolated,
@@ -32,7 +32,7 @@
 	case handover.EndTerm:
 		tracker.CountHandover()
 		reason := election.StepDownReason(l.handover.Decision().Reason.String())
-		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason)
+		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinTermDuration, reason)
 	}
 }
 
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -108,7 +108,7 @@
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
 	l.committer = commit.New(l.env, limits, leaderKey, func(err error) {
-		c.election.Deposed(election.StepDownReason(err.Error()))
+		c.election.Depose(election.StepDownReason(err.Error()))
 	})
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.replies.failAll
@@ -151,7 +151,7 @@
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           l.catalog.Type,
-		OnDeposed:         func() { c.election.Deposed(laterTermSeen) },
+		OnDeposed:         func() { c.election.Depose(laterTermSeen) },
 		OnCapacityChanged: l.requestDispatch,
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
@@ -178,8 +178,8 @@
 func (l *leaderTerm) newHandover() *handover.Coordinator {
 	tuning := l.controller.settings.Tuning.Links
 	config := handover.DefaultConfig()
-	config.MinTermDuration = tuning.MinLeadTime
-	config.StabilizationWindow = tuning.BetterPeerFor
+	config.MinTermDuration = tuning.MinTermDuration
+	config.StabilizationWindow = tuning.StabilizationWindow
 	return handover.New(config, l.controller.links.LeaderHistory(), l.env.Now())
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -63,8 +63,8 @@
 		ID:   c.rng.Uint64(),
 		Heartbeat: transport.PeerHeartbeat{
 			UptimeMS:       transport.ToMillis(now.Sub(0)),
-			SinceLeaderMS:  transport.Never,
-			SinceRenewalMS: transport.Never,
+			SinceLeaderMS:  transport.NeverMS,
+			SinceRenewalMS: transport.NeverMS,
 		},
 	}
 	if c.election.LeaseValid() {
@@ -125,7 +125,7 @@
 	return renewal.PeerStatus{
 		ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
 		SinceLeader:  transport.FromMillis(heartbeat.SinceLeaderMS),
-		HasRenewed:   heartbeat.SinceRenewalMS != transport.Never,
+		HasRenewed:   heartbeat.SinceRenewalMS != transport.NeverMS,
 		SinceRenewal: transport.FromMillis(heartbeat.SinceRenewalMS),
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -37,7 +37,7 @@
 		c.election.PreferSuccessor(frame.Node, frame.Term)
 	case transport.MsgHeartbeat:
 		if frame.Node != "" {
-			c.election.PeerReportedLeader(frame.Node, frame.Term)
+			c.election.ObserveLeader(frame.Node, frame.Term)
 		}
 		c.handleHeartbeat(from, sender, frame)
 	case transport.MsgRequest:
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -169,8 +169,8 @@
 	return e.knownLeader.Node, e.knownLeader.exists() && e.knownLeader.Node != e.self
 }
 
-// PeerReportedLeader takes note of a peer's heartbeat by which a node leads a term.
-func (e *Elector) PeerReportedLeader(node ident.NodeID, term ident.Term) {
+// ObserveLeader takes note of a peer's heartbeat by which a node leads a term.
+func (e *Elector) ObserveLeader(node ident.NodeID, term ident.Term) {
 	if e.state == Leading && term > e.term {
 		e.stepDown(LaterTermKnown)
 	}
--- a/internal/election/follow.go
+++ b/internal/election/follow.go
@@ -60,11 +60,11 @@
 		e.campaign(response.Revision)
 		return
 	}
-	e.observeLeader(record)
+	e.followLeader(record)
 	e.watchLeader(response.Revision)
 }
 
-func (e *Elector) observeLeader(record leaderRecord) {
+func (e *Elector) followLeader(record leaderRecord) {
 	e.campaignDelayed = false
 	if record.Term >= e.knownLeader.Term {
 		e.knownLeader = knownLeader{leaderRecord: record}
@@ -103,7 +103,7 @@
 				e.checkLeader()
 				return
 			}
-			e.observeLeader(record)
+			e.followLeader(record)
 		}
 	}
 	if deleted {
--- a/internal/election/step_down.go
+++ b/internal/election/step_down.go
@@ -41,9 +41,9 @@
 	e.stepDown(reason)
 }
 
-// Deposed ends the node's leadership after the owner has learned that the term is over. It does
+// Depose ends the node's leadership after the owner has learned that the term is over. It does
 // nothing if the node does not lead.
-func (e *Elector) Deposed(reason StepDownReason) {
+func (e *Elector) Depose(reason StepDownReason) {
 	if e.state == Leading {
 		e.stepDown(reason)
 	}
--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -70,7 +70,7 @@
 func TestPreferSuccessor(t *testing.T) {
 	s := newFakeStore()
 	elector := s.newElector("c")
-	elector.PeerReportedLeader("a", 7)
+	elector.ObserveLeader("a", 7)
 	elector.PreferSuccessor("b", 6)
 	if elector.preferred.node != "" {
 		t.Error("the preference of an earlier leader is applied")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,12 +1,12 @@
-// Package handover decides when a leader hands over to a peer that is better placed to lead, and
-// takes it through the steps: it stops making decisions, announces its successor, drains its
-// writes, and ends its term.
+// Package handover decides when a leader transfers leadership to a peer that is better placed to
+// lead, and sequences the transfer: the leader stops making decisions, announces its successor,
+// drains its writes, and ends its term.
 //
-// The process may stop after any step: the leader loses its leadership only by the transaction on
-// the leader key that ends the term, and the next leader is elected. The announced successor only
-// makes the election shorter.
+// The process may crash after any step: leadership ends only with the transaction on the leader key
+// that ends the term, and the next leader is elected. Announcing a successor merely shortens the
+// election.
 //
-// The package is pure: assessments and times come in, steps come out.
+// The package performs no I/O and reads no clock.
 package handover
 
 import (
@@ -40,12 +40,12 @@
 // Reason says why a leader hands over.
 type Reason uint8
 
-// The reasons.
+// The reasons for a handover.
 const (
 	NoReason     Reason = iota
 	BetterPlaced        // a peer is better placed by a clear margin
 	Isolated            // the links to all peers and machines are broken
-	Requested           // the node is being stopped
+	Requested           // the node is shutting down
 )
 
 // String returns the reason in reports, where it must not change.
@@ -58,18 +58,18 @@
 
 var reasonNames = [...]string{"none", "a sibling is better placed", "neither siblings nor machines are reached", "requested"}
 
-// Config holds the times of a handover.
+// Config holds the timing parameters of a handover.
 type Config struct {
-	// MinTermDuration is how long a node leads at the least before it hands over. It doubles with
+	// MinTermDuration is the minimum time that a node leads before it hands over. It doubles with
 	// each recent change of leader; see History.MinTermDuration.
 	MinTermDuration time.Duration
-	// StabilizationWindow is how long the reason for a handover must have lasted.
+	// StabilizationWindow is how long the reason for a handover must have persisted.
 	StabilizationWindow time.Duration
 	// DrainTimeout is how long writes in flight may take to complete.
 	DrainTimeout time.Duration
 }
 
-// DefaultConfig returns the times used unless the settings have others.
+// DefaultConfig returns the configuration that applies unless the settings override it.
 func DefaultConfig() Config {
 	return Config{
 		MinTermDuration:     15 * time.Second,
@@ -78,8 +78,8 @@
 	}
 }
 
-// Event is a leader's situation at a time.
-type Event struct {
+// Conditions are the inputs of Coordinator.Advance: a leader's situation at the time Now.
+type Conditions struct {
 	Now           ident.MonotonicTime
 	Successor     ident.NodeID // the peer that is better placed by a clear margin, "" for none
 	Isolated      bool         // the links to all peers and machines are broken
@@ -88,17 +88,17 @@
 }
 
 // reason returns why the leader should hand over.
-func (e Event) reason() Reason {
+func (c Conditions) reason() Reason {
 	switch {
-	case e.Successor != "":
+	case c.Successor != "":
 		return BetterPlaced
-	case e.Isolated:
+	case c.Isolated:
 		return Isolated
 	}
 	return NoReason
 }
 
-// Step is what the caller must do.
+// Step is the action that the caller must take next.
 type Step uint8
 
 // The steps.
@@ -108,13 +108,13 @@
 	EndTerm       // end the term in one transaction
 )
 
-// Decision is what a handover is for. It is zero until a handover has begun.
+// Decision is the successor of a handover and its reason. It is zero until a handover has begun.
 type Decision struct {
 	Successor ident.NodeID // "" if no peer is preferred
 	Reason    Reason
 }
 
-// Coordinator takes a node through the handover that ends one of its terms.
+// Coordinator sequences the handover that ends one term of a node. It is not safe for concurrent use.
 type Coordinator struct {
 	config     Config
 	history    *History
@@ -124,8 +124,8 @@
 	decision   Decision
 }
 
-// New returns the coordinator of a term that began at startedAt. The history is the node's, for
-// all of its terms.
+// New returns the coordinator of a term that began at startedAt. The history is shared by all terms
+// of the node.
 func New(config Config, history *History, startedAt ident.MonotonicTime) *Coordinator {
 	return &Coordinator{config: config, history: history, startedAt: startedAt, stateSince: startedAt}
 }
@@ -136,7 +136,7 @@
 // Decision returns what was decided when the handover began.
 func (c *Coordinator) Decision() Decision { return c.decision }
 
-// Begun reports whether a handover has begun: the leader must not make decisions any more.
+// Begun reports whether a handover has begun. The leader must make no decisions from then on.
 func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
 
 // setState is the one place where the state changes.
@@ -146,57 +146,57 @@
 	}
 }
 
-// Handle takes an event and returns the step that it results in.
-func (c *Coordinator) Handle(e Event) Step {
+// Advance evaluates the present conditions and returns the step that is due.
+func (c *Coordinator) Advance(conditions Conditions) Step {
 	switch c.state {
 	case Steady, Considering:
-		return c.consider(e)
+		return c.consider(conditions)
 	case Draining:
-		return c.drain(e)
+		return c.drain(conditions)
 	}
 	return NoStep
 }
 
 // consider decides whether a handover begins.
-func (c *Coordinator) consider(e Event) Step {
-	reason := e.reason()
+func (c *Coordinator) consider(conditions Conditions) Step {
+	reason := conditions.reason()
 	switch {
 	case reason == NoReason:
-		c.setState(Steady, e.Now)
+		c.setState(Steady, conditions.Now)
 		return NoStep
 	case c.state == Steady:
-		c.setState(Considering, e.Now)
+		c.setState(Considering, conditions.Now)
 		return NoStep
-	case !c.mayBegin(e):
+	case !c.mayBegin(conditions):
 		return NoStep
 	}
-	c.begin(Decision{Successor: e.Successor, Reason: reason}, e.Now)
+	c.begin(Decision{Successor: conditions.Successor, Reason: reason}, conditions.Now)
 	return Announce
 }
 
-// mayBegin reports whether a handover that is being considered may begin.
-func (c *Coordinator) mayBegin(e Event) bool {
-	if e.Now.Sub(c.stateSince) < c.config.StabilizationWindow {
+// mayBegin reports whether a handover under consideration may begin.
+func (c *Coordinator) mayBegin(conditions Conditions) bool {
+	if conditions.Now.Sub(c.stateSince) < c.config.StabilizationWindow {
 		return false
 	}
-	if !e.StoreWritable {
+	if !conditions.StoreWritable {
 		return false // the transaction would fail; the term ends when its lease expires
 	}
-	return e.Now.Sub(c.startedAt) >= c.history.MinTermDuration(c.config.MinTermDuration, e.Now)
+	return conditions.Now.Sub(c.startedAt) >= c.history.MinTermDuration(c.config.MinTermDuration, conditions.Now)
 }
 
 // drain ends the term once no write is in flight, or after a timeout.
-func (c *Coordinator) drain(e Event) Step {
-	if !e.WritesDrained && e.Now.Sub(c.stateSince) < c.config.DrainTimeout {
+func (c *Coordinator) drain(conditions Conditions) Step {
+	if !conditions.WritesDrained && conditions.Now.Sub(c.stateSince) < c.config.DrainTimeout {
 		return NoStep
 	}
-	c.setState(Ended, e.Now)
-	c.history.RecordHandover(e.Now)
+	c.setState(Ended, conditions.Now)
+	c.history.RecordHandover(conditions.Now)
 	return EndTerm
 }
 
-// Request begins a handover because the node is being stopped. successor is "" if no peer is
-// preferred.
+// Request begins a handover because the node is shutting down. successor is "" if no peer is
+// preferred. It returns NoStep if a handover has already begun.
 func (c *Coordinator) Request(now ident.MonotonicTime, successor ident.NodeID) Step {
 	if c.Begun() {
 		return NoStep
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -9,18 +9,18 @@
 	"opaldale/internal/ident"
 )
 
-// TestSteps drives a term with random events: the steps come in order, each once, and only when
-// their conditions hold.
+// TestSteps drives a term with random conditions: the steps occur in order, at most once each, and
+// only when their preconditions hold.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTermModel()
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
-			m.handle(t, m.drawEvent(t))
+			m.advance(t, m.drawConditions(t))
 		}
 	})
 }
 
-// termModel is a coordinator with what the test has seen of its term.
+// termModel is a coordinator under test with the expected progress of its term.
 type termModel struct {
 	config         Config
 	coordinator    *Coordinator
@@ -38,38 +38,38 @@
 	return &termModel{config: config, coordinator: New(config, history, now), now: now, began: now}
 }
 
-// drawEvent returns an event some time after the one before.
-func (m *termModel) drawEvent(t *rapid.T) Event {
+// drawConditions advances the clock and returns the conditions at that time.
+func (m *termModel) drawConditions(t *rapid.T) Conditions {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(50, 1500).Draw(t, "pause_ms")) * time.Millisecond)
 	successor := ident.NodeID("")
 	if rapid.IntRange(0, 9).Draw(t, "better placed") > 0 {
 		successor = "agent-1"
 	}
-	e := Event{
+	conditions := Conditions{
 		Now:           m.now,
 		Successor:     successor,
 		Isolated:      rapid.IntRange(0, 9).Draw(t, "isolated") == 0,
 		WritesDrained: rapid.Bool().Draw(t, "writes drained"),
 		StoreWritable: rapid.IntRange(0, 3).Draw(t, "store writable") > 0,
 	}
-	switch warranted := e.Successor != "" || e.Isolated; {
+	switch warranted := conditions.Successor != "" || conditions.Isolated; {
 	case !warranted:
 		m.warrantedSince = 0
 	case m.warrantedSince == 0:
 		m.warrantedSince = m.now
 	}
-	return e
+	return conditions
 }
 
-// handle passes an event to the coordinator, and checks the step that follows.
-func (m *termModel) handle(t *rapid.T, e Event) {
-	switch m.coordinator.Handle(e) {
+// advance passes conditions to the coordinator, and checks the resulting step.
+func (m *termModel) advance(t *rapid.T, conditions Conditions) {
+	switch m.coordinator.Advance(conditions) {
 	case Announce:
-		m.checkAnnounce(t, e)
+		m.checkAnnounce(t, conditions)
 		m.announced = m.now
 	case EndTerm:
-		if m.announced == 0 || m.ended || !e.WritesDrained && m.now.Sub(m.announced) < m.config.DrainTimeout {
-			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announced), e)
+		if m.announced == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announced) < m.config.DrainTimeout {
+			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announced), conditions)
 		}
 		m.ended = true
 	}
@@ -81,20 +81,20 @@
 	}
 }
 
-func (m *termModel) checkAnnounce(t *rapid.T, e Event) {
-	if m.announced > 0 || m.warrantedSince == 0 || !e.StoreWritable ||
+func (m *termModel) checkAnnounce(t *rapid.T, conditions Conditions) {
+	if m.announced > 0 || m.warrantedSince == 0 || !conditions.StoreWritable ||
 		m.now.Sub(m.began) < m.config.MinTermDuration ||
 		m.now.Sub(m.warrantedSince) < m.config.StabilizationWindow {
 		t.Fatalf("announced %v into the term, %v after a handover was warranted: %+v",
-			m.now.Sub(m.began), m.now.Sub(m.warrantedSince), e)
+			m.now.Sub(m.began), m.now.Sub(m.warrantedSince), conditions)
 	}
-	if d := m.coordinator.Decision(); d.Successor != e.Successor || d.Reason == NoReason {
-		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, e)
+	if d := m.coordinator.Decision(); d.Successor != conditions.Successor || d.Reason == NoReason {
+		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, conditions)
 	}
 }
 
-// TestHandoversAreBounded: nodes of which each always finds another one better placed hand over no
-// more often than the bound, and ever less often.
+// TestHandoversAreBounded: if every leader always finds a better placed peer, handovers stay within
+// the bound and become less frequent.
 func TestHandoversAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, start := DefaultConfig(), ident.MonotonicTime(time.Hour)
@@ -111,8 +111,8 @@
 		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			e := Event{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
-			if coordinator.Handle(e) == EndTerm {
+			e := Conditions{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
+			if coordinator.Advance(e) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
@@ -137,12 +137,11 @@
 	})
 }
 
-// maxPerMinute returns how many times in a minute leadership can be handed over at the
-// most in a cluster whose nodes see each other's terms: each leader keeps it for the minimum
-// duration first.
+// maxPerMinute returns the maximum number of handovers in a minute in a cluster whose nodes observe
+// each other's terms: each leader leads for at least the minimum duration.
 func maxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
 
-// TestRequested: a node that is being stopped hands over at once, and only once.
+// TestRequested: a node that is shutting down hands over immediately, and only once.
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
 	coordinator := New(DefaultConfig(), &History{}, now)
@@ -152,8 +151,8 @@
 	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
 		t.Errorf("to %q for %v", d.Successor, d.Reason)
 	}
-	drained := Event{Now: now, WritesDrained: true}
-	if coordinator.Handle(drained) != EndTerm || coordinator.Handle(drained) != NoStep {
+	drained := Conditions{Now: now, WritesDrained: true}
+	if coordinator.Advance(drained) != EndTerm || coordinator.Advance(drained) != NoStep {
 		t.Error("the term is ended once")
 	}
 }
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -7,8 +7,9 @@
 	"opaldale/internal/ident"
 )
 
-// History holds the recent changes of leader that a node has seen. It bounds how often nodes hand
-// over: the minimum duration of a term doubles with each recent change. The zero History is empty.
+// History holds the recent changes of leader that a node has observed. It limits the rate of
+// handovers: the minimum duration of a term doubles with each recent change. The zero History is
+// empty and ready to use.
 type History struct {
 	changes []leaderChange
 }
@@ -19,18 +20,19 @@
 }
 
 const (
-	// changeWindow is how long a change counts as recent.
+	// changeWindow is the age up to which a change counts as recent.
 	changeWindow = 5 * time.Minute
-	// maxDoublings bounds the minimum duration of a term to sixteen times the configured one.
+	// maxDoublings limits the minimum duration of a term to 16 times the configured one.
 	maxDoublings = 4
-	// maxChanges bounds the history's length.
+	// maxChanges is the maximum length of the history.
 	maxChanges = 64
-	// uncountedChanges is how many recent changes do not double the duration: the one that began
-	// the present term, and one before it.
+	// uncountedChanges is the number of recent changes that do not double the duration: the one
+	// that began the present term, and one before it.
 	uncountedChanges = 2
 )
 
-// ObserveTerm records that some node leads a term. Terms not later than the newest are ignored.
+// ObserveTerm records that some node leads a term. Terms that are not later than the newest one
+// are ignored.
 func (h *History) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 && term <= h.changes[n-1].term {
 		return
@@ -41,16 +43,16 @@
 	}
 }
 
-// RecordHandover records that this node has handed over.
+// RecordHandover records that this node has handed over leadership.
 func (h *History) RecordHandover(now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 {
-		// Counts as a change of its own, beside the beginning of the term that ends.
+		// A handover counts as a change in addition to the one that began the term.
 		h.changes = append(h.changes, leaderChange{h.changes[n-1].term, now})
 	}
 }
 
-// RecentChanges returns the number of recent changes.
-func (h *History) RecentChanges(now ident.MonotonicTime) int {
+// recentChanges returns the number of recent changes.
+func (h *History) recentChanges(now ident.MonotonicTime) int {
 	n := 0
 	for _, c := range h.changes {
 		if now.Sub(c.at) < changeWindow {
@@ -60,9 +62,9 @@
 	return n
 }
 
-// MinTermDuration returns how long a node leads at the least before it hands over, if base is the
-// duration without recent changes.
+// MinTermDuration returns the minimum time that a node leads before it hands over. base is the
+// minimum without recent changes.
 func (h *History) MinTermDuration(base time.Duration, now ident.MonotonicTime) time.Duration {
-	doublings := min(max(0, h.RecentChanges(now)-uncountedChanges), maxDoublings)
+	doublings := min(max(0, h.recentChanges(now)-uncountedChanges), maxDoublings)
 	return base << doublings
 }
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -23,11 +23,6 @@
 	maxPenalty   = 4000.0
 )
 
-// MaxSuppression returns how long a link that stays up remains suppressed at the most.
-func MaxSuppression(halfLife time.Duration) time.Duration {
-	return time.Duration(math.Log2(maxPenalty/reuseAt) * float64(halfLife))
-}
-
 // decay brings the penalty up to date.
 func (d *damper) decay(now ident.MonotonicTime, halfLife time.Duration) {
 	if now > d.updatedAt && d.penalty > 0 {
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -11,8 +11,8 @@
 type Config struct {
 	// SuspectGrace is added to a link's usual delays before it becomes Suspect.
 	SuspectGrace time.Duration
-	// HalfLife is the time in which the flap damping penalty decays by half.
-	HalfLife time.Duration
+	// PenaltyHalfLife is the time in which the flap damping penalty decays by half.
+	PenaltyHalfLife time.Duration
 }
 
 // maxConnectionRefusals is how many refused connections in a row count as a break.
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -1,6 +1,7 @@
 package links
 
 import (
+	"math"
 	"testing"
 	"time"
 
@@ -9,7 +10,7 @@
 	"opaldale/internal/ident"
 )
 
-var testConfig = Config{SuspectGrace: time.Second, HalfLife: 15 * time.Second}
+var testConfig = Config{SuspectGrace: time.Second, PenaltyHalfLife: 15 * time.Second}
 
 // simulatedLink exchanges heartbeats with echoes over one link, and evaluates it as a node does.
 type simulatedLink struct {
@@ -81,6 +82,11 @@
 	})
 }
 
+// maxSuppression returns how long a link that stays up remains suppressed at most.
+func maxSuppression(halfLife time.Duration) time.Duration {
+	return time.Duration(math.Log2(maxPenalty/reuseAt) * float64(halfLife))
+}
+
 // TestFlapsAreDamped: a link that breaks for a part of every few seconds, long enough for each break to
 // be detected, settles at one verdict. With shorter breaks, some of which are detected, the verdict
 // changes no more often than damping allows. In both cases the link is up within a bounded time
@@ -105,9 +111,9 @@
 			t.Fatalf("down for %v of %v, and %v", down, period, l.state(Inbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
-		l.run(MaxSuppression(testConfig.HalfLife) + 3*time.Second)
+		l.run(maxSuppression(testConfig.PenaltyHalfLife) + 3*time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
-			t.Fatalf("steady for %v, and %v inbound", MaxSuppression(testConfig.HalfLife), l.state(Inbound))
+			t.Fatalf("steady for %v, and %v inbound", maxSuppression(testConfig.PenaltyHalfLife), l.state(Inbound))
 		}
 	})
 }
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -18,9 +18,9 @@
 	cloudScore    = 15
 )
 
-// MinScoreMargin is the difference in scores that warrants a change of leader: the smallest part
+// minScoreMargin is the difference in scores that warrants a change of leader: the smallest part
 // of a score.
-const MinScoreMargin Score = cloudScore
+const minScoreMargin Score = cloudScore
 
 // Cluster is what the scores of its nodes depend on, beside their advertisements.
 type Cluster struct {
@@ -101,12 +101,14 @@
 	Isolated bool
 }
 
-// Worse reports whether a peer is better placed by a clear margin.
-func (a Assessment) Worse() bool { return a.BestPeer != "" && a.BestScore >= a.OwnScore+MinScoreMargin }
+// PeerIsBetter reports whether a peer is better placed by a clear margin.
+func (a Assessment) PeerIsBetter() bool {
+	return a.BestPeer != "" && a.BestScore >= a.OwnScore+minScoreMargin
+}
 
 // Successor returns the best placed peer if it is better placed by a clear margin, and "" otherwise.
 func (a Assessment) Successor() ident.NodeID {
-	if !a.Worse() {
+	if !a.PeerIsBetter() {
 		return ""
 	}
 	return a.BestPeer
--- a/internal/links/score_test.go
+++ b/internal/links/score_test.go
@@ -68,11 +68,11 @@
 		now := ident.MonotonicTime(time.Hour)
 		database.Merge(advertisementOf("b", c.peer), now)
 		a := cluster.Assess(advertisementOf("a", c.own), database, now)
-		if a.Worse() != c.worse || a.Isolated != c.isolated {
-			t.Errorf("%s: worse %v, isolated %v: %+v", c.name, a.Worse(), a.Isolated, a)
+		if a.PeerIsBetter() != c.worse || a.Isolated != c.isolated {
+			t.Errorf("%s: worse %v, isolated %v: %+v", c.name, a.PeerIsBetter(), a.Isolated, a)
 		}
 		a = cluster.Assess(advertisementOf("a", c.own), database, now.Add(AdvertisementLifetime))
-		if a.Worse() {
+		if a.PeerIsBetter() {
 			t.Errorf("%s: worse than an advertisement that has expired", c.name)
 		}
 	}
--- a/internal/links/verdict.go
+++ b/internal/links/verdict.go
@@ -64,8 +64,8 @@
 	d.verdict.Evidence = evidence
 }
 
-// evaluation is the detected state of one direction, before it is applied.
-type evaluation struct {
+// detection is the detected state of one direction, before it is applied.
+type detection struct {
 	direction Direction
 	state     *directionState
 	detected  State
@@ -82,9 +82,9 @@
 		if endpoint.roundTrip() {
 			in = out
 		}
-		for _, e := range []evaluation{{Inbound, &l.in, in}, {Outbound, &l.out, out}} {
+		for _, e := range []detection{{Inbound, &l.in, in}, {Outbound, &l.out, out}} {
 			from := e.state.verdict
-			e.state.apply(e.detected, now, m.config.HalfLife)
+			e.state.apply(e.detected, now, m.config.PenaltyHalfLife)
 			to := e.state.verdict
 			if to.State != from.State || to.Damped != from.Damped {
 				changes = append(changes, VerdictChange{endpoint, e.direction, from, to})
--- a/internal/linktracker/tracker.go
+++ b/internal/linktracker/tracker.go
@@ -75,7 +75,7 @@
 
 // New returns the tracker of a node, which acts by env once it is started.
 func New(config Config, node Node, env Env, rng *rand.Rand) *Tracker {
-	monitorConfig := links.Config{SuspectGrace: config.Links.SuspectAfter, HalfLife: config.Links.PenaltyHalfLife}
+	monitorConfig := links.Config{SuspectGrace: config.Links.SuspectGrace, PenaltyHalfLife: config.Links.PenaltyHalfLife}
 	t := &Tracker{
 		node:           node,
 		rng:            rng,
--- a/internal/renewal/registry.go
+++ b/internal/renewal/registry.go
@@ -22,9 +22,9 @@
 
 // peerEntry is what is known of one peer, whichever of its processes did it.
 type peerEntry struct {
-	// lastHeard is when the newest heartbeat arrived. The peer cannot have learned of this leader
+	// lastHeartbeatAt is when the newest heartbeat arrived. The peer cannot have learned of this leader
 	// later, as far as is known.
-	lastHeard ident.MonotonicTime
+	lastHeartbeatAt ident.MonotonicTime
 	// knownUntil is the time up to which all renewals of the peer are covered by lastRenewal.
 	knownUntil ident.MonotonicTime
 	// lastRenewal bounds the time of the last renewal before knownUntil.
@@ -40,16 +40,16 @@
 // ObserveHeartbeat records a peer's heartbeat that echoes none of this process. It may have been
 // delayed for any time, so that its status does not date the peer's renewals.
 func (r *Registry) ObserveHeartbeat(from ident.NodeID, now ident.MonotonicTime) {
-	r.entry(from).lastHeard = now
+	r.entry(from).lastHeartbeatAt = now
 }
 
 // ObserveEcho records a peer's heartbeat that echoes one which this process sent at sentAt: the
 // peer's status was true at some time between sentAt and now.
 func (r *Registry) ObserveEcho(from ident.NodeID, now, sentAt ident.MonotonicTime, status PeerStatus) {
 	e := r.entry(from)
-	if startedAt := now.Add(-status.ProcessAge); startedAt > e.knownUntil && e.lastHeard > 0 {
+	if startedAt := now.Add(-status.ProcessAge); startedAt > e.knownUntil && e.lastHeartbeatAt > 0 {
 		// An earlier process of the peer may have renewed leases after knownUntil.
-		e.lastRenewal = max(e.lastRenewal, min(startedAt, r.latestPossible(e)))
+		e.lastRenewal = max(e.lastRenewal, min(startedAt, r.latestPossibleRenewal(e)))
 	}
 	if status.HasRenewed {
 		e.lastRenewal = max(e.lastRenewal, now.Add(-ident.LeastElapsed(status.SinceRenewal)))
@@ -57,7 +57,7 @@
 	// The peer renews nothing before MinLeaderSilence is over.
 	silenceLeft := ident.LeastElapsed(MinLeaderSilence - status.SinceLeader)
 	e.knownUntil = max(e.knownUntil, sentAt.Add(max(0, silenceLeft)))
-	e.lastHeard = now
+	e.lastHeartbeatAt = now
 }
 
 func (r *Registry) entry(peer ident.NodeID) *peerEntry {
@@ -69,10 +69,10 @@
 	return e
 }
 
-// latestPossible returns the time after which the peer may not renew leases, unless it hears of
+// latestPossibleRenewal returns the time after which the peer may not renew leases, unless it hears of
 // this leader again.
-func (r *Registry) latestPossible(e *peerEntry) ident.MonotonicTime {
-	return e.lastHeard.Add(r.maxAllowance)
+func (r *Registry) latestPossibleRenewal(e *peerEntry) ident.MonotonicTime {
+	return e.lastHeartbeatAt.Add(r.maxAllowance)
 }
 
 // LatestRenewal returns the latest time at which any peer may have renewed a lease, 0 if none can
@@ -82,7 +82,7 @@
 	for _, e := range r.peers {
 		latest = max(latest, e.lastRenewal)
 		if now > e.knownUntil {
-			latest = max(latest, min(now, r.latestPossible(e)))
+			latest = max(latest, min(now, r.latestPossibleRenewal(e)))
 		}
 	}
 	return latest
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -14,9 +14,9 @@
 type peerProcess struct {
 	SentHeartbeats
 	Renewer
-	startedAt ident.MonotonicTime // by the leader's clock
-	clockRate float64
-	lastHeard uint64 // newest heartbeat received from the leader
+	startedAt        ident.MonotonicTime // by the leader's clock
+	clockRate        float64
+	newestReceivedID uint64 // newest heartbeat received from the leader
 }
 
 // now returns the reading of the process's clock at a time of the leader's clock.
@@ -44,9 +44,9 @@
 	inTransit []delivery
 	newestID  uint64
 
-	registry  *Registry
-	sent      SentHeartbeats // of the leader
-	lastHeard uint64         // newest heartbeat that the leader has received from the peer
+	registry         *Registry
+	sent             SentHeartbeats // of the leader
+	newestReceivedID uint64         // newest heartbeat that the leader has received from the peer
 
 	peer        *peerProcess
 	lastRenewal ident.MonotonicTime // of a lease, by the peer; 0: never
@@ -94,13 +94,13 @@
 
 func (r *registryRun) sendLeaderHeartbeat() {
 	r.newestID++
-	id, echo, process := r.newestID, r.lastHeard, r.peer
+	id, echo, process := r.newestID, r.newestReceivedID, r.peer
 	r.sent.Record(id, r.now)
 	r.send(func(ident.MonotonicTime) {
 		if r.peer != process {
 			return
 		}
-		process.lastHeard = id
+		process.newestReceivedID = id
 		if sentAt, ok := process.SentAt(echo); ok {
 			process.Permit(1, sentAt, grace)
 		}
@@ -109,7 +109,7 @@
 
 func (r *registryRun) sendPeerHeartbeat() {
 	r.newestID++
-	id, echo := r.newestID, r.peer.lastHeard
+	id, echo := r.newestID, r.peer.newestReceivedID
 	peerNow := r.peer.now(r.now)
 	r.peer.Record(id, peerNow)
 	status := PeerStatus{ProcessAge: peerNow.Sub(0), SinceLeader: time.Hour}
@@ -118,7 +118,7 @@
 	}
 	status.SinceRenewal, status.HasRenewed = r.peer.SinceRenewal(peerNow)
 	r.send(func(at ident.MonotonicTime) {
-		r.lastHeard = id
+		r.newestReceivedID = id
 		if sentAt, ok := r.sent.SentAt(echo); ok {
 			r.registry.ObserveEcho("s", at, sentAt, status)
 		} else {
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -53,19 +53,19 @@
 	return submitLimit
 }
 
-// inflight returns the counter of a kind of request. Heartbeats have their own: thousands of them wait
+// inFlight returns the counter of a kind of request. Heartbeats have their own: thousands of them wait
 // together while a leader is elected.
-func (a *admission) inflight(method transport.Method) *atomic.Int64 {
+func (a *admission) inFlight(method transport.Method) *atomic.Int64 {
 	if method == transport.WorkerHeartbeat {
 		return &a.heartbeatsInFlight
 	}
 	return &a.userRequestsInFlight
 }
 
-// admits says whether a request is admitted now.
-func (a *admission) admits(method transport.Method) bool {
+// admit says whether a request is admitted now.
+func (a *admission) admit(method transport.Method) bool {
 	limit := a.limitFor(method)
-	if a.inflight(method).Load() >= limit.maxInFlight {
+	if a.inFlight(method).Load() >= limit.maxInFlight {
 		return false
 	}
 	return limit.maxLag == 0 || a.lag() <= limit.maxLag
@@ -73,15 +73,15 @@
 
 // acquire counts a request if it is admitted; release must be called once it is answered.
 func (a *admission) acquire(method transport.Method) bool {
-	if !a.admits(method) {
+	if !a.admit(method) {
 		return false
 	}
-	a.inflight(method).Add(1)
+	a.inFlight(method).Add(1)
 	return true
 }
 
 // release stops counting a request.
-func (a *admission) release(method transport.Method) { a.inflight(method).Add(-1) }
+func (a *admission) release(method transport.Method) { a.inFlight(method).Add(-1) }
 
 // overloadRetryAfterS is after how many seconds a request that is not admitted should be repeated.
 const overloadRetryAfterS = 2
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -14,7 +14,7 @@
 	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
 	admitted := func(a *admission) (out []transport.Method) {
 		for _, v := range kinds {
-			if a.admits(v) {
+			if a.admit(v) {
 				out = append(out, v)
 			}
 		}
--- a/internal/server/controller_env.go
+++ b/internal/server/controller_env.go
@@ -16,8 +16,8 @@
 const (
 	// commandTimeout bounds a command: a worker responds within milliseconds, or after a lost packet.
 	commandTimeout = 1200 * time.Millisecond
-	// maxHeartbeatBytes bounds what is read of a worker's response.
-	maxHeartbeatBytes = 1 << 20
+	// maxCommandResponseBytes bounds what is read of a worker's response.
+	maxCommandResponseBytes = 1 << 20
 )
 
 // controllerEnv is the environment of a controller. Calls run on goroutines of their own; their
@@ -77,7 +77,7 @@
 		URL:              "http://" + command.Addr + "/commands",
 		Body:             command.Body,
 		Timeout:          commandTimeout,
-		MaxResponseBytes: maxHeartbeatBytes,
+		MaxResponseBytes: maxCommandResponseBytes,
 	}
 	status, body, err := call.Do(s.workerClient)
 	if err != nil {
--- a/internal/server/link_metrics.go
+++ b/internal/server/link_metrics.go
@@ -26,7 +26,7 @@
 	}
 	for _, l := range report.Links {
 		linkState.send(ch, float64(l.StateCode), l.Peer, l.Direction)
-		linkDamped.send(ch, boolValue(l.Damped), l.Peer, l.Direction)
+		linkDamped.send(ch, boolToFloat(l.Damped), l.Peer, l.Direction)
 		linkBreaks.send(ch, float64(l.Breaks), l.Peer, l.Direction)
 	}
 	for reason, count := range report.Dropped {
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -93,8 +93,8 @@
 	ch <- prometheus.MustNewConstMetric(m.desc, m.valueType, value, labels...)
 }
 
-// boolValue is 1 for true.
-func boolValue(b bool) float64 {
+// boolToFloat is 1 for true.
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -14,9 +14,9 @@
 
 // statsMetrics are the metrics without labels of every controller. Most are 0 without leadership.
 var statsMetrics = []statsMetric{
-	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolValue(s.Leading) }},
+	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolToFloat(s.Leading) }},
 	{newGauge("leadership_valid", "1 while leadership is sure."),
-		func(s *controller.Stats) float64 { return boolValue(s.LeadershipValid) }},
+		func(s *controller.Stats) float64 { return boolToFloat(s.LeadershipValid) }},
 	{newGauge("term", "Newest term led."), func(s *controller.Stats) float64 { return float64(s.Term) }},
 	{newGauge("format_level",
 		"Format of what is stored, as far as the node knows; 0 while nodes of the first version may come back."),
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -134,7 +134,7 @@
 
 // createTransport creates the transport between controllers.
 func (s *Server) createTransport(dial Dialer) {
-	s.transport = transport.New(s.settings.Node, s.handlePeerFrame)
+	s.transport = transport.New(s.settings.Node, s.dispatchPeerFrame)
 	s.transport.Dial = func(network, addr string, timeout time.Duration) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
@@ -190,16 +190,16 @@
 	})
 }
 
-// handlePeerFrame handles a message of a peer. Requests that it forwards for users wait, and are
+// dispatchPeerFrame handles a message of a peer. Requests that it forwards for users wait, and are
 // refused, as those that users send to this node.
-func (s *Server) handlePeerFrame(from ident.NodeID, frame *transport.Frame) {
+func (s *Server) dispatchPeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
 	isRequest := frame.Type == transport.MsgRequest || frame.Type == transport.MsgRelayRequest
 	if !isRequest || isUrgent(frame.Method) {
 		s.loop.postUrgent(handle)
 		return
 	}
-	if !s.admission.admits(frame.Method) {
+	if !s.admission.admit(frame.Method) {
 		s.transport.Send(from, &transport.Frame{
 			Type:        transport.MsgResponse,
 			ID:          frame.ID,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -86,11 +86,11 @@
 		t.Fatal(err)
 	}
 	wantLinks := Links{
-		Enabled:         true,
-		SuspectAfter:    800 * time.Millisecond,
-		PenaltyHalfLife: 20 * time.Second,
-		MinLeadTime:     30 * time.Second,
-		BetterPeerFor:   5 * time.Second,
+		Enabled:             true,
+		SuspectGrace:        800 * time.Millisecond,
+		PenaltyHalfLife:     20 * time.Second,
+		MinTermDuration:     30 * time.Second,
+		StabilizationWindow: 5 * time.Second,
 	}
 	if tuning.Links != wantLinks || tuning.check() != nil {
 		t.Errorf("%+v, %v", tuning.Links, tuning.check())
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -69,11 +69,11 @@
 
 // Links is the tuning of the monitoring of links, which detects partial failures of the network.
 type Links struct {
-	Enabled         bool
-	SuspectAfter    time.Duration // a link is suspected after this time beyond its usual delays
-	PenaltyHalfLife time.Duration // of the penalty on a link that fails again and again
-	MinLeadTime     time.Duration // leadership is kept for this time before it is handed over
-	BetterPeerFor   time.Duration // a peer has the better links for this time before leadership is handed over
+	Enabled             bool
+	SuspectGrace        time.Duration // a link is suspected after this time beyond its usual delays
+	PenaltyHalfLife     time.Duration // of the penalty on a link that fails again and again
+	MinTermDuration     time.Duration // leadership is kept for this time before it is handed over
+	StabilizationWindow time.Duration // a peer has the better links for this time before leadership is handed over
 }
 
 // DefaultTuning returns the values of what a tuning file leaves out.
@@ -89,10 +89,10 @@
 		GangPreemptAfter:     5 * time.Second,
 		PlanMode:             PlanASM1,
 		Links: Links{
-			SuspectAfter:    time.Second,
-			PenaltyHalfLife: 15 * time.Second,
-			MinLeadTime:     15 * time.Second,
-			BetterPeerFor:   3 * time.Second,
+			SuspectGrace:        time.Second,
+			PenaltyHalfLife:     15 * time.Second,
+			MinTermDuration:     15 * time.Second,
+			StabilizationWindow: 3 * time.Second,
 		},
 		Rebalance: RebalanceOff,
 		Migration: MigrationLimits{
@@ -143,11 +143,11 @@
 }
 
 func (l *Links) check(v *validation, leaderLease time.Duration) {
-	v.reject(outside(l.SuspectAfter, 100*time.Millisecond, leaderLease), "links-suspect: must be from 100ms to leader-lease")
+	v.reject(outside(l.SuspectGrace, 100*time.Millisecond, leaderLease), "links-suspect: must be from 100ms to leader-lease")
 	v.reject(outside(l.PenaltyHalfLife, time.Second, 10*time.Minute), "links-half-life: must be from 1s to 10m")
-	v.reject(outside(l.MinLeadTime, l.BetterPeerFor, 10*time.Minute),
+	v.reject(outside(l.MinTermDuration, l.StabilizationWindow, 10*time.Minute),
 		"links-hold: must be at least links-persist, and at most 10m")
-	v.reject(l.BetterPeerFor < 500*time.Millisecond, "links-persist: must be at least 500ms")
+	v.reject(l.StabilizationWindow < 500*time.Millisecond, "links-persist: must be at least 500ms")
 }
 
 // outside says whether a value is below a least or above a greatest one.
@@ -227,10 +227,10 @@
 		"moves-patience":  &t.Migration.MinTaskWait,
 		"moves-min-run":   &t.Migration.MinRunTime,
 		"links":           &t.Links.Enabled,
-		"links-suspect":   &t.Links.SuspectAfter,
+		"links-suspect":   &t.Links.SuspectGrace,
 		"links-half-life": &t.Links.PenaltyHalfLife,
-		"links-hold":      &t.Links.MinLeadTime,
-		"links-persist":   &t.Links.BetterPeerFor,
+		"links-hold":      &t.Links.MinTermDuration,
+		"links-persist":   &t.Links.StabilizationWindow,
 	}[name]
 }
 
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -78,7 +78,7 @@
 	case NoFlapDamping:
 		t.Links.PenaltyHalfLife = time.Millisecond
 	case UnboundedHandovers:
-		t.Links.MinLeadTime, t.Links.BetterPeerFor = 0, 0
+		t.Links.MinTermDuration, t.Links.StabilizationWindow = 0, 0
 	case NoMaxWait:
 		t.StarvationTimeout = 24 * time.Hour
 	}
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -28,7 +28,7 @@
 			UptimeMS:         0x1104,
 			LeaseAllowanceMS: 0x1105,
 			SinceLeaderMS:    0x1106,
-			SinceRenewalMS:   Never,
+			SinceRenewalMS:   NeverMS,
 		},
 	}},
 	{"submission passed on", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -91,12 +91,12 @@
 	SinceRenewalMS   uint32 // since the sender last renewed a worker lease in place of the leader, or Never
 }
 
-// Never stands in a PeerHeartbeat for the time since something that has not happened.
-const Never = 1<<32 - 1
+// NeverMS stands in a PeerHeartbeat for the time since something that has not happened.
+const NeverMS = 1<<32 - 1
 
 // ToMillis returns a time for a PeerHeartbeat, at least 0 and less than Never.
 func ToMillis(d time.Duration) uint32 {
-	return uint32(min(max(0, d.Milliseconds()), Never-1))
+	return uint32(min(max(0, d.Milliseconds()), NeverMS-1))
 }
 
 // FromMillis returns a time of a PeerHeartbeat.
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -106,7 +106,7 @@
 	if f.Type == MsgHeartbeat && !c.sendEcho() {
 		return false
 	}
-	c.transport.handle(c.peer, f)
+	c.transport.onFrame(c.peer, f)
 	return true
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -21,7 +21,7 @@
 type Transport struct {
 	self         ident.NodeID
 	outboxes     map[ident.NodeID]*outbox // one for each peer
-	handle       func(from ident.NodeID, f *Frame)
+	onFrame      func(from ident.NodeID, f *Frame)
 	inboundSlots chan struct{} // one for each connection opened by a peer
 	done         chan struct{} // closed by Close
 
@@ -42,7 +42,7 @@
 	return &Transport{
 		self:         self,
 		outboxes:     map[ident.NodeID]*outbox{},
-		handle:       handle,
+		onFrame:      handle,
 		inboundSlots: make(chan struct{}, maxInboundConns),
 		done:         make(chan struct{}),
 		Dial:         net.DialTimeout,
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -31,7 +31,7 @@
 				EchoID:           9,
 				UptimeMS:         1,
 				LeaseAllowanceMS: 24_000,
-				SinceLeaderMS:    Never,
+				SinceLeaderMS:    NeverMS,
 				SinceRenewalMS:   3,
 			},
 		},
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Fields(string(b))
-	heartbeat := PeerHeartbeat{EchoID: 5, UptimeMS: 1000, LeaseAllowanceMS: 2000, SinceLeaderMS: Never, SinceRenewalMS: 3}
+	heartbeat := PeerHeartbeat{EchoID: 5, UptimeMS: 1000, LeaseAllowanceMS: 2000, SinceLeaderMS: NeverMS, SinceRenewalMS: 3}
 	frames := []*Frame{
 		{Type: MsgHello, Node: "agent-1"},
 		{Type: MsgHeartbeat, Node: "agent-2", Term: 7, ID: 99, Heartbeat: heartbeat},
