--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,8 +75,6 @@
 	// pollReadShare is the share of the store's request rate that polls may use; each node has an
 	// equal part of it.
 	pollReadShare = 0.6
-	// maxClockDrift is the largest factor between the clocks of a worker and of a node.
-	maxClockDrift = 1.002
 	// graceMargin is kept between the last lease that a node may grant and the end of cancel_s.
 	graceMargin = 1500 * time.Millisecond
 )
@@ -112,7 +110,7 @@
 // renewalGrace returns for how long past the validity of its leadership a leader may renew leases of workers: a
 // worker whose lease was renewed last at the end of it still loses its tasks before cancel_s is over.
 func renewalGrace(times settings.WorkerTimes) time.Duration {
-	return max(0, settings.Seconds(times.CancelS-times.LeaseS*maxClockDrift)-graceMargin)
+	return max(0, settings.Seconds(times.CancelS-times.LeaseS*ident.ClockDriftFactor)-graceMargin)
 }
 
 // Start joins the cluster: the node takes part in elections and sends heartbeats to its peers.
--- a/internal/ident/clock.go
+++ b/internal/ident/clock.go
@@ -18,6 +18,10 @@
 // drift apart by at most 0.05%; the bound is twice that.
 const maxClockDrift = 0.001
 
+// ClockDriftFactor is by how much a duration on one node's clock is extended to be surely over on
+// the clock of another, or of a worker: their rates differ by at most maxClockDrift, taken twice.
+const ClockDriftFactor = 1.002
+
 // LeastElapsed returns the least time that passes on one node's clock while d passes on another's.
 func LeastElapsed(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - maxClockDrift))
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -27,18 +27,16 @@
 	return max(earliest, l.renewedAt)
 }
 
-// The margin by which a lease must be over to count as expired here.
-const (
-	clockDriftFactor = 1.002 // clocks run up to 0.05% apart, taken twice
-	expiryMargin     = time.Second
-)
+// expiryMargin is for how long a lease must be over, besides the drift of the clocks, to count as
+// expired here.
+const expiryMargin = time.Second
 
 // LeaseExpired says whether the worker's lease has surely expired, and its tasks are killed: no
 // heartbeat sent since its last renewal can have had a response from this leader, from an
 // earlier one in its grace period, or from a peer that renews leases for either.
 func (tb *Table) LeaseExpired(w *Worker) bool {
 	earliest := max(tb.startedAt.Add(tb.cfg.LeaderGrace), tb.cfg.LastPeerRenewal())
-	duration := time.Duration(float64(tb.cfg.LeaseDuration)*clockDriftFactor) + expiryMargin
+	duration := time.Duration(float64(tb.cfg.LeaseDuration)*ident.ClockDriftFactor) + expiryMargin
 	return tb.port.Now() > w.lease.lastRenewal(earliest).Add(duration)
 }
 
