--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -32,7 +32,7 @@
 	Commands     []Command          `json:"orders"`
 }
 
-// ContainsLaunch says whether any of the commands starts a task.
+// ContainsLaunch reports whether any of the commands starts a task.
 func ContainsLaunch(commands []Command) bool {
 	return slices.ContainsFunc(commands, func(command Command) bool { return command.Verb == Launch })
 }
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -67,7 +67,7 @@
 	DeadlineS        *float64    `json:"due_s"`            // time from submission to completion; nil: none
 }
 
-// CanCheckpoint says whether a task of the job keeps its progress when it is stopped with a grace
+// CanCheckpoint reports whether a task of the job keeps its progress when it is stopped with a grace
 // period.
 func (s *Spec) CanCheckpoint() bool { return s.CheckpointEveryS > 0 && s.Shape != Service }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,8 +16,9 @@
 	listPageSize     = "500" // the largest that the API has
 )
 
-// errNoCapacity is the error in the body of a 503 that tells a lack of machines from an outage.
-const errNoCapacity = "no capacity"
+// noCapacityError is the error in the body of a 503 that distinguishes a lack of machines from an
+// outage.
+const noCapacityError = "no capacity"
 
 // Client calls the provider's API over HTTP.
 type Client struct {
@@ -88,7 +89,7 @@
 		var problem struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(body, &problem) == nil && problem.Error == errNoCapacity {
+		if json.Unmarshal(body, &problem) == nil && problem.Error == noCapacityError {
 			return Response{Outcome: NoCapacity, Error: problem.Error}
 		}
 		return Response{Outcome: Unavailable, Error: "503 " + problem.Error}
--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -125,7 +125,7 @@
 		}
 		taken++
 		draft.add(compares, mutations, valueBytes)
-		d.noteSent(c.LSN())
+		d.markSent(c.LSN())
 		draft.txn.documents = append(draft.txn.documents, d)
 	}
 	return append(queue[:0], queue[taken:]...)
--- a/internal/commit/document.go
+++ b/internal/commit/document.go
@@ -82,8 +82,9 @@
 // Idle reports whether the document is neither queued nor in an open transaction.
 func (d *Document) Idle() bool { return d.state == clean }
 
-// handle makes the transition that follows an event.
-func (d *Document) handle(event documentEvent) {
+// transition moves the document to the state that follows from an event. It panics if the event
+// can't occur in the present state.
+func (d *Document) transition(event documentEvent) {
 	next, valid := documentTransitions[d.state][event]
 	if !valid {
 		panic(fmt.Sprintf("document %s in state %d: event %d", d.Key, d.state, event))
@@ -115,12 +116,12 @@
 	return compares
 }
 
-// noteSent moves the document into a transaction. lsn is that of the rendered value.
-func (d *Document) noteSent(lsn uint64) {
+// markSent moves the document into a transaction. lsn is that of the rendered value.
+func (d *Document) markSent(lsn uint64) {
 	d.inFlightCallbacks, d.pendingCallbacks = d.pendingCallbacks, nil
 	d.renderedLSN = lsn
 	d.queuedAs = notQueued
-	d.handle(sent)
+	d.transition(sent)
 }
 
 // withdraw takes the document out of a transaction that is given up; it waits for another one.
@@ -129,14 +130,14 @@
 	d.inFlightCallbacks = nil
 	d.uncertain = d.uncertain || uncertain
 	d.queuedAs = urgent
-	d.handle(withdrawn)
+	d.transition(withdrawn)
 }
 
 // abandon takes the document out of a transaction that was not applied because one of its
 // MustNotExist keys exists.
 func (d *Document) abandon() {
 	d.inFlightCallbacks, d.pendingCallbacks = nil, nil
-	d.handle(abandoned)
+	d.transition(abandoned)
 	if d.OnExists != nil {
 		d.OnExists()
 	}
@@ -153,7 +154,7 @@
 	if onDurable != nil {
 		d.pendingCallbacks = append(d.pendingCallbacks, onDurable)
 	}
-	d.handle(contentChanged)
+	d.transition(contentChanged)
 	if u <= d.queuedAs {
 		return
 	}
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -63,8 +63,8 @@
 
 func (l *limiter) spend(mutations int) { l.tokens -= float64(mutations) }
 
-// exhaust handles a response that the rate was too high.
-func (l *limiter) exhaust() {
+// drainTokens delays further transactions after a response that the rate was too high.
+func (l *limiter) drainTokens() {
 	l.tighten()
 	l.tokens = 0
 }
@@ -100,8 +100,8 @@
 	return true
 }
 
-// noteRejection counts a rejected transaction, and pauses sending after many in a row.
-func (l *limiter) noteRejection(now ident.MonotonicTime) {
+// recordRejection counts a rejected transaction, and pauses sending after many in a row.
+func (l *limiter) recordRejection(now ident.MonotonicTime) {
 	l.rejections++
 	if excess := l.rejections - maxImmediateRejections; excess > 0 {
 		l.pausedUntil = now.Add(rejectionPause(excess))
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -41,8 +41,8 @@
 	Text  string `json:"t,omitempty"` // text format: a line for each group, with its name and its entries' lines
 }
 
-// pendingEntry is an entry in a record of an open transaction.
-type pendingEntry struct {
+// recordEntry is an entry in a record of an open transaction.
+type recordEntry struct {
 	entry     Entry
 	callbacks []func() // to call when it is durable
 }
@@ -51,7 +51,7 @@
 type openRecord struct {
 	slot    *logSlot
 	format  logFormat
-	entries []pendingEntry
+	entries []recordEntry
 }
 
 // changeLog is the log of small changes. Records are numbered by their LSN, in the order in which
@@ -111,10 +111,10 @@
 }
 
 // takePending removes the first pending entries.
-func (l *changeLog) takePending(count int) []pendingEntry {
-	taken := make([]pendingEntry, count)
+func (l *changeLog) takePending(count int) []recordEntry {
+	taken := make([]recordEntry, count)
 	for i, e := range l.pending[:count] {
-		taken[i] = pendingEntry{entry: e, callbacks: l.callbacks[e]}
+		taken[i] = recordEntry{entry: e, callbacks: l.callbacks[e]}
 		delete(l.callbacks, e)
 	}
 	l.pending = l.pending[count:]
@@ -159,10 +159,11 @@
 	return lsn
 }
 
-// noteRestored takes notice of a record of an earlier term.
-func (l *changeLog) noteRestored(key string, lsn uint64) {
+// observeRecord keeps the LSN and the slot of a record of an earlier term from being assigned
+// again.
+func (l *changeLog) observeRecord(key string, lsn uint64) {
 	l.lastLSN = max(l.lastLSN, lsn)
-	l.slots.noteUsed(key)
+	l.slots.reserveKey(key)
 }
 
 // LSN is the newest LSN up to which all records of the log are durable. Documents store it beside
@@ -188,13 +189,13 @@
 // RestoreJSON takes over a record in the JSON format of an earlier term, with those of its
 // documents that were not put since.
 func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
-	c.log.noteRestored(key, lsn)
+	c.log.observeRecord(key, lsn)
 	c.log.slots.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
 }
 
 // RestoreText takes over a record in the text format of an earlier term, with its entries.
 // Records must be restored in the order of their LSNs.
 func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
-	c.log.noteRestored(key, lsn)
+	c.log.observeRecord(key, lsn)
 	c.log.slots.pinEntries(&logSlot{key: key, revision: revision, lsn: lsn}, entries)
 }
--- a/internal/commit/slot.go
+++ b/internal/commit/slot.go
@@ -50,9 +50,9 @@
 	return &logSlot{key: fmt.Sprintf("%s%05d", LogPrefix, t.count-1)}
 }
 
-// noteUsed takes notice of a key that an earlier term used. The keys in use may have gaps, where
-// the first record of a slot was never written.
-func (t *slotTable) noteUsed(key string) {
+// reserveKey keeps a key that an earlier term used from being given to a new slot. The keys in use
+// may have gaps, where the first record of a slot was never written.
+func (t *slotTable) reserveKey(key string) {
 	if n, err := strconv.Atoi(strings.TrimPrefix(key, LogPrefix)); err == nil {
 		t.count = max(t.count, n+1)
 	}
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -14,11 +14,11 @@
 	c.openTxns++
 	c.Txns++
 	c.Puts += uint64(len(t.request.Mutations))
-	c.attempt(t)
+	c.sendCopy(t)
 }
 
-// attempt sends a copy of a transaction and handles its outcome.
-func (c *Committer) attempt(t *txn) {
+// sendCopy sends a copy of a transaction and handles its outcome.
+func (c *Committer) sendCopy(t *txn) {
 	c.request(t.request, func(response kvstore.Response) {
 		switch response.Outcome {
 		case kvstore.OK:
@@ -32,8 +32,8 @@
 			c.handleRejected(t, response.Error)
 		case kvstore.RateLimited:
 			// This copy was not applied.
-			c.limiter.exhaust()
-			c.retry(t, func() { c.attempt(t) })
+			c.limiter.drainTokens()
+			c.retry(t, func() { c.sendCopy(t) })
 		case kvstore.Unavailable:
 			c.handleUnavailable(t)
 		case kvstore.NoAnswer:
@@ -57,7 +57,7 @@
 	if c.OnUnavailable != nil {
 		c.OnUnavailable()
 	}
-	c.retry(t, func() { c.attempt(t) })
+	c.retry(t, func() { c.sendCopy(t) })
 }
 
 // handleCommitted settles a transaction that was applied. revision is that of the keys it put.
@@ -94,7 +94,7 @@
 		d.MustNotExist, d.uncertain, d.rejections = nil, false, 0
 		callbacks = append(callbacks, d.inFlightCallbacks...)
 		d.inFlightCallbacks = nil
-		if d.handle(committed); d.state == dirty {
+		if d.transition(committed); d.state == dirty {
 			c.enqueue(d)
 		}
 	}
@@ -245,7 +245,7 @@
 		c.postpone(t, documents[0])
 		documents = nil
 	}
-	c.limiter.noteRejection(c.port.Now())
+	c.limiter.recordRejection(c.port.Now())
 	c.requeue(t, documents)
 	c.scheduleFlush(initialRetryDelay)
 }
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -47,7 +47,7 @@
 // manageFleet does the part of a tick that changes the cluster, and returns how long it took.
 func (l *leaderTerm) manageFleet() time.Duration {
 	began := l.env.Now()
-	l.jobs.ClearProvenHealthy()
+	l.jobs.MarkProvenHealthy()
 	l.fleet.Tick()
 	l.gangs.Tick()
 	l.convertRecords(began)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -115,7 +115,7 @@
 		l.contact.note(now)
 		return
 	}
-	heardByPeers := machine.HeardThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
+	heardByPeers := machine.ReportedThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
 	if l.contact.recent(now) || !heardByPeers {
 		return
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -155,5 +155,5 @@
 // awaitsFirstReport reports whether a machine should be up, but has neither been heard in this term nor failed to
 // answer.
 func awaitsFirstReport(w *workers.Worker) bool {
-	return w.State == workers.Up && !w.HeardThisTerm() && w.MissedResponses() == 0
+	return w.State == workers.Up && !w.ReportedThisTerm() && w.MissedResponses() == 0
 }
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -177,7 +177,7 @@
 func (l *leaderTerm) noteTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
 	j := t.Job
 	t.ConsecutiveErrors++
-	l.jobs.NoteFailure(j)
+	l.jobs.RecordUnexplainedFailure(j)
 	if j.AvoidedMachines == nil {
 		j.AvoidedMachines = map[ident.MachineID]bool{}
 	}
--- a/internal/gang/attempt.go
+++ b/internal/gang/attempt.go
@@ -33,7 +33,7 @@
 	stateSince   ident.MonotonicTime
 	placedAt     ident.MonotonicTime // when its first machines were chosen
 	missingSince ident.MonotonicTime // since when a task is missing; 0: none is
-	// placedThisTerm says that the attempt began in this term: all machines on which any of its
+	// placedThisTerm reports that the attempt began in this term: all machines on which any of its
 	// tasks was placed are known.
 	placedThisTerm bool
 	usedMachines   map[ident.MachineID]bool
@@ -64,7 +64,7 @@
 	a.state, a.stateSince = next, now
 }
 
-// hasUnlaunched says whether a task was not launched on its present machine.
+// hasUnlaunched reports whether a task was not launched on its present machine.
 func (a *attempt) hasUnlaunched() bool {
 	for i := range a.job.Tasks {
 		if a.launchedOn[i] != a.job.Tasks[i].MachineID {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// HasUsed says whether a task of the gang's present attempt was placed on a machine. No other task of
+// HasUsed reports whether a task of the gang's present attempt was placed on a machine. No other task of
 // the attempt may be placed there: a late heartbeat could say that it has ended.
 func (tb *Table) HasUsed(j *jobs.Job, machineID ident.MachineID) bool {
 	a := tb.attempts[j]
@@ -164,7 +164,7 @@
 	case counts.stopping > 0:
 		tb.abort(a, reasonTaskStopped)
 	case counts.missing > 0:
-		tb.handleMissingTask(a, counts)
+		tb.awaitReplacement(a, counts)
 	case counts.placing > 0:
 		// Wait until all placements are durable.
 	case a.state == Placed || a.hasUnlaunched():
@@ -176,8 +176,9 @@
 	}
 }
 
-// handleMissingTask handles a task that was lost before the start: it may be replaced for a while.
-func (tb *Table) handleMissingTask(a *attempt, counts taskCounts) {
+// awaitReplacement lets tasks that were lost before the start be replaced for a limited time, and
+// aborts an attempt that cannot have replacements or had none in that time.
+func (tb *Table) awaitReplacement(a *attempt, counts taskCounts) {
 	now := tb.now()
 	if a.missingSince == 0 {
 		a.missingSince = now
@@ -232,7 +233,7 @@
 // maxContactAge is how old the newest heartbeat may be of a machine that can be told to stop.
 func (tb *Table) maxContactAge() time.Duration { return tb.cfg.HeartbeatInterval * 3 / 2 }
 
-// CanStop says whether a gang can be stopped now such that only the progress since the last
+// CanStop reports whether a gang can be stopped now such that only the progress since the last
 // checkpoint is lost at most: all its machines must be reachable, so that all tasks stop in time.
 func (tb *Table) CanStop(j *jobs.Job) bool {
 	a := tb.attempts[j]
--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -35,12 +35,12 @@
 	return false
 }
 
-// isConvertible says whether a job is stored in the first format, and may be converted now.
+// isConvertible reports whether a job is stored in the first format, and may be converted now.
 func (tb *Table) isConvertible(j *Job) bool {
 	return j.storage.format == inDocuments && j.SubmissionDurable && !j.storage.archived && tb.headerFits(j)
 }
 
-// headerFits says whether a job's header without tasks is small enough to be put. A job that was
+// headerFits reports whether a job's header without tasks is small enough to be put. A job that was
 // accepted under another limit stays as it is until it is over.
 func (tb *Table) headerFits(j *Job) bool {
 	size, limit := tb.HeaderSize(j.trimmedSpec())
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -8,13 +8,13 @@
 // are submitted with a mistake fail within seconds.
 const provenHealthyAfter = 10 * time.Second
 
-// NoteFailure notes that a task of a job has failed, and that it is not known whether the job or
-// the machine is at fault.
-func (tb *Table) NoteFailure(j *Job) { tb.unexplainedFailures[j] = true }
+// RecordUnexplainedFailure records that a task of a job has failed, and that it is not known
+// whether the job or the machine is at fault.
+func (tb *Table) RecordUnexplainedFailure(j *Job) { tb.unexplainedFailures[j] = true }
 
-// ClearProvenHealthy clears the jobs among those with failed tasks that have proven to be able to
+// MarkProvenHealthy marks the jobs with unexplained failures that have since proven to be able to
 // run: the failures were not their fault.
-func (tb *Table) ClearProvenHealthy() {
+func (tb *Table) MarkProvenHealthy() {
 	for j := range tb.unexplainedFailures {
 		switch {
 		case j.Phase != Open:
@@ -26,7 +26,7 @@
 	}
 }
 
-// hasLongRunningTask says whether a task of the job has run for long enough to prove that it can.
+// hasLongRunningTask reports whether a task of the job has run for long enough to prove that it can.
 func (tb *Table) hasLongRunningTask(j *Job) bool {
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -27,7 +27,7 @@
 	AvoidedMachines map[ident.MachineID]bool // where a task of the job ended with an error
 	RetryAt         ident.MonotonicTime      // no task is placed earlier
 	Backoff         time.Duration            // by which RetryAt was last set
-	// Suspect says that tasks failed on several machines and none has completed since: rather
+	// Suspect reports that tasks failed on several machines and none has completed since: rather
 	// the job than the machines is at fault. Then one task is placed at a time.
 	Suspect       bool
 	provenHealthy bool // a task has run for a while
@@ -35,10 +35,10 @@
 	// AllocatedByZone holds the numbers of allocated tasks, for a job whose zones matter. The owner
 	// of the table keeps it.
 	AllocatedByZone map[string]int
-	// WithinQuota says whether the job fits into its team's guarantee along with the team's earlier
+	// WithinQuota reports whether the job fits into its team's guarantee along with the team's earlier
 	// open jobs. The planner keeps it.
 	WithinQuota bool
-	// AcceptsReplacements says whether lost tasks of a gang may be replaced in its present attempt.
+	// AcceptsReplacements reports whether lost tasks of a gang may be replaced in its present attempt.
 	// Package gang keeps it.
 	AcceptsReplacements bool
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// IsGang says whether the job's tasks run together or not at all.
+// IsGang reports whether the job's tasks run together or not at all.
 func (j *Job) IsGang() bool { return j.Spec.Shape == api.Gang }
 
 // CheckpointTime returns the time that a task of the job takes to save a checkpoint, rounded up.
@@ -90,7 +90,7 @@
 	return time.Duration(j.Spec.CheckpointS*float64(time.Second)) + time.Millisecond
 }
 
-// ReadyToLaunch says whether durable placements of the job may be launched. Those of a gang may
+// ReadyToLaunch reports whether durable placements of the job may be launched. Those of a gang may
 // only if the placements of all tasks in the same attempt are durable.
 func (j *Job) ReadyToLaunch() bool {
 	if !j.IsGang() {
@@ -143,11 +143,11 @@
 	return j.WaitingCount()
 }
 
-// ProvenHealthy says whether the job has shown that it can run: a task has completed, or has run
+// ProvenHealthy reports whether the job has shown that it can run: a task has completed, or has run
 // for a while. Its failures are rather the fault of machines.
 func (j *Job) ProvenHealthy() bool { return j.provenHealthy || j.CompletedTasks > 0 }
 
-// allCompleted says whether all tasks have completed. Those of a service are never counted so:
+// allCompleted reports whether all tasks have completed. Those of a service are never counted so:
 // it runs until it is cancelled.
 func (j *Job) allCompleted() bool {
 	return j.Spec.Shape != api.Service && j.CompletedTasks == len(j.Tasks)
--- a/internal/jobs/load_log.go
+++ b/internal/jobs/load_log.go
@@ -88,7 +88,7 @@
 	return append(tasks, t)
 }
 
-// documentCovers says whether a document was put with the lines of a record. Its LSN alone does not
+// documentCovers reports whether a document was put with the lines of a record. Its LSN alone does not
 // say so: earlier versions may have given a number out twice. A record that was written after
 // the document is not part of it, whatever its number; the document's LSN is then lowered.
 func documentCovers(doc *commit.Document, record storedRecord) bool {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -13,7 +13,7 @@
 	Phase         Phase        `json:"phase"`
 	LSN           uint64       `json:"lsn,omitempty"` // records of the log up to it are part of this
 	Tasks         []taskRecord `json:"tasks,omitempty"`
-	// Logged says that the log alone has the tasks. Those without a line were never placed.
+	// Logged reports that the log alone has the tasks. Those without a line were never placed.
 	Logged bool `json:"logged,omitempty"`
 }
 
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -47,7 +47,7 @@
 	return Resources{r.VCPUs - o.VCPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// Covers says whether other amounts have room in these.
+// Covers reports whether other amounts have room in these.
 func (r Resources) Covers(o Resources) bool {
 	return o.VCPUs <= r.VCPUs+roundingTolerance &&
 		o.GPUs <= r.GPUs+roundingTolerance &&
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -55,5 +55,5 @@
 	return [...]string{"waiting", "placing", "assigned", "stopping", "finished"}[s]
 }
 
-// Allocated says whether a task in this state takes resources of its machine.
+// Allocated reports whether a task in this state takes resources of its machine.
 func (s State) Allocated() bool { return s == Placing || s == Assigned || s == Stopping }
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -139,17 +139,17 @@
 	k.Settle(c)
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
 	k.Settle(c)
-	told, archived := api.Status(""), 0
+	status, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		archived++
 		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
 			t.Errorf("OnArchived is called for %s before that is durable", id)
 		}
 	}
-	tb.Cancel(j, func() { told = j.View().Status })
+	tb.Cancel(j, func() { status = j.View().Status })
 	k.Settle(c)
-	if told != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
-		t.Fatalf("told %q, keys %v", told, k.Entries)
+	if status != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
+		t.Fatalf("status %q, keys %v", status, k.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
 	k.Settle(c)
@@ -189,29 +189,29 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	var j *Job
-	told := api.Status("")
-	tell := func() { told = j.View().Status }
+	status := api.Status("")
+	readStatus := func() { status = j.View().Status }
 	j = tb.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	c.Flush()
-	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
-		t.Errorf("while the submission is written: %q", told)
+	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
+		t.Errorf("while the submission is written: %q", status)
 	}
 	k.Run()
-	if told != "queued" || !j.ViewSettled() {
-		t.Errorf("once it is: %q", told)
+	if status != "queued" || !j.ViewSettled() {
+		t.Errorf("once it is: %q", status)
 	}
-	told = ""
+	status = ""
 	tb.Cancel(j, func() {})
-	if j.WhenViewSettled(tell); told != "queued" {
-		t.Errorf("before anything is sent: %q", told)
+	if j.WhenViewSettled(readStatus); status != "queued" {
+		t.Errorf("before anything is sent: %q", status)
 	}
-	told = ""
+	status = ""
 	c.Flush()
-	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
-		t.Errorf("while the cancellation is written: %q", told)
+	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
+		t.Errorf("while the cancellation is written: %q", status)
 	}
 	k.Run()
-	if told != "cancelled" {
-		t.Errorf("once it is: %q", told)
+	if status != "cancelled" {
+		t.Errorf("once it is: %q", status)
 	}
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -37,10 +37,10 @@
 // TaskID returns the task's ID.
 func (t *Task) TaskID() ident.TaskID { return ident.TaskID{Job: t.Job.Spec.ID, Index: t.Index} }
 
-// PlacedThisTerm says whether the task was placed in this term.
+// PlacedThisTerm reports whether the task was placed in this term.
 func (t *Task) PlacedThisTerm() bool { return t.placements > 0 }
 
-// SeenRunning says whether the task was reported running since it entered its state.
+// SeenRunning reports whether the task was reported running since it entered its state.
 func (t *Task) SeenRunning() bool { return t.RunningSince > t.StateSince }
 
 // CheckpointGracePeriod returns the grace period that a task needs to save a checkpoint when it
@@ -72,5 +72,5 @@
 		"placed_at_s", t.StateSince.Sub(0).Seconds(), "job_age_s", t.RunningSince.Sub(t.Job.SubmittedAt).Seconds())
 }
 
-// isRunning says whether a task with that status has started and not ended.
+// isRunning reports whether a task with that status has started and not ended.
 func isRunning(s api.TaskStatus) bool { return s == api.Running || s == api.Flushing }
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -22,7 +22,7 @@
 	return v
 }
 
-// ViewSettled says whether every node that reads the job from the store gives the same view.
+// ViewSettled reports whether every node that reads the job from the store gives the same view.
 func (j *Job) ViewSettled() bool {
 	return j.SubmissionDurable && (j.Phase == j.DurablePhase || !j.storage.header.OutcomeUnknown())
 }
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -115,7 +115,7 @@
 
 // recordPlacement accounts for a placement.
 func (d *dispatch) recordPlacement(t *jobs.Task, w *workers.Worker) {
-	if !w.HasImage(t.Job.Spec.Image) && !w.IsPullingImage(t.Job.Spec.Image) {
+	if !w.HasImage(t.Job.Spec.Image) && !w.HasTaskWithImage(t.Job.Spec.Image) {
 		d.Stats.FetchedGB += t.Job.Spec.ImageGB
 	}
 	if !w.Spot {
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -18,12 +18,12 @@
 
 func attemptIn(report api.TaskReport) taskAttempt { return taskAttempt{report.TaskID, report.Attempt} }
 
-// isTargetOf says whether a command is for the attempt.
+// isTargetOf reports whether a command is for the attempt.
 func (a taskAttempt) isTargetOf(command api.Command) bool {
 	return command.TaskID == a.task && command.Attempt == a.attempt
 }
 
-// reportsAttempt says whether a heartbeat has an attempt.
+// reportsAttempt reports whether a heartbeat has an attempt.
 func reportsAttempt(heartbeat *api.Heartbeat, attempt taskAttempt) bool {
 	return slices.ContainsFunc(heartbeat.Tasks, func(report api.TaskReport) bool {
 		return attemptIn(report) == attempt
@@ -40,7 +40,7 @@
 	return t
 }
 
-// HasUnknownAttempt says whether some machine has reported an attempt of a task that is not known
+// HasUnknownAttempt reports whether some machine has reported an attempt of a task that is not known
 // here. The task must not be started elsewhere while it may run there.
 func (tb *Table) HasUnknownAttempt(task ident.TaskID) bool { return tb.unknownAttempts[task] > 0 }
 
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -19,20 +19,20 @@
 	NotAfter ident.MonotonicTime
 }
 
-// Launches says whether the call starts a task.
+// Launches reports whether the call starts a task.
 func (c CommandCall) Launches() bool { return api.ContainsLaunch(c.Body.Commands) }
 
 // CommandResult is the result of a CommandCall.
 type CommandResult struct {
 	Status    int // HTTP status, 0 without a response
 	Heartbeat *api.Heartbeat
-	// NotSent says that the call was surely not sent: its time was over.
+	// NotSent reports that the call was surely not sent: its time was over.
 	NotSent bool
-	// ConnectionRefused says that the connection was refused; the call was not sent.
+	// ConnectionRefused reports that the connection was refused; the call was not sent.
 	ConnectionRefused bool
 }
 
-// isFrom says whether the result is a response of the worker, which has carried out the commands
+// isFrom reports whether the result is a response of the worker, which has carried out the commands
 // or refused them as outdated.
 func (r CommandResult) isFrom(id ident.MachineID) bool {
 	if r.Status != http.StatusOK && r.Status != http.StatusConflict {
@@ -125,7 +125,7 @@
 	call := CommandCall{Addr: w.Addr, Zone: w.Zone, Body: api.CommandRequest{
 		FencingToken: tb.fencingToken(w),
 		Incarnation:  max(w.order.incarnation, 1),
-		Commands:     w.commands.take(),
+		Commands:     w.commands.startCall(),
 	}}
 	tb.port.Worker(call, func(result CommandResult) { tb.handleCommandResult(w, result) })
 }
@@ -134,7 +134,7 @@
 	if tb.closed {
 		return
 	}
-	w.commands.finish()
+	w.commands.finishCall()
 	if result.NotSent {
 		// The response to the worker's next heartbeat repeats it, if this node still leads then.
 		w.commands.discard()
--- a/internal/workers/command_queue.go
+++ b/internal/workers/command_queue.go
@@ -24,11 +24,12 @@
 	return true
 }
 
-// hasWork says whether there is something to call for.
+// hasWork reports whether another call is needed.
 func (q *commandQueue) hasWork() bool { return len(q.queued) > 0 || q.probePending }
 
-// take moves what is queued to the call under way, and returns it: a slice that is not nil.
-func (q *commandQueue) take() []api.Command {
+// startCall moves the queued commands to the call under way and returns them, in a slice that is
+// not nil.
+func (q *commandQueue) startCall() []api.Command {
 	q.probePending = false
 	q.inFlight, q.queued = q.queued, nil
 	if q.inFlight == nil {
@@ -37,18 +38,18 @@
 	return q.inFlight
 }
 
-// finish notes the end of the call under way.
-func (q *commandQueue) finish() { q.inFlight, q.sending = nil, false }
+// finishCall ends the call under way.
+func (q *commandQueue) finishCall() { q.inFlight, q.sending = nil, false }
 
-// discard drops what is queued.
+// discard drops the queued commands.
 func (q *commandQueue) discard() { q.queued = nil }
 
-// targets says whether a command that is under way or queued is for an attempt.
+// targets reports whether a command that is under way or queued is for an attempt.
 func (q *commandQueue) targets(attempt taskAttempt) bool {
 	return slices.ContainsFunc(q.inFlight, attempt.isTargetOf) || slices.ContainsFunc(q.queued, attempt.isTargetOf)
 }
 
-// hasQueued says whether a command like this is queued, whatever its grace period.
+// hasQueued reports whether a command like this is queued, whatever its grace period.
 func (q *commandQueue) hasQueued(command api.Command) bool {
 	return slices.ContainsFunc(q.queued, func(queued api.Command) bool {
 		return queued.Verb == command.Verb && queued.TaskID == command.TaskID && queued.Attempt == command.Attempt
--- a/internal/workers/failures.go
+++ b/internal/workers/failures.go
@@ -31,7 +31,7 @@
 // RecordFailure notes that a task of a job failed on the machine.
 func (w *Worker) RecordFailure(j *jobs.Job) { w.failures.add(j) }
 
-// Faulty says whether jobs that run well on other machines fail on this one.
+// Faulty reports whether jobs that run well on other machines fail on this one.
 func (w *Worker) Faulty() bool {
 	n := 0
 	for j := range w.failures.jobs {
@@ -42,7 +42,7 @@
 	return n >= faultyThreshold
 }
 
-// PossiblyFaulty says whether a job that may be healthy has failed on the machine. Then the
+// PossiblyFaulty reports whether a job that may be healthy has failed on the machine. Then the
 // machine does not count as capacity that can be relied on.
 func (w *Worker) PossiblyFaulty() bool {
 	for j := range w.failures.jobs {
--- a/internal/workers/failures_test.go
+++ b/internal/workers/failures_test.go
@@ -48,9 +48,9 @@
 		r.runUntilIdle()
 		r.now = r.now.Add(time.Second)
 		r.jobs.UpdateStatus(&j.Tasks[0], api.Running)
-		r.jobs.NoteFailure(j)
+		r.jobs.RecordUnexplainedFailure(j)
 		r.now = r.now.Add(11 * time.Second)
-		r.jobs.ClearProvenHealthy()
+		r.jobs.MarkProvenHealthy()
 	}
 	if !r.worker.Faulty() {
 		t.Error("two jobs in a row that run well elsewhere failed there, and it is not faulty")
--- a/internal/workers/fencing.go
+++ b/internal/workers/fencing.go
@@ -28,7 +28,7 @@
 // fencingToken returns the token for commands to a worker.
 func (tb *Table) fencingToken(w *Worker) ident.FencingToken { return w.fencing.token(tb.cfg.Term) }
 
-// hasCurrentToken says whether a heartbeat has the newest token of its worker. Then no earlier
+// hasCurrentToken reports whether a heartbeat has the newest token of its worker. Then no earlier
 // command can be carried out any more.
 func (tb *Table) hasCurrentToken(w *Worker, heartbeat *api.Heartbeat) bool {
 	return heartbeat.FencingToken == tb.fencingToken(w)
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -49,8 +49,8 @@
 		return nil
 	}
 	token := ident.MakeFencingToken(tb.cfg.Term, 0)
-	if !tb.verifying[heartbeat.MachineID] && len(tb.verifying) < tb.unknownProbeLimit() {
-		tb.verifying[heartbeat.MachineID] = true
+	if !tb.probedUnknown[heartbeat.MachineID] && len(tb.probedUnknown) < tb.unknownProbeLimit() {
+		tb.probedUnknown[heartbeat.MachineID] = true
 		call := CommandCall{Addr: heartbeat.Addr, Zone: heartbeat.Zone, Body: api.CommandRequest{
 			FencingToken: token, Incarnation: heartbeat.Incarnation, Commands: []api.Command{},
 		}}
@@ -64,7 +64,7 @@
 	if tb.closed {
 		return
 	}
-	delete(tb.verifying, heartbeat.MachineID)
+	delete(tb.probedUnknown, heartbeat.MachineID)
 	if result.Heartbeat == nil || result.Heartbeat.MachineID != heartbeat.MachineID {
 		return
 	}
@@ -218,7 +218,7 @@
 		return
 	}
 	if provesImage(report) {
-		w.noteImageUse(t.Job.Spec)
+		w.recordImageUse(t.Job.Spec)
 	}
 	if report.Status != api.Ended {
 		tb.jobs.UpdateStatus(t, report.Status)
@@ -227,7 +227,7 @@
 	tb.handleTaskEnd(w, t, report)
 }
 
-// provesImage says whether a task in this state has its image.
+// provesImage reports whether a task in this state has its image.
 func provesImage(report api.TaskReport) bool {
 	switch report.Status {
 	case api.Running, api.Flushing, api.Gathering:
--- a/internal/workers/heartbeat_order.go
+++ b/internal/workers/heartbeat_order.go
@@ -12,7 +12,7 @@
 	sequence    ident.SequenceNumber // of the newest heartbeat of this term; 0: there was none
 }
 
-// isStale says whether a heartbeat is not newer than the newest known one.
+// isStale reports whether a heartbeat is not newer than the newest known one.
 func (o *heartbeatOrder) isStale(heartbeat *api.Heartbeat) bool {
 	return heartbeat.Incarnation < o.incarnation ||
 		heartbeat.Incarnation == o.incarnation && heartbeat.SequenceNumber <= o.sequence
@@ -26,5 +26,5 @@
 // Incarnation returns the newest known incarnation of the worker, 0 if none is known.
 func (w *Worker) Incarnation() ident.Incarnation { return w.order.incarnation }
 
-// HeardThisTerm says whether the worker has sent a heartbeat in this term.
-func (w *Worker) HeardThisTerm() bool { return w.order.sequence > 0 }
+// ReportedThisTerm reports whether the worker has sent a heartbeat in this term.
+func (w *Worker) ReportedThisTerm() bool { return w.order.sequence > 0 }
--- a/internal/workers/image_cache.go
+++ b/internal/workers/image_cache.go
@@ -26,9 +26,9 @@
 
 func (c *imageCache) has(name string) bool { return indexOfImage(c.images, name) >= 0 }
 
-// noteUse makes an image the most recently used one. Others are evicted if it is new and the
-// disk too small for all.
-func (c *imageCache) noteUse(used Image, diskGB float64) {
+// markUsed makes an image the most recently used one. If it is new and the disk is too small for
+// all images, others are evicted.
+func (c *imageCache) markUsed(used Image, diskGB float64) {
 	i := indexOfImage(c.images, used.Name)
 	if i < 0 {
 		c.images = append(c.images, used)
@@ -61,21 +61,21 @@
 // changed.
 func (w *Worker) CachedImages() []Image { return w.imageCache.images }
 
-// HasImage says whether the machine probably has an image cached.
+// HasImage reports whether the machine probably has an image cached.
 func (w *Worker) HasImage(image string) bool { return w.imageCache.has(image) }
 
-// noteImageUse notes that a task of the job has its image on the machine.
-func (w *Worker) noteImageUse(s *api.Spec) {
+// recordImageUse marks a job's image as used on the machine, by one of its tasks.
+func (w *Worker) recordImageUse(s *api.Spec) {
 	diskGB := math.Inf(1) // unknown
 	if w.Type != nil {
 		diskGB = w.Type.LocalDiskGB
 	}
-	w.imageCache.noteUse(Image{s.Image, s.ImageGB}, diskGB)
+	w.imageCache.markUsed(Image{s.Image, s.ImageGB}, diskGB)
 }
 
-// IsPullingImage says whether a task on the machine needs an image: then it is cached or being
-// pulled.
-func (w *Worker) IsPullingImage(image string) bool {
+// HasTaskWithImage reports whether a task on the machine uses an image, which is then cached there
+// or being pulled.
+func (w *Worker) HasTaskWithImage(image string) bool {
 	for _, t := range w.Tasks {
 		if t.Job.Spec.Image == image {
 			return true
--- a/internal/workers/image_cache_test.go
+++ b/internal/workers/image_cache_test.go
@@ -24,7 +24,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var cache imageCache
 			for _, image := range c.used {
-				cache.noteUse(image, c.diskGB)
+				cache.markUsed(image, c.diskGB)
 			}
 			var names []string
 			for _, image := range cache.images {
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -31,7 +31,7 @@
 // expired here.
 const expiryMargin = time.Second
 
-// LeaseExpired says whether the worker's lease has surely expired, and its tasks are killed: no
+// LeaseExpired reports whether the worker's lease has surely expired, and its tasks are killed: no
 // heartbeat sent since its last renewal can have had a response from this leader, from an
 // earlier one in its grace period, or from a peer that renews leases for either.
 func (tb *Table) LeaseExpired(w *Worker) bool {
@@ -88,7 +88,7 @@
 	return &api.HeartbeatResponse{FencingToken: tb.fencingToken(w), Commands: commands}
 }
 
-// mayRenewLease says whether the worker's lease may be renewed. It may not while a command may
+// mayRenewLease reports whether the worker's lease may be renewed. It may not while a command may
 // still start a task there whose job was cancelled longer ago than the leader's grace
 // period: such a task has to end with the lease.
 func (tb *Table) mayRenewLease(w *Worker, heartbeat *api.Heartbeat) bool {
--- a/internal/workers/reachability.go
+++ b/internal/workers/reachability.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// inBothDirections says whether nothing indicates that the worker cannot be reached.
+// inBothDirections reports whether nothing indicates that the worker cannot be reached.
 func (r *reachability) inBothDirections() bool {
 	return !r.unresponsive && r.missedResponses == 0 && r.cannotReceiveSince == 0
 }
@@ -58,11 +58,11 @@
 // LastContact returns the time of the newest heartbeat, or that at which the machine was added.
 func (w *Worker) LastContact() ident.MonotonicTime { return w.reachability.lastContact }
 
-// Reachable says whether a machine is up, has sent a heartbeat within a duration, and receives
+// Reachable reports whether a machine is up, has sent a heartbeat within a duration, and receives
 // commands as far as is known.
 func (tb *Table) Reachable(id ident.MachineID, within time.Duration) bool {
 	w := tb.Workers[id]
-	return w != nil && w.State == Up && w.reachability.inBothDirections() && w.HeardThisTerm() && tb.TimeSinceContact(w) <= within
+	return w != nil && w.State == Up && w.reachability.inBothDirections() && w.ReportedThisTerm() && tb.TimeSinceContact(w) <= within
 }
 
 // TimeSinceContact returns for how long there has been no heartbeat from a worker. In a new
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -70,7 +70,7 @@
 	return api.Command{}, false
 }
 
-// isUnconfirmedLaunch says whether a task was placed in this term and its worker has not reported
+// isUnconfirmedLaunch reports whether a task was placed in this term and its worker has not reported
 // it yet: its launch may be repeated. What an earlier term has placed is not launched. That
 // term may have given its room, or its team's quota, to other tasks, and only the placement
 // of those may have become durable; it counts as lost and is placed anew.
--- a/internal/workers/reservation.go
+++ b/internal/workers/reservation.go
@@ -25,10 +25,10 @@
 // ReleaseReservation gives up the machine's reservation.
 func (w *Worker) ReleaseReservation() { w.reservation = nil }
 
-// HasReservation says whether the machine has a reservation.
+// HasReservation reports whether the machine has a reservation.
 func (w *Worker) HasReservation() bool { return w.reservation != nil }
 
-// ReservationCovered says whether the machine has a reservation and still the room for it:
+// ReservationCovered reports whether the machine has a reservation and still the room for it:
 // work of a higher priority may have taken that.
 func (w *Worker) ReservationCovered() bool {
 	return w.reservation != nil && w.unused().Covers(w.reservation.Resources)
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -68,7 +68,7 @@
 
 	tasksByPriority taskCounts               // tasks that are allocated on any machine
 	unknownAttempts map[ident.TaskID]int     // number of machines with an unknown attempt of the task
-	verifying       map[ident.MachineID]bool // unknown machines that are being probed
+	probedUnknown   map[ident.MachineID]bool // unknown machines that are being probed
 
 	LostTasks       uint64 // tasks that were proven gone without having ended
 	FencedCommands  uint64 // commands without a response
@@ -87,7 +87,7 @@
 		jobs:            j,
 		startedAt:       port.Now(),
 		unknownAttempts: map[ident.TaskID]int{},
-		verifying:       map[ident.MachineID]bool{},
+		probedUnknown:   map[ident.MachineID]bool{},
 	}
 }
 
--- a/internal/workers/usage.go
+++ b/internal/workers/usage.go
@@ -87,16 +87,16 @@
 	return tb.tasksByPriority.below(priority)
 }
 
-// Fits says whether a task of the job has room on the machine now; FitsEmpty says whether
+// Fits reports whether a task of the job has room on the machine now; FitsEmpty reports whether
 // it would have on an empty one.
 func (w *Worker) Fits(s *api.Spec) bool { return w.HasRoom(jobs.ResourcesOf(s)) }
 
-// FitsEmpty says whether a task of the job has room on an empty machine of a type.
+// FitsEmpty reports whether a task of the job has room on an empty machine of a type.
 func FitsEmpty(machineType *cloud.MachineType, s *api.Spec) bool {
 	return capacityOf(machineType).Covers(jobs.ResourcesOf(s))
 }
 
-// HasRoom says whether as much is free, beside what is reserved.
+// HasRoom reports whether as much is free, beside what is reserved.
 func (w *Worker) HasRoom(need jobs.Resources) bool { return w.Type != nil && w.Free().Covers(need) }
 
 // TaskCapacity returns how many tasks of a job have room on the machine now.
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -81,7 +81,7 @@
 	Deleted bool      // the key is deleted
 }
 
-// Allows says whether tasks of the job may run on the machine, whatever else is on it.
+// Allows reports whether tasks of the job may run on the machine, whatever else is on it.
 func (w *Worker) Allows(s *api.Spec) bool {
 	if s.Zone != nil && *s.Zone != w.Zone || w.Spot && !s.Spot || w.Type == nil {
 		return false
@@ -89,13 +89,13 @@
 	return AllowsModel(s, w.Model) && FitsEmpty(w.Type, s)
 }
 
-// AllowsModel says whether tasks of the job may run on a type of machine. A job without a list of
+// AllowsModel reports whether tasks of the job may run on a type of machine. A job without a list of
 // models may run on all.
 func AllowsModel(s *api.Spec, model string) bool {
 	return s.Models == nil || slices.Contains(s.Models, model)
 }
 
-// Schedulable says whether tasks may be placed on the machine now.
+// Schedulable reports whether tasks may be placed on the machine now.
 func (w *Worker) Schedulable(now ident.MonotonicTime) bool {
 	switch {
 	case w.State != Up, w.ReclaimAt != 0, w.Cordoned, w.Slow, now < w.QuarantinedUntil:
