--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -16,6 +16,7 @@
 	"opaldale/internal/placement"
 	"opaldale/internal/settings"
 	"opaldale/internal/workers"
+	"opaldale/internal/workerstest"
 )
 
 // fakePort answers requests to the cloud by a function and has a clock of its own.
@@ -91,18 +92,10 @@
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
 	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(error) {})
 	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
-	r.table = workers.NewTable(r, r.jobs, workers.Config{
-		Term:              3,
-		LeaseDuration:     30 * time.Second,
-		LeaderGrace:       10 * time.Second,
-		Catalog:           func(string) *cloud.MachineType { return &machineType },
-		OnDeposed:         func() {},
-		OnCapacityChanged: func() {},
-		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
-		OnCommandResult:   func(*workers.Worker, bool) {},
-		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
-		Persist:           func(w *workers.Worker) { w.Persisted = w.State != workers.Terminated },
-	})
+	workersConfig := workerstest.Config(3, machineType)
+	workersConfig.LeaderGrace = 10 * time.Second
+	workersConfig.Persist = func(w *workers.Worker) { w.Persisted = w.State != workers.Terminated }
+	r.table = workers.NewTable(r, r.jobs, workersConfig)
 	tuning := settings.DefaultTuning()
 	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to terminate
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
@@ -125,13 +118,7 @@
 
 // trackTasks counts tasks on their machines as they come and go.
 func (r *harness) trackTasks() {
-	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
-		if w := r.table.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
-			r.table.AddTask(w, task)
-		} else if !to.Allocated() && from.Allocated() {
-			r.table.RemoveTask(w, task)
-		}
-	}
+	r.jobs.OnStateChange = workerstest.TrackAllocation(r.table)
 }
 
 // machineID names one of the machines that addMachines adds.
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -13,6 +13,7 @@
 	"opaldale/internal/kvstore"
 	_ "opaldale/internal/kvstoretest" // discards the log
 	"opaldale/internal/workers"
+	"opaldale/internal/workerstest"
 )
 
 // harness is a gang of three tasks, on five machines that keep the commands that they are sent.
@@ -85,16 +86,15 @@
 	r.commits.UseTextFormat()
 	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
 	r.jobs.UsePackedLog()
-	r.workers = workers.NewTable(r, r.jobs, r.workersConfig())
+	workersConfig := workerstest.Config(3, cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32})
+	workersConfig.OnDeposed = func() { t.Error("deposed") }
+	r.workers = workers.NewTable(r, r.jobs, workersConfig)
 	config := Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second}
 	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, config)
+	trackAllocation := workerstest.TrackAllocation(r.workers)
 	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
 		r.gangs.MarkChanged(task.Job)
-		if w := r.workers.Workers[task.MachineID]; to.Allocated() && !from.Allocated() {
-			r.workers.AddTask(w, task)
-		} else if !to.Allocated() && from.Allocated() {
-			r.workers.RemoveTask(w, task)
-		}
+		trackAllocation(task, from, to)
 	}
 	for i := range 5 {
 		r.workers.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
@@ -107,21 +107,6 @@
 	return r
 }
 
-func (r *harness) workersConfig() workers.Config {
-	machineType := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32}
-	return workers.Config{
-		Term:              3,
-		LeaseDuration:     30 * time.Second,
-		Catalog:           func(string) *cloud.MachineType { return &machineType },
-		OnDeposed:         func() { r.t.Error("deposed") },
-		OnCapacityChanged: func() {},
-		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Persist:           func(w *workers.Worker) { w.Persisted = true },
-		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
-		OnCommandResult:   func(*workers.Worker, bool) {},
-	}
-}
-
 func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%d", i)) }
 
 // heartbeat handles the next heartbeat of a machine, which reports the given tasks and no other.
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -13,6 +13,7 @@
 	"opaldale/internal/kvstore"
 	"opaldale/internal/settings"
 	"opaldale/internal/workers"
+	"opaldale/internal/workerstest"
 )
 
 // instantEnv is an environment whose store carries out each request at once.
@@ -49,22 +50,6 @@
 // machineID returns the ID of the i-th machine.
 func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%06d", i)) }
 
-// workersConfig returns the configuration of a table of machines of one type, whose events have no
-// effect.
-func workersConfig(machineType *cloud.MachineType) workers.Config {
-	return workers.Config{
-		Term:              1,
-		LeaseDuration:     time.Minute,
-		Catalog:           func(string) *cloud.MachineType { return machineType },
-		OnDeposed:         func() {},
-		OnCapacityChanged: func() {},
-		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
-		Persist:           func(w *workers.Worker) { w.Persisted = true },
-		OnCommandResult:   func(*workers.Worker, bool) {},
-		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
-	}
-}
-
 // newTestCluster makes a cluster of machines with 16 CPUs and three waiting tasks for each machine.
 func newTestCluster(machines int) *testCluster {
 	const maxValueBytes = 16 << 10
@@ -73,18 +58,13 @@
 	limits := commit.Limits{MutationsPerTxn: 24, MutationsPerSecond: 1e9, MaxValueBytes: maxValueBytes}
 	c.commits = commit.New(c, limits, kvstore.Compare{Key: "leader"}, func(error) {})
 	c.jobs = jobs.NewTable(c.commits, maxValueBytes, c.Now, func() int64 { return 0 })
-	c.machines = workers.NewTable(c, c.jobs, workersConfig(&machineType))
+	workersConfig := workerstest.Config(1, machineType)
+	workersConfig.LeaseDuration = time.Minute
+	c.machines = workers.NewTable(c, c.jobs, workersConfig)
 	teams := NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}})
 	config := Config{UseASM1: true, MaxWait: time.Hour, GangWait: time.Hour}
 	c.planner = NewPlanner(teams, c.jobs, c.machines, c, c.Now, config)
-	c.jobs.OnStateChange = func(t *jobs.Task, from, to jobs.State) {
-		w := c.machines.Workers[t.MachineID]
-		if !from.Allocated() && to.Allocated() {
-			c.machines.AddTask(w, t)
-		} else if from.Allocated() && !to.Allocated() {
-			c.machines.RemoveTask(w, t)
-		}
-	}
+	c.jobs.OnStateChange = workerstest.TrackAllocation(c.machines)
 	for i := range machines {
 		c.addMachine(i, "east", i%3 == 0)
 	}
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -9,6 +9,19 @@
 	"opaldale/internal/jobs"
 )
 
+// wantLeaseExpiry checks that a lease has not expired after a time, and has 2 s later.
+func (r *harness) wantLeaseExpiry(t *testing.T, w *Worker, after time.Duration) {
+	t.Helper()
+	r.now = r.now.Add(after)
+	if r.tb.LeaseExpired(w) {
+		t.Errorf("expired within %v", after)
+	}
+	r.now = r.now.Add(2 * time.Second)
+	if !r.tb.LeaseExpired(w) {
+		t.Errorf("not expired after %v", after+2*time.Second)
+	}
+}
+
 // TestStaleHeartbeatRenewsLease: a stale heartbeat has no effect, but the response to it renews the lease all
 // the same.
 func TestStaleHeartbeatRenewsLease(t *testing.T) {
@@ -23,28 +36,15 @@
 	if r.task().State != jobs.Assigned || r.task().ReportedStatus != api.Running {
 		t.Errorf("task %v %v", r.task().State, r.task().ReportedStatus)
 	}
-	r.now = r.now.Add(30 * time.Second)
-	if r.tb.LeaseExpired(r.worker) {
-		t.Error("expired 30 s after the response to a stale heartbeat")
-	}
-	r.now = r.now.Add(2 * time.Second)
-	if !r.tb.LeaseExpired(r.worker) {
-		t.Error("not expired 32 s after the last response")
-	}
+	r.wantLeaseExpiry(t, r.worker, 30*time.Second)
 }
 
 // TestLeaseIncludesLeaderGrace: an earlier leader may have renewed leases for a while into the term.
 func TestLeaseIncludesLeaderGrace(t *testing.T) {
 	r := newHarness(t)
 	w := r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
-	r.now = r.now.Add(40 * time.Second)
-	if r.tb.LeaseExpired(w) {
-		t.Error("expired within lease and grace period")
-	}
-	r.now = r.now.Add(2 * time.Second)
-	if !r.tb.LeaseExpired(w) {
-		t.Error("not expired after both")
-	}
+	const leaseAndGrace = 40 * time.Second // see newHarness
+	r.wantLeaseExpiry(t, w, leaseAndGrace)
 }
 
 // TestNewIncarnationLease: an incarnation whose lease was not renewed yet has its full lease, however long
@@ -57,14 +57,7 @@
 	if r.worker.Incarnation() != 2 || r.tb.LeaseExpired(r.worker) {
 		t.Errorf("incarnation %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
 	}
-	r.now = r.now.Add(30 * time.Second)
-	if r.tb.LeaseExpired(r.worker) {
-		t.Error("expired within the first lease of the incarnation")
-	}
-	r.now = r.now.Add(2 * time.Second)
-	if !r.tb.LeaseExpired(r.worker) {
-		t.Error("not expired after it")
-	}
+	r.wantLeaseExpiry(t, r.worker, 30*time.Second)
 }
 
 // TestNoRenewalAfterSuccessorToken: in its grace period a leader does not respond to a worker that has a
--- /dev/null
+++ b/internal/workerstest/workerstest.go
@@ -0,0 +1,43 @@
+// Package workerstest sets up tables of machines for the tests of other packages. Only tests may
+// import it.
+package workerstest
+
+import (
+	"time"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/ident"
+	"opaldale/internal/jobs"
+	"opaldale/internal/workers"
+)
+
+// Config returns the configuration of a table of machines of one type: leases of half a minute and
+// no grace period, machines that count as persisted at once, and events that have no effect.
+func Config(term ident.Term, machineType cloud.MachineType) workers.Config {
+	return workers.Config{
+		Term:              term,
+		LeaseDuration:     30 * time.Second,
+		Catalog:           func(string) *cloud.MachineType { return &machineType },
+		OnDeposed:         func() {},
+		OnCapacityChanged: func() {},
+		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
+		Persist:           func(w *workers.Worker) { w.Persisted = true },
+		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
+		OnCommandResult:   func(*workers.Worker, bool) {},
+	}
+}
+
+// TrackAllocation returns a function for jobs.Table.OnStateChange. It adds tasks to their machines in a table
+// when they are allocated, and removes them when their allocation ends.
+func TrackAllocation(table *workers.Table) func(task *jobs.Task, from, to jobs.State) {
+	return func(task *jobs.Task, from, to jobs.State) {
+		w := table.Workers[task.MachineID]
+		switch {
+		case to.Allocated() && !from.Allocated():
+			table.AddTask(w, task)
+		case from.Allocated() && !to.Allocated():
+			table.RemoveTask(w, task)
+		}
+	}
+}
