--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -4,7 +4,7 @@
 // The package is pure: facts come in, a state with its permissions comes out.
 package authority
 
-import "fmt"
+import "opaldale/internal/enum"
 
 // State is the extent of a node's authority.
 type State uint8
@@ -21,12 +21,7 @@
 
 // String returns the state's name in reports and metrics, where it must not change. It differs from
 // the constant's name.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"none", "grace", "loading", "yielding", "holding", "deciding"}
 
@@ -56,12 +51,7 @@
 )
 
 // String returns the action's name.
-func (a Action) String() string {
-	if int(a) < len(actionNames) {
-		return actionNames[a]
-	}
-	return fmt.Sprintf("action %d", uint8(a))
-}
+func (a Action) String() string { return enum.Name(actionNames[:], a, "action") }
 
 var actionNames = [...]string{"place", "launch", "accept", "answer", "command", "keep leases", "rent", "fence"}
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,11 +8,11 @@
 package election
 
 import (
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
@@ -35,12 +35,7 @@
 )
 
 // String returns the state's name in logs.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"following", "requesting lease", "claiming", "leading"}
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -10,9 +10,9 @@
 package handover
 
 import (
-	"fmt"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 )
 
@@ -28,12 +28,7 @@
 )
 
 // String returns the state's name in reports, where it must not change.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"steady", "worse", "draining", "ended"}
 
@@ -49,12 +44,7 @@
 )
 
 // String returns the reason in reports, where it must not change.
-func (r Reason) String() string {
-	if int(r) < len(reasonNames) {
-		return reasonNames[r]
-	}
-	return fmt.Sprintf("reason %d", uint8(r))
-}
+func (r Reason) String() string { return enum.Name(reasonNames[:], r, "reason") }
 
 var reasonNames = [...]string{"none", "a sibling is better placed", "neither siblings nor machines are reached", "requested"}
 
--- a/internal/links/database.go
+++ b/internal/links/database.go
@@ -1,10 +1,10 @@
 package links
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 )
 
@@ -23,12 +23,7 @@
 )
 
 // String returns the result's name in metrics.
-func (r MergeResult) String() string {
-	if int(r) < len(mergeResultNames) {
-		return mergeResultNames[r]
-	}
-	return fmt.Sprintf("merge result %d", uint8(r))
-}
+func (r MergeResult) String() string { return enum.Name(mergeResultNames[:], r, "merge result") }
 
 var mergeResultNames = [...]string{"taken", "foreign", "expired", "older"}
 
--- a/internal/links/endpoint.go
+++ b/internal/links/endpoint.go
@@ -13,6 +13,8 @@
 import (
 	"cmp"
 	"fmt"
+
+	"opaldale/internal/enum"
 )
 
 // Kind says what is at the far end of a link. Its values are part of the wire format.
@@ -76,12 +78,7 @@
 )
 
 // String returns the direction's name in reports and metrics.
-func (d Direction) String() string {
-	if int(d) < len(directionNames) {
-		return directionNames[d]
-	}
-	return fmt.Sprintf("direction %d", uint8(d))
-}
+func (d Direction) String() string { return enum.Name(directionNames[:], d, "direction") }
 
 var directionNames = [...]string{"inbound", "outbound"}
 
@@ -97,12 +94,7 @@
 )
 
 // String returns the state's name in reports and metrics.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"unknown", "up", "suspect", "down"}
 
@@ -124,12 +116,7 @@
 )
 
 // String returns the evidence's name in reports.
-func (e Evidence) String() string {
-	if int(e) < len(evidenceNames) {
-		return evidenceNames[e]
-	}
-	return fmt.Sprintf("evidence %d", uint8(e))
-}
+func (e Evidence) String() string { return enum.Name(evidenceNames[:], e, "evidence") }
 
 var evidenceNames = [...]string{"none", "answer", "echo", "message", "error answer", "connection refused", "silence"}
 
--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -1,10 +1,10 @@
 package load
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 )
 
@@ -28,12 +28,7 @@
 }
 
 // String returns the name of a state as metrics and logs have it.
-func (s DemandState) String() string {
-	if int(s) < len(demandStateNames) {
-		return demandStateNames[s]
-	}
-	return fmt.Sprintf("heat %d", uint8(s))
-}
+func (s DemandState) String() string { return enum.Name(demandStateNames[:], s, "heat") }
 
 // team is the demand of one team.
 type team struct {
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -7,7 +7,7 @@
 // effects go out. History keeps the durable record of moves.
 package migration
 
-import "fmt"
+import "opaldale/internal/enum"
 
 // State is the state of a move.
 type State uint8
@@ -38,12 +38,7 @@
 }
 
 // String returns the name of a state as metrics and logs have it.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 // Ended says whether a move in that state is over.
 func (s State) Ended() bool { return s == Running || s == Abandoned }
@@ -94,9 +89,4 @@
 }
 
 // String returns the name of a reason as metrics and logs have it.
-func (r Reason) String() string {
-	if r < reasonCount {
-		return reasonNames[r]
-	}
-	return fmt.Sprintf("reason %d", uint8(r))
-}
+func (r Reason) String() string { return enum.Name(reasonNames[:], r, "reason") }
--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -7,9 +7,9 @@
 package rebalance
 
 import (
-	"fmt"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
@@ -135,12 +135,7 @@
 }
 
 // String returns the name of a purpose as records, metrics and logs have it.
-func (p Purpose) String() string {
-	if p < purposeCount {
-		return purposeNames[p]
-	}
-	return fmt.Sprintf("source %d", uint8(p))
-}
+func (p Purpose) String() string { return enum.Name(purposeNames[:], p, "source") }
 
 // Move is a proposed move of a running task.
 type Move struct {
--- a/internal/rebalancer/hold.go
+++ b/internal/rebalancer/hold.go
@@ -1,9 +1,9 @@
 package rebalancer
 
 import (
-	"fmt"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 	"opaldale/internal/workers"
 )
@@ -29,12 +29,7 @@
 	"machines leave", "nobody waits",
 }
 
-func (r HoldReason) String() string {
-	if r < holdReasonCount {
-		return holdReasonNames[r]
-	}
-	return fmt.Sprintf("restraint %d", uint8(r))
-}
+func (r HoldReason) String() string { return enum.Name(holdReasonNames[:], r, "restraint") }
 
 const (
 	// cooldownAfterHotTeam is how long nothing is proposed after an overloaded team has cooled.
--- a/internal/upgrade/raiser.go
+++ b/internal/upgrade/raiser.go
@@ -7,12 +7,12 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"log/slog"
 	"time"
 
 	"opaldale/internal/commit"
 	"opaldale/internal/election"
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
@@ -39,12 +39,7 @@
 )
 
 // String returns the state's name in logs.
-func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return fmt.Sprintf("state %d", uint8(s))
-}
+func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"mixed", "raising", "raised"}
 
