--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -13,68 +13,67 @@
 	"opaldale/internal/settings"
 )
 
-// runMoveScenario plays days of one kind and checks each; it returns how many moves were recorded.
+// runMoveScenario runs a scenario with each seed, checks the runs, and returns the number of recorded moves.
 func runMoveScenario(t *testing.T, seeds uint64, inject func(sim *Simulation)) (moves int) {
 	t.Helper()
 	for seed := range seeds {
 		sim := New(rebalancingConfig(seed))
 		inject(sim)
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		moves += sim.Moves
 	}
 	return moves
 }
 
-// tuneForFrequentMoves has moves made as often as can be.
+// tuneForFrequentMoves has moves made as often as possible.
 func tuneForFrequentMoves(t *settings.Tuning) {
 	t.PlanInterval = time.Second
 	t.Migration.LeaderSettleTime, t.Migration.MinTaskWait, t.Migration.MinRunTime = time.Second, 500*time.Millisecond, 0
 	t.Migration.Cluster, t.Migration.Zone, t.Migration.Team, t.Migration.MinGainFactor = 20, 20, 20, 1
 }
 
-// TestMovesUnderFaults plays days on which moves pay amid faults of all kinds, several at
-// once, with jobs that come and are cancelled: every rule holds, no job is moved a third time,
-// and all work ends.
+// TestMovesUnderFaults runs moves during faults of all kinds, several at once, with jobs that arrive and are cancelled:
+// every invariant holds, no job is moved a third time, and all work ends.
 func TestMovesUnderFaults(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(24) {
 		cfg := rebalancingConfig(seed)
-		cfg.ZoneCapacity = 4 // with fewer, arrays may wait beside the room that is kept for services
+		cfg.ZoneCapacity = 4 // with fewer, arrays may wait for the capacity that is kept for services
 		cfg.Faults, cfg.ConcurrentFaults, cfg.LinkMonitoring, cfg.NoArrivals = true, seed%2 == 1, seed%4 > 1, false
 		if seed%3 > 0 {
 			cfg.Tune = tuneForFrequentMoves
 		}
-		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // the long tasks may begin anew late
+		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // long tasks may restart late
 		if cfg.SlowMachines = int(seed % 2); cfg.SlowMachines > 0 {
-			cfg.QuiescentDuration = 20 * time.Minute // or end on the slow machine
+			cfg.QuiescentDuration = 20 * time.Minute // or complete on the slow machine
 		}
 		sim := New(cfg)
 		sim.fragmentFleet(4)
 		sim.submitWideTasks(wideTasksAt, 180)
 		sim.submitShortTasks(30, 150)
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 	}
 	t.Logf("%d moves", moves)
 	if moves < 60 {
-		t.Errorf("only %d moves in all: the test shows little", moves)
+		t.Errorf("only %d moves in all: the test proves little", moves)
 	}
 }
 
 const (
-	// convergenceTime is within what time of a flood's beginning the load must have evened out, and
-	// maxImbalance what imbalance counts as even then, on average over half a minute.
+	// convergenceTime is how long after the start of a flood the load must have evened out: the mean imbalance of the next
+	// half a minute is at most maxImbalance.
 	convergenceTime = time.Minute
 	maxImbalance    = 0.45
 )
 
-// TestLoadConverges: fifty machines, one team that floods while the others submit small and
-// large work, with the settings of deploy/moves.sexp: within a minute the load has evened out,
-// though a controller dies meanwhile, and no job is moved more than twice.
+// TestLoadConverges: on fifty machines one team floods while the others submit small and large tasks, with the settings
+// of deploy/moves.sexp. Within a minute the load has evened out, though the leader crashes meanwhile, and no job is
+// moved more than twice.
 func TestLoadConverges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -92,15 +91,15 @@
 			})
 		}
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		if mean := sum / float64(n); mean > maxImbalance {
 			t.Errorf("seed %d: imbalance %.2f a minute after the flood began", seed, mean)
 		}
 	}
 }
 
-// TestFloodEndsAsMovesBegin: the flood ends at the moment in which the first move begins.
-// Whatever was not stopped yet stays where it is, and nothing swings back.
+// TestFloodEndsAsMovesBegin: the flood ends as the first move begins. Tasks that were not stopped yet stay where they
+// are, and nothing moves back.
 func TestFloodEndsAsMovesBegin(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -110,7 +109,7 @@
 		sim.scheduleAt(wideTasksAt, func() {
 			for range 6 {
 				wide = append(wide, sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Team, s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = "red", 2, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration))
 			}
@@ -124,52 +123,52 @@
 		recorded := 0
 		sim.scheduleAt(wideTasksAt+20, func() { recorded = sim.Moves })
 		sim.Run()
-		requireClean(t, seed, sim)
-		checkStopCounts(t, seed, sim)
+		requireClean(t, sim)
+		checkStopCounts(t, sim)
 		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > recorded {
 			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, sim.Moves, sim.Moves-recorded, sim.eventCounts)
 		}
 	}
 }
 
-// TestNoMovesWithoutGain: where no move can pay, nothing is moved.
+// TestNoMovesWithoutGain: where no move can gain, nothing is moved.
 func TestNoMovesWithoutGain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name string
-		play func(sim *Simulation)
+		name   string
+		inject func(sim *Simulation)
 	}{
-		{"all machines are hot", func(sim *Simulation) {
+		{"all machines are loaded", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
-					sim.submitJob(sim.makeNarrow, 150*time.Second)
+					sim.submitJob(makeNarrow, 150*time.Second)
 				}
 			})
 			sim.scheduleAt(wideTasksAt, func() {
 				for range 4 {
-					sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
+					sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs = 1, 4 }, wideTaskDuration)
 				}
 			})
 		}},
-		{"tasks that never save have run for long", func(sim *Simulation) {
+		{"tasks without checkpoints have run for long", func(sim *Simulation) {
 			sim.scheduleAt(2, func() {
 				for range 4 * sim.cfg.ZoneCapacity {
 					j := sim.submitJob(func(s *api.Spec) {
-						sim.makeNarrow(s)
+						makeNarrow(s)
 						s.CheckpointEveryS, s.RuntimeS = 0, 150
 					}, firstTaskDuration)
 					j.durationStep = taskDurationStep
 				}
 			})
 			sim.scheduleAt(100, func() {
-				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
+				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs = 1, 6 }, wideTaskDuration)
 			})
 		}},
-		{"the wide job fails everywhere", func(sim *Simulation) {
+		{"the wide job fails on every machine", func(sim *Simulation) {
 			sim.fragmentFleet(0)
 			sim.scheduleAt(wideTasksAt, func() {
 				j := sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Tasks, s.VCPUs, s.CheckpointEveryS = 1, 2, 0
 				}, wideTaskDuration)
 				j.alwaysFails = true
@@ -179,29 +178,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if n := runMoveScenario(t, 2, c.play); n > 0 {
+			if n := runMoveScenario(t, 2, c.inject); n > 0 {
 				t.Errorf("%d moves", n)
 			}
 		})
 	}
 }
 
-// TestPulsingLoadDoesNotOscillate: wide work comes and goes at the period of the planner, with estimates that
-// are wrong by half in either direction. No job is moved more than twice, and no task comes
-// back to a machine that a move took it from.
+// TestPulsingLoadDoesNotOscillate: wide tasks arrive and end at the interval of the planner, with estimates that are
+// wrong by half in either direction. No job is moved more than twice, and no task returns to a machine that a move took
+// it from.
 func TestPulsingLoadDoesNotOscillate(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 6, func(sim *Simulation) {
 		sim.scheduleAt(2, func() {
 			for i := range 4 * sim.cfg.ZoneCapacity {
 				factor := []float64{0.5, 1, 1.5}[(i+int(sim.cfg.Seed))%3]
-				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
+				j := sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.RuntimeS *= factor }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 130; s += settings.DefaultTuning().PlanInterval.Seconds() {
 			sim.scheduleAt(s, func() {
-				sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
+				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
 		left := map[string]map[ident.MachineID]bool{}
@@ -219,7 +218,7 @@
 		})
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
@@ -245,8 +244,8 @@
 				sim.crashLeader(2 * time.Second)
 			})
 			sim.Run()
-			requireClean(t, seed, sim)
-			checkStopCounts(t, seed, sim)
+			requireClean(t, sim)
+			checkStopCounts(t, sim)
 			if moves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
 				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, sim.Moves, sim.eventCounts)
 			}
@@ -254,8 +253,7 @@
 	}
 }
 
-// TestEveryNodeReportsMoves: the leader tells of a move under way, and each other node of what is
-// on record of it.
+// TestEveryNodeReportsMoves: the leader reports a move under way, and the other nodes report its record.
 func TestEveryNodeReportsMoves(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -275,14 +273,13 @@
 		})
 	})
 	sim.Run()
-	requireClean(t, 1, sim)
+	requireClean(t, sim)
 	if sim.eventCounts[moveReportedByPeerEvent] != 2 {
 		t.Errorf("%v", sim.eventCounts)
 	}
 }
 
-// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for as long as the settings
-// say, and does so then.
+// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for LeaderSettleTime, and does so afterwards.
 func TestNoMovesSoonAfterElection(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -295,19 +292,19 @@
 		early := 0
 		sim.scheduleAt(wideTasksAt+3+25, func() { early = sim.Moves })
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 		if early > 0 || sim.eventCounts[newTermEvent] == 0 {
 			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, sim.Moves, early, sim.eventCounts)
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
-// TestReservedCapacityGoesToItsTask: while small tasks that would fit into the room that a move
-// makes come all the time, the task that it was made for gets it.
+// TestReservedCapacityGoesToItsTask: small tasks that would fit into the capacity freed by a move arrive all the time,
+// and the task that it was freed for gets it.
 func TestReservedCapacityGoesToItsTask(t *testing.T) {
 	t.Parallel()
 	arrived := 0
@@ -317,45 +314,45 @@
 		for s := wideTasksAt; s < wideTasksAt+40; s += 0.7 {
 			sim.scheduleAt(s, func() {
 				sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					s.Tasks, s.CheckpointEveryS, s.RuntimeS = 1, 0, 5
 				}, 5*time.Second)
 			})
 		}
 		gains := sim.collectFinishedMoves()
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		for _, m := range *gains {
 			if m.Reason != migration.Arrived.String() {
 				continue
 			}
 			arrived++
 			if *m.RealisedGainS < 0 {
-				t.Errorf("seed %d: %s was moved for %s, which did not get the room", seed, m.Task, m.For)
+				t.Errorf("seed %d: %s was moved for %s, which did not get the capacity", seed, m.Task, m.For)
 			}
 		}
 	}
 	if arrived == 0 {
-		t.Error("no move arrived: the test shows nothing")
+		t.Error("no move arrived: the test proves nothing")
 	}
 }
 
-// TestImagesEvictEachOther: the machines hold two images and the work has four, so that a move
-// fetches an image and costs another one its place. Nothing is moved to and fro for it.
+// TestImagesEvictEachOther: machines hold two images and there are four, so that a move fetches an image and evicts
+// another. Nothing moves back and forth for it.
 func TestImagesEvictEachOther(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 4, func(sim *Simulation) {
 		image := func(s *api.Spec, n int) { s.Image = fmt.Sprintf("img-%d", n%4) }
 		sim.scheduleAt(2, func() {
 			for n := range 4 * sim.cfg.ZoneCapacity {
-				j := sim.submitJob(func(s *api.Spec) { sim.makeNarrow(s); image(s, n) }, firstTaskDuration)
+				j := sim.submitJob(func(s *api.Spec) { makeNarrow(s); image(s, n) }, firstTaskDuration)
 				j.durationStep = taskDurationStep
 			}
 		})
 		for s := wideTasksAt; s < 110; s += 6 {
 			sim.scheduleAt(s, func() {
 				sim.submitJob(func(s *api.Spec) {
-					sim.makeNarrow(s)
+					makeNarrow(s)
 					image(s, sim.lastJobNumber)
 					s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, 4, 0, wideTaskDuration.Seconds()
 				}, wideTaskDuration)
@@ -363,12 +360,12 @@
 		}
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
 
-// TestUnreadableMoveRecord: a record of moves that can't be read keeps its job from being moved, and
-// the leader leads on.
+// TestUnreadableMoveRecord: a record of moves that cannot be decoded keeps its job from being moved, and the leader
+// continues.
 func TestUnreadableMoveRecord(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -386,7 +383,7 @@
 		}
 	})
 	sim.Run()
-	requireClean(t, 1, sim)
+	requireClean(t, sim)
 	if sim.Moves > 0 || sim.eventCounts[leaderContinuesEvent] == 0 {
 		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
 	}
@@ -397,8 +394,7 @@
 	}
 }
 
-// TestMoveRecordsAreDeleted: the records of jobs that are over are deleted, by later terms as well,
-// and by none before.
+// TestMoveRecordsAreDeleted: the records of ended jobs are deleted, by later terms as well, and none before.
 func TestMoveRecordsAreDeleted(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -407,15 +403,15 @@
 		sim.fragmentFleet(4)
 		sim.scheduleAt(wideTasksAt+25, func() { sim.crashLeader(2 * time.Second) })
 		sim.Run()
-		requireClean(t, seed, sim)
+		requireClean(t, sim)
 		moves += sim.Moves
 		for path := range sim.store.keys {
 			if id, ok := jobOfMoveKey(path); ok {
-				t.Errorf("seed %d: the moves of %s are left", seed, id)
+				t.Errorf("seed %d: the record of moves of %s is left", seed, id)
 			}
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test shows nothing")
+		t.Error("no move at all: the test proves nothing")
 	}
 }
