--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -53,7 +53,7 @@
 	return Resources{VCPUs: n * r.VCPUs, GPUs: n * r.GPUs, MemoryGB: n * r.MemoryGB}
 }
 
-// Covers says whether other amounts have room in these.
+// Covers reports whether other amounts have room in these.
 func (r Resources) Covers(o Resources) bool {
 	return o.VCPUs <= r.VCPUs+roundingTolerance &&
 		o.GPUs <= r.GPUs+roundingTolerance &&
