--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 )
 
@@ -14,7 +15,7 @@
 type limitedStore struct {
 	*flakyStore
 	maxMutations, maxValueBytes int
-	enforcedFrom                time.Duration
+	enforcedFrom                ident.MonotonicTime
 	rejected                    int
 }
 
@@ -26,7 +27,7 @@
 	switch {
 	case r.Op == kvstore.Txn && s.rng.IntN(20) == 0:
 		s.respond(kvstore.Response{Outcome: kvstore.RateLimited}, onResponse)
-	case r.Op == kvstore.Txn && s.now >= s.enforcedFrom && tooLarge:
+	case r.Op == kvstore.Txn && s.Now() >= s.enforcedFrom && tooLarge:
 		s.rejected++
 		s.respond(kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}, onResponse)
 	default:
@@ -52,7 +53,7 @@
 		flakyStore:    newFlakyStore(t, seed, 3),
 		maxMutations:  2,
 		maxValueBytes: 400,
-		enforcedFrom:  10 * time.Second,
+		enforcedFrom:  ident.MonotonicTime(10 * time.Second),
 	}
 	limits := testLimits
 	limits.MaxValueBytes = 4096
--- a/internal/commit/log_test.go
+++ b/internal/commit/log_test.go
@@ -292,9 +292,9 @@
 			c.Append(busy[k], nil)
 		}
 		c.Flush()
-		store.run(store.now + 20*time.Millisecond)
+		store.RunUntil(store.Now().Add(20 * time.Millisecond))
 	}
-	store.run(store.now + time.Minute)
+	store.RunUntil(store.Now().Add(time.Minute))
 	if c.log.slots.live > maxRecords+20 {
 		t.Errorf("%d records are held, for %d lines", c.log.slots.live, c.log.slots.pinnedEntries)
 	}
--- a/internal/commit/store_test.go
+++ b/internal/commit/store_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"opaldale/internal/clocktest"
 	"opaldale/internal/ident"
 	"opaldale/internal/kvstore"
 	"opaldale/internal/kvstoretest"
@@ -35,16 +36,10 @@
 // never.
 type flakyStore struct {
 	*kvstoretest.MemoryStore
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	events []scheduledEvent
-	puts   map[string][]string // the values put to each key, in order
-}
-
-type scheduledEvent struct {
-	at  time.Duration
-	run func()
+	clocktest.Clock
+	t    *testing.T
+	rng  *rand.Rand
+	puts map[string][]string // the values put to each key, in order
 }
 
 // newFlakyStore makes a store that has the leader key and the given ones. Tests use a stream of
@@ -60,12 +55,6 @@
 	}
 }
 
-func (f *flakyStore) Now() ident.MonotonicTime { return ident.MonotonicTime(f.now) }
-
-func (f *flakyStore) After(d time.Duration, run func()) {
-	f.events = append(f.events, scheduledEvent{f.now + d, run})
-}
-
 func (f *flakyStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
 	switch f.rng.IntN(5) {
 	case 0: // never applied
@@ -107,23 +96,7 @@
 }
 
 // run runs the scheduled events up to a time, including those that they add.
-func (f *flakyStore) run(until time.Duration) {
-	for len(f.events) > 0 {
-		first := 0
-		for i, e := range f.events {
-			if e.at < f.events[first].at {
-				first = i
-			}
-		}
-		e := f.events[first]
-		if e.at > until {
-			return
-		}
-		f.events = append(f.events[:first], f.events[first+1:]...)
-		f.now = max(f.now, e.at)
-		e.run()
-	}
-}
+func (f *flakyStore) run(until time.Duration) { f.RunUntil(ident.MonotonicTime(until)) }
 
 // reliableStore applies every request at once and answers it.
 type reliableStore struct{ *flakyStore }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -25,7 +25,7 @@
 	c := New(w, cfg, newTestRand())
 	w.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
 	c.Start()
-	w.advance(4 * machineProbeInterval)
+	w.Advance(4 * machineProbeInterval)
 	return c, w
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -56,7 +56,7 @@
 // settle lets time pass until everything is written.
 func (s goldenStore) settle(c *Controller) {
 	for range 50 {
-		s.advance(100 * time.Millisecond)
+		s.Advance(100 * time.Millisecond)
 		c.AfterEvent()
 	}
 }
@@ -92,7 +92,7 @@
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.leader.workers.Add(workers.MachineInfo{ID: h, Model: "m8", Zone: []string{"a", "a", "b", "a"}[i], Spot: i == 3,
-				CreatedAt: s.now.Add(-time.Duration(i) * time.Hour)})
+				CreatedAt: s.Time.Add(-time.Duration(i) * time.Hour)})
 			if i != 1 {
 				c.leader.workers.HandleHeartbeat(&api.Heartbeat{
 					MachineID:      h,
@@ -139,7 +139,7 @@
 	})
 	a.c.AfterEvent()
 	if !answered {
-		a.w.advance(5 * time.Second)
+		a.w.Advance(5 * time.Second)
 	}
 }
 
@@ -203,7 +203,7 @@
 	a.ask("poll j-1", transport.GetJob, "j-1", nil)
 	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
 	a.ask("report", transport.WorkerHeartbeat, "", report)
-	a.w.now = a.w.now.Add(time.Hour)
+	a.w.Time = a.w.Time.Add(time.Hour)
 	a.ask("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
 	a.ask("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
 	a.ask("report to a leader that is not sure", transport.WorkerHeartbeat, "", report)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/json"
 	"math/rand/v2"
-	"slices"
 	"strings"
 	"time"
 
 	"opaldale/internal/api"
 	"opaldale/internal/catalog"
+	"opaldale/internal/clocktest"
 	"opaldale/internal/cloud"
 	"opaldale/internal/election"
 	"opaldale/internal/ident"
@@ -21,8 +21,7 @@
 
 // fakeEnv has a store with a fleet on record, and machines that don't answer.
 type fakeEnv struct {
-	now         ident.MonotonicTime
-	timers      []timer
+	clocktest.Clock
 	listed      []kvstore.KeyValue
 	probedAddrs map[string]bool
 	values      map[string]string  // of single keys
@@ -30,16 +29,7 @@
 	revision    ident.Revision
 }
 
-type timer struct {
-	due ident.MonotonicTime
-	run func()
-}
-
-func (w *fakeEnv) Now() ident.MonotonicTime { return w.now }
-func (w *fakeEnv) WallMS() int64            { return 0 }
-func (w *fakeEnv) After(d time.Duration, f func()) {
-	w.timers = append(w.timers, timer{w.now.Add(d), f})
-}
+func (w *fakeEnv) WallMS() int64                               { return 0 }
 func (w *fakeEnv) Cloud(cloud.Request, func(cloud.Response))   {}
 func (w *fakeEnv) SendPeer(_ ident.NodeID, f *transport.Frame) { w.frames = append(w.frames, f) }
 
@@ -78,29 +68,9 @@
 	w.After(1200*time.Millisecond, func() { f(workers.CommandResult{}) })
 }
 
-// advance runs what is due within d.
-func (w *fakeEnv) advance(d time.Duration) {
-	for end := w.now.Add(d); ; {
-		i := -1
-		for k, t := range w.timers {
-			if t.due <= end && (i < 0 || t.due < w.timers[i].due) {
-				i = k
-			}
-		}
-		if i < 0 {
-			w.now = end
-			return
-		}
-		t := w.timers[i]
-		w.timers = slices.Delete(w.timers, i, i+1)
-		w.now = max(w.now, t.due)
-		t.run()
-	}
-}
-
 // newFakeEnv returns an environment without anything in it.
 func newFakeEnv(now ident.MonotonicTime) *fakeEnv {
-	return &fakeEnv{now: now, probedAddrs: map[string]bool{}}
+	return &fakeEnv{Clock: clocktest.Clock{Time: now}, probedAddrs: map[string]bool{}}
 }
 
 // newTestRand returns random numbers that are the same in each run.
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -65,7 +65,7 @@
 		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
 	}
 	for range 200 {
-		s.advance(100 * time.Millisecond)
+		s.Advance(100 * time.Millisecond)
 		c.AfterEvent()
 	}
 	return c
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -19,16 +19,16 @@
 	}{
 		{"answered in time", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
 			reply(Response{Status: done})
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 		}, []int{done}},
 		{"answered too late", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 			reply(Response{Status: done})
 		}, []int{slow}},
 		{"answered after the store has failed", func(w *fakeEnv, p *pendingReplies, reply func(Response)) {
 			p.failAll()
 			reply(Response{Status: done})
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 		}, []int{failed}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -32,7 +32,7 @@
 	w.listed = append(w.listed, kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
 	c := New(w, testSettings(), newTestRand())
 	c.OnStartedLeading(2, 0, kvstore.Compare{Key: "leader", Revision: 9})
-	w.advance(4 * machineProbeInterval)
+	w.Advance(4 * machineProbeInterval)
 	if len(w.probedAddrs) != machines {
 		t.Errorf("%d of %d machines were probed", len(w.probedAddrs), machines)
 	}
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -36,7 +36,7 @@
 	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("a cancellation: %+v", r)
 	}
-	w.now = w.now.Add(time.Hour)
+	w.Time = w.Time.Add(time.Hour)
 	if r = ask(transport.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
 		t.Errorf("a poll of a leader that was paused: %+v", r)
 	}
@@ -46,7 +46,7 @@
 // leadership.
 func TestMalformedSubmissionWithoutLeader(t *testing.T) {
 	c, w := newTestLeader(ident.FormatPacked)
-	w.now = w.now.Add(time.Hour)
+	w.Time = w.Time.Add(time.Hour)
 	c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(`"pieces":4,`, ``), func(r Response) {
 		if r.Status != http.StatusBadRequest {
 			t.Errorf("%d %s", r.Status, r.Body)
@@ -60,8 +60,8 @@
 	c, w := newTestLeader(ident.FormatPacked)
 	c.OnStoppedLeading("test")
 	c.leader = nil
-	w.now = w.now.Add(time.Minute)
-	c.renewer.Permit(5, w.now.Add(-5*time.Second), 20*time.Second)
+	w.Time = w.Time.Add(time.Minute)
+	c.renewer.Permit(5, w.Time.Add(-5*time.Second), 20*time.Second)
 	c.cancelledJobs.Put("j-7", struct{}{})
 	taskReport := func(id string) api.TaskReport {
 		return api.TaskReport{TaskID: ident.TaskID{Job: ident.JobID(id)}, Attempt: 1, Status: api.Running}
@@ -93,20 +93,20 @@
 	}
 	l := c.leader
 	j := l.jobs.Jobs["j-1"]
-	l.workers.Add(workers.MachineInfo{ID: "h", Model: "m8", Zone: "a", CreatedAt: w.now})
+	l.workers.Add(workers.MachineInfo{ID: "h", Model: "m8", Zone: "a", CreatedAt: w.Time})
 	l.jobs.Place(&j.Tasks[0], "h", 1, func() {})
 	c.AfterEvent()
 	want := func(what string, d time.Duration) {
 		t.Helper()
-		if got := l.leaseAllowance(w.now); got != d {
+		if got := l.leaseAllowance(w.Time); got != d {
 			t.Errorf("%s: %v, want %v", what, got, d)
 		}
 	}
 	want("nothing is cancelled", c.renewalGrace)
 	l.cancel("j-1", func(Response) {})
-	w.now = w.now.Add(3 * time.Second)
+	w.Time = w.Time.Add(3 * time.Second)
 	want("3 s after a cancellation", c.renewalGrace-3*time.Second)
-	w.now = w.now.Add(c.renewalGrace)
+	w.Time = w.Time.Add(c.renewalGrace)
 	want("long after", 0)
 	l.jobs.MarkGone(&j.Tasks[0], nil)
 	want("proven gone", c.renewalGrace)
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -43,9 +43,9 @@
 		}
 		e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 		e.Start()
-		s.advance(700 * time.Millisecond)
+		s.Advance(700 * time.Millisecond)
 		c.end(e)
-		s.advance(50 * time.Millisecond)
+		s.Advance(50 * time.Millisecond)
 		d.Add(c.name, s.Requests())
 	}
 	d.Compare(t, "election")
@@ -58,7 +58,7 @@
 	s.Entries[LeaderKey] = kvstore.KeyValue{Key: LeaderKey, Value: json.RawMessage(value), Revision: 57}
 	e := New(s, noCallbacks{}, "agent-1", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	e.Start()
-	s.advance(50 * time.Millisecond)
+	s.Advance(50 * time.Millisecond)
 	if node, known := e.Leader(); node != "agent-7" || !known || e.knownLeader.Term != 43 || e.knownLeader.Nonce != 99 {
 		t.Errorf("%+v", e.knownLeader)
 	}
--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -12,7 +12,7 @@
 		s := newFakeStore()
 		old, preferred, other := s.newElector("a"), s.newElector("b"), s.newElector("c")
 		old.Start()
-		s.advance(100 * time.Millisecond)
+		s.Advance(100 * time.Millisecond)
 		if !old.LeaseValid() {
 			t.Fatal("no node leads")
 		}
@@ -22,19 +22,19 @@
 		if old.LeaseValid() || old.State() == Leading {
 			t.Fatal("the former leader still leads")
 		}
-		s.advance(5 * time.Millisecond)
+		s.Advance(5 * time.Millisecond)
 		if _, held := s.Entries[LeaderKey]; held {
 			t.Fatal("the leader key is still there")
 		}
 		other.Start()
-		s.advance(20 * time.Millisecond)
+		s.Advance(20 * time.Millisecond)
 		if other.State() != Following {
 			t.Errorf("the other node is %v, want following", other.State())
 		}
 		if alive {
 			preferred.Start()
 		}
-		s.advance(2 * time.Second)
+		s.Advance(2 * time.Second)
 		if preferred.LeaseValid() != alive || other.LeaseValid() == alive || old.LeaseValid() {
 			t.Errorf("successor alive %v: it leads %v, the other node %v, the former leader %v",
 				alive, preferred.LeaseValid(), other.LeaseValid(), old.LeaseValid())
@@ -48,18 +48,18 @@
 	s := newFakeStore()
 	old, other := s.newElector("a"), s.newElector("b")
 	old.Start()
-	s.advance(100 * time.Millisecond)
+	s.Advance(100 * time.Millisecond)
 	s.loseDeletes = true
 	old.HandOver(15*time.Second, "a test")
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	other.Start()
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	if old.LeaseValid() || other.LeaseValid() {
 		t.Errorf("the former leader leads %v, another node %v, while the key exists", old.LeaseValid(), other.LeaseValid())
 	}
 	delete(s.Entries, LeaderKey) // its lease has expired
 	other.checkLeader()
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	if !other.LeaseValid() {
 		t.Error("no other node leads")
 	}
@@ -78,11 +78,11 @@
 	delays := 0
 	elector.CampaignDelay = func() time.Duration { delays++; return time.Second }
 	elector.Start()
-	s.advance(500 * time.Millisecond)
+	s.Advance(500 * time.Millisecond)
 	if elector.State() == Leading {
 		t.Error("the campaign was not delayed")
 	}
-	s.advance(2 * time.Second)
+	s.Advance(2 * time.Second)
 	if !elector.LeaseValid() || delays != 1 {
 		t.Errorf("leads %v after %d delays", elector.LeaseValid(), delays)
 	}
