--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -131,7 +131,7 @@
 // State returns the state after the last Update.
 func (t *Tracker) State() State { return t.state }
 
-// Update is the one place where the state changes. It returns the states before and after.
+// Update is the only function that changes the state. It returns the states before and after.
 func (t *Tracker) Update(f Facts) (from, to State) {
 	from = t.state
 	t.state = Evaluate(f)
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -7,26 +7,27 @@
 	"opaldale/internal/kvstore"
 )
 
-// candidacy is what one attempt to become leader has gathered.
+// candidacy is the state of one attempt to become leader.
 type candidacy struct {
-	// staleRevision is the leader key's when it was found to be free: 0 if it did not exist.
+	// staleRevision is the revision of the leader key when it was found to be free, 0 if it did not
+	// exist.
 	staleRevision ident.Revision
-	// startedAt is before the lease was granted, and so before its TTL began.
+	// startedAt precedes the grant of the lease, and therefore the start of its TTL.
 	startedAt ident.MonotonicTime
-	// pending counts the responses that are still awaited.
+	// pending is the number of responses still awaited.
 	pending int
 
 	leaseID      uint64
 	lastTerm     ident.Term
 	level        ident.FormatLevel
-	termRevision ident.Revision // the term key's, 0 if it does not exist
+	termRevision ident.Revision // of the term key, 0 if it does not exist
 }
 
-// awaitedResponses is how many responses a candidacy needs: the lease and the last term.
+// awaitedResponses is the number of responses that a candidacy needs: the lease and the last term.
 const awaitedResponses = 2
 
-// campaign tries to become leader. staleRevision is the revision of a leader key that may be
-// overwritten, 0 if there is none.
+// campaign tries to become leader, unless the node abstains or lets another node claim first.
+// staleRevision is the revision of a leader key that may be overwritten, 0 if the key does not exist.
 //
 // A lease granted to a candidacy that fails before its claim is left to expire.
 func (e *Elector) campaign(staleRevision ident.Revision) {
@@ -66,7 +67,7 @@
 	})
 }
 
-// setTerm takes the last term from the term key, and reports whether it is known.
+// setTerm sets the last term from a read of the term key, and reports whether it is known.
 func (c *candidacy) setTerm(response kvstore.Response) bool {
 	switch response.Outcome {
 	case kvstore.OK:
@@ -83,7 +84,7 @@
 	return false
 }
 
-// claimWhenReady takes note of a response, and claims after the last one.
+// claimWhenReady counts one response, and claims the leader key after the last one.
 func (e *Elector) claimWhenReady(c *candidacy) {
 	c.pending--
 	if c.pending == 0 {
@@ -117,8 +118,8 @@
 	})
 }
 
-// claimFailed gives up a candidacy. If the claim was applied and only its response was lost, the
-// next check finds this node's own record, and the node campaigns for a later term.
+// claimFailed abandons a candidacy. If the claim was applied and only its response was lost, the next
+// check finds this node's own record, and the node campaigns for a later term.
 func (e *Elector) claimFailed(c *candidacy, outcome kvstore.Outcome) {
 	if outcome == kvstore.Conflict {
 		e.revokeLease(c.leaseID)
@@ -126,7 +127,7 @@
 	e.retryLater(transitionReason("claim: " + outcome.String()))
 }
 
-// startLeading begins a term whose claim was applied at a revision of the leader key.
+// startLeading begins a term. revision is that of the leader key which the claim has written.
 func (e *Elector) startLeading(c *candidacy, term ident.Term, revision ident.Revision) {
 	e.setState(Leading, claimSucceeded)
 	e.term = term
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,5 +1,5 @@
-// Package election elects one leader among the nodes of a cluster, by a key that is attached to
-// a short lease of the key-value store, and tells the leader until when no other node can lead.
+// Package election elects one leader among the nodes of a cluster by means of a key attached to a
+// short lease of the key-value store, and bounds the time until which no other node can lead.
 //
 // A node follows while another one holds the leader key. When the key is gone, it requests a
 // lease, reads the number of the last term, and claims the leader key for the next term in one
@@ -23,7 +23,7 @@
 	TermKey   = "term"   // the last term; never deleted
 )
 
-// State is a node's part in the election.
+// State is a node's role in the election.
 type State uint8
 
 // The states of a node.
@@ -39,7 +39,7 @@
 
 var stateNames = [...]string{"following", "requesting lease", "claiming", "leading"}
 
-// transitionReason says in logs why the state changed.
+// transitionReason is the reason of a state change, for logs.
 type transitionReason string
 
 const (
@@ -53,23 +53,23 @@
 	claimSucceeded  transitionReason = "claim succeeded"
 )
 
-// callTimeout bounds a request to the key-value store, unless stated otherwise.
+// callTimeout bounds requests to the key-value store, except for watches and lease renewals.
 const callTimeout = time.Second
 
-// Port is what an election needs of its environment. Timers and responses must not run
-// concurrently with one another, or with calls of the Elector's methods.
+// Port is the environment of an Elector. Timers and responses must not run concurrently with one
+// another, or with calls of the Elector's methods.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
 }
 
-// Callbacks are the owner's, called one at a time.
+// Callbacks notify the owner of an Elector. They are never called concurrently.
 type Callbacks interface {
-	// OnStartedLeading begins a term at the format level in force. The owner adds leaderKey to
-	// the compares of its transactions, so that they fail once another node leads.
+	// OnStartedLeading reports the start of a term at the format level in force. The owner adds
+	// leaderKey to the compares of its transactions, so that they fail once another node leads.
 	OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare)
-	// OnStoppedLeading ends the term.
+	// OnStoppedLeading reports the end of the term.
 	OnStoppedLeading(reason StepDownReason)
 }
 
@@ -77,18 +77,18 @@
 type leaderRecord struct {
 	Node  ident.NodeID `json:"node"`
 	Term  ident.Term   `json:"term"`
-	Nonce uint64       `json:"nonce"` // tells the processes of a node apart
+	Nonce uint64       `json:"nonce"` // distinguishes the processes of a node
 }
 
-// knownLeader is the leader of the latest term that the node has learned of.
+// knownLeader is the leader of the latest term known to the node.
 type knownLeader struct {
 	leaderRecord
-	gone bool // its key has been seen to be deleted
+	gone bool // its key was deleted
 }
 
 func (l knownLeader) exists() bool { return l.Node != "" && !l.gone }
 
-// Elector is a node's part in the elections. It is not safe for concurrent use.
+// Elector takes part in elections on behalf of a node. It is not safe for concurrent use.
 type Elector struct {
 	port      Port
 	callbacks Callbacks
@@ -103,26 +103,26 @@
 	generation uint64
 
 	knownLeader  knownLeader
-	abstainUntil ident.MonotonicTime // no candidacy before that
+	abstainUntil ident.MonotonicTime // no candidacy before this time
 	preferred    successorPreference
-	// campaignDelayed says that CampaignDelay has been applied since a leader was last known.
+	// campaignDelayed is set once CampaignDelay has been applied, until a leader is known again.
 	campaignDelayed bool
-	// CampaignDelay returns for how long the node lets others claim first, 0 for not at all. It
-	// may be nil, and is set before Start.
+	// CampaignDelay returns how long the node lets other nodes claim first, 0 for no delay. It may
+	// be nil, and must be set before Start.
 	CampaignDelay func() time.Duration
 
 	// The term that the node leads, or led last.
 	term       ident.Term
 	leaderKey  kvstore.Compare // the leader key as this node wrote it
 	leaseID    uint64
-	validUntil ident.MonotonicTime // no other node can lead before that
-	// unansweredSince is when the first of the renewals that have had no response was sent,
-	// ident.Never if there is none.
+	validUntil ident.MonotonicTime // no other node can lead before this time
+	// unansweredSince is when the oldest renewal without a response was sent, ident.Never if there
+	// is none.
 	unansweredSince ident.MonotonicTime
 }
 
-// New returns the elector of a node. leaseTTL is the leader lease's; rng spreads the retries of
-// the nodes.
+// New returns the elector of a node. leaseTTL is the TTL of the leader lease; rng adds jitter to
+// retries.
 func New(port Port, callbacks Callbacks, self ident.NodeID, leaseTTL time.Duration, rng *rand.Rand) *Elector {
 	return &Elector{
 		port:            port,
@@ -135,10 +135,10 @@
 	}
 }
 
-// Start makes the node take part in elections.
+// Start begins to take part in elections.
 func (e *Elector) Start() { e.checkLeader() }
 
-// State returns the node's part in the election.
+// State returns the node's role in the election.
 func (e *Elector) State() State { return e.state }
 
 // Term returns the term that the node leads, or led last.
@@ -150,8 +150,8 @@
 // LeaseExpiry returns when LeaseValid becomes false, unless the lease is renewed.
 func (e *Elector) LeaseExpiry() ident.MonotonicTime { return e.validUntil }
 
-// WithinGrace reports whether this node leads, and its lease is valid or expired less than the
-// grace ago.
+// WithinGrace reports whether this node leads and its lease is valid or has expired less than grace
+// ago.
 func (e *Elector) WithinGrace(grace time.Duration) bool {
 	return e.state == Leading && e.port.Now() < e.validUntil.Add(grace)
 }
@@ -164,7 +164,8 @@
 	return e.knownLeader.Node, e.knownLeader.exists() && e.knownLeader.Node != e.self
 }
 
-// ObserveLeader takes note of a peer's heartbeat by which a node leads a term.
+// ObserveLeader records that a node leads a term, as a peer's heartbeat reports. It ends this node's
+// term if the reported term is later.
 func (e *Elector) ObserveLeader(node ident.NodeID, term ident.Term) {
 	if e.state == Leading && term > e.term {
 		e.stepDown(LaterTermKnown)
@@ -174,8 +175,8 @@
 	}
 }
 
-// setState is the one place where the state changes. Also a change to the same state makes
-// pending responses and timers void.
+// setState is the only function that changes the state. A change to the same state also cancels
+// pending responses and timers.
 func (e *Elector) setState(next State, reason transitionReason) {
 	if e.state != next {
 		slog.Debug("election state changed", "from", e.state.String(), "to", next.String(), "reason", string(reason))
@@ -184,7 +185,7 @@
 	e.generation++
 }
 
-// callStore sends a request whose response is ignored once setState has been called.
+// callStore sends a request. The response is ignored if setState is called before it arrives.
 func (e *Elector) callStore(request kvstore.Request, onResponse func(kvstore.Response)) {
 	generation := e.generation
 	e.port.Store(request, func(response kvstore.Response) {
@@ -194,7 +195,7 @@
 	})
 }
 
-// afterInState calls f after d, unless setState is called before.
+// afterInState calls f after d, unless setState is called first.
 func (e *Elector) afterInState(d time.Duration, f func()) {
 	generation := e.generation
 	e.port.After(d, func() {
--- a/internal/election/follow.go
+++ b/internal/election/follow.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// minRecheckDelay is the least time before the leader key is read again after a failure; a
-	// random time up to as long is added.
+	// minRecheckDelay is the minimum delay before the leader key is read again after a failure.
+	// Jitter of up to the same duration is added.
 	minRecheckDelay = 300 * time.Millisecond
-	// watchBlock is how long the store may hold a watch open without a change, and
-	// watchTimeoutMargin how much later its response may arrive.
+	// watchBlock is how long the store may hold a watch open without a change. Its response may
+	// arrive up to watchTimeoutMargin later.
 	watchBlock         = 10 * time.Second
 	watchTimeoutMargin = 2 * time.Second
 )
 
-// retryLater makes the node follow, and read the leader key again after a while.
+// retryLater makes the node a follower that reads the leader key again after a delay.
 func (e *Elector) retryLater(reason transitionReason) {
 	e.setState(Following, reason)
 	e.checkLeaderLater()
@@ -30,14 +30,14 @@
 	e.afterInState(minRecheckDelay+jitter, e.checkLeader)
 }
 
-// checkLeader reads the leader key, and follows its holder or campaigns.
+// checkLeader reads the leader key. The node then follows its holder, or campaigns if there is none.
 func (e *Elector) checkLeader() {
 	e.setState(Following, checkingLeader)
 	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
 	e.callStore(request, func(response kvstore.Response) {
 		switch response.Outcome {
 		case kvstore.OK:
-			e.handleLeaderKey(response)
+			e.followOrCampaign(response)
 		case kvstore.NotFound:
 			e.campaign(0)
 		default:
@@ -46,8 +46,8 @@
 	})
 }
 
-// handleLeaderKey acts on a leader key that was read.
-func (e *Elector) handleLeaderKey(response kvstore.Response) {
+// followOrCampaign follows the holder of a leader key, or campaigns if the key is a stale one of this node.
+func (e *Elector) followOrCampaign(response kvstore.Response) {
 	var record leaderRecord
 	if err := json.Unmarshal(response.Value, &record); err != nil {
 		slog.Error("cannot decode leader key", "err", err)
@@ -55,8 +55,8 @@
 		return
 	}
 	if record.Node == e.self {
-		// Written by an earlier process of this node, which cannot be running any more, or by
-		// a claim of this process whose response was lost.
+		// The key was written by an earlier process of this node, which no longer runs, or by a
+		// claim of this process whose response was lost.
 		e.campaign(response.Revision)
 		return
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// watchLeader waits for changes of the leader key after a revision of the store.
+// watchLeader watches the leader key for changes after a revision of the store.
 func (e *Elector) watchLeader(fromRevision ident.Revision) {
 	request := kvstore.Request{
 		Op:       kvstore.Watch,
@@ -85,12 +85,13 @@
 			e.checkLeaderLater()
 			return
 		}
-		e.handleWatchEvents(response.Events, max(response.StoreRevision, fromRevision))
+		e.applyWatchEvents(response.Events, max(response.StoreRevision, fromRevision))
 	})
 }
 
-// handleWatchEvents acts on the changes up to a revision of the store.
-func (e *Elector) handleWatchEvents(events []kvstore.WatchEvent, revision ident.Revision) {
+// applyWatchEvents applies the changes of the leader key up to a revision of the store, then campaigns
+// if the key was deleted, and otherwise watches for further changes.
+func (e *Elector) applyWatchEvents(events []kvstore.WatchEvent, revision ident.Revision) {
 	deleted := false
 	for _, event := range events {
 		switch {
@@ -114,7 +115,8 @@
 	e.watchLeader(revision)
 }
 
-// decodePeerRecord returns the leader record of another node, false for anything else.
+// decodePeerRecord returns the leader record of another node. It returns false if the value is
+// malformed or is a record of this node.
 func (e *Elector) decodePeerRecord(value []byte) (leaderRecord, bool) {
 	var record leaderRecord
 	err := json.Unmarshal(value, &record)
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -5,12 +5,12 @@
 	"opaldale/internal/kvstore"
 )
 
-// renewalsPerTTL is how many renewals are sent within the TTL of a lease.
+// renewalsPerTTL is the number of renewals sent within the TTL of a lease.
 const renewalsPerTTL = 4
 
-// extendValidity takes note that the lease was granted or renewed at some time after sentAt. The
-// store counts the TTL from then on. This node counts from sentAt, and allows for clock drift, so
-// that the lease outlasts the validity.
+// extendValidity records that the lease was granted or renewed at some time after sentAt. The store
+// counts the TTL from that time. This node counts from sentAt, and allows for clock drift, so that
+// the lease outlasts the validity.
 func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
 	e.validUntil = max(e.validUntil, sentAt.Add(ident.LeastElapsed(e.leaseTTL)))
 }
@@ -22,10 +22,10 @@
 	})
 }
 
-// renew extends the lease. Once renewals have had no response for half of the TTL, the leader key
-// is read first, to see whether responses arrive at all. If requests are applied while their
-// responses are lost, renewals alone would keep a lease alive whose holder cannot know it, and
-// the cluster would have no leader for as long as that lasts.
+// renew renews the lease. Once renewals have had no response for half of the TTL, it reads the leader
+// key first, to check that responses arrive. If requests were applied while their responses were lost,
+// renewals alone would keep the lease alive although its holder does not know that it is valid, and
+// the cluster would be without an acting leader.
 func (e *Elector) renew() {
 	if e.unansweredSince != ident.Never && e.port.Now().Sub(e.unansweredSince) >= e.leaseTTL/2 {
 		e.confirmLeadership()
@@ -51,8 +51,8 @@
 	})
 }
 
-// confirmLeadership reads the leader key, and renews the lease if the response shows that the key
-// is still this node's.
+// confirmLeadership reads the leader key, renews the lease if this node still holds the key, and steps
+// down if it does not.
 func (e *Elector) confirmLeadership() {
 	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
 	e.callStore(request, func(response kvstore.Response) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// revokeLease ends a lease without waiting for the response: if it is lost, the lease expires.
+// revokeLease ends a lease without waiting for the response: if the request is lost, the lease expires.
 func (e *Elector) revokeLease(leaseID uint64) {
 	request := kvstore.Request{Op: kvstore.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}
 	e.port.Store(request, func(kvstore.Response) {})
--- a/internal/election/step_down.go
+++ b/internal/election/step_down.go
@@ -7,18 +7,19 @@
 	"opaldale/internal/kvstore"
 )
 
-// StepDownReason says why a node stopped leading. The owner of an Elector adds reasons of its own.
+// StepDownReason is the reason why a node stopped leading. The owner of an Elector may define further
+// reasons.
 type StepDownReason string
 
-// The reasons found by the election itself.
+// The reasons detected by the Elector itself.
 const (
 	LaterTermKnown StepDownReason = "a later term is known"
 	LeaseLost      StepDownReason = "the lease has expired"
 	LeaderKeyLost  StepDownReason = "the leader key is gone or held by another node"
 )
 
-// Resign ends the node's leadership by revoking its lease, and makes it abstain from candidacy
-// for a while. It does nothing if the node does not lead.
+// Resign ends the node's leadership by revoking its lease. The node is no candidate again before
+// abstain has elapsed. Resign does nothing if the node does not lead.
 func (e *Elector) Resign(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
@@ -28,10 +29,10 @@
 	e.stepDown(reason)
 }
 
-// HandOver ends the node's leadership by deleting the leader key in one transaction, after which
-// any node may claim it, and makes this node abstain from candidacy for a while. The term is
-// over from the call on, whatever becomes of the transaction: if it is lost, the key is deleted
-// with the lease. It does nothing if the node does not lead.
+// HandOver ends the node's leadership by deleting the leader key in one transaction, so that any other
+// node may claim it at once. The node is no candidate again before abstain has elapsed. The term ends
+// with the call, whatever the outcome of the transaction: if it is lost, the key is deleted when the
+// lease expires. HandOver does nothing if the node does not lead.
 func (e *Elector) HandOver(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
@@ -41,15 +42,15 @@
 	e.stepDown(reason)
 }
 
-// Depose ends the node's leadership after the owner has learned that the term is over. It does
-// nothing if the node does not lead.
+// Depose ends the node's leadership. The owner calls it when it has learned that the term is over. It
+// does nothing if the node does not lead.
 func (e *Elector) Depose(reason StepDownReason) {
 	if e.state == Leading {
 		e.stepDown(reason)
 	}
 }
 
-// stepDown ends the term, and starts to follow.
+// stepDown ends the term and makes the node a follower.
 func (e *Elector) stepDown(reason StepDownReason) {
 	slog.Info("stepped down", "term", uint64(e.term), "reason", string(reason))
 	e.setState(Following, transitionReason(reason))
@@ -58,7 +59,7 @@
 	e.checkLeader()
 }
 
-// deleteLeaderKey deletes the leader key, provided that it is still this node's.
+// deleteLeaderKey deletes the leader key if this node still holds it.
 func (e *Elector) deleteLeaderKey() {
 	request := kvstore.Request{
 		Op:        kvstore.Txn,
--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestHandOverLost: if the transaction is lost, the former leader has stepped down all the same,
-// and the leader key stays until its lease expires.
+// TestHandOverLost: if the transaction is lost, the former leader steps down nevertheless, and the
+// leader key remains until its lease expires.
 func TestHandOverLost(t *testing.T) {
 	s := newFakeStore()
 	old, other := s.newElector("a"), s.newElector("b")
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -9,8 +9,8 @@
 )
 
 // termRecord is the value of the term key once a format level is in force. Below the first
-// level the value is the bare number. A program that knows no levels cannot decode the
-// record, and therefore cannot lead.
+// level the value is the bare number. A version without format levels cannot decode the record,
+// and therefore cannot lead.
 type termRecord struct {
 	Term  ident.Term        `json:"term"`
 	Level ident.FormatLevel `json:"level"`
@@ -33,8 +33,8 @@
 	return encoded
 }
 
-// DecodeTerm returns the term and the format level that a value of the term key holds. It
-// fails on a value that is malformed or of a later format level than this program knows.
+// DecodeTerm decodes a value of the term key. It returns an error for a value that is malformed or of
+// a later format level than ident.NewestFormatLevel.
 func DecodeTerm(value []byte) (ident.Term, ident.FormatLevel, error) {
 	var term ident.Term
 	if json.Unmarshal(value, &term) == nil {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -129,7 +129,7 @@
 // Begun reports whether a handover has begun. The leader must make no decisions from then on.
 func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
 
-// setState is the one place where the state changes.
+// setState is the only function that changes the state.
 func (c *Coordinator) setState(next State, now ident.MonotonicTime) {
 	if c.state != next {
 		c.state, c.stateSince = next, now
--- a/internal/renewal/heartbeats.go
+++ b/internal/renewal/heartbeats.go
@@ -2,14 +2,14 @@
 
 import "opaldale/internal/ident"
 
-// maxSentHeartbeats is how many heartbeats are remembered.
+// maxSentHeartbeats is the number of heartbeats that are remembered.
 const maxSentHeartbeats = 64
 
-// SentHeartbeats remembers when the newest heartbeats of this process were sent, to date the echoes
-// of peers. The zero SentHeartbeats is empty.
+// SentHeartbeats records when the newest heartbeats of this process were sent, to date the echoes of
+// peers. The zero SentHeartbeats is empty and ready to use.
 type SentHeartbeats struct {
 	heartbeats [maxSentHeartbeats]sentHeartbeat // a ring
-	count      int                              // of all that were ever recorded
+	count      int                              // of all heartbeats recorded so far
 }
 
 type sentHeartbeat struct {
@@ -23,7 +23,7 @@
 	h.count++
 }
 
-// SentAt returns when a heartbeat was sent, false if it is none of the newest of this process.
+// SentAt returns when a heartbeat was sent, or false if it is not among the newest ones of this process.
 func (h *SentHeartbeats) SentAt(id uint64) (ident.MonotonicTime, bool) {
 	for _, heartbeat := range h.heartbeats[:min(h.count, maxSentHeartbeats)] {
 		if heartbeat.id == id {
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -127,8 +127,8 @@
 	})
 }
 
-// send delays a heartbeat by a few milliseconds. While the link is cut, and at times otherwise, it
-// is lost or delayed until after the cut.
+// send delays a heartbeat by a few milliseconds. While the link is cut, and occasionally otherwise, the
+// heartbeat is lost or delayed until after the cut.
 func (r *registryRun) send(receive func(at ident.MonotonicTime)) {
 	delay := time.Duration(r.rng.IntN(5)) * time.Millisecond
 	if r.now < r.cutUntil || r.rng.IntN(20) == 0 {
@@ -140,7 +140,7 @@
 	r.inTransit = append(r.inTransit, delivery{at: r.now.Add(delay), receive: receive})
 }
 
-// deliver has all heartbeats received that are due, in the order in which they were sent.
+// deliver passes all heartbeats that are due to their receivers, in the order in which they were sent.
 func (r *registryRun) deliver() {
 	var remaining []delivery
 	for _, d := range r.inTransit {
@@ -153,8 +153,8 @@
 	r.inTransit = remaining
 }
 
-// TestRegistry exchanges heartbeats that are lost and delayed with a peer that is restarted, and that
-// renews leases whenever it may: the leader's bound is never before the peer's last renewal.
+// TestRegistry exchanges heartbeats, some lost or delayed, with a peer that restarts and that renews
+// leases whenever it may. The leader's bound is never earlier than the peer's last renewal.
 func TestRegistry(t *testing.T) {
 	renewals, tightBounds := 0, 0
 	for seed := range uint64(200) {
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestMayRenew: leases are renewed only after the leader has been silent for a while, within its
-// allowance, and for a worker that knows no later leader.
+// TestMayRenew: leases are renewed only after MinLeaderSilence, within the leader's allowance, and for a
+// worker that knows no later leader.
 func TestMayRenew(t *testing.T) {
 	var renewer Renewer
 	token := ident.MakeFencingToken(7, 2)
--- a/internal/renewal/renewer.go
+++ b/internal/renewal/renewer.go
@@ -1,14 +1,14 @@
-// Package renewal lets a node that does not lead renew the leases of workers for a while, when
-// both are cut off from the leader but not from each other, so that their tasks go on. The node
-// sends the workers no commands to start tasks.
+// Package renewal lets a node that does not lead renew the leases of workers for a limited time when
+// both are partitioned from the leader but not from each other, so that running tasks continue. The
+// node sends no commands that start tasks.
 //
-// The leader bounds the time for which it allows that, so that a lease renewed in its place
-// expires before a job that was cancelled since must have stopped. For that it must know when
-// peers may have renewed leases at the latest.
+// The leader limits that time by an allowance, so that a lease renewed on its behalf expires before
+// the deadline by which a job cancelled since must have stopped. To that end it bounds the latest
+// time at which peers may have renewed leases.
 //
-// As heartbeats may be delayed for minutes, both sides count from what the other has echoed: a
-// node from when it sent the heartbeat that the leader echoed while it was sure to lead, and the
-// leader from when it sent the heartbeat that the node echoed.
+// Since heartbeats may be delayed for minutes, both sides measure time from heartbeats that the other
+// side has echoed: a node from the time at which it sent the heartbeat that the leader echoed while
+// its lease was valid, and the leader from the time at which it sent the heartbeat that the node echoed.
 package renewal
 
 import (
@@ -17,7 +17,7 @@
 	"opaldale/internal/ident"
 )
 
-// MinLeaderSilence is how long a node must be without the leader before it renews leases.
+// MinLeaderSilence is how long a node must have had no contact with the leader before it renews leases.
 const MinLeaderSilence = 4 * time.Second
 
 // Renewer decides when a node that does not lead may renew worker leases. The zero Renewer has no
@@ -27,16 +27,16 @@
 	lastRenewal *ident.MonotonicTime // nil before the first
 }
 
-// permit is what the leader of a term allows this node.
+// permit is the permission of a leader to renew leases on its behalf.
 type permit struct {
 	term         ident.Term
-	leaderSeenAt ident.MonotonicTime // the leader was sure to lead at some time after that
-	allowance    time.Duration       // leases may be renewed for so long from leaderSeenAt on
+	leaderSeenAt ident.MonotonicTime // the leader's lease was valid at some time after this
+	allowance    time.Duration       // how long after leaderSeenAt leases may be renewed
 }
 
-// Permit records that the leader of a term was sure to lead at some time after leaderSeenAt, and
-// allows the renewal of leases for a while from then on. A permit that is older than the present
-// one, or of an earlier term, is ignored.
+// Permit records that the lease of the leader of a term was valid at some time after leaderSeenAt, and
+// that the leader permits the renewal of worker leases until allowance after that. A permit that is
+// older than the present one, or of an earlier term, is ignored.
 func (r *Renewer) Permit(term ident.Term, leaderSeenAt ident.MonotonicTime, allowance time.Duration) {
 	if r.permit != nil && (term < r.permit.term || leaderSeenAt < r.permit.leaderSeenAt) {
 		return
@@ -44,7 +44,7 @@
 	r.permit = &permit{term: term, leaderSeenAt: leaderSeenAt, allowance: allowance}
 }
 
-// SinceLeader returns the time since a leader was last known to be sure of its lease, false if none
+// SinceLeader returns the time since a leader's lease was last known to be valid, or false if none
 // ever was.
 func (r *Renewer) SinceLeader(now ident.MonotonicTime) (time.Duration, bool) {
 	if r.permit == nil {
@@ -53,8 +53,8 @@
 	return now.Sub(r.permit.leaderSeenAt), true
 }
 
-// MayRenew reports whether the lease of a worker may be renewed whose latest fencing token is
-// known. A token of a later term than the permit's shows that another leader has followed.
+// MayRenew reports whether the lease of a worker with the given latest fencing token may be renewed. A
+// zero token is unknown; a token of a later term than the permit's shows that a later leader was elected.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	silence, permitted := r.SinceLeader(now)
 	if !permitted || silence <= MinLeaderSilence || silence >= ident.LeastElapsed(r.permit.allowance) {
@@ -63,10 +63,10 @@
 	return token != 0 && token.Term() <= r.permit.term
 }
 
-// RecordRenewal records that a lease was renewed.
+// RecordRenewal records that this node has renewed a worker lease.
 func (r *Renewer) RecordRenewal(now ident.MonotonicTime) { r.lastRenewal = &now }
 
-// SinceRenewal returns the time since the last renewal of a lease, false if there was none.
+// SinceRenewal returns the time since the last renewal of a worker lease, or false if there was none.
 func (r *Renewer) SinceRenewal(now ident.MonotonicTime) (time.Duration, bool) {
 	if r.lastRenewal == nil {
 		return 0, false
--- a/internal/server/conn_limiter.go
+++ b/internal/server/conn_limiter.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// The sockets of a node are divided by these shares. The rest is for the key-value store, the
-// provider, the peers and other files of the process.
+// Shares of the sockets of a node. The remainder serves the key-value store, the provider, the peers
+// and other open files of the process.
 const (
 	inboundShare = 0.75 // connections of users, workers and probes
 	commandShare = 0.2  // commands to workers
-	// keepAliveShare is the part of the inbound connections up to which those of workers are kept
-	// open between heartbeats. The others are for new connections: a fleet may have more machines
-	// than a node has sockets.
+	// keepAliveShare is the share of the inbound connections up to which those of workers are kept
+	// open between heartbeats. The remainder is reserved for new connections: a fleet may have more
+	// machines than a node has sockets.
 	keepAliveShare = 0.75
 
-	minInbound = 4 // least limit of inbound connections
-	// acquireTimeout is how long a new connection waits for room: requests take milliseconds.
+	minInbound = 4 // lower bound on the limit of inbound connections
+	// acquireTimeout bounds the wait of a new connection for room. Requests take milliseconds.
 	acquireTimeout = 300 * time.Millisecond
 )
 
-// connLimiter bounds the connections that others open. At the limit, the connection that has been idle
-// for longest is closed for a new one.
+// connLimiter limits the inbound connections. At the limit, the connection that has been idle longest
+// is closed in favour of a new one. Its methods may be called from any goroutine.
 type connLimiter struct {
 	limit   int
 	mu      sync.Mutex
 	open    int
-	idle    *list.List    // of *trackedConn, the longest idle first
+	idle    *list.List    // of *trackedConn, longest idle first
 	room    chan struct{} // signalled when a connection closes or becomes idle
 	evicted atomic.Uint64 // idle connections closed for new ones
 	refused atomic.Uint64 // new connections closed at the limit
@@ -44,110 +44,113 @@
 	}
 }
 
-// signalRoom wakes up a new connection that waits for room.
-func (s *connLimiter) signalRoom() {
+// signalRoom wakes up an acquire that waits for room, if there is one.
+func (l *connLimiter) signalRoom() {
 	select {
-	case s.room <- struct{}{}:
+	case l.room <- struct{}{}:
 	default:
 	}
 }
 
-// count returns how many connections are open.
-func (s *connLimiter) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.open
+// count returns the number of open connections.
+func (l *connLimiter) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open
 }
 
-// nearLimit says whether connections of workers are to be closed after each heartbeat.
-func (s *connLimiter) nearLimit() bool { return float64(s.count()) > keepAliveShare*float64(s.limit) }
+// nearLimit reports whether connections of workers should be closed after each heartbeat.
+func (l *connLimiter) nearLimit() bool { return float64(l.count()) > keepAliveShare*float64(l.limit) }
 
-// tryAcquire counts a new connection if there is room for it, for which it closes idle ones.
-func (s *connLimiter) tryAcquire() bool {
+// tryAcquire counts a new connection if there is room for it, and reports whether there is. It closes
+// idle connections to make room.
+func (l *connLimiter) tryAcquire() bool {
 	for {
-		acquired, idle := s.acquireOrFindIdle()
+		acquired, idle := l.acquireOrFindIdle()
 		if acquired {
 			return true
 		}
 		if idle == nil {
 			return false
 		}
-		s.evicted.Add(1)
-		_ = idle.Close() // it is given up in any case
+		l.evicted.Add(1)
+		_ = idle.Close() // the connection is dropped whatever the result
 	}
 }
 
 // acquireOrFindIdle counts a new connection if there is room. Otherwise it returns the connection that
-// has been idle for longest, nil without any.
-func (s *connLimiter) acquireOrFindIdle() (acquired bool, idle *trackedConn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.open < s.limit {
-		s.open++
+// has been idle longest, or nil if none is idle.
+func (l *connLimiter) acquireOrFindIdle() (acquired bool, idle *trackedConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open < l.limit {
+		l.open++
 		return true, nil
 	}
-	if e := s.idle.Front(); e != nil {
+	if e := l.idle.Front(); e != nil {
 		return false, e.Value.(*trackedConn)
 	}
 	return false, nil
 }
 
-// acquire counts a new connection, and waits for room if there is none. Further connections wait in
-// the queue of the operating system meanwhile.
-func (s *connLimiter) acquire() bool {
-	if s.tryAcquire() {
+// acquire counts a new connection, waiting up to acquireTimeout for room, and reports whether there
+// was any. Further connections wait in the listener's backlog meanwhile.
+func (l *connLimiter) acquire() bool {
+	if l.tryAcquire() {
 		return true
 	}
-	t := time.NewTimer(acquireTimeout)
-	defer t.Stop()
+	timeout := time.NewTimer(acquireTimeout)
+	defer timeout.Stop()
 	for {
 		select {
-		case <-s.room:
-			if s.tryAcquire() {
+		case <-l.room:
+			if l.tryAcquire() {
 				return true
 			}
-		case <-t.C:
+		case <-timeout.C:
 			return false
 		}
 	}
 }
 
-// onConnState tracks which connections are idle; it is the HTTP server's ConnState hook.
-func (s *connLimiter) onConnState(c net.Conn, connState http.ConnState) {
-	conn, ok := c.(*trackedConn)
+// onConnState tracks which connections are idle. It is the ConnState hook of the HTTP server.
+func (l *connLimiter) onConnState(netConn net.Conn, connState http.ConnState) {
+	conn, ok := netConn.(*trackedConn)
 	if !ok {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	conn.removeFromIdle()
 	if connState == http.StateIdle && !conn.closed {
-		conn.idleElement = s.idle.PushBack(conn)
-		s.signalRoom()
+		conn.idleElement = l.idle.PushBack(conn)
+		l.signalRoom()
 	}
 }
 
-// limitListener bounds the connections of a listener.
-func (s *connLimiter) limitListener(l net.Listener) net.Listener { return &limitedListener{l, s} }
+// limitListener returns a listener whose connections count against the limit.
+func (l *connLimiter) limitListener(listener net.Listener) net.Listener {
+	return &limitedListener{Listener: listener, limiter: l}
+}
 
-// limitedListener is a listener whose connections are counted.
+// limitedListener is a listener whose connections count against a limit.
 type limitedListener struct {
 	net.Listener
 	limiter *connLimiter
 }
 
-// Accept implements net.Listener. Connections without room are closed.
-func (b *limitedListener) Accept() (net.Conn, error) {
+// Accept implements net.Listener. Connections for which there is no room are closed.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := b.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if b.limiter.acquire() {
-			return &trackedConn{Conn: c, limiter: b.limiter}, nil
+		if l.limiter.acquire() {
+			return &trackedConn{Conn: conn, limiter: l.limiter}, nil
 		}
-		b.limiter.refused.Add(1)
-		c.Close()
+		l.limiter.refused.Add(1)
+		conn.Close()
 	}
 }
 
@@ -159,23 +162,23 @@
 	idleElement *list.Element // in the limiter's list; nil while the connection is in use
 }
 
-// removeFromIdle removes the connection from the idle ones. The limiter's mutex must be held.
-func (k *trackedConn) removeFromIdle() {
-	if k.idleElement != nil {
-		k.limiter.idle.Remove(k.idleElement)
-		k.idleElement = nil
+// removeFromIdle removes the connection from the list of idle ones. The caller holds the limiter's mutex.
+func (c *trackedConn) removeFromIdle() {
+	if c.idleElement != nil {
+		c.limiter.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// Close implements net.Conn.
-func (k *trackedConn) Close() error {
-	k.limiter.mu.Lock()
-	if !k.closed {
-		k.closed = true
-		k.limiter.open--
-		k.removeFromIdle()
-		k.limiter.signalRoom()
+// Close implements net.Conn. It stops counting the connection; further calls have no effect on the count.
+func (c *trackedConn) Close() error {
+	c.limiter.mu.Lock()
+	if !c.closed {
+		c.closed = true
+		c.limiter.open--
+		c.removeFromIdle()
+		c.limiter.signalRoom()
 	}
-	k.limiter.mu.Unlock()
-	return k.Conn.Close()
+	c.limiter.mu.Unlock()
+	return c.Conn.Close()
 }
--- a/internal/server/controller_env.go
+++ b/internal/server/controller_env.go
@@ -14,34 +14,36 @@
 )
 
 const (
-	// commandTimeout bounds a command: a worker responds within milliseconds, or after a lost packet.
+	// commandTimeout bounds a command, and allows for one retransmission: a worker responds within
+	// milliseconds.
 	commandTimeout = 1200 * time.Millisecond
-	// maxCommandResponseBytes bounds what is read of a worker's response.
+	// maxCommandResponseBytes bounds the size of a worker's response that is read.
 	maxCommandResponseBytes = 1 << 20
 )
 
-// controllerEnv is the environment of a controller. Calls run on goroutines of their own; their
-// responses are handled by the event loop.
+// controllerEnv implements the environment of a controller. Its methods are called on the event loop.
+// Blocking calls run on separate goroutines, and their callbacks on the event loop.
 type controllerEnv struct{ server *Server }
 
-// Now reads the monotonic clock.
+// Now returns the reading of the monotonic clock.
 func (e controllerEnv) Now() ident.MonotonicTime { return e.server.loop.now() }
 
-// WallMS reads the wall clock, in milliseconds since 1970.
+// WallMS returns the wall clock time in milliseconds since the Unix epoch.
 func (e controllerEnv) WallMS() int64 { return time.Now().UnixMilli() }
 
-// After calls a function on the event loop once a time has passed.
+// After calls f on the event loop once d has elapsed.
 func (e controllerEnv) After(d time.Duration, f func()) { e.server.loop.after(d, f) }
 
-// SendPeer sends a frame to a peer, if it is connected.
+// SendPeer queues a frame for a peer. The frame is dropped if the peer is not connected.
 func (e controllerEnv) SendPeer(to ident.NodeID, f *transport.Frame) { e.server.transport.Send(to, f) }
 
-// Store sends a request to the key-value store.
+// Store sends a request to the key-value store and calls done with the response.
 func (e controllerEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	callOutside(e.server.loop, func() kvstore.Response { return e.server.store.Do(r) }, done)
 }
 
-// Cloud sends a request to the provider, unless it has expired.
+// Cloud sends a request to the provider and calls done with the response. A request whose deadline has
+// passed is not sent.
 func (e controllerEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	callOutside(e.server.loop, func() cloud.Response {
 		if e.server.loop.expired(r.NotAfter) {
@@ -51,12 +53,12 @@
 	}, done)
 }
 
-// Worker sends commands to a worker.
+// Worker sends commands to a worker and calls done with the result.
 func (e controllerEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	callOutside(e.server.loop, func() workers.CommandResult { return e.server.sendCommand(command) }, done)
 }
 
-// callOutside makes a blocking call outside of the event loop, which handles its result.
+// callOutside runs a blocking call on a new goroutine, and then done with its result on the event loop.
 func callOutside[T any](l *eventLoop, call func() T, done func(T)) {
 	go func() {
 		result := call()
@@ -64,8 +66,8 @@
 	}()
 }
 
-// sendCommand sends commands to a worker, once one of the slots for commands is free, unless they have
-// expired by then.
+// sendCommand sends commands to a worker. It waits for one of the command slots first; commands whose
+// deadline passes meanwhile are not sent.
 func (s *Server) sendCommand(command workers.CommandCall) workers.CommandResult {
 	s.commandSlots <- struct{}{}
 	defer func() { <-s.commandSlots }()
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -1,6 +1,6 @@
-// Package server runs a controller as a network service. It has the event loop, on which all of the
-// controller's code runs, the HTTP API, the clients of the store, the provider and the workers, and
-// the limits that keep an overloaded node working.
+// Package server runs a controller as a network service. It contains the event loop, on which all of
+// the controller's code runs, the HTTP API, the clients of the key-value store, the provider and the
+// workers, and the limits that keep an overloaded node operational.
 package server
 
 import (
@@ -13,31 +13,32 @@
 )
 
 const (
-	// eventQueueSize bounds the events of either kind that wait; beyond it, posting blocks. It is more
-	// than the heartbeats and responses that the workers of a fleet of 4,000 can have in flight
-	// together, so that frames of peers never wait for room.
+	// eventQueueSize is the capacity of each event queue. Posting to a full queue blocks. The capacity
+	// exceeds the heartbeats and responses that a fleet of 4,000 workers can have in flight, so that
+	// peer frames do not block.
 	eventQueueSize = 16_384
-	// maxBatch bounds the events between two calls of afterBatch.
+	// maxBatch is the maximum number of events between two calls of afterBatch.
 	maxBatch = 32
-	// maxWait bounds the wait for an event.
+	// maxWait bounds the wait for an event or a timer.
 	maxWait = time.Hour
 )
 
-// event is a function to be run by the loop, and the time at which it was posted.
+// event is a function to be run by the loop, with the time at which it was posted.
 type event struct {
 	run      func()
 	postedAt time.Time
 }
 
-// eventLoop runs all code that uses the controller, one event at a time.
+// eventLoop serializes all code that uses the controller. Functions are posted from other goroutines;
+// timers are set by the functions that it runs.
 type eventLoop struct {
 	start        time.Time
-	urgentEvents chan event // that leadership and workers depend on
-	userEvents   chan event // requests of users
+	urgentEvents chan event // required to keep leadership and workers
+	userEvents   chan event // user requests
 	timers       timerHeap
 	timerSeq     uint64
 	afterBatch   func()       // called after each batch of events
-	lag          atomic.Int64 // nanoseconds that the last user event has waited
+	lag          atomic.Int64 // nanoseconds that the newest user event waited; 0 once the queues are empty
 	done         chan struct{}
 }
 
@@ -53,16 +54,16 @@
 // now reads the monotonic clock.
 func (l *eventLoop) now() ident.MonotonicTime { return ident.MonotonicTime(time.Since(l.start)) }
 
-// expired says whether a deadline has passed; 0 stands for none.
+// expired reports whether a deadline has passed. 0 stands for no deadline.
 func (l *eventLoop) expired(deadline ident.MonotonicTime) bool {
 	return deadline > 0 && l.now() >= deadline
 }
 
-// post has the loop run a function. It must not be called by the loop itself.
+// post queues a function to be run by the loop. The loop itself must not call it: it blocks while the
+// queue is full.
 func (l *eventLoop) post(f func()) { l.enqueue(l.userEvents, f) }
 
-// postUrgent has the loop run a function before all that are posted by post. It must not be called by
-// the loop itself.
+// postUrgent is post for a function that takes precedence over those queued by post.
 func (l *eventLoop) postUrgent(f func()) { l.enqueue(l.urgentEvents, f) }
 
 // enqueue queues an event, unless the loop is closed.
@@ -73,34 +74,35 @@
 	}
 }
 
-// query has the loop compute a value, and waits for it. It returns the zero value if the loop is closed.
+// query runs compute on the loop and waits for its value. It returns the zero value if the loop is
+// closed.
 func query[T any](l *eventLoop, post func(func()), compute func() T) T {
-	answer := make(chan T, 1)
-	post(func() { answer <- compute() })
+	result := make(chan T, 1)
+	post(func() { result <- compute() })
 	select {
-	case v := <-answer:
-		return v
+	case value := <-result:
+		return value
 	case <-l.done:
 		var none T
 		return none
 	}
 }
 
-// begin has the loop begin an operation, and returns a channel for its first result.
+// begin starts an operation on the loop, and returns a channel that receives its first result.
 func begin[T any](post func(func()), operation func(done func(T))) <-chan T {
 	results := make(chan T, 1)
 	post(func() {
 		operation(func(result T) {
 			select {
 			case results <- result:
-			default: // only the first result counts
+			default: // further results are ignored
 			}
 		})
 	})
 	return results
 }
 
-// await waits for a result, and says whether it came before the context ended.
+// await waits for a result, and reports whether it arrived before the context ended.
 func await[T any](ctx context.Context, results <-chan T) (T, bool) {
 	select {
 	case result := <-results:
@@ -111,16 +113,16 @@
 	}
 }
 
-// after has the loop run a function later. It must be called by the loop itself.
+// after runs f on the loop once d has elapsed. Only the loop itself may call it.
 func (l *eventLoop) after(d time.Duration, f func()) {
 	l.timerSeq++
 	heap.Push(&l.timers, timer{l.now().Add(d), l.timerSeq, f})
 }
 
-// Lag returns how long user events wait at present.
+// Lag returns how long user events wait at present. Any goroutine may call it.
 func (l *eventLoop) Lag() time.Duration { return time.Duration(l.lag.Load()) }
 
-// run runs events until the loop is closed.
+// run runs events and timers until the loop is closed.
 func (l *eventLoop) run() {
 	wakeUp := time.NewTimer(maxWait)
 	for {
@@ -136,7 +138,7 @@
 	}
 }
 
-// closed says whether the loop has been closed.
+// closed reports whether the loop has been closed.
 func (l *eventLoop) closed() bool {
 	select {
 	case <-l.done:
@@ -146,8 +148,8 @@
 	}
 }
 
-// waitForEvent waits for a timer or an event, and runs the event. It returns the number of events that
-// it ran.
+// waitForEvent waits until a timer is due or an event arrives, and runs the event. It returns the number
+// of events that it ran.
 func (l *eventLoop) waitForEvent(wakeUp *time.Timer) int {
 	wait := maxWait
 	if len(l.timers) > 0 {
@@ -170,7 +172,7 @@
 	return 0
 }
 
-// runTimers runs up to a number of timers that are due, and returns how many.
+// runTimers runs up to limit timers that are due, and returns their number.
 func (l *eventLoop) runTimers(limit int) int {
 	ran := 0
 	for now := l.now(); ran < limit && len(l.timers) > 0 && l.timers[0].due <= now; ran++ {
@@ -179,7 +181,7 @@
 	return ran
 }
 
-// drain runs up to a number of waiting events, the urgent ones first, and returns how many.
+// drain runs up to limit queued events, urgent ones first, and returns their number.
 func (l *eventLoop) drain(limit int) int {
 	n := 0
 	for ; n < limit; n++ {
@@ -196,20 +198,20 @@
 	return n
 }
 
-// runUserEvent runs a user event, and notes how long it waited.
+// runUserEvent runs a user event, and records how long it waited.
 func (l *eventLoop) runUserEvent(e event) {
 	l.lag.Store(int64(time.Since(e.postedAt)))
 	e.run()
 }
 
-// timer is a function to be run by the loop at a time.
+// timer is a function to be run by the loop once it is due.
 type timer struct {
 	due ident.MonotonicTime
-	seq uint64 // in the order of creation
+	seq uint64 // orders timers by creation
 	run func()
 }
 
-// timerHeap is a heap.Interface of timers by the time at which they are due, then by their creation.
+// timerHeap is a heap.Interface of timers, ordered by due time and then by creation.
 type timerHeap []timer
 
 // Len implements heap.Interface.
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// requestTimeout bounds the time to answer any request.
+	// requestTimeout bounds the time in which the controller must respond to a request.
 	requestTimeout = 4 * time.Second
-	// timeoutRetryAfterS is after how many seconds a request that timed out should be repeated.
+	// timeoutRetryAfterS is the Retry-After, in seconds, of a request that timed out.
 	timeoutRetryAfterS = 1
 )
 
 // timeoutError is the body of a response to a request that timed out.
 var timeoutError = api.ErrorResponse{Error: "no answer in time"}
 
-// frontend serves users, workers, health checks and operators.
+// frontend serves the HTTP API to users, workers, load balancers and operators.
 type frontend struct {
 	server  *Server
 	metrics *metrics
 }
 
-// handler returns the handler of the requests to the node's address.
+// handler returns the HTTP handler of the node.
 func (s *Server) handler() http.Handler {
 	f := &frontend{server: s, metrics: newMetrics(s)}
 	mux := http.NewServeMux()
@@ -45,7 +45,7 @@
 	return mux
 }
 
-// admit refuses requests while the node is overloaded, before their bodies are read.
+// admit wraps a handler so that requests which are not admitted are refused before their bodies are read.
 func (f *frontend) admit(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// forwardBody handles requests with a body.
+// forwardBody returns a handler that passes the body of a request to the controller.
 func (f *frontend) forwardBody(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
@@ -76,8 +76,8 @@
 	}
 }
 
-// forwardJobID handles requests about the job that the path names. It answers 404 for what can't be
-// the identifier of a job.
+// forwardJobID returns a handler that passes the job ID in the path of a request to the controller. It
+// responds with 404 to malformed IDs.
 func (f *frontend) forwardJobID(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
@@ -89,22 +89,22 @@
 	}
 }
 
-// serve has the controller handle a request, and writes its response.
+// serve passes a request to the controller, and writes the response.
 func (f *frontend) serve(method transport.Method, w http.ResponseWriter, jobID string, body []byte) {
 	start := time.Now()
 	response := f.dispatch(method, jobID, body)
 	// The process may have been suspended, and leadership lost, since the response was computed.
 	response = response.IfValid(f.server.loop.now())
 	if method == transport.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
-		// The next heartbeat opens a connection of its own: between two heartbeats the connection
-		// would be idle.
+		// The connection would be idle until the next heartbeat, which opens a new one instead.
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 	f.metrics.observe(method, response.Status, time.Since(start))
 }
 
-// dispatch has the event loop handle a request, and waits for the response.
+// dispatch runs the controller's handler of a request on the event loop, and waits for the response. It
+// responds with 503 after requestTimeout.
 func (f *frontend) dispatch(method transport.Method, jobID string, body []byte) controller.Response {
 	post := f.server.loop.post
 	if isUrgent(method) {
@@ -126,13 +126,13 @@
 	return response
 }
 
-// isUrgent says whether requests of a kind precede those of users: workers' leases and their work
-// depend on them.
+// isUrgent reports whether requests of a kind take precedence over other user requests, because worker
+// leases or running tasks depend on them.
 func isUrgent(method transport.Method) bool {
 	return method == transport.WorkerHeartbeat || method == transport.CancelJob
 }
 
-// health answers the probes of a load balancer.
+// health serves the health checks of a load balancer.
 func (f *frontend) health(w http.ResponseWriter, _ *http.Request) {
 	loop := f.server.loop
 	if !query(loop, loop.postUrgent, f.server.controller.Healthy) {
@@ -142,12 +142,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// links shows operators the state of the node's links.
+// links serves the report on the node's links.
 func (f *frontend) links(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, f.server.linkReport())
 }
 
-// moves shows operators the moves of running tasks.
+// moves serves the report on moves of running tasks.
 func (f *frontend) moves(w http.ResponseWriter, r *http.Request) {
 	report, ok := f.server.moveReport(r.Context())
 	if !ok {
--- a/internal/server/link_metrics.go
+++ b/internal/server/link_metrics.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/linktracker"
 )
 
-// Metrics of the links of a node and of its authority.
+// Metrics of a node's links and of its authority.
 var (
 	linkState = newGauge("link_state", "Verdict on a direction of a link: 0 unknown, 1 up, 2 suspect, 3 down.",
 		"peer", "direction")
--- a/internal/server/load_metrics.go
+++ b/internal/server/load_metrics.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/controller"
 )
 
-// Metrics of the load and of moves of running tasks.
+// Metrics of the load, and of moves of running tasks.
 var (
 	loadImbalance = newGauge("load_imbalance", "Coefficient of variation of the machines' use.")
 	movesProposed = newCounter("moves_proposed", "Moves of running tasks that would pay, by the estimates.")
@@ -21,7 +21,7 @@
 	teamHeat      = newGauge("team_heat", "State of a team: 0 cool, 1 warming, 2 hot, 3 cooling.", "team")
 )
 
-// collectLoad sends the metrics of the load, on a leader that measures it.
+// collectLoad sends the metrics of the load. Only a leader that measures the load has any.
 func collectLoad(ch chan<- prometheus.Metric, stats controller.Stats) {
 	if stats.TeamLoads == nil {
 		return
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/transport"
 )
 
-// metricPrefix begins the name of each metric.
+// metricPrefix is the prefix of all metric names.
 const metricPrefix = "opaldale_"
 
 // metrics are the metrics of a node.
@@ -46,7 +46,7 @@
 	transport.WorkerHeartbeat: "checkin",
 }
 
-// observe counts a request that was answered.
+// observe records a completed request.
 func (m *metrics) observe(method transport.Method, status int, d time.Duration) {
 	m.requests.WithLabelValues(methodNames[method], strconv.Itoa(status)).Observe(d.Seconds())
 }
@@ -56,14 +56,14 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// controllerCollector collects the metrics whose values belong to the controller. They are read when
-// the metrics are scraped.
+// controllerCollector collects the metrics whose values the controller owns. They are read on each
+// scrape.
 type controllerCollector struct{ server *Server }
 
-// Describe sends nothing: the collector is unchecked.
+// Describe implements prometheus.Collector. It sends nothing, which makes the collector unchecked.
 func (controllerCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the values on the event loop and sends them.
+// Collect implements prometheus.Collector. It reads the values on the event loop.
 func (c controllerCollector) Collect(ch chan<- prometheus.Metric) {
 	stats := c.server.stats()
 	collectStats(ch, &stats)
@@ -78,22 +78,22 @@
 	valueType prometheus.ValueType
 }
 
-// newGauge describes a gauge with labels.
+// newGauge returns a gauge with the given label names.
 func newGauge(name, help string, labels ...string) metric {
 	return metric{prometheus.NewDesc(metricPrefix+name, help, labels, nil), prometheus.GaugeValue}
 }
 
-// newCounter describes a counter with labels.
+// newCounter returns a counter with the given label names. Its name gets the suffix "_total".
 func newCounter(name, help string, labels ...string) metric {
 	return metric{prometheus.NewDesc(metricPrefix+name+"_total", help, labels, nil), prometheus.CounterValue}
 }
 
-// send sends a value of the metric, with those of its labels.
+// send sends a value of the metric with the given label values.
 func (m metric) send(ch chan<- prometheus.Metric, value float64, labels ...string) {
 	ch <- prometheus.MustNewConstMetric(m.desc, m.valueType, value, labels...)
 }
 
-// boolToFloat is 1 for true.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(b bool) float64 {
 	if b {
 		return 1
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -6,13 +6,14 @@
 	"opaldale/internal/controller"
 )
 
-// statsMetric is a metric without labels that has one of the controller's counters.
+// statsMetric is a metric without labels whose value is one of the controller's statistics.
 type statsMetric struct {
 	metric
 	value func(*controller.Stats) float64
 }
 
-// statsMetrics are the metrics without labels of every controller. Most are 0 without leadership.
+// statsMetrics are the metrics without labels of every controller. Most are 0 on a node that does not
+// lead.
 var statsMetrics = []statsMetric{
 	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolToFloat(s.Leading) }},
 	{newGauge("leadership_valid", "1 while leadership is sure."),
@@ -76,7 +77,7 @@
 	{newCounter("elected", "Terms begun."), func(s *controller.Stats) float64 { return float64(s.TermsBegun) }},
 }
 
-// Metrics of every controller with labels.
+// Metrics with labels of every controller.
 var (
 	machinesByState = newGauge("machines", "Machines by state.", "state")
 	placedByRule    = newCounter("placed", "Tasks placed, by the rule that did.", "rule")
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,31 +23,32 @@
 
 // Limits of the process.
 const (
-	// maxThreads is the number of threads that run Go code: a node has a small share of one core,
-	// and more threads only cost.
+	// maxThreads is GOMAXPROCS. A node has a fraction of one core, so that more threads only add
+	// overhead.
 	maxThreads = 1
-	// memoryShare is the part of the node's memory that the heap may have before it is collected
-	// more often.
+	// memoryShare is the share of the node's memory that is the runtime's soft memory limit.
 	memoryShare = 0.65
-	// gcPercent is by how much the heap grows before it is collected.
+	// gcPercent is GOGC: the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 300
 
 	bytesPerMB = 1 << 20
 )
 
-// Limits of the connections that a node opens.
+// Limits of outbound connections.
 const (
 	dialTimeout        = time.Second
 	idleConnTimeout    = 90 * time.Second
 	idleStoreConns     = 8 // kept to the key-value store
 	idleCloudConns     = 4 // kept to the provider
 	idleConnsPerWorker = 1
-	unlimitedConns     = 0 // as http.Transport.MaxIdleConns has it
-	minCommands        = 8 // least number of concurrent commands to workers
-	moveReportTimeout  = 2 * time.Second
+	unlimitedConns     = 0 // in http.Transport.MaxIdleConns
+	minCommands        = 8 // lower bound on the limit of concurrent commands to workers
 )
 
-// Limits of the connections that others open.
+// moveReportTimeout bounds the time to obtain the report on moves.
+const moveReportTimeout = 2 * time.Second
+
+// Limits of inbound HTTP connections.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 10 * time.Second
@@ -64,10 +65,10 @@
 	store        *kvstore.Client
 	cloud        *cloud.Client
 	workerClient *http.Client
-	commandSlots chan struct{} // holds an element for each command in flight
+	commandSlots chan struct{} // semaphore: one element for each command in flight
 	connLimiter  *connLimiter
 	transport    *transport.Transport
-	admission    admission // bounds the requests of users and workers, also those forwarded by peers
+	admission    admission // limits the requests of users and workers, including those forwarded by peers
 
 	listener, peerListener net.Listener
 	httpServer             *http.Server
@@ -78,8 +79,8 @@
 // Dialer opens a connection, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Run serves until the process is killed. It returns only if a socket can't be opened or fails. It
-// sets limits of the whole process.
+// Run runs a node until the process is killed. It returns an error if a socket cannot be opened or
+// fails. It sets limits of the whole process, such as the memory limit.
 func Run(cfg *settings.Settings) error {
 	runtime.GOMAXPROCS(maxThreads)
 	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * bytesPerMB))
@@ -91,11 +92,12 @@
 	return s.Serve()
 }
 
-// New returns a node that listens on its addresses. It opens all of its connections by dial.
+// New returns a node that listens on its addresses, but does not accept connections before Serve. All
+// outbound connections are opened by dial.
 func New(cfg *settings.Settings, dial Dialer) (*Server, error) {
 	s := &Server{settings: cfg, loop: newEventLoop(), connLimiter: newConnLimiter(cfg.Cluster.Resources.Sockets)}
 	s.admission.lag = s.loop.Lag
-	// Each heartbeat in flight has a connection, so there can't be more.
+	// Each heartbeat in flight occupies an inbound connection.
 	s.admission.heartbeatLimit = int64(s.connLimiter.limit)
 	s.createClients(dial)
 	s.createTransport(dial)
@@ -111,15 +113,15 @@
 func (s *Server) createClients(dial Dialer) {
 	s.store = kvstore.NewClient(s.settings.Endpoints.Store, s.newHTTPTransport(dial, idleStoreConns, unlimitedConns))
 	s.cloud = cloud.NewClient(s.settings.Endpoints.Cloud, s.newHTTPTransport(dial, idleCloudConns, unlimitedConns))
-	// Connections kept to all machines, beside those that their heartbeats come by, would be more
-	// than there are sockets.
+	// Keeping connections to all machines open, in addition to those of their heartbeats, would
+	// exceed the sockets of the node.
 	maxCommands := max(minCommands, int(commandShare*float64(s.settings.Cluster.Resources.Sockets)))
 	s.workerClient = &http.Client{Transport: s.newHTTPTransport(dial, idleConnsPerWorker, maxCommands)}
 	s.commandSlots = make(chan struct{}, maxCommands)
 }
 
-// newHTTPTransport returns a transport that keeps up to a number of idle connections to each host, and
-// to all of them.
+// newHTTPTransport returns a transport that keeps at most idlePerHost idle connections to each host, and
+// at most idle in total.
 func (s *Server) newHTTPTransport(dial Dialer, idlePerHost, idle int) *http.Transport {
 	t := &http.Transport{
 		DialContext:         dial,
@@ -164,7 +166,7 @@
 	return nil
 }
 
-// Serve runs the node until it is closed, or a socket fails.
+// Serve runs the node until it is closed or a socket fails, and returns the error of the listener.
 func (s *Server) Serve() error {
 	for _, p := range s.settings.Peers {
 		s.transport.Connect(p.Node, p.Address)
@@ -177,12 +179,12 @@
 	return <-errs
 }
 
-// Close ends the node at once, as if its process were killed: leadership is not handed over.
+// Close stops the node immediately, as if its process were killed: leadership is not handed over.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.loop.done)
 		s.peerListener.Close()
-		_ = s.httpServer.Close() // the node ends in any case
+		_ = s.httpServer.Close() // the node stops whatever the result
 		s.transport.Close()
 		for _, t := range s.httpTransports {
 			t.CloseIdleConnections()
@@ -190,8 +192,8 @@
 	})
 }
 
-// dispatchPeerFrame handles a message of a peer. Requests that it forwards for users wait, and are
-// refused, as those that users send to this node.
+// dispatchPeerFrame passes a frame of a peer to the controller. Forwarded user requests are queued and
+// shed like those that users send to this node directly.
 func (s *Server) dispatchPeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
 	isRequest := frame.Type == transport.MsgRequest || frame.Type == transport.MsgRelayRequest
@@ -212,25 +214,25 @@
 	s.loop.post(handle)
 }
 
-// stats reads the controller's counters.
+// stats returns the controller's statistics.
 func (s *Server) stats() controller.Stats {
 	return query(s.loop, s.loop.post, s.controller.Stats)
 }
 
-// linkReport reads the state of the node's links.
+// linkReport returns the report on the node's links.
 func (s *Server) linkReport() linktracker.Report {
 	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
-// moveReport reads the moves of running tasks, and says whether that was possible in time: a node
-// without leadership reads them from the key-value store.
+// moveReport returns the report on moves of running tasks, or false if it is not available in time: a
+// node that does not lead reads the moves from the key-value store.
 func (s *Server) moveReport(ctx context.Context) (controller.MoveReport, bool) {
 	ctx, cancel := context.WithTimeout(ctx, moveReportTimeout)
 	defer cancel()
 	return await(ctx, begin(s.loop.post, s.controller.MoveReport))
 }
 
-// writeJSON writes a response with a message of the API.
+// writeJSON writes a response whose body is v as JSON.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -11,16 +11,16 @@
 	"opaldale/internal/wire"
 )
 
-// ErrMalformedFrame is returned for whatever is not a frame of this version.
+// ErrMalformedFrame is returned for input that is not a frame of this version.
 var ErrMalformedFrame = errors.New("malformed frame")
 
 const (
-	lengthBytes = 4 // of a frame's length
-	headerBytes = 2 // of the version and the message type
+	lengthBytes = 4 // size of a frame's length
+	headerBytes = 2 // size of the version and the message type
 )
 
-// codec encodes and decodes the fields of one message type. A decoder need not check for fields
-// that are cut short, or for bytes left over.
+// codec encodes and decodes the fields of one message type. Decode checks for truncated fields and
+// trailing bytes, so that decoders need not do so.
 type codec struct {
 	encode func(b []byte, f *Frame) []byte
 	decode func(r *wire.Reader, f *Frame) error
@@ -36,7 +36,7 @@
 	MsgRelayRequest:   {encodeRequest, decodeRequest},
 }
 
-// Append appends the frame to b, with its length.
+// Append appends the encoded frame, preceded by its length, to b.
 func (f *Frame) Append(b []byte) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, Version, byte(f.Type))
@@ -47,7 +47,7 @@
 	return b
 }
 
-// Decode decodes a frame without its length. The frame's body shares the memory of b. Errors are
+// Decode decodes a frame without its length. The body of the result shares the memory of b. Errors wrap
 // ErrMalformedFrame.
 func Decode(b []byte) (*Frame, error) {
 	if len(b) < headerBytes || len(b) > MaxFrameBytes {
@@ -71,7 +71,7 @@
 	return f, nil
 }
 
-// Read reads one frame from a connection. Errors are the connection's, or ErrMalformedFrame.
+// Read reads one frame, preceded by its length. Errors are those of r, or wrap ErrMalformedFrame.
 func Read(r io.Reader) (*Frame, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -11,8 +11,7 @@
 	"opaldale/internal/links"
 )
 
-// goldenFrames has a frame of each message type, with a different value in each field that the type
-// carries.
+// goldenFrames has a frame of each message type, with distinct values in the fields of that type.
 var goldenFrames = []struct {
 	name  string
 	frame Frame
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// The queue of a peer is bounded by frames and by the bytes of their bodies. It holds the
-// heartbeats that a fleet of some thousand machines sends while a connection is stalled for a few
-// seconds.
+// Limits of the queue of a peer. It has room for the worker heartbeats that a fleet of several thousand
+// machines sends while a connection is stalled for a few seconds.
 const (
 	maxQueuedFrames = 8192
 	maxQueuedBytes  = 16 << 20
 )
 
-// outbox is the queue of frames to be sent to a peer. Any goroutine may put; one takes.
+// outbox is the queue of frames to be sent to a peer. Any goroutine may call put; only the one that
+// sends may call the other methods.
 type outbox struct {
 	frames      chan *Frame
-	queuedBytes atomic.Int64 // of the bodies in the queue
+	queuedBytes atomic.Int64 // total size of the bodies in the queue
 }
 
 func newOutbox() *outbox { return &outbox{frames: make(chan *Frame, maxQueuedFrames)} }
@@ -34,24 +34,24 @@
 	}
 }
 
-// dequeued must be called with each frame taken from the queue. It returns the frame.
-func (o *outbox) dequeued(f *Frame) *Frame {
+// release frees the room of a frame that was taken from the queue, and returns the frame.
+func (o *outbox) release(f *Frame) *Frame {
 	o.queuedBytes.Add(-int64(len(f.Body)))
 	return f
 }
 
-// appendQueued takes the frames that are queued by now, as far as buf stays within about one
-// frame of the largest size, and appends them to buf.
+// appendQueued takes the frames that are queued at present and appends them to buf, until buf has the
+// size of a frame of maximum size.
 func (o *outbox) appendQueued(buf []byte) []byte {
 	for n := len(o.frames); n > 0 && len(buf) < MaxFrameBytes; n-- {
-		buf = o.dequeued(<-o.frames).Append(buf)
+		buf = o.release(<-o.frames).Append(buf)
 	}
 	return buf
 }
 
-// drain drops all frames in the queue.
+// drain discards all frames in the queue.
 func (o *outbox) drain() {
 	for len(o.frames) > 0 {
-		o.dequeued(<-o.frames)
+		o.release(<-o.frames)
 	}
 }
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestOutboxBounds: the queue holds the heartbeats of some thousand machines, large bodies are
-// bounded by their bytes, and each frame taken makes room for another.
+// TestOutboxBounds: the queue has room for maxQueuedFrames heartbeats, the total size of large bodies is
+// limited, and each frame taken makes room for another one.
 func TestOutboxBounds(t *testing.T) {
 	small := &Frame{Type: MsgRequest, Body: make([]byte, 1500)}
 	large := &Frame{Type: MsgRequest, Body: make([]byte, 64<<10)}
@@ -23,7 +23,7 @@
 		if n != c.want {
 			t.Errorf("%s: %d frames found room, want %d", c.name, n, c.want)
 		}
-		o.dequeued(<-o.frames)
+		o.release(<-o.frames)
 		if !o.put(c.frame) || o.put(c.frame) {
 			t.Errorf("%s: a frame that is taken must make room for one", c.name)
 		}
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// readBufferSize holds several forwarded heartbeats of workers.
+	// readBufferSize has room for several forwarded worker heartbeats.
 	readBufferSize = 32 << 10
-	// maxInboundConns bounds the connections opened by peers.
+	// maxInboundConns is the maximum number of connections opened by peers.
 	maxInboundConns = 32
-	// acceptRetryDelay is the pause after a connection could not be accepted.
+	// acceptRetryDelay is the delay after a failure to accept a connection.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Serve accepts the peers' connections until the listener is closed, and returns an error
-// that wraps net.ErrClosed then.
+// Serve accepts the connections of peers until the listener is closed. It always returns an error that
+// wraps net.ErrClosed.
 func (t *Transport) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -45,7 +45,7 @@
 // serveConn receives on a connection that holds one of the inbound slots.
 func (t *Transport) serveConn(conn net.Conn) {
 	defer func() { <-t.inboundSlots }()
-	if !t.track(conn) {
+	if !t.trackConn(conn) {
 		return
 	}
 	defer t.closeConn(conn)
@@ -74,7 +74,7 @@
 	}
 }
 
-// handshake reads the hello that begins a connection, and reports whether it is a peer's.
+// handshake reads the hello that begins a connection, and reports whether a peer sent it.
 func (c *inboundConn) handshake() bool {
 	f, ok := c.readFrame()
 	if !ok {
@@ -84,11 +84,11 @@
 		slog.Error("peer connection without hello", "remote", c.conn.RemoteAddr().String())
 		return false
 	}
-	return c.identify(f)
+	return c.acceptHello(f)
 }
 
-// identify takes note of who sends, and reports whether it is a peer.
-func (c *inboundConn) identify(hello *Frame) bool {
+// acceptHello sets the peer of the connection, and reports whether it is known.
+func (c *inboundConn) acceptHello(hello *Frame) bool {
 	c.peer = hello.Node
 	if c.transport.outboxes[c.peer] == nil {
 		slog.Error("rejected connection of unknown peer", "peer", string(c.peer))
@@ -97,11 +97,11 @@
 	return true
 }
 
-// receive echoes a heartbeat, and passes any frame but a hello to the handler. It reports whether
-// the connection goes on.
+// receive echoes a heartbeat, and passes every frame except a hello to onFrame. It reports whether the
+// connection is to be kept open.
 func (c *inboundConn) receive(f *Frame) bool {
 	if f.Type == MsgHello {
-		return c.identify(f)
+		return c.acceptHello(f)
 	}
 	if f.Type == MsgHeartbeat && !c.sendEcho() {
 		return false
@@ -110,8 +110,8 @@
 	return true
 }
 
-// echoFrame answers a heartbeat on its own connection. Its only purpose is to keep the sender from
-// closing the connection as idle.
+// echoFrame is sent in return for a heartbeat on the same connection, so that the sender does not close
+// the connection as idle.
 var echoFrame = (&Frame{Type: MsgHeartbeat}).Append(nil)
 
 func (c *inboundConn) sendEcho() bool {
@@ -122,9 +122,9 @@
 	return err == nil
 }
 
-// readFrame reads the next frame. It logs why there is none.
+// readFrame reads the next frame. It returns false, and logs the reason, if there is none.
 func (c *inboundConn) readFrame() (*Frame, bool) {
-	// It fails only on a closed connection, where the read fails after the frames in the buffer.
+	// This fails only on a closed connection, on which Read fails once the buffer is empty.
 	_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	f, err := Read(c.reader)
 	switch {
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// minRedialDelay is the least time between two attempts to connect to a peer; a random time up to
-// as long is added.
+// minRedialDelay is the minimum delay between two attempts to connect to a peer. Jitter of up to the
+// same duration is added.
 const minRedialDelay = 300 * time.Millisecond
 
-// maintainConn keeps a connection to a peer and sends the frames of its outbox, until the
+// connectLoop maintains a connection to a peer, on which it sends the frames of the outbox, until the
 // transport is closed.
-func (t *Transport) maintainConn(addr string, o *outbox) {
+func (t *Transport) connectLoop(addr string, o *outbox) {
 	for {
-		if conn, err := t.Dial("tcp", addr, dialTimeout); err == nil && t.track(conn) {
+		if conn, err := t.Dial("tcp", addr, dialTimeout); err == nil && t.trackConn(conn) {
 			t.sendLoop(conn, o)
 			t.closeConn(conn)
 		}
@@ -24,7 +24,7 @@
 			return
 		case <-time.After(minRedialDelay + rand.N(minRedialDelay)):
 		}
-		// Frames queued without a connection are outdated by the time there is one.
+		// Frames queued while there was no connection are stale.
 		o.drain()
 	}
 }
@@ -48,7 +48,7 @@
 		}
 		select {
 		case f := <-o.frames:
-			buf = o.dequeued(f).Append(buf[:0])
+			buf = o.release(f).Append(buf[:0])
 			buf = o.appendQueued(buf)
 		case <-peerClosed:
 			return
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -12,12 +12,12 @@
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// idleTimeout closes a connection on which nothing arrives. Heartbeats are sent one way, and
-	// echoed the other way, far more often.
+	// idleTimeout is the time after which a connection without received frames is closed. Heartbeats
+	// in one direction and their echoes in the other are far more frequent.
 	idleTimeout = 4 * time.Second
 )
 
-// Transport sends and receives the messages of one node.
+// Transport sends and receives the messages of one node. Send and Close may be called from any goroutine.
 type Transport struct {
 	self         ident.NodeID
 	outboxes     map[ident.NodeID]*outbox // one for each peer
@@ -25,10 +25,10 @@
 	inboundSlots chan struct{} // one for each connection opened by a peer
 	done         chan struct{} // closed by Close
 
-	// Dial opens the connections to peers: net.DialTimeout, unless it is set before Connect.
+	// Dial opens connections to peers. It is net.DialTimeout unless replaced before Connect.
 	Dial func(network, addr string, timeout time.Duration) (net.Conn, error)
 
-	// Malformed counts the malformed frames received. Each closes its connection.
+	// Malformed is the number of malformed frames received. Each closes its connection.
 	Malformed atomic.Uint64
 
 	mu     sync.Mutex
@@ -36,8 +36,8 @@
 	closed bool
 }
 
-// New returns the transport of a node without peers. handle is called for each frame received but
-// MsgHello, by several goroutines at once.
+// New returns the transport of a node without peers. handle is called for each received frame except
+// MsgHello, concurrently by one goroutine for each connection.
 func New(self ident.NodeID, handle func(from ident.NodeID, f *Frame)) *Transport {
 	return &Transport{
 		self:         self,
@@ -50,22 +50,23 @@
 	}
 }
 
-// Connect adds a peer, and keeps a connection to it from now on. All peers must be added before
-// Serve and Send are called.
+// Connect adds a peer and maintains a connection to it until Close. All peers must be added before Serve
+// and Send are called.
 func (t *Transport) Connect(peer ident.NodeID, addr string) {
 	o := newOutbox()
 	t.outboxes[peer] = o
-	go t.maintainConn(addr, o)
+	go t.connectLoop(addr, o)
 }
 
-// Send queues a frame for a peer. It is dropped if the peer is unknown or its queue is full.
+// Send queues a frame for a peer without blocking. The frame is dropped if the peer is unknown or its
+// queue is full.
 func (t *Transport) Send(peer ident.NodeID, f *Frame) {
 	if o := t.outboxes[peer]; o != nil {
 		o.put(f)
 	}
 }
 
-// Close closes all connections. Nothing is sent or received from then on.
+// Close closes all connections. Nothing is sent or received afterwards. It may be called repeatedly.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,9 +80,9 @@
 	}
 }
 
-// track has Close close a connection as well, and reports whether the transport is still open. If
-// not, the connection is closed.
-func (t *Transport) track(conn net.Conn) bool {
+// trackConn registers a connection to be closed by Close. It closes the connection and returns false if
+// the transport is already closed.
+func (t *Transport) trackConn(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -92,7 +93,7 @@
 	return true
 }
 
-// closeConn closes a connection that is tracked.
+// closeConn closes a connection registered by trackConn.
 func (t *Transport) closeConn(conn net.Conn) {
 	t.mu.Lock()
 	delete(t.conns, conn)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestMalformed: whatever is not a frame of this version is rejected.
+// TestMalformed: input that is not a frame of this version is rejected.
 func TestMalformed(t *testing.T) {
 	good := submission.Append(nil)[4:]
 	linkStateID := []byte{0, 0, 0, 0, 0, 0, 0, 1}
@@ -117,7 +117,7 @@
 	})
 }
 
-// TestTransport sends through sockets, and breaks the protocol on connections of its own.
+// TestTransport sends frames over sockets, and violates the protocol on further connections.
 func TestTransport(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,7 +157,8 @@
 	wg.Wait()
 }
 
-// sendUntilReceived sends a frame again and again, as it is dropped until the connection is open.
+// sendUntilReceived sends a frame repeatedly until it is received: frames are dropped until the
+// connection is open.
 func sendUntilReceived(t *Transport, peer ident.NodeID, f *Frame, received <-chan *Frame) *Frame {
 	for {
 		t.Send(peer, f)
--- a/internal/upgrade/announce.go
+++ b/internal/upgrade/announce.go
@@ -11,29 +11,29 @@
 	"opaldale/internal/transport"
 )
 
-// NodeKeyPrefix is the prefix of the keys under which nodes announce what they can decode. Versions
-// without format levels never read them.
+// NodeKeyPrefix is the prefix of the keys under which nodes announce the formats that they can decode.
+// Versions without format levels do not read these keys.
 const NodeKeyPrefix = "nodes/"
 
 // announcement is the value of a node's key.
 type announcement struct {
 	Level           ident.FormatLevel `json:"level"`            // the newest format level that the node can decode
-	FrameCapability int               `json:"frames,omitempty"` // of optional messages between nodes, those it can decode
+	FrameCapability int               `json:"frames,omitempty"` // the optional messages between nodes that it can decode
 }
 
-// ownAnnouncement is what this program can decode.
+// ownAnnouncement is the announcement of this program.
 var ownAnnouncement = announcement{
 	Level:           ident.NewestFormatLevel,
 	FrameCapability: transport.LinkStateCapability,
 }
 
-// covers reports whether a node can decode all that another announcement names.
+// covers reports whether a node can decode everything that another announcement names.
 func (a announcement) covers(other announcement) bool {
 	return a.Level >= other.Level && a.FrameCapability >= other.FrameCapability
 }
 
-// decodeAnnouncements returns the announcements among some keys, by node. Malformed ones are left
-// out.
+// decodeAnnouncements returns the announcements among key-value pairs, by node. Malformed ones are
+// skipped.
 func decodeAnnouncements(pairs []kvstore.KeyValue) map[ident.NodeID]announcement {
 	announcements := map[ident.NodeID]announcement{}
 	for _, pair := range pairs {
@@ -49,8 +49,8 @@
 	return announcements
 }
 
-// FrameCapabilities returns what optional messages the nodes can decode, by the announcements among
-// some keys.
+// FrameCapabilities returns the capabilities of the nodes to decode optional messages, such as
+// transport.LinkStateCapability, from the announcements among key-value pairs.
 func FrameCapabilities(pairs []kvstore.KeyValue) map[ident.NodeID]int {
 	capabilities := map[ident.NodeID]int{}
 	for node, a := range decodeAnnouncements(pairs) {
@@ -59,20 +59,20 @@
 	return capabilities
 }
 
-// minAnnounceDelay is the least time before an announcement is tried again; a random time up to as
-// long is added.
+// minAnnounceDelay is the minimum delay before an announcement is retried. Jitter of up to the same
+// duration is added.
 const minAnnounceDelay = time.Second
 
-// announcer announces this program under a node's key.
+// announcer writes the announcement of this program under a node's key.
 type announcer struct {
 	port Port
 	rng  *rand.Rand
 	key  string
 }
 
-// Announce writes what this program can decode under the node's key, unless the key says so already.
-// It tries until the key is known to be written. The key is never deleted: a node that restarts
-// runs the same program or a later one.
+// Announce writes the announcement of this program under the node's key, unless the key covers it
+// already. It retries until the key is known to be written. The key is never deleted: a node that
+// restarts runs the same program or a later one.
 func Announce(port Port, rng *rand.Rand, node ident.NodeID) {
 	a := announcer{port: port, rng: rng, key: NodeKeyPrefix + string(node)}
 	a.announce()
@@ -94,13 +94,13 @@
 	})
 }
 
-// isAnnounced reports whether a key's value names all that this program can decode.
+// isAnnounced reports whether a key's value covers the announcement of this program.
 func isAnnounced(value []byte) bool {
 	var announced announcement
 	return json.Unmarshal(value, &announced) == nil && announced.covers(ownAnnouncement)
 }
 
-// write writes the key, provided that it is at a revision, 0 if it does not exist.
+// write writes the key if it is still at the given revision, where 0 means that it does not exist.
 func (a announcer) write(revision ident.Revision) {
 	value, err := json.Marshal(ownAnnouncement)
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	a.port.Store(request, func(response kvstore.Response) {
 		if response.Outcome != kvstore.OK {
-			a.retryLater() // it may have been applied; reading the key shows that
+			a.retryLater() // the write may have been applied; the next read shows it
 		}
 	})
 }
--- a/internal/upgrade/raiser.go
+++ b/internal/upgrade/raiser.go
@@ -1,8 +1,8 @@
-// Package upgrade raises the format level of stored data once every node runs a program that can
-// decode it. Until then nodes of the old and the new version work on the same data.
+// Package upgrade raises the format level of stored data once every node runs a version that can decode
+// it. Until then nodes of the old and the new version share the data.
 //
-// It is needed as long as nodes of a version below ident.FormatPacked may come back. Once no
-// deployment is below it, the package and the formats before it can be removed.
+// It is needed as long as some deployment stores data of a level below ident.FormatPacked. After that
+// the package and the earlier formats can be removed.
 package upgrade
 
 import (
@@ -22,7 +22,7 @@
 	pollInterval = 500 * time.Millisecond
 )
 
-// Port is what the package needs of its environment.
+// Port is the environment of the package. Responses and timers must not run concurrently.
 type Port interface {
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
@@ -33,9 +33,9 @@
 
 // The states of a Raiser.
 const (
-	Mixed   State = iota // some node has not announced that it can decode the newest level
+	Mixed   State = iota // not all nodes are known to decode the newest level
 	Raising              // the newest level is being written
-	Raised               // it is durable
+	Raised               // the newest level is durable
 )
 
 // String returns the state's name in logs.
@@ -43,19 +43,19 @@
 
 var stateNames = [...]string{"mixed", "raising", "raised"}
 
-// Config is what a Raiser needs of the term that it belongs to.
+// Config is the configuration of a Raiser. All fields are required.
 type Config struct {
 	Port      Port
 	Term      ident.Term
 	LeaderKey kvstore.Compare // as written when the term began
 	Nodes     []ident.NodeID  // all nodes of the cluster
-	// Persist makes a document durable and calls the function once it is.
+	// Persist writes a document and calls the function once it is durable.
 	Persist func(*commit.Document, func())
 	// OnRaised is called once the newest level is durable.
 	OnRaised func()
 }
 
-// Raiser raises the format level on behalf of a leader. It lives for one term.
+// Raiser raises the format level on behalf of a leader during one term. It is not safe for concurrent use.
 type Raiser struct {
 	config   Config
 	document *commit.Document
@@ -79,17 +79,17 @@
 // State returns the progress.
 func (r *Raiser) State() State { return r.state }
 
-// Close ends polling with the term.
+// Close stops polling. It must be called at the end of the term.
 func (r *Raiser) Close() { r.closed = true }
 
-// setState is the one place where the state changes.
+// setState is the only function that changes the state.
 func (r *Raiser) setState(next State) {
 	slog.Info("format level state changed", "from", r.state.String(), "to", next.String())
 	r.state = next
 }
 
-// Poll raises the level once all nodes have announced that they can decode it. Until then it reads
-// the announcements again and again.
+// Poll reads the announcements every pollInterval until all nodes can decode the newest level, and then
+// raises the level.
 func (r *Raiser) Poll() {
 	if !r.polling() {
 		return
@@ -108,8 +108,8 @@
 
 func (r *Raiser) polling() bool { return !r.closed && r.state == Mixed }
 
-// raise writes the newest level. The committer of a term that has ended calls nothing back, so that
-// closed need not be checked.
+// raise writes the newest level. Persist makes no callbacks after the end of the term, so that closed
+// need not be checked.
 func (r *Raiser) raise() {
 	r.setState(Raising)
 	r.config.Persist(r.document, func() {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -3,27 +3,27 @@
 
 import "encoding/binary"
 
-// Reader takes fields off the front of a message. After a field that is cut short, or after
-// Fail, it is malformed for good and returns zero values. The zero Reader is at the end of an
-// empty message.
+// Reader reads the fields of a message in order. After a truncated field or a call of Fail the message
+// is malformed, and all further reads return zero values. The zero Reader is at the end of an empty
+// message.
 type Reader struct {
 	rest      []byte
 	malformed bool
 }
 
-// NewReader returns a reader of a message. Byte slices that it returns share the message's memory.
+// NewReader returns a reader of a message. Byte slices that its methods return share the message's memory.
 func NewReader(message []byte) *Reader { return &Reader{rest: message} }
 
 // Fail marks the message as malformed.
 func (r *Reader) Fail() { r.malformed = true }
 
-// Malformed reports whether a field was cut short or Fail was called.
+// Malformed reports whether a field was truncated or Fail was called.
 func (r *Reader) Malformed() bool { return r.malformed }
 
 // Complete reports whether the message is well-formed and was read to its end.
 func (r *Reader) Complete() bool { return !r.malformed && len(r.rest) == 0 }
 
-// Bytes returns the next n bytes, nil if there are fewer.
+// Bytes returns the next n bytes. If there are fewer, it returns nil and the message is malformed.
 func (r *Reader) Bytes(n int) []byte {
 	if r.malformed || n > len(r.rest) {
 		r.malformed = true
@@ -34,7 +34,7 @@
 	return field
 }
 
-// Rest returns all bytes that are left.
+// Rest returns all remaining bytes.
 func (r *Reader) Rest() []byte { return r.Bytes(len(r.rest)) }
 
 // String returns the next n bytes as a string.
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestReaderCutShort: a field that is cut short is zero, and makes the message malformed for good.
-func TestReaderCutShort(t *testing.T) {
+// TestTruncatedField: a truncated field is zero, and makes the message malformed.
+func TestTruncatedField(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		size int // of the message, one byte too few
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestReaderFail: a message whose fields have impossible values is malformed.
+// TestReaderFail: a message is malformed after Fail.
 func TestReaderFail(t *testing.T) {
 	r := NewReader([]byte{1})
 	r.Fail()
