--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog keeps a leader's list of the machine types that the cloud offers. It is read from the cloud
-// again and again, since prices change, and kept in the store, so that a new leader has it while the cloud
-// is out of reach.
+// Package catalog keeps a leader's list of the machine types that the cloud offers. It is refreshed from the cloud
+// periodically, since prices change, and persisted in the store, so that a new leader has it while the cloud is
+// unreachable.
 package catalog
 
 import (
@@ -18,30 +18,30 @@
 const (
 	// Key holds all machine types in one value, in the first format.
 	Key = "catalog"
-	// Prefix is that of the keys with one machine type each, in the packed format.
+	// Prefix is the prefix of the keys that hold one machine type each, in the packed format.
 	Prefix = "types/"
 
 	refreshInterval = 30 * time.Second
 	retryInterval   = time.Second
 )
 
-// Env is what the catalog needs of its process.
+// Env provides timers and calls to the cloud.
 type Env interface {
 	After(time.Duration, func())
 	Cloud(cloud.Request, func(cloud.Response))
 }
 
-// Reader reads from the store until it answers.
+// Reader reads from the store, and retries until it answers.
 type Reader interface {
 	Get(key string, done func(kvstore.Response))
 	ListAll(prefix string, done func([]kvstore.KeyValue))
 }
 
-// Config is what the catalog needs of the leader.
+// Config configures a Catalog for a term.
 type Config struct {
 	Packed        bool        // the packed format is in force
-	MaxValueBytes int         // of a value in the store
-	Closed        func() bool // the term has ended
+	MaxValueBytes int         // the largest value that the store accepts
+	Closed        func() bool // reports whether the term has ended
 }
 
 // Catalog is a leader's list of machine types, for one term.
@@ -53,8 +53,8 @@
 
 	types     []cloud.MachineType
 	bySKU     map[string]*cloud.MachineType
-	singleDoc *commit.Document   // of the first format
-	typeDocs  []*commit.Document // of the packed format, one for each machine type
+	singleDoc *commit.Document   // all machine types, in the first format
+	typeDocs  []*commit.Document // one for each machine type, in the packed format
 }
 
 // New returns an empty catalog.
@@ -74,12 +74,12 @@
 // Types lists the machine types.
 func (c *Catalog) Types() []cloud.MachineType { return c.types }
 
-// Type returns a machine type by its SKU, also one that is no longer offered; nil if it was never known. The
-// pointer stays valid, and what it points to follows the catalog.
+// Type returns a machine type by its SKU, even if it is no longer offered, or nil if it was never known. The pointer stays
+// valid for the term, and its target is updated with the catalog.
 func (c *Catalog) Type(sku string) *cloud.MachineType { return c.bySKU[sku] }
 
-// Load reads the machine types from the store, and failing that from the cloud. done is called once they are
-// known; from then on they follow the cloud.
+// Load reads the machine types from the store, or from the cloud if the store has none, and calls done once they are known.
+// From then on they are refreshed from the cloud until the term ends.
 func (c *Catalog) Load(done func()) {
 	if c.config.Packed {
 		c.loadPacked(done)
@@ -104,7 +104,7 @@
 			c.loadSingle(done)
 			return
 		}
-		c.loaded(types, done)
+		c.onLoaded(types, done)
 	})
 }
 
@@ -117,12 +117,12 @@
 				slog.Error("invalid machine catalog in store", "path", Key, "err", err)
 			}
 		}
-		c.loaded(types, done)
+		c.onLoaded(types, done)
 	})
 }
 
-// loaded takes over what the store has, and begins to follow the cloud.
-func (c *Catalog) loaded(types []cloud.MachineType, done func()) {
+// onLoaded adopts the machine types that the store has, and starts to refresh them from the cloud.
+func (c *Catalog) onLoaded(types []cloud.MachineType, done func()) {
 	if len(types) == 0 {
 		c.refresh(done)
 		return
@@ -132,14 +132,14 @@
 	c.refresh(nil)
 }
 
-// UsePackedFormat goes over to the packed format, now that it is in force.
+// UsePackedFormat switches to the packed format when it comes into force.
 func (c *Catalog) UsePackedFormat() {
 	c.config.Packed = true
-	c.write()
+	c.markDirty()
 }
 
-// write has the machine types written to the store.
-func (c *Catalog) write() {
+// markDirty makes the committer write the machine types to the store.
+func (c *Catalog) markDirty() {
 	if c.config.Packed {
 		for i := range max(len(c.types), len(c.typeDocs)) {
 			c.committer.MarkDirty(c.typeDoc(i), nil)
@@ -151,7 +151,7 @@
 	c.committer.MarkDirty(c.singleDoc, nil)
 }
 
-// renderSingle returns the value of the first format, nil once the packed format is in force.
+// renderSingle returns the value in the first format, or nil to delete the key once the packed format is in force.
 func (c *Catalog) renderSingle() json.RawMessage {
 	if c.config.Packed {
 		return nil
@@ -171,8 +171,8 @@
 	return c.typeDocs[i]
 }
 
-// renderType returns the value of a machine type, nil if there is none or it is too large to be stored: a new
-// leader reads it from the cloud then.
+// renderType returns the value of a machine type, or nil to delete its key if there is none or it is too large to be stored.
+// A new leader then reads it from the cloud.
 func (c *Catalog) renderType(i int) json.RawMessage {
 	if i >= len(c.types) {
 		return nil
@@ -185,20 +185,21 @@
 	return b
 }
 
+// setTypes replaces the list. Types that are no longer offered stay known by their SKU.
 func (c *Catalog) setTypes(types []cloud.MachineType) {
 	c.types = types
 	for i := range types {
 		current := types[i]
 		if known := c.bySKU[current.SKU]; known != nil {
-			*known = current // machines point to it
+			*known = current // callers of Type keep the pointer
 		} else {
 			c.bySKU[current.SKU] = &current
 		}
 	}
 }
 
-// refresh reads the cloud's catalog now and from then on at intervals. onFirst, if not nil, is called once the
-// machine types are known.
+// refresh reads the cloud's catalog now and at intervals from then on. onFirst, if not nil, is called after the first read
+// that succeeds.
 func (c *Catalog) refresh(onFirst func()) {
 	c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
 		if c.config.Closed() {
@@ -223,13 +224,13 @@
 	})
 }
 
-// update takes over what the cloud offers. Prices alone are not worth a write: they change all the time, and
-// a new leader reads them from the cloud.
+// update adopts the types that the cloud offers. A change of prices alone is not written, since prices change often, and a
+// new leader reads them from the cloud.
 func (c *Catalog) update(types []cloud.MachineType) {
 	changed := !sameExceptPrices(types, c.types)
 	c.setTypes(types)
 	if changed {
-		c.write()
+		c.markDirty()
 	}
 }
 
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/ident"
 )
 
-// GroupRecord is the stored value of a group of machines, all of one type, zone and kind.
+// GroupRecord is the stored value of a group of machines, all of the same type and zone, and all spot or all on-demand.
 type GroupRecord struct {
 	Model    string          `json:"model"`
 	Zone     string          `json:"site"`
@@ -31,7 +31,7 @@
 // packedFields is the number of fields of a machine in the packed format.
 const packedFields = 3
 
-// Encode puts machines into the record in the packed format.
+// Encode sets the machines of the record, in the packed format. Creation times are kept to the second.
 func (r *GroupRecord) Encode(machines []MachineRecord) {
 	for i, m := range machines {
 		if i == 0 || m.CreatedMS < r.BaseMS {
@@ -49,7 +49,7 @@
 	r.Packed = b.String()
 }
 
-// Decode returns the machines of a record in either format.
+// Decode returns the machines of a record in either format, or an error if any of them is malformed.
 func (r *GroupRecord) Decode() ([]MachineRecord, error) {
 	records := r.Machines
 	for _, field := range strings.Fields(r.Packed) {
@@ -62,7 +62,7 @@
 	return records, nil
 }
 
-// decodeMachine returns a machine of the packed format.
+// decodeMachine decodes a machine in the packed format: its ID, address and age, separated by commas.
 func (r *GroupRecord) decodeMachine(field string) (MachineRecord, error) {
 	parts := strings.Split(field, ",")
 	if len(parts) != packedFields {
--- a/internal/machinestore/machinestore.go
+++ b/internal/machinestore/machinestore.go
@@ -1,5 +1,5 @@
-// Package machinestore keeps a leader's machines on record in the key-value store. Machines of one type share
-// keys, a group of machines each: with a key for each machine, a fleet would take too many writes.
+// Package machinestore persists a leader's machines in the key-value store. A key holds a group of machines of the same
+// type: with a key for each machine, a large fleet would take too many writes.
 package machinestore
 
 import (
@@ -17,42 +17,43 @@
 )
 
 const (
-	// Prefix is that of the keys of all groups.
+	// Prefix is the prefix of the keys of all groups.
 	Prefix = "fleet/"
-	// MaxGroupMachines bounds the machines on record under one key: as many as one request provisions.
+	// MaxGroupMachines bounds the machines in one group. One request to the cloud provisions as many at most.
 	MaxGroupMachines = 50
 
-	// groupOverheadBytes, plainMachineBytes and packedMachineBytes bound the size of a record without the
-	// names in it, and of a machine in either format; minAddressBytes is reserved for an address.
+	// groupOverheadBytes bounds the size of a group record without its machines, model and zone. plainMachineBytes and
+	// packedMachineBytes bound the size of a machine without its ID and address, in the first and the packed format.
+	// minAddressBytes is reserved for an address that is shorter or not yet known.
 	groupOverheadBytes = 100
 	plainMachineBytes  = 40
 	packedMachineBytes = 14
 	minAddressBytes    = 21
 )
 
-// Config is what the store needs of the leader.
+// Config configures a Store for a term.
 type Config struct {
 	Term          ident.Term
 	Packed        bool // the packed format is in force
-	MaxValueBytes int  // of a value, at any time of the term
+	MaxValueBytes int  // the largest value that the key-value store accepts, now and under announced limits
 	Now           func() ident.MonotonicTime
 	WallMS        func() int64
-	// OnPersisted is called when a new machine's record is durable, so that tasks can be placed there.
+	// OnPersisted is called when the record of a new machine is durable, before which no tasks may be placed on it.
 	OnPersisted func()
 }
 
-// Store keeps machines on record, for one term.
+// Store persists machines, for one term. It is not safe for concurrent use.
 type Store struct {
 	config    Config
 	committer *commit.Committer
 	workers   *workers.Table
 
-	openGroups      map[groupKey]*workers.RecordGroup // that new machines are added to
+	openGroups      map[groupKey]*workers.RecordGroup // groups that new machines are added to
 	legacyGroups    []*workers.RecordGroup            // restored from the first format while the packed one is in force
 	lastGroupNumber int
 }
 
-// groupKey is what the machines of a group have in common.
+// groupKey identifies the properties that all machines of a group share.
 type groupKey struct {
 	model, zone string
 	spot        bool
@@ -68,8 +69,8 @@
 	}
 }
 
-// Commit has a machine's record written, new or changed. A new machine's is written at once, since a successor
-// must know the machine before anything runs there; a changed one may wait.
+// Commit persists a new or changed machine. The record of a new machine is written with the next transaction, since a
+// successor must know the machine before any task runs on it; changes may be delayed.
 func (s *Store) Commit(machine *workers.Worker) {
 	isNew := machine.Group == nil
 	if isNew {
@@ -93,7 +94,7 @@
 	}
 }
 
-// addToGroup puts a new machine into the open group of its kind, or into a new one if that is full.
+// addToGroup adds a new machine to the open group for its properties, or to a new group if that one is full.
 func (s *Store) addToGroup(machine *workers.Worker) {
 	key := groupKey{machine.Model, machine.Zone, machine.Spot}
 	group := s.openGroups[key]
@@ -105,7 +106,7 @@
 	group.Members = append(group.Members, machine)
 }
 
-// fits reports whether a group's record stays within the size limit with more machines in it.
+// fits reports whether a group stays within the limits on its size with more machines added to it.
 func (s *Store) fits(group *workers.RecordGroup, key groupKey, more ...*workers.Worker) bool {
 	size := groupOverheadBytes + len(key.model) + len(key.zone)
 	perMachine := plainMachineBytes
@@ -120,19 +121,20 @@
 	return size <= s.config.MaxValueBytes && len(group.Members)+len(more) <= MaxGroupMachines
 }
 
-// nextGroup returns an empty group under a key that no term has used before.
+// nextGroup returns a new group under a key that no term has used before.
 func (s *Store) nextGroup(key groupKey) *workers.RecordGroup {
 	s.lastGroupNumber++
 	return s.newGroup(fmt.Sprintf("%s%d-%d", Prefix, s.config.Term, s.lastGroupNumber), key)
 }
 
+// newGroup returns an empty group under a key of the store.
 func (s *Store) newGroup(path string, key groupKey) *workers.RecordGroup {
 	group := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
 	group.Doc.Render = func() json.RawMessage { return s.render(group, key) }
 	return group
 }
 
-// render returns the value of a group's record. An empty group is deleted, and not used again.
+// render returns the stored value of a group, or nil to delete the key of an empty group, which is not used again.
 func (s *Store) render(group *workers.RecordGroup, key groupKey) json.RawMessage {
 	members := slices.Concat(group.Members, group.Leaving)
 	if len(members) == 0 {
@@ -151,8 +153,8 @@
 	}
 	record.Encode(machines)
 	value := api.JSON(record)
-	// If addresses are longer than was reserved for them, they are left out: first those of machines that
-	// leave, which are on record in their next group too, then all. Heartbeats bring them back.
+	// Escaped addresses may be longer than what fits has assumed. Then they are left out until heartbeats bring them
+	// back: first those of leaving machines, which are also stored with their new group, then all.
 	for _, from := range []int{len(group.Members), 0} {
 		if len(value) > s.config.MaxValueBytes {
 			for i := range machines[from:] {
@@ -165,7 +167,7 @@
 	return value
 }
 
-// Restore takes over a group that an earlier term left.
+// Restore loads a group that an earlier term stored. It returns an error if the record is unreadable.
 func (s *Store) Restore(pair kvstore.KeyValue) error {
 	var record GroupRecord
 	if err := json.Unmarshal(pair.Value, &record); err != nil {
@@ -180,7 +182,7 @@
 	now := s.config.Now()
 	for _, m := range machines {
 		if w := s.workers.Workers[m.ID]; w != nil {
-			// It was on its way from one group to another when the term ended.
+			// The earlier term ended while it moved the machine to another group, which has been restored.
 			s.workers.RestoreAddress(w, m.Addr)
 			s.committer.MarkDirtyLazily(group.Doc, nil)
 			continue
@@ -199,7 +201,7 @@
 	return nil
 }
 
-// RewriteLegacy rewrites in the packed format what earlier terms left in the first one. To be removed with the
+// RewriteLegacy rewrites the groups in the first format in the packed one, if that is in force. To be removed with the
 // first format.
 func (s *Store) RewriteLegacy() {
 	for _, g := range s.legacyGroups {
@@ -208,8 +210,8 @@
 	s.legacyGroups = nil
 }
 
-// UsePackedFormat goes over to the packed format, now that it is in force: all groups are rewritten, and those
-// that were written under larger limits are split, so that none is found too large later.
+// UsePackedFormat switches to the packed format when it comes into force. All groups are rewritten, and those that were
+// written under larger limits are split.
 func (s *Store) UsePackedFormat() {
 	s.config.Packed = true
 	seen := map[*workers.RecordGroup]bool{}
@@ -223,7 +225,7 @@
 	}
 }
 
-// rewrite has a group's record written again, split if it is too large.
+// rewrite writes a group again, split if it is too large.
 func (s *Store) rewrite(group *workers.RecordGroup) {
 	if len(group.Members) == 0 {
 		return
@@ -237,8 +239,8 @@
 	}
 }
 
-// split moves machines to other groups. They leave the old one when the new record is durable, so that a
-// successor finds each machine in at least one of both.
+// split moves machines of a group to new groups until it fits. They stay in the record of the old group as well until that
+// of the new one is durable, so that a successor finds each machine in at least one of them.
 func (s *Store) split(group *workers.RecordGroup, key groupKey) {
 	slog.Info("splitting machine group record", "path", group.Doc.Key, "machines", len(group.Members))
 	for !s.fits(group, key) && len(group.Members) > 1 {
@@ -256,7 +258,7 @@
 	}
 }
 
-// moveMembers moves machines from the end of a group to another one, until the first one fits or the other is full.
+// moveMembers moves machines from the end of one group to another, until the former fits its limits or the latter is full.
 func (s *Store) moveMembers(from, to *workers.RecordGroup, key groupKey) {
 	for len(from.Members) > 1 {
 		machine := from.Members[len(from.Members)-1]
--- a/internal/rebalancer/hold.go
+++ b/internal/rebalancer/hold.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/workers"
 )
 
-// HoldReason says why no move is proposed at a moment.
+// HoldReason is the reason for which a round plans no moves.
 type HoldReason uint8
 
 // The reasons. Their names are labels of a metric.
@@ -20,7 +20,7 @@
 	HoldNoAuthority               // the leader has no authority to place tasks
 	HoldNewTerm                   // the term has just begun
 	HoldWriteBacklog              // decisions are still being written
-	HoldTeamCooled                // an overloaded team has just cooled
+	HoldTeamCooled                // a team has only just ceased to be overloaded
 	HoldFleetUnstable             // many machines are silent, drained or being terminated
 	HoldNothingWaiting            // no task has waited for long enough
 	holdReasonCount
@@ -34,16 +34,17 @@
 func (r HoldReason) String() string { return enum.Name(holdReasonNames[:], r, "restraint") }
 
 const (
-	// cooldownAfterHotTeam is how long nothing is proposed after an overloaded team has cooled.
+	// cooldownAfterHotTeam is how long no moves are planned after the demand of an overloaded team has returned to
+	// its quota.
 	cooldownAfterHotTeam = 5 * time.Second
-	// unstableFleetDivisor and minUnstableMachines bound the machines that may be leaving while moves are proposed:
-	// one in so many, and a few in a small fleet.
+	// unstableFleetDivisor and minUnstableMachines define an unstable fleet: more than one in unstableFleetDivisor
+	// machines is leaving, and more than minUnstableMachines are.
 	unstableFleetDivisor = 20
 	minUnstableMachines  = 2
 )
 
-// currentHold says why this is no time to move tasks: a recent election, something in doubt, or machines that leave
-// in numbers. What is only reported needs no more than the time to plan it.
+// currentHold returns the reason for which no moves may be planned at present. If moves are only reported, only the time
+// budget applies.
 func (r *Rebalancer) currentHold(now ident.MonotonicTime) HoldReason {
 	switch {
 	case now < r.nextPlanAt:
@@ -64,7 +65,7 @@
 	return HoldNone
 }
 
-// fleetUnstable reports whether many machines are silent, drained, or being terminated or reclaimed.
+// fleetUnstable reports whether many machines are unreachable, cordoned, or being terminated or reclaimed.
 func (r *Rebalancer) fleetUnstable() bool {
 	leaving, all := 0, 0
 	for _, w := range r.workers.Sorted() {
@@ -79,6 +80,7 @@
 	return leaving > max(minUnstableMachines, all/unstableFleetDivisor)
 }
 
+// isLeaving reports whether the tasks of a machine are likely to have to move soon.
 func isLeaving(w *workers.Worker) bool {
 	switch w.State {
 	case workers.Unreachable, workers.Terminating:
--- a/internal/rebalancer/input.go
+++ b/internal/rebalancer/input.go
@@ -14,10 +14,11 @@
 	"opaldale/internal/workers"
 )
 
-// minRemaining is the shortest time that anything still under way is expected to take.
+// minRemaining is the least estimate for the remaining time of a task or of the start of a machine.
 const minRemaining = time.Second
 
-// waitingTasks lists the first waiting task of each job that has waited for long enough, in the order of arrival.
+// waitingTasks lists the first waiting task of each job for which others may be moved, if it has waited for at least
+// MinWait, in the order of the jobs' submission.
 func (r *Rebalancer) waitingTasks(now ident.MonotonicTime) []rebalance.WaitingTask {
 	var list []rebalance.WaitingTask
 	booting := r.bootingMachines()
@@ -53,7 +54,7 @@
 	return !j.Spec.OneZone && !j.Spec.Spread && r.teams.Allows(j.Spec, 1)
 }
 
-// bootingMachines lists the machines that boot.
+// bootingMachines lists the machines that are starting.
 func (r *Rebalancer) bootingMachines() []*workers.Worker {
 	var list []*workers.Worker
 	for _, w := range r.workers.Sorted() {
@@ -64,7 +65,8 @@
 	return list
 }
 
-// nextMachineETA estimates how soon the first of the booting machines that may take a job is up; 0: none is booting.
+// nextMachineETA estimates how soon the first of the booting machines that the job allows is up. It returns 0 if there is
+// none.
 func nextMachineETA(booting []*workers.Worker, s *api.Spec, now ident.MonotonicTime) time.Duration {
 	soonest := time.Duration(0)
 	for _, w := range booting {
@@ -79,7 +81,7 @@
 	return soonest
 }
 
-// planInput describes the cluster for a plan of moves.
+// planInput describes the cluster to the planner. Machines in zones with an unhealthy link are left out.
 func (r *Rebalancer) planInput(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
 	input := &rebalance.Cluster{Waiting: waiting, Fits: r.fetchTimeIfFits}
 	for _, w := range r.workers.Sorted() {
@@ -98,6 +100,7 @@
 	return input
 }
 
+// activeMove describes a move under way to the planner, which counts it against its budgets.
 func (r *Rebalancer) activeMove(move *migration.Move) rebalance.ActiveMove {
 	active := rebalance.ActiveMove{
 		Job:           move.Task.Job,
@@ -112,6 +115,7 @@
 	return active
 }
 
+// machineInput describes a machine to the planner: its free resources, its movable tasks, and when others complete.
 func (r *Rebalancer) machineInput(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
 	input := &rebalance.Machine{ID: w.ID, Zone: w.Zone, Free: w.Free()}
 	for _, t := range r.workers.SortedTasks(w) {
@@ -126,7 +130,7 @@
 	return input
 }
 
-// remainingRuntime estimates how long a task stays on its machine; 0: unknown.
+// remainingRuntime estimates how long a task stays on its machine; 0 means unknown.
 func remainingRuntime(t *jobs.Task, now ident.MonotonicTime) time.Duration {
 	runtime := settings.Seconds(t.Job.Spec.RuntimeS)
 	switch {
@@ -140,8 +144,8 @@
 	return runtime
 }
 
-// movable reports whether a task runs, and may be stopped by itself and started on any machine that its job allows. The
-// only replica of a service is not moved, since it would be missed meanwhile.
+// movable reports whether a task is running, and may be stopped independently of others and started on any machine that its
+// job allows. The only running replica of a service is not moved, since the service would be down meanwhile.
 func (r *Rebalancer) movable(t *jobs.Task) bool {
 	s := t.Job.Spec
 	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect {
@@ -153,6 +157,7 @@
 	return s.Shape != api.Service || t.Job.RunningTasks > 1
 }
 
+// runningTask describes a movable task to the planner.
 func (r *Rebalancer) runningTask(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
 	s := t.Job.Spec
 	return rebalance.Task{
@@ -170,8 +175,7 @@
 	}
 }
 
-// fetchTimeIfFits returns how long it takes to fetch the image of a running task on a machine, and whether the task may
-// go there.
+// fetchTimeIfFits returns whether a running task may move to a machine, and how long fetching its image takes there.
 func (r *Rebalancer) fetchTimeIfFits(t *rebalance.Task, candidate *rebalance.Machine) (time.Duration, bool) {
 	j, w := r.jobs.Jobs[t.ID.Job], r.workers.Workers[candidate.ID]
 	if j == nil || w == nil || !w.Allows(j.Spec) || j.AvoidedMachines[w.ID] || w.Faulty() {
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -21,39 +21,44 @@
 )
 
 const (
-	// planTimeDivisor bounds the share of the time that planning takes: one part in so many.
+	// planTimeDivisor bounds the share of the time that planning takes: the pause after a plan is planTimeDivisor times
+	// its duration.
 	planTimeDivisor = 50
-	// freedRoomHold is how long the room that a move makes is reserved for the task that waits.
+	// freedRoomHold is how long the room freed by a move stays reserved for the waiting task, after the grace period of
+	// the task that is moved.
 	freedRoomHold = 10 * time.Second
-	// maxCountedProposals bounds the proposals remembered.
+	// maxCountedProposals bounds the proposals that are remembered as counted.
 	maxCountedProposals = 10_000
-	// missedHeartbeats and heartbeatMargin bound the silence of a machine that tasks are moved to or from.
+	// missedHeartbeats and heartbeatMargin define the silence after which no tasks are moved to or from a machine:
+	// missedHeartbeats heartbeat intervals and heartbeatMargin.
 	missedHeartbeats = 2
 	heartbeatMargin  = time.Second
 )
 
-// Leader is the term in which tasks are moved.
+// Leader is the term of leadership for which tasks are moved.
 type Leader interface {
 	Now() ident.MonotonicTime
 	WallMS() int64
+	// Closed reports whether the term has ended.
 	Closed() bool
 	// MayPlace reports whether the leader has the authority to place tasks at this moment.
 	MayPlace() bool
-	// ZoneHealthy reports whether nothing speaks against the links to a zone's machines.
+	// ZoneHealthy reports whether the leader's link to a zone's machines works reliably.
 	ZoneHealthy(zone string) bool
+	// Place records the placement of a waiting task, which is launched once that is durable.
 	Place(*jobs.Task, *workers.Worker)
-	// RequestDispatch has waiting tasks looked at after the present event.
+	// RequestDispatch makes the leader dispatch waiting tasks after the present event.
 	RequestDispatch()
 }
 
-// Config is how tasks are moved.
+// Config configures a Rebalancer.
 type Config struct {
-	Execute           bool // moves are carried out, not only reported
+	Execute           bool // carry out moves; otherwise they are only reported
 	Limits            settings.MigrationLimits
 	HeartbeatInterval time.Duration // of the workers
 }
 
-// Tables are the leader's tables that moves work on.
+// Tables are the leader's tables that a Rebalancer reads and changes.
 type Tables struct {
 	Jobs      *jobs.Table
 	Workers   *workers.Table
@@ -62,7 +67,7 @@
 	Committer *commit.Committer
 }
 
-// Rebalancer moves running tasks, for one term.
+// Rebalancer moves running tasks, for one term. It is not safe for concurrent use.
 type Rebalancer struct {
 	leader    Leader
 	config    Config
@@ -76,17 +81,17 @@
 	speedTracker *load.SlownessEstimator
 	moves        *migration.Table
 	history      *migration.History
-	// reservedMachines holds the destinations on which room is reserved, by move.
+	// reservedMachines holds the destination of each move while room is reserved on it.
 	reservedMachines map[*migration.Move]*workers.Worker
 
 	slowMachines     int // machines that count as slow
 	tookOverAt       ident.MonotonicTime
-	teamCooledAt     ident.MonotonicTime // when an overloaded team last cooled; 0: none did
-	nextPlanAt       ident.MonotonicTime // no plan before
+	teamCooledAt     ident.MonotonicTime // when a team was last no longer overloaded; 0: never
+	nextPlanAt       ident.MonotonicTime // earliest next plan
 	proposedMoves    uint64
 	proposedGain     time.Duration
 	skippedRounds    [holdReasonCount]uint64 // rounds without a plan, by reason
-	countedProposals map[proposal]bool       // proposals of this term, which are not counted again
+	countedProposals map[proposal]bool       // proposals that are included in proposedMoves
 }
 
 // proposal identifies a move that is proposed.
@@ -94,7 +99,7 @@
 	task, beneficiary ident.TaskID
 }
 
-// New returns a rebalancer that knows of no moves.
+// New returns a rebalancer without any moves. Restore, for each stored record, and TakeOver must follow.
 func New(config Config, leader Leader, tables Tables) *Rebalancer {
 	planConfig := rebalance.DefaultConfig()
 	planConfig.GainMargin = config.Limits.MinGainFactor
@@ -120,16 +125,16 @@
 	}
 }
 
-// Restore takes over the record of a job's moves in earlier terms.
+// Restore loads the stored record of a job's moves in earlier terms.
 func (r *Rebalancer) Restore(pair kvstore.KeyValue) {
 	r.history.Load(pair.Key, pair.Value, pair.Revision)
 }
 
-// ForgetJob forgets the moves of a job that is over.
+// ForgetJob forgets the moves of a job that has been archived.
 func (r *Rebalancer) ForgetJob(id ident.JobID) { r.history.Forget(id) }
 
-// TakeOver begins the term, when all records are restored. A move of an earlier term is abandoned: its task goes on
-// where it is, or is placed anew like any other once it is proven to have left.
+// TakeOver begins the term after all records are restored. Moves of earlier terms are abandoned: a task that is still
+// running stays where it is, and a stopped one is placed like any other once it is proven to have left its machine.
 func (r *Rebalancer) TakeOver() {
 	r.tookOverAt = r.leader.Now()
 	r.history.Prune(func(id ident.JobID) bool { return r.jobs.Jobs[id] != nil })
@@ -147,7 +152,7 @@
 	return t.Attempt, true
 }
 
-// findTask returns a task of a job that is not over, nil if there is none.
+// findTask returns a task of a live job, or nil if there is none.
 func (r *Rebalancer) findTask(id ident.TaskID) *jobs.Task {
 	j := r.jobs.Jobs[id.Job]
 	if j == nil || id.Index >= len(j.Tasks) {
@@ -156,7 +161,7 @@
 	return &j.Tasks[id.Index]
 }
 
-// PlanRound plans moves, and begins those that pay or only reports them.
+// PlanRound plans moves whose gain exceeds their cost, and starts them if Config.Execute is set.
 func (r *Rebalancer) PlanRound() {
 	now := r.leader.Now()
 	waiting, hold := r.beneficiaries(now)
@@ -178,7 +183,7 @@
 	}
 }
 
-// beneficiaries lists the tasks that others could be moved for, or says why no move is proposed.
+// beneficiaries lists the waiting tasks for which others may be moved, or returns the reason for which no moves are planned.
 func (r *Rebalancer) beneficiaries(now ident.MonotonicTime) ([]rebalance.WaitingTask, HoldReason) {
 	if hold := r.currentHold(now); hold != HoldNone {
 		return nil, hold
@@ -190,7 +195,7 @@
 	return waiting, HoldNone
 }
 
-// countProposal counts a proposal once.
+// countProposal counts and logs a proposal, unless it has been counted before.
 func (r *Rebalancer) countProposal(move rebalance.Move) {
 	key := proposal{task: move.Task, beneficiary: move.BeneficiaryID}
 	if r.countedProposals[key] {
@@ -212,8 +217,8 @@
 		"gain_s", move.Gain.Seconds(), "cost_s", move.Cost.Seconds())
 }
 
-// startMove begins a proposed move: its room is reserved, and it is recorded. The task is stopped once the record
-// is durable.
+// startMove begins a proposed move: it reserves room on the destination, and records the move. The task is stopped once the
+// record is durable.
 func (r *Rebalancer) startMove(planned rebalance.Move, now ident.MonotonicTime) {
 	t, destination := r.findTask(planned.Task), r.workers.Workers[planned.To]
 	if t == nil || destination == nil {
@@ -232,7 +237,7 @@
 	})
 }
 
-// Advance brings all moves up to date and carries out what follows from that.
+// Advance updates the state of all moves, and carries out the effects of that. It is called after each event.
 func (r *Rebalancer) Advance() {
 	for _, effect := range r.moves.Advance(r.leader.Now(), r.observe) {
 		switch effect.Kind {
@@ -274,7 +279,7 @@
 	return observation
 }
 
-// linksHealthy reports whether nothing speaks against the links to the zone of either machine.
+// linksHealthy reports whether the links to the zones of both machines work reliably.
 func (r *Rebalancer) linksHealthy(move *migration.Move) bool {
 	from, to := r.workers.Workers[move.From], r.workers.Workers[move.To]
 	return from != nil && to != nil && r.leader.ZoneHealthy(from.Zone) && r.leader.ZoneHealthy(to.Zone)
@@ -292,17 +297,17 @@
 	return migration.DestinationReady
 }
 
-// usable reports whether a machine takes tasks, and was heard of late.
+// usable reports whether a machine accepts tasks and was heard recently.
 func (r *Rebalancer) usable(w *workers.Worker) bool {
 	return w.Schedulable(r.leader.Now()) && r.recentlyHeard(w)
 }
 
-// recentlyHeard reports whether a machine was heard of late, and receives commands.
+// recentlyHeard reports whether a machine was heard recently, and receives commands.
 func (r *Rebalancer) recentlyHeard(w *workers.Worker) bool {
 	return r.workers.Reachable(w.ID, missedHeartbeats*r.config.HeartbeatInterval+heartbeatMargin)
 }
 
-// stopTask stops the task, and reserves the room that it leaves for the one that waits.
+// stopTask stops the task of a move, and reserves the room that it frees for the waiting task.
 func (r *Rebalancer) stopTask(move *migration.Move) {
 	t, from := r.findTask(move.Task), r.workers.Workers[move.From]
 	gracePeriod := t.CheckpointGracePeriod()
@@ -312,15 +317,15 @@
 	r.workers.StopTask(from, t, gracePeriod)
 }
 
-// placeTask places the task where room is reserved for it.
+// placeTask places the task of a move on its destination, in the reserved room.
 func (r *Rebalancer) placeTask(move *migration.Move) {
 	w := r.reservedMachines[move]
 	r.releaseReservation(move)
 	r.leader.Place(r.findTask(move.Task), w)
 }
 
-// releaseReservation releases what is reserved for a move. The room at the source is released only if the move was
-// abandoned before its task was stopped.
+// releaseReservation releases the room reserved for a move on its destination. If the move was abandoned before its task was
+// stopped, the room reserved on the source is released as well.
 func (r *Rebalancer) releaseReservation(move *migration.Move) {
 	if w := r.reservedMachines[move]; w != nil {
 		w.ReleaseReservation()
@@ -339,10 +344,10 @@
 		"state", move.State.String(), "reason", move.Reason.String(), "took_s", r.leader.Now().Sub(move.StartedAt).Seconds())
 }
 
-// RecordTeamCooled records that an overloaded team asks for no more than its quota again.
+// RecordTeamCooled records that a team is no longer overloaded.
 func (r *Rebalancer) RecordTeamCooled(now ident.MonotonicTime) { r.teamCooledAt = now }
 
-// Moves lists the moves under way, and those that have ended of late.
+// Moves lists the active moves, and those that have ended recently.
 func (r *Rebalancer) Moves() []*migration.Move {
 	return slices.Concat(r.moves.Active(), r.moves.Recent())
 }
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -9,8 +9,9 @@
 	"opaldale/internal/workers"
 )
 
-// RecordCompletion records how long a task ran, if that is comparable with other tasks of the job: a task that has resumed from a
-// checkpoint needs less, and of one that an earlier term placed the start is not known.
+// RecordCompletion records how long a task has run on a machine, if that is comparable with other tasks of its job. The
+// runtime of a task that was resumed from a checkpoint is shorter, and the start of a task that an earlier term placed
+// is unknown.
 func (r *Rebalancer) RecordCompletion(t *jobs.Task, w *workers.Worker) {
 	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
@@ -19,8 +20,8 @@
 	r.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, r.leader.Now().Sub(t.RunningSince))
 }
 
-// DetectSlowMachines looks for machines that are much slower than others. Nothing more is placed on them; their tasks
-// end or are moved, and an empty one is terminated.
+// DetectSlowMachines marks machines that are much slower than others. No more tasks are placed on them; their tasks
+// complete or are moved, and a machine without tasks is terminated.
 func (r *Rebalancer) DetectSlowMachines() {
 	if !r.config.Execute {
 		return
@@ -38,6 +39,7 @@
 	}
 }
 
+// markSlow marks a machine as slow, for the rest of the term.
 func (r *Rebalancer) markSlow(w *workers.Worker) {
 	if w.Slow {
 		return
--- a/internal/rebalancer/stats.go
+++ b/internal/rebalancer/stats.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/migration"
 )
 
-// Stats are the counters of a term's moves.
+// Stats are the counters and gauges of a term's moves.
 type Stats struct {
 	Proposed      uint64
 	ProposedGain  time.Duration // less the cost of the moves
@@ -16,7 +16,7 @@
 	Ended         []migration.Outcome
 	RealizedGain  time.Duration
 	SkippedRounds map[string]uint64 // rounds without a plan, by reason
-	SlowMachines  int               // on which nothing more is placed
+	SlowMachines  int               // machines that count as slow
 	Reservations  int               // machines on which room is reserved for a move
 }
 
