--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -17,7 +17,7 @@
 
 // newTestLeader returns a leader without peers at a format level, and its environment.
 func newTestLeader(level ident.FormatLevel) (*Controller, *fakeEnv) {
-	w := newFakeEnv(ident.MonotonicTime(1 << 40))
+	w := newFakeEnv(testStart)
 	cfg := testSettings()
 	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
 	cfg.Cluster.Workers.GangWaitS, cfg.Cluster.Workers.GangPeerS = 50, 5
@@ -95,7 +95,7 @@
 		{"at the level", `{"term":5,"level":1}`, forwarded},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newFakeEnv(ident.MonotonicTime(1 << 40))
+			w := newFakeEnv(testStart)
 			w.values = map[string]string{"term": x.term}
 			c := New(w, followerSettings(), newTestRand())
 			c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -211,7 +211,7 @@
 
 // goldenFollower returns a node with a peer that leads, if the leader is known.
 func goldenFollower(known bool) *asker {
-	w := newFakeEnv(ident.MonotonicTime(1 << 40))
+	w := newFakeEnv(testStart)
 	w.values = map[string]string{"term": "5"}
 	a := &asker{c: New(w, followerSettings(), newTestRand()), w: w}
 	if known {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -68,6 +68,9 @@
 	w.After(1200*time.Millisecond, func() { f(workers.CommandResult{}) })
 }
 
+// testStart is the time at which some tests begin: late enough that a time some minutes earlier is not negative.
+const testStart = ident.MonotonicTime(1 << 40)
+
 // newFakeEnv returns an environment without anything in it.
 func newFakeEnv(now ident.MonotonicTime) *fakeEnv {
 	return &fakeEnv{Clock: clocktest.Clock{Time: now}, probedAddrs: map[string]bool{}}
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -60,6 +60,7 @@
 
 // askUntil asks nodes in turn until one gives an accepted answer.
 func (f *fleet) askUntil(t *testing.T, ask func(node int) Answer, accepted func(Answer) bool) bool {
+	t.Helper()
 	for end := time.Now().Add(userTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for node := range fleetNodes {
 			if a := ask(node); accepted(a) {
@@ -72,6 +73,7 @@
 }
 
 func (f *fleet) submit(t *testing.T, s api.Spec, w Workload) {
+	t.Helper()
 	f.askUntil(t, func(n int) Answer {
 		return f.Submit(n, s, w)
 	}, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
@@ -80,6 +82,7 @@
 // fill fills all machines with jobs whose first tasks end soon, so that each machine then has capacity for half of a wide
 // task.
 func (f *fleet) fill(t *testing.T) []ident.JobID {
+	t.Helper()
 	var jobs []ident.JobID
 	for range fleetWorkers {
 		s := f.spec("blue", narrowTasks, narrowCPUs, narrowTaskDuration.Seconds())
@@ -110,6 +113,7 @@
 // injectFaults kills controllers, which restart after half a second, and breaks links in turn, until stop is closed and
 // there were minFaults of both.
 func (f *fleet) injectFaults(t *testing.T, stop <-chan struct{}) (killed, broken int) {
+	t.Helper()
 	names := f.Names()
 	for {
 		select {
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -60,6 +60,7 @@
 // leaderChangesWhileFlapping runs a simulation in which a link of the leader flaps for two minutes, and returns the
 // number of leader changes in that time.
 func leaderChangesWhileFlapping(t *testing.T, link int, seed uint64) int {
+	t.Helper()
 	sim := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
 	sim.withLeaderAt(40, func(l *node) {
 		var others []string
--- a/internal/workers/reachability.go
+++ b/internal/workers/reachability.go
@@ -62,7 +62,10 @@
 // commands as far as is known.
 func (tb *Table) Reachable(id ident.MachineID, within time.Duration) bool {
 	w := tb.Workers[id]
-	return w != nil && w.State == Up && w.reachability.inBothDirections() && w.ReportedThisTerm() && tb.TimeSinceContact(w) <= within
+	if w == nil || w.State != Up {
+		return false
+	}
+	return w.reachability.inBothDirections() && w.ReportedThisTerm() && tb.TimeSinceContact(w) <= within
 }
 
 // TimeSinceContact returns for how long there has been no heartbeat from a worker. In a new
