--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -7,9 +7,9 @@
 package rebalance
 
 import (
-	"fmt"
 	"time"
 
+	"opaldale/internal/enum"
 	"opaldale/internal/ident"
 	"opaldale/internal/jobs"
 )
@@ -135,12 +135,7 @@
 }
 
 // String returns the name of a purpose as records, metrics and logs have it.
-func (p Purpose) String() string {
-	if p < purposeCount {
-		return purposeNames[p]
-	}
-	return fmt.Sprintf("source %d", uint8(p))
-}
+func (p Purpose) String() string { return enum.Name(purposeNames[:], p, "source") }
 
 // Move is a proposed move of a running task.
 type Move struct {
@@ -154,7 +149,7 @@
 	Gain           time.Duration // by which the beneficiary starts sooner, or the moved task ends sooner
 	Cost           time.Duration // work lost and time spent
 	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is ended at once
-	FetchTime      time.Duration // for the pull of the image at the destination
+	ImagePullTime  time.Duration // for the pull of the image at the destination
 }
 
 // Beneficiary names the task that a move makes room for, "" if that is not its purpose.
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -11,8 +11,7 @@
 	"opaldale/internal/links"
 )
 
-// goldenFrames has a frame of each message type, with a different value in each field that the type
-// carries.
+// goldenFrames has a frame of each message type, with distinct values in the fields of that type.
 var goldenFrames = []struct {
 	name  string
 	frame Frame
@@ -28,7 +27,7 @@
 			UptimeMS:         0x1104,
 			LeaseAllowanceMS: 0x1105,
 			SinceLeaderMS:    0x1106,
-			SinceRenewalMS:   Never,
+			SinceRenewalMS:   NeverMS,
 		},
 	}},
 	{"submission passed on", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -31,7 +31,7 @@
 				EchoID:           9,
 				UptimeMS:         1,
 				LeaseAllowanceMS: 24_000,
-				SinceLeaderMS:    Never,
+				SinceLeaderMS:    NeverMS,
 				SinceRenewalMS:   3,
 			},
 		},
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestMalformed: whatever is not a frame of this version is rejected.
+// TestMalformed: input that is not a frame of this version is rejected.
 func TestMalformed(t *testing.T) {
 	good := submission.Append(nil)[4:]
 	linkStateID := []byte{0, 0, 0, 0, 0, 0, 0, 1}
@@ -117,7 +117,7 @@
 	})
 }
 
-// TestTransport sends through sockets, and breaks the protocol on connections of its own.
+// TestTransport sends frames over sockets, and violates the protocol on further connections.
 func TestTransport(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,7 +157,8 @@
 	wg.Wait()
 }
 
-// sendUntilReceived sends a frame again and again, as it is dropped until the connection is open.
+// sendUntilReceived sends a frame repeatedly until it is received: frames are dropped until the
+// connection is open.
 func sendUntilReceived(t *Transport, peer ident.NodeID, f *Frame, received <-chan *Frame) *Frame {
 	for {
 		t.Send(peer, f)
@@ -194,7 +195,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Fields(string(b))
-	heartbeat := PeerHeartbeat{EchoID: 5, UptimeMS: 1000, LeaseAllowanceMS: 2000, SinceLeaderMS: Never, SinceRenewalMS: 3}
+	heartbeat := PeerHeartbeat{EchoID: 5, UptimeMS: 1000, LeaseAllowanceMS: 2000, SinceLeaderMS: NeverMS, SinceRenewalMS: 3}
 	frames := []*Frame{
 		{Type: MsgHello, Node: "agent-1"},
 		{Type: MsgHeartbeat, Node: "agent-2", Term: 7, ID: 99, Heartbeat: heartbeat},
