--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -167,7 +167,7 @@
 	if c.election.LeaseValid() {
 		return true
 	}
-	if toLeader, known := c.leaderRoute(); known && toLeader.leader != c.settings.Node {
+	if toLeader := c.leaderRoute(); toLeader.known && toLeader.leader != c.settings.Node {
 		return toLeader.reachable || c.leaderLinkBrieflyDown(toLeader.leader)
 	}
 	return c.heardAnyPeerWithin(peerTimeout) || len(c.peers) == 0
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -23,25 +23,27 @@
 // route is the path by which this node forwards requests to the leader.
 type route struct {
 	leader    ident.NodeID
-	via       ident.NodeID // the peer that relays them; empty: directly
+	known     bool         // leader is known to lead; otherwise the route is not reachable
+	via       ident.NodeID // the peer that relays requests; empty: none
 	reachable bool         // frames probably arrive
 }
 
-// leaderRoute returns the route to the leader: direct, or by a peer that reaches it if the direct link is down. known is
-// false, and the route not reachable, while no leader is known.
-func (c *Controller) leaderRoute() (best route, known bool) {
-	best.leader, known = c.election.Leader()
-	if !known {
-		return best, false
-	}
-	best.reachable = c.peerReachable(best.leader)
-	if best.reachable && !c.links.PeerDown(best.leader) {
-		return best, true
+// leaderRoute returns the best route to the leader: direct, or by a peer that reaches it if the direct link is down.
+func (c *Controller) leaderRoute() route {
+	best := c.directRoute()
+	if !best.known || best.reachable && !c.links.PeerDown(best.leader) {
+		return best
 	}
 	if via, ok := c.links.RelayFor(best.leader); ok {
 		best.via, best.reachable = via, true
 	}
-	return best, true
+	return best
+}
+
+// directRoute returns the route to the leader without a relay.
+func (c *Controller) directRoute() route {
+	leader, known := c.election.Leader()
+	return route{leader: leader, known: known, reachable: known && c.peerReachable(leader)}
 }
 
 // forward sends a request to the leader. Exactly one of reply and onTimeout is called.
@@ -97,14 +99,14 @@
 	if method == transport.WorkerHeartbeat {
 		c.links.SampleWorkerHeartbeat(body)
 	}
-	toLeader, known := c.leaderRoute()
+	toLeader := c.leaderRoute()
 	switch method {
 	case transport.SubmitJob:
 		c.forwardSubmission(r, toLeader, reply)
 	case transport.GetJob:
 		c.forwardPoll(r, toLeader, reply)
 	case transport.WorkerHeartbeat:
-		c.forwardWorkerHeartbeat(r, toLeader, known, reply)
+		c.forwardWorkerHeartbeat(r, toLeader, reply)
 	default:
 		c.forwardOrRefuse(r, toLeader, reply)
 	}
@@ -145,7 +147,7 @@
 // forwardWorkerHeartbeat forwards a worker's heartbeat. If the leader is out of reach, this node renews the
 // lease itself where it may, or refers the worker to the leader. The heartbeat is parsed only then: it is the
 // most frequent request, and the leader parses it as well.
-func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, known bool, reply func(Response)) {
+func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, reply func(Response)) {
 	if toLeader.reachable {
 		c.forwardOrRefuse(r, toLeader, reply)
 		return
@@ -159,7 +161,7 @@
 		reply(response)
 		return
 	}
-	if known {
+	if toLeader.known {
 		reply(jsonResponse(http.StatusMisdirectedRequest, struct {
 			Home ident.NodeID `json:"home"`
 		}{toLeader.leader}))
@@ -224,6 +226,5 @@
 		c.serveAsLeader(r, reply)
 		return
 	}
-	leader, known := c.election.Leader()
-	c.forwardOrRefuse(r, route{leader: leader, reachable: known && c.peerReachable(leader)}, reply)
+	c.forwardOrRefuse(r, c.directRoute(), reply)
 }
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -71,7 +71,7 @@
 	tryAgain             refusal = "try again"
 )
 
-// unavailable is the answer to a request that may succeed later.
+// unavailable is the answer to a request that may succeed later. Unlike refuse it doesn't count the refusal.
 func unavailable(reason refusal) Response {
 	r := errorResponse(http.StatusServiceUnavailable, string(reason))
 	r.RetryAfterS = failoverRetryAfterS
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -28,8 +28,11 @@
 	CreatedMS int64           `json:"b"` // by the wall clock, in milliseconds since the epoch
 }
 
-// packedFields is the number of fields of a machine in the packed format.
-const packedFields = 3
+const (
+	// packedFields is the number of fields of a machine in the packed format.
+	packedFields = 3
+	msPerSecond  = 1000
+)
 
 // Encode sets the machines of the record, in the packed format. Creation times are kept to the second.
 func (r *GroupRecord) Encode(machines []MachineRecord) {
@@ -43,7 +46,7 @@
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		ageS := (m.CreatedMS - r.BaseMS) / 1000
+		ageS := (m.CreatedMS - r.BaseMS) / msPerSecond
 		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.ID)), url.PathEscape(m.Addr), ageS)
 	}
 	r.Packed = b.String()
@@ -80,5 +83,5 @@
 	if err != nil {
 		return MachineRecord{}, err
 	}
-	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + ageS*1000}, nil
+	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + ageS*msPerSecond}, nil
 }
