--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	golden.RoundTrip(t, &d, "view", golden.Filled[JobView](0))
-	golden.RoundTrip(t, &d, "acknowledgement", golden.Filled[JobStatus](0))
+	golden.RoundTrip(t, &d, "acknowledgement", golden.Filled[StatusResponse](0))
 	golden.RoundTrip(t, &d, "problem", golden.Filled[ErrorResponse](0))
 	golden.RoundTrip(t, &d, "answer to a report", golden.Filled[HeartbeatResponse](0))
 	commands := golden.Filled[CommandRequest](0)
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -30,7 +30,11 @@
 	BestEffort Priority = "best_effort"
 )
 
-// Level returns the order of the priority: 0 is the highest. An unknown priority has the lowest.
+// PriorityLevels is the number of levels of priorities.
+const PriorityLevels = 4
+
+// Level returns the order of the priority: 0 is the highest. An unknown priority has the lowest,
+// PriorityLevels-1.
 func (p Priority) Level() int {
 	switch p {
 	case Critical:
@@ -40,7 +44,7 @@
 	case Standard:
 		return 2
 	}
-	return 3
+	return PriorityLevels - 1
 }
 
 // Spec is a job as its user submits it. Resources are those of each task.
@@ -187,8 +191,8 @@
 	Running int         `json:"running"` // number of tasks that run
 }
 
-// JobStatus is the response to a submission or a cancellation.
-type JobStatus struct {
+// StatusResponse is the response to a submission or a cancellation.
+type StatusResponse struct {
 	ID     ident.JobID `json:"id"`
 	Status Status      `json:"status"`
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -196,7 +196,7 @@
 
 // rememberCancellation records the job that the leader acknowledges as cancelled.
 func (c *Controller) rememberCancellation(response Response) {
-	var status api.JobStatus
+	var status api.StatusResponse
 	if response.Status == http.StatusOK && json.Unmarshal(response.Body, &status) == nil {
 		c.rememberIfCancelled(status.ID, status.Status)
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -51,7 +51,7 @@
 			l.replyWhenDurable(j, reply, ackResponse)
 			return
 		}
-		created := jsonResponse(http.StatusCreated, api.JobStatus{ID: spec.ID, Status: api.StatusQueued})
+		created := jsonResponse(http.StatusCreated, api.StatusResponse{ID: spec.ID, Status: api.StatusQueued})
 		reply(l.limitToLeaderLease(created))
 	}
 	onConflict := func() { l.replyArchived(spec.ID, reply, ackResponse, unavailable(tryAgain)) }
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -43,7 +43,7 @@
 
 // ackResponse is the short answer about a job that is known.
 func ackResponse(v api.JobView) Response {
-	return jsonResponse(http.StatusOK, api.JobStatus{ID: v.ID, Status: v.Status})
+	return jsonResponse(http.StatusOK, api.StatusResponse{ID: v.ID, Status: v.Status})
 }
 
 func noSuchJob() Response { return errorResponse(http.StatusNotFound, "no such job") }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -57,9 +57,9 @@
 
 // NewTable makes the table of a term.
 func NewTable(
-	j *jobs.Table, w *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config,
+	jobTable *jobs.Table, workerTable *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config,
 ) *Table {
-	return &Table{cfg: cfg, now: now, mayLaunch: mayLaunch, jobs: j, workers: w, attempts: map[*jobs.Job]*attempt{}}
+	return &Table{cfg: cfg, now: now, mayLaunch: mayLaunch, jobs: jobTable, workers: workerTable, attempts: map[*jobs.Job]*attempt{}}
 }
 
 // MarkChanged notes that a task of a job has changed. A gang's attempt follows with ProcessChanges,
@@ -73,9 +73,9 @@
 // ProcessChanges advances the attempts of the gangs that have changed.
 func (tb *Table) ProcessChanges() {
 	for len(tb.changed) > 0 {
-		list := tb.changed
+		changed := tb.changed
 		tb.changed = nil
-		for _, j := range list {
+		for _, j := range changed {
 			tb.advance(j)
 		}
 	}
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -14,30 +14,30 @@
 
 // Load takes over a key that an earlier term left. Keys come in their order, so that a header
 // comes before its segments.
-func (tb *Table) Load(path string, value json.RawMessage, revision ident.Revision) error {
-	id, number, isSegment := strings.Cut(strings.TrimPrefix(path, LivePrefix), "/")
+func (tb *Table) Load(key string, value json.RawMessage, revision ident.Revision) error {
+	id, number, isSegment := strings.Cut(strings.TrimPrefix(key, LivePrefix), "/")
 	if !isSegment {
-		return tb.loadHeader(path, value, revision)
+		return tb.loadHeader(key, value, revision)
 	}
 	j := tb.Jobs[ident.JobID(id)]
 	if j == nil || j.storage.format == inLog {
-		tb.deleteStraySegment(path, revision)
+		tb.deleteStraySegment(key, revision)
 		return nil
 	}
-	return tb.loadSegment(j, storedSegment{path, number, value, revision})
+	return tb.loadSegment(j, storedSegment{key, number, value, revision})
 }
 
 // loadHeader takes over a job.
-func (tb *Table) loadHeader(path string, value json.RawMessage, revision ident.Revision) error {
+func (tb *Table) loadHeader(key string, value json.RawMessage, revision ident.Revision) error {
 	var header jobHeader
 	if err := json.Unmarshal(value, &header); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("%s: %w", key, err)
 	}
-	if header.Spec == nil || LiveKey(header.Spec.ID) != path {
-		return fmt.Errorf("%s: not a job", path)
+	if header.Spec == nil || LiveKey(header.Spec.ID) != key {
+		return fmt.Errorf("%s: not a job", key)
 	}
 	if header.Logged && !tb.packedLog {
-		return fmt.Errorf("%s: of a later format", path)
+		return fmt.Errorf("%s: of a later format", key)
 	}
 	j := tb.newLoadedJob(header)
 	tb.initStorage(j)
@@ -49,9 +49,9 @@
 	return restoreTasks(j, 0, header.Tasks)
 }
 
-// closedBefore is how long ago a job counts as closed that an earlier term has closed: longer than
+// assumedClosedFor is how long ago a job counts as closed that an earlier term has closed: longer than
 // anything waits for after that.
-const closedBefore = time.Hour
+const assumedClosedFor = time.Hour
 
 func (tb *Table) newLoadedJob(header jobHeader) *Job {
 	age := time.Duration(max(0, tb.wallClock()-header.SubmittedAtMS)) * time.Millisecond
@@ -65,7 +65,7 @@
 		DurablePhase:      header.Phase,
 	}
 	if j.Phase != Open {
-		j.ClosedAt = tb.now().Add(-closedBefore)
+		j.ClosedAt = tb.now().Add(-assumedClosedFor)
 	}
 	return j
 }
@@ -86,15 +86,15 @@
 
 // storedSegment is the key of a segment as it was read.
 type storedSegment struct {
-	path     string
+	key      string
 	number   string // the part of the path that says which segment it is
 	value    json.RawMessage
 	revision ident.Revision
 }
 
 // deleteStraySegment deletes a segment whose job is archived, or has its tasks in the log.
-func (tb *Table) deleteStraySegment(path string, revision ident.Revision) {
-	doc := &commit.Document{Key: path, Revision: revision, Render: func() json.RawMessage { return nil }}
+func (tb *Table) deleteStraySegment(key string, revision ident.Revision) {
+	doc := &commit.Document{Key: key, Revision: revision, Render: func() json.RawMessage { return nil }}
 	tb.commits.MarkDirty(doc, nil)
 }
 
@@ -102,17 +102,17 @@
 func (tb *Table) loadSegment(j *Job, stored storedSegment) error {
 	var segment taskSegment
 	if err := json.Unmarshal(stored.value, &segment); err != nil {
-		return fmt.Errorf("%s: %w", stored.path, err)
+		return fmt.Errorf("%s: %w", stored.key, err)
 	}
 	index, err := strconv.Atoi(stored.number)
 	if err != nil || index < 0 {
-		return fmt.Errorf("%s: no such segment", stored.path)
+		return fmt.Errorf("%s: no such segment", stored.key)
 	}
 	if err := tb.adjustSegments(j, index, len(segment.Tasks)); err != nil {
-		return fmt.Errorf("%s: %w", stored.path, err)
+		return fmt.Errorf("%s: %w", stored.key, err)
 	}
 	if index >= len(j.storage.segments) {
-		return fmt.Errorf("%s: no such segment", stored.path)
+		return fmt.Errorf("%s: no such segment", stored.key)
 	}
 	doc := j.storage.segments[index]
 	doc.Revision, doc.LSN = stored.revision, segment.LSN
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -44,7 +44,7 @@
 // here. The task must not be started elsewhere while it may run there.
 func (tb *Table) HasUnknownAttempt(task ident.TaskID) bool { return tb.unknownAttempts[task] > 0 }
 
-// addUnknownAttempt notes a reported attempt that is not known here.
+// addUnknownAttempt records a reported attempt that is not known here.
 func (tb *Table) addUnknownAttempt(w *Worker, attempt taskAttempt) {
 	if _, ok := w.unknownAttempts[attempt.task]; !ok {
 		tb.unknownAttempts[attempt.task]++
@@ -55,7 +55,8 @@
 // clearUnknownAttempts forgets the unknown attempts on a machine.
 func (tb *Table) clearUnknownAttempts(w *Worker) {
 	for task := range w.unknownAttempts {
-		if tb.unknownAttempts[task]--; tb.unknownAttempts[task] <= 0 {
+		tb.unknownAttempts[task]--
+		if tb.unknownAttempts[task] <= 0 {
 			delete(tb.unknownAttempts, task)
 		}
 	}
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -14,8 +14,7 @@
 	Addr string
 	Zone string // of the machine
 	Body api.CommandRequest
-	// NotAfter is the time, by this node's clock, from which the call must not be sent
-	// any more; 0: none.
+	// NotAfter is the deadline for sending the call, by this node's clock; 0: none.
 	NotAfter ident.MonotonicTime
 }
 
@@ -26,9 +25,9 @@
 type CommandResult struct {
 	Status    int // HTTP status, 0 without a response
 	Heartbeat *api.Heartbeat
-	// NotSent reports that the call was surely not sent: its time was over.
+	// NotSent reports that the call was certainly not sent, because its NotAfter had passed.
 	NotSent bool
-	// ConnectionRefused reports that the connection was refused; the call was not sent.
+	// ConnectionRefused reports that the connection was refused, so that the call was not sent.
 	ConnectionRefused bool
 }
 
@@ -41,30 +40,30 @@
 	return r.Heartbeat != nil && r.Heartbeat.MachineID == id
 }
 
-func launchCommand(t *jobs.Task) api.Command {
+func newLaunchCommand(t *jobs.Task) api.Command {
 	return api.Command{Verb: api.Launch, TaskID: t.TaskID(), Attempt: t.Attempt}
 }
 
-func clearCommand(attempt taskAttempt) api.Command {
+func newClearCommand(attempt taskAttempt) api.Command {
 	return api.Command{Verb: api.Clear, TaskID: attempt.task, Attempt: attempt.attempt}
 }
 
 // KillCommand returns the command that ends an attempt without a grace period.
-func KillCommand(task ident.TaskID, number ident.Attempt) api.Command {
-	return killAttempt(taskAttempt{task, number}, 0)
+func KillCommand(task ident.TaskID, attempt ident.Attempt) api.Command {
+	return newKillCommand(taskAttempt{task, attempt}, 0)
 }
 
-func killAttempt(attempt taskAttempt, gracePeriod time.Duration) api.Command {
+func newKillCommand(attempt taskAttempt, gracePeriod time.Duration) api.Command {
 	seconds := gracePeriod.Seconds()
 	return api.Command{Verb: api.Kill, TaskID: attempt.task, Attempt: attempt.attempt, GracePeriodS: &seconds}
 }
 
 // Launch sends the launch of a task, whose placement must be durable, to its machine.
-func (tb *Table) Launch(w *Worker, t *jobs.Task) { tb.Enqueue(w, launchCommand(t)) }
+func (tb *Table) Launch(w *Worker, t *jobs.Task) { tb.Enqueue(w, newLaunchCommand(t)) }
 
 // StopTask stops a task with a grace period; w is its machine, nil if that is not known. A task
-// whose placement is not durable yet was never launched. One that is stopping already is
-// given less time at the most.
+// whose placement is not durable was never launched, and is gone at once. The grace period of a
+// task that is stopping already can only be shortened.
 func (tb *Table) StopTask(w *Worker, t *jobs.Task, gracePeriod time.Duration) {
 	switch t.State {
 	case jobs.Placing:
@@ -81,7 +80,7 @@
 		return
 	}
 	if w != nil {
-		tb.Enqueue(w, killAttempt(attemptOf(t), gracePeriod))
+		tb.Enqueue(w, newKillCommand(attemptOf(t), gracePeriod))
 	}
 }
 
@@ -94,15 +93,15 @@
 	}
 }
 
-// Enqueue sends a command to a worker at once, or after the call under way. What is lost is
-// repeated in the response to the worker's next heartbeat.
+// Enqueue sends a command to a worker after the present event, or after the call under way. A
+// command that is lost is repeated in the response to the worker's next heartbeat.
 func (tb *Table) Enqueue(w *Worker, command api.Command) {
 	if w.State == Terminated || w.Addr == "" || w.order.incarnation == 0 || w.reachability.unresponsive {
 		return
 	}
 	w.commands.queued = append(w.commands.queued, command)
 	if w.commands.startSending() {
-		// After the present event, so that its commands go together.
+		// After the present event, so that all its commands go in one call.
 		tb.port.After(0, func() { tb.sendQueued(w) })
 	}
 }
@@ -136,12 +135,13 @@
 	}
 	w.commands.finishCall()
 	if result.NotSent {
-		// The response to the worker's next heartbeat repeats it, if this node still leads then.
+		// The response to the worker's next heartbeat repeats the commands if this node is still leader.
 		w.commands.discard()
 		return
 	}
-	if tb.cfg.OnCommandResult(w, result.Status != 0); tb.closed {
-		return
+	tb.cfg.OnCommandResult(w, result.Status != 0)
+	if tb.closed {
+		return // the result has ended the term
 	}
 	if w.State == Terminated {
 		return // the tasks in its response are lost with the machine
@@ -170,9 +170,9 @@
 	tb.FencedCommands++
 }
 
-// applyCommandResponse takes over the heartbeat in the response to a command, and kills the tasks
-// in it that are not wanted. The response to the next heartbeat may come too late for that:
-// by then this node may be unable to give commands.
+// applyCommandResponse applies the heartbeat in the response to a command, and kills the tasks in it
+// that must not run. That does not wait for the response to the next heartbeat: by then this node
+// may have lost its leadership.
 func (tb *Table) applyCommandResponse(w *Worker, heartbeat *api.Heartbeat) {
 	if tb.applyHeartbeat(w, heartbeat) != heartbeatApplied {
 		return
--- a/internal/workers/command_queue.go
+++ b/internal/workers/command_queue.go
@@ -7,7 +7,7 @@
 )
 
 // commandQueue holds the commands to a worker. One call is under way at a time, so that commands
-// are carried out in their order; a call takes all that are queued.
+// are carried out in their order; each call has all commands that are queued by then.
 type commandQueue struct {
 	queued       []api.Command
 	inFlight     []api.Command // of the call under way
@@ -49,7 +49,7 @@
 	return slices.ContainsFunc(q.inFlight, attempt.isTargetOf) || slices.ContainsFunc(q.queued, attempt.isTargetOf)
 }
 
-// hasQueued reports whether a command like this is queued, whatever its grace period.
+// hasQueued reports whether the same command is queued, with any grace period.
 func (q *commandQueue) hasQueued(command api.Command) bool {
 	return slices.ContainsFunc(q.queued, func(queued api.Command) bool {
 		return queued.Verb == command.Verb && queued.TaskID == command.TaskID && queued.Attempt == command.Attempt
--- a/internal/workers/failures.go
+++ b/internal/workers/failures.go
@@ -2,8 +2,8 @@
 
 import "opaldale/internal/jobs"
 
-// faultyThreshold is how many jobs that run well elsewhere must have failed on a machine for it
-// to be faulty.
+// faultyThreshold is the number of healthy jobs that must have failed on a machine for it to count
+// as faulty.
 const faultyThreshold = 2
 
 // failureRecord holds the jobs whose tasks failed on a machine since a task of another job
@@ -28,22 +28,22 @@
 	}
 }
 
-// RecordFailure notes that a task of a job failed on the machine.
+// RecordFailure records that a task of a job failed on the machine.
 func (w *Worker) RecordFailure(j *jobs.Job) { w.failures.add(j) }
 
 // Faulty reports whether jobs that run well on other machines fail on this one.
 func (w *Worker) Faulty() bool {
-	n := 0
+	healthyJobs := 0
 	for j := range w.failures.jobs {
 		if j.ProvenHealthy() {
-			n++
+			healthyJobs++
 		}
 	}
-	return n >= faultyThreshold
+	return healthyJobs >= faultyThreshold
 }
 
-// PossiblyFaulty reports whether a job that may be healthy has failed on the machine. Then the
-// machine does not count as capacity that can be relied on.
+// PossiblyFaulty reports whether a job that may be healthy has failed on the machine. Such a machine
+// does not count as reliable capacity.
 func (w *Worker) PossiblyFaulty() bool {
 	for j := range w.failures.jobs {
 		if j.ProvenHealthy() || j.Phase == jobs.Open && !j.Suspect {
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/jobs"
 )
 
-// HandleHeartbeat takes over a worker's heartbeat and returns the response to it, which renews
-// the worker's lease. It returns nil if there must be no response.
+// HandleHeartbeat applies a worker's heartbeat and returns the response to it, which renews the
+// worker's lease. It returns nil if there must be no response.
 func (tb *Table) HandleHeartbeat(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	w := tb.Workers[heartbeat.MachineID]
 	if w == nil {
@@ -50,15 +50,26 @@
 	}
 	token := ident.MakeFencingToken(tb.cfg.Term, 0)
 	if !tb.probedUnknown[heartbeat.MachineID] && len(tb.probedUnknown) < tb.unknownProbeLimit() {
-		tb.probedUnknown[heartbeat.MachineID] = true
-		call := CommandCall{Addr: heartbeat.Addr, Zone: heartbeat.Zone, Body: api.CommandRequest{
-			FencingToken: token, Incarnation: heartbeat.Incarnation, Commands: []api.Command{},
-		}}
-		tb.port.Worker(call, func(result CommandResult) { tb.handleUnknownProbe(heartbeat, result) })
+		tb.probeUnknownMachine(heartbeat, token)
 	}
 	return &api.HeartbeatResponse{FencingToken: token, Commands: []api.Command{}}
 }
 
+// probeUnknownMachine asks the worker that has sent a heartbeat for its state.
+func (tb *Table) probeUnknownMachine(heartbeat *api.Heartbeat, token ident.FencingToken) {
+	tb.probedUnknown[heartbeat.MachineID] = true
+	call := CommandCall{
+		Addr: heartbeat.Addr,
+		Zone: heartbeat.Zone,
+		Body: api.CommandRequest{
+			FencingToken: token,
+			Incarnation:  heartbeat.Incarnation,
+			Commands:     []api.Command{},
+		},
+	}
+	tb.port.Worker(call, func(result CommandResult) { tb.handleUnknownProbe(heartbeat, result) })
+}
+
 // handleUnknownProbe adds an unknown machine whose worker has responded to the probe.
 func (tb *Table) handleUnknownProbe(heartbeat *api.Heartbeat, result CommandResult) {
 	if tb.closed {
@@ -70,7 +81,10 @@
 	}
 	slog.Info("unknown machine registered", "machine", string(heartbeat.MachineID))
 	w := tb.Add(MachineInfo{
-		ID: heartbeat.MachineID, Model: heartbeat.Model, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
+		ID:        heartbeat.MachineID,
+		Model:     heartbeat.Model,
+		Zone:      heartbeat.Zone,
+		Spot:      heartbeat.Spot,
 		CreatedAt: tb.port.Now(),
 	})
 	if w.State != Terminated {
@@ -78,8 +92,8 @@
 	}
 }
 
-// The bound on the unknown machines that are probed at a time: a number, or a part of the
-// fleet where that is more.
+// The unknown machines that are probed at a time are at most minUnknownProbes, or the fleet's size
+// divided by unknownProbesDivisor if that is more.
 const (
 	minUnknownProbes     = 100
 	unknownProbesDivisor = 10
@@ -89,16 +103,16 @@
 	return max(minUnknownProbes, len(tb.sorted)/unknownProbesDivisor)
 }
 
-// heartbeatOutcome is what became of a heartbeat.
+// heartbeatOutcome is the result of applyHeartbeat.
 type heartbeatOutcome uint8
 
 const (
 	heartbeatApplied heartbeatOutcome = iota
 	heartbeatStale                    // not newer than the newest known one
-	heartbeatDeposed                  // the worker has seen a later term: this node leads no more
+	heartbeatDeposed                  // the worker has seen a later term: this node is not the leader any more
 )
 
-// applyHeartbeat takes over what a heartbeat says of the worker and its tasks.
+// applyHeartbeat updates the worker and its tasks from a heartbeat.
 func (tb *Table) applyHeartbeat(w *Worker, heartbeat *api.Heartbeat) heartbeatOutcome {
 	if w.order.isStale(heartbeat) {
 		tb.StaleHeartbeats++
@@ -146,7 +160,7 @@
 	tb.cfg.Persist(w)
 }
 
-// beginIncarnation notes that the worker has begun a new incarnation: it has killed all tasks of
+// beginIncarnation updates a worker that has begun a new incarnation: it has killed all tasks of
 // earlier ones and refuses commands for them.
 func (tb *Table) beginIncarnation(w *Worker, incarnation ident.Incarnation, now ident.MonotonicTime) {
 	w.order.raiseIncarnation(incarnation)
@@ -180,8 +194,8 @@
 	}
 }
 
-// updateReachability notes that a heartbeat was received, and what its token says about the
-// direction to the worker.
+// updateReachability records that a heartbeat was received. Its token shows whether the worker
+// receives responses and commands.
 func (tb *Table) updateReachability(w *Worker, heartbeat *api.Heartbeat, now ident.MonotonicTime) {
 	w.reachability.heartbeatReceived(heartbeat.FencingToken, w.fencing.sent, now)
 	if tb.hasCurrentToken(w, heartbeat) {
@@ -194,7 +208,8 @@
 	}
 }
 
-// updateReclaimNotice notes when the provider reclaims a machine, nil if that is not announced.
+// updateReclaimNotice sets the time at which the provider reclaims a machine; noticeSeconds is nil
+// while that is not announced.
 func (tb *Table) updateReclaimNotice(w *Worker, noticeSeconds *float64, now ident.MonotonicTime) {
 	if noticeSeconds == nil {
 		w.ReclaimAt = 0
@@ -208,7 +223,7 @@
 	w.ReclaimAt = max(reclaimAt, 1) // 0 stands for none
 }
 
-// applyTaskReport takes over what a heartbeat says of one task.
+// applyTaskReport updates a task from its report in a heartbeat.
 func (tb *Table) applyTaskReport(w *Worker, report api.TaskReport) {
 	t := w.reportedTask(report)
 	if t == nil {
@@ -236,8 +251,8 @@
 	return report.Cause == api.CauseDone
 }
 
-// handleTaskEnd handles a task that has ended. Its attempt is cleared from the worker only when
-// that is durable: else a successor would launch it again.
+// handleTaskEnd updates a task that has ended. Its attempt is cleared from the worker only once that
+// is durable: otherwise a new leader would launch it again.
 func (tb *Table) handleTaskEnd(w *Worker, t *jobs.Task, report api.TaskReport) {
 	tb.logTaskEnd(w, t, report.Cause)
 	attempt := attemptIn(report)
@@ -247,7 +262,7 @@
 			return
 		}
 		delete(w.endsNotDurable, attempt)
-		tb.Enqueue(w, clearCommand(attempt))
+		tb.Enqueue(w, newClearCommand(attempt))
 	}
 	if report.Cause == api.CauseDone {
 		tb.completeTask(w, t, onDurable)
@@ -260,7 +275,7 @@
 	tb.jobs.MarkGone(t, onDurable)
 }
 
-// completeTask handles a task that has completed. The other tasks of a gang complete with it.
+// completeTask completes a task, and the other tasks of a gang with it.
 func (tb *Table) completeTask(w *Worker, t *jobs.Task, onDurable func()) {
 	w.failures.clearUnlessFailed(t.Job)
 	tb.cfg.OnTaskCompleted(t, w)
--- a/internal/workers/heartbeat_order.go
+++ b/internal/workers/heartbeat_order.go
@@ -18,7 +18,7 @@
 		heartbeat.Incarnation == o.incarnation && heartbeat.SequenceNumber <= o.sequence
 }
 
-// raiseIncarnation notes an incarnation that the worker was in.
+// raiseIncarnation raises the incarnation to one that the worker was in.
 func (o *heartbeatOrder) raiseIncarnation(incarnation ident.Incarnation) {
 	o.incarnation = max(o.incarnation, incarnation)
 }
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -31,8 +31,8 @@
 // expired here.
 const expiryMargin = time.Second
 
-// LeaseExpired reports whether the worker's lease has surely expired, and its tasks are killed: no
-// heartbeat sent since its last renewal can have had a response from this leader, from an
+// LeaseExpired reports whether the worker's lease has certainly expired, so that it has killed its
+// tasks: no heartbeat since the last renewal can have had a response from this leader, from an
 // earlier one in its grace period, or from a peer that renews leases for either.
 func (tb *Table) LeaseExpired(w *Worker) bool {
 	earliest := max(tb.startedAt.Add(tb.cfg.LeaderGrace), tb.cfg.LastPeerRenewal())
@@ -48,7 +48,7 @@
 	tb.clearUnknownAttempts(w)
 }
 
-// markTaskLost notes that a task is proven not to be on its machine.
+// markTaskLost records that a task is proven not to be on its machine.
 func (tb *Table) markTaskLost(w *Worker, t *jobs.Task, reason Reason) {
 	slog.Info("task lost", "task", t.TaskID().String(), "attempt", uint64(t.Attempt), "machine", string(w.ID),
 		"reason", string(reason))
@@ -56,9 +56,9 @@
 	tb.jobs.MarkGone(t, nil)
 }
 
-// RenewLeaseOnly responds to a heartbeat without taking over what it says, for a leader that may
-// have lost its leadership but keeps the leases of its workers alive. No task is started by
-// that; tasks that are not wanted are killed. It returns nil if the lease is not renewed.
+// RenewLeaseOnly responds to a heartbeat without applying it, for a leader that may have lost its
+// leadership but keeps the leases of its workers alive. The response starts no task; it kills
+// those that must not run. RenewLeaseOnly returns nil if the lease is not renewed.
 func (tb *Table) RenewLeaseOnly(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	w := tb.Workers[heartbeat.MachineID]
 	if w == nil || w.State == Terminated {
@@ -76,9 +76,9 @@
 	return response
 }
 
-// renewLease responds to a heartbeat, which renews the worker's lease. It returns nil if the
-// lease must not be renewed. Then a probe passes on the newest token: with it, the worker's
-// next heartbeat shows that no earlier command can be carried out any more.
+// renewLease responds to a heartbeat, which renews the worker's lease. If the lease must not be
+// renewed, it returns nil and a probe sends the newest token: a heartbeat with that token shows
+// that no earlier command can be carried out any more.
 func (tb *Table) renewLease(w *Worker, heartbeat *api.Heartbeat, commands []api.Command) *api.HeartbeatResponse {
 	if !tb.mayRenewLease(w, heartbeat) {
 		tb.Probe(w)
--- a/internal/workers/reachability.go
+++ b/internal/workers/reachability.go
@@ -6,27 +6,27 @@
 	"opaldale/internal/ident"
 )
 
-// reachability is what is known of the connection to a worker, in both directions. A heartbeat
-// alone does not prove that the worker receives anything: responses and commands may be lost on
-// the way to it. A fencing token that it can only have from a response does.
+// reachability is the state of the connection to a worker, in both directions. A heartbeat alone does
+// not prove that the worker receives responses and commands, which may be lost. A heartbeat with
+// a fencing token that was sent in a response does.
 type reachability struct {
 	lastContact        ident.MonotonicTime // time of the newest heartbeat
-	missedResponses    int                 // commands and probes without a response since it last showed that it receives
+	missedResponses    int                 // commands and probes without a response since the worker last received one
 	unresponsive       bool                // a command had no response; nothing is sent until a heartbeat has the newest token
-	cannotReceiveSince ident.MonotonicTime // since when its heartbeats show that responses are lost; 0: they are not
+	cannotReceiveSince ident.MonotonicTime // start of the heartbeats that show that responses are lost; 0: they are not
 }
 
-// commandUnanswered notes that a command had no response from the worker.
+// commandUnanswered records that a command had no response from the worker.
 func (r *reachability) commandUnanswered() {
 	r.missedResponses++
 	r.unresponsive = true
 }
 
-// commandAnswered notes a response to a command.
+// commandAnswered records a response to a command.
 func (r *reachability) commandAnswered() { r.missedResponses = 0 }
 
-// heartbeatReceived notes a heartbeat with a fencing token, where sent is the token of the
-// newest response to a heartbeat.
+// heartbeatReceived records a heartbeat with a fencing token; sent is the token of the newest
+// response to a heartbeat.
 func (r *reachability) heartbeatReceived(token, sent ident.FencingToken, now ident.MonotonicTime) {
 	r.lastContact = now
 	switch {
@@ -42,8 +42,8 @@
 	return !r.unresponsive && r.missedResponses == 0 && r.cannotReceiveSince == 0
 }
 
-// CannotReceiveFor returns for how long the worker's heartbeats have shown that the responses
-// to them are lost.
+// CannotReceiveFor returns the time over which the worker's heartbeats have shown that the
+// responses to them are lost; 0 if the newest one does not.
 func (w *Worker) CannotReceiveFor() time.Duration {
 	if w.reachability.cannotReceiveSince == 0 {
 		return 0
@@ -62,14 +62,15 @@
 // commands as far as is known.
 func (tb *Table) Reachable(id ident.MachineID, within time.Duration) bool {
 	w := tb.Workers[id]
-	return w != nil && w.State == Up && w.reachability.inBothDirections() && w.ReportedThisTerm() && tb.TimeSinceContact(w) <= within
+	return w != nil && w.State == Up && w.reachability.inBothDirections() &&
+		w.ReportedThisTerm() && tb.TimeSinceContact(w) <= within
 }
 
-// TimeSinceContact returns for how long there has been no heartbeat from a worker. In a new
-// term it counts from when the machine was added.
+// TimeSinceContact returns the time since the newest heartbeat from a worker or, if there was none
+// in this term, since the machine was added.
 func (tb *Table) TimeSinceContact(w *Worker) time.Duration {
 	return tb.port.Now().Sub(w.reachability.lastContact)
 }
 
-// MarkUnreachable notes that a machine's heartbeats have stopped.
+// MarkUnreachable records that a machine's heartbeats have stopped.
 func (tb *Table) MarkUnreachable(w *Worker) { tb.setState(w, Unreachable, ReasonNoHeartbeat) }
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -15,7 +15,7 @@
 	for _, report := range heartbeat.Tasks {
 		t := w.reportedTask(report)
 		if report.Status != api.Ended && (t == nil || t.Job.Phase == jobs.Cancelled) {
-			commands = append(commands, killAttempt(attemptIn(report), 0))
+			commands = append(commands, newKillCommand(attemptIn(report), 0))
 		}
 	}
 	return commands
@@ -38,7 +38,7 @@
 		switch {
 		case isUnconfirmedLaunch(t):
 			if w.State == Up && t.Job.Phase == jobs.Open && t.Job.ReadyToLaunch() {
-				commands = append(commands, launchCommand(t))
+				commands = append(commands, newLaunchCommand(t))
 			}
 		case tokenCurrent:
 			tb.dropMissing(w, t)
@@ -47,33 +47,33 @@
 	return commands
 }
 
-// commandForReported returns the command, if any, that a reported task needs. What a command
-// under way or queued targets is left to that: were a launch repeated here, the task could
-// end and be cleared before the first command arrives, which would start it again.
+// commandForReported returns the command that a reported task needs, if any. An attempt that a queued
+// command or one under way is for needs none: if a launch were repeated here, the task could end
+// and be cleared before the first command arrives, which would start it again.
 func (tb *Table) commandForReported(w *Worker, report api.TaskReport) (command api.Command, needed bool) {
 	attempt := attemptIn(report)
 	t := w.reportedTask(report)
 	stopping := t != nil && t.State == jobs.Stopping
 	switch {
 	case stopping && t.Job.Phase == jobs.Cancelled && report.Status != api.Ended:
-		// Even if a command says so: that may be lost, and the response renews the lease.
-		return killAttempt(attempt, 0), true
+		// Even if a command under way does so: it may be lost, and the response renews the lease.
+		return newKillCommand(attempt, 0), true
 	case w.commands.targets(attempt):
 		return api.Command{}, false
 	case report.Status == api.Ended:
-		return clearCommand(attempt), t == nil && !w.endsNotDurable[attempt]
+		return newClearCommand(attempt), t == nil && !w.endsNotDurable[attempt]
 	case t == nil:
-		return killAttempt(attempt, 0), true
+		return newKillCommand(attempt, 0), true
 	case stopping:
-		return killAttempt(attempt, tb.currentGracePeriod(t)), true
+		return newKillCommand(attempt, tb.currentGracePeriod(t)), true
 	}
 	return api.Command{}, false
 }
 
 // isUnconfirmedLaunch reports whether a task was placed in this term and its worker has not reported
-// it yet: its launch may be repeated. What an earlier term has placed is not launched. That
-// term may have given its room, or its team's quota, to other tasks, and only the placement
-// of those may have become durable; it counts as lost and is placed anew.
+// it yet: its launch may be repeated. A task that was placed in an earlier term is not launched,
+// but counts as lost and is placed again: that term may have given its room, or its team's quota,
+// to other tasks, and only their placements may have become durable.
 func isUnconfirmedLaunch(t *jobs.Task) bool {
 	return t.State == jobs.Assigned && t.ReportedStatus == "" && t.PlacedThisTerm()
 }
--- a/internal/workers/reservation.go
+++ b/internal/workers/reservation.go
@@ -5,8 +5,8 @@
 	"opaldale/internal/jobs"
 )
 
-// Reservation keeps room on a machine for a task that is about to be placed there. For
-// other work that room is taken, except for work of a higher priority.
+// Reservation keeps room on a machine for a task that is about to be placed there. Only work of a
+// higher priority may use that room.
 type Reservation struct {
 	Resources jobs.Resources
 	Priority  api.Priority
@@ -34,7 +34,7 @@
 	return w.reservation != nil && w.unused().Covers(w.reservation.Resources)
 }
 
-// unused is what no task takes; nothing while the machine's type is not known.
+// unused returns the resources that no task takes, none while the machine's type is not known.
 func (w *Worker) unused() jobs.Resources {
 	if w.Type == nil {
 		return jobs.Resources{}
@@ -42,7 +42,7 @@
 	return capacityOf(w.Type).Sub(w.Usage.allocated())
 }
 
-// Free is what neither a task nor the reservation takes.
+// Free returns the resources that neither a task nor the reservation takes.
 func (w *Worker) Free() jobs.Resources {
 	if w.reservation == nil {
 		return w.unused()
@@ -50,7 +50,8 @@
 	return w.unused().Sub(w.reservation.Resources)
 }
 
-// FreeFor is what work of a priority may use, which includes a reservation of a lower priority.
+// FreeFor returns the resources that work of a priority may use, including those that are reserved
+// for a lower priority.
 func (w *Worker) FreeFor(p api.Priority) jobs.Resources {
 	if w.reservation != nil && w.reservation.Priority.Level() > p.Level() {
 		return w.unused()
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -20,7 +20,7 @@
 	"opaldale/internal/jobs"
 )
 
-// Port is what the table needs of its environment.
+// Port is the environment of a table. Its callbacks run in the event loop that calls the table.
 type Port interface {
 	// Now returns the time of the monotonic clock.
 	Now() ident.MonotonicTime
@@ -33,9 +33,9 @@
 // Config holds the term, the times of workers, and the callbacks of the table's owner.
 type Config struct {
 	Term ident.Term
-	// LeaseDuration is for how long a response to a heartbeat renews a worker's lease.
+	// LeaseDuration is the time for which a response to a heartbeat renews a worker's lease.
 	LeaseDuration time.Duration
-	// LeaderGrace is for how long an earlier leader may have renewed leases into this term.
+	// LeaderGrace is the time into this term for which an earlier leader may have renewed leases.
 	LeaderGrace time.Duration
 	// Catalog returns a machine type by its name, nil if it is not listed.
 	Catalog func(model string) *cloud.MachineType
@@ -45,7 +45,7 @@
 	OnCapacityChanged func()
 	// OnTaskFailed is called for a task that ended without having completed.
 	OnTaskFailed func(t *jobs.Task, w *Worker, c api.Cause)
-	// OnTaskCompleted is called for a task that completes, before that is noted; it may be nil.
+	// OnTaskCompleted is called for a task that completes, before its state changes. It may be nil.
 	OnTaskCompleted func(t *jobs.Task, w *Worker)
 	// Persist writes the record of a machine that was added, has changed or is terminated.
 	Persist func(w *Worker)
@@ -55,7 +55,8 @@
 	OnCommandResult func(w *Worker, answered bool)
 }
 
-// Table holds all machines. It lives for one term.
+// Table holds all machines of a term. It is not safe for concurrent use: all calls come from the
+// node's event loop.
 type Table struct {
 	Workers map[ident.MachineID]*Worker
 	sorted  []*Worker // by ID
@@ -113,7 +114,7 @@
 	w.State, w.StateSince = next, tb.port.Now()
 }
 
-// Restore adds a machine that an earlier term has on record, with the address in the record.
+// Restore adds a machine from its record of an earlier term, with the address in that record.
 func (tb *Table) Restore(info MachineInfo, addr string, group *RecordGroup) *Worker {
 	w := tb.insert(info)
 	w.Group, w.Persisted = group, true
@@ -121,8 +122,8 @@
 	return w
 }
 
-// RestoreAddress takes over the address of a machine's record, if none is known: the machine
-// was up when that was written.
+// RestoreAddress sets the address of a machine from its record, if none is known. The machine was
+// up when that record was written.
 func (tb *Table) RestoreAddress(w *Worker, addr string) {
 	if w.Addr == "" && addr != "" {
 		w.Addr = addr
@@ -130,8 +131,8 @@
 	}
 }
 
-// Add adds a machine that has no record yet, and has that written. It returns the machine that
-// is there if its ID is known.
+// Add adds a machine that has no record yet and persists it. If the ID is known, it returns the
+// machine that has it.
 func (tb *Table) Add(info MachineInfo) *Worker {
 	if w := tb.Workers[info.ID]; w != nil {
 		return w
@@ -148,7 +149,6 @@
 		Type:            tb.cfg.Catalog(info.Model),
 		Tasks:           map[ident.TaskID]*jobs.Task{},
 		StateSince:      now,
-		IdleSince:       now,
 		reachability:    reachability{lastContact: now},
 		unknownAttempts: map[ident.TaskID]ident.Attempt{},
 		endsNotDurable:  map[taskAttempt]bool{},
@@ -183,13 +183,12 @@
 	tb.tasksByPriority.add(t.Job.Spec.Priority, -1)
 	if len(w.Tasks) == 0 {
 		w.Usage.clearAmounts()
-		w.IdleSince = tb.port.Now()
 	}
 	tb.cfg.OnCapacityChanged()
 }
 
-// SortedTasks returns a copy of a machine's tasks in a fixed order: callers change the map, and
-// the order of what they do must be reproducible.
+// SortedTasks returns a machine's tasks in a new slice, ordered by job and index. Callers may change
+// the map meanwhile, and the order of their actions is reproducible.
 func (tb *Table) SortedTasks(w *Worker) []*jobs.Task {
 	out := make([]*jobs.Task, 0, len(w.Tasks))
 	for _, t := range w.Tasks {
@@ -201,10 +200,10 @@
 	return out
 }
 
-// MarkTerminating notes that a machine's termination is requested.
+// MarkTerminating records that a machine's termination was requested.
 func (tb *Table) MarkTerminating(w *Worker, reason Reason) { tb.setState(w, Terminating, reason) }
 
-// MarkTerminated notes that a machine is terminated, which ends all tasks on it.
+// MarkTerminated records that a machine is terminated, which ends all tasks on it.
 func (tb *Table) MarkTerminated(w *Worker, reason Reason) {
 	tb.setState(w, Terminated, reason)
 	for _, t := range tb.SortedTasks(w) {
--- a/internal/workers/usage.go
+++ b/internal/workers/usage.go
@@ -8,13 +8,10 @@
 	"opaldale/internal/jobs"
 )
 
-// numPriorities is the number of priorities.
-const numPriorities = 4
-
 // usageRounding is the number of steps per vCPU to which sums by shape are rounded.
 const usageRounding = 1e6
 
-// Usage is what the tasks of a machine take of it.
+// Usage is the sum of the resources that the tasks of a machine take.
 type Usage struct {
 	VCPUs, GPUs, MemoryGB float64
 	BatchVCPUs            float64 // vCPUs of tasks of batch jobs
@@ -38,8 +35,8 @@
 	u.byPriority.add(s.Priority, -1)
 }
 
-// addByShape keeps the sums by shape. They are rounded, so that the order in which tasks
-// come and go does not change what is decided by them.
+// addByShape adds to the sum of a shape. The sums are rounded, so that they do not depend on the
+// order in which tasks are added and removed.
 func (u *Usage) addByShape(shape api.Shape, vcpus float64) {
 	sum := &u.BatchVCPUs
 	if shape != api.Batch {
@@ -59,7 +56,7 @@
 }
 
 // taskCounts holds numbers of tasks by the level of their priority.
-type taskCounts [numPriorities]int
+type taskCounts [api.PriorityLevels]int
 
 func (c *taskCounts) add(priority api.Priority, n int) { c[priority.Level()] += n }
 
@@ -87,8 +84,7 @@
 	return tb.tasksByPriority.below(priority)
 }
 
-// Fits reports whether a task of the job has room on the machine now; FitsEmpty reports whether
-// it would have on an empty one.
+// Fits reports whether a task of the job has room on the machine now.
 func (w *Worker) Fits(s *api.Spec) bool { return w.HasRoom(jobs.ResourcesOf(s)) }
 
 // FitsEmpty reports whether a task of the job has room on an empty machine of a type.
@@ -96,7 +92,7 @@
 	return capacityOf(machineType).Covers(jobs.ResourcesOf(s))
 }
 
-// HasRoom reports whether as much is free, beside what is reserved.
+// HasRoom reports whether the resources are free on the machine and not reserved.
 func (w *Worker) HasRoom(need jobs.Resources) bool { return w.Type != nil && w.Free().Covers(need) }
 
 // TaskCapacity returns how many tasks of a job have room on the machine now.
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -22,12 +22,19 @@
 	Terminated               // the provider has terminated it
 )
 
-// String returns the state's name in the metrics.
-func (s State) String() string {
-	return [...]string{"booting", "up", "silent", "returning", "gone"}[s]
+// stateNames are the names in the metrics, which may not change; some differ from the constants'.
+var stateNames = [...]string{
+	Booting:     "booting",
+	Up:          "up",
+	Unreachable: "silent",
+	Terminating: "returning",
+	Terminated:  "gone",
 }
 
-// MachineInfo is what is known of a machine from when it was provisioned.
+// String returns the state's name in the metrics.
+func (s State) String() string { return stateNames[s] }
+
+// MachineInfo holds the properties that a machine has from its provisioning on.
 type MachineInfo struct {
 	ID        ident.MachineID
 	Model     string // name of its type; the type itself is Worker.Type
@@ -36,8 +43,8 @@
 	CreatedAt ident.MonotonicTime // when it was provisioned, as far as known
 }
 
-// Worker is a machine and the agent process on it. The fields that are exported may be read by
-// all; those that other packages also write say so.
+// Worker is a machine and the agent process on it. Exported fields may be read by other packages;
+// the comments on some fields name those that also write them.
 type Worker struct {
 	MachineInfo
 	Addr  string             // of its worker, "" while not known; also set by the owner of the fleet
@@ -46,7 +53,6 @@
 
 	State            State
 	StateSince       ident.MonotonicTime // when it entered its state
-	IdleSince        ident.MonotonicTime // when its last task left it
 	ReclaimAt        ident.MonotonicTime // when the provider reclaims it; 0: not announced
 	QuarantinedUntil ident.MonotonicTime // nothing is placed on it earlier; see Quarantine
 	Cordoned         bool                // nothing is placed on it, it is drained to be terminated; set by scale in
@@ -71,17 +77,17 @@
 	Persisted bool         // its record is durable
 }
 
-// RecordGroup is a few machines whose records share one key of the store. With a key for each
-// machine, the records of a thousand machines would take the store's write rate for half a
-// minute, and nothing can be placed on a machine before its record is durable.
+// RecordGroup is a group of machines whose records share one key of the store. With a key for each
+// machine, writing the records of a thousand machines would take the store half a minute, and
+// nothing can be placed on a machine before its record is durable.
 type RecordGroup struct {
 	Doc     *commit.Document // the value of the key
 	Members []*Worker
-	Leaving []*Worker // members whose record is in this group until that in their next group is durable
+	Leaving []*Worker // former members; their records stay here until those in their next group are durable
 	Deleted bool      // the key is deleted
 }
 
-// Allows reports whether tasks of the job may run on the machine, whatever else is on it.
+// Allows reports whether tasks of the job may run on the machine, regardless of other tasks on it.
 func (w *Worker) Allows(s *api.Spec) bool {
 	if s.Zone != nil && *s.Zone != w.Zone || w.Spot && !s.Spot || w.Type == nil {
 		return false
