--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -1,8 +1,6 @@
 package jobs
 
-import (
-	"opaldale/internal/api"
-)
+import "opaldale/internal/api"
 
 // UsePackedLog keeps the tasks of new jobs in the log alone from now on. Jobs that are stored in
 // the first format follow by ConvertToLog.
@@ -14,10 +12,10 @@
 	return len(api.JSON(header)) + headerReserveBytes, tb.maxValueBytes
 }
 
-// ConvertToLog moves the tasks of jobs to the log alone. The budget is a number of writes: one for
-// each line of the log and each header. The job that exhausts it is still converted. It
-// returns whether jobs are left. Nothing depends on when a job is converted: the next change of
-// its header does so as well.
+// ConvertToLog moves the tasks of jobs in the first format to the log alone, and reports whether
+// such jobs are left. budget is a number of writes: one for each line of the log and each header.
+// The job that exhausts it is still converted. A job may be converted at any time; the next change
+// of its header does so as well.
 func (tb *Table) ConvertToLog(budget int) (more bool) {
 	if !tb.packedLog {
 		return false
@@ -41,15 +39,15 @@
 }
 
 // headerFits reports whether a job's header without tasks is small enough to be put. A job that was
-// accepted under another limit stays as it is until it is over.
+// accepted under another limit stays in its format until it is over.
 func (tb *Table) headerFits(j *Job) bool {
 	size, limit := tb.HeaderSize(j.trimmedSpec())
 	return size <= limit
 }
 
-// convertJob writes what is known of a job's tasks to the log and, once that is durable, the header
-// without them. The function, which may be nil, is called when that is durable. It returns the
-// number of lines that are written.
+// convertJob writes a job's tasks to the log and, once they are durable, the header without them. It
+// returns the number of lines that it writes. onDurable, unless nil, is called once the header is
+// durable.
 func (tb *Table) convertJob(j *Job, onDurable func()) (lines int) {
 	if onDurable != nil {
 		j.callbacks.converted = append(j.callbacks.converted, onDurable)
@@ -66,7 +64,8 @@
 	remaining := len(tasks)
 	for _, t := range tasks {
 		tb.commits.Append(t, func() {
-			if remaining--; remaining == 0 {
+			remaining--
+			if remaining == 0 {
 				tb.finishConversion(j)
 			}
 		})
@@ -93,6 +92,6 @@
 	j.storage.format = inLog
 	tb.commits.MarkDirty(j.storage.header, func() { callAll(&j.callbacks.converted) })
 	for _, doc := range j.storage.segments {
-		tb.commits.MarkDirtyLazily(doc, nil) // means nothing any more
+		tb.commits.MarkDirtyLazily(doc, nil) // renders as nil now, which deletes the key
 	}
 }
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -1,10 +1,8 @@
 package jobs
 
-import (
-	"time"
-)
+import "time"
 
-// provenHealthyAfter is for how long a task must run to prove that its job can run. Most jobs that
+// provenHealthyAfter is the time that a task must run to prove that its job can run. Most jobs that
 // are submitted with a mistake fail within seconds.
 const provenHealthyAfter = 10 * time.Second
 
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -17,20 +17,20 @@
 	TaskCounts
 
 	Phase             Phase               // in memory
-	ClosedAt          ident.MonotonicTime // when it left phase Open; long ago if that was in an earlier term
+	ClosedAt          ident.MonotonicTime // when it left phase Open; assumedClosedFor ago if in an earlier term
 	DurablePhase      Phase               // known to be in the store
 	SubmissionDurable bool                // the job is known to be in the store
 	callbacks         callbacks
 	storage           storage
 
-	// What the owner of the table keeps of failed tasks.
+	// The state of retries, which the owner of the table keeps.
 	AvoidedMachines map[ident.MachineID]bool // where a task of the job ended with an error
 	RetryAt         ident.MonotonicTime      // no task is placed earlier
 	Backoff         time.Duration            // by which RetryAt was last set
-	// Suspect reports that tasks failed on several machines and none has completed since: rather
-	// the job than the machines is at fault. Then one task is placed at a time.
+	// Suspect is set when tasks have failed on several machines and none has completed since: the
+	// job is more likely at fault than the machines. One task is then placed at a time.
 	Suspect       bool
-	provenHealthy bool // a task has run for a while
+	provenHealthy bool // a task has run for provenHealthyAfter
 
 	// AllocatedByZone holds the numbers of allocated tasks, for a job whose zones matter. The owner
 	// of the table keeps it.
@@ -65,7 +65,7 @@
 	}
 }
 
-// callbacks holds what is to be called once a change of a job is durable.
+// callbacks holds the functions to call once a change of a job is durable.
 type callbacks struct {
 	submitted    []func() // the submission
 	phaseDurable []func() // the end of phase Open
@@ -106,7 +106,7 @@
 
 // HighestAttempt returns the highest attempt in which any task was placed.
 func (j *Job) HighestAttempt() ident.Attempt {
-	highest := ident.Attempt(0)
+	var highest ident.Attempt
 	for i := range j.Tasks {
 		highest = max(highest, j.Tasks[i].Attempt)
 	}
@@ -144,11 +144,11 @@
 }
 
 // ProvenHealthy reports whether the job has shown that it can run: a task has completed, or has run
-// for a while. Its failures are rather the fault of machines.
+// for provenHealthyAfter. Its failures are then more likely the fault of machines.
 func (j *Job) ProvenHealthy() bool { return j.provenHealthy || j.CompletedTasks > 0 }
 
-// allCompleted reports whether all tasks have completed. Those of a service are never counted so:
-// it runs until it is cancelled.
+// allCompleted reports whether all tasks have completed. It is false for a service, which runs until
+// it is cancelled.
 func (j *Job) allCompleted() bool {
 	return j.Spec.Shape != api.Service && j.CompletedTasks == len(j.Tasks)
 }
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -12,8 +12,15 @@
 	"opaldale/internal/ident"
 )
 
-// Load takes over a key that an earlier term left. Keys come in their order, so that a header
-// comes before its segments.
+// Errors of keys that an earlier term has left.
+var (
+	errNotJob        = errors.New("not a job")
+	errLaterFormat   = errors.New("of a later format")
+	errNoSuchSegment = errors.New("no such segment")
+)
+
+// Load restores a job, or some of its tasks, from a key below LivePrefix that an earlier term has
+// left. Keys must be loaded in their order, in which a header comes before its segments.
 func (tb *Table) Load(key string, value json.RawMessage, revision ident.Revision) error {
 	id, number, isSegment := strings.Cut(strings.TrimPrefix(key, LivePrefix), "/")
 	if !isSegment {
@@ -27,17 +34,17 @@
 	return tb.loadSegment(j, storedSegment{key, number, value, revision})
 }
 
-// loadHeader takes over a job.
+// loadHeader restores a job from its header.
 func (tb *Table) loadHeader(key string, value json.RawMessage, revision ident.Revision) error {
 	var header jobHeader
 	if err := json.Unmarshal(value, &header); err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
 	if header.Spec == nil || LiveKey(header.Spec.ID) != key {
-		return fmt.Errorf("%s: not a job", key)
+		return fmt.Errorf("%s: %w", key, errNotJob)
 	}
 	if header.Logged && !tb.packedLog {
-		return fmt.Errorf("%s: of a later format", key)
+		return fmt.Errorf("%s: %w", key, errLaterFormat)
 	}
 	j := tb.newLoadedJob(header)
 	tb.initStorage(j)
@@ -49,8 +56,8 @@
 	return restoreTasks(j, 0, header.Tasks)
 }
 
-// assumedClosedFor is how long ago a job counts as closed that an earlier term has closed: longer than
-// anything waits for after that.
+// assumedClosedFor is the age of the end of a job that an earlier term has closed, which is not
+// stored. It is longer than any time that counts from there.
 const assumedClosedFor = time.Hour
 
 func (tb *Table) newLoadedJob(header jobHeader) *Job {
@@ -84,10 +91,10 @@
 	}
 }
 
-// storedSegment is the key of a segment as it was read.
+// storedSegment is a segment as it was read from the store.
 type storedSegment struct {
 	key      string
-	number   string // the part of the path that says which segment it is
+	number   string // the part of the key after the job's ID
 	value    json.RawMessage
 	revision ident.Revision
 }
@@ -98,7 +105,7 @@
 	tb.commits.MarkDirty(doc, nil)
 }
 
-// loadSegment takes over some of a job's tasks, in the first format.
+// loadSegment restores some of a job's tasks, in the first format.
 func (tb *Table) loadSegment(j *Job, stored storedSegment) error {
 	var segment taskSegment
 	if err := json.Unmarshal(stored.value, &segment); err != nil {
@@ -106,13 +113,13 @@
 	}
 	index, err := strconv.Atoi(stored.number)
 	if err != nil || index < 0 {
-		return fmt.Errorf("%s: no such segment", stored.key)
+		return fmt.Errorf("%s: %w", stored.key, errNoSuchSegment)
 	}
 	if err := tb.adjustSegments(j, index, len(segment.Tasks)); err != nil {
 		return fmt.Errorf("%s: %w", stored.key, err)
 	}
 	if index >= len(j.storage.segments) {
-		return fmt.Errorf("%s: no such segment", stored.key)
+		return fmt.Errorf("%s: %w", stored.key, errNoSuchSegment)
 	}
 	doc := j.storage.segments[index]
 	doc.Revision, doc.LSN = stored.revision, segment.LSN
@@ -140,7 +147,7 @@
 	return nil
 }
 
-// segmentDivision is the division of tasks into segments of which all but the last have as many.
+// segmentDivision is the division of a job's tasks into segments, all but the last of the same size.
 type segmentDivision struct {
 	total    int // number of tasks
 	expected int // tasks per segment, unless a segment shows otherwise
--- a/internal/jobs/load_log.go
+++ b/internal/jobs/load_log.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"sort"
 
@@ -11,14 +10,14 @@
 	"opaldale/internal/kvstore"
 )
 
-// storedRecord is a key of the log as it was read.
+// storedRecord is a record of the log as it was read from the store.
 type storedRecord struct {
 	logRecord
 	key      string
 	revision ident.Revision
 }
 
-// LoadLog takes over the keys of the log, after all jobs.
+// LoadLog restores tasks from the records of the log. All jobs must have been loaded.
 func (tb *Table) LoadLog(pairs []kvstore.KeyValue) error {
 	records := make([]storedRecord, len(pairs))
 	for i, pair := range pairs {
@@ -27,7 +26,7 @@
 			return fmt.Errorf("%s: %w", pair.Key, err)
 		}
 	}
-	// The keys are reused in any order, so that theirs says nothing.
+	// Keys are reused, so that their order is not that of the records.
 	sort.Slice(records, func(i, k int) bool { return records[i].LSN < records[k].LSN })
 	for _, record := range records {
 		if err := tb.loadRecord(record); err != nil {
@@ -37,20 +36,10 @@
 	return nil
 }
 
-// loadRecord applies the lines of a record, and has the committer keep it as long as they are
-// stored nowhere else.
+// loadRecord applies a record, and passes it to the committer, which keeps it for as long as its lines
+// are stored nowhere else.
 func (tb *Table) loadRecord(record storedRecord) error {
-	var tasks []*Task
-	for _, line := range record.Lines {
-		tasks = tb.applyLine(tasks, record, line)
-	}
-	err := commit.ParseText(record.Text, func(group, text string) error {
-		index, task, err := parseLogLine(text)
-		if err == nil {
-			tasks = tb.applyLine(tasks, record, logLine{ident.JobID(group), index, task})
-		}
-		return err
-	})
+	tasks, err := tb.applyRecord(record)
 	if err != nil {
 		return err
 	}
@@ -63,7 +52,7 @@
 		return nil
 	}
 	if record.Text != "" {
-		return errors.New("of a later format")
+		return errLaterFormat
 	}
 	documents := make([]*commit.Document, len(tasks))
 	for i, t := range tasks {
@@ -73,6 +62,21 @@
 	return nil
 }
 
+// applyRecord applies the lines of a record, in either format, and returns the tasks that it restored.
+func (tb *Table) applyRecord(record storedRecord) (tasks []*Task, err error) {
+	for _, line := range record.Lines {
+		tasks = tb.applyLine(tasks, record, line)
+	}
+	err = commit.ParseText(record.Text, func(group, text string) error {
+		index, task, err := parseLogLine(text)
+		if err == nil {
+			tasks = tb.applyLine(tasks, record, logLine{ident.JobID(group), index, task})
+		}
+		return err
+	})
+	return tasks, err
+}
+
 // applyLine restores a task from a line, and appends it to the tasks of its record. Lines of jobs
 // that are archived, and those that the task's document has already, have no effect.
 func (tb *Table) applyLine(tasks []*Task, record storedRecord, line logLine) []*Task {
@@ -89,8 +93,8 @@
 }
 
 // documentCovers reports whether a document was put with the lines of a record. Its LSN alone does not
-// say so: earlier versions may have given a number out twice. A record that was written after
-// the document is not part of it, whatever its number; the document's LSN is then lowered.
+// show that: earlier versions may have assigned an LSN twice. A record that was written after the
+// document is not part of it, whatever its LSN; the document's LSN is then lowered.
 func documentCovers(doc *commit.Document, record storedRecord) bool {
 	if doc.LSN < record.LSN {
 		return false
--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -41,38 +41,35 @@
 
 // parseLogLine parses what TextLine returns.
 func parseLogLine(text string) (index int, record taskRecord, err error) {
+	malformed := func() (int, taskRecord, error) { return 0, taskRecord{}, fmt.Errorf("malformed line %q", text) }
 	fields := strings.Split(text, fieldSeparator)
-	if len(fields) < 2 || len(fields) > 4 {
-		return 0, record, fmt.Errorf("malformed line %q", text)
+	if len(fields) < 2 {
+		return malformed()
 	}
-	index, err = strconv.Atoi(fields[0])
-	parseUint := func(s string) uint64 {
-		n, parseErr := strconv.ParseUint(s, 10, 64)
-		if parseErr != nil {
-			err = parseErr
-		}
-		return n
+	index, indexErr := strconv.Atoi(fields[0])
+	attempt, attemptErr := strconv.ParseUint(fields[1], 10, 64)
+	if indexErr != nil || attemptErr != nil || index < 0 {
+		return malformed()
 	}
-	record.Attempt = ident.Attempt(parseUint(fields[1]))
-	switch {
-	case len(fields) == 3 && fields[2] == completedMark:
+	record.Attempt = ident.Attempt(attempt)
+	switch placement := fields[2:]; {
+	case len(placement) == 0: // neither allocated nor completed
+	case len(placement) == 1 && placement[0] == completedMark:
 		record.Done = true
-	case len(fields) == 3:
-		return 0, record, fmt.Errorf("malformed line %q", text)
-	case len(fields) == 4:
-		machineID, parseErr := url.QueryUnescape(fields[2])
-		if parseErr != nil || machineID == "" {
-			return 0, record, fmt.Errorf("malformed line %q", text)
+	case len(placement) == 2:
+		machineID, machineErr := url.QueryUnescape(placement[0])
+		incarnation, incarnationErr := strconv.ParseUint(placement[1], 10, 64)
+		if machineErr != nil || incarnationErr != nil || machineID == "" {
+			return malformed()
 		}
-		record.MachineID, record.Incarnation = ident.MachineID(machineID), ident.Incarnation(parseUint(fields[3]))
-	}
-	if err != nil || index < 0 {
-		return 0, record, fmt.Errorf("malformed line %q", text)
+		record.MachineID, record.Incarnation = ident.MachineID(machineID), ident.Incarnation(incarnation)
+	default:
+		return malformed()
 	}
 	return index, record, nil
 }
 
-// Pin returns the task's hold on the record of the log that has its newest line.
+// Pin returns the task's reference to the record of the log that has its newest line.
 func (t *Task) Pin() *commit.Pin { return &t.logPin }
 
 // Document returns the document that has the task in the first format: the header or a segment.
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -13,7 +13,7 @@
 	Phase         Phase        `json:"phase"`
 	LSN           uint64       `json:"lsn,omitempty"` // records of the log up to it are part of this
 	Tasks         []taskRecord `json:"tasks,omitempty"`
-	// Logged reports that the log alone has the tasks. Those without a line were never placed.
+	// Logged is set if only the log has the tasks. Those without a line were never placed.
 	Logged bool `json:"logged,omitempty"`
 }
 
@@ -45,7 +45,7 @@
 	Done        bool              `json:"d,omitempty"`
 }
 
-// Sizes in bytes of what is stored.
+// Sizes in bytes of stored values.
 const (
 	// maxRecordBytes bounds a taskRecord in JSON, comma included.
 	maxRecordBytes = 110
@@ -73,7 +73,7 @@
 	return record
 }
 
-// restore sets a task to what its record says.
+// restore sets a task's state from its record.
 func (t *Task) restore(record taskRecord) {
 	state := Waiting
 	t.Attempt, t.MachineID, t.Incarnation = record.Attempt, "", 0
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -16,12 +16,16 @@
 	Done
 )
 
-var phaseNames = [...]string{"open", "cancelled", "done"}
+var phaseNames = [...]string{
+	Open:      "open",
+	Cancelled: "cancelled",
+	Done:      "done",
+}
 
 // String returns the phase's name in the store.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Status is the status of a job that is over, which has the name of its phase.
+// Status returns the status of a job that is over, which has the name of its phase.
 func (p Phase) Status() api.Status { return api.Status(p.String()) }
 
 // MarshalText writes the phase's name.
@@ -50,10 +54,17 @@
 	Completed
 )
 
-// String returns the state's name.
-func (s State) String() string {
-	return [...]string{"waiting", "placing", "assigned", "stopping", "finished"}[s]
+// stateNames are pinned by golden tests, so one differs from the constant's name.
+var stateNames = [...]string{
+	Waiting:   "waiting",
+	Placing:   "placing",
+	Assigned:  "assigned",
+	Stopping:  "stopping",
+	Completed: "finished",
 }
 
+// String returns the state's name.
+func (s State) String() string { return stateNames[s] }
+
 // Allocated reports whether a task in this state takes resources of its machine.
 func (s State) Allocated() bool { return s == Placing || s == Assigned || s == Stopping }
--- a/internal/jobs/storage.go
+++ b/internal/jobs/storage.go
@@ -9,9 +9,9 @@
 	"opaldale/internal/ident"
 )
 
-// storageFormat says where a job's tasks are in the store. All formats but the last belong to the
+// storageFormat is the place of a job's tasks in the store. All formats but the last belong to the
 // first version of the stored data. When that is no longer read, segments, the tasks and the
-// LSN of a header, the conversion, and a task's JSONLine and Document can go with it.
+// LSN of a header, the conversion, and a task's JSONLine and Document can be removed with it.
 type storageFormat uint8
 
 const (
@@ -20,13 +20,13 @@
 	inLog                            // in the log alone
 )
 
-// storage is what of a job is where in the store.
+// storage holds the documents of a job and the place of its tasks in the store.
 type storage struct {
 	format          storageFormat
 	header          *commit.Document
 	segments        []*commit.Document // of the tasks of larger jobs; nil if they are not in segments
 	tasksPerSegment int
-	archived        bool // the job is archived, and its header and segments are deleted, as far as memory goes
+	archived        bool // the job was archived in memory: its header and segments render as nil
 }
 
 // The keys of jobs.
@@ -89,7 +89,8 @@
 	}
 }
 
-// renderSegment returns the value of a segment, nil once it means nothing any more.
+// renderSegment returns the value of a segment, nil once the job is archived or only the log has its
+// tasks.
 func (tb *Table) renderSegment(j *Job, tasks []Task) json.RawMessage {
 	if j.storage.archived || j.storage.format == inLog {
 		return nil
@@ -97,8 +98,8 @@
 	return api.JSON(taskSegment{LSN: tb.commits.LSN(), Tasks: toRecords(tasks)})
 }
 
-// trimmedSpec returns the specification, of a job that is cancelled without the fields that
-// matter only for placing it.
+// trimmedSpec returns the specification to store. That of a job that is over lacks the fields that
+// only its placement needs.
 func (j *Job) trimmedSpec() *api.Spec {
 	if j.Phase == Open {
 		return j.Spec
@@ -108,7 +109,7 @@
 	return &s
 }
 
-// markPhaseDurable notes that the job's phase is durable.
+// markPhaseDurable records that the job's phase is durable.
 func (j *Job) markPhaseDurable() {
 	j.DurablePhase = j.Phase
 	callAll(&j.callbacks.phaseDurable)
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -1,9 +1,9 @@
 // Package jobs keeps the state of jobs and their tasks: what users have submitted, what of it is
 // durable in the store, and all changes of the states of tasks.
 //
-// A change is made in memory first and written by the committer; what others may rely on is told
-// only once it is durable. A task is launched only when its placement is durable, so that a
-// new leader knows every task that may be on a machine.
+// A change is made in memory first and written by the committer. Users and workers learn of it only
+// once it is durable: a task is launched only when its placement is durable, so that a new leader
+// knows every task that may be on a machine.
 package jobs
 
 import (
@@ -15,13 +15,14 @@
 	"opaldale/internal/ident"
 )
 
-// Table holds all jobs that are not archived. It lives for one term.
+// Table holds all jobs that are not archived, for one term. It is not safe for concurrent use: all
+// calls come from the node's event loop.
 type Table struct {
 	Jobs map[ident.JobID]*Job
 	Seq  uint64 // of the newest job
 
-	// Indexes of the jobs whose submission is durable, for the planner, which must not walk over
-	// all jobs: those with waiting tasks, and the open jobs of each team.
+	// Indexes of the jobs whose submission is durable: those with waiting tasks, and the open jobs
+	// of each team. They spare the planner an iteration over all jobs.
 	Waiting map[*Job]struct{}
 	Teams   map[string]*Team
 
@@ -38,8 +39,8 @@
 
 	// OnWaiting is called when a task begins to wait for a machine.
 	OnWaiting func(*Task)
-	// OnStateChange is called before each change of a task's state, for what machines and teams
-	// keep of their tasks.
+	// OnStateChange is called before each change of a task's state. It updates the task's machine
+	// and team.
 	OnStateChange func(t *Task, from, to State)
 	// OnArchived is called when a job is durably archived.
 	OnArchived func(ident.JobID)
@@ -48,7 +49,7 @@
 // Team is the open jobs of a team.
 type Team struct {
 	OpenJobs         []*Job // in the order of submission
-	ChangedSincePlan bool   // OpenJobs has changed since the planner has reset this
+	ChangedSincePlan bool   // OpenJobs has changed since the planner last reset this
 }
 
 // maxArchived bounds the number of archived jobs that are kept in memory.
@@ -147,10 +148,11 @@
 	}
 }
 
-// LookupArchived returns a job that is known to be archived.
+// LookupArchived returns the record of an archived job, and whether it is in memory. Only the newest
+// maxArchived jobs are.
 func (tb *Table) LookupArchived(id ident.JobID) (ArchivedJob, bool) { return tb.archive.Get(id) }
 
-// RememberArchived notes the record of an archived job.
+// RememberArchived keeps the record of an archived job for LookupArchived.
 func (tb *Table) RememberArchived(id ident.JobID, archived ArchivedJob) { tb.archive.Put(id, archived) }
 
 // Sorted returns the jobs in the order of submission.
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -14,13 +14,13 @@
 	Job   *Job
 	Index int // in Job.Tasks
 
-	// What is durable of a task. Its machine and incarnation count while it is allocated.
+	// The stored state of a task. Its machine and incarnation are stored while it is allocated.
 	State       State
 	Attempt     ident.Attempt     // of its newest placement, 0 if it was never placed
 	MachineID   ident.MachineID   // of its newest placement
 	Incarnation ident.Incarnation // of the machine's worker when the task was placed
 
-	// What this term knows besides.
+	// The state that is kept for this term only.
 	ReportedStatus    api.TaskStatus // newest one of the present attempt, "" if there is none
 	StateSince        ident.MonotonicTime
 	RunningSince      ident.MonotonicTime // when it was first reported running
@@ -52,8 +52,7 @@
 	return t.Job.CheckpointTime()
 }
 
-// setReportedStatus notes the newest reported status, and counts the task among the running ones
-// of its job.
+// setReportedStatus sets the newest reported status, and updates the job's number of running tasks.
 func (t *Task) setReportedStatus(status api.TaskStatus, now ident.MonotonicTime) {
 	wasRunning := isRunning(t.ReportedStatus)
 	t.ReportedStatus = status
--- a/internal/jobs/transitions.go
+++ b/internal/jobs/transitions.go
@@ -30,21 +30,21 @@
 	}
 }
 
-// UpdateStatus notes what a worker reports about a task that is allocated on its machine.
+// UpdateStatus sets the status that a worker reports for a task. It has no effect on a task that is
+// not allocated.
 func (tb *Table) UpdateStatus(t *Task, status api.TaskStatus) {
 	if t.State.Allocated() && t.ReportedStatus != status {
 		t.setReportedStatus(status, tb.now())
 	}
 }
 
-// Place places a waiting task on a machine, in a new attempt. The function is called once that is
-// durable, unless the task is placed otherwise by then. Only then it may be launched.
+// Place places a waiting task on a machine, in a new attempt. onDurable is called once the placement
+// is durable, unless it has been superseded by then. The task must not be launched earlier.
 func (tb *Table) Place(t *Task, machineID ident.MachineID, incarnation ident.Incarnation, onDurable func()) {
 	tb.PlaceAttempt(t, machineID, incarnation, t.Attempt+1, onDurable)
 }
 
-// PlaceAttempt does the same as Place in a given attempt, which must not be lower than the
-// task's last one.
+// PlaceAttempt is Place in a given attempt, which must not be lower than the task's last one.
 func (tb *Table) PlaceAttempt(
 	t *Task, machineID ident.MachineID, incarnation ident.Incarnation, attempt ident.Attempt, onDurable func(),
 ) {
@@ -69,14 +69,15 @@
 // its job, would take the whole write rate of the store while a large fleet starts.
 func (tb *Table) persistTask(t *Task, onDurable func()) { tb.commits.Append(t, onDurable) }
 
-// MarkStopping notes that a task is being stopped with a grace period.
+// MarkStopping records that a task is being stopped with a grace period.
 func (tb *Table) MarkStopping(t *Task, gracePeriod time.Duration) {
 	t.GracePeriod = gracePeriod
 	tb.setState(t, Stopping)
 }
 
-// MarkGone notes that an allocated task is proven not to be on its machine: it waits to be placed
-// again. The function, which may be nil, is called once that is durable.
+// MarkGone records that an allocated task is proven not to be on its machine: it waits to be placed
+// again. onDurable, unless nil, is called once that is durable; if the task is not allocated, it is
+// not called.
 func (tb *Table) MarkGone(t *Task, onDurable func()) {
 	if !t.State.Allocated() {
 		return
@@ -86,8 +87,7 @@
 	tb.archiveIfDone(t.Job)
 }
 
-// Complete notes that a task has completed. The function, which may be nil, is called once that
-// is durable.
+// Complete records that a task has completed. onDurable, unless nil, is called once that is durable.
 func (tb *Table) Complete(t *Task, onDurable func()) {
 	j := t.Job
 	t.ConsecutiveErrors = 0
@@ -130,7 +130,7 @@
 	}
 }
 
-// Cancel ends an open job at its user's request. The function is called once that is durable.
+// Cancel ends an open job at its user's request. onDurable is called once that is durable.
 func (tb *Table) Cancel(j *Job, onDurable func()) {
 	if j.Phase == Open {
 		tb.closeJob(j, Cancelled)
@@ -161,13 +161,13 @@
 	j.storage.header.ExtraMutations = func() []kvstore.Mutation {
 		return []kvstore.Mutation{{Put: ArchiveKey(j.Spec.ID), Value: api.JSON(record)}}
 	}
-	// A submission that is not durable yet is told only with the job's end.
+	// A submission that is not durable yet is acknowledged only together with the job's end.
 	submitted := j.callbacks.submitted
 	j.callbacks.submitted = nil
 	tb.commits.MarkDirty(j.storage.header, func() { tb.finishArchiving(j, record, submitted) })
 }
 
-// finishArchiving drops a job that is durably archived, and calls those who wait for that.
+// finishArchiving drops a job that is durably archived, and calls the callbacks that wait for that.
 func (tb *Table) finishArchiving(j *Job, record ArchivedJob, submitted []func()) {
 	tb.RememberArchived(j.Spec.ID, record)
 	delete(tb.Jobs, j.Spec.ID)
@@ -179,7 +179,7 @@
 	for i := range j.Tasks {
 		tb.commits.Release(&j.Tasks[i].logPin)
 	}
-	// Segments without a header mean nothing; a new leader deletes those that are left.
+	// Segments without a header have no effect; a new leader deletes those that are left.
 	for _, doc := range j.storage.segments {
 		tb.commits.MarkDirty(doc, nil)
 	}
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -2,13 +2,12 @@
 
 import (
 	"encoding/json"
-	"errors"
 
 	"opaldale/internal/api"
 	"opaldale/internal/ident"
 )
 
-// View returns what a user is told about the job: its end only once that is durable.
+// View returns the user's view of the job, which shows the job's end only once that is durable.
 func (j *Job) View() api.JobView {
 	v := api.JobView{ID: j.Spec.ID, Status: api.StatusQueued, Done: j.CompletedTasks, Running: j.RunningTasks}
 	switch {
@@ -28,8 +27,8 @@
 }
 
 // WhenViewSettled calls a function once the view is settled: at once, except while the submission
-// or the end of the job is being written. Another node may then read what is not yet known to
-// be durable here, and a user must never be told an earlier state after a later one.
+// or the end of the job is being written. Another node may read that from the store before it is
+// known to be durable here, and no user may see an earlier state after a later one.
 func (j *Job) WhenViewSettled(f func()) {
 	switch {
 	case !j.SubmissionDurable:
@@ -48,7 +47,7 @@
 	CompletedTasks int   `json:"done"`
 }
 
-// View returns what a user is told about a job that is over.
+// View returns the user's view of a job that is over.
 func (a ArchivedJob) View(id ident.JobID) api.JobView {
 	return api.JobView{ID: id, Status: a.Phase.Status(), Done: a.CompletedTasks}
 }
@@ -70,7 +69,7 @@
 		return api.JobView{}, err
 	}
 	if header.Spec == nil {
-		return api.JobView{}, errors.New("not a job")
+		return api.JobView{}, errNotJob
 	}
 	view := api.JobView{ID: header.Spec.ID, Status: api.StatusQueued}
 	for _, t := range header.Tasks {
