--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -10,9 +10,10 @@
 // MaxBodyBytes is the largest request body that is read.
 const MaxBodyBytes = 64 << 10
 
-// FieldError names the field that makes a message malformed.
+// FieldError is the error of a malformed message.
 type FieldError struct {
-	Field, Problem string
+	Field   string // its name in JSON, or "body" for the whole message
+	Problem string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Problem) }
@@ -22,8 +23,8 @@
 	Error string `json:"error"`
 }
 
-// JSON encodes a message or a stored value, none of which can fail to encode. It panics on a value
-// that can.
+// JSON encodes a message or a stored value. It panics if the value cannot be encoded, which no message
+// and no stored value is.
 func JSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/ident"
 )
 
-// Verb says what a command does with an attempt of a task.
+// Verb is the effect of a command on an attempt of a task.
 type Verb string
 
 // The verbs that workers know.
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -18,7 +18,7 @@
 	Ended     TaskStatus = "ended"
 )
 
-// Cause says why a task has ended.
+// Cause is the reason for which a task has ended.
 type Cause string
 
 // The causes that workers report.
@@ -33,7 +33,7 @@
 	CauseGangIncomplete Cause = "incomplete" // of a gang: the other tasks did not start in time
 )
 
-// TaskReport is what a heartbeat says of one task. An ended task is reported until it is cleared.
+// TaskReport is the state of one task in a heartbeat. An ended task is reported until it is cleared.
 type TaskReport struct {
 	TaskID           ident.TaskID  `json:"piece"`
 	Attempt          ident.Attempt `json:"try"`
@@ -62,7 +62,8 @@
 	Commands     []Command          `json:"orders"`
 }
 
-// ParseHeartbeat parses and checks a heartbeat.
+// ParseHeartbeat parses and checks a heartbeat. Its errors are those of encoding/json, for IDs those
+// that wrap ident.ErrMalformed, or of type *FieldError.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
@@ -79,7 +80,7 @@
 		return nil, &FieldError{"model", "model or site missing"}
 	}
 	for _, task := range heartbeat.Tasks {
-		// A status that is not known is accepted: the task counts as one that takes its room.
+		// An unknown status is accepted: the task counts as one that takes its room.
 		if task.Status == "" {
 			return nil, &FieldError{"pieces", "status missing"}
 		}
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/ident"
 )
 
-// Shape says how the tasks of a job relate to each other.
+// Shape is the relation of the tasks of a job to each other.
 type Shape string
 
 // The shapes of a job.
@@ -183,7 +183,7 @@
 	StatusCancelled Status = "cancelled" // its user has cancelled it
 )
 
-// JobView is the response to a question about a job.
+// JobView is the response to a query for a job.
 type JobView struct {
 	ID      ident.JobID `json:"id"`
 	Status  Status      `json:"status"`
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -62,12 +62,11 @@
 	Count      int               `json:"number"`
 	MachineIDs []ident.MachineID `json:"-"` // of Terminate
 	StartAfter ident.MachineID   `json:"-"` // of List: the page begins after this machine
-	// NotAfter is the time, by this node's clock, from which the request must not be
-	// sent any more; 0: none.
+	// NotAfter is the deadline for sending the request, by this node's clock; 0: none.
 	NotAfter ident.MonotonicTime `json:"-"`
 }
 
-// Outcome is what is known after a call.
+// Outcome is the result of a call, as far as the caller can know it.
 type Outcome uint8
 
 // The outcomes of a call. Only a request without an answer may be carried out later, or have been.
@@ -77,7 +76,7 @@
 	NoCapacity                 // the provider has no machine of that type and zone
 	Unavailable                // rate limit or outage of the API
 	Invalid                    // malformed request
-	NotSent                    // its time was over before it was sent
+	NotSent                    // its NotAfter had passed before it was sent
 )
 
 // Response is the response to a Request.
--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -57,8 +57,8 @@
 	d.size += mutationsBytes(mutations, valueBytes)
 }
 
-// fits reports whether compares and mutations can be added within the limits. An empty draft
-// takes whatever comes first: it can't be made smaller.
+// fits reports whether compares and mutations can be added within the limits. An empty draft takes
+// any: a transaction of one document can't be made smaller.
 func (d *txnDraft) fits(l *limiter, compares []kvstore.Compare, mutations []kvstore.Mutation, valueBytes int) bool {
 	if len(d.mutations) == 0 {
 		return true
@@ -74,8 +74,8 @@
 	return valueBytes + mutationOverheadBytes*len(mutations)
 }
 
-// buildTxn makes a transaction of what is queued: records of the log first, then urgent documents
-// and, if there is capacity to spare, others. It returns nil if nothing is left to write.
+// buildTxn makes a transaction of queued content: records of the log first, then urgent documents
+// and, if there is capacity to spare, others. It returns nil if nothing is queued.
 func (c *Committer) buildTxn() *txn {
 	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []kvstore.Compare{c.leaderCompare}}
 	c.addLogRecords(draft)
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -21,7 +21,8 @@
 	"opaldale/internal/kvstore"
 )
 
-// Port is the environment of a committer.
+// Port is the environment of a committer. Its callbacks run in the event loop that calls the
+// committer.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
@@ -38,8 +39,8 @@
 	mutationOverheadBytes = 200      // bytes of a mutation beside its value
 )
 
-// The reasons for which a committer ends its term. Each means that the content in memory may
-// differ from the stored one.
+// The errors for which a committer ends its term. Each means that the content in memory may differ
+// from the stored one.
 var (
 	// ErrAnotherLeader means that the leader key has changed.
 	ErrAnotherLeader = errors.New("another leader")
@@ -68,11 +69,13 @@
 	Rejected uint64 // transactions that the store found malformed or too large
 }
 
-// Committer is the only writer of the leader's keys. It serves one term.
+// Committer is the only writer of the leader's keys, for one term. It is not safe for concurrent use:
+// all calls come from the node's event loop.
 type Committer struct {
 	Counters
 
-	// OnUnavailable is called whenever the store does not take a transaction. It may be nil.
+	// OnUnavailable is called whenever the store is unavailable for a transaction or does not answer.
+	// It may be nil.
 	OnUnavailable func()
 
 	port          Port
@@ -80,7 +83,7 @@
 	onTermLost    func(error)
 
 	lifecycle      lifecycle
-	unavailable    bool // the store refused the last transaction, or did not answer
+	unavailable    bool // the store was unavailable or did not answer at the last transaction
 	limiter        limiter
 	log            changeLog
 	urgentQueue    []*Document
@@ -104,8 +107,8 @@
 // ExpectLimits sets the limits that the store may introduce without notice.
 func (c *Committer) ExpectLimits(l Limits) { c.limiter.expected = c.limiter.limits.Min(l) }
 
-// UseTextFormat has the log written in the text format from now on, and all content within the
-// expected limits.
+// UseTextFormat switches the log to the text format, and puts the expected limits into force for all
+// content.
 func (c *Committer) UseTextFormat() {
 	c.log.format = textFormat{}
 	c.limiter.tighten()
@@ -123,7 +126,7 @@
 // Drained reports whether no transaction is open.
 func (c *Committer) Drained() bool { return c.openTxns == 0 }
 
-// Stop ends the committer. It calls nothing of its owner any more.
+// Stop ends the committer. No callback is called after that.
 func (c *Committer) Stop() { c.advance(stopped) }
 
 // advance changes the state of the committer, unless it is in a later one.
@@ -136,7 +139,7 @@
 	c.onTermLost(err)
 }
 
-// StoreUnavailable reports whether the store did not take the last transaction.
+// StoreUnavailable reports whether the store was unavailable or did not answer at the last transaction.
 func (c *Committer) StoreUnavailable() bool { return c.unavailable }
 
 func (c *Committer) setUnavailable(unavailable bool) {
@@ -146,7 +149,7 @@
 	c.unavailable = unavailable
 }
 
-// Backlog is the number of urgent documents that wait for a transaction.
+// Backlog returns the number of urgent documents that wait for a transaction.
 func (c *Committer) Backlog() int { return len(c.urgentQueue) }
 
 // Flush sends what is queued, as far as the limits allow.
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -124,7 +124,7 @@
 	return taken
 }
 
-// settle notes that a record is durable, and returns the callbacks of its entries.
+// settle marks a record as durable, and returns the callbacks of its entries.
 func (l *changeLog) settle(record openRecord, revision ident.Revision) (callbacks []func()) {
 	record.slot.revision, record.slot.uncertain = revision, false
 	delete(l.inFlightLSNs, record.slot.lsn)
@@ -150,7 +150,7 @@
 	}
 }
 
-// durableLSN is the newest LSN up to which all records are durable.
+// durableLSN returns the newest LSN up to which all records are durable.
 func (l *changeLog) durableLSN() uint64 {
 	lsn := l.lastLSN
 	for n := range l.inFlightLSNs {
@@ -166,34 +166,34 @@
 	l.slots.reserveKey(key)
 }
 
-// LSN is the newest LSN up to which all records of the log are durable. Documents store it beside
+// LSN returns the newest LSN up to which all records of the log are durable. Documents store it beside
 // their content, which includes the changes of all these records. The LSN of a record in an open
 // transaction must not be stored: if that record is lost, the next term assigns its LSN again, and
 // the document would hide the changes of that later record.
 func (c *Committer) LSN() uint64 { return c.log.durableLSN() }
 
-// ObserveLSN notes that a document of an earlier term includes the record with an LSN: no later
-// record may have the same LSN or a lower one.
+// ObserveLSN keeps an LSN, and all lower ones, from being assigned to a record: a document of an
+// earlier term includes the record with that LSN.
 func (c *Committer) ObserveLSN(lsn uint64) { c.log.lastLSN = max(c.log.lastLSN, lsn) }
 
 // Append queues an entry's present content for the log. onDurable, unless nil, is called once that
 // content, or a later one, is durable.
 func (c *Committer) Append(e Entry, onDurable func()) { c.log.append(e, onDurable) }
 
-// Release notes that an entry's line is not needed any more: its document is gone for good.
+// Release drops the need for an entry's line: its document is deleted for good.
 func (c *Committer) Release(p *Pin) {
 	p.released = true
 	c.log.slots.unpin(p)
 }
 
-// RestoreJSON takes over a record in the JSON format of an earlier term, with those of its
-// documents that were not put since.
+// RestoreJSON restores a record in the JSON format from an earlier term, with those of its documents
+// that were not put since.
 func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
 	c.log.observeRecord(key, lsn)
 	c.log.slots.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
 }
 
-// RestoreText takes over a record in the text format of an earlier term, with its entries.
+// RestoreText restores a record in the text format from an earlier term, with its entries.
 // Records must be restored in the order of their LSNs.
 func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
 	c.log.observeRecord(key, lsn)
--- a/internal/commit/slot.go
+++ b/internal/commit/slot.go
@@ -17,7 +17,7 @@
 	references int         // documents, or entries, that need the record
 	documents  []*Document // that need it, in the JSON format
 	entries    []Entry     // that needed it when it was written, in the text format
-	rewriting  bool        // its entries are being written again
+	rewriting  bool        // its entries are queued again, to be written to newer records
 	uncertain  bool        // a transaction that was given up may yet change the key
 }
 
@@ -33,9 +33,9 @@
 // slotTable is the set of slots of the log.
 type slotTable struct {
 	count         int        // keys ever used
-	free          []*logSlot // whose record is needed by nothing
+	free          []*logSlot // with a record that nothing needs, or with none
 	used          []*logSlot // with a durable record, oldest first; some are free again
-	live          int        // of the used ones, those that are not
+	live          int        // number of used slots with references
 	pinnedEntries int        // entries that need a record
 }
 
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -10,6 +10,7 @@
 	"opaldale/internal/kvstore"
 )
 
+// send counts a transaction and sends its first copy.
 func (c *Committer) send(t *txn) {
 	c.openTxns++
 	c.Txns++
@@ -75,8 +76,7 @@
 	c.Flush()
 }
 
-// settleDocuments notes that the documents of a transaction are durable, and returns their
-// callbacks.
+// settleDocuments marks the documents of a transaction as durable, and returns their callbacks.
 func (c *Committer) settleDocuments(t *txn, revision ident.Revision) (callbacks []func()) {
 	putKeys := make(map[string]bool, len(t.request.Mutations))
 	for _, mutation := range t.request.Mutations {
@@ -94,7 +94,8 @@
 		d.MustNotExist, d.uncertain, d.rejections = nil, false, 0
 		callbacks = append(callbacks, d.inFlightCallbacks...)
 		d.inFlightCallbacks = nil
-		if d.transition(committed); d.state == dirty {
+		d.transition(committed)
+		if d.state == dirty {
 			c.enqueue(d)
 		}
 	}
--- a/internal/gang/attempt.go
+++ b/internal/gang/attempt.go
@@ -20,11 +20,18 @@
 	Stopping                   // all tasks that are left are being stopped without a grace period
 )
 
-// String returns the state's name.
-func (s State) String() string {
-	return [...]string{"placed", "gathering", "running", "saving", "ending"}[s]
+// stateNames are the names in the log; some differ from the constants' names.
+var stateNames = [...]string{
+	Placed:        "placed",
+	Gathering:     "gathering",
+	Running:       "running",
+	Checkpointing: "saving",
+	Stopping:      "ending",
 }
 
+// String returns the state's name.
+func (s State) String() string { return stateNames[s] }
+
 // attempt is one attempt to run a gang.
 type attempt struct {
 	job          *jobs.Job
@@ -32,12 +39,12 @@
 	state        State
 	stateSince   ident.MonotonicTime
 	placedAt     ident.MonotonicTime // when its first machines were chosen
-	missingSince ident.MonotonicTime // since when a task is missing; 0: none is
-	// placedThisTerm reports that the attempt began in this term: all machines on which any of its
-	// tasks was placed are known.
+	missingSince ident.MonotonicTime // when the first of the missing tasks was lost; 0: none is missing
+	// placedThisTerm is set if the attempt began in this term, so that usedMachines has all machines
+	// on which any of its tasks was placed.
 	placedThisTerm bool
 	usedMachines   map[ident.MachineID]bool
-	launchedOn     map[int]ident.MachineID // by the index of the task
+	launchedOn     map[int]ident.MachineID // machine on which each task was launched last, by its index
 }
 
 func newAttempt(j *jobs.Job, number ident.Attempt, state State, now ident.MonotonicTime) *attempt {
@@ -64,7 +71,7 @@
 	a.state, a.stateSince = next, now
 }
 
-// hasUnlaunched reports whether a task was not launched on its present machine.
+// hasUnlaunched reports whether any task was not launched on its present machine.
 func (a *attempt) hasUnlaunched() bool {
 	for i := range a.job.Tasks {
 		if a.launchedOn[i] != a.job.Tasks[i].MachineID {
@@ -74,7 +81,7 @@
 	return false
 }
 
-// taskCounts holds numbers of a gang's tasks.
+// taskCounts holds the numbers of a gang's tasks by state.
 type taskCounts struct {
 	missing  int // not allocated
 	placing  int
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,6 +1,6 @@
 // Package gang controls the attempts of gangs: jobs whose tasks run at the same time or not at
 // all. The tasks of an attempt find each other by its number. An attempt is launched once the
-// placements of all tasks are durable, and is over as soon as a task is lost after its start.
+// placements of all tasks are durable, and ends as soon as a task is lost after its start.
 package gang
 
 import (
@@ -29,17 +29,18 @@
 }
 
 const (
-	// replacementWindow is how long the tasks of an attempt keep their room while one that was lost
-	// before the start may be replaced.
+	// replacementWindow is the time for which the tasks of an attempt keep their room while one that
+	// was lost before the start may be replaced.
 	replacementWindow = 3 * time.Second
-	// replacementPart is the part of the gather timeout within which a lost task may be replaced: the
-	// replacement needs the rest to start.
-	replacementPart = 2
-	// stopOverrun is how long a graceful stop may take beyond its grace period.
+	// replacementDivisor gives the part of the gather timeout within which a lost task may be
+	// replaced: the replacement needs the rest to start.
+	replacementDivisor = 2
+	// stopOverrun is the time that a graceful stop may take beyond its grace period.
 	stopOverrun = 2 * time.Second
 )
 
-// Table holds the attempts of all gangs. It lives for one term.
+// Table holds the attempts of all gangs, for one term. It is not safe for concurrent use: all calls
+// come from the node's event loop.
 type Table struct {
 	cfg       Config
 	now       func() ident.MonotonicTime
@@ -47,7 +48,7 @@
 	jobs      *jobs.Table
 	workers   *workers.Table
 	attempts  map[*jobs.Job]*attempt
-	changed   []*jobs.Job // to be processed
+	changed   []*jobs.Job // whose attempts ProcessChanges advances
 
 	Started  uint64 // attempts of which all tasks ran
 	Lost     uint64 // attempts that were aborted
@@ -55,22 +56,30 @@
 	Stopped  uint64 // attempts that were stopped gracefully
 }
 
-// NewTable makes the table of a term.
+// NewTable makes the table of a term. now is the monotonic clock; mayLaunch reports whether launches may
+// be sent at present.
 func NewTable(
 	jobTable *jobs.Table, workerTable *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config,
 ) *Table {
-	return &Table{cfg: cfg, now: now, mayLaunch: mayLaunch, jobs: jobTable, workers: workerTable, attempts: map[*jobs.Job]*attempt{}}
+	return &Table{
+		cfg:       cfg,
+		now:       now,
+		mayLaunch: mayLaunch,
+		jobs:      jobTable,
+		workers:   workerTable,
+		attempts:  map[*jobs.Job]*attempt{},
+	}
 }
 
-// MarkChanged notes that a task of a job has changed. A gang's attempt follows with ProcessChanges,
-// once all changes of the event are made.
+// MarkChanged marks a job of which a task has changed, for ProcessChanges.
 func (tb *Table) MarkChanged(j *jobs.Job) {
 	if j.IsGang() && !slices.Contains(tb.changed, j) {
 		tb.changed = append(tb.changed, j)
 	}
 }
 
-// ProcessChanges advances the attempts of the gangs that have changed.
+// ProcessChanges advances the attempts of the gangs that have changed. It is called at the end of an
+// event, once all of its changes are made.
 func (tb *Table) ProcessChanges() {
 	for len(tb.changed) > 0 {
 		changed := tb.changed
@@ -81,14 +90,14 @@
 	}
 }
 
-// Tick advances all attempts, for what depends on time alone.
+// Tick advances all attempts, since some transitions depend on the time alone.
 func (tb *Table) Tick() {
 	tb.changed = slices.SortedFunc(maps.Keys(tb.attempts), func(a, b *jobs.Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	tb.ProcessChanges()
 }
 
-// Adopt takes over a gang of an earlier term. An attempt of which all tasks are allocated goes on. One
-// that is incomplete is aborted: it is not known whether it was launched.
+// Adopt restores the attempt of a gang that an earlier term has placed. It continues if the placements
+// of all tasks are known. An incomplete one is aborted: it may have been launched.
 func (tb *Table) Adopt(j *jobs.Job) {
 	if !j.IsGang() || j.AllocatedTasks == 0 || j.Phase != jobs.Open {
 		return
@@ -96,7 +105,8 @@
 	a := newAttempt(j, j.HighestAttempt(), Gathering, tb.now())
 	tb.attempts[j] = a
 	for i := range j.Tasks {
-		a.launchedOn[i] = j.Tasks[i].MachineID // if it was not, the response to a heartbeat launches it
+		// Assumed. A task that was not launched counts as lost once a heartbeat shows that.
+		a.launchedOn[i] = j.Tasks[i].MachineID
 	}
 	if !j.ReadyToLaunch() {
 		tb.abort(a, reasonPartial)
@@ -129,7 +139,7 @@
 	return a != nil && a.usedMachines[machineID]
 }
 
-// advance moves a gang's attempt on to what its tasks' states require.
+// advance moves a gang's attempt to the state that follows from those of its tasks.
 func (tb *Table) advance(j *jobs.Job) {
 	a := tb.attempts[j]
 	if a == nil {
@@ -158,7 +168,7 @@
 	}
 }
 
-// advanceToStart moves an attempt on that has not started.
+// advanceToStart is advance for an attempt that has not started.
 func (tb *Table) advanceToStart(a *attempt, counts taskCounts) {
 	switch {
 	case counts.stopping > 0:
@@ -183,7 +193,8 @@
 	if a.missingSince == 0 {
 		a.missingSince = now
 	}
-	tooLate := now.Sub(a.placedAt) > tb.cfg.GatherTimeout/replacementPart || now.Sub(a.missingSince) > replacementWindow
+	tooLate := now.Sub(a.placedAt) > tb.cfg.GatherTimeout/replacementDivisor ||
+		now.Sub(a.missingSince) > replacementWindow
 	switch {
 	case !a.placedThisTerm:
 		tb.abort(a, reasonMachinesUnknown)
@@ -206,13 +217,13 @@
 		a.launchedOn[i] = t.MachineID
 		w := tb.workers.Workers[t.MachineID]
 		if w == nil || w.State == workers.Terminating || w.State == workers.Terminated || !tb.mayLaunch() {
-			continue // the response to the machine's next heartbeat launches it, if there is one
+			continue // launched by the response to the machine's next heartbeat, if there is one
 		}
 		tb.workers.Launch(w, t)
 	}
 }
 
-// abort ends an attempt without a grace period: what is left of it makes no progress.
+// abort ends an attempt without a grace period: its remaining tasks make no progress alone.
 func (tb *Table) abort(a *attempt, reason Reason) {
 	if a.state != Stopping {
 		tb.Lost++
@@ -225,16 +236,17 @@
 }
 
 // checkpointGracePeriod returns the grace period for a whole gang to save a checkpoint: the time that
-// each task takes, and that for which tasks then wait for each other.
+// each task takes, and the time for which tasks then wait for each other.
 func (tb *Table) checkpointGracePeriod(j *jobs.Job) time.Duration {
 	return j.CheckpointTime() + tb.cfg.PeerLossTimeout
 }
 
-// maxContactAge is how old the newest heartbeat may be of a machine that can be told to stop.
+// maxContactAge returns the greatest age of the newest heartbeat of a machine that counts as reachable:
+// one and a half intervals.
 func (tb *Table) maxContactAge() time.Duration { return tb.cfg.HeartbeatInterval * 3 / 2 }
 
-// CanStop reports whether a gang can be stopped now such that only the progress since the last
-// checkpoint is lost at most: all its machines must be reachable, so that all tasks stop in time.
+// CanStop reports whether a gang can be stopped now such that it loses no more than the progress since
+// its last checkpoint: all its machines must be reachable, so that all tasks stop in time.
 func (tb *Table) CanStop(j *jobs.Job) bool {
 	a := tb.attempts[j]
 	if a == nil || a.state != Running && a.state != Gathering || !j.ReadyToLaunch() {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -13,7 +13,7 @@
 const (
 	// listPageSize is the number of keys asked for in a page of a list.
 	listPageSize = 1000
-	// maxResponseBytes bounds what is read of a response. A page of a list has at most
+	// maxResponseBytes is the largest response body that is read. A page of a list has at most
 	// 512 KiB, the events of a watch may have more.
 	maxResponseBytes = 8 << 20
 )
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -43,7 +43,7 @@
 	Op         Op
 	Key        string         // Get
 	Prefix     string         // List, Watch
-	StartAfter string         // List: last key of the page before; "" for the first page
+	StartAfter string         // List: last key of the previous page; "" for the first page
 	Revision   ident.Revision // Watch: changes after it are returned
 	Compares   []Compare      // Txn
 	Mutations  []Mutation     // Txn
@@ -53,7 +53,7 @@
 	Timeout    time.Duration  // of the call; for Watch, longer than Block
 }
 
-// Outcome is what is known about a request after a call.
+// Outcome is the result of a call, as far as the caller can know it.
 type Outcome uint8
 
 // The outcomes. Only after NoAnswer may the request have been applied, or be applied later, without
@@ -81,6 +81,7 @@
 	Invalid:     "bad",
 }
 
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	if int(o) >= len(outcomeNames) {
 		return "unknown"
