--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file answers polls from the store, and limits the reads that they cause.
+
 import (
 	"encoding/json"
 	"errors"
@@ -11,19 +13,19 @@
 )
 
 const (
-	// pollReads is the most reads that a poll takes that is answered from the store, and archiveReads that of a
-	// poll for a job that is known not to be live.
+	// pollReads is the largest number of reads that answer a poll from the store; archiveReads is the number for a
+	// job that is known not to be live.
 	pollReads    = 2
 	archiveReads = 1
 )
 
-// tokenBucket bounds the store requests that polls cause. It holds the tokens of one second at most.
+// tokenBucket limits the rate of store reads for polls. Its burst is the rate of one second.
 type tokenBucket struct {
 	tokens, perSecond float64
 	refilledAt        ident.MonotonicTime
 }
 
-// allow takes n tokens if there are as many.
+// allow takes n tokens, and reports whether there were as many.
 func (b *tokenBucket) allow(now ident.MonotonicTime, n float64) bool {
 	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -47,17 +49,17 @@
 	c.env.Store(read, func(r kvstore.Response) {
 		switch r.Outcome {
 		case kvstore.OK:
-			c.replyLive(id, r.Value, replyInTime)
+			c.replyWithLiveJob(id, r.Value, replyInTime)
 		case kvstore.NotFound:
-			c.pollFinished(id, replyInTime)
+			c.pollFromArchive(id, replyInTime)
 		default:
 			c.refuse(replyInTime, storeUnavailable)
 		}
 	})
 }
 
-// replyLive answers a poll with the record of a live job.
-func (c *Controller) replyLive(id ident.JobID, record json.RawMessage, reply func(Response)) {
+// replyWithLiveJob answers a poll with the record of a live job.
+func (c *Controller) replyWithLiveJob(id ident.JobID, record json.RawMessage, reply func(Response)) {
 	view, err := jobs.ParseLiveView(record)
 	if err != nil {
 		slog.Error("unreadable job record in store", "job", string(id), "err", err)
@@ -68,9 +70,9 @@
 	reply(viewResponse(view))
 }
 
-// pollFinished answers a poll for a job that is not live.
-func (c *Controller) pollFinished(id ident.JobID, reply func(Response)) {
-	c.lookUpFinished(id, func(job jobs.ArchivedJob, found bool, err error) {
+// pollFromArchive answers a poll for a job that is not live.
+func (c *Controller) pollFromArchive(id ident.JobID, reply func(Response)) {
+	c.lookUpArchived(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
 		case err != nil:
 			reply(unavailable(storeUnavailable))
@@ -83,11 +85,12 @@
 	})
 }
 
-// errStoreUnavailable says that the store gave no clear answer.
+// errStoreUnavailable is returned for a read that the store did not answer.
 var errStoreUnavailable = errors.New(string(storeUnavailable))
 
-// lookUpFinished looks a job up in the archive of those that are over.
-func (c *Controller) lookUpFinished(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
+// lookUpArchived reads a job from the archive. If found is false and err nil, the job is not in the archive; err is
+// errStoreUnavailable if the store gave no answer.
+func (c *Controller) lookUpArchived(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
 	read := kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
 		var job jobs.ArchivedJob
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file hands leadership over to a peer with better links.
+
 import (
 	"log/slog"
 
@@ -12,14 +14,14 @@
 	"opaldale/internal/workers"
 )
 
-// evaluateHandover has the leader compare itself with its peers, and takes a handover further.
+// evaluateHandover compares the leader's links with those of its peers, and begins or continues a handover.
 func (l *leaderTerm) evaluateHandover(now ident.MonotonicTime) {
 	if l.handover == nil || !l.controller.election.LeaseValid() {
 		return
 	}
 	tracker := l.controller.links
 	assessment := tracker.Assess(l.machinesByZone, l.controller.peerIDs(), now)
-	step := l.handover.Handle(handover.Event{
+	step := l.handover.Advance(handover.Conditions{
 		Now:           now,
 		Successor:     assessment.Successor(),
 		Isolated:      assessment.Isolated,
@@ -32,11 +34,11 @@
 	case handover.EndTerm:
 		tracker.CountHandover()
 		reason := election.StepDownReason(l.handover.Decision().Reason.String())
-		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinLeadTime, reason)
+		l.controller.election.HandOver(l.controller.settings.Tuning.Links.MinTermDuration, reason)
 	}
 }
 
-// announceHandover has the leader stop deciding, and announces the successor to the peers.
+// announceHandover stops the leader from making further decisions, and announces the successor to the peers.
 func (l *leaderTerm) announceHandover(assessment links.Assessment, now ident.MonotonicTime) {
 	tracker := l.controller.links
 	decision := l.handover.Decision()
