--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -108,16 +108,16 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, answer, err := do(req)
+	resp, responseBody, err := sendRequest(req)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(answer)))
+	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(responseBody)))
 	return statusError(resp)
 }
 
-// do sends a request to a node, and returns the response with its body, which it has read.
-func do(req *http.Request) (*http.Response, []byte, error) {
+// sendRequest sends a request to a node, and returns the response with its body, which it has read.
+func sendRequest(req *http.Request) (*http.Response, []byte, error) {
 	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
 	if err != nil {
 		return nil, nil, err
--- a/cmd/opaldale/golden_test.go
+++ b/cmd/opaldale/golden_test.go
@@ -16,11 +16,11 @@
 	"opaldale/internal/linktracker"
 )
 
-// runMain is the variable that has the test binary run the command instead of the tests.
-const runMain = "OPALDALE_TEST_RUN_MAIN"
+// runMainVariable is the variable that has the test binary run the command instead of the tests.
+const runMainVariable = "OPALDALE_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runMain) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
@@ -36,7 +36,7 @@
 		given[i] = strings.ReplaceAll(a, "ADDR", addr)
 	}
 	cmd := exec.Command(os.Args[0], given...)
-	cmd.Env = append([]string{runMain + "=1", "GOCOVERDIR=" + t.TempDir()}, environment...)
+	cmd.Env = append([]string{runMainVariable + "=1", "GOCOVERDIR=" + t.TempDir()}, environment...)
 	var out, faults strings.Builder
 	cmd.Stdout, cmd.Stderr = &out, &faults
 	err := cmd.Run()
@@ -90,11 +90,11 @@
 
 // goldenNode answers all requests alike, and records the last one.
 type goldenNode struct {
-	status int
-	retry  string
-	body   string
-	mu     sync.Mutex
-	saw    string
+	status      int
+	retry       string
+	body        string
+	mu          sync.Mutex
+	lastRequest string
 }
 
 func (n *goldenNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 		panic(err)
 	}
 	n.mu.Lock()
-	n.saw = fmt.Sprintf("%s %s %s\n%s\n", r.Method, r.URL, r.Header.Get("Content-Type"), body)
+	n.lastRequest = fmt.Sprintf("%s %s %s\n%s\n", r.Method, r.URL, r.Header.Get("Content-Type"), body)
 	n.mu.Unlock()
 	if n.retry != "" {
 		w.Header().Set("Retry-After", n.retry)
@@ -116,7 +116,7 @@
 func (n *goldenNode) request() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.saw
+	return n.lastRequest
 }
 
 // TestGoldenClient pins the requests of the client, and what it prints.
--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp, body, err := do(req)
+	resp, body, err := sendRequest(req)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/links/advertisement.go
+++ b/internal/links/advertisement.go
@@ -6,40 +6,43 @@
 	"opaldale/internal/ident"
 )
 
-// LinkState is what an advertisement says of one link of its origin.
+// LinkState is the state of one link of the origin of an advertisement.
 type LinkState struct {
 	Endpoint Endpoint
 	In, Out  State
-	Refusing bool // the endpoint answers, but does not serve the origin
+	Refusing bool // the endpoint responds, but refuses to serve the origin
 	Damped   bool // either direction is suppressed by flap damping
 }
 
-// usable reports whether the link is known to carry requests that are served.
+// usable reports whether requests over the link are known to arrive and to be served.
 func (l LinkState) usable() bool { return l.Out == Up && l.In != Down && !l.Refusing }
 
-// broken reports whether the link is known not to.
+// broken reports whether requests over the link are known to be lost or refused. A link whose state is
+// Unknown or Suspect may be neither usable nor broken.
 func (l LinkState) broken() bool { return l.Out == Down || l.In == Down || l.Refusing }
 
-// ProbeTarget is a machine to which peers may send a request, to judge their own links to its zone.
+// ProbeTarget is a machine to which peers may send a request to probe their own links to its zone.
 type ProbeTarget struct {
 	Zone    string
 	Address string // host:port of the machine's worker
 }
 
-// Advertisement is a node's report on its own links.
+// Advertisement is a node's link state advertisement: the states of its own links.
 type Advertisement struct {
 	Origin ident.NodeID
-	// Incarnation tells the processes of a node apart; a later process has a larger one.
+	// Incarnation distinguishes the processes of a node. It increases with each process.
 	Incarnation uint64
 	// Sequence increases with each advertisement of a process.
 	Sequence uint64
-	// Age bounds the time since the advertisement was made. It is carried in milliseconds.
+	// Age is an upper bound on the time since the advertisement was made. It is encoded in
+	// milliseconds.
 	Age          time.Duration
 	Links        []LinkState
 	ProbeTargets []ProbeTarget // of a leader, nil otherwise
 }
 
-// Link returns the state of a link. Both directions are Unknown if it is not advertised.
+// Link returns the state of the link to an endpoint. Both directions are Unknown if the link is not
+// advertised.
 func (a *Advertisement) Link(endpoint Endpoint) LinkState {
 	for _, l := range a.Links {
 		if l.Endpoint == endpoint {
@@ -49,7 +52,7 @@
 	return LinkState{Endpoint: endpoint}
 }
 
-// newer reports whether the advertisement was made after another one of the same origin.
+// newer reports whether the advertisement was made after other, which has the same origin.
 func (a *Advertisement) newer(other *Advertisement) bool {
 	if a.Incarnation != other.Incarnation {
 		return a.Incarnation > other.Incarnation
@@ -57,7 +60,8 @@
 	return a.Sequence > other.Sequence
 }
 
-// Advertisement returns the advertisement of the monitor's own node.
+// Advertisement returns an advertisement of the verdicts as of the last Evaluate. origin is the monitor's
+// own node. Its Age is 0, and it has no probe targets.
 func (m *Monitor) Advertisement(origin ident.NodeID, incarnation, sequence uint64) Advertisement {
 	advertisement := Advertisement{Origin: origin, Incarnation: incarnation, Sequence: sequence}
 	for _, endpoint := range m.Endpoints() {
--- a/internal/links/codec.go
+++ b/internal/links/codec.go
@@ -11,15 +11,15 @@
 	"opaldale/internal/wire"
 )
 
-// Bounds of an encoded list of advertisements. A list that exceeds one of them is malformed.
+// Limits of an encoded list of advertisements. A list that exceeds one of them is malformed.
 const (
 	MaxAdvertisements = 16
-	MaxLinks          = 64  // of an advertisement
-	MaxProbeTargets   = 32  // of an advertisement
-	MaxName           = 200 // bytes of a name or an address
+	MaxLinks          = 64  // per advertisement
+	MaxProbeTargets   = 32  // per advertisement
+	MaxName           = 200 // bytes in a name or an address
 )
 
-// ErrMalformedAdvertisements is returned for whatever is not an encoded list of advertisements.
+// ErrMalformedAdvertisements is returned for input that is not an encoded list of advertisements.
 var ErrMalformedAdvertisements = errors.New("malformed link state advertisements")
 
 // wireVersion is the version of the encoding.
@@ -32,9 +32,10 @@
 	knownFlags = flagRefusing | flagDamped
 )
 
-// AppendAdvertisements appends an encoded list to b: the version, the number of advertisements,
-// and each advertisement with its links and probe targets. Integers are big-endian; counts and the
-// lengths of names take one byte; ages are in milliseconds.
+// AppendAdvertisements appends an encoded list to b: the version, the number of advertisements, and each
+// advertisement with its links and probe targets. Integers are big-endian; counts and lengths of names
+// are one byte; ages are in milliseconds. The caller must keep to the limits on counts. Longer names are
+// truncated.
 func AppendAdvertisements(b []byte, advertisements []Advertisement) []byte {
 	b = append(b, wireVersion, byte(len(advertisements)))
 	for i := range advertisements {
@@ -77,15 +78,15 @@
 	return flags
 }
 
-// appendName appends a name, cut to MaxName bytes.
+// appendName appends a name, truncated to MaxName bytes.
 func appendName(b []byte, name string) []byte {
 	name = name[:min(len(name), MaxName)]
 	b = append(b, byte(len(name)))
 	return append(b, name...)
 }
 
-// DecodeAdvertisements decodes what AppendAdvertisements has appended, with nothing behind it. An
-// age is only what the sender claims; see Database.Merge. Errors are ErrMalformedAdvertisements.
+// DecodeAdvertisements decodes a list encoded by AppendAdvertisements. Trailing bytes are an error. Ages
+// are those claimed by the sender; see Database.Merge. Errors wrap ErrMalformedAdvertisements.
 func DecodeAdvertisements(b []byte) ([]Advertisement, error) {
 	d := decoder{wire.NewReader(b)}
 	if v := d.Uint8(); v != wireVersion {
@@ -102,7 +103,7 @@
 	return advertisements, nil
 }
 
-// decoder decodes the parts of an advertisement.
+// decoder decodes advertisements and their parts.
 type decoder struct{ *wire.Reader }
 
 func (d decoder) advertisement() Advertisement {
--- a/internal/links/codec_test.go
+++ b/internal/links/codec_test.go
@@ -37,8 +37,8 @@
 	return a
 }
 
-// TestAdvertisementsRoundTrip: advertisements are decoded as they were encoded. What is cut short, or
-// has bytes left over, is malformed.
+// TestAdvertisementsRoundTrip: decoding an encoded list returns it. Truncated lists and trailing bytes
+// are malformed.
 func TestAdvertisementsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Custom(drawAdvertisement), 0, 4).Draw(t, "advertisements")
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -7,15 +7,16 @@
 	"opaldale/internal/ident"
 )
 
-// damper is route flap damping (RFC 2439) for one direction of a link. Each break adds to a
-// penalty that decays exponentially. From suppressAt on the direction is suppressed, until the
-// penalty is below reuseAt.
+// damper implements route flap damping (RFC 2439) for one direction of a link. Each break adds to a
+// penalty that decays exponentially. The direction is suppressed from the time when the penalty reaches
+// suppressAt until it falls below reuseAt.
 type damper struct {
 	penalty    float64
-	updatedAt  ident.MonotonicTime // when the penalty was brought up to date
+	updatedAt  ident.MonotonicTime // when the penalty was last decayed
 	suppressed bool
 }
 
+// The parameters of flap damping.
 const (
 	breakPenalty = 1000.0
 	suppressAt   = 2500.0
@@ -23,7 +24,7 @@
 	maxPenalty   = 4000.0
 )
 
-// decay brings the penalty up to date.
+// decay decays the penalty to its value at now, and ends the suppression if that is low enough.
 func (d *damper) decay(now ident.MonotonicTime, halfLife time.Duration) {
 	if now > d.updatedAt && d.penalty > 0 {
 		d.penalty *= math.Exp2(-float64(now.Sub(d.updatedAt)) / float64(halfLife))
@@ -34,7 +35,7 @@
 	}
 }
 
-// recordBreak adds the penalty of a break.
+// recordBreak adds the penalty of a break, and begins the suppression if the sum is high enough.
 func (d *damper) recordBreak(now ident.MonotonicTime, halfLife time.Duration) {
 	d.decay(now, halfLife)
 	d.penalty = min(maxPenalty, d.penalty+breakPenalty)
--- a/internal/links/database.go
+++ b/internal/links/database.go
@@ -8,17 +8,17 @@
 	"opaldale/internal/ident"
 )
 
-// AdvertisementLifetime is the age from which an advertisement is ignored.
+// AdvertisementLifetime is the age at which an advertisement expires.
 const AdvertisementLifetime = 4 * time.Second
 
-// MergeResult says whether an advertisement was accepted, or why not.
+// MergeResult is the outcome of Database.Merge: Accepted, or the reason why an advertisement was dropped.
 type MergeResult uint8
 
 // The results of Database.Merge.
 const (
 	Accepted      MergeResult = iota
 	UnknownOrigin             // its origin is not a peer
-	Expired                   // its age is AdvertisementLifetime or more, or is unknown
+	Expired                   // its age is unknown, or not below AdvertisementLifetime
 	Superseded                // it is not newer than the one in the database
 )
 
@@ -27,7 +27,7 @@
 
 var mergeResultNames = [...]string{"taken", "foreign", "expired", "older"}
 
-// Database is a link state database: the newest advertisement of each peer.
+// Database is a link state database. It holds the newest advertisement of each peer.
 type Database struct {
 	peers   map[ident.NodeID]bool
 	entries map[ident.NodeID]databaseEntry
@@ -40,7 +40,7 @@
 	madeAfter ident.MonotonicTime
 }
 
-// age returns the most that may have passed since the advertisement was made.
+// age returns the maximum time that can have elapsed since the advertisement was made.
 func (e databaseEntry) age(now ident.MonotonicTime) time.Duration { return now.Sub(e.madeAfter) }
 
 // NewDatabase returns an empty database for the advertisements of some peers.
@@ -52,10 +52,9 @@
 	return database
 }
 
-// Merge adds an advertisement, received from its origin or from another peer. Its age must hold at
-// the time now: the caller counts it from the message of this node that the sender has echoed, so
-// that an advertisement which was delayed on its way is known to be old whatever the sender's
-// clock says. A negative age is unknown.
+// Merge adds an advertisement received from its origin or from another peer. Its Age must be valid at
+// now: the caller measures it from the sending of the message that the sender has echoed, so that a
+// delayed advertisement has a high age regardless of the sender's clock. A negative age is unknown.
 func (d *Database) Merge(advertisement Advertisement, now ident.MonotonicTime) MergeResult {
 	if !d.peers[advertisement.Origin] {
 		return UnknownOrigin
--- a/internal/links/database_test.go
+++ b/internal/links/database_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestSupersededAdvertisements merges advertisements in any order, with copies and delayed ones among
-// them: the database holds the newest that has not expired.
+// TestSupersededAdvertisements merges advertisements in random order, including duplicates and delayed
+// ones: the database holds the newest one that has not expired.
 func TestSupersededAdvertisements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		database := NewDatabase([]ident.NodeID{"a"})
--- a/internal/links/detector.go
+++ b/internal/links/detector.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// detector is an accrual failure detector (Hayashibara et al., 2004) for one series of delays: the
-// longer a message is overdue, measured by the delays so far, the higher the suspicion. Mean and
-// deviation are the moving averages of RFC 6298.
+// detector is a phi accrual failure detector (Hayashibara et al., 2004) for one series of delays: the
+// suspicion rises with the time for which a message is overdue, relative to the previous delays. Mean
+// and deviation are the moving averages of RFC 6298.
 type detector struct {
 	mean, deviation float64 // seconds
 	samples         int
@@ -17,11 +17,11 @@
 	// meanGain and deviationGain are the weights of a new sample (RFC 6298).
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// minDeviation and minRelativeDeviation keep the suspicion on a very regular series from
-	// rising within one scheduling delay.
+	// minDeviation and minRelativeDeviation prevent a single scheduling delay from raising the
+	// suspicion of a very regular series.
 	minDeviation         = 0.05 // seconds
 	minRelativeDeviation = 0.25 // of the mean
-	// maxSuspicion bounds the suspicion where the probability underflows.
+	// maxSuspicion is the suspicion when the probability underflows.
 	maxSuspicion = 40
 )
 
@@ -37,8 +37,8 @@
 	d.mean += meanGain * (s - d.mean)
 }
 
-// suspicion returns -log10 of the probability that a message overdue for so long will still
-// arrive, if the delays are normally distributed and grace is added to each.
+// suspicion returns -log10 of the probability that a message which is overdue will still arrive,
+// assuming normally distributed delays, with grace added to each. It is 0 without samples.
 func (d *detector) suspicion(overdue, grace time.Duration) float64 {
 	if d.samples == 0 {
 		return 0
--- a/internal/links/endpoint.go
+++ b/internal/links/endpoint.go
@@ -1,5 +1,5 @@
-// Package links judges, for every directed link of a node, whether messages pass: to and from the
-// key-value store, the cloud, each peer, and the machines of each zone.
+// Package links monitors whether messages get through on every link of a node, in each direction: to and
+// from the key-value store, the cloud provider, each peer, and the machines of each zone.
 //
 // A Monitor turns evidence from traffic into a verdict for each direction, by an accrual failure
 // detector whose thresholds follow the link's own delays, and by flap damping. Nodes exchange
@@ -17,7 +17,7 @@
 	"opaldale/internal/enum"
 )
 
-// Kind says what is at the far end of a link. Its values are part of the wire format.
+// Kind is the kind of endpoint at the far end of a link. Its values are part of the wire format.
 type Kind uint8
 
 // The kinds of endpoints.
@@ -59,13 +59,13 @@
 	return e.Kind.String() + " " + e.Name
 }
 
-// compare orders endpoints by kind, then name.
+// compare orders endpoints by kind, then by name.
 func (e Endpoint) compare(other Endpoint) int {
 	return cmp.Or(cmp.Compare(e.Kind, other.Kind), cmp.Compare(e.Name, other.Name))
 }
 
-// roundTrip reports whether the link carries nothing but this node's requests and their responses.
-// A response then shows that both directions work, and its absence does not tell which is broken.
+// roundTrip reports whether the link carries only requests of this node and their responses. A response
+// then shows that both directions work, and its absence does not tell which direction is broken.
 func (e Endpoint) roundTrip() bool { return e.Kind == KVStore || e.Kind == Cloud }
 
 // Direction is one of the two directions of a link, as seen from this node.
@@ -87,10 +87,10 @@
 
 // The states of a direction.
 const (
-	Unknown State = iota // there is no evidence yet, or none is to be expected
-	Up                   // messages pass
+	Unknown State = iota // there is no conclusive evidence
+	Up                   // messages arrive
 	Suspect              // messages are later than usual
-	Down                 // messages are so late that a break is all but certain
+	Down                 // messages are so late that the direction is almost certainly broken
 )
 
 // String returns the state's name in reports and metrics.
@@ -101,18 +101,18 @@
 // MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Evidence is what a verdict rests on.
+// Evidence is the kind of event that a verdict is based on.
 type Evidence uint8
 
 // The kinds of evidence, from the strongest sign of a working link to the weakest.
 const (
 	NoEvidence        Evidence = iota
-	Response                   // the endpoint answered a request
+	Response                   // the endpoint responded to a request
 	Echo                       // the endpoint repeated the ID of a message from this node
 	Message                    // the endpoint sent a message
-	ErrorResponse              // the endpoint answered that it does not serve this node
-	ConnectionRefused          // a connection was refused, by the endpoint's machine or a firewall before it
-	Silence                    // no message came for longer than usual
+	ErrorResponse              // the endpoint responded that it does not serve this node
+	ConnectionRefused          // the endpoint's machine, or a firewall in front of it, refused a connection
+	Silence                    // no message arrived for longer than usual
 )
 
 // String returns the evidence's name in reports.
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -7,35 +7,35 @@
 	"opaldale/internal/ident"
 )
 
-// Config holds the times of a Monitor.
+// Config holds the timing parameters of a Monitor.
 type Config struct {
 	// SuspectGrace is added to a link's usual delays before it becomes Suspect.
 	SuspectGrace time.Duration
-	// PenaltyHalfLife is the time in which the flap damping penalty decays by half.
+	// PenaltyHalfLife is the half-life of the flap damping penalty.
 	PenaltyHalfLife time.Duration
 }
 
-// maxConnectionRefusals is how many refused connections in a row count as a break.
+// maxConnectionRefusals is the number of consecutive refused connections that count as a break.
 const maxConnectionRefusals = 3
 
-// link is what the monitor knows of one endpoint.
+// link is the state of the link to one endpoint.
 type link struct {
 	in, out directionState
 
-	// oldestUnacked is when the oldest message without a sign of arrival was sent, if hasUnacked.
+	// oldestUnacked is when the oldest unacknowledged message was sent. It is valid if hasUnacked.
 	oldestUnacked ident.MonotonicTime
 	hasUnacked    bool
 
 	refusing     bool                // the newest response was an ErrorResponse
-	refusedConns int                 // connections refused in a row
+	refusedConns int                 // consecutive refused connections
 	lastActivity ident.MonotonicTime // of the newest evidence or message sent
 }
 
 func (l *link) touch(now ident.MonotonicTime) { l.lastActivity = max(l.lastActivity, now) }
 
-// Monitor judges the links of one node. Its event methods take evidence; Evaluate turns it into
-// verdicts. In all of them now is the present time, and sent the time when the message was sent
-// that has arrived.
+// Monitor monitors the links of one node. Its event methods, from Sent to ConnectionRefused, record
+// evidence; Evaluate turns the evidence into verdicts. In all of them now is the present time, and sent
+// is when the message that has arrived was sent.
 type Monitor struct {
 	config Config
 	links  map[Endpoint]*link
@@ -46,10 +46,10 @@
 	return &Monitor{config: config, links: map[Endpoint]*link{}}
 }
 
-// Watch adds a link before there is evidence. The event methods add it as well.
+// Watch adds a link before there is evidence. Links are also added by the first event.
 func (m *Monitor) Watch(endpoint Endpoint) { m.link(endpoint) }
 
-// Forget removes a link, whose endpoint does not exist any more.
+// Forget removes a link whose endpoint no longer exists.
 func (m *Monitor) Forget(endpoint Endpoint) { delete(m.links, endpoint) }
 
 func (m *Monitor) link(endpoint Endpoint) *link {
@@ -61,8 +61,8 @@
 	return l
 }
 
-// Sent records a message whose arrival will be acknowledged: a request, or a heartbeat that is
-// echoed.
+// Sent records that this node sent a message whose arrival will be acknowledged: a request, or a
+// heartbeat that is echoed.
 func (m *Monitor) Sent(endpoint Endpoint, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.touch(now)
@@ -71,14 +71,14 @@
 	}
 }
 
-// Unsent takes back Sent for a message that was not sent after all.
+// Unsent reverts Sent for a message that was not sent after all.
 func (m *Monitor) Unsent(endpoint Endpoint, sent ident.MonotonicTime) {
 	if l := m.link(endpoint); l.hasUnacked && l.oldestUnacked == sent {
 		l.hasUnacked = false
 	}
 }
 
-// Received records a message that acknowledges none of this node's.
+// Received records a message that acknowledges no message of this node.
 func (m *Monitor) Received(endpoint Endpoint, now ident.MonotonicTime) {
 	m.link(endpoint).recordArrival(now, Message)
 }
@@ -91,7 +91,7 @@
 	l.recordDelivery(sent, now, Response)
 }
 
-// AnsweredWithError records a response which says that the endpoint does not serve this node.
+// AnsweredWithError records a response by which the endpoint refuses to serve this node.
 func (m *Monitor) AnsweredWithError(endpoint Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.refusing = true
@@ -105,7 +105,7 @@
 	m.link(endpoint).recordDelivery(sent, now, Echo)
 }
 
-// ConnectionRefused records a connection that was refused. One alone does not count as a break: a
+// ConnectionRefused records a refused connection. Only maxConnectionRefusals in a row count as a break: a
 // machine that is out of sockets refuses connections as well.
 func (m *Monitor) ConnectionRefused(endpoint Endpoint, now ident.MonotonicTime) {
 	l := m.link(endpoint)
@@ -114,7 +114,7 @@
 	l.touch(now)
 }
 
-// recordArrival takes a message that has arrived here as evidence.
+// recordArrival records the arrival of a message from the endpoint as evidence.
 func (l *link) recordArrival(now ident.MonotonicTime, evidence Evidence) {
 	if l.in.hasSuccess && l.in.undamped != Down {
 		l.in.detector.sample(now.Sub(l.in.lastSuccess))
@@ -123,12 +123,12 @@
 	l.touch(now)
 }
 
-// recordDelivery takes the arrival of a message of this node at the endpoint as evidence.
+// recordDelivery records the arrival of a message of this node at the endpoint as evidence.
 func (l *link) recordDelivery(sent, now ident.MonotonicTime, evidence Evidence) {
 	l.refusedConns = 0
 	l.touch(now)
 	if l.out.hasSuccess && sent <= l.out.lastSuccess {
-		return // not news: a peer echoes the newest heartbeat received in each of its own
+		return // already known: each heartbeat of a peer echoes the newest one received
 	}
 	l.out.detector.sample(now.Sub(sent))
 	l.out.recordSuccess(sent, evidence)
@@ -137,8 +137,7 @@
 	}
 }
 
-// Overdue returns how long ago the oldest message was sent that shows no sign of arrival, 0 if
-// there is none.
+// Overdue returns the time since the oldest unacknowledged message was sent, 0 if there is none.
 func (m *Monitor) Overdue(endpoint Endpoint, now ident.MonotonicTime) time.Duration {
 	if l := m.links[endpoint]; l != nil && l.hasUnacked {
 		return now.Sub(l.oldestUnacked)
@@ -146,20 +145,20 @@
 	return 0
 }
 
-// Idle reports whether there was neither evidence nor a message sent for d, so that the link's
-// state shows only by a probe.
+// Idle reports whether there was neither evidence nor a message sent for d, so that only a probe can
+// determine the link's state.
 func (m *Monitor) Idle(endpoint Endpoint, now ident.MonotonicTime, d time.Duration) bool {
 	return now.Sub(m.link(endpoint).lastActivity) >= d
 }
 
-// Delivering reports whether messages to the endpoint seem to arrive at this moment, regardless of
-// flap damping.
+// Delivering reports whether messages to the endpoint are believed to arrive at present, regardless of
+// flap damping. It is true for an unknown link.
 func (m *Monitor) Delivering(endpoint Endpoint) bool {
 	l := m.links[endpoint]
 	return l == nil || l.out.detected != Down
 }
 
-// Refusing reports whether the endpoint's newest response said that it does not serve this node.
+// Refusing reports whether the endpoint's newest response was an ErrorResponse.
 func (m *Monitor) Refusing(endpoint Endpoint) bool {
 	l := m.links[endpoint]
 	return l != nil && l.refusing
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -58,8 +58,8 @@
 
 func (l *simulatedLink) state(d Direction) State { return l.monitor.Verdict(l.peer, d).State }
 
-// TestBreakIsDetected: a link that works is up whatever its delay, is down within a bounded time after
-// it breaks, and is up again soon after one short break.
+// TestBreakIsDetected: a working link is up whatever its delay, is down within a bounded time after it
+// breaks, and is up again within a bounded time after a single short break.
 func TestBreakIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delay := time.Duration(rapid.IntRange(1, 900).Draw(t, "delay_ms")) * time.Millisecond
@@ -82,15 +82,14 @@
 	})
 }
 
-// maxSuppression returns how long a link that stays up remains suppressed at most.
+// maxSuppression returns the maximum time that a link which stays up remains suppressed.
 func maxSuppression(halfLife time.Duration) time.Duration {
 	return time.Duration(math.Log2(maxPenalty/reuseAt) * float64(halfLife))
 }
 
-// TestFlapsAreDamped: a link that breaks for a part of every few seconds, long enough for each break to
-// be detected, settles at one verdict. With shorter breaks, some of which are detected, the verdict
-// changes no more often than damping allows. In both cases the link is up within a bounded time
-// once it is steady.
+// TestFlapsAreDamped: a link that breaks periodically for long enough that each break is detected settles
+// at one verdict. With shorter breaks, only some of which are detected, the verdict changes no more often
+// than damping allows. In both cases the link is up within a bounded time after the last break.
 func TestFlapsAreDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1000, 6000).Draw(t, "period_ms")) * time.Millisecond
@@ -119,17 +118,18 @@
 }
 
 const (
-	// settlingTime is how long a flapping link may take to settle at one verdict.
+	// settlingTime is the time in which a flapping link settles at one verdict.
 	settlingTime = 40 * time.Second
-	// detectableBreak is the length from which a break of a link with heartbeats is always detected.
+	// detectableBreak is the minimum duration of a break that is always detected on a link with
+	// heartbeats.
 	detectableBreak = 3500 * time.Millisecond
-	// maxChanges is what damping leaves of changes in two minutes: breaks 11 s apart add
-	// up to less than the penalty from which a link is suppressed.
+	// maxChanges is the maximum number of changes in two minutes under damping: the penalties of
+	// breaks 11 s apart add up to less than suppressAt.
 	maxChanges = 22
 )
 
-// TestSlowLinkIsNotSuspected: a silence within the usual delays of a slow link is no reason to suspect
-// it; on a fast link the same silence is.
+// TestSlowLinkIsNotSuspected: a silence within the usual delays of a slow link does not make it Suspect,
+// unlike the same silence on a fast link.
 func TestSlowLinkIsNotSuspected(t *testing.T) {
 	m := NewMonitor(testConfig)
 	slow, fast := Endpoint{PeerNode, "slow"}, Endpoint{PeerNode, "fast"}
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestDirectionsAreIndependent: messages from a peer do not show that it receives this node's, also
-// if they echo the last heartbeat that it has received. A repeated echo is no sample of the delay.
+// TestDirectionsAreIndependent: messages from a peer are no evidence that it receives those of this node,
+// even if they echo the last heartbeat that it has received. A repeated echo is no sample of the delay.
 func TestDirectionsAreIndependent(t *testing.T) {
 	l := newSimulatedLink(5 * time.Millisecond)
 	l.run(10 * time.Second)
@@ -172,7 +172,7 @@
 	}
 }
 
-// TestEvidence: error responses, refused connections and silence are told apart.
+// TestEvidence: error responses, refused connections and silence are distinguished.
 func TestEvidence(t *testing.T) {
 	store, now := Endpoint{Kind: KVStore}, ident.MonotonicTime(time.Hour)
 	fresh := func() *Monitor {
@@ -226,15 +226,15 @@
 	}
 }
 
-// usable reports whether requests to the endpoint are served, as far as is known.
+// usable reports whether requests to the endpoint are served according to the verdicts.
 func usable(m *Monitor, endpoint Endpoint) bool {
 	in := m.Verdict(endpoint, Inbound).State
 	out := m.Verdict(endpoint, Outbound).State
 	return in != Down && out != Down && !m.Refusing(endpoint)
 }
 
-// TestSilentZoneIsUnknown: a machine sends its heartbeats to one node at a time, so that the silence of
-// a zone is no evidence on the link.
+// TestSilentZoneIsUnknown: the silence of a zone is no evidence on the link, since a machine sends its
+// heartbeats to one node at a time.
 func TestSilentZoneIsUnknown(t *testing.T) {
 	m, zone, now := NewMonitor(testConfig), Endpoint{Machines, "east"}, ident.MonotonicTime(time.Hour)
 	for range 10 {
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -6,11 +6,11 @@
 	"opaldale/internal/ident"
 )
 
-// Score tells how well a node is placed to lead, from 0 to 100.
+// Score rates how well a node is placed to lead, from 0 to 100.
 type Score int
 
-// The parts of a score: each is earned by working links to the endpoints of one kind. Without the
-// key-value store a leader can record nothing, so that the other parts do not count either.
+// The parts of a score. Each is the weight of working links to the endpoints of one kind. The score is 0
+// without a link to the key-value store, because a leader cannot record decisions without it.
 const (
 	storeScore    = 30
 	machinesScore = 30
@@ -18,14 +18,14 @@
 	cloudScore    = 15
 )
 
-// minScoreMargin is the difference in scores that warrants a change of leader: the smallest part
+// minScoreMargin is the minimum difference in scores that warrants a change of leader: the smallest part
 // of a score.
 const minScoreMargin Score = cloudScore
 
-// Cluster is what the scores of its nodes depend on, beside their advertisements.
+// Cluster holds the inputs of scores other than advertisements.
 type Cluster struct {
 	Peers    []ident.NodeID // all nodes but the one that assesses
-	Machines map[string]int // the machines that are up, by zone
+	Machines map[string]int // number of machines that are up, by zone
 }
 
 // linkTest reports whether a node's link to an endpoint counts as working.
@@ -58,7 +58,7 @@
 	return Score(score)
 }
 
-// machinesPart weighs each zone by its machines.
+// machinesPart weights each zone by its number of machines.
 func (c *Cluster) machinesPart(works linkTest) int {
 	total, reached := 0, 0
 	for zone, n := range c.Machines {
@@ -73,7 +73,7 @@
 	return machinesScore * reached / total
 }
 
-// peersPart weighs all links to other nodes alike.
+// peersPart weights all links to other nodes equally.
 func peersPart(advertisement *Advertisement, works linkTest) int {
 	total, reached := 0, 0
 	for _, l := range advertisement.Links {
@@ -96,17 +96,17 @@
 	OwnScore  Score
 	BestPeer  ident.NodeID // the peer with the highest score, "" if no peer's score is known
 	BestScore Score        // of BestPeer
-	// Isolated says that the links to all peers and all machines are broken. No peer can be
-	// named as successor then.
+	// Isolated is set if the links to all peers and all machines are broken. No peer can be named
+	// as successor in that case.
 	Isolated bool
 }
 
-// PeerIsBetter reports whether a peer is better placed by a clear margin.
+// PeerIsBetter reports whether the score of the best peer exceeds the own one by at least minScoreMargin.
 func (a Assessment) PeerIsBetter() bool {
 	return a.BestPeer != "" && a.BestScore >= a.OwnScore+minScoreMargin
 }
 
-// Successor returns the best placed peer if it is better placed by a clear margin, and "" otherwise.
+// Successor returns the best peer if PeerIsBetter, and "" otherwise.
 func (a Assessment) Successor() ident.NodeID {
 	if !a.PeerIsBetter() {
 		return ""
@@ -131,8 +131,8 @@
 	return assessment
 }
 
-// isolated reports whether the links to all peers are broken, and those to all machines are down
-// outbound. A cluster of one node, or without machines, is never isolated.
+// isolated reports whether the links to all peers are broken and those to all machines are down
+// outbound. It is false for a cluster of one node or without machines.
 func (c *Cluster) isolated(advertisement *Advertisement) bool {
 	if len(c.Peers) == 0 {
 		return false
--- a/internal/links/score_test.go
+++ b/internal/links/score_test.go
@@ -7,7 +7,8 @@
 	"opaldale/internal/ident"
 )
 
-// advertisementOf returns an advertisement whose links are up, but for what change does to each.
+// advertisementOf returns an advertisement whose links are up, with change applied to each. change may
+// be nil.
 func advertisementOf(origin ident.NodeID, change func(*LinkState)) Advertisement {
 	a := Advertisement{Origin: origin, Incarnation: 1, Sequence: 1}
 	for _, endpoint := range []Endpoint{
@@ -24,8 +25,8 @@
 	return a
 }
 
-// TestAssess: a leader is worse placed than a peer if it has lost a part of its score that the peer
-// has, but not if both have lost it or its loss is unknown.
+// TestAssess: a peer is better placed than the leader if the leader has lost a part of its score that
+// the peer has, but not if both have lost it or the loss is unknown.
 func TestAssess(t *testing.T) {
 	cluster := Cluster{Peers: []ident.NodeID{"b", "c"}, Machines: map[string]int{"east": 10, "west": 10}}
 	lose := func(kind Kind, state State) func(*LinkState) {
--- a/internal/links/verdict.go
+++ b/internal/links/verdict.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// suspectSuspicion and downSuspicion are the detector's levels from which a direction is
-	// Suspect, and Down.
+	// suspectSuspicion and downSuspicion are the detector's levels at which a direction becomes
+	// Suspect and Down.
 	suspectSuspicion = 2
 	downSuspicion    = 8
-	// recoverySuccesses is how many signs of a working direction, each within recoveryMaxGap of
-	// the one before, end a break. A single message passes now and then also on a link that loses
-	// most of them.
+	// recoverySuccesses is the number of successes, each within recoveryMaxGap of the previous one,
+	// that end a break. A single message may get through even on a link that loses most of them.
 	recoverySuccesses = 3
 	recoveryMaxGap    = 3 * time.Second
-	// firstResponseTimeout is how long the first message to an endpoint may show no sign of
-	// arrival.
+	// firstResponseTimeout is the time within which the first message to an endpoint must be
+	// acknowledged.
 	firstResponseTimeout = 5 * time.Second
 )
 
-// Verdict is what is known of one direction of a link.
+// Verdict is the evaluated state of one direction of a link.
 type Verdict struct {
 	State     State
 	Since     ident.MonotonicTime // when State last changed
-	Evidence  Evidence            // the newest
+	Evidence  Evidence            // the newest evidence
 	Suspicion float64             // the failure detector's level at the last evaluation
-	Damped    bool                // State is Down because of breaks that are too frequent
+	Damped    bool                // State is Down because breaks are too frequent
 	Breaks    uint64              // all breaks so far
 }
 
-// VerdictChange is a verdict that differs in State or Damped from the one before.
+// VerdictChange is a change of State or Damped in a verdict.
 type VerdictChange struct {
 	Endpoint  Endpoint
 	Direction Direction
@@ -49,12 +48,12 @@
 	undamped State // with delayed recovery, without flap damping
 	verdict  Verdict
 
-	successes   int                 // signs of a working direction since it was Down
-	lastSuccess ident.MonotonicTime // the newest time at which it is known to have worked
-	hasSuccess  bool                // whether there is a lastSuccess
+	successes   int                 // since the direction was last Down, each within recoveryMaxGap of the previous one
+	lastSuccess ident.MonotonicTime // the latest time at which it is known to have worked
+	hasSuccess  bool                // whether lastSuccess is valid
 }
 
-// recordSuccess takes evidence that the direction worked at a time.
+// recordSuccess records evidence that the direction worked at a time.
 func (d *directionState) recordSuccess(at ident.MonotonicTime, evidence Evidence) {
 	if at.Sub(d.lastSuccess) > recoveryMaxGap {
 		d.successes = 0
@@ -64,7 +63,7 @@
 	d.verdict.Evidence = evidence
 }
 
-// detection is the detected state of one direction, before it is applied.
+// detection is the detected state of one direction, to be applied to it.
 type detection struct {
 	direction Direction
 	state     *directionState
@@ -94,9 +93,9 @@
 	return changes
 }
 
-// detectInbound returns the detected state of the inbound direction. Peers send heartbeats all the
-// time. A machine sends its heartbeats to one node at a time, so that the silence of a zone is no
-// evidence.
+// detectInbound returns the detected state of the inbound direction. The silence of a peer is evidence,
+// since peers send heartbeats continually. The silence of a zone is not: a machine sends its heartbeats
+// to one node at a time.
 func (m *Monitor) detectInbound(endpoint Endpoint, l *link, now ident.MonotonicTime) State {
 	d := &l.in
 	if !d.hasSuccess {
@@ -132,8 +131,8 @@
 	return Unknown
 }
 
-// detectOverdue returns the detected state of an outbound direction on which a message has shown
-// no sign of arrival for some time.
+// detectOverdue returns the detected state of an outbound direction whose oldest unacknowledged message
+// was sent some time ago.
 func (m *Monitor) detectOverdue(d *directionState, overdue time.Duration) State {
 	if d.detector.samples == 0 {
 		return detectFirstOverdue(d, overdue)
@@ -146,8 +145,7 @@
 	return state
 }
 
-// detectFirstOverdue is detectOverdue for a direction on which nothing has ever arrived, so that no
-// usual delay is known.
+// detectFirstOverdue is detectOverdue for a direction without samples of the delay.
 func detectFirstOverdue(d *directionState, overdue time.Duration) State {
 	if overdue <= firstResponseTimeout {
 		return Unknown
@@ -156,7 +154,7 @@
 	return Down
 }
 
-// stateOf returns the state for a level of the failure detector.
+// stateOf returns the state for a suspicion level of the failure detector.
 func stateOf(suspicion float64) State {
 	switch {
 	case suspicion >= downSuspicion:
@@ -167,7 +165,8 @@
 	return Up
 }
 
-// apply is the one place where a direction's state changes.
+// apply is the only function that changes a direction's states. It applies the detected state, delayed
+// recovery and flap damping, in that order.
 func (d *directionState) apply(detected State, now ident.MonotonicTime, halfLife time.Duration) {
 	d.damper.decay(now, halfLife)
 	if detected == Down && d.detected != Down {
@@ -187,8 +186,8 @@
 	}
 }
 
-// applyRecovery moves the undamped state to the detected one, out of a break only after enough
-// signs of a working direction.
+// applyRecovery sets the undamped state to the detected one. A break ends only after recoverySuccesses
+// successes.
 func (d *directionState) applyRecovery() {
 	switch {
 	case d.detected == Down && d.undamped != Down:
--- a/internal/settings/sexp.go
+++ b/internal/settings/sexp.go
@@ -24,11 +24,11 @@
 // parseSexp reads the S-expressions of a text.
 func parseSexp(src string) ([]sexp, error) {
 	p := &sexpParser{src: src}
-	out, err := p.sequence(0)
+	exprs, err := p.parseSequence(0)
 	if err == nil && p.pos < len(p.src) {
 		err = errors.New("unexpected )")
 	}
-	return out, err
+	return exprs, err
 }
 
 // sexpParser reads S-expressions from a position on.
@@ -37,12 +37,12 @@
 	pos int
 }
 
-// sequence reads expressions up to a ')' or the end.
-func (p *sexpParser) sequence(depth int) ([]sexp, error) {
+// parseSequence reads expressions up to a ')' or the end.
+func (p *sexpParser) parseSequence(depth int) ([]sexp, error) {
 	if depth > maxDepth {
 		return nil, errors.New("nested too deeply")
 	}
-	var out []sexp
+	var exprs []sexp
 	for p.pos < len(p.src) {
 		switch c := p.src[p.pos]; {
 		case strings.IndexByte(whitespace, c) >= 0:
@@ -50,18 +50,18 @@
 		case c == ';':
 			p.skipComment()
 		case c == ')':
-			return out, nil
+			return exprs, nil
 		case c == '(':
-			list, err := p.list(depth + 1)
+			list, err := p.parseList(depth + 1)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, list)
+			exprs = append(exprs, list)
 		default:
-			out = append(out, p.atom())
+			exprs = append(exprs, p.parseAtom())
 		}
 	}
-	return out, nil
+	return exprs, nil
 }
 
 // skipComment skips to the end of the line.
@@ -73,10 +73,10 @@
 	}
 }
 
-// list reads a list from its '(' to its ')'.
-func (p *sexpParser) list(depth int) (sexp, error) {
+// parseList reads a list from its '(' to its ')'.
+func (p *sexpParser) parseList(depth int) (sexp, error) {
 	p.pos++
-	list, err := p.sequence(depth)
+	list, err := p.parseSequence(depth)
 	if err != nil {
 		return sexp{}, err
 	}
@@ -87,8 +87,8 @@
 	return sexp{list: list}, nil
 }
 
-// atom reads an atom.
-func (p *sexpParser) atom() sexp {
+// parseAtom reads an atom.
+func (p *sexpParser) parseAtom() sexp {
 	end := strings.IndexAny(p.src[p.pos:], delimiters)
 	if end < 0 {
 		end = len(p.src) - p.pos
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -117,37 +117,37 @@
 }
 
 func (t *Tuning) checkScheduling(v *validation) {
-	v.reject(outside(t.LeaderLease, 500*time.Millisecond, time.Minute), "leader-lease: must be from 500ms to 60s")
-	v.reject(outside(t.PlanInterval, 100*time.Millisecond, 10*time.Minute), "round: must be from 100ms to 10m")
-	v.reject(t.UnreachableAfter != 0 && t.UnreachableAfter < time.Second, "silent: must be 0 or at least 1s")
-	v.reject(t.ScaleInDelay < 0, "idle-keep: negative")
-	v.reject(t.BootTimeoutFactor < 1, "boot-factor: must be at least 1")
-	v.reject(outside(t.Headroom, 0, maxHeadroom), "headroom: must be from 0 to 10")
-	v.reject(outside(t.ServiceSpareFraction, 0, 1), "spare: must be from 0 to 1")
-	v.reject(t.StarvationTimeout < time.Second, "max-wait: must be at least 1s")
-	v.reject(t.GangPreemptAfter < 0, "gang-wait: negative")
-	v.reject(t.PlanMode != PlanASM1 && t.PlanMode != PlanNone, "plan: must be asm1 or none")
+	v.rejectIf(outside(t.LeaderLease, 500*time.Millisecond, time.Minute), "leader-lease: must be from 500ms to 60s")
+	v.rejectIf(outside(t.PlanInterval, 100*time.Millisecond, 10*time.Minute), "round: must be from 100ms to 10m")
+	v.rejectIf(t.UnreachableAfter != 0 && t.UnreachableAfter < time.Second, "silent: must be 0 or at least 1s")
+	v.rejectIf(t.ScaleInDelay < 0, "idle-keep: negative")
+	v.rejectIf(t.BootTimeoutFactor < 1, "boot-factor: must be at least 1")
+	v.rejectIf(outside(t.Headroom, 0, maxHeadroom), "headroom: must be from 0 to 10")
+	v.rejectIf(outside(t.ServiceSpareFraction, 0, 1), "spare: must be from 0 to 1")
+	v.rejectIf(t.StarvationTimeout < time.Second, "max-wait: must be at least 1s")
+	v.rejectIf(t.GangPreemptAfter < 0, "gang-wait: negative")
+	v.rejectIf(t.PlanMode != PlanASM1 && t.PlanMode != PlanNone, "plan: must be asm1 or none")
 }
 
 func (t *Tuning) checkRebalancing(v *validation) {
-	v.reject(!slices.Contains(rebalanceModes, t.Rebalance), "rebalance: must be off, report, place or move")
+	v.rejectIf(!slices.Contains(rebalanceModes, t.Rebalance), "rebalance: must be off, report, place or move")
 	m := &t.Migration
-	v.reject(outside(m.Cluster, 1, maxConcurrentMoves), "moves-cluster: must be from 1 to 1000")
-	v.reject(outside(m.Zone, 1, m.Cluster), "moves-zone: must be from 1 to moves-cluster")
-	v.reject(outside(m.Team, 1, m.Cluster), "moves-team: must be from 1 to moves-cluster")
+	v.rejectIf(outside(m.Cluster, 1, maxConcurrentMoves), "moves-cluster: must be from 1 to 1000")
+	v.rejectIf(outside(m.Zone, 1, m.Cluster), "moves-zone: must be from 1 to moves-cluster")
+	v.rejectIf(outside(m.Team, 1, m.Cluster), "moves-team: must be from 1 to moves-cluster")
 	validGain := m.MinGainFactor >= 1 && m.MinGainFactor <= maxGainFactor // false for NaN
-	v.reject(!validGain, "moves-margin: must be from 1 to 100")
-	v.reject(outside(m.LeaderSettleTime, 0, time.Hour), "moves-settle: must be from 0 to 1h")
-	v.reject(outside(m.MinTaskWait, 0, time.Hour), "moves-patience: must be from 0 to 1h")
-	v.reject(outside(m.MinRunTime, 0, time.Hour), "moves-min-run: must be from 0 to 1h")
+	v.rejectIf(!validGain, "moves-margin: must be from 1 to 100")
+	v.rejectIf(outside(m.LeaderSettleTime, 0, time.Hour), "moves-settle: must be from 0 to 1h")
+	v.rejectIf(outside(m.MinTaskWait, 0, time.Hour), "moves-patience: must be from 0 to 1h")
+	v.rejectIf(outside(m.MinRunTime, 0, time.Hour), "moves-min-run: must be from 0 to 1h")
 }
 
 func (l *Links) check(v *validation, leaderLease time.Duration) {
-	v.reject(outside(l.SuspectGrace, 100*time.Millisecond, leaderLease), "links-suspect: must be from 100ms to leader-lease")
-	v.reject(outside(l.PenaltyHalfLife, time.Second, 10*time.Minute), "links-half-life: must be from 1s to 10m")
-	v.reject(outside(l.MinTermDuration, l.StabilizationWindow, 10*time.Minute),
+	v.rejectIf(outside(l.SuspectGrace, 100*time.Millisecond, leaderLease), "links-suspect: must be from 100ms to leader-lease")
+	v.rejectIf(outside(l.PenaltyHalfLife, time.Second, 10*time.Minute), "links-half-life: must be from 1s to 10m")
+	v.rejectIf(outside(l.MinTermDuration, l.StabilizationWindow, 10*time.Minute),
 		"links-hold: must be at least links-persist, and at most 10m")
-	v.reject(l.StabilizationWindow < 500*time.Millisecond, "links-persist: must be at least 500ms")
+	v.rejectIf(l.StabilizationWindow < 500*time.Millisecond, "links-persist: must be at least 500ms")
 }
 
 // outside says whether a value is below a least or above a greatest one.
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -25,8 +25,8 @@
 	v.faults = append(v.faults, fmt.Errorf(format, args...))
 }
 
-// reject adds a fault if a condition holds.
-func (v *validation) reject(faulty bool, fault string) {
+// rejectIf adds a fault if a condition holds.
+func (v *validation) rejectIf(faulty bool, fault string) {
 	if faulty {
 		v.faults = append(v.faults, errors.New(fault))
 	}
@@ -60,13 +60,13 @@
 // check returns all faults of the platform's settings.
 func (s *Settings) check() error {
 	v := &validation{}
-	v.reject(s.Node == "", "node_name: missing")
+	v.rejectIf(s.Node == "", "node_name: missing")
 	v.checkAddress("bind", s.Bind)
 	v.checkAddress("mesh_addr", s.TransportAddr)
 	v.checkAddress("endpoints.cloud", s.Endpoints.Cloud)
 	v.checkAddress("endpoints.state", s.Endpoints.Store)
 	s.checkPeers(v)
-	v.reject(len(s.Cluster.Zones) == 0, "cluster.zones: missing")
+	v.rejectIf(len(s.Cluster.Zones) == 0, "cluster.zones: missing")
 	s.Cluster.checkTeams(v)
 	s.Cluster.Workers.check(v)
 	s.Cluster.Store.check(v)
@@ -89,7 +89,7 @@
 
 // checkTeams checks the names and the quotas of the teams.
 func (c *Cluster) checkTeams(v *validation) {
-	v.reject(len(c.Teams) == 0, "cluster.teams: missing")
+	v.rejectIf(len(c.Teams) == 0, "cluster.teams: missing")
 	seen := map[string]bool{}
 	for i, t := range c.Teams {
 		if t.Name == "" || seen[t.Name] {
@@ -105,8 +105,8 @@
 func (w WorkerTimes) check(v *validation) {
 	v.checkPositive("cluster.workers.report_s", w.HeartbeatS)
 	v.checkPositive("cluster.workers.lease_s", w.LeaseS)
-	v.reject(w.CancelS <= w.LeaseS, "cluster.workers.cancel_s: must be above lease_s")
-	v.reject(w.GangWaitS < 0 || w.GangPeerS < 0, "cluster.workers: gang_wait_s and gang_peer_s must not be negative")
+	v.rejectIf(w.CancelS <= w.LeaseS, "cluster.workers.cancel_s: must be above lease_s")
+	v.rejectIf(w.GangWaitS < 0 || w.GangPeerS < 0, "cluster.workers: gang_wait_s and gang_peer_s must not be negative")
 }
 
 func (s StoreLimits) check(v *validation) {
@@ -120,7 +120,7 @@
 }
 
 func (a *AnnouncedStoreLimits) check(v *validation) {
-	v.reject(a.WriteRPS < 0, "cluster.state.next.write_rps: negative")
+	v.rejectIf(a.WriteRPS < 0, "cluster.state.next.write_rps: negative")
 	if a.ValueKB != 0 {
 		v.checkAtLeast("cluster.state.next.value_kb", a.ValueKB, minValueKB)
 	}
@@ -131,7 +131,7 @@
 
 func (c CloudLimits) check(v *validation) {
 	v.checkPositive("cluster.cloud.rps", c.RPS)
-	v.reject(c.ListLagS < 0, "cluster.cloud.list_lag_s: negative")
+	v.rejectIf(c.ListLagS < 0, "cluster.cloud.list_lag_s: negative")
 }
 
 func (r NodeResources) check(v *validation) {
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -88,8 +88,8 @@
 	EchoID           uint64 // ID of the newest heartbeat received from the addressee, 0 for none
 	UptimeMS         uint32 // of the sender's process
 	LeaseAllowanceMS uint32 // how long after sending the echoed heartbeat the addressee may renew worker leases
-	SinceLeaderMS    uint32 // since a leader's lease was last known to be valid, or Never
-	SinceRenewalMS   uint32 // since the sender last renewed a worker lease on behalf of the leader, or Never
+	SinceLeaderMS    uint32 // since a leader's lease was last known to be valid, or NeverMS
+	SinceRenewalMS   uint32 // since the sender last renewed a worker lease on behalf of the leader, or NeverMS
 }
 
 // NeverMS is the time in a PeerHeartbeat since an event that has not occurred.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -38,11 +38,11 @@
 
 // New returns the transport of a node without peers. handle is called for each received frame except
 // MsgHello, concurrently by one goroutine for each connection.
-func New(self ident.NodeID, handle func(from ident.NodeID, f *Frame)) *Transport {
+func New(self ident.NodeID, onFrame func(from ident.NodeID, f *Frame)) *Transport {
 	return &Transport{
 		self:         self,
 		outboxes:     map[ident.NodeID]*outbox{},
-		onFrame:      handle,
+		onFrame:      onFrame,
 		inboundSlots: make(chan struct{}, maxInboundConns),
 		done:         make(chan struct{}),
 		Dial:         net.DialTimeout,
