--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// defaultAddr is the address of a node if none is given.
+	// defaultAddr is the default of the flag --addr.
 	defaultAddr = "127.0.0.1:8080"
-	// clientTimeout bounds the time of a request to a node.
+	// clientTimeout bounds a request to a node, including reading the response.
 	clientTimeout = 5 * time.Second
-	// maxResponseBytes bounds what is read of a response.
+	// maxResponseBytes bounds the size of a response body that is read.
 	maxResponseBytes = 1 << 20
 
 	jobsPath = "/v2/runs"
@@ -28,11 +28,10 @@
 	standardInput = "-"
 )
 
-// apiClient sends requests of users to a node. It sends each of them once: whoever calls it decides
-// whether to retry.
+// apiClient sends user requests to a node. It never retries; that is left to the caller of the command.
 type apiClient struct{ addr string }
 
-// clientCommand makes the commands for users.
+// clientCommand returns the commands for users.
 func clientCommand() *cobra.Command {
 	client := &apiClient{}
 	cmd := &cobra.Command{Use: "client", Short: "Submit, look up and cancel jobs"}
@@ -81,12 +80,12 @@
 // jobPath returns the path of a job in the API.
 func jobPath(id string) string { return jobsPath + "/" + url.PathEscape(id) }
 
-// readSpec reads the specification of a job from a file or from standard input, and checks it.
+// readSpec reads a job specification from a file or from standard input, and validates it.
 func readSpec(stdin io.Reader, path string) ([]byte, error) {
 	var body []byte
 	var err error
 	if path == standardInput {
-		// One byte more than is allowed shows that the specification is too large.
+		// Read one byte more than the limit, so that a specification over the limit is detected.
 		body, err = io.ReadAll(io.LimitReader(stdin, api.MaxBodyBytes+1))
 	} else {
 		body, err = os.ReadFile(path)
@@ -100,8 +99,8 @@
 	return body, nil
 }
 
-// call sends a request and prints the body of the response. Its error has the status of a response that
-// is not a success.
+// call sends a request and prints the body of the response. It returns an error with the status of the
+// response unless that is a success.
 func (c *apiClient) call(cmd *cobra.Command, method, path string, body []byte) error {
 	req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -116,7 +115,8 @@
 	return statusError(resp)
 }
 
-// sendRequest sends a request to a node, and returns the response with its body, which it has read.
+// sendRequest sends a request to a node. It returns the response, whose Body is closed, and the content
+// of the body.
 func sendRequest(req *http.Request) (*http.Response, []byte, error) {
 	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return resp, body, nil
 }
 
-// statusError returns an error for a response that is not a success.
+// statusError returns an error with the status of a response that is not a success, nil otherwise.
 func statusError(resp *http.Response) error {
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return nil
--- a/cmd/opaldale/golden_test.go
+++ b/cmd/opaldale/golden_test.go
@@ -16,7 +16,7 @@
 	"opaldale/internal/linktracker"
 )
 
-// runMainVariable is the variable that has the test binary run the command instead of the tests.
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
 const runMainVariable = "OPALDALE_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
@@ -27,8 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// execute runs the command and returns what it prints and its exit code. The address of a node
-// is given for ADDR.
+// execute runs the command, and returns its output and exit code. ADDR in args stands for addr.
 func execute(t *testing.T, addr string, environment []string, args ...string) string {
 	t.Helper()
 	given := make([]string, len(args))
@@ -88,7 +87,7 @@
 	d.Compare(t, "settings")
 }
 
-// goldenNode answers all requests alike, and records the last one.
+// goldenNode responds to all requests alike, and records the last one.
 type goldenNode struct {
 	status      int
 	retry       string
--- a/cmd/opaldale/links.go
+++ b/cmd/opaldale/links.go
@@ -10,12 +10,13 @@
 	"opaldale/internal/linktracker"
 )
 
-// linksCommand shows the state of a node's links, and of those that its peers advertise.
+// linksCommand returns the command that shows the state of a node's links, and those advertised by its
+// peers.
 func linksCommand() *cobra.Command {
 	return reportCommand("links", "Show who reaches whom, as a node knows it", writeLinks)
 }
 
-// newTable returns a writer that aligns the columns of a table.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
 // writeLinks prints a report as tables.
@@ -61,7 +62,7 @@
 	}
 }
 
-// linkNote says why a link is not used though it may be up.
+// linkNote returns the reason why a link that may be up is not used, "" if there is none.
 func linkNote(damped, refusing bool) string {
 	switch {
 	case damped && refusing:
--- a/cmd/opaldale/moves.go
+++ b/cmd/opaldale/moves.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/settings"
 )
 
-// movesCommand shows the moves of running tasks.
+// movesCommand returns the command that shows the moves of running tasks.
 func movesCommand() *cobra.Command {
 	return reportCommand("moves", "Show moves of running tasks, under way and lately", writeMoves)
 }
--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 )
 
-// reportCommand makes a command that shows a report of a node to operators, as tables or as the JSON that
-// the node sends. The command has the name of the report's path.
+// reportCommand returns a command that shows a report of a node to operators, as tables printed by write
+// or as the JSON sent by the node. name is both the command's name and the path of the report.
 func reportCommand[T any](name, short string, write func(io.Writer, T) error) *cobra.Command {
 	var addr string
 	var asJSON bool
@@ -39,7 +39,7 @@
 	return cmd
 }
 
-// fetchReport reads a report of a node.
+// fetchReport requests a report of a node and returns its JSON.
 func fetchReport(addr, name string) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/"+name, nil)
 	if err != nil {
--- a/cmd/opaldale/serve.go
+++ b/cmd/opaldale/serve.go
@@ -14,10 +14,10 @@
 // Environment variables that a controller reads.
 const (
 	logLevelVariable = "LOG_LEVEL"
-	tuningVariable   = "OPALDALE_TUNING" // path of the tuning file if none is given
+	tuningVariable   = "OPALDALE_TUNING" // default path of the tuning file
 )
 
-// tuningUsage describes the flag for the tuning file.
+// tuningUsage is the usage of the flag --tuning.
 const tuningUsage = "the operators' settings (S-expressions)"
 
 func serveCommand() *cobra.Command {
@@ -31,12 +31,12 @@
 	cmd.Flags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
 	cmd.Flags().StringVar(&tuningPath, "tuning", os.Getenv(tuningVariable), tuningUsage)
 	if err := cmd.MarkFlagRequired("config"); err != nil {
-		panic(err) // there is no such flag
+		panic(err) // the flag is not defined
 	}
 	return cmd
 }
 
-// serve runs a controller until it fails.
+// serve runs a controller. It returns only on failure.
 func serve(configPath, tuningPath string) error {
 	configureLogging()
 	loaded, err := settings.Load(configPath, tuningPath)
@@ -47,12 +47,12 @@
 	return server.Run(loaded)
 }
 
-// configureLogging has the log written to standard error, at the level that the environment sets.
+// configureLogging sets up logging to standard error, at the level set by logLevelVariable.
 func configureLogging() {
 	level := slog.LevelInfo
 	if v := os.Getenv(logLevelVariable); v != "" {
 		if err := level.UnmarshalText([]byte(v)); err != nil {
-			fmt.Fprintf(os.Stderr, "LOG_LEVEL %q is unknown; using info\n", v)
+			fmt.Fprintf(os.Stderr, "%s %q is unknown; using info\n", logLevelVariable, v)
 		}
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
--- a/cmd/opaldale/settings.go
+++ b/cmd/opaldale/settings.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/settings"
 )
 
-// settingsCommand makes the commands about settings files.
+// settingsCommand returns the commands for settings files.
 func settingsCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "settings", Short: "Work with settings"}
 	cmd.AddCommand(settingsCheckCommand())
--- a/cmd/opaldale/version.go
+++ b/cmd/opaldale/version.go
@@ -7,10 +7,10 @@
 	"github.com/spf13/cobra"
 )
 
-// release is the version in CHANGELOG.md that this tree leads up to.
+// release is the version under development, as in CHANGELOG.md.
 const release = "0.1.0"
 
-// revisionSetting is the build setting that has the revision of the source.
+// revisionSetting is the key of the build setting that holds the source revision.
 const revisionSetting = "vcs.revision"
 
 func versionCommand() *cobra.Command {
@@ -25,7 +25,7 @@
 	}
 }
 
-// sourceRevision returns the revision that the program was built from.
+// sourceRevision returns the source revision of the build, "unknown" if it was not recorded.
 func sourceRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,4 @@
-// Package httpcall makes HTTP calls with JSON bodies, each bounded in time and in the size of
-// its response.
+// Package httpcall makes HTTP calls with JSON bodies, with limits on the time and the size of the response.
 package httpcall
 
 import (
@@ -13,18 +12,18 @@
 	"time"
 )
 
-// Call is one request and the bounds within which it must be answered.
+// Call is a request with the limits on its response.
 type Call struct {
 	Method string
 	URL    string
 	Body   any // encoded as JSON; nil for a request without a body
 
-	Timeout          time.Duration // for the whole call, including the body of the response
-	MaxResponseBytes int64         // a longer body is cut off there without an error
+	Timeout          time.Duration // of the whole call, including reading the response body
+	MaxResponseBytes int64         // longer bodies are truncated without an error
 }
 
-// Do sends the request and returns the status and the body of the response. After an error the
-// server may still have processed the request, unless ConnectionRefused is true of the error.
+// Do sends the request and returns the status and the body of the response. If it returns an error, the
+// server may nevertheless have processed the request, unless ConnectionRefused reports true for the error.
 func (c Call) Do(client *http.Client) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -57,5 +56,5 @@
 	return request, nil
 }
 
-// ConnectionRefused reports whether err is a refused connection, so that nothing was sent.
+// ConnectionRefused reports whether err is a refused connection, in which case nothing was sent.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// received is a request as the server saw it.
+// received is a request received by the server.
 type received struct{ method, contentType, body string }
 
-// newServer starts a server that passes each request on and responds with a status and a body.
+// newServer starts a server that sends each request to the returned channel and responds with a status
+// and a body.
 func newServer(t *testing.T, status int, body string) (*httptest.Server, <-chan received) {
 	t.Helper()
 	requests := make(chan received, 1)
--- a/internal/ident/clock.go
+++ b/internal/ident/clock.go
@@ -5,24 +5,24 @@
 // MonotonicTime is a reading of the monotonic clock, in nanoseconds since the start of the process.
 type MonotonicTime time.Duration
 
-// Never is later than every reading of the monotonic clock.
+// Never is later than any reading of the monotonic clock.
 const Never = MonotonicTime(1<<63 - 1)
 
-// Add returns the reading d later.
+// Add returns the reading d after m.
 func (m MonotonicTime) Add(d time.Duration) MonotonicTime { return m + MonotonicTime(d) }
 
-// Sub returns the time that passed from an earlier reading to m.
+// Sub returns the time elapsed from an earlier reading to m.
 func (m MonotonicTime) Sub(earlier MonotonicTime) time.Duration { return time.Duration(m - earlier) }
 
-// maxClockDrift bounds the share by which the monotonic clocks of two nodes differ in rate. Clocks
-// drift apart by at most 0.05%; the bound is twice that.
+// maxClockDrift is the assumed bound on the relative difference in rate of the monotonic clocks of two
+// nodes: twice the 0.05% by which clocks drift at most.
 const maxClockDrift = 0.001
 
 // ClockDriftFactor is by how much a duration on one node's clock is extended to be surely over on
 // the clock of another, or of a worker: their rates differ by at most maxClockDrift, taken twice.
 const ClockDriftFactor = 1.002
 
-// LeastElapsed returns the least time that passes on one node's clock while d passes on another's.
+// LeastElapsed returns the minimum time that elapses on one node's clock while d elapses on another's.
 func LeastElapsed(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - maxClockDrift))
 }
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident defines the identifiers, counters and clock readings that all other packages share.
+// Package ident defines the identifiers, counters and clock readings shared by the other packages.
 package ident
 
 import (
@@ -13,24 +13,24 @@
 	NodeID string
 	// MachineID identifies a provisioned machine.
 	MachineID string
-	// JobID identifies a job, in the form that ParseJobID checks. The submitter chooses it.
+	// JobID identifies a job. It is chosen by the submitter and has the form checked by ParseJobID.
 	JobID string
-	// Term is the number of an election. Each leader has a higher one than all before it.
+	// Term is the number of an election. Each leader has a higher term than all leaders before it.
 	Term uint64
-	// FencingToken orders the commands to a worker: the worker rejects those with a token lower
-	// than the highest that it has seen.
+	// FencingToken orders the commands to a worker. The worker rejects commands whose token is
+	// lower than the highest one that it has received.
 	FencingToken uint64
 	// Incarnation counts the registrations of a worker.
 	Incarnation uint64
 	// SequenceNumber orders the messages of one incarnation of a worker.
 	SequenceNumber uint64
-	// Revision orders the writes to the key-value store. That of a key is the revision of its
-	// last put; 0 means that the key does not exist.
+	// Revision orders the writes to the key-value store. The revision of a key is that of its last
+	// put; 0 means that the key does not exist.
 	Revision uint64
-	// Attempt counts the times that a task was started.
+	// Attempt counts the starts of a task.
 	Attempt uint64
-	// FormatLevel is the version of the format of stored data; 0 is the first one. It is raised
-	// once all controllers can read the next.
+	// FormatLevel is the version of the format of stored data, starting at 0. It is raised once all
+	// controllers can decode the next level.
 	FormatLevel uint8
 )
 
@@ -48,16 +48,16 @@
 // tokenCounterBits is the size of the counter in a FencingToken; the term is above it.
 const tokenCounterBits = 20
 
-// MakeFencingToken returns the token of a leader in a term. counter separates tokens for the same
-// worker in that term; only its low tokenCounterBits bits count.
+// MakeFencingToken returns a token of the leader of a term. counter orders the tokens for one worker
+// within the term; only its low tokenCounterBits bits are used.
 func MakeFencingToken(term Term, counter uint32) FencingToken {
 	return FencingToken(uint64(term)<<tokenCounterBits | uint64(counter)&(1<<tokenCounterBits-1))
 }
 
-// Term returns the term in which the token was made.
+// Term returns the term of the leader that made the token.
 func (t FencingToken) Term() Term { return Term(t >> tokenCounterBits) }
 
-// ErrMalformed means that the text of an identifier does not have the required form.
+// ErrMalformed is returned for the text of an identifier that does not have the required form.
 var ErrMalformed = errors.New("malformed name")
 
 const (
@@ -65,8 +65,8 @@
 	maxJobIDDigits = 20
 )
 
-// ParseJobID checks that s has the form of a job ID, as in j-000412: jobIDPrefix and one to
-// maxJobIDDigits digits. If not, it returns ErrMalformed.
+// ParseJobID returns s as a JobID. It returns ErrMalformed unless s consists of jobIDPrefix and one to
+// maxJobIDDigits digits, as in j-000412.
 func ParseJobID(s string) (JobID, error) {
 	digits, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || len(digits) < 1 || len(digits) > maxJobIDDigits {
@@ -80,25 +80,26 @@
 	return JobID(s), nil
 }
 
-// TaskID identifies a task by its job and its index within the job, from 0. Its text form is
-// j-000412/3.
+// TaskID identifies a task by its job and its index within the job, which starts at 0. Its text form is
+// like j-000412/3.
 type TaskID struct {
 	Job   JobID
 	Index int
 }
 
+// String returns the ID in its text form.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // MarshalText encodes the ID in its text form.
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText decodes the text form. Its errors wrap ErrMalformed.
+// UnmarshalText decodes the text form. Errors wrap ErrMalformed and leave t unchanged.
 func (t *TaskID) UnmarshalText(text []byte) error {
 	jobText, indexText, _ := strings.Cut(string(text), "/")
 	job, jobErr := ParseJobID(jobText)
 	index, indexErr := strconv.Atoi(indexText)
 	if jobErr != nil || indexErr != nil || index < 0 {
-		// The text reaches workers, for which the protocol calls a task a piece.
+		// The error text is sent to workers, whose protocol calls a task a piece.
 		return fmt.Errorf("piece %q: %w", text, ErrMalformed)
 	}
 	t.Job, t.Index = job, index
--- a/internal/settings/deploy_test.go
+++ b/internal/settings/deploy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestDeployFiles: every tuning file that is shipped is in order, and turns on what it says.
+// TestDeployFiles: every shipped tuning file is valid and enables the link monitor.
 func TestDeployFiles(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.sexp")
 	if err != nil || len(files) < 2 {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -38,8 +38,8 @@
 	"rebalance", "moves-cluster", "moves-zone", "moves-team", "moves-margin", "moves-settle", "moves-patience", "moves-min-run",
 }
 
-// TestGoldenTuning pins the names of the operators' settings: each of them alone changes one
-// value, whose place is pinned, and has its own error.
+// TestGoldenTuning pins the names of the operators' settings, the value that each of them changes, and
+// its errors.
 func TestGoldenTuning(t *testing.T) {
 	var d golden.Document
 	d.Add("defaults", fmt.Sprintf("%v", DefaultTuning()))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the two configuration files of a controller: the platform's settings, in
-// TOML, and the operators' tuning, as S-expressions. It reports every fault of a file, not only
-// the first one.
+// Package settings reads the two configuration files of a controller: the platform's settings in TOML,
+// and the operators' tuning as S-expressions. It reports all faults of a file, not only the first one.
 package settings
 
 import (
@@ -13,7 +12,7 @@
 	"opaldale/internal/ident"
 )
 
-// Settings is the configuration of a controller node.
+// Settings is the configuration of one controller.
 type Settings struct {
 	Node          ident.NodeID `toml:"node_name"`
 	Zone          string       `toml:"zone"`
@@ -32,7 +31,7 @@
 	Address string       `toml:"address"`
 }
 
-// Endpoints are the addresses of the services that a controller uses, as IP address and port.
+// Endpoints are the addresses (IP address and port) of the services that a controller uses.
 type Endpoints struct {
 	Cloud string `toml:"cloud"` // the provider's API
 	Store string `toml:"state"` // the key-value store
@@ -42,7 +41,7 @@
 type Cluster struct {
 	Nodes             int           `toml:"nodes"` // number of controllers
 	Zones             []string      `toml:"zones"`
-	ClockErrorBoundMS float64       `toml:"time_bound_ms"` // not used: leases rely on elapsed time alone
+	ClockErrorBoundMS float64       `toml:"time_bound_ms"` // not used: leases depend on elapsed time only
 	Teams             []Team        `toml:"teams"`
 	Objectives        []Objective   `toml:"objectives"`
 	Workers           WorkerTimes   `toml:"workers"`
@@ -51,8 +50,8 @@
 	Resources         NodeResources `toml:"resources"`
 }
 
-// Team is a team's quota: the CPUs and GPUs that it is guaranteed, and the limits on them. 0 stands
-// for no guarantee and for no limit.
+// Team is a team's quota: its guaranteed CPUs and GPUs, and the limits on them. 0 means no guarantee, or
+// no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -66,10 +65,10 @@
 	Kind    ObjectiveKind `toml:"kind"`
 	Class   string        `toml:"class"`
 	WithinS float64       `toml:"within_s"` // time limit in seconds
-	Share   float64       `toml:"share"`    // part of the jobs that must keep it
+	Share   float64       `toml:"share"`    // fraction of the jobs that must meet the limit
 }
 
-// ObjectiveKind says which time of a job an objective bounds. Kinds that are not known are ignored.
+// ObjectiveKind is the duration of a job that an objective limits. Unknown kinds are ignored.
 type ObjectiveKind string
 
 // The kinds of objectives.
@@ -78,13 +77,13 @@
 	ObjectiveWait     ObjectiveKind = "wait"     // from submission to the start of its tasks
 )
 
-// WorkerTimes are the times that workers keep to, in seconds.
+// WorkerTimes are the intervals and time limits of workers, in seconds.
 type WorkerTimes struct {
 	HeartbeatS float64 `toml:"report_s"`    // from one heartbeat to the next
-	LeaseS     float64 `toml:"lease_s"`     // a worker without renewal kills its tasks after this time
+	LeaseS     float64 `toml:"lease_s"`     // a worker whose lease is not renewed kills its tasks after this time
 	CancelS    float64 `toml:"cancel_s"`    // a cancelled task has ended after this time
-	GangWaitS  float64 `toml:"gang_wait_s"` // a task waits for the others of its gang for this time
-	GangPeerS  float64 `toml:"gang_peer_s"` // tasks of a gang notice within this time that one is lost
+	GangWaitS  float64 `toml:"gang_wait_s"` // a task waits this long for the other tasks of its gang
+	GangPeerS  float64 `toml:"gang_peer_s"` // the tasks of a gang detect the loss of one of them within this time
 }
 
 // StoreLimits are the limits of the key-value store.
@@ -93,19 +92,18 @@
 	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
 	ValueKB  float64 `toml:"value_kb"`  // largest value, in KiB
 	TxnOps   int     `toml:"txn_ops"`   // operations in a transaction
-	// Announced are the limits that the store will have from an unknown time on; nil if none are
-	// announced.
+	// Announced are limits that the store will introduce at an unknown time, nil if there are none.
 	Announced *AnnouncedStoreLimits `toml:"next"`
 }
 
-// AnnouncedStoreLimits are limits that the store will have; 0 stands for one that does not change.
+// AnnouncedStoreLimits are limits that the store will introduce. 0 means that a limit will not change.
 type AnnouncedStoreLimits struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Strictest returns the smaller of each present and announced limit.
+// Strictest returns the lower of each present and announced limit.
 func (s StoreLimits) Strictest() StoreLimits {
 	announced := s.Announced
 	if announced == nil {
@@ -129,18 +127,18 @@
 	ListLagS float64 `toml:"list_lag_s"` // seconds by which a listing may be out of date
 }
 
-// NodeResources is what a controller may use of its machine.
+// NodeResources are the resources of its machine that a controller may use.
 type NodeResources struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"` // MiB
 	Sockets  int     `toml:"sockets"`
 }
 
-// Seconds converts a time of the settings into a duration.
+// Seconds returns the duration for a number of seconds in the settings.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads the platform's settings and, unless its path is empty, the tuning file. The error joins
-// all faults of the file that is wrong.
+// Load reads and checks the platform's settings and, unless tuningPath is empty, the tuning file. The
+// error joins all faults of the first file that has any.
 func Load(path, tuningPath string) (*Settings, error) {
 	platformFile, err := os.ReadFile(path)
 	if err != nil {
@@ -165,8 +163,8 @@
 	return s, nil
 }
 
-// Parse reads the platform's settings from TOML, with the default tuning. Unknown fields are ignored.
-// The error joins all faults.
+// Parse reads and checks the platform's settings in TOML. The tuning of the result is the default one.
+// Unknown fields are ignored. The error joins all faults.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{Tuning: DefaultTuning()}
 	if err := toml.Unmarshal(b, s); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 sockets = 3500
 `
 
-// TestParse: a valid file is read, and every fault of another one is named.
+// TestParse: a valid file is parsed, and the error of a faulty file names all faults.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validConfig))
 	if err != nil || s.Cluster.Teams[0].CPUsMax != 88 || s.Cluster.Objectives[0].WithinS != 1 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestTuning: a tuning file sets what it contains, and one that is no tuning file is refused.
+// TestTuning: a tuning file sets the values that it contains, and a malformed file is rejected.
 func TestTuning(t *testing.T) {
 	tuning := DefaultTuning()
 	if err := tuning.Apply([]byte("; ours\n(tuning (leader-lease 3s)\n (plan none) (headroom 1.5))")); err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestFaultyTuning: a setting that is out of its bounds or unreadable is named in the error.
+// TestFaultyTuning: the error names a setting whose value is malformed or out of bounds.
 func TestFaultyTuning(t *testing.T) {
 	for _, bad := range []struct{ text, name string }{
 		{"(links-suspect 1h)", "links-suspect"},
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestAnnouncedStoreLimits: announced limits count where they are smaller; one that isn't given
-// stays, and faulty ones are named.
+// TestAnnouncedStoreLimits: announced limits apply where they are lower, limits without announcement are
+// unchanged, and the error names faulty announcements.
 func TestAnnouncedStoreLimits(t *testing.T) {
 	next := func(body string) string {
 		return strings.Replace(validConfig, "[cluster.cloud]", "[cluster.state.next]\n"+body+"\n[cluster.cloud]", 1)
--- a/internal/settings/sexp.go
+++ b/internal/settings/sexp.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// sexp is an S-expression: an atom, or a list of S-expressions. Atoms have no quoting; comments go
-// from ';' to the end of the line.
+// sexp is an S-expression: an atom, or a list of S-expressions. There is no quoting. Comments extend from
+// ';' to the end of the line.
 type sexp struct {
 	atom string
 	list []sexp
 }
 
-// maxDepth bounds nesting, so that no file can exhaust the stack.
+// maxDepth is the maximum nesting depth. It prevents stack exhaustion.
 const maxDepth = 16
 
 // Characters that separate atoms.
@@ -21,7 +21,7 @@
 	delimiters = whitespace + "();"
 )
 
-// parseSexp reads the S-expressions of a text.
+// parseSexp parses the S-expressions in a text.
 func parseSexp(src string) ([]sexp, error) {
 	p := &sexpParser{src: src}
 	exprs, err := p.parseSequence(0)
@@ -31,7 +31,7 @@
 	return exprs, err
 }
 
-// sexpParser reads S-expressions from a position on.
+// sexpParser is a recursive descent parser of S-expressions.
 type sexpParser struct {
 	src string
 	pos int
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Tuning is the operators' part of the configuration, written as an S-expression:
+// Tuning is the part of the configuration that operators set, written as an S-expression:
 //
 //	(tuning (leader-lease 2s) (round 5s) (plan asm1))
 type Tuning struct {
-	LeaderLease          time.Duration // how long leadership lasts without renewal
-	PlanInterval         time.Duration // from one plan to the next
-	UnreachableAfter     time.Duration // a machine that is silent for this time is fenced; 0: a multiple of report_s
+	LeaderLease          time.Duration // TTL of the leader lease
+	PlanInterval         time.Duration // time between placement plans
+	UnreachableAfter     time.Duration // a machine silent for this time is fenced; 0: a multiple of report_s
 	ScaleInDelay         time.Duration // how long excess capacity is kept
 	BootTimeoutFactor    float64       // a boot has failed after this many times startup_s
-	Headroom             float64       // multiplies the capacity kept free for expected arrivals
-	ServiceSpareFraction float64       // part of the services' capacity that is kept free for its failure
-	StarvationTimeout    time.Duration // a job that waits longer for its first task precedes all others
-	GangPreemptAfter     time.Duration // other work waits for this time before a whole gang is preempted for it
+	Headroom             float64       // factor on the capacity kept free for expected arrivals
+	ServiceSpareFraction float64       // fraction of the services' capacity kept free in case of failures
+	StarvationTimeout    time.Duration // a job that waits longer for its first task takes precedence over all others
+	GangPreemptAfter     time.Duration // other work waits this long before a whole gang is preempted for it
 	PlanMode             PlanMode      // how waiting tasks are assigned to machines
 	Links                Links
 	Rebalance            Rebalance
 	Migration            MigrationLimits
 }
 
-// PlanMode says how waiting tasks are assigned to machines.
+// PlanMode is the way in which waiting tasks are assigned to machines.
 type PlanMode string
 
 // The plan modes.
@@ -37,7 +37,7 @@
 	PlanNone PlanMode = "none" // by local work and stealing only
 )
 
-// Rebalance says what is done about uneven load.
+// Rebalance is the reaction to uneven load.
 type Rebalance string
 
 // The modes of rebalancing. Each includes the ones before it.
@@ -48,35 +48,35 @@
 	RebalanceMove   Rebalance = "move"   // running tasks are moved when the gain exceeds the cost
 )
 
-// rebalanceModes has all modes of rebalancing.
+// rebalanceModes are all modes of rebalancing.
 var rebalanceModes = []Rebalance{RebalanceOff, RebalanceReport, RebalancePlace, RebalanceMove}
 
 // MigrationLimits restrict the moves of running tasks.
 type MigrationLimits struct {
-	Cluster, Zone, Team int           // concurrent moves
-	MinGainFactor       float64       // how many times its cost a move must gain
-	LeaderSettleTime    time.Duration // a term has lasted for this time before anything is moved
-	MinTaskWait         time.Duration // a task has waited for this time before others are moved for it
-	MinRunTime          time.Duration // a task has run for this time before it is moved
+	Cluster, Zone, Team int           // maximum number of concurrent moves in each
+	MinGainFactor       float64       // minimum ratio of the gain of a move to its cost
+	LeaderSettleTime    time.Duration // no task is moved in a term before this time
+	MinTaskWait         time.Duration // no task is moved to make room for one that has waited less than this
+	MinRunTime          time.Duration // no task is moved that has run for less than this
 }
 
-// Upper bounds of the tuning.
+// Upper bounds of tuning values.
 const (
 	maxHeadroom        = 10
 	maxConcurrentMoves = 1000
 	maxGainFactor      = 100
 )
 
-// Links is the tuning of the monitoring of links, which detects partial failures of the network.
+// Links is the tuning of the link monitor, which detects partial network failures, and of handovers.
 type Links struct {
 	Enabled             bool
-	SuspectGrace        time.Duration // a link is suspected after this time beyond its usual delays
-	PenaltyHalfLife     time.Duration // of the penalty on a link that fails again and again
-	MinTermDuration     time.Duration // leadership is kept for this time before it is handed over
-	StabilizationWindow time.Duration // a peer has the better links for this time before leadership is handed over
+	SuspectGrace        time.Duration // how long beyond its usual delays a link becomes suspect; see links.Config
+	PenaltyHalfLife     time.Duration // of the flap damping penalty; see links.Config
+	MinTermDuration     time.Duration // see handover.Config
+	StabilizationWindow time.Duration // see handover.Config
 }
 
-// DefaultTuning returns the values of what a tuning file leaves out.
+// DefaultTuning returns the default values, which apply to settings that a tuning file omits.
 func DefaultTuning() Tuning {
 	return Tuning{
 		LeaderLease:          2 * time.Second,
@@ -150,11 +150,11 @@
 	v.rejectIf(l.StabilizationWindow < 500*time.Millisecond, "links-persist: must be at least 500ms")
 }
 
-// outside says whether a value is below a least or above a greatest one.
+// outside reports whether a value is out of the inclusive range from least to greatest.
 func outside[T cmp.Ordered](value, least, greatest T) bool { return value < least || value > greatest }
 
-// Apply sets what a tuning file contains. The error joins all of its faults, such as unknown names;
-// the values are not checked.
+// Apply applies the settings in a tuning file. The error joins all faults of the file, such as syntax
+// errors and unknown names. Values are not checked against their bounds.
 func (t *Tuning) Apply(b []byte) error {
 	exprs, err := parseSexp(string(b))
 	if err != nil {
@@ -177,10 +177,10 @@
 	return errors.Join(faults...)
 }
 
-// errNotOnOff is the fault of a switch with any other value.
+// errNotOnOff is the fault of a boolean setting whose value is neither on nor off.
 var errNotOnOff = errors.New("must be on or off")
 
-// errUnknownSetting is the fault of a name that no setting has.
+// errUnknownSetting is the fault of an unknown setting name.
 var errUnknownSetting = errors.New("unknown setting")
 
 // set sets one setting by its name.
@@ -234,7 +234,7 @@
 	}[name]
 }
 
-// parseOnOff reads the value of a switch.
+// parseOnOff parses the value of a boolean setting.
 func parseOnOff(value string) (bool, error) {
 	switch value {
 	case "on":
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -8,14 +8,14 @@
 	"opaldale/internal/ident"
 )
 
-// The least with which a controller can work.
+// The minimum limits and resources with which a controller can work.
 const (
 	minValueKB = 1  // largest value of the store, in KiB
 	minTxnOps  = 4  // operations in a transaction
 	minSockets = 16 // sockets of a node
 )
 
-// validation collects the faults of settings. Each fault begins with the name of its setting.
+// validation collects the faults of settings. The text of each fault begins with the name of the setting.
 type validation struct {
 	faults []error
 }
@@ -32,7 +32,7 @@
 	}
 }
 
-// err joins the faults; nil without any.
+// err returns the joined faults, nil if there are none.
 func (v *validation) err() error { return errors.Join(v.faults...) }
 
 // checkAddress checks that a value is an IP address with a port.
@@ -43,14 +43,14 @@
 	}
 }
 
-// checkPositive checks that an amount is above 0, and not NaN.
+// checkPositive checks that a value is above 0, and not NaN.
 func (v *validation) checkPositive(name string, value float64) {
 	if !(value > 0) {
 		v.add("%s: must be above 0", name)
 	}
 }
 
-// checkAtLeast checks that an amount is not below a minimum.
+// checkAtLeast checks that a value is not below a minimum.
 func (v *validation) checkAtLeast(name string, value, minimum float64) {
 	if value < minimum {
 		v.add("%s: must be at least %v", name, minimum)
@@ -75,7 +75,7 @@
 	return v.err()
 }
 
-// checkPeers checks that the nodes have different names, and the peers addresses.
+// checkPeers checks that the names of all nodes are unique, and that all peers have valid addresses.
 func (s *Settings) checkPeers(v *validation) {
 	seen := map[ident.NodeID]bool{s.Node: true}
 	for i, p := range s.Peers {
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkTeams checks the names and the quotas of the teams.
+// checkTeams checks that team names are unique and quotas are not negative.
 func (c *Cluster) checkTeams(v *validation) {
 	v.rejectIf(len(c.Teams) == 0, "cluster.teams: missing")
 	seen := map[string]bool{}
