--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// arrivalWindow is how long an arrival is remembered.
+	// arrivalWindow is how long an arrival is kept, and the longest span of the arrival rate.
 	arrivalWindow = 90 * time.Second
-	// burstWindow is the span of the rate that notices a burst.
+	// burstWindow is the span of the rate that detects bursts.
 	burstWindow = 25 * time.Second
-	// backlogPeriod is for how long after the beginning arrivals count as a backlog and not as
-	// a rate.
+	// backlogPeriod is how long after the start arrivals count as a backlog and not towards the
+	// rate.
 	backlogPeriod = 15 * time.Second
 	// minRateSpan is the shortest span that a rate is computed over.
 	minRateSpan = 10 * time.Second
-	// arrivalsCeasedAfter is how long after the last job of any kind none is expected any more.
+	// arrivalsCeasedAfter is the time without any arrival after which no more are expected.
 	arrivalsCeasedAfter = 40 * time.Second
 	// maxArrivals bounds the arrivals remembered: 4,000 machines that each start a job every ten
 	// seconds are 36,000 in a window.
 	maxArrivals = 50_000
 )
 
-// arrivals remembers the jobs of late, from which those to come are predicted.
+// arrivals keeps the recent arrivals of jobs, from which further ones are predicted.
 type arrivals struct {
 	teams    *placement.Teams
-	since    ident.MonotonicTime // when the memory begins
+	since    ident.MonotonicTime // start of the history
 	services arrivalHistory      // services and gangs
 	batch    arrivalHistory
 }
 
-// record notes a job. None is expected of borrowers: no capacity is kept for them.
+// record adds a job. Jobs of borrowers are left out: no capacity is kept for them.
 func (a *arrivals) record(spec *api.Spec, at ident.MonotonicTime) {
 	if a.teams.IsBorrower(spec.Team) {
 		return
@@ -47,28 +47,28 @@
 	a.batch.record(at, min(cpus, max(a.teams.LargestGuarantee(), spec.VCPUs)))
 }
 
-// resume says that jobs arrived before this term as well.
+// resume moves the start of the history back, since jobs arrived before this term as well.
 func (a *arrivals) resume() { a.since = a.since.Add(-longAgo) }
 
-// ceased says whether no more jobs are expected.
+// ceased reports whether no more jobs are expected.
 func (a *arrivals) ceased(now ident.MonotonicTime) bool {
 	return now.Sub(max(a.services.latest(), a.batch.latest())) > arrivalsCeasedAfter
 }
 
-// arrivalHistory has the times of arrivals and the CPUs of each, in the order of time.
+// arrivalHistory holds the times of arrivals in ascending order, and the CPUs of each.
 type arrivalHistory struct {
 	times []ident.MonotonicTime
 	cpus  []float64
 }
 
-// record notes an arrival.
+// record adds an arrival.
 func (a *arrivalHistory) record(now ident.MonotonicTime, cpus float64) {
 	a.times = append(a.times, now)
 	a.cpus = append(a.cpus, cpus)
 	a.trim(now)
 }
 
-// trim forgets arrivals that are too old or too many.
+// trim drops arrivals older than arrivalWindow, and the oldest beyond maxArrivals.
 func (a *arrivalHistory) trim(now ident.MonotonicTime) {
 	dropped := 0
 	for dropped < len(a.times) && (now.Sub(a.times[dropped]) > arrivalWindow || len(a.times)-dropped > maxArrivals) {
@@ -85,7 +85,8 @@
 	return a.times[len(a.times)-1]
 }
 
-// rate returns the CPUs that arrive in a second, and the CPUs of the mean and the largest job.
+// rate returns the CPUs that arrive per second, and the CPUs of the mean and of the largest job,
+// where since is the start of the history.
 func (a *arrivalHistory) rate(now, since ident.MonotonicTime) (perSecond, mean, largest float64) {
 	a.trim(now)
 	windowCPUs, burstCPUs, totalCPUs := 0.0, 0.0, 0.0
--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// slackShare is the part of the time left to the objectives within which a backlog is worked
-	// off: jobs go on arriving, and estimates are often short.
+	// slackShare is the fraction of the time left to the objectives within which a backlog should be
+	// completed: more jobs arrive meanwhile, and runtimes are often underestimated.
 	slackShare = 0.85
-	// minTaskTimeLeft, in seconds, is how long a running task is expected to go on at the least.
+	// minTaskTimeLeft is the shortest remaining time that a running task is expected to take, in
+	// seconds.
 	minTaskTimeLeft = 5
 	// spotPatience, in boot times, is how long work that may use spot machines waits for one
 	// before an on-demand machine is provisioned for it.
 	spotPatience = 2
-	// priceTolerance is by how much two prices may differ to count as equal.
+	// priceTolerance is the largest difference of prices that count as equal.
 	priceTolerance = 1e-9
-	// canaries is how many machines are provisioned in an unreachable zone, to find out whether
-	// new ones are reachable.
-	canaries = 2
-	// amountSteps is how many different amounts are told apart from one CPU to the next.
+	// maxCanaries bounds the machines provisioned in an unreachable zone, which show whether new ones
+	// are reachable.
+	maxCanaries = 2
+	// amountSteps is the number of steps per CPU that roundAmount distinguishes.
 	amountSteps = 1e6
 )
 
@@ -46,11 +47,11 @@
 	terminator  *terminator
 
 	arrivals    arrivals
-	excessSince ident.MonotonicTime // since when there is more capacity than needed; 0 if there is not
+	excessSince ident.MonotonicTime // when excess capacity was first found; 0 without any
 }
 
-// run packs the waiting work onto the machines that are there or coming, provisions what is missing
-// and empties what is not needed.
+// run packs the waiting work onto the existing and requested machines, provisions those that are
+// missing, and scales in those that are not needed.
 func (s *autoscaler) run() {
 	catalog := s.cfg.Catalog()
 	if len(catalog) == 0 {
@@ -76,9 +77,10 @@
 	capacity       *capacityModel
 	missing        map[pool]int // machines to be provisioned
 	onDemandBudget float64      // CPUs of batch work for which on-demand machines may replace spot machines
-	movesLeft      int          // replicas for which another machine may still be looked for
+	movesLeft      int          // replicas for which a destination may still be searched
 }
 
+// newRun measures the capacity for one run.
 func (s *autoscaler) newRun(catalog []cloud.MachineType) *scalingRun {
 	run := &scalingRun{
 		autoscaler: s,
@@ -103,8 +105,8 @@
 	}
 }
 
-// waitingJobs lists the jobs with tasks to be placed: services and gangs first, then batch jobs, each
-// by arrival, with those of borrowers last, who have the capacity that others leave.
+// waitingJobs lists the jobs with tasks to be placed: services and gangs, then batch jobs, in each
+// group those of borrowers last, then by arrival.
 func (r *scalingRun) waitingJobs() []*jobs.Job {
 	var waiting []*jobs.Job
 	for j := range r.jobs.Waiting {
@@ -136,9 +138,9 @@
 	}
 }
 
-// batchShortfall returns how many CPUs are missing for the waiting batch jobs to keep the first of
-// their objectives, 0 if the machines that are there or coming suffice. It judges a backlog
-// by its work, before any job of it is late.
+// batchShortfall returns the CPUs that are missing for the waiting batch jobs to meet the first of
+// their objectives, 0 if the existing and requested machines suffice. It estimates a backlog by its
+// work, before any of its jobs is late.
 func (r *scalingRun) batchShortfall() float64 {
 	work, weightedTime := r.waitingBatchWork()
 	if work == 0 {
@@ -149,7 +151,7 @@
 	return max(0, demand/horizon-r.batchSupply())
 }
 
-// batchSupply returns the CPUs that batch jobs that may use spot machines have or could have.
+// batchSupply returns the CPUs that batch jobs use or could use, if they may use spot machines.
 func (r *scalingRun) batchSupply() float64 {
 	supply := 0.0
 	for p, count := range r.capacity.machines {
@@ -163,8 +165,8 @@
 }
 
 // waitingBatchWork returns the work of the batch jobs that wait, in CPU seconds, and the sum of the
-// times left to their objectives, in seconds, each weighted by the work of its job. Jobs that no
-// machine could do in time are placed last and don't count.
+// times left to their objectives, in seconds, each weighted by the work of its job. Jobs that can't
+// meet their objective any more have the least urgency and don't count.
 func (r *scalingRun) waitingBatchWork() (work, weightedTime float64) {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		spec := j.Spec
@@ -181,8 +183,8 @@
 	return work, weightedTime
 }
 
-// addRunningBatchWork adds to an amount of work, in CPU seconds, what running batch tasks will take
-// until a horizon in seconds. Those of borrowers are preempted, and don't count.
+// addRunningBatchWork adds the remaining work of running batch tasks, up to a horizon in seconds, to
+// an amount of work in CPU seconds. Tasks of borrowers don't count, since they are preempted.
 func (r *scalingRun) addRunningBatchWork(work, horizon float64) float64 {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		if j.AllocatedTasks == 0 || !j.Spec.Spot || r.teams.IsBorrower(j.Spec.Team) {
@@ -259,7 +261,7 @@
 	return best
 }
 
-// hourlyPrice returns the price of a machine.
+// hourlyPrice returns the price of a machine for one hour.
 func hourlyPrice(machineType *cloud.MachineType, spot bool) float64 {
 	if spot {
 		return machineType.SpotPrice
@@ -267,7 +269,8 @@
 	return machineType.HourlyPrice
 }
 
-// eachAvailablePool visits the pools that a constraint allows and that may have capacity.
+// eachAvailablePool visits the pools that a constraint allows and that may have capacity, in a fixed
+// order.
 func (r *scalingRun) eachAvailablePool(constraint binConstraint, visit func(*cloud.MachineType, pool)) {
 	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		if constraint.zone != "" && constraint.zone != p.zone || slices.Contains(constraint.fullZones, p.zone) {
@@ -282,7 +285,7 @@
 	})
 }
 
-// provisionMissing requests what is missing, of each pool in turn, as far as the rate limit allows.
+// provisionMissing requests the missing machines, from each pool in turn, within the rate limit.
 func (r *scalingRun) provisionMissing() {
 	pools := sortedPools(r.missing)
 	for again := true; again; {
@@ -297,7 +300,8 @@
 	}
 }
 
-// provisionLimit bounds how many machines are requested of a pool.
+// provisionLimit returns how many of a number of machines may be requested from a pool: in an
+// unreachable zone, only canaries.
 func (r *scalingRun) provisionLimit(p pool, count int) int {
 	if r.zones.unreachable[p.zone] == nil {
 		return count
@@ -305,12 +309,12 @@
 	return min(count, r.canariesLeft(p.zone))
 }
 
-// canariesExhausted says whether a zone is unreachable and no more canaries are allowed in it.
+// canariesExhausted reports whether a zone is unreachable and no more canaries are allowed in it.
 func (r *scalingRun) canariesExhausted(zone string) bool {
 	return r.zones.unreachable[zone] != nil && r.canariesLeft(zone) == 0
 }
 
-// canariesLeft returns how many more machines may be provisioned in an unreachable zone.
+// canariesLeft returns how many more machines may be provisioned in a zone that is unreachable.
 func (r *scalingRun) canariesLeft(zone string) int {
 	count := r.provisioner.pendingIn(zone)
 	since := r.zones.unreachable[zone].since
@@ -320,8 +324,8 @@
 			count++
 		}
 	}
-	return max(0, canaries-count)
+	return max(0, maxCanaries-count)
 }
 
-// roundAmount rounds an amount, so that the order of a sum can't change what is decided by it.
+// roundAmount rounds an amount of CPUs, so that decisions don't depend on the order of summation.
 func roundAmount(x float64) float64 { return math.Round(x*amountSteps) / amountSteps }
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -9,11 +9,11 @@
 	"opaldale/internal/workers"
 )
 
-// exactQuantum is by how much sums of equal amounts may differ.
+// exactQuantum is the largest rounding error of sums of amounts.
 const exactQuantum = 1e-6
 
-// bin is a number of equal machines, there or to come, while tasks are packed. A fleet of thousands
-// has some hundred different ones.
+// bin is a group of existing or requested machines with the same free resources, into which tasks
+// are packed. A fleet of thousands of machines has some hundred bins.
 type bin struct {
 	machineType *cloud.MachineType
 	pool        pool
@@ -27,14 +27,14 @@
 type binTier uint8
 
 const (
-	spotTier     binTier = iota // as the planner orders them
-	onDemandTier                //
-	cordonedTier                // uncordoned before another machine is provisioned
-	endingTier                  // of batch tasks expected to end before a new machine would be up
+	spotTier binTier = iota // spot and on-demand are in the order in which the planner fills them
+	onDemandTier
+	cordonedTier // uncordoned before another machine is provisioned
+	endingTier   // of batch tasks expected to end before a new machine would be up
 	tierCount
 )
 
-// tier is that of the pool's machines while they are not cordoned.
+// tier returns the tier of the pool's machines that are not cordoned.
 func (p pool) tier() binTier {
 	if p.spot {
 		return spotTier
@@ -50,7 +50,7 @@
 // tasksPerMachine returns how many tasks of a job each machine has room for.
 func (b *bin) tasksPerMachine(spec *api.Spec) int { return b.free.TaskCapacity(spec) }
 
-// allows says whether tasks of a job may be on the machines.
+// allows reports whether tasks of a job may be on the machines.
 func (b *bin) allows(spec *api.Spec) bool {
 	if spec.Zone != nil && *spec.Zone != b.pool.zone || b.pool.spot && !spec.Spot {
 		return false
@@ -61,14 +61,14 @@
 	return workers.AllowsModel(spec, b.pool.model) && workers.FitsEmpty(b.machineType, spec)
 }
 
-// split returns a bin of some of the machines, each less the resources of a number of tasks.
+// split returns a bin of some of the machines, after a number of tasks is packed onto each.
 func (b *bin) split(machines, tasks int, spec *api.Spec) *bin {
 	part := &bin{
 		machineType: b.machineType,
 		pool:        b.pool,
 		tier:        b.tier,
 		machines:    machines,
-		free:        b.free.Sub(multiply(jobs.ResourcesOf(spec), tasks)),
+		free:        b.free.Sub(jobs.ResourcesOf(spec).Times(tasks)),
 	}
 	if part.tier == cordonedTier {
 		part.tier = part.pool.tier()
@@ -76,17 +76,11 @@
 	return part
 }
 
-// machineTypeResources returns what an empty machine of a type has.
+// machineTypeResources returns the resources of an empty machine of a type.
 func machineTypeResources(machineType *cloud.MachineType) jobs.Resources {
 	return jobs.Resources{VCPUs: machineType.VCPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
-// multiply returns the resources of a number of equal tasks.
-func multiply(r jobs.Resources, count int) jobs.Resources {
-	n := float64(count)
-	return jobs.Resources{VCPUs: n * r.VCPUs, GPUs: n * r.GPUs, MemoryGB: n * r.MemoryGB}
-}
-
 // floorResources rounds each amount down to a multiple of a quantum.
 func floorResources(r jobs.Resources, quantum float64) jobs.Resources {
 	return jobs.Resources{
@@ -96,35 +90,35 @@
 	}
 }
 
-// floorTo rounds down to a multiple of a quantum, forgiving rounding in sums.
+// floorTo rounds down to a multiple of a quantum, with a tolerance for rounding errors of sums.
 func floorTo(x, quantum float64) float64 { return math.Floor(x/quantum+exactQuantum) * quantum }
 
-// binKey is what machines of one bin have in common.
+// binKey holds the properties that machines of one bin have in common.
 type binKey struct {
 	pool pool
 	tier binTier
 	free jobs.Resources
 }
 
-// binBuilder puts equal machines into one bin.
+// binBuilder groups machines into bins.
 type binBuilder struct {
 	bins    map[binKey]*bin
-	order   []*bin
-	quantum float64 // what free amounts of machines are rounded down to
+	order   []*bin  // in the order of creation
+	quantum float64 // free amounts are rounded down to multiples of it
 }
 
-// add adds machines to the bin of their kind, and returns it.
-func (g *binBuilder) add(machineType *cloud.MachineType, p pool, tier binTier, free jobs.Resources, machines int) *bin {
-	key := binKey{p, tier, floorResources(free, g.quantum)}
+// add adds machines to the bin with their properties, and returns it.
+func (builder *binBuilder) add(machineType *cloud.MachineType, p pool, tier binTier, free jobs.Resources, machines int) *bin {
+	key := binKey{p, tier, floorResources(free, builder.quantum)}
 	if tier == endingTier {
-		// The place of a task is as large as the task: rounded down, an equal task would not fit.
+		// The room of an ending task is as large as the task: rounded down, an equal one would not fit.
 		key.free = floorResources(free, exactQuantum)
 	}
-	b := g.bins[key]
+	b := builder.bins[key]
 	if b == nil {
 		b = &bin{machineType: machineType, pool: p, tier: tier, free: key.free}
-		g.bins[key] = b
-		g.order = append(g.order, b)
+		builder.bins[key] = b
+		builder.order = append(builder.order, b)
 	}
 	b.machines += machines
 	return b
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -6,15 +6,15 @@
 	"opaldale/internal/workers"
 )
 
-// capacityModel is the capacity that is there or coming, while tasks are packed onto it.
+// capacityModel is the capacity of the existing and requested machines, reduced as tasks are packed.
 type capacityModel struct {
 	bins         [tierCount][]*bin
-	freeVCPUs    map[pool]float64   // of machines that are not cordoned
-	batchVCPUs   map[pool]float64   // used by batch jobs on them
+	freeVCPUs    map[pool]float64   // free on machines that are not cordoned
+	batchVCPUs   map[pool]float64   // used by batch jobs on machines that are not cordoned
 	replicaVCPUs map[string]float64 // used by replicas, by zone
-	bootingVCPUs map[pool]float64   // of machines that are not up yet, part of the free ones
-	machines     map[pool]int
-	minNeed      jobs.Resources // the least of each amount that any waiting task needs
+	bootingVCPUs map[pool]float64   // on machines that are not up yet; included in freeVCPUs
+	machines     map[pool]int       // number of machines
+	minNeed      jobs.Resources     // the least of each amount that any waiting task needs
 }
 
 func newCapacityModel() *capacityModel {
@@ -28,7 +28,7 @@
 	}
 }
 
-// addBin adds a bin, unless no waiting task finds room in it.
+// addBin adds a bin, unless it has no room for any waiting task.
 func (c *capacityModel) addBin(b *bin) {
 	if b.machines > 0 && b.free.Covers(c.minNeed) {
 		c.bins[b.tier] = append(c.bins[b.tier], b)
@@ -43,8 +43,8 @@
 	c.bins[b.tier] = append(c.bins[b.tier], b)
 }
 
-// allocate packs up to a number of tasks into a bin. It returns how many found room, and the cordoned
-// machines that are needed for them.
+// allocate packs up to a number of tasks into a bin. It returns how many it packed, and the cordoned
+// machines that must be uncordoned for them.
 func (c *capacityModel) allocate(b *bin, spec *api.Spec, count int) (int, []*workers.Worker) {
 	perMachine := b.tasksPerMachine(spec)
 	if perMachine == 0 || b.machines == 0 {
@@ -64,7 +64,8 @@
 	return allocated, c.consume(b, spec, allocated, used)
 }
 
-// consume subtracts packed tasks from the free CPUs, and uncordons the machines used for them.
+// consume subtracts packed tasks from the free CPUs. It removes the cordoned machines that they use
+// from the bin, and returns them.
 func (c *capacityModel) consume(b *bin, spec *api.Spec, tasks, machines int) (uncordoned []*workers.Worker) {
 	switch b.tier {
 	case cordonedTier:
@@ -76,8 +77,8 @@
 	return uncordoned
 }
 
-// chooseZone returns the zone that all tasks of a job must be in: where it has some, else where most
-// of them would find room; "" for a job that may be in several zones.
+// chooseZone returns the zone for all tasks of a one-zone job: the one with tasks of the job, else
+// the one with room for the most of them. It returns "" for other jobs, and if no zone has room.
 func (c *capacityModel) chooseZone(spec *api.Spec, tasksByZone map[string]int) string {
 	if !spec.OneZone {
 		return ""
@@ -109,7 +110,8 @@
 	return room
 }
 
-// onDemandByZone returns the CPUs of on-demand machines that services could have, by zone.
+// onDemandByZone returns the CPUs of on-demand machines that are free or used by batch jobs, by zone:
+// those that services could use.
 func (c *capacityModel) onDemandByZone() map[string]float64 {
 	byZone := map[string]float64{}
 	for p, cpus := range c.freeVCPUs {
--- a/internal/fleet/capacity_measurement.go
+++ b/internal/fleet/capacity_measurement.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// In a large fleet, free amounts of machines are rounded down to a quantum, so that some of the
-	// machines are alike; in a small one that would only hide capacity.
-	largeFleet    = 200 // machines
+	// In a fleet of more than largeFleet machines, free amounts are rounded down to coarseQuantum, so
+	// that machines share bins. In a smaller one that would only hide capacity.
+	largeFleet    = 200
 	coarseQuantum = 0.25
-	// lateBootFactor is after how many boot times a booting machine is no longer counted on.
+	// lateBootFactor is the number of boot times after which a booting machine no longer counts as
+	// capacity.
 	lateBootFactor = 2
 )
 
@@ -69,7 +70,7 @@
 	builder.add(w.Type, p, p.tier(), free.Add(borrowed), 1)
 }
 
-// isUsable says whether work may be expected to find room on a machine. A machine on which a task
+// isUsable reports whether work may be expected to find room on a machine. A machine on which a task
 // failed does not count, since the task's job avoids it, nor does one of a partitioned zone.
 func (r *scalingRun) isUsable(w *workers.Worker) bool {
 	if w.Type == nil || w.ReclaimAt > 0 || w.Slow || r.zones.partitioned[w.Zone] {
@@ -78,7 +79,7 @@
 	return w.QuarantinedUntil <= r.now && !w.PossiblyFaulty()
 }
 
-// addPending adds the machines that were requested and are not on record yet.
+// addPending adds the machines that were requested and are not in the machine table yet.
 func (r *scalingRun) addPending(capacity *capacityModel, builder *binBuilder) {
 	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		state := r.provisioner.pools[p]
@@ -93,7 +94,7 @@
 	})
 }
 
-// addEndingTasks adds the places of running batch tasks that are expected to end before a machine
+// addEndingTasks adds the room of running batch tasks that are expected to end before a machine
 // provisioned now would be up.
 func (r *scalingRun) addEndingTasks(builder *binBuilder) {
 	r.eachRunningBatchTask(func(t *jobs.Task, w *workers.Worker) {
@@ -104,8 +105,8 @@
 	})
 }
 
-// borrowedByMachine returns what tasks of borrowers use of each machine. It counts as free for all
-// waiting work, since they are preempted for it.
+// borrowedByMachine returns the resources that borrowers use on each machine. They count as free,
+// since borrowers are preempted for other work.
 func (r *scalingRun) borrowedByMachine() map[ident.MachineID]jobs.Resources {
 	borrowed := map[ident.MachineID]jobs.Resources{}
 	r.eachOpenBatchJob(func(j *jobs.Job) {
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// arrivalMargin is by how much more than the expected arrivals of a boot time is kept free.
+	// arrivalMargin is the headroom as a multiple of the arrivals expected during a boot.
 	arrivalMargin = 1.3
-	// maxHeadroomBins bounds the machines opened for headroom at a time.
+	// maxHeadroomBins bounds the machines that a run opens for headroom of each kind.
 	maxHeadroomBins = 8
 )
 
 // headroom is the capacity to be kept free, in CPUs.
 type headroom struct {
-	services map[string]float64 // by zone, that batch jobs must leave to services and gangs
-	onDemand map[string]float64 // by zone, of on-demand machines, which batch jobs may use meanwhile
-	batch    float64            // of all machines, for batch jobs
+	services map[string]float64 // by zone, for services and gangs; batch jobs must leave it free
+	onDemand map[string]float64 // by zone, on on-demand machines; batch jobs may use it meanwhile
+	batch    float64            // on all machines, for batch jobs
 }
 
-// servicesTotal returns what is kept free for services in all zones.
+// servicesTotal returns the headroom for services in all zones.
 func (h *headroom) servicesTotal() float64 {
 	sum := 0.0
 	for _, cpus := range h.services {
@@ -33,7 +33,7 @@
 }
 
 // targetHeadroom returns the capacity to be kept free: for the jobs expected while a machine boots,
-// and for the replicas of a rack that fails, which need at once what takes a boot to provision.
+// and for the replicas of a rack that fails, which can't wait for a boot.
 func (r *scalingRun) targetHeadroom() *headroom {
 	h := &headroom{services: map[string]float64{}, onDemand: map[string]float64{}}
 	for i := range r.catalog {
@@ -67,8 +67,8 @@
 	}
 }
 
-// floorToMachines rounds CPUs down to whole machines of a zone: in a small fleet the part that may be
-// lost is less than one, and a further machine would be kept for it.
+// floorToMachines rounds CPUs down to whole machines of the largest type of a zone, so that a small
+// fleet keeps no further machine for a fraction of one.
 func floorToMachines(catalog []cloud.MachineType, zone string, cpus float64) float64 {
 	largest := 0.0
 	for i := range catalog {
@@ -82,11 +82,11 @@
 	return math.Floor(cpus/largest) * largest
 }
 
-// openOnDemandHeadroom opens on-demand machines until the headroom of each zone is there.
+// openOnDemandHeadroom opens on-demand machines until each zone has its headroom.
 //
-// What batch jobs use of on-demand machines counts as free: they leave the headroom of services
-// alone, so that it is regained as they end. Replacing it by further machines, which batch jobs
-// would use in turn, would grow the on-demand fleet without services.
+// CPUs of on-demand machines that batch jobs use count as free: no further batch tasks are placed
+// within the headroom of services, so it is regained as tasks end. If it was replaced by further
+// machines, batch jobs would use those in turn, and the on-demand fleet would grow without services.
 func (r *scalingRun) openOnDemandHeadroom(h *headroom) {
 	free := r.capacity.onDemandByZone()
 	for _, zone := range slices.Sorted(maps.Keys(h.onDemand)) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// openBatchHeadroom opens spot machines until the headroom of batch jobs is there. No on-demand
-// machine is provisioned for jobs that are only expected.
+// openBatchHeadroom opens spot machines until batch jobs have their headroom. On-demand machines are
+// never provisioned for batch jobs that are only expected.
 func (r *scalingRun) openBatchHeadroom(h *headroom) {
 	free := roundAmount(r.capacity.totalFree() - h.servicesTotal())
 	for n := 0; n < maxHeadroomBins && free < h.batch; n++ {
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// stallThreshold is a gap between two ticks by which this node is known to have stalled.
+	// stallThreshold is the gap between two ticks from which this node counts as stalled.
 	stallThreshold = 2 * time.Second
-	// longAgo is how far in the past an event is said to be that has not happened yet.
+	// longAgo is the assumed age of an event that has not happened yet.
 	longAgo = time.Hour
 
-	// fenceHeartbeats is after how many heartbeat intervals a silent machine is fenced, if not
-	// set: two heartbeats at their latest (a quarter late) are missing by then, and a probe.
+	// fenceHeartbeats is the fence timeout in heartbeat intervals, unless Tuning.UnreachableAfter
+	// sets one. By then two heartbeats (each up to a quarter late) and a probe are missing.
 	fenceHeartbeats = 2.2
-	// heartbeatLateness is how late heartbeats come, in intervals, and transmissionDelay how long
-	// they take.
+	// heartbeatLateness is the longest time between two heartbeats, in intervals; transmissionDelay
+	// is the time for their transmission.
 	heartbeatLateness = 1.25
 	transmissionDelay = 500 * time.Millisecond
 
-	// maxRoutineProbes bounds the probes of a tick before machines are late: with a thousand
-	// machines, each would be probed between any two of its heartbeats.
+	// maxRoutineProbes bounds the probes of a tick while no machine is late: in a large fleet each
+	// machine would otherwise be probed between any two of its heartbeats.
 	maxRoutineProbes = 10
-	// minUrgentProbes bounds the probes of machines that are late, and of all others while some
-	// of them may have failed together with one that is late. In a large fleet the bound is
-	// a part of it, so that a zone is probed within the same time whatever its size.
+	// minUrgentProbes bounds the probes of late machines in a tick, and of all others during mass
+	// probing. In a large fleet the bound is 1/urgentProbeDivisor of the machines, so that the time
+	// for probing a zone doesn't depend on its size.
 	minUrgentProbes    = 60
 	urgentProbeDivisor = 25
-	// massProbeDuration is for how long a late machine that does not respond has all others
-	// probed that were not heard since: whole racks fail at once, and the times of their
-	// heartbeats are spread over many seconds.
+	// massProbeDuration is how long mass probing lasts, in which all machines with replicas that
+	// have not reported since its start are probed: whole racks fail at once, and the heartbeats of
+	// their machines are spread over many seconds.
 	massProbeDuration = 8 * time.Second
-	// massProbeThreshold is how many machines with replicas that do not respond have all others
-	// probed although none of them is late: a new leader sends commands to machines before
-	// their heartbeats are due, and learns of a failed rack earlier by them.
+	// massProbeThreshold is the number of unresponsive machines with replicas that starts mass
+	// probing; a single one suffices if it is late as well. A new leader sends commands to machines
+	// before their heartbeats are due, and detects a failed rack earlier by them.
 	massProbeThreshold = 3
-	// replicaSilenceLimit is how long a machine with replicas must be silent before it is fenced,
-	// beside two missed responses.
+	// replicaSilenceLimit is the longest silence after which a machine with replicas is fenced if two
+	// responses are missing.
 	replicaSilenceLimit = 3500 * time.Millisecond
 
-	// defaultBootTime is that of machines of an unknown type.
+	// defaultBootTime is the boot time of machines of an unknown type.
 	defaultBootTime = 30 * time.Second
-	// forgetAfter is how long a terminated machine is remembered beyond the provider's lag.
+	// forgetAfter is how long a terminated machine is kept beyond twice the provider's listing lag.
 	forgetAfter = time.Minute
 )
 
@@ -64,7 +64,7 @@
 	heartbeatOverdue time.Duration         // silence after which a heartbeat has been missed
 	lastTick         ident.MonotonicTime   // of the previous check
 	lastStall        ident.MonotonicTime   // when this node was last found to have stalled
-	massProbeStarted ident.MonotonicTime   // when unresponsive machines last had all others probed
+	massProbeStarted ident.MonotonicTime   // when mass probing last started
 	recentFences     []ident.MonotonicTime // within twice the fence timeout
 }
 
@@ -89,11 +89,11 @@
 	}
 }
 
-// healthSweep is what one check of all machines finds.
+// healthSweep holds the findings of one check of all machines.
 type healthSweep struct {
 	now          ident.MonotonicTime
 	expected     int               // machines that should be reachable
-	unresponsive int               // machines with replicas that do not respond
+	unresponsive int               // machines with replicas that do not respond; late ones count massProbeThreshold more
 	urgent       []*workers.Worker // to be probed first
 	routine      []*workers.Worker // to be probed if the bound allows it
 	silent       []*workers.Worker // to be fenced
@@ -102,7 +102,7 @@
 // check checks all machines.
 func (h *healthMonitor) check() {
 	now := h.port.Now()
-	// After a stall of this node, heartbeats wait to be read: no machine is late yet.
+	// After a stall of this node, heartbeats are still unread: no machine counts as late yet.
 	if now.Sub(h.lastTick) > stallThreshold {
 		h.lastStall = now
 	}
@@ -155,7 +155,7 @@
 	return probed
 }
 
-// inspect checks one machine.
+// inspect checks one machine according to its state.
 func (h *healthMonitor) inspect(w *workers.Worker, sweep *healthSweep) {
 	switch w.State {
 	case workers.Booting:
@@ -169,7 +169,7 @@
 		}
 		h.inspectRunning(w, sweep)
 	case workers.Terminating:
-		// The provider may be unavailable; the lease expires all the same.
+		// The lease expires even if the provider is unavailable.
 		if len(w.Tasks) > 0 && h.machines.LeaseExpired(w) {
 			h.machines.ExpireLease(w)
 		}
@@ -180,20 +180,21 @@
 	}
 }
 
-// bootTimedOut says whether a machine has failed to boot.
+// bootTimedOut reports whether a machine has failed to boot.
 func (h *healthMonitor) bootTimedOut(w *workers.Worker, now ident.MonotonicTime) bool {
 	boot := bootTime(w)
 	limit := time.Duration(h.cfg.Tuning.BootTimeoutFactor * float64(boot))
 	return now.Sub(w.CreatedAt) > limit && now.Sub(w.StateSince) > boot
 }
 
-// mayForget says whether the provider no longer lists a terminated machine.
+// mayForget reports whether a terminated machine may be removed: its record is deleted, and the
+// provider no longer lists it.
 func (h *healthMonitor) mayForget(w *workers.Worker, now ident.MonotonicTime) bool {
 	return now.Sub(w.StateSince) > forgetAfter+2*settings.Seconds(h.cfg.Cloud.ListLagS) && !w.Persisted
 }
 
-// inspectPartitioned keeps work off a machine of a partitioned zone, and takes its tasks for lost
-// once its lease has expired.
+// inspectPartitioned quarantines a machine of a partitioned zone, gives up its tasks once its lease
+// has expired, and terminates it after partitionLeases.
 func (h *healthMonitor) inspectPartitioned(w *workers.Worker, now ident.MonotonicTime) {
 	quarantine(w, now)
 	if !h.machines.LeaseExpired(w) {
@@ -205,7 +206,7 @@
 	}
 }
 
-// quarantineDuration outlasts the time to the next tick.
+// quarantineDuration is longer than the time between two ticks.
 const quarantineDuration = time.Second
 
 // quarantine keeps new work off a machine until the next tick.
@@ -215,9 +216,9 @@
 
 // machineContact is how a running machine communicates with this node.
 type machineContact struct {
-	silence        time.Duration // since it was heard, less the times when it could not be heard
-	limit          time.Duration // silence after which it is fenced if several responses are missing
-	inboundSilence time.Duration // for how long its heartbeats have shown that it receives nothing
+	silence        time.Duration // since the last contact, but not before the last stall or partition
+	limit          time.Duration // silence after which it is fenced if two responses are missing
+	inboundSilence time.Duration // how long its heartbeats have shown that it receives nothing
 }
 
 // inspectRunning checks a machine that should be reachable.
@@ -229,7 +230,7 @@
 		limit:   h.fenceTimeout,
 	}
 	if w.ServiceVCPUs > 0 {
-		// Users notice a missing replica at once: don't wait for heartbeats to be missed.
+		// A missing replica affects users at once: don't wait for missed heartbeats.
 		contact.limit = min(h.fenceTimeout/2, replicaSilenceLimit)
 		h.inspectReplicaMachine(w, contact, sweep)
 	}
@@ -248,7 +249,8 @@
 	}
 }
 
-// respondToFault acts on the first of the faults that a machine shows.
+// respondToFault acts on the first fault that applies to a machine: it terminates the machine, queues
+// it for fencing, or drains it.
 func (h *healthMonitor) respondToFault(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	switch {
 	case w.ReclaimAt > 0 && sweep.now > w.ReclaimAt && contact.silence > h.fenceTimeout/2:
@@ -264,25 +266,26 @@
 	}
 }
 
-// isSilent says whether a machine is silent for long enough to be fenced.
+// isSilent reports whether a machine is silent for long enough to be fenced.
 func (h *healthMonitor) isSilent(w *workers.Worker, contact machineContact) bool {
 	return contact.silence > contact.limit && w.MissedResponses() > 1 ||
 		contact.silence > h.fenceTimeout && w.MissedResponses() > 0
 }
 
-// cannotReceive says whether a machine has received nothing for long enough to be fenced, though
+// cannotReceive reports whether a machine has received nothing for long enough to be fenced, though
 // its heartbeats arrive.
 func (h *healthMonitor) cannotReceive(w *workers.Worker, contact machineContact) bool {
 	return contact.inboundSilence > h.fenceTimeout && w.MissedResponses() > 1
 }
 
-// inspectReplicaMachine has a machine with replicas probed when it is late.
+// inspectReplicaMachine queues a machine with replicas for a probe if it is late or mass probing is
+// under way.
 func (h *healthMonitor) inspectReplicaMachine(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	overdue := contact.silence > h.heartbeatOverdue
 	if w.MissedResponses() > 0 {
 		sweep.unresponsive++
 		if overdue {
-			sweep.unresponsive += massProbeThreshold // one that is late as well is enough
+			sweep.unresponsive += massProbeThreshold // one late machine suffices
 		}
 	}
 	massProbing := sweep.now.Sub(h.massProbeStarted) < massProbeDuration
@@ -296,11 +299,11 @@
 
 // fenceSilent fences the machines that are silent, unless the fault is more likely this node's.
 //
-// If most machines are silent at once, this node is more likely to be unreachable than they. But
-// if a peer is reachable, they could reach this node through it; those that have not in
-// twice the time are fenced, or every next leader would resign over the same machines.
-// Machines fenced a moment ago count as well, since those that fail together are noticed
-// one by one.
+// If most machines are silent at once, this node is more likely to be unreachable than they are. But
+// if a peer is reachable, they could reach this node through it. Those that have not done so within
+// twice the fence timeout are fenced, or each next leader would resign over the same machines.
+// Recently fenced machines count as silent, since machines that fail together are detected one by
+// one.
 func (h *healthMonitor) fenceSilent(sweep *healthSweep) {
 	h.recentFences = slices.DeleteFunc(h.recentFences, func(at ident.MonotonicTime) bool {
 		return sweep.now.Sub(at) > 2*h.fenceTimeout
@@ -321,7 +324,7 @@
 	}
 }
 
-// isMassFailure says whether so many machines are silent that the fault may be this node's.
+// isMassFailure reports whether so many machines are silent that the fault may be this node's.
 func (h *healthMonitor) isMassFailure(sweep *healthSweep) bool {
 	failing := len(sweep.silent) + len(h.recentFences)
 	if failing > 1 && 2*failing > sweep.expected+len(h.recentFences) {
@@ -330,14 +333,13 @@
 	return len(sweep.silent) > 0 && !h.cfg.DirectContact()
 }
 
-// silenceSinceStall returns for how long a machine is silent, not counting before the last stall.
+// silenceSinceStall returns how long a machine has been silent, counted from the last stall at the earliest.
 func (h *healthMonitor) silenceSinceStall(w *workers.Worker, now ident.MonotonicTime) time.Duration {
 	return min(h.machines.TimeSinceContact(w), now.Sub(h.lastStall))
 }
 
-// terminateUnreachable terminates a machine that is unreachable, and says whether its zone allows
-// that now. Machines of a zone that is unreachable as a whole are terminated a few at a time;
-// nothing is placed on the others until they are heard.
+// terminateUnreachable terminates an unreachable machine. If its whole zone is unreachable, machines
+// are terminated a few at a time and the others are quarantined; it returns false for those.
 func (h *healthMonitor) terminateUnreachable(w *workers.Worker, reason workers.Reason, now ident.MonotonicTime) bool {
 	if zone := h.zones.unreachable[w.Zone]; zone != nil {
 		quarantine(w, now)
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -13,11 +13,11 @@
 const (
 	// minListInterval is the least time from one listing to the next.
 	minListInterval = 5 * time.Second
-	// listTimeout bounds the time that the provider takes to answer a listing.
+	// listTimeout bounds the time for which the provider takes to respond to a listing request.
 	listTimeout = 5 * time.Second
 )
 
-// inventory reconciles the machines on record with those that the provider lists.
+// inventory reconciles the machine table with the machines that the provider lists.
 type inventory struct {
 	cfg        *Config
 	requester  *requester
@@ -51,7 +51,7 @@
 	v.listPage("")
 }
 
-// listPage requests one page of the listing, and then the next one if there is any.
+// listPage requests one page of the listing, and the next ones until the listing is complete.
 func (v *inventory) listPage(startAfter ident.MachineID) {
 	v.requester.call(cloud.Request{Op: cloud.List, StartAfter: startAfter}, func(response cloud.Response) {
 		if response.Outcome != cloud.OK {
@@ -79,7 +79,7 @@
 	v.lastListed = v.requester.port.Now()
 }
 
-// reconcile adopts a listed machine that is not on record, and terminates one that has failed.
+// reconcile adopts a listed machine that is not in the table, and terminates one that has failed.
 func (v *inventory) reconcile(listed cloud.ListedMachine) {
 	w := v.machines.Workers[listed.ID]
 	if w == nil {
@@ -94,14 +94,14 @@
 	}
 }
 
-// mayBeStale says whether a listing may be older than this term. It may then show machines that
-// the previous leader has terminated, which would count as capacity to come. A machine that
-// exists is listed again, or its worker reports.
+// mayBeStale reports whether a listing may be older than this term. It may then show machines that
+// the previous leader has terminated, which would count as requested capacity. A machine that exists
+// is listed again, or its worker sends a heartbeat.
 func (v *inventory) mayBeStale() bool {
 	return v.requester.port.Now().Sub(v.termStarted) < 2*settings.Seconds(v.cfg.Cloud.ListLagS)+listTimeout
 }
 
-// adopt puts a machine on record that the provider lists.
+// adopt adds a listed machine to the table.
 func (v *inventory) adopt(listed cloud.ListedMachine) *workers.Worker {
 	slog.Info("adopting unknown machine from cloud inventory",
 		"machine", listed.ID, "status", listed.Status, "age_s", listed.AgeS)
--- a/internal/fleet/manager.go
+++ b/internal/fleet/manager.go
@@ -1,7 +1,7 @@
-// Package fleet decides which machines the cluster has. The autoscaler provisions machines for
-// the work that waits and for the services to be expected, and terminates those that are not
-// needed; the health monitor fences machines that are no longer reachable. All of it belongs to
-// one term of a leader and runs on that leader's event loop.
+// Package fleet decides which machines the cluster has. The autoscaler provisions machines for the
+// waiting and the expected work, and terminates those that are not needed; the health monitor fences
+// machines that are no longer reachable. All of it belongs to one term of a leader and runs on that
+// leader's event loop.
 package fleet
 
 import (
@@ -34,41 +34,42 @@
 	Cloud   settings.CloudLimits
 	Workers settings.WorkerTimes
 
-	// Catalog returns the machine types that the provider offers; none while they are not known.
+	// Catalog returns the machine types that the provider offers; none until they are known.
 	Catalog func() []cloud.MachineType
 
-	// ReachableViaPeer is called when most of the fleet is unreachable. It says whether workers
+	// ReachableViaPeer is called when most of the fleet is unreachable. It reports whether workers
 	// could reach the leader through a peer; if not, the fault is more likely the leader's own.
 	ReachableViaPeer func() bool
-	// DirectContact says whether machines reach this node, or it reaches them. If none does, the
+	// DirectContact reports whether machines reach this node, or it reaches them. If none does, the
 	// fault is more likely the leader's own.
 	DirectContact func() bool
-	// ZonePeersSilent says whether a zone has peers and none of them is reachable.
+	// ZonePeersSilent reports whether a zone has peers and all of them are unreachable.
 	ZonePeersSilent func(zone string) bool
-	// ZoneUnreachable says whether no controller reaches the machines of a zone, so that they
+	// ZoneUnreachable reports whether no controller reaches the machines of a zone, so that they
 	// may all be running behind a network partition. Nil if that is not known of any zone.
 	ZoneUnreachable func(zone string) bool
-	// LocallyUnreachable says whether a peer reaches the machines of a zone and this node does
+	// LocallyUnreachable reports whether a peer reaches the machines of a zone and this node does
 	// not, so that the fault is its own. Nil if that is not known of any zone.
 	LocallyUnreachable func(zone string) bool
 
 	// Objective returns the shortest time within which jobs of a class should be done; 0 for a
 	// class without an objective.
 	Objective func(class string) time.Duration
-	// Movable says whether a replica would find room, and its image, on another machine.
+	// Movable reports whether a replica would find room, and its image, on another machine.
 	Movable func(t *jobs.Task, from *workers.Worker) bool
 	// Drain is called in each tick for each machine with a reclaim notice.
 	Drain func(w *workers.Worker)
-	// SetServiceHeadroom is called with the CPUs that batch jobs must leave free in a zone.
+	// SetServiceHeadroom is called in each tick with the CPUs that batch jobs must leave free on the
+	// on-demand machines of a zone.
 	SetServiceHeadroom func(zone string, cpus float64)
 }
 
-// Counters count what a manager has done in its term.
+// Counters count the events of a manager in its term.
 type Counters struct {
 	Provisioned uint64 // machines that the provider has begun to start
 	Terminated  uint64 // machines whose termination the provider has confirmed
 	Fenced      uint64 // machines terminated for being unreachable
-	NoCapacity  uint64 // requests refused for want of capacity
+	NoCapacity  uint64 // requests rejected because a pool had no capacity
 }
 
 // Manager manages the fleet during one term.
@@ -116,7 +117,7 @@
 // those that are in flight.
 func (m *Manager) Close() { m.requester.closed = true }
 
-// Tick checks the machines and scales the fleet.
+// Tick checks the machines and scales the fleet. The leader calls it at a fixed interval.
 func (m *Manager) Tick() {
 	m.health.check()
 	if m.requester.closed {
@@ -127,18 +128,18 @@
 	m.terminator.flush()
 }
 
-// Terminate has the provider terminate a machine. Its tasks count on it until the provider has
-// confirmed that, or its lease has expired.
+// Terminate requests the termination of a machine from the provider, with the next tick. Its tasks
+// stay allocated to it until the provider confirms the termination, or its lease expires.
 func (m *Manager) Terminate(w *workers.Worker, reason workers.Reason) {
 	m.terminator.terminate(w, reason)
 }
 
-// RecordArrival notes that a job was submitted, in this term or an earlier one, as a sign of
-// further jobs to come.
+// RecordArrival records the submission of a job, in this term or an earlier one, for the prediction
+// of further arrivals.
 func (m *Manager) RecordArrival(spec *api.Spec, at ident.MonotonicTime) {
 	m.autoscaler.arrivals.record(spec, at)
 }
 
-// ResumeFromPriorTerm says that the cluster was running before this term, so that the jobs on
-// record arrived at a rate and are not a backlog.
+// ResumeFromPriorTerm marks the cluster as running before this term, so that recorded arrivals count
+// towards the arrival rate and not as a backlog.
 func (m *Manager) ResumeFromPriorTerm() { m.autoscaler.arrivals.resume() }
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -4,6 +4,7 @@
 	"maps"
 
 	"opaldale/internal/jobs"
+	"opaldale/internal/placement"
 )
 
 // jobPacking packs the waiting tasks of one job.
@@ -13,11 +14,12 @@
 	remaining   int // tasks that are not packed yet
 	constraint  binConstraint
 	tasksByZone map[string]int // tasks allocated or packed
-	maxPerZone  int            // bound on them
+	maxPerZone  int            // bound on tasksByZone
 }
 
+// newJobPacking prepares the packing of a number of a job's waiting tasks.
 func newJobPacking(run *scalingRun, job *jobs.Job, remaining int) *jobPacking {
-	x := &jobPacking{
+	p := &jobPacking{
 		scalingRun:  run,
 		job:         job,
 		remaining:   remaining,
@@ -25,40 +27,40 @@
 		maxPerZone:  job.Spec.Tasks,
 	}
 	if job.Spec.Spread {
-		x.maxPerZone = (job.Spec.Tasks + 1) / 2
+		p.maxPerZone = placement.MaxTasksPerZone(job.Spec)
 	}
-	if x.tasksByZone == nil {
-		x.tasksByZone = map[string]int{}
+	if p.tasksByZone == nil {
+		p.tasksByZone = map[string]int{}
 	}
-	x.constraint.zone = run.capacity.chooseZone(job.Spec, x.tasksByZone)
-	return x
+	p.constraint.zone = run.capacity.chooseZone(job.Spec, p.tasksByZone)
+	return p
 }
 
-// pack finds room for the tasks, and opens machines for those that find none.
-func (x *jobPacking) pack() {
-	x.packExisting()
-	for x.remaining > 0 {
-		b := x.openBin()
+// pack packs the tasks onto existing and requested machines, and opens machines for the rest.
+func (p *jobPacking) pack() {
+	p.packExisting()
+	for p.remaining > 0 {
+		b := p.openBin()
 		if b == nil {
 			return
 		}
-		before := x.remaining
-		x.packBin(b)
-		if x.remaining == before {
+		before := p.remaining
+		p.packBin(b)
+		if p.remaining == before {
 			return
 		}
 	}
 }
 
-// packExisting packs tasks onto the machines that are there or coming.
-func (x *jobPacking) packExisting() {
-	bins := &x.capacity.bins
+// packExisting packs tasks onto the existing and requested machines, tier by tier.
+func (p *jobPacking) packExisting() {
+	bins := &p.capacity.bins
 	for tier := range bins {
 		kept := bins[tier][:0]
-		for i := 0; i < len(bins[tier]); i++ { // what is left of a bin is added behind it
+		for i := 0; i < len(bins[tier]); i++ { // packBin may append the rest of a bin
 			b := bins[tier][i]
-			if x.remaining > 0 {
-				x.packBin(b)
+			if p.remaining > 0 {
+				p.packBin(b)
 			}
 			if b.machines > 0 {
 				kept = append(kept, b)
@@ -69,69 +71,68 @@
 }
 
 // packBin packs as many tasks into a bin as are allowed there.
-func (x *jobPacking) packBin(b *bin) {
-	spec := x.job.Spec
-	if !b.allows(spec) || x.constraint.zone != "" && x.constraint.zone != b.pool.zone {
+func (p *jobPacking) packBin(b *bin) {
+	spec := p.job.Spec
+	if !b.allows(spec) || p.constraint.zone != "" && p.constraint.zone != b.pool.zone {
 		return
 	}
-	count := x.remaining
+	count := p.remaining
 	if spec.Spread {
-		count = min(count, x.maxPerZone-x.tasksByZone[b.pool.zone])
+		count = min(count, p.maxPerZone-p.tasksByZone[b.pool.zone])
 	}
 	if count <= 0 {
 		return
 	}
-	count, uncordoned := x.capacity.allocate(b, spec, count)
+	count, uncordoned := p.capacity.allocate(b, spec, count)
 	for _, w := range uncordoned {
-		x.machines.Uncordon(w)
+		p.machines.Uncordon(w)
 	}
-	x.tasksByZone[b.pool.zone] += count
-	x.remaining -= count
+	p.tasksByZone[b.pool.zone] += count
+	p.remaining -= count
 }
 
-// openBin opens one more machine, nil if there is none to be provisioned.
-func (x *jobPacking) openBin() *bin {
-	spec := x.job.Spec
+// openBin opens one more machine. It returns nil if no pool has one.
+func (p *jobPacking) openBin() *bin {
+	spec := p.job.Spec
 	if spec.Spread {
-		x.constraint.fullZones = x.fullZones()
+		p.constraint.fullZones = p.fullZones()
 	}
-	preferSpot := spec.Spot && x.now.Sub(x.job.SubmittedAt) < spotPatience*x.longestBoot()
-	x.constraint.spotOnly = x.spotOnly(preferSpot)
-	b := x.open(spec, x.constraint)
-	if b == nil && x.mayChangeZone() {
-		x.constraint.zone, x.remaining = "", spec.Tasks
-		b = x.open(spec, x.constraint)
+	preferSpot := spec.Spot && p.now.Sub(p.job.SubmittedAt) < spotPatience*p.longestBoot()
+	p.constraint.spotOnly = p.spotOnly(preferSpot)
+	b := p.open(spec, p.constraint)
+	if b == nil && p.mayChangeZone() {
+		p.constraint.zone, p.remaining = "", spec.Tasks
+		b = p.open(spec, p.constraint)
 	}
 	if b == nil {
 		return nil
 	}
 	if spec.OneZone {
-		x.constraint.zone = b.pool.zone // the other tasks must be where the first is
+		p.constraint.zone = b.pool.zone // the other tasks must be where the first is
 	}
 	if preferSpot && !b.pool.spot {
-		x.onDemandBudget -= b.free.VCPUs
+		p.onDemandBudget -= b.free.VCPUs
 	}
 	return b
 }
 
-// spotOnly says whether no on-demand machine may be opened. One costs several times as much as a spot
-// machine, and a pool of spot machines without capacity mostly has some a little later. For
-// borrowers on-demand machines are not provisioned at all: they use what others leave.
-func (x *jobPacking) spotOnly(preferSpot bool) bool {
-	return preferSpot && x.onDemandBudget <= 0 || x.job.Spec.Spot && x.teams.IsBorrower(x.job.Spec.Team)
+// spotOnly reports whether no on-demand machine may be opened. On-demand machines cost several times as
+// much as spot machines, and a spot pool without capacity mostly has some again soon. For borrowers
+// no on-demand machine is provisioned, since they use idle capacity only.
+func (p *jobPacking) spotOnly(preferSpot bool) bool {
+	return preferSpot && p.onDemandBudget <= 0 || p.job.Spec.Spot && p.teams.IsBorrower(p.job.Spec.Team)
 }
 
-// mayChangeZone says whether a gang that must be in one zone may be packed in another one than was
-// chosen for it, all of it.
-func (x *jobPacking) mayChangeZone() bool {
-	return x.job.IsGang() && x.job.Spec.OneZone && x.job.AllocatedTasks == 0 && x.constraint.zone != ""
+// mayChangeZone reports whether a one-zone gang may be packed anew in another zone than the one chosen.
+func (p *jobPacking) mayChangeZone() bool {
+	return p.job.IsGang() && p.job.Spec.OneZone && p.job.AllocatedTasks == 0 && p.constraint.zone != ""
 }
 
-// fullZones lists the zones that have as many tasks of a job as they may.
-func (x *jobPacking) fullZones() []string {
+// fullZones lists the zones that have reached maxPerZone.
+func (p *jobPacking) fullZones() []string {
 	var full []string
-	for zone, count := range x.tasksByZone {
-		if count >= x.maxPerZone {
+	for zone, count := range p.tasksByZone {
+		if count >= p.maxPerZone {
 			full = append(full, zone)
 		}
 	}
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -14,12 +14,12 @@
 const (
 	// maxProvisionBatch bounds the machines of one request.
 	maxProvisionBatch = 50
-	// maxProvisionRetries bounds the repetitions of a request that gets no answer.
+	// maxProvisionRetries bounds the retries of a request without a response.
 	maxProvisionRetries = 20
-	// Requests without an answer are repeated with a delay that grows between these bounds.
+	// Requests without a response are retried with a delay that grows between these bounds.
 	minProvisionBackoff = 500 * time.Millisecond
 	maxProvisionBackoff = 4 * time.Second
-	// A pool without capacity is left alone for a time that grows between these bounds.
+	// A pool without capacity is suspended for a time that grows between these bounds.
 	minPoolBackoff = 4 * time.Second
 	maxPoolBackoff = 16 * time.Second
 )
@@ -64,9 +64,9 @@
 	return pools
 }
 
-// poolState is what is known of a pool.
+// poolState is the state of the requests to a pool.
 type poolState struct {
-	pending          int                 // machines requested, without an answer yet
+	pending          int                 // machines requested, without a response yet
 	unavailableUntil ident.MonotonicTime // no capacity until then
 	backoff          time.Duration
 }
@@ -86,7 +86,7 @@
 	return &provisioner{term: term, requester: r, machines: machines, counters: counters, pools: map[pool]*poolState{}}
 }
 
-// state returns what is known of a pool.
+// state returns the state of a pool, and adds it if it is new.
 func (v *provisioner) state(p pool) *poolState {
 	state := v.pools[p]
 	if state == nil {
@@ -96,12 +96,12 @@
 	return state
 }
 
-// available says whether a pool may have capacity.
+// available reports whether a pool may have capacity: it is not suspended.
 func (v *provisioner) available(p pool, now ident.MonotonicTime) bool {
 	return v.state(p).unavailableUntil <= now
 }
 
-// pendingIn counts the machines of a zone that were requested and not answered yet.
+// pendingIn counts the machines of a zone that were requested, without a response yet.
 func (v *provisioner) pendingIn(zone string) int {
 	count := 0
 	for p, state := range v.pools {
@@ -112,7 +112,7 @@
 	return count
 }
 
-// provision requests machines of a pool, and says whether the rate limit allowed it.
+// provision requests machines from a pool. It returns false if the rate limit doesn't allow it.
 func (v *provisioner) provision(p pool, count int) bool {
 	if !v.requester.acquire() {
 		return false
@@ -125,7 +125,7 @@
 		pool:        p,
 		request: cloud.Request{
 			Op: cloud.Provision,
-			// An identifier is unique within the term by its number, and among terms by the term.
+			// The term makes the identifier unique among leaders, and the count within the term.
 			RequestID: fmt.Sprintf("opaldale-%d-%d", v.term, v.requestCount),
 			Model:     p.model,
 			Zone:      p.zone,
@@ -144,17 +144,17 @@
 	state.unavailableUntil = v.requester.port.Now().Add(v.requester.jitter(state.backoff))
 }
 
-// provisionRequest is a request for machines, with its repetitions.
+// provisionRequest is an idempotent request for machines, with its retries.
 type provisionRequest struct {
 	provisioner *provisioner
 	pool        pool
 	request     cloud.Request
-	backoff     time.Duration // until the next repetition
+	backoff     time.Duration // until the next retry
 	retries     int
 }
 
-// send sends the request once more. The provider answers a repeated request by the machines that
-// the first one has provisioned.
+// send sends the request. The provider responds to a retry with the machines that the first attempt
+// has provisioned.
 func (r *provisionRequest) send() {
 	requestedAt := r.provisioner.requester.port.Now()
 	r.provisioner.requester.call(r.request, func(response cloud.Response) {
@@ -175,7 +175,7 @@
 	})
 }
 
-// provisioned puts the machines of a request on record.
+// provisioned adds the machines of a request to the table.
 func (r *provisionRequest) provisioned(ids []ident.MachineID, requestedAt ident.MonotonicTime) {
 	state := r.provisioner.state(r.pool)
 	state.pending -= r.request.Count
@@ -195,14 +195,14 @@
 	}
 }
 
-// fail gives the request up.
+// fail ends the request and suspends its pool.
 func (r *provisionRequest) fail() {
 	state := r.provisioner.state(r.pool)
 	state.pending -= r.request.Count
 	r.provisioner.suspend(state)
 }
 
-// retry repeats a request that got no answer, up to a number of times.
+// retry sends a request without a response again after its backoff, up to maxProvisionRetries.
 func (r *provisionRequest) retry() {
 	if r.retries > maxProvisionRetries {
 		slog.Warn("provisioning request abandoned",
--- a/internal/fleet/requester.go
+++ b/internal/fleet/requester.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// acquire takes a request from the rate limit, and says whether one was left.
+// acquire takes a token from the rate limiter. It returns false if there is none.
 func (r *requester) acquire() bool { return r.limiter.acquire(r.port.Now()) }
 
 // jitter returns a random duration from half to one and a half times the one given, so that
@@ -43,8 +43,8 @@
 	return d/2 + time.Duration(r.rng.Int64N(int64(d)))
 }
 
-// refillShare is the part of the provider's rate limit that is used: its window and this one
-// don't coincide.
+// refillShare is the fraction of the provider's rate limit that is used, since the provider measures
+// it in time windows of its own.
 const refillShare = 0.8
 
 // rateLimiter is a token bucket that holds the requests of one second.
@@ -59,7 +59,7 @@
 	return &rateLimiter{perSecond: perSecond, tokens: perSecond, refilledAt: now}
 }
 
-// acquire takes a token, and says whether one was left.
+// acquire takes a token. It returns false if there is none.
 func (l *rateLimiter) acquire(now ident.MonotonicTime) bool {
 	l.tokens = min(l.perSecond, l.tokens+refillShare*l.perSecond*now.Sub(l.refilledAt).Seconds())
 	l.refilledAt = now
@@ -70,6 +70,5 @@
 	return true
 }
 
-// charge takes a token for a request that was sent without asking; the balance may become
-// negative.
+// charge takes a token for a request that was sent without acquire. The balance may become negative.
 func (l *rateLimiter) charge() { l.tokens-- }
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// spotHeadroomFactor is how many times the headroom of batch jobs is kept before a spot machine
-	// is terminated: idle ones cost little, and a boot is paid for as well.
+	// spotHeadroomFactor multiplies the headroom of batch jobs that must be left before a spot
+	// machine is terminated: idle ones cost little, and the time of a boot is billed as well.
 	spotHeadroomFactor = 1.7
-	// maxMovesPerTick bounds the replicas for which a tick looks for another machine.
+	// maxMovesPerTick bounds the replicas for which a tick searches a destination.
 	maxMovesPerTick = 20
-	// minReplicaUptime is how long a replica must run for its start to count for the objectives.
+	// minReplicaUptime is how long a replica must have run before it is moved, so that its start
+	// counts for the objectives.
 	minReplicaUptime = 35 * time.Second
 )
 
 // scaleIn empties and terminates machines that neither the waiting work nor the headroom needs.
 //
-// A machine is seldom idle by itself, since tasks start and end on it all the time and replicas
-// stay. So the one that is easiest to empty is cordoned: its tasks end, its replicas move, and
-// nothing more is placed on it.
+// Machines are seldom idle, since tasks start on them all the time and replicas stay. So the one that
+// is easiest to empty is cordoned: nothing more is placed on it, its batch tasks end, and its
+// replicas are moved.
 func (r *scalingRun) scaleIn(h *headroom) {
 	candidates, cordoned := r.scaleInCandidates()
 	budget := r.newScaleInBudget(h, cordoned)
@@ -39,11 +40,12 @@
 	r.cordonExcess(candidates, budget)
 }
 
-// cordonExcess cordons the machines that the budget spares, once it has done so for long enough.
+// cordonExcess cordons the machines that the budget can spare, once there has been excess capacity
+// for Tuning.ScaleInDelay.
 func (r *scalingRun) cordonExcess(candidates []*workers.Worker, budget *scaleInBudget) {
 	excess := false
 	for _, w := range candidates {
-		if !budget.spares(w) {
+		if !budget.canSpare(w) {
 			continue
 		}
 		excess = true
@@ -63,7 +65,7 @@
 	}
 }
 
-// scaleInCandidates lists the machines that may be cordoned, and those that are.
+// scaleInCandidates lists the machines that may be cordoned, and those that are cordoned already.
 func (r *scalingRun) scaleInCandidates() (candidates, cordoned []*workers.Worker) {
 	for _, w := range r.machines.Sorted() {
 		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > r.now || w.Slow {
@@ -78,8 +80,8 @@
 	return candidates, cordoned
 }
 
-// cordonsBefore orders machines by what is saved by terminating them, then by how easily they are
-// emptied.
+// cordonsBefore reports whether a machine is cordoned before another: the more expensive one first,
+// then the one with fewer CPUs used by replicas, then the one with fewer in use.
 func cordonsBefore(a, b *workers.Worker) bool {
 	if x, y := hourlyPrice(a.Type, a.Spot), hourlyPrice(b.Type, b.Spot); x != y {
 		return x > y
@@ -90,8 +92,8 @@
 	return a.VCPUs < b.VCPUs
 }
 
-// scaleInBudget is the capacity that is free while machines are cordoned, in CPUs, and the headroom
-// that must be kept of it.
+// scaleInBudget is the capacity that remains free as machines are cordoned, in CPUs, and the headroom
+// that must be left.
 type scaleInBudget struct {
 	freeTotal       float64            // of all machines
 	freeOnDemand    map[string]float64 // of on-demand machines, by zone
@@ -99,8 +101,8 @@
 	serviceHeadroom float64 // of all zones
 }
 
-// newScaleInBudget returns the budget of a run. What the tasks of cordoned machines will need elsewhere
-// is not free, nor is capacity that still boots: it can't take the place of what is terminated.
+// newScaleInBudget returns the budget of a run. Capacity that the tasks of cordoned machines need
+// elsewhere doesn't count as free, nor does booting capacity, which can't replace a machine yet.
 func (r *scalingRun) newScaleInBudget(h *headroom, cordoned []*workers.Worker) *scaleInBudget {
 	b := &scaleInBudget{
 		freeOnDemand:    r.capacity.onDemandByZone(),
@@ -122,7 +124,7 @@
 	return b
 }
 
-// hasExcess says whether the headroom would be kept without the smallest of the candidates.
+// hasExcess reports whether the headroom would be left without the smallest of the candidates.
 func (b *scaleInBudget) hasExcess(candidates []*workers.Worker) bool {
 	smallest := 0.0
 	for _, w := range candidates {
@@ -133,10 +135,10 @@
 	return b.freeTotal-smallest >= b.serviceHeadroom+b.headroom.batch
 }
 
-// spares says whether the headroom would be kept without a machine. All of its CPUs count, not only
-// those that are free: its replicas move, and its batch tasks end, but while work goes on as it
-// does, others start in their place.
-func (b *scaleInBudget) spares(w *workers.Worker) bool {
+// canSpare reports whether the headroom would be left without a machine. All of its CPUs count, not
+// only the free ones: its replicas need room elsewhere, and so do the batch tasks that would have
+// followed those that end.
+func (b *scaleInBudget) canSpare(w *workers.Worker) bool {
 	batch := b.headroom.batch
 	if w.Spot {
 		batch *= spotHeadroomFactor
@@ -147,7 +149,7 @@
 	return w.Spot || b.freeOnDemand[w.Zone]-w.Type.VCPUs >= b.headroom.onDemand[w.Zone]
 }
 
-// subtract takes a machine out of what is free.
+// subtract removes the capacity of a machine from the budget.
 func (b *scaleInBudget) subtract(w *workers.Worker) {
 	b.freeTotal -= w.Type.VCPUs
 	if !w.Spot {
@@ -155,8 +157,8 @@
 	}
 }
 
-// drainCordoned moves the replicas off a cordoned machine, once its batch tasks have ended, and
-// terminates it when nothing is left.
+// drainCordoned moves the replicas off a cordoned machine once its batch tasks have ended, and
+// terminates it when it is empty.
 func (r *scalingRun) drainCordoned(w *workers.Worker) {
 	if w.State != workers.Up {
 		return
@@ -171,8 +173,8 @@
 			return
 		}
 	}
-	// One replica in each tick, and only while there is room for it where its image is: it is down
-	// for no longer than a command and a transaction take.
+	// One replica in each tick, and only if a machine that holds its image has room: its downtime is
+	// then that of a command and a transaction.
 	for _, t := range tasks {
 		r.movesLeft--
 		if r.movesLeft < 0 {
@@ -186,7 +188,7 @@
 	}
 }
 
-// isSettledReplica says whether a task is a replica that has run for long enough to be moved.
+// isSettledReplica reports whether a task is a replica that has run for long enough to be moved.
 func (r *scalingRun) isSettledReplica(t *jobs.Task) bool {
 	return t.Job.Spec.Shape == api.Service && t.State == jobs.Assigned &&
 		t.RunningSince != 0 && r.now.Sub(t.RunningSince) >= minReplicaUptime
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -16,7 +16,7 @@
 	maxTerminateBackoff = 5 * time.Second
 )
 
-// terminator has the provider terminate machines.
+// terminator requests the termination of machines from the provider.
 type terminator struct {
 	requester *requester
 	machines  *workers.Table
@@ -34,7 +34,7 @@
 	t.pending = append(t.pending, w)
 }
 
-// flush sends the terminations that are queued, as far as the rate limit allows.
+// flush sends the queued terminations in batches, within the rate limit.
 func (t *terminator) flush() {
 	for len(t.pending) > 0 && t.requester.acquire() {
 		size := min(len(t.pending), maxTerminateBatch)
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// zoneSilenceThreshold is how long nothing must be heard from a whole zone for it to be taken
-	// for partitioned.
+	// zoneSilenceThreshold is how long all machines of a zone must be silent before the zone counts as
+	// partitioned.
 	zoneSilenceThreshold = 2 * time.Second
-	// zoneMissedHeartbeats is how many heartbeats of the zone must be missing at the least: where
-	// machines are few, there are gaps between their heartbeats.
+	// zoneMissedHeartbeats is the number of heartbeats of the zone that must be missing as well: with
+	// few machines, there are longer gaps between heartbeats.
 	zoneMissedHeartbeats = 4
-	// partitionLeases is after how many leases machines of a partitioned zone are terminated.
+	// partitionLeases is the silence, in lease durations, after which machines of a partitioned zone
+	// are terminated.
 	partitionLeases = 5
 	// minZoneMachines is how many machines a zone must have to be judged as a whole.
 	minZoneMachines = 3
-	// terminateDivisor is the part of an unreachable zone that is terminated within a lease.
+	// terminateDivisor bounds the machines of an unreachable zone that are terminated within a lease
+	// duration, to 1/terminateDivisor of them.
 	terminateDivisor = 50
 )
 
@@ -29,14 +31,14 @@
 	lastHeard ident.MonotonicTime
 }
 
-// zoneMonitor tells the failure of machines from that of the network to their zone.
+// zoneMonitor distinguishes failures of machines from network partitions of their zone.
 type zoneMonitor struct {
 	cfg *Config
-	// partitioned has the zones from which neither machines nor peers are heard.
+	// partitioned holds the zones whose machines and peers are all silent.
 	partitioned map[string]bool
-	// recoveredAt has the times at which partitions of zones last ended.
+	// recoveredAt holds the times at which partitions of zones last ended.
 	recoveredAt map[string]ident.MonotonicTime
-	// unreachable has the zones whose machines no controller reaches.
+	// unreachable holds the zones whose machines no controller reaches.
 	unreachable map[string]*unreachableZone
 }
 
@@ -48,9 +50,9 @@
 	}
 }
 
-// detectPartitions finds the zones from which neither machines nor peers are heard. They are
-// partitioned rather than failed: work in them goes on for as long as its leases last, and
-// must not be started elsewhere before. Nothing is placed there meanwhile.
+// detectPartitions finds the zones whose machines and peers are all silent. They count as partitioned
+// rather than failed: tasks in them keep running until the leases of their machines expire, and must
+// not be started elsewhere before. Nothing is placed there meanwhile.
 func (z *zoneMonitor) detectPartitions(contacts map[string]*zoneContact, now ident.MonotonicTime) {
 	previous := z.partitioned
 	z.partitioned = map[string]bool{}
@@ -61,22 +63,22 @@
 				slog.Info("zone partitioned: no machine or peer is heard", "zone", zone, "machines", contact.expected)
 			}
 		} else if previous[zone] {
-			// Its machines are heard one after the other, as their calls time out.
+			// Its machines report one after the other, as their pending calls time out.
 			slog.Info("zone partition ended", "zone", zone)
 			z.recoveredAt[zone] = now
 		}
 	}
 }
 
-// isPartitioned says whether neither machines nor peers of a zone are heard.
+// isPartitioned reports whether all machines and peers of a zone are silent.
 func (z *zoneMonitor) isPartitioned(zone string, contact *zoneContact, now ident.MonotonicTime) bool {
 	heartbeatGap := z.cfg.Workers.HeartbeatS / float64(contact.expected)
 	threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*heartbeatGap))
 	return contact.expected >= minZoneMachines && now.Sub(contact.lastHeard) > threshold && z.cfg.ZonePeersSilent(zone)
 }
 
-// detectUnreachable finds the zones whose machines no controller reaches. A zone stays one until a
-// machine of it is heard, even if all that it had are terminated by then.
+// detectUnreachable finds the zones whose machines no controller reaches. A zone stays unreachable
+// until one of its machines reports, even if all of the original ones are terminated by then.
 func (z *zoneMonitor) detectUnreachable(contacts map[string]*zoneContact, overdue time.Duration, now ident.MonotonicTime) {
 	for name, contact := range contacts {
 		silence := now.Sub(contact.lastHeard)
@@ -92,10 +94,10 @@
 	}
 }
 
-// unreachableZone is a zone whose machines no controller reaches. They may have failed, or run
-// behind a network partition, which cannot be told apart. If they were terminated as single
-// unreachable machines are, a partition would cost the whole zone; the machines provisioned
-// in their place would be unreachable as well, and so on for as long as the partition lasts.
+// unreachableZone is a zone whose machines no controller reaches. A failure of the machines can't be
+// distinguished from a network partition. If they were terminated as single unreachable machines are,
+// a partition would cost the whole zone, and the machines provisioned as replacements would be
+// unreachable as well.
 type unreachableZone struct {
 	since       ident.MonotonicTime
 	machines    int                 // when it became unreachable
@@ -111,7 +113,7 @@
 	}
 }
 
-// mayTerminate says whether one more machine may be terminated in the present period.
+// mayTerminate reports whether one more machine may be terminated in the present period.
 func (u *unreachableZone) mayTerminate() bool {
 	return u.terminated < max(1, u.machines/terminateDivisor)
 }
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -51,10 +51,10 @@
 	terminated, provisioned, r := runSilentZone(true)
 	// One machine a lease; two canaries, and two more whenever those are terminated after three
 	// and a half times ten seconds.
-	if terminated > 6 || provisioned > canaries*5 {
+	if terminated > 6 || provisioned > maxCanaries*5 {
 		t.Errorf("%d machines were terminated and %d provisioned in a zone that may be running", terminated, provisioned)
 	}
-	// Once one of them is heard, the others are judged one by one again.
+	// Once one of them reports, the others are checked one by one again.
 	w := r.table.Sorted()[0]
 	for _, k := range r.table.Sorted() {
 		if k.State == workers.Up || k.State == workers.Unreachable {
--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -8,18 +8,19 @@
 	"opaldale/internal/ident"
 )
 
-// DemandState says how far a team's demand is beyond what the team is entitled to.
+// DemandState is the state of a team's demand in relation to what the team is entitled to.
 type DemandState uint8
 
 // The states of a team's demand. Rising and Recovering last for Config.MinDuration before the next
 // state, so that short changes of the demand have no effect.
 const (
 	Normal     DemandState = iota // below Config.OverloadAt
-	Rising                        // at or above Config.OverloadAt, for less than MinDuration
-	Overloaded                    // was at or above Config.OverloadAt for MinDuration
-	Recovering                    // was overloaded, and is below Config.RecoverAt, for less than MinDuration
+	Rising                        // at or above Config.OverloadAt, for less than Config.MinDuration
+	Overloaded                    // was at or above Config.OverloadAt for Config.MinDuration
+	Recovering                    // was overloaded, and is below Config.RecoverAt for less than Config.MinDuration
 )
 
+// demandStateNames are part of the metrics and logs, and must not change.
 var demandStateNames = [...]string{
 	Normal:     "cool",
 	Rising:     "warming",
@@ -27,7 +28,7 @@
 	Recovering: "cooling",
 }
 
-// String returns the name of a state as metrics and logs have it.
+// String returns the name of a state for metrics and logs.
 func (s DemandState) String() string { return enum.Name(demandStateNames[:], s, "heat") }
 
 // team is the demand of one team.
@@ -35,7 +36,7 @@
 	entitled float64 // CPUs
 	demand   Average // CPUs
 	state    DemandState
-	since    ident.MonotonicTime // of the state
+	since    ident.MonotonicTime // when the team entered its state
 }
 
 // DemandStateChange is a change of the state of a team's demand.
@@ -45,7 +46,7 @@
 	Ratio    float64 // of demand to what the team is entitled to
 }
 
-// SetDemand notes how many CPUs a team's running and waiting tasks need together.
+// SetDemand sets the CPUs that a team's running and waiting tasks need together.
 func (m *Model) SetDemand(name string, cpus float64, now ident.MonotonicTime) {
 	t := m.teams[name]
 	if t == nil {
@@ -55,8 +56,8 @@
 	t.demand.Set(cpus, now, m.config.HalfLife)
 }
 
-// ratio returns a team's demand as a multiple of what it is entitled to. For a team that is entitled
-// to nothing that is an equal share of all machines.
+// ratio returns a team's demand as a multiple of what it is entitled to. A team without an
+// entitlement counts as entitled to an equal share of all machines.
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
 	entitled := t.entitled
 	if entitled <= 0 {
@@ -80,9 +81,9 @@
 	return changes
 }
 
-// updateState takes a team from one state to the next.
+// updateState takes a team to its next state, if the ratio and the time in its state require that.
 func (m *Model) updateState(t *team, ratio float64, now ident.MonotonicTime) {
-	lasted := now.Sub(t.since) >= m.config.MinDuration
+	minDurationOver := now.Sub(t.since) >= m.config.MinDuration
 	switch t.state {
 	case Normal:
 		if ratio >= m.config.OverloadAt {
@@ -92,7 +93,7 @@
 		switch {
 		case ratio < m.config.OverloadAt:
 			m.transition(t, Normal, now)
-		case lasted:
+		case minDurationOver:
 			m.transition(t, Overloaded, now)
 		}
 	case Overloaded:
@@ -103,13 +104,13 @@
 		switch {
 		case ratio >= m.config.RecoverAt:
 			m.transition(t, Overloaded, now)
-		case lasted:
+		case minDurationOver:
 			m.transition(t, Normal, now)
 		}
 	}
 }
 
-// transition changes the state of a team. Nothing else does.
+// transition changes the state of a team. All changes of state go through it.
 func (m *Model) transition(t *team, state DemandState, now ident.MonotonicTime) {
 	if t.overloaded() {
 		m.overloadedTeams--
@@ -120,14 +121,14 @@
 	}
 }
 
-// overloaded says whether the team counts as overloaded. One that recovers does until it is back to
-// normal.
+// overloaded reports whether the team counts as overloaded. A recovering team does until it is back
+// to normal.
 func (t *team) overloaded() bool { return t.state == Overloaded || t.state == Recovering }
 
-// AnyOverloaded says whether any team counts as overloaded.
+// AnyOverloaded reports whether any team counts as overloaded.
 func (m *Model) AnyOverloaded() bool { return m.overloadedTeams > 0 }
 
-// IsOverloaded says whether a team counts as overloaded.
+// IsOverloaded reports whether a team counts as overloaded.
 func (m *Model) IsOverloaded(name string) bool {
 	t := m.teams[name]
 	return t != nil && t.overloaded()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,8 @@
 // Package load tracks the load of machines, zones and teams: how evenly the machines are used, which
 // teams demand far more than they are entitled to, and which machines are slow.
 //
-// It does no I/O and reads no clock. The sums are kept up to date by each change, so that no query
-// walks over the machines.
+// It does no I/O and reads no clock. Each change updates the sums, so that no query iterates over the
+// machines. Its types are not safe for concurrent use.
 package load
 
 import (
@@ -12,16 +12,16 @@
 	"opaldale/internal/ident"
 )
 
-// Average is the exponentially decayed average of a level that changes in steps: what was one
-// half-life ago counts half.
+// Average is the exponentially decaying average of a level that changes in steps: after one half-life
+// the previous average counts half.
 type Average struct {
-	current     float64 // level since updated
-	mean        float64 // average at updated
+	current     float64 // level since updatedAt
+	mean        float64 // average at updatedAt
 	updatedAt   ident.MonotonicTime
 	initialized bool
 }
 
-// Set notes that the level changes at a time. The first level is the average as well.
+// Set changes the level at a time. The first level is the initial average as well.
 func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
 	if !a.initialized {
 		*a = Average{current: level, mean: level, updatedAt: now, initialized: true}
@@ -39,19 +39,19 @@
 	return a.current + (a.mean-a.current)*math.Exp2(-float64(now.Sub(a.updatedAt))/float64(halfLife))
 }
 
-// Config holds the times and bounds of a model.
+// Config holds the time constants and thresholds of a model.
 type Config struct {
 	// HalfLife is the half-life of all averages.
 	HalfLife time.Duration
 	// OverloadAt is the demand, as a multiple of what a team is entitled to, from which the team is
 	// overloaded. RecoverAt is the demand below which it recovers.
 	OverloadAt, RecoverAt float64
-	// MinDuration is for how long the demand of a team must be beyond either bound before its state
-	// changes.
+	// MinDuration is how long the demand of a team must be beyond either threshold before the team
+	// counts as overloaded or as normal.
 	MinDuration time.Duration
 }
 
-// DefaultConfig returns the values that are used if the settings have none.
+// DefaultConfig returns the values that are used unless the settings override them.
 func DefaultConfig() Config {
 	return Config{
 		HalfLife:    10 * time.Second,
@@ -96,7 +96,7 @@
 	return math.Sqrt(variance) / mean
 }
 
-// negligible allows for rounding in sums.
+// negligible is the tolerance for rounding errors of sums.
 const negligible = 1e-9
 
 // Model is the load of a cluster.
@@ -110,7 +110,7 @@
 	totalCPUs       float64 // of all machines
 }
 
-// New makes a model without machines. entitled has the CPUs that each team is entitled to.
+// New makes a model without machines. entitled holds the CPUs that each team is entitled to.
 func New(config Config, entitled map[string]float64) *Model {
 	m := &Model{
 		config:   config,
@@ -124,7 +124,7 @@
 	return m
 }
 
-// update takes a machine out of the sums, changes it, and puts it back.
+// update changes a machine with apply, and keeps the sums up to date.
 func (m *Model) update(machine *machineUse, apply func()) {
 	m.addToTotals(machine, -1)
 	apply()
@@ -173,8 +173,9 @@
 	}
 }
 
-// AddUsage adds the CPUs of a task to the use of a machine; negative CPUs are those of a task that
-// has left. A task that leaves a machine after the machine is gone changes nothing.
+// AddUsage adds the CPUs of a task to those in use on a machine, or subtracts them if negative. A
+// machine that is not known yet is added, with an unknown size; a subtraction from one that was
+// removed is ignored.
 func (m *Model) AddUsage(id ident.MachineID, cpus float64) {
 	if m.machines[id] == nil && cpus < 0 {
 		return
--- a/internal/load/slowness.go
+++ b/internal/load/slowness.go
@@ -9,25 +9,24 @@
 )
 
 const (
-	// minRunTime is the shortest run that is taken into account: the end of a task is reported up to
-	// a second late.
+	// minRunTime is the shortest run that counts: ends of tasks are reported up to a second late.
 	minRunTime = 5 * time.Second
 	// minComparisonRuns is how many tasks of a job must have ended on other machines for a run to be
 	// compared with them, and maxRunsKept how many are kept.
 	minComparisonRuns = 4
 	maxRunsKept       = 64
-	// minSamples is how many tasks must have ended on a machine before it may count as slow: the run
-	// times of a job's tasks differ by themselves.
+	// minSamples is how many tasks must have ended on a machine before it may count as slow: run
+	// times of a job's tasks vary on any machine.
 	minSamples = 5
 	// sampleWeight is the weight of the newest sample in the average of a machine.
 	sampleWeight = 0.2
 	// slowFactor is the run time of tasks on a slow machine, as a multiple of that elsewhere, from
 	// which the machine counts as slow.
 	slowFactor = 2
-	// maxSlowFraction is the fraction of the machines that may count as slow at a time: if more seem
-	// to be slow, the estimate is wrong.
+	// maxSlowFraction is the fraction of the machines that may count as slow at a time, at least one
+	// machine: if more seem to be slow, the estimate is wrong.
 	maxSlowFraction = 0.02
-	// maxRunGroups bounds the jobs whose runs are kept.
+	// maxRunGroups bounds the groups whose runs are kept. All are dropped when it is exceeded.
 	maxRunGroups = 10_000
 )
 
@@ -72,7 +71,7 @@
 	}
 }
 
-// RecordRun records that a task of a job ran on a machine of a type from its beginning to its end.
+// RecordRun records the time that a completed task of a job took on a machine of a type.
 func (s *SlownessEstimator) RecordRun(job ident.JobID, model string, machine ident.MachineID, took time.Duration) {
 	if took < minRunTime {
 		return
@@ -102,7 +101,8 @@
 	r.oldest = (r.oldest + 1) % maxRunsKept
 }
 
-// medianElsewhere returns the median of the runs on other machines, and false if those are too few.
+// medianElsewhere returns the median of the runs on other machines. It returns false if there are
+// fewer than minComparisonRuns.
 func (r *runHistory) medianElsewhere(machine ident.MachineID) (time.Duration, bool) {
 	var others []time.Duration
 	for _, other := range r.list {
@@ -126,7 +126,7 @@
 		s.paces[machine] = p
 	}
 	p.samples++
-	// The first few have equal weights.
+	// The first samples have equal weights.
 	p.mean += (logRatio - p.mean) * max(sampleWeight, 1/float64(p.samples))
 }
 
@@ -140,8 +140,8 @@
 	return math.Exp(p.mean)
 }
 
-// DetectSlow says whether a machine counts as slow, where machines is how many there are. Once it does
-// it keeps that state until RemoveMachine.
+// DetectSlow reports whether a machine counts as slow, given the number of machines in the cluster. A
+// machine that has been reported as slow stays so until RemoveMachine.
 func (s *SlownessEstimator) DetectSlow(machine ident.MachineID, machines int) bool {
 	if s.slow[machine] {
 		return true
@@ -153,7 +153,7 @@
 	return true
 }
 
-// RemoveMachine drops what is known of a machine.
+// RemoveMachine drops the samples and the state of a machine.
 func (s *SlownessEstimator) RemoveMachine(machine ident.MachineID) {
 	delete(s.paces, machine)
 	delete(s.slow, machine)
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -62,15 +62,15 @@
 type jobHistory struct {
 	record     Record
 	doc        *commit.Document
-	unreadable bool // the stored value can't be decoded, and is kept as it is
+	unreadable bool // the stored value can't be decoded, and is left as it is
 	deleted    bool
 }
 
-// History keeps how often each job was moved, in the key-value store: a move is recorded before its
-// task is stopped, so that it outlasts a failover.
+// History records the moves of each job in the key-value store. A move is recorded before its task is
+// stopped, so that the record survives a failover.
 type History struct {
 	commits     *commit.Committer
-	wallClockMS func() int64 // time of day in milliseconds
+	wallClockMS func() int64 // Unix time in milliseconds
 	jobs        map[ident.JobID]*jobHistory
 }
 
@@ -79,8 +79,8 @@
 	return &History{commits: commits, wallClockMS: wallClockMS, jobs: map[ident.JobID]*jobHistory{}}
 }
 
-// Load takes over what an earlier term recorded. A record that can't be decoded bars its job from
-// being moved; it is no reason to give up leadership, since only moves depend on it.
+// Load adds the record of a job that an earlier term stored. A record that can't be decoded bars its
+// job from being moved. It is no reason to resign, since only moves depend on it.
 func (h *History) Load(path string, value json.RawMessage, revision ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
 	j := h.addJob(id)
@@ -94,6 +94,7 @@
 	j.record = r
 }
 
+// addJob adds an empty record for a job.
 func (h *History) addJob(id ident.JobID) *jobHistory {
 	j := &jobHistory{doc: &commit.Document{Key: Key(id)}}
 	j.doc.Render = func() json.RawMessage {
@@ -106,7 +107,7 @@
 	return j
 }
 
-// MoveCount returns how often a job's tasks were moved, or were about to be.
+// MoveCount returns the number of recorded moves of a job's tasks, including abandoned ones.
 func (h *History) MoveCount(id ident.JobID) int {
 	if j := h.jobs[id]; j != nil {
 		return len(j.record.Moves)
@@ -114,13 +115,13 @@
 	return 0
 }
 
-// IsBarred says whether a job may not be moved because its record can't be decoded.
+// IsBarred reports whether a job may not be moved because its record can't be decoded.
 func (h *History) IsBarred(id ident.JobID) bool {
 	j := h.jobs[id]
 	return j != nil && j.unreadable
 }
 
-// RecordMove records a move, and calls durable once the record is.
+// RecordMove records a move, and calls durable once the record is durable.
 func (h *History) RecordMove(m *Move, durable func()) {
 	j := h.jobs[m.Task.Job]
 	if j == nil {
@@ -140,7 +141,7 @@
 	h.commits.MarkDirty(j.doc, durable)
 }
 
-// Forget deletes the record of a job that is over, with the next write that has room for it.
+// Forget deletes the record of a job that is closed, along with the next write that has room for it.
 func (h *History) Forget(id ident.JobID) {
 	j := h.jobs[id]
 	if j == nil {
@@ -151,8 +152,8 @@
 	h.commits.MarkDirtyLazily(j.doc, nil)
 }
 
-// Prune forgets the jobs that are over, whose records an earlier term or a version without migration
-// has left.
+// Prune deletes the records of jobs that are not live, which an earlier term or a version without
+// migration has left.
 func (h *History) Prune(live func(ident.JobID) bool) {
 	for id := range h.jobs {
 		if !live(id) {
@@ -161,17 +162,19 @@
 	}
 }
 
-// Interrupted lists the tasks whose last recorded move may not have ended: those that are still in
-// the attempt that was to be moved.
+// Interrupted lists, in no particular order, the tasks whose last recorded move may not have ended:
+// those that are still in the attempt that was to be moved. attempt returns the present attempt of a
+// task, and false for an unknown one.
 func (h *History) Interrupted(attempt func(ident.TaskID) (ident.Attempt, bool)) []ident.TaskID {
 	var out []ident.TaskID
 	for id, j := range h.jobs {
-		if n := len(j.record.Moves); n > 0 {
-			last := j.record.Moves[n-1]
-			task := ident.TaskID{Job: id, Index: last.Index}
-			if current, ok := attempt(task); ok && current == last.Attempt {
-				out = append(out, task)
-			}
+		if len(j.record.Moves) == 0 {
+			continue
+		}
+		last := j.record.Moves[len(j.record.Moves)-1]
+		task := ident.TaskID{Job: id, Index: last.Index}
+		if current, ok := attempt(task); ok && current == last.Attempt {
+			out = append(out, task)
 		}
 	}
 	return out
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -14,8 +14,8 @@
 type Config struct {
 	// RecordTimeout is how long the record may take to become durable.
 	RecordTimeout time.Duration
-	// StopTimeout is how long the proof that a task has left its machine may take beyond the time
-	// that the task needs for a checkpoint.
+	// StopTimeout is how long the proof that a task has left its machine may take, beyond the grace
+	// period for its checkpoint.
 	StopTimeout time.Duration
 	// PlaceTimeout is how long room is reserved for a task that has left its machine.
 	PlaceTimeout time.Duration
@@ -23,7 +23,7 @@
 	StartTimeout time.Duration
 }
 
-// DefaultConfig returns the times for a cluster whose workers send heartbeats that often.
+// DefaultConfig returns the times for a cluster with a heartbeat interval.
 func DefaultConfig(heartbeatInterval time.Duration) Config {
 	return Config{
 		RecordTimeout: 2 * time.Second,
@@ -42,7 +42,7 @@
 	StartedAt  ident.MonotonicTime
 	StateSince ident.MonotonicTime // when it entered its state
 	// StoppedAt and RunningAt are when the task was proven to have left its machine and when it
-	// was seen to run at the destination, 0 if that has not happened.
+	// was reported as running at the destination, 0 if that has not happened.
 	StoppedAt, RunningAt ident.MonotonicTime
 	// BeneficiaryPlacedAt is when the beneficiary was placed on the machine that the task left, 0
 	// if it was not.
@@ -51,9 +51,9 @@
 	recorded bool // the record is durable
 }
 
-// RealizedGain returns the measured gain of a move: by how much sooner the beneficiary got its place
-// than was expected without the move, less the cost of the move; or what a task gains that has left
-// a slow machine, less the time for which it did not run.
+// RealizedGain returns the measured gain of a move. For one that frees capacity that is by how much
+// sooner the beneficiary was placed than expected without the move, less the cost of the move; for
+// one off a slow machine, the expected gain less the time that the move took.
 func (m *Move) RealizedGain() time.Duration {
 	cost := time.Duration(0)
 	if m.StoppedAt > 0 {
@@ -68,7 +68,7 @@
 	return m.ExpectedWait - m.BeneficiaryPlacedAt.Sub(m.StartedAt) - cost
 }
 
-// DestinationStatus says whether a move's destination can still take its task.
+// DestinationStatus reports whether a move's destination can still take its task.
 type DestinationStatus uint8
 
 // The states of a destination.
@@ -77,7 +77,7 @@
 	// DestinationUnschedulable: the machine is gone, silent, being terminated, or has a reclaim
 	// notice.
 	DestinationUnschedulable
-	// DestinationFull: the reserved room is not there any more.
+	// DestinationFull: the reserved room was taken by other work.
 	DestinationFull
 )
 
@@ -88,13 +88,13 @@
 	Task              jobs.State
 	Attempt           ident.Attempt
 	Machine           ident.MachineID // empty unless the task is allocated
-	TaskRunning       bool            // the task was seen to run in its present attempt
-	ReportedElsewhere bool            // a machine that should not have the task reports it
+	TaskRunning       bool            // the task was reported as running in its present attempt
+	ReportedElsewhere bool            // a machine to which the task is not assigned reports it
 	TeamAllows        bool            // the team's limit has room for the task
 
 	// The beneficiary.
-	BeneficiaryWaiting bool // it still waits
-	BeneficiaryPlaced  bool // it was placed on the machine that the task leaves
+	BeneficiaryWaiting bool // the beneficiary still waits
+	BeneficiaryPlaced  bool // the beneficiary was placed on the machine that the task leaves
 	DemandRecovered    bool // an overloaded team has recovered since the move was proposed
 
 	// The controller and the destination.
@@ -103,7 +103,7 @@
 	Destination  DestinationStatus
 }
 
-// endReason returns TaskCompleted or JobClosed if there is nothing left to move, else NotEnded.
+// endReason returns TaskCompleted or JobClosed if the task no longer needs the move, else NotEnded.
 func (o *Observation) endReason() Reason {
 	switch {
 	case o.Task == jobs.Completed:
@@ -127,10 +127,10 @@
 	}
 }
 
-// canPlace says whether a task that has left its machine may be placed at this time.
+// canPlace reports whether a task that has left its machine may be placed now.
 func (o *Observation) canPlace() bool { return o.HasAuthority && !o.ReportedElsewhere }
 
-// EffectKind is what is to be done for a move.
+// EffectKind is a kind of action that the caller of Table.Advance carries out for a move.
 type EffectKind uint8
 
 // The kinds of effects.
@@ -145,13 +145,13 @@
 	ReportEnd
 )
 
-// Effect is one thing to be done for a move.
+// Effect is an action to be carried out for a move.
 type Effect struct {
 	Kind EffectKind
 	Move *Move
 }
 
-// effects lists things to be done for a move, in their order.
+// effects returns the effects of some kinds for a move, in that order.
 func effects(m *Move, kinds ...EffectKind) []Effect {
 	out := make([]Effect, 0, len(kinds))
 	for _, kind := range kinds {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// maxRecent bounds the ended moves that are kept.
+// maxRecent bounds the ended moves that a table keeps.
 const maxRecent = 100
 
 // Table holds the moves of a leader's term.
@@ -171,7 +171,7 @@
 
 	// EndedByReason counts the moves by how they ended.
 	EndedByReason map[Reason]uint64
-	// TotalGain is the sum of the realized gains of the moves that arrived.
+	// TotalGain is the sum of the realized gains of the moves that reached the state Running.
 	TotalGain time.Duration
 }
 
@@ -197,11 +197,11 @@
 	return m
 }
 
-// MarkRecorded notes that the record of a move is durable. A move that was abandoned meanwhile stays
-// abandoned.
+// MarkRecorded marks the record of a move as durable, so that the next Advance stops its task. It has
+// no effect on a move that was abandoned meanwhile.
 func (t *Table) MarkRecorded(m *Move) { m.recorded = true }
 
-// transition changes the state of a move. Nothing else does.
+// transition changes the state of a move. All changes of state go through it.
 func (t *Table) transition(m *Move, state State, reason Reason, now ident.MonotonicTime) {
 	m.State, m.StateSince, m.Reason = state, now, reason
 	switch state {
@@ -215,7 +215,8 @@
 	}
 }
 
-// Advance brings all moves up to date and returns what is to be done, in its order.
+// Advance takes all moves to their next states according to what observe returns for them, and returns
+// the effects in the order in which they are to be carried out.
 func (t *Table) Advance(now ident.MonotonicTime, observe func(*Move) Observation) []Effect {
 	var out []Effect
 	for _, m := range t.active {
@@ -233,7 +234,7 @@
 	return out
 }
 
-// remember keeps a move that has ended.
+// remember adds an ended move to the recent ones.
 func (t *Table) remember(m *Move) {
 	if m.State == Running {
 		t.TotalGain += m.RealizedGain()
@@ -242,8 +243,8 @@
 	t.recent = t.recent[max(0, len(t.recent)-maxRecent):]
 }
 
-// trackBeneficiary notes for a move that has arrived when its beneficiary gets the room that was
-// made. After the wait that was expected without the move there is nothing left to gain.
+// trackBeneficiary sets BeneficiaryPlacedAt on a completed move whose beneficiary has been placed in
+// the room that was made. After the wait expected without the move there is no gain any more.
 func (t *Table) trackBeneficiary(m *Move, now ident.MonotonicTime, observe func(*Move) Observation) {
 	if m.State != Running || m.Purpose != rebalance.FreesCapacity || m.BeneficiaryPlacedAt > 0 {
 		return
@@ -258,7 +259,7 @@
 	}
 }
 
-// advance brings one move up to date.
+// advance takes one move to its next states.
 func (t *Table) advance(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if o.BeneficiaryPlaced && m.BeneficiaryPlacedAt == 0 {
 		m.BeneficiaryPlacedAt = now
@@ -267,14 +268,14 @@
 	for {
 		step := t.step(m, now, o)
 		out = append(out, step...)
-		// The proof that the task has left its machine is followed by the placement at once.
+		// A task that is proven to have left its machine is placed without waiting for the next call.
 		if m.State != Stopped || len(step) > 0 || !o.canPlace() {
 			return out
 		}
 	}
 }
 
-// step takes a move from its present state to the next one, if what that needs is observed.
+// step takes a move from its present state to the next one, if the observation permits that.
 func (t *Table) step(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch m.State {
 	case Proposed:
@@ -289,17 +290,17 @@
 	return nil
 }
 
-// abandon ends a move and releases whatever was reserved for it.
+// abandon ends a move without success and releases its reservations.
 func (t *Table) abandon(m *Move, reason Reason, now ident.MonotonicTime) []Effect {
 	t.transition(m, Abandoned, reason, now)
 	return effects(m, ReleaseReservation, ReportEnd)
 }
 
-// atSource says whether the task is still in the attempt that is to be moved, on its machine.
+// atSource reports whether the task is still in the attempt that is to be moved, on its machine.
 func (m *Move) atSource(o Observation) bool { return o.Attempt == m.Attempt && o.Machine == m.From }
 
-// advanceProposed waits for the record. Until the task is stopped nothing is lost by giving up, so
-// whatever speaks against the move abandons it.
+// advanceProposed waits for the record to become durable, then stops the task. Until then abandoning
+// the move costs nothing, so any doubt about it suffices.
 func (t *Table) advanceProposed(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if reason := t.abandonReason(m, now, o); reason != NotEnded {
 		return t.abandon(m, reason, now)
@@ -311,7 +312,8 @@
 	return effects(m, StopTask)
 }
 
-// abandonReason returns what speaks against stopping the task now, NotEnded if nothing does.
+// abandonReason returns the reason for abandoning a move before its task is stopped, NotEnded if
+// there is none.
 func (t *Table) abandonReason(m *Move, now ident.MonotonicTime, o Observation) Reason {
 	if reason := o.endReason(); reason != NotEnded {
 		return reason
@@ -391,7 +393,7 @@
 	return nil
 }
 
-// ByReason lists how many moves ended in which way, in a fixed order.
+// ByReason returns EndedByReason as a list in the order of the reasons.
 func (t *Table) ByReason() []Outcome {
 	out := make([]Outcome, 0, len(t.EndedByReason))
 	for r, n := range t.EndedByReason {
@@ -401,7 +403,7 @@
 	return out
 }
 
-// Outcome is a number of moves that ended in one way.
+// Outcome is the number of moves that ended for a reason.
 type Outcome struct {
 	Reason Reason
 	Count  uint64
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -22,9 +22,9 @@
 	Stopped
 	// Placing: the task's next attempt was assigned to the destination.
 	Placing
-	// Running: the task was seen to run at the destination, or has completed there.
+	// Running: the task was reported as running at the destination, or has completed there.
 	Running
-	// Abandoned: the move was given up.
+	// Abandoned: the move ended without success; the task is placed as any waiting task is.
 	Abandoned
 )
 
@@ -37,13 +37,13 @@
 	Abandoned: "abandoned",
 }
 
-// String returns the name of a state as metrics and logs have it.
+// String returns the name of a state for metrics and logs.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
-// Ended says whether a move in that state is over.
+// Ended reports whether a move in that state is over.
 func (s State) Ended() bool { return s == Running || s == Abandoned }
 
-// Reason says how a move ended.
+// Reason is the reason for which a move ended.
 type Reason uint8
 
 // The reasons for the end of a move.
@@ -58,16 +58,17 @@
 	LinkSuspected            // a link to the zone of either machine is suspected to be broken
 	RecordOverdue            // the record was not durable in time
 	TaskChanged              // the task was stopped, lost or placed by something else
-	StopOverdue              // the task was not proven to have left in time
+	StopOverdue              // there was no proof in time that the task has left its machine
 	DestinationClosed        // the destination takes no work any more
 	DestinationTaken         // work of higher priority took the room
 	TeamAtLimit              // the team's limit has no room for the task
 	PlacementOverdue         // the task could not be placed in time
-	StartOverdue             // the task was not seen to run at the destination in time
+	StartOverdue             // the task was not reported as running at the destination in time
 	LostAtDestination        // the task was lost before it ran at the destination
 	reasonCount
 )
 
+// reasonNames are part of the metrics and logs, and must not change.
 var reasonNames = [reasonCount]string{
 	NotEnded:          "",
 	Arrived:           "arrived",
@@ -88,5 +89,5 @@
 	LostAtDestination: "lost at destination",
 }
 
-// String returns the name of a reason as metrics and logs have it.
+// String returns the name of a reason for metrics and logs.
 func (r Reason) String() string { return enum.Name(reasonNames[:], r, "reason") }
--- a/internal/placement/batch.go
+++ b/internal/placement/batch.go
@@ -120,12 +120,12 @@
 	return need
 }
 
-// inActiveRange says whether a task's job is in the active range or precedes it.
+// inActiveRange reports whether a task's job is in the active range or precedes it.
 func (d *dispatch) inActiveRange(t *jobs.Task) bool {
 	return d.activeRange.to > d.firstBorrower || !d.teams.IsBorrower(t.Job.Spec.Team)
 }
 
-// canTakeTask says whether a task may be placed on a machine now.
+// canTakeTask reports whether a task may be placed on a machine now.
 func (d *dispatch) canTakeTask(t *jobs.Task, w *workers.Worker) bool {
 	if t.State != jobs.Waiting || t.Job.Phase != jobs.Open || t.Job.PlaceableCount() <= 0 {
 		return false
@@ -137,7 +137,7 @@
 	return d.canRunOn(t.Job, w) && !d.machineTable.HasUnknownAttempt(t.TaskID())
 }
 
-// canTakeAnyOf says whether any task of a job may be placed on a machine now.
+// canTakeAnyOf reports whether any task of a job may be placed on a machine now.
 func (d *dispatch) canTakeAnyOf(j *jobs.Job, w *workers.Worker) bool {
 	return j.WaitingCount() > 0 && d.canRunOn(j, w) && d.nextTask(j) != nil
 }
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -104,7 +104,7 @@
 	return d.full()
 }
 
-// full says whether the dispatch has placed maxPlacedPerDispatch tasks.
+// full reports whether the dispatch has placed maxPlacedPerDispatch tasks.
 func (d *dispatch) full() bool { return d.placed >= maxPlacedPerDispatch }
 
 // place assigns a task to a machine.
--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -35,13 +35,13 @@
 	return w.Fits(j.Spec) && p.KeepsServiceHeadroom(j, w)
 }
 
-// KeepsServiceHeadroom says whether one more task of a job on a machine leaves the room that
+// KeepsServiceHeadroom reports whether one more task of a job on a machine leaves the room that
 // batch jobs must leave free for services, as of the last dispatch.
 func (p *Planner) KeepsServiceHeadroom(j *jobs.Job, w *workers.Worker) bool {
 	return w.Spot || !isBatch(j) || p.freeOnDemand[w.Zone]-j.Spec.VCPUs >= p.ServiceHeadroom[w.Zone]-tolerance
 }
 
-// eligible says whether a machine may take a task of a job, apart from room.
+// eligible reports whether a machine may take a task of a job, apart from room.
 func (d *dispatch) eligible(j *jobs.Job, w *workers.Worker) bool {
 	if reservedFor := d.reservations.jobOn(w); reservedFor != nil && reservedFor != j {
 		return false
@@ -52,12 +52,12 @@
 	return allows(w, j) && zoneAllows(j, w.Zone) && d.teams.Allows(j.Spec, 1)
 }
 
-// canRunOn says whether a machine may take a task of a job, and has room for it.
+// canRunOn reports whether a machine may take a task of a job, and has room for it.
 func (d *dispatch) canRunOn(j *jobs.Job, w *workers.Worker) bool {
 	return d.hasRoom(j, w) && d.eligible(j, w)
 }
 
-// isImageCached says whether a machine that may take the job's tasks holds its image. Machines in
+// isImageCached reports whether a machine that may take the job's tasks holds its image. Machines in
 // other zones and those that take no work don't count: if they did, no other machine would pull
 // the image, and the tasks would never be placed.
 func (d *dispatch) isImageCached(j *jobs.Job) bool {
--- a/internal/placement/gang_planner.go
+++ b/internal/placement/gang_planner.go
@@ -21,7 +21,7 @@
 	waitForCheckpoint bool // a victim writes a checkpoint first
 }
 
-// betterThan says whether a gang starts sooner by a than by b, or else preempts less work, or else
+// betterThan reports whether a gang starts sooner by a than by b, or else preempts less work, or else
 // uses fewer machines. Any plan is better than none.
 func (a *gangPlan) betterThan(b *gangPlan) bool {
 	return b == nil || cmp.Or(
@@ -80,10 +80,10 @@
 	return g.plan
 }
 
-// allAssigned says whether every task is assigned to a machine.
+// allAssigned reports whether every task is assigned to a machine.
 func (g *gangPlanner) allAssigned() bool { return len(g.remaining) == 0 }
 
-// allowed says whether the gang may use a machine, apart from room.
+// allowed reports whether the gang may use a machine, apart from room.
 func (g *gangPlanner) allowed(w *workers.Worker) bool {
 	return inZone(w, g.zone) && g.eligible(g.job, w) && !g.actions.GangUsedMachine(g.job, w)
 }
@@ -143,7 +143,7 @@
 	g.plan.pullTime = max(g.plan.pullTime, w.ImagePullTime(g.job.Spec))
 }
 
-// pullTooSlow says whether an image pull takes more of the start objective than gangPullDivisor
+// pullTooSlow reports whether an image pull takes more of the start objective than gangPullDivisor
 // allows, as estimated for the first open machine.
 func (g *gangPlanner) pullTooSlow() bool {
 	return len(g.openMachines) > 0 && g.pullExceedsObjective(g.job, g.openMachines[0], gangPullDivisor)
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -103,7 +103,7 @@
 // anyZone stands for all zones together.
 const anyZone = ""
 
-// inZone says whether a machine is in a zone, or the zone is anyZone.
+// inZone reports whether a machine is in a zone, or the zone is anyZone.
 func inZone(w *workers.Worker, zone string) bool { return zone == anyZone || w.Zone == zone }
 
 // candidateZones lists the zones that a gang could be in, anyZone alone if it may be in several
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -21,9 +21,9 @@
 	Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration)
 	// PlaceGang places all waiting tasks of a gang.
 	PlaceGang(j *jobs.Job, placements []gang.Placement)
-	// GangUsedMachine says whether the present attempt of a gang has had tasks on a machine.
+	// GangUsedMachine reports whether the present attempt of a gang has had tasks on a machine.
 	GangUsedMachine(j *jobs.Job, w *workers.Worker) bool
-	// CanStopGang says whether all tasks of a gang can be stopped together.
+	// CanStopGang reports whether all tasks of a gang can be stopped together.
 	CanStopGang(j *jobs.Job) bool
 	// StopGang stops all tasks of a gang together, and lets them write checkpoints if they can. It
 	// returns false if CanStopGang does.
@@ -47,7 +47,7 @@
 	// a zone, for services to come.
 	ServiceHeadroom map[string]float64
 
-	// SpreadLoad says whether work is spread over the machines that hold its image, the least
+	// SpreadLoad reports whether work is spread over the machines that hold its image, the least
 	// used first, rather than given to them in the order of their names.
 	SpreadLoad func() bool
 
@@ -155,17 +155,17 @@
 // Round replaces the plan by a new one, and places nothing.
 func (p *Planner) Round() { p.newDispatch().makePlan() }
 
-// starved says whether a job has waited too long for its first task.
+// starved reports whether a job has waited too long for its first task.
 func (p *Planner) starved(j *jobs.Job) bool {
 	return j.AllocatedTasks+j.CompletedTasks == 0 && p.now().Sub(j.SubmittedAt) > p.config.MaxWait
 }
 
-// pullExceedsObjective says whether a machine needs longer to pull a job's image than the part
+// pullExceedsObjective reports whether a machine needs longer to pull a job's image than the part
 // 1/divisor of the time within which tasks of its class should start.
 func (p *Planner) pullExceedsObjective(j *jobs.Job, w *workers.Worker, divisor time.Duration) bool {
 	limit, ok := p.startObjectives[j.Spec.Class]
 	return ok && w.ImagePullTime(j.Spec) > limit/divisor
 }
 
-// isBatch says whether a job's tasks are independent of each other and run to completion.
+// isBatch reports whether a job's tasks are independent of each other and run to completion.
 func isBatch(j *jobs.Job) bool { return j.Spec.Shape == api.Batch }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// worthSearching says whether a machine may have victims for a search.
+// worthSearching reports whether a machine may have victims for a search.
 func (d *dispatch) worthSearching(key victimSearchKey, w *workers.Worker) bool {
 	if !mayHaveVictims(w, key.job) {
 		return false
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// before says whether a job precedes another. Teams with a guarantee precede those without; then
+// before reports whether a job precedes another. Teams with a guarantee precede those without; then
 // overdue jobs come in the order of submission; then jobs within their guarantee, by priority, and
 // by urgency. Among those on track, the shortest goes first.
 func (a *queuedJob) before(b *queuedJob) bool {
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -76,19 +76,19 @@
 	}
 }
 
-// Allows says whether a team's limit has room for n more tasks like s.
+// Allows reports whether a team's limit has room for n more tasks like s.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
 	return t != nil && t.usedVCPUs+n*s.VCPUs <= t.CPUsMax+tolerance && t.usedGPUs+n*s.GPUs <= t.GPUsMax+tolerance
 }
 
-// IsBorrower says whether a team has neither guarantee nor limit.
+// IsBorrower reports whether a team has neither guarantee nor limit.
 func (ts *Teams) IsBorrower(name string) bool {
 	t := ts.byName[name]
 	return t != nil && t.borrower
 }
 
-// BorrowersActive says whether any team without guarantee and limit uses anything.
+// BorrowersActive reports whether any team without guarantee and limit uses anything.
 func (ts *Teams) BorrowersActive() bool {
 	for _, t := range ts.byName {
 		if t.borrower && t.usedVCPUs > tolerance {
@@ -142,7 +142,7 @@
 	}
 }
 
-// OthersOverGuarantee says whether teams other than the named one run batch jobs beyond their
+// OthersOverGuarantee reports whether teams other than the named one run batch jobs beyond their
 // guarantee.
 func (ts *Teams) OthersOverGuarantee(all *jobs.Table, except string) bool {
 	for name, list := range all.Teams {
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -35,13 +35,13 @@
 	return r.timed[w].job
 }
 
-// isReservedForStarved says whether a machine is reserved for a starved job.
+// isReservedForStarved reports whether a machine is reserved for a starved job.
 func (r *reservations) isReservedForStarved(w *workers.Worker) bool { return r.starved[w] != nil }
 
 // starvedCount is how many machines are reserved for starved jobs.
 func (r *reservations) starvedCount() int { return len(r.starved) }
 
-// hasStarvedReservation says whether a machine is reserved for a starved job already.
+// hasStarvedReservation reports whether a machine is reserved for a starved job already.
 func (r *reservations) hasStarvedReservation(j *jobs.Job) bool {
 	for _, reservedFor := range r.starved {
 		if reservedFor == j {
@@ -103,5 +103,5 @@
 	p.reservations.releaseTimed(w, j)
 }
 
-// IsReserved says whether a machine's room is kept for some job.
+// IsReserved reports whether a machine's room is kept for some job.
 func (p *Planner) IsReserved(w *workers.Worker) bool { return p.reservations.jobOn(w) != nil }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -71,7 +71,7 @@
 	return found
 }
 
-// Movable says whether a replica would find room on another machine that holds its image.
+// Movable reports whether a replica would find room on another machine that holds its image.
 func (p *Planner) Movable(t *jobs.Task, from *workers.Worker) bool {
 	j := t.Job
 	if !p.teams.Allows(j.Spec, 0) {
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -19,7 +19,7 @@
 	preemptionCooldown = time.Minute
 )
 
-// canPreempt says whether a running task may be preempted for a job.
+// canPreempt reports whether a running task may be preempted for a job.
 func (p *Planner) canPreempt(victim *jobs.Task, j *jobs.Job) bool {
 	if victim.State != jobs.Assigned {
 		return false
@@ -30,7 +30,7 @@
 	return j.WithinQuota && !victim.Job.WithinQuota && victim.Job.Spec.Team != j.Spec.Team && isBatch(victim.Job)
 }
 
-// hasVictims says whether there is anything in the cluster that may be preempted for a job.
+// hasVictims reports whether there is anything in the cluster that may be preempted for a job.
 func (p *Planner) hasVictims(j *jobs.Job) bool {
 	if p.machineTable.LowerPriorityTasks(j.Spec.Priority) > 0 {
 		return true
@@ -43,7 +43,7 @@
 	return w.LowerPriorityTasks(j.Spec.Priority) > 0 || j.WithinQuota && w.BatchVCPUs != 0
 }
 
-// recentlyPreempted says whether a task was preempted within preemptionCooldown.
+// recentlyPreempted reports whether a task was preempted within preemptionCooldown.
 func recentlyPreempted(t *jobs.Task, now ident.MonotonicTime) bool {
 	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < preemptionCooldown
 }
@@ -55,7 +55,7 @@
 	cost    float64 // work lost, in CPU seconds
 }
 
-// needsCheckpoint says whether a victim writes a checkpoint before it ends, so that the room is
+// needsCheckpoint reports whether a victim writes a checkpoint before it ends, so that the room is
 // not there at once.
 func (p *preemption) needsCheckpoint() bool {
 	return slices.ContainsFunc(p.victims, func(t *jobs.Task) bool { return t.Job.Spec.CanCheckpoint() })
@@ -108,7 +108,7 @@
 	return found
 }
 
-// isCandidate says whether a task may be preempted for a request. A gang is preempted as a whole or
+// isCandidate reports whether a task may be preempted for a request. A gang is preempted as a whole or
 // not at all.
 func (p *Planner) isCandidate(t *jobs.Task, r *victimRequest) bool {
 	if t.Job.IsGang() {
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// hasStrandedTask says whether a machine with room could take a waiting task that is in no plan and
+// hasStrandedTask reports whether a machine with room could take a waiting task that is in no plan and
 // whose image is cached.
 func (d *dispatch) hasStrandedTask() bool {
 	if !d.config.UseASM1 {
@@ -109,7 +109,7 @@
 	return false
 }
 
-// canRunOnAny says whether any of the machines may take a task of a job, and has room for it.
+// canRunOnAny reports whether any of the machines may take a task of a job, and has room for it.
 func (d *dispatch) canRunOnAny(j *jobs.Job, machines []*workers.Worker) bool {
 	for _, w := range machines {
 		if d.canRunOn(j, w) {
--- a/internal/rebalance/budget.go
+++ b/internal/rebalance/budget.go
@@ -2,7 +2,7 @@
 
 import "opaldale/internal/ident"
 
-// budgetUse is how much of the budgets is used by moves under way and by those proposed.
+// budgetUse counts the active and the proposed moves against the budgets.
 type budgetUse struct {
 	budgets  Budgets
 	cluster  int
@@ -23,7 +23,7 @@
 	}
 }
 
-// count accounts for a move under way, or one that is proposed.
+// count adds an active or a proposed move.
 func (u *budgetUse) count(a ActiveMove) {
 	u.cluster++
 	u.machines[a.From]++
@@ -33,18 +33,18 @@
 	u.jobs[a.Job]++
 }
 
-// clusterFull says whether the cluster has as many moves as it may.
+// clusterFull reports whether the budget of the cluster is used up.
 func (u *budgetUse) clusterFull() bool { return u.cluster >= u.budgets.Cluster }
 
-// allowsMachine says whether one more move from or to a machine is within its budget.
+// allowsMachine reports whether one more move from or to a machine is within its budget.
 func (u *budgetUse) allowsMachine(m *Machine) bool { return u.machines[m.ID] < u.budgets.Machine }
 
-// allowsSource says whether one more move from a machine is within its budget and its zone's.
+// allowsSource reports whether one more move from a machine is within its budget and its zone's.
 func (u *budgetUse) allowsSource(m *Machine) bool {
 	return u.allowsMachine(m) && u.zones[m.Zone] < u.budgets.Zone
 }
 
-// allowsTask says whether a move of a task is within the budgets of its team and its job.
+// allowsTask reports whether a move of a task is within the budgets of its team and its job.
 func (u *budgetUse) allowsTask(t *Task) bool {
 	return u.teams[t.Team] < u.budgets.Team && t.MoveCount+u.jobs[t.ID.Job] < u.budgets.Job
 }
--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -1,6 +1,6 @@
 // Package rebalance decides which running tasks are worth moving. A task that waits because no
-// machine has enough room may start at once if a smaller one goes elsewhere, and a task on a slow
-// machine may end sooner on another one.
+// machine has enough room may start at once if a smaller one is moved, and a task on a slow machine
+// may end sooner on another one.
 //
 // Plan is a pure function: the state of the cluster comes in, proposals come out. Package migration
 // carries the proposals out.
@@ -25,7 +25,7 @@
 	EstimatedRuntime   time.Duration // by its owner's estimate; 0 if unknown
 	CheckpointInterval time.Duration // 0 if it writes no checkpoints
 	CheckpointTime     time.Duration // for a checkpoint when it is stopped
-	Replica            bool          // serves as long as it runs, so that a move costs the time of its absence
+	Replica            bool          // task of a service; a move costs its downtime, but no progress
 	MoveCount          int           // moves of its job's tasks so far
 }
 
@@ -34,8 +34,8 @@
 	ID          ident.MachineID
 	Zone        string
 	Free        jobs.Resources
-	Tasks       []Task       // of those on it, the ones that may be moved
-	Completions []Completion // of those on it, the ones that are expected to end, in any order
+	Tasks       []Task       // those of its tasks that may be moved
+	Completions []Completion // of those of its tasks that are expected to end, in any order
 
 	completionsSorted bool // Completions are in the order of time
 }
@@ -53,62 +53,61 @@
 	Slowness float64 // run time of tasks as a multiple of what they take elsewhere
 }
 
-// WaitingTask is a task that finds no room.
+// WaitingTask is a task that waits for room.
 type WaitingTask struct {
 	ID            ident.TaskID
 	Need          jobs.Resources
 	PriorityLevel int           // 0 is the highest priority
 	WaitedFor     time.Duration // so far
-	// BootRemaining is the time until a machine that boots may have room for it, 0 if none boots.
+	// BootRemaining is the time until a booting machine may have room for it, 0 if there is none.
 	BootRemaining time.Duration
 	Allowed       func(*Machine) bool // whether it may run on a machine, apart from room
 }
 
-// ActiveMove is a move under way, which counts in the budgets.
+// ActiveMove is a move that has not ended, which counts against the budgets.
 type ActiveMove struct {
 	Job           ident.JobID
 	Team          string
 	From, To      ident.MachineID
-	Zone          string       // of the machine that it leaves
+	Zone          string       // of the machine From
 	BeneficiaryID ident.TaskID // the waiting task that gets the room
 }
 
-// Cluster is the state of the cluster that a plan is computed from.
+// Cluster is the input of a plan: the state of the cluster.
 type Cluster struct {
 	Machines     []*Machine
-	Waiting      []WaitingTask  // by precedence
-	SlowMachines []*SlowMachine // not among Machines
+	Waiting      []WaitingTask  // in the order of precedence
+	SlowMachines []*SlowMachine // not included in Machines
 	ActiveMoves  []ActiveMove
-	// Fits says whether a running task may move to a machine, and how long the pull of its image
-	// would take there.
-	Fits func(*Task, *Machine) (fetch time.Duration, ok bool)
+	// Fits reports whether a running task may be moved to a machine, and how long its image pull would
+	// take there.
+	Fits func(*Task, *Machine) (pullTime time.Duration, ok bool)
 }
 
-// Budgets bound the moves under way at once in the cluster, from a zone, of a team and from or to a
-// machine, and the moves of a job in its lifetime.
+// Budgets bound the simultaneous moves in the cluster, from a zone, of a team and from or to a
+// machine, and the total number of moves of a job.
 type Budgets struct {
 	Cluster, Zone, Team, Machine int
 	Job                          int
 }
 
-// Config holds what is needed to judge a move.
+// Config holds the budgets and the thresholds by which moves are chosen.
 type Config struct {
 	Budgets Budgets
 	// GainMargin is the gain that a move must have as a multiple of its cost: estimates are often
 	// wrong by half.
 	GainMargin float64
-	// StartOverhead is how long a command and its confirmation take beside the pull of the image
-	// and the checkpoint.
+	// StartOverhead is the time that a move takes in addition to the image pull and the checkpoint.
 	StartOverhead time.Duration
 	// MinWait is how long a task must have waited before others are moved for it: most find room
 	// sooner, as other tasks end.
 	MinWait time.Duration
-	// MinRuntime is how long a task must have run before it is moved: one that has just started has
-	// mostly just been stopped elsewhere.
+	// MinRuntime is how long a task must have run before it is moved: one that has just started was
+	// often stopped elsewhere shortly before.
 	MinRuntime time.Duration
 }
 
-// DefaultConfig returns the values that are used if the settings have none.
+// DefaultConfig returns the values that are used unless the settings override them.
 func DefaultConfig() Config {
 	return Config{
 		Budgets:       Budgets{Cluster: 4, Zone: 2, Team: 2, Machine: 1, Job: 2},
@@ -119,7 +118,7 @@
 	}
 }
 
-// Purpose says what is gained by a move.
+// Purpose is the purpose of a move.
 type Purpose uint8
 
 // The purposes of moves.
@@ -129,12 +128,13 @@
 	purposeCount
 )
 
+// purposeNames are part of stored records, metrics and logs, and must not change.
 var purposeNames = [purposeCount]string{
 	FreesCapacity:     "makes room",
 	LeavesSlowMachine: "leaves a slow machine",
 }
 
-// String returns the name of a purpose as records, metrics and logs have it.
+// String returns the name of a purpose for records, metrics and logs.
 func (p Purpose) String() string { return enum.Name(purposeNames[:], p, "source") }
 
 // Move is a proposed move of a running task.
@@ -146,13 +146,13 @@
 	From, To       ident.MachineID
 	BeneficiaryID  ident.TaskID  // the waiting task that gets the room, if the purpose is FreesCapacity
 	ExpectedWait   time.Duration // of the beneficiary without the move
-	Gain           time.Duration // by which the beneficiary starts sooner, or the moved task ends sooner
+	Gain           time.Duration // expected: how much sooner the beneficiary starts, or the moved task ends
 	Cost           time.Duration // work lost and time spent
 	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is ended at once
-	ImagePullTime  time.Duration // for the pull of the image at the destination
+	ImagePullTime  time.Duration // at the destination
 }
 
-// Beneficiary names the task that a move makes room for, "" if that is not its purpose.
+// Beneficiary returns the ID of the task that a move makes room for, "" if that is not its purpose.
 func (m *Move) Beneficiary() string {
 	if m.Purpose != FreesCapacity {
 		return ""
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -12,11 +12,11 @@
 const (
 	// maxWaiting bounds the waiting tasks that one plan considers.
 	maxWaiting = 32
-	// maxCandidates bounds the tasks, the cheapest to move, for which a destination is searched, and
-	// maxDestinations the machines with room that are searched for each.
+	// maxCandidates bounds the tasks for which a destination is searched, the cheapest to move first;
+	// maxDestinations bounds the machines that are considered for each.
 	maxCandidates   = 32
 	maxDestinations = 64
-	// unknownWait stands for a wait whose end is unknown.
+	// unknownWait is the assumed wait if nothing is known to make room.
 	unknownWait = 5 * time.Minute
 )
 
@@ -24,16 +24,16 @@
 type planner struct {
 	config        Config
 	cluster       *Cluster
-	byFree        []*Machine // most room first
+	byFree        []*Machine // the most free CPUs first
 	moves         []Move
 	usage         budgetUse
 	beneficiaries map[ident.TaskID]bool // waiting tasks that a move makes room for
 }
 
-// Plan proposes the moves that pay: first those that make room, in the order of the waiting tasks,
-// then those off slow machines. The same cluster has the same plan. The cluster is changed along
-// with the plan and must not be used again. The time for a plan grows with the machines and their
-// tasks, for each waiting task.
+// Plan proposes the moves whose gain is worth their cost: those that make room, in the order of the
+// waiting tasks, then those off slow machines. It is deterministic. It modifies the cluster, which
+// must not be used again. Its running time is proportional to the number of waiting tasks, bounded by
+// maxWaiting, and to that of machines and their tasks.
 func Plan(config Config, cluster *Cluster) []Move {
 	p := newPlanner(config, cluster)
 	for i := range cluster.Waiting[:min(len(cluster.Waiting), maxWaiting)] {
@@ -52,6 +52,7 @@
 	return p.moves
 }
 
+// newPlanner makes a planner whose budgets are used by the active moves only.
 func newPlanner(config Config, cluster *Cluster) *planner {
 	p := &planner{
 		config:        config,
@@ -68,7 +69,7 @@
 	return p
 }
 
-// sortByFree sorts the machines by their room, the most first.
+// sortByFree sorts the machines by their free CPUs, the most first.
 func (p *planner) sortByFree() {
 	slices.SortFunc(p.byFree, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.Free.VCPUs, a.Free.VCPUs), cmp.Compare(a.ID, b.ID))
@@ -80,9 +81,9 @@
 	task         *Task
 	from         *Machine
 	expectedWait time.Duration // of the waiting task, without the move
-	remaining    time.Duration // until the task ends by itself; 0 if that doesn't matter
+	remaining    time.Duration // until the task ends without a move; 0 if that doesn't matter
 	gain         time.Duration
-	cost         time.Duration // without the pull at the destination
+	cost         time.Duration // without the image pull at the destination
 }
 
 // cheapestMove finds the move of least cost that makes room for a waiting task, if there is one that
@@ -97,7 +98,7 @@
 	ok := false
 	for _, c := range p.candidates(w) {
 		if ok && found.Cost <= c.cost {
-			break // a pull only adds to the cost
+			break // an image pull only adds to the cost
 		}
 		if m, pays := p.bestDestination(c); pays && (!ok || m.Cost < found.Cost) {
 			found, ok = m, true
@@ -139,7 +140,7 @@
 	return list
 }
 
-// insertCheapest inserts a candidate in the order of cost, and drops what exceeds maxCandidates.
+// insertCheapest inserts a candidate in the order of cost, and drops the last beyond maxCandidates.
 func insertCheapest(list []candidate, c candidate) []candidate {
 	at, _ := slices.BinarySearchFunc(list, c, func(a, b candidate) int {
 		return cmp.Or(
@@ -156,31 +157,30 @@
 	return list[:min(len(list), maxCandidates)]
 }
 
-// wouldMakeRoom says whether a task may be moved for a waiting one, and its move makes enough room.
+// wouldMakeRoom reports whether a task may be moved for a waiting one, and its move makes enough room.
 func (p *planner) wouldMakeRoom(w *WaitingTask, from *Machine, t *Task) bool {
 	switch {
 	case t.Need.VCPUs <= 0 || !from.Free.Add(t.Need).Covers(w.Need):
 		return false
 	case t.Need.Covers(w.Need):
-		return false // it would need no less room elsewhere
+		return false // any room for this task would do for the waiting one
 	case t.ID.Job == w.ID.Job || t.PriorityLevel < w.PriorityLevel || t.RunningFor < p.config.MinRuntime:
 		return false
 	}
 	return p.usage.allowsTask(t)
 }
 
-// pays says whether a gain is worth its cost.
+// pays reports whether a gain is worth its cost.
 func (p *planner) pays(gain, cost time.Duration) bool {
 	return float64(gain) >= p.config.GainMargin*float64(cost)
 }
 
-// bestDestination finds the move of a task to the machine with the shortest pull of its image, if
-// that pays.
+// bestDestination finds the move of a task to the machine with the shortest image pull, if it pays.
 func (p *planner) bestDestination(c candidate) (best Move, found bool) {
 	searched := 0
 	for _, to := range p.byFree {
 		if to.Free.VCPUs < c.task.Need.VCPUs || searched >= maxDestinations {
-			break // none after it has more
+			break // the machines after it have no more room
 		}
 		if to == c.from || !p.usage.allowsMachine(to) || !to.Free.Covers(c.task.Need) {
 			continue
@@ -191,7 +191,7 @@
 			continue
 		}
 		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+pullTime+p.config.StartOverhead {
-			continue // it ends before the move does
+			continue // the task ends before the move would
 		}
 		best, found = p.newMove(c, to, pullTime), true
 	}
@@ -235,7 +235,8 @@
 	return wait
 }
 
-// sortedCompletions lists the expected completions on a machine, the next one first.
+// sortedCompletions returns the expected completions on a machine, the next one first. It sorts them
+// once.
 func (m *Machine) sortedCompletions() []Completion {
 	if !m.completionsSorted {
 		slices.SortFunc(m.Completions, func(a, b Completion) int { return cmp.Compare(a.Remaining, b.Remaining) })
@@ -244,9 +245,9 @@
 	return m.Completions
 }
 
-// moveCost is what a move costs apart from the pull: the work that is lost if the task writes no
-// checkpoints, and the time for the checkpoint and the start. A replica loses no work, but serves
-// nobody for that time.
+// moveCost returns the cost of a move without the image pull: the work that is lost if the task writes
+// no checkpoints, and the time for the checkpoint and the start. A replica loses no work, but is down
+// for that time.
 func (p *planner) moveCost(t *Task) time.Duration {
 	lost := t.RunningFor
 	if t.Replica || t.CheckpointInterval > 0 {
@@ -255,8 +256,8 @@
 	return lost + t.CheckpointTime + p.config.StartOverhead
 }
 
-// applyRoomMove adds a move that makes room to the plan. The room is kept for the beneficiary, and
-// no other task is moved off the machine.
+// applyRoomMove adds a move that makes room to the plan. The room is reserved for the beneficiary, and
+// the plan moves no other task off the machine.
 func (p *planner) applyRoomMove(m Move) {
 	from := p.machine(m.From)
 	p.addMove(m, from.Zone)
@@ -274,7 +275,7 @@
 	to.Free = to.Free.Sub(m.Need)
 }
 
-// machine returns the machine of an ID that is in the cluster.
+// machine returns the machine with an ID, which must be in the cluster.
 func (p *planner) machine(id ident.MachineID) *Machine {
 	i := slices.IndexFunc(p.byFree, func(m *Machine) bool { return m.ID == id })
 	return p.byFree[i]
