--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/ident"
 )
 
-// Verb says what a command does with an attempt of a task.
+// Verb is the effect of a command on an attempt of a task.
 type Verb string
 
 // The verbs that workers know.
@@ -32,7 +32,7 @@
 	Commands     []Command          `json:"orders"`
 }
 
-// ContainsLaunch says whether any of the commands starts a task.
+// ContainsLaunch reports whether any of the commands starts a task.
 func ContainsLaunch(commands []Command) bool {
 	return slices.ContainsFunc(commands, func(command Command) bool { return command.Verb == Launch })
 }
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -10,15 +10,16 @@
 	"opaldale/internal/kvstore"
 )
 
+// send counts a transaction and sends its first copy.
 func (c *Committer) send(t *txn) {
 	c.openTxns++
 	c.Txns++
 	c.Puts += uint64(len(t.request.Mutations))
-	c.attempt(t)
+	c.sendCopy(t)
 }
 
-// attempt sends a copy of a transaction and handles its outcome.
-func (c *Committer) attempt(t *txn) {
+// sendCopy sends a copy of a transaction and handles its outcome.
+func (c *Committer) sendCopy(t *txn) {
 	c.request(t.request, func(response kvstore.Response) {
 		switch response.Outcome {
 		case kvstore.OK:
@@ -32,8 +33,8 @@
 			c.handleRejected(t, response.Error)
 		case kvstore.RateLimited:
 			// This copy was not applied.
-			c.limiter.exhaust()
-			c.retry(t, func() { c.attempt(t) })
+			c.limiter.drainTokens()
+			c.retry(t, func() { c.sendCopy(t) })
 		case kvstore.Unavailable:
 			c.handleUnavailable(t)
 		case kvstore.NoAnswer:
@@ -57,7 +58,7 @@
 	if c.OnUnavailable != nil {
 		c.OnUnavailable()
 	}
-	c.retry(t, func() { c.attempt(t) })
+	c.retry(t, func() { c.sendCopy(t) })
 }
 
 // handleCommitted settles a transaction that was applied. revision is that of the keys it put.
@@ -75,8 +76,7 @@
 	c.Flush()
 }
 
-// settleDocuments notes that the documents of a transaction are durable, and returns their
-// callbacks.
+// settleDocuments marks the documents of a transaction as durable, and returns their callbacks.
 func (c *Committer) settleDocuments(t *txn, revision ident.Revision) (callbacks []func()) {
 	putKeys := make(map[string]bool, len(t.request.Mutations))
 	for _, mutation := range t.request.Mutations {
@@ -94,7 +94,8 @@
 		d.MustNotExist, d.uncertain, d.rejections = nil, false, 0
 		callbacks = append(callbacks, d.inFlightCallbacks...)
 		d.inFlightCallbacks = nil
-		if d.handle(committed); d.state == dirty {
+		d.transition(committed)
+		if d.state == dirty {
 			c.enqueue(d)
 		}
 	}
@@ -245,7 +246,7 @@
 		c.postpone(t, documents[0])
 		documents = nil
 	}
-	c.limiter.noteRejection(c.port.Now())
+	c.limiter.recordRejection(c.port.Now())
 	c.requeue(t, documents)
 	c.scheduleFlush(initialRetryDelay)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,12 @@
 // Package controller is one node of the replicated controller: it takes requests of users and heartbeats of
 // workers, forwards them to the leader, and schedules the cluster while it is the leader itself.
 //
-// It does no I/O of its own. Events and the time come in by its methods and callbacks, and whatever is to be
-// done goes out by Env. It is not safe for concurrent use: all calls come from one event loop.
+// It does no I/O of its own: events arrive as calls of its methods and as callbacks, and Env carries out its calls. It is
+// not safe for concurrent use: all calls come from one event loop, which calls AfterEvent after each event.
+//
+// Where to begin reading: HandleRequest (forwarding.go) takes requests of users and workers, HandleFrame
+// (requests.go) messages of peers, and AfterEvent (leader_loop.go) acts on what an event has changed. leaderTerm
+// (leader_term.go) holds all that a node knows as the leader; recovery.go loads it when a term begins.
 package controller
 
 import (
@@ -23,8 +27,8 @@
 	"opaldale/internal/workers"
 )
 
-// Env is what a controller needs of its process: clocks, timers, and the services and nodes that it calls.
-// Callbacks run one at a time in the event loop, each followed by Controller.AfterEvent.
+// Env provides clocks, timers, and calls to the services and nodes that a controller depends on. Callbacks run one at a
+// time on the goroutine of the event loop, each followed by Controller.AfterEvent.
 type Env interface {
 	Now() ident.MonotonicTime
 	WallMS() int64 // the wall clock, in milliseconds since the epoch
@@ -46,7 +50,7 @@
 	renewalGrace time.Duration     // see renewalGrace
 
 	peers           map[ident.NodeID]*peer
-	pendingForwards map[uint64]func(Response)
+	pendingForwards map[uint64]func(Response) // replies to forwarded requests, by the ID of their frame
 	lastForwardID   uint64
 	pollLimiter     tokenBucket
 
@@ -75,8 +79,6 @@
 	// pollReadShare is the share of the store's request rate that polls may use; each node has an
 	// equal part of it.
 	pollReadShare = 0.6
-	// maxClockDrift is the largest factor between the clocks of a worker and of a node.
-	maxClockDrift = 1.002
 	// graceMargin is kept between the last lease that a node may grant and the end of cancel_s.
 	graceMargin = 1500 * time.Millisecond
 )
@@ -112,7 +114,7 @@
 // renewalGrace returns for how long past the validity of its leadership a leader may renew leases of workers: a
 // worker whose lease was renewed last at the end of it still loses its tasks before cancel_s is over.
 func renewalGrace(times settings.WorkerTimes) time.Duration {
-	return max(0, settings.Seconds(times.CancelS-times.LeaseS*maxClockDrift)-graceMargin)
+	return max(0, settings.Seconds(times.CancelS-times.LeaseS*ident.ClockDriftFactor)-graceMargin)
 }
 
 // Start joins the cluster: the node takes part in elections and sends heartbeats to its peers.
@@ -123,8 +125,8 @@
 	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
-// AfterEvent is called after every event, when all its consequences are in the tables: a leader places
-// what can be placed and writes what has changed.
+// AfterEvent must be called after every event. A leader then places waiting tasks, if the event may have made that
+// possible, and writes to the store what the event has changed.
 func (c *Controller) AfterEvent() {
 	if c.leader != nil {
 		c.leader.afterEvent()
@@ -146,26 +148,26 @@
 	c.leader.loadState()
 }
 
-// OnStoppedLeading ends the term: it implements election.Callbacks. Of what the term knew only what is final
-// is used again.
+// OnStoppedLeading ends the term: it implements election.Callbacks. Only the cancellations that are durable outlive the
+// term, since they are final.
 func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader == nil {
 		return
 	}
 	for _, j := range c.leader.jobs.Sorted() {
-		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status()) // a durable cancellation is final
+		c.rememberIfCancelled(j.Spec.ID, j.DurablePhase.Status())
 	}
 	c.leader.close()
 	c.leader = nil
 }
 
-// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the
-// leader, or nobody is known to be better off.
+// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the leader, or no
+// other node is known to lead and a peer is heard. A node without peers is always healthy.
 func (c *Controller) Healthy() bool {
 	if c.election.LeaseValid() {
 		return true
 	}
-	if toLeader, known := c.leaderRoute(); known && toLeader.leader != c.settings.Node {
+	if toLeader := c.leaderRoute(); toLeader.known && toLeader.leader != c.settings.Node {
 		return toLeader.reachable || c.leaderLinkBrieflyDown(toLeader.leader)
 	}
 	return c.heardAnyPeerWithin(peerTimeout) || len(c.peers) == 0
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -1,5 +1,7 @@
 package controller
 
+// This file forwards requests to the leader, and answers those that a follower can answer itself.
+
 import (
 	"encoding/json"
 	"net/http"
@@ -18,36 +20,39 @@
 	pollForwardTimeout = 700 * time.Millisecond
 )
 
-// route is how requests come to the leader.
+// route is the path by which this node forwards requests to the leader.
 type route struct {
 	leader    ident.NodeID
-	via       ident.NodeID // the peer that relays them; empty: directly
-	reachable bool         // they probably arrive
+	known     bool         // leader is known to lead; otherwise the route is not reachable
+	via       ident.NodeID // the peer that relays requests; empty: none
+	reachable bool         // frames probably arrive
 }
 
-// leaderRoute returns the route to the leader: directly, or by a peer that reaches it.
-func (c *Controller) leaderRoute() (best route, known bool) {
-	best.leader, known = c.election.Leader()
-	if !known {
-		return best, false
-	}
-	best.reachable = c.reachable(best.leader)
-	if best.reachable && !c.links.PeerDown(best.leader) {
-		return best, true
+// leaderRoute returns the best route to the leader: direct, or by a peer that reaches it if the direct link is down.
+func (c *Controller) leaderRoute() route {
+	best := c.directRoute()
+	if !best.known || best.reachable && !c.links.PeerDown(best.leader) {
+		return best
 	}
 	if via, ok := c.links.RelayFor(best.leader); ok {
 		best.via, best.reachable = via, true
 	}
-	return best, true
+	return best
+}
+
+// directRoute returns the route to the leader without a relay.
+func (c *Controller) directRoute() route {
+	leader, known := c.election.Leader()
+	return route{leader: leader, known: known, reachable: known && c.peerReachable(leader)}
 }
 
-// forward sends a request to the leader; without an answer in time, onTimeout is called in place of reply.
+// forward sends a request to the leader. Exactly one of reply and onTimeout is called.
 func (c *Controller) forward(r request, to route, timeout time.Duration, reply func(Response), onTimeout func()) {
 	c.Forwarded++
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
-	// Should this process pause, the answer may be read before the timer runs.
+	// If the process pauses, the answer may be read before the timer fires, and be too old.
 	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
 	frame := &transport.Frame{
 		Type:   transport.MsgRequest,
@@ -71,8 +76,20 @@
 	})
 }
 
-// HandleRequest takes a request of a user or a worker that came to this node. reply is called once, now or
-// in a later event.
+// completeForward passes the leader's answer to the request that waits for it. An answer that comes after the timeout of
+// the request is dropped.
+func (c *Controller) completeForward(frame *transport.Frame) {
+	reply := c.pendingForwards[frame.ID]
+	if reply == nil {
+		return
+	}
+	delete(c.pendingForwards, frame.ID)
+	reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
+}
+
+// HandleRequest serves a request that a user or a worker has sent to this node, or forwards it to the leader. jobID is used
+// by GetJob and CancelJob, body by SubmitJob and WorkerHeartbeat. reply is called once, during this call or in a later
+// event.
 func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
 	r := request{method: method, jobID: ident.JobID(jobID), body: body, direct: true}
 	if c.leader != nil {
@@ -82,14 +99,14 @@
 	if method == transport.WorkerHeartbeat {
 		c.links.SampleWorkerHeartbeat(body)
 	}
-	toLeader, known := c.leaderRoute()
+	toLeader := c.leaderRoute()
 	switch method {
 	case transport.SubmitJob:
 		c.forwardSubmission(r, toLeader, reply)
 	case transport.GetJob:
 		c.forwardPoll(r, toLeader, reply)
 	case transport.WorkerHeartbeat:
-		c.forwardWorkerHeartbeat(r, toLeader, known, reply)
+		c.forwardWorkerHeartbeat(r, toLeader, reply)
 	default:
 		c.forwardOrRefuse(r, toLeader, reply)
 	}
@@ -130,7 +147,7 @@
 // forwardWorkerHeartbeat forwards a worker's heartbeat. If the leader is out of reach, this node renews the
 // lease itself where it may, or refers the worker to the leader. The heartbeat is parsed only then: it is the
 // most frequent request, and the leader parses it as well.
-func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, known bool, reply func(Response)) {
+func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, reply func(Response)) {
 	if toLeader.reachable {
 		c.forwardOrRefuse(r, toLeader, reply)
 		return
@@ -144,7 +161,7 @@
 		reply(response)
 		return
 	}
-	if known {
+	if toLeader.known {
 		reply(jsonResponse(http.StatusMisdirectedRequest, struct {
 			Home ident.NodeID `json:"home"`
 		}{toLeader.leader}))
@@ -153,19 +170,19 @@
 	c.forwardOrRefuse(r, toLeader, reply)
 }
 
-// requirePackedFormat reads the format level, and calls then if gangs may be forwarded. To be removed with the
-// first format.
+// requirePackedFormat reads the format level and calls then if the packed format is in force; otherwise it refuses the
+// request. To be removed with the first format.
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
-			c.refuse(reply, "some nodes may run an earlier version")
+			c.refuse(reply, earlierVersionMayRun)
 			return
 		}
 		then()
 	})
 }
 
-// refreshFormatLevel reads the format level from the store, as far as that answers, and calls then either way.
+// refreshFormatLevel reads the format level from the store, and calls then whether or not the store has answered.
 func (c *Controller) refreshFormatLevel(then func()) {
 	read := kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
@@ -181,7 +198,7 @@
 // forwardOrRefuse forwards a request, or refuses it if the leader is out of reach or doesn't answer in time.
 func (c *Controller) forwardOrRefuse(r request, toLeader route, reply func(Response)) {
 	if !toLeader.reachable {
-		c.refuse(reply, "no leader at present")
+		c.refuse(reply, noLeader)
 		return
 	}
 	c.forward(r, toLeader, forwardTimeout, func(response Response) {
@@ -190,25 +207,24 @@
 		}
 		reply(response)
 	}, func() {
-		c.refuse(reply, "the leader did not answer")
+		c.refuse(reply, leaderSilent)
 	})
 }
 
 // rememberCancellation records the job that the leader acknowledges as cancelled.
 func (c *Controller) rememberCancellation(response Response) {
-	var status api.JobStatus
+	var status api.StatusResponse
 	if response.Status == http.StatusOK && json.Unmarshal(response.Body, &status) == nil {
 		c.rememberIfCancelled(status.ID, status.Status)
 	}
 }
 
-// serveRelayed forwards a peer's request to the leader, or answers it as the leader. It takes the direct route
-// from here, so that no request takes more than two hops.
+// serveRelayed forwards a request to the leader on behalf of a peer, or answers it as the leader. It uses only the direct
+// route, so that no request takes more than two hops.
 func (c *Controller) serveRelayed(r request, reply func(Response)) {
 	if c.leader != nil {
 		c.serveAsLeader(r, reply)
 		return
 	}
-	leader, known := c.election.Leader()
-	c.forwardOrRefuse(r, route{leader: leader, reachable: known && c.reachable(leader)}, reply)
+	c.forwardOrRefuse(r, c.directRoute(), reply)
 }
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -19,22 +19,22 @@
 	}{
 		{"answered in time", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
 			reply(Response{Status: done})
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 		}, []int{done}},
 		{"answered too late", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 			reply(Response{Status: done})
 		}, []int{slow}},
 		{"answered after the store has failed", func(w *fakeEnv, p *pendingReplies, reply func(Response)) {
 			p.failAll()
 			reply(Response{Status: done})
-			w.advance(2 * storeTimeout)
+			w.Advance(2 * storeTimeout)
 		}, []int{failed}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newFakeEnv(ident.MonotonicTime(time.Hour))
-			refuse := func(reply func(Response), text string) {
-				if text == "state service is slow" {
+			refuse := func(reply func(Response), reason refusal) {
+				if reason == storeSlow {
 					reply(Response{Status: slow})
 				} else {
 					reply(Response{Status: failed})
--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -12,7 +12,7 @@
 		s := newFakeStore()
 		old, preferred, other := s.newElector("a"), s.newElector("b"), s.newElector("c")
 		old.Start()
-		s.advance(100 * time.Millisecond)
+		s.Advance(100 * time.Millisecond)
 		if !old.LeaseValid() {
 			t.Fatal("no node leads")
 		}
@@ -22,19 +22,19 @@
 		if old.LeaseValid() || old.State() == Leading {
 			t.Fatal("the former leader still leads")
 		}
-		s.advance(5 * time.Millisecond)
-		if _, held := s.keys[LeaderKey]; held {
+		s.Advance(5 * time.Millisecond)
+		if _, held := s.Entries[LeaderKey]; held {
 			t.Fatal("the leader key is still there")
 		}
 		other.Start()
-		s.advance(20 * time.Millisecond)
+		s.Advance(20 * time.Millisecond)
 		if other.State() != Following {
 			t.Errorf("the other node is %v, want following", other.State())
 		}
 		if alive {
 			preferred.Start()
 		}
-		s.advance(2 * time.Second)
+		s.Advance(2 * time.Second)
 		if preferred.LeaseValid() != alive || other.LeaseValid() == alive || old.LeaseValid() {
 			t.Errorf("successor alive %v: it leads %v, the other node %v, the former leader %v",
 				alive, preferred.LeaseValid(), other.LeaseValid(), old.LeaseValid())
@@ -42,24 +42,24 @@
 	}
 }
 
-// TestHandOverLost: if the transaction is lost, the former leader has stepped down all the same,
-// and the leader key stays until its lease expires.
+// TestHandOverLost: if the transaction is lost, the former leader steps down nevertheless, and the
+// leader key remains until its lease expires.
 func TestHandOverLost(t *testing.T) {
 	s := newFakeStore()
 	old, other := s.newElector("a"), s.newElector("b")
 	old.Start()
-	s.advance(100 * time.Millisecond)
+	s.Advance(100 * time.Millisecond)
 	s.loseDeletes = true
 	old.HandOver(15*time.Second, "a test")
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	other.Start()
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	if old.LeaseValid() || other.LeaseValid() {
 		t.Errorf("the former leader leads %v, another node %v, while the key exists", old.LeaseValid(), other.LeaseValid())
 	}
-	delete(s.keys, LeaderKey) // its lease has expired
+	delete(s.Entries, LeaderKey) // its lease has expired
 	other.checkLeader()
-	s.advance(time.Second)
+	s.Advance(time.Second)
 	if !other.LeaseValid() {
 		t.Error("no other node leads")
 	}
@@ -70,7 +70,7 @@
 func TestPreferSuccessor(t *testing.T) {
 	s := newFakeStore()
 	elector := s.newElector("c")
-	elector.PeerReportedLeader("a", 7)
+	elector.ObserveLeader("a", 7)
 	elector.PreferSuccessor("b", 6)
 	if elector.preferred.node != "" {
 		t.Error("the preference of an earlier leader is applied")
@@ -78,11 +78,11 @@
 	delays := 0
 	elector.CampaignDelay = func() time.Duration { delays++; return time.Second }
 	elector.Start()
-	s.advance(500 * time.Millisecond)
+	s.Advance(500 * time.Millisecond)
 	if elector.State() == Leading {
 		t.Error("the campaign was not delayed")
 	}
-	s.advance(2 * time.Second)
+	s.Advance(2 * time.Second)
 	if !elector.LeaseValid() || delays != 1 {
 		t.Errorf("leads %v after %d delays", elector.LeaseValid(), delays)
 	}
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -30,8 +30,6 @@
 	k.SteppedStore.Store(r, f)
 }
 
-func (k *fakeStore) run() { k.Run() }
-
 func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
 	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
@@ -78,7 +76,7 @@
 		}
 	}
 	successorCommits.Flush()
-	k.run()
+	k.Run()
 	for p := range k.Entries {
 		if strings.HasPrefix(p, commit.LogPrefix) {
 			delete(k.Entries, p) // keys of the log are kept to be reused
@@ -96,18 +94,15 @@
 	s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 	accepted := false
 	j := tb.Add(s, func() { accepted = true }, nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	for i := range j.Tasks {
 		tb.Place(&j.Tasks[i], "host-999999", 1<<40, func() {})
 	}
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	for i := 0; i < tasks/2; i++ {
 		tb.Complete(&j.Tasks[i], nil)
 	}
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	if !accepted {
 		t.Fatal("the submission is not durable")
 	}
@@ -141,27 +136,23 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
-	c.Flush()
-	k.run()
-	told, archived := api.Status(""), 0
+	k.Settle(c)
+	status, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		archived++
 		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
 			t.Errorf("OnArchived is called for %s before that is durable", id)
 		}
 	}
-	tb.Cancel(j, func() { told = j.View().Status })
-	c.Flush()
-	k.run()
-	if told != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
-		t.Fatalf("told %q, keys %v", told, k.Entries)
+	tb.Cancel(j, func() { status = j.View().Status })
+	k.Settle(c)
+	if status != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
+		t.Fatalf("status %q, keys %v", status, k.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
-	c.Flush()
-	k.run()
+	k.Settle(c)
 	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || archived != 1 {
 		t.Errorf("keys %v, archived %d times", k.Entries, archived)
 	}
@@ -198,29 +189,29 @@
 	k := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(k)
 	var j *Job
-	told := api.Status("")
-	tell := func() { told = j.View().Status }
+	status := api.Status("")
+	readStatus := func() { status = j.View().Status }
 	j = tb.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	c.Flush()
-	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
-		t.Errorf("while the submission is written: %q", told)
+	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
+		t.Errorf("while the submission is written: %q", status)
 	}
-	k.run()
-	if told != "queued" || !j.ViewSettled() {
-		t.Errorf("once it is: %q", told)
+	k.Run()
+	if status != "queued" || !j.ViewSettled() {
+		t.Errorf("once it is: %q", status)
 	}
-	told = ""
+	status = ""
 	tb.Cancel(j, func() {})
-	if j.WhenViewSettled(tell); told != "queued" {
-		t.Errorf("before anything is sent: %q", told)
+	if j.WhenViewSettled(readStatus); status != "queued" {
+		t.Errorf("before anything is sent: %q", status)
 	}
-	told = ""
+	status = ""
 	c.Flush()
-	if j.WhenViewSettled(tell); j.ViewSettled() || told != "" {
-		t.Errorf("while the cancellation is written: %q", told)
+	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
+		t.Errorf("while the cancellation is written: %q", status)
 	}
-	k.run()
-	if told != "cancelled" {
-		t.Errorf("once it is: %q", told)
+	k.Run()
+	if status != "cancelled" {
+		t.Errorf("once it is: %q", status)
 	}
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -14,13 +14,13 @@
 	Job   *Job
 	Index int // in Job.Tasks
 
-	// What is durable of a task. Its machine and incarnation count while it is allocated.
+	// The stored state of a task. Its machine and incarnation are stored while it is allocated.
 	State       State
 	Attempt     ident.Attempt     // of its newest placement, 0 if it was never placed
 	MachineID   ident.MachineID   // of its newest placement
 	Incarnation ident.Incarnation // of the machine's worker when the task was placed
 
-	// What this term knows besides.
+	// The state that is kept for this term only.
 	ReportedStatus    api.TaskStatus // newest one of the present attempt, "" if there is none
 	StateSince        ident.MonotonicTime
 	RunningSince      ident.MonotonicTime // when it was first reported running
@@ -37,10 +37,10 @@
 // TaskID returns the task's ID.
 func (t *Task) TaskID() ident.TaskID { return ident.TaskID{Job: t.Job.Spec.ID, Index: t.Index} }
 
-// PlacedThisTerm says whether the task was placed in this term.
+// PlacedThisTerm reports whether the task was placed in this term.
 func (t *Task) PlacedThisTerm() bool { return t.placements > 0 }
 
-// SeenRunning says whether the task was reported running since it entered its state.
+// SeenRunning reports whether the task was reported running since it entered its state.
 func (t *Task) SeenRunning() bool { return t.RunningSince > t.StateSince }
 
 // CheckpointGracePeriod returns the grace period that a task needs to save a checkpoint when it
@@ -52,8 +52,7 @@
 	return t.Job.CheckpointTime()
 }
 
-// setReportedStatus notes the newest reported status, and counts the task among the running ones
-// of its job.
+// setReportedStatus sets the newest reported status, and updates the job's number of running tasks.
 func (t *Task) setReportedStatus(status api.TaskStatus, now ident.MonotonicTime) {
 	wasRunning := isRunning(t.ReportedStatus)
 	t.ReportedStatus = status
@@ -72,5 +71,5 @@
 		"placed_at_s", t.StateSince.Sub(0).Seconds(), "job_age_s", t.RunningSince.Sub(t.Job.SubmittedAt).Seconds())
 }
 
-// isRunning says whether a task with that status has started and not ended.
+// isRunning reports whether a task with that status has started and not ended.
 func isRunning(s api.TaskStatus) bool { return s == api.Running || s == api.Flushing }
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -1,5 +1,7 @@
 package machinestore
 
+// This file defines the stored form of a group of machines, and encodes it.
+
 import (
 	"fmt"
 	"net/url"
@@ -9,7 +11,7 @@
 	"opaldale/internal/ident"
 )
 
-// GroupRecord is the stored value of a group of machines, all of one type, zone and kind.
+// GroupRecord is the stored value of a group of machines, all of the same type and zone, and all spot or all on-demand.
 type GroupRecord struct {
 	Model    string          `json:"model"`
 	Zone     string          `json:"site"`
@@ -26,10 +28,13 @@
 	CreatedMS int64           `json:"b"` // by the wall clock, in milliseconds since the epoch
 }
 
-// packedFields is the number of fields of a machine in the packed format.
-const packedFields = 3
+const (
+	// packedFields is the number of fields of a machine in the packed format.
+	packedFields = 3
+	msPerSecond  = 1000
+)
 
-// Encode puts machines into the record in the packed format.
+// Encode sets the machines of the record, in the packed format. Creation times are kept to the second.
 func (r *GroupRecord) Encode(machines []MachineRecord) {
 	for i, m := range machines {
 		if i == 0 || m.CreatedMS < r.BaseMS {
@@ -41,13 +46,13 @@
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		ageS := (m.CreatedMS - r.BaseMS) / 1000
+		ageS := (m.CreatedMS - r.BaseMS) / msPerSecond
 		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.ID)), url.PathEscape(m.Addr), ageS)
 	}
 	r.Packed = b.String()
 }
 
-// Decode returns the machines of a record in either format.
+// Decode returns the machines of a record in either format, or an error if any of them is malformed.
 func (r *GroupRecord) Decode() ([]MachineRecord, error) {
 	records := r.Machines
 	for _, field := range strings.Fields(r.Packed) {
@@ -60,7 +65,7 @@
 	return records, nil
 }
 
-// decodeMachine returns a machine of the packed format.
+// decodeMachine decodes a machine in the packed format: its ID, address and age, separated by commas.
 func (r *GroupRecord) decodeMachine(field string) (MachineRecord, error) {
 	parts := strings.Split(field, ",")
 	if len(parts) != packedFields {
@@ -78,5 +83,5 @@
 	if err != nil {
 		return MachineRecord{}, err
 	}
-	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + ageS*1000}, nil
+	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + ageS*msPerSecond}, nil
 }
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -35,8 +35,7 @@
 	for _, t := range list {
 		borrower := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
-			// In the settings 0 means that there is no limit: a team that may use nothing at all
-			// would be of no use.
+			// In the settings 0 stands for no limit.
 			t.CPUsMax, t.GPUsMax = unlimited, unlimited
 		}
 		ts.byName[t.Name] = &team{Team: t, borrower: borrower}
@@ -68,7 +67,8 @@
 	return nil
 }
 
-// AddUsage adds what a task uses if sign is 1, and removes it if sign is -1.
+// AddUsage adds the resources of a task like s to its team's usage if sign is 1, and subtracts them
+// if sign is -1.
 func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
 	if t := ts.byName[s.Team]; t != nil {
 		t.usedVCPUs += sign * s.VCPUs
@@ -76,19 +76,19 @@
 	}
 }
 
-// Allows says whether a team's limit has room for n more tasks like s.
+// Allows reports whether a team's limit has room for n more tasks like s.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
 	return t != nil && t.usedVCPUs+n*s.VCPUs <= t.CPUsMax+tolerance && t.usedGPUs+n*s.GPUs <= t.GPUsMax+tolerance
 }
 
-// IsBorrower says whether a team has neither guarantee nor limit.
+// IsBorrower reports whether a team has neither guarantee nor limit.
 func (ts *Teams) IsBorrower(name string) bool {
 	t := ts.byName[name]
 	return t != nil && t.borrower
 }
 
-// BorrowersActive says whether any team without guarantee and limit uses anything.
+// BorrowersActive reports whether any team without guarantee and limit uses anything.
 func (ts *Teams) BorrowersActive() bool {
 	for _, t := range ts.byName {
 		if t.borrower && t.usedVCPUs > tolerance {
@@ -123,8 +123,8 @@
 	return largest
 }
 
-// UpdateGuarantees sets WithinQuota on the jobs of teams that have changed: it is true for those
-// that fit into their team's guarantee together with the team's earlier unfinished jobs.
+// UpdateGuarantees sets jobs.Job.WithinQuota for the teams whose jobs have changed: it is true for
+// jobs that fit into their team's guarantee together with the team's earlier open jobs.
 func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
@@ -142,7 +142,7 @@
 	}
 }
 
-// OthersOverGuarantee says whether teams other than the named one run batch jobs beyond their
+// OthersOverGuarantee reports whether teams other than the named one run batch jobs beyond their
 // guarantee.
 func (ts *Teams) OthersOverGuarantee(all *jobs.Table, except string) bool {
 	for name, list := range all.Teams {
@@ -151,7 +151,7 @@
 		}
 		for _, j := range slices.Backward(list.OpenJobs) {
 			if j.WithinQuota {
-				break // and so are all before it
+				break // earlier jobs are within the guarantee as well
 			}
 			if j.AllocatedTasks > 0 && j.Spec.Shape == api.Batch {
 				return true
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -14,9 +14,9 @@
 type peerProcess struct {
 	SentHeartbeats
 	Renewer
-	startedAt ident.MonotonicTime // by the leader's clock
-	clockRate float64
-	lastHeard uint64 // newest heartbeat received from the leader
+	startedAt        ident.MonotonicTime // by the leader's clock
+	clockRate        float64
+	newestReceivedID uint64 // newest heartbeat received from the leader
 }
 
 // now returns the reading of the process's clock at a time of the leader's clock.
@@ -44,9 +44,9 @@
 	inTransit []delivery
 	newestID  uint64
 
-	registry  *Registry
-	sent      SentHeartbeats // of the leader
-	lastHeard uint64         // newest heartbeat that the leader has received from the peer
+	registry         *Registry
+	sent             SentHeartbeats // of the leader
+	newestReceivedID uint64         // newest heartbeat that the leader has received from the peer
 
 	peer        *peerProcess
 	lastRenewal ident.MonotonicTime // of a lease, by the peer; 0: never
@@ -94,13 +94,13 @@
 
 func (r *registryRun) sendLeaderHeartbeat() {
 	r.newestID++
-	id, echo, process := r.newestID, r.lastHeard, r.peer
+	id, echo, process := r.newestID, r.newestReceivedID, r.peer
 	r.sent.Record(id, r.now)
 	r.send(func(ident.MonotonicTime) {
 		if r.peer != process {
 			return
 		}
-		process.lastHeard = id
+		process.newestReceivedID = id
 		if sentAt, ok := process.SentAt(echo); ok {
 			process.Permit(1, sentAt, grace)
 		}
@@ -109,7 +109,7 @@
 
 func (r *registryRun) sendPeerHeartbeat() {
 	r.newestID++
-	id, echo := r.newestID, r.peer.lastHeard
+	id, echo := r.newestID, r.peer.newestReceivedID
 	peerNow := r.peer.now(r.now)
 	r.peer.Record(id, peerNow)
 	status := PeerStatus{ProcessAge: peerNow.Sub(0), SinceLeader: time.Hour}
@@ -118,7 +118,7 @@
 	}
 	status.SinceRenewal, status.HasRenewed = r.peer.SinceRenewal(peerNow)
 	r.send(func(at ident.MonotonicTime) {
-		r.lastHeard = id
+		r.newestReceivedID = id
 		if sentAt, ok := r.sent.SentAt(echo); ok {
 			r.registry.ObserveEcho("s", at, sentAt, status)
 		} else {
@@ -127,8 +127,8 @@
 	})
 }
 
-// send delays a heartbeat by a few milliseconds. While the link is cut, and at times otherwise, it
-// is lost or delayed until after the cut.
+// send delays a heartbeat by a few milliseconds. While the link is cut, and occasionally otherwise, the
+// heartbeat is lost or delayed until after the cut.
 func (r *registryRun) send(receive func(at ident.MonotonicTime)) {
 	delay := time.Duration(r.rng.IntN(5)) * time.Millisecond
 	if r.now < r.cutUntil || r.rng.IntN(20) == 0 {
@@ -140,7 +140,7 @@
 	r.inTransit = append(r.inTransit, delivery{at: r.now.Add(delay), receive: receive})
 }
 
-// deliver has all heartbeats received that are due, in the order in which they were sent.
+// deliver passes all heartbeats that are due to their receivers, in the order in which they were sent.
 func (r *registryRun) deliver() {
 	var remaining []delivery
 	for _, d := range r.inTransit {
@@ -153,8 +153,8 @@
 	r.inTransit = remaining
 }
 
-// TestRegistry exchanges heartbeats that are lost and delayed with a peer that is restarted, and that
-// renews leases whenever it may: the leader's bound is never before the peer's last renewal.
+// TestRegistry exchanges heartbeats, some lost or delayed, with a peer that restarts and that renews
+// leases whenever it may. The leader's bound is never earlier than the peer's last renewal.
 func TestRegistry(t *testing.T) {
 	renewals, tightBounds := 0, 0
 	for seed := range uint64(200) {
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestMayRenew: leases are renewed only after the leader has been silent for a while, within its
-// allowance, and for a worker that knows no later leader.
+// TestMayRenew: leases are renewed only after MinLeaderSilence, within the leader's allowance, and for a
+// worker that knows no later leader.
 func TestMayRenew(t *testing.T) {
 	var renewer Renewer
 	token := ident.MakeFencingToken(7, 2)
--- a/internal/server/link_metrics.go
+++ b/internal/server/link_metrics.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/linktracker"
 )
 
-// Metrics of the links of a node and of its authority.
+// Metrics of a node's links and of its authority.
 var (
 	linkState = newGauge("link_state", "Verdict on a direction of a link: 0 unknown, 1 up, 2 suspect, 3 down.",
 		"peer", "direction")
@@ -26,7 +26,7 @@
 	}
 	for _, l := range report.Links {
 		linkState.send(ch, float64(l.StateCode), l.Peer, l.Direction)
-		linkDamped.send(ch, boolValue(l.Damped), l.Peer, l.Direction)
+		linkDamped.send(ch, boolToFloat(l.Damped), l.Peer, l.Direction)
 		linkBreaks.send(ch, float64(l.Breaks), l.Peer, l.Direction)
 	}
 	for reason, count := range report.Dropped {
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -6,17 +6,18 @@
 	"opaldale/internal/controller"
 )
 
-// statsMetric is a metric without labels that has one of the controller's counters.
+// statsMetric is a metric without labels whose value is one of the controller's statistics.
 type statsMetric struct {
 	metric
 	value func(*controller.Stats) float64
 }
 
-// statsMetrics are the metrics without labels of every controller. Most are 0 without leadership.
+// statsMetrics are the metrics without labels of every controller. Most are 0 on a node that does not
+// lead.
 var statsMetrics = []statsMetric{
-	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolValue(s.Leading) }},
+	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolToFloat(s.Leading) }},
 	{newGauge("leadership_valid", "1 while leadership is sure."),
-		func(s *controller.Stats) float64 { return boolValue(s.LeadershipValid) }},
+		func(s *controller.Stats) float64 { return boolToFloat(s.LeadershipValid) }},
 	{newGauge("term", "Newest term led."), func(s *controller.Stats) float64 { return float64(s.Term) }},
 	{newGauge("format_level",
 		"Format of what is stored, as far as the node knows; 0 while nodes of the first version may come back."),
@@ -76,7 +77,7 @@
 	{newCounter("elected", "Terms begun."), func(s *controller.Stats) float64 { return float64(s.TermsBegun) }},
 }
 
-// Metrics of every controller with labels.
+// Metrics with labels of every controller.
 var (
 	machinesByState = newGauge("machines", "Machines by state.", "state")
 	placedByRule    = newCounter("placed", "Tasks placed, by the rule that did.", "rule")
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -8,14 +8,14 @@
 	"opaldale/internal/ident"
 )
 
-// The least with which a controller can work.
+// The minimum limits and resources with which a controller can work.
 const (
 	minValueKB = 1  // largest value of the store, in KiB
 	minTxnOps  = 4  // operations in a transaction
 	minSockets = 16 // sockets of a node
 )
 
-// validation collects the faults of settings. Each fault begins with the name of its setting.
+// validation collects the faults of settings. The text of each fault begins with the name of the setting.
 type validation struct {
 	faults []error
 }
@@ -25,14 +25,14 @@
 	v.faults = append(v.faults, fmt.Errorf(format, args...))
 }
 
-// reject adds a fault if a condition holds.
-func (v *validation) reject(faulty bool, fault string) {
+// rejectIf adds a fault if a condition holds.
+func (v *validation) rejectIf(faulty bool, fault string) {
 	if faulty {
 		v.faults = append(v.faults, errors.New(fault))
 	}
 }
 
-// err joins the faults; nil without any.
+// err returns the joined faults, nil if there are none.
 func (v *validation) err() error { return errors.Join(v.faults...) }
 
 // checkAddress checks that a value is an IP address with a port.
@@ -43,14 +43,14 @@
 	}
 }
 
-// checkPositive checks that an amount is above 0, and not NaN.
+// checkPositive checks that a value is above 0, and not NaN.
 func (v *validation) checkPositive(name string, value float64) {
 	if !(value > 0) {
 		v.add("%s: must be above 0", name)
 	}
 }
 
-// checkAtLeast checks that an amount is not below a minimum.
+// checkAtLeast checks that a value is not below a minimum.
 func (v *validation) checkAtLeast(name string, value, minimum float64) {
 	if value < minimum {
 		v.add("%s: must be at least %v", name, minimum)
@@ -60,13 +60,13 @@
 // check returns all faults of the platform's settings.
 func (s *Settings) check() error {
 	v := &validation{}
-	v.reject(s.Node == "", "node_name: missing")
+	v.rejectIf(s.Node == "", "node_name: missing")
 	v.checkAddress("bind", s.Bind)
 	v.checkAddress("mesh_addr", s.TransportAddr)
 	v.checkAddress("endpoints.cloud", s.Endpoints.Cloud)
 	v.checkAddress("endpoints.state", s.Endpoints.Store)
 	s.checkPeers(v)
-	v.reject(len(s.Cluster.Zones) == 0, "cluster.zones: missing")
+	v.rejectIf(len(s.Cluster.Zones) == 0, "cluster.zones: missing")
 	s.Cluster.checkTeams(v)
 	s.Cluster.Workers.check(v)
 	s.Cluster.Store.check(v)
@@ -75,7 +75,7 @@
 	return v.err()
 }
 
-// checkPeers checks that the nodes have different names, and the peers addresses.
+// checkPeers checks that the names of all nodes are unique, and that all peers have valid addresses.
 func (s *Settings) checkPeers(v *validation) {
 	seen := map[ident.NodeID]bool{s.Node: true}
 	for i, p := range s.Peers {
@@ -87,9 +87,9 @@
 	}
 }
 
-// checkTeams checks the names and the quotas of the teams.
+// checkTeams checks that team names are unique and quotas are not negative.
 func (c *Cluster) checkTeams(v *validation) {
-	v.reject(len(c.Teams) == 0, "cluster.teams: missing")
+	v.rejectIf(len(c.Teams) == 0, "cluster.teams: missing")
 	seen := map[string]bool{}
 	for i, t := range c.Teams {
 		if t.Name == "" || seen[t.Name] {
@@ -105,8 +105,8 @@
 func (w WorkerTimes) check(v *validation) {
 	v.checkPositive("cluster.workers.report_s", w.HeartbeatS)
 	v.checkPositive("cluster.workers.lease_s", w.LeaseS)
-	v.reject(w.CancelS <= w.LeaseS, "cluster.workers.cancel_s: must be above lease_s")
-	v.reject(w.GangWaitS < 0 || w.GangPeerS < 0, "cluster.workers: gang_wait_s and gang_peer_s must not be negative")
+	v.rejectIf(w.CancelS <= w.LeaseS, "cluster.workers.cancel_s: must be above lease_s")
+	v.rejectIf(w.GangWaitS < 0 || w.GangPeerS < 0, "cluster.workers: gang_wait_s and gang_peer_s must not be negative")
 }
 
 func (s StoreLimits) check(v *validation) {
@@ -120,7 +120,7 @@
 }
 
 func (a *AnnouncedStoreLimits) check(v *validation) {
-	v.reject(a.WriteRPS < 0, "cluster.state.next.write_rps: negative")
+	v.rejectIf(a.WriteRPS < 0, "cluster.state.next.write_rps: negative")
 	if a.ValueKB != 0 {
 		v.checkAtLeast("cluster.state.next.value_kb", a.ValueKB, minValueKB)
 	}
@@ -131,7 +131,7 @@
 
 func (c CloudLimits) check(v *validation) {
 	v.checkPositive("cluster.cloud.rps", c.RPS)
-	v.reject(c.ListLagS < 0, "cluster.cloud.list_lag_s: negative")
+	v.rejectIf(c.ListLagS < 0, "cluster.cloud.list_lag_s: negative")
 }
 
 func (r NodeResources) check(v *validation) {
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -23,14 +23,14 @@
 	switch {
 	case sim.mutates(RenewWithoutLeadership) && !n.controller.Election().LeaseValid():
 		if json.Unmarshal(body, &m) == nil {
-			return &controller.Response{Status: 200,
+			return &controller.Response{Status: http.StatusOK,
 				Body: api.JSON(api.HeartbeatResponse{FencingToken: m.FencingToken, Commands: []api.Command{}})}
 		}
-	case sim.mutates(DropStopCommands) && r.Status == 200:
+	case sim.mutates(DropStopCommands) && r.Status == http.StatusOK:
 		var o api.HeartbeatResponse
 		if json.Unmarshal(r.Body, &o) == nil {
 			o.Commands = withoutStops(o.Commands)
-			return &controller.Response{Status: 200, Body: api.JSON(o)}
+			return &controller.Response{Status: http.StatusOK, Body: api.JSON(o)}
 		}
 	}
 	return r
@@ -86,13 +86,13 @@
 			continue
 		}
 		var rows []string
-		commit.ParseText(v.Text, func(group, line string) error {
+		_ = commit.ParseText(v.Text, func(group, line string) error {
 			if f := strings.Split(line, ","); len(f) < 4 {
 				rows = append(rows, group+" "+line)
 			} else {
 				rows = append(rows, group+" "+f[0]+","+f[1])
 			}
-			return nil
+			return nil // for every line
 		})
 		v.Text = strings.Join(rows, "\n")
 		pairs[i].Value = api.JSON(v)
@@ -174,7 +174,7 @@
 		if !strings.HasPrefix(c.Put, commit.LogPrefix) || json.Unmarshal(c.Value, &v) != nil {
 			continue
 		}
-		commit.ParseText(v.Text, func(id, line string) error {
+		err := commit.ParseText(v.Text, func(id, line string) error {
 			var i int
 			var try ident.Attempt
 			var incarnation ident.Incarnation
@@ -182,7 +182,9 @@
 			if len(f) != 4 {
 				return nil
 			}
-			fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation)
+			if _, err := fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation); err != nil {
+				return err
+			}
 			w := sim.workers[ident.MachineID(f[2])]
 			if w == nil {
 				return nil
@@ -197,6 +199,9 @@
 			})
 			return nil
 		})
+		if err != nil {
+			panic(fmt.Sprintf("simulator: line of the log: %v", err))
+		}
 	}
 }
 
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -94,7 +94,8 @@
 		return
 	}
 	w.whenResponsive(func() {
-		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= time.Duration(w.sim.settings.Workers.HeartbeatS*900)*time.Millisecond {
+		interval := time.Duration(w.sim.settings.Workers.HeartbeatS*900) * time.Millisecond // a little less than announced
+		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= interval {
 			w.sendHeartbeat()
 		}
 	})
@@ -181,7 +182,7 @@
 	var home struct {
 		Home string `json:"home"`
 	}
-	json.Unmarshal(body, &home)
+	_ = json.Unmarshal(body, &home) // without a home node the next one is tried
 	for i, n := range w.sim.nodes {
 		if n.name == home.Home && i != w.nodeIndex {
 			w.turnToNode(i)
