--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -58,7 +58,7 @@
 	return pairs
 }
 
-// BenchmarkFailover measures how long a new leader loads what a term left, until it may place tasks.
+// BenchmarkFailover measures how long a new leader takes to load the stored state, until it may place tasks.
 func BenchmarkFailover(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, machines := range []int{500, 1000, 2000, 4500} {
@@ -67,10 +67,10 @@
 			cfg := testSettings()
 			cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}}
 			for b.Loop() {
-				w := newFakeEnv(ident.MonotonicTime(time.Hour))
-				w.listed = pairs
-				w.values = map[string]string{catalog.Key: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}
-				c := New(w, cfg, newTestRand())
+				env := newFakeEnv(ident.MonotonicTime(time.Hour))
+				env.listed = pairs
+				env.values = map[string]string{catalog.Key: `[{"sku":"m8","vcpus":8,"memory_gb":32,"sites":["a"]}]`}
+				c := New(env, cfg, newTestRand())
 				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
 				if c.leader == nil || !c.leader.loaded() || len(c.leader.workers.Workers) != machines {
 					b.Fatal("the leader has not loaded everything")
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -17,16 +17,16 @@
 
 // newTestLeader returns a leader without peers at a format level, and its environment.
 func newTestLeader(level ident.FormatLevel) (*Controller, *fakeEnv) {
-	w := newFakeEnv(testStart)
+	env := newFakeEnv(testStart)
 	cfg := testSettings()
 	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
 	cfg.Cluster.Workers.GangWaitS, cfg.Cluster.Workers.GangPeerS = 50, 5
 	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}
-	c := New(w, cfg, newTestRand())
-	w.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
+	c := New(env, cfg, newTestRand())
+	env.values = map[string]string{election.TermKey: string(election.EncodeTerm(1, level))}
 	c.Start()
-	w.Advance(4 * machineProbeInterval)
-	return c, w
+	env.Advance(4 * machineProbeInterval)
+	return c, env
 }
 
 func gangSpecJSON(change ...string) []byte {
@@ -95,14 +95,14 @@
 		{"at the level", `{"term":5,"level":1}`, forwarded},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newFakeEnv(testStart)
-			w.values = map[string]string{"term": x.term}
-			c := New(w, followerSettings(), newTestRand())
+			env := newFakeEnv(testStart)
+			env.values = map[string]string{"term": x.term}
+			c := New(env, followerSettings(), newTestRand())
 			c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 			got := ""
-			w.frames = nil
+			env.frames = nil
 			c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(), func(r Response) { got = fmt.Sprint(r.Status) })
-			for _, f := range w.frames {
+			for _, f := range env.frames {
 				if f.Type == transport.MsgRequest {
 					got = forwarded
 				}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -30,20 +30,20 @@
 	"opaldale/internal/workers"
 )
 
-// goldenStore is a store beside a cloud with two machine types.
+// goldenStore is an environment with a recording store and a cloud with two machine types.
 type goldenStore struct{ *recordingStore }
 
 func (goldenStore) WallMS() int64 { return 1_700_000_000_123 }
 
-func (goldenStore) Cloud(r cloud.Request, f func(cloud.Response)) {
+func (goldenStore) Cloud(r cloud.Request, done func(cloud.Response)) {
 	if r.Op == cloud.Catalog {
 		other := golden.Filled[cloud.MachineType](0)
 		other.SKU, other.Zones = "m8", []string{"a", "b"}
-		f(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{golden.Filled[cloud.MachineType](0), other}})
+		done(cloud.Response{Outcome: cloud.OK, MachineTypes: []cloud.MachineType{golden.Filled[cloud.MachineType](0), other}})
 	}
 }
 
-// lead starts a term at a format level over what is stored.
+// lead starts a term at a format level on the stored state.
 func (s goldenStore) lead(term ident.Term, level ident.FormatLevel) *Controller {
 	cfg := testSettings()
 	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
@@ -124,14 +124,14 @@
 	d.Compare(t, "machines")
 }
 
-// asker sends requests to a node and writes the answers down.
-type asker struct {
-	c *Controller
-	w *fakeEnv
-	b strings.Builder
+// recordingClient sends requests to a node and records the answers.
+type recordingClient struct {
+	c   *Controller
+	env *fakeEnv
+	b   strings.Builder
 }
 
-func (a *asker) ask(what string, method transport.Method, job string, body []byte) {
+func (a *recordingClient) ask(what string, method transport.Method, job string, body []byte) {
 	answered := false
 	a.c.HandleRequest(method, job, body, func(r Response) {
 		answered = true
@@ -139,7 +139,7 @@
 	})
 	a.c.AfterEvent()
 	if !answered {
-		a.w.Advance(5 * time.Second)
+		a.env.Advance(5 * time.Second)
 	}
 }
 
@@ -147,8 +147,8 @@
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
-		c, w := newTestLeader(level)
-		a := &asker{c: c, w: w}
+		c, env := newTestLeader(level)
+		a := &recordingClient{c: c, env: env}
 		askLeader(a)
 		d.Add(fmt.Sprintf("leader at level %d", level), a.b.String())
 	}
@@ -172,8 +172,8 @@
 	})
 }
 
-// askLeader asks whatever a leader answers by itself.
-func askLeader(a *asker) {
+// askLeader sends the requests that a leader answers without another node.
+func askLeader(a *recordingClient) {
 	batch := func(change ...string) []byte { return gangSpecJSON(append(change, `"gang"`, `"batch"`)...) }
 	var many []string
 	for i := range 500 {
@@ -181,9 +181,9 @@
 	}
 	models := string(api.JSON(append(many, "m8")))
 	report := heartbeatJSON()
-	a.w.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
-	a.w.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
-	a.w.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
+	a.env.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
+	a.env.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
+	a.env.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
 	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
 	a.ask("field missing", transport.SubmitJob, "", batch(`"vcpus"`, `"x"`))
 	a.ask("gang", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
@@ -203,30 +203,30 @@
 	a.ask("poll j-1", transport.GetJob, "j-1", nil)
 	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
 	a.ask("report", transport.WorkerHeartbeat, "", report)
-	a.w.Time = a.w.Time.Add(time.Hour)
+	a.env.Time = a.env.Time.Add(time.Hour)
 	a.ask("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
 	a.ask("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
 	a.ask("report to a leader that is not sure", transport.WorkerHeartbeat, "", report)
 }
 
 // goldenFollower returns a node with a peer that leads, if the leader is known.
-func goldenFollower(known bool) *asker {
-	w := newFakeEnv(testStart)
-	w.values = map[string]string{"term": "5"}
-	a := &asker{c: New(w, followerSettings(), newTestRand()), w: w}
+func goldenFollower(known bool) *recordingClient {
+	env := newFakeEnv(testStart)
+	env.values = map[string]string{"term": "5"}
+	a := &recordingClient{c: New(env, followerSettings(), newTestRand()), env: env}
 	if known {
 		a.c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 	}
 	return a
 }
 
-// askFollower asks a node that forwards requests to a leader, which doesn't answer.
-func askFollower(a *asker) {
+// askFollower sends requests to a node that forwards them to a leader, which does not answer.
+func askFollower(a *recordingClient) {
 	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open",` +
 		`"tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
-	a.w.values[jobs.LiveKey("j-80")] = live
-	a.w.values[jobs.LiveKey("j-81")] = `{}`
-	a.w.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
+	a.env.values[jobs.LiveKey("j-80")] = live
+	a.env.values[jobs.LiveKey("j-81")] = `{}`
+	a.env.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
 	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
 	a.ask("gang", transport.SubmitJob, "", gangSpecJSON())
 	a.ask("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -29,43 +29,43 @@
 	revision    ident.Revision
 }
 
-func (w *fakeEnv) WallMS() int64                               { return 0 }
-func (w *fakeEnv) Cloud(cloud.Request, func(cloud.Response))   {}
-func (w *fakeEnv) SendPeer(_ ident.NodeID, f *transport.Frame) { w.frames = append(w.frames, f) }
+func (env *fakeEnv) WallMS() int64                               { return 0 }
+func (env *fakeEnv) Cloud(cloud.Request, func(cloud.Response))   {}
+func (env *fakeEnv) SendPeer(_ ident.NodeID, f *transport.Frame) { env.frames = append(env.frames, f) }
 
-func (w *fakeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
+func (env *fakeEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	switch r.Op {
 	case kvstore.Txn:
-		w.revision++
-		f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: w.revision})
+		env.revision++
+		done(kvstore.Response{Outcome: kvstore.OK, StoreRevision: env.revision})
 	case kvstore.Get:
-		if v, ok := w.values[r.Key]; ok {
-			f(kvstore.Response{Outcome: kvstore.OK, Value: json.RawMessage(v)})
+		if v, ok := env.values[r.Key]; ok {
+			done(kvstore.Response{Outcome: kvstore.OK, Value: json.RawMessage(v)})
 			return
 		}
 		if strings.HasPrefix(r.Key, jobs.ArchivePrefix) || r.Key == election.LeaderKey || r.Key == election.TermKey {
-			f(kvstore.Response{Outcome: kvstore.NotFound})
+			done(kvstore.Response{Outcome: kvstore.NotFound})
 			return
 		}
 		if r.Key == catalog.Key {
-			f(kvstore.Response{Outcome: kvstore.OK, Value: api.JSON(testMachineTypes())})
+			done(kvstore.Response{Outcome: kvstore.OK, Value: api.JSON(testMachineTypes())})
 		}
 	case kvstore.GrantLease, kvstore.RenewLease:
-		f(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
+		done(kvstore.Response{Outcome: kvstore.OK, LeaseID: 1})
 	case kvstore.List:
 		out := kvstore.Response{Outcome: kvstore.OK}
-		for _, p := range w.listed {
+		for _, p := range env.listed {
 			if strings.HasPrefix(p.Key, r.Prefix) {
 				out.KeyValues = append(out.KeyValues, p)
 			}
 		}
-		f(out)
+		done(out)
 	}
 }
 
-func (w *fakeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
-	w.probedAddrs[c.Addr] = true
-	w.After(1200*time.Millisecond, func() { f(workers.CommandResult{}) })
+func (env *fakeEnv) Worker(c workers.CommandCall, done func(workers.CommandResult)) {
+	env.probedAddrs[c.Addr] = true
+	env.After(1200*time.Millisecond, func() { done(workers.CommandResult{}) })
 }
 
 // testStart is the time at which some tests begin: late enough that a time some minutes earlier is not negative.
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -26,7 +26,7 @@
 	txnToLose     int // counts down to the transaction that is lost
 }
 
-func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
+func (s *recordingStore) Store(r kvstore.Request, done func(kvstore.Response)) {
 	switch r.Op {
 	case kvstore.Txn:
 		if s.txnsLeft == 0 {
@@ -41,21 +41,21 @@
 				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
 			}
 		}
-		f(s.Apply(r.Mutations))
+		done(s.Apply(r.Mutations))
 	case kvstore.Get:
-		f(s.Get(r.Key))
+		done(s.Get(r.Key))
 	case kvstore.List:
-		f(s.List(r.Prefix))
+		done(s.List(r.Prefix))
 	}
 }
 
-func (s *recordingStore) Cloud(r cloud.Request, f func(cloud.Response)) {
+func (s *recordingStore) Cloud(r cloud.Request, done func(cloud.Response)) {
 	if r.Op == cloud.Catalog {
-		f(cloud.Response{Outcome: cloud.OK, MachineTypes: testMachineTypes()})
+		done(cloud.Response{Outcome: cloud.OK, MachineTypes: testMachineTypes()})
 	}
 }
 
-// startLeader begins a term over what is stored.
+// startLeader begins a term on the stored state.
 func (s *recordingStore) startLeader(term ident.Term) *Controller {
 	cfg := testSettings()
 	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -17,22 +17,22 @@
 		run  func(*fakeEnv, *pendingReplies, func(Response))
 		want []int
 	}{
-		{"answered in time", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
+		{"answered in time", func(env *fakeEnv, _ *pendingReplies, reply func(Response)) {
 			reply(Response{Status: done})
-			w.Advance(2 * storeTimeout)
+			env.Advance(2 * storeTimeout)
 		}, []int{done}},
-		{"answered too late", func(w *fakeEnv, _ *pendingReplies, reply func(Response)) {
-			w.Advance(2 * storeTimeout)
+		{"answered too late", func(env *fakeEnv, _ *pendingReplies, reply func(Response)) {
+			env.Advance(2 * storeTimeout)
 			reply(Response{Status: done})
 		}, []int{slow}},
-		{"answered after the store has failed", func(w *fakeEnv, p *pendingReplies, reply func(Response)) {
+		{"answered after the store has failed", func(env *fakeEnv, p *pendingReplies, reply func(Response)) {
 			p.failAll()
 			reply(Response{Status: done})
-			w.Advance(2 * storeTimeout)
+			env.Advance(2 * storeTimeout)
 		}, []int{failed}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			w := newFakeEnv(ident.MonotonicTime(time.Hour))
+			env := newFakeEnv(ident.MonotonicTime(time.Hour))
 			refuse := func(reply func(Response), reason refusal) {
 				if reason == storeSlow {
 					reply(Response{Status: slow})
@@ -40,9 +40,9 @@
 					reply(Response{Status: failed})
 				}
 			}
-			p := newPendingReplies(w.After, refuse)
+			p := newPendingReplies(env.After, refuse)
 			var got []int
-			x.run(w, p, p.withTimeout(func(r Response) { got = append(got, r.Status) }))
+			x.run(env, p, p.withTimeout(func(r Response) { got = append(got, r.Status) }))
 			if !slices.Equal(got, x.want) {
 				t.Errorf("%v, want %v", got, x.want)
 			}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -15,7 +15,7 @@
 // TestUnansweredProbesFreeTheirSlot: a new leader probes every machine within the time that its pace needs, also one
 // with tasks on record, though none of the machines that are probed first answers.
 func TestUnansweredProbesFreeTheirSlot(t *testing.T) {
-	w := newFakeEnv(ident.MonotonicTime(time.Hour))
+	env := newFakeEnv(ident.MonotonicTime(time.Hour))
 	g := machinestore.GroupRecord{Model: "m8", Zone: "a"}
 	const machines = 3 * maxMachineProbes
 	for i := range machines {
@@ -26,14 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.listed = []kvstore.KeyValue{{Key: machinestore.Prefix + "1-1", Value: b, Revision: 3}}
+	env.listed = []kvstore.KeyValue{{Key: machinestore.Prefix + "1-1", Value: b, Revision: 3}}
 	job := `{"spec":{"id":"j-1","desk":"red","shape":"service","pieces":1,"vcpus":1},` +
 		`"seq":1,"phase":"open","tasks":[{"t":1,"h":"host-000007","n":1}]}`
-	w.listed = append(w.listed, kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
-	c := New(w, testSettings(), newTestRand())
+	env.listed = append(env.listed, kvstore.KeyValue{Key: "live/j-1", Value: json.RawMessage(job), Revision: 4})
+	c := New(env, testSettings(), newTestRand())
 	c.OnStartedLeading(2, 0, kvstore.Compare{Key: "leader", Revision: 9})
-	w.Advance(4 * machineProbeInterval)
-	if len(w.probedAddrs) != machines {
-		t.Errorf("%d of %d machines were probed", len(w.probedAddrs), machines)
+	env.Advance(4 * machineProbeInterval)
+	if len(env.probedAddrs) != machines {
+		t.Errorf("%d of %d machines were probed", len(env.probedAddrs), machines)
 	}
 }
