--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -17,6 +17,7 @@
 	return to
 }
 
+// authorityFacts gathers what the node's authority depends on.
 func (c *Controller) authorityFacts() authority.Facts {
 	l := c.leader
 	if l == nil || l.closed() {
@@ -30,7 +31,8 @@
 	}
 }
 
-// leadership returns how sure the node can be of its leadership, in a term that has not been closed.
+// leadership returns whether the leader's lease is valid, expired, or expired for less than the renewal grace. The term must
+// not be closed.
 func (c *Controller) leadership() authority.Leadership {
 	valid := c.election.LeaseValid()
 	withinGrace := c.election.WithinGrace(c.renewalGrace)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -39,7 +39,7 @@
 	SendPeer(to ident.NodeID, f *transport.Frame)
 }
 
-// Controller is one node.
+// Controller is one node of the replicated controller. New creates it, Start makes it join the cluster.
 type Controller struct {
 	env          Env
 	settings     *settings.Settings
@@ -67,11 +67,11 @@
 
 // Counters count events of a node since it was started.
 type Counters struct {
-	Forwarded  uint64 // requests to the leader
-	Relayed    uint64 // of these, by way of a peer
-	Refused    uint64 // requests
-	Elections  uint64 // terms that the node has begun
-	LeasesKept uint64 // leases of workers that it has renewed without a leader
+	Forwarded  uint64 // requests forwarded to the leader
+	Relayed    uint64 // forwarded requests that a peer relayed
+	Refused    uint64 // requests refused that may succeed later
+	Elections  uint64 // terms that the node has begun as the leader
+	LeasesKept uint64 // leases of workers renewed without the leader
 }
 
 const (
@@ -111,8 +111,8 @@
 	return c
 }
 
-// renewalGrace returns for how long past the validity of its leadership a leader may renew leases of workers: a
-// worker whose lease was renewed last at the end of it still loses its tasks before cancel_s is over.
+// renewalGrace returns how long after the expiry of its own lease a leader may renew leases of workers. A lease renewed at the
+// end of the grace still expires within cancel_s, also with the largest drift between clocks.
 func renewalGrace(times settings.WorkerTimes) time.Duration {
 	return max(0, settings.Seconds(times.CancelS-times.LeaseS*ident.ClockDriftFactor)-graceMargin)
 }
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file holds what a leader does periodically and after each event.
+// This file runs the work of a leader: periodically, and after each event.
 
 import (
 	"log/slog"
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -27,7 +27,7 @@
 // writeShare leaves part of the store's write rate for lease renewals and elections.
 const writeShare = 0.85
 
-// leaderTerm is the state of a leader. It lives for one term: a new one begins empty and loads the store. Callbacks that
+// leaderTerm is the state of a leader for one term. A new term begins empty and loads the stored state. Callbacks that
 // may run after the end of the term must check closed.
 type leaderTerm struct {
 	controller *Controller
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file exchanges heartbeats with the other controllers, and tells which of them are reachable.
+// This file exchanges heartbeats with the other controllers, and determines which of them are reachable.
 
 import (
 	"time"
@@ -25,9 +25,9 @@
 
 // peer is another controller as seen from this node.
 type peer struct {
-	lastHeard       ident.MonotonicTime
+	lastHeard       ident.MonotonicTime // when any message last arrived
 	everHeard       bool
-	lastHeartbeatID uint64 // of the newest heartbeat
+	lastHeartbeatID uint64 // ID of the last heartbeat received
 }
 
 // heardWithin reports whether anything has come from the peer within d before now.
@@ -126,7 +126,7 @@
 	}
 }
 
-// peerStatus returns what a heartbeat says of its sender.
+// peerStatus returns the status that a heartbeat reports of its sender.
 func peerStatus(heartbeat *transport.PeerHeartbeat) renewal.PeerStatus {
 	return renewal.PeerStatus{
 		ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
--- a/internal/controller/pending_replies.go
+++ b/internal/controller/pending_replies.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// pendingReplies holds the replies to requests that wait for the store. Each is answered once: by the request, or by a
-// refusal when that takes too long.
+// pendingReplies holds the replies to requests that wait for the store. Each is called once: with the answer, or with a
+// refusal if the store is unavailable or takes longer than storeTimeout.
 type pendingReplies struct {
 	after  func(time.Duration, func())
 	refuse func(reply func(Response), reason refusal)
@@ -21,8 +21,8 @@
 	return &pendingReplies{after: after, refuse: refuse, byID: map[uint64]func(Response){}}
 }
 
-// withTimeout returns a reply to a request that waits for the store. The request is refused when the store doesn't
-// answer in time; what the returned function is called with after that is dropped.
+// withTimeout adds a reply, and returns the function to call in its place. The request is refused after storeTimeout; later
+// calls of the returned function have no effect.
 func (p *pendingReplies) withTimeout(reply func(Response)) func(Response) {
 	p.lastID++
 	id := p.lastID
@@ -39,14 +39,14 @@
 	}
 }
 
-// remove takes a reply out, and reports whether it was still pending.
+// remove removes a reply, and reports whether it was still pending.
 func (p *pendingReplies) remove(id uint64) bool {
 	_, pending := p.byID[id]
 	delete(p.byID, id)
 	return pending
 }
 
-// failAll refuses all requests that wait, for a store that doesn't answer.
+// failAll refuses all pending requests, in the order of their arrival.
 func (p *pendingReplies) failAll() {
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
 		reply := p.byID[id]
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -29,7 +29,7 @@
 	resignationPause = 12 * time.Second
 )
 
-// The reasons for which a leader gives up its term, beside those of the election itself.
+// The reasons for which a leader resigns or is deposed, in addition to those of package election.
 const (
 	unreadableRecord     election.StepDownReason = "unreadable record"
 	leaderIsolated       election.StepDownReason = "neither peers nor machines are heard"
--- a/internal/linktracker/report.go
+++ b/internal/linktracker/report.go
@@ -89,7 +89,7 @@
 // CountHandover counts a term that has ended by a handover.
 func (t *Tracker) CountHandover() { t.handoverCount++ }
 
-// FillReport puts what is known of the links into a report.
+// FillReport sets the links, advertisements, handovers and dropped messages of a report.
 func (t *Tracker) FillReport(report *Report) {
 	now := t.env.Now()
 	report.Links = t.linkEntries(now)
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -1,5 +1,5 @@
 // Package rebalancer moves running tasks to other machines for a leader: to make room for tasks that wait, and away
-// from slow machines. Package rebalance decides which moves pay, package migration what the next step of a
+// from slow machines. Package rebalance decides which moves are worth their cost, package migration what the next step of a
 // move is, and this package carries both out on the leader's tables.
 package rebalancer
 
