--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -16,7 +16,7 @@
 	"opaldale/internal/workerstest"
 )
 
-// harness is a gang of three tasks, on five machines that keep the commands that they are sent.
+// harness is a gang of three tasks, on five machines that record the commands sent to them.
 type harness struct {
 	t             *testing.T
 	now           ident.MonotonicTime
@@ -270,7 +270,7 @@
 	}
 }
 
-// TestCompletionOfOneCompletesAll: a gang is done with the first task that completes, also when another one was
+// TestCompletionOfOneCompletesAll: a gang is done with the first task that completes, even if another one was
 // lost before.
 func TestCompletionOfOneCompletesAll(t *testing.T) {
 	r := newHarness(t)
@@ -282,7 +282,7 @@
 	if archived, ok := r.jobs.LookupArchived("j-1"); !ok || archived.Phase != jobs.Done || r.state() != "none" {
 		t.Errorf("%+v %v, %s", archived, ok, r.state())
 	}
-	// What the other tasks report later is only cleared.
+	// Tasks that are reported later are only cleared.
 	last := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}
 	response := r.heartbeat(2, last)
 	if len(response.Commands) != 1 || response.Commands[0].Verb != api.Clear {
@@ -290,8 +290,8 @@
 	}
 }
 
-// TestGracefulStop: all tasks are stopped at once, with time to save and to wait for each other, but none while a
-// machine has sent no heartbeat lately.
+// TestGracefulStop: all tasks are stopped at once, with time to save a checkpoint and to wait for each other, but
+// none while the newest heartbeat of a machine is too old.
 func TestGracefulStop(t *testing.T) {
 	r := newHarness(t)
 	r.place(0)
@@ -325,7 +325,7 @@
 	}
 }
 
-// TestAdopt: a new leader goes on with a complete attempt, and aborts an incomplete one.
+// TestAdopt: a new leader continues a complete attempt, and aborts an incomplete one.
 func TestAdopt(t *testing.T) {
 	for _, complete := range []bool{true, false} {
 		r := newHarness(t)
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -13,8 +13,8 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// fakeStore is a store that carries out all requests in order, and takes no larger values than the store
-// does.
+// fakeStore is a store that carries out all requests in order, and panics on a value that is larger than the
+// real store accepts.
 type fakeStore struct{ *kvstoretest.SteppedStore }
 
 func newFakeStore(s *kvstoretest.MemoryStore) *fakeStore {
@@ -36,8 +36,8 @@
 	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
 }
 
-// TestSegments: a job too large for one value is divided, is taken over by a new leader task by task, and is
-// archived as a whole.
+// TestSegments: a job too large for one value is divided into segments, all of whose tasks a new leader loads,
+// and is archived as a whole.
 func TestSegments(t *testing.T) {
 	for _, tasks := range []int{1, 100, 5000} {
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) { testSegments(t, tasks) })
--- a/internal/workers/command_test.go
+++ b/internal/workers/command_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestUnansweredCommand: a launch without a response may be carried out at any later time, so a heartbeat
-// without the task proves nothing until it has the raised token.
+// without the task does not prove that it is gone until it has the raised token.
 func TestUnansweredCommand(t *testing.T) {
 	r := newHarness(t)
 	firstToken := ident.MakeFencingToken(term, 0)
@@ -32,8 +32,8 @@
 }
 
 // TestResultAfterTermination: the response to a command that arrives after its machine was terminated
-// says nothing about tasks. Otherwise a task in it would be kept waiting for ever as an
-// unknown attempt.
+// has no effect on tasks. Otherwise a task in it would count as an unknown attempt, and never be
+// placed again.
 func TestResultAfterTermination(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
--- a/internal/workers/failures_test.go
+++ b/internal/workers/failures_test.go
@@ -9,10 +9,10 @@
 	"opaldale/internal/jobs"
 )
 
-// TestFailuresBlamedOnJob: a job that fails on several machines is rather at fault itself. Its failures count
-// no more against machines, neither earlier nor later ones; two other jobs that fail in a row,
-// and run well elsewhere, still show a faulty machine. Jobs of which neither is known yet do
-// not: many of them could be submitted with a mistake at once.
+// TestFailuresBlamedOnJob: a job that fails on several machines is suspect, and neither its earlier nor its
+// later failures count against machines. Two other jobs that fail in a row, and run well elsewhere,
+// still show a faulty machine. Jobs that are neither suspect nor proven healthy do not: many jobs
+// may be submitted with the same mistake at once.
 func TestFailuresBlamedOnJob(t *testing.T) {
 	r := newHarness(t)
 	r.answers[0](CommandResult{})
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestNewIncarnation: a newer incarnation has no tasks of the old one, and a late heartbeat of the old one
-// changes nothing.
+// has no effect.
 func TestNewIncarnation(t *testing.T) {
 	r := newHarness(t)
 	r.tb.HandleHeartbeat(newHeartbeat(2, 1, 0))
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestGangIsDone: when one task of a gang completes all do, but one that was not reported running stays
-// allocated until it is proven gone: its room is not given to other tasks before.
-func TestGangIsDone(t *testing.T) {
+// TestGangCompletion: when one task of a gang completes all do, but one that was not reported running stays
+// allocated until it is proven gone: its room is not given to other tasks earlier.
+func TestGangCompletion(t *testing.T) {
 	r := newHarness(t)
 	r.answers[0](CommandResult{})
 	j := r.jobs.Add(&api.Spec{ID: "j-7", Shape: api.Gang, Tasks: 4, VCPUs: 1}, func() {}, nil)
--- a/internal/workers/image_cache_test.go
+++ b/internal/workers/image_cache_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestImageCache: the images used last are kept as far as the disk reaches, and the newest one always.
+// TestImageCache: the most recently used images are kept as far as the disk has room, and the newest one always.
 func TestImageCache(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestStaleHeartbeatRenewsLease: a stale heartbeat has no effect, but the response to it renews the lease all
-// the same.
+// TestStaleHeartbeatRenewsLease: a stale heartbeat has no effect, but the response to it renews the
+// lease nevertheless.
 func TestStaleHeartbeatRenewsLease(t *testing.T) {
 	r := newHarness(t)
 	r.heartbeat(0, r.taskReport(api.Running, ""))
@@ -47,8 +47,8 @@
 	r.wantLeaseExpiry(t, w, leaseAndGrace)
 }
 
-// TestNewIncarnationLease: an incarnation whose lease was not renewed yet has its full lease, however long
-// ago that of the one before was renewed.
+// TestNewIncarnationLease: an incarnation whose lease was not renewed yet has its full lease, even if that of
+// the previous one has expired.
 func TestNewIncarnationLease(t *testing.T) {
 	r := newHarness(t)
 	r.now = r.now.Add(10 * time.Minute)
@@ -76,8 +76,8 @@
 }
 
 // TestRenewalKillsCancelledTasks: a leader that may have lost its leadership still kills tasks of cancelled
-// jobs with each response that renews a lease. Later than the grace period after a
-// cancellation it renews the lease only if no task of the job can be started there any more.
+// jobs with each response that renews a lease. Once the grace period after a cancellation is over,
+// it renews the lease only if no task of the job can be started there any more.
 func TestRenewalKillsCancelledTasks(t *testing.T) {
 	r := newHarness(t)
 	firstToken := ident.MakeFencingToken(term, 0)
--- a/internal/workers/reachability_test.go
+++ b/internal/workers/reachability_test.go
@@ -6,8 +6,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestReachability: heartbeats alone do not show that a worker receives what is sent to it; a token that it
-// can only have from a response does.
+// TestReachability: heartbeats alone do not show that a worker receives responses and commands; a token that
+// it can only have from a response does.
 func TestReachability(t *testing.T) {
 	const earlier, sent ident.FencingToken = 4, 5
 	var r reachability
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnknownAttempts: an attempt that is not known is killed, and its task is started nowhere else while it
-// may run.
+// TestUnknownAttempts: an attempt that is not known is killed, and its task is not started elsewhere while
+// it may run.
 func TestUnknownAttempts(t *testing.T) {
 	r := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 3, Status: api.Running}
@@ -23,11 +23,11 @@
 	}
 }
 
-// TestPlacementsOfAnEarlierTerm: a leader launches no task that an earlier term has placed: that term may have
+// TestPlacementsOfEarlierTerm: a leader launches no task that an earlier term has placed: that term may have
 // given its room, or its team's quota, to other tasks, and only their placement may have become
-// durable. A task of an earlier incarnation than the heartbeat's is lost; one of the same
-// incarnation is, once the heartbeat has the newest token.
-func TestPlacementsOfAnEarlierTerm(t *testing.T) {
+// durable. A task of an earlier incarnation than the heartbeat's counts as lost at once, one of
+// the same incarnation only when the heartbeat has the newest token.
+func TestPlacementsOfEarlierTerm(t *testing.T) {
 	for _, tokenCurrent := range []bool{false, true} {
 		r := newHarness(t)
 		r.answers[0](CommandResult{})
--- a/internal/workers/reservation_test.go
+++ b/internal/workers/reservation_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestReservation: reserved room is taken for other work, except for work of a higher priority, and free again
-// once the reservation is released.
+// TestReservation: reserved room is not available to other work, except to work of a higher priority, until
+// the reservation is released.
 func TestReservation(t *testing.T) {
 	w := &Worker{Type: &cloud.MachineType{VCPUs: 8, MemoryGB: 32}, Usage: Usage{VCPUs: 2}}
 	four, six := jobs.Resources{VCPUs: 4}, jobs.Resources{VCPUs: 6}
