--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -15,10 +15,10 @@
 	}
 }
 
-// TestNothingUnconfirmed: for all facts, a node takes only actions for which its leadership is
+// TestActionsRequireCertainLeadership: for all facts, a node takes only actions for which its leadership is
 // certain enough, its state is loaded and its writes are accepted, and it places nothing during a
 // handover.
-func TestNothingUnconfirmed(t *testing.T) {
+func TestActionsRequireCertainLeadership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		s := Evaluate(f)
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestMoreFactsMoreAuthority: weaker facts never add a permission, except for the renewal of worker
+// TestWeakerFactsAddNoPermission: weaker facts never add a permission, except for the renewal of worker
 // leases, which Grace allows as well.
-func TestMoreFactsMoreAuthority(t *testing.T) {
+func TestWeakerFactsAddNoPermission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		fewer := f
--- a/internal/election/step_down.go
+++ b/internal/election/step_down.go
@@ -69,6 +69,6 @@
 	}
 	term := e.term
 	e.port.Store(request, func(response kvstore.Response) {
-		slog.Info("leader key deleted", "term", uint64(term), "outcome", response.Outcome.String())
+		slog.Info("leader key deletion completed", "term", uint64(term), "outcome", response.Outcome.String())
 	})
 }
--- a/internal/ident/clock.go
+++ b/internal/ident/clock.go
@@ -18,8 +18,8 @@
 // nodes: twice the 0.05% by which clocks drift at most.
 const maxClockDrift = 0.001
 
-// ClockDriftFactor is by how much a duration on one node's clock is extended to be surely over on
-// the clock of another, or of a worker: their rates differ by at most maxClockDrift, taken twice.
+// ClockDriftFactor is the factor by which a duration on one node's clock is extended so that it has
+// certainly elapsed on the clock of another node or of a worker. It allows for twice maxClockDrift.
 const ClockDriftFactor = 1.002
 
 // LeastElapsed returns the minimum time that elapses on one node's clock while d elapses on another's.
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -83,16 +83,16 @@
 	m.link(endpoint).recordArrival(now, Message)
 }
 
-// Answered records the response to a request.
-func (m *Monitor) Answered(endpoint Endpoint, sent, now ident.MonotonicTime) {
+// Responded records the response to a request.
+func (m *Monitor) Responded(endpoint Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.refusing = false
 	l.recordArrival(now, Response)
 	l.recordDelivery(sent, now, Response)
 }
 
-// AnsweredWithError records a response by which the endpoint refuses to serve this node.
-func (m *Monitor) AnsweredWithError(endpoint Endpoint, sent, now ident.MonotonicTime) {
+// RespondedWithError records a response by which the endpoint refuses to serve this node.
+func (m *Monitor) RespondedWithError(endpoint Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.refusing = true
 	l.recordArrival(now, ErrorResponse)
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -137,8 +137,8 @@
 	for range 30 {
 		m.Sent(slow, now)
 		m.Sent(fast, now)
-		m.Answered(fast, now, now.Add(10*time.Millisecond))
-		m.Answered(slow, now, now.Add(2*time.Second))
+		m.Responded(fast, now, now.Add(10*time.Millisecond))
+		m.Responded(slow, now, now.Add(2*time.Second))
 		now = now.Add(2 * time.Second)
 		m.Evaluate(now)
 	}
@@ -179,7 +179,7 @@
 		m := NewMonitor(testConfig)
 		for range 10 {
 			m.Sent(store, now)
-			m.Answered(store, now, now.Add(5*time.Millisecond))
+			m.Responded(store, now, now.Add(5*time.Millisecond))
 			now = now.Add(500 * time.Millisecond)
 			m.Evaluate(now)
 		}
@@ -194,11 +194,11 @@
 	}{
 		{"responses", func(m *Monitor) {
 			m.Sent(store, now)
-			m.Answered(store, now, now)
+			m.Responded(store, now, now)
 		}, Response, Up, true},
 		{"error responses", func(m *Monitor) {
 			m.Sent(store, now)
-			m.AnsweredWithError(store, now, now)
+			m.RespondedWithError(store, now, now)
 		}, ErrorResponse, Up, false},
 		{"one refused connection", func(m *Monitor) { m.ConnectionRefused(store, now) }, ConnectionRefused, Up, true},
 		{"three refused connections", func(m *Monitor) {
--- a/internal/linktracker/env.go
+++ b/internal/linktracker/env.go
@@ -64,9 +64,9 @@
 		case callNotSent:
 			e.monitor.Unsent(endpoint, sent)
 		case callRejected:
-			e.monitor.AnsweredWithError(endpoint, sent, e.Now())
+			e.monitor.RespondedWithError(endpoint, sent, e.Now())
 		case callAnswered:
-			e.monitor.Answered(endpoint, sent, e.Now())
+			e.monitor.Responded(endpoint, sent, e.Now())
 		case callRefused:
 			e.monitor.ConnectionRefused(endpoint, e.Now())
 		}
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -63,8 +63,8 @@
 	return &a.userRequestsInFlight
 }
 
-// admit reports whether a request is admitted at present. It does not count the request.
-func (a *admission) admit(method transport.Method) bool {
+// admissible reports whether a request is admitted at present. It does not count the request.
+func (a *admission) admissible(method transport.Method) bool {
 	limit := a.limitFor(method)
 	if a.inFlight(method).Load() >= limit.maxInFlight {
 		return false
@@ -75,7 +75,7 @@
 // acquire counts a request and returns true if it is admitted. The caller must call release once it has
 // responded.
 func (a *admission) acquire(method transport.Method) bool {
-	if !a.admit(method) {
+	if !a.admissible(method) {
 		return false
 	}
 	a.inFlight(method).Add(1)
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -8,17 +8,17 @@
 	"opaldale/internal/transport"
 )
 
-// TestAdmissionPriority: the more a node lags behind, or has in flight, the fewer kinds of
-// requests it admits; heartbeats are refused last.
+// TestAdmissionPriority: the higher the lag or the number of requests in flight, the fewer kinds of
+// requests are admitted. Heartbeats are refused last.
 func TestAdmissionPriority(t *testing.T) {
 	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
-	admitted := func(a *admission) (out []transport.Method) {
-		for _, v := range kinds {
-			if a.admit(v) {
-				out = append(out, v)
+	admitted := func(a *admission) (methods []transport.Method) {
+		for _, method := range kinds {
+			if a.admissible(method) {
+				methods = append(methods, method)
 			}
 		}
-		return out
+		return methods
 	}
 	for _, c := range []struct {
 		lag        time.Duration
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestUrgentEventsRunFirst: events that leadership and workers depend on run before all that users have
-// requested earlier, and a node that has caught up has no lag.
+// TestUrgentEventsRunFirst: urgent events run before user events posted earlier, and the lag is 0 once
+// the queues are empty.
 func TestUrgentEventsRunFirst(t *testing.T) {
 	l := newEventLoop()
 	var order []string
--- a/internal/server/controller_env.go
+++ b/internal/server/controller_env.go
@@ -39,13 +39,13 @@
 
 // Store sends a request to the key-value store and calls done with the response.
 func (e controllerEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
-	callOutside(e.server.loop, func() kvstore.Response { return e.server.store.Do(r) }, done)
+	callAsync(e.server.loop, func() kvstore.Response { return e.server.store.Do(r) }, done)
 }
 
 // Cloud sends a request to the provider and calls done with the response. A request whose deadline has
 // passed is not sent.
 func (e controllerEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
-	callOutside(e.server.loop, func() cloud.Response {
+	callAsync(e.server.loop, func() cloud.Response {
 		if e.server.loop.expired(r.NotAfter) {
 			return cloud.Response{Outcome: cloud.NotSent}
 		}
@@ -55,11 +55,11 @@
 
 // Worker sends commands to a worker and calls done with the result.
 func (e controllerEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
-	callOutside(e.server.loop, func() workers.CommandResult { return e.server.sendCommand(command) }, done)
+	callAsync(e.server.loop, func() workers.CommandResult { return e.server.sendCommand(command) }, done)
 }
 
-// callOutside runs a blocking call on a new goroutine, and then done with its result on the event loop.
-func callOutside[T any](l *eventLoop, call func() T, done func(T)) {
+// callAsync runs a blocking call on a new goroutine, and then done with its result on the event loop.
+func callAsync[T any](l *eventLoop, call func() T, done func(T)) {
 	go func() {
 		result := call()
 		l.postUrgent(func() { done(result) })
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -34,10 +34,10 @@
 func (s *Server) handler() http.Handler {
 	f := &frontend{server: s, metrics: newMetrics(s)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v2/runs", f.admit(transport.SubmitJob, f.forwardBody(transport.SubmitJob)))
-	mux.HandleFunc("GET /v2/runs/{id}", f.admit(transport.GetJob, f.forwardJobID(transport.GetJob)))
-	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.admit(transport.CancelJob, f.forwardJobID(transport.CancelJob)))
-	mux.HandleFunc("POST /checkin", f.admit(transport.WorkerHeartbeat, f.forwardBody(transport.WorkerHeartbeat)))
+	mux.HandleFunc("POST /v2/runs", f.withAdmission(transport.SubmitJob, f.forwardBody(transport.SubmitJob)))
+	mux.HandleFunc("GET /v2/runs/{id}", f.withAdmission(transport.GetJob, f.forwardJobID(transport.GetJob)))
+	mux.HandleFunc("POST /v2/runs/{id}/cancel", f.withAdmission(transport.CancelJob, f.forwardJobID(transport.CancelJob)))
+	mux.HandleFunc("POST /checkin", f.withAdmission(transport.WorkerHeartbeat, f.forwardBody(transport.WorkerHeartbeat)))
 	mux.HandleFunc("GET /up", f.health)
 	mux.HandleFunc("GET /links", f.links)
 	mux.HandleFunc("GET /moves", f.moves)
@@ -45,8 +45,8 @@
 	return mux
 }
 
-// admit wraps a handler so that requests which are not admitted are refused before their bodies are read.
-func (f *frontend) admit(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
+// withAdmission wraps a handler so that requests which are not admitted are refused before their bodies are read.
+func (f *frontend) withAdmission(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !admission.acquire(method) {
@@ -72,7 +72,7 @@
 			writeJSON(w, http.StatusBadRequest, api.ErrorResponse{Error: text})
 			return
 		}
-		f.serve(method, w, "", body)
+		f.serve(w, method, "", body)
 	}
 }
 
@@ -85,12 +85,12 @@
 			writeJSON(w, http.StatusNotFound, api.ErrorResponse{Error: "no such job"})
 			return
 		}
-		f.serve(method, w, string(id), nil)
+		f.serve(w, method, string(id), nil)
 	}
 }
 
 // serve passes a request to the controller, and writes the response.
-func (f *frontend) serve(method transport.Method, w http.ResponseWriter, jobID string, body []byte) {
+func (f *frontend) serve(w http.ResponseWriter, method transport.Method, jobID string, body []byte) {
 	start := time.Now()
 	response := f.dispatch(method, jobID, body)
 	// The process may have been suspended, and leadership lost, since the response was computed.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -28,8 +28,8 @@
 	"opaldale/internal/workers"
 )
 
-// askHandler has a handler answer a request, and formats the answer.
-func askHandler(h http.Handler, method, path, body string) string {
+// serveRequest passes a request to a handler, and formats the response.
+func serveRequest(h http.Handler, method, path, body string) string {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	var b strings.Builder
@@ -42,8 +42,8 @@
 	return b.String() + w.Body.String()
 }
 
-// TestGoldenInterface pins status, headers and body of the answers of a node without a leader
-// and a key-value store, and of one that is overloaded.
+// TestGoldenInterface pins status, headers and body of the responses of a node without a leader and a
+// key-value store, and of an overloaded node.
 func TestGoldenInterface(t *testing.T) {
 	s := newTestServer(t, 1000)
 	h := s.handler()
@@ -67,17 +67,17 @@
 		{"GET", "/moves", ""},
 	}
 	for _, r := range requests {
-		d.Add(r.method+" "+r.path+" "+r.body[:min(len(r.body), 10)], askHandler(h, r.method, r.path, r.body))
+		d.Add(r.method+" "+r.path+" "+r.body[:min(len(r.body), 10)], serveRequest(h, r.method, r.path, r.body))
 	}
 	s.admission.userRequestsInFlight.Store(1 << 20)
 	s.admission.heartbeatsInFlight.Store(1 << 20)
 	for _, r := range requests[:4] {
-		d.Add("overloaded: "+r.method+" "+r.path, askHandler(h, r.method, r.path, r.body))
+		d.Add("overloaded: "+r.method+" "+r.path, serveRequest(h, r.method, r.path, r.body))
 	}
 	d.Compare(t, "interface")
 }
 
-// TestGoldenCommands pins the request to a worker, and what is read of its response.
+// TestGoldenCommands pins the request to a worker, and the result decoded from its response.
 func TestGoldenCommands(t *testing.T) {
 	var d golden.Document
 	report := golden.Filled[api.Heartbeat](0)
@@ -121,8 +121,8 @@
 	})
 }
 
-// goldenEnv is the environment of a controller in which time stands still and the key-value store
-// answers at once.
+// goldenEnv is the environment of a controller whose clock stands still and whose key-value store responds
+// immediately.
 type goldenEnv struct{ *kvstoretest.MemoryStore }
 
 func (goldenEnv) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
@@ -147,7 +147,7 @@
 	}
 }
 
-// goldenLeader makes a node that leads, with two jobs, seven tasks and five machines on record.
+// goldenLeader returns a node that leads, with jobs, tasks and machines in the key-value store.
 func goldenLeader(t *testing.T) *Server {
 	t.Helper()
 	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
@@ -194,10 +194,10 @@
 		return true
 	})
 	var d golden.Document
-	d.Add("every node", askHandler(m.handler(), "GET", "/metrics", ""))
-	d.Add("a leader", askHandler(newMetrics(goldenLeader(t)).handler(), "GET", "/metrics", ""))
+	d.Add("every node", serveRequest(m.handler(), "GET", "/metrics", ""))
+	d.Add("a leader", serveRequest(newMetrics(goldenLeader(t)).handler(), "GET", "/metrics", ""))
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(goldenCollector{})
-	d.Add("links and load", askHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), "GET", "/metrics", ""))
+	d.Add("links and load", serveRequest(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), "GET", "/metrics", ""))
 	d.Compare(t, "metrics")
 }
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -102,7 +102,7 @@
 // Metrics of the sockets of a node.
 var (
 	connections        = newGauge("connections", "Connections of users, workers and probes.")
-	connectionsMost    = newGauge("connections_most", "Bound on them.")
+	connectionLimit    = newGauge("connections_most", "Bound on them.")
 	connectionsEvicted = newCounter("connections_evicted", "Idle ones closed to make room.")
 	connectionsRefused = newCounter("connections_refused", "Closed as they came, for want of room.")
 	malformedFrames    = newCounter("mesh_malformed", "Frames of siblings that could not be read.")
@@ -111,7 +111,7 @@
 // collectServer sends the metrics of the node's sockets.
 func collectServer(ch chan<- prometheus.Metric, s *Server) {
 	connections.send(ch, float64(s.connLimiter.count()))
-	connectionsMost.send(ch, float64(s.connLimiter.limit))
+	connectionLimit.send(ch, float64(s.connLimiter.limit))
 	connectionsEvicted.send(ch, float64(s.connLimiter.evicted.Load()))
 	connectionsRefused.send(ch, float64(s.connLimiter.refused.Load()))
 	malformedFrames.send(ch, float64(s.transport.Malformed.Load()))
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -201,7 +201,7 @@
 		s.loop.postUrgent(handle)
 		return
 	}
-	if !s.admission.admit(frame.Method) {
+	if !s.admission.admissible(frame.Method) {
 		s.transport.Send(from, &transport.Frame{
 			Type:        transport.MsgResponse,
 			ID:          frame.ID,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -29,7 +29,7 @@
 	`"vcpus":1,"cards":0,"memory_gb":1,
  "bundle":"img","image_gb":1,"one_zone":false,"apart":false,"standby":true,"runtime_s":1,"snapshot_every_s":0,"snapshot_s":0}`
 
-// testSettings are those of a node without peers.
+// testSettings returns the settings of a node without peers.
 func testSettings() *settings.Settings {
 	return &settings.Settings{
 		Node:   "agent-0",
@@ -43,7 +43,7 @@
 	}
 }
 
-// newTestServer makes a node that has no leader and no key-value store.
+// newTestServer returns a running node that has no leader and no key-value store.
 func newTestServer(t *testing.T, sockets int) *Server {
 	t.Helper()
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -76,7 +76,7 @@
 	for _, c := range []struct {
 		method, path, body string
 		status             int
-		says               string
+		wantText           string
 	}{
 		{"POST", "/v2/runs", jobSpecJSON, 503, "no leader"},
 		{"POST", "/v2/runs", "nonsense", 400, "body"},
@@ -105,7 +105,7 @@
 		}
 		b, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != c.status || !strings.Contains(string(b), c.says) {
+		if resp.StatusCode != c.status || !strings.Contains(string(b), c.wantText) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, resp.StatusCode, b)
 		}
 		if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
@@ -114,7 +114,7 @@
 	}
 }
 
-// fillWithIdleConnections opens connections that each do one request and stay open.
+// fillWithIdleConnections opens connections that stay open after one request each.
 func fillWithIdleConnections(t *testing.T, addr string, count int) {
 	t.Helper()
 	for range count {
@@ -132,11 +132,11 @@
 	}
 }
 
-// sendHeartbeat sends a worker's heartbeat, several times if need be, and says whether it was answered.
-func sendHeartbeat(c *http.Client, url string, worker, sequence int) bool {
+// sendHeartbeat sends a worker's heartbeat, with retries, and reports whether there was a response.
+func sendHeartbeat(client *http.Client, url string, worker, sequence int) bool {
 	body := fmt.Sprintf(`{"host":"host-%06d","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":%d}`, worker, sequence)
 	for range 50 {
-		resp, err := c.Post(url+"/checkin", "application/json", strings.NewReader(body))
+		resp, err := client.Post(url+"/checkin", "application/json", strings.NewReader(body))
 		if err != nil {
 			continue
 		}
@@ -149,10 +149,10 @@
 	return false
 }
 
-// TestMoreWorkersThanConnections: three times as many workers as a node accepts connections
-// all report, users on new connections are answered meanwhile, idle connections make
-// room, and none of it takes threads. Closing new connections at the limit would instead
-// cost workers their leases, and have /up fail.
+// TestMoreWorkersThanConnections: the heartbeats of three times as many workers as a node accepts
+// connections all get a response, users on new connections are served meanwhile, idle connections are
+// evicted, and the number of threads stays low. If the node refused new connections at the limit instead,
+// workers would lose their leases, and health checks would fail.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	s := newTestServer(t, 160)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -172,7 +172,7 @@
 	}()
 	url := "http://" + l.Addr().String()
 
-	// Three quarters of the room are taken by connections that stay open and do nothing.
+	// Three quarters of the limit are used by idle connections.
 	fillWithIdleConnections(t, l.Addr().String(), 3*s.connLimiter.limit/4)
 	var wg sync.WaitGroup
 	var lost, most atomic.Int64
