--- /dev/null
+++ b/internal/fleet/bin_opening.go
@@ -0,0 +1,112 @@
+package fleet
+
+import (
+	"slices"
+
+	"opaldale/internal/api"
+	"opaldale/internal/cloud"
+	"opaldale/internal/workers"
+)
+
+// binConstraint restricts which machines are opened.
+type binConstraint struct {
+	zone      string   // only this zone, if set
+	fullZones []string // none of these zones
+	spotOnly  bool     // only spot machines
+}
+
+// open adds a machine to those to be provisioned, of the cheapest pool that a job and a constraint
+// allow. It returns nil if there is none.
+func (r *scalingRun) open(spec *api.Spec, constraint binConstraint) *bin {
+	b := r.cheapestBin(spec, constraint)
+	if b != nil {
+		r.missing[b.pool]++
+		r.capacity.addBooting(b)
+	}
+	return b
+}
+
+// cheapestBin returns a machine of the pool with the lowest price for a task. Between pools of
+// equal prices it prefers the one with fewer machines.
+func (r *scalingRun) cheapestBin(spec *api.Spec, constraint binConstraint) *bin {
+	var best *bin
+	cheapest, fewest := 0.0, 0
+	r.eachAvailablePool(constraint, func(machineType *cloud.MachineType, p pool) {
+		b := newBin(machineType, p)
+		if !b.allows(spec) {
+			return
+		}
+		price := hourlyPrice(machineType, p.spot) / float64(max(b.tasksPerMachine(spec), 1))
+		count := r.capacity.machines[p]
+		if best == nil || price < cheapest-priceTolerance || price < cheapest+priceTolerance && count < fewest {
+			best, cheapest, fewest = b, price, count
+		}
+	})
+	return best
+}
+
+// hourlyPrice returns the price of a machine for one hour.
+func hourlyPrice(machineType *cloud.MachineType, spot bool) float64 {
+	if spot {
+		return machineType.SpotPrice
+	}
+	return machineType.HourlyPrice
+}
+
+// eachAvailablePool visits the pools that a constraint allows and that may have capacity, in a fixed
+// order.
+func (r *scalingRun) eachAvailablePool(constraint binConstraint, visit func(*cloud.MachineType, pool)) {
+	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
+		if constraint.zone != "" && constraint.zone != p.zone || slices.Contains(constraint.fullZones, p.zone) {
+			return
+		}
+		if r.zones.partitioned[p.zone] || r.canariesExhausted(p.zone) {
+			return
+		}
+		if (p.spot || !constraint.spotOnly) && r.provisioner.available(p, r.now) {
+			visit(machineType, p)
+		}
+	})
+}
+
+// provisionMissing requests the missing machines, from each pool in turn, within the rate limit.
+func (r *scalingRun) provisionMissing() {
+	pools := sortedPools(r.missing)
+	for again := true; again; {
+		again = false
+		for _, p := range pools {
+			count := r.provisionLimit(p, min(r.missing[p], maxProvisionBatch))
+			if count > 0 && r.provisioner.provision(p, count) {
+				r.missing[p] -= count
+				again = true
+			}
+		}
+	}
+}
+
+// provisionLimit returns how many of a number of machines may be requested from a pool: in an
+// unreachable zone, only canaries.
+func (r *scalingRun) provisionLimit(p pool, count int) int {
+	if r.zones.unreachable[p.zone] == nil {
+		return count
+	}
+	return min(count, r.canariesLeft(p.zone))
+}
+
+// canariesExhausted reports whether a zone is unreachable and no more canaries are allowed in it.
+func (r *scalingRun) canariesExhausted(zone string) bool {
+	return r.zones.unreachable[zone] != nil && r.canariesLeft(zone) == 0
+}
+
+// canariesLeft returns how many more machines may be provisioned in a zone that is unreachable.
+func (r *scalingRun) canariesLeft(zone string) int {
+	count := r.provisioner.pendingIn(zone)
+	since := r.zones.unreachable[zone].since
+	for _, w := range r.machines.Sorted() {
+		active := w.State == workers.Booting || w.State == workers.Up || w.State == workers.Unreachable
+		if w.Zone == zone && active && w.CreatedAt > since {
+			count++
+		}
+	}
+	return max(0, maxCanaries-count)
+}
--- a/internal/migration/table.go
+++ b/internal/migration/table.go
@@ -33,103 +33,6 @@
 	}
 }
 
-// Move is one move of a task.
-type Move struct {
-	rebalance.Move
-	Attempt    ident.Attempt // of the task when the move was proposed
-	State      State
-	Reason     Reason
-	StartedAt  ident.MonotonicTime
-	StateSince ident.MonotonicTime // when it entered its state
-	// StoppedAt and RunningAt are when the task was proven to have left its machine and when it
-	// was reported as running at the destination, 0 if that has not happened.
-	StoppedAt, RunningAt ident.MonotonicTime
-	// BeneficiaryPlacedAt is when the beneficiary was placed on the machine that the task left, 0
-	// if it was not.
-	BeneficiaryPlacedAt ident.MonotonicTime
-
-	recorded bool // the record is durable
-}
-
-// RealizedGain returns the measured gain of a move. For one that frees capacity that is by how much
-// sooner the beneficiary was placed than expected without the move, less the cost of the move; for
-// one off a slow machine, the expected gain less the time that the move took.
-func (m *Move) RealizedGain() time.Duration {
-	cost := time.Duration(0)
-	if m.StoppedAt > 0 {
-		cost = m.Cost
-	}
-	if m.Purpose == rebalance.LeavesSlowMachine && m.RunningAt > 0 {
-		return m.Gain - m.RunningAt.Sub(m.StartedAt)
-	}
-	if m.BeneficiaryPlacedAt == 0 {
-		return -cost
-	}
-	return m.ExpectedWait - m.BeneficiaryPlacedAt.Sub(m.StartedAt) - cost
-}
-
-// DestinationStatus reports whether a move's destination can still take its task.
-type DestinationStatus uint8
-
-// The states of a destination.
-const (
-	DestinationReady DestinationStatus = iota
-	// DestinationUnschedulable: the machine is gone, silent, being terminated, or has a reclaim
-	// notice.
-	DestinationUnschedulable
-	// DestinationFull: the reserved room was taken by other work.
-	DestinationFull
-)
-
-// Observation is the state of a move's task and machines at one time.
-type Observation struct {
-	// The task.
-	JobOpen           bool
-	Task              jobs.State
-	Attempt           ident.Attempt
-	Machine           ident.MachineID // empty unless the task is allocated
-	TaskRunning       bool            // the task was reported as running in its present attempt
-	ReportedElsewhere bool            // a machine to which the task is not assigned reports it
-	TeamAllows        bool            // the team's limit has room for the task
-
-	// The beneficiary.
-	BeneficiaryWaiting bool // the beneficiary still waits
-	BeneficiaryPlaced  bool // the beneficiary was placed on the machine that the task leaves
-	DemandRecovered    bool // an overloaded team has recovered since the move was proposed
-
-	// The controller and the destination.
-	HasAuthority bool // the node has the authority to place tasks
-	LinksHealthy bool // no link to the zone of either machine is suspected to be broken
-	Destination  DestinationStatus
-}
-
-// endReason returns TaskCompleted or JobClosed if the task no longer needs the move, else NotEnded.
-func (o *Observation) endReason() Reason {
-	switch {
-	case o.Task == jobs.Completed:
-		return TaskCompleted
-	case !o.JobOpen:
-		return JobClosed
-	}
-	return NotEnded
-}
-
-// destinationReason returns DestinationTaken or DestinationClosed if the destination can't take the
-// task, else NotEnded.
-func (o *Observation) destinationReason() Reason {
-	switch o.Destination {
-	case DestinationReady:
-		return NotEnded
-	case DestinationFull:
-		return DestinationTaken
-	default:
-		return DestinationClosed
-	}
-}
-
-// canPlace reports whether a task that has left its machine may be placed now.
-func (o *Observation) canPlace() bool { return o.HasAuthority && !o.ReportedElsewhere }
-
 // EffectKind is a kind of action that the caller of Table.Advance carries out for a move.
 type EffectKind uint8
 
@@ -296,9 +199,6 @@
 	return effects(m, ReleaseReservation, ReportEnd)
 }
 
-// atSource reports whether the task is still in the attempt that is to be moved, on its machine.
-func (m *Move) atSource(o Observation) bool { return o.Attempt == m.Attempt && o.Machine == m.From }
-
 // advanceProposed waits for the record to become durable, then stops the task. Until then abandoning
 // the move costs nothing, so any doubt about it suffices.
 func (t *Table) advanceProposed(m *Move, now ident.MonotonicTime, o Observation) []Effect {
