--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -14,25 +14,6 @@
 	"opaldale/internal/workers"
 )
 
-const (
-	// slackShare is the fraction of the time left to the objectives within which a backlog should be
-	// completed: more jobs arrive meanwhile, and runtimes are often underestimated.
-	slackShare = 0.85
-	// minTaskTimeLeft is the shortest remaining time that a running task is expected to take, in
-	// seconds.
-	minTaskTimeLeft = 5
-	// spotPatience, in boot times, is how long work that may use spot machines waits for one
-	// before an on-demand machine is provisioned for it.
-	spotPatience = 2
-	// priceTolerance is the largest difference of prices that count as equal.
-	priceTolerance = 1e-9
-	// maxCanaries bounds the machines provisioned in an unreachable zone, which show whether new ones
-	// are reachable.
-	maxCanaries = 2
-	// amountSteps is the number of steps per CPU that roundAmount distinguishes.
-	amountSteps = 1e6
-)
-
 // autoscaler provisions and terminates machines as the work requires.
 type autoscaler struct {
 	cfg         *Config
@@ -144,5 +125,8 @@
 	return settings.Seconds(boot)
 }
 
+// amountSteps is the number of steps per CPU that roundAmount distinguishes.
+const amountSteps = 1e6
+
 // roundAmount rounds an amount of CPUs, so that decisions don't depend on the order of summation.
 func roundAmount(x float64) float64 { return math.Round(x*amountSteps) / amountSteps }
--- a/internal/fleet/batch_shortfall.go
+++ b/internal/fleet/batch_shortfall.go
@@ -8,6 +8,15 @@
 	"opaldale/internal/jobs"
 )
 
+const (
+	// slackShare is the fraction of the time left to the objectives within which a backlog should be
+	// completed: more jobs arrive meanwhile, and runtimes are often underestimated.
+	slackShare = 0.85
+	// minTaskTimeLeft is the shortest remaining time that a running task is expected to take, in
+	// seconds.
+	minTaskTimeLeft = 5
+)
+
 // batchShortfall returns the CPUs that are missing for the waiting batch jobs to meet the first of
 // their objectives, 0 if the existing and requested machines suffice. It estimates a backlog by its
 // work, before any of its jobs is late.
--- a/internal/fleet/bin_opening.go
+++ b/internal/fleet/bin_opening.go
@@ -8,6 +8,14 @@
 	"opaldale/internal/workers"
 )
 
+const (
+	// priceTolerance is the largest difference of prices that count as equal.
+	priceTolerance = 1e-9
+	// maxCanaries bounds the machines provisioned in an unreachable zone, which show whether new ones
+	// are reachable.
+	maxCanaries = 2
+)
+
 // binConstraint restricts which machines are opened.
 type binConstraint struct {
 	zone      string   // only this zone, if set
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -8,7 +8,6 @@
 	"opaldale/internal/api"
 	"opaldale/internal/cloud"
 	"opaldale/internal/ident"
-	_ "opaldale/internal/kvstoretest"
 	"opaldale/internal/workers"
 )
 
@@ -60,8 +59,8 @@
 	}
 }
 
-// TestMassSilence: most of the fleet silent at once is not fenced while no
-// peer is reachable, and only after twice the time if one is.
+// TestMassSilence: if most of the fleet is silent at once, nothing is fenced while no peer is
+// reachable; if one is, machines are fenced after twice the fence timeout.
 func TestMassSilence(t *testing.T) {
 	for _, reachable := range []bool{false, true} {
 		r := newHarness()
@@ -78,7 +77,7 @@
 	}
 }
 
-// TestStall: a node that has stalled itself gives the machines time to be heard.
+// TestStall: after a stall of its own, a node gives the machines time to report before it fences them.
 func TestStall(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
@@ -95,7 +94,7 @@
 }
 
 // TestTerminationWhileCloudIsDown: a silent machine that can't be terminated holds its
-// tasks until its lease has expired, and not for ever.
+// tasks until its lease has expired, and no longer.
 func TestTerminationWhileCloudIsDown(t *testing.T) {
 	r := newHarness()
 	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.Unavailable} }
@@ -202,9 +201,9 @@
 	r.assertOnlyDeadFenced(t, dead)
 }
 
-// TestZonePartition: machines of a zone from which no peer is heard either are not
-// fenced, since work inside goes on; nothing is placed there, and their tasks count
-// until their leases have expired. Where a peer is heard they are fenced.
+// TestZonePartition: silent machines of a zone whose peers are silent as well are not fenced, since
+// their tasks may still run; nothing is placed there, and their tasks stay allocated until their
+// leases have expired. If a peer of the zone is reachable, they are fenced.
 func TestZonePartition(t *testing.T) {
 	for _, peersSilent := range []bool{true, false} {
 		r := newHarness()
@@ -233,7 +232,7 @@
 		live(25 * time.Second)
 		if !peersSilent {
 			if lost.State != workers.Terminated {
-				t.Error("a silent machine of a zone whose peer is heard is never fenced")
+				t.Error("a silent machine of a zone with a reachable peer is never fenced")
 			}
 			continue
 		}
@@ -268,8 +267,8 @@
 	r.manager.cfg.Tuning.ScaleInDelay = 12 * time.Second
 	r.addMachines(2)
 	r.manager.ResumeFromPriorTerm()
-	// pass lets time pass while the machines send heartbeats.
-	pass := func() {
+	// runWithHeartbeats lets time pass while the machines send heartbeats.
+	runWithHeartbeats := func() {
 		for range 2 {
 			for _, w := range r.table.Sorted() {
 				if w.State == workers.Up {
@@ -289,13 +288,13 @@
 	}
 	for range 4 {
 		r.manager.RecordArrival(&api.Spec{Shape: api.Service, Tasks: 4, VCPUs: 3}, r.now)
-		pass()
+		runWithHeartbeats()
 	}
 	if n := terminated(); n > 0 {
 		t.Fatalf("%d machines are terminated while jobs arrive", n)
 	}
 	for range 12 {
-		pass()
+		runWithHeartbeats()
 	}
 	if n := terminated(); n != 2 {
 		t.Errorf("%d of 2 idle machines are terminated a minute after the last job", n)
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -7,6 +7,10 @@
 	"opaldale/internal/placement"
 )
 
+// spotPatience, in boot times, is how long work that may use spot machines waits for one before an
+// on-demand machine is provisioned for it.
+const spotPatience = 2
+
 // jobPacking packs the waiting tasks of one job.
 type jobPacking struct {
 	*scalingRun
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/workers"
 )
 
-// runSilentZone has 30 machines with replicas in a zone fall silent, for five leases, and counts
-// those that were terminated and the machines that were provisioned.
+// runSilentZone makes 30 machines with replicas in a zone silent for five lease durations, and counts
+// the machines that were terminated and those that were provisioned.
 func runSilentZone(unreachable bool) (terminated, provisioned int, r *harness) {
 	r = newReplicaHarness(30, func(int) bool { return true })
 	r.manager.cfg.ZoneUnreachable = func(string) bool { return unreachable }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,39 +15,39 @@
 
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
-// simple is the use of one machine in a simple model.
-type simple struct {
+// referenceMachine is the use of one machine in a reference model, which keeps no sums.
+type referenceMachine struct {
 	zone       string
 	cpus, used float64
 }
 
-// sharesOf returns the utilizations of the machines of a zone, of all machines if zone is empty.
-func sharesOf(model map[ident.MachineID]*simple, zone string) []float64 {
-	var shares []float64
+// utilizationsOf returns the utilizations of the machines of a zone, of all machines if zone is empty.
+func utilizationsOf(model map[ident.MachineID]*referenceMachine, zone string) []float64 {
+	var utilizations []float64
 	for _, k := range model {
 		if k.cpus > 0 && (zone == "" || k.zone == zone) {
-			shares = append(shares, k.used/k.cpus)
+			utilizations = append(utilizations, k.used/k.cpus)
 		}
 	}
-	return shares
+	return utilizations
 }
 
-// TestImbalance compares the sums that updates keep with a walk over a simple model: machines
-// come, grow, are used and go in any order.
+// TestImbalance compares the incremental sums with a computation over all machines of a reference
+// model, as machines are added, resized, used and removed in any order.
 func TestImbalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, model := New(DefaultConfig(), nil), map[ident.MachineID]*simple{}
-		host := rapid.Custom(func(t *rapid.T) ident.MachineID {
+		m, model := New(DefaultConfig(), nil), map[ident.MachineID]*referenceMachine{}
+		drawMachine := rapid.Custom(func(t *rapid.T) ident.MachineID {
 			return ident.MachineID(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "host")))
 		})
-		get := func(h ident.MachineID) *simple {
+		get := func(h ident.MachineID) *referenceMachine {
 			if model[h] == nil {
-				model[h] = &simple{}
+				model[h] = &referenceMachine{}
 			}
 			return model[h]
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			h := host.Draw(t, "machine")
+			h := drawMachine.Draw(t, "machine")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				zone := rapid.SampledFrom([]string{"east", "west"}).Draw(t, "zone")
@@ -66,32 +66,32 @@
 			}
 		}
 		for _, zone := range []string{"", "east", "west"} {
-			shares := sharesOf(model, zone)
+			utilizations := utilizationsOf(model, zone)
 			got := m.Imbalance()
 			if zone != "" {
 				got = m.ZoneImbalance(zone)
 			}
-			if want := variation(shares); math.Abs(got-want) > 1e-3*max(1, want) && want < 1e3 {
-				t.Fatalf("zone %q: %v, want %v of %v", zone, got, want, shares)
+			if want := variation(utilizations); math.Abs(got-want) > 1e-3*max(1, want) && want < 1e3 {
+				t.Fatalf("zone %q: %v, want %v of %v", zone, got, want, utilizations)
 			}
 		}
 	})
 }
 
-// variation is the coefficient of variation, by a walk.
-func variation(shares []float64) float64 {
+// variation computes the coefficient of variation.
+func variation(utilizations []float64) float64 {
 	sum := 0.0
-	for _, x := range shares {
+	for _, x := range utilizations {
 		sum += x
 	}
-	if len(shares) < 2 || sum < 1e-9 {
+	if len(utilizations) < 2 || sum < 1e-9 {
 		return 0
 	}
-	mean, square := sum/float64(len(shares)), 0.0
-	for _, x := range shares {
+	mean, square := sum/float64(len(utilizations)), 0.0
+	for _, x := range utilizations {
 		square += (x - mean) * (x - mean)
 	}
-	return math.Sqrt(square/float64(len(shares))) / mean
+	return math.Sqrt(square/float64(len(utilizations))) / mean
 }
 
 // TestAverage: after one half-life the average has gone half of a step, and setting the same level
@@ -110,7 +110,7 @@
 	}
 }
 
-// runDemand has the demand of a team follow a function of time, and returns the states of the team.
+// runDemand makes the demand of a team follow a function of time, and returns the states of the team.
 func runDemand(d time.Duration, demand func(time.Duration) float64) []DemandState {
 	var states []DemandState
 	m := New(DefaultConfig(), map[string]float64{"red": 100, "blue": 100})
@@ -133,7 +133,7 @@
 }
 
 // TestDemandStates: a flood of jobs makes a team overloaded within seconds, and it recovers some time
-// after; what lasts for a moment, or hovers between the bounds, doesn't make the state oscillate.
+// after; a short peak, or demand between the thresholds, doesn't make the state oscillate.
 func TestDemandStates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestPulsesDontOscillate: demand in short pulses makes a team overloaded or leaves it normal, and
-// changes that no more than twice; in longer ones each pulse does so once at the most.
+// TestPulsesDontOscillate: with demand in short pulses, a team changes between overloaded and normal
+// twice at the most; with longer ones, each pulse changes that twice at the most.
 func TestPulsesDontOscillate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1, 60).Draw(t, "period_s")) * time.Second
@@ -203,14 +203,14 @@
 	for _, machines := range []int{500, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
 			m := New(DefaultConfig(), nil)
-			hosts := make([]ident.MachineID, machines)
-			for i := range hosts {
-				hosts[i] = ident.MachineID(fmt.Sprintf("host-%06d", i))
-				m.SetMachine(hosts[i], "east", 16)
+			machineIDs := make([]ident.MachineID, machines)
+			for i := range machineIDs {
+				machineIDs[i] = ident.MachineID(fmt.Sprintf("host-%06d", i))
+				m.SetMachine(machineIDs[i], "east", 16)
 			}
 			i := 0
 			for b.Loop() {
-				m.AddUsage(hosts[i%machines], 1)
+				m.AddUsage(machineIDs[i%machines], 1)
 				m.Imbalance()
 				i++
 			}
--- a/internal/load/slowness_test.go
+++ b/internal/load/slowness_test.go
@@ -9,13 +9,13 @@
 	"opaldale/internal/ident"
 )
 
-// runTasks has jobs of tasks of different lengths run on machines, some of them slower by a
-// factor, and returns which are called slow.
+// runTasks records runs of jobs with tasks of different lengths on machines, some of which are slower
+// by a factor, and returns the machines that count as slow.
 func runTasks(seed uint64, machines int, factor map[int]float64) map[int]bool {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := NewSlownessEstimator()
 	slow := map[int]bool{}
-	host := func(i int) ident.MachineID { return ident.MachineID(fmt.Sprint("host-", i)) }
+	machineID := func(i int) ident.MachineID { return ident.MachineID(fmt.Sprint("host-", i)) }
 	for job := range 30 {
 		typical := 6 + 60*rng.Float64()
 		for range machines {
@@ -24,20 +24,20 @@
 			if f, ok := factor[i]; ok {
 				took *= f
 			}
-			s.RecordRun(ident.JobID(fmt.Sprint("j-", job)), "m8", host(i), time.Duration(took*float64(time.Second)))
+			s.RecordRun(ident.JobID(fmt.Sprint("j-", job)), "m8", machineID(i), time.Duration(took*float64(time.Second)))
 		}
 	}
 	for i := range machines {
-		if s.DetectSlow(host(i), machines) {
+		if s.DetectSlow(machineID(i), machines) {
 			slow[i] = true
 		}
 	}
 	return slow
 }
 
-// TestSlowMachines: a machine that takes three times as long is found among others whose tasks
-// differ by half in either direction, and no other is called slow; where many seem slow only a
-// small part is.
+// TestSlowMachines: a machine that takes three times as long is detected among others whose run times
+// vary by half in either direction, and no other counts as slow; if many seem slow, only a small
+// fraction counts.
 func TestSlowMachines(t *testing.T) {
 	for seed := range uint64(20) {
 		slow := runTasks(seed, 100, map[int]float64{7: 3})
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSlownessNeedsEvidence: few ends, short runs, runs of other types or of no peers say nothing,
-// and a machine that is gone is forgotten.
+// TestSlownessNeedsEvidence: few or short runs, and runs without comparable ones on other machines,
+// don't make a machine slow, and a removed machine is forgotten.
 func TestSlownessNeedsEvidence(t *testing.T) {
 	peers := func(s *SlownessEstimator, model string, took time.Duration) {
 		for i := range 8 {
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -27,7 +27,7 @@
 	return h, c
 }
 
-// TestHistory: moves are counted by every later term, and forgotten once their job is over.
+// TestHistory: moves are counted by every later term, and forgotten once their job is closed.
 func TestHistory(t *testing.T) {
 	s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
 	h, c := newTermHistory(t, s)
@@ -70,7 +70,7 @@
 }
 
 // TestUnreadableRecord: a record that can't be decoded bars its job and no other, and stays until the job is
-// over.
+// closed.
 func TestUnreadableRecord(t *testing.T) {
 	for _, value := range []string{`7`, `{"moves":"many"}`, `{}`, `{"moves":[]}`, `{"moves":[{"task":-1}]}`} {
 		s := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -36,8 +36,7 @@
 	}
 }
 
-// observationAt returns what is observed of a task in a state, with nothing that speaks against its
-// move.
+// observationAt returns the observation of a task in a state, with no reason to abandon its move.
 func observationAt(task jobs.State, attempt ident.Attempt, machine ident.MachineID) Observation {
 	return Observation{
 		JobOpen:            true,
@@ -75,7 +74,7 @@
 	return kinds
 }
 
-// advanceTo brings the move into a state with nothing that speaks against it.
+// advanceTo takes the move to a state without a reason to abandon it.
 func (w *moveHarness) advanceTo(s State) *moveHarness {
 	if s >= Stopping {
 		w.table.MarkRecorded(w.move)
@@ -132,7 +131,7 @@
 	return o
 }
 
-// Changes of an observation that speak against a move.
+// Changes of an observation that are reasons to abandon a move.
 var (
 	closed            = func(o *Observation) { o.JobOpen = false }
 	unauthorized      = func(o *Observation) { o.HasAuthority = false }
@@ -145,8 +144,8 @@
 	reportedElsewhere = func(o *Observation) { o.ReportedElsewhere = true }
 )
 
-// TestAbandoned: in each state, whatever ends a move ends it for its reason, and what was
-// reserved is released.
+// TestAbandoned: each reason for abandoning a move in a state ends it for that reason, and its
+// reservations are released.
 func TestAbandoned(t *testing.T) {
 	here := observationAt(jobs.Assigned, 3, source)
 	leaving := observationAt(jobs.Stopping, 3, source)
@@ -165,10 +164,10 @@
 		{"it was placed anew", Proposed, 0, observationAt(jobs.Assigned, 4, source), TaskChanged},
 		{"nothing can be recorded", Proposed, 0, with(here, unauthorized), AuthorityLost},
 		{"a link is in doubt", Proposed, 0, with(here, linkSuspected), LinkSuspected},
-		{"the destination shuts", Proposed, 0, with(here, unschedulable), DestinationClosed},
+		{"the destination is unschedulable", Proposed, 0, with(here, unschedulable), DestinationClosed},
 		{"the room is taken", Proposed, 0, with(here, full), DestinationTaken},
 		{"an overloaded team recovers", Proposed, 0, with(here, recovered), TeamRecovered},
-		{"nobody waits for it", Proposed, 0, with(here, noneWaiting), NotNeeded},
+		{"the beneficiary waits no longer", Proposed, 0, with(here, noneWaiting), NotNeeded},
 		{"the record is late", Proposed, 3 * time.Second, here, RecordOverdue},
 		{"it completes as it is stopped", Stopping, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, closed), JobClosed},
@@ -180,7 +179,7 @@
 		{"the room is taken after the stop", Stopped, 0, with(gone, full), DestinationTaken},
 		{"its team is at its limit", Stopped, 0, with(gone, atLimit), TeamAtLimit},
 		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, unauthorized), PlacementOverdue},
-		{"a machine goes on reporting it", Stopped, 6 * time.Second, with(gone, reportedElsewhere), PlacementOverdue},
+		{"another machine still reports it", Stopped, 6 * time.Second, with(gone, reportedElsewhere), PlacementOverdue},
 		{"it is placed by something else", Stopped, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
 		{"it is lost at the destination", Placing, 0, observationAt(jobs.Waiting, 4, ""), LostAtDestination},
 		{"it is placed elsewhere", Placing, 0, observationAt(jobs.Assigned, 5, "host-3"), LostAtDestination},
@@ -224,8 +223,8 @@
 	}
 }
 
-// drawObservation draws what may be seen of a move in a state: mostly what is usual, with some
-// of it changed, and now and then anything.
+// drawObservation draws an observation of a move in a state: mostly a usual one with some changes,
+// sometimes an arbitrary one.
 func drawObservation(t *rapid.T, s State) Observation {
 	usual := map[State][]Observation{
 		Proposed: {observationAt(jobs.Assigned, 3, source)},
@@ -275,9 +274,9 @@
 	}
 }
 
-// TestEffectsInAnyOrder: whatever is seen in whatever order, the task is stopped once at the most
-// and only after the record, placed only while it waits in the attempt that was stopped, and
-// what is reserved is released exactly once, in any end.
+// TestEffectsInAnyOrder: for observations in any order, the task is stopped once at the most and only
+// after the record, it is placed only while it waits in the attempt that was stopped, and the
+// reservations are released exactly once, however the move ends.
 func TestEffectsInAnyOrder(t *testing.T) {
 	ends := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestGangsGoToHolders: where the image is comes before where there is most room.
+// TestGangsGoToHolders: machines that hold the image are preferred to those with the most room.
 func TestGangsGoToHolders(t *testing.T) {
 	c := newTwoZoneCluster(6, 0)
 	first := c.submitGang(2, 2, true)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestGangsPreemptBatch: batch jobs of a lower priority make room for all of a gang at once,
-// after the time that they are given to end by themselves.
+// TestGangsPreemptBatch: batch jobs of a lower priority are preempted for all tasks of a gang at
+// once, after reclaimAfter.
 func TestGangsPreemptBatch(t *testing.T) {
 	c := newTwoZoneCluster(3, 0)
 	c.submit(api.Batch, 12, 4)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestGangsDontStarve: a gang that finds no place for long gets machines kept for it,
-// though smaller tasks would fill each gap.
+// TestGangsDontStarve: machines are reserved for a gang that has waited for long, though smaller tasks
+// would fill any room.
 func TestGangsDontStarve(t *testing.T) {
 	c := newTwoZoneCluster(2, 0)
 	c.planner.config.MaxWait = 40 * time.Second
@@ -84,7 +84,7 @@
 	}
 	c.dispatchAll()
 	j := c.submitGang(2, 16, true)
-	j.Spec.Priority = api.Standard // nothing gives way to it
+	j.Spec.Priority = api.Standard // nothing is preempted for it
 	for step := 0; step < 60 && j.AllocatedTasks == 0; step++ {
 		c.now = c.now.Add(time.Second)
 		// Each second a task ends and another comes.
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -203,8 +203,8 @@
 	})
 }
 
-// newBorrowedCluster makes a cluster that a team without a guarantee has filled, except for so many
-// CPUs of the first machine.
+// newBorrowedCluster makes a cluster that a borrower has filled, except for leftFree CPUs of the first
+// machines.
 func newBorrowedCluster(machines, leftFree int) *testCluster {
 	c := newTestCluster(0)
 	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
@@ -238,7 +238,7 @@
 	})
 }
 
-// newClusterWithHolders makes a cluster in which so many machines hold the image of the team red.
+// newClusterWithHolders makes a cluster in which a number of machines hold the image of the team red.
 func newClusterWithHolders(machines, holding int) *testCluster {
 	c := newTestCluster(0)
 	for i := range machines {
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestRecentlyPreemptedIsSpared: a task that was preempted is not the cheapest to preempt again just
-// because it has just started.
+// TestRecentlyPreemptedIsSpared: a recently preempted task is not the cheapest victim, although it has
+// just started.
 func TestRecentlyPreemptedIsSpared(t *testing.T) {
 	c := newTestCluster(1)
 	c.submit(api.Batch, 4, 4)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestGuaranteedJobIsPlacedAtOnce: all tasks of a guaranteed job take the places of others
-// in one dispatch, in a cluster with more machines than a dispatch could search for each task.
+// TestGuaranteedJobIsPlacedAtOnce: one dispatch preempts borrowers for all tasks of a guaranteed job,
+// in a cluster with more machines than a dispatch could search for each task.
 func TestGuaranteedJobIsPlacedAtOnce(t *testing.T) {
 	c := newBorrowedCluster(900, 0)
 	j := c.submitAs("red", api.Standard, 80)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestBorrowersComeLast: a place that becomes free on a machine with the image of a team
-// without a guarantee is taken by another team's task, though that must pull its image, and the
-// first team's waiting tasks are local there; that team has what is left.
+// TestBorrowersComeLast: room on a machine that holds the image of a borrower goes to another team's
+// tasks, though they must pull their image and the borrower's waiting tasks are local there. The
+// borrower gets the rest.
 func TestBorrowersComeLast(t *testing.T) {
 	c := newBorrowedCluster(2, 3)
 	j := c.submitAs("red", api.Standard, 2)
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -67,12 +67,12 @@
 	return nil
 }
 
-// AddUsage adds the resources of a task like s to its team's usage if sign is 1, and subtracts them
-// if sign is -1.
-func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
+// AddUsage adds the resources of count tasks like s to their team's usage. A negative count subtracts
+// them.
+func (ts *Teams) AddUsage(s *api.Spec, count float64) {
 	if t := ts.byName[s.Team]; t != nil {
-		t.usedVCPUs += sign * s.VCPUs
-		t.usedGPUs += sign * s.GPUs
+		t.usedVCPUs += count * s.VCPUs
+		t.usedGPUs += count * s.GPUs
 	}
 }
 
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestReservation: room that is reserved for a job goes to no other one, until the job has it, the
-// time is over, or the reservation is released.
+// TestReservation: room that is reserved for a job goes to no other one until the job is placed, the
+// reservation times out, or it is released.
 func TestReservation(t *testing.T) {
 	held := func(j *jobs.Job) bool { return j.Tasks[0].State.Allocated() }
 	c, first, other := newReservedCluster()
@@ -17,16 +17,16 @@
 	}
 	first.Tasks[0].RetryAt = 0
 	if c.planner.Dispatch(); !held(first) {
-		t.Error("the job that it is kept for has not got the room")
+		t.Error("the job that it is reserved for has not got the room")
 	}
 	if c.planner.Dispatch(); !held(other) || c.planner.IsReserved(c.machines.Sorted()[0]) {
-		t.Error("the rest of the room is kept on")
+		t.Error("the rest of the room is still reserved")
 	}
 
 	c, _, other = newReservedCluster()
 	c.now = c.now.Add(11 * time.Second)
 	if c.planner.Dispatch(); !held(other) {
-		t.Error("room is kept beyond its time")
+		t.Error("room is reserved beyond its time")
 	}
 
 	c, first, other = newReservedCluster()
@@ -36,6 +36,6 @@
 	}
 	c.planner.ReleaseReservation(c.machines.Sorted()[0], first)
 	if c.planner.Dispatch(); !held(other) {
-		t.Error("room is kept though the reservation is released")
+		t.Error("room is reserved though the reservation is released")
 	}
 }
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -106,8 +106,8 @@
 	return out
 }
 
-// TestPlan: whatever the cluster, each move pays with its margin, has room at its destination and makes
-// enough for its beneficiary; budgets are kept; and the same cluster has the same plan.
+// TestPlan: for any cluster, the gain of each move is worth its cost, the destination has room, the move
+// makes enough room for its beneficiary, the budgets are kept, and the plan is deterministic.
 func TestPlan(t *testing.T) {
 	planned := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -163,6 +163,7 @@
 	}
 }
 
+// findWaiting returns the waiting task with an ID, nil if there is none.
 func findWaiting(p *Cluster, id ident.TaskID) *WaitingTask {
 	for i := range p.Waiting {
 		if p.Waiting[i].ID == id {
@@ -267,8 +268,8 @@
 	}
 }
 
-// TestLeaveSlowMachine: a task leaves a slow machine when it ends so much sooner elsewhere that it is
-// worth the move, and only then.
+// TestLeaveSlowMachine: a task is moved off a slow machine if it ends sooner elsewhere by a gain that is
+// worth the cost, and only then.
 func TestLeaveSlowMachine(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -362,7 +363,7 @@
 	return p
 }
 
-// TestBudgets: each budget by itself bounds the moves, where all others would allow more.
+// TestBudgets: each budget bounds the moves where the others would allow more.
 func TestBudgets(t *testing.T) {
 	own := func(i int) string { return fmt.Sprint(i) }
 	same := func(int) string { return "same" }
