--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -46,7 +46,7 @@
 
 // ackResponse is the short answer about a job that is known.
 func ackResponse(v api.JobView) Response {
-	return jsonResponse(http.StatusOK, api.JobStatus{ID: v.ID, Status: v.Status})
+	return jsonResponse(http.StatusOK, api.StatusResponse{ID: v.ID, Status: v.Status})
 }
 
 func noSuchJob() Response { return errorResponse(http.StatusNotFound, "no such job") }
@@ -71,7 +71,7 @@
 	tryAgain             refusal = "try again"
 )
 
-// unavailable is the answer to a request that may succeed later.
+// unavailable is the answer to a request that may succeed later. Unlike refuse it doesn't count the refusal.
 func unavailable(reason refusal) Response {
 	r := errorResponse(http.StatusServiceUnavailable, string(reason))
 	r.RetryAfterS = failoverRetryAfterS
