--- a/cmd/opaldale/moves.go
+++ b/cmd/opaldale/moves.go
@@ -45,8 +45,8 @@
 // writeMove prints the row of a move.
 func writeMove(table io.Writer, m *controller.MoveEntry) {
 	realised := "-"
-	if m.RealisedGainS != nil {
-		realised = fmt.Sprintf("%.1f s", *m.RealisedGainS)
+	if m.RealizedGainS != nil {
+		realised = fmt.Sprintf("%.1f s", *m.RealizedGainS)
 	}
 	reason := m.Source
 	if m.For != "" {
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -39,8 +39,8 @@
 	AgeS          float64         `json:"age_s"`
 	ExpectedGainS float64         `json:"expected_gain_s"`
 	CostS         float64         `json:"cost_s"`
-	// RealisedGainS is the gain as it came about, for a move that has ended.
-	RealisedGainS *float64 `json:"realised_gain_s,omitempty"`
+	// RealizedGainS is the gain that was observed, for a move that has ended; nil before.
+	RealizedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
 
 // stateRecorded is the state listed for a move that another node carries out.
@@ -119,7 +119,7 @@
 		}
 		if move.State.Ended() {
 			gain := move.RealizedGain().Seconds()
-			entry.RealisedGainS = &gain
+			entry.RealizedGainS = &gain
 		}
 		out = append(out, entry)
 	}
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -48,7 +48,7 @@
 	MovesEnded          []migration.Outcome
 	SlowMachines        int // on which nothing more is placed
 	Reservations        int // machines on which room is reserved for a move
-	MoveRealisedSeconds float64
+	MoveRealizedSeconds float64
 }
 
 // Stats returns the node's counters.
@@ -127,5 +127,5 @@
 	stats.MovesEnded = moves.Ended
 	stats.SlowMachines = moves.SlowMachines
 	stats.Reservations = moves.Reservations
-	stats.MoveRealisedSeconds = moves.RealizedGain.Seconds()
+	stats.MoveRealizedSeconds = moves.RealizedGain.Seconds()
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -112,7 +112,7 @@
 		MovesProposed:       22,
 		MoveGainSeconds:     23.5,
 		MovesActive:         24,
-		MoveRealisedSeconds: 25.5,
+		MoveRealizedSeconds: 25.5,
 		SlowMachines:        26,
 		Reservations:        27,
 		MoveRoundsSkipped:   map[string]uint64{"settling": 28},
--- a/internal/server/load_metrics.go
+++ b/internal/server/load_metrics.go
@@ -30,7 +30,7 @@
 	movesProposed.send(ch, float64(stats.MovesProposed))
 	moveGain.send(ch, stats.MoveGainSeconds)
 	movesActive.send(ch, float64(stats.MovesActive))
-	moveRealised.send(ch, stats.MoveRealisedSeconds)
+	moveRealised.send(ch, stats.MoveRealizedSeconds)
 	slowMachines.send(ch, float64(stats.SlowMachines))
 	reservations.send(ch, float64(stats.Reservations))
 	for reason, rounds := range stats.MoveRoundsSkipped {
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -327,7 +327,7 @@
 				continue
 			}
 			arrived++
-			if *m.RealisedGainS < 0 {
+			if *m.RealizedGainS < 0 {
 				t.Errorf("seed %d: %s was moved for %s, which did not get the capacity", seed, m.Task, m.For)
 			}
 		}
--- a/internal/simulator/study_moves.go
+++ b/internal/simulator/study_moves.go
@@ -98,7 +98,7 @@
 		out.Ended[m.Reason]++
 		if m.Reason == "arrived" {
 			out.ExpectedS = append(out.ExpectedS, m.ExpectedGainS-m.CostS)
-			out.RealisedS = append(out.RealisedS, *m.RealisedGainS)
+			out.RealisedS = append(out.RealisedS, *m.RealizedGainS)
 		}
 	}
 	out.Moves, out.Violations, out.Unfinished = sim.Moves, len(sim.Violations), len(sim.Unfinished)
