--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -27,16 +27,17 @@
 	// are fewer tokens, and fewer than a full transaction takes, sending waits for tokenRefillWait.
 	minTokensPerTxn = 4
 	tokenRefillWait = 50 * time.Millisecond
-	// comparesPerMutation is how many compares the store takes for each mutation of the limit.
+	// comparesPerMutation is the number of compares that the store accepts for each mutation of its
+	// limit.
 	comparesPerMutation = 4
-	// minValueBytes is the lower bound of the values' size, whatever the store rejects.
+	// minValueBytes is the lower bound to which rejections lower the limit on the size of values.
 	minValueBytes = 256
-	// maxImmediateRejections is how many rejections in a row are followed at once by smaller
-	// transactions. Each further one is followed by a pause, up to maxRejectionPause.
+	// maxImmediateRejections is the number of rejections in a row after which smaller transactions
+	// are sent without a pause. Each further one is followed by a pause, up to maxRejectionPause.
 	maxImmediateRejections = 20
 	maxRejectionPause      = time.Minute
 	initialRejectionPause  = time.Second
-	maxPauseDoublings      = 10 // doublings after which the pause is surely the longest
+	maxPauseDoublings      = 10 // bounds the shift; the pause is maxRejectionPause by then
 )
 
 // limiter keeps transactions within the limits of the store. Mutations take tokens from a bucket
