--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -19,29 +19,29 @@
 	loseDeletes bool // transactions that delete a key are lost
 }
 
-func (s *fakeStore) Store(r kvstore.Request, f func(kvstore.Response)) {
+func (s *fakeStore) Store(request kvstore.Request, onResponse func(kvstore.Response)) {
 	s.After(time.Millisecond, func() {
-		if a, ok := s.serve(r); ok {
-			f(a)
+		if response, ok := s.serve(request); ok {
+			onResponse(response)
 		}
 	})
 }
 
-func (s *fakeStore) serve(r kvstore.Request) (kvstore.Response, bool) {
-	switch r.Op {
+func (s *fakeStore) serve(request kvstore.Request) (kvstore.Response, bool) {
+	switch request.Op {
 	case kvstore.Get:
-		return s.Get(r.Key), true
+		return s.Get(request.Key), true
 	case kvstore.GrantLease:
 		s.leaseCount++
 		return kvstore.Response{Outcome: kvstore.OK, LeaseID: s.leaseCount}, true
 	case kvstore.Txn:
-		if s.loseDeletes && r.Mutations[0].Delete != "" {
+		if s.loseDeletes && request.Mutations[0].Delete != "" {
 			return kvstore.Response{}, false
 		}
-		if failed := s.FailedKeys(r.Compares); failed != nil {
+		if failed := s.FailedKeys(request.Compares); failed != nil {
 			return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}, true
 		}
-		return s.Apply(r.Mutations), true
+		return s.Apply(request.Mutations), true
 	case kvstore.Watch:
 		return kvstore.Response{}, false // followers learn of changes by checkLeader alone
 	}
--- a/internal/election/follow.go
+++ b/internal/election/follow.go
@@ -60,11 +60,12 @@
 		e.campaign(response.Revision)
 		return
 	}
-	e.followLeader(record)
+	e.setKnownLeader(record)
 	e.watchLeader(response.Revision)
 }
 
-func (e *Elector) followLeader(record leaderRecord) {
+// setKnownLeader records the holder of the leader key, unless a leader of a later term is known.
+func (e *Elector) setKnownLeader(record leaderRecord) {
 	e.campaignDelayed = false
 	if record.Term >= e.knownLeader.Term {
 		e.knownLeader = knownLeader{leaderRecord: record}
@@ -104,7 +105,7 @@
 				e.checkLeader()
 				return
 			}
-			e.followLeader(record)
+			e.setKnownLeader(record)
 		}
 	}
 	if deleted {
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -18,9 +18,9 @@
 	kvstoretest.RequestLog
 }
 
-func (s *recordingStore) Store(r kvstore.Request, f func(kvstore.Response)) {
-	s.Record(r)
-	s.fakeStore.Store(r, f)
+func (s *recordingStore) Store(request kvstore.Request, onResponse func(kvstore.Response)) {
+	s.Record(request)
+	s.fakeStore.Store(request, onResponse)
 }
 
 // TestGoldenElection pins the requests of a node that is elected, renews its lease and steps down,
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -32,7 +32,7 @@
 
 var stateNames = [...]string{"steady", "worse", "draining", "ended"}
 
-// Reason says why a leader hands over.
+// Reason is the reason why a leader hands over.
 type Reason uint8
 
 // The reasons for a handover.
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -21,26 +21,28 @@
 		return methods
 	}
 	for _, c := range []struct {
+		name       string
 		lag        time.Duration
 		requests   int64
 		heartbeats int64
 		want       []transport.Method
 	}{
-		{0, 0, 0, kinds},
-		{500 * time.Millisecond, 0, 0, kinds[1:]},
-		{time.Second, 0, 0, kinds[2:]},
-		{time.Minute, 0, 0, kinds[3:]},
-		{0, 400, 0, kinds[1:]},
-		{0, 600, 0, kinds[2:]},
-		{0, 800, 1199, kinds[3:]},
-		{0, 0, 1200, kinds[:3]},
-		{0, 800, 1200, nil},
+		{"idle", 0, 0, 0, kinds},
+		{"lag above the limit of submissions", 500 * time.Millisecond, 0, 0, kinds[1:]},
+		{"lag above the limit of polls", time.Second, 0, 0, kinds[2:]},
+		{"lag above the limit of cancellations", time.Minute, 0, 0, kinds[3:]},
+		{"user requests at the limit of submissions", 0, 400, 0, kinds[1:]},
+		{"user requests at the limit of polls", 0, 600, 0, kinds[2:]},
+		{"user requests at the limit of cancellations", 0, 800, 1199, kinds[3:]},
+		{"heartbeats at their limit", 0, 0, 1200, kinds[:3]},
+		{"all at their limits", 0, 800, 1200, nil},
 	} {
 		a := &admission{lag: func() time.Duration { return c.lag }}
 		a.userRequestsInFlight.Store(c.requests)
 		a.heartbeatsInFlight.Store(c.heartbeats)
 		if got := admitted(a); !slices.Equal(got, c.want) {
-			t.Errorf("lag %v, %d and %d in flight: admits %v, want %v", c.lag, c.requests, c.heartbeats, got, c.want)
+			t.Errorf("%s: lag %v, %d and %d in flight: admits %v, want %v",
+				c.name, c.lag, c.requests, c.heartbeats, got, c.want)
 		}
 	}
 }
