--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,5 +19,5 @@
 	for i, c := range r.calls {
 		d.Add(fmt.Sprintf("request %d", i), string(api.JSON(c)))
 	}
-	d.Compare(t, "rentals")
+	d.Compare(t, "provision_requests")
 }
--- a/internal/placement/asm1_test.go
+++ b/internal/placement/asm1_test.go
@@ -43,7 +43,7 @@
 	return
 }
 
-// bruteForceBest tries every assignment.
+// bruteForceBest returns the least largest load and the least total excess of all assignments.
 func bruteForceBest(g [][]int32, tasks, placed int) (largest, excess int) {
 	holders := make([][]int, tasks)
 	for m, list := range g {
@@ -56,8 +56,8 @@
 	var try func(int)
 	try = func(t int) {
 		if t == tasks {
-			l, e := loadStats(load, placed)
-			largest, excess = min(largest, l), min(excess, e)
+			currentLargest, currentExcess := loadStats(load, placed)
+			largest, excess = min(largest, currentLargest), min(excess, currentExcess)
 			return
 		}
 		if len(holders[t]) == 0 {
@@ -73,7 +73,7 @@
 	return
 }
 
-// referenceASM1 is the algorithm as the paper has it, over single tasks.
+// referenceASM1 is the algorithm as given in the paper, over single tasks.
 func referenceASM1(n int, machines [][]int32) []int32 {
 	owner := make([]int32, n)
 	for i := range owner {
@@ -187,13 +187,13 @@
 				placed++
 			}
 		}
-		l, e := loadStats(machineLoads(t, g, owner), placed)
-		bl, be := loadStats(machineLoads(t, g, referenceASM1(tasks, g)), placed)
+		largest, excess := loadStats(machineLoads(t, g, owner), placed)
+		bestLargest, bestExcess := loadStats(machineLoads(t, g, referenceASM1(tasks, g)), placed)
 		if small {
-			bl, be = bruteForceBest(g, tasks, placed)
+			bestLargest, bestExcess = bruteForceBest(g, tasks, placed)
 		}
-		if l != bl || e != be {
-			t.Fatalf("%d tasks, %v: largest %d, excess %d; best %d, %d", tasks, gs, l, e, bl, be)
+		if largest != bestLargest || excess != bestExcess {
+			t.Fatalf("%d tasks, %v: largest %d, excess %d; best %d, %d", tasks, gs, largest, excess, bestLargest, bestExcess)
 		}
 	}
 }
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -43,11 +43,12 @@
 	return ts
 }
 
-// The errors of Teams.Validate. Their texts are sent to the user who submitted the job.
+// The errors of Teams.Validate. Their texts are part of the API: they are sent to the client that
+// submitted the job.
 var (
-	// ErrUnknownTeam says that the settings have no such team.
+	// ErrUnknownTeam is returned for a job of a team that is not in the settings.
 	ErrUnknownTeam = errors.New("desk: unknown team")
-	// ErrOverQuota says that the job needs more than its team may ever use.
+	// ErrOverQuota is returned for a job that needs more than its team's limit.
 	ErrOverQuota = errors.New("desk: over the team's limit")
 )
 
