--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -60,7 +60,7 @@
 		if z.isPartitioned(zone, contact, now) {
 			z.partitioned[zone] = true
 			if !previous[zone] {
-				slog.Info("zone partitioned: no machine or peer is heard", "zone", zone, "machines", contact.expected)
+				slog.Info("zone partitioned: all machines and peers are silent", "zone", zone, "machines", contact.expected)
 			}
 		} else if previous[zone] {
 			// Its machines report one after the other, as their pending calls time out.
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -219,7 +219,7 @@
 }
 
 // expectedWait estimates how much longer a task waits for room on a machine without a move: until
-// enough tasks there have ended by themselves, or a machine has booted.
+// enough tasks there have completed, or a machine has booted.
 func (p *planner) expectedWait(w *WaitingTask, m *Machine) time.Duration {
 	wait := unknownWait
 	free := m.Free
