--- a/cmd/opaldale/moves_test.go
+++ b/cmd/opaldale/moves_test.go
@@ -13,8 +13,20 @@
 func TestMovesCommand(t *testing.T) {
 	gain := 12.5
 	report := controller.MoveReport{Node: "agent-1", Mode: "move", Leader: true, Moves: []controller.MoveEntry{
-		{Task: "j-000012/3", Team: "vision", From: "host-000004", To: "host-000009", For: "j-000031/0", Source: "makes room",
-			State: "running", Reason: "arrived", AgeS: 7, ExpectedGainS: 20, CostS: 4, RealizedGainS: &gain},
+		{
+			Task:          "j-000012/3",
+			Team:          "vision",
+			From:          "host-000004",
+			To:            "host-000009",
+			For:           "j-000031/0",
+			Source:        "makes room",
+			State:         "running",
+			Reason:        "arrived",
+			AgeS:          7,
+			ExpectedGainS: 20,
+			CostS:         4,
+			RealizedGainS: &gain,
+		},
 		{Task: "j-000013/0", From: "host-000005", To: "host-000006", Source: "leaves a slow machine", State: "stopping"}}}
 	run := runAgainst(t, &fakeNode{path: "/moves", status: http.StatusOK, report: &report}, movesCommand)
 	out, err := run()
--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -17,8 +17,10 @@
 // floodCommand returns the command that studies a flood by one team.
 func floodCommand() *cobra.Command {
 	var seeds int
-	cmd := &cobra.Command{Use: "flood", Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing",
-		Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   "flood",
+		Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -34,7 +36,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
 	return cmd
 }
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -62,8 +62,10 @@
 // linksCommand returns the command that studies broken links.
 func linksCommand() *cobra.Command {
 	var seeds int
-	cmd := &cobra.Command{Use: "links", Short: "Break each directed link of a leader, with the view of links off and on",
-		Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   "links",
+		Short: "Break each directed link of a leader, with the view of links off and on",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -71,15 +73,19 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			for _, s := range []linkStudy{
 				{name: "broken for a minute", duration: time.Minute},
-				{name: "flapping for ten minutes, down for 2.4 of every 4 s", duration: 10 * time.Minute,
-					period: 4 * time.Second},
+				{
+					name:     "flapping for ten minutes, down for 2.4 of every 4 s",
+					duration: 10 * time.Minute,
+					period:   4 * time.Second,
+				},
 			} {
 				if err := s.run(cmd.OutOrStdout(), seeds); err != nil {
 					return err
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
 	return cmd
 }
--- a/cmd/study/main.go
+++ b/cmd/study/main.go
@@ -9,8 +9,12 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "study", Short: "Measure in simulated time, over many seeds", SilenceUsage: true,
-		SilenceErrors: true}
+	root := &cobra.Command{
+		Use:           "study",
+		Short:         "Measure in simulated time, over many seeds",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	root.AddCommand(linksCommand(), floodCommand(), movesCommand(), replayCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "study:", err)
--- a/cmd/study/moves.go
+++ b/cmd/study/moves.go
@@ -40,8 +40,10 @@
 func movesCommand() *cobra.Command {
 	var seeds int
 	var recordPath, plotPath string
-	cmd := &cobra.Command{Use: "moves", Short: "Have wide tasks come to a fragmented fleet, with moves off and on",
-		Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   "moves",
+		Short: "Have wide tasks come to a fragmented fleet, with moves off and on",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return fmt.Errorf("seeds: must be at least 1")
@@ -60,7 +62,8 @@
 				return plotMoves(plotPath, outcomes)
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
 	cmd.Flags().StringVar(&recordPath, "record", "", "file for the outcomes, as JSON")
 	cmd.Flags().StringVar(&plotPath, "plot", "", "file for a plot of the waits of wide tasks, .png or .svg")
--- a/cmd/study/replay.go
+++ b/cmd/study/replay.go
@@ -18,7 +18,9 @@
 func replayCommand() *cobra.Command {
 	var seed uint64
 	var days int
-	cmd := &cobra.Command{Use: "replay", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   "replay",
+		Args:  cobra.NoArgs,
 		Short: "Print a digest of all that the controllers send on days of trouble, to compare builds",
 		Long: "Replay plays days of the stand-in world, of a kind that follows from the seed, and prints a line for each: its\n" +
 			"seed, its kind, and a SHA-256 of all that the controllers send and answer, in order. Two builds that print the\n" +
@@ -29,7 +31,8 @@
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			return replay(cmd.OutOrStdout(), seed, days)
-		}}
+		},
+	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the first day")
 	cmd.Flags().IntVar(&days, "days", 1, "how many days are played, each with the seed after that of the day before")
 	return cmd
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -17,8 +17,17 @@
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
 	c := NewClient("cloud:1", transport)
-	allFields := Request{Op: Provision, RequestID: "opaldale-7-8", Model: "g8", Zone: "east", Spot: true, Count: 9,
-		MachineIDs: []ident.MachineID{"host-1"}, StartAfter: "host-2", NotAfter: 10}
+	allFields := Request{
+		Op:         Provision,
+		RequestID:  "opaldale-7-8",
+		Model:      "g8",
+		Zone:       "east",
+		Spot:       true,
+		Count:      9,
+		MachineIDs: []ident.MachineID{"host-1"},
+		StartAfter: "host-2",
+		NotAfter:   10,
+	}
 	onDemand := Request{Op: Provision, RequestID: "opaldale-7-9", Model: "g8", Zone: "east", Count: 1}
 	for _, testCase := range []struct {
 		name    string
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -91,8 +91,13 @@
 		s := goldenStore{newRecordingStore(t, ident.MonotonicTime(9*time.Hour), 16<<10)}
 		c := s.lead(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
-			w := c.leader.workers.Add(workers.MachineInfo{ID: h, Model: "m8", Zone: []string{"a", "a", "b", "a"}[i], Spot: i == 3,
-				CreatedAt: s.Time.Add(-time.Duration(i) * time.Hour)})
+			w := c.leader.workers.Add(workers.MachineInfo{
+				ID:        h,
+				Model:     "m8",
+				Zone:      []string{"a", "a", "b", "a"}[i],
+				Spot:      i == 3,
+				CreatedAt: s.Time.Add(-time.Duration(i) * time.Hour),
+			})
 			if i != 1 {
 				c.leader.workers.HandleHeartbeat(&api.Heartbeat{
 					MachineID:      h,
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -340,8 +340,16 @@
 		r := newHarness()
 		r.trackTasks()
 		r.addMachines(2)
-		backlog := r.submit(&api.Spec{ID: "j-1", Team: team, Shape: api.Batch, Priority: api.BestEffort, Tasks: 60, VCPUs: 1,
-			Spot: true, RuntimeS: 100})
+		backlog := r.submit(&api.Spec{
+			ID:       "j-1",
+			Team:     team,
+			Shape:    api.Batch,
+			Priority: api.BestEffort,
+			Tasks:    60,
+			VCPUs:    1,
+			Spot:     true,
+			RuntimeS: 100,
+		})
 		for i := range 16 {
 			r.jobs.Place(&backlog.Tasks[i], machineID(i/8), 1, func() {})
 		}
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -100,8 +100,16 @@
 		r.workers.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
 		r.heartbeat(i)
 	}
-	spec := &api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Priority: api.High, Tasks: 3, VCPUs: 1,
-		CheckpointEveryS: 20, CheckpointS: 3}
+	spec := &api.Spec{
+		ID:               "j-1",
+		Team:             "red",
+		Shape:            api.Gang,
+		Priority:         api.High,
+		Tasks:            3,
+		VCPUs:            1,
+		CheckpointEveryS: 20,
+		CheckpointS:      3,
+	}
 	r.job = r.jobs.Add(spec, func() {}, nil)
 	r.run()
 	return r
@@ -113,8 +121,16 @@
 func (r *harness) heartbeat(machine int, tasks ...api.TaskReport) *api.HeartbeatResponse {
 	r.sequence++
 	id := machineID(machine)
-	return r.workers.HandleHeartbeat(&api.Heartbeat{MachineID: id, Addr: string(id), Model: "m8", Zone: "east",
-		Incarnation: 1, SequenceNumber: r.sequence, FencingToken: ident.MakeFencingToken(3, 0), Tasks: tasks})
+	return r.workers.HandleHeartbeat(&api.Heartbeat{
+		MachineID:      id,
+		Addr:           string(id),
+		Model:          "m8",
+		Zone:           "east",
+		Incarnation:    1,
+		SequenceNumber: r.sequence,
+		FencingToken:   ident.MakeFencingToken(3, 0),
+		Tasks:          tasks,
+	})
 }
 
 func (r *harness) taskReport(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -46,9 +46,22 @@
 func runScript(k *fakeStore, tb *Table, c *commit.Committer) {
 	zone, deadline := "east", 90.5
 	add := func(id string, shape api.Shape, tasks int) *Job {
-		s := &api.Spec{ID: ident.JobID(id), Class: "lane", Team: "red", Shape: shape, Priority: api.High, Tasks: tasks,
-			VCPUs: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 0.5,
-			Models: []string{"m8"}, Zone: &zone, DeadlineS: &deadline, RuntimeS: 30}
+		s := &api.Spec{
+			ID:        ident.JobID(id),
+			Class:     "lane",
+			Team:      "red",
+			Shape:     shape,
+			Priority:  api.High,
+			Tasks:     tasks,
+			VCPUs:     1.5,
+			MemoryGB:  2,
+			Image:     "img-1",
+			ImageGB:   0.5,
+			Models:    []string{"m8"},
+			Zone:      &zone,
+			DeadlineS: &deadline,
+			RuntimeS:  30,
+		}
 		j := tb.Add(s, func() {}, nil)
 		k.Settle(c)
 		return j
--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -45,8 +45,12 @@
 	if capacity == 0 {
 		capacity = zoneCapacity
 	}
-	return &provider{cluster: c, capacity: capacity, provisioned: map[string][]ident.MachineID{},
-		machines: map[ident.MachineID]*machine{}}
+	return &provider{
+		cluster:     c,
+		capacity:    capacity,
+		provisioned: map[string][]ident.MachineID{},
+		machines:    map[ident.MachineID]*machine{},
+	}
 }
 
 func (p *provider) handler() http.Handler {
@@ -59,9 +63,17 @@
 }
 
 func (p *provider) catalog(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{SKU: machineType, VCPUs: machineCPUs, MemoryGB: 32,
+	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{
+		SKU:         machineType,
+		VCPUs:       machineCPUs,
+		MemoryGB:    32,
 		LocalDiskGB: 20,
-		PullGBPerS:  1, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 1, Zones: zones}}})
+		PullGBPerS:  1,
+		HourlyPrice: 1,
+		SpotPrice:   0.4,
+		StartupS:    1,
+		Zones:       zones,
+	}}})
 }
 
 func (p *provider) provisionMachines(w http.ResponseWriter, r *http.Request) {
@@ -145,8 +157,14 @@
 		if id <= since {
 			continue
 		}
-		l := cloud.ListedMachine{ID: id, Model: machineType, Zone: m.zone, Spot: m.spot, Status: "booting",
-			AgeS: time.Since(m.createdAt).Seconds()}
+		l := cloud.ListedMachine{
+			ID:     id,
+			Model:  machineType,
+			Zone:   m.zone,
+			Spot:   m.spot,
+			Status: "booting",
+			AgeS:   time.Since(m.createdAt).Seconds(),
+		}
 		if m.worker != nil {
 			l.Status, l.Addr = "running", m.worker.addr
 		}
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -71,8 +71,13 @@
 
 // Start starts a cluster.
 func Start(o Options) (*Cluster, error) {
-	c := &Cluster{Network: NewNetwork(), Recorder: newRecorder(), parties: map[string]string{}, jobs: map[ident.JobID]Workload{},
-		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	c := &Cluster{
+		Network:  NewNetwork(),
+		Recorder: newRecorder(),
+		parties:  map[string]string{},
+		jobs:     map[ident.JobID]Workload{},
+		client:   &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 	c.provider = newProvider(c, o.ZoneCapacity)
 	kv := newStore()
 	kv.onChange = c.Recorder.recordChange
@@ -137,16 +142,25 @@
 			return err
 		}
 		n := &node{name: fmt.Sprintf("agent-%d", i), settings: &settings.Settings{
-			Zone: zones[i%len(zones)], Bind: bind, TransportAddr: transportAddr, Endpoints: settings.Endpoints{Cloud: cloudAddr,
+			Zone:          zones[i%len(zones)],
+			Bind:          bind,
+			TransportAddr: transportAddr,
+			Endpoints: settings.Endpoints{Cloud: cloudAddr,
 				Store: storeAddr},
 			Tuning: settings.DefaultTuning(),
 			Cluster: settings.Cluster{
-				Nodes: nodes, Zones: zones, ClockErrorBoundMS: 100,
-				Teams:   []settings.Team{{Name: "red", CPUs: 40, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 60}},
-				Workers: settings.WorkerTimes{HeartbeatS: 0.5, LeaseS: 8, CancelS: 20, GangWaitS: 5, GangPeerS: 1},
-				Store:   settings.StoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 24},
-				Cloud:   settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.NodeResources{Cores: 1, MemoryMB: 512,
-					Sockets: 1000},
+				Nodes:             nodes,
+				Zones:             zones,
+				ClockErrorBoundMS: 100,
+				Teams:             []settings.Team{{Name: "red", CPUs: 40, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 60}},
+				Workers:           settings.WorkerTimes{HeartbeatS: 0.5, LeaseS: 8, CancelS: 20, GangWaitS: 5, GangPeerS: 1},
+				Store:             settings.StoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 24},
+				Cloud:             settings.CloudLimits{RPS: 20, ListLagS: 1},
+				Resources: settings.NodeResources{
+					Cores:    1,
+					MemoryMB: 512,
+					Sockets:  1000,
+				},
 			},
 		}}
 		n.settings.Node = ident.NodeID(n.name)
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -51,11 +51,22 @@
 // spec returns an array of a team.
 func (f *fleet) spec(team string, tasks int, cpus, runtime float64) api.Spec {
 	f.next++
-	return api.Spec{ID: ident.JobID(fmt.Sprintf("j-%06d", f.next)), Class: "render", Team: team, Shape: api.Batch,
-		Priority: api.Standard,
-		Tasks:    tasks, VCPUs: cpus, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, RuntimeS: runtime,
+	return api.Spec{
+		ID:               ident.JobID(fmt.Sprintf("j-%06d", f.next)),
+		Class:            "render",
+		Team:             team,
+		Shape:            api.Batch,
+		Priority:         api.Standard,
+		Tasks:            tasks,
+		VCPUs:            cpus,
+		MemoryGB:         1,
+		Image:            "img-0",
+		ImageGB:          0.1,
+		Spot:             true,
+		RuntimeS:         runtime,
 		CheckpointEveryS: 1,
-		CheckpointS:      0.1}
+		CheckpointS:      0.1,
+	}
 }
 
 // askUntil asks nodes in turn until one gives an accepted answer.
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -36,10 +36,21 @@
 
 // run runs the user. rng is used by no one else.
 func (u *user) run(c *Cluster, rng *rand.Rand, nodes int) {
-	spec := api.Spec{ID: u.id, Class: "render", Team: []string{"red", "blue"}[rng.IntN(2)], Shape: api.Batch,
+	spec := api.Spec{
+		ID:       u.id,
+		Class:    "render",
+		Team:     []string{"red", "blue"}[rng.IntN(2)],
+		Shape:    api.Batch,
 		Priority: api.Standard,
-		Tasks:    u.tasks, VCPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d",
-			rng.IntN(3)), ImageGB: 0.1, Spot: rng.IntN(2) == 0, RuntimeS: 1}
+		Tasks:    u.tasks,
+		VCPUs:    1,
+		MemoryGB: 1,
+		Image: fmt.Sprintf("img-%d",
+			rng.IntN(3)),
+		ImageGB:  0.1,
+		Spot:     rng.IntN(2) == 0,
+		RuntimeS: 1,
+	}
 	duration := time.Duration(300+rng.IntN(1500)) * time.Millisecond
 	end := time.Now().Add(userTimeout)
 	for !u.accepted && time.Now().Before(end) {
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -99,8 +99,12 @@
 		} else {
 			delete(s.entries, c.Delete)
 		}
-		s.history = append(s.history, kvstore.WatchEvent{Put: c.Put, Value: c.Value, Delete: c.Delete,
-			Revision: s.revision})
+		s.history = append(s.history, kvstore.WatchEvent{
+			Put:      c.Put,
+			Value:    c.Value,
+			Delete:   c.Delete,
+			Revision: s.revision,
+		})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -54,9 +54,17 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{cluster: c, id: id, zone: zone, spot: spot, addr: listener.Addr().String(), incarnation: 1,
+	w := &worker{
+		cluster:        c,
+		id:             id,
+		zone:           zone,
+		spot:           spot,
+		addr:           listener.Addr().String(),
+		incarnation:    1,
 		leaseRenewedAt: time.Now(),
-		tasks:          map[taskKey]*task{}, heartbeatNow: make(chan struct{}, 1)}
+		tasks:          map[taskKey]*task{},
+		heartbeatNow:   make(chan struct{}, 1),
+	}
 	// The machines of a zone are one end of a link.
 	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
@@ -131,8 +139,17 @@
 // buildHeartbeat returns a heartbeat with the present status. Called with the lock.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
-	r := &api.Heartbeat{MachineID: w.id, Addr: w.addr, Model: machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation,
-		SequenceNumber: w.sequence, FencingToken: w.token, Tasks: []api.TaskReport{}}
+	r := &api.Heartbeat{
+		MachineID:      w.id,
+		Addr:           w.addr,
+		Model:          machineType,
+		Zone:           w.zone,
+		Spot:           w.spot,
+		Incarnation:    w.incarnation,
+		SequenceNumber: w.sequence,
+		FencingToken:   w.token,
+		Tasks:          []api.TaskReport{},
+	}
 	for k, t := range w.tasks {
 		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: k.task, Attempt: k.attempt, Status: t.status, Cause: t.cause})
 	}
--- a/internal/simulator/arrivals.go
+++ b/internal/simulator/arrivals.go
@@ -49,9 +49,20 @@
 func (sim *Simulation) drawSpec() api.Spec {
 	sim.lastJobNumber++
 	r := sim.rng
-	s := api.Spec{ID: sim.jobID(), Class: jobClass, Team: sim.settings.Teams[r.IntN(3)].Name, Shape: api.Batch,
-		Priority: api.Standard, Tasks: 1 + r.IntN(6), VCPUs: float64(1 + r.IntN(4)), MemoryGB: 2,
-		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1.5, Spot: r.IntN(3) > 0, RuntimeS: 20}
+	s := api.Spec{
+		ID:       sim.jobID(),
+		Class:    jobClass,
+		Team:     sim.settings.Teams[r.IntN(3)].Name,
+		Shape:    api.Batch,
+		Priority: api.Standard,
+		Tasks:    1 + r.IntN(6),
+		VCPUs:    float64(1 + r.IntN(4)),
+		MemoryGB: 2,
+		Image:    fmt.Sprintf("img-%d", r.IntN(3)),
+		ImageGB:  1.5,
+		Spot:     r.IntN(3) > 0,
+		RuntimeS: 20,
+	}
 	sim.drawZoneConstraint(&s)
 	if r.IntN(3) == 0 && sim.activeReplicas(s.Team) < maxReplicas {
 		s.Shape, s.Priority, s.Spot, s.RuntimeS = api.Service, api.Critical, false, 0
@@ -125,9 +136,20 @@
 		return
 	}
 	sim.lastJobNumber++
-	s := api.Spec{ID: sim.jobID(), Class: jobClass, Team: "red", Shape: api.Batch,
+	s := api.Spec{
+		ID:       sim.jobID(),
+		Class:    jobClass,
+		Team:     "red",
+		Shape:    api.Batch,
 		Priority: api.Standard,
-		Tasks:    2, VCPUs: 2, MemoryGB: 2, Image: "img-0", ImageGB: 1.5, Spot: true, RuntimeS: 10}
+		Tasks:    2,
+		VCPUs:    2,
+		MemoryGB: 2,
+		Image:    "img-0",
+		ImageGB:  1.5,
+		Spot:     true,
+		RuntimeS: 10,
+	}
 	runs := 10 * time.Second
 	if sim.lastJobNumber%40 == 20 {
 		s.Tasks, s.VCPUs, s.RuntimeS, runs = 3, 7.5, 30, 30*time.Second
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -38,9 +38,21 @@
 )
 
 func newProvider(sim *Simulation) *provider {
-	return &provider{sim: sim, provisioned: map[string][]ident.MachineID{},
-		models: []cloud.MachineType{{SKU: machineModel, VCPUs: 8, MemoryGB: 32, LocalDiskGB: 4, PullGBPerS: 1, HourlyPrice: 1,
-			SpotPrice: 0.4, StartupS: 6, Zones: []string{"east", "west"}}}}
+	return &provider{
+		sim:         sim,
+		provisioned: map[string][]ident.MachineID{},
+		models: []cloud.MachineType{{
+			SKU:         machineModel,
+			VCPUs:       8,
+			MemoryGB:    32,
+			LocalDiskGB: 4,
+			PullGBPerS:  1,
+			HourlyPrice: 1,
+			SpotPrice:   0.4,
+			StartupS:    6,
+			Zones:       []string{"east", "west"},
+		}},
+	}
 }
 
 // zoneCapacity returns how many machines of a zone and kind (spot or not) there are.
@@ -121,8 +133,15 @@
 		if m.bootedAt > 0 && m.bootedAt <= at {
 			status = cloud.InstanceRunning
 		}
-		out = append(out, cloud.ListedMachine{ID: m.id, Addr: string(m.id), Model: machineModel, Zone: m.zone, Spot: m.spot,
-			Status: status, AgeS: at.Sub(m.createdAt).Seconds()})
+		out = append(out, cloud.ListedMachine{
+			ID:     m.id,
+			Addr:   string(m.id),
+			Model:  machineModel,
+			Zone:   m.zone,
+			Spot:   m.spot,
+			Status: status,
+			AgeS:   at.Sub(m.createdAt).Seconds(),
+		})
 	}
 	return out
 }
@@ -130,8 +149,13 @@
 // provision provisions a machine, which boots within seconds unless a fault delays or prevents it.
 func (p *provider) provision(r cloud.Request) ident.MachineID {
 	sim := p.sim
-	m := &machine{id: ident.MachineID(fmt.Sprintf(machinePrefix+"%06d", len(p.machines)+1)), zone: r.Zone, spot: r.Spot,
-		createdAt: sim.now, neverBoots: sim.rng.IntN(40) == 0}
+	m := &machine{
+		id:         ident.MachineID(fmt.Sprintf(machinePrefix+"%06d", len(p.machines)+1)),
+		zone:       r.Zone,
+		spot:       r.Spot,
+		createdAt:  sim.now,
+		neverBoots: sim.rng.IntN(40) == 0,
+	}
 	p.machines = append(p.machines, m)
 	boot := p.drawBootTime(m)
 	if !m.neverBoots {
--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -49,12 +49,19 @@
 // clusterSettings returns the settings of the cluster.
 func (c Config) clusterSettings() settings.Cluster {
 	s := settings.Cluster{
-		Nodes: cmp.Or(c.Nodes, defaultNodes), Zones: []string{"east", "west"}, ClockErrorBoundMS: 200,
+		Nodes:             cmp.Or(c.Nodes, defaultNodes),
+		Zones:             []string{"east", "west"},
+		ClockErrorBoundMS: 200,
 		Teams: []settings.Team{{Name: "red", CPUs: 12, CPUsMax: 28}, {Name: "blue", CPUs: 8, CPUsMax: 20},
 			{Name: "grey", CPUs: 0, CPUsMax: 16}, {Name: borrowers}},
 		Workers: settings.WorkerTimes{HeartbeatS: 3, LeaseS: 20, CancelS: 42, GangWaitS: 20, GangPeerS: 4},
-		Store: settings.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16,
-			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 60, ValueKB: 2, TxnOps: 5}},
+		Store: settings.StoreLimits{
+			RPS:       200,
+			WriteRPS:  80,
+			ValueKB:   16,
+			TxnOps:    16,
+			Announced: &settings.AnnouncedStoreLimits{WriteRPS: 60, ValueKB: 2, TxnOps: 5},
+		},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 4},
 		Resources: settings.NodeResources{Cores: 1, MemoryMB: 256, Sockets: 1000},
 	}
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -184,8 +184,14 @@
 // TestRecordingChangesNothing: a run is the same whether it is recorded or not.
 func TestRecordingChangesNothing(t *testing.T) {
 	t.Parallel()
-	cfg := Config{Seed: 6, Faults: true, ConcurrentFaults: true, LinkMonitoring: true, ActiveDuration: 120 * time.Second,
-		QuiescentDuration: replayQuiescence}
+	cfg := Config{
+		Seed:              6,
+		Faults:            true,
+		ConcurrentFaults:  true,
+		LinkMonitoring:    true,
+		ActiveDuration:    120 * time.Second,
+		QuiescentDuration: replayQuiescence,
+	}
 	plain := New(cfg)
 	plain.Run()
 	cfg.Digest = NewDigest()
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -22,8 +22,19 @@
 	}
 	n := sim.randomNode()
 	sim.lastJobNumber++
-	s := api.Spec{ID: ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)), Class: jobClass, Team: "red", Shape: api.Batch,
-		Priority: api.Standard, Tasks: 1, VCPUs: 1, MemoryGB: 2, Image: "img-0", ImageGB: 1, RuntimeS: 5}
+	s := api.Spec{
+		ID:       ident.JobID(fmt.Sprintf("j-8%05d", sim.lastJobNumber)),
+		Class:    jobClass,
+		Team:     "red",
+		Shape:    api.Batch,
+		Priority: api.Standard,
+		Tasks:    1,
+		VCPUs:    1,
+		MemoryGB: 2,
+		Image:    "img-0",
+		ImageGB:  1,
+		RuntimeS: 5,
+	}
 	switch sim.rng.IntN(5) {
 	case 0:
 		s.VCPUs = 9
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -40,8 +40,13 @@
 func TestRollingUpgradeUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
-		sim := New(Config{Seed: seed, RollingUpgrade: true, Faults: seed%4 > 0, MoreGangs: true,
-			ActiveDuration: 300 * time.Second})
+		sim := New(Config{
+			Seed:           seed,
+			RollingUpgrade: true,
+			Faults:         seed%4 > 0,
+			MoreGangs:      true,
+			ActiveDuration: 300 * time.Second,
+		})
 		sim.Run()
 		requireClean(t, sim)
 		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
@@ -63,9 +68,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				sim := New(Config{Seed: seed, Mutation: m, Faults: seed > 0, MoreGangs: true,
+				sim := New(Config{
+					Seed:      seed,
+					Mutation:  m,
+					Faults:    seed > 0,
+					MoreGangs: true,
 					RollingUpgrade: m == RaiseFormatEarly ||
-						m == WriteNewFieldsEarly, ActiveDuration: 250 * time.Second})
+						m == WriteNewFieldsEarly,
+					ActiveDuration: 250 * time.Second,
+				})
 				if sim.Run(); len(sim.Violations) > 0 {
 					t.Logf("seed %d: %v", seed, sim.Violations)
 					return
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -18,8 +18,13 @@
 // partition of a zone, and all work ends.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
-	sim := New(Config{Seed: 1, ActiveDuration: 150 * time.Second, QuiescentDuration: 110 * time.Second, NoArrivals: true,
-		FleetSize: largeFleet})
+	sim := New(Config{
+		Seed:              1,
+		ActiveDuration:    150 * time.Second,
+		QuiescentDuration: 110 * time.Second,
+		NoArrivals:        true,
+		FleetSize:         largeFleet,
+	})
 	sim.scheduleAt(1, func() {
 		for range 90 {
 			sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Spot = 50, 7, true }, 60*time.Second)
@@ -68,8 +73,15 @@
 	for _, name := range []string{"red", "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: 8 * largeFleet, CPUsMax: 8 * largeFleet})
 	}
-	sim := New(Config{Seed: 1, Rebalance: settings.RebalanceMove, Teams: teams, ActiveDuration: 150 * time.Second,
-		QuiescentDuration: 250 * time.Second, NoArrivals: true, FleetSize: largeFleet})
+	sim := New(Config{
+		Seed:              1,
+		Rebalance:         settings.RebalanceMove,
+		Teams:             teams,
+		ActiveDuration:    150 * time.Second,
+		QuiescentDuration: 250 * time.Second,
+		NoArrivals:        true,
+		FleetSize:         largeFleet,
+	})
 	sim.scheduleAt(1, func() {
 		for range fragmented {
 			j := sim.submitJob(makeNarrow, firstTaskDuration)
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -212,7 +212,8 @@
 		maxEvents: map[eventName]int{handoverAnnouncedEvent: 0},
 	},
 	{
-		name: "two nodes", nodes: 2,
+		name:  "two nodes",
+		nodes: 2,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, machines, false, faultDuration)
@@ -222,7 +223,8 @@
 		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "two nodes, link between them broken in one direction", nodes: 2,
+		name:  "two nodes, link between them broken in one direction",
+		nodes: 2,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, sim.nodeOtherThan(l).name, false, faultDuration)
@@ -233,7 +235,8 @@
 		minEvents: map[eventName]int{linkBrokenEvent: 1},
 	},
 	{
-		name: "five nodes, two down and one partitioned", nodes: 5,
+		name:  "five nodes, two down and one partitioned",
+		nodes: 5,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(faultAt, func(l *node) {
 				b := sim.nodeOtherThan(l)
@@ -249,7 +252,9 @@
 		minEvents: map[eventName]int{handoverAnnouncedEvent: 1, leaderReplacedEvent: 1},
 	},
 	{
-		name: "rolling upgrade with legacy leaders", rollingUpgrade: true, length: 260 * time.Second,
+		name:           "rolling upgrade with legacy leaders",
+		rollingUpgrade: true,
+		length:         260 * time.Second,
 		inject: func(sim *Simulation) {
 			sim.withLeaderAt(70, func(l *node) { sim.disconnectOneWay(l.name, machines, false, 20*time.Second) })
 			sim.scheduleAt(200, func() {
@@ -332,8 +337,15 @@
 	if c.length == 0 {
 		c.length = 200 * time.Second
 	}
-	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, Nodes: c.nodes, RollingUpgrade: c.rollingUpgrade,
-		NoArrivals: true, ActiveDuration: c.length})
+	sim := New(Config{
+		Seed:           seed,
+		Mutation:       m,
+		LinkMonitoring: true,
+		Nodes:          c.nodes,
+		RollingUpgrade: c.rollingUpgrade,
+		NoArrivals:     true,
+		ActiveDuration: c.length,
+	})
 	sim.submitContinuously()
 	c.inject(sim)
 	sim.Run()
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -15,8 +15,13 @@
 func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		sim := New(Config{Seed: seed, Faults: true, ConcurrentFaults: seed%2 == 1, LinkMonitoring: true,
-			ActiveDuration: 300 * time.Second})
+		sim := New(Config{
+			Seed:             seed,
+			Faults:           true,
+			ConcurrentFaults: seed%2 == 1,
+			LinkMonitoring:   true,
+			ActiveDuration:   300 * time.Second,
+		})
 		sim.Run()
 		requireClean(t, sim)
 		if sim.TaskStarts < 20 || sim.blockedOneWay == 0 {
@@ -239,7 +244,10 @@
 // sendForgedRows sends link states to a node by which the sender is the best placed of all nodes.
 func (sim *Simulation) sendForgedRows(from, to *node) {
 	sim.countEvent(rowsForgedEvent)
-	f := &transport.Frame{Type: transport.MsgLinkState, ID: sim.newestHeartbeat[to.name+" "+from.name],
-		LinkState: forgedRows(sim, from)}
+	f := &transport.Frame{
+		Type:      transport.MsgLinkState,
+		ID:        sim.newestHeartbeat[to.name+" "+from.name],
+		LinkState: forgedRows(sim, from),
+	}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -23,8 +23,14 @@
 
 // rebalancingConfig has a small fleet that cannot grow, with nodes that move running tasks.
 func rebalancingConfig(seed uint64) Config {
-	return Config{Seed: seed, Rebalance: settings.RebalanceMove, NoArrivals: true, ZoneCapacity: 2, Teams: equalTeams(100, 200),
-		ActiveDuration: 150 * time.Second}
+	return Config{
+		Seed:           seed,
+		Rebalance:      settings.RebalanceMove,
+		NoArrivals:     true,
+		ZoneCapacity:   2,
+		Teams:          equalTeams(100, 200),
+		ActiveDuration: 150 * time.Second,
+	}
 }
 
 // fragmentFleet fills the machines with jobs of four tasks, one of which ends early, so that each machine has capacity for
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -91,53 +91,81 @@
 const longerThanLease = 26 * time.Second // longer than a worker's lease
 
 var moveFaults = []moveFault{
-	{name: "leader and another node crash", expectedEvents: []eventName{leaderReplacedEvent},
+	{
+		name:           "leader and another node crash",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.peerOf(l).crash(12 * time.Second)
 			sim.expectNewLeader(l)
 			l.crash(9 * time.Second)
-		}},
-	{name: "leader restarts within a second", expectedEvents: []eventName{newTermEvent},
+		},
+	},
+	{
+		name:           "leader restarts within a second",
+		expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			sim.peerOf(l).crash(700 * time.Millisecond)
 			l.crash(300 * time.Millisecond)
-		}},
-	{name: "leader paused", expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "leader paused",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			l.pauseFor(15 * time.Second)
-		}},
-	{name: "leader loses the store alone", expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "leader loses the store alone",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, storeParty, sim.cfg.Seed%2 == 0, 15*time.Second)
-		}},
-	{name: "leader rejected by the store alone", expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "leader rejected by the store alone",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
-		}},
-	{name: "leader partitioned, another node crashes", expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "leader partitioned, another node crashes",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.peerOf(l).crash(20 * time.Second)
 			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 18*time.Second)
-		}},
-	{name: "handover", links: true, expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "handover",
+		links:          true,
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewLeader(l)
 			sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
-		}},
-	{name: "all nodes crash and one restarts", expectedEvents: []eventName{newTermEvent},
+		},
+	},
+	{
+		name:           "all nodes crash and one restarts",
+		expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.expectNewTerm(l)
 			for i, n := range sim.nodes {
 				n.crash(time.Duration(1+15*i) * time.Second)
 			}
-		}},
-	{name: "legacy node becomes leader", legacyNodes: 2,
-		expectedEvents: []eventName{leaderReplacedEvent, legacyNodeLeadsEvent}, inject: func(sim *Simulation, l *node,
+		},
+	},
+	{
+		name:           "legacy node becomes leader",
+		legacyNodes:    2,
+		expectedEvents: []eventName{leaderReplacedEvent, legacyNodeLeadsEvent},
+		inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.onNextLeader(l, func(n *node) {
 				if n.env.legacy {
@@ -145,7 +173,8 @@
 				}
 			})
 			l.crash(12 * time.Second)
-		}},
+		},
+	},
 	{name: "store down", inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 		sim.store.downUntil = sim.now.Add(10 * time.Second)
 	}},
@@ -157,21 +186,27 @@
 		_, to := sim.moveEndpoints(m)
 		to.hangFor(longerThanLease)
 	}},
-	{name: "source and destination partitioned, leader crashes", expectedEvents: []eventName{leaderReplacedEvent},
+	{
+		name:           "source and destination partitioned, leader crashes",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, to := sim.moveEndpoints(m)
 			sim.disconnect(string(from.id), anyParty, sim.cfg.Seed%2 == 0, 12*time.Second)
 			sim.disconnect(string(to.id), anyParty, sim.cfg.Seed%2 == 1, longerThanLease)
 			sim.expectNewLeader(l)
 			l.crash(5 * time.Second)
-		}},
-	{name: "source cannot receive, leader changes", expectedEvents: []eventName{leaderReplacedEvent},
+		},
+	},
+	{
+		name:           "source cannot receive, leader changes",
+		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
 			sim.expectNewLeader(l)
 			sim.schedule(2*time.Second, func() { l.crash(3 * time.Second) })
-		}},
+		},
+	},
 	{name: "source cannot send", inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 		from, _ := sim.moveEndpoints(m)
 		sim.blockOutbound(from, longerThanLease)
@@ -184,42 +219,58 @@
 			sim.expectNewLeader(l)
 			l.crash(4 * time.Second)
 		}},
-	{name: "source gets a reclaim notice", stopsOtherTasks: true, expectedEvents: []eventName{machineReclaimedEvent},
+	{
+		name:            "source gets a reclaim notice",
+		stopsOtherTasks: true,
+		expectedEvents:  []eventName{machineReclaimedEvent},
 		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.reclaimMachine(from, 5*time.Second)
-		}},
-	{name: "job cancelled", expectedEvents: []eventName{jobCancelledEvent},
+		},
+	},
+	{
+		name:           "job cancelled",
+		expectedEvents: []eventName{jobCancelledEvent},
 		inject: func(sim *Simulation, _ *node, m controller.MoveEntry) {
 			sim.cancelWhenAccepted(sim.jobOf(m), nil)
 			sim.countEvent(jobCancelledEvent)
-		}},
+		},
+	},
 	{name: "cancelled at the next leader, then an outage",
 		expectedEvents: []eventName{leaderReplacedEvent, cancellationConfirmedEvent},
 		inject:         cancelThenOutage},
-	{name: "writes delayed, leader changes",
-		expectedEvents: []eventName{leaderReplacedEvent, lateWriteEvent}, inject: func(sim *Simulation, l *node,
+	{
+		name:           "writes delayed, leader changes",
+		expectedEvents: []eventName{leaderReplacedEvent, lateWriteEvent},
+		inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+2)
 			sim.expectNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
-		}},
-	{name: "replies to writes lost, leader changes", expectedEvents: []eventName{leaderReplacedEvent, replyDroppedEvent},
+		},
+	},
+	{
+		name:           "replies to writes lost, leader changes",
+		expectedEvents: []eventName{leaderReplacedEvent, replyDroppedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
 			sim.expectNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
-		}},
-	{name: "heartbeats from before the move reach the next leader",
-		expectedEvents: []eventName{leaderReplacedEvent, heldHeartbeatDeliveredEvent}, inject: func(sim *Simulation, l *node,
+		},
+	},
+	{
+		name:           "heartbeats from before the move reach the next leader",
+		expectedEvents: []eventName{leaderReplacedEvent, heldHeartbeatDeliveredEvent},
+		inject: func(sim *Simulation, l *node,
 			_ controller.MoveEntry) {
 			sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
 			sim.delayedHeartbeats = faultWindow{0.3, sim.now.Add(8 * time.Second)}
 			sim.expectNewLeader(l)
 			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
-		}},
+		},
+	},
 	{name: "commands delayed, leader restarts within a second",
 		expectedEvents: []eventName{newTermEvent, commandDelayedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
@@ -228,7 +279,10 @@
 			sim.expectNewTerm(l)
 			sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
 		}},
-	{name: "preemption by critical services", stopsOtherTasks: true, expectedEvents: []eventName{urgentJobsEvent},
+	{
+		name:            "preemption by critical services",
+		stopsOtherTasks: true,
+		expectedEvents:  []eventName{urgentJobsEvent},
 		inject: func(sim *Simulation, _ *node, _ controller.MoveEntry) {
 			for range 6 {
 				sim.submitJob(func(s *api.Spec) {
@@ -237,7 +291,8 @@
 				}, 0)
 			}
 			sim.countEvent(urgentJobsEvent)
-		}},
+		},
+	},
 }
 
 // cancelThenOutage has the store reject the leader alone, the moved job cancelled at the next leader, and then the
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -51,10 +51,20 @@
 	n.alive = true
 	n.pausedUntil = 0
 	n.cache = map[string]cachedAnswer{}
-	set := &settings.Settings{Node: ident.NodeID(n.name), Zone: n.zone, Peers: n.peers(), Cluster: n.sim.settings,
-		Tuning: n.tuning()}
-	e := &nodeEnv{node: n, incarnation: n.incarnation, legacy: n.legacy, startedAt: n.sim.now,
-		clockRate: 1 + (n.sim.rng.Float64()-0.5)*maxClockDrift}
+	set := &settings.Settings{
+		Node:    ident.NodeID(n.name),
+		Zone:    n.zone,
+		Peers:   n.peers(),
+		Cluster: n.sim.settings,
+		Tuning:  n.tuning(),
+	}
+	e := &nodeEnv{
+		node:        n,
+		incarnation: n.incarnation,
+		legacy:      n.legacy,
+		startedAt:   n.sim.now,
+		clockRate:   1 + (n.sim.rng.Float64()-0.5)*maxClockDrift,
+	}
 	n.env, n.eventPause = e, eventPause{}
 	n.controller = controller.New(e, set, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1)))
 	n.controller.Start()
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -214,8 +214,12 @@
 
 // largeFleetConfig has several hundred machines.
 func largeFleetConfig(seed, variant uint64) Config {
-	return Config{Seed: seed, NoArrivals: true, FleetSize: smallestReplayedFleet + int(variant%3)*replayedFleetStep,
-		ActiveDuration: replayLength}
+	return Config{
+		Seed:           seed,
+		NoArrivals:     true,
+		FleetSize:      smallestReplayedFleet + int(variant%3)*replayedFleetStep,
+		ActiveDuration: replayLength,
+	}
 }
 
 // setUpLargeFleet has a large fleet go through a leader change, an outage of the store and the partition of a zone.
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -63,8 +63,12 @@
 		jobs:          map[ident.JobID]*userJob{},
 		gangs:         map[gangKey]*gangAttempt{},
 		networkFaults: newNetworkFaults(),
-		linkMonitor: linkMonitor{announcedTerms: map[ident.Term]bool{}, newestHeartbeat: map[string]uint64{},
-			handovers: map[string]int{}, sentTransactions: map[string]bool{}},
+		linkMonitor: linkMonitor{
+			announcedTerms:   map[ident.Term]bool{},
+			newestHeartbeat:  map[string]uint64{},
+			handovers:        map[string]int{},
+			sentTransactions: map[string]bool{},
+		},
 		activeFaults: activeFaults{eventCounts: map[eventName]int{}},
 	}
 	sim.store = newStore(sim)
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -44,9 +44,14 @@
 }
 
 func newStore(sim *Simulation) *store {
-	s := &store{sim: sim, keys: map[string]*entry{}, leases: map[uint64]ident.MonotonicTime{},
+	s := &store{
+		sim:         sim,
+		keys:        map[string]*entry{},
+		leases:      map[uint64]ident.MonotonicTime{},
 		leaseTTLs:   map[uint64]time.Duration{},
-		rejectUntil: map[string]ident.MonotonicTime{}, limits: sim.settings.Store}
+		rejectUntil: map[string]ident.MonotonicTime{},
+		limits:      sim.settings.Store,
+	}
 	sim.schedule(0, s.expireLeases)
 	return s
 }
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -95,9 +95,13 @@
 // StudyLink runs steady submissions during which one link of the leader is broken: throughout a time, or, with a period, for
 // six tenths of each period in it.
 func StudyLink(seed uint64, monitored bool, link DirectedLink, broken, period time.Duration) LinkOutcome {
-	sim := New(Config{Seed: seed, LinkMonitoring: monitored, NoArrivals: true,
+	sim := New(Config{
+		Seed:              seed,
+		LinkMonitoring:    monitored,
+		NoArrivals:        true,
 		ActiveDuration:    linkBreakAt + broken + 20*time.Second,
-		QuiescentDuration: linkStudyQuiescence})
+		QuiescentDuration: linkStudyQuiescence,
+	})
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, (linkBreakAt + broken).Seconds(), 1.3, 20*time.Second)
 	var out LinkOutcome
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -38,8 +38,15 @@
 
 // floodConfig has fifty machines and three teams with a guarantee of a part of them each.
 func floodConfig(seed uint64, mode settings.Rebalance) Config {
-	return Config{Seed: seed, Rebalance: mode, NoArrivals: true, FleetSize: floodFleetSize, Teams: equalTeams(60, 400),
-		ActiveDuration: floodStart + floodDuration + 20*time.Second, QuiescentDuration: 200 * time.Second}
+	return Config{
+		Seed:              seed,
+		Rebalance:         mode,
+		NoArrivals:        true,
+		FleetSize:         floodFleetSize,
+		Teams:             equalTeams(60, 400),
+		ActiveDuration:    floodStart + floodDuration + 20*time.Second,
+		QuiescentDuration: 200 * time.Second,
+	}
 }
 
 // StudyFlood runs a flood of the cluster with arrays by one team, while the others submit steadily.
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -39,9 +39,19 @@
 const slowFactor = 4
 
 func newWorker(sim *Simulation, m *machine) *worker {
-	w := &worker{sim: sim, machine: m, id: m.id, incarnation: 1, leaseRenewedAt: sim.now, nodeIndex: sim.rng.IntN(len(sim.nodes)),
-		tasks: map[ident.TaskID]map[ident.Attempt]*task{}, images: map[string]bool{}, faulty: sim.cfg.Faults &&
-			sim.rng.IntN(25) == 0, slowdown: 1}
+	w := &worker{
+		sim:            sim,
+		machine:        m,
+		id:             m.id,
+		incarnation:    1,
+		leaseRenewedAt: sim.now,
+		nodeIndex:      sim.rng.IntN(len(sim.nodes)),
+		tasks:          map[ident.TaskID]map[ident.Attempt]*task{},
+		images:         map[string]bool{},
+		faulty: sim.cfg.Faults &&
+			sim.rng.IntN(25) == 0,
+		slowdown: 1,
+	}
 	if len(sim.workers) < sim.cfg.SlowMachines && sim.slowMachineCount < sim.cfg.SlowMachines {
 		sim.slowMachineCount++
 		w.slowdown = slowFactor
@@ -113,8 +123,16 @@
 // buildHeartbeat returns a heartbeat with the present status.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
-	r := &api.Heartbeat{MachineID: w.id, Addr: string(w.id), Model: machineModel, Zone: w.machine.zone, Spot: w.machine.spot,
-		Incarnation: w.incarnation, SequenceNumber: w.sequence, FencingToken: w.token}
+	r := &api.Heartbeat{
+		MachineID:      w.id,
+		Addr:           string(w.id),
+		Model:          machineModel,
+		Zone:           w.machine.zone,
+		Spot:           w.machine.spot,
+		Incarnation:    w.incarnation,
+		SequenceNumber: w.sequence,
+		FencingToken:   w.token,
+	}
 	if w.reclaimAt > 0 {
 		s := w.reclaimAt.Sub(w.sim.now).Seconds()
 		r.ReclaimNoticeS = &s
@@ -123,8 +141,13 @@
 		if w.sim.mutates(HideWaitingGangTasks) && t.status == api.Gathering {
 			return
 		}
-		r.Tasks = append(r.Tasks, api.TaskReport{TaskID: t.id, Attempt: t.attempt, Status: t.status, Cause: t.cause,
-			CheckpointStored: t.stored})
+		r.Tasks = append(r.Tasks, api.TaskReport{
+			TaskID:           t.id,
+			Attempt:          t.attempt,
+			Status:           t.status,
+			Cause:            t.cause,
+			CheckpointStored: t.stored,
+		})
 	})
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
 		return cmp.Or(cmp.Compare(a.TaskID.Job, b.TaskID.Job), cmp.Compare(a.TaskID.Index, b.TaskID.Index),
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -10,11 +10,21 @@
 // submitJob submits an array of three tasks of 2 CPUs, which change may alter.
 func (sim *Simulation) submitJob(change func(s *api.Spec), duration time.Duration) *userJob {
 	sim.lastJobNumber++
-	s := api.Spec{ID: sim.jobID(), Class: jobClass,
-		Team: sim.settings.Teams[sim.lastJobNumber%3].Name, Shape: api.Batch,
-		Priority: api.Standard, Tasks: 3, VCPUs: 2, MemoryGB: 2, Image: fmt.Sprintf("img-%d",
-			sim.lastJobNumber%2), ImageGB: 1.5, Spot: sim.lastJobNumber%2 == 0,
-		RuntimeS: duration.Seconds()}
+	s := api.Spec{
+		ID:       sim.jobID(),
+		Class:    jobClass,
+		Team:     sim.settings.Teams[sim.lastJobNumber%3].Name,
+		Shape:    api.Batch,
+		Priority: api.Standard,
+		Tasks:    3,
+		VCPUs:    2,
+		MemoryGB: 2,
+		Image: fmt.Sprintf("img-%d",
+			sim.lastJobNumber%2),
+		ImageGB:  1.5,
+		Spot:     sim.lastJobNumber%2 == 0,
+		RuntimeS: duration.Seconds(),
+	}
 	if change != nil {
 		change(&s)
 	}
--- a/internal/workers/harness_test.go
+++ b/internal/workers/harness_test.go
@@ -114,8 +114,16 @@
 func newHeartbeat(
 	incarnation ident.Incarnation, sequence ident.SequenceNumber, token ident.FencingToken, tasks ...api.TaskReport,
 ) *api.Heartbeat {
-	return &api.Heartbeat{MachineID: "h", Addr: "a", Model: "m8", Zone: "east",
-		Incarnation: incarnation, SequenceNumber: sequence, FencingToken: token, Tasks: tasks}
+	return &api.Heartbeat{
+		MachineID:      "h",
+		Addr:           "a",
+		Model:          "m8",
+		Zone:           "east",
+		Incarnation:    incarnation,
+		SequenceNumber: sequence,
+		FencingToken:   token,
+		Tasks:          tasks,
+	}
 }
 
 // heartbeat has the table handle the next heartbeat of its machine.
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -13,8 +13,12 @@
 // repeated launch would start it again.
 func TestClearAfterDurable(t *testing.T) {
 	r := newHarness(t)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Incarnation: 1, SequenceNumber: 50,
-		FencingToken: ident.MakeFencingToken(term, 0)}})
+	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{
+		MachineID:      "h",
+		Incarnation:    1,
+		SequenceNumber: 50,
+		FencingToken:   ident.MakeFencingToken(term, 0),
+	}})
 	r.sequence = 50
 	if got := verbs(r.heartbeat(0, r.taskReport(api.Ended, api.CauseDone))); got != "" {
 		t.Errorf("commands before the end is durable: %q", got)
