--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -43,11 +43,12 @@
 	return ts
 }
 
-// The errors of Teams.Validate. Their texts are sent to the user who submitted the job.
+// The errors of Teams.Validate. Their texts are part of the API: they are sent to the client that
+// submitted the job.
 var (
-	// ErrUnknownTeam says that the settings have no such team.
+	// ErrUnknownTeam is returned for a job of a team that is not in the settings.
 	ErrUnknownTeam = errors.New("desk: unknown team")
-	// ErrOverQuota says that the job needs more than its team may ever use.
+	// ErrOverQuota is returned for a job that needs more than its team's limit.
 	ErrOverQuota = errors.New("desk: over the team's limit")
 )
 
@@ -67,12 +68,12 @@
 	return nil
 }
 
-// AddUsage adds the resources of a task like s to its team's usage if sign is 1, and subtracts them
-// if sign is -1.
-func (ts *Teams) AddUsage(s *api.Spec, sign float64) {
+// AddUsage adds the resources of count tasks like s to their team's usage. A negative count subtracts
+// them.
+func (ts *Teams) AddUsage(s *api.Spec, count float64) {
 	if t := ts.byName[s.Team]; t != nil {
-		t.usedVCPUs += sign * s.VCPUs
-		t.usedGPUs += sign * s.GPUs
+		t.usedVCPUs += count * s.VCPUs
+		t.usedGPUs += count * s.GPUs
 	}
 }
 
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -8,45 +8,47 @@
 	"opaldale/internal/transport"
 )
 
-// TestAdmissionPriority: the more a node lags behind, or has in flight, the fewer kinds of
-// requests it admits; heartbeats are refused last.
+// TestAdmissionPriority: the higher the lag or the number of requests in flight, the fewer kinds of
+// requests are admitted. Heartbeats are refused last.
 func TestAdmissionPriority(t *testing.T) {
 	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
-	admitted := func(a *admission) (out []transport.Method) {
-		for _, v := range kinds {
-			if a.admit(v) {
-				out = append(out, v)
+	admitted := func(a *admission) (methods []transport.Method) {
+		for _, method := range kinds {
+			if a.admissible(method) {
+				methods = append(methods, method)
 			}
 		}
-		return out
+		return methods
 	}
 	for _, c := range []struct {
+		name       string
 		lag        time.Duration
 		requests   int64
 		heartbeats int64
 		want       []transport.Method
 	}{
-		{0, 0, 0, kinds},
-		{500 * time.Millisecond, 0, 0, kinds[1:]},
-		{time.Second, 0, 0, kinds[2:]},
-		{time.Minute, 0, 0, kinds[3:]},
-		{0, 400, 0, kinds[1:]},
-		{0, 600, 0, kinds[2:]},
-		{0, 800, 1199, kinds[3:]},
-		{0, 0, 1200, kinds[:3]},
-		{0, 800, 1200, nil},
+		{"idle", 0, 0, 0, kinds},
+		{"lag above the limit of submissions", 500 * time.Millisecond, 0, 0, kinds[1:]},
+		{"lag above the limit of polls", time.Second, 0, 0, kinds[2:]},
+		{"lag above the limit of cancellations", time.Minute, 0, 0, kinds[3:]},
+		{"user requests at the limit of submissions", 0, 400, 0, kinds[1:]},
+		{"user requests at the limit of polls", 0, 600, 0, kinds[2:]},
+		{"user requests at the limit of cancellations", 0, 800, 1199, kinds[3:]},
+		{"heartbeats at their limit", 0, 0, 1200, kinds[:3]},
+		{"all at their limits", 0, 800, 1200, nil},
 	} {
 		a := &admission{lag: func() time.Duration { return c.lag }}
 		a.userRequestsInFlight.Store(c.requests)
 		a.heartbeatsInFlight.Store(c.heartbeats)
 		if got := admitted(a); !slices.Equal(got, c.want) {
-			t.Errorf("lag %v, %d and %d in flight: admits %v, want %v", c.lag, c.requests, c.heartbeats, got, c.want)
+			t.Errorf("%s: lag %v, %d and %d in flight: admits %v, want %v",
+				c.name, c.lag, c.requests, c.heartbeats, got, c.want)
 		}
 	}
 }
 
-// TestUrgentEventsRunFirst: events that leadership and workers depend on run before all that users have
-// requested earlier, and a node that has caught up has no lag.
+// TestUrgentEventsRunFirst: urgent events run before user events posted earlier, and the lag is 0 once
+// the queues are empty.
 func TestUrgentEventsRunFirst(t *testing.T) {
 	l := newEventLoop()
 	var order []string
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -13,8 +13,12 @@
 // repeated launch would start it again.
 func TestClearAfterDurable(t *testing.T) {
 	r := newHarness(t)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: "h", Incarnation: 1, SequenceNumber: 50,
-		FencingToken: ident.MakeFencingToken(term, 0)}})
+	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{
+		MachineID:      "h",
+		Incarnation:    1,
+		SequenceNumber: 50,
+		FencingToken:   ident.MakeFencingToken(term, 0),
+	}})
 	r.sequence = 50
 	if got := verbs(r.heartbeat(0, r.taskReport(api.Ended, api.CauseDone))); got != "" {
 		t.Errorf("commands before the end is durable: %q", got)
@@ -32,7 +36,7 @@
 }
 
 // TestNewIncarnation: a newer incarnation has no tasks of the old one, and a late heartbeat of the old one
-// changes nothing.
+// has no effect.
 func TestNewIncarnation(t *testing.T) {
 	r := newHarness(t)
 	r.tb.HandleHeartbeat(newHeartbeat(2, 1, 0))
@@ -68,9 +72,9 @@
 	}
 }
 
-// TestGangIsDone: when one task of a gang completes all do, but one that was not reported running stays
-// allocated until it is proven gone: its room is not given to other tasks before.
-func TestGangIsDone(t *testing.T) {
+// TestGangCompletion: when one task of a gang completes all do, but one that was not reported running stays
+// allocated until it is proven gone: its room is not given to other tasks earlier.
+func TestGangCompletion(t *testing.T) {
 	r := newHarness(t)
 	r.answers[0](CommandResult{})
 	j := r.jobs.Add(&api.Spec{ID: "j-7", Shape: api.Gang, Tasks: 4, VCPUs: 1}, func() {}, nil)
