--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -2,20 +2,21 @@
 
 import "opaldale/internal/api"
 
-// UsePackedLog keeps the tasks of new jobs in the log alone from now on. Jobs that are stored in
-// the first format follow by ConvertToLog.
+// UsePackedLog makes the table store the tasks of new jobs only in the log, in the packed format.
+// ConvertToLog converts the jobs that are stored in the first format.
 func (tb *Table) UsePackedLog() { tb.packedLog = true }
 
-// HeaderSize returns the largest size of a job's header without tasks, and its limit, in bytes.
+// HeaderSize returns the maximum size that a job's header without tasks can reach, and the limit on that
+// size, in bytes.
 func (tb *Table) HeaderSize(s *api.Spec) (size, limit int) {
 	header := jobHeader{Spec: s, Seq: 1 << 62, SubmittedAtMS: 1 << 62, Logged: true}
 	return len(api.JSON(header)) + headerReserveBytes, tb.maxValueBytes
 }
 
-// ConvertToLog moves the tasks of jobs in the first format to the log alone, and reports whether
-// such jobs are left. budget is a number of writes: one for each line of the log and each header.
-// The job that exhausts it is still converted. A job may be converted at any time; the next change
-// of its header does so as well.
+// ConvertToLog moves tasks of jobs in the first format to the log, and reports whether such jobs remain.
+// budget is the number of writes to make, where each log line and each header counts as one; the job that
+// exceeds the budget is still converted. A job may be converted at any time. Cancelling a job converts it
+// as well.
 func (tb *Table) ConvertToLog(budget int) (more bool) {
 	if !tb.packedLog {
 		return false
@@ -33,20 +34,20 @@
 	return false
 }
 
-// isConvertible reports whether a job is stored in the first format, and may be converted now.
+// isConvertible reports whether a job is stored in the first format and may be converted now.
 func (tb *Table) isConvertible(j *Job) bool {
 	return j.storage.format == inDocuments && j.SubmissionDurable && !j.storage.archived && tb.headerFits(j)
 }
 
-// headerFits reports whether a job's header without tasks is small enough to be put. A job that was
-// accepted under another limit stays in its format until it is over.
+// headerFits reports whether a job's header without tasks is within the size limit. A job that was accepted
+// under a higher limit may exceed it; such a job keeps its format until it ends.
 func (tb *Table) headerFits(j *Job) bool {
 	size, limit := tb.HeaderSize(j.trimmedSpec())
 	return size <= limit
 }
 
-// convertJob writes a job's tasks to the log and, once they are durable, the header without them. It
-// returns the number of lines that it writes. onDurable, unless nil, is called once the header is
+// convertJob writes a job's tasks to the log and, once they are durable, the header without tasks. It
+// returns the number of log lines that it writes. onDurable may be nil; it is called once the header is
 // durable.
 func (tb *Table) convertJob(j *Job, onDurable func()) (lines int) {
 	if onDurable != nil {
@@ -73,7 +74,7 @@
 	return len(tasks)
 }
 
-// tasksWithoutLine returns the tasks that were placed and have no line in the log.
+// tasksWithoutLine returns the tasks that were placed at least once and have no line in the log.
 func (j *Job) tasksWithoutLine() []*Task {
 	var tasks []*Task
 	for i := range j.Tasks {
@@ -84,7 +85,7 @@
 	return tasks
 }
 
-// finishConversion writes the header of a job whose tasks are all in the log.
+// finishConversion writes the header of a job whose tasks are all in the log, and deletes its segments.
 func (tb *Table) finishConversion(j *Job) {
 	if j.storage.archived {
 		return
@@ -92,6 +93,6 @@
 	j.storage.format = inLog
 	tb.commits.MarkDirty(j.storage.header, func() { callAll(&j.callbacks.converted) })
 	for _, doc := range j.storage.segments {
-		tb.commits.MarkDirtyLazily(doc, nil) // renders as nil now, which deletes the key
+		tb.commits.MarkDirtyLazily(doc, nil) // now renders as nil, which deletes the key
 	}
 }
--- a/internal/jobs/health.go
+++ b/internal/jobs/health.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// provenHealthyAfter is the time that a task must run to prove that its job can run. Most jobs that
+// provenHealthyAfter is how long a task must run before its job is considered able to run. Most jobs that
 // are submitted with a mistake fail within seconds.
 const provenHealthyAfter = 10 * time.Second
 
-// RecordUnexplainedFailure records that a task of a job has failed, and that it is not known
-// whether the job or the machine is at fault.
+// RecordUnexplainedFailure records that a task of a job has failed and that it is unknown whether the job or
+// the machine is at fault.
 func (tb *Table) RecordUnexplainedFailure(j *Job) { tb.unexplainedFailures[j] = true }
 
-// MarkProvenHealthy marks the jobs with unexplained failures that have since proven to be able to
-// run: the failures were not their fault.
+// MarkProvenHealthy marks the jobs with unexplained failures that have since proven able to run. It clears
+// their suspect flag and retry backoff, because the failures were not their fault.
 func (tb *Table) MarkProvenHealthy() {
 	for j := range tb.unexplainedFailures {
 		switch {
@@ -24,7 +24,7 @@
 	}
 }
 
-// hasLongRunningTask reports whether a task of the job has run for long enough to prove that it can.
+// hasLongRunningTask reports whether any task of the job has been running for more than provenHealthyAfter.
 func (tb *Table) hasLongRunningTask(j *Job) bool {
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -11,47 +11,47 @@
 type Job struct {
 	Spec          *api.Spec
 	Seq           uint64 // order of submission
-	SubmittedAtMS int64  // wall clock time of the submission
+	SubmittedAtMS int64  // wall clock time of the submission, in Unix milliseconds
 	SubmittedAt   ident.MonotonicTime
 	Tasks         []Task
 	TaskCounts
 
-	Phase             Phase               // in memory
-	ClosedAt          ident.MonotonicTime // when it left phase Open; assumedClosedFor ago if in an earlier term
-	DurablePhase      Phase               // known to be in the store
+	Phase             Phase               // current phase, which may not be durable yet
+	ClosedAt          ident.MonotonicTime // when the job left phase Open; see assumedClosedFor for earlier terms
+	DurablePhase      Phase               // phase known to be in the store
 	SubmissionDurable bool                // the job is known to be in the store
 	callbacks         callbacks
 	storage           storage
 
-	// The state of retries, which the owner of the table keeps.
-	AvoidedMachines map[ident.MachineID]bool // where a task of the job ended with an error
-	RetryAt         ident.MonotonicTime      // no task is placed earlier
-	Backoff         time.Duration            // by which RetryAt was last set
+	// Retry state, maintained by the owner of the table.
+	AvoidedMachines map[ident.MachineID]bool // machines where a task of the job ended with an error
+	RetryAt         ident.MonotonicTime      // no task is placed before this time
+	Backoff         time.Duration            // current backoff, by which RetryAt was last set
 	// Suspect is set when tasks have failed on several machines and none has completed since: the
-	// job is more likely at fault than the machines. One task is then placed at a time.
+	// job is more likely at fault than the machines. Its tasks are then placed one at a time.
 	Suspect       bool
 	provenHealthy bool // a task has run for provenHealthyAfter
 
-	// AllocatedByZone holds the numbers of allocated tasks, for a job whose zones matter. The owner
-	// of the table keeps it.
+	// AllocatedByZone holds the number of allocated tasks in each zone, for a job whose placement depends
+	// on zones. It is maintained by the owner of the table.
 	AllocatedByZone map[string]int
-	// WithinQuota reports whether the job fits into its team's guarantee along with the team's earlier
-	// open jobs. The planner keeps it.
+	// WithinQuota reports whether the job fits into its team's guaranteed quota along with the team's
+	// earlier open jobs. It is maintained by the planner.
 	WithinQuota bool
-	// AcceptsReplacements reports whether lost tasks of a gang may be replaced in its present attempt.
-	// Package gang keeps it.
+	// AcceptsReplacements reports whether lost tasks of a gang may be replaced in its current attempt. It is
+	// maintained by package gang.
 	AcceptsReplacements bool
 }
 
-// TaskCounts holds the numbers of a job's tasks by state.
+// TaskCounts holds the number of a job's tasks in certain states.
 type TaskCounts struct {
-	AllocatedTasks int // placed on a machine and not proven to be gone from it
+	AllocatedTasks int // placed on a machine; they may still run there
 	CompletedTasks int
-	RunningTasks   int // reported running
+	RunningTasks   int // reported as running
 }
 
-// move counts the change of a task's state.
-func (c *TaskCounts) move(from, to State) {
+// recordTransition updates the counts after a task's state has changed.
+func (c *TaskCounts) recordTransition(from, to State) {
 	c.add(from, -1)
 	c.add(to, 1)
 }
@@ -65,15 +65,15 @@
 	}
 }
 
-// callbacks holds the functions to call once a change of a job is durable.
+// callbacks holds the functions to call once a certain change of a job is durable.
 type callbacks struct {
-	submitted    []func() // the submission
-	phaseDurable []func() // the end of phase Open
-	completed    []func() // the end of a job that is done, for the tasks that completed last
-	converted    []func() // the conversion to the packed log
+	submitted    []func() // when the submission is durable
+	phaseDurable []func() // when the end of phase Open is durable
+	completed    []func() // when a job in phase Done is archived; for the tasks that completed last
+	converted    []func() // when the conversion to the packed log is durable
 }
 
-// callAll calls the functions of a list, and empties it.
+// callAll empties a list of functions and calls each of them.
 func callAll(list *[]func()) {
 	pending := *list
 	*list = nil
@@ -82,16 +82,16 @@
 	}
 }
 
-// IsGang reports whether the job's tasks run together or not at all.
+// IsGang reports whether the job is a gang, whose tasks must all run at the same time.
 func (j *Job) IsGang() bool { return j.Spec.Shape == api.Gang }
 
-// CheckpointTime returns the time that a task of the job takes to save a checkpoint, rounded up.
+// CheckpointTime returns how long a task of the job takes to save a checkpoint, rounded up by up to 1 ms.
 func (j *Job) CheckpointTime() time.Duration {
 	return time.Duration(j.Spec.CheckpointS*float64(time.Second)) + time.Millisecond
 }
 
-// ReadyToLaunch reports whether durable placements of the job may be launched. Those of a gang may
-// only if the placements of all tasks in the same attempt are durable.
+// ReadyToLaunch reports whether tasks of the job with a durable placement may be launched. The tasks of a
+// gang may be launched only once all of them have a durable placement in the same attempt.
 func (j *Job) ReadyToLaunch() bool {
 	if !j.IsGang() {
 		return true
@@ -104,7 +104,7 @@
 	return true
 }
 
-// HighestAttempt returns the highest attempt in which any task was placed.
+// HighestAttempt returns the highest attempt of any task of the job.
 func (j *Job) HighestAttempt() ident.Attempt {
 	var highest ident.Attempt
 	for i := range j.Tasks {
@@ -113,7 +113,7 @@
 	return highest
 }
 
-// WaitingCount returns how many tasks wait to be placed.
+// WaitingCount returns the number of tasks that wait to be placed, 0 if the job is not open.
 func (j *Job) WaitingCount() int {
 	if j.Phase != Open {
 		return 0
@@ -121,7 +121,7 @@
 	return len(j.Tasks) - j.AllocatedTasks - j.CompletedTasks
 }
 
-// WaitingTasks returns the first tasks that wait to be placed, up to a limit.
+// WaitingTasks returns up to limit tasks that wait to be placed, in order of their index.
 func (j *Job) WaitingTasks(limit int) []*Task {
 	var list []*Task
 	for i := range j.Tasks {
@@ -135,7 +135,7 @@
 	return list
 }
 
-// PlaceableCount returns how many tasks may be placed now.
+// PlaceableCount returns how many tasks may be placed now. A suspect job may have only one allocated task.
 func (j *Job) PlaceableCount() int {
 	if j.Suspect {
 		return min(j.WaitingCount(), max(0, 1-j.AllocatedTasks))
@@ -143,12 +143,12 @@
 	return j.WaitingCount()
 }
 
-// ProvenHealthy reports whether the job has shown that it can run: a task has completed, or has run
-// for provenHealthyAfter. Its failures are then more likely the fault of machines.
+// ProvenHealthy reports whether the job has shown that it can run: one of its tasks has completed or has
+// run for provenHealthyAfter. If tasks of such a job fail, the machines are more likely at fault.
 func (j *Job) ProvenHealthy() bool { return j.provenHealthy || j.CompletedTasks > 0 }
 
-// allCompleted reports whether all tasks have completed. It is false for a service, which runs until
-// it is cancelled.
+// allCompleted reports whether all tasks of the job have completed. It is always false for a service, which
+// runs until it is cancelled.
 func (j *Job) allCompleted() bool {
 	return j.Spec.Shape != api.Service && j.CompletedTasks == len(j.Tasks)
 }
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -12,15 +12,15 @@
 	"opaldale/internal/ident"
 )
 
-// Errors of keys that an earlier term has left.
+// Errors for invalid values in the store.
 var (
-	errNotJob        = errors.New("not a job")
-	errLaterFormat   = errors.New("of a later format")
-	errNoSuchSegment = errors.New("no such segment")
+	errNotJob        = errors.New("not a job header: its specification is missing or has another job ID than the key")
+	errLaterFormat   = errors.New("record is in the packed log format, which this term has not enabled")
+	errNoSuchSegment = errors.New("key has no valid segment number for the job")
 )
 
-// Load restores a job, or some of its tasks, from a key below LivePrefix that an earlier term has
-// left. Keys must be loaded in their order, in which a header comes before its segments.
+// Load restores a job, or some of its tasks, from a stored key that starts with LivePrefix. Keys must be
+// loaded in lexical order, so that a job's header is loaded before its segments.
 func (tb *Table) Load(key string, value json.RawMessage, revision ident.Revision) error {
 	id, number, isSegment := strings.Cut(strings.TrimPrefix(key, LivePrefix), "/")
 	if !isSegment {
@@ -56,8 +56,8 @@
 	return restoreTasks(j, 0, header.Tasks)
 }
 
-// assumedClosedFor is the age of the end of a job that an earlier term has closed, which is not
-// stored. It is longer than any time that counts from there.
+// assumedClosedFor is how long ago a job is assumed to have ended that an earlier term closed, because the
+// time of its end is not stored. It is longer than all time limits that are measured from the end of a job.
 const assumedClosedFor = time.Hour
 
 func (tb *Table) newLoadedJob(header jobHeader) *Job {
@@ -77,7 +77,7 @@
 	return j
 }
 
-// initLoadedFormat sets where a loaded job's tasks are stored.
+// initLoadedFormat sets the storage format of a loaded job, which its header determines.
 func (tb *Table) initLoadedFormat(j *Job, header jobHeader) {
 	switch {
 	case header.Logged:
@@ -91,21 +91,21 @@
 	}
 }
 
-// storedSegment is a segment as it was read from the store.
+// storedSegment is a segment's key and value as read from the store.
 type storedSegment struct {
 	key      string
-	number   string // the part of the key after the job's ID
+	number   string // part of the key after the job ID
 	value    json.RawMessage
 	revision ident.Revision
 }
 
-// deleteStraySegment deletes a segment whose job is archived, or has its tasks in the log.
+// deleteStraySegment deletes a segment whose job is archived or has its tasks in the log.
 func (tb *Table) deleteStraySegment(key string, revision ident.Revision) {
 	doc := &commit.Document{Key: key, Revision: revision, Render: func() json.RawMessage { return nil }}
 	tb.commits.MarkDirty(doc, nil)
 }
 
-// loadSegment restores some of a job's tasks, in the first format.
+// loadSegment restores some of a job's tasks from a segment, in the first format.
 func (tb *Table) loadSegment(j *Job, stored storedSegment) error {
 	var segment taskSegment
 	if err := json.Unmarshal(stored.value, &segment); err != nil {
@@ -127,40 +127,43 @@
 	return restoreTasks(j, index*j.storage.tasksPerSegment, segment.Tasks)
 }
 
-// adjustSegments divides a job's tasks into segments as a stored segment shows, which may have
-// been written under another limit on the size of values.
+// adjustSegments changes the segment size of a job to the one that a stored segment implies. The segment may
+// have been written under another limit on the size of values.
 func (tb *Table) adjustSegments(j *Job, index, count int) error {
 	division := segmentDivision{total: len(j.Tasks), expected: j.storage.tasksPerSegment}
 	tasksPerSegment, ok := division.infer(index, count)
 	if !ok {
-		return fmt.Errorf("%d tasks of %d", count, len(j.Tasks))
+		return fmt.Errorf("segment %d has %d tasks, which matches no segment size for a job of %d tasks",
+			index, count, len(j.Tasks))
 	}
 	if tasksPerSegment == j.storage.tasksPerSegment {
 		return nil
 	}
 	for _, doc := range j.storage.segments {
 		if doc.Revision != 0 {
-			return errors.New("its segments are divided in two ways")
+			return fmt.Errorf("segment %d implies %d tasks per segment, segments loaded before have %d",
+				index, tasksPerSegment, j.storage.tasksPerSegment)
 		}
 	}
 	tb.makeSegments(j, tasksPerSegment)
 	return nil
 }
 
-// segmentDivision is the division of a job's tasks into segments, all but the last of the same size.
+// segmentDivision describes how a job's tasks are divided into segments. All segments have the same number
+// of tasks, except that the last one may have fewer.
 type segmentDivision struct {
-	total    int // number of tasks
-	expected int // tasks per segment, unless a segment shows otherwise
+	total    int // number of tasks of the job
+	expected int // expected number of tasks per segment
 }
 
-// infer returns the number of tasks per segment that the number of tasks in one segment shows. It
-// returns false if no division has such a segment.
+// infer returns the number of tasks per segment that follows from the number of tasks in one segment. It
+// prefers the expected number. It returns false if no segment size is consistent with the segment.
 func (d segmentDivision) infer(index, count int) (tasksPerSegment int, ok bool) {
 	consistent := func(n int) bool { return n > 0 && index*n < d.total && count == min(n, d.total-index*n) }
 	switch {
 	case consistent(d.expected), count == 0:
 		return d.expected, d.expected != 0
-	case index > 0 && consistent((d.total-count)/index): // the last one, which is shorter
+	case index > 0 && consistent((d.total-count)/index): // the last segment, which has fewer tasks
 		return (d.total - count) / index, true
 	case consistent(count):
 		return count, true
@@ -168,10 +171,11 @@
 	return 0, false
 }
 
-// restoreTasks restores the tasks from an index on.
+// restoreTasks restores consecutive tasks, starting at index first, from their records.
 func restoreTasks(j *Job, first int, records []taskRecord) error {
 	if first+len(records) > len(j.Tasks) {
-		return fmt.Errorf("%s: more tasks than pieces", j.Spec.ID)
+		return fmt.Errorf("%s: the store has %d tasks from index %d on, but the job has only %d tasks",
+			j.Spec.ID, len(records), first, len(j.Tasks))
 	}
 	for i, record := range records {
 		j.Tasks[first+i].restore(record)
--- a/internal/jobs/load_log.go
+++ b/internal/jobs/load_log.go
@@ -10,14 +10,14 @@
 	"opaldale/internal/kvstore"
 )
 
-// storedRecord is a record of the log as it was read from the store.
+// storedRecord is a log record as read from the store.
 type storedRecord struct {
 	logRecord
 	key      string
 	revision ident.Revision
 }
 
-// LoadLog restores tasks from the records of the log. All jobs must have been loaded.
+// LoadLog restores tasks from the log records. All jobs must have been loaded before.
 func (tb *Table) LoadLog(pairs []kvstore.KeyValue) error {
 	records := make([]storedRecord, len(pairs))
 	for i, pair := range pairs {
@@ -26,7 +26,7 @@
 			return fmt.Errorf("%s: %w", pair.Key, err)
 		}
 	}
-	// Keys are reused, so that their order is not that of the records.
+	// Log keys are reused, so the order of keys is not the order in which the records were written.
 	sort.Slice(records, func(i, k int) bool { return records[i].LSN < records[k].LSN })
 	for _, record := range records {
 		if err := tb.loadRecord(record); err != nil {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// loadRecord applies a record, and passes it to the committer, which keeps it for as long as its lines
-// are stored nowhere else.
+// loadRecord applies a log record and passes it to the committer, which keeps the record in the store until
+// none of its lines is needed any more.
 func (tb *Table) loadRecord(record storedRecord) error {
 	tasks, err := tb.applyRecord(record)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// applyRecord applies the lines of a record, in either format, and returns the tasks that it restored.
+// applyRecord applies the lines of a log record, in either format, and returns the tasks that it restored.
 func (tb *Table) applyRecord(record storedRecord) (tasks []*Task, err error) {
 	for _, line := range record.Lines {
 		tasks = tb.applyLine(tasks, record, line)
@@ -77,8 +77,8 @@
 	return tasks, err
 }
 
-// applyLine restores a task from a line, and appends it to the tasks of its record. Lines of jobs
-// that are archived, and those that the task's document has already, have no effect.
+// applyLine restores a task from a log line and appends it to the list of tasks that the record restored.
+// It ignores lines of archived jobs and lines that the task's document already includes.
 func (tb *Table) applyLine(tasks []*Task, record storedRecord, line logLine) []*Task {
 	j := tb.Jobs[line.Job]
 	if j == nil || line.Index >= len(j.Tasks) {
@@ -92,9 +92,10 @@
 	return append(tasks, t)
 }
 
-// documentCovers reports whether a document was put with the lines of a record. Its LSN alone does not
-// show that: earlier versions may have assigned an LSN twice. A record that was written after the
-// document is not part of it, whatever its LSN; the document's LSN is then lowered.
+// documentCovers reports whether a document's stored value includes the lines of a log record. Comparing
+// LSNs is not sufficient because earlier versions may have assigned the same LSN twice. A record with a
+// later store revision than the document is not included, whatever its LSN. In that case documentCovers
+// lowers the document's LSN below the record's.
 func documentCovers(doc *commit.Document, record storedRecord) bool {
 	if doc.LSN < record.LSN {
 		return false
--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -10,18 +10,18 @@
 	"opaldale/internal/ident"
 )
 
-// JSONLine returns the task's line in a record of the log, in the first format.
+// JSONLine returns the task's line in a log record, in the first format.
 func (t *Task) JSONLine() any { return logLine{t.Job.Spec.ID, t.Index, t.toRecord()} }
 
-// The marks in a line of the packed format.
+// Syntax of a line in the packed format.
 const (
 	fieldSeparator = ","
-	completedMark  = "+"
+	completedMark  = "+" // in place of machine and incarnation
 )
 
-// TextLine returns the task's line in a record of the log, in the packed format, and the group
-// that the line belongs to: the job's ID. The line has the task's index and attempt, followed
-// by its machine and incarnation if it is allocated, or by a mark if it has completed.
+// TextLine returns the task's line in a log record, in the packed format, and the group that the line
+// belongs to, which is the job ID. The line consists of the task's index and attempt, followed by its
+// machine and incarnation if the task is allocated, or by completedMark if it has completed.
 func (t *Task) TextLine() (group, line string) {
 	record := t.toRecord()
 	b := strconv.AppendInt(nil, int64(t.Index), 10)
@@ -39,9 +39,11 @@
 	return string(t.Job.Spec.ID), string(b)
 }
 
-// parseLogLine parses what TextLine returns.
+// parseLogLine parses a line as returned by TextLine.
 func parseLogLine(text string) (index int, record taskRecord, err error) {
-	malformed := func() (int, taskRecord, error) { return 0, taskRecord{}, fmt.Errorf("malformed line %q", text) }
+	malformed := func() (int, taskRecord, error) {
+		return 0, taskRecord{}, fmt.Errorf("malformed log line %q: want index,attempt and optionally ,machine,incarnation or ,+", text)
+	}
 	fields := strings.Split(text, fieldSeparator)
 	if len(fields) < 2 {
 		return malformed()
@@ -69,10 +71,10 @@
 	return index, record, nil
 }
 
-// Pin returns the task's reference to the record of the log that has its newest line.
+// Pin returns the task's reference to the log record that has its newest line.
 func (t *Task) Pin() *commit.Pin { return &t.logPin }
 
-// Document returns the document that has the task in the first format: the header or a segment.
+// Document returns the document that stores the task in the first format: the job's header or a segment.
 func (t *Task) Document() *commit.Document {
 	s := &t.Job.storage
 	if len(s.segments) == 0 {
--- a/internal/jobs/recent.go
+++ b/internal/jobs/recent.go
@@ -2,19 +2,20 @@
 
 import "opaldale/internal/ident"
 
-// RecentJobs holds a value for each of a bounded number of jobs: those that were added last.
+// RecentJobs maps job IDs to values and keeps a bounded number of jobs. When it is full, adding a job
+// evicts the one that was added first.
 type RecentJobs[V any] struct {
 	capacity int
 	values   map[ident.JobID]V
 	order    []ident.JobID
 }
 
-// NewRecentJobs makes an empty collection for a number of jobs.
+// NewRecentJobs returns an empty collection that keeps up to capacity jobs.
 func NewRecentJobs[V any](capacity int) *RecentJobs[V] {
 	return &RecentJobs[V]{capacity: capacity, values: map[ident.JobID]V{}}
 }
 
-// Put sets the value of a job. A job that is present keeps its place in the order.
+// Put sets the value of a job. Updating a job that is present does not change when it is evicted.
 func (r *RecentJobs[V]) Put(id ident.JobID, v V) {
 	if _, ok := r.values[id]; !ok {
 		r.order = append(r.order, id)
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -5,15 +5,15 @@
 	"opaldale/internal/ident"
 )
 
-// jobHeader is the value of a live key.
+// jobHeader is the value of a job's live key.
 type jobHeader struct {
 	Spec          *api.Spec    `json:"spec"`
 	Seq           uint64       `json:"seq"`
 	SubmittedAtMS int64        `json:"at_ms"`
 	Phase         Phase        `json:"phase"`
-	LSN           uint64       `json:"lsn,omitempty"` // records of the log up to it are part of this
+	LSN           uint64       `json:"lsn,omitempty"` // log records up to this sequence number are included in the header
 	Tasks         []taskRecord `json:"tasks,omitempty"`
-	// Logged is set if only the log has the tasks. Those without a line were never placed.
+	// Logged is set if the tasks are stored only in the log. Tasks without a line there were never placed.
 	Logged bool `json:"logged,omitempty"`
 }
 
@@ -23,21 +23,21 @@
 	Tasks []taskRecord `json:"tasks"`
 }
 
-// logRecord is the value of a key of the log. It has its lines in one of two formats.
+// logRecord is the value of a log key. Its lines are in one of two formats.
 type logRecord struct {
 	LSN   uint64    `json:"n"`
 	Lines []logLine `json:"l"` // in the first format
 	Text  string    `json:"t"` // in the packed format
 }
 
-// logLine is a task's change in the log, in the first format.
+// logLine is a log line, which holds the state of one task, in the first format.
 type logLine struct {
 	Job   ident.JobID `json:"j"`
 	Index int         `json:"i,omitempty"`
 	taskRecord
 }
 
-// taskRecord is a task in the store. It is empty for a task that was never placed.
+// taskRecord is the stored state of a task. It is the zero value for a task that was never placed.
 type taskRecord struct {
 	Attempt     ident.Attempt     `json:"t,omitempty"`
 	MachineID   ident.MachineID   `json:"h,omitempty"`
@@ -45,15 +45,15 @@
 	Done        bool              `json:"d,omitempty"`
 }
 
-// Sizes in bytes of stored values.
+// Size bounds of stored values, in bytes.
 const (
-	// maxRecordBytes bounds a taskRecord in JSON, comma included.
+	// maxRecordBytes is an upper bound on the size of a taskRecord in JSON, including the comma after it.
 	maxRecordBytes = 110
-	// HeaderSpecBytes is reserved for the specification in a header with tasks.
+	// HeaderSpecBytes is the space reserved for the specification in a header with tasks.
 	HeaderSpecBytes = 4 << 10
-	// headerReserveBytes is reserved for what may still change in a header without tasks.
+	// headerReserveBytes is the space reserved for later changes of fields in a header without tasks.
 	headerReserveBytes = 64
-	// segmentReserveBytes is reserved for what a segment has besides its tasks.
+	// segmentReserveBytes is the space reserved for the parts of a segment other than its tasks.
 	segmentReserveBytes = 64
 )
 
@@ -84,6 +84,6 @@
 		state = Assigned
 		t.MachineID, t.Incarnation = record.MachineID, record.Incarnation
 	}
-	t.Job.move(t.State, state)
+	t.Job.recordTransition(t.State, state)
 	t.State = state
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -6,10 +6,10 @@
 	"opaldale/internal/api"
 )
 
-// Phase is the state of a job's life cycle as its user sees it.
+// Phase is a job's state in its life cycle.
 type Phase uint8
 
-// The phases of a job. Done and Cancelled are final.
+// The phases of a job. Cancelled and Done are final.
 const (
 	Open Phase = iota
 	Cancelled
@@ -25,13 +25,13 @@
 // String returns the phase's name in the store.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Status returns the status of a job that is over, which has the name of its phase.
+// Status returns the API status of a job in a final phase, which has the same name as the phase.
 func (p Phase) Status() api.Status { return api.Status(p.String()) }
 
-// MarshalText writes the phase's name.
+// MarshalText encodes the phase as its name.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a phase's name.
+// UnmarshalText decodes the name of a phase.
 func (p *Phase) UnmarshalText(b []byte) error {
 	for i, name := range phaseNames {
 		if name == string(b) {
@@ -39,7 +39,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("unknown phase %q", b)
+	return fmt.Errorf("unknown job phase %q: want one of %q", b, phaseNames)
 }
 
 // State is the state of a task.
@@ -47,14 +47,15 @@
 
 // The states of a task. Completed is final.
 const (
-	Waiting  State = iota // to be placed
-	Placing               // a machine was chosen, and that is not durable yet
-	Assigned              // the placement is durable: it may run on its machine
-	Stopping              // to be stopped: it may still run on its machine
-	Completed
+	Waiting   State = iota // not placed on a machine
+	Placing                // placed on a machine; the placement is not durable yet
+	Assigned               // the placement is durable; the task may be running on its machine
+	Stopping               // a stop was requested; the task may still be running on its machine
+	Completed              // the task has ended successfully
 )
 
-// stateNames are pinned by golden tests, so one differs from the constant's name.
+// stateNames are the states' names in logs and golden files. Those of the golden files must stay stable, so
+// the name of Completed differs from the constant.
 var stateNames = [...]string{
 	Waiting:   "waiting",
 	Placing:   "placing",
@@ -66,5 +67,5 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Allocated reports whether a task in this state takes resources of its machine.
+// Allocated reports whether a task in this state uses resources of its machine.
 func (s State) Allocated() bool { return s == Placing || s == Assigned || s == Stopping }
--- a/internal/jobs/storage.go
+++ b/internal/jobs/storage.go
@@ -9,27 +9,27 @@
 	"opaldale/internal/ident"
 )
 
-// storageFormat is the place of a job's tasks in the store. All formats but the last belong to the
-// first version of the stored data. When that is no longer read, segments, the tasks and the
-// LSN of a header, the conversion, and a task's JSONLine and Document can be removed with it.
+// storageFormat says where the store holds a job's tasks. All formats except inLog belong to the first
+// version of the stored data (below ident.FormatPacked). When support for that version is dropped, remove
+// with it: segments, the tasks and the LSN in a header, the conversion, and Task.JSONLine and Task.Document.
 type storageFormat uint8
 
 const (
-	inDocuments storageFormat = iota // in the header or the segments, and in the log since those were put
-	converting                       // being moved to the log alone
-	inLog                            // in the log alone
+	inDocuments storageFormat = iota // in the header or segments; later changes are in the log
+	converting                       // being moved to the log
+	inLog                            // only in the log
 )
 
-// storage holds the documents of a job and the place of its tasks in the store.
+// storage holds a job's documents and its storage format.
 type storage struct {
 	format          storageFormat
 	header          *commit.Document
-	segments        []*commit.Document // of the tasks of larger jobs; nil if they are not in segments
+	segments        []*commit.Document // hold the tasks of large jobs in the first format; nil if there are none
 	tasksPerSegment int
-	archived        bool // the job was archived in memory: its header and segments render as nil
+	archived        bool // the job is archived in memory: its header and segments render as nil
 }
 
-// The keys of jobs.
+// Prefixes of the keys under which jobs are stored.
 const (
 	LivePrefix    = "live/"
 	ArchivePrefix = "over/"
@@ -38,12 +38,12 @@
 // LiveKey returns the key of the header of a job that is not archived.
 func LiveKey(id ident.JobID) string { return LivePrefix + string(id) }
 
-// ArchiveKey returns the key of a job that is over.
+// ArchiveKey returns the key of the record of an archived job.
 func ArchiveKey(id ident.JobID) string { return ArchivePrefix + string(id) }
 
 func segmentKey(id ident.JobID, n int) string { return fmt.Sprintf("%s/%05d", LiveKey(id), n) }
 
-// initStorage makes the job's tasks and documents.
+// initStorage creates the job's tasks and documents.
 func (tb *Table) initStorage(j *Job) {
 	now := tb.now()
 	j.Tasks = make([]Task, j.Spec.Tasks)
@@ -61,7 +61,7 @@
 	}
 }
 
-// renderHeader returns the value of the job's header, nil once the job is archived.
+// renderHeader returns the value to store for the job's header, or nil if the job is archived.
 func (tb *Table) renderHeader(j *Job) json.RawMessage {
 	if j.storage.archived {
 		return nil
@@ -78,7 +78,7 @@
 	return api.JSON(header)
 }
 
-// makeSegments makes the documents of a job whose tasks are in segments.
+// makeSegments creates the segment documents of a job, with the given number of tasks in each.
 func (tb *Table) makeSegments(j *Job, tasksPerSegment int) {
 	j.storage.tasksPerSegment, j.storage.segments = tasksPerSegment, nil
 	for first := 0; first < len(j.Tasks); first += tasksPerSegment {
@@ -89,8 +89,8 @@
 	}
 }
 
-// renderSegment returns the value of a segment, nil once the job is archived or only the log has its
-// tasks.
+// renderSegment returns the value to store for a segment, or nil if the job is archived or its tasks are
+// stored only in the log.
 func (tb *Table) renderSegment(j *Job, tasks []Task) json.RawMessage {
 	if j.storage.archived || j.storage.format == inLog {
 		return nil
@@ -98,8 +98,8 @@
 	return api.JSON(taskSegment{LSN: tb.commits.LSN(), Tasks: toRecords(tasks)})
 }
 
-// trimmedSpec returns the specification to store. That of a job that is over lacks the fields that
-// only its placement needs.
+// trimmedSpec returns the specification to store. For a job that is not open, it omits the fields that are
+// needed only to place tasks.
 func (j *Job) trimmedSpec() *api.Spec {
 	if j.Phase == Open {
 		return j.Spec
@@ -109,7 +109,7 @@
 	return &s
 }
 
-// markPhaseDurable records that the job's phase is durable.
+// markPhaseDurable records that the job's current phase is durable, and calls the callbacks for that.
 func (j *Job) markPhaseDurable() {
 	j.DurablePhase = j.Phase
 	callAll(&j.callbacks.phaseDurable)
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -1,9 +1,9 @@
-// Package jobs keeps the state of jobs and their tasks: what users have submitted, what of it is
-// durable in the store, and all changes of the states of tasks.
+// Package jobs holds the state of jobs and their tasks, applies all state transitions of tasks, and encodes
+// jobs and tasks for the key-value store.
 //
-// A change is made in memory first and written by the committer. Users and workers learn of it only
-// once it is durable: a task is launched only when its placement is durable, so that a new leader
-// knows every task that may be on a machine.
+// A change is made in memory first and then written to the store by the committer (package commit). It
+// becomes visible to users and workers only when it is durable. In particular, a task is launched only
+// when its placement is durable, so that a new leader knows every task that may run on a machine.
 package jobs
 
 import (
@@ -15,48 +15,48 @@
 	"opaldale/internal/ident"
 )
 
-// Table holds all jobs that are not archived, for one term. It is not safe for concurrent use: all
-// calls come from the node's event loop.
+// Table holds all jobs of one term that are not archived. It is not safe for concurrent use: all calls
+// come from the node's event loop.
 type Table struct {
 	Jobs map[ident.JobID]*Job
-	Seq  uint64 // of the newest job
+	Seq  uint64 // sequence number of the newest job
 
-	// Indexes of the jobs whose submission is durable: those with waiting tasks, and the open jobs
-	// of each team. They spare the planner an iteration over all jobs.
+	// Indexes of the jobs whose submission is durable: jobs with waiting tasks, and the open jobs of each
+	// team. With them the planner does not have to iterate over all jobs.
 	Waiting map[*Job]struct{}
 	Teams   map[string]*Team
 
-	unexplainedFailures map[*Job]bool            // jobs of which tasks failed for an unknown reason
-	archive             *RecentJobs[ArchivedJob] // jobs that are over; the store has all of them
+	unexplainedFailures map[*Job]bool            // jobs whose tasks failed for an unknown reason
+	archive             *RecentJobs[ArchivedJob] // recently archived jobs; the store has all archived jobs
 
 	commits         *commit.Committer
 	now             func() ident.MonotonicTime
-	wallClock       func() int64 // in milliseconds
+	wallClock       func() int64 // Unix time in milliseconds
 	tasksPerSegment int
-	maxInlineTasks  int  // in a header; those of larger jobs are in segments
-	maxValueBytes   int  // the lowest limit on the size of values, at any time
-	packedLog       bool // the tasks of new jobs are in the log alone
+	maxInlineTasks  int  // maximum number of tasks in a header; larger jobs use segments
+	maxValueBytes   int  // limit on the size of values: the lowest one in force or announced
+	packedLog       bool // the tasks of new jobs are stored only in the log
 
-	// OnWaiting is called when a task begins to wait for a machine.
+	// OnWaiting is called when a task starts to wait for placement.
 	OnWaiting func(*Task)
-	// OnStateChange is called before each change of a task's state. It updates the task's machine
-	// and team.
+	// OnStateChange is called before each change of a task's state. The callback updates the accounts of the
+	// task's machine and team.
 	OnStateChange func(t *Task, from, to State)
-	// OnArchived is called when a job is durably archived.
+	// OnArchived is called when a job's archive record is durable.
 	OnArchived func(ident.JobID)
 }
 
-// Team is the open jobs of a team.
+// Team holds the open jobs of a team.
 type Team struct {
 	OpenJobs         []*Job // in the order of submission
 	ChangedSincePlan bool   // OpenJobs has changed since the planner last reset this
 }
 
-// maxArchived bounds the number of archived jobs that are kept in memory.
+// maxArchived is the maximum number of archived jobs that are kept in memory.
 const maxArchived = 20_000
 
-// NewTable makes an empty table. Values in the store have up to valueBytes bytes; now is the
-// monotonic clock and wallClock the time of day in milliseconds.
+// NewTable returns an empty table. valueBytes is the store's limit on the size of values, now the monotonic
+// clock, and wallClock the Unix time in milliseconds.
 func NewTable(commits *commit.Committer, valueBytes int, now func() ident.MonotonicTime, wallClock func() int64) *Table {
 	return &Table{
 		Jobs:                map[ident.JobID]*Job{},
@@ -76,13 +76,13 @@
 	}
 }
 
-// LimitValueBytes lowers the limit on the size of values, in bytes, to one that is announced.
+// LimitValueBytes lowers the limit on the size of values, in bytes, to one that the store has announced.
 func (tb *Table) LimitValueBytes(valueBytes int) {
 	tb.maxValueBytes = min(tb.maxValueBytes, valueBytes)
 }
 
-// Add adds a submitted job. One of the functions is called: onDurable once the job is durable, or
-// onDuplicate if a job of that ID turns out to be archived.
+// Add adds a submitted job and starts to store it. It calls onDurable once the job is durable, or onDuplicate
+// if the store already has an archived job with the same ID.
 func (tb *Table) Add(s *api.Spec, onDurable, onDuplicate func()) *Job {
 	tb.Seq++
 	j := &Job{Spec: s, Seq: tb.Seq, SubmittedAtMS: tb.wallClock(), SubmittedAt: tb.now()}
@@ -108,7 +108,7 @@
 	}
 }
 
-// addToIndexes adds a job to the indexes of the planner.
+// addToIndexes adds an open job to the indexes Teams and Waiting.
 func (tb *Table) addToIndexes(j *Job) {
 	if j.Phase != Open {
 		return
@@ -127,7 +127,7 @@
 	tb.updateWaiting(j)
 }
 
-// closeJob is the only function by which a job leaves phase Open.
+// closeJob moves a job from phase Open to a final phase. No other function changes the phase of a job.
 func (tb *Table) closeJob(j *Job, phase Phase) {
 	j.Phase, j.ClosedAt = phase, tb.now()
 	if team := tb.Teams[j.Spec.Team]; team != nil {
@@ -139,7 +139,7 @@
 	tb.updateWaiting(j)
 }
 
-// updateWaiting adds a job to the index of those with waiting tasks, or removes it.
+// updateWaiting adds a job to the index of jobs with waiting tasks or removes it, depending on its state.
 func (tb *Table) updateWaiting(j *Job) {
 	if j.SubmissionDurable && j.WaitingCount() > 0 {
 		tb.Waiting[j] = struct{}{}
@@ -148,11 +148,11 @@
 	}
 }
 
-// LookupArchived returns the record of an archived job, and whether it is in memory. Only the newest
-// maxArchived jobs are.
+// LookupArchived returns the record of an archived job, and whether the record is in memory. Only the
+// maxArchived records that were added last are.
 func (tb *Table) LookupArchived(id ident.JobID) (ArchivedJob, bool) { return tb.archive.Get(id) }
 
-// RememberArchived keeps the record of an archived job for LookupArchived.
+// RememberArchived caches the record of an archived job for LookupArchived.
 func (tb *Table) RememberArchived(id ident.JobID, archived ArchivedJob) { tb.archive.Put(id, archived) }
 
 // Sorted returns the jobs in the order of submission.
@@ -165,8 +165,8 @@
 	return out
 }
 
-// FinishLoading is called once all keys are loaded. It indexes the jobs, and archives those that
-// an earlier term could not.
+// FinishLoading completes loading after all keys were loaded. It indexes the jobs, and closes and archives
+// those that have ended but that an earlier term did not archive.
 func (tb *Table) FinishLoading() {
 	for _, j := range tb.Sorted() {
 		tb.addToIndexes(j)
--- a/internal/jobs/transitions.go
+++ b/internal/jobs/transitions.go
@@ -1,6 +1,7 @@
 package jobs
 
 import (
+	"fmt"
 	"time"
 
 	"opaldale/internal/api"
@@ -8,17 +9,18 @@
 	"opaldale/internal/kvstore"
 )
 
-// setState is the only function that changes a task's state, except when it is loaded.
+// setState changes a task's state. It is the only function that does, apart from loading a task from the
+// store.
 func (tb *Table) setState(t *Task, next State) {
 	from := t.State
 	if from == next {
 		return
 	}
 	if from == Completed {
-		panic("a completed task is final")
+		panic(fmt.Sprintf("task %s: state change to %s after completion", t.TaskID(), next))
 	}
 	j := t.Job
-	j.move(from, next)
+	j.recordTransition(from, next)
 	tb.OnStateChange(t, from, next)
 	t.State, t.StateSince = next, tb.now()
 	tb.updateWaiting(j)
@@ -30,26 +32,25 @@
 	}
 }
 
-// UpdateStatus sets the status that a worker reports for a task. It has no effect on a task that is
-// not allocated.
+// UpdateStatus sets the status that a worker reports for a task. It ignores tasks that are not allocated.
 func (tb *Table) UpdateStatus(t *Task, status api.TaskStatus) {
 	if t.State.Allocated() && t.ReportedStatus != status {
 		t.setReportedStatus(status, tb.now())
 	}
 }
 
-// Place places a waiting task on a machine, in a new attempt. onDurable is called once the placement
-// is durable, unless it has been superseded by then. The task must not be launched earlier.
+// Place places a waiting task on a machine, in a new attempt. onDurable is called once the placement is
+// durable, unless the task's state has changed by then. The task must not be launched before that call.
 func (tb *Table) Place(t *Task, machineID ident.MachineID, incarnation ident.Incarnation, onDurable func()) {
 	tb.PlaceAttempt(t, machineID, incarnation, t.Attempt+1, onDurable)
 }
 
-// PlaceAttempt is Place in a given attempt, which must not be lower than the task's last one.
+// PlaceAttempt is like Place but uses the given attempt, which must not be lower than the task's last attempt.
 func (tb *Table) PlaceAttempt(
 	t *Task, machineID ident.MachineID, incarnation ident.Incarnation, attempt ident.Attempt, onDurable func(),
 ) {
 	if attempt < t.Attempt {
-		panic("the attempt of a task is lower than its last one")
+		panic(fmt.Sprintf("task %s: placement in attempt %d, last attempt was %d", t.TaskID(), attempt, t.Attempt))
 	}
 	t.Attempt = attempt
 	t.placements++
@@ -65,8 +66,8 @@
 	})
 }
 
-// persistTask writes a task's state. It is written to the log: a put for each change of a task, or of
-// its job, would take the whole write rate of the store while a large fleet starts.
+// persistTask appends a task's state to the log. Writing a separate key for each change of a task or job
+// would use up the store's write rate while a large fleet starts.
 func (tb *Table) persistTask(t *Task, onDurable func()) { tb.commits.Append(t, onDurable) }
 
 // MarkStopping records that a task is being stopped with a grace period.
@@ -75,9 +76,9 @@
 	tb.setState(t, Stopping)
 }
 
-// MarkGone records that an allocated task is proven not to be on its machine: it waits to be placed
-// again. onDurable, unless nil, is called once that is durable; if the task is not allocated, it is
-// not called.
+// MarkGone records that an allocated task can no longer run on its machine. The task then waits to be placed
+// again. onDurable may be nil; it is called once the change is durable. If the task is not allocated,
+// MarkGone does nothing and does not call onDurable.
 func (tb *Table) MarkGone(t *Task, onDurable func()) {
 	if !t.State.Allocated() {
 		return
@@ -87,7 +88,8 @@
 	tb.archiveIfDone(t.Job)
 }
 
-// Complete records that a task has completed. onDurable, unless nil, is called once that is durable.
+// Complete records that a task has completed. onDurable may be nil; it is called once the completion is
+// durable.
 func (tb *Table) Complete(t *Task, onDurable func()) {
 	j := t.Job
 	t.ConsecutiveErrors = 0
@@ -103,8 +105,9 @@
 	tb.archiveIfDone(j)
 }
 
-// persistCompletion writes a task's completion. That of a job which is done is written only as a
-// whole, with the job's end: a new leader must not find part of a gang completed.
+// persistCompletion writes a task's completion to the log. If the job is done, the completions of its last
+// tasks are written only when the job is archived, in one transaction: a new leader must not load a gang of
+// which only some tasks have completed.
 func (tb *Table) persistCompletion(t *Task, onDurable func()) {
 	j := t.Job
 	switch {
@@ -115,10 +118,10 @@
 	}
 }
 
-// completeGang completes the tasks of a gang of which one has completed. Those that may be on a machine
-// and are not reported running stay allocated until they are proven gone: a gang whose result
-// was saved by an earlier attempt completes before all its tasks have started, and the rest
-// still takes room of its machines and of its team's quota.
+// completeGang marks the tasks of a gang as completed after one of them has completed. Tasks that may be on
+// a machine but are not reported running stay allocated until they can no longer run there. A gang whose
+// result was saved by an earlier attempt can complete before all its tasks have started, and a task that
+// starts later still uses resources of its machine and quota of its team.
 func (tb *Table) completeGang(j *Job) {
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
@@ -130,7 +133,7 @@
 	}
 }
 
-// Cancel ends an open job at its user's request. onDurable is called once that is durable.
+// Cancel ends an open job at the user's request. onDurable is called once the cancellation is durable.
 func (tb *Table) Cancel(j *Job, onDurable func()) {
 	if j.Phase == Open {
 		tb.closeJob(j, Cancelled)
@@ -143,15 +146,15 @@
 	}
 	tb.archiveIfDone(j)
 	if tb.packedLog && j.storage.format != inLog && j.SubmissionDurable && !j.storage.archived {
-		// The header may be put again only when the log has the tasks.
+		// A header written from now on has no tasks, so the log must have them first.
 		tb.convertJob(j, phaseDurable)
 		return
 	}
 	tb.commits.MarkDirty(j.storage.header, phaseDurable)
 }
 
-// archiveIfDone archives a job that is over and has no allocated tasks. One transaction deletes its
-// live key and writes the other, so that it is always found under one of them.
+// archiveIfDone archives a job that has ended and has no allocated tasks. A single transaction deletes the
+// live key and writes the archive key, so that the job is always found under exactly one of them.
 func (tb *Table) archiveIfDone(j *Job) {
 	if j.Phase == Open || j.AllocatedTasks > 0 || j.storage.archived {
 		return
@@ -161,13 +164,13 @@
 	j.storage.header.ExtraMutations = func() []kvstore.Mutation {
 		return []kvstore.Mutation{{Put: ArchiveKey(j.Spec.ID), Value: api.JSON(record)}}
 	}
-	// A submission that is not durable yet is acknowledged only together with the job's end.
+	// If the submission is not durable yet, acknowledge it only when the archive record is durable.
 	submitted := j.callbacks.submitted
 	j.callbacks.submitted = nil
 	tb.commits.MarkDirty(j.storage.header, func() { tb.finishArchiving(j, record, submitted) })
 }
 
-// finishArchiving drops a job that is durably archived, and calls the callbacks that wait for that.
+// finishArchiving removes a job whose archive record is durable, and calls the callbacks that wait for it.
 func (tb *Table) finishArchiving(j *Job, record ArchivedJob, submitted []func()) {
 	tb.RememberArchived(j.Spec.ID, record)
 	delete(tb.Jobs, j.Spec.ID)
@@ -179,7 +182,7 @@
 	for i := range j.Tasks {
 		tb.commits.Release(&j.Tasks[i].logPin)
 	}
-	// Segments without a header have no effect; a new leader deletes those that are left.
+	// Segments without a header have no effect. A new leader deletes any that remain.
 	for _, doc := range j.storage.segments {
 		tb.commits.MarkDirty(doc, nil)
 	}
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/ident"
 )
 
-// View returns the user's view of the job, which shows the job's end only once that is durable.
+// View returns the job as shown to users. It shows the end of the job only once the end is durable.
 func (j *Job) View() api.JobView {
 	v := api.JobView{ID: j.Spec.ID, Status: api.StatusQueued, Done: j.CompletedTasks, Running: j.RunningTasks}
 	switch {
@@ -21,14 +21,15 @@
 	return v
 }
 
-// ViewSettled reports whether every node that reads the job from the store gives the same view.
+// ViewSettled reports whether every node that reads the job from the store now would show the same view, that
+// is, no write of the job's submission or end has an unknown outcome.
 func (j *Job) ViewSettled() bool {
 	return j.SubmissionDurable && (j.Phase == j.DurablePhase || !j.storage.header.OutcomeUnknown())
 }
 
-// WhenViewSettled calls a function once the view is settled: at once, except while the submission
-// or the end of the job is being written. Another node may read that from the store before it is
-// known to be durable here, and no user may see an earlier state after a later one.
+// WhenViewSettled calls a function once the view is settled. It calls the function immediately unless the
+// job's submission or end is being written: another node may already read the new state from the store
+// while this one still shows the old one, and a user must not see an older state after a newer one.
 func (j *Job) WhenViewSettled(f func()) {
 	switch {
 	case !j.SubmissionDurable:
@@ -40,19 +41,19 @@
 	}
 }
 
-// ArchivedJob is the durable record of a job that is over.
+// ArchivedJob is the stored record of an archived job.
 type ArchivedJob struct {
 	Phase          Phase `json:"phase"`
 	Tasks          int   `json:"pieces"`
 	CompletedTasks int   `json:"done"`
 }
 
-// View returns the user's view of a job that is over.
+// View returns the archived job as shown to users.
 func (a ArchivedJob) View(id ident.JobID) api.JobView {
 	return api.JobView{ID: id, Status: a.Phase.Status(), Done: a.CompletedTasks}
 }
 
-// archiveRecord returns the job's record for the archive.
+// archiveRecord returns the record to store for the job when it is archived.
 func (j *Job) archiveRecord() ArchivedJob {
 	archived := ArchivedJob{Phase: j.Phase, Tasks: len(j.Tasks), CompletedTasks: j.CompletedTasks}
 	if j.Phase == Done {
@@ -61,8 +62,8 @@
 	return archived
 }
 
-// ParseLiveView returns the view of a job from the value of its live key, for nodes that do not
-// lead.
+// ParseLiveView returns the view of a job from the value of its live key. Nodes that are not the leader use
+// it. Only tasks stored in the header are counted.
 func ParseLiveView(value json.RawMessage) (api.JobView, error) {
 	var header jobHeader
 	if err := json.Unmarshal(value, &header); err != nil {
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -18,20 +18,20 @@
 
 func attemptIn(report api.TaskReport) taskAttempt { return taskAttempt{report.TaskID, report.Attempt} }
 
-// isTargetOf reports whether a command is for the attempt.
+// isTargetOf reports whether a command addresses the attempt.
 func (a taskAttempt) isTargetOf(command api.Command) bool {
 	return command.TaskID == a.task && command.Attempt == a.attempt
 }
 
-// reportsAttempt reports whether a heartbeat has an attempt.
+// reportsAttempt reports whether a heartbeat lists an attempt.
 func reportsAttempt(heartbeat *api.Heartbeat, attempt taskAttempt) bool {
 	return slices.ContainsFunc(heartbeat.Tasks, func(report api.TaskReport) bool {
 		return attemptIn(report) == attempt
 	})
 }
 
-// reportedTask returns the task whose present attempt a report is about, nil if that attempt is
-// not known to be on the machine.
+// reportedTask returns the task that a report is about, or nil if the machine has no allocated task with
+// the ID and attempt in the report.
 func (w *Worker) reportedTask(report api.TaskReport) *jobs.Task {
 	t := w.Tasks[report.TaskID]
 	if t == nil || t.Attempt != report.Attempt {
@@ -40,11 +40,11 @@
 	return t
 }
 
-// HasUnknownAttempt reports whether some machine has reported an attempt of a task that is not known
-// here. The task must not be started elsewhere while it may run there.
+// HasUnknownAttempt reports whether the latest heartbeat of any machine lists an attempt of the task that
+// this leader does not know. The task must not be started elsewhere while that attempt may run.
 func (tb *Table) HasUnknownAttempt(task ident.TaskID) bool { return tb.unknownAttempts[task] > 0 }
 
-// addUnknownAttempt records a reported attempt that is not known here.
+// addUnknownAttempt records an attempt that a worker reports but this leader does not know.
 func (tb *Table) addUnknownAttempt(w *Worker, attempt taskAttempt) {
 	if _, ok := w.unknownAttempts[attempt.task]; !ok {
 		tb.unknownAttempts[attempt.task]++
@@ -52,7 +52,7 @@
 	w.unknownAttempts[attempt.task] = attempt.attempt
 }
 
-// clearUnknownAttempts forgets the unknown attempts on a machine.
+// clearUnknownAttempts removes the unknown attempts of a machine.
 func (tb *Table) clearUnknownAttempts(w *Worker) {
 	for task := range w.unknownAttempts {
 		tb.unknownAttempts[task]--
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -9,30 +9,30 @@
 	"opaldale/internal/jobs"
 )
 
-// CommandCall is a call of a worker's POST /commands.
+// CommandCall is a call to a worker's POST /commands endpoint.
 type CommandCall struct {
 	Addr string
-	Zone string // of the machine
+	Zone string // zone of the machine
 	Body api.CommandRequest
-	// NotAfter is the deadline for sending the call, by this node's clock; 0: none.
+	// NotAfter is the deadline for sending the call, on this node's monotonic clock; 0: none.
 	NotAfter ident.MonotonicTime
 }
 
-// Launches reports whether the call starts a task.
+// Launches reports whether the call contains a launch command.
 func (c CommandCall) Launches() bool { return api.ContainsLaunch(c.Body.Commands) }
 
 // CommandResult is the result of a CommandCall.
 type CommandResult struct {
-	Status    int // HTTP status, 0 without a response
-	Heartbeat *api.Heartbeat
-	// NotSent reports that the call was certainly not sent, because its NotAfter had passed.
+	Status    int            // HTTP status; 0: no response
+	Heartbeat *api.Heartbeat // body of the response; nil: none
+	// NotSent reports that the call was not sent because its NotAfter deadline had passed.
 	NotSent bool
-	// ConnectionRefused reports that the connection was refused, so that the call was not sent.
+	// ConnectionRefused reports that the worker's address refused the connection, so the call was not sent.
 	ConnectionRefused bool
 }
 
-// isFrom reports whether the result is a response of the worker, which has carried out the commands
-// or refused them as outdated.
+// isFrom reports whether the result is a response from the given machine's worker, which has either
+// executed the commands (200) or rejected them as outdated (409).
 func (r CommandResult) isFrom(id ident.MachineID) bool {
 	if r.Status != http.StatusOK && r.Status != http.StatusConflict {
 		return false
@@ -48,7 +48,7 @@
 	return api.Command{Verb: api.Clear, TaskID: attempt.task, Attempt: attempt.attempt}
 }
 
-// KillCommand returns the command that ends an attempt without a grace period.
+// KillCommand returns the command that kills an attempt without a grace period.
 func KillCommand(task ident.TaskID, attempt ident.Attempt) api.Command {
 	return newKillCommand(taskAttempt{task, attempt}, 0)
 }
@@ -58,12 +58,12 @@
 	return api.Command{Verb: api.Kill, TaskID: attempt.task, Attempt: attempt.attempt, GracePeriodS: &seconds}
 }
 
-// Launch sends the launch of a task, whose placement must be durable, to its machine.
+// Launch sends a launch command for a task to its machine. The task's placement must be durable.
 func (tb *Table) Launch(w *Worker, t *jobs.Task) { tb.Enqueue(w, newLaunchCommand(t)) }
 
-// StopTask stops a task with a grace period; w is its machine, nil if that is not known. A task
-// whose placement is not durable was never launched, and is gone at once. The grace period of a
-// task that is stopping already can only be shortened.
+// StopTask stops a task with a grace period; w is its machine, or nil if the machine is unknown. A task
+// whose placement is not durable was never launched and goes back to Waiting immediately. For a task
+// that is already stopping, the grace period can only be shortened.
 func (tb *Table) StopTask(w *Worker, t *jobs.Task, gracePeriod time.Duration) {
 	switch t.State {
 	case jobs.Placing:
@@ -84,7 +84,7 @@
 	}
 }
 
-// StopAllocated stops the tasks of a job that are allocated on machines.
+// StopAllocated stops all allocated tasks of a job.
 func (tb *Table) StopAllocated(j *jobs.Job, gracePeriod time.Duration) {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Allocated() {
@@ -93,20 +93,22 @@
 	}
 }
 
-// Enqueue sends a command to a worker after the present event, or after the call under way. A
-// command that is lost is repeated in the response to the worker's next heartbeat.
+// Enqueue queues a command for a worker. The command is sent after the current event or, if a call is in
+// flight, after that call. A lost command is repeated in the response to the worker's next heartbeat.
 func (tb *Table) Enqueue(w *Worker, command api.Command) {
 	if w.State == Terminated || w.Addr == "" || w.order.incarnation == 0 || w.reachability.unresponsive {
 		return
 	}
 	w.commands.queued = append(w.commands.queued, command)
 	if w.commands.startSending() {
-		// After the present event, so that all its commands go in one call.
+		// Send after the current event, so that all commands it queues share one call.
 		tb.port.After(0, func() { tb.sendQueued(w) })
 	}
 }
 
-// Probe asks a worker for its state. It returns false if the worker cannot be asked now.
+// Probe sends a call to a worker to get its current heartbeat, along with any queued commands. It returns
+// false if no call can be made now: the address is unknown, the machine is terminated, or a call is in
+// flight.
 func (tb *Table) Probe(w *Worker) bool {
 	if w.Addr == "" || w.State == Terminated || !w.commands.startSending() {
 		return false
@@ -135,16 +137,16 @@
 	}
 	w.commands.finishCall()
 	if result.NotSent {
-		// The response to the worker's next heartbeat repeats the commands if this node is still leader.
+		// If this node is still the leader, the response to the worker's next heartbeat repeats the commands.
 		w.commands.discard()
 		return
 	}
 	tb.cfg.OnCommandResult(w, result.Status != 0)
 	if tb.closed {
-		return // the result has ended the term
+		return // OnCommandResult ended the term
 	}
 	if w.State == Terminated {
-		return // the tasks in its response are lost with the machine
+		return // the tasks in the response were lost with the machine
 	}
 	if !result.isFrom(w.ID) {
 		tb.fenceOff(w)
@@ -153,16 +155,17 @@
 	w.reachability.commandAnswered()
 	tb.applyCommandResponse(w, result.Heartbeat)
 	if len(w.commands.queued) > 0 {
-		// Known limitation: a command that applyCommandResponse has queued has its timer as well.
-		// That finds the queue empty and counts it as idle while this call is under way, so that
-		// another call may overlap it.
+		// Known limitation: if applyCommandResponse queued a command, Enqueue has also started a timer
+		// to send it. That timer finds the queue empty and resets sending while this call is in flight,
+		// so another call may overlap with this one.
 		w.commands.sending = true
 		tb.sendQueued(w)
 	}
 }
 
-// fenceOff makes sure that a command without a response is not carried out once the worker has
-// seen the next token. Until a heartbeat shows that, nothing more is sent to it.
+// fenceOff raises the worker's fencing token after a call without a response. Once the worker has seen the
+// new token, it can no longer execute the commands of that call. Until a heartbeat carries the new
+// token, no more commands are sent to the worker.
 func (tb *Table) fenceOff(w *Worker) {
 	w.fencing.raise()
 	w.reachability.commandUnanswered()
@@ -170,9 +173,9 @@
 	tb.FencedCommands++
 }
 
-// applyCommandResponse applies the heartbeat in the response to a command, and kills the tasks in it
-// that must not run. That does not wait for the response to the next heartbeat: by then this node
-// may have lost its leadership.
+// applyCommandResponse applies the heartbeat in the response to a command call, and queues kill commands
+// for the tasks in it that must not run. It does not leave that to the response to the next heartbeat,
+// because this node may have lost its leadership by then.
 func (tb *Table) applyCommandResponse(w *Worker, heartbeat *api.Heartbeat) {
 	if tb.applyHeartbeat(w, heartbeat) != heartbeatApplied {
 		return
--- a/internal/workers/failures.go
+++ b/internal/workers/failures.go
@@ -2,13 +2,13 @@
 
 import "opaldale/internal/jobs"
 
-// faultyThreshold is the number of healthy jobs that must have failed on a machine for it to count
-// as faulty.
+// faultyThreshold is the number of jobs proven healthy that must have failed on a machine before the
+// machine is considered faulty.
 const faultyThreshold = 2
 
-// failureRecord holds the jobs whose tasks failed on a machine since a task of another job
-// completed there. Whether a failure is the machine's or the job's fault shows later: a job
-// that runs well elsewhere is healthy, one that fails on several machines is suspect.
+// failureRecord holds the jobs whose tasks have failed on a machine since a task of a job that is not in
+// the record last completed there. Whether the machine or the job is at fault becomes clear only later: a
+// job that runs on other machines is healthy, a job that fails on several machines is suspect.
 type failureRecord struct {
 	jobs map[*jobs.Job]bool
 }
@@ -20,18 +20,18 @@
 	r.jobs[j] = true
 }
 
-// clearUnlessFailed clears the record when a task of a job completes: the machine works, unless
-// the same job has failed there as well.
+// clearUnlessFailed clears the record after a task of a job has completed, which shows that the machine
+// works. If the same job has also failed on the machine, the record is kept.
 func (r *failureRecord) clearUnlessFailed(j *jobs.Job) {
 	if !r.jobs[j] {
 		clear(r.jobs)
 	}
 }
 
-// RecordFailure records that a task of a job failed on the machine.
+// RecordFailure records that a task of the job failed on the machine.
 func (w *Worker) RecordFailure(j *jobs.Job) { w.failures.add(j) }
 
-// Faulty reports whether jobs that run well on other machines fail on this one.
+// Faulty reports whether at least faultyThreshold jobs that have proven healthy have failed on the machine.
 func (w *Worker) Faulty() bool {
 	healthyJobs := 0
 	for j := range w.failures.jobs {
@@ -42,8 +42,8 @@
 	return healthyJobs >= faultyThreshold
 }
 
-// PossiblyFaulty reports whether a job that may be healthy has failed on the machine. Such a machine
-// does not count as reliable capacity.
+// PossiblyFaulty reports whether a job has failed on the machine that is proven healthy, or is open and
+// not suspect. Such a machine is not counted as reliable capacity.
 func (w *Worker) PossiblyFaulty() bool {
 	for j := range w.failures.jobs {
 		if j.ProvenHealthy() || j.Phase == jobs.Open && !j.Suspect {
--- a/internal/workers/fencing.go
+++ b/internal/workers/fencing.go
@@ -5,31 +5,31 @@
 	"opaldale/internal/ident"
 )
 
-// fencing is the state of a worker's fencing token in this term. A worker refuses commands whose
-// token is lower than the highest that it has seen.
+// fencing is the state of a worker's fencing token in this term. A worker rejects commands whose token
+// is lower than the highest token that it has seen.
 type fencing struct {
-	count uint32             // how often the token was raised in this term
-	sent  ident.FencingToken // token in the newest response to a heartbeat of this term
+	count    uint32             // number of times the token was raised in this term
+	lastSent ident.FencingToken // token in the latest response to a heartbeat in this term
 }
 
 func (f *fencing) token(term ident.Term) ident.FencingToken {
 	return ident.MakeFencingToken(term, f.count)
 }
 
-// raise fences off a command without a response: it may be carried out at any later time, until
-// the worker has seen a higher token.
+// raise increments the token after a command without a response. The worker may execute such a command
+// at any later time, until it has seen a higher token.
 func (f *fencing) raise() { f.count++ }
 
-// raiseAbove raises the token above one of the same term.
+// raiseAbove sets the token to one more than the given token of the same term.
 func (f *fencing) raiseAbove(token ident.FencingToken, term ident.Term) {
 	f.count = uint32(token-ident.MakeFencingToken(term, 0)) + 1
 }
 
-// fencingToken returns the token for commands to a worker.
+// fencingToken returns the current fencing token for commands to a worker.
 func (tb *Table) fencingToken(w *Worker) ident.FencingToken { return w.fencing.token(tb.cfg.Term) }
 
-// hasCurrentToken reports whether a heartbeat has the newest token of its worker. Then no earlier
-// command can be carried out any more.
+// hasCurrentToken reports whether a heartbeat carries the newest token issued to its worker. If it does,
+// the worker can no longer execute commands sent with an earlier token.
 func (tb *Table) hasCurrentToken(w *Worker, heartbeat *api.Heartbeat) bool {
 	return heartbeat.FencingToken == tb.fencingToken(w)
 }
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -9,15 +9,15 @@
 	"opaldale/internal/jobs"
 )
 
-// HandleHeartbeat applies a worker's heartbeat and returns the response to it, which renews the
-// worker's lease. It returns nil if there must be no response.
+// HandleHeartbeat applies a worker's heartbeat and returns the response, which renews the worker's
+// lease. It returns nil if no response may be sent.
 func (tb *Table) HandleHeartbeat(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	w := tb.Workers[heartbeat.MachineID]
 	if w == nil {
 		return tb.handleUnknownMachine(heartbeat)
 	}
 	if w.State == Terminated {
-		return nil // delayed until its machine was terminated
+		return nil // a heartbeat that was delayed until after the machine's termination
 	}
 	switch tb.applyHeartbeat(w, heartbeat) {
 	case heartbeatDeposed:
@@ -27,13 +27,13 @@
 	}
 	response := tb.renewLease(w, heartbeat, tb.reconcile(w, heartbeat))
 	if response != nil {
-		w.fencing.sent = response.FencingToken
+		w.fencing.lastSent = response.FencingToken
 	}
 	return response
 }
 
-// respondToStale responds to a heartbeat that is not newer than the newest known one. It has no
-// effect here, but the response renews the lease, and so has to kill what must end.
+// respondToStale responds to a heartbeat that is not newer than the newest one received. The heartbeat
+// is not applied, but the response renews the lease and so must also kill the tasks that must not run.
 func (tb *Table) respondToStale(w *Worker, heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	if heartbeat.Incarnation < w.order.incarnation {
 		return nil
@@ -41,8 +41,8 @@
 	return tb.renewLease(w, heartbeat, unwantedTaskKills(w, heartbeat))
 }
 
-// handleUnknownMachine responds to a heartbeat of a machine that is not known. It may be a late
-// copy of one from a machine that is terminated, so the worker is probed before it counts.
+// handleUnknownMachine responds to a heartbeat from an unknown machine. The heartbeat may be a delayed
+// duplicate from a terminated machine, so the worker is probed and the machine added only if it answers.
 func (tb *Table) handleUnknownMachine(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	if heartbeat.FencingToken.Term() > tb.cfg.Term {
 		tb.cfg.OnDeposed()
@@ -55,7 +55,8 @@
 	return &api.HeartbeatResponse{FencingToken: token, Commands: []api.Command{}}
 }
 
-// probeUnknownMachine asks the worker that has sent a heartbeat for its state.
+// probeUnknownMachine sends a command call without commands to the sender of a heartbeat. The response
+// carries the worker's current heartbeat.
 func (tb *Table) probeUnknownMachine(heartbeat *api.Heartbeat, token ident.FencingToken) {
 	tb.probedUnknown[heartbeat.MachineID] = true
 	call := CommandCall{
@@ -70,7 +71,7 @@
 	tb.port.Worker(call, func(result CommandResult) { tb.handleUnknownProbe(heartbeat, result) })
 }
 
-// handleUnknownProbe adds an unknown machine whose worker has responded to the probe.
+// handleUnknownProbe adds an unknown machine if its worker has responded to the probe.
 func (tb *Table) handleUnknownProbe(heartbeat *api.Heartbeat, result CommandResult) {
 	if tb.closed {
 		return
@@ -92,8 +93,8 @@
 	}
 }
 
-// The unknown machines that are probed at a time are at most minUnknownProbes, or the fleet's size
-// divided by unknownProbesDivisor if that is more.
+// The number of unknown machines that are probed concurrently is limited to the larger of
+// minUnknownProbes and the fleet size divided by unknownProbesDivisor.
 const (
 	minUnknownProbes     = 100
 	unknownProbesDivisor = 10
@@ -108,11 +109,11 @@
 
 const (
 	heartbeatApplied heartbeatOutcome = iota
-	heartbeatStale                    // not newer than the newest known one
-	heartbeatDeposed                  // the worker has seen a later term: this node is not the leader any more
+	heartbeatStale                    // not newer than the newest heartbeat received
+	heartbeatDeposed                  // the worker has seen a later term: this node is no longer the leader
 )
 
-// applyHeartbeat updates the worker and its tasks from a heartbeat.
+// applyHeartbeat updates a worker and its tasks from a heartbeat, unless the heartbeat is stale.
 func (tb *Table) applyHeartbeat(w *Worker, heartbeat *api.Heartbeat) heartbeatOutcome {
 	if w.order.isStale(heartbeat) {
 		tb.StaleHeartbeats++
@@ -139,8 +140,8 @@
 	return heartbeatApplied
 }
 
-// checkFencingToken raises the worker's token above one that is newer than any issued, which is
-// not possible within a term.
+// checkFencingToken logs a reported fencing token that is newer than any token issued to the worker, and
+// raises the worker's token above it. This cannot happen within a term unless there is a bug.
 func (tb *Table) checkFencingToken(w *Worker, token ident.FencingToken) {
 	if token <= tb.fencingToken(w) {
 		return
@@ -149,8 +150,8 @@
 	w.fencing.raiseAbove(token, tb.cfg.Term)
 }
 
-// updateAddress persists a worker's address when it is new, and looks its type up if the catalog
-// did not list it before.
+// updateAddress sets a worker's address if it has changed, and looks up the machine type if the catalog
+// did not list it before. It persists the machine in both cases.
 func (tb *Table) updateAddress(w *Worker, addr string) {
 	if w.Addr == addr && w.Type != nil {
 		return
@@ -160,22 +161,23 @@
 	tb.cfg.Persist(w)
 }
 
-// beginIncarnation updates a worker that has begun a new incarnation: it has killed all tasks of
-// earlier ones and refuses commands for them.
+// beginIncarnation updates a worker that has started a new incarnation. Such a worker has killed all
+// tasks of its earlier incarnations and rejects commands addressed to them.
 func (tb *Table) beginIncarnation(w *Worker, incarnation ident.Incarnation, now ident.MonotonicTime) {
 	w.order.raiseIncarnation(incarnation)
 	w.commands.discard()
 	w.imageCache.clear()
 	tb.clearUnknownAttempts(w)
-	// The lease of an incarnation runs from its start, which was not later than now, even if
-	// no heartbeat of it has had a response. A task placed in it must not count as lost
-	// because the lease of the incarnation before has expired.
+	// The lease of a new incarnation runs from its start, which is not later than now, even if none of
+	// its heartbeats has been answered yet. Otherwise a task placed in the new incarnation would be
+	// considered lost when the lease of the previous incarnation expires.
 	w.lease.renew(now)
 }
 
-// dropEarlierIncarnations drops the tasks that were placed in earlier incarnations. A new leader
-// may load them beside tasks of the present one, by which it knows that already: the end of
-// the former was not durable when the placement of the latter was.
+// dropEarlierIncarnations marks the tasks as lost that were placed in earlier incarnations and that the
+// heartbeat does not list. This is done for every heartbeat, not only for the first of an incarnation:
+// if the placement of a task in the current incarnation became durable before the loss of the earlier
+// tasks did, a new leader loads both, and knows the current incarnation from the newer placement.
 func (tb *Table) dropEarlierIncarnations(w *Worker, heartbeat *api.Heartbeat) {
 	earlier := func(t *jobs.Task) bool {
 		return t.Incarnation < heartbeat.Incarnation && !reportsAttempt(heartbeat, attemptOf(t))
@@ -194,10 +196,10 @@
 	}
 }
 
-// updateReachability records that a heartbeat was received. Its token shows whether the worker
+// updateReachability records that a heartbeat was received. Its fencing token shows whether the worker
 // receives responses and commands.
 func (tb *Table) updateReachability(w *Worker, heartbeat *api.Heartbeat, now ident.MonotonicTime) {
-	w.reachability.heartbeatReceived(heartbeat.FencingToken, w.fencing.sent, now)
+	w.reachability.heartbeatReceived(heartbeat.FencingToken, w.fencing.lastSent, now)
 	if tb.hasCurrentToken(w, heartbeat) {
 		w.reachability.unresponsive = false
 	}
@@ -208,8 +210,8 @@
 	}
 }
 
-// updateReclaimNotice sets the time at which the provider reclaims a machine; noticeSeconds is nil
-// while that is not announced.
+// updateReclaimNotice sets the time at which the provider reclaims a machine. noticeSeconds is the time
+// left until then, or nil if no reclaim is announced.
 func (tb *Table) updateReclaimNotice(w *Worker, noticeSeconds *float64, now ident.MonotonicTime) {
 	if noticeSeconds == nil {
 		w.ReclaimAt = 0
@@ -217,10 +219,10 @@
 	}
 	reclaimAt := now.Add(time.Duration(*noticeSeconds * float64(time.Second)))
 	if w.ReclaimAt == 0 {
-		slog.Info("machine reclaim notice", "machine", string(w.ID), "in_s", *noticeSeconds)
+		slog.Info("provider announced machine reclaim", "machine", string(w.ID), "in_s", *noticeSeconds)
 		tb.cfg.OnCapacityChanged()
 	}
-	w.ReclaimAt = max(reclaimAt, 1) // 0 stands for none
+	w.ReclaimAt = max(reclaimAt, 1) // 0 would mean that no reclaim is announced
 }
 
 // applyTaskReport updates a task from its report in a heartbeat.
@@ -232,7 +234,7 @@
 		}
 		return
 	}
-	if provesImage(report) {
+	if hasPulledImage(report) {
 		w.recordImageUse(t.Job.Spec)
 	}
 	if report.Status != api.Ended {
@@ -242,8 +244,8 @@
 	tb.handleTaskEnd(w, t, report)
 }
 
-// provesImage reports whether a task in this state has its image.
-func provesImage(report api.TaskReport) bool {
+// hasPulledImage reports whether a task in this state must have pulled its image.
+func hasPulledImage(report api.TaskReport) bool {
 	switch report.Status {
 	case api.Running, api.Flushing, api.Gathering:
 		return true
@@ -251,8 +253,9 @@
 	return report.Cause == api.CauseDone
 }
 
-// handleTaskEnd updates a task that has ended. Its attempt is cleared from the worker only once that
-// is durable: otherwise a new leader would launch it again.
+// handleTaskEnd records that a task has ended. The worker is told to clear the attempt only once the end
+// is durable. A new leader that knew neither from the store nor from the worker that the attempt has
+// ended would start the task again.
 func (tb *Table) handleTaskEnd(w *Worker, t *jobs.Task, report api.TaskReport) {
 	tb.logTaskEnd(w, t, report.Cause)
 	attempt := attemptIn(report)
@@ -275,7 +278,8 @@
 	tb.jobs.MarkGone(t, onDurable)
 }
 
-// completeTask completes a task, and the other tasks of a gang with it.
+// completeTask records that a task completed. When one task of a gang completes, the whole gang does,
+// and its tasks that are still allocated are stopped.
 func (tb *Table) completeTask(w *Worker, t *jobs.Task, onDurable func()) {
 	w.failures.clearUnlessFailed(t.Job)
 	tb.cfg.OnTaskCompleted(t, w)
--- a/internal/workers/image_cache.go
+++ b/internal/workers/image_cache.go
@@ -14,10 +14,10 @@
 	GB   float64
 }
 
-// imageCache is an estimate of the images that a worker has cached. Workers evict the least
-// recently used images once the disk is full.
+// imageCache is an estimate of the container images that a worker has cached. Workers evict the least
+// recently used images when the disk is full.
 type imageCache struct {
-	images []Image // most recently used last
+	images []Image // ordered from least to most recently used
 }
 
 func indexOfImage(images []Image, name string) int {
@@ -26,8 +26,8 @@
 
 func (c *imageCache) has(name string) bool { return indexOfImage(c.images, name) >= 0 }
 
-// markUsed makes an image the most recently used one. If it is new and the disk is too small for
-// all images, others are evicted.
+// markUsed makes an image the most recently used one. If the image is new and all images together exceed
+// the disk size, the least recently used ones are evicted.
 func (c *imageCache) markUsed(used Image, diskGB float64) {
 	i := indexOfImage(c.images, used.Name)
 	if i < 0 {
@@ -41,7 +41,8 @@
 	c.images[last] = cached
 }
 
-// evict drops the least recently used images that have no room on the disk, but never the last.
+// evict removes the least recently used images until the rest fit on the disk. It always keeps the most
+// recently used image.
 func (c *imageCache) evict(diskGB float64) {
 	totalGB := 0.0
 	for _, image := range c.images {
@@ -57,24 +58,24 @@
 
 func (c *imageCache) clear() { c.images = nil }
 
-// CachedImages returns the images that the machine probably has cached. The slice must not be
-// changed.
+// CachedImages returns the images that the machine probably has cached, least recently used first.
+// Callers must not modify the slice.
 func (w *Worker) CachedImages() []Image { return w.imageCache.images }
 
 // HasImage reports whether the machine probably has an image cached.
 func (w *Worker) HasImage(image string) bool { return w.imageCache.has(image) }
 
-// recordImageUse marks a job's image as used on the machine, by one of its tasks.
+// recordImageUse records that a task of the job uses the job's image on the machine.
 func (w *Worker) recordImageUse(s *api.Spec) {
-	diskGB := math.Inf(1) // unknown
+	diskGB := math.Inf(1) // while the machine type is unknown, no images are evicted
 	if w.Type != nil {
 		diskGB = w.Type.LocalDiskGB
 	}
 	w.imageCache.markUsed(Image{s.Image, s.ImageGB}, diskGB)
 }
 
-// HasTaskWithImage reports whether a task on the machine uses an image, which is then cached there
-// or being pulled.
+// HasTaskWithImage reports whether a task allocated on the machine uses an image. Such an image is cached
+// there, or is about to be pulled.
 func (w *Worker) HasTaskWithImage(image string) bool {
 	for _, t := range w.Tasks {
 		if t.Job.Spec.Image == image {
@@ -84,7 +85,8 @@
 	return false
 }
 
-// ImagePullTime estimates how long the machine takes to pull a job's image.
+// ImagePullTime estimates how long the machine takes to pull a job's image. It returns 0 if the pull rate
+// is unknown.
 func (w *Worker) ImagePullTime(s *api.Spec) time.Duration {
 	if w.Type == nil || w.Type.PullGBPerS <= 0 {
 		return 0
--- a/internal/workers/reason.go
+++ b/internal/workers/reason.go
@@ -1,26 +1,25 @@
 package workers
 
-// Reason says why a machine changed its state or why a task was lost with it. It is
-// written to the log only.
+// Reason is the cause of a machine's state change or of the loss of a task. It appears only in the log.
 type Reason string
 
-// The reasons for which a machine is in use, unreachable or terminated.
+// The reasons for state changes of machines and for lost tasks.
 const (
-	ReasonOnRecord       Reason = "on record"           // the record of an earlier term has its address
-	ReasonHeartbeat      Reason = "heartbeat"           // its worker reported
-	ReasonNoHeartbeat    Reason = "no heartbeat"        // its worker has not reported in time
-	ReasonNotNeeded      Reason = "not needed"          // scale in
-	ReasonFailedToStart  Reason = "failed to start"     // the provider lists it as failed
-	ReasonBootTimeout    Reason = "boot timeout"        // its worker never reported
-	ReasonZonePartition  Reason = "zone is partitioned" // no machine of its zone is reachable
-	ReasonReclaimed      Reason = "reclaimed"           // the provider takes it back
-	ReasonFaulty         Reason = "faulty"              // jobs that run well elsewhere fail on it
-	ReasonSlow           Reason = "slow"                // its tasks take much longer than elsewhere
-	ReasonUnresponsive   Reason = "unresponsive"        // its worker does not receive what is sent to it
-	ReasonNotOnRecord    Reason = "not on record"       // a task names it, and its record is deleted
-	ReasonTerminated     Reason = "terminated"          // the provider has confirmed its termination
-	ReasonLeaseExpired   Reason = "lease expired"       // its worker has killed its tasks by now
-	reasonNewIncarnation Reason = "newer incarnation"   // its worker has begun one without the task
-	reasonNotReported    Reason = "not in heartbeat"    // a current heartbeat does not have the task
-	reasonNeverStarted   Reason = "stopped before start"
+	ReasonRestored       Reason = "restored from stored record"         // an earlier term stored the machine with its address
+	ReasonHeartbeat      Reason = "heartbeat received"                  // first heartbeat after booting or being unreachable
+	ReasonNoHeartbeat    Reason = "heartbeat timeout"                   // no heartbeat was received in time
+	ReasonNotNeeded      Reason = "scale-in"                            // the capacity is not needed
+	ReasonFailedToStart  Reason = "failed to start"                     // the provider lists the machine as failed
+	ReasonBootTimeout    Reason = "boot timeout"                        // no heartbeat was received within the boot timeout
+	ReasonZonePartition  Reason = "zone partitioned"                    // no machine in the zone is reachable
+	ReasonReclaimed      Reason = "reclaimed by provider"               // reclaim of a spot machine
+	ReasonFaulty         Reason = "faulty machine"                      // jobs that run on other machines fail on this one
+	ReasonSlow           Reason = "slow machine"                        // tasks take much longer than on other machines
+	ReasonUnresponsive   Reason = "worker unresponsive"                 // the worker does not receive responses or commands
+	ReasonNotOnRecord    Reason = "no stored record"                    // a stored task is on the machine, whose record is deleted
+	ReasonTerminated     Reason = "termination confirmed"               // by the provider
+	ReasonLeaseExpired   Reason = "lease expired"                       // the worker has killed its tasks
+	reasonNewIncarnation Reason = "not in newer incarnation"            // the worker started a new incarnation without the task
+	reasonNotReported    Reason = "not in heartbeat with current token" // no earlier command can start the task any more
+	reasonNeverStarted   Reason = "stopped before it started"           // stopping and not in a heartbeat with the current token
 )
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -7,9 +7,8 @@
 	"opaldale/internal/jobs"
 )
 
-// unwantedTaskKills returns the commands that kill the tasks of a heartbeat which must not run:
-// those of cancelled jobs, and attempts that are not known. A kill is safe at any time,
-// whichever node leads.
+// unwantedTaskKills returns kill commands for the tasks in a heartbeat that must not run: tasks of
+// cancelled jobs and unknown attempts. Killing them is safe even if this node is no longer the leader.
 func unwantedTaskKills(w *Worker, heartbeat *api.Heartbeat) []api.Command {
 	commands := []api.Command{}
 	for _, report := range heartbeat.Tasks {
@@ -21,8 +20,9 @@
 	return commands
 }
 
-// reconcile compares a heartbeat with the tasks that are known to be on the worker. It returns
-// the commands that the worker lacks, and drops tasks that the heartbeat proves to be lost.
+// reconcile compares the tasks in a heartbeat with the tasks allocated on the machine. It returns the
+// commands that bring the worker to the desired state, and marks tasks as lost that the heartbeat shows to
+// be missing.
 func (tb *Table) reconcile(w *Worker, heartbeat *api.Heartbeat) []api.Command {
 	commands := []api.Command{}
 	for _, report := range heartbeat.Tasks {
@@ -47,16 +47,17 @@
 	return commands
 }
 
-// commandForReported returns the command that a reported task needs, if any. An attempt that a queued
-// command or one under way is for needs none: if a launch were repeated here, the task could end
-// and be cleared before the first command arrives, which would start it again.
+// commandForReported returns the command that a reported task needs, if any. An attempt that is addressed
+// by a queued or in-flight command generally needs none. If a launch were repeated here, the task could
+// end and be cleared before the first launch arrives, which would then start the task again.
 func (tb *Table) commandForReported(w *Worker, report api.TaskReport) (command api.Command, needed bool) {
 	attempt := attemptIn(report)
 	t := w.reportedTask(report)
 	stopping := t != nil && t.State == jobs.Stopping
 	switch {
 	case stopping && t.Job.Phase == jobs.Cancelled && report.Status != api.Ended:
-		// Even if a command under way does so: it may be lost, and the response renews the lease.
+		// Kill the task even if an in-flight command does so already: that command may be lost, and the
+		// response renews the lease.
 		return newKillCommand(attempt, 0), true
 	case w.commands.targets(attempt):
 		return api.Command{}, false
@@ -70,18 +71,18 @@
 	return api.Command{}, false
 }
 
-// isUnconfirmedLaunch reports whether a task was placed in this term and its worker has not reported
-// it yet: its launch may be repeated. A task that was placed in an earlier term is not launched,
-// but counts as lost and is placed again: that term may have given its room, or its team's quota,
-// to other tasks, and only their placements may have become durable.
+// isUnconfirmedLaunch reports whether a task was placed in this term and its worker has not reported it
+// yet, so that its launch may be repeated. A task that was placed in an earlier term is not launched: it
+// is marked as lost and placed again. The earlier term may have allocated its resources or its team's quota
+// to other tasks, and stored their placements but not the end of this one.
 func isUnconfirmedLaunch(t *jobs.Task) bool {
 	return t.State == jobs.Assigned && t.ReportedStatus == "" && t.PlacedThisTerm()
 }
 
-// dropMissing drops a task that a heartbeat with the newest token does not have. Without that token
-// an earlier command could still start it. Commands in the responses to earlier heartbeats
-// cannot: workers send a heartbeat only when they have carried out the last response, or
-// given up waiting for it.
+// dropMissing marks a task as lost that is not in a heartbeat with the newest fencing token. With an older
+// token, an earlier command could still start the task. Commands in responses to earlier heartbeats cannot
+// start it, because a worker sends a heartbeat only after it has executed the previous response or has
+// timed out waiting for it.
 func (tb *Table) dropMissing(w *Worker, t *jobs.Task) {
 	switch t.State {
 	case jobs.Assigned:
@@ -91,7 +92,8 @@
 	}
 }
 
-// currentGracePeriod returns the grace period of a stopping task: 0 once it is over.
+// currentGracePeriod returns the grace period for stopping a task, or 0 if the task has been stopping for
+// longer than its grace period.
 func (tb *Table) currentGracePeriod(t *jobs.Task) time.Duration {
 	if tb.port.Now().Sub(t.StateSince) >= t.GracePeriod {
 		return 0
--- a/internal/workers/reservation.go
+++ b/internal/workers/reservation.go
@@ -5,15 +5,15 @@
 	"opaldale/internal/jobs"
 )
 
-// Reservation keeps room on a machine for a task that is about to be placed there. Only work of a
-// higher priority may use that room.
+// Reservation holds free resources of a machine for a task that is about to be placed there. Only tasks
+// with a higher priority may use the reserved resources.
 type Reservation struct {
 	Resources jobs.Resources
 	Priority  api.Priority
 }
 
-// Reserve keeps room on the machine. It returns false if there is a reservation already or
-// not as much room.
+// Reserve adds a reservation to the machine. It returns false if the machine already has a reservation or
+// too few free resources.
 func (w *Worker) Reserve(r Reservation) bool {
 	if w.reservation != nil || !w.HasRoom(r.Resources) {
 		return false
@@ -22,19 +22,20 @@
 	return true
 }
 
-// ReleaseReservation gives up the machine's reservation.
+// ReleaseReservation removes the machine's reservation, if any.
 func (w *Worker) ReleaseReservation() { w.reservation = nil }
 
 // HasReservation reports whether the machine has a reservation.
 func (w *Worker) HasReservation() bool { return w.reservation != nil }
 
-// ReservationCovered reports whether the machine has a reservation and still the room for it:
-// work of a higher priority may have taken that.
+// ReservationCovered reports whether the machine has a reservation and its unallocated resources still
+// cover it. Tasks with a higher priority may have been placed on the reserved resources.
 func (w *Worker) ReservationCovered() bool {
 	return w.reservation != nil && w.unused().Covers(w.reservation.Resources)
 }
 
-// unused returns the resources that no task takes, none while the machine's type is not known.
+// unused returns the resources that are not allocated to tasks, whether reserved or not. It returns zero
+// resources if the machine type is unknown.
 func (w *Worker) unused() jobs.Resources {
 	if w.Type == nil {
 		return jobs.Resources{}
@@ -42,7 +43,7 @@
 	return capacityOf(w.Type).Sub(w.Usage.allocated())
 }
 
-// Free returns the resources that neither a task nor the reservation takes.
+// Free returns the resources that are neither allocated to tasks nor reserved.
 func (w *Worker) Free() jobs.Resources {
 	if w.reservation == nil {
 		return w.unused()
@@ -50,8 +51,8 @@
 	return w.unused().Sub(w.reservation.Resources)
 }
 
-// FreeFor returns the resources that work of a priority may use, including those that are reserved
-// for a lower priority.
+// FreeFor returns the resources available to tasks with the given priority, including resources reserved
+// with a lower priority.
 func (w *Worker) FreeFor(p api.Priority) jobs.Resources {
 	if w.reservation != nil && w.reservation.Priority.Level() > p.Level() {
 		return w.unused()
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -1,10 +1,13 @@
-// Package workers keeps the state of the machines and of the agents on them: which tasks are
-// allocated on each, which commands are under way, whether it can be reached, and what
-// proves that a task no longer runs there.
+// Package workers tracks the machines of the cluster and the agent process (the worker) on each of
+// them: the tasks allocated on the machine, the commands queued for and in flight to its worker,
+// whether the worker is reachable, and the state of its lease and fencing token.
 //
-// A task counts as gone from a machine only once that is proven: by a heartbeat with the newest
-// fencing token, by a newer incarnation, by the expiry of the worker's lease, or by the
-// provider's word that the machine is terminated.
+// The package releases the resources of a task only when the task can no longer run on its machine.
+// The evidence is one of:
+//   - a heartbeat that carries the newest fencing token and does not list the task
+//   - a newer incarnation of the worker
+//   - expiry of the worker's lease
+//   - confirmation by the cloud provider that the machine is terminated
 package workers
 
 import (
@@ -20,43 +23,45 @@
 	"opaldale/internal/jobs"
 )
 
-// Port is the environment of a table. Its callbacks run in the event loop that calls the table.
+// Port is the interface through which a table reads the clock, starts timers and calls workers. Its
+// callbacks run in the event loop that calls the table.
 type Port interface {
 	// Now returns the time of the monotonic clock.
 	Now() ident.MonotonicTime
-	// After calls a function after a duration, in an event of its own.
+	// After calls the function after the duration, in a separate event.
 	After(time.Duration, func())
-	// Worker makes a call to a worker. The function is called once, with its result.
+	// Worker calls a worker's command endpoint and passes the result to the function, exactly once.
 	Worker(CommandCall, func(CommandResult))
 }
 
-// Config holds the term, the times of workers, and the callbacks of the table's owner.
+// Config holds the leader's term, the lease durations, and the callbacks of the table's owner.
 type Config struct {
 	Term ident.Term
-	// LeaseDuration is the time for which a response to a heartbeat renews a worker's lease.
+	// LeaseDuration is how long a worker's lease lasts after a response to its heartbeat.
 	LeaseDuration time.Duration
-	// LeaderGrace is the time into this term for which an earlier leader may have renewed leases.
+	// LeaderGrace is how long after the start of this term the previous leader may still have renewed
+	// leases.
 	LeaderGrace time.Duration
-	// Catalog returns a machine type by its name, nil if it is not listed.
+	// Catalog returns the machine type with the given name, or nil if the catalog does not list it.
 	Catalog func(model string) *cloud.MachineType
-	// OnDeposed is called when a worker has seen a later term. It ends the leadership.
+	// OnDeposed is called when a worker has seen a later term. The callback ends the leadership.
 	OnDeposed func()
-	// OnCapacityChanged is called when free capacity or allocated tasks have changed.
+	// OnCapacityChanged is called when the free capacity or the set of allocated tasks has changed.
 	OnCapacityChanged func()
-	// OnTaskFailed is called for a task that ended without having completed.
+	// OnTaskFailed is called for a task that ended without completing.
 	OnTaskFailed func(t *jobs.Task, w *Worker, c api.Cause)
-	// OnTaskCompleted is called for a task that completes, before its state changes. It may be nil.
+	// OnTaskCompleted is called for a task that completed, before its state changes. It may be nil.
 	OnTaskCompleted func(t *jobs.Task, w *Worker)
-	// Persist writes the record of a machine that was added, has changed or is terminated.
+	// Persist writes the record of a machine that was added, changed or terminated.
 	Persist func(w *Worker)
 	// LastPeerRenewal returns the latest time at which a peer may have renewed a worker's lease.
 	LastPeerRenewal func() ident.MonotonicTime
-	// OnCommandResult is called with the result of a command, before it takes effect.
+	// OnCommandResult is called with the result of a command call before the table applies it.
 	OnCommandResult func(w *Worker, answered bool)
 }
 
-// Table holds all machines of a term. It is not safe for concurrent use: all calls come from the
-// node's event loop.
+// Table holds all machines that the leader of a term knows. It is not safe for concurrent use: all
+// calls come from the node's event loop.
 type Table struct {
 	Workers map[ident.MachineID]*Worker
 	sorted  []*Worker // by ID
@@ -67,17 +72,17 @@
 	startedAt ident.MonotonicTime
 	closed    bool
 
-	tasksByPriority taskCounts               // tasks that are allocated on any machine
-	unknownAttempts map[ident.TaskID]int     // number of machines with an unknown attempt of the task
-	probedUnknown   map[ident.MachineID]bool // unknown machines that are being probed
+	tasksByPriority taskCounts               // allocated tasks on all machines
+	unknownAttempts map[ident.TaskID]int     // number of machines that report an unknown attempt of the task
+	probedUnknown   map[ident.MachineID]bool // unknown machines with a probe in flight
 
-	LostTasks       uint64 // tasks that were proven gone without having ended
-	FencedCommands  uint64 // commands without a response
-	StaleHeartbeats uint64 // heartbeats that were not newer than the newest known one
+	LostTasks       uint64 // tasks that were lost with their machine, worker or lease; no end was reported
+	FencedCommands  uint64 // command calls without a response, after which the fencing token was raised
+	StaleHeartbeats uint64 // heartbeats ignored because a newer one had been received
 }
 
-// NewTable makes the table of a term.
-func NewTable(port Port, j *jobs.Table, cfg Config) *Table {
+// NewTable returns an empty table for the term in the configuration.
+func NewTable(port Port, jobTable *jobs.Table, cfg Config) *Table {
 	if cfg.OnTaskCompleted == nil {
 		cfg.OnTaskCompleted = func(*jobs.Task, *Worker) {}
 	}
@@ -85,21 +90,21 @@
 		Workers:         map[ident.MachineID]*Worker{},
 		cfg:             cfg,
 		port:            port,
-		jobs:            j,
+		jobs:            jobTable,
 		startedAt:       port.Now(),
 		unknownAttempts: map[ident.TaskID]int{},
 		probedUnknown:   map[ident.MachineID]bool{},
 	}
 }
 
-// Close ends the table with its term: results of commands have no effect any more.
+// Close marks the term as ended. Results of commands that arrive later are ignored.
 func (tb *Table) Close() { tb.closed = true }
 
-// Sorted returns the machines by ID, which is the order of their creation. The slice must not
-// be changed.
+// Sorted returns the machines ordered by ID, which is the order of their creation. Callers must not
+// modify the slice.
 func (tb *Table) Sorted() []*Worker { return tb.sorted }
 
-// sortedIndex returns the position of an ID among the sorted machines.
+// sortedIndex returns the position of an ID in the sorted machines, or the position to insert it at.
 func (tb *Table) sortedIndex(id ident.MachineID) int {
 	return sort.Search(len(tb.sorted), func(i int) bool { return tb.sorted[i].ID >= id })
 }
@@ -114,7 +119,7 @@
 	w.State, w.StateSince = next, tb.port.Now()
 }
 
-// Restore adds a machine from its record of an earlier term, with the address in that record.
+// Restore adds a machine from the record that an earlier term stored, with the address in that record.
 func (tb *Table) Restore(info MachineInfo, addr string, group *RecordGroup) *Worker {
 	w := tb.insert(info)
 	w.Group, w.Persisted = group, true
@@ -122,17 +127,17 @@
 	return w
 }
 
-// RestoreAddress sets the address of a machine from its record, if none is known. The machine was
-// up when that record was written.
+// RestoreAddress sets a machine's address from its stored record, unless an address is known already.
+// A record with an address was written after the machine came up, so the machine becomes Up.
 func (tb *Table) RestoreAddress(w *Worker, addr string) {
 	if w.Addr == "" && addr != "" {
 		w.Addr = addr
-		tb.setState(w, Up, ReasonOnRecord)
+		tb.setState(w, Up, ReasonRestored)
 	}
 }
 
-// Add adds a machine that has no record yet and persists it. If the ID is known, it returns the
-// machine that has it.
+// Add adds a machine that has no stored record yet and persists it. If a machine with the same ID is
+// known, Add returns that machine instead.
 func (tb *Table) Add(info MachineInfo) *Worker {
 	if w := tb.Workers[info.ID]; w != nil {
 		return w
@@ -156,24 +161,24 @@
 	tb.Workers[info.ID] = w
 	i := tb.sortedIndex(info.ID)
 	if i == len(tb.sorted) {
-		tb.sorted = append(tb.sorted, w) // beyond the end of any slice that was returned
+		tb.sorted = append(tb.sorted, w) // slices returned earlier end before the new element
 		return w
 	}
-	// In a copy: the old slice may be in use.
+	// Insert into a copy because a caller may still use the old slice.
 	tb.sorted = slices.Insert(slices.Clone(tb.sorted), i, w)
 	return w
 }
 
-// AddTask allocates a task on its machine.
+// AddTask adds a task to the allocated tasks of its machine.
 func (tb *Table) AddTask(w *Worker, t *jobs.Task) {
 	w.Tasks[t.TaskID()] = t
-	// A heartbeat of an earlier incarnation than the placement's is a late one.
+	// A heartbeat from an incarnation before that of the placement is a delayed one, and stale.
 	w.order.raiseIncarnation(t.Incarnation)
 	w.Usage.add(t.Job.Spec)
 	tb.tasksByPriority.add(t.Job.Spec.Priority, 1)
 }
 
-// RemoveTask ends the allocation of a task on its machine.
+// RemoveTask removes a task from the allocated tasks of its machine and releases its resources.
 func (tb *Table) RemoveTask(w *Worker, t *jobs.Task) {
 	if w.Tasks[t.TaskID()] != t {
 		return
@@ -187,8 +192,8 @@
 	tb.cfg.OnCapacityChanged()
 }
 
-// SortedTasks returns a machine's tasks in a new slice, ordered by job and index. Callers may change
-// the map meanwhile, and the order of their actions is reproducible.
+// SortedTasks returns a machine's tasks in a new slice, ordered by job and index. Callers may modify
+// w.Tasks while they iterate over the slice, and process the tasks in a reproducible order.
 func (tb *Table) SortedTasks(w *Worker) []*jobs.Task {
 	out := make([]*jobs.Task, 0, len(w.Tasks))
 	for _, t := range w.Tasks {
@@ -200,10 +205,10 @@
 	return out
 }
 
-// MarkTerminating records that a machine's termination was requested.
+// MarkTerminating records that the termination of a machine was requested.
 func (tb *Table) MarkTerminating(w *Worker, reason Reason) { tb.setState(w, Terminating, reason) }
 
-// MarkTerminated records that a machine is terminated, which ends all tasks on it.
+// MarkTerminated records that a machine is terminated. All tasks on it are lost.
 func (tb *Table) MarkTerminated(w *Worker, reason Reason) {
 	tb.setState(w, Terminated, reason)
 	for _, t := range tb.SortedTasks(w) {
@@ -223,7 +228,7 @@
 	tb.sorted = slices.Delete(slices.Clone(tb.sorted), i, i+1)
 }
 
-// Uncordon allows placements on a cordoned machine again.
+// Uncordon allows new placements on a cordoned machine again.
 func (tb *Table) Uncordon(w *Worker) {
 	w.Cordoned = false
 	tb.cfg.OnCapacityChanged()
--- a/internal/workers/usage.go
+++ b/internal/workers/usage.go
@@ -8,14 +8,15 @@
 	"opaldale/internal/jobs"
 )
 
-// usageRounding is the number of steps per vCPU to which sums by shape are rounded.
-const usageRounding = 1e6
+// roundingStepsPerVCPU is the number of rounding steps per vCPU: sums by job shape are rounded to multiples of
+// 1/roundingStepsPerVCPU vCPU.
+const roundingStepsPerVCPU = 1e6
 
-// Usage is the sum of the resources that the tasks of a machine take.
+// Usage is the sum of the resources allocated to tasks on a machine.
 type Usage struct {
 	VCPUs, GPUs, MemoryGB float64
-	BatchVCPUs            float64 // vCPUs of tasks of batch jobs
-	ServiceVCPUs          float64 // vCPUs of all other tasks; gangs count as services
+	BatchVCPUs            float64 // vCPUs allocated to tasks of batch jobs
+	ServiceVCPUs          float64 // vCPUs allocated to tasks of services and gangs
 	byPriority            taskCounts
 }
 
@@ -35,32 +36,32 @@
 	u.byPriority.add(s.Priority, -1)
 }
 
-// addByShape adds to the sum of a shape. The sums are rounded, so that they do not depend on the
+// addByShape adds vCPUs to the sum for a job shape. The sums are rounded so that they do not depend on the
 // order in which tasks are added and removed.
 func (u *Usage) addByShape(shape api.Shape, vcpus float64) {
 	sum := &u.BatchVCPUs
 	if shape != api.Batch {
 		sum = &u.ServiceVCPUs
 	}
-	*sum = math.Round((*sum+vcpus)*usageRounding) / usageRounding
+	*sum = math.Round((*sum+vcpus)*roundingStepsPerVCPU) / roundingStepsPerVCPU
 }
 
-// clearAmounts drops the rounding errors that are left once a machine is empty.
+// clearAmounts resets the sums to zero when a machine is empty, to remove accumulated rounding errors.
 func (u *Usage) clearAmounts() {
 	u.VCPUs, u.GPUs, u.MemoryGB, u.BatchVCPUs, u.ServiceVCPUs = 0, 0, 0, 0, 0
 }
 
-// allocated returns the amounts of all tasks together.
+// allocated returns the total resources allocated to tasks.
 func (u *Usage) allocated() jobs.Resources {
 	return jobs.Resources{VCPUs: u.VCPUs, GPUs: u.GPUs, MemoryGB: u.MemoryGB}
 }
 
-// taskCounts holds numbers of tasks by the level of their priority.
+// taskCounts holds numbers of tasks by priority level.
 type taskCounts [api.PriorityLevels]int
 
 func (c *taskCounts) add(priority api.Priority, n int) { c[priority.Level()] += n }
 
-// below returns the number of tasks of lower priorities.
+// below returns the number of tasks with a lower priority.
 func (c *taskCounts) below(priority api.Priority) int {
 	n := 0
 	for _, count := range c[priority.Level()+1:] {
@@ -69,33 +70,35 @@
 	return n
 }
 
-// capacityOf returns what an empty machine of a type has.
+// capacityOf returns the total resources of a machine of the given type.
 func capacityOf(t *cloud.MachineType) jobs.Resources {
 	return jobs.Resources{VCPUs: t.VCPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// LowerPriorityTasks returns how many tasks of a lower priority are allocated on the machine.
+// LowerPriorityTasks returns the number of tasks with a lower priority that are allocated on the machine.
 func (w *Worker) LowerPriorityTasks(priority api.Priority) int {
 	return w.Usage.byPriority.below(priority)
 }
 
-// LowerPriorityTasks returns how many tasks of a lower priority are allocated on any machine.
+// LowerPriorityTasks returns the number of tasks with a lower priority that are allocated on all machines.
 func (tb *Table) LowerPriorityTasks(priority api.Priority) int {
 	return tb.tasksByPriority.below(priority)
 }
 
-// Fits reports whether a task of the job has room on the machine now.
+// Fits reports whether the machine has enough free resources for a task of the job.
 func (w *Worker) Fits(s *api.Spec) bool { return w.HasRoom(jobs.ResourcesOf(s)) }
 
-// FitsEmpty reports whether a task of the job has room on an empty machine of a type.
+// FitsEmpty reports whether a task of the job fits on an empty machine of the given type.
 func FitsEmpty(machineType *cloud.MachineType, s *api.Spec) bool {
 	return capacityOf(machineType).Covers(jobs.ResourcesOf(s))
 }
 
-// HasRoom reports whether the resources are free on the machine and not reserved.
+// HasRoom reports whether the machine has the needed resources free, that is, neither allocated nor
+// reserved.
 func (w *Worker) HasRoom(need jobs.Resources) bool { return w.Type != nil && w.Free().Covers(need) }
 
-// TaskCapacity returns how many tasks of a job have room on the machine now.
+// TaskCapacity returns how many tasks of a job fit into the machine's free resources, at most the number of
+// tasks of the job.
 func (w *Worker) TaskCapacity(s *api.Spec) int {
 	if w.Type == nil {
 		return 0
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -10,19 +10,20 @@
 	"opaldale/internal/jobs"
 )
 
-// State is the state of a machine's life cycle.
+// State is a machine's state in its life cycle.
 type State uint8
 
 // The states of a machine. Terminated is final.
 const (
-	Booting     State = iota // provisioned or listed; its worker has sent no heartbeat in this term
-	Up                       // its worker sends heartbeats
-	Unreachable              // its worker's heartbeats have stopped
-	Terminating              // its termination was requested; nothing is placed on it
-	Terminated               // the provider has terminated it
+	Booting     State = iota // provisioned or listed by the provider; no heartbeat received in this term
+	Up                       // the worker sends heartbeats
+	Unreachable              // the worker's heartbeats have stopped
+	Terminating              // termination was requested; no tasks are placed on the machine
+	Terminated               // the provider has terminated the machine
 )
 
-// stateNames are the names in the metrics, which may not change; some differ from the constants'.
+// stateNames are the states' names in metrics. Those must stay stable, so some differ from the names
+// of the constants.
 var stateNames = [...]string{
 	Booting:     "booting",
 	Up:          "up",
@@ -34,35 +35,35 @@
 // String returns the state's name in the metrics.
 func (s State) String() string { return stateNames[s] }
 
-// MachineInfo holds the properties that a machine has from its provisioning on.
+// MachineInfo holds the properties of a machine that are fixed when it is provisioned.
 type MachineInfo struct {
 	ID        ident.MachineID
-	Model     string // name of its type; the type itself is Worker.Type
+	Model     string // name of the machine type; see Worker.Type
 	Zone      string
 	Spot      bool
-	CreatedAt ident.MonotonicTime // when it was provisioned, as far as known
+	CreatedAt ident.MonotonicTime // time of provisioning, or the best known estimate
 }
 
-// Worker is a machine and the agent process on it. Exported fields may be read by other packages;
-// the comments on some fields name those that also write them.
+// Worker is a machine and the agent process on it. Other packages may read the exported fields; the
+// comments on some fields name the packages or functions outside this one that also write them.
 type Worker struct {
 	MachineInfo
-	Addr  string             // of its worker, "" while not known; also set by the owner of the fleet
-	Type  *cloud.MachineType // nil while the catalog does not list it
+	Addr  string             // address of the worker, "" if unknown; also set by the owner of the fleet
+	Type  *cloud.MachineType // nil while the catalog does not list the machine type
 	Tasks map[ident.TaskID]*jobs.Task
 
 	State            State
-	StateSince       ident.MonotonicTime // when it entered its state
-	ReclaimAt        ident.MonotonicTime // when the provider reclaims it; 0: not announced
-	QuarantinedUntil ident.MonotonicTime // nothing is placed on it earlier; see Quarantine
-	Cordoned         bool                // nothing is placed on it, it is drained to be terminated; set by scale in
-	Slow             bool                // nothing is placed on it, its tasks take too long; set by its detection
+	StateSince       ident.MonotonicTime // when the machine entered its state
+	ReclaimAt        ident.MonotonicTime // when the provider reclaims the machine; 0: not announced
+	QuarantinedUntil ident.MonotonicTime // no tasks are placed on the machine before; see Quarantine
+	Cordoned         bool                // no new placements; drained for termination; set by scale-in
+	Slow             bool                // no new placements; tasks take too long here; set by slow machine detection
 
 	Usage
 	reservation  *Reservation
 	imageCache   imageCache
 	failures     failureRecord
-	PlannedTasks []*jobs.Task // scratch space of the planner, for its current plan
+	PlannedTasks []*jobs.Task // scratch space of the planner for the current plan
 
 	order        heartbeatOrder
 	fencing      fencing
@@ -70,24 +71,25 @@
 	lease        lease
 	commands     commandQueue
 
-	unknownAttempts map[ident.TaskID]ident.Attempt // reported, and not known here
-	endsNotDurable  map[taskAttempt]bool           // ended, and that is not durable yet
+	unknownAttempts map[ident.TaskID]ident.Attempt // attempts in the newest heartbeat that this leader does not know
+	endsNotDurable  map[taskAttempt]bool           // ended attempts whose end is not durable yet
 
-	Group     *RecordGroup // of its record
-	Persisted bool         // its record is durable
+	Group     *RecordGroup // group that stores the machine's record
+	Persisted bool         // the machine's record is durable
 }
 
-// RecordGroup is a group of machines whose records share one key of the store. With a key for each
-// machine, writing the records of a thousand machines would take the store half a minute, and
-// nothing can be placed on a machine before its record is durable.
+// RecordGroup is a group of machines whose records share one key of the store. With one key per
+// machine, writing the records of a thousand machines would take the store half a minute, and no task
+// can be placed on a machine before its record is durable.
 type RecordGroup struct {
 	Doc     *commit.Document // the value of the key
 	Members []*Worker
-	Leaving []*Worker // former members; their records stay here until those in their next group are durable
+	Leaving []*Worker // former members, whose records stay in this group until their new group is durable
 	Deleted bool      // the key is deleted
 }
 
-// Allows reports whether tasks of the job may run on the machine, regardless of other tasks on it.
+// Allows reports whether the machine satisfies the constraints of the job (zone, spot, models) and is
+// large enough for one of its tasks when empty.
 func (w *Worker) Allows(s *api.Spec) bool {
 	if s.Zone != nil && *s.Zone != w.Zone || w.Spot && !s.Spot || w.Type == nil {
 		return false
@@ -95,13 +97,13 @@
 	return AllowsModel(s, w.Model) && FitsEmpty(w.Type, s)
 }
 
-// AllowsModel reports whether tasks of the job may run on a type of machine. A job without a list of
-// models may run on all.
+// AllowsModel reports whether tasks of the job may run on a machine type. A job without a list of
+// models may run on all types.
 func AllowsModel(s *api.Spec, model string) bool {
 	return s.Models == nil || slices.Contains(s.Models, model)
 }
 
-// Schedulable reports whether tasks may be placed on the machine now.
+// Schedulable reports whether new tasks may be placed on the machine now.
 func (w *Worker) Schedulable(now ident.MonotonicTime) bool {
 	switch {
 	case w.State != Up, w.ReclaimAt != 0, w.Cordoned, w.Slow, now < w.QuarantinedUntil:
@@ -109,10 +111,11 @@
 	case w.reachability.unresponsive, w.order.incarnation == 0:
 		return false
 	}
-	return w.Persisted // a successor must know every machine that has tasks
+	return w.Persisted // the next leader must know every machine that has tasks
 }
 
-// Quarantine keeps new tasks off the machine until a time.
+// Quarantine prevents new placements on the machine until the given time. It never shortens a
+// quarantine.
 func (w *Worker) Quarantine(until ident.MonotonicTime) {
 	w.QuarantinedUntil = max(w.QuarantinedUntil, until)
 }
