--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a store that keeps a description of all requests.
+// recorder is a store that records a description of all requests.
 type recorder struct {
 	*fakeStore
 	kvstoretest.RequestLog
@@ -24,11 +24,11 @@
 	r.fakeStore.Store(q, f)
 }
 
-// storageVariant is a way to keep tasks in the store.
+// storageVariant is a storage format with a limit on the size of values.
 type storageVariant struct {
 	name       string
 	packed     bool
-	valueBytes int // by which tasks are divided into segments
+	valueBytes int // limit on the size of values, which determines the segment size
 }
 
 var storageVariants = []storageVariant{
@@ -37,7 +37,7 @@
 	{"packed", true, 16 << 10},
 }
 
-// open makes a table that writes in this way.
+// open returns a table that uses this variant.
 func (s storageVariant) open(r *recorder) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
 	c := commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
@@ -49,14 +49,14 @@
 	return tb, c
 }
 
-// goldenSpec is a submission of three tasks.
+// goldenSpec returns the specification of a batch job with three tasks and all fields set.
 func goldenSpec(id ident.JobID) *api.Spec {
 	s := goldenfile.Filled[api.Spec](0)
 	s.ID, s.Shape, s.Priority, s.Tasks = id, api.Batch, api.High, 3
 	return &s
 }
 
-// runLifecycles takes jobs through all changes that are written.
+// runLifecycles takes jobs through all changes that are written to the store.
 func runLifecycles(r *recorder, tb *Table, c *commit.Committer) {
 	settle := func() { r.Settle(c) }
 	add := func(id ident.JobID) *Job {
@@ -104,29 +104,29 @@
 }
 
 // stored lists the keys and values of a store.
-func stored(k *fakeStore) string {
+func stored(store *fakeStore) string {
 	var b strings.Builder
-	for _, path := range sortedKeys(k.Entries) {
-		fmt.Fprintf(&b, "%s at %d: %s\n", path, k.Entries[path].Revision, k.Entries[path].Value)
+	for _, path := range sortedKeys(store.Entries) {
+		fmt.Fprintf(&b, "%s at %d: %s\n", path, store.Entries[path].Revision, store.Entries[path].Value)
 	}
 	return b.String()
 }
 
-// views lists the views of all live jobs as a node that does not lead reads them.
-func views(t *testing.T, k *fakeStore) string {
+// views lists the views of all live jobs as read by a node that is not the leader.
+func views(t *testing.T, store *fakeStore) string {
 	t.Helper()
 	var b strings.Builder
-	for _, path := range sortedKeys(k.Entries) {
+	for _, path := range sortedKeys(store.Entries) {
 		if strings.HasPrefix(path, LivePrefix) && strings.Count(path, "/") == 1 {
-			view, err := ParseLiveView(k.Entries[path].Value)
+			view, err := ParseLiveView(store.Entries[path].Value)
 			fmt.Fprintf(&b, "%s, %v\n", api.JSON(view), err)
 		}
 	}
 	return b.String()
 }
 
-// TestGoldenStorage pins every key, value and condition with which jobs are written in either format, and what
-// the next term reads.
+// TestGoldenStorage compares every key, value and condition that is written for jobs in either format, and the
+// jobs that the next term loads, with the golden file.
 func TestGoldenStorage(t *testing.T) {
 	var d goldenfile.Document
 	for _, s := range storageVariants {
@@ -138,7 +138,7 @@
 		d.Add(s.name+": views", views(t, r.fakeStore))
 		for _, packed := range []bool{false, true} {
 			if s.packed && !packed {
-				continue // of a later format
+				continue // without the packed format enabled, the values cannot be loaded
 			}
 			next, _ := loadTable(t, r.fakeStore, packed)
 			d.Add(fmt.Sprintf("%s: read with packed %v", s.name, packed), describe(next))
@@ -147,7 +147,8 @@
 	d.Compare(t, "storage")
 }
 
-// TestGoldenConversion pins what is written when jobs are converted from the first format to the packed one.
+// TestGoldenConversion compares the stored values after jobs are converted from the first format to the packed
+// one with the golden file.
 func TestGoldenConversion(t *testing.T) {
 	r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
 	tb, c := storageVariants[1].open(r)
@@ -160,7 +161,7 @@
 	goldenfile.Compare(t, "conversion", stored(r.fakeStore))
 }
 
-// TestGoldenRecords pins the values of keys with all of their fields set.
+// TestGoldenRecords compares stored values that have all of their fields set with the golden file.
 func TestGoldenRecords(t *testing.T) {
 	var d goldenfile.Document
 	for v := range goldenfile.BoolVariants {
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -15,7 +15,7 @@
 // Errors for invalid values in the store.
 var (
 	errNotJob        = errors.New("not a job header: its specification is missing or has another job ID than the key")
-	errLaterFormat   = errors.New("record is in the packed log format, which this term has not enabled")
+	errLaterFormat   = errors.New("stored in the packed log format, which this term has not enabled")
 	errNoSuchSegment = errors.New("key has no valid segment number for the job")
 )
 
--- a/internal/jobs/logline_test.go
+++ b/internal/jobs/logline_test.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestLogLineRoundTrip: whatever the ID of a machine is, the line of a task has no spaces or special characters,
-// and parses as the same task.
+// TestLogLineRoundTrip checks that a task's log line has no spaces or special characters for any machine ID, and
+// that it parses as the same task.
 func TestLogLineRoundTrip(t *testing.T) {
 	j := &Job{Spec: &api.Spec{ID: "j-1"}, Tasks: make([]Task, 3)}
 	for _, machineID := range []ident.MachineID{"host-000231", "a b,c\nd", "+", "%2C", "ü\"<&>"} {
@@ -17,34 +17,34 @@
 			*task = Task{Job: j, Index: 2, State: s, Attempt: 1<<64 - 1, MachineID: machineID, Incarnation: 1<<64 - 1}
 			group, line := task.TextLine()
 			if group != "j-1" {
-				t.Errorf("group %q", group)
+				t.Errorf("group of the line is %q, want %q", group, "j-1")
 			}
 			for _, c := range line {
 				if c == ' ' || c == '\n' || c == '"' || c == '\\' || c < 32 || c > 126 {
-					t.Errorf("%q has %q", line, c)
+					t.Errorf("line %q contains %q, want printable ASCII without space, quote and backslash", line, c)
 				}
 			}
 			i, r, err := parseLogLine(line)
 			if err != nil || i != 2 || r != task.toRecord() {
-				t.Errorf("%q is read as %d %+v, %v", line, i, r, err)
+				t.Errorf("parse %q: got index %d, %+v, error %v; want index 2, %+v", line, i, r, err, task.toRecord())
 			}
 		}
 	}
 	for _, bad := range []string{"", "1", "x,1", "1,x", "-1,2", "1,2,3", "1,2,h,x", "1,2,,3", "1,2,%zz,3", "1,2,h,3,4"} {
 		if _, _, err := parseLogLine(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("parse %q: got no error, want one", bad)
 		}
 	}
 }
 
-// FuzzParseLogLine: any line is parsed or refused, without a panic or an invalid index.
+// FuzzParseLogLine checks that any line is either parsed with a valid index or rejected, without a panic.
 func FuzzParseLogLine(f *testing.F) {
 	for _, s := range []string{"1,2", "1,2,+", "1,2,host-1,3", ",,,"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		if i, _, err := parseLogLine(s); err == nil && i < 0 {
-			t.Errorf("%q has index %d", s, i)
+			t.Errorf("parse %q: got index %d, want at least 0 or an error", s, i)
 		}
 	})
 }
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -13,31 +13,31 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// fakeStore is a store that carries out all requests in order, and panics on a value that is larger than the
-// real store accepts.
+// fakeStore is a store that executes all requests in order and panics on a value that is larger than the real
+// store accepts.
 type fakeStore struct{ *kvstoretest.SteppedStore }
 
 func newFakeStore(s *kvstoretest.MemoryStore) *fakeStore {
 	return &fakeStore{kvstoretest.NewSteppedStore(s)}
 }
 
-func (k *fakeStore) Store(r kvstore.Request, f func(kvstore.Response)) {
+func (store *fakeStore) Store(r kvstore.Request, f func(kvstore.Response)) {
 	for _, c := range r.Mutations {
 		if len(c.Value) > 16<<10 {
-			panic(fmt.Sprintf("%s has %d bytes", c.Put, len(c.Value)))
+			panic(fmt.Sprintf("value of %s has %d bytes, the store accepts %d", c.Put, len(c.Value), 16<<10))
 		}
 	}
-	k.SteppedStore.Store(r, f)
+	store.SteppedStore.Store(r, f)
 }
 
-func newTestTable(k *fakeStore) (*Table, *commit.Committer) {
+func newTestTable(store *fakeStore) (*Table, *commit.Committer) {
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	c := commit.New(k, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
-	return NewTable(c, 16<<10, k.Now, func() int64 { return 5 }), c
+	c := commit.New(store, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { panic(err) })
+	return NewTable(c, 16<<10, store.Now, func() int64 { return 5 }), c
 }
 
-// TestSegments: a job too large for one value is divided into segments, all of whose tasks a new leader loads,
-// and is archived as a whole.
+// TestSegments checks that a job that is too large for one value is divided into segments, that a new leader
+// loads the tasks of all segments, and that archiving the job removes all of its keys.
 func TestSegments(t *testing.T) {
 	for _, tasks := range []int{1, 100, 5000} {
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) { testSegments(t, tasks) })
@@ -45,29 +45,32 @@
 }
 
 func testSegments(t *testing.T, tasks int) {
-	k := newFakeStore(kvstoretest.NewMemoryStore())
-	tb, c := newTestTable(k)
-	j := placeHalfCompleted(t, k, tb, c, tasks)
+	store := newFakeStore(kvstoretest.NewMemoryStore())
+	tb, c := newTestTable(store)
+	j := placeHalfCompleted(t, store, tb, c, tasks)
 	if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
-		t.Fatalf("%d completed, %d allocated", j.CompletedTasks, j.AllocatedTasks)
+		t.Fatalf("%d tasks completed, %d allocated; want %d, %d", j.CompletedTasks, j.AllocatedTasks, tasks/2, tasks-tasks/2)
 	}
 
-	for key := range k.Entries {
+	for key := range store.Entries {
 		if !strings.HasPrefix(key, LivePrefix) && !strings.HasPrefix(key, commit.LogPrefix) {
-			t.Fatalf("%s is written before the job is over", key)
+			t.Fatalf("key %s was written while the job is open, want only keys below %s and %s",
+				key, LivePrefix, commit.LogPrefix)
 		}
 	}
-	successor, successorCommits := newTestTable(k)
-	loadAll(t, k, successor)
+	successor, successorCommits := newTestTable(store)
+	loadAll(t, store, successor)
 	j = successor.Jobs["j-1"]
 	if j.CompletedTasks != tasks/2 || j.AllocatedTasks != tasks-tasks/2 {
-		t.Fatalf("loaded %d completed, %d allocated", j.CompletedTasks, j.AllocatedTasks)
+		t.Fatalf("new leader loaded %d completed, %d allocated tasks; want %d, %d",
+			j.CompletedTasks, j.AllocatedTasks, tasks/2, tasks-tasks/2)
 	}
 	if last := j.Tasks[tasks-1]; last.MachineID != "host-999999" || last.Incarnation != 1<<40 {
-		t.Fatalf("loaded the last task on %s in incarnation %d", last.MachineID, last.Incarnation)
+		t.Fatalf("new leader loaded the last task on %s in incarnation %d, want host-999999 in %d",
+			last.MachineID, last.Incarnation, uint64(1<<40))
 	}
-	if v, err := ParseLiveView(k.Entries["live/j-1"].Value); err != nil || v.ID != "j-1" {
-		t.Errorf("%+v, %v", v, err)
+	if v, err := ParseLiveView(store.Entries["live/j-1"].Value); err != nil || v.ID != "j-1" {
+		t.Errorf("view from the live key: got %+v, error %v; want the view of j-1", v, err)
 	}
 
 	for i := range j.Tasks {
@@ -76,45 +79,45 @@
 		}
 	}
 	successorCommits.Flush()
-	k.Run()
-	for p := range k.Entries {
+	store.Run()
+	for p := range store.Entries {
 		if strings.HasPrefix(p, commit.LogPrefix) {
-			delete(k.Entries, p) // keys of the log are kept to be reused
+			delete(store.Entries, p) // log keys remain in the store to be reused
 		}
 	}
 	var archived ArchivedJob
-	if len(k.Entries) != 1 || json.Unmarshal(k.Entries["over/j-1"].Value, &archived) != nil || archived.Phase != Done {
-		t.Errorf("%d keys are left, archived: %+v", len(k.Entries), archived)
+	if len(store.Entries) != 1 || json.Unmarshal(store.Entries["over/j-1"].Value, &archived) != nil || archived.Phase != Done {
+		t.Errorf("%d keys besides the log, archive record %+v; want 1 key, phase %v", len(store.Entries), archived, Done)
 	}
 }
 
 // placeHalfCompleted submits j-1, places all its tasks, and completes the first half of them.
-func placeHalfCompleted(t *testing.T, k *fakeStore, tb *Table, c *commit.Committer, tasks int) *Job {
+func placeHalfCompleted(t *testing.T, store *fakeStore, tb *Table, c *commit.Committer, tasks int) *Job {
 	t.Helper()
 	s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 	accepted := false
 	j := tb.Add(s, func() { accepted = true }, nil)
-	k.Settle(c)
+	store.Settle(c)
 	for i := range j.Tasks {
 		tb.Place(&j.Tasks[i], "host-999999", 1<<40, func() {})
 	}
-	k.Settle(c)
+	store.Settle(c)
 	for i := 0; i < tasks/2; i++ {
 		tb.Complete(&j.Tasks[i], nil)
 	}
-	k.Settle(c)
+	store.Settle(c)
 	if !accepted {
-		t.Fatal("the submission is not durable")
+		t.Fatal("submission of j-1 is not durable after all responses have arrived")
 	}
 	return j
 }
 
-// loadAll loads all keys of a store in their order, as a new leader does.
-func loadAll(t *testing.T, k *fakeStore, tb *Table) {
+// loadAll loads all keys of a store in lexical order, as a new leader does.
+func loadAll(t *testing.T, store *fakeStore, tb *Table) {
 	t.Helper()
 	var log []kvstore.KeyValue
-	for _, key := range sortedKeys(k.Entries) {
-		pair := k.Entries[key]
+	for _, key := range sortedKeys(store.Entries) {
+		pair := store.Entries[key]
 		switch {
 		case strings.HasPrefix(key, LivePrefix):
 			if err := tb.Load(key, pair.Value, pair.Revision); err != nil {
@@ -130,88 +133,91 @@
 	tb.FinishLoading()
 }
 
-// TestCancelledJobStaysLiveUntilTasksGone: a cancelled job stays live until its tasks are proven gone, so that
-// a new leader knows of them, but its view is that of a cancelled job at once.
+// TestCancelledJobStaysLiveUntilTasksGone checks that a cancelled job keeps its live key until its tasks can no
+// longer run, so that a new leader loads them, but that users see the job as cancelled immediately.
 func TestCancelledJobStaysLiveUntilTasksGone(t *testing.T) {
-	k := newFakeStore(kvstoretest.NewMemoryStore())
-	tb, c := newTestTable(k)
+	store := newFakeStore(kvstoretest.NewMemoryStore())
+	tb, c := newTestTable(store)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
-	k.Settle(c)
+	store.Settle(c)
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
-	k.Settle(c)
+	store.Settle(c)
 	status, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		archived++
-		if id != "j-1" || k.Entries["over/j-1"].Revision == 0 {
-			t.Errorf("OnArchived is called for %s before that is durable", id)
+		if id != "j-1" || store.Entries["over/j-1"].Revision == 0 {
+			t.Errorf("OnArchived was called for %s, want j-1 and only after over/j-1 is stored", id)
 		}
 	}
 	tb.Cancel(j, func() { status = j.View().Status })
-	k.Settle(c)
-	if status != "cancelled" || k.Entries["over/j-1"].Revision != 0 || k.Entries["live/j-1"].Revision == 0 {
-		t.Fatalf("status %q, keys %v", status, k.Entries)
+	store.Settle(c)
+	if status != "cancelled" || store.Entries["over/j-1"].Revision != 0 || store.Entries["live/j-1"].Revision == 0 {
+		t.Fatalf("after the cancellation: status %q, keys %v; want status cancelled, key live/j-1 and not over/j-1",
+			status, store.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
-	k.Settle(c)
-	if k.Entries["over/j-1"].Revision == 0 || k.Entries["live/j-1"].Revision != 0 || archived != 1 {
-		t.Errorf("keys %v, archived %d times", k.Entries, archived)
+	store.Settle(c)
+	if store.Entries["over/j-1"].Revision == 0 || store.Entries["live/j-1"].Revision != 0 || archived != 1 {
+		t.Errorf("after the task is gone: keys %v, archived %d times; want key over/j-1 and not live/j-1, archived once",
+			store.Entries, archived)
 	}
 }
 
-// TestInferTasksPerSegment: any one segment of a job shows how many tasks each of them has, also
-// when the job was divided under another limit. A short last segment must not be taken for a
-// full one of a finer division.
+// TestInferTasksPerSegment checks that the segment size of a job is inferred from any one segment, also if the
+// job was divided under another limit. A last segment with fewer tasks must not be mistaken for a full one of
+// a smaller segment size.
 func TestInferTasksPerSegment(t *testing.T) {
 	for _, total := range []int{2, 7, 100, 149, 150, 200, 296, 5000} {
-		for _, per := range []int{18, 148} {
-			for index := 0; index*per < total; index++ {
-				count := min(per, total-index*per)
-				if got, ok := (segmentDivision{total, per}).infer(index, count); !ok || got != per {
-					t.Errorf("%d tasks by %d: segment %d with %d is read as of %d, %v", total, per, index, count, got, ok)
+		for _, segmentSize := range []int{18, 148} {
+			for index := 0; index*segmentSize < total; index++ {
+				count := min(segmentSize, total-index*segmentSize)
+				if got, ok := (segmentDivision{total, segmentSize}).infer(index, count); !ok || got != segmentSize {
+					t.Errorf("%d tasks, segment %d with %d: inferred segment size %d, %v; want %d, true",
+						total, index, count, got, ok, segmentSize)
 				}
 			}
 		}
 	}
 	for _, c := range []struct{ index, count, total, want int }{{0, 18, 200, 18}, {3, 18, 200, 18}, {11, 2, 200, 18}} {
 		if got, ok := (segmentDivision{c.total, 148}).infer(c.index, c.count); !ok || got != c.want {
-			t.Errorf("%+v is read as of %d, %v", c, got, ok)
+			t.Errorf("%+v: inferred segment size %d, %v; want %d, true", c, got, ok, c.want)
 		}
 	}
 	if got, ok := (segmentDivision{40, 148}).infer(1, 30); ok || got != 0 {
-		t.Errorf("an impossible segment is read as of %d, %v", got, ok)
+		t.Errorf("impossible segment: inferred segment size %d, %v; want 0, false", got, ok)
 	}
 }
 
-// TestViewWithheldUntilSettled: while the end of a job is being written another node may read it or not, so
-// no view is given here: a user must not be told "running" after "cancelled", as when the response to
-// the transaction of a cancellation is lost.
+// TestViewWithheldUntilSettled checks that no view of a job is returned while its submission or end is being
+// written. Another node may already read the new state from the store, for example when the response to the
+// transaction of a cancellation is lost, and a user must not see "running" after "cancelled".
 func TestViewWithheldUntilSettled(t *testing.T) {
-	k := newFakeStore(kvstoretest.NewMemoryStore())
-	tb, c := newTestTable(k)
+	store := newFakeStore(kvstoretest.NewMemoryStore())
+	tb, c := newTestTable(store)
 	var j *Job
 	status := api.Status("")
 	readStatus := func() { status = j.View().Status }
 	j = tb.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 1, VCPUs: 1}, func() {}, nil)
 	c.Flush()
 	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
-		t.Errorf("while the submission is written: %q", status)
+		t.Errorf("while the submission is being written: settled %v, status %q; want false, no status", j.ViewSettled(), status)
 	}
-	k.Run()
+	store.Run()
 	if status != "queued" || !j.ViewSettled() {
-		t.Errorf("once it is: %q", status)
+		t.Errorf("after the submission is written: status %q, settled %v; want queued, true", status, j.ViewSettled())
 	}
 	status = ""
 	tb.Cancel(j, func() {})
 	if j.WhenViewSettled(readStatus); status != "queued" {
-		t.Errorf("before anything is sent: %q", status)
+		t.Errorf("before the cancellation is sent to the store: status %q, want queued", status)
 	}
 	status = ""
 	c.Flush()
 	if j.WhenViewSettled(readStatus); j.ViewSettled() || status != "" {
-		t.Errorf("while the cancellation is written: %q", status)
+		t.Errorf("while the cancellation is being written: settled %v, status %q; want false, no status", j.ViewSettled(), status)
 	}
-	k.Run()
+	store.Run()
 	if status != "cancelled" {
-		t.Errorf("once it is: %q", status)
+		t.Errorf("after the cancellation is written: status %q, want cancelled", status)
 	}
 }
--- a/internal/workers/command_test.go
+++ b/internal/workers/command_test.go
@@ -8,38 +8,40 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnansweredCommand: a launch without a response may be carried out at any later time, so a heartbeat
-// without the task does not prove that it is gone until it has the raised token.
+// TestUnansweredCommand checks that a task whose launch had no response is not considered gone until a
+// heartbeat without it carries the raised fencing token. The worker may execute the launch at any time
+// before it has seen that token.
 func TestUnansweredCommand(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	firstToken := ident.MakeFencingToken(term, 0)
-	if len(r.sent) != 1 || r.sent[0].Commands[0].Verb != api.Launch || r.sent[0].FencingToken != firstToken {
-		t.Fatalf("sent %+v", r.sent)
+	if len(h.sent) != 1 || h.sent[0].Commands[0].Verb != api.Launch || h.sent[0].FencingToken != firstToken {
+		t.Fatalf("sent %+v, want one call with a launch and token %x", h.sent, firstToken)
 	}
-	if got := verbs(r.heartbeat(0)); got != "" {
-		t.Errorf("while the command is under way: %q", got)
+	if got := verbs(h.heartbeat(0)); got != "" {
+		t.Errorf("commands in the response while the launch is in flight: got %q, want none", got)
 	}
-	r.answers[0](CommandResult{})
-	r.tb.StopTask(r.worker, r.task(), 0)
-	response := r.heartbeat(0)
-	if r.task().State != jobs.Stopping || response.FencingToken != ident.MakeFencingToken(term, 1) {
-		t.Fatalf("a heartbeat with the old token: task %v, token %x", r.task().State, response.FencingToken)
+	h.answers[0](CommandResult{})
+	h.tb.StopTask(h.worker, h.task(), 0)
+	response := h.heartbeat(0)
+	if h.task().State != jobs.Stopping || response.FencingToken != ident.MakeFencingToken(term, 1) {
+		t.Fatalf("after a heartbeat with the old token: task is %v, response has token %x; want %v, %x",
+			h.task().State, response.FencingToken, jobs.Stopping, ident.MakeFencingToken(term, 1))
 	}
-	r.heartbeat(1)
-	if r.task().State != jobs.Waiting {
-		t.Errorf("a heartbeat with the new token: task %v", r.task().State)
+	h.heartbeat(1)
+	if h.task().State != jobs.Waiting {
+		t.Errorf("after a heartbeat with the new token: task is %v, want %v", h.task().State, jobs.Waiting)
 	}
 }
 
-// TestResultAfterTermination: the response to a command that arrives after its machine was terminated
-// has no effect on tasks. Otherwise a task in it would count as an unknown attempt, and never be
-// placed again.
+// TestResultAfterTermination checks that a command response is ignored if it arrives after its machine was
+// terminated. Otherwise a task in the response would be recorded as an unknown attempt and never be placed
+// again.
 func TestResultAfterTermination(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 9, Status: api.Running}
-	r.tb.MarkTerminated(r.worker, ReasonTerminated)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, ident.MakeFencingToken(term, 0), stray)})
-	if r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Error("counts as on a machine that is terminated")
+	h.tb.MarkTerminated(h.worker, ReasonTerminated)
+	h.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, ident.MakeFencingToken(term, 0), stray)})
+	if h.tb.HasUnknownAttempt(stray.TaskID) {
+		t.Errorf("%s is recorded as an unknown attempt on a terminated machine", stray.TaskID)
 	}
 }
--- a/internal/workers/harness_test.go
+++ b/internal/workers/harness_test.go
@@ -13,8 +13,8 @@
 	_ "opaldale/internal/kvstoretest" // discards the log
 )
 
-// fakeEnvironment lets the test decide when timers and transactions are done, and what the results
-// of commands are.
+// fakeEnvironment lets tests decide when timers fire and transactions finish, and what results commands
+// have.
 type fakeEnvironment struct {
 	now     ident.MonotonicTime
 	timers  []func()
@@ -51,6 +51,7 @@
 
 const term = 7
 
+// harness is a table in term 7 with one machine, whose heartbeats the test sends.
 type harness struct {
 	*fakeEnvironment
 	tb       *Table
@@ -61,16 +62,16 @@
 	sequence ident.SequenceNumber
 }
 
-// newHarness makes a table with one machine that is up, and a job of which one task is durably placed
-// on it.
+// newHarness returns a table with one machine that is up, and a job with two tasks, one of which has a
+// durable placement on the machine.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
+	h := &harness{fakeEnvironment: &fakeEnvironment{now: ident.MonotonicTime(time.Hour)}}
 	machineType := cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, LocalDiskGB: 10}
 	limits := commit.Limits{MutationsPerTxn: 16, MutationsPerSecond: 1e9, MaxValueBytes: 16 << 10}
-	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
-	r.jobs = jobs.NewTable(r.commits, 16<<10, r.Now, func() int64 { return 0 })
-	r.tb = NewTable(r, r.jobs, Config{
+	h.commits = commit.New(h, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
+	h.jobs = jobs.NewTable(h.commits, 16<<10, h.Now, func() int64 { return 0 })
+	h.tb = NewTable(h, h.jobs, Config{
 		Term:              term,
 		LeaseDuration:     30 * time.Second,
 		LeaderGrace:       10 * time.Second,
@@ -82,35 +83,35 @@
 		LastPeerRenewal:   func() ident.MonotonicTime { return 0 },
 		OnCommandResult:   func(*Worker, bool) {},
 	})
-	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
-		w := r.tb.Workers[task.MachineID]
+	h.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
+		w := h.tb.Workers[task.MachineID]
 		if !from.Allocated() && to.Allocated() {
-			r.tb.AddTask(w, task)
+			h.tb.AddTask(w, task)
 		} else if from.Allocated() && !to.Allocated() {
-			r.tb.RemoveTask(w, task)
+			h.tb.RemoveTask(w, task)
 		}
 	}
-	r.worker = r.tb.Add(MachineInfo{ID: "h", Model: "m8", Zone: "east", CreatedAt: r.now})
-	r.heartbeat(0)
-	r.job = r.jobs.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 2, VCPUs: 1, Image: "img", ImageGB: 1}, func() {}, nil)
-	r.runUntilIdle()
-	r.jobs.Place(r.task(), "h", 1, func() { r.tb.Launch(r.worker, r.task()) })
-	r.runUntilIdle()
-	return r
+	h.worker = h.tb.Add(MachineInfo{ID: "h", Model: "m8", Zone: "east", CreatedAt: h.now})
+	h.heartbeat(0)
+	h.job = h.jobs.Add(&api.Spec{ID: "j-1", Shape: api.Batch, Tasks: 2, VCPUs: 1, Image: "img", ImageGB: 1}, func() {}, nil)
+	h.runUntilIdle()
+	h.jobs.Place(h.task(), "h", 1, func() { h.tb.Launch(h.worker, h.task()) })
+	h.runUntilIdle()
+	return h
 }
 
-func (r *harness) task() *jobs.Task { return &r.job.Tasks[0] }
+func (h *harness) task() *jobs.Task { return &h.job.Tasks[0] }
 
-// runUntilIdle runs transactions and timers until there are none.
-func (r *harness) runUntilIdle() {
-	r.commits.Flush()
-	for len(r.txns)+len(r.timers) > 0 {
-		runAll(&r.txns)
-		runAll(&r.timers)
+// runUntilIdle runs transactions and timers until none are left.
+func (h *harness) runUntilIdle() {
+	h.commits.Flush()
+	for len(h.txns)+len(h.timers) > 0 {
+		runAll(&h.txns)
+		runAll(&h.timers)
 	}
 }
 
-// newHeartbeat is a heartbeat of the harness's machine.
+// newHeartbeat returns a heartbeat from the harness's machine.
 func newHeartbeat(
 	incarnation ident.Incarnation, sequence ident.SequenceNumber, token ident.FencingToken, tasks ...api.TaskReport,
 ) *api.Heartbeat {
@@ -126,17 +127,17 @@
 	}
 }
 
-// heartbeat has the table handle the next heartbeat of its machine.
-func (r *harness) heartbeat(fenceCount uint32, tasks ...api.TaskReport) *api.HeartbeatResponse {
-	r.sequence++
-	return r.tb.HandleHeartbeat(newHeartbeat(1, r.sequence, ident.MakeFencingToken(term, fenceCount), tasks...))
+// heartbeat passes the machine's next heartbeat to the table and returns the response.
+func (h *harness) heartbeat(fenceCount uint32, tasks ...api.TaskReport) *api.HeartbeatResponse {
+	h.sequence++
+	return h.tb.HandleHeartbeat(newHeartbeat(1, h.sequence, ident.MakeFencingToken(term, fenceCount), tasks...))
 }
 
-func (r *harness) taskReport(status api.TaskStatus, cause api.Cause) api.TaskReport {
-	return api.TaskReport{TaskID: r.task().TaskID(), Attempt: r.task().Attempt, Status: status, Cause: cause}
+func (h *harness) taskReport(status api.TaskStatus, cause api.Cause) api.TaskReport {
+	return api.TaskReport{TaskID: h.task().TaskID(), Attempt: h.task().Attempt, Status: status, Cause: cause}
 }
 
-// verbs lists the verbs of the commands in a response, each with a space behind it.
+// verbs lists the verbs of the commands in a response, each followed by a space.
 func verbs(response *api.HeartbeatResponse) string {
 	s := ""
 	if response != nil {
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -253,9 +253,9 @@
 	return report.Cause == api.CauseDone
 }
 
-// handleTaskEnd records that a task has ended. The worker is told to clear the attempt only once the end
-// is durable. A new leader that knew neither from the store nor from the worker that the attempt has
-// ended would start the task again.
+// handleTaskEnd records that a task has ended. The command to clear the attempt is sent to the worker only
+// once the end is durable. Otherwise neither the store nor the worker might have it when a new leader takes
+// over, and the task would be started again.
 func (tb *Table) handleTaskEnd(w *Worker, t *jobs.Task, report api.TaskReport) {
 	tb.logTaskEnd(w, t, report.Cause)
 	attempt := attemptIn(report)
--- a/internal/workers/heartbeat_order_test.go
+++ b/internal/workers/heartbeat_order_test.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestHeartbeatOrder: heartbeats are ordered by incarnation and, within one, by sequence number.
+// TestHeartbeatOrder checks that heartbeats are ordered by incarnation, then by sequence number.
 func TestHeartbeatOrder(t *testing.T) {
 	order := heartbeatOrder{incarnation: 3, sequence: 7}
 	for _, c := range []struct {
@@ -25,11 +25,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			heartbeat := &api.Heartbeat{Incarnation: c.incarnation, SequenceNumber: c.sequence}
 			if got := order.isStale(heartbeat); got != c.stale {
-				t.Errorf("stale: %v", got)
+				t.Errorf("isStale: got %v, want %v", got, c.stale)
 			}
 		})
 	}
 	if order.raiseIncarnation(2); order.incarnation != 3 {
-		t.Errorf("an earlier incarnation is taken over: %d", order.incarnation)
+		t.Errorf("raiseIncarnation(2) set the incarnation to %d, want 3 unchanged", order.incarnation)
 	}
 }
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -9,106 +9,110 @@
 	"opaldale/internal/jobs"
 )
 
-// TestClearAfterDurable: the end of an attempt is durable before it is cleared from the worker: after that a
-// repeated launch would start it again.
+// TestClearAfterDurable checks that an attempt is cleared from the worker only after its end is durable.
+// Once the attempt is cleared, a repeated launch would start it again.
 func TestClearAfterDurable(t *testing.T) {
-	r := newHarness(t)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{
+	h := newHarness(t)
+	h.answers[0](CommandResult{Status: 200, Heartbeat: &api.Heartbeat{
 		MachineID:      "h",
 		Incarnation:    1,
 		SequenceNumber: 50,
 		FencingToken:   ident.MakeFencingToken(term, 0),
 	}})
-	r.sequence = 50
-	if got := verbs(r.heartbeat(0, r.taskReport(api.Ended, api.CauseDone))); got != "" {
-		t.Errorf("commands before the end is durable: %q", got)
+	h.sequence = 50
+	if got := verbs(h.heartbeat(0, h.taskReport(api.Ended, api.CauseDone))); got != "" {
+		t.Errorf("commands before the end is durable: got %q, want none", got)
 	}
-	if got := verbs(r.heartbeat(0, r.taskReport(api.Ended, api.CauseDone))); got != "" {
-		t.Errorf("commands before the end is durable: %q", got)
+	if got := verbs(h.heartbeat(0, h.taskReport(api.Ended, api.CauseDone))); got != "" {
+		t.Errorf("commands in the second response before the end is durable: got %q, want none", got)
 	}
-	r.runUntilIdle()
-	if n := len(r.sent); n != 2 || r.sent[1].Commands[0].Verb != api.Clear {
-		t.Fatalf("sent %+v", r.sent)
+	h.runUntilIdle()
+	if n := len(h.sent); n != 2 || h.sent[1].Commands[0].Verb != api.Clear {
+		t.Fatalf("sent %+v, want two calls, the second with a clear command", h.sent)
 	}
-	if r.task().State != jobs.Completed || r.job.CompletedTasks != 1 {
-		t.Errorf("task %v", r.task().State)
+	if h.task().State != jobs.Completed || h.job.CompletedTasks != 1 {
+		t.Errorf("task is %v, %d tasks of the job completed; want %v, 1", h.task().State, h.job.CompletedTasks, jobs.Completed)
 	}
 }
 
-// TestNewIncarnation: a newer incarnation has no tasks of the old one, and a late heartbeat of the old one
-// has no effect.
+// TestNewIncarnation checks that the tasks of the old incarnation are lost when a worker starts a new one, and
+// that a delayed heartbeat from the old incarnation has no effect.
 func TestNewIncarnation(t *testing.T) {
-	r := newHarness(t)
-	r.tb.HandleHeartbeat(newHeartbeat(2, 1, 0))
-	if r.task().State != jobs.Waiting {
-		t.Errorf("task %v", r.task().State)
+	h := newHarness(t)
+	h.tb.HandleHeartbeat(newHeartbeat(2, 1, 0))
+	if h.task().State != jobs.Waiting {
+		t.Errorf("task is %v after the new incarnation's first heartbeat, want %v", h.task().State, jobs.Waiting)
 	}
-	if response := r.heartbeat(0, r.taskReport(api.Running, "")); response != nil {
-		t.Errorf("a heartbeat of the old incarnation has the response %+v", response)
+	if response := h.heartbeat(0, h.taskReport(api.Running, "")); response != nil {
+		t.Errorf("response to a heartbeat from the old incarnation: got %+v, want none", response)
 	}
 }
 
-// TestUnknownMachine: a heartbeat of a machine that is not known may be a late copy. The machine is probed
-// first, and added only when it responds.
+// TestUnknownMachine checks that an unknown machine that sends a heartbeat is probed, and added only when it
+// responds. The heartbeat may be a delayed duplicate from a terminated machine.
 func TestUnknownMachine(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	copied := &api.Heartbeat{MachineID: "x", Addr: "b", Model: "m8", Zone: "east", Incarnation: 4, SequenceNumber: 9}
-	n := len(r.sent)
-	r.tb.HandleHeartbeat(copied)
-	r.tb.HandleHeartbeat(copied)
-	if len(r.sent) != n+1 || r.tb.Workers["x"] != nil {
-		t.Fatalf("probed %d times, known %v", len(r.sent)-n, r.tb.Workers["x"] != nil)
-	}
-	r.answers[n](CommandResult{})
-	if r.tb.Workers["x"] != nil {
-		t.Fatal("added without a response")
-	}
-	r.tb.HandleHeartbeat(copied)
+	n := len(h.sent)
+	h.tb.HandleHeartbeat(copied)
+	h.tb.HandleHeartbeat(copied)
+	if len(h.sent) != n+1 || h.tb.Workers["x"] != nil {
+		t.Fatalf("after two heartbeats: probed %d times, machine known %v; want 1, false",
+			len(h.sent)-n, h.tb.Workers["x"] != nil)
+	}
+	h.answers[n](CommandResult{})
+	if h.tb.Workers["x"] != nil {
+		t.Fatal("machine x was added though its worker did not respond to the probe")
+	}
+	h.tb.HandleHeartbeat(copied)
 	response := *copied
 	response.SequenceNumber = 10
-	r.answers[n+1](CommandResult{Status: 200, Heartbeat: &response})
-	if w := r.tb.Workers["x"]; w == nil || w.State != Up {
-		t.Errorf("after its response: %+v", w)
+	h.answers[n+1](CommandResult{Status: 200, Heartbeat: &response})
+	if w := h.tb.Workers["x"]; w == nil || w.State != Up {
+		t.Errorf("machine x after the response to the probe: got %+v, want state %v", w, Up)
 	}
 }
 
-// TestGangCompletion: when one task of a gang completes all do, but one that was not reported running stays
-// allocated until it is proven gone: its room is not given to other tasks earlier.
+// TestGangCompletion checks that the whole gang completes when one of its tasks does, but that a task that was
+// not reported running stays allocated until it can no longer run. Until then its resources must not be
+// allocated to other tasks.
 func TestGangCompletion(t *testing.T) {
-	r := newHarness(t)
-	r.answers[0](CommandResult{})
-	j := r.jobs.Add(&api.Spec{ID: "j-7", Shape: api.Gang, Tasks: 4, VCPUs: 1}, func() {}, nil)
-	r.runUntilIdle()
+	h := newHarness(t)
+	h.answers[0](CommandResult{})
+	j := h.jobs.Add(&api.Spec{ID: "j-7", Shape: api.Gang, Tasks: 4, VCPUs: 1}, func() {}, nil)
+	h.runUntilIdle()
 	for i := range j.Tasks {
-		r.jobs.Place(&j.Tasks[i], "h", 1, func() {})
+		h.jobs.Place(&j.Tasks[i], "h", 1, func() {})
 	}
-	r.runUntilIdle()
+	h.runUntilIdle()
 	running := api.TaskReport{TaskID: j.Tasks[1].TaskID(), Attempt: 1, Status: api.Running}
-	r.heartbeat(1, running)
+	h.heartbeat(1, running)
 	completed := func(task *jobs.Task) api.TaskReport {
 		return api.TaskReport{TaskID: task.TaskID(), Attempt: 1, Status: api.Ended, Cause: api.CauseDone}
 	}
 	done := completed(&j.Tasks[0])
-	r.heartbeat(1, done, running)
+	h.heartbeat(1, done, running)
 	if j.Phase != jobs.Done || j.AllocatedTasks != 2 || j.Tasks[2].State != jobs.Stopping {
-		t.Fatalf("job %v, %d tasks allocated, the last one %v", j.Phase, j.AllocatedTasks, j.Tasks[2].State)
-	}
-	r.runUntilIdle() // the command that stops the last task is under way from now on
-	r.heartbeat(1, done, completed(&j.Tasks[3]))
-	for range 3 { // long enough for the write rate of the log
-		r.now = r.now.Add(time.Second)
-		r.runUntilIdle()
-	}
-	if len(r.worker.commands.queued) > 0 {
-		t.Errorf("part of the gang is durably completed, and a new leader would place the rest: %+v", r.worker.commands.queued)
-	}
-	if last := r.sent[len(r.sent)-1].Commands; len(last) == 0 || last[0].Verb != api.Kill {
-		t.Errorf("sent %+v", last)
-	}
-	r.answers[len(r.answers)-1](CommandResult{})
-	r.heartbeat(2)
-	r.runUntilIdle()
-	if archived, ok := r.jobs.LookupArchived("j-7"); !ok || archived.Phase != jobs.Done || archived.CompletedTasks != 4 {
-		t.Errorf("archived %v: %+v", ok, archived)
+		t.Fatalf("job is %v, %d tasks allocated, task 2 is %v; want %v, 2, %v",
+			j.Phase, j.AllocatedTasks, j.Tasks[2].State, jobs.Done, jobs.Stopping)
+	}
+	h.runUntilIdle() // sends the kill commands, which stay in flight until answered below
+	h.heartbeat(1, done, completed(&j.Tasks[3]))
+	for range 3 { // three seconds, long enough for the rate-limited log writes
+		h.now = h.now.Add(time.Second)
+		h.runUntilIdle()
+	}
+	if len(h.worker.commands.queued) > 0 {
+		t.Errorf("queued commands %+v, want none: only part of the gang is durably completed, and a new leader would place the rest",
+			h.worker.commands.queued)
+	}
+	if last := h.sent[len(h.sent)-1].Commands; len(last) == 0 || last[0].Verb != api.Kill {
+		t.Errorf("last call sent has commands %+v, want a kill first", last)
+	}
+	h.answers[len(h.answers)-1](CommandResult{})
+	h.heartbeat(2)
+	h.runUntilIdle()
+	if archived, ok := h.jobs.LookupArchived("j-7"); !ok || archived.Phase != jobs.Done || archived.CompletedTasks != 4 {
+		t.Errorf("job j-7 archived %v, record %+v; want true, phase %v with 4 completed tasks", ok, archived, jobs.Done)
 	}
 }
--- a/internal/workers/image_cache_test.go
+++ b/internal/workers/image_cache_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestImageCache: the most recently used images are kept as far as the disk has room, and the newest one always.
+// TestImageCache checks that the most recently used images that fit on the disk are kept, and that the most
+// recently used image is kept even if it does not fit.
 func TestImageCache(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -31,10 +32,10 @@
 				names = append(names, image.Name)
 			}
 			if !slices.Equal(names, c.want) {
-				t.Errorf("%v are cached, want %v", names, c.want)
+				t.Errorf("cached images: got %v, want %v", names, c.want)
 			}
 			if !cache.has(c.want[0]) || cache.has("other") {
-				t.Errorf("has %s: %v, has another: %v", c.want[0], cache.has(c.want[0]), cache.has("other"))
+				t.Errorf("has(%q) %v, has(%q) %v; want true, false", c.want[0], cache.has(c.want[0]), "other", cache.has("other"))
 			}
 		})
 	}
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -9,110 +9,112 @@
 	"opaldale/internal/jobs"
 )
 
-// wantLeaseExpiry checks that a lease has not expired after a time, and has 2 s later.
-func (r *harness) wantLeaseExpiry(t *testing.T, w *Worker, after time.Duration) {
+// wantLeaseExpiry checks that the worker's lease has not expired after the given time, and has 2 s later.
+func (h *harness) wantLeaseExpiry(t *testing.T, w *Worker, after time.Duration) {
 	t.Helper()
-	r.now = r.now.Add(after)
-	if r.tb.LeaseExpired(w) {
-		t.Errorf("expired within %v", after)
+	h.now = h.now.Add(after)
+	if h.tb.LeaseExpired(w) {
+		t.Errorf("lease expired after %v, want not expired yet", after)
 	}
-	r.now = r.now.Add(2 * time.Second)
-	if !r.tb.LeaseExpired(w) {
-		t.Errorf("not expired after %v", after+2*time.Second)
+	h.now = h.now.Add(2 * time.Second)
+	if !h.tb.LeaseExpired(w) {
+		t.Errorf("lease not expired after %v, want expired", after+2*time.Second)
 	}
 }
 
-// TestStaleHeartbeatRenewsLease: a stale heartbeat has no effect, but the response to it renews the
-// lease nevertheless.
+// TestStaleHeartbeatRenewsLease checks that a stale heartbeat is not applied but the response to it still
+// renews the lease.
 func TestStaleHeartbeatRenewsLease(t *testing.T) {
-	r := newHarness(t)
-	r.heartbeat(0, r.taskReport(api.Running, ""))
-	r.sequence -= 2
-	r.now = r.now.Add(15 * time.Second) // the grace period of an earlier leader is over
-	response := r.heartbeat(0)
+	h := newHarness(t)
+	h.heartbeat(0, h.taskReport(api.Running, ""))
+	h.sequence -= 2
+	h.now = h.now.Add(15 * time.Second) // after the grace period of an earlier leader
+	response := h.heartbeat(0)
 	if response == nil || len(response.Commands) > 0 {
-		t.Errorf("response %+v", response)
+		t.Errorf("response to the stale heartbeat: got %+v, want one without commands", response)
 	}
-	if r.task().State != jobs.Assigned || r.task().ReportedStatus != api.Running {
-		t.Errorf("task %v %v", r.task().State, r.task().ReportedStatus)
+	if h.task().State != jobs.Assigned || h.task().ReportedStatus != api.Running {
+		t.Errorf("task is %v with status %q, want %v with status %q",
+			h.task().State, h.task().ReportedStatus, jobs.Assigned, api.Running)
 	}
-	r.wantLeaseExpiry(t, r.worker, 30*time.Second)
+	h.wantLeaseExpiry(t, h.worker, 30*time.Second)
 }
 
-// TestLeaseIncludesLeaderGrace: an earlier leader may have renewed leases for a while into the term.
+// TestLeaseIncludesLeaderGrace checks that a lease not renewed in this term is assumed to have been renewed by
+// the previous leader until the end of its grace period.
 func TestLeaseIncludesLeaderGrace(t *testing.T) {
-	r := newHarness(t)
-	w := r.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: r.now})
+	h := newHarness(t)
+	w := h.tb.Add(MachineInfo{ID: "other", Model: "m8", Zone: "east", CreatedAt: h.now})
 	const leaseAndGrace = 40 * time.Second // see newHarness
-	r.wantLeaseExpiry(t, w, leaseAndGrace)
+	h.wantLeaseExpiry(t, w, leaseAndGrace)
 }
 
-// TestNewIncarnationLease: an incarnation whose lease was not renewed yet has its full lease, even if that of
-// the previous one has expired.
+// TestNewIncarnationLease checks that a new incarnation has its full lease before any renewal, even if the
+// lease of the previous incarnation has expired.
 func TestNewIncarnationLease(t *testing.T) {
-	r := newHarness(t)
-	r.now = r.now.Add(10 * time.Minute)
-	// Known from the response to a command, which renews no lease.
-	r.answers[0](CommandResult{Status: 409, Heartbeat: newHeartbeat(2, 1, 0)})
-	if r.worker.Incarnation() != 2 || r.tb.LeaseExpired(r.worker) {
-		t.Errorf("incarnation %d, expired %v", r.worker.Incarnation(), r.tb.LeaseExpired(r.worker))
+	h := newHarness(t)
+	h.now = h.now.Add(10 * time.Minute)
+	// The new incarnation appears in a command response, which does not renew the lease.
+	h.answers[0](CommandResult{Status: 409, Heartbeat: newHeartbeat(2, 1, 0)})
+	if h.worker.Incarnation() != 2 || h.tb.LeaseExpired(h.worker) {
+		t.Errorf("incarnation %d, lease expired %v; want 2, false", h.worker.Incarnation(), h.tb.LeaseExpired(h.worker))
 	}
-	r.wantLeaseExpiry(t, r.worker, 30*time.Second)
+	h.wantLeaseExpiry(t, h.worker, 30*time.Second)
 }
 
-// TestNoRenewalAfterSuccessorToken: in its grace period a leader does not respond to a worker that has a
-// later token. The worker would drop the response, and keep reporting to it until its lease is
-// over.
+// TestNoRenewalAfterSuccessorToken checks that a leader in its grace period does not respond to a worker that
+// has seen a later term's token. The worker would discard the response and keep sending its heartbeats to the
+// old leader until the lease expires.
 func TestNoRenewalAfterSuccessorToken(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	heartbeat := newHeartbeat(1, 50, ident.MakeFencingToken(term, 0))
-	if r.tb.RenewLeaseOnly(heartbeat) == nil {
-		t.Error("no response in the grace period")
+	if h.tb.RenewLeaseOnly(heartbeat) == nil {
+		t.Error("no response to a heartbeat with a token of this term, want one")
 	}
 	heartbeat.FencingToken = ident.MakeFencingToken(term+1, 0)
-	if r.tb.RenewLeaseOnly(heartbeat) != nil {
-		t.Error("responded, though the worker has a successor's token")
+	if h.tb.RenewLeaseOnly(heartbeat) != nil {
+		t.Error("response to a heartbeat with a successor's token, want none")
 	}
 }
 
-// TestRenewalKillsCancelledTasks: a leader that may have lost its leadership still kills tasks of cancelled
-// jobs with each response that renews a lease. Once the grace period after a cancellation is over,
-// it renews the lease only if no task of the job can be started there any more.
+// TestRenewalKillsCancelledTasks checks that a leader that may have lost its leadership still kills tasks of
+// cancelled jobs in each response that renews a lease. Later than the leader's grace period after a
+// cancellation, it renews the lease only if no earlier command can start a task of the job any more.
 func TestRenewalKillsCancelledTasks(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	firstToken := ident.MakeFencingToken(term, 0)
-	r.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, firstToken, r.taskReport(api.Running, ""))})
+	h.answers[0](CommandResult{Status: 200, Heartbeat: newHeartbeat(1, 40, firstToken, h.taskReport(api.Running, ""))})
 	sequence := ident.SequenceNumber(50)
 	nextHeartbeat := func(fenceCount uint32, tasks ...api.TaskReport) *api.Heartbeat {
 		sequence++
 		return newHeartbeat(1, sequence, ident.MakeFencingToken(term, fenceCount), tasks...)
 	}
-	if got := verbs(r.tb.RenewLeaseOnly(nextHeartbeat(0, r.taskReport(api.Running, "")))); got != "" {
-		t.Errorf("before the cancellation: %q", got)
+	if got := verbs(h.tb.RenewLeaseOnly(nextHeartbeat(0, h.taskReport(api.Running, "")))); got != "" {
+		t.Errorf("commands before the cancellation: got %q, want none", got)
 	}
-	r.jobs.Cancel(r.job, func() {})
-	r.tb.StopTask(r.worker, r.task(), 0)
-	r.runUntilIdle()
-	r.now = r.now.Add(time.Hour)
-	if got := verbs(r.tb.RenewLeaseOnly(nextHeartbeat(0, r.taskReport(api.Running, "")))); got != "kill " {
-		t.Errorf("reported, long after the cancellation: %q", got)
+	h.jobs.Cancel(h.job, func() {})
+	h.tb.StopTask(h.worker, h.task(), 0)
+	h.runUntilIdle()
+	h.now = h.now.Add(time.Hour)
+	if got := verbs(h.tb.RenewLeaseOnly(nextHeartbeat(0, h.taskReport(api.Running, "")))); got != "kill " {
+		t.Errorf("commands for a reported task one hour after the cancellation: got %q, want %q", got, "kill ")
 	}
-	if got := verbs(r.tb.HandleHeartbeat(newHeartbeat(1, 3, firstToken, r.taskReport(api.Running, "")))); got != "kill " {
-		t.Errorf("a stale heartbeat: %q", got)
+	if got := verbs(h.tb.HandleHeartbeat(newHeartbeat(1, 3, firstToken, h.taskReport(api.Running, "")))); got != "kill " {
+		t.Errorf("commands in the response to a stale heartbeat: got %q, want %q", got, "kill ")
 	}
-	if r.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
-		t.Error("renewed while a command is under way that may start it")
+	if h.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
+		t.Error("lease was renewed while a call is in flight, though an earlier launch may still be executed")
 	}
-	r.answers[len(r.answers)-1](CommandResult{})
-	if r.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
-		t.Error("renewed with the old token, when the command may still be carried out")
+	h.answers[len(h.answers)-1](CommandResult{})
+	if h.tb.RenewLeaseOnly(nextHeartbeat(0)) != nil {
+		t.Error("lease was renewed for the old token, with which the worker may still execute the command")
 	}
-	r.runUntilIdle()
-	if c := r.sent[len(r.sent)-1]; c.FencingToken != ident.MakeFencingToken(term, 1) {
-		t.Errorf("the worker was not sent the new token: %+v", c)
+	h.runUntilIdle()
+	if c := h.sent[len(h.sent)-1]; c.FencingToken != ident.MakeFencingToken(term, 1) {
+		t.Errorf("token of the last call is %x, want the raised token %x", c.FencingToken, ident.MakeFencingToken(term, 1))
 	}
-	r.answers[len(r.answers)-1](CommandResult{Status: 200, Heartbeat: nextHeartbeat(1)})
-	if r.tb.RenewLeaseOnly(nextHeartbeat(1)) == nil {
-		t.Error("not renewed with the new token, when no command can be carried out late")
+	h.answers[len(h.answers)-1](CommandResult{Status: 200, Heartbeat: nextHeartbeat(1)})
+	if h.tb.RenewLeaseOnly(nextHeartbeat(1)) == nil {
+		t.Error("lease was not renewed for the raised token, with which no earlier command can be executed")
 	}
 }
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -9,49 +9,52 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnknownAttempts: an attempt that is not known is killed, and its task is not started elsewhere while
-// it may run.
+// TestUnknownAttempts checks that an unknown attempt is killed, and that its task is reported as having an
+// unknown attempt, which prevents its start elsewhere, until the attempt has ended.
 func TestUnknownAttempts(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	stray := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 1}, Attempt: 3, Status: api.Running}
-	if got := verbs(r.heartbeat(0, stray)); got != "kill " || !r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Errorf("commands %q", got)
+	if got := verbs(h.heartbeat(0, stray)); got != "kill " || !h.tb.HasUnknownAttempt(stray.TaskID) {
+		t.Errorf("running unknown attempt: commands %q, recorded %v; want %q, true",
+			got, h.tb.HasUnknownAttempt(stray.TaskID), "kill ")
 	}
 	stray.Status, stray.Cause = api.Ended, api.CauseStopped
-	if got := verbs(r.heartbeat(0, stray)); got != "clear " || r.tb.HasUnknownAttempt(stray.TaskID) {
-		t.Errorf("commands %q", got)
+	if got := verbs(h.heartbeat(0, stray)); got != "clear " || h.tb.HasUnknownAttempt(stray.TaskID) {
+		t.Errorf("ended unknown attempt: commands %q, recorded %v; want %q, false",
+			got, h.tb.HasUnknownAttempt(stray.TaskID), "clear ")
 	}
 }
 
-// TestPlacementsOfEarlierTerm: a leader launches no task that an earlier term has placed: that term may have
-// given its room, or its team's quota, to other tasks, and only their placement may have become
-// durable. A task of an earlier incarnation than the heartbeat's counts as lost at once, one of
-// the same incarnation only when the heartbeat has the newest token.
+// TestPlacementsOfEarlierTerm checks that a leader does not launch tasks that an earlier term placed. The
+// earlier term may have allocated their resources or their team's quota to other tasks, and only the
+// placement of those may have become durable. A task placed in an earlier incarnation than the heartbeat's is
+// lost immediately, a task of the same incarnation only if the heartbeat has the newest fencing token.
 func TestPlacementsOfEarlierTerm(t *testing.T) {
 	for _, tokenCurrent := range []bool{false, true} {
-		r := newHarness(t)
-		r.answers[0](CommandResult{})
+		h := newHarness(t)
+		h.answers[0](CommandResult{})
 		record := `{"spec":{"id":"j-9","desk":"red","shape":"batch","pieces":2,"vcpus":1},"seq":1,"phase":"open",
 			"tasks":[{"t":1,"h":"h","n":1},{"t":1,"h":"h","n":2}]}`
-		if err := r.jobs.Load("live/j-9", json.RawMessage(record), 4); err != nil {
+		if err := h.jobs.Load("live/j-9", json.RawMessage(record), 4); err != nil {
 			t.Fatal(err)
 		}
-		before, same := &r.jobs.Jobs["j-9"].Tasks[0], &r.jobs.Jobs["j-9"].Tasks[1]
-		r.tb.AddTask(r.worker, before)
-		r.tb.AddTask(r.worker, same)
+		before, same := &h.jobs.Jobs["j-9"].Tasks[0], &h.jobs.Jobs["j-9"].Tasks[1]
+		h.tb.AddTask(h.worker, before)
+		h.tb.AddTask(h.worker, same)
 		token := ident.MakeFencingToken(term-1, 0)
 		if tokenCurrent {
 			token = ident.MakeFencingToken(term, 1)
 		}
-		response := r.tb.HandleHeartbeat(newHeartbeat(2, 100, token))
+		response := h.tb.HandleHeartbeat(newHeartbeat(2, 100, token))
 		if got := verbs(response); got != "" {
-			t.Errorf("current token %v: commands %q", tokenCurrent, got)
+			t.Errorf("current token %v: commands %q, want none", tokenCurrent, got)
 		}
 		if before.State != jobs.Waiting {
-			t.Errorf("current token %v: the task of the incarnation before is %v", tokenCurrent, before.State)
+			t.Errorf("current token %v: task of the earlier incarnation is %v, want %v", tokenCurrent, before.State, jobs.Waiting)
 		}
 		if (same.State == jobs.Waiting) != tokenCurrent {
-			t.Errorf("current token %v: the task of this incarnation is %v", tokenCurrent, same.State)
+			t.Errorf("current token %v: task of the same incarnation is %v, want %v only with the current token",
+				tokenCurrent, same.State, jobs.Waiting)
 		}
 	}
 }
