--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -42,7 +42,7 @@
 // parseLogLine parses a line as returned by TextLine.
 func parseLogLine(text string) (index int, record taskRecord, err error) {
 	malformed := func() (int, taskRecord, error) {
-		return 0, taskRecord{}, fmt.Errorf("malformed log line %q: want index,attempt and optionally ,machine,incarnation or ,+", text)
+		return 0, taskRecord{}, fmt.Errorf("malformed log line %q: want index,attempt[,machine,incarnation|,+]", text)
 	}
 	fields := strings.Split(text, fieldSeparator)
 	if len(fields) < 2 {
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -127,7 +127,7 @@
 	tb.updateWaiting(j)
 }
 
-// closeJob moves a job from phase Open to a final phase. No other function changes the phase of a job.
+// closeJob moves an open job to a final phase. It is the only function by which a job leaves phase Open.
 func (tb *Table) closeJob(j *Job, phase Phase) {
 	j.Phase, j.ClosedAt = phase, tb.now()
 	if team := tb.Teams[j.Spec.Team]; team != nil {
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -103,7 +103,7 @@
 		h.runUntilIdle()
 	}
 	if len(h.worker.commands.queued) > 0 {
-		t.Errorf("queued commands %+v, want none: only part of the gang is durably completed, and a new leader would place the rest",
+		t.Errorf("queued commands %+v, want none: part of the gang is durably completed, a new leader would place the rest",
 			h.worker.commands.queued)
 	}
 	if last := h.sent[len(h.sent)-1].Commands; len(last) == 0 || last[0].Verb != api.Kill {
--- a/internal/workers/reachability_test.go
+++ b/internal/workers/reachability_test.go
@@ -21,7 +21,8 @@
 	r.heartbeatReceived(earlier, sent, 10)
 	r.heartbeatReceived(earlier, sent, 20)
 	if r.missedResponses != 1 || r.cannotReceiveSince != 10 || r.lastContact != 20 {
-		t.Errorf("after heartbeats with an earlier token: got %+v, want 1 missed response, cannot receive since 10, last contact 20", r)
+		t.Errorf("after heartbeats with an earlier token: got %+v; want 1 missed response, unable to receive since 10, "+
+			"last contact 20", r)
 	}
 	r.heartbeatReceived(sent, sent, 30)
 	if r.missedResponses != 0 || r.cannotReceiveSince != 0 || r.lastContact != 30 {
