--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -3,7 +3,7 @@
 // whether the worker is reachable, and the state of its lease and fencing token.
 //
 // The package releases the resources of a task only when the task can no longer run on its machine.
-// The evidence is one of:
+// Apart from an end that the worker reported, the evidence is one of:
 //   - a heartbeat that carries the newest fencing token and does not list the task
 //   - a newer incarnation of the worker
 //   - expiry of the worker's lease
@@ -78,7 +78,7 @@
 
 	LostTasks       uint64 // tasks that were lost with their machine, worker or lease; no end was reported
 	FencedCommands  uint64 // command calls without a response, after which the fencing token was raised
-	StaleHeartbeats uint64 // heartbeats ignored because a newer one had been received
+	StaleHeartbeats uint64 // heartbeats that were not newer than the newest one received
 }
 
 // NewTable returns an empty table for the term in the configuration.
