--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -1,6 +1,7 @@
 package controller
 
-// This file derives what the node may decide from its leadership, its store and a handover under way.
+// This file derives the actions that the node may take from its leadership, the store's availability and a handover
+// in progress.
 
 import (
 	"log/slog"
@@ -8,7 +9,7 @@
 	"opaldale/internal/authority"
 )
 
-// updateAuthority brings the node's authority up to date, logs a change of it, and returns it.
+// updateAuthority recomputes the node's authority, logs a change, and returns the new state.
 func (c *Controller) updateAuthority() authority.State {
 	from, to := c.authority.Update(c.authorityFacts())
 	if from != to && c.links.Enabled() {
@@ -17,7 +18,7 @@
 	return to
 }
 
-// authorityFacts gathers what the node's authority depends on.
+// authorityFacts returns the inputs from which the node's authority is derived.
 func (c *Controller) authorityFacts() authority.Facts {
 	l := c.leader
 	if l == nil || l.closed() {
@@ -31,8 +32,8 @@
 	}
 }
 
-// leadership returns whether the leader's lease is valid, expired, or expired for less than the renewal grace. The term must
-// not be closed.
+// leadership returns whether the leader's lease is valid, has expired within the renewal grace, or has expired longer ago.
+// It must not be called for a closed term.
 func (c *Controller) leadership() authority.Leadership {
 	valid := c.election.LeaseValid()
 	withinGrace := c.election.WithinGrace(c.renewalGrace)
@@ -45,12 +46,12 @@
 	return authority.LeaseExpired
 }
 
-// allows reports whether this node has the authority for an action at this moment. Every decision of a leader, and every
-// answer from its tables, must be guarded by it.
+// allows reports whether the node's current authority permits an action. A leader must check it before every decision, and
+// before every answer from its tables.
 func (c *Controller) allows(action authority.Action) bool { return c.updateAuthority().Allows(action) }
 
-// mayManageFleet reports whether machines may be provisioned, terminated and fenced. If links are not watched, that
-// includes a leader that can't write to the store.
+// mayManageFleet reports whether this node may provision, terminate and fence machines. While link tracking is disabled, a
+// leader that can't write to the store may do so as well.
 func (c *Controller) mayManageFleet() bool {
 	state := c.updateAuthority()
 	return state.Allows(authority.Scale) || !c.links.Enabled() && state == authority.StoreDown
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,13 @@
-// Package controller is one node of the replicated controller: it takes requests of users and heartbeats of
-// workers, forwards them to the leader, and schedules the cluster while it is the leader itself.
+// Package controller implements one node of the replicated controller. A node receives requests from users and heartbeats
+// from workers, and forwards them to the leader. The node that is the leader schedules the cluster.
 //
-// It does no I/O of its own: events arrive as calls of its methods and as callbacks, and Env carries out its calls. It is
-// not safe for concurrent use: all calls come from one event loop, which calls AfterEvent after each event.
+// The package does no I/O: events arrive as method calls and callbacks, and an Env carries out the calls to other services
+// and nodes. A Controller is not safe for concurrent use: all calls must come from one event loop, which calls AfterEvent
+// after each event.
 //
-// Where to begin reading: HandleRequest (forwarding.go) takes requests of users and workers, HandleFrame
-// (requests.go) messages of peers, and AfterEvent (leader_loop.go) acts on what an event has changed. leaderTerm
-// (leader_term.go) holds all that a node knows as the leader; recovery.go loads it when a term begins.
+// The entry points are HandleRequest (forwarding.go) for requests from users and workers, HandleFrame (requests.go) for
+// messages from peers, and AfterEvent (leader_loop.go) for the work that an event makes necessary. leaderTerm
+// (leader_term.go) is the in-memory state of a leader; recovery.go loads it when a term begins.
 package controller
 
 import (
@@ -46,44 +47,44 @@
 	rng          *rand.Rand
 	election     *election.Elector
 	leader       *leaderTerm       // nil while not leading
-	formatLevel  ident.FormatLevel // in force, as far as this node knows
-	renewalGrace time.Duration     // see renewalGrace
+	formatLevel  ident.FormatLevel // highest format level known to be in force
+	renewalGrace time.Duration     // see the function of the same name
 
 	peers           map[ident.NodeID]*peer
-	pendingForwards map[uint64]func(Response) // replies to forwarded requests, by the ID of their frame
+	pendingForwards map[uint64]func(Response) // reply callbacks of forwarded requests, by frame ID
 	lastForwardID   uint64
 	pollLimiter     tokenBucket
 
 	sentHeartbeats renewal.SentHeartbeats
 	renewer        renewal.Renewer
-	// cancelledJobs holds jobs that this node knows to be durably cancelled.
+	// cancelledJobs holds the most recent jobs whose cancellation is durable, as far as this node has seen them.
 	cancelledJobs   *jobs.RecentJobs[struct{}]
-	storeLastServed ident.MonotonicTime  // when the store last served this node
-	links           *linktracker.Tracker // nil unless links are watched
+	storeLastServed ident.MonotonicTime  // time of the store's last usable answer to a probe
+	links           *linktracker.Tracker // nil if link tracking is disabled
 	authority       authority.Tracker
 
 	Counters
 }
 
-// Counters count events of a node since it was started.
+// Counters count events of a node since its start.
 type Counters struct {
 	Forwarded  uint64 // requests forwarded to the leader
-	Relayed    uint64 // forwarded requests that a peer relayed
-	Refused    uint64 // requests refused that may succeed later
-	Elections  uint64 // terms that the node has begun as the leader
-	LeasesKept uint64 // leases of workers renewed without the leader
+	Relayed    uint64 // forwarded requests that were sent through a relaying peer
+	Refused    uint64 // refused requests that may succeed if retried
+	Elections  uint64 // terms that the node has started as the leader
+	LeasesKept uint64 // worker leases that the node has renewed without the leader
 }
 
 const (
 	storeTimeout = time.Second
-	// pollReadShare is the share of the store's request rate that polls may use; each node has an
-	// equal part of it.
+	// pollReadShare is the fraction of the store's request rate that polls may use. It is divided equally among the
+	// nodes.
 	pollReadShare = 0.6
-	// graceMargin is kept between the last lease that a node may grant and the end of cancel_s.
+	// graceMargin is the safety margin between the latest expiry of a worker lease and the end of cancel_s.
 	graceMargin = 1500 * time.Millisecond
 )
 
-// New returns a node that takes no part in the cluster until Start.
+// New returns a node that does not join the cluster until Start is called.
 func New(env Env, cfg *settings.Settings, rng *rand.Rand) *Controller {
 	c := &Controller{
 		env:             env,
@@ -111,8 +112,8 @@
 	return c
 }
 
-// renewalGrace returns how long after the expiry of its own lease a leader may renew leases of workers. A lease renewed at the
-// end of the grace still expires within cancel_s, also with the largest drift between clocks.
+// renewalGrace returns how long after the expiry of its own lease a leader may renew worker leases. A worker lease that is
+// renewed at the end of the grace still expires within cancel_s, even with the largest drift between clocks.
 func renewalGrace(times settings.WorkerTimes) time.Duration {
 	return max(0, settings.Seconds(times.CancelS-times.LeaseS*ident.ClockDriftFactor)-graceMargin)
 }
@@ -125,21 +126,21 @@
 	upgrade.Announce(c.env, c.rng, c.settings.Node)
 }
 
-// AfterEvent must be called after every event. A leader then places waiting tasks, if the event may have made that
-// possible, and writes to the store what the event has changed.
+// AfterEvent must be called after every event. On a leader it places waiting tasks, if the event may have made that
+// possible, and writes changed records to the store.
 func (c *Controller) AfterEvent() {
 	if c.leader != nil {
 		c.leader.afterEvent()
 	}
 }
 
-// FormatLevel returns the format level in force, as far as this node knows.
+// FormatLevel returns the highest format level of stored data that this node has seen in force.
 func (c *Controller) FormatLevel() ident.FormatLevel { return c.formatLevel }
 
-// Election returns the node's part in the elections.
+// Election returns the node's elector.
 func (c *Controller) Election() *election.Elector { return c.election }
 
-// OnStartedLeading begins a term: it implements election.Callbacks.
+// OnStartedLeading begins a term as the leader. It implements election.Callbacks.
 func (c *Controller) OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) {
 	c.Elections++
 	c.formatLevel = max(c.formatLevel, level)
@@ -148,7 +149,7 @@
 	c.leader.loadState()
 }
 
-// OnStoppedLeading ends the term: it implements election.Callbacks. Only the cancellations that are durable outlive the
+// OnStoppedLeading ends the term. It implements election.Callbacks. The node keeps only durable cancellations beyond the
 // term, since they are final.
 func (c *Controller) OnStoppedLeading(election.StepDownReason) {
 	if c.leader == nil {
@@ -161,8 +162,8 @@
 	c.leader = nil
 }
 
-// Healthy reports whether a load balancer should send requests to this node: it leads, or reaches the leader, or no
-// other node is known to lead and a peer is heard. A node without peers is always healthy.
+// Healthy reports whether a load balancer should send requests to this node: it is the leader, it can reach the leader, or
+// no other node is known to lead and a message from a peer has arrived recently. A node without peers is always healthy.
 func (c *Controller) Healthy() bool {
 	if c.election.LeaseValid() {
 		return true
@@ -170,5 +171,5 @@
 	if toLeader := c.leaderRoute(); toLeader.known && toLeader.leader != c.settings.Node {
 		return toLeader.reachable || c.leaderLinkBrieflyDown(toLeader.leader)
 	}
-	return c.heardAnyPeerWithin(peerTimeout) || len(c.peers) == 0
+	return c.receivedFromAnyPeerWithin(peerTimeout) || len(c.peers) == 0
 }
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -17,7 +17,8 @@
 	"opaldale/internal/settings"
 )
 
-// storedFleet returns the content of a store: machines in groups, and three running tasks on each, in the newest format.
+// storedFleet returns the stored records of a fleet in the newest format: machine groups, and three running tasks per
+// machine.
 func storedFleet(machines int) []kvstore.KeyValue {
 	var pairs []kvstore.KeyValue
 	put := func(path string, v any) {
@@ -73,14 +74,14 @@
 				c := New(env, cfg, newTestRand())
 				c.OnStartedLeading(2, ident.NewestFormatLevel, kvstore.Compare{Key: "leader", Revision: 9})
 				if c.leader == nil || !c.leader.loaded() || len(c.leader.workers.Workers) != machines {
-					b.Fatal("the leader has not loaded everything")
+					b.Fatalf("leader has not loaded the stored state with %d machines", machines)
 				}
-				held := 0
+				allocated := 0
 				for _, j := range c.leader.jobs.Jobs {
-					held += j.AllocatedTasks
+					allocated += j.AllocatedTasks
 				}
-				if held == 0 {
-					b.Fatal("no task is known to be on a machine")
+				if allocated == 0 {
+					b.Fatal("got 0 allocated tasks after loading, want more")
 				}
 			}
 		})
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -16,19 +16,19 @@
 
 const (
 	forwardTimeout = 1500 * time.Millisecond
-	// pollForwardTimeout is shorter, since the store answers polls as well.
+	// pollForwardTimeout is shorter than forwardTimeout, since polls can also be answered from the store.
 	pollForwardTimeout = 700 * time.Millisecond
 )
 
 // route is the path by which this node forwards requests to the leader.
 type route struct {
 	leader    ident.NodeID
-	known     bool         // leader is known to lead; otherwise the route is not reachable
-	via       ident.NodeID // the peer that relays requests; empty: none
-	reachable bool         // frames probably arrive
+	known     bool         // the leader is known; if not, reachable is false
+	via       ident.NodeID // the peer that relays requests; empty for the direct route
+	reachable bool         // frames are expected to arrive
 }
 
-// leaderRoute returns the best route to the leader: direct, or by a peer that reaches it if the direct link is down.
+// leaderRoute returns the best route to the leader: the direct one, or one through a peer if the direct link is down.
 func (c *Controller) leaderRoute() route {
 	best := c.directRoute()
 	if !best.known || best.reachable && !c.links.PeerDown(best.leader) {
@@ -52,7 +52,7 @@
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
-	// If the process pauses, the answer may be read before the timer fires, and be too old.
+	// After a pause of the process, an outdated answer may be read before the timer fires. The deadline invalidates it.
 	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
 	frame := &transport.Frame{
 		Type:   transport.MsgRequest,
@@ -76,8 +76,8 @@
 	})
 }
 
-// completeForward passes the leader's answer to the request that waits for it. An answer that comes after the timeout of
-// the request is dropped.
+// completeForward passes the leader's answer to the request that waits for it. An answer that arrives after the request
+// has timed out is dropped.
 func (c *Controller) completeForward(frame *transport.Frame) {
 	reply := c.pendingForwards[frame.ID]
 	if reply == nil {
@@ -87,9 +87,9 @@
 	reply(Response{Status: int(frame.Status), RetryAfterS: int(frame.RetryAfterS), Body: frame.Body})
 }
 
-// HandleRequest serves a request that a user or a worker has sent to this node, or forwards it to the leader. jobID is used
-// by GetJob and CancelJob, body by SubmitJob and WorkerHeartbeat. reply is called once, during this call or in a later
-// event.
+// HandleRequest handles a request that a user or a worker has sent to this node: a leader serves it, another node forwards
+// it to the leader. jobID is used by GetJob and CancelJob, body by SubmitJob and WorkerHeartbeat. reply is called once,
+// during this call or in a later event.
 func (c *Controller) HandleRequest(method transport.Method, jobID string, body []byte, reply func(Response)) {
 	r := request{method: method, jobID: ident.JobID(jobID), body: body, direct: true}
 	if c.leader != nil {
@@ -112,8 +112,8 @@
 	}
 }
 
-// forwardSubmission forwards a submission, unless it is malformed. A gang is forwarded only if the format
-// level is known to be raised, since a leader of an earlier version would call it malformed.
+// forwardSubmission forwards a submission unless it is malformed. A gang is forwarded only if the packed format is known to
+// be in force, since a leader of an earlier version would reject the gang as malformed.
 func (c *Controller) forwardSubmission(r request, toLeader route, reply func(Response)) {
 	spec, err := api.ParseSpec(r.body)
 	if err != nil {
@@ -127,7 +127,8 @@
 	c.forwardOrRefuse(r, toLeader, reply)
 }
 
-// forwardPoll forwards a poll, and answers it from the store if the leader can't.
+// forwardPoll forwards a poll. It answers the poll from the store if the leader is unreachable, times out or returns a
+// server error.
 func (c *Controller) forwardPoll(r request, toLeader route, reply func(Response)) {
 	fallBack := func() { c.pollFromStore(r.jobID, reply) }
 	if !toLeader.reachable {
@@ -144,9 +145,9 @@
 	}, fallBack)
 }
 
-// forwardWorkerHeartbeat forwards a worker's heartbeat. If the leader is out of reach, this node renews the
-// lease itself where it may, or refers the worker to the leader. The heartbeat is parsed only then: it is the
-// most frequent request, and the leader parses it as well.
+// forwardWorkerHeartbeat forwards a worker's heartbeat. If the leader is unreachable, this node renews the lease itself if
+// that is permitted, or redirects the worker to the leader. The heartbeat is parsed only in that case: heartbeats are the
+// most frequent requests, and the leader parses them as well.
 func (c *Controller) forwardWorkerHeartbeat(r request, toLeader route, reply func(Response)) {
 	if toLeader.reachable {
 		c.forwardOrRefuse(r, toLeader, reply)
@@ -171,7 +172,7 @@
 }
 
 // requirePackedFormat reads the format level and calls then if the packed format is in force; otherwise it refuses the
-// request. To be removed with the first format.
+// request. Remove it together with the first format.
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
@@ -182,7 +183,7 @@
 	})
 }
 
-// refreshFormatLevel reads the format level from the store, and calls then whether or not the store has answered.
+// refreshFormatLevel reads the format level from the store. It calls then whether or not the read succeeds.
 func (c *Controller) refreshFormatLevel(then func()) {
 	read := kvstore.Request{Op: kvstore.Get, Key: election.TermKey, Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
@@ -195,7 +196,7 @@
 	})
 }
 
-// forwardOrRefuse forwards a request, or refuses it if the leader is out of reach or doesn't answer in time.
+// forwardOrRefuse forwards a request. It refuses the request if the leader is unreachable or doesn't answer in time.
 func (c *Controller) forwardOrRefuse(r request, toLeader route, reply func(Response)) {
 	if !toLeader.reachable {
 		c.refuse(reply, noLeader)
@@ -207,11 +208,11 @@
 		}
 		reply(response)
 	}, func() {
-		c.refuse(reply, leaderSilent)
+		c.refuse(reply, leaderTimedOut)
 	})
 }
 
-// rememberCancellation records the job that the leader acknowledges as cancelled.
+// rememberCancellation records the job if the leader's response confirms its cancellation.
 func (c *Controller) rememberCancellation(response Response) {
 	var status api.StatusResponse
 	if response.Status == http.StatusOK && json.Unmarshal(response.Body, &status) == nil {
@@ -219,8 +220,8 @@
 	}
 }
 
-// serveRelayed forwards a request to the leader on behalf of a peer, or answers it as the leader. It uses only the direct
-// route, so that no request takes more than two hops.
+// serveRelayed handles a request that a peer asks this node to relay: a leader serves it, another node forwards it. It uses
+// only the direct route, so that no request takes more than two hops.
 func (c *Controller) serveRelayed(r request, reply func(Response)) {
 	if c.leader != nil {
 		c.serveAsLeader(r, reply)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -37,7 +37,7 @@
 	return []byte(strings.NewReplacer(change...).Replace(s))
 }
 
-// submitStatus returns the status of the answer to a submission, 0 while there is none.
+// submitStatus submits a job and returns the HTTP status of the answer, 0 if there is no answer yet.
 func submitStatus(c *Controller, body []byte) (out int) {
 	spec, err := api.ParseSpec(body)
 	if err != nil {
@@ -48,9 +48,9 @@
 	return out
 }
 
-// TestGangAdmission: below the packed format level a gang is refused for the time being, as an old leader could not
-// read it. At the level it is invalid if all its tasks together exceed the team's quota. At either level it is invalid
-// if it can't be stored within the announced limits.
+// TestGangAdmission: below the packed format level a gang is refused for now, since a leader of an earlier version could
+// not read it. At that level a gang is invalid if all its tasks together exceed the team's quota. At either level a job is
+// invalid if its description exceeds the announced limits of the store.
 func TestGangAdmission(t *testing.T) {
 	var many []string
 	for i := range 200 {
@@ -80,14 +80,14 @@
 		t.Run(x.name, func(t *testing.T) {
 			c, _ := newTestLeader(x.level)
 			if got := submitStatus(c, gangSpecJSON(x.change...)); got != x.want {
-				t.Errorf("%d, want %d", got, x.want)
+				t.Errorf("submission: got status %d, want %d", got, x.want)
 			}
 		})
 	}
 }
 
-// TestGangForwardingNeedsPackedFormat: a follower forwards a gang only when it has read that the format level is raised,
-// since an old leader would call the gang malformed.
+// TestGangForwardingNeedsPackedFormat: a follower forwards a gang only after it has read from the store that the packed
+// format is in force, since a leader of an earlier version would reject the gang as malformed.
 func TestGangForwardingNeedsPackedFormat(t *testing.T) {
 	const forwarded = "forwarded"
 	for _, x := range []struct{ name, term, want string }{
@@ -108,7 +108,7 @@
 				}
 			}
 			if got != x.want {
-				t.Errorf("%s, want %s", got, x.want)
+				t.Errorf("submission: got %s, want %s", got, x.want)
 			}
 		})
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// lead starts a term at a format level on the stored state.
-func (s goldenStore) lead(term ident.Term, level ident.FormatLevel) *Controller {
+// startLeader starts a term at a format level from the stored state.
+func (s goldenStore) startLeader(term ident.Term, level ident.FormatLevel) *Controller {
 	cfg := testSettings()
 	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
 	c := New(s, cfg, newTestRand())
@@ -53,7 +53,7 @@
 	return c
 }
 
-// settle lets time pass until everything is written.
+// settle advances the clock until all changes are written to the store.
 func (s goldenStore) settle(c *Controller) {
 	for range 50 {
 		s.Advance(100 * time.Millisecond)
@@ -61,7 +61,7 @@
 	}
 }
 
-// stored lists the keys and values.
+// stored formats the keys and values in the store.
 func (s goldenStore) stored() string {
 	var b strings.Builder
 	for _, path := range slices.Sorted(maps.Keys(s.Entries)) {
@@ -70,8 +70,8 @@
 	return b.String()
 }
 
-// machinesOf lists what a leader knows of its machines and their types.
-func machinesOf(l *leaderTerm) string {
+// formatMachines formats a leader's machines and machine types.
+func formatMachines(l *leaderTerm) string {
 	var b strings.Builder
 	for _, w := range l.workers.Sorted() {
 		fmt.Fprintf(&b, "%s at %q, %s in %s, spot %v, %s, %v old\n", w.ID, w.Addr, w.Model, w.Zone, w.Spot, w.State,
@@ -83,13 +83,13 @@
 	return b.String()
 }
 
-// TestGoldenMachines pins the keys and values of machines and their types in either format, and what the next term reads of
-// them.
+// TestGoldenMachines compares with the golden file the stored keys and values of machines and machine types in both formats,
+// and the state that the next term loads from them.
 func TestGoldenMachines(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
 		s := goldenStore{newRecordingStore(t, ident.MonotonicTime(9*time.Hour), 16<<10)}
-		c := s.lead(7, level)
+		c := s.startLeader(7, level)
 		for i, h := range []ident.MachineID{"host 1,a", "host-2", "host-3", "host-4"} {
 			w := c.leader.workers.Add(workers.MachineInfo{
 				ID:        h,
@@ -112,10 +112,10 @@
 		}
 		s.settle(c)
 		d.Add(fmt.Sprintf("level %d", level), s.stored())
-		d.Add(fmt.Sprintf("level %d: read", level), machinesOf(s.lead(8, level).leader))
+		d.Add(fmt.Sprintf("level %d: read", level), formatMachines(s.startLeader(8, level).leader))
 		if level < ident.FormatPacked {
-			c = s.lead(9, ident.FormatPacked)
-			d.Add("level 0: read above it", machinesOf(c.leader))
+			c = s.startLeader(9, ident.FormatPacked)
+			d.Add("level 0: read above it", formatMachines(c.leader))
 			d.Add("level 0: written above it", s.stored())
 			c.leader.enablePackedFormat()
 			s.settle(c)
@@ -131,36 +131,36 @@
 
 // recordingClient sends requests to a node and records the answers.
 type recordingClient struct {
-	c   *Controller
-	env *fakeEnv
-	b   strings.Builder
+	node    *Controller
+	env     *fakeEnv
+	answers strings.Builder
 }
 
-func (a *recordingClient) ask(what string, method transport.Method, job string, body []byte) {
+func (client *recordingClient) send(label string, method transport.Method, job string, body []byte) {
 	answered := false
-	a.c.HandleRequest(method, job, body, func(r Response) {
+	client.node.HandleRequest(method, job, body, func(r Response) {
 		answered = true
-		fmt.Fprintf(&a.b, "%s: %d, retry after %d: %s\n", what, r.Status, r.RetryAfterS, r.Body)
+		fmt.Fprintf(&client.answers, "%s: %d, retry after %d: %s\n", label, r.Status, r.RetryAfterS, r.Body)
 	})
-	a.c.AfterEvent()
+	client.node.AfterEvent()
 	if !answered {
-		a.env.Advance(5 * time.Second)
+		client.env.Advance(5 * time.Second)
 	}
 }
 
-// TestGoldenAnswers pins the status, Retry-After and body of answers to users and workers.
+// TestGoldenAnswers compares the status, Retry-After and body of answers to users and workers with the golden file.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
 		c, env := newTestLeader(level)
-		a := &recordingClient{c: c, env: env}
-		askLeader(a)
-		d.Add(fmt.Sprintf("leader at level %d", level), a.b.String())
+		client := &recordingClient{node: c, env: env}
+		sendLeaderRequests(client)
+		d.Add(fmt.Sprintf("leader at level %d", level), client.answers.String())
 	}
 	for _, known := range []bool{false, true} {
-		a := goldenFollower(known)
-		askFollower(a)
-		d.Add(fmt.Sprintf("follower, leader known: %v", known), a.b.String())
+		client := goldenFollower(known)
+		sendFollowerRequests(client)
+		d.Add(fmt.Sprintf("follower, leader known: %v", known), client.answers.String())
 	}
 	d.Compare(t, "answers")
 }
@@ -177,74 +177,74 @@
 	})
 }
 
-// askLeader sends the requests that a leader answers without another node.
-func askLeader(a *recordingClient) {
+// sendLeaderRequests sends requests that a leader answers without contacting another node.
+func sendLeaderRequests(client *recordingClient) {
 	batch := func(change ...string) []byte { return gangSpecJSON(append(change, `"gang"`, `"batch"`)...) }
 	var many []string
 	for i := range 500 {
 		many = append(many, fmt.Sprintf("model-%04d", i))
 	}
 	models := string(api.JSON(append(many, "m8")))
-	report := heartbeatJSON()
-	a.env.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
-	a.env.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
-	a.env.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
-	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
-	a.ask("field missing", transport.SubmitJob, "", batch(`"vcpus"`, `"x"`))
-	a.ask("gang", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
-	a.ask("array", transport.SubmitJob, "", batch())
-	a.ask("same array", transport.SubmitJob, "", batch())
-	a.ask("unknown team", transport.SubmitJob, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
-	a.ask("over the limit", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
-	a.ask("fits no machine", transport.SubmitJob, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
-	a.ask("long description", transport.SubmitJob, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
-	a.ask("refused, and over already", transport.SubmitJob, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
+	heartbeat := heartbeatJSON()
+	client.env.values[jobs.ArchiveKey("j-70")] = `{"phase":"done","pieces":5,"done":5}`
+	client.env.values[jobs.ArchiveKey("j-71")] = `{"phase":"cancelled","pieces":5,"done":3}`
+	client.env.values[jobs.ArchiveKey("j-72")] = `{"phase":"lost"}`
+	client.send("malformed submission", transport.SubmitJob, "", []byte("x"))
+	client.send("field missing", transport.SubmitJob, "", batch(`"vcpus"`, `"x"`))
+	client.send("gang", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-2"`))
+	client.send("array", transport.SubmitJob, "", batch())
+	client.send("same array", transport.SubmitJob, "", batch())
+	client.send("unknown team", transport.SubmitJob, "", batch(`"j-1"`, `"j-3"`, `"red"`, `"blue"`))
+	client.send("over the limit", transport.SubmitJob, "", gangSpecJSON(`"j-1"`, `"j-4"`, `"pieces":4`, `"pieces":9`))
+	client.send("fits no machine", transport.SubmitJob, "", batch(`"j-1"`, `"j-5"`, `"vcpus":2`, `"vcpus":9`))
+	client.send("long description", transport.SubmitJob, "", batch(`"j-1"`, `"j-6"`, `"models":null`, `"models":`+models))
+	client.send("refused, and over already", transport.SubmitJob, "", batch(`"j-1"`, `"j-70"`, `"red"`, `"blue"`))
 	for _, id := range []string{"j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("poll "+id, transport.GetJob, id, nil)
+		client.send("poll "+id, transport.GetJob, id, nil)
 	}
 	for _, id := range []string{"j-1", "j-1", "j-70", "j-71", "j-72", "j-99"} {
-		a.ask("cancel "+id, transport.CancelJob, id, nil)
+		client.send("cancel "+id, transport.CancelJob, id, nil)
 	}
-	a.ask("poll j-1", transport.GetJob, "j-1", nil)
-	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
-	a.ask("report", transport.WorkerHeartbeat, "", report)
-	a.env.Time = a.env.Time.Add(time.Hour)
-	a.ask("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
-	a.ask("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
-	a.ask("report to a leader that is not sure", transport.WorkerHeartbeat, "", report)
+	client.send("poll j-1", transport.GetJob, "j-1", nil)
+	client.send("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
+	client.send("report", transport.WorkerHeartbeat, "", heartbeat)
+	client.env.Time = client.env.Time.Add(time.Hour)
+	client.send("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
+	client.send("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
+	client.send("report to a leader that is not sure", transport.WorkerHeartbeat, "", heartbeat)
 }
 
-// goldenFollower returns a node with a peer that leads, if the leader is known.
+// goldenFollower returns a client of a node with one peer. If known, the peer has reported that it is the leader.
 func goldenFollower(known bool) *recordingClient {
 	env := newFakeEnv(testStart)
 	env.values = map[string]string{"term": "5"}
-	a := &recordingClient{c: New(env, followerSettings(), newTestRand()), env: env}
+	client := &recordingClient{node: New(env, followerSettings(), newTestRand()), env: env}
 	if known {
-		a.c.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
+		client.node.HandleFrame("agent-1", &transport.Frame{Type: transport.MsgHeartbeat, Node: "agent-1", Term: 5, ID: 1})
 	}
-	return a
+	return client
 }
 
-// askFollower sends requests to a node that forwards them to a leader, which does not answer.
-func askFollower(a *recordingClient) {
+// sendFollowerRequests sends requests to a node that forwards them to a leader; the leader does not answer.
+func sendFollowerRequests(client *recordingClient) {
 	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open",` +
 		`"tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
-	a.env.values[jobs.LiveKey("j-80")] = live
-	a.env.values[jobs.LiveKey("j-81")] = `{}`
-	a.env.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
-	a.ask("malformed submission", transport.SubmitJob, "", []byte("x"))
-	a.ask("gang", transport.SubmitJob, "", gangSpecJSON())
-	a.ask("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
-	a.ask("cancellation", transport.CancelJob, "j-1", nil)
-	report := heartbeatJSON()
-	a.ask("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
-	a.ask("report", transport.WorkerHeartbeat, "", report)
+	client.env.values[jobs.LiveKey("j-80")] = live
+	client.env.values[jobs.LiveKey("j-81")] = `{}`
+	client.env.values[jobs.LiveKey("j-82")] = strings.NewReplacer("j-80", "j-82", "open", "cancelled").Replace(live)
+	client.send("malformed submission", transport.SubmitJob, "", []byte("x"))
+	client.send("gang", transport.SubmitJob, "", gangSpecJSON())
+	client.send("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
+	client.send("cancellation", transport.CancelJob, "j-1", nil)
+	heartbeat := heartbeatJSON()
+	client.send("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
+	client.send("report", transport.WorkerHeartbeat, "", heartbeat)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
-		a.ask("poll "+id, transport.GetJob, id, nil)
+		client.send("poll "+id, transport.GetJob, id, nil)
 	}
 }
 
-// TestGoldenReports pins the reports for operators, with all of their fields set.
+// TestGoldenReports compares the reports for operators, with all fields set, with the golden file.
 func TestGoldenReports(t *testing.T) {
 	var d golden.Document
 	for v := range golden.BoolVariants {
@@ -259,8 +259,8 @@
 	d.Compare(t, "reports")
 }
 
-// namesOf lists the names of consecutive values, the first one being 0.
-func namesOf[T ~uint8](last T, name func(T) string) string {
+// formatNames lists the values from 0 to last with their names.
+func formatNames[T ~uint8](last T, name func(T) string) string {
 	var b strings.Builder
 	for v := T(0); v <= last; v++ {
 		fmt.Fprintf(&b, "%d %s\n", v, name(v))
@@ -268,28 +268,28 @@
 	return b.String()
 }
 
-// TestGoldenNames pins the names in reports, in labels of metrics and in stored values.
+// TestGoldenNames compares the names in reports, in metric labels and in stored values with the golden file.
 func TestGoldenNames(t *testing.T) {
 	var d golden.Document
 	peer := links.Endpoint{Kind: links.PeerNode, Name: "agent-1"}
-	d.Add("peers of links", namesOf(links.Machines, links.Kind.String)+peer.String())
-	d.Add("directions", namesOf(links.Outbound, links.Direction.String))
-	d.Add("states of links", namesOf(links.Down, links.State.String))
-	d.Add("evidence", namesOf(links.Silence, links.Evidence.String))
-	d.Add("rows not taken", namesOf(links.Superseded, links.MergeResult.String))
-	d.Add("authority", namesOf(authority.Active, authority.State.String))
-	d.Add("handover", namesOf(handover.Ended, handover.State.String)+namesOf(handover.Requested, handover.Reason.String))
-	moveStates := namesOf(migration.Abandoned, migration.State.String)
-	d.Add("moves", moveStates+namesOf(migration.LostAtDestination, migration.Reason.String))
-	d.Add("sources of gain", namesOf(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
-	d.Add("rounds without a plan", namesOf(rebalancer.HoldNothingWaiting, rebalancer.HoldReason.String))
-	d.Add("teams", namesOf(load.Recovering, load.DemandState.String))
-	d.Add("machines", namesOf(workers.Terminated, workers.State.String))
-	d.Add("phases of jobs", namesOf(jobs.Done, jobs.Phase.String))
+	d.Add("peers of links", formatNames(links.Machines, links.Kind.String)+peer.String())
+	d.Add("directions", formatNames(links.Outbound, links.Direction.String))
+	d.Add("states of links", formatNames(links.Down, links.State.String))
+	d.Add("evidence", formatNames(links.Silence, links.Evidence.String))
+	d.Add("rows not taken", formatNames(links.Superseded, links.MergeResult.String))
+	d.Add("authority", formatNames(authority.Active, authority.State.String))
+	d.Add("handover", formatNames(handover.Ended, handover.State.String)+formatNames(handover.Requested, handover.Reason.String))
+	moveStates := formatNames(migration.Abandoned, migration.State.String)
+	d.Add("moves", moveStates+formatNames(migration.LostAtDestination, migration.Reason.String))
+	d.Add("sources of gain", formatNames(rebalance.LeavesSlowMachine, rebalance.Purpose.String))
+	d.Add("rounds without a plan", formatNames(rebalancer.HoldNothingWaiting, rebalancer.HoldReason.String))
+	d.Add("teams", formatNames(load.Recovering, load.DemandState.String))
+	d.Add("machines", formatNames(workers.Terminated, workers.State.String))
+	d.Add("phases of jobs", formatNames(jobs.Done, jobs.Phase.String))
 	d.Compare(t, "names")
 }
 
-// TestGoldenStats pins which counters of a leader its Stats show.
+// TestGoldenStats checks that each counter of a leader appears in the right field of Stats.
 func TestGoldenStats(t *testing.T) {
 	c, _ := newTestLeader(ident.FormatPacked)
 	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
@@ -339,7 +339,7 @@
 		{"stale heartbeats", s.StaleHeartbeats, 603},
 	} {
 		if x.got != x.want {
-			t.Errorf("%s: %d, want %d", x.name, x.got, x.want)
+			t.Errorf("%s: got %d, want %d", x.name, x.got, x.want)
 		}
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -19,12 +19,12 @@
 	"opaldale/internal/workers"
 )
 
-// fakeEnv has a store with a fleet on record, and machines that don't answer.
+// fakeEnv is an Env with prepared records in its store, and with machines that don't answer.
 type fakeEnv struct {
 	clocktest.Clock
 	listed      []kvstore.KeyValue
 	probedAddrs map[string]bool
-	values      map[string]string  // of single keys
+	values      map[string]string  // stored values, by key
 	frames      []*transport.Frame // sent to peers
 	revision    ident.Revision
 }
@@ -68,23 +68,23 @@
 	env.After(1200*time.Millisecond, func() { done(workers.CommandResult{}) })
 }
 
-// testStart is the time at which some tests begin: late enough that a time some minutes earlier is not negative.
+// testStart is the start time of some tests. It is late enough that a time some minutes earlier is not negative.
 const testStart = ident.MonotonicTime(1 << 40)
 
-// newFakeEnv returns an environment without anything in it.
+// newFakeEnv returns a fakeEnv without stored records, with its clock at the given time.
 func newFakeEnv(now ident.MonotonicTime) *fakeEnv {
 	return &fakeEnv{Clock: clocktest.Clock{Time: now}, probedAddrs: map[string]bool{}}
 }
 
-// newTestRand returns random numbers that are the same in each run.
+// newTestRand returns a random number generator with a fixed seed.
 func newTestRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// testMachineTypes lists one machine type, in zone a.
+// testMachineTypes returns one machine type, available in zone a.
 func testMachineTypes() []cloud.MachineType {
 	return []cloud.MachineType{{SKU: "m8", VCPUs: 8, Zones: []string{"a"}}}
 }
 
-// testSettings returns the settings of a node without peers and teams.
+// testSettings returns the settings of a node without peers or teams.
 func testSettings() *settings.Settings {
 	return &settings.Settings{
 		Node:   "agent-0",
@@ -97,7 +97,7 @@
 	}
 }
 
-// followerSettings returns the settings of one of two nodes, without a cloud.
+// followerSettings returns the settings of one of two nodes, without limits for the cloud API.
 func followerSettings() *settings.Settings {
 	cfg := testSettings()
 	cfg.Peers = []settings.Peer{{Node: "agent-1"}}
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file answers polls from the store, and limits the reads that they cause.
+// This file answers polls from the store, and limits the rate of their reads.
 
 import (
 	"encoding/json"
@@ -13,19 +13,19 @@
 )
 
 const (
-	// pollReads is the largest number of reads that answer a poll from the store; archiveReads is the number for a
-	// job that is known not to be live.
+	// pollReads is the largest number of store reads per poll; archiveReads is the number for a job that is known not
+	// to be live.
 	pollReads    = 2
 	archiveReads = 1
 )
 
-// tokenBucket limits the rate of store reads for polls. Its burst is the rate of one second.
+// tokenBucket limits the rate of store reads for polls. It holds at most the tokens of one second.
 type tokenBucket struct {
 	tokens, perSecond float64
 	refilledAt        ident.MonotonicTime
 }
 
-// allow takes n tokens, and reports whether there were as many.
+// allow takes n tokens if that many are available, and reports whether it took them.
 func (b *tokenBucket) allow(now ident.MonotonicTime, n float64) bool {
 	b.tokens = min(b.perSecond, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -36,8 +36,8 @@
 	return true
 }
 
-// pollFromStore answers a poll from the store. A job only ever moves from the live jobs to the archive, so reading in
-// this order can't miss it.
+// pollFromStore answers a poll from the store. A job moves only from the live jobs to the archive, so reading them in this
+// order can't miss it.
 func (c *Controller) pollFromStore(id ident.JobID, reply func(Response)) {
 	deadline := c.env.Now().Add(pollReads * storeTimeout)
 	replyInTime := func(r Response) { reply(r.limitValidity(deadline)) }
@@ -85,11 +85,11 @@
 	})
 }
 
-// errStoreUnavailable is returned for a read that the store did not answer.
+// errStoreUnavailable is returned for a read that the store did not serve.
 var errStoreUnavailable = errors.New(string(storeUnavailable))
 
 // lookUpArchived reads a job from the archive. If found is false and err nil, the job is not in the archive; err is
-// errStoreUnavailable if the store gave no answer.
+// errStoreUnavailable if the store did not serve the read.
 func (c *Controller) lookUpArchived(id ident.JobID, done func(job jobs.ArchivedJob, found bool, err error)) {
 	read := kvstore.Request{Op: kvstore.Get, Key: jobs.ArchiveKey(id), Timeout: storeTimeout}
 	c.env.Store(read, func(r kvstore.Response) {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file submits, shows and cancels jobs on behalf of users, as the leader.
+// This file serves submissions, polls and cancellations of jobs on the leader.
 
 import (
 	"errors"
@@ -14,10 +14,10 @@
 	"opaldale/internal/workers"
 )
 
-// maxBacklog bounds the writes that may wait while submissions are accepted.
+// maxBacklog is the number of pending writes above which submissions are refused.
 const maxBacklog = 400
 
-// submit accepts a job. The request is idempotent: for a job that exists, the answer is its present status.
+// submit accepts a job. The request is idempotent: the answer for a job that exists is its current status.
 func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
 	if j := l.jobs.Jobs[spec.ID]; j != nil {
 		l.replyWhenDurable(j, reply, ackResponse)
@@ -28,7 +28,7 @@
 		return
 	}
 	if err := l.validate(spec); err != nil {
-		// The job may have been accepted under earlier settings, and be archived.
+		// The job may have been accepted under earlier settings, and archived since.
 		l.replyArchived(spec.ID, reply, ackResponse, errorResponse(http.StatusUnprocessableEntity, err.Error()))
 		return
 	}
@@ -43,7 +43,7 @@
 	l.addJob(spec, l.replies.withTimeout(reply))
 }
 
-// addJob records a new job, and acknowledges it once it is durable.
+// addJob creates a job, and acknowledges it once its record is durable.
 func (l *leaderTerm) addJob(spec *api.Spec, reply func(Response)) {
 	var j *jobs.Job
 	onDurable := func() {
@@ -60,7 +60,7 @@
 	j = l.jobs.Add(spec, onDurable, onConflict)
 }
 
-// validate returns an error if a job can never run, or can't be stored.
+// validate returns an error if a job can never run or can't be stored.
 func (l *leaderTerm) validate(spec *api.Spec) error {
 	if err := l.teams.Validate(spec); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// errNoMachineTypeFits is returned for a job with tasks that fit no machine type that the job allows.
+// errNoMachineTypeFits is returned for a job whose tasks fit none of the machine types that the job allows.
 var errNoMachineTypeFits = errors.New("models: no machine type fits")
 
 // fitsAnyMachineType reports whether a task of the job fits an empty machine of a type and zone that the job allows.
@@ -94,13 +94,13 @@
 	return false
 }
 
-// needsPackedFormat reports whether a job can't be stored in the first format.
+// needsPackedFormat reports whether a job can be stored only in the packed format.
 func (l *leaderTerm) needsPackedFormat(spec *api.Spec) bool {
 	size, _ := l.jobs.HeaderSize(spec)
 	return spec.Shape == api.Gang || size > jobs.HeaderSpecBytes
 }
 
-// replyArchived answers with the view of a job that the store has in its archive, or with missing if there is none.
+// replyArchived answers with the view of a job from the archive in the store, or with missing if the job is not there.
 func (l *leaderTerm) replyArchived(id ident.JobID, reply func(Response), render func(api.JobView) Response, missing Response) {
 	l.controller.lookUpArchived(id, func(job jobs.ArchivedJob, found bool, err error) {
 		switch {
@@ -115,7 +115,7 @@
 	})
 }
 
-// replyWhenDurable answers with a job's view once it is durable, so that no later leader contradicts the answer.
+// replyWhenDurable answers with a job's view once the view is durable, so that no later leader contradicts the answer.
 func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
 	if !j.ViewSettled() {
 		reply = l.replies.withTimeout(reply)
@@ -129,7 +129,7 @@
 	})
 }
 
-// limitToLeaderLease bounds the validity of an answer from memory by the leader's lease. The server checks the validity
+// limitToLeaderLease limits the validity of an answer from memory to the leader's lease. The server checks the validity
 // immediately before it sends the answer, since the process may pause in between.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
 	if l.closed() || !l.controller.allows(authority.ServeReads) {
@@ -138,7 +138,7 @@
 	return r.limitValidity(l.controller.election.LeaseExpiry())
 }
 
-// getJob answers a poll from memory, or from the archive for a job that is not in memory.
+// getJob answers a poll from memory, or from the archive if the job is not in memory.
 func (l *leaderTerm) getJob(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
 		l.replyWhenDurable(j, reply, viewResponse)
@@ -155,7 +155,7 @@
 	l.replyArchived(id, reply, viewResponse, noSuchJob())
 }
 
-// cancel cancels a job. Its tasks are stopped before the cancellation is durable, since the user no longer needs them.
+// cancel cancels a job. It stops the tasks before the cancellation is durable, since the user no longer needs them.
 func (l *leaderTerm) cancel(id ident.JobID, reply func(Response)) {
 	if j := l.jobs.Jobs[id]; j != nil {
 		l.cancelLive(j, reply)
--- a/internal/controller/leader_env.go
+++ b/internal/controller/leader_env.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file bounds the calls of a leader by its lease.
+// This file limits a leader's calls to the validity of its lease.
 
 import (
 	"opaldale/internal/cloud"
@@ -8,9 +8,9 @@
 	"opaldale/internal/workers"
 )
 
-// leaderEnv is the environment of a leader's term. It stamps the calls that only a leader may make with the expiry of the
-// leader's lease, after which they are not sent: between a decision and its call the process may pause, or wait for
-// a free connection.
+// leaderEnv is the Env of a leader's term. It sets the expiry of the leader's lease as the deadline of calls that only a
+// leader may make. They are not sent after the deadline: between a decision and its call, the process may pause or wait
+// for a free connection.
 type leaderEnv struct {
 	Env
 	validUntil func() ident.MonotonicTime // the expiry of the leader's lease
@@ -24,7 +24,7 @@
 	e.Env.Cloud(r, done)
 }
 
-// Worker sends commands. Launching a task requires a valid lease; stopping one is safe without.
+// Worker sends commands. Launching a task requires a valid lease; stopping a task is safe without one.
 func (e leaderEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	if command.Launches() {
 		command.NotAfter = e.validUntil()
--- a/internal/controller/leader_handover.go
+++ b/internal/controller/leader_handover.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// countMachinesByZone counts the machines of each zone that should be reachable, for a node that watches its links.
+// countMachinesByZone counts the machines of each zone that should be reachable. It is called only if link tracking is
+// enabled.
 func (l *leaderTerm) countMachinesByZone() {
 	clear(l.machinesByZone)
 	for _, w := range l.workers.Sorted() {
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file runs the work of a leader: periodically, and after each event.
+// This file runs a leader's periodic work, and its work after each event.
 
 import (
 	"log/slog"
@@ -12,22 +12,22 @@
 
 const (
 	tickInterval = 500 * time.Millisecond
-	// idleFactor bounds the share of the time that ticks and dispatches take: the pause after one is at least
+	// idleFactor limits the fraction of time spent in ticks and dispatches: the pause after each is at least
 	// idleFactor times its duration.
 	idleFactor = 4
-	// dispatchInterval is the shortest pause between dispatches, so that tasks which arrive together are placed
+	// dispatchInterval is the minimum pause between dispatches, so that tasks that arrive together are placed
 	// together.
 	dispatchInterval = 30 * time.Millisecond
-	// convertBatch bounds the records that one tick begins to rewrite in the newest format. When none is left,
-	// convertInterval passes before the next search for more.
+	// convertBatch is the largest number of writes that one tick spends on rewriting records in the newest format. If
+	// no records are left, the next search follows after convertInterval.
 	convertBatch    = 50
 	convertInterval = 5 * time.Second
 	// statsLogRounds is the number of planning rounds between two log lines of statistics.
 	statsLogRounds = 12
 )
 
-// tick runs the leader's periodic work: it checks the leader's own links, evaluates the load, scales the fleet and retries
-// gangs.
+// tick runs the leader's periodic work: it checks whether the leader is isolated, evaluates the load, scales the fleet and
+// retries gangs.
 func (l *leaderTerm) tick() {
 	if l.closed() {
 		return
@@ -47,7 +47,7 @@
 	l.env.After(delay, l.tick)
 }
 
-// manageFleet runs the part of a tick that changes the cluster, and returns how long it took.
+// manageFleet runs the part of a tick that requires authority over the fleet, and returns its duration.
 func (l *leaderTerm) manageFleet() time.Duration {
 	began := l.env.Now()
 	l.jobs.MarkProvenHealthy()
@@ -58,8 +58,8 @@
 	return l.env.Now().Sub(began)
 }
 
-// convertRecords rewrites some of the records that are still in the first format, while writes have capacity to
-// spare.
+// convertRecords rewrites a batch of the records that are still in the first format, if the committer has spare
+// capacity.
 func (l *leaderTerm) convertRecords(now ident.MonotonicTime) {
 	if l.formatLevel < ident.FormatPacked || now <= l.nextConversionAt || !l.committer.HasSpareCapacity() {
 		return
@@ -96,15 +96,15 @@
 
 func (l *leaderTerm) logPlannerStats() {
 	waiting, atQuota, freeVCPUs := l.capacitySummary()
-	slog.Debug("capacity", "waiting_tasks", waiting, "tasks_at_quota", atQuota, "free_vcpus", freeVCPUs)
+	slog.Debug("capacity summary", "waiting_tasks", waiting, "tasks_at_quota", atQuota, "free_vcpus", freeVCPUs)
 	s := l.planner.Stats
 	slog.Debug("planner statistics", "planned", s.Planned, "local", s.Local, "new", s.Uncached, "stolen", s.Stolen,
 		"services", s.Services, "rounds", s.Rounds, "extra_rounds", s.ExtraRounds, "fetched_gb", s.FetchedGB,
 		"plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 }
 
-// capacitySummary returns the number of waiting tasks, the number of those that exceed their team's quota, and the free
-// CPUs.
+// capacitySummary returns the number of waiting tasks, the number of waiting tasks that exceed their team's quota, and the
+// free CPUs.
 func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
 		n := j.WaitingCount()
@@ -119,7 +119,7 @@
 	return waiting, atQuota, freeVCPUs
 }
 
-// afterEvent advances gangs and moves, dispatches waiting tasks if that is due, and writes what has changed.
+// afterEvent advances gangs and moves, dispatches waiting tasks if a dispatch is due, and writes changed records.
 func (l *leaderTerm) afterEvent() {
 	if l.closed() {
 		return
@@ -136,8 +136,9 @@
 	l.committer.Flush()
 }
 
-// dispatch places waiting tasks, or sets the wake-up timer if the last dispatch is too recent. The caller must have
-// authority to place: without durable placements nothing can be launched, so preemptions would be in vain.
+// dispatch places waiting tasks, or sets the wake-up timer if the last dispatch is too recent. The caller must have the
+// authority to place tasks: a task can't be launched until its placement is durable, so preemptions would stop tasks
+// without starting others.
 func (l *leaderTerm) dispatch() {
 	now := l.env.Now()
 	if now < l.nextDispatchAt {
@@ -152,7 +153,7 @@
 		result = dispatchTruncated
 	}
 	l.transition(result)
-	// With thousands of waiting jobs a dispatch takes long. The pause leaves time for lease renewals.
+	// A dispatch with thousands of waiting jobs takes long. The pause leaves time for lease renewals.
 	done := l.env.Now()
 	l.nextDispatchAt = done.Add(max(dispatchInterval, idleFactor*done.Sub(now)))
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file creates and closes a term of leadership, and connects its components.
+// This file creates and closes a leader's term, and connects its components.
 
 import (
 	"opaldale/internal/authority"
@@ -24,7 +24,8 @@
 	"opaldale/internal/workers"
 )
 
-// writeShare leaves part of the store's write rate for lease renewals and elections.
+// writeShare is the fraction of the store's write rate that the committer may use. The rest is left for lease renewals and
+// elections.
 const writeShare = 0.85
 
 // leaderTerm is the state of a leader for one term. A new term begins empty and loads the stored state. Callbacks that
@@ -48,7 +49,7 @@
 	gangs     *gang.Table
 
 	formatUpgrader   *upgrade.Raiser
-	formatLevel      ident.FormatLevel   // the format that is written
+	formatLevel      ident.FormatLevel   // format of the records that are written
 	nextConversionAt ident.MonotonicTime // earliest next search for records in the first format
 	nextDispatchAt   ident.MonotonicTime // earliest next dispatch
 
@@ -56,14 +57,14 @@
 	renewals *renewal.Registry
 	contact  machineContact
 
-	handover       *handover.Coordinator  // nil unless links are watched
-	machinesByZone map[string]int         // machines that should be reachable
-	loadModel      *load.Model            // nil unless load is watched
-	rebalancer     *rebalancer.Rebalancer // nil unless load is watched
+	handover       *handover.Coordinator  // nil if link tracking is disabled
+	machinesByZone map[string]int         // number of machines that should be reachable
+	loadModel      *load.Model            // nil if load tracking is disabled
+	rebalancer     *rebalancer.Rebalancer // nil if load tracking is disabled
 }
 
-// newLeaderTerm returns a term that has not loaded the stored state. leaderKey is the condition under which its
-// transactions are applied: that the leader key still belongs to this term.
+// newLeaderTerm returns a term that has not loaded the stored state. leaderKey is the precondition of its transactions: the
+// leader key still belongs to this term.
 func newLeaderTerm(c *Controller, term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare) *leaderTerm {
 	now := c.env.Now()
 	l := &leaderTerm{
@@ -93,7 +94,7 @@
 	return l
 }
 
-// commitLimits returns the limits for the committer under given limits of the store.
+// commitLimits returns the committer's limits for the given limits of the store.
 func commitLimits(s settings.StoreLimits) commit.Limits {
 	return commit.Limits{
 		MutationsPerTxn:    s.TxnOps,
@@ -102,7 +103,7 @@
 	}
 }
 
-// strictestLimits returns the limits for the committer under both the present and the announced limits of the store.
+// strictestLimits returns committer limits that satisfy both the current and the announced limits of the store.
 func (l *leaderTerm) strictestLimits() commit.Limits {
 	return commitLimits(l.controller.settings.Cluster.Store.Strictest())
 }
@@ -222,8 +223,8 @@
 	return config
 }
 
-// close ends the term. The state changes first, since components that are closed may call back, and must find the term
-// closed.
+// close ends the term. It changes the state first, since components may call back while they are being closed, and must
+// find the term closed.
 func (l *leaderTerm) close() {
 	l.transition(termEnded)
 	l.committer.Stop()
@@ -233,8 +234,8 @@
 	l.replies.failAll()
 }
 
-// enablePackedFormat switches to the packed format when it comes into force during the term. To be removed with the first
-// format.
+// enablePackedFormat switches the term to the packed format once the format level has been raised. Remove it together with
+// the first format.
 func (l *leaderTerm) enablePackedFormat() {
 	if l.closed() {
 		return
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file renews leases of workers while neither the leader nor the store is reachable.
+// This file renews worker leases while neither the leader nor the store is reachable.
 
 import (
 	"net/http"
@@ -12,26 +12,27 @@
 )
 
 const (
-	// storeCutOffAfter is how long a node goes without being served by the store before it counts as cut off.
-	storeCutOffAfter = 2 * time.Second
-	// maxCancelledJobs bounds the cancelled jobs that are remembered. It is enough for a minute in which each of
-	// 4,000 machines loses several jobs to cancellations.
+	// storeUnreachableAfter is the time without a usable answer from the store after which a node considers the store
+	// unreachable.
+	storeUnreachableAfter = 2 * time.Second
+	// maxCancelledJobs limits the number of cancelled jobs that a node remembers. It covers one minute in which each
+	// of 4,000 machines loses several jobs to cancellations.
 	maxCancelledJobs = 20_000
 )
 
-// renewLeaseWithoutLeader answers a worker's heartbeat while neither the leader nor the store is reachable: both are cut
-// off from this node, or the leader has failed and no successor can be elected. The worker keeps its tasks for as
-// long as the last leader allowed. It returns false if this node may not renew the lease.
+// renewLeaseWithoutLeader answers a worker's heartbeat while neither the leader nor the store is reachable: this node is
+// partitioned from both, or the leader has failed and no successor can be elected. The worker keeps its tasks for as long
+// as the last leader permitted. The result is false if this node may not renew the lease.
 func (c *Controller) renewLeaseWithoutLeader(heartbeat *api.Heartbeat) (Response, bool) {
 	now := c.env.Now()
-	if !c.renewer.MayRenew(now, heartbeat.FencingToken) || now.Sub(c.storeLastServed) < storeCutOffAfter {
+	if !c.renewer.MayRenew(now, heartbeat.FencingToken) || now.Sub(c.storeLastServed) < storeUnreachableAfter {
 		return Response{}, false
 	}
 	c.renewer.RecordRenewal(now)
 	c.LeasesKept++
 	response := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
 	for _, task := range heartbeat.Tasks {
-		// A kill is safe without leadership; otherwise the task would run until the lease expires.
+		// Killing a task is safe without leadership. Without the command it would run until the lease expires.
 		if _, ok := c.cancelledJobs.Get(task.TaskID.Job); ok && task.Status != api.Ended {
 			response.Commands = append(response.Commands, workers.KillCommand(task.TaskID, task.Attempt))
 		}
@@ -39,7 +40,7 @@
 	return jsonResponse(http.StatusOK, response), true
 }
 
-// rememberIfCancelled records a job whose status is known to be cancelled, which is final.
+// rememberIfCancelled records a job if its status is cancelled, which is final.
 func (c *Controller) rememberIfCancelled(id ident.JobID, status api.Status) {
 	if status == api.StatusCancelled {
 		c.cancelledJobs.Put(id, struct{}{})
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file connects the controller to its link tracker, and reports on the node's links.
+// This file connects the controller to its link tracker, and reports the state of the node's links.
 
 import (
 	"opaldale/internal/ident"
@@ -10,7 +10,7 @@
 // trackedNode implements linktracker.Node.
 type trackedNode struct{ controller *Controller }
 
-// newLinkTracker returns the node's link tracker, nil if links are not watched.
+// newLinkTracker returns the node's link tracker, nil if link tracking is disabled.
 func newLinkTracker(c *Controller) *linktracker.Tracker {
 	if !c.settings.Tuning.Links.Enabled {
 		return nil
@@ -37,7 +37,7 @@
 	return n.controller.sentHeartbeats.SentAt(id)
 }
 
-// LinksEvaluated implements linktracker.Node: a leader compares itself with its peers.
+// LinksEvaluated implements linktracker.Node: a leader compares its links with those of its peers.
 func (n trackedNode) LinksEvaluated(now ident.MonotonicTime) {
 	if l := n.controller.leader; l != nil && l.loaded() {
 		l.evaluateHandover(now)
@@ -45,7 +45,7 @@
 	n.controller.updateAuthority()
 }
 
-// LinkReport returns the report on the node's links for operators.
+// LinkReport returns a report on the node's links for operators.
 func (c *Controller) LinkReport() linktracker.Report {
 	report := linktracker.Report{
 		Node:           c.settings.Node,
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -15,15 +15,15 @@
 	"opaldale/internal/settings"
 )
 
-// recordingStore keeps what a leader writes, in the environment of fakeEnv. Once txnsLeft is 0 no transaction is answered
-// any more: the term ends there. One transaction may be lost before.
+// recordingStore is a fakeEnv with a store that keeps a leader's writes. When txnsLeft reaches 0, it no longer answers
+// transactions, which ends the term's progress. It may drop one transaction before that.
 type recordingStore struct {
 	*fakeEnv
 	*kvstoretest.MemoryStore
 	t             *testing.T
 	maxValueBytes int
 	txnsLeft      int
-	txnToLose     int // counts down to the transaction that is lost
+	txnToLose     int // counts down to the transaction that is dropped
 }
 
 func (s *recordingStore) Store(r kvstore.Request, done func(kvstore.Response)) {
@@ -38,7 +38,7 @@
 		}
 		for _, c := range r.Mutations {
 			if len(c.Value) > s.maxValueBytes {
-				s.t.Errorf("%s has %d bytes", c.Put, len(c.Value))
+				s.t.Errorf("%s: got a value of %d bytes, want at most %d", c.Put, len(c.Value), s.maxValueBytes)
 			}
 		}
 		done(s.Apply(r.Mutations))
@@ -55,14 +55,14 @@
 	}
 }
 
-// startLeader begins a term on the stored state.
+// startLeader starts a term from the stored state.
 func (s *recordingStore) startLeader(term ident.Term) *Controller {
 	cfg := testSettings()
 	cfg.Cluster.Store.Announced = &settings.AnnouncedStoreLimits{ValueKB: float64(s.maxValueBytes) / 1024, TxnOps: 5}
 	c := New(s, cfg, newTestRand())
 	c.OnStartedLeading(term, ident.FormatPacked, kvstore.Compare{Key: "leader", Revision: 9})
 	for _, w := range c.leader.workers.Sorted() {
-		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a report with another address
+		c.leader.committer.MarkDirtyLazily(w.Group.Doc, nil) // as after a heartbeat with another address
 	}
 	for range 200 {
 		s.Advance(100 * time.Millisecond)
@@ -71,7 +71,7 @@
 	return c
 }
 
-// newRecordingStore returns an empty store that answers all transactions.
+// newRecordingStore returns a recordingStore without records that answers all transactions.
 func newRecordingStore(t *testing.T, now ident.MonotonicTime, maxValueBytes int) *recordingStore {
 	t.Helper()
 	return &recordingStore{
@@ -85,11 +85,11 @@
 
 const (
 	legacyGroups   = 3
-	legacyMachines = 50 // of each group
+	legacyMachines = 50 // per group
 	spotGroup      = 2
 )
 
-// putLegacyGroups stores machines as the version before wrote them.
+// putLegacyGroups stores machine groups in the first format, as the previous version wrote them.
 func (s *recordingStore) putLegacyGroups() {
 	for g := range legacyGroups {
 		r := machinestore.GroupRecord{Model: "m8", Zone: "a", Spot: g == spotGroup}
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestMachineGroupsSplitToLimit: records of 50 machines, as the version before wrote them, are brought within the announced
-// limits, whichever transaction a term ends with or loses; every machine stays on record, and none is on record twice.
+// TestMachineGroupsSplitToLimit: records of 50 machines, as the previous version wrote them, are split to fit the announced
+// limits, whichever transaction is the last of a term or is lost. Every machine stays recorded, and none is recorded twice.
 func TestMachineGroupsSplitToLimit(t *testing.T) {
 	for n := range 40 {
 		t.Run(fmt.Sprintf("term ends after %d transactions", n), func(t *testing.T) { testGroupsSplit(t, n, 0) })
@@ -118,8 +118,8 @@
 	}
 }
 
-// testGroupsSplit has one term begin to split groups until a number of transactions are answered, of which one may be lost,
-// and checks what the next term makes of that.
+// testGroupsSplit runs a term that splits groups until txnsLeft transactions have been answered, of which one may be lost.
+// It checks the machines and records of the next term.
 func testGroupsSplit(t *testing.T, txnsLeft, txnToLose int) {
 	const machines = legacyGroups * legacyMachines
 	s := newRecordingStore(t, ident.MonotonicTime(time.Hour), 1536)
@@ -130,7 +130,7 @@
 	s.txnsLeft, s.txnToLose = 1<<30, 0
 	c := s.startLeader(3)
 	if n := len(c.leader.workers.Workers); n != machines {
-		t.Fatalf("%d machines are known", n)
+		t.Fatalf("got %d machines loaded, want %d", n, machines)
 	}
 	seen := map[ident.MachineID]string{}
 	for path, p := range s.Entries {
@@ -139,12 +139,12 @@
 		}
 	}
 	if len(seen) != machines {
-		t.Errorf("%d machines are on record", len(seen))
+		t.Errorf("got %d machines in the stored records, want %d", len(seen), machines)
 	}
 }
 
-// checkGroup checks a record of the packed format, and that none of its machines is in those seen before. Addresses may be
-// missing if a transaction was lost: then heartbeats bring them back.
+// checkGroup checks that a record is in the packed format and within the limit, and that none of its machines is in seen.
+// Addresses may be missing if a transaction was lost, since later heartbeats restore them.
 func (s *recordingStore) checkGroup(path string, value json.RawMessage, seen map[ident.MachineID]string, wantAddresses bool) {
 	t := s.t
 	t.Helper()
@@ -154,16 +154,18 @@
 	}
 	list, err := r.Decode()
 	if err != nil || len(r.Machines) > 0 || len(value) > s.maxValueBytes {
-		t.Errorf("%s: %v, %d in the first format, %d bytes", path, err, len(r.Machines), len(value))
+		t.Errorf("%s: got error %v, %d machines in the first format and %d bytes, want no error, 0 machines and at most %d bytes",
+			path, err, len(r.Machines), len(value), s.maxValueBytes)
 	}
 	for _, m := range list {
 		if seen[m.ID] != "" {
-			t.Errorf("%s is in %s and %s", m.ID, seen[m.ID], path)
+			t.Errorf("machine %s: recorded in both %s and %s", m.ID, seen[m.ID], path)
 		}
 		seen[m.ID] = path
 		wantSpot := m.ID >= ident.MachineID(fmt.Sprintf("host-%06d", legacyMachines*spotGroup))
 		if r.Spot != wantSpot || wantAddresses && !strings.HasPrefix(m.Addr, "10.1.") {
-			t.Errorf("%s: spot %v, address %q", m.ID, r.Spot, m.Addr)
+			t.Errorf("machine %s: got spot %v and address %q, want spot %v and an address with prefix 10.1. (required: %v)",
+				m.ID, r.Spot, m.Addr, wantSpot, wantAddresses)
 		}
 	}
 }
--- a/internal/controller/move_report.go
+++ b/internal/controller/move_report.go
@@ -12,21 +12,21 @@
 	"opaldale/internal/settings"
 )
 
-// MoveReport is the report on moves of running tasks for operators.
+// MoveReport is a report on moves of running tasks for operators.
 type MoveReport struct {
 	Node ident.NodeID       `json:"node"`
 	Mode settings.Rebalance `json:"mode"`
-	// Leader reports whether the node leads, and thus knows the state of each move. Other nodes list the moves that
-	// the store has on record.
+	// Leader reports whether the moves come from the leader's memory, with their current states. Other nodes list the
+	// moves that are recorded in the store.
 	Leader bool        `json:"leads"`
 	Moves  []MoveEntry `json:"moves"`
-	// Truncated reports whether the store has more moves on record than are listed.
+	// Truncated reports whether the store holds more moves than are listed.
 	Truncated bool `json:"truncated,omitempty"`
-	// Error is the reason for which no moves could be read; empty if they were.
+	// Error is the reason why the moves could not be read; empty if they were read.
 	Error string `json:"error,omitempty"`
 }
 
-// MoveEntry is one move.
+// MoveEntry is one move in a MoveReport.
 type MoveEntry struct {
 	Task          string          `json:"task"`
 	Team          string          `json:"team,omitempty"`
@@ -39,15 +39,15 @@
 	AgeS          float64         `json:"age_s"`
 	ExpectedGainS float64         `json:"expected_gain_s"`
 	CostS         float64         `json:"cost_s"`
-	// RealizedGainS is the gain that was observed, for a move that has ended; nil before.
+	// RealizedGainS is the observed gain of a move that has ended; nil until then.
 	RealizedGainS *float64 `json:"realised_gain_s,omitempty"`
 }
 
-// stateRecorded is the state listed for a move that another node carries out.
+// stateRecorded is the state listed for a move that was read from the store. Only the leader knows its current state.
 const stateRecorded = "recorded"
 
-// MoveReport reports the moves that this node knows, or reads them from the store if it doesn't lead. reply is called once,
-// during this call or in a later event.
+// MoveReport passes a report on moves to reply: a leader reports the moves in its memory, another node reads them from the
+// store. reply is called once, during this call or in a later event.
 func (c *Controller) MoveReport(reply func(MoveReport)) {
 	report := MoveReport{Node: c.settings.Node, Mode: c.settings.Tuning.Rebalance, Moves: []MoveEntry{}}
 	if l := c.leader; l != nil && l.loaded() && l.rebalancer != nil {
@@ -74,7 +74,7 @@
 	})
 }
 
-// recordedMoves lists the moves in the record of one job.
+// recordedMoves returns the moves in the stored record of one job.
 func recordedMoves(pair kvstore.KeyValue, nowMS int64) []MoveEntry {
 	record, err := migration.ReadRecord(pair.Value)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return out
 }
 
-// moveEntries lists the moves that a leader carries out.
+// moveEntries returns the entries for the moves in a leader's memory.
 func moveEntries(moves []*migration.Move, now ident.MonotonicTime) []MoveEntry {
 	out := []MoveEntry{}
 	for _, move := range moves {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -16,27 +16,27 @@
 const (
 	heartbeatInterval = 700 * time.Millisecond
 	peerTimeout       = 2500 * time.Millisecond
-	// leaderLinkGrace is how long the link to the leader may be down before the load balancer should use
-	// another node: longer than an election takes.
+	// leaderLinkGrace is how long the link to the leader may be down before this node reports itself unhealthy to the
+	// load balancer. It is longer than an election takes.
 	leaderLinkGrace = 4 * time.Second
-	// storeProbeAfter is how long a node goes without hearing from the leader before it probes the store.
+	// storeProbeAfter is the time without contact with the leader after which a follower probes the store.
 	storeProbeAfter = 2 * time.Second
 )
 
-// peer is another controller as seen from this node.
+// peer is the state of another controller node as seen from this node.
 type peer struct {
-	lastHeard       ident.MonotonicTime // when any message last arrived
-	everHeard       bool
+	lastReceivedAt  ident.MonotonicTime // arrival of the last message of any type
+	hasReceived     bool
 	lastHeartbeatID uint64 // ID of the last heartbeat received
 }
 
-// heardWithin reports whether anything has come from the peer within d before now.
-func (p *peer) heardWithin(d time.Duration, now ident.MonotonicTime) bool {
-	return p.everHeard && now.Sub(p.lastHeard) < d
+// receivedWithin reports whether a message from the peer has arrived within d before now.
+func (p *peer) receivedWithin(d time.Duration, now ident.MonotonicTime) bool {
+	return p.hasReceived && now.Sub(p.lastReceivedAt) < d
 }
 
-// sendHeartbeats sends each peer a heartbeat now and at intervals from then on. It says whether this node leads, and which
-// heartbeat of the peer it received last.
+// sendHeartbeats sends a heartbeat to each peer, and repeats that every heartbeatInterval. A heartbeat says whether this
+// node leads, and echoes the ID of the last heartbeat received from the peer.
 func (c *Controller) sendHeartbeats() {
 	now := c.env.Now()
 	frame := c.heartbeatFrame(now)
@@ -57,8 +57,8 @@
 	c.env.After(heartbeatInterval, c.sendHeartbeats)
 }
 
-// heartbeatFrame returns the next heartbeat, without an echo. A follower that has not heard from the leader for
-// storeProbeAfter also probes the store, since it may renew leases by itself only if both are unreachable.
+// heartbeatFrame returns the next heartbeat, without an echo. A follower that has had no contact with the leader for
+// storeProbeAfter also probes the store, since it may renew worker leases by itself only if both are unreachable.
 func (c *Controller) heartbeatFrame(now ident.MonotonicTime) transport.Frame {
 	frame := transport.Frame{
 		Type: transport.MsgHeartbeat,
@@ -87,7 +87,7 @@
 	return frame
 }
 
-// probeStore reads a key from the store, to see whether it serves this node.
+// probeStore reads a key from the store to check whether the store serves this node.
 func (c *Controller) probeStore() {
 	request := kvstore.Request{Op: kvstore.Get, Key: election.LeaderKey, Timeout: storeTimeout}
 	c.env.Store(request, func(r kvstore.Response) {
@@ -97,7 +97,7 @@
 	})
 }
 
-// receivePeerHeartbeat processes a peer's heartbeat: which node it reports to lead, and which heartbeat of this node it
+// receivePeerHeartbeat processes a peer's heartbeat: the leader that it names, and the heartbeat of this node that it
 // echoes.
 func (c *Controller) receivePeerHeartbeat(from ident.NodeID, sender *peer, frame *transport.Frame) {
 	if frame.Node != "" {
@@ -126,7 +126,7 @@
 	}
 }
 
-// peerStatus returns the status that a heartbeat reports of its sender.
+// peerStatus returns the sender's status as reported in its heartbeat.
 func peerStatus(heartbeat *transport.PeerHeartbeat) renewal.PeerStatus {
 	return renewal.PeerStatus{
 		ProcessAge:   transport.FromMillis(heartbeat.UptimeMS),
@@ -136,42 +136,43 @@
 	}
 }
 
-// leaderLinkBrieflyDown reports whether the link to the leader has been down for at most leaderLinkGrace. A link counts as
-// down before the lease expires, so without the grace a failover would make all nodes unhealthy for seconds.
+// leaderLinkBrieflyDown reports whether messages from the leader have arrived recently, and the link to it has been down for
+// at most leaderLinkGrace. A link counts as down before the leader's lease expires, so without the grace a failover would
+// make all nodes unhealthy for seconds.
 func (c *Controller) leaderLinkBrieflyDown(leader ident.NodeID) bool {
-	if !c.links.Enabled() || !c.heardWithin(leader, peerTimeout) {
+	if !c.links.Enabled() || !c.receivedFromPeerWithin(leader, peerTimeout) {
 		return false
 	}
 	d, _ := c.links.PeerDownFor(leader)
 	return d <= leaderLinkGrace
 }
 
-// heardWithin reports whether a peer was heard within d.
-func (c *Controller) heardWithin(n ident.NodeID, d time.Duration) bool {
+// receivedFromPeerWithin reports whether a message from a peer has arrived within d.
+func (c *Controller) receivedFromPeerWithin(n ident.NodeID, d time.Duration) bool {
 	p := c.peers[n]
-	return p != nil && p.heardWithin(d, c.env.Now())
+	return p != nil && p.receivedWithin(d, c.env.Now())
 }
 
-// heardAnyPeerWithin reports whether any peer was heard within d.
-func (c *Controller) heardAnyPeerWithin(d time.Duration) bool {
+// receivedFromAnyPeerWithin reports whether a message from any peer has arrived within d.
+func (c *Controller) receivedFromAnyPeerWithin(d time.Duration) bool {
 	now := c.env.Now()
 	for _, p := range c.peers {
-		if p.heardWithin(d, now) {
+		if p.receivedWithin(d, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// peerReachable reports whether frames to a peer probably arrive.
+// peerReachable reports whether frames to a peer are expected to arrive.
 func (c *Controller) peerReachable(n ident.NodeID) bool {
 	if !c.links.PeerDelivering(n) {
-		return false // the peer may still be heard, but does not receive
+		return false // the peer's messages may still arrive here, but this node's do not reach it
 	}
-	return c.heardWithin(n, peerTimeout)
+	return c.receivedFromPeerWithin(n, peerTimeout)
 }
 
-// peerIDs returns the names of the other nodes.
+// peerIDs returns the IDs of the other nodes.
 func (c *Controller) peerIDs() []ident.NodeID {
 	ids := make([]ident.NodeID, 0, len(c.settings.Peers))
 	for _, s := range c.settings.Peers {
--- a/internal/controller/pending_replies.go
+++ b/internal/controller/pending_replies.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file holds replies that wait for the store, with their timeouts.
+// This file holds the replies to requests that wait for the store, with their timeouts.
 
 import (
 	"maps"
@@ -9,7 +9,7 @@
 )
 
 // pendingReplies holds the replies to requests that wait for the store. Each is called once: with the answer, or with a
-// refusal if the store is unavailable or takes longer than storeTimeout.
+// refusal if the store becomes unavailable or takes longer than storeTimeout.
 type pendingReplies struct {
 	after  func(time.Duration, func())
 	refuse func(reply func(Response), reason refusal)
@@ -21,15 +21,15 @@
 	return &pendingReplies{after: after, refuse: refuse, byID: map[uint64]func(Response){}}
 }
 
-// withTimeout adds a reply, and returns the function to call in its place. The request is refused after storeTimeout; later
-// calls of the returned function have no effect.
+// withTimeout registers a reply, and returns the function to call in its place. The request is refused after storeTimeout;
+// later calls of the returned function have no effect.
 func (p *pendingReplies) withTimeout(reply func(Response)) func(Response) {
 	p.lastID++
 	id := p.lastID
 	p.byID[id] = reply
 	p.after(storeTimeout, func() {
 		if p.remove(id) {
-			p.refuse(reply, storeSlow)
+			p.refuse(reply, storeTimedOut)
 		}
 	})
 	return func(r Response) {
@@ -46,7 +46,7 @@
 	return pending
 }
 
-// failAll refuses all pending requests, in the order of their arrival.
+// failAll refuses all pending requests, in order of arrival.
 func (p *pendingReplies) failAll() {
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
 		reply := p.byID[id]
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestPendingRepliesAnswerOnce: a request is answered by what comes first, and not again.
+// TestPendingRepliesAnswerOnce: a request is answered once, by the first of its answer, its timeout and a store failure.
 func TestPendingRepliesAnswerOnce(t *testing.T) {
 	const done, slow, failed = http.StatusOK, http.StatusGatewayTimeout, http.StatusServiceUnavailable
 	for _, x := range []struct {
@@ -34,7 +34,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			env := newFakeEnv(ident.MonotonicTime(time.Hour))
 			refuse := func(reply func(Response), reason refusal) {
-				if reason == storeSlow {
+				if reason == storeTimedOut {
 					reply(Response{Status: slow})
 				} else {
 					reply(Response{Status: failed})
@@ -44,7 +44,7 @@
 			var got []int
 			x.run(env, p, p.withTimeout(func(r Response) { got = append(got, r.Status) }))
 			if !slices.Equal(got, x.want) {
-				t.Errorf("%v, want %v", got, x.want)
+				t.Errorf("replies: got statuses %v, want %v", got, x.want)
 			}
 		})
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file detects that a leader is cut off from its peers or machines, and makes it resign.
+// This file detects that a leader is partitioned from its peers or machines, and makes it resign.
 
 import (
 	"time"
@@ -12,62 +12,64 @@
 )
 
 const (
-	// isolatedAfter is how long a leader may hear neither peers nor machines before it resigns.
+	// isolatedAfter is the time without messages from peers and machines after which a leader resigns.
 	isolatedAfter = 2500 * time.Millisecond
-	// maxIsolationProbes bounds the machines that a leader probes at a time to learn whether it is isolated.
+	// maxIsolationProbes limits the machines that a leader probes per check for its isolation.
 	maxIsolationProbes = 4
-	// minUnansweredProbes is how many machines must have left a probe unanswered before a leader counts as isolated.
+	// minUnansweredProbes is the number of machines that must have left a probe unanswered before a leader counts as
+	// isolated.
 	minUnansweredProbes = 2
-	// directContactTimeout is how long a leader may go without an exchange with any machine itself before it
-	// suspects its own links.
+	// directContactTimeout is the time without direct contact with any machine after which a leader suspects its own
+	// links.
 	directContactTimeout = 2 * time.Second
-	// minUnreachableMachines is how many machines must be heard by peers only before the leader resigns.
+	// minUnreachableMachines is the number of machines reachable only through peers at which the leader resigns.
 	minUnreachableMachines = 3
-	// reachProbeInterval is the shortest interval between probes of machines that are heard by peers only.
+	// reachProbeInterval is the minimum interval between probes of machines whose heartbeats arrive only through peers.
 	reachProbeInterval = 100 * time.Millisecond
-	// resignationPause is how long a node that has resigned does not campaign.
+	// resignationPause is how long a node does not campaign after it has resigned.
 	resignationPause = 12 * time.Second
 )
 
-// The reasons for which a leader resigns or is deposed, in addition to those of package election.
+// The reasons why a leader resigns or is deposed, in addition to those of package election.
 const (
-	unreadableRecord     election.StepDownReason = "unreadable record"
-	leaderIsolated       election.StepDownReason = "neither peers nor machines are heard"
-	machinesHeardByPeers election.StepDownReason = "machines are heard by peers only"
-	noHeartbeatSource    election.StepDownReason = "no source of heartbeats"
-	laterTermSeen        election.StepDownReason = "a worker has seen a later term"
+	unreadableRecord       election.StepDownReason = "unreadable record in store"
+	leaderIsolated         election.StepDownReason = "no messages from peers or machines"
+	machinesReachPeersOnly election.StepDownReason = "machines reachable only through peers"
+	noHeartbeatSource      election.StepDownReason = "no messages from peers while machines are unreachable"
+	laterTermSeen          election.StepDownReason = "a worker reported a later term"
 )
 
-// resign ends the term, and leaves leadership to a peer for at least resignationPause.
+// resign ends the term. This node does not campaign again for resignationPause.
 func (l *leaderTerm) resign(reason election.StepDownReason) {
 	l.controller.election.Resign(resignationPause, reason)
 }
 
-// detectIsolation reports whether this node hears neither its peers nor, with several machines up, any of these. A
-// leader that is cut off from everything but the store would keep its lease for as long as the partition lasts. Silent
-// machines are probed, since in a small fleet the gaps between heartbeats are longer than isolatedAfter.
+// detectIsolation reports whether this node receives messages neither from its peers nor, with several machines up, from
+// any machine. Without this check a leader that is partitioned from everything but the store would keep its lease for as
+// long as the partition lasts. Machines without recent contact are probed, since in a small fleet the gaps between
+// heartbeats are longer than isolatedAfter.
 func (l *leaderTerm) detectIsolation() bool {
 	now := l.env.Now()
 	if len(l.controller.settings.Peers) == 0 || now.Sub(l.startedAt) < isolatedAfter {
 		return false
 	}
-	if l.controller.heardAnyPeerWithin(isolatedAfter / 2) {
+	if l.controller.receivedFromAnyPeerWithin(isolatedAfter / 2) {
 		return false
 	}
-	unanswered, lastHeard := l.probeSilentMachines(now)
-	return !l.controller.heardAnyPeerWithin(peerTimeout) && now.Sub(lastHeard) >= isolatedAfter &&
+	unanswered, lastContact := l.probeSilentMachines(now)
+	return !l.controller.receivedFromAnyPeerWithin(peerTimeout) && now.Sub(lastContact) >= isolatedAfter &&
 		unanswered >= minUnansweredProbes
 }
 
-// probeSilentMachines probes some of the machines that have not been heard recently. It returns how many machines have
-// left an earlier probe unanswered, and when a machine was last heard.
-func (l *leaderTerm) probeSilentMachines(now ident.MonotonicTime) (unanswered int, lastHeard ident.MonotonicTime) {
+// probeSilentMachines probes some of the machines without recent contact. It returns how many machines have left an earlier
+// probe unanswered, and the time of the last contact with any machine.
+func (l *leaderTerm) probeSilentMachines(now ident.MonotonicTime) (unanswered int, lastContact ident.MonotonicTime) {
 	probed := 0
 	for _, w := range l.workers.Sorted() {
 		if w.State != workers.Up && w.State != workers.Unreachable {
 			continue
 		}
-		lastHeard = max(lastHeard, w.LastContact())
+		lastContact = max(lastContact, w.LastContact())
 		switch {
 		case now.Sub(w.LastContact()) < isolatedAfter/2:
 		case w.MissedResponses() > 0:
@@ -76,34 +78,34 @@
 			probed++
 		}
 	}
-	return unanswered, lastHeard
+	return unanswered, lastContact
 }
 
-// machineContact records a leader's own exchanges with machines, as opposed to heartbeats that peers forward.
+// machineContact records a leader's direct contact with machines, as opposed to heartbeats that peers forward.
 type machineContact struct {
-	last        ident.MonotonicTime      // when a machine last reached this node, or this node a machine
-	unreachable map[*workers.Worker]bool // heard by peers, and not reached by this node since last
-	probedAt    ident.MonotonicTime      // when a machine that peers hear was last probed
+	last        ident.MonotonicTime      // time of the last direct contact with a machine, in either direction
+	unreachable map[*workers.Worker]bool // heartbeats arrive through peers, and a command was not answered since last
+	probedAt    ident.MonotonicTime      // time of the last probe of a machine whose heartbeat arrived through a peer
 }
 
-// recent reports whether there was an exchange within directContactTimeout.
+// recent reports whether there was direct contact with a machine within directContactTimeout.
 func (c *machineContact) recent(now ident.MonotonicTime) bool {
 	return now.Sub(c.last) < directContactTimeout
 }
 
-// probeDue reports whether a machine that peers hear should be probed.
+// probeDue reports whether a machine whose heartbeat arrived through a peer should be probed.
 func (c *machineContact) probeDue(now ident.MonotonicTime) bool {
 	return now.Sub(c.last) > directContactTimeout && now.Sub(c.probedAt) > reachProbeInterval
 }
 
-// record records an exchange with a machine: its links and those of this node work.
+// record records direct contact with a machine, which shows that the links of this node work.
 func (c *machineContact) record(now ident.MonotonicTime) {
 	c.last = now
 	clear(c.unreachable)
 }
 
-// recordHeartbeatContact records that a machine's heartbeat arrived, directly or by a peer. A leader without
-// recent contact of its own probes the machines that its peers hear.
+// recordHeartbeatContact records that a machine's heartbeat arrived, directly or through a peer. A leader without recent
+// direct contact probes machines whose heartbeats arrive through peers.
 func (l *leaderTerm) recordHeartbeatContact(machine *workers.Worker, direct bool) {
 	now := l.env.Now()
 	switch {
@@ -114,42 +116,42 @@
 	}
 }
 
-// recordCommandOutcome records whether a machine answered a command. If several
-// machines are heard by peers but not reached by the leader, it is the leader that is partitioned: it resigns, since
-// otherwise it would fence the whole fleet for its silence.
+// recordCommandOutcome records whether a machine answered a command. If the heartbeats of several machines arrive through
+// peers but the leader can't reach these machines, the leader itself is partitioned. It resigns; otherwise it would fence
+// the whole fleet as unresponsive.
 func (l *leaderTerm) recordCommandOutcome(machine *workers.Worker, answered bool) {
 	now := l.env.Now()
 	if answered {
 		l.contact.record(now)
 		return
 	}
-	heardByPeers := machine.ReportedThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
-	if l.contact.recent(now) || !heardByPeers {
+	reachesPeers := machine.ReportedThisTerm() && now.Sub(machine.LastContact()) <= 2*directContactTimeout
+	if l.contact.recent(now) || !reachesPeers {
 		return
 	}
 	if l.controller.links.Enabled() {
-		return // evaluateHandover hands over to a peer with better links
+		return // evaluateHandover hands leadership over to a peer with better links
 	}
 	l.contact.unreachable[machine] = true
 	if len(l.contact.unreachable) >= minUnreachableMachines && l.controller.election.LeaseValid() {
-		l.resign(machinesHeardByPeers)
+		l.resign(machinesReachPeersOnly)
 	}
 }
 
-// leaseAllowance returns for how long from now on peers may renew leases of workers without the leader. A lease renewed at
-// the end of the allowance must expire within cancel_s of the cancellation of each job that may still have tasks on
+// leaseAllowance returns how long from now peers may renew worker leases without the leader. A lease that is renewed at the
+// end of the allowance must expire within cancel_s after the cancellation of every job that may still have tasks on
 // machines.
 func (l *leaderTerm) leaseAllowance(now ident.MonotonicTime) time.Duration {
-	left := l.controller.renewalGrace
+	allowance := l.controller.renewalGrace
 	for _, j := range l.jobs.Jobs {
 		if j.Phase == jobs.Cancelled && j.AllocatedTasks > 0 {
-			left = min(left, l.controller.renewalGrace-now.Sub(j.ClosedAt))
+			allowance = min(allowance, l.controller.renewalGrace-now.Sub(j.ClosedAt))
 		}
 	}
-	return max(0, left)
+	return max(0, allowance)
 }
 
-// zonePeersSilent reports whether there are peers in a zone, and all of them are silent.
+// zonePeersSilent reports whether a zone has peers and none of them is reachable.
 func (l *leaderTerm) zonePeersSilent(zone string) bool {
 	silentPeers := 0
 	for _, s := range l.controller.settings.Peers {
@@ -164,13 +166,15 @@
 	return silentPeers > 0
 }
 
-// hasHeartbeatSource reports whether a peer is heard, which would forward heartbeats of workers, or there are no peers.
+// hasHeartbeatSource reports whether there are no peers, or a message has arrived recently from a peer, which could
+// forward worker heartbeats.
 func (l *leaderTerm) hasHeartbeatSource() bool {
-	return l.controller.heardAnyPeerWithin(peerTimeout) || len(l.controller.settings.Peers) == 0
+	return l.controller.receivedFromAnyPeerWithin(peerTimeout) || len(l.controller.settings.Peers) == 0
 }
 
-// requireHeartbeatSource is hasHeartbeatSource for a leader that hears no machine either. Without a source of
-// heartbeats it resigns, since a peer may have one; if links are watched, evaluateHandover hands over instead.
+// requireHeartbeatSource is hasHeartbeatSource for a leader that can't reach most of the fleet. Without a heartbeat source
+// the leader resigns, since a peer may have one. If link tracking is enabled, evaluateHandover hands leadership over
+// instead.
 func (l *leaderTerm) requireHeartbeatSource() bool {
 	if l.hasHeartbeatSource() {
 		return true
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// evaluateLoad updates the load model with the machines that are up and the CPUs that each team demands.
+// evaluateLoad updates the load model with the machines that are up and the CPU demand of each team.
 func (l *leaderTerm) evaluateLoad() {
 	if l.loadModel == nil {
 		return
@@ -75,7 +75,7 @@
 		case w.State == workers.Terminated && len(w.Tasks) == 0:
 			l.loadModel.RemoveMachine(w.ID)
 		default:
-			l.loadModel.SetMachine(w.ID, w.Zone, 0) // keeps its usage for when it is up again
+			l.loadModel.SetMachine(w.ID, w.Zone, 0) // keeps the usage for when the machine is up again
 		}
 	}
 	l.rebalancer.DetectSlowMachines()
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file loads what earlier terms stored when a term begins, and continues their work.
+// This file loads the records of earlier terms when a term begins, and resumes the work of these terms.
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxMachineProbes bounds the machines of earlier terms that a new leader probes per machineProbeInterval.
+	// maxMachineProbes limits the machines of earlier terms that a new leader probes per machineProbeInterval.
 	maxMachineProbes     = 16
 	machineProbeInterval = 200 * time.Millisecond
 )
@@ -27,7 +27,8 @@
 	liveJobs, taskLog, machineGroups, moves []kvstore.KeyValue
 }
 
-// loadState reads the records of earlier terms, and restores the tables from them. The term leaves termLoading only then.
+// loadState reads the records of earlier terms, and restores the tables from them. Until then the term stays in
+// termLoading.
 func (l *leaderTerm) loadState() {
 	began := l.env.Now()
 	var stored storedState
@@ -55,8 +56,8 @@
 	}
 }
 
-// restore rebuilds the tables from the stored records. If any record is unreadable, the leader resigns: with part of the
-// state it would lose jobs, or start tasks that run already.
+// restore rebuilds the tables from the stored records. If any record is unreadable, the leader resigns: with partial state
+// it would lose jobs, or start tasks that are already running.
 func (l *leaderTerm) restore(stored *storedState, began ident.MonotonicTime) {
 	var errs []error
 	for _, p := range stored.machineGroups {
@@ -79,7 +80,7 @@
 	l.takeOver()
 }
 
-// takeOver continues the work of earlier terms from the restored tables, and starts the periodic work of the term.
+// takeOver resumes the work of earlier terms from the restored tables, and starts the periodic work of this term.
 func (l *leaderTerm) takeOver() {
 	l.takeOverTasks()
 	l.jobs.FinishLoading()
@@ -109,7 +110,7 @@
 	l.schedulePlanningRound()
 }
 
-// takeOverTasks counts the allocated tasks of earlier terms on their machines.
+// takeOverTasks adds the allocated tasks of earlier terms to the usage of their machines, teams and zones.
 func (l *leaderTerm) takeOverTasks() {
 	for _, j := range l.jobs.Sorted() {
 		for i := range j.Tasks {
@@ -119,8 +120,8 @@
 			}
 			w := l.workers.Workers[t.MachineID]
 			if w == nil {
-				// The machine's record was deleted, so it was terminated. Terminating it again confirms that
-				// before its tasks are placed elsewhere.
+				// The machine's record was deleted, so the machine was terminated. Terminating it again confirms
+				// that before its tasks are placed elsewhere.
 				w = l.workers.Add(workers.MachineInfo{ID: t.MachineID, CreatedAt: l.env.Now()})
 				l.fleet.Terminate(w, workers.ReasonNotOnRecord)
 			}
@@ -129,9 +130,10 @@
 	}
 }
 
-// probeUnreportedMachines probes machines of earlier terms that have not been heard in this one, those with replicas of
-// services first: nothing is placed on a machine until it is heard. At most maxMachineProbes are sent per interval.
-// Probes that are still unanswered don't count, so that silent machines can't keep others from being probed.
+// probeUnreportedMachines probes machines of earlier terms that have sent no heartbeat in this term, machines with service
+// replicas first: nothing is placed on a machine before its first heartbeat. At most maxMachineProbes probes are sent per
+// interval. Outstanding probes of earlier intervals don't count, so that unresponsive machines can't keep others from
+// being probed.
 func (l *leaderTerm) probeUnreportedMachines() {
 	if l.closed() {
 		return
@@ -153,8 +155,8 @@
 	}
 }
 
-// awaitsFirstReport reports whether a machine is on record as up, and has neither been heard nor left a command unanswered
-// in this term.
+// awaitsFirstReport reports whether a machine is recorded as up, and has neither sent a heartbeat nor left a command
+// unanswered in this term.
 func awaitsFirstReport(w *workers.Worker) bool {
 	return w.State == workers.Up && !w.ReportedThisTerm() && w.MissedResponses() == 0
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -12,8 +12,8 @@
 	"opaldale/internal/machinestore"
 )
 
-// TestUnansweredProbesFreeTheirSlot: a new leader probes every machine within the time that its pace needs, also one
-// with tasks on record, though none of the machines that are probed first answers.
+// TestUnansweredProbesFreeTheirSlot: a new leader probes every machine within the time that its probe rate allows, including
+// a machine with recorded tasks, even if none of the machines probed first answers.
 func TestUnansweredProbesFreeTheirSlot(t *testing.T) {
 	env := newFakeEnv(ident.MonotonicTime(time.Hour))
 	g := machinestore.GroupRecord{Model: "m8", Zone: "a"}
@@ -34,6 +34,6 @@
 	c.OnStartedLeading(2, 0, kvstore.Compare{Key: "leader", Revision: 9})
 	env.Advance(4 * machineProbeInterval)
 	if len(env.probedAddrs) != machines {
-		t.Errorf("%d of %d machines were probed", len(env.probedAddrs), machines)
+		t.Errorf("got %d machines probed, want %d", len(env.probedAddrs), machines)
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file dispatches messages of peers, and serves requests as the leader.
+// This file dispatches messages from peers, and serves requests on the leader.
 
 import (
 	"net/http"
@@ -11,7 +11,7 @@
 	"opaldale/internal/transport"
 )
 
-// request is a request of a user or a worker, as received and as forwarded to the leader.
+// request is a request from a user or a worker, as received and as forwarded to the leader.
 type request struct {
 	method transport.Method
 	jobID  ident.JobID // of GetJob and CancelJob
@@ -24,14 +24,14 @@
 	return request{method: frame.Method, jobID: ident.JobID(frame.JobID), body: frame.Body}
 }
 
-// HandleFrame processes a message from a peer. A message from a node that is not configured as a peer is ignored.
+// HandleFrame handles a message from a peer. Messages from nodes that are not configured as peers are ignored.
 func (c *Controller) HandleFrame(from ident.NodeID, frame *transport.Frame) {
 	sender := c.peers[from]
 	if sender == nil {
 		return
 	}
-	sender.lastHeard, sender.everHeard = c.env.Now(), true
-	c.links.FrameReceived(from, sender.lastHeard)
+	sender.lastReceivedAt, sender.hasReceived = c.env.Now(), true
+	c.links.FrameReceived(from, sender.lastReceivedAt)
 	switch frame.Type {
 	case transport.MsgLinkState:
 		c.links.MergeAdvertisements(frame)
@@ -48,7 +48,7 @@
 	}
 }
 
-// responder returns a function that sends a peer the answer to its request with an ID.
+// responder returns a function that sends a peer the answer to its request with the given ID.
 func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
 	return func(r Response) {
 		c.env.SendPeer(to, &transport.Frame{
@@ -61,8 +61,8 @@
 	}
 }
 
-// serveAsLeader answers a request from the leader's tables, or refuses it. Peers may still
-// forward requests to a node whose term has ended, so c.leader may be nil here.
+// serveAsLeader answers a request from the leader's tables, or refuses it. Peers may still forward requests to a node whose
+// term has ended, so c.leader may be nil here.
 func (c *Controller) serveAsLeader(r request, reply func(Response)) {
 	switch r.method {
 	case transport.SubmitJob:
@@ -76,7 +76,7 @@
 		}
 	case transport.GetJob:
 		if !c.allows(authority.ServeReads) {
-			// After its lease has expired, a leader's tables may be older than its successor's.
+			// The tables of a leader whose lease has expired may be older than those of its successor.
 			c.pollFromStore(r.jobID, reply)
 			return
 		}
@@ -90,8 +90,8 @@
 	}
 }
 
-// acceptsSubmissions reports whether this node may accept requests that change jobs. If not, it has refused the request by
-// reply.
+// acceptsSubmissions reports whether this node may accept requests that change jobs. If it may not, acceptsSubmissions
+// calls reply with a refusal.
 func (c *Controller) acceptsSubmissions(reply func(Response)) bool {
 	if c.allows(authority.AcceptSubmissions) {
 		return true
@@ -113,7 +113,7 @@
 		commands, validUntil = c.leader.answerHeartbeat(heartbeat, r.direct)
 	}
 	if commands == nil {
-		reply(unavailable(notEntitled))
+		reply(unavailable(noAuthority))
 		return
 	}
 	response := jsonResponse(http.StatusOK, commands)
@@ -121,8 +121,9 @@
 	reply(response)
 }
 
-// answerHeartbeat renews the lease of a worker and returns the commands for it, as far as the leader's authority
-// goes; nil if it may do neither. validUntil bounds the validity of the answer; 0: none.
+// answerHeartbeat renews a worker's lease and returns the commands for the worker, to the extent that the leader's
+// authority permits. commands is nil if the authority permits neither. validUntil is the expiry of the answer; 0 means
+// that it does not expire.
 func (l *leaderTerm) answerHeartbeat(heartbeat *api.Heartbeat, direct bool) (
 	commands *api.HeartbeatResponse, validUntil ident.MonotonicTime,
 ) {
@@ -136,8 +137,8 @@
 	}
 	commands = l.workers.HandleHeartbeat(heartbeat)
 	if commands != nil && api.ContainsLaunch(commands.Commands) {
-		// If the process pauses before the answer goes out, a successor may have reported the job as
-		// cancelled by then.
+		// If the process pauses before it sends the answer, a successor may have reported the job as cancelled
+		// by then.
 		validUntil = c.election.LeaseExpiry()
 	}
 	l.recordHeartbeatContact(l.workers.Workers[heartbeat.MachineID], direct)
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file defines the answers to requests, and the reasons for refusing one.
+// This file defines the answers to requests, and the reasons for refusals.
 
 import (
 	"net/http"
@@ -9,17 +9,18 @@
 	"opaldale/internal/ident"
 )
 
-// Response is the answer to a request of a user or a worker.
+// Response is the answer to a request from a user or a worker.
 type Response struct {
-	Status      int // of HTTP
-	RetryAfterS int // Retry-After in seconds, 0 for none
+	Status      int // HTTP status
+	RetryAfterS int // value of Retry-After in seconds; 0 means no such header
 	Body        []byte
-	// ValidUntil is when the answer may become outdated, by this node's clock; 0 means never. The server must pass
-	// the answer through IfValid immediately before it sends it.
+	// ValidUntil is the time, by this node's clock, from which the answer may be outdated; 0 means never. The server
+	// must call IfValid immediately before it sends the answer.
 	ValidUntil ident.MonotonicTime
 }
 
-// limitValidity bounds the validity of an answer. Refusals don't become outdated, and are returned unchanged.
+// limitValidity returns the answer with its validity limited to a deadline. Refusals don't become outdated, and are returned
+// unchanged.
 func (r Response) limitValidity(deadline ident.MonotonicTime) Response {
 	if r.Status < http.StatusInternalServerError && (r.ValidUntil == 0 || deadline < r.ValidUntil) {
 		r.ValidUntil = deadline
@@ -27,7 +28,7 @@
 	return r
 }
 
-// IfValid returns the answer if it is still valid at a time, and a refusal otherwise.
+// IfValid returns the answer if it is valid at the given time, and a refusal otherwise.
 func (r Response) IfValid(now ident.MonotonicTime) Response {
 	if r.ValidUntil > 0 && now >= r.ValidUntil {
 		return unavailable(responseExpired)
@@ -41,10 +42,10 @@
 	return jsonResponse(status, api.ErrorResponse{Error: text})
 }
 
-// viewResponse is the answer to a poll.
+// viewResponse returns the answer to a poll.
 func viewResponse(v api.JobView) Response { return jsonResponse(http.StatusOK, v) }
 
-// ackResponse is the short answer about a job that is known.
+// ackResponse returns the short answer with the ID and status of a job that exists.
 func ackResponse(v api.JobView) Response {
 	return jsonResponse(http.StatusOK, api.StatusResponse{ID: v.ID, Status: v.Status})
 }
@@ -59,10 +60,10 @@
 
 const (
 	noLeader             refusal = "no leader at present"
-	leaderSilent         refusal = "the leader did not answer"
-	notEntitled          refusal = "not entitled to answer"
+	leaderTimedOut       refusal = "the leader did not answer"
+	noAuthority          refusal = "not entitled to answer"
 	storeUnavailable     refusal = "state service unavailable"
-	storeSlow            refusal = "state service is slow"
+	storeTimedOut        refusal = "state service is slow"
 	tooManyPolls         refusal = "too many polls at present"
 	unreadableJob        refusal = "unreadable job"
 	earlierVersionRuns   refusal = "some nodes still run an earlier version"
@@ -71,7 +72,7 @@
 	tryAgain             refusal = "try again"
 )
 
-// unavailable is the answer to a request that may succeed later. Unlike refuse it doesn't count the refusal.
+// unavailable returns the refusal of a request that may succeed later. Unlike refuse it doesn't count the refusal.
 func unavailable(reason refusal) Response {
 	r := errorResponse(http.StatusServiceUnavailable, string(reason))
 	r.RetryAfterS = failoverRetryAfterS
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -11,12 +11,13 @@
 	"opaldale/internal/workers"
 )
 
-// TestResponsesExpireWithLeaderLease: an answer from a leader's memory is valid until its lease expires. The server checks
-// that right before the answer goes out, since the process may have paused in between. What is final stays valid.
+// TestResponsesExpireWithLeaderLease: an answer from a leader's memory is valid until the leader's lease expires. The server
+// checks the validity immediately before it sends the answer, since the process may have paused in between. Answers about
+// final states do not expire.
 func TestResponsesExpireWithLeaderLease(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
 	if got := submitStatus(c, gangSpecJSON()); got != http.StatusCreated {
-		t.Fatalf("submission: %d", got)
+		t.Fatalf("submission: got status %d, want %d", got, http.StatusCreated)
 	}
 	ask := func(v transport.Method) (out Response) {
 		c.HandleRequest(v, "j-1", nil, func(r Response) { out = r })
@@ -25,37 +26,37 @@
 	}
 	r := ask(transport.GetJob)
 	if r.Status != http.StatusOK || r.ValidUntil != c.election.LeaseExpiry() {
-		t.Fatalf("a poll: %+v", r)
+		t.Fatalf("poll: got %+v, want status %d until %v", r, http.StatusOK, c.election.LeaseExpiry())
 	}
 	if a := r.IfValid(r.ValidUntil.Add(-time.Millisecond)); a.Status != http.StatusOK {
-		t.Errorf("before it expires: %+v", a)
+		t.Errorf("poll answer before its expiry: got %+v, want status %d", a, http.StatusOK)
 	}
 	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
-		t.Errorf("when it expires: %+v", a)
+		t.Errorf("poll answer at its expiry: got %+v, want status %d with Retry-After", a, http.StatusServiceUnavailable)
 	}
 	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
-		t.Errorf("a cancellation: %+v", r)
+		t.Errorf("cancellation: got %+v, want status %d without expiry", r, http.StatusOK)
 	}
 	env.Time = env.Time.Add(time.Hour)
 	if r = ask(transport.GetJob); r.Status == http.StatusOK && r.ValidUntil != 0 {
-		t.Errorf("a poll of a leader that was paused: %+v", r)
+		t.Errorf("poll of a leader after a pause: got %+v, want no status %d with an expiry", r, http.StatusOK)
 	}
 }
 
-// TestMalformedSubmissionWithoutLeader: a submission that lacks a field gets 400 also from a node that has just lost
-// leadership.
+// TestMalformedSubmissionWithoutLeader: a node that has just lost leadership also answers a submission that lacks a field
+// with status 400.
 func TestMalformedSubmissionWithoutLeader(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
 	env.Time = env.Time.Add(time.Hour)
 	c.HandleRequest(transport.SubmitJob, "", gangSpecJSON(`"pieces":4,`, ``), func(r Response) {
 		if r.Status != http.StatusBadRequest {
-			t.Errorf("%d %s", r.Status, r.Body)
+			t.Errorf("malformed submission: got status %d with body %s, want status %d", r.Status, r.Body, http.StatusBadRequest)
 		}
 	})
 }
 
-// TestLeaseRenewalKillsCancelledTasks: a node that renews leases without a leader kills the tasks of jobs that it knows to
-// be cancelled.
+// TestLeaseRenewalKillsCancelledTasks: a node that renews worker leases without a leader kills the tasks of jobs whose
+// cancellation it has recorded.
 func TestLeaseRenewalKillsCancelledTasks(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
 	c.OnStoppedLeading("test")
@@ -80,16 +81,17 @@
 	kill := api.Command{Verb: api.Kill, TaskID: taskReport("j-7").TaskID, Attempt: 1, GracePeriodS: new(float64)}
 	want := string(api.JSON(api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{kill}}))
 	if !ok || string(r.Body) != want {
-		t.Errorf("%v %s, want %s", ok, r.Body, want)
+		t.Errorf("lease renewal: got %v with body %s, want true with body %s", ok, r.Body, want)
 	}
 }
 
-// TestLeaseAllowanceAfterCancellation: peers may renew leases for a leader for the renewal grace, less the age of the
-// oldest cancellation of a job with a task that may be on a machine; once that is proven gone, for all of it again.
+// TestLeaseAllowanceAfterCancellation: the allowance for peers to renew worker leases is the renewal grace less the age of
+// the oldest cancellation of a job that may still have a task on a machine. Once the task is confirmed as terminated, the
+// allowance is the whole renewal grace again.
 func TestLeaseAllowanceAfterCancellation(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
 	if got := submitStatus(c, gangSpecJSON(`"gang"`, `"batch"`)); got != http.StatusCreated {
-		t.Fatalf("submission: %d", got)
+		t.Fatalf("submission: got status %d, want %d", got, http.StatusCreated)
 	}
 	l := c.leader
 	j := l.jobs.Jobs["j-1"]
@@ -99,15 +101,15 @@
 	want := func(what string, d time.Duration) {
 		t.Helper()
 		if got := l.leaseAllowance(env.Time); got != d {
-			t.Errorf("%s: %v, want %v", what, got, d)
+			t.Errorf("lease allowance, %s: got %v, want %v", what, got, d)
 		}
 	}
-	want("nothing is cancelled", c.renewalGrace)
+	want("before a cancellation", c.renewalGrace)
 	l.cancel("j-1", func(Response) {})
 	env.Time = env.Time.Add(3 * time.Second)
 	want("3 s after a cancellation", c.renewalGrace-3*time.Second)
 	env.Time = env.Time.Add(c.renewalGrace)
-	want("long after", 0)
+	want("after the renewal grace", 0)
 	l.jobs.MarkGone(&j.Tasks[0], nil)
-	want("proven gone", c.renewalGrace)
+	want("after the task is confirmed as terminated", c.renewalGrace)
 }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -7,16 +7,16 @@
 	"opaldale/internal/migration"
 )
 
-// Stats are the counters and gauges of a node that are exported as metrics. Those of the cluster are zero unless the node
-// leads and has loaded the stored state.
+// Stats are the counters and gauges of a node that are exported as metrics. Those that describe the cluster are zero unless
+// the node is the leader and has loaded the stored state.
 type Stats struct {
-	Leading         bool // also past the validity of the lease
+	Leading         bool // also true after the lease has expired, until the node steps down
 	LeadershipValid bool
 	Term            uint64
 	TermsBegun      uint64
 	FormatLevel     uint8
 
-	// Requests of users and workers at this node.
+	// Requests that users and workers have sent to this node.
 	Forwarded, Refused  uint64
 	LeasesKept, Relayed uint64
 
@@ -38,16 +38,16 @@
 	// Writes to the store.
 	Txns, Puts, TxnRetries, TxnsRejected uint64
 
-	// Load and moves of running tasks, while load is watched.
-	Imbalance           float64 // of the machines' use
+	// Load and moves of running tasks; zero if load tracking is disabled.
+	Imbalance           float64 // of CPU usage between machines
 	TeamLoads           []load.TeamDemand
 	MovesProposed       uint64
 	MoveGainSeconds     float64
 	MovesActive         int
-	MoveRoundsSkipped   map[string]uint64 // rounds without a plan of moves, by reason
+	MoveRoundsSkipped   map[string]uint64 // planning rounds without proposed moves, by reason
 	MovesEnded          []migration.Outcome
-	SlowMachines        int // on which nothing more is placed
-	Reservations        int // machines on which room is reserved for a move
+	SlowMachines        int // slow machines, which get no further tasks
+	Reservations        int // machines with capacity reserved for a move
 	MoveRealizedSeconds float64
 }
 
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file places, preempts and drains tasks, and keeps the usage of machines and teams up to date.
+// This file places, preempts and drains tasks, and tracks the usage of machines and teams.
 
 import (
 	"log/slog"
@@ -16,19 +16,19 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause between two attempts of a job whose tasks fail. maxBackoff is
+	// minBackoff and maxBackoff limit the delay between two attempts of a job whose tasks fail. maxBackoff is
 	// shorter than the time for which any job may be left waiting.
 	minBackoff = 4 * time.Second
 	maxBackoff = time.Minute
-	// suspectMachines is the number of machines on which tasks of a job must fail before the job itself is
-	// suspected.
-	suspectMachines = 3
+	// suspectAfterMachines is the number of machines on which tasks of a job must fail before the job itself
+	// is suspected.
+	suspectAfterMachines = 3
 	// fullMachineQuarantine is the quarantine of a machine that has rejected a task for lack of capacity.
 	fullMachineQuarantine = time.Second
-	// rejectionBackoff is how much longer a rejected task waits with each rejection, up to maxRejectionBackoff.
+	// rejectionBackoff is added to the delay of a task with each consecutive rejection, up to maxRejectionBackoff.
 	rejectionBackoff    = time.Second
 	maxRejectionBackoff = 10 * time.Second
-	// drainHeartbeats is the time reserved for the command to stop a task ahead of a reclaim, in heartbeat intervals.
+	// drainHeartbeats is the number of heartbeat intervals reserved for the delivery of a stop command before a reclaim.
 	drainHeartbeats = 2
 )
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// Place implements placement.Actions: the task is launched once its placement is durable. If the command is not allowed at
-// that moment, the answer to a later heartbeat of the worker launches the task.
+// Place implements placement.Actions: it places a task, and launches it once the placement is durable. If the leader may
+// not send the command at that time, the answer to a later heartbeat of the worker launches the task.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
 		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinQuota,
@@ -91,7 +91,7 @@
 	l.gangs.Place(j, placements)
 }
 
-// GangUsedMachine implements placement.Actions: it reports whether the gang's present attempt was on a machine before.
+// GangUsedMachine implements placement.Actions: it reports whether the gang's current attempt has already used a machine.
 func (l *leaderTerm) GangUsedMachine(j *jobs.Job, w *workers.Worker) bool {
 	return l.gangs.HasUsed(j, w.ID)
 }
@@ -99,10 +99,10 @@
 // CanStopGang implements placement.Actions: it reports whether a gang can be stopped gracefully.
 func (l *leaderTerm) CanStopGang(j *jobs.Job) bool { return l.gangs.CanStop(j) }
 
-// StopGang implements placement.Actions: it stops a whole gang to make room.
+// StopGang implements placement.Actions: it stops a whole gang to free capacity.
 func (l *leaderTerm) StopGang(j *jobs.Job) bool { return l.gangs.Stop(j, gang.ReasonPreempted) }
 
-// Preempt implements placement.Actions: it stops a task to make room.
+// Preempt implements placement.Actions: it stops a task to free capacity.
 func (l *leaderTerm) Preempt(t *jobs.Task, w *workers.Worker, gracePeriod time.Duration) {
 	slog.Info("preempting task", "task", t.TaskID().String(), "machine", string(w.ID))
 	l.workers.StopTask(w, t, gracePeriod)
@@ -117,7 +117,7 @@
 	}
 }
 
-// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, except those that will probably complete before.
+// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, except those that should complete before then.
 func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
 	now := l.env.Now()
 	untilReclaim := w.ReclaimAt.Sub(now)
@@ -128,8 +128,9 @@
 	}
 }
 
-// drainTask stops a task of a machine that will be reclaimed, if that is due. A task that saves checkpoints is stopped as
-// late as it can still save one. A gang is stopped as a whole, unless this task will probably complete before.
+// drainTask stops a task of a machine that will be reclaimed, if that is due. A task that saves checkpoints is stopped at
+// the latest time that still allows a checkpoint. A gang is stopped as a whole, unless this task should complete before
+// the reclaim.
 func (l *leaderTerm) drainTask(w *workers.Worker, t *jobs.Task, untilReclaim time.Duration, now ident.MonotonicTime) {
 	spec := t.Job.Spec
 	times := l.controller.settings.Cluster.Workers
@@ -185,7 +186,7 @@
 		j.AvoidedMachines = map[ident.MachineID]bool{}
 	}
 	j.AvoidedMachines[machine.ID] = true
-	if len(j.AvoidedMachines) >= suspectMachines {
+	if len(j.AvoidedMachines) >= suspectAfterMachines {
 		clear(j.AvoidedMachines)
 		j.Suspect = !j.IsGang()
 	}
--- a/internal/controller/term_state.go
+++ b/internal/controller/term_state.go
@@ -2,20 +2,20 @@
 
 // This file is the state machine of a leader's term.
 
-// termState is the state of a leader's term: whether it has loaded what earlier terms stored, and
-// whether a dispatch of waiting tasks is due.
+// termState is the state of a leader's term: whether it has loaded the records of earlier terms, and whether a dispatch of
+// waiting tasks is due.
 type termState uint8
 
 const (
 	// termLoading: the records of earlier terms are being read.
 	termLoading termState = iota
-	// termIdle: nothing has happened since the last dispatch that could make a task placeable.
+	// termIdle: no event since the last dispatch could have made a waiting task placeable.
 	termIdle
-	// termCoolingDown: as termIdle, and the wake-up timer of an earlier dispatch is still set.
+	// termCoolingDown: like termIdle, but the wake-up timer of an earlier dispatch is still set.
 	termCoolingDown
 	// termDispatchDue: a waiting task may be placeable.
 	termDispatchDue
-	// termDispatchScheduled: as termDispatchDue, and a timer will wake the node up for it.
+	// termDispatchScheduled: like termDispatchDue, and the wake-up timer is set for the dispatch.
 	termDispatchScheduled
 	// termClosed: the term has ended. The state is final.
 	termClosed
@@ -29,21 +29,21 @@
 
 func (s termState) String() string { return termStateNames[s] }
 
-// termEvent is what changes the state of a term.
+// termEvent is an event that may change the state of a term.
 type termEvent uint8
 
 const (
 	// stateLoaded: all records of earlier terms have been restored.
 	stateLoaded termEvent = iota
-	// dispatchRequested: something has happened that could make a waiting task placeable.
+	// dispatchRequested: an event may have made a waiting task placeable.
 	dispatchRequested
 	// dispatchPostponed: the last dispatch is too recent, and the wake-up timer was set.
 	dispatchPostponed
-	// wakeUpTimerFired: that timer has fired.
+	// wakeUpTimerFired: the wake-up timer has fired.
 	wakeUpTimerFired
-	// dispatchCompleted: a dispatch has placed all that it could.
+	// dispatchCompleted: a dispatch has placed every waiting task that can start now.
 	dispatchCompleted
-	// dispatchTruncated: a dispatch has used up its time before it considered all tasks.
+	// dispatchTruncated: a dispatch has reached its limit of placements, and more tasks may be placeable.
 	dispatchTruncated
 	// termEnded: the node no longer leads.
 	termEnded
@@ -58,7 +58,7 @@
 
 func (e termEvent) String() string { return termEventNames[e] }
 
-// next returns the state that follows on an event. An event that has no meaning in a state leaves it unchanged.
+// next returns the state after an event. An event that has no meaning in a state leaves the state unchanged.
 func (s termState) next(event termEvent) termState {
 	switch {
 	case s == termClosed || event == termEnded:
@@ -73,7 +73,7 @@
 	case dispatchRequested, dispatchTruncated:
 		return s.withDispatchDue(true)
 	case dispatchCompleted:
-		// The result of a dispatch supersedes what was requested while it ran.
+		// The result of a dispatch supersedes requests made while it ran.
 		return s.withDispatchDue(false)
 	case dispatchPostponed:
 		return s.withTimerSet(true)
@@ -108,10 +108,10 @@
 // timerSet reports whether the wake-up timer is set.
 func (s termState) timerSet() bool { return s == termDispatchScheduled || s == termCoolingDown }
 
-// transition changes the state on an event. No other function changes it.
+// transition applies an event to the state. No other function changes the state.
 func (l *leaderTerm) transition(event termEvent) { l.state = l.state.next(event) }
 
-// loaded reports whether the records of earlier terms have been restored. It is also true of a closed term.
+// loaded reports whether the records of earlier terms have been restored. It is also true for a closed term.
 func (l *leaderTerm) loaded() bool { return l.state != termLoading }
 
 // closed reports whether the term has ended.
--- a/internal/controller/term_state_test.go
+++ b/internal/controller/term_state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestTermStateTransitions checks the state that follows on each event in each state.
+// TestTermStateTransitions checks the state after each event in each state.
 func TestTermStateTransitions(t *testing.T) {
 	const (
 		loading   = termLoading
@@ -25,14 +25,14 @@
 		for state := range termStateCount {
 			t.Run(termEvent(event).String()+" while "+state.String(), func(t *testing.T) {
 				if got := state.next(termEvent(event)); got != want[state] {
-					t.Errorf("%s, want %s", got, want[state])
+					t.Errorf("next state: got %s, want %s", got, want[state])
 				}
 			})
 		}
 	}
 }
 
-// TestTermStateQueries checks what each state says of the term.
+// TestTermStateQueries checks loaded, closed, dispatchDue and timerSet in each state.
 func TestTermStateQueries(t *testing.T) {
 	for _, x := range []struct {
 		state                                   termState
@@ -48,10 +48,11 @@
 		t.Run(x.state.String(), func(t *testing.T) {
 			l := &leaderTerm{state: x.state}
 			if l.loaded() != x.loaded || l.closed() != x.closed {
-				t.Errorf("loaded %v, closed %v", l.loaded(), l.closed())
+				t.Errorf("got loaded %v and closed %v, want %v and %v", l.loaded(), l.closed(), x.loaded, x.closed)
 			}
 			if x.state.dispatchDue() != x.dispatchDue || x.state.timerSet() != x.timerIsSet {
-				t.Errorf("dispatch due %v, timer set %v", x.state.dispatchDue(), x.state.timerSet())
+				t.Errorf("got dispatch due %v and timer set %v, want %v and %v",
+					x.state.dispatchDue(), x.state.timerSet(), x.dispatchDue, x.timerIsSet)
 			}
 		})
 	}
