--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,7 @@
 
 	sentHeartbeats renewal.SentHeartbeats
 	renewer        renewal.Renewer
-	// cancelledJobs holds the most recent jobs whose cancellation is durable, as far as this node has seen them.
+	// cancelledJobs holds the most recent jobs that this node has seen as durably cancelled.
 	cancelledJobs   *jobs.RecentJobs[struct{}]
 	storeLastServed ident.MonotonicTime  // time of the store's last usable answer to a probe
 	links           *linktracker.Tracker // nil if link tracking is disabled
--- a/internal/controller/leader_env.go
+++ b/internal/controller/leader_env.go
@@ -9,8 +9,8 @@
 )
 
 // leaderEnv is the Env of a leader's term. It sets the expiry of the leader's lease as the deadline of calls that only a
-// leader may make. They are not sent after the deadline: between a decision and its call, the process may pause or wait
-// for a free connection.
+// leader may make. A call is not sent after its deadline: the process may pause, or wait for a free connection, between the
+// decision and the call.
 type leaderEnv struct {
 	Env
 	validUntil func() ident.MonotonicTime // the expiry of the leader's lease
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -105,7 +105,7 @@
 	} else {
 		l.machines.RewriteLegacy()
 	}
-	l.probeUnreportedMachines()
+	l.probeMachinesWithoutHeartbeat()
 	l.tick()
 	l.schedulePlanningRound()
 }
@@ -130,22 +130,22 @@
 	}
 }
 
-// probeUnreportedMachines probes machines of earlier terms that have sent no heartbeat in this term, machines with service
+// probeMachinesWithoutHeartbeat probes machines of earlier terms that have sent no heartbeat in this term, machines with service
 // replicas first: nothing is placed on a machine before its first heartbeat. At most maxMachineProbes probes are sent per
 // interval. Outstanding probes of earlier intervals don't count, so that unresponsive machines can't keep others from
 // being probed.
-func (l *leaderTerm) probeUnreportedMachines() {
+func (l *leaderTerm) probeMachinesWithoutHeartbeat() {
 	if l.closed() {
 		return
 	}
 	budget := maxMachineProbes
 	for _, withReplicas := range []bool{true, false} {
 		for _, w := range l.workers.Sorted() {
-			if !awaitsFirstReport(w) || (w.ServiceVCPUs > 0) != withReplicas {
+			if !awaitsFirstHeartbeat(w) || (w.ServiceVCPUs > 0) != withReplicas {
 				continue
 			}
 			if budget == 0 {
-				l.env.After(machineProbeInterval, l.probeUnreportedMachines)
+				l.env.After(machineProbeInterval, l.probeMachinesWithoutHeartbeat)
 				return
 			}
 			if l.workers.Probe(w) {
@@ -155,8 +155,8 @@
 	}
 }
 
-// awaitsFirstReport reports whether a machine is recorded as up, and has neither sent a heartbeat nor left a command
+// awaitsFirstHeartbeat reports whether a machine is recorded as up, and has neither sent a heartbeat nor left a command
 // unanswered in this term.
-func awaitsFirstReport(w *workers.Worker) bool {
+func awaitsFirstHeartbeat(w *workers.Worker) bool {
 	return w.State == workers.Up && !w.ReportedThisTerm() && w.MissedResponses() == 0
 }
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -176,8 +176,8 @@
 	slog.Info("machine rejected task", "task", t.TaskID().String(), "machine", string(machine.ID), "cause", string(cause))
 }
 
-// recordTaskError makes a job avoid the machine on which one of its tasks has failed. After failures on suspectMachines
-// machines the job itself is the likely cause, and is retried with exponential backoff.
+// recordTaskError makes a job avoid the machine on which one of its tasks has failed. After failures on
+// suspectAfterMachines machines the job itself is the likely cause, and is retried with exponential backoff.
 func (l *leaderTerm) recordTaskError(t *jobs.Task, machine *workers.Worker, now ident.MonotonicTime) {
 	j := t.Job
 	t.ConsecutiveErrors++
