--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -9,66 +9,68 @@
 )
 
 const (
-	// arrivalWindow is how long an arrival is kept, and the longest span of the arrival rate.
+	// arrivalWindow is how long an arrival is remembered, and the longest span over which the arrival
+	// rate is averaged.
 	arrivalWindow = 90 * time.Second
-	// burstWindow is the span of the rate that detects bursts.
+	// burstWindow is the shorter span over which the rate is averaged to detect bursts.
 	burstWindow = 25 * time.Second
-	// backlogPeriod is how long after the start arrivals count as a backlog and not towards the
-	// rate.
+	// backlogPeriod is the time after the start of the history in which arriving jobs count as a
+	// backlog, and not towards the arrival rate.
 	backlogPeriod = 15 * time.Second
 	// minRateSpan is the shortest span that a rate is computed over.
 	minRateSpan = 10 * time.Second
-	// arrivalsCeasedAfter is the time without any arrival after which no more are expected.
+	// arrivalsCeasedAfter is the time without an arrival after which no further jobs are expected.
 	arrivalsCeasedAfter = 40 * time.Second
-	// maxArrivals bounds the arrivals remembered: 4,000 machines that each start a job every ten
-	// seconds are 36,000 in a window.
+	// maxArrivals bounds the number of arrivals remembered. 4,000 machines that each start a job every
+	// ten seconds result in 36,000 arrivals per window.
 	maxArrivals = 50_000
 )
 
-// arrivals keeps the recent arrivals of jobs, from which further ones are predicted.
+// arrivals records recent job arrivals, from which the arrival of further jobs is predicted.
 type arrivals struct {
 	teams    *placement.Teams
-	since    ident.MonotonicTime // start of the history
+	since    ident.MonotonicTime // when the history starts
 	services arrivalHistory      // services and gangs
 	batch    arrivalHistory
 }
 
-// record adds a job. Jobs of borrowers are left out: no capacity is kept for them.
+// record adds the arrival of a job. It ignores jobs of borrowers, for which no headroom is kept.
 func (a *arrivals) record(spec *api.Spec, at ident.MonotonicTime) {
 	if a.teams.IsBorrower(spec.Team) {
 		return
 	}
 	cpus := spec.VCPUs * float64(spec.Tasks)
 	if spec.Shape != api.Batch {
-		// Gangs need their capacity when they arrive as well.
+		// Like services, gangs need capacity as soon as they arrive.
 		a.services.record(at, cpus)
 		return
 	}
 	a.batch.record(at, min(cpus, max(a.teams.LargestGuarantee(), spec.VCPUs)))
 }
 
-// resume moves the start of the history back, since jobs arrived before this term as well.
+// resume moves the start of the history back by longAgo, because jobs also arrived before this term.
 func (a *arrivals) resume() { a.since = a.since.Add(-longAgo) }
 
-// ceased reports whether no more jobs are expected.
+// ceased reports whether no job has arrived for longer than arrivalsCeasedAfter, so that no further
+// ones are expected.
 func (a *arrivals) ceased(now ident.MonotonicTime) bool {
 	return now.Sub(max(a.services.latest(), a.batch.latest())) > arrivalsCeasedAfter
 }
 
-// arrivalHistory holds the times of arrivals in ascending order, and the CPUs of each.
+// arrivalHistory holds the times of job arrivals in ascending order, and the CPUs of each job.
 type arrivalHistory struct {
 	times []ident.MonotonicTime
 	cpus  []float64
 }
 
-// record adds an arrival.
+// record adds the arrival of a job that needs a number of CPUs.
 func (a *arrivalHistory) record(now ident.MonotonicTime, cpus float64) {
 	a.times = append(a.times, now)
 	a.cpus = append(a.cpus, cpus)
 	a.trim(now)
 }
 
-// trim drops arrivals older than arrivalWindow, and the oldest beyond maxArrivals.
+// trim drops arrivals that are older than arrivalWindow, and the oldest ones in excess of maxArrivals.
 func (a *arrivalHistory) trim(now ident.MonotonicTime) {
 	dropped := 0
 	for dropped < len(a.times) && (now.Sub(a.times[dropped]) > arrivalWindow || len(a.times)-dropped > maxArrivals) {
@@ -77,7 +79,7 @@
 	a.times, a.cpus = a.times[dropped:], a.cpus[dropped:]
 }
 
-// latest returns the time of the last arrival, 0 without any.
+// latest returns the time of the last arrival, or 0 if there is none.
 func (a *arrivalHistory) latest() ident.MonotonicTime {
 	if len(a.times) == 0 {
 		return 0
@@ -85,8 +87,8 @@
 	return a.times[len(a.times)-1]
 }
 
-// rate returns the CPUs that arrive per second, and the CPUs of the mean and of the largest job,
-// where since is the start of the history.
+// rate returns the CPUs of the jobs that arrive per second, the mean CPUs per job, and the CPUs of the
+// largest job. since is the start of the history.
 func (a *arrivalHistory) rate(now, since ident.MonotonicTime) (perSecond, mean, largest float64) {
 	a.trim(now)
 	windowCPUs, burstCPUs, totalCPUs := 0.0, 0.0, 0.0
@@ -105,7 +107,7 @@
 		mean = totalCPUs / float64(len(a.cpus))
 	}
 	if span := min(now.Sub(since)-backlogPeriod, arrivalWindow); span > minRateSpan {
-		// A burst is over before the mean of the window shows it.
+		// The mean over arrivalWindow reacts too late to a short burst.
 		perSecond = max(windowCPUs/span.Seconds(), burstCPUs/burstWindow.Seconds())
 	}
 	return perSecond, mean, largest
--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -14,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// autoscaler provisions and terminates machines as the work requires.
+// autoscaler provisions and terminates machines according to the resources that jobs need.
 type autoscaler struct {
 	cfg         *Config
 	port        Port
@@ -26,11 +26,11 @@
 	terminator  *terminator
 
 	arrivals    arrivals
-	excessSince ident.MonotonicTime // when excess capacity was first found; 0 without any
+	excessSince ident.MonotonicTime // since when there has been excess capacity; 0 if there is none
 }
 
-// run packs the waiting work onto the existing and requested machines, provisions those that are
-// missing, and scales in those that are not needed.
+// run packs the tasks of waiting jobs onto the existing and requested machines, provisions machines for
+// the tasks that do not fit, and scales in machines that are not needed.
 func (s *autoscaler) run() {
 	catalog := s.cfg.Catalog()
 	if len(catalog) == 0 {
@@ -54,12 +54,12 @@
 	now            ident.MonotonicTime
 	catalog        []cloud.MachineType
 	capacity       *capacityModel
-	missing        map[pool]int // machines to be provisioned
+	missing        map[pool]int // number of machines to be provisioned
 	onDemandBudget float64      // CPUs of batch work for which on-demand machines may replace spot machines
-	movesLeft      int          // replicas for which a destination may still be searched
+	movesLeft      int          // number of replicas for which this run may still search a destination
 }
 
-// newRun measures the capacity for one run.
+// newRun returns a run that starts from the present capacity of the fleet.
 func (s *autoscaler) newRun(catalog []cloud.MachineType) *scalingRun {
 	run := &scalingRun{
 		autoscaler: s,
@@ -78,14 +78,14 @@
 	for _, j := range r.waitingJobs() {
 		count := min(j.PlaceableCount(), r.teams.RemainingTasks(j.Spec))
 		if count <= 0 || j.IsGang() && count != j.WaitingCount() {
-			continue // a gang is placed as a whole
+			continue // all tasks of a gang are placed together
 		}
 		newJobPacking(r, j, count).pack()
 	}
 }
 
-// waitingJobs lists the jobs with tasks to be placed: services and gangs, then batch jobs, in each
-// group those of borrowers last, then by arrival.
+// waitingJobs lists the jobs with tasks to be placed: first services and gangs, then batch jobs. In both
+// groups jobs of borrowers come last; otherwise jobs are in the order of their arrival.
 func (r *scalingRun) waitingJobs() []*jobs.Job {
 	var waiting []*jobs.Job
 	for j := range r.jobs.Waiting {
@@ -106,7 +106,7 @@
 	return waiting
 }
 
-// machineType returns a machine type of the catalog, nil for an unknown one.
+// machineType returns the machine type of the catalog with a SKU, or nil if there is none.
 func (r *scalingRun) machineType(model string) *cloud.MachineType {
 	for i := range r.catalog {
 		if r.catalog[i].SKU == model {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// longestBoot returns the longest boot time in the catalog.
+// longestBoot returns the longest boot time of all machine types in the catalog.
 func (r *scalingRun) longestBoot() time.Duration {
 	boot := 0.0
 	for i := range r.catalog {
@@ -128,5 +128,6 @@
 // amountSteps is the number of steps per CPU that roundAmount distinguishes.
 const amountSteps = 1e6
 
-// roundAmount rounds an amount of CPUs, so that decisions don't depend on the order of summation.
+// roundAmount rounds a sum of CPUs, so that decisions do not depend on the order in which floating-point
+// numbers are added.
 func roundAmount(x float64) float64 { return math.Round(x*amountSteps) / amountSteps }
--- a/internal/fleet/batch_shortfall.go
+++ b/internal/fleet/batch_shortfall.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// slackShare is the fraction of the time left to the objectives within which a backlog should be
-	// completed: more jobs arrive meanwhile, and runtimes are often underestimated.
-	slackShare = 0.85
-	// minTaskTimeLeft is the shortest remaining time that a running task is expected to take, in
-	// seconds.
+	// slackFraction is the fraction of the time remaining until the objectives within which a backlog
+	// should be completed. The rest is a margin for jobs that arrive meanwhile and for underestimated
+	// runtimes.
+	slackFraction = 0.85
+	// minTaskTimeLeft is a lower bound on the estimated remaining runtime of a running task, in seconds.
 	minTaskTimeLeft = 5
 )
 
-// batchShortfall returns the CPUs that are missing for the waiting batch jobs to meet the first of
-// their objectives, 0 if the existing and requested machines suffice. It estimates a backlog by its
-// work, before any of its jobs is late.
+// batchShortfall returns the additional CPUs needed for the waiting batch jobs to meet their
+// objectives, or 0 if the existing and requested machines suffice. It compares the total work of the
+// backlog with the capacity, so that it detects a shortfall before any job is late.
 func (r *scalingRun) batchShortfall() float64 {
 	work, weightedTime := r.waitingBatchWork()
 	if work == 0 {
 		return 0
 	}
-	horizon := max(slackShare*weightedTime/work, r.longestBoot().Seconds())
+	horizon := max(slackFraction*weightedTime/work, r.longestBoot().Seconds())
 	demand := r.addRunningBatchWork(work, horizon)
 	return max(0, demand/horizon-r.batchSupply())
 }
 
-// batchSupply returns the CPUs that batch jobs use or could use, if they may use spot machines.
+// batchSupply returns the CPUs that are used by or available to batch jobs that may run on spot machines.
 func (r *scalingRun) batchSupply() float64 {
 	supply := 0.0
 	for p, count := range r.capacity.machines {
@@ -43,9 +43,9 @@
 	return supply
 }
 
-// waitingBatchWork returns the work of the batch jobs that wait, in CPU seconds, and the sum of the
-// times left to their objectives, in seconds, each weighted by the work of its job. Jobs that can't
-// meet their objective any more have the least urgency and don't count.
+// waitingBatchWork returns the work of the waiting batch jobs in CPU seconds, and the sum of the times
+// remaining until their objectives in seconds, each weighted by the work of its job. It leaves out jobs
+// that can no longer meet their objective, because they are the least urgent.
 func (r *scalingRun) waitingBatchWork() (work, weightedTime float64) {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		spec := j.Spec
@@ -62,8 +62,9 @@
 	return work, weightedTime
 }
 
-// addRunningBatchWork adds the remaining work of running batch tasks, up to a horizon in seconds, to
-// an amount of work in CPU seconds. Tasks of borrowers don't count, since they are preempted.
+// addRunningBatchWork adds the remaining work of the allocated batch tasks to an amount of work, both in
+// CPU seconds. It counts at most horizon seconds per task, and leaves out tasks of borrowers, since
+// those are preempted.
 func (r *scalingRun) addRunningBatchWork(work, horizon float64) float64 {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		if j.AllocatedTasks == 0 || !j.Spec.Spot || r.teams.IsBorrower(j.Spec.Team) {
@@ -84,7 +85,7 @@
 	return work
 }
 
-// eachOpenBatchJob visits the open batch jobs in a fixed order.
+// eachOpenBatchJob calls visit for the open batch jobs, in a fixed order.
 func (r *scalingRun) eachOpenBatchJob(visit func(*jobs.Job)) {
 	for _, name := range slices.Sorted(maps.Keys(r.jobs.Teams)) {
 		for _, j := range r.jobs.Teams[name].OpenJobs {
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -9,32 +9,32 @@
 	"opaldale/internal/workers"
 )
 
-// exactQuantum is the largest rounding error of sums of amounts.
+// exactQuantum is an upper bound on the rounding error of a sum of resource amounts.
 const exactQuantum = 1e-6
 
-// bin is a group of existing or requested machines with the same free resources, into which tasks
-// are packed. A fleet of thousands of machines has some hundred bins.
+// bin is a group of existing or requested machines with the same free resources, onto which tasks are
+// packed. Grouping limits the cost of a run: a fleet of thousands of machines has some hundred bins.
 type bin struct {
 	machineType *cloud.MachineType
 	pool        pool
 	tier        binTier
 	machines    int
 	free        jobs.Resources    // of each machine
-	cordoned    []*workers.Worker // the machines, in the cordoned tier
+	cordoned    []*workers.Worker // the machines; only set in cordonedTier
 }
 
-// binTier orders the bins by which of them is used first.
+// binTier is the rank of a bin: tasks are packed into bins of lower tiers first.
 type binTier uint8
 
 const (
-	spotTier binTier = iota // spot and on-demand are in the order in which the planner fills them
+	spotTier binTier = iota // spot before on-demand, as the planner places tasks
 	onDemandTier
-	cordonedTier // uncordoned before another machine is provisioned
-	endingTier   // of batch tasks expected to end before a new machine would be up
+	cordonedTier // cordoned machines, which are uncordoned before another machine is provisioned
+	endingTier   // resources of batch tasks that are expected to end before a new machine would be up
 	tierCount
 )
 
-// tier returns the tier of the pool's machines that are not cordoned.
+// tier returns the tier of machines of the pool that are not cordoned.
 func (p pool) tier() binTier {
 	if p.spot {
 		return spotTier
@@ -42,15 +42,16 @@
 	return onDemandTier
 }
 
-// newBin returns the bin of one empty machine.
+// newBin returns a bin with one empty machine.
 func newBin(machineType *cloud.MachineType, p pool) *bin {
 	return &bin{machineType: machineType, pool: p, tier: p.tier(), machines: 1, free: machineTypeResources(machineType)}
 }
 
-// tasksPerMachine returns how many tasks of a job each machine has room for.
+// tasksPerMachine returns how many tasks of a job fit onto each machine of the bin.
 func (b *bin) tasksPerMachine(spec *api.Spec) int { return b.free.TaskCapacity(spec) }
 
-// allows reports whether tasks of a job may be on the machines.
+// allows reports whether tasks of a job may run on the machines of the bin, regardless of their free
+// resources.
 func (b *bin) allows(spec *api.Spec) bool {
 	if spec.Zone != nil && *spec.Zone != b.pool.zone || b.pool.spot && !spec.Spot {
 		return false
@@ -61,7 +62,8 @@
 	return workers.AllowsModel(spec, b.pool.model) && workers.FitsEmpty(b.machineType, spec)
 }
 
-// split returns a bin of some of the machines, after a number of tasks is packed onto each.
+// split returns a new bin of some of the machines, with a number of tasks packed onto each of them. The
+// bin that it is called on is unchanged.
 func (b *bin) split(machines, tasks int, spec *api.Spec) *bin {
 	part := &bin{
 		machineType: b.machineType,
@@ -90,10 +92,10 @@
 	}
 }
 
-// floorTo rounds down to a multiple of a quantum, with a tolerance for rounding errors of sums.
+// floorTo rounds down to a multiple of a quantum. It tolerates floating-point errors in sums of amounts.
 func floorTo(x, quantum float64) float64 { return math.Floor(x/quantum+exactQuantum) * quantum }
 
-// binKey holds the properties that machines of one bin have in common.
+// binKey holds the properties that all machines of a bin share.
 type binKey struct {
 	pool pool
 	tier binTier
@@ -103,15 +105,16 @@
 // binBuilder groups machines into bins.
 type binBuilder struct {
 	bins    map[binKey]*bin
-	order   []*bin  // in the order of creation
-	quantum float64 // free amounts are rounded down to multiples of it
+	order   []*bin  // the bins in the order of their creation
+	quantum float64 // free resources are rounded down to multiples of it
 }
 
-// add adds machines to the bin with their properties, and returns it.
+// add adds machines to the bin with the same properties, which it creates if necessary, and returns it.
 func (builder *binBuilder) add(machineType *cloud.MachineType, p pool, tier binTier, free jobs.Resources, machines int) *bin {
 	key := binKey{p, tier, floorResources(free, builder.quantum)}
 	if tier == endingTier {
-		// The room of an ending task is as large as the task: rounded down, an equal one would not fit.
+		// The resources that an ending task releases are exactly as large as the task. If they were
+		// rounded down to the coarse quantum, a task of the same size would no longer fit.
 		key.free = floorResources(free, exactQuantum)
 	}
 	b := builder.bins[key]
--- a/internal/fleet/bin_opening.go
+++ b/internal/fleet/bin_opening.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// priceTolerance is the largest difference of prices that count as equal.
+	// priceTolerance is the largest difference between two prices that count as equal.
 	priceTolerance = 1e-9
-	// maxCanaries bounds the machines provisioned in an unreachable zone, which show whether new ones
-	// are reachable.
+	// maxCanaries bounds the number of machines provisioned in an unreachable zone. Whether these can
+	// be reached shows whether the zone is usable again.
 	maxCanaries = 2
 )
 
-// binConstraint restricts which machines are opened.
+// binConstraint restricts the pools in which open may add a machine.
 type binConstraint struct {
-	zone      string   // only this zone, if set
-	fullZones []string // none of these zones
-	spotOnly  bool     // only spot machines
+	zone      string   // if set, only this zone is allowed
+	fullZones []string // these zones are not allowed
+	spotOnly  bool     // only spot machines are allowed
 }
 
-// open adds a machine to those to be provisioned, of the cheapest pool that a job and a constraint
-// allow. It returns nil if there is none.
+// open schedules one more machine for provisioning, from the cheapest pool that a job and a constraint
+// allow, and returns the bin of that machine. It returns nil if no pool is allowed and available.
 func (r *scalingRun) open(spec *api.Spec, constraint binConstraint) *bin {
 	b := r.cheapestBin(spec, constraint)
 	if b != nil {
@@ -34,8 +34,8 @@
 	return b
 }
 
-// cheapestBin returns a machine of the pool with the lowest price for a task. Between pools of
-// equal prices it prefers the one with fewer machines.
+// cheapestBin returns a bin with one machine of the pool that has the lowest price per task. Among pools
+// of equal price it prefers the one with the fewest machines.
 func (r *scalingRun) cheapestBin(spec *api.Spec, constraint binConstraint) *bin {
 	var best *bin
 	cheapest, fewest := 0.0, 0
@@ -53,7 +53,7 @@
 	return best
 }
 
-// hourlyPrice returns the price of a machine for one hour.
+// hourlyPrice returns the spot or the on-demand price of a machine type for one hour.
 func hourlyPrice(machineType *cloud.MachineType, spot bool) float64 {
 	if spot {
 		return machineType.SpotPrice
@@ -61,8 +61,8 @@
 	return machineType.HourlyPrice
 }
 
-// eachAvailablePool visits the pools that a constraint allows and that may have capacity, in a fixed
-// order.
+// eachAvailablePool calls visit for the pools that a constraint allows and that may have capacity, in a
+// fixed order.
 func (r *scalingRun) eachAvailablePool(constraint binConstraint, visit func(*cloud.MachineType, pool)) {
 	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		if constraint.zone != "" && constraint.zone != p.zone || slices.Contains(constraint.fullZones, p.zone) {
@@ -77,7 +77,8 @@
 	})
 }
 
-// provisionMissing requests the missing machines, from each pool in turn, within the rate limit.
+// provisionMissing requests the missing machines from the provider, in batches from each pool in turn,
+// until all are requested or the rate limit is reached.
 func (r *scalingRun) provisionMissing() {
 	pools := sortedPools(r.missing)
 	for again := true; again; {
@@ -92,8 +93,8 @@
 	}
 }
 
-// provisionLimit returns how many of a number of machines may be requested from a pool: in an
-// unreachable zone, only canaries.
+// provisionLimit returns how many of count machines may be requested from a pool now. In an unreachable
+// zone, only canaries may be requested.
 func (r *scalingRun) provisionLimit(p pool, count int) int {
 	if r.zones.unreachable[p.zone] == nil {
 		return count
@@ -106,7 +107,7 @@
 	return r.zones.unreachable[zone] != nil && r.canariesLeft(zone) == 0
 }
 
-// canariesLeft returns how many more machines may be provisioned in a zone that is unreachable.
+// canariesLeft returns how many more machines may be provisioned in an unreachable zone.
 func (r *scalingRun) canariesLeft(zone string) int {
 	count := r.provisioner.pendingIn(zone)
 	since := r.zones.unreachable[zone].since
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -6,15 +6,16 @@
 	"opaldale/internal/workers"
 )
 
-// capacityModel is the capacity of the existing and requested machines, reduced as tasks are packed.
+// capacityModel is the free capacity of the existing and requested machines. It decreases as tasks are
+// packed.
 type capacityModel struct {
 	bins         [tierCount][]*bin
-	freeVCPUs    map[pool]float64   // free on machines that are not cordoned
-	batchVCPUs   map[pool]float64   // used by batch jobs on machines that are not cordoned
-	replicaVCPUs map[string]float64 // used by replicas, by zone
-	bootingVCPUs map[pool]float64   // on machines that are not up yet; included in freeVCPUs
+	freeVCPUs    map[pool]float64   // free CPUs on machines that are not cordoned
+	batchVCPUs   map[pool]float64   // CPUs used by batch jobs on machines that are not cordoned
+	replicaVCPUs map[string]float64 // CPUs used by service replicas, by zone
+	bootingVCPUs map[pool]float64   // CPUs of machines that are not up yet; included in freeVCPUs
 	machines     map[pool]int       // number of machines
-	minNeed      jobs.Resources     // the least of each amount that any waiting task needs
+	minNeed      jobs.Resources     // the minimum over all waiting tasks, separately for each resource
 }
 
 func newCapacityModel() *capacityModel {
@@ -28,7 +29,7 @@
 	}
 }
 
-// addBin adds a bin, unless it has no room for any waiting task.
+// addBin adds a bin, unless its free resources are too small for every waiting task.
 func (c *capacityModel) addBin(b *bin) {
 	if b.machines > 0 && b.free.Covers(c.minNeed) {
 		c.bins[b.tier] = append(c.bins[b.tier], b)
@@ -43,7 +44,7 @@
 	c.bins[b.tier] = append(c.bins[b.tier], b)
 }
 
-// allocate packs up to a number of tasks into a bin. It returns how many it packed, and the cordoned
+// allocate packs up to count tasks into a bin. It returns the number of tasks packed, and the cordoned
 // machines that must be uncordoned for them.
 func (c *capacityModel) allocate(b *bin, spec *api.Spec, count int) (int, []*workers.Worker) {
 	perMachine := b.tasksPerMachine(spec)
@@ -64,8 +65,8 @@
 	return allocated, c.consume(b, spec, allocated, used)
 }
 
-// consume subtracts packed tasks from the free CPUs. It removes the cordoned machines that they use
-// from the bin, and returns them.
+// consume updates the free CPUs after tasks were packed onto some machines of a bin. It removes the
+// cordoned machines among these from the bin, and returns them.
 func (c *capacityModel) consume(b *bin, spec *api.Spec, tasks, machines int) (uncordoned []*workers.Worker) {
 	switch b.tier {
 	case cordonedTier:
@@ -77,8 +78,9 @@
 	return uncordoned
 }
 
-// chooseZone returns the zone for all tasks of a one-zone job: the one with tasks of the job, else
-// the one with room for the most of them. It returns "" for other jobs, and if no zone has room.
+// chooseZone returns the zone for all tasks of a one-zone job: a zone that already has tasks of the job,
+// or else the zone in which most of them fit. It returns "" for other jobs, and if no task fits in any
+// zone.
 func (c *capacityModel) chooseZone(spec *api.Spec, tasksByZone map[string]int) string {
 	if !spec.OneZone {
 		return ""
@@ -97,7 +99,7 @@
 	return best
 }
 
-// roomByZone returns for how many tasks of a job there is room in each zone.
+// roomByZone returns the number of tasks of a job that fit in each zone.
 func (c *capacityModel) roomByZone(spec *api.Spec) map[string]int {
 	room := map[string]int{}
 	for _, bins := range c.bins {
@@ -110,8 +112,8 @@
 	return room
 }
 
-// onDemandByZone returns the CPUs of on-demand machines that are free or used by batch jobs, by zone:
-// those that services could use.
+// onDemandByZone returns the CPUs that services could use in each zone: those of on-demand machines that
+// are free or used by batch jobs.
 func (c *capacityModel) onDemandByZone() map[string]float64 {
 	byZone := map[string]float64{}
 	for p, cpus := range c.freeVCPUs {
@@ -125,7 +127,7 @@
 	return byZone
 }
 
-// totalFree returns the free CPUs of all machines.
+// totalFree returns the free CPUs of all machines that are not cordoned.
 func (c *capacityModel) totalFree() float64 {
 	sum := 0.0
 	for _, cpus := range c.freeVCPUs {
--- a/internal/fleet/capacity_measurement.go
+++ b/internal/fleet/capacity_measurement.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// In a fleet of more than largeFleet machines, free amounts are rounded down to coarseQuantum, so
-	// that machines share bins. In a smaller one that would only hide capacity.
+	// In a fleet of more than largeFleet machines, free resources are rounded down to multiples of
+	// coarseQuantum, so that more machines share a bin. In a smaller fleet, rounding would only
+	// make the free capacity appear smaller than it is.
 	largeFleet    = 200
 	coarseQuantum = 0.25
-	// lateBootFactor is the number of boot times after which a booting machine no longer counts as
-	// capacity.
+	// lateBootFactor is the age, as a multiple of its boot time, from which a booting machine no longer
+	// counts as capacity.
 	lateBootFactor = 2
 )
 
-// measureCapacity returns the capacity of the machines that can take work now or soon.
+// measureCapacity returns the capacity of all machines that can run new tasks now or soon.
 func (r *scalingRun) measureCapacity() *capacityModel {
 	capacity := newCapacityModel()
 	for j := range r.jobs.Waiting {
@@ -40,7 +41,7 @@
 	return capacity
 }
 
-// addMachine adds a machine, if it can take work now or soon.
+// addMachine adds the capacity of a machine, if it can run new tasks now or soon.
 func (r *scalingRun) addMachine(capacity *capacityModel, builder *binBuilder, w *workers.Worker, borrowed jobs.Resources) {
 	if !r.isUsable(w) {
 		return
@@ -70,8 +71,8 @@
 	builder.add(w.Type, p, p.tier(), free.Add(borrowed), 1)
 }
 
-// isUsable reports whether work may be expected to find room on a machine. A machine on which a task
-// failed does not count, since the task's job avoids it, nor does one of a partitioned zone.
+// isUsable reports whether a machine counts as capacity for new tasks. Machines on which a task failed
+// don't count, because the task's job avoids them, nor do machines of partitioned zones.
 func (r *scalingRun) isUsable(w *workers.Worker) bool {
 	if w.Type == nil || w.ReclaimAt > 0 || w.Slow || r.zones.partitioned[w.Zone] {
 		return false
@@ -79,7 +80,7 @@
 	return w.QuarantinedUntil <= r.now && !w.PossiblyFaulty()
 }
 
-// addPending adds the machines that were requested and are not in the machine table yet.
+// addPending adds the capacity of machines that were requested but are not yet in the machine table.
 func (r *scalingRun) addPending(capacity *capacityModel, builder *binBuilder) {
 	eachPool(r.catalog, func(machineType *cloud.MachineType, p pool) {
 		state := r.provisioner.pools[p]
@@ -94,7 +95,7 @@
 	})
 }
 
-// addEndingTasks adds the room of running batch tasks that are expected to end before a machine
+// addEndingTasks adds the resources of running batch tasks that are expected to end before a machine
 // provisioned now would be up.
 func (r *scalingRun) addEndingTasks(builder *binBuilder) {
 	r.eachRunningBatchTask(func(t *jobs.Task, w *workers.Worker) {
@@ -105,8 +106,8 @@
 	})
 }
 
-// borrowedByMachine returns the resources that borrowers use on each machine. They count as free,
-// since borrowers are preempted for other work.
+// borrowedByMachine returns the resources that tasks of borrowers use on each machine. These count as
+// free, since borrowers are preempted for other jobs.
 func (r *scalingRun) borrowedByMachine() map[ident.MachineID]jobs.Resources {
 	borrowed := map[ident.MachineID]jobs.Resources{}
 	r.eachOpenBatchJob(func(j *jobs.Job) {
@@ -122,7 +123,7 @@
 	return borrowed
 }
 
-// eachRunningBatchTask visits the running batch tasks with their machines.
+// eachRunningBatchTask calls visit for each running batch task and its machine.
 func (r *scalingRun) eachRunningBatchTask(visit func(*jobs.Task, *workers.Worker)) {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		if j.RunningTasks == 0 {
--- a/internal/fleet/fencing.go
+++ b/internal/fleet/fencing.go
@@ -9,13 +9,13 @@
 	"opaldale/internal/workers"
 )
 
-// fenceSilent fences the machines that are silent, unless the fault is more likely this node's.
+// fenceSilent fences the silent machines, unless the fault is more likely to be at this node.
 //
-// If most machines are silent at once, this node is more likely to be unreachable than they are. But
-// if a peer is reachable, they could reach this node through it. Those that have not done so within
-// twice the fence timeout are fenced, or each next leader would resign over the same machines.
-// Recently fenced machines count as silent, since machines that fail together are detected one by
-// one.
+// If most machines become silent at once, it is more likely that this node is disconnected than that all
+// of them failed. But if a peer is reachable, the machines could send their heartbeats through it. In
+// that case, machines that stay silent for twice the fence timeout are fenced; otherwise each new leader
+// would resign because of the same machines. Recently fenced machines count as silent, because machines
+// that fail together are detected one after the other.
 func (h *healthMonitor) fenceSilent(sweep *healthSweep) {
 	h.recentFences = slices.DeleteFunc(h.recentFences, func(at ident.MonotonicTime) bool {
 		return sweep.now.Sub(at) > 2*h.fenceTimeout
@@ -36,7 +36,7 @@
 	}
 }
 
-// isMassFailure reports whether so many machines are silent that the fault may be this node's.
+// isMassFailure reports whether so many machines are silent that the fault may be at this node.
 func (h *healthMonitor) isMassFailure(sweep *healthSweep) bool {
 	failing := len(sweep.silent) + len(h.recentFences)
 	if failing > 1 && 2*failing > sweep.expected+len(h.recentFences) {
@@ -45,13 +45,15 @@
 	return len(sweep.silent) > 0 && !h.cfg.DirectContact()
 }
 
-// silenceSinceStall returns how long a machine has been silent, counted from the last stall at the earliest.
+// silenceSinceStall returns how long a machine has been silent. It leaves out the time before the last
+// stall of this node.
 func (h *healthMonitor) silenceSinceStall(w *workers.Worker, now ident.MonotonicTime) time.Duration {
 	return min(h.machines.TimeSinceContact(w), now.Sub(h.lastStall))
 }
 
-// terminateUnreachable terminates an unreachable machine. If its whole zone is unreachable, machines
-// are terminated a few at a time and the others are quarantined; it returns false for those.
+// terminateUnreachable terminates an unreachable machine and returns true. If the whole zone is
+// unreachable, it quarantines the machine, and terminates it only if the zone's termination budget for
+// the present period allows; otherwise it returns false.
 func (h *healthMonitor) terminateUnreachable(w *workers.Worker, reason workers.Reason, now ident.MonotonicTime) bool {
 	if zone := h.zones.unreachable[w.Zone]; zone != nil {
 		quarantine(w, now)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/golden"
 )
 
-// TestGoldenProvisionRequests pins the requests for machines: an identifier is never used again, by
-// whichever term.
+// TestGoldenProvisionRequests pins the format of provisioning requests. Their identifiers must be unique
+// across all terms.
 func TestGoldenProvisionRequests(t *testing.T) {
 	r := newHarness()
 	r.manager.requester.limiter.tokens = 10
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -19,9 +19,10 @@
 	"opaldale/internal/workerstest"
 )
 
-// fakePort answers requests to the cloud by a function and has a clock of its own.
+// fakePort is a Port, and the environment of the machine and job tables, with a simulated clock. The reply
+// function answers requests to the cloud.
 type fakePort struct {
-	deadAddrs map[string]bool
+	deadAddrs map[string]bool // by worker address: whether the worker is dead; workers not listed don't respond
 	sequence  ident.SequenceNumber
 	now       ident.MonotonicTime
 	timers    []func()
@@ -29,38 +30,39 @@
 	reply     func(cloud.Request) cloud.Response
 }
 
-func (w *fakePort) Now() ident.MonotonicTime { return w.now }
+func (p *fakePort) Now() ident.MonotonicTime { return p.now }
 
-func (w *fakePort) After(_ time.Duration, f func()) { w.timers = append(w.timers, f) }
+func (p *fakePort) After(_ time.Duration, f func()) { p.timers = append(p.timers, f) }
 
-func (w *fakePort) Cloud(r cloud.Request, f func(cloud.Response)) {
-	w.calls = append(w.calls, r)
-	f(w.reply(r))
+func (p *fakePort) Cloud(r cloud.Request, f func(cloud.Response)) {
+	p.calls = append(p.calls, r)
+	f(p.reply(r))
 }
 
-func (w *fakePort) Store(_ kvstore.Request, f func(kvstore.Response)) {
+func (p *fakePort) Store(_ kvstore.Request, f func(kvstore.Response)) {
 	f(kvstore.Response{Outcome: kvstore.OK, StoreRevision: 5})
 }
 
-// Worker answers for the machines that deadAddrs has as not dead.
-func (w *fakePort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+// Worker responds to a command if deadAddrs contains the worker and it is not dead. Otherwise the command
+// gets no response.
+func (p *fakePort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
-	if gone, ok := w.deadAddrs[addr]; gone || !ok {
+	if dead, ok := p.deadAddrs[addr]; dead || !ok {
 		f(workers.CommandResult{})
 		return
 	}
-	w.sequence++
-	answer := newHeartbeat(ident.MachineID(addr), w.sequence)
+	p.sequence++
+	answer := newHeartbeat(ident.MachineID(addr), p.sequence)
 	answer.Addr, answer.FencingToken = addr, c.Body.FencingToken
 	f(workers.CommandResult{Status: 200, Heartbeat: answer})
 }
 
-// advance lets time pass in steps of half a second, each with a tick.
-func (w *fakePort) advance(d time.Duration, m *Manager) {
-	for end := w.now.Add(d); w.now < end; {
-		w.now = w.now.Add(500 * time.Millisecond)
-		due := w.timers
-		w.timers = nil
+// advance advances the clock in steps of half a second, and runs all timers and a tick in each step.
+func (p *fakePort) advance(d time.Duration, m *Manager) {
+	for end := p.now.Add(d); p.now < end; {
+		p.now = p.now.Add(500 * time.Millisecond)
+		due := p.timers
+		p.timers = nil
 		for _, f := range due {
 			f()
 		}
@@ -68,7 +70,7 @@
 	}
 }
 
-// harness is a manager with its tables on a fakePort.
+// harness is a manager and its machine and job tables, which run on a fakePort.
 type harness struct {
 	*fakePort
 	manager          *Manager
@@ -79,12 +81,12 @@
 	zonePeersSilent  bool
 }
 
-// testMachineType is the machine type of the tests, in some zones.
+// testMachineType returns the machine type of the tests, which is offered in the given zones.
 func testMachineType(zones ...string) cloud.MachineType {
 	return cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotPrice: 0.4, StartupS: 10, Zones: zones}
 }
 
-// newHarness makes a manager without machines and jobs.
+// newHarness returns a manager without machines or jobs.
 func newHarness() *harness {
 	r := &harness{fakePort: &fakePort{now: ident.MonotonicTime(time.Hour)}, reachableViaPeer: true}
 	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.OK} }
@@ -97,7 +99,7 @@
 	workersConfig.Persist = func(w *workers.Worker) { w.Persisted = w.State != workers.Terminated }
 	r.table = workers.NewTable(r, r.jobs, workersConfig)
 	tuning := settings.DefaultTuning()
-	tuning.ScaleInDelay = time.Hour // these tests are about other reasons to terminate
+	tuning.ScaleInDelay = time.Hour // the tests terminate machines for other reasons
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
 	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{
 		Term:               3,
@@ -116,27 +118,27 @@
 	return r
 }
 
-// trackTasks counts tasks on their machines as they come and go.
+// trackTasks keeps the machine table's allocations up to date as tasks are placed and end.
 func (r *harness) trackTasks() {
 	r.jobs.OnStateChange = workerstest.TrackAllocation(r.table)
 }
 
-// machineID names one of the machines that addMachines adds.
+// machineID returns the ID of the n-th machine that addMachines adds.
 func machineID(n int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%06d", n)) }
 
-// newHeartbeat is one of a machine in its first incarnation, without a fencing token.
+// newHeartbeat returns a heartbeat of a machine in its first incarnation, without a fencing token.
 func newHeartbeat(id ident.MachineID, sequence ident.SequenceNumber) *api.Heartbeat {
 	return &api.Heartbeat{MachineID: id, Addr: "a", Model: "m8", Zone: "east", Incarnation: 1, SequenceNumber: sequence}
 }
 
-// newTokenHeartbeat is one of a machine that has received the first token of the term.
+// newTokenHeartbeat returns a heartbeat of a machine that has received the first fencing token of the term.
 func newTokenHeartbeat(id ident.MachineID, sequence ident.SequenceNumber) *api.Heartbeat {
 	h := newHeartbeat(id, sequence)
 	h.FencingToken = ident.MakeFencingToken(3, 0)
 	return h
 }
 
-// addMachines adds machines that have reported.
+// addMachines adds n machines, each of which has sent one heartbeat.
 func (r *harness) addMachines(n int) {
 	for i := range n {
 		w := r.table.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
@@ -151,7 +153,7 @@
 	return j
 }
 
-// countCalls counts the requests to the cloud for an operation.
+// countCalls returns the number of requests to the cloud for an operation.
 func (r *harness) countCalls(op cloud.Op) int {
 	n := 0
 	for _, c := range r.calls {
@@ -162,7 +164,8 @@
 	return n
 }
 
-// newReplicaHarness makes a manager of machines with a replica on each, some of which are dead.
+// newReplicaHarness returns a manager with a number of machines that run one replica each. dead selects the
+// machines that don't respond to commands.
 func newReplicaHarness(machines int, dead func(i int) bool) *harness {
 	r := newHarness()
 	r.manager.health.heartbeatOverdue, r.manager.health.fenceTimeout = 10*time.Second, 18*time.Second
@@ -179,7 +182,8 @@
 	return r
 }
 
-// assertOnlyDeadFenced checks that all dead machines are terminated, and no other.
+// assertOnlyDeadFenced checks that exactly the dead machines were terminated, and that there are as many
+// as expected.
 func (r *harness) assertOnlyDeadFenced(t *testing.T, dead int) {
 	t.Helper()
 	fenced := 0
@@ -187,11 +191,11 @@
 		if w.State == workers.Terminated {
 			fenced++
 			if !r.deadAddrs[w.Addr] {
-				t.Errorf("%s responds, and was fenced", w.ID)
+				t.Errorf("machine %s responds to commands but was fenced", w.ID)
 			}
 		}
 	}
 	if fenced != dead {
-		t.Errorf("%d of %d machines are fenced", fenced, dead)
+		t.Errorf("%d machines were fenced, want %d", fenced, dead)
 	}
 }
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// arrivalMargin is the headroom as a multiple of the arrivals expected during a boot.
+	// arrivalMargin multiplies the CPUs of the jobs expected to arrive while a machine boots.
 	arrivalMargin = 1.3
-	// maxHeadroomBins bounds the machines that a run opens for headroom of each kind.
+	// maxHeadroomBins bounds the machines that a run adds for on-demand headroom in each zone, and for
+	// batch headroom.
 	maxHeadroomBins = 8
 )
 
-// headroom is the capacity to be kept free, in CPUs.
+// headroom is the free capacity that the fleet should have, in CPUs.
 type headroom struct {
-	services map[string]float64 // by zone, for services and gangs; batch jobs must leave it free
-	onDemand map[string]float64 // by zone, on on-demand machines; batch jobs may use it meanwhile
+	services map[string]float64 // by zone, for services and gangs; not available to batch jobs
+	onDemand map[string]float64 // by zone, on on-demand machines; batch jobs may use it until services need it
 	batch    float64            // on all machines, for batch jobs
 }
 
@@ -32,8 +33,9 @@
 	return roundAmount(sum)
 }
 
-// targetHeadroom returns the capacity to be kept free: for the jobs expected while a machine boots,
-// and for the replicas of a rack that fails, which can't wait for a boot.
+// targetHeadroom returns the headroom that the fleet should have: for the jobs that are expected to arrive
+// while a machine boots, and for the replicas of a rack that fails, which must restart without waiting
+// for a machine to boot.
 func (r *scalingRun) targetHeadroom() *headroom {
 	h := &headroom{services: map[string]float64{}, onDemand: map[string]float64{}}
 	for i := range r.catalog {
@@ -51,7 +53,7 @@
 	return h
 }
 
-// addExpectedArrivals adds the capacity for the jobs expected while a machine boots.
+// addExpectedArrivals sets the headroom for the jobs that are expected to arrive while a machine boots.
 func (r *scalingRun) addExpectedArrivals(h *headroom) {
 	factor := r.cfg.Tuning.Headroom
 	if len(r.arrivals.services.times) > 0 {
@@ -67,8 +69,8 @@
 	}
 }
 
-// floorToMachines rounds CPUs down to whole machines of the largest type of a zone, so that a small
-// fleet keeps no further machine for a fraction of one.
+// floorToMachines rounds CPUs down to a multiple of the largest machine type of a zone, so that a small
+// fleet does not keep a whole spare machine when a fraction of one is required.
 func floorToMachines(catalog []cloud.MachineType, zone string, cpus float64) float64 {
 	largest := 0.0
 	for i := range catalog {
@@ -82,11 +84,11 @@
 	return math.Floor(cpus/largest) * largest
 }
 
-// openOnDemandHeadroom opens on-demand machines until each zone has its headroom.
+// openOnDemandHeadroom adds on-demand machines until each zone has its headroom.
 //
-// CPUs of on-demand machines that batch jobs use count as free: no further batch tasks are placed
-// within the headroom of services, so it is regained as tasks end. If it was replaced by further
-// machines, batch jobs would use those in turn, and the on-demand fleet would grow without services.
+// CPUs of on-demand machines that batch jobs use count as free: no further batch tasks are placed in the
+// headroom for services, so it becomes free again as tasks end. If further machines replaced it, batch
+// jobs would use those as well, and the on-demand fleet would grow without any demand from services.
 func (r *scalingRun) openOnDemandHeadroom(h *headroom) {
 	free := r.capacity.onDemandByZone()
 	for _, zone := range slices.Sorted(maps.Keys(h.onDemand)) {
@@ -100,8 +102,8 @@
 	}
 }
 
-// openBatchHeadroom opens spot machines until batch jobs have their headroom. On-demand machines are
-// never provisioned for batch jobs that are only expected.
+// openBatchHeadroom adds spot machines until there is enough headroom for batch jobs. On-demand machines
+// are never provisioned for batch jobs that have not arrived yet.
 func (r *scalingRun) openBatchHeadroom(h *headroom) {
 	free := roundAmount(r.capacity.totalFree() - h.servicesTotal())
 	for n := 0; n < maxHeadroomBins && free < h.batch; n++ {
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -10,47 +10,51 @@
 )
 
 const (
-	// stallThreshold is the gap between two ticks from which this node counts as stalled.
+	// stallThreshold is the time between two ticks above which this node counts as stalled.
 	stallThreshold = 2 * time.Second
 	// longAgo is the assumed age of an event that has not happened yet.
 	longAgo = time.Hour
 
 	// fenceHeartbeats is the fence timeout in heartbeat intervals, unless Tuning.UnreachableAfter
-	// sets one. By then two heartbeats (each up to a quarter late) and a probe are missing.
+	// sets the timeout. After this time, two heartbeats (each up to a quarter of an interval late)
+	// and the response to a probe are missing.
 	fenceHeartbeats = 2.2
-	// heartbeatLateness is the longest time between two heartbeats, in intervals; transmissionDelay
-	// is the time for their transmission.
+	// heartbeatLateness is the longest time between the sending of two heartbeats, in heartbeat
+	// intervals. transmissionDelay is the time allowed for their transmission.
 	heartbeatLateness = 1.25
 	transmissionDelay = 500 * time.Millisecond
 
-	// maxRoutineProbes bounds the probes of a tick while no machine is late: in a large fleet each
-	// machine would otherwise be probed between any two of its heartbeats.
+	// maxRoutineProbes bounds the probes of a tick while no heartbeat is overdue. Without a bound,
+	// each machine of a large fleet would be probed between any two of its heartbeats.
 	maxRoutineProbes = 10
-	// minUrgentProbes bounds the probes of late machines in a tick, and of all others during mass
-	// probing. In a large fleet the bound is 1/urgentProbeDivisor of the machines, so that the time
-	// for probing a zone doesn't depend on its size.
+	// minUrgentProbes bounds the probes in a tick of machines whose heartbeats are overdue and, during
+	// mass probing, of all others. In a large fleet the bound is 1/urgentProbeDivisor of the machines
+	// instead, so that the time needed to probe a zone does not depend on its size.
 	minUrgentProbes    = 60
 	urgentProbeDivisor = 25
-	// massProbeDuration is how long mass probing lasts, in which all machines with replicas that
-	// have not reported since its start are probed: whole racks fail at once, and the heartbeats of
-	// their machines are spread over many seconds.
+	// massProbeDuration is how long mass probing lasts. It probes all machines with replicas from
+	// which no heartbeat has been received since its start. It detects the failure of a whole rack
+	// earlier than missing heartbeats do, since the heartbeats of the rack's machines are spread over
+	// many seconds.
 	massProbeDuration = 8 * time.Second
-	// massProbeThreshold is the number of unresponsive machines with replicas that starts mass
-	// probing; a single one suffices if it is late as well. A new leader sends commands to machines
-	// before their heartbeats are due, and detects a failed rack earlier by them.
+	// massProbeThreshold is the number of unresponsive machines with replicas that triggers mass
+	// probing. A single one suffices if its heartbeat is overdue as well. A new leader sends commands
+	// to machines before their heartbeats are due, so missing responses to these commands reveal a
+	// failed rack before missing heartbeats do.
 	massProbeThreshold = 3
-	// replicaSilenceLimit is the longest silence after which a machine with replicas is fenced if two
-	// responses are missing.
+	// replicaSilenceLimit is the upper limit on the silence after which a machine with replicas is
+	// fenced if it has not responded twice.
 	replicaSilenceLimit = 3500 * time.Millisecond
 
-	// defaultBootTime is the boot time of machines of an unknown type.
+	// defaultBootTime is the boot time assumed for machines of an unknown type.
 	defaultBootTime = 30 * time.Second
-	// forgetAfter is how long a terminated machine is kept beyond twice the provider's listing lag.
-	forgetAfter = time.Minute
+	// terminatedRetention is how long the table keeps a terminated machine, in addition to twice the
+	// lag of the provider's listing.
+	terminatedRetention = time.Minute
 )
 
-// healthMonitor finds machines that are unreachable, faulty, reclaimed or fail to boot, and
-// has them probed, drained or terminated.
+// healthMonitor detects machines that are unreachable, are faulty, are reclaimed or fail to boot, and
+// probes, drains or terminates them.
 type healthMonitor struct {
 	cfg        *Config
 	port       Port
@@ -60,11 +64,11 @@
 	zones      *zoneMonitor
 
 	fenceTimeout     time.Duration         // silence after which a machine is fenced
-	heartbeatOverdue time.Duration         // silence after which a heartbeat has been missed
-	lastTick         ident.MonotonicTime   // of the previous check
-	lastStall        ident.MonotonicTime   // when this node was last found to have stalled
+	heartbeatOverdue time.Duration         // silence after which a heartbeat counts as overdue
+	lastTick         ident.MonotonicTime   // time of the previous check
+	lastStall        ident.MonotonicTime   // when a stall of this node was last detected
 	massProbeStarted ident.MonotonicTime   // when mass probing last started
-	recentFences     []ident.MonotonicTime // within twice the fence timeout
+	recentFences     []ident.MonotonicTime // times at which machines were fenced, within twice the fence timeout
 }
 
 func newHealthMonitor(cfg *Config, port Port, machines *workers.Table, t *terminator, counters *Counters) *healthMonitor {
@@ -88,20 +92,21 @@
 	}
 }
 
-// healthSweep holds the findings of one check of all machines.
+// healthSweep collects the results of one check of all machines.
 type healthSweep struct {
 	now          ident.MonotonicTime
 	expected     int               // machines that should be reachable
-	unresponsive int               // machines with replicas that do not respond; late ones count massProbeThreshold more
-	urgent       []*workers.Worker // to be probed first
-	routine      []*workers.Worker // to be probed if the bound allows it
-	silent       []*workers.Worker // to be fenced
+	unresponsive int               // unresponsive machines with replicas; an overdue one adds massProbeThreshold
+	urgent       []*workers.Worker // probed first
+	routine      []*workers.Worker // probed if maxRoutineProbes allows it
+	silent       []*workers.Worker // silent for long enough to be fenced
 }
 
-// check checks all machines.
+// check inspects all machines. It sends probes, and fences or terminates machines where necessary.
 func (h *healthMonitor) check() {
 	now := h.port.Now()
-	// After a stall of this node, heartbeats are still unread: no machine counts as late yet.
+	// After a stall of this node, received heartbeats may not have been processed yet, so silence only
+	// counts from the stall.
 	if now.Sub(h.lastTick) > stallThreshold {
 		h.lastStall = now
 	}
@@ -114,7 +119,7 @@
 		h.inspect(w, sweep)
 	}
 	if sweep.unresponsive >= massProbeThreshold && now.Sub(h.massProbeStarted) > massProbeDuration {
-		slog.Info("replica machines unresponsive, probing all", "unresponsive", sweep.unresponsive)
+		slog.Info("machines with replicas are unresponsive; probing all of them", "unresponsive", sweep.unresponsive)
 		h.massProbeStarted = now
 	}
 	probed := h.probeUpTo(sweep.urgent, max(minUrgentProbes, sweep.expected/urgentProbeDivisor))
@@ -122,7 +127,7 @@
 	h.fenceSilent(sweep)
 }
 
-// zoneContacts returns the contact with the machines of each zone that has any.
+// zoneContacts returns the time of the last contact with each zone that has running machines.
 func (h *healthMonitor) zoneContacts() map[string]*zoneContact {
 	zones := map[string]*zoneContact{}
 	for _, w := range h.machines.Sorted() {
@@ -131,16 +136,16 @@
 		}
 		z := zones[w.Zone]
 		if z == nil {
-			z = &zoneContact{lastHeard: h.lastStall}
+			z = &zoneContact{lastContact: h.lastStall}
 			zones[w.Zone] = z
 		}
 		z.expected++
-		z.lastHeard = max(z.lastHeard, w.LastContact())
+		z.lastContact = max(z.lastContact, w.LastContact())
 	}
 	return zones
 }
 
-// probeUpTo probes up to a number of machines, and returns how many.
+// probeUpTo probes up to limit of the listed machines, and returns how many it probed.
 func (h *healthMonitor) probeUpTo(list []*workers.Worker, limit int) int {
 	probed := 0
 	for _, w := range list {
@@ -168,32 +173,34 @@
 		}
 		h.inspectRunning(w, sweep)
 	case workers.Terminating:
-		// The lease expires even if the provider is unavailable.
+		// When the lease has expired the tasks have stopped, even if the provider is unavailable and
+		// can't confirm the termination.
 		if len(w.Tasks) > 0 && h.machines.LeaseExpired(w) {
 			h.machines.ExpireLease(w)
 		}
 	case workers.Terminated:
-		if h.mayForget(w, sweep.now) {
+		if h.mayRemove(w, sweep.now) {
 			h.machines.Remove(w)
 		}
 	}
 }
 
-// bootTimedOut reports whether a machine has failed to boot.
+// bootTimedOut reports whether a machine has not come up within the boot timeout.
 func (h *healthMonitor) bootTimedOut(w *workers.Worker, now ident.MonotonicTime) bool {
 	boot := bootTime(w)
 	limit := time.Duration(h.cfg.Tuning.BootTimeoutFactor * float64(boot))
 	return now.Sub(w.CreatedAt) > limit && now.Sub(w.StateSince) > boot
 }
 
-// mayForget reports whether a terminated machine may be removed: its record is deleted, and the
-// provider no longer lists it.
-func (h *healthMonitor) mayForget(w *workers.Worker, now ident.MonotonicTime) bool {
-	return now.Sub(w.StateSince) > forgetAfter+2*settings.Seconds(h.cfg.Cloud.ListLagS) && !w.Persisted
+// mayRemove reports whether a terminated machine may be removed from the table: its record in the store
+// is deleted, and the provider no longer lists it.
+func (h *healthMonitor) mayRemove(w *workers.Worker, now ident.MonotonicTime) bool {
+	return now.Sub(w.StateSince) > terminatedRetention+2*settings.Seconds(h.cfg.Cloud.ListLagS) && !w.Persisted
 }
 
-// inspectPartitioned quarantines a machine of a partitioned zone, gives up its tasks once its lease
-// has expired, and terminates it after partitionLeases.
+// inspectPartitioned quarantines a machine of a partitioned zone. Once its lease has expired, the tasks
+// are released from it, so that they can restart elsewhere. After a silence of partitionLeases, the
+// machine is terminated.
 func (h *healthMonitor) inspectPartitioned(w *workers.Worker, now ident.MonotonicTime) {
 	quarantine(w, now)
 	if !h.machines.LeaseExpired(w) {
@@ -205,22 +212,23 @@
 	}
 }
 
-// quarantineDuration is longer than the time between two ticks.
+// quarantineDuration is longer than the interval between ticks, so that a quarantine renewed by each
+// tick has no gaps.
 const quarantineDuration = time.Second
 
-// quarantine keeps new work off a machine until the next tick.
+// quarantine prevents new tasks from being placed on a machine until the next tick.
 func quarantine(w *workers.Worker, now ident.MonotonicTime) {
 	w.Quarantine(now.Add(quarantineDuration))
 }
 
-// machineContact is how a running machine communicates with this node.
+// machineContact describes the communication between a running machine and this node.
 type machineContact struct {
-	silence        time.Duration // since the last contact, but not before the last stall or partition
-	limit          time.Duration // silence after which it is fenced if two responses are missing
-	inboundSilence time.Duration // how long its heartbeats have shown that it receives nothing
+	silence        time.Duration // time since the last contact, stall or partition, whichever was last
+	limit          time.Duration // silence after which the machine is fenced if it has not responded twice
+	inboundSilence time.Duration // for how long its heartbeats have shown that it receives no messages
 }
 
-// inspectRunning checks a machine that should be reachable.
+// inspectRunning checks a machine that is expected to be reachable.
 func (h *healthMonitor) inspectRunning(w *workers.Worker, sweep *healthSweep) {
 	sweep.expected++
 	countsFrom := max(h.lastStall, h.zones.recoveredAt[w.Zone])
@@ -229,7 +237,7 @@
 		limit:   h.fenceTimeout,
 	}
 	if w.ServiceVCPUs > 0 {
-		// A missing replica affects users at once: don't wait for missed heartbeats.
+		// The loss of a replica affects users immediately, so don't wait for missed heartbeats.
 		contact.limit = min(h.fenceTimeout/2, replicaSilenceLimit)
 		h.inspectReplicaMachine(w, contact, sweep)
 	}
@@ -248,8 +256,8 @@
 	}
 }
 
-// respondToFault acts on the first fault that applies to a machine: it terminates the machine, queues
-// it for fencing, or drains it.
+// respondToFault handles the first of the faults below that applies to a machine, if any does: it
+// terminates the machine, adds it to the machines to be fenced, or drains it.
 func (h *healthMonitor) respondToFault(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	switch {
 	case w.ReclaimAt > 0 && sweep.now > w.ReclaimAt && contact.silence > h.fenceTimeout/2:
@@ -271,20 +279,20 @@
 		contact.silence > h.fenceTimeout && w.MissedResponses() > 0
 }
 
-// cannotReceive reports whether a machine has received nothing for long enough to be fenced, though
+// cannotReceive reports whether a machine has received no messages for long enough to be fenced, although
 // its heartbeats arrive.
 func (h *healthMonitor) cannotReceive(w *workers.Worker, contact machineContact) bool {
 	return contact.inboundSilence > h.fenceTimeout && w.MissedResponses() > 1
 }
 
-// inspectReplicaMachine queues a machine with replicas for a probe if it is late or mass probing is
-// under way.
+// inspectReplicaMachine schedules a probe of a machine with replicas if its heartbeat is overdue, if mass
+// probing is in progress, or if half of its silence limit has passed.
 func (h *healthMonitor) inspectReplicaMachine(w *workers.Worker, contact machineContact, sweep *healthSweep) {
 	overdue := contact.silence > h.heartbeatOverdue
 	if w.MissedResponses() > 0 {
 		sweep.unresponsive++
 		if overdue {
-			sweep.unresponsive += massProbeThreshold // one late machine suffices
+			sweep.unresponsive += massProbeThreshold // a single overdue machine triggers mass probing
 		}
 	}
 	massProbing := sweep.now.Sub(h.massProbeStarted) < massProbeDuration
@@ -296,7 +304,7 @@
 	}
 }
 
-// bootTime returns how long a machine takes to boot.
+// bootTime returns the boot time of a machine according to its type.
 func bootTime(w *workers.Worker) time.Duration {
 	if w.Type == nil || w.Type.StartupS <= 0 {
 		return defaultBootTime
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// minListInterval is the least time from one listing to the next.
+	// minListInterval is the shortest time between the end of a listing and the start of the next.
 	minListInterval = 5 * time.Second
-	// listTimeout bounds the time for which the provider takes to respond to a listing request.
+	// listTimeout is an upper bound on the provider's response time to a list request.
 	listTimeout = 5 * time.Second
 )
 
-// inventory reconciles the machine table with the machines that the provider lists.
+// inventory periodically reconciles the machine table with the provider's list of machines.
 type inventory struct {
 	cfg        *Config
 	requester  *requester
@@ -41,7 +41,7 @@
 	}
 }
 
-// refresh begins a listing when one is due.
+// refresh starts a listing if the last one is old enough and none is in progress.
 func (inv *inventory) refresh() {
 	interval := max(minListInterval, settings.Seconds(inv.cfg.Cloud.ListLagS))
 	if inv.inProgress || inv.requester.port.Now().Sub(inv.lastListed) < interval || !inv.requester.acquire() {
@@ -51,14 +51,14 @@
 	inv.listPage("")
 }
 
-// listPage requests one page of the listing, and the next ones until the listing is complete.
+// listPage requests the page of the listing after a machine ID, and then all further pages.
 func (inv *inventory) listPage(startAfter ident.MachineID) {
 	inv.requester.call(cloud.Request{Op: cloud.List, StartAfter: startAfter}, func(response cloud.Response) {
 		if response.Outcome != cloud.OK {
 			inv.finish()
 			return
 		}
-		// The request of a page counts against the rate limit as well.
+		// Each page is a request of its own, which counts towards the provider's rate limit.
 		inv.requester.limiter.charge()
 		last := startAfter
 		for _, listed := range response.Machines {
@@ -73,13 +73,13 @@
 	})
 }
 
-// finish ends a listing.
+// finish records the end of a listing.
 func (inv *inventory) finish() {
 	inv.inProgress = false
 	inv.lastListed = inv.requester.port.Now()
 }
 
-// reconcile adopts a listed machine that is not in the table, and terminates one that has failed.
+// reconcile adds a listed machine to the table if it is missing, and terminates it if it has failed.
 func (inv *inventory) reconcile(listed cloud.ListedMachine) {
 	w := inv.machines.Workers[listed.ID]
 	if w == nil {
@@ -88,15 +88,15 @@
 		}
 		w = inv.adopt(listed)
 	}
-	// Nothing runs on a failed machine, but only the confirmation of its termination proves that.
+	// A failed machine should run nothing, but only the confirmation of its termination proves it.
 	if listed.Status == cloud.InstanceFailed {
 		inv.terminator.terminate(w, workers.ReasonFailedToStart)
 	}
 }
 
-// mayBeStale reports whether a listing may be older than this term. It may then show machines that
-// the previous leader has terminated, which would count as requested capacity. A machine that exists
-// is listed again, or its worker sends a heartbeat.
+// mayBeStale reports whether a listing may describe a time before this term. Such a listing may contain
+// machines that the previous leader has terminated, and these would count as booting capacity if they
+// were adopted. Machines that do exist are listed again later, or send a heartbeat.
 func (inv *inventory) mayBeStale() bool {
 	return inv.requester.port.Now().Sub(inv.termStarted) < 2*settings.Seconds(inv.cfg.Cloud.ListLagS)+listTimeout
 }
--- a/internal/fleet/manager.go
+++ b/internal/fleet/manager.go
@@ -1,7 +1,8 @@
-// Package fleet decides which machines the cluster has. The autoscaler provisions machines for the
-// waiting and the expected work, and terminates those that are not needed; the health monitor fences
-// machines that are no longer reachable. All of it belongs to one term of a leader and runs on that
-// leader's event loop.
+// Package fleet manages the machines of the cluster. The autoscaler provisions machines for waiting and
+// expected jobs, and terminates machines that are not needed. The health monitor probes the machines and
+// fences those that are unreachable: it has the provider terminate them, so that their tasks can safely
+// restart elsewhere. A machine is called silent while nothing is received from it. A Manager exists for
+// one term of a leader, and runs on the leader's event loop.
 package fleet
 
 import (
@@ -17,62 +18,64 @@
 	"opaldale/internal/workers"
 )
 
-// Port is the environment of a manager: its clock, timers and the provider's API.
+// Port gives a manager access to its environment: the clock, timers and the cloud provider's API.
 type Port interface {
-	// Now reads the monotonic clock.
+	// Now returns the monotonic time.
 	Now() ident.MonotonicTime
-	// After calls a function on the event loop once a time has passed.
+	// After calls a function on the event loop after a delay.
 	After(time.Duration, func())
-	// Cloud sends a request to the provider and calls back with the response.
+	// Cloud sends a request to the provider, and calls a function with the response.
 	Cloud(cloud.Request, func(cloud.Response))
 }
 
-// Config is what a manager is made from. The functions are called on the leader's event loop.
+// Config configures a manager. Its functions are called on the leader's event loop.
 type Config struct {
 	Term    ident.Term
 	Tuning  settings.Tuning
 	Cloud   settings.CloudLimits
 	Workers settings.WorkerTimes
 
-	// Catalog returns the machine types that the provider offers; none until they are known.
+	// Catalog returns the machine types that the provider offers, or none while they are not known yet.
 	Catalog func() []cloud.MachineType
 
-	// ReachableViaPeer is called when most of the fleet is unreachable. It reports whether workers
-	// could reach the leader through a peer; if not, the fault is more likely the leader's own.
+	// ReachableViaPeer reports whether workers could reach the leader through another controller. It is
+	// called when most of the fleet is silent. If it returns false, the fault is more likely at the
+	// leader.
 	ReachableViaPeer func() bool
-	// DirectContact reports whether machines reach this node, or it reaches them. If none does, the
-	// fault is more likely the leader's own.
+	// DirectContact reports whether this node communicates directly with any machine, in either
+	// direction. If it does not, the fault is more likely at the leader.
 	DirectContact func() bool
-	// ZonePeersSilent reports whether a zone has peers and all of them are unreachable.
+	// ZonePeersSilent reports whether a zone has other controllers and all of these are unreachable.
 	ZonePeersSilent func(zone string) bool
-	// ZoneUnreachable reports whether no controller reaches the machines of a zone, so that they
-	// may all be running behind a network partition. Nil if that is not known of any zone.
+	// ZoneUnreachable reports whether no controller can reach the machines of a zone, in which case
+	// they may still be running behind a network partition. If nil, it is never the case.
 	ZoneUnreachable func(zone string) bool
-	// LocallyUnreachable reports whether a peer reaches the machines of a zone and this node does
-	// not, so that the fault is its own. Nil if that is not known of any zone.
+	// LocallyUnreachable reports whether another controller reaches the machines of a zone and this
+	// node does not, in which case the fault is at this node. If nil, it is never the case.
 	LocallyUnreachable func(zone string) bool
 
-	// Objective returns the shortest time within which jobs of a class should be done; 0 for a
-	// class without an objective.
+	// Objective returns the shortest target for the completion time of jobs of a class, or 0 if the
+	// class has none.
 	Objective func(class string) time.Duration
-	// Movable reports whether a replica would find room, and its image, on another machine.
+	// Movable reports whether another machine has the free capacity for a replica and already holds
+	// its image.
 	Movable func(t *jobs.Task, from *workers.Worker) bool
 	// Drain is called in each tick for each machine with a reclaim notice.
 	Drain func(w *workers.Worker)
-	// SetServiceHeadroom is called in each tick with the CPUs that batch jobs must leave free on the
-	// on-demand machines of a zone.
+	// SetServiceHeadroom is called in each tick and for each zone with the CPUs on on-demand machines
+	// that batch jobs must leave free.
 	SetServiceHeadroom func(zone string, cpus float64)
 }
 
-// Counters count the events of a manager in its term.
+// Counters holds the numbers of events since the start of the term.
 type Counters struct {
-	Provisioned uint64 // machines that the provider has begun to start
+	Provisioned uint64 // machines that the provider has created
 	Terminated  uint64 // machines whose termination the provider has confirmed
-	Fenced      uint64 // machines terminated for being unreachable
-	NoCapacity  uint64 // requests rejected because a pool had no capacity
+	Fenced      uint64 // machines terminated because they were unreachable
+	NoCapacity  uint64 // provisioning requests rejected because the provider had no capacity in the pool
 }
 
-// Manager manages the fleet during one term.
+// Manager scales the fleet and monitors the health of its machines during one term of a leader.
 type Manager struct {
 	Counters
 
@@ -85,7 +88,7 @@
 	autoscaler  *autoscaler
 }
 
-// New returns the manager of a term.
+// New returns a manager for one term.
 func New(port Port, machines *workers.Table, jobTable *jobs.Table, teams *placement.Teams, rng *rand.Rand, cfg Config) *Manager {
 	if cfg.ZoneUnreachable == nil {
 		cfg.ZoneUnreachable = func(string) bool { return false }
@@ -113,33 +116,33 @@
 	return m
 }
 
-// Close ends the manager with its term: it sends no more requests, and ignores responses to
-// those that are in flight.
+// Close stops the manager at the end of its term. From then on it sends no requests, and ignores the
+// responses to requests in flight.
 func (m *Manager) Close() { m.requester.closed = true }
 
 // Tick checks the machines and scales the fleet. The leader calls it at a fixed interval.
 func (m *Manager) Tick() {
 	m.health.check()
 	if m.requester.closed {
-		return // the health check may have ended the term
+		return // the health check may make the leader resign, which closes the manager
 	}
 	m.inventory.refresh()
 	m.autoscaler.run()
 	m.terminator.flush()
 }
 
-// Terminate requests the termination of a machine from the provider, with the next tick. Its tasks
-// stay allocated to it until the provider confirms the termination, or its lease expires.
+// Terminate queues a machine for termination; the next tick sends the request to the provider. Its tasks
+// stay allocated to it until the provider confirms the termination or its lease expires.
 func (m *Manager) Terminate(w *workers.Worker, reason workers.Reason) {
 	m.terminator.terminate(w, reason)
 }
 
-// RecordArrival records the submission of a job, in this term or an earlier one, for the prediction
-// of further arrivals.
+// RecordArrival records the submission of a job, in this term or an earlier one. Recorded arrivals are
+// used to predict further ones.
 func (m *Manager) RecordArrival(spec *api.Spec, at ident.MonotonicTime) {
 	m.autoscaler.arrivals.record(spec, at)
 }
 
-// ResumeFromPriorTerm marks the cluster as running before this term, so that recorded arrivals count
-// towards the arrival rate and not as a backlog.
+// ResumeFromPriorTerm declares that the cluster was already running before this term, so that recorded
+// arrivals count towards the arrival rate and not as a backlog.
 func (m *Manager) ResumeFromPriorTerm() { m.autoscaler.arrivals.resume() }
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -11,8 +11,9 @@
 	"opaldale/internal/workers"
 )
 
-// TestStaleListingIsNotAdopted: a listing may be older than the term, and show a machine that the
-// previous leader has terminated. It is not adopted until it is listed for longer.
+// TestStaleListingIsNotAdopted: a listing may describe a time before the term, and contain a machine that
+// the previous leader has terminated. A machine is only adopted if it is still listed when the listing
+// can no longer be that old.
 func TestStaleListingIsNotAdopted(t *testing.T) {
 	r := newHarness()
 	listed := cloud.ListedMachine{ID: machineID(9), Addr: "b", Model: "m8", Zone: "east", Status: "running", AgeS: 5}
@@ -21,16 +22,17 @@
 	}
 	r.advance(15*time.Second, r.manager)
 	if r.countCalls(cloud.List) == 0 || r.table.Workers[listed.ID] != nil {
-		t.Fatalf("after %d lists: adopted %v", r.countCalls(cloud.List), r.table.Workers)
+		t.Fatalf("after %d list requests (want any) the table holds %v, want no machine",
+			r.countCalls(cloud.List), r.table.Workers)
 	}
 	r.advance(25*time.Second, r.manager)
 	if r.table.Workers[listed.ID] == nil {
-		t.Error("a machine that stays listed is not adopted")
+		t.Errorf("machine %s is still listed but was not adopted", listed.ID)
 	}
 }
 
-// TestLostProvisionRequestIsRetried: a request without an answer is repeated under its identifier,
-// which provisions nothing more; other requests get identifiers of their own.
+// TestLostProvisionRequestIsRetried: a request without a response is retried with the same identifier, so
+// that the provider provisions no further machines. Different requests have different identifiers.
 func TestLostProvisionRequestIsRetried(t *testing.T) {
 	r := newHarness()
 	tries := map[string]int{}
@@ -50,17 +52,18 @@
 		r.advance(4*time.Second, r.manager)
 	}
 	if len(tries) != 2 || r.manager.Provisioned != 2 {
-		t.Errorf("requests by identifier %v, provisioned %d", tries, r.manager.Provisioned)
+		t.Errorf("attempts by request identifier %v, want 2 identifiers; %d machines provisioned, want 2",
+			tries, r.manager.Provisioned)
 	}
 	for id, n := range tries {
 		if n != 3 {
-			t.Errorf("%s was sent %d times", id, n)
+			t.Errorf("request %s was sent %d times, want 3", id, n)
 		}
 	}
 }
 
-// TestMassSilence: if most of the fleet is silent at once, nothing is fenced while no peer is
-// reachable; if one is, machines are fenced after twice the fence timeout.
+// TestMassSilence: if most of the fleet becomes silent at once, no machine is fenced while no peer is
+// reachable. If a peer is reachable, machines are fenced after twice the fence timeout.
 func TestMassSilence(t *testing.T) {
 	for _, reachable := range []bool{false, true} {
 		r := newHarness()
@@ -68,16 +71,16 @@
 		r.addMachines(6)
 		r.advance(9*time.Second, r.manager)
 		if n := r.countCalls(cloud.Terminate); n > 0 {
-			t.Errorf("reachable via a peer %v: fenced after 9 s", reachable)
+			t.Errorf("reachable via a peer %v: %d termination requests after 9 s, want 0", reachable, n)
 		}
 		r.advance(10*time.Second, r.manager)
 		if n := r.countCalls(cloud.Terminate); (n > 0) != reachable {
-			t.Errorf("reachable via a peer %v: %d terminations after 19 s", reachable, n)
+			t.Errorf("reachable via a peer %v: %d termination requests after 19 s, want any: %v", reachable, n, reachable)
 		}
 	}
 }
 
-// TestStall: after a stall of its own, a node gives the machines time to report before it fences them.
+// TestStall: after a stall, a node waits for heartbeats again before it fences machines.
 func TestStall(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
@@ -85,16 +88,16 @@
 	r.now = r.now.Add(30 * time.Second)
 	r.advance(2*time.Second, r.manager)
 	if r.countCalls(cloud.Terminate) > 0 {
-		t.Error("fenced right after a stall")
+		t.Errorf("%d termination requests within 2 s after a stall, want 0", r.countCalls(cloud.Terminate))
 	}
 	r.advance(8*time.Second, r.manager)
 	if r.countCalls(cloud.Terminate) == 0 {
-		t.Error("a silent machine is never fenced after a stall")
+		t.Error("no termination request within 10 s after a stall, want at least 1 for the silent machine")
 	}
 }
 
-// TestTerminationWhileCloudIsDown: a silent machine that can't be terminated holds its
-// tasks until its lease has expired, and no longer.
+// TestTerminationWhileCloudIsDown: if a silent machine can't be terminated because the cloud is unavailable,
+// its tasks stay allocated to it until its lease has expired, and are released then.
 func TestTerminationWhileCloudIsDown(t *testing.T) {
 	r := newHarness()
 	r.reply = func(cloud.Request) cloud.Response { return cloud.Response{Outcome: cloud.Unavailable} }
@@ -106,15 +109,15 @@
 	r.commits.Flush()
 	r.advance(25*time.Second, r.manager)
 	if w.State != workers.Terminating || j.AllocatedTasks != 1 {
-		t.Fatalf("after 25 s: machine %v, %d tasks held", w.State, j.AllocatedTasks)
+		t.Fatalf("after 25 s: machine is %v, want %v; %d tasks allocated, want 1", w.State, workers.Terminating, j.AllocatedTasks)
 	}
 	r.advance(20*time.Second, r.manager)
 	if j.AllocatedTasks != 0 {
-		t.Error("the task is still held after the lease")
+		t.Errorf("%d tasks are still allocated after the lease has expired, want 0", j.AllocatedTasks)
 	}
 }
 
-// TestSilentMachineIsFenced: a single silent machine is fenced after about two heartbeats.
+// TestSilentMachineIsFenced: a single silent machine is fenced after about two heartbeat intervals.
 func TestSilentMachineIsFenced(t *testing.T) {
 	r := newHarness()
 	r.addMachines(6)
@@ -125,15 +128,15 @@
 		r.advance(500*time.Millisecond, r.manager)
 	}
 	if w := r.table.Workers[machineID(5)]; w.State != workers.Terminated {
-		t.Errorf("the silent machine is %v", w.State)
+		t.Errorf("the silent machine is %v, want %v", w.State, workers.Terminated)
 	}
 	if w := r.table.Workers[machineID(0)]; w.State != workers.Up {
-		t.Errorf("a reporting machine is %v", w.State)
+		t.Errorf("a machine that sends heartbeats is %v, want %v", w.State, workers.Up)
 	}
 }
 
-// TestFailedMachineIsNoCapacity: an idle machine on which a job's task failed doesn't keep
-// another from being provisioned for the job.
+// TestFailedMachineIsNoCapacity: an idle machine on which a task of a job failed does not count as capacity,
+// so another machine is provisioned for the job.
 func TestFailedMachineIsNoCapacity(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
@@ -146,17 +149,17 @@
 	j := r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Batch, Tasks: 1, VCPUs: 2, MemoryGB: 2, Image: "img", RuntimeS: 5})
 	r.advance(2*time.Second, r.manager)
 	if n := r.countCalls(cloud.Provision); n != 0 {
-		t.Fatalf("%d provisioning requests while a machine is idle", n)
+		t.Fatalf("%d provisioning requests while a machine is idle, want 0", n)
 	}
 	r.table.Workers[machineID(0)].RecordFailure(j)
 	r.advance(2*time.Second, r.manager)
 	if r.countCalls(cloud.Provision) == 0 {
-		t.Error("nothing is provisioned for a job that fails on the idle machine")
+		t.Error("no provisioning request for a job that failed on the idle machine, want at least 1")
 	}
 }
 
-// TestInboundPartitionIsFenced: a machine whose heartbeats arrive, but which neither responses nor
-// commands reach, is fenced; one that receives the responses is not, though commands get lost.
+// TestInboundPartitionIsFenced: a machine whose heartbeats arrive, but which receives neither the responses
+// to them nor commands, is fenced. Machines that receive the responses are not, although commands get lost.
 func TestInboundPartitionIsFenced(t *testing.T) {
 	r := newHarness()
 	r.addMachines(6)
@@ -178,17 +181,17 @@
 	}
 	for n := range 6 {
 		if w := r.table.Workers[machineID(n)]; (w.State == workers.Up) != (n > 0) {
-			t.Errorf("machine %d is %v", n, w.State)
+			t.Errorf("machine %d is %v, want up: %v", n, w.State, n > 0)
 		}
 	}
 }
 
-// TestRackFailure: machines that fail together are found together, though the heartbeats of
-// most of them are not due yet; the others are only probed.
+// TestRackFailure: when machines fail together, all of them are detected within a short time, although the
+// heartbeats of most of them are not due yet. The other machines are probed, but not fenced.
 func TestRackFailure(t *testing.T) {
 	const dead = 8
 	r := newReplicaHarness(40, func(i int) bool { return i < dead })
-	// Their heartbeats came at different times; that of the first was due just before it failed.
+	// The heartbeats arrived at different times. The first machine's next heartbeat is due before all others.
 	for n := 1; n < 40; n++ {
 		r.now = r.now.Add(200 * time.Millisecond)
 		w := r.table.Sorted()[n]
@@ -201,9 +204,9 @@
 	r.assertOnlyDeadFenced(t, dead)
 }
 
-// TestZonePartition: silent machines of a zone whose peers are silent as well are not fenced, since
-// their tasks may still run; nothing is placed there, and their tasks stay allocated until their
-// leases have expired. If a peer of the zone is reachable, they are fenced.
+// TestZonePartition: if all machines and controllers of a zone are silent, the machines are not fenced,
+// since their tasks may still be running. No tasks are placed there, and tasks stay allocated until the
+// leases of their machines have expired. If a controller of the zone is reachable, the machines are fenced.
 func TestZonePartition(t *testing.T) {
 	for _, peersSilent := range []bool{true, false} {
 		r := newHarness()
@@ -220,7 +223,7 @@
 		r.jobs.Place(&j.Tasks[0], lost.ID, 1, func() {})
 		r.commits.Flush()
 		sequence := ident.SequenceNumber(1)
-		live := func(d time.Duration) {
+		runWithHeartbeats := func(d time.Duration) {
 			for end := r.now.Add(d); r.now < end; {
 				sequence++
 				for n := 5; n < 12; n++ {
@@ -229,30 +232,32 @@
 				r.advance(500*time.Millisecond, r.manager)
 			}
 		}
-		live(25 * time.Second)
+		runWithHeartbeats(25 * time.Second)
 		if !peersSilent {
 			if lost.State != workers.Terminated {
-				t.Error("a silent machine of a zone with a reachable peer is never fenced")
+				t.Errorf("a silent machine of a zone with a reachable peer is %v after 25 s, want %v",
+					lost.State, workers.Terminated)
 			}
 			continue
 		}
 		if n := r.countCalls(cloud.Terminate); n > 0 || j.AllocatedTasks != 1 || lost.Schedulable(r.now) {
-			t.Errorf("partitioned for 25 s: %d terminations, %d tasks held, schedulable %v",
+			t.Errorf("after 25 s: %d termination requests, want 0; %d tasks allocated, want 1; schedulable %v, want false",
 				n, j.AllocatedTasks, lost.Schedulable(r.now))
 		}
-		live(20 * time.Second)
+		runWithHeartbeats(20 * time.Second)
 		if n := r.countCalls(cloud.Terminate); n > 0 || j.AllocatedTasks != 0 {
-			t.Errorf("after the lease: %d terminations, %d tasks held", n, j.AllocatedTasks)
+			t.Errorf("after the lease has expired: %d termination requests, want 0; %d tasks allocated, want 0",
+				n, j.AllocatedTasks)
 		}
-		live(120 * time.Second)
+		runWithHeartbeats(120 * time.Second)
 		if lost.State != workers.Terminated {
-			t.Error("machines of a zone whose partition never ends are never terminated")
+			t.Errorf("a machine of a zone that stays partitioned is %v after 165 s, want %v", lost.State, workers.Terminated)
 		}
 	}
 }
 
-// TestUnresponsiveMachinesAreFenced: of many machines with replicas, the silent ones are found soon after a
-// few of them have not responded, though no heartbeat is due yet, as after an election.
+// TestUnresponsiveMachinesAreFenced: among many machines with replicas, the dead ones are detected soon after
+// a few of them have not responded, although no heartbeat is due yet. This is the case after an election.
 func TestUnresponsiveMachinesAreFenced(t *testing.T) {
 	const machines, dead = 300, 30
 	r := newReplicaHarness(machines, func(i int) bool { return i%(machines/dead) == 0 })
@@ -260,14 +265,14 @@
 	r.assertOnlyDeadFenced(t, dead)
 }
 
-// TestHeadroomIsReleasedWhenArrivalsCease: headroom is kept while jobs arrive, and released within a
-// minute of the last one of any kind.
+// TestHeadroomIsReleasedWhenArrivalsCease: headroom is kept while jobs arrive, and released within a minute
+// after the last job.
 func TestHeadroomIsReleasedWhenArrivalsCease(t *testing.T) {
 	r := newHarness()
 	r.manager.cfg.Tuning.ScaleInDelay = 12 * time.Second
 	r.addMachines(2)
 	r.manager.ResumeFromPriorTerm()
-	// runWithHeartbeats lets time pass while the machines send heartbeats.
+	// runWithHeartbeats advances the clock by 5 s while the machines send heartbeats.
 	runWithHeartbeats := func() {
 		for range 2 {
 			for _, w := range r.table.Sorted() {
@@ -291,23 +296,22 @@
 		runWithHeartbeats()
 	}
 	if n := terminated(); n > 0 {
-		t.Fatalf("%d machines are terminated while jobs arrive", n)
+		t.Fatalf("%d machines were terminated while jobs arrive, want 0", n)
 	}
 	for range 12 {
 		runWithHeartbeats()
 	}
 	if n := terminated(); n != 2 {
-		t.Errorf("%d of 2 idle machines are terminated a minute after the last job", n)
+		t.Errorf("%d idle machines were terminated within a minute after the last job, want 2", n)
 	}
 }
 
-// TestGangScalesOutInOneZone: for a gang that must be in one zone and that none has room for,
-// machines are provisioned in one zone, for all of it; where one zone has no capacity, in the
-// other.
+// TestGangScalesOutInOneZone: if a gang that must run in one zone does not fit into any zone, all machines
+// for it are provisioned in the same zone. If that zone has no capacity, the other zone is used.
 func TestGangScalesOutInOneZone(t *testing.T) {
 	for _, full := range []string{"", "east", "west"} {
 		r := newHarness()
-		r.manager.cfg.Tuning.Headroom = 0 // nothing is provisioned for jobs to come
+		r.manager.cfg.Tuning.Headroom = 0 // provision nothing for jobs that have not arrived yet
 		r.manager.cfg.Catalog = func() []cloud.MachineType { return []cloud.MachineType{testMachineType("east", "west")} }
 		provisioned := map[string]int{}
 		r.reply = func(q cloud.Request) cloud.Response {
@@ -328,13 +332,14 @@
 		r.advance(2*time.Second, r.manager)
 		most := max(provisioned["east"], provisioned["west"])
 		if least := min(provisioned["east"], provisioned["west"]); most < 3 || least > 0 || full != "" && provisioned[full] > 0 {
-			t.Errorf("no capacity in %q: provisioned %v for a gang of three machines", full, provisioned)
+			t.Errorf("no capacity in zone %q: provisioned %v, want at least 3 machines, all in one zone with capacity",
+				full, provisioned)
 		}
 	}
 }
 
-// TestBorrowersDoNotScaleOut: no on-demand machine is provisioned for work of a team without a
-// guarantee, however long it waits, and what it uses of machines counts as free for other teams.
+// TestBorrowersDoNotScaleOut: for jobs of a team without a guaranteed quota, no on-demand machine is
+// provisioned, no matter how long they wait. The resources that they use count as free for other teams.
 func TestBorrowersDoNotScaleOut(t *testing.T) {
 	for _, team := range []string{"guest", "red"} {
 		r := newHarness()
@@ -365,7 +370,7 @@
 			}
 		}
 		if (onDemand > 0) != (team == "red") {
-			t.Errorf("%s: %d on-demand machines requested", team, onDemand)
+			t.Errorf("team %s: %d on-demand machines requested, want any: %v", team, onDemand, team == "red")
 		}
 	}
 }
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -7,21 +7,21 @@
 	"opaldale/internal/placement"
 )
 
-// spotPatience, in boot times, is how long work that may use spot machines waits for one before an
-// on-demand machine is provisioned for it.
-const spotPatience = 2
+// spotWaitBootTimes is how long a job that may use spot machines waits for one before an on-demand machine
+// is provisioned for it, as a multiple of the longest boot time.
+const spotWaitBootTimes = 2
 
-// jobPacking packs the waiting tasks of one job.
+// jobPacking packs the waiting tasks of one job onto machines.
 type jobPacking struct {
 	*scalingRun
 	job         *jobs.Job
-	remaining   int // tasks that are not packed yet
+	remaining   int // number of tasks that are not packed yet
 	constraint  binConstraint
-	tasksByZone map[string]int // tasks allocated or packed
-	maxPerZone  int            // bound on tasksByZone
+	tasksByZone map[string]int // number of tasks allocated or packed in each zone
+	maxPerZone  int            // upper limit on the tasks in a zone
 }
 
-// newJobPacking prepares the packing of a number of a job's waiting tasks.
+// newJobPacking prepares to pack a number of waiting tasks of a job.
 func newJobPacking(run *scalingRun, job *jobs.Job, remaining int) *jobPacking {
 	p := &jobPacking{
 		scalingRun:  run,
@@ -40,7 +40,8 @@
 	return p
 }
 
-// pack packs the tasks onto existing and requested machines, and opens machines for the rest.
+// pack packs the tasks onto existing and requested machines, and schedules new machines for those that
+// do not fit.
 func (p *jobPacking) pack() {
 	p.packExisting()
 	for p.remaining > 0 {
@@ -56,12 +57,12 @@
 	}
 }
 
-// packExisting packs tasks onto the existing and requested machines, tier by tier.
+// packExisting packs tasks onto the existing and requested machines, in the order of their tiers.
 func (p *jobPacking) packExisting() {
 	bins := &p.capacity.bins
 	for tier := range bins {
 		kept := bins[tier][:0]
-		for i := 0; i < len(bins[tier]); i++ { // packBin may append the rest of a bin
+		for i := 0; i < len(bins[tier]); i++ { // packBin may append bins that it splits off
 			b := bins[tier][i]
 			if p.remaining > 0 {
 				p.packBin(b)
@@ -74,7 +75,7 @@
 	}
 }
 
-// packBin packs as many tasks into a bin as are allowed there.
+// packBin packs as many of the remaining tasks into a bin as fit and are allowed there.
 func (p *jobPacking) packBin(b *bin) {
 	spec := p.job.Spec
 	if !b.allows(spec) || p.constraint.zone != "" && p.constraint.zone != b.pool.zone {
@@ -95,13 +96,14 @@
 	p.remaining -= count
 }
 
-// openBin opens one more machine. It returns nil if no pool has one.
+// openBin schedules one more machine for provisioning, and returns its bin. It returns nil if no pool is
+// allowed and available.
 func (p *jobPacking) openBin() *bin {
 	spec := p.job.Spec
 	if spec.Spread {
 		p.constraint.fullZones = p.fullZones()
 	}
-	preferSpot := spec.Spot && p.now.Sub(p.job.SubmittedAt) < spotPatience*p.longestBoot()
+	preferSpot := spec.Spot && p.now.Sub(p.job.SubmittedAt) < spotWaitBootTimes*p.longestBoot()
 	p.constraint.spotOnly = p.spotOnly(preferSpot)
 	b := p.open(spec, p.constraint)
 	if b == nil && p.mayChangeZone() {
@@ -112,7 +114,7 @@
 		return nil
 	}
 	if spec.OneZone {
-		p.constraint.zone = b.pool.zone // the other tasks must be where the first is
+		p.constraint.zone = b.pool.zone // all other tasks must be in the same zone
 	}
 	if preferSpot && !b.pool.spot {
 		p.onDemandBudget -= b.free.VCPUs
@@ -120,19 +122,20 @@
 	return b
 }
 
-// spotOnly reports whether no on-demand machine may be opened. On-demand machines cost several times as
-// much as spot machines, and a spot pool without capacity mostly has some again soon. For borrowers
-// no on-demand machine is provisioned, since they use idle capacity only.
+// spotOnly reports whether only spot machines may be provisioned for the job. On-demand machines cost
+// several times as much, and a spot pool that has run out of capacity usually has some again soon. For
+// borrowers no on-demand machine is ever provisioned, since they only use idle capacity.
 func (p *jobPacking) spotOnly(preferSpot bool) bool {
 	return preferSpot && p.onDemandBudget <= 0 || p.job.Spec.Spot && p.teams.IsBorrower(p.job.Spec.Team)
 }
 
-// mayChangeZone reports whether a one-zone gang may be packed anew in another zone than the one chosen.
+// mayChangeZone reports whether all tasks of a one-zone gang may be packed again, in a zone other than
+// that of the present constraint.
 func (p *jobPacking) mayChangeZone() bool {
 	return p.job.IsGang() && p.job.Spec.OneZone && p.job.AllocatedTasks == 0 && p.constraint.zone != ""
 }
 
-// fullZones lists the zones that have reached maxPerZone.
+// fullZones lists the zones whose number of tasks has reached maxPerZone.
 func (p *jobPacking) fullZones() []string {
 	var full []string
 	for zone, count := range p.tasksByZone {
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// maxProvisionBatch bounds the machines of one request.
+	// maxProvisionBatch bounds the number of machines in one provisioning request.
 	maxProvisionBatch = 50
-	// maxProvisionRetries bounds the retries of a request without a response.
+	// maxProvisionRetries bounds the retries of a request that gets no response.
 	maxProvisionRetries = 20
-	// Requests without a response are retried with a delay that grows between these bounds.
+	// A request that gets no response is retried with exponential backoff between these bounds.
 	minProvisionBackoff = 500 * time.Millisecond
 	maxProvisionBackoff = 4 * time.Second
-	// A pool without capacity is suspended for a time that grows between these bounds.
+	// After the provider has rejected or only partly fulfilled a request, provisioning from its pool is
+	// suspended, with exponential backoff between these bounds.
 	minPoolBackoff = 4 * time.Second
 	maxPoolBackoff = 16 * time.Second
 )
 
-// pool is the kind of machines that one request can provision.
+// pool identifies the machines that one request can provision: those of a model in a zone, either spot
+// or on-demand.
 type pool struct {
 	model, zone string
 	spot        bool
@@ -33,7 +35,7 @@
 // poolOf returns the pool that a machine belongs to.
 func poolOf(w *workers.Worker) pool { return pool{w.Model, w.Zone, w.Spot} }
 
-// eachPool visits the pools of a catalog in a fixed order.
+// eachPool calls visit for each pool of a catalog, in a fixed order.
 func eachPool(catalog []cloud.MachineType, visit func(*cloud.MachineType, pool)) {
 	for i := range catalog {
 		machineType := &catalog[i]
@@ -45,7 +47,7 @@
 	}
 }
 
-// sortedPools returns the keys of a map in a fixed order.
+// sortedPools returns the pools of a map, ordered by model and zone, with on-demand before spot.
 func sortedPools(counts map[pool]int) []pool {
 	pools := make([]pool, 0, len(counts))
 	for p := range counts {
@@ -64,21 +66,21 @@
 	return pools
 }
 
-// poolState is the state of the requests to a pool.
+// poolState is the state of the provisioning requests for a pool.
 type poolState struct {
-	pending          int                 // machines requested, without a response yet
-	unavailableUntil ident.MonotonicTime // no capacity until then
-	backoff          time.Duration
+	pending          int                 // number of machines requested in requests without a response yet
+	unavailableUntil ident.MonotonicTime // provisioning from the pool is suspended until then
+	backoff          time.Duration       // last suspension without jitter; reset when a request succeeds
 }
 
-// provisioner has the provider start machines.
+// provisioner requests new machines from the provider.
 type provisioner struct {
 	term      ident.Term
 	requester *requester
 	machines  *workers.Table
 	counters  *Counters
 
-	requestCount uint64
+	requestCount uint64 // number of requests in this term; part of their identifiers
 	pools        map[pool]*poolState
 }
 
@@ -86,7 +88,7 @@
 	return &provisioner{term: term, requester: r, machines: machines, counters: counters, pools: map[pool]*poolState{}}
 }
 
-// state returns the state of a pool, and adds it if it is new.
+// state returns the state of a pool. It creates the state if the pool is new.
 func (v *provisioner) state(p pool) *poolState {
 	state := v.pools[p]
 	if state == nil {
@@ -96,12 +98,12 @@
 	return state
 }
 
-// available reports whether a pool may have capacity: it is not suspended.
+// available reports whether machines may be requested from a pool, because it is not suspended.
 func (v *provisioner) available(p pool, now ident.MonotonicTime) bool {
 	return v.state(p).unavailableUntil <= now
 }
 
-// pendingIn counts the machines of a zone that were requested, without a response yet.
+// pendingIn returns the number of machines in a zone whose requests have no response yet.
 func (v *provisioner) pendingIn(zone string) int {
 	count := 0
 	for p, state := range v.pools {
@@ -112,7 +114,8 @@
 	return count
 }
 
-// provision requests machines from a pool. It returns false if the rate limit doesn't allow it.
+// provision requests machines from a pool. It returns false, without a request, if the rate limit is
+// reached.
 func (v *provisioner) provision(p pool, count int) bool {
 	if !v.requester.acquire() {
 		return false
@@ -125,7 +128,7 @@
 		pool:        p,
 		request: cloud.Request{
 			Op: cloud.Provision,
-			// The term makes the identifier unique among leaders, and the count within the term.
+			// The term distinguishes the requests of different leaders, and the count those within a term.
 			RequestID: fmt.Sprintf("opaldale-%d-%d", v.term, v.requestCount),
 			Model:     p.model,
 			Zone:      p.zone,
@@ -138,23 +141,24 @@
 	return true
 }
 
-// suspend stops provisioning from a pool for a while.
+// suspend suspends provisioning from a pool. The duration doubles with each suspension, up to
+// maxPoolBackoff, until a request succeeds.
 func (v *provisioner) suspend(state *poolState) {
 	state.backoff = min(max(2*state.backoff, minPoolBackoff), maxPoolBackoff)
 	state.unavailableUntil = v.requester.port.Now().Add(v.requester.jitter(state.backoff))
 }
 
-// provisionRequest is an idempotent request for machines, with its retries.
+// provisionRequest is an idempotent provisioning request, together with the state of its retries.
 type provisionRequest struct {
 	provisioner *provisioner
 	pool        pool
 	request     cloud.Request
-	backoff     time.Duration // until the next retry
-	retries     int
+	backoff     time.Duration // delay before the next retry, without jitter
+	retries     int           // number of retries so far
 }
 
-// send sends the request. The provider responds to a retry with the machines that the first attempt
-// has provisioned.
+// send sends the request. If an earlier attempt has provisioned machines, the provider responds to a
+// retry with these machines and provisions no others.
 func (r *provisionRequest) send() {
 	requestedAt := r.provisioner.requester.port.Now()
 	r.provisioner.requester.call(r.request, func(response cloud.Response) {
@@ -162,11 +166,11 @@
 		case cloud.OK:
 			r.provisioned(response.Provisioned, requestedAt)
 		case cloud.NoCapacity:
-			slog.Info("no capacity in pool", "model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot)
+			slog.Info("provider has no capacity in pool", "model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot)
 			r.provisioner.counters.NoCapacity++
 			r.fail()
 		case cloud.Invalid:
-			slog.Error("provisioning request rejected",
+			slog.Error("provider rejected provisioning request as invalid",
 				"model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot, "err", response.Error)
 			r.fail()
 		default:
@@ -175,7 +179,8 @@
 	})
 }
 
-// provisioned adds the machines of a request to the table.
+// provisioned adds the machines that the request has provisioned to the machine table. If these are
+// fewer than requested, it suspends the pool.
 func (r *provisionRequest) provisioned(ids []ident.MachineID, requestedAt ident.MonotonicTime) {
 	state := r.provisioner.state(r.pool)
 	state.pending -= r.request.Count
@@ -195,17 +200,17 @@
 	}
 }
 
-// fail ends the request and suspends its pool.
+// fail ends the request without any machines, and suspends its pool.
 func (r *provisionRequest) fail() {
 	state := r.provisioner.state(r.pool)
 	state.pending -= r.request.Count
 	r.provisioner.suspend(state)
 }
 
-// retry sends a request without a response again after its backoff, up to maxProvisionRetries.
+// retry sends the request again after its backoff, or ends it when the retries are exhausted.
 func (r *provisionRequest) retry() {
 	if r.retries > maxProvisionRetries {
-		slog.Warn("provisioning request abandoned",
+		slog.Warn("no response to provisioning request, retries exhausted",
 			"model", r.pool.model, "zone", r.pool.zone, "spot", r.pool.spot, "count", r.request.Count)
 		r.fail()
 		return
--- a/internal/fleet/requester.go
+++ b/internal/fleet/requester.go
@@ -8,7 +8,8 @@
 	"opaldale/internal/ident"
 )
 
-// requester sends requests to the provider within its rate limit, for as long as the term lasts.
+// requester sends requests to the provider until the term ends. Its rate limiter keeps the requests
+// within the provider's limit.
 type requester struct {
 	port    Port
 	rng     *rand.Rand
@@ -16,7 +17,7 @@
 	closed  bool // the term has ended
 }
 
-// call sends a request. The response is ignored once the term has ended.
+// call sends a request, and calls handle with the response unless the term has ended by then.
 func (r *requester) call(request cloud.Request, handle func(cloud.Response)) {
 	r.port.Cloud(request, func(response cloud.Response) {
 		if !r.closed {
@@ -25,7 +26,7 @@
 	})
 }
 
-// retryAfter calls a function after about a delay, unless the term has ended by then.
+// retryAfter calls attempt after a delay with jitter, unless the term has ended by then.
 func (r *requester) retryAfter(delay time.Duration, attempt func()) {
 	r.port.After(r.jitter(delay), func() {
 		if !r.closed {
@@ -34,34 +35,34 @@
 	})
 }
 
-// acquire takes a token from the rate limiter. It returns false if there is none.
+// acquire takes a token for one request from the rate limiter. It returns false if none is available.
 func (r *requester) acquire() bool { return r.limiter.acquire(r.port.Now()) }
 
-// jitter returns a random duration from half to one and a half times the one given, so that
-// retries of many requests don't coincide.
+// jitter returns a random duration between 0.5 and 1.5 times d, so that the retries of many requests are
+// spread over time.
 func (r *requester) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.rng.Int64N(int64(d)))
 }
 
-// refillShare is the fraction of the provider's rate limit that is used, since the provider measures
-// it in time windows of its own.
-const refillShare = 0.8
+// refillFraction is the fraction of the provider's rate limit at which tokens are refilled. It is below 1
+// because the provider counts requests in time windows that are not aligned with the refills.
+const refillFraction = 0.8
 
-// rateLimiter is a token bucket that holds the requests of one second.
+// rateLimiter is a token bucket whose capacity is the number of requests allowed per second.
 type rateLimiter struct {
 	perSecond  float64
 	tokens     float64
 	refilledAt ident.MonotonicTime
 }
 
-// newRateLimiter returns a limiter that starts full.
+// newRateLimiter returns a rate limiter with a full bucket.
 func newRateLimiter(perSecond float64, now ident.MonotonicTime) *rateLimiter {
 	return &rateLimiter{perSecond: perSecond, tokens: perSecond, refilledAt: now}
 }
 
-// acquire takes a token. It returns false if there is none.
+// acquire takes a token. It returns false if none is available.
 func (l *rateLimiter) acquire(now ident.MonotonicTime) bool {
-	l.tokens = min(l.perSecond, l.tokens+refillShare*l.perSecond*now.Sub(l.refilledAt).Seconds())
+	l.tokens = min(l.perSecond, l.tokens+refillFraction*l.perSecond*now.Sub(l.refilledAt).Seconds())
 	l.refilledAt = now
 	if l.tokens < 1 {
 		return false
@@ -70,5 +71,6 @@
 	return true
 }
 
-// charge takes a token for a request that was sent without acquire. The balance may become negative.
+// charge takes a token for a request that was sent without acquire. The number of tokens may become
+// negative.
 func (l *rateLimiter) charge() { l.tokens-- }
--- a/internal/fleet/requester_test.go
+++ b/internal/fleet/requester_test.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestRateLimiter: a limiter allows the requests of one second at once, refills below the provider's
-// rate, and subtracts requests that were charged without being acquired.
+// TestRateLimiter: a rate limiter allows a burst of one second's requests, refills at a fraction of the
+// provider's rate limit, and deducts requests that were charged without being acquired.
 func TestRateLimiter(t *testing.T) {
 	const perSecond = 5
 	start := ident.MonotonicTime(time.Hour)
@@ -34,7 +34,7 @@
 				acquired++
 			}
 			if acquired != c.want {
-				t.Errorf("%d requests are allowed, want %d", acquired, c.want)
+				t.Errorf("%d requests were allowed, want %d", acquired, c.want)
 			}
 		})
 	}
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// spotHeadroomFactor multiplies the headroom of batch jobs that must be left before a spot
-	// machine is terminated: idle ones cost little, and the time of a boot is billed as well.
+	// spotHeadroomFactor multiplies the batch headroom that must remain when a spot machine is
+	// terminated. Idle spot machines cost little, and the boot time of a replacement is billed as well.
 	spotHeadroomFactor = 1.7
-	// maxMovesPerTick bounds the replicas for which a tick searches a destination.
+	// maxMovesPerTick bounds the number of replicas for which a tick searches a destination.
 	maxMovesPerTick = 20
-	// minReplicaUptime is how long a replica must have run before it is moved, so that its start
-	// counts for the objectives.
+	// minReplicaUptime is how long a replica must have run before it may be moved, so that its start
+	// counts towards the service-level objectives.
 	minReplicaUptime = 35 * time.Second
 )
 
-// scaleIn empties and terminates machines that neither the waiting work nor the headroom needs.
+// scaleIn drains and terminates machines that are needed neither for waiting jobs nor as headroom.
 //
-// Machines are seldom idle, since tasks start on them all the time and replicas stay. So the one that
-// is easiest to empty is cordoned: nothing more is placed on it, its batch tasks end, and its
-// replicas are moved.
+// Machines rarely become idle on their own, since new tasks start on them all the time and replicas keep
+// running. Therefore the machines that are easiest to drain are cordoned: no further tasks are placed on
+// them, their batch tasks run to completion, and their replicas are moved.
 func (r *scalingRun) scaleIn(h *headroom) {
 	candidates, cordoned := r.scaleInCandidates()
 	budget := r.newScaleInBudget(h, cordoned)
@@ -40,8 +40,8 @@
 	r.cordonExcess(candidates, budget)
 }
 
-// cordonExcess cordons the machines that the budget can spare, once there has been excess capacity
-// for Tuning.ScaleInDelay.
+// cordonExcess cordons the machines that the budget can spare, if there has been excess capacity for at
+// least Tuning.ScaleInDelay.
 func (r *scalingRun) cordonExcess(candidates []*workers.Worker, budget *scaleInBudget) {
 	excess := false
 	for _, w := range candidates {
@@ -65,7 +65,7 @@
 	}
 }
 
-// scaleInCandidates lists the machines that may be cordoned, and those that are cordoned already.
+// scaleInCandidates lists the machines that may be cordoned, and those that already are.
 func (r *scalingRun) scaleInCandidates() (candidates, cordoned []*workers.Worker) {
 	for _, w := range r.machines.Sorted() {
 		if w.State != workers.Up || w.Type == nil || w.ReclaimAt > 0 || w.QuarantinedUntil > r.now || w.Slow {
@@ -80,8 +80,8 @@
 	return candidates, cordoned
 }
 
-// cordonsBefore reports whether a machine is cordoned before another: the more expensive one first,
-// then the one with fewer CPUs used by replicas, then the one with fewer in use.
+// cordonsBefore reports whether machine a is cordoned before machine b. The more expensive one comes
+// first, then the one with fewer CPUs used by replicas, then the one with fewer CPUs used in total.
 func cordonsBefore(a, b *workers.Worker) bool {
 	if x, y := hourlyPrice(a.Type, a.Spot), hourlyPrice(b.Type, b.Spot); x != y {
 		return x > y
@@ -92,17 +92,18 @@
 	return a.VCPUs < b.VCPUs
 }
 
-// scaleInBudget is the capacity that remains free as machines are cordoned, in CPUs, and the headroom
-// that must be left.
+// scaleInBudget holds the capacity that remains free as machines are cordoned, and the headroom that must
+// remain, both in CPUs.
 type scaleInBudget struct {
-	freeTotal       float64            // of all machines
-	freeOnDemand    map[string]float64 // of on-demand machines, by zone
+	freeTotal       float64            // free on all machines
+	freeOnDemand    map[string]float64 // free or used by batch jobs on on-demand machines, by zone
 	headroom        *headroom
-	serviceHeadroom float64 // of all zones
+	serviceHeadroom float64 // headroom for services in all zones
 }
 
-// newScaleInBudget returns the budget of a run. Capacity that the tasks of cordoned machines need
-// elsewhere doesn't count as free, nor does booting capacity, which can't replace a machine yet.
+// newScaleInBudget returns the budget of a run. Capacity that the tasks of cordoned machines will need on
+// other machines does not count as free. Neither does the capacity of booting machines, which can't
+// replace a running machine yet.
 func (r *scalingRun) newScaleInBudget(h *headroom, cordoned []*workers.Worker) *scaleInBudget {
 	b := &scaleInBudget{
 		freeOnDemand:    r.capacity.onDemandByZone(),
@@ -124,7 +125,8 @@
 	return b
 }
 
-// hasExcess reports whether the headroom would be left without the smallest of the candidates.
+// hasExcess reports whether the free capacity would still cover the headroom without the smallest
+// candidate.
 func (b *scaleInBudget) hasExcess(candidates []*workers.Worker) bool {
 	smallest := 0.0
 	for _, w := range candidates {
@@ -135,9 +137,9 @@
 	return b.freeTotal-smallest >= b.serviceHeadroom+b.headroom.batch
 }
 
-// canSpare reports whether the headroom would be left without a machine. All of its CPUs count, not
-// only the free ones: its replicas need room elsewhere, and so do the batch tasks that would have
-// followed those that end.
+// canSpare reports whether the free capacity would still cover the headroom without a machine. All of the
+// machine's CPUs are subtracted, not only the free ones: its replicas need capacity elsewhere, and so
+// do the batch tasks that would have replaced those that end.
 func (b *scaleInBudget) canSpare(w *workers.Worker) bool {
 	batch := b.headroom.batch
 	if w.Spot {
@@ -157,8 +159,8 @@
 	}
 }
 
-// drainCordoned moves the replicas off a cordoned machine once its batch tasks have ended, and
-// terminates it when it is empty.
+// drainCordoned moves the replicas of a cordoned machine to other machines once its batch tasks have
+// ended, and terminates the machine when it has no tasks left.
 func (r *scalingRun) drainCordoned(w *workers.Worker) {
 	if w.State != workers.Up {
 		return
@@ -173,8 +175,8 @@
 			return
 		}
 	}
-	// One replica in each tick, and only if a machine that holds its image has room: its downtime is
-	// then that of a command and a transaction.
+	// Each tick moves at most one replica of a machine, and only if another machine with free capacity
+	// already holds its image. The downtime is then only that of a command and a transaction.
 	for _, t := range tasks {
 		r.movesLeft--
 		if r.movesLeft < 0 {
@@ -188,7 +190,8 @@
 	}
 }
 
-// isSettledReplica reports whether a task is a replica that has run for long enough to be moved.
+// isSettledReplica reports whether a task is a service replica that has run for at least
+// minReplicaUptime, so that it may be moved.
 func (r *scalingRun) isSettledReplica(t *jobs.Task) bool {
 	return t.Job.Spec.Shape == api.Service && t.State == jobs.Assigned &&
 		t.RunningSince != 0 && r.now.Sub(t.RunningSince) >= minReplicaUptime
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxTerminateBatch bounds the machines terminated by one request.
+	// maxTerminateBatch bounds the number of machines in one termination request.
 	maxTerminateBatch = 100
-	// Failed terminations are retried with a delay that grows between these bounds.
+	// A failed termination request is retried with exponential backoff between these bounds.
 	minTerminateBackoff = 300 * time.Millisecond
 	maxTerminateBackoff = 5 * time.Second
 )
@@ -21,7 +21,7 @@
 	requester *requester
 	machines  *workers.Table
 	counters  *Counters
-	pending   []*workers.Worker // to be terminated by the next requests
+	pending   []*workers.Worker // machines for which no request has been sent yet
 }
 
 // terminate marks a machine as terminating and queues it for the next request.
@@ -34,7 +34,7 @@
 	t.pending = append(t.pending, w)
 }
 
-// flush sends the queued terminations in batches, within the rate limit.
+// flush requests the queued terminations in batches, until all are requested or the rate limit is reached.
 func (t *terminator) flush() {
 	for len(t.pending) > 0 && t.requester.acquire() {
 		size := min(len(t.pending), maxTerminateBatch)
@@ -44,7 +44,7 @@
 	}
 }
 
-// send requests the termination of a batch, and retries until the provider confirms it.
+// send requests the termination of a batch of machines, and retries until the provider confirms it.
 func (t *terminator) send(batch []*workers.Worker, backoff time.Duration) {
 	request := cloud.Request{Op: cloud.Terminate}
 	for _, w := range batch {
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// zoneSilenceThreshold is how long all machines of a zone must be silent before the zone counts as
-	// partitioned.
+	// zoneSilenceThreshold is the shortest time for which all machines of a zone must be silent before
+	// the zone counts as partitioned.
 	zoneSilenceThreshold = 2 * time.Second
-	// zoneMissedHeartbeats is the number of heartbeats of the zone that must be missing as well: with
-	// few machines, there are longer gaps between heartbeats.
+	// zoneMissedHeartbeats is the number of heartbeats from the zone that must be missing as well. With
+	// few machines, the time between two heartbeats from a zone may exceed zoneSilenceThreshold.
 	zoneMissedHeartbeats = 4
-	// partitionLeases is the silence, in lease durations, after which machines of a partitioned zone
-	// are terminated.
+	// partitionLeases is the silence after which a machine of a partitioned zone is terminated, as a
+	// multiple of the lease duration.
 	partitionLeases = 5
-	// minZoneMachines is how many machines a zone must have to be judged as a whole.
+	// minZoneMachines is the number of machines from which a zone can be found partitioned or
+	// unreachable. In smaller zones the machines are only checked individually.
 	minZoneMachines = 3
-	// terminateDivisor bounds the machines of an unreachable zone that are terminated within a lease
-	// duration, to 1/terminateDivisor of them.
+	// terminateDivisor limits the terminations in an unreachable zone: within a lease duration, at most
+	// 1/terminateDivisor of its machines, but at least one, may be terminated.
 	terminateDivisor = 50
 )
 
-// zoneContact is the contact with the machines of a zone.
+// zoneContact summarizes the communication with the machines of a zone.
 type zoneContact struct {
-	expected  int // machines that should be reachable
-	lastHeard ident.MonotonicTime
+	expected    int                 // number of machines that should be reachable
+	lastContact ident.MonotonicTime // last contact with any of them, or the last stall of this node if later
 }
 
-// zoneMonitor distinguishes failures of machines from network partitions of their zone.
+// zoneMonitor detects zones that are partitioned or unreachable, so that a network failure of a zone is
+// not mistaken for the failure of all its machines.
 type zoneMonitor struct {
 	cfg *Config
-	// partitioned holds the zones whose machines and peers are all silent.
+	// partitioned holds the zones whose machines and controllers are all silent.
 	partitioned map[string]bool
 	// recoveredAt holds the times at which partitions of zones last ended.
 	recoveredAt map[string]ident.MonotonicTime
-	// unreachable holds the zones whose machines no controller reaches.
+	// unreachable holds the zones whose machines no controller can reach.
 	unreachable map[string]*unreachableZone
 }
 
@@ -50,9 +52,9 @@
 	}
 }
 
-// detectPartitions finds the zones whose machines and peers are all silent. They count as partitioned
-// rather than failed: tasks in them keep running until the leases of their machines expire, and must
-// not be started elsewhere before. Nothing is placed there meanwhile.
+// detectPartitions finds the zones whose machines and controllers are all silent. They count as
+// partitioned, not as failed: their tasks keep running until the leases of the machines expire, and must
+// not be restarted elsewhere before that. Meanwhile, no tasks are placed in these zones.
 func (z *zoneMonitor) detectPartitions(contacts map[string]*zoneContact, now ident.MonotonicTime) {
 	previous := z.partitioned
 	z.partitioned = map[string]bool{}
@@ -63,25 +65,26 @@
 				slog.Info("zone partitioned: all machines and peers are silent", "zone", zone, "machines", contact.expected)
 			}
 		} else if previous[zone] {
-			// Its machines report one after the other, as their pending calls time out.
+			// The machines report one after the other, as their pending calls time out, so their
+			// silence only counts from now.
 			slog.Info("zone partition ended", "zone", zone)
 			z.recoveredAt[zone] = now
 		}
 	}
 }
 
-// isPartitioned reports whether all machines and peers of a zone are silent.
+// isPartitioned reports whether all machines and controllers of a zone have been silent for long enough.
 func (z *zoneMonitor) isPartitioned(zone string, contact *zoneContact, now ident.MonotonicTime) bool {
 	heartbeatGap := z.cfg.Workers.HeartbeatS / float64(contact.expected)
 	threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*heartbeatGap))
-	return contact.expected >= minZoneMachines && now.Sub(contact.lastHeard) > threshold && z.cfg.ZonePeersSilent(zone)
+	return contact.expected >= minZoneMachines && now.Sub(contact.lastContact) > threshold && z.cfg.ZonePeersSilent(zone)
 }
 
-// detectUnreachable finds the zones whose machines no controller reaches. A zone stays unreachable
-// until one of its machines reports, even if all of the original ones are terminated by then.
+// detectUnreachable finds the zones whose machines no controller can reach. A zone stays unreachable until
+// one of its machines sends a heartbeat, even if all of the original machines are terminated by then.
 func (z *zoneMonitor) detectUnreachable(contacts map[string]*zoneContact, overdue time.Duration, now ident.MonotonicTime) {
 	for name, contact := range contacts {
-		silence := now.Sub(contact.lastHeard)
+		silence := now.Sub(contact.lastContact)
 		unreachable := contact.expected >= minZoneMachines && silence > overdue && z.cfg.ZoneUnreachable(name)
 		switch known := z.unreachable[name]; {
 		case unreachable && known == nil:
@@ -94,18 +97,18 @@
 	}
 }
 
-// unreachableZone is a zone whose machines no controller reaches. A failure of the machines can't be
-// distinguished from a network partition. If they were terminated as single unreachable machines are,
-// a partition would cost the whole zone, and the machines provisioned as replacements would be
-// unreachable as well.
+// unreachableZone is a zone whose machines no controller can reach. Whether the machines have failed or
+// are behind a network partition can't be determined. If they were all terminated, as individual
+// unreachable machines are, a partition would destroy the whole zone, and the replacements provisioned
+// there would be unreachable as well.
 type unreachableZone struct {
 	since       ident.MonotonicTime
-	machines    int                 // when it became unreachable
-	terminated  int                 // in the present period
-	periodStart ident.MonotonicTime // a period is as long as a lease
+	machines    int                 // number of machines when the zone became unreachable
+	terminated  int                 // number of machines terminated in the present period
+	periodStart ident.MonotonicTime // start of the present period, which is as long as a lease
 }
 
-// renewBudget begins the next period of terminations when the present one is over.
+// renewBudget starts a new period when the present one is over, and resets the number of terminations.
 func (u *unreachableZone) renewBudget(now ident.MonotonicTime, period time.Duration) {
 	if now.Sub(u.periodStart) >= period {
 		u.periodStart = now
