--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog keeps a leader's list of the machine types that the cloud offers. It is refreshed from the cloud
-// periodically, since prices change, and persisted in the store, so that a new leader has it while the cloud is
-// unreachable.
+// Package catalog holds a leader's list of the machine types that the cloud offers. The list is refreshed from the cloud
+// periodically, since prices change, and persisted in the key-value store, so that a new leader has it even while the
+// cloud is unreachable.
 package catalog
 
 import (
@@ -16,22 +16,22 @@
 )
 
 const (
-	// Key holds all machine types in one value, in the first format.
+	// Key is the key that holds all machine types in one value, in the legacy format.
 	Key = "catalog"
-	// Prefix is the prefix of the keys that hold one machine type each, in the packed format.
+	// Prefix is the prefix of the keys that each hold one machine type, in the packed format.
 	Prefix = "types/"
 
 	refreshInterval = 30 * time.Second
 	retryInterval   = time.Second
 )
 
-// Env provides timers and calls to the cloud.
+// Env provides timers and sends requests to the cloud.
 type Env interface {
 	After(time.Duration, func())
 	Cloud(cloud.Request, func(cloud.Response))
 }
 
-// Reader reads from the store, and retries until it answers.
+// Reader reads from the key-value store, and retries until the store responds.
 type Reader interface {
 	Get(key string, done func(kvstore.Response))
 	ListAll(prefix string, done func([]kvstore.KeyValue))
@@ -39,12 +39,12 @@
 
 // Config configures a Catalog for a term.
 type Config struct {
-	Packed        bool        // the packed format is in force
-	MaxValueBytes int         // the largest value that the store accepts
+	Packed        bool        // whether the packed format is enabled
+	MaxValueBytes int         // the largest value that the key-value store accepts
 	Closed        func() bool // reports whether the term has ended
 }
 
-// Catalog is a leader's list of machine types, for one term.
+// Catalog is a leader's list of machine types during one term. It is not safe for concurrent use.
 type Catalog struct {
 	config    Config
 	env       Env
@@ -53,7 +53,7 @@
 
 	types     []cloud.MachineType
 	bySKU     map[string]*cloud.MachineType
-	singleDoc *commit.Document   // all machine types, in the first format
+	singleDoc *commit.Document   // all machine types, in the legacy format
 	typeDocs  []*commit.Document // one for each machine type, in the packed format
 }
 
@@ -71,15 +71,15 @@
 	return c
 }
 
-// Types lists the machine types.
+// Types returns the machine types that the cloud offers at present.
 func (c *Catalog) Types() []cloud.MachineType { return c.types }
 
-// Type returns a machine type by its SKU, even if it is no longer offered, or nil if it was never known. The pointer stays
-// valid for the term, and its target is updated with the catalog.
+// Type returns the machine type with a SKU, even if it is no longer offered, or nil if it has never been offered. The
+// pointer stays valid for the term, and the machine type that it points to is updated with each refresh.
 func (c *Catalog) Type(sku string) *cloud.MachineType { return c.bySKU[sku] }
 
-// Load reads the machine types from the store, or from the cloud if the store has none, and calls done once they are known.
-// From then on they are refreshed from the cloud until the term ends.
+// Load reads the machine types from the key-value store, or from the cloud if the store has none, and then calls done.
+// From then on the machine types are refreshed from the cloud until the term ends.
 func (c *Catalog) Load(done func()) {
 	if c.config.Packed {
 		c.loadPacked(done)
@@ -121,7 +121,8 @@
 	})
 }
 
-// onLoaded adopts the machine types that the store has, and starts to refresh them from the cloud.
+// onLoaded uses the machine types from the key-value store, if it has any, and starts the refreshes from the cloud. done
+// is called as soon as any machine types are known.
 func (c *Catalog) onLoaded(types []cloud.MachineType, done func()) {
 	if len(types) == 0 {
 		c.refresh(done)
@@ -132,13 +133,13 @@
 	c.refresh(nil)
 }
 
-// UsePackedFormat switches to the packed format when it comes into force.
+// UsePackedFormat switches to the packed format when it is enabled during the term, and writes the machine types again.
 func (c *Catalog) UsePackedFormat() {
 	c.config.Packed = true
 	c.markDirty()
 }
 
-// markDirty makes the committer write the machine types to the store.
+// markDirty schedules the machine types to be written to the key-value store.
 func (c *Catalog) markDirty() {
 	if c.config.Packed {
 		for i := range max(len(c.types), len(c.typeDocs)) {
@@ -151,7 +152,7 @@
 	c.committer.MarkDirty(c.singleDoc, nil)
 }
 
-// renderSingle returns the value in the first format, or nil to delete the key once the packed format is in force.
+// renderSingle returns the value in the legacy format, or nil to delete its key if the packed format is enabled.
 func (c *Catalog) renderSingle() json.RawMessage {
 	if c.config.Packed {
 		return nil
@@ -161,7 +162,7 @@
 
 func typeKey(i int) string { return fmt.Sprintf("%s%05d", Prefix, i) }
 
-// typeDoc returns the document of the i-th machine type.
+// typeDoc returns the document that stores the i-th machine type. It creates missing documents.
 func (c *Catalog) typeDoc(i int) *commit.Document {
 	for index := len(c.typeDocs); index <= i; index++ {
 		d := &commit.Document{Key: typeKey(index)}
@@ -171,8 +172,8 @@
 	return c.typeDocs[i]
 }
 
-// renderType returns the value of a machine type, or nil to delete its key if there is none or it is too large to be stored.
-// A new leader then reads it from the cloud.
+// renderType returns the value of the i-th machine type, or nil to delete its key if there is no such type or it is too
+// large to be stored. A new leader reads a type that is not stored from the cloud.
 func (c *Catalog) renderType(i int) json.RawMessage {
 	if i >= len(c.types) {
 		return nil
@@ -185,21 +186,21 @@
 	return b
 }
 
-// setTypes replaces the list. Types that are no longer offered stay known by their SKU.
+// setTypes replaces the list of machine types. Type still returns types that are no longer offered.
 func (c *Catalog) setTypes(types []cloud.MachineType) {
 	c.types = types
 	for i := range types {
 		current := types[i]
 		if known := c.bySKU[current.SKU]; known != nil {
-			*known = current // callers of Type keep the pointer
+			*known = current // callers of Type hold the pointer
 		} else {
 			c.bySKU[current.SKU] = &current
 		}
 	}
 }
 
-// refresh reads the cloud's catalog now and at intervals from then on. onFirst, if not nil, is called after the first read
-// that succeeds.
+// refresh reads the machine types from the cloud, now and then periodically. onFirst, if not nil, is called after the
+// first successful read.
 func (c *Catalog) refresh(onFirst func()) {
 	c.env.Cloud(cloud.Request{Op: cloud.Catalog}, func(r cloud.Response) {
 		if c.config.Closed() {
@@ -213,7 +214,7 @@
 				onFirst = nil
 			}
 		} else {
-			slog.Info("cloud catalog unavailable", "err", r.Error)
+			slog.Info("reading machine types from cloud failed, will retry", "err", r.Error)
 			wait = retryInterval
 		}
 		c.env.After(wait, func() {
@@ -224,8 +225,8 @@
 	})
 }
 
-// update adopts the types that the cloud offers. A change of prices alone is not written, since prices change often, and a
-// new leader reads them from the cloud.
+// update replaces the machine types by those that the cloud offers. If only spot prices differ, the types are not written
+// to the key-value store, since prices change often and a new leader reads them from the cloud.
 func (c *Catalog) update(types []cloud.MachineType) {
 	changed := !sameExceptPrices(types, c.types)
 	c.setTypes(types)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/cloud"
 )
 
-// TestSameExceptPrices: a change of spot prices alone is no change of the catalog.
+// TestSameExceptPrices: two catalogs are the same if they differ only in spot prices.
 func TestSameExceptPrices(t *testing.T) {
 	machineType := func(change func(*cloud.MachineType)) []cloud.MachineType {
 		m := cloud.MachineType{SKU: "m8", VCPUs: 8, Zones: []string{"a"}, SpotPrice: 0.3}
@@ -28,7 +28,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			if got := sameExceptPrices(x.list, known); got != x.want {
-				t.Errorf("%v, want %v", got, x.want)
+				t.Errorf("sameExceptPrices returned %v, want %v", got, x.want)
 			}
 		})
 	}
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -1,6 +1,6 @@
 package machinestore
 
-// This file defines the stored form of a group of machines, and encodes it.
+// This file defines the stored record of a group of machines, and encodes and decodes it.
 
 import (
 	"fmt"
@@ -11,30 +11,31 @@
 	"opaldale/internal/ident"
 )
 
-// GroupRecord is the stored value of a group of machines, all of the same type and zone, and all spot or all on-demand.
+// GroupRecord is the value stored for a group of machines. All machines of a group have the same type and zone, and are
+// either all spot or all on-demand.
 type GroupRecord struct {
 	Model    string          `json:"model"`
 	Zone     string          `json:"site"`
 	Spot     bool            `json:"standby,omitempty"`
-	Machines []MachineRecord `json:"hosts,omitempty"` // of the first format
-	Packed   string          `json:"text,omitempty"`  // of the packed format: ID, address and age of each machine
-	BaseMS   int64           `json:"base,omitempty"`  // from which ages in Packed are counted, in seconds
+	Machines []MachineRecord `json:"hosts,omitempty"` // in the legacy format
+	Packed   string          `json:"text,omitempty"`  // in the packed format: ID, address and age of each machine
+	BaseMS   int64           `json:"base,omitempty"`  // earliest creation time; Packed has seconds after it
 }
 
 // MachineRecord is one machine of a GroupRecord.
 type MachineRecord struct {
 	ID        ident.MachineID `json:"h"`
 	Addr      string          `json:"a,omitempty"`
-	CreatedMS int64           `json:"b"` // by the wall clock, in milliseconds since the epoch
+	CreatedMS int64           `json:"b"` // creation time by the wall clock, in milliseconds since the Unix epoch
 }
 
 const (
-	// packedFields is the number of fields of a machine in the packed format.
+	// packedFields is the number of comma-separated fields per machine in the packed format.
 	packedFields = 3
 	msPerSecond  = 1000
 )
 
-// Encode sets the machines of the record, in the packed format. Creation times are kept to the second.
+// Encode stores machines in the record in the packed format, with creation times in whole seconds after BaseMS.
 func (r *GroupRecord) Encode(machines []MachineRecord) {
 	for i, m := range machines {
 		if i == 0 || m.CreatedMS < r.BaseMS {
@@ -52,7 +53,7 @@
 	r.Packed = b.String()
 }
 
-// Decode returns the machines of a record in either format, or an error if any of them is malformed.
+// Decode returns the machines of a record in either format. It returns an error if any of them is malformed.
 func (r *GroupRecord) Decode() ([]MachineRecord, error) {
 	records := r.Machines
 	for _, field := range strings.Fields(r.Packed) {
@@ -69,7 +70,7 @@
 func (r *GroupRecord) decodeMachine(field string) (MachineRecord, error) {
 	parts := strings.Split(field, ",")
 	if len(parts) != packedFields {
-		return MachineRecord{}, fmt.Errorf("malformed machine %q", field)
+		return MachineRecord{}, fmt.Errorf("malformed machine %q: got %d fields, want %d", field, len(parts), packedFields)
 	}
 	id, err := url.PathUnescape(parts[0])
 	if err != nil {
--- a/internal/machinestore/group_test.go
+++ b/internal/machinestore/group_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGroupRecordRoundTrip: the packed format keeps IDs and addresses with any characters, and creation times to the
-// second.
+// TestGroupRecordRoundTrip: a record in the packed format preserves IDs and addresses with any characters, and creation
+// times to the second.
 func TestGroupRecordRoundTrip(t *testing.T) {
 	machines := []MachineRecord{
 		{ID: "host-1", Addr: "10.1.0.1:9000", CreatedMS: 1_700_000_005_000},
@@ -17,11 +17,11 @@
 	r.Encode(machines)
 	got, err := r.Decode()
 	if err != nil || !slices.Equal(got, machines) {
-		t.Errorf("%v, %v, want %v", got, err, machines)
+		t.Errorf("decoded %v, error %v; want %v", got, err, machines)
 	}
 }
 
-// TestMalformedGroupRecords: a record that can't be decoded is an error, not a shorter list.
+// TestMalformedGroupRecords: decoding a record with a malformed machine returns an error, not the other machines.
 func TestMalformedGroupRecords(t *testing.T) {
 	for _, x := range []struct{ name, packed string }{
 		{"a field missing", "host-1,10.1.0.1:9000"},
@@ -34,7 +34,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			r := GroupRecord{Packed: x.packed}
 			if got, err := r.Decode(); err == nil {
-				t.Errorf("%v", got)
+				t.Errorf("decoded %q as %v, want an error", x.packed, got)
 			}
 		})
 	}
--- a/internal/machinestore/machinestore.go
+++ b/internal/machinestore/machinestore.go
@@ -1,5 +1,6 @@
-// Package machinestore persists a leader's machines in the key-value store. A key holds a group of machines of the same
-// type: with a key for each machine, a large fleet would take too many writes.
+// Package machinestore persists a leader's machines in the key-value store. Each key holds a group of machines of the
+// same type, because one key per machine would need too many writes in a large fleet. Groups are written in the packed
+// format once it is enabled in the cluster, and in the legacy format before that.
 package machinestore
 
 import (
@@ -19,14 +20,16 @@
 const (
 	// Prefix is the prefix of the keys of all groups.
 	Prefix = "fleet/"
-	// MaxGroupMachines bounds the machines in one group. One request to the cloud provisions as many at most.
+	// MaxGroupMachines bounds the number of machines in a group. It is also the largest number that one request to the
+	// cloud provisions.
 	MaxGroupMachines = 50
 
-	// groupOverheadBytes bounds the size of a group record without its machines, model and zone. plainMachineBytes and
-	// packedMachineBytes bound the size of a machine without its ID and address, in the first and the packed format.
-	// minAddressBytes is reserved for an address that is shorter or not yet known.
+	// groupOverheadBytes is an upper bound on the size of a group record without its machines, model and zone.
+	// legacyMachineBytes and packedMachineBytes are upper bounds on the size of a machine without its ID and address, in
+	// the legacy and the packed format. minAddressBytes is the size reserved for an address that is not known yet or
+	// shorter.
 	groupOverheadBytes = 100
-	plainMachineBytes  = 40
+	legacyMachineBytes = 40
 	packedMachineBytes = 14
 	minAddressBytes    = 21
 )
@@ -34,26 +37,27 @@
 // Config configures a Store for a term.
 type Config struct {
 	Term          ident.Term
-	Packed        bool // the packed format is in force
-	MaxValueBytes int  // the largest value that the key-value store accepts, now and under announced limits
+	Packed        bool // whether the packed format is enabled
+	MaxValueBytes int  // the largest value that the key-value store accepts, both now and under announced limits
 	Now           func() ident.MonotonicTime
 	WallMS        func() int64
-	// OnPersisted is called when the record of a new machine is durable, before which no tasks may be placed on it.
+	// OnPersisted is called when the record of a new machine has become durable. No tasks may be placed on a machine
+	// before that.
 	OnPersisted func()
 }
 
-// Store persists machines, for one term. It is not safe for concurrent use.
+// Store persists the machines during one term of a leader. It is not safe for concurrent use.
 type Store struct {
 	config    Config
 	committer *commit.Committer
 	workers   *workers.Table
 
-	openGroups      map[groupKey]*workers.RecordGroup // groups that new machines are added to
-	legacyGroups    []*workers.RecordGroup            // restored from the first format while the packed one is in force
+	openGroups      map[groupKey]*workers.RecordGroup // groups to which new machines are added
+	legacyGroups    []*workers.RecordGroup            // restored from the legacy format while the packed format is enabled
 	lastGroupNumber int
 }
 
-// groupKey identifies the properties that all machines of a group share.
+// groupKey holds the properties that all machines of a group share.
 type groupKey struct {
 	model, zone string
 	spot        bool
@@ -69,8 +73,8 @@
 	}
 }
 
-// Commit persists a new or changed machine. The record of a new machine is written with the next transaction, since a
-// successor must know the machine before any task runs on it; changes may be delayed.
+// Commit persists a new or changed machine. The record of a new machine is written with the next transaction, since the
+// next leader must know the machine before any task runs on it. Other changes are written lazily.
 func (s *Store) Commit(machine *workers.Worker) {
 	isNew := machine.Group == nil
 	if isNew {
@@ -94,7 +98,8 @@
 	}
 }
 
-// addToGroup adds a new machine to the open group for its properties, or to a new group if that one is full.
+// addToGroup adds a new machine to the open group for its properties. It opens a new group if there is none or the
+// machine does not fit.
 func (s *Store) addToGroup(machine *workers.Worker) {
 	key := groupKey{machine.Model, machine.Zone, machine.Spot}
 	group := s.openGroups[key]
@@ -106,10 +111,11 @@
 	group.Members = append(group.Members, machine)
 }
 
-// fits reports whether a group stays within the limits on its size with more machines added to it.
+// fits reports whether a group, with more machines added to it, stays within the limits on its size and on the number of
+// its machines.
 func (s *Store) fits(group *workers.RecordGroup, key groupKey, more ...*workers.Worker) bool {
 	size := groupOverheadBytes + len(key.model) + len(key.zone)
-	perMachine := plainMachineBytes
+	perMachine := legacyMachineBytes
 	if s.config.Packed {
 		perMachine = packedMachineBytes
 	}
@@ -121,20 +127,21 @@
 	return size <= s.config.MaxValueBytes && len(group.Members)+len(more) <= MaxGroupMachines
 }
 
-// nextGroup returns a new group under a key that no term has used before.
+// nextGroup returns a new, empty group under a key that has never been used, in this term or an earlier one.
 func (s *Store) nextGroup(key groupKey) *workers.RecordGroup {
 	s.lastGroupNumber++
 	return s.newGroup(fmt.Sprintf("%s%d-%d", Prefix, s.config.Term, s.lastGroupNumber), key)
 }
 
-// newGroup returns an empty group under a key of the store.
+// newGroup returns an empty group that is stored under a key.
 func (s *Store) newGroup(path string, key groupKey) *workers.RecordGroup {
 	group := &workers.RecordGroup{Doc: &commit.Document{Key: path}}
 	group.Doc.Render = func() json.RawMessage { return s.render(group, key) }
 	return group
 }
 
-// render returns the stored value of a group, or nil to delete the key of an empty group, which is not used again.
+// render returns the value to be stored for a group, or nil to delete the key of an empty group. A deleted group is not
+// used again.
 func (s *Store) render(group *workers.RecordGroup, key groupKey) json.RawMessage {
 	members := slices.Concat(group.Members, group.Leaving)
 	if len(members) == 0 {
@@ -153,8 +160,8 @@
 	}
 	record.Encode(machines)
 	value := api.JSON(record)
-	// Escaped addresses may be longer than what fits has assumed. Then they are left out until heartbeats bring them
-	// back: first those of leaving machines, which are also stored with their new group, then all.
+	// Escaped addresses may be longer than fits has assumed. If the value is too large, addresses are left out, and are
+	// learned again from heartbeats: first those of leaving machines, which their new group also stores, then all.
 	for _, from := range []int{len(group.Members), 0} {
 		if len(value) > s.config.MaxValueBytes {
 			for i := range machines[from:] {
@@ -167,22 +174,22 @@
 	return value
 }
 
-// Restore loads a group that an earlier term stored. It returns an error if the record is unreadable.
+// Restore loads a group that was stored in an earlier term. It returns an error if the record can't be decoded.
 func (s *Store) Restore(pair kvstore.KeyValue) error {
 	var record GroupRecord
 	if err := json.Unmarshal(pair.Value, &record); err != nil {
-		return fmt.Errorf("%s: %w", pair.Key, err)
+		return fmt.Errorf("machine group %s: %w", pair.Key, err)
 	}
 	machines, err := record.Decode()
 	if err != nil {
-		return fmt.Errorf("%s: %w", pair.Key, err)
+		return fmt.Errorf("machine group %s: %w", pair.Key, err)
 	}
 	group := s.newGroup(pair.Key, groupKey{record.Model, record.Zone, record.Spot})
 	group.Doc.Revision = pair.Revision
 	now := s.config.Now()
 	for _, m := range machines {
 		if w := s.workers.Workers[m.ID]; w != nil {
-			// The earlier term ended while it moved the machine to another group, which has been restored.
+			// The earlier term ended while the machine was moved to another group, which has already been restored.
 			s.workers.RestoreAddress(w, m.Addr)
 			s.committer.MarkDirtyLazily(group.Doc, nil)
 			continue
@@ -201,8 +208,8 @@
 	return nil
 }
 
-// RewriteLegacy rewrites the groups in the first format in the packed one, if that is in force. To be removed with the
-// first format.
+// RewriteLegacy rewrites restored groups from the legacy format to the packed format, if the latter is enabled. It is to
+// be removed together with the legacy format.
 func (s *Store) RewriteLegacy() {
 	for _, g := range s.legacyGroups {
 		s.rewrite(g)
@@ -210,8 +217,8 @@
 	s.legacyGroups = nil
 }
 
-// UsePackedFormat switches to the packed format when it comes into force. All groups are rewritten, and those that were
-// written under larger limits are split.
+// UsePackedFormat switches to the packed format when it is enabled during the term. It rewrites all groups, and splits
+// those that were written under larger size limits.
 func (s *Store) UsePackedFormat() {
 	s.config.Packed = true
 	seen := map[*workers.RecordGroup]bool{}
@@ -225,7 +232,7 @@
 	}
 }
 
-// rewrite writes a group again, split if it is too large.
+// rewrite writes a group again, and splits it if it is too large.
 func (s *Store) rewrite(group *workers.RecordGroup) {
 	if len(group.Members) == 0 {
 		return
@@ -239,8 +246,9 @@
 	}
 }
 
-// split moves machines of a group to new groups until it fits. They stay in the record of the old group as well until that
-// of the new one is durable, so that a successor finds each machine in at least one of them.
+// split moves machines from a group to new groups until the group fits its limits. A moved machine also stays in the
+// record of the old group until the record of the new group is durable, so that the next leader always finds it in at
+// least one of them.
 func (s *Store) split(group *workers.RecordGroup, key groupKey) {
 	slog.Info("splitting machine group record", "path", group.Doc.Key, "machines", len(group.Members))
 	for !s.fits(group, key) && len(group.Members) > 1 {
@@ -258,7 +266,8 @@
 	}
 }
 
-// moveMembers moves machines from the end of one group to another, until the former fits its limits or the latter is full.
+// moveMembers moves machines from the end of one group to another, until the source fits its limits or the target is
+// full.
 func (s *Store) moveMembers(from, to *workers.RecordGroup, key groupKey) {
 	for len(from.Members) > 1 {
 		machine := from.Members[len(from.Members)-1]
