--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -98,9 +98,9 @@
 }
 
 // unreachableZone is a zone whose machines no controller can reach. Whether the machines have failed or
-// are behind a network partition can't be determined. If they were all terminated, as individual
-// unreachable machines are, a partition would destroy the whole zone, and the replacements provisioned
-// there would be unreachable as well.
+// are behind a network partition can't be determined. Individual unreachable machines are terminated,
+// but terminating all machines here would destroy the whole zone in case of a partition, and the
+// replacements provisioned there would be unreachable as well.
 type unreachableZone struct {
 	since       ident.MonotonicTime
 	machines    int                 // number of machines when the zone became unreachable
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// listPageSize is the number of keys asked for in a page of a list.
+	// listPageSize is the number of keys requested per page of a list.
 	listPageSize = 1000
-	// maxResponseBytes is the largest response body that is read. A page of a list has at most
-	// 512 KiB, the events of a watch may have more.
+	// maxResponseBytes is the largest response body that the client reads. A page of a list has at most
+	// 512 KiB; the events of a watch may be larger.
 	maxResponseBytes = 8 << 20
 )
 
@@ -24,12 +24,13 @@
 	httpClient *http.Client
 }
 
-// NewClient makes a client for the store at addr, given as host:port.
+// NewClient returns a client of the store at addr, which has the form host:port.
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
 }
 
-// Do carries out a request, once. Whatever is not a response of the protocol is NoAnswer.
+// Do sends a request once, without retries. If it receives no response, or one that the protocol does not
+// define, the outcome is NoAnswer.
 func (c *Client) Do(r Request) Response {
 	method, path, requestBody := httpRequest(r)
 	call := httpcall.Call{
@@ -46,12 +47,12 @@
 	return decodeResponse(status, responseBody)
 }
 
-// decodeResponse makes a response of an HTTP status and body.
+// decodeResponse decodes a response from an HTTP status and body.
 func decodeResponse(status int, body []byte) Response {
 	outcome := outcomeOf(status)
 	switch outcome {
 	case NoAnswer, RateLimited, Unavailable:
-		return Response{Outcome: outcome, Error: http.StatusText(status)} // without a body of the protocol
+		return Response{Outcome: outcome, Error: http.StatusText(status)} // the protocol defines no body
 	}
 	response := Response{Outcome: outcome}
 	if len(body) == 0 {
@@ -63,8 +64,8 @@
 	return response
 }
 
-// outcomeOf returns the outcome that an HTTP status stands for. A status that the protocol does
-// not define is NoAnswer, as the request may have been applied.
+// outcomeOf returns the outcome for an HTTP status. For a status that the protocol does not define it
+// returns NoAnswer, because the request may have been applied.
 func outcomeOf(status int) Outcome {
 	switch status {
 	case http.StatusOK:
@@ -85,7 +86,7 @@
 	return NoAnswer
 }
 
-// httpRequest returns the method, the path with its query, and the body of a request.
+// httpRequest returns the HTTP method, the path with the query, and the body of a request.
 func httpRequest(r Request) (method, path string, body any) {
 	switch r.Op {
 	case Get:
@@ -103,7 +104,7 @@
 	case Watch:
 		return http.MethodGet, "/follow?" + watchQuery(r).Encode(), nil
 	}
-	panic(fmt.Sprintf("kvstore: no operation %d", r.Op))
+	panic(fmt.Sprintf("kvstore: unknown operation %d", r.Op))
 }
 
 type txnBody struct {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// fakeServer answers every request with a status and a body, and keeps the newest request.
+// fakeServer responds to every request with the same status and body, and records the newest request.
 type fakeServer struct {
 	mu           sync.Mutex
 	status       int // 0: the connection is closed without a response
 	responseBody string
-	received     string // method, URL and body
+	received     string // method, URL and body of the newest request
 }
 
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -42,8 +42,8 @@
 	return f.received
 }
 
-// TestClient pins the requests sent and the outcome of each response. A response that the
-// protocol does not define counts as none: the request may have been applied.
+// TestClient pins the requests that the client sends and the outcome of each response. A response that the
+// protocol does not define is treated as no response, because the request may have been applied.
 func TestClient(t *testing.T) {
 	server := &fakeServer{}
 	srv := httptest.NewServer(server)
@@ -86,10 +86,10 @@
 			tc.request.Timeout = 5 * time.Second
 			got := c.Do(tc.request)
 			if got.Outcome != tc.want {
-				t.Errorf("outcome %v (%s), want %v", got.Outcome, got.Error, tc.want)
+				t.Errorf("outcome %v (error %q), want %v", got.Outcome, got.Error, tc.want)
 			}
 			if received := server.newestRequest(); tc.received != "" && received != tc.received {
-				t.Errorf("request %q, want %q", received, tc.received)
+				t.Errorf("received request %q, want %q", received, tc.received)
 			}
 		})
 	}
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -12,7 +12,7 @@
 	"opaldale/internal/golden"
 )
 
-// TestGoldenRequests pins method, path, query and body of each operation.
+// TestGoldenRequests pins the HTTP method, path, query and body of each operation.
 func TestGoldenRequests(t *testing.T) {
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
@@ -47,7 +47,7 @@
 	d.Compare(t, "requests")
 }
 
-// TestGoldenAnswers pins what is read of an answer, field by field, and what each status means.
+// TestGoldenAnswers pins the decoding of each field of a response, and the outcome for each HTTP status.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for v := range golden.BoolVariants {
@@ -60,7 +60,7 @@
 		}
 		c := NewClient("state:1", &golden.Transport{Status: http.StatusOK, Body: string(body)})
 		if got := c.Do(Request{Timeout: time.Minute}); !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v", body, got)
+			t.Errorf("response %s was decoded as %+v, want %+v", body, got, want)
 		}
 	}
 	golden.RoundTrip(t, &d, "key", golden.Filled[KeyValue](0))
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,6 +1,6 @@
-// Package kvstore is the client of the key-value store, the only place where controllers keep
-// state. The store orders all writes by a revision, applies transactions on the condition that
-// the compared keys have given revisions, and deletes keys whose lease has expired.
+// Package kvstore is the client of the key-value store, which holds all persistent state of the
+// controllers. The store assigns increasing revisions to writes, applies a transaction only if the keys
+// that it compares have the expected revisions, and deletes keys whose lease has expired.
 package kvstore
 
 import (
@@ -10,66 +10,68 @@
 	"opaldale/internal/ident"
 )
 
-// Op is the operation of a request.
+// Op identifies the operation of a request.
 type Op uint8
 
 // The operations of the store.
 const (
 	Get         Op = iota // read a key
 	List                  // read a page of the keys with a prefix
-	Txn                   // apply mutations if all compares hold
-	GrantLease            // make a lease
+	Txn                   // apply mutations if all compares succeed
+	GrantLease            // create a lease
 	RenewLease            // restart the TTL of a lease
-	RevokeLease           // end a lease and delete its keys
-	Watch                 // wait for changes of the keys with a prefix
+	RevokeLease           // end a lease and delete the keys attached to it
+	Watch                 // wait for changes to the keys with a prefix
 )
 
-// Compare requires a key to have a revision; 0 requires that the key does not exist.
+// Compare is a condition of a transaction: the key must have a revision. Revision 0 requires that the
+// key does not exist.
 type Compare struct {
 	Key      string         `json:"path"`
 	Revision ident.Revision `json:"stamp"`
 }
 
-// Mutation puts or deletes one key. Exactly one of Put and Delete is set.
+// Mutation is the put or the deletion of one key. Exactly one of Put and Delete is set.
 type Mutation struct {
 	Put     string          `json:"put,omitempty"` // the key to put
 	Value   json.RawMessage `json:"value,omitempty"`
-	LeaseID uint64          `json:"grant,omitempty"`  // deletes the key when it ends; 0: no lease
+	LeaseID uint64          `json:"grant,omitempty"`  // lease whose end deletes the key; 0: no lease
 	Delete  string          `json:"delete,omitempty"` // the key to delete
 }
 
-// Request is one call; only the fields of its Op are used.
+// Request is a request to the store. Only the fields that belong to its Op are used.
 type Request struct {
 	Op         Op
 	Key        string         // Get
 	Prefix     string         // List, Watch
-	StartAfter string         // List: last key of the previous page; "" for the first page
-	Revision   ident.Revision // Watch: changes after it are returned
+	StartAfter string         // List: the last key of the previous page; "" for the first page
+	Revision   ident.Revision // Watch: only changes after this revision are returned
 	Compares   []Compare      // Txn
 	Mutations  []Mutation     // Txn
-	TTL        time.Duration  // GrantLease; sent in whole milliseconds
+	TTL        time.Duration  // GrantLease; sent as whole milliseconds
 	LeaseID    uint64         // RenewLease, RevokeLease
-	Block      time.Duration  // Watch: how long the store may wait for a change; in whole milliseconds
-	Timeout    time.Duration  // of the call; for Watch, longer than Block
+	Block      time.Duration  // Watch: how long the store may wait for a change; sent as whole milliseconds
+	Timeout    time.Duration  // time limit of the whole call; for Watch it must be longer than Block
 }
 
-// Outcome is the result of a call, as far as the caller can know it.
+// Outcome is the result of a request as the client sees it.
 type Outcome uint8
 
-// The outcomes. Only after NoAnswer may the request have been applied, or be applied later, without
-// the caller knowing; after all others but OK it was not applied.
+// The outcomes. After NoAnswer it is unknown whether the request was applied, and it may still be applied
+// later. After all other outcomes except OK it was not applied.
 const (
 	NoAnswer    Outcome = iota // no response, or one that the protocol does not define
 	OK                         // 200
 	NotFound                   // 404: no such key or lease
-	Conflict                   // 409: compares failed
-	Compacted                  // 410: the revision to watch from is too old
-	Unavailable                // 503: the store can't serve requests at present
+	Conflict                   // 409: at least one compare failed
+	Compacted                  // 410: changes since the given revision are no longer available
+	Unavailable                // 503: the store can't serve requests at the moment
 	RateLimited                // 429: the request rate was too high
-	Invalid                    // 400: malformed, or over a limit of the store
+	Invalid                    // 400: the request is malformed or exceeds a limit of the store
 )
 
-// outcomeNames are pinned by golden tests, so some differ from the constants' names.
+// outcomeNames holds the names that String returns. Golden tests pin them, so some differ from the names
+// of the constants.
 var outcomeNames = [...]string{
 	NoAnswer:    "lost",
 	OK:          "ok",
@@ -81,7 +83,7 @@
 	Invalid:     "bad",
 }
 
-// String returns the outcome's name.
+// String returns the name of the outcome, or "unknown" if it is not defined.
 func (o Outcome) String() string {
 	if int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -93,29 +95,30 @@
 type KeyValue struct {
 	Key      string          `json:"path"`
 	Value    json.RawMessage `json:"value"`
-	Revision ident.Revision  `json:"stamp"` // of the last put of the key
+	Revision ident.Revision  `json:"stamp"` // revision of the last put of the key
 }
 
-// WatchEvent is one change of a key. Exactly one of Put and Delete is set.
+// WatchEvent is one change to a key. Exactly one of Put and Delete is set.
 type WatchEvent struct {
 	Put      string          `json:"put"` // the key that was put
 	Value    json.RawMessage `json:"value"`
 	Delete   string          `json:"delete"` // the key that was deleted
-	Revision ident.Revision  `json:"stamp"`  // of the store after the change
+	Revision ident.Revision  `json:"stamp"`  // revision of the store after the change
 }
 
-// Response is the answer to any request; only the fields of the request's Op are set.
+// Response is the response to a request. Only the fields that belong to the request's Op are set.
 type Response struct {
 	Outcome       Outcome         `json:"-"`
 	Value         json.RawMessage `json:"value"`     // Get
-	Revision      ident.Revision  `json:"stamp"`     // Get: of the key
-	LeaseID       uint64          `json:"grant"`     // GrantLease; Get: of the key
-	StoreRevision ident.Revision  `json:"ledger"`    // of the whole store; after Txn, that of the keys put
-	FailedKeys    []string        `json:"failed"`    // Conflict: keys whose compare failed
+	Revision      ident.Revision  `json:"stamp"`     // Get: revision of the key
+	LeaseID       uint64          `json:"grant"`     // GrantLease: the new lease; Get: the lease of the key
+	StoreRevision ident.Revision  `json:"ledger"`    // revision of the store; after Txn, also that of the keys put
+	FailedKeys    []string        `json:"failed"`    // outcome Conflict: the keys whose compares failed
 	KeyValues     []KeyValue      `json:"pairs"`     // List: in the order of their keys
 	Truncated     bool            `json:"truncated"` // List: there are more pages
 	Events        []WatchEvent    `json:"news"`      // Watch: in the order of their revisions
-	Error         string          `json:"error"`     // for the log: what the store or the transport says
-	// ConnectionRefused reports, with NoAnswer, that the request was certainly not sent.
+	Error         string          `json:"error"`     // error message of the store or the transport, for logs
+	// ConnectionRefused reports, if the outcome is NoAnswer, that the connection was refused, so that the
+	// request was certainly not sent.
 	ConnectionRefused bool `json:"-"`
 }
--- a/internal/kvstoretest/describe.go
+++ b/internal/kvstoretest/describe.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/kvstore"
 )
 
-// Describe returns a request as text for golden files: a line for the operation, and one for each
-// compare and mutation of a transaction.
+// Describe formats a request for golden files: one line for the operation, and for a transaction one line
+// for each compare and mutation.
 func Describe(r kvstore.Request) string {
 	switch r.Op {
 	case kvstore.Get:
@@ -26,7 +26,7 @@
 	case kvstore.Txn:
 		return describeTransaction(r)
 	}
-	panic(fmt.Sprintf("kvstoretest: no operation %d", r.Op))
+	panic(fmt.Sprintf("kvstoretest: unknown operation %d", r.Op))
 }
 
 func describeTransaction(r kvstore.Request) string {
--- a/internal/kvstoretest/memory_store.go
+++ b/internal/kvstoretest/memory_store.go
@@ -1,5 +1,5 @@
-// Package kvstoretest provides key-value stores in memory for the tests of other packages. Only
-// tests may import it: importing it discards the log of the process.
+// Package kvstoretest provides in-memory key-value stores for the tests of other packages. Only tests may
+// import it, because importing it discards all log output of the process.
 package kvstoretest
 
 import (
@@ -14,14 +14,14 @@
 
 func init() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
 
-// MemoryStore holds keys and revisions as the key-value store does. It is not safe for concurrent
-// use.
+// MemoryStore is an in-memory key-value store with revisions. It is not safe for concurrent use.
 type MemoryStore struct {
 	Entries  map[string]kvstore.KeyValue
-	Revision ident.Revision // of the newest write
+	Revision ident.Revision // revision of the newest write
 }
 
-// NewMemoryStore makes a store with the given keys. Its revision is the highest of theirs.
+// NewMemoryStore returns a store with the given keys. The revision of the store is the highest of their
+// revisions.
 func NewMemoryStore(pairs ...kvstore.KeyValue) *MemoryStore {
 	s := &MemoryStore{Entries: map[string]kvstore.KeyValue{}}
 	for _, pair := range pairs {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// Get returns the response to a read of a key.
+// Get returns the response to a Get request for a key.
 func (s *MemoryStore) Get(key string) kvstore.Response {
 	pair, ok := s.Entries[key]
 	if !ok {
@@ -40,7 +40,7 @@
 	return kvstore.Response{Outcome: kvstore.OK, Revision: pair.Revision, Value: pair.Value}
 }
 
-// List returns the response to a list of the keys with a prefix, in their order on one page.
+// List returns the response to a List request for a prefix: all keys with that prefix, sorted, on one page.
 func (s *MemoryStore) List(prefix string) kvstore.Response {
 	response := kvstore.Response{Outcome: kvstore.OK}
 	for _, key := range slices.Sorted(maps.Keys(s.Entries)) {
@@ -51,7 +51,7 @@
 	return response
 }
 
-// FailedKeys returns the keys of the compares that do not hold.
+// FailedKeys returns the keys of the compares that fail.
 func (s *MemoryStore) FailedKeys(compares []kvstore.Compare) (failed []string) {
 	for _, compare := range compares {
 		if s.Entries[compare.Key].Revision != compare.Revision {
@@ -61,8 +61,8 @@
 	return failed
 }
 
-// Apply applies mutations at the next revision, without any compares, and returns the response to
-// the transaction.
+// Apply applies the mutations of a transaction at the next revision, without checking compares, and
+// returns the response.
 func (s *MemoryStore) Apply(mutations []kvstore.Mutation) kvstore.Response {
 	s.Revision++
 	for _, mutation := range mutations {
--- a/internal/kvstoretest/stepped_store.go
+++ b/internal/kvstoretest/stepped_store.go
@@ -7,22 +7,22 @@
 	"opaldale/internal/kvstore"
 )
 
-// SteppedStore is the environment of a committer with a clock and a store. It applies every
-// transaction at once; responses and timers wait until the test runs them, in the order in which
-// they were asked for.
+// SteppedStore provides a committer with a key-value store and a simulated clock. It applies every
+// transaction immediately. Responses and timers are queued until the test runs them, in the order in which
+// they were queued.
 type SteppedStore struct {
 	*MemoryStore
-	Pending []func() // responses and timers that have not run
+	Pending []func() // queued responses and timers
 	now     ident.MonotonicTime
 }
 
-// NewSteppedStore makes one that keeps its keys in s.
+// NewSteppedStore returns a SteppedStore that holds its keys in s.
 func NewSteppedStore(s *MemoryStore) *SteppedStore { return &SteppedStore{MemoryStore: s} }
 
-// Now returns the time up to which timers have run.
+// Now returns the simulated time, which is the sum of the delays of all timers that have run.
 func (s *SteppedStore) Now() ident.MonotonicTime { return s.now }
 
-// After schedules f. The clock advances by d when f runs.
+// After queues f. The clock advances by d when f runs.
 func (s *SteppedStore) After(d time.Duration, f func()) {
 	s.Pending = append(s.Pending, func() {
 		s.now = s.now.Add(d)
@@ -30,13 +30,13 @@
 	})
 }
 
-// Store applies the mutations of a request, without its compares, and schedules the response.
+// Store applies the mutations of a request without checking its compares, and queues the response.
 func (s *SteppedStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
 	response := s.Apply(r.Mutations)
 	s.Pending = append(s.Pending, func() { onResponse(response) })
 }
 
-// Run runs what is pending, including what that adds.
+// Run runs all queued responses and timers, including those that are queued meanwhile.
 func (s *SteppedStore) Run() {
 	for len(s.Pending) > 0 {
 		next := s.Pending[0]
@@ -45,10 +45,11 @@
 	}
 }
 
-// flusher is a committer.
+// flusher is implemented by committers.
 type flusher interface{ Flush() }
 
-// Settle has a committer write what it holds back, and runs what is pending.
+// Settle flushes a committer, so that it writes all pending changes, and then runs all queued responses and
+// timers.
 func (s *SteppedStore) Settle(committer flusher) {
 	committer.Flush()
 	s.Run()
--- a/internal/storereader/storereader.go
+++ b/internal/storereader/storereader.go
@@ -1,5 +1,5 @@
-// Package storereader reads from the key-value store, with retries until it answers, for callers that can't proceed
-// without the answer.
+// Package storereader reads from the key-value store and retries until the store responds, for callers that can't proceed
+// without the data.
 package storereader
 
 import (
@@ -14,27 +14,27 @@
 	retryInterval = 200 * time.Millisecond
 )
 
-// Env provides timers and calls to the store.
+// Env provides timers and sends requests to the key-value store.
 type Env interface {
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
 }
 
-// Reader reads from the store, and retries until the store answers or the reader's owner is closed.
+// Reader reads from the key-value store. It retries each read until the store responds or the reader's owner is closed.
 type Reader struct {
 	env    Env
 	closed func() bool
 }
 
-// New returns a reader. Once closed returns true, nothing more is read and no callback runs.
+// New returns a reader. Once closed returns true, the reader sends no more requests and calls no callbacks.
 func New(env Env, closed func() bool) *Reader { return &Reader{env: env, closed: closed} }
 
-// Get reads a key and calls done with the response, whose outcome is kvstore.OK or kvstore.NotFound.
+// Get reads a key, and calls done with the response. Its outcome is either kvstore.OK or kvstore.NotFound.
 func (r *Reader) Get(key string, done func(kvstore.Response)) {
 	r.read(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: getTimeout}, done)
 }
 
-// ListAll reads all keys with a prefix, page by page, and calls done with them in the order of the store.
+// ListAll reads all keys with a prefix, page by page, and calls done with them in the order in which the store lists them.
 func (r *Reader) ListAll(prefix string, done func([]kvstore.KeyValue)) {
 	var all []kvstore.KeyValue
 	var listAfter func(lastKey string)
@@ -52,7 +52,7 @@
 	listAfter("")
 }
 
-// read sends a request, and retries until the store answers it.
+// read sends a request, and retries until the outcome is kvstore.OK or kvstore.NotFound. It then calls done.
 func (r *Reader) read(request kvstore.Request, done func(kvstore.Response)) {
 	r.env.Store(request, func(response kvstore.Response) {
 		switch {
--- a/internal/storereader/storereader_test.go
+++ b/internal/storereader/storereader_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/kvstore"
 )
 
-// scriptedEnv answers requests with a list of responses, and runs timers at once.
+// scriptedEnv responds to requests with a list of prepared responses, in order, and runs timers immediately.
 type scriptedEnv struct {
 	responses []kvstore.Response
 	requests  []kvstore.Request
@@ -29,7 +29,7 @@
 
 func neverClosed() bool { return false }
 
-// TestGetRetries: a read is repeated until the store answers, also with an absent key.
+// TestGetRetries: a read is retried until the store responds with the key, or that the key does not exist.
 func TestGetRetries(t *testing.T) {
 	for _, final := range []kvstore.Outcome{kvstore.OK, kvstore.NotFound} {
 		env := &scriptedEnv{responses: []kvstore.Response{
@@ -38,15 +38,16 @@
 		var got []kvstore.Outcome
 		New(env, neverClosed).Get("key", func(r kvstore.Response) { got = append(got, r.Outcome) })
 		if !slices.Equal(got, []kvstore.Outcome{final}) {
-			t.Errorf("outcomes %v, want one of %v", got, final)
+			t.Errorf("outcomes %v, want only %v", got, final)
 		}
 		if want := []time.Duration{retryInterval, retryInterval, retryInterval}; !slices.Equal(env.waits, want) {
-			t.Errorf("waits %v, want %v", env.waits, want)
+			t.Errorf("delays of the retries %v, want %v", env.waits, want)
 		}
 	}
 }
 
-// TestListAllPages: all pages are read, each after the last key of the one before, and a failed page is read again.
+// TestListAllPages: all pages are read, each starting after the last key of the previous page, and the read of a page
+// is retried if it fails.
 func TestListAllPages(t *testing.T) {
 	page := func(truncated bool, keys ...string) kvstore.Response {
 		r := kvstore.Response{Outcome: kvstore.OK, Truncated: truncated}
@@ -72,17 +73,17 @@
 		starts = append(starts, r.StartAfter)
 	}
 	if want := []string{"", "p/2", "p/2", "p/3"}; !slices.Equal(starts, want) {
-		t.Errorf("pages begin after %q, want %q", starts, want)
+		t.Errorf("pages were requested after the keys %q, want %q", starts, want)
 	}
 }
 
-// TestClosedReaderIsSilent: nothing is called back or read again for a closed owner.
+// TestClosedReaderIsSilent: once the owner is closed, the reader calls no callback and retries no request.
 func TestClosedReaderIsSilent(t *testing.T) {
 	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoAnswer} {
 		env := &scriptedEnv{responses: []kvstore.Response{{Outcome: outcome}}}
-		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: called back", outcome) })
+		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: callback called", outcome) })
 		if len(env.requests) != 1 || len(env.waits) != 0 {
-			t.Errorf("%v: %d requests, %d timers", outcome, len(env.requests), len(env.waits))
+			t.Errorf("outcome %v: %d requests, want 1; %d timers, want 0", outcome, len(env.requests), len(env.waits))
 		}
 	}
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,20 +1,20 @@
-// Package wire decodes the fields of binary messages. Integers are big-endian.
+// Package wire decodes the fields of binary messages, such as big-endian integers and byte strings.
 package wire
 
 import "encoding/binary"
 
-// Reader reads the fields of a message in order. After a truncated field or a call of Fail the message
-// is malformed, and all further reads return zero values. The zero Reader is at the end of an empty
+// Reader reads the fields of a binary message in order. If a field is truncated or Fail is called, the
+// message counts as malformed, and all further reads return zero values. The zero Reader reads an empty
 // message.
 type Reader struct {
 	rest      []byte
 	malformed bool
 }
 
-// NewReader returns a reader of a message. Byte slices that its methods return share the message's memory.
+// NewReader returns a reader of a message. Byte slices returned by its methods share memory with the message.
 func NewReader(message []byte) *Reader { return &Reader{rest: message} }
 
-// Fail marks the message as malformed.
+// Fail marks the message as malformed. Callers use it for fields with invalid values.
 func (r *Reader) Fail() { r.malformed = true }
 
 // Malformed reports whether a field was truncated or Fail was called.
@@ -23,7 +23,7 @@
 // Complete reports whether the message is well-formed and was read to its end.
 func (r *Reader) Complete() bool { return !r.malformed && len(r.rest) == 0 }
 
-// Bytes returns the next n bytes. If there are fewer, it returns nil and the message is malformed.
+// Bytes returns the next n bytes. If fewer remain, it returns nil and marks the message as malformed.
 func (r *Reader) Bytes(n int) []byte {
 	if r.malformed || n > len(r.rest) {
 		r.malformed = true
@@ -40,7 +40,7 @@
 // String returns the next n bytes as a string.
 func (r *Reader) String(n int) string { return string(r.Bytes(n)) }
 
-// Uint8 returns the next byte.
+// Uint8 returns the next byte as an integer.
 func (r *Reader) Uint8() uint8 {
 	if field := r.Bytes(1); field != nil {
 		return field[0]
@@ -48,7 +48,7 @@
 	return 0
 }
 
-// Uint16 returns the integer in the next two bytes.
+// Uint16 returns the big-endian integer in the next two bytes.
 func (r *Reader) Uint16() uint16 {
 	if field := r.Bytes(2); field != nil {
 		return binary.BigEndian.Uint16(field)
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// Uint32 returns the integer in the next four bytes.
+// Uint32 returns the big-endian integer in the next four bytes.
 func (r *Reader) Uint32() uint32 {
 	if field := r.Bytes(4); field != nil {
 		return binary.BigEndian.Uint32(field)
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// Uint64 returns the integer in the next eight bytes.
+// Uint64 returns the big-endian integer in the next eight bytes.
 func (r *Reader) Uint64() uint64 {
 	if field := r.Bytes(8); field != nil {
 		return binary.BigEndian.Uint64(field)
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -5,40 +5,41 @@
 	"testing"
 )
 
-// TestReader reads one field of each type.
+// TestReader reads a message with one field of each type.
 func TestReader(t *testing.T) {
 	r := NewReader([]byte{1, 0, 2, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 4, 'a', 'b', 'c', 'd'})
 	if v := r.Uint8(); v != 1 {
-		t.Errorf("uint8 is %d", v)
+		t.Errorf("read uint8 %d, want 1", v)
 	}
 	if v := r.Uint16(); v != 2 {
-		t.Errorf("uint16 is %d", v)
+		t.Errorf("read uint16 %d, want 2", v)
 	}
 	if v := r.Uint32(); v != 3 {
-		t.Errorf("uint32 is %d", v)
+		t.Errorf("read uint32 %d, want 3", v)
 	}
 	if v := r.Uint64(); v != 4 {
-		t.Errorf("uint64 is %d", v)
+		t.Errorf("read uint64 %d, want 4", v)
 	}
 	if v := r.String(2); v != "ab" {
-		t.Errorf("string is %q", v)
+		t.Errorf("read string %q, want \"ab\"", v)
 	}
 	if r.Complete() {
-		t.Error("complete with two bytes left")
+		t.Error("Complete returned true with two bytes left, want false")
 	}
 	if v := r.Rest(); !bytes.Equal(v, []byte("cd")) {
-		t.Errorf("rest is %q", v)
+		t.Errorf("read rest %q, want \"cd\"", v)
 	}
 	if !r.Complete() || r.Malformed() {
-		t.Errorf("complete %v, malformed %v at the end", r.Complete(), r.Malformed())
+		t.Errorf("at the end: complete %v, want true; malformed %v, want false", r.Complete(), r.Malformed())
 	}
 }
 
-// TestTruncatedField: a truncated field is zero, and makes the message malformed.
+// TestTruncatedField: a truncated field is read as zero and makes the message malformed, so all further reads
+// return zero values.
 func TestTruncatedField(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		size int // of the message, one byte too few
+		size int // of the message: one byte less than the field needs
 		read func(*Reader) uint64
 	}{
 		{"uint8", 0, func(r *Reader) uint64 { return uint64(r.Uint8()) }},
@@ -51,20 +52,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReader(bytes.Repeat([]byte{1}, c.size))
 			if v := c.read(r); v != 0 || !r.Malformed() || r.Complete() {
-				t.Errorf("read %d, malformed %v, complete %v", v, r.Malformed(), r.Complete())
+				t.Errorf("read %d, want 0; malformed %v, want true; complete %v, want false", v, r.Malformed(), r.Complete())
 			}
 			if v := r.Uint8(); v != 0 || len(r.Rest()) != 0 {
-				t.Errorf("read %d after a field that was cut short", v)
+				t.Errorf("read %d after a truncated field, want 0 and no remaining bytes", v)
 			}
 		})
 	}
 }
 
-// TestReaderFail: a message is malformed after Fail.
+// TestReaderFail: after a call of Fail the message is malformed, and further reads return zero values.
 func TestReaderFail(t *testing.T) {
 	r := NewReader([]byte{1})
 	r.Fail()
 	if v := r.Uint8(); v != 0 || !r.Malformed() || r.Complete() {
-		t.Errorf("read %d, malformed %v, complete %v", v, r.Malformed(), r.Complete())
+		t.Errorf("read %d, want 0; malformed %v, want true; complete %v, want false", v, r.Malformed(), r.Complete())
 	}
 }
