--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -28,10 +28,10 @@
 
 // arrivals records recent job arrivals, from which the arrival of further jobs is predicted.
 type arrivals struct {
-	teams    *placement.Teams
-	since    ident.MonotonicTime // when the history starts
-	services arrivalHistory      // services and gangs
-	batch    arrivalHistory
+	teams        *placement.Teams
+	historyStart ident.MonotonicTime
+	services     arrivalHistory // services and gangs
+	batch        arrivalHistory
 }
 
 // record adds the arrival of a job. It ignores jobs of borrowers, for which no headroom is kept.
@@ -49,7 +49,7 @@
 }
 
 // resume moves the start of the history back by longAgo, because jobs also arrived before this term.
-func (a *arrivals) resume() { a.since = a.since.Add(-longAgo) }
+func (a *arrivals) resume() { a.historyStart = a.historyStart.Add(-longAgo) }
 
 // ceased reports whether no job has arrived for longer than arrivalsCeasedAfter, so that no further
 // ones are expected.
@@ -88,14 +88,14 @@
 }
 
 // rate returns the CPUs of the jobs that arrive per second, the mean CPUs per job, and the CPUs of the
-// largest job. since is the start of the history.
-func (a *arrivalHistory) rate(now, since ident.MonotonicTime) (perSecond, mean, largest float64) {
+// largest job. historyStart is the start of the history.
+func (a *arrivalHistory) rate(now, historyStart ident.MonotonicTime) (perSecond, mean, largest float64) {
 	a.trim(now)
 	windowCPUs, burstCPUs, totalCPUs := 0.0, 0.0, 0.0
 	for i, cpus := range a.cpus {
 		totalCPUs += cpus
 		largest = max(largest, cpus)
-		if a.times[i].Sub(since) <= backlogPeriod {
+		if a.times[i].Sub(historyStart) <= backlogPeriod {
 			continue
 		}
 		windowCPUs += cpus
@@ -106,7 +106,7 @@
 	if len(a.cpus) > 0 {
 		mean = totalCPUs / float64(len(a.cpus))
 	}
-	if span := min(now.Sub(since)-backlogPeriod, arrivalWindow); span > minRateSpan {
+	if span := min(now.Sub(historyStart)-backlogPeriod, arrivalWindow); span > minRateSpan {
 		// The mean over arrivalWindow reacts too late to a short burst.
 		perSecond = max(windowCPUs/span.Seconds(), burstCPUs/burstWindow.Seconds())
 	}
--- a/internal/fleet/autoscale.go
+++ b/internal/fleet/autoscale.go
@@ -31,20 +31,20 @@
 
 // run packs the tasks of waiting jobs onto the existing and requested machines, provisions machines for
 // the tasks that do not fit, and scales in machines that are not needed.
-func (s *autoscaler) run() {
-	catalog := s.cfg.Catalog()
+func (a *autoscaler) run() {
+	catalog := a.cfg.Catalog()
 	if len(catalog) == 0 {
 		return
 	}
-	run := s.newRun(catalog)
+	run := a.newRun(catalog)
 	run.packWaiting()
 	headroom := run.targetHeadroom()
 	for zone, cpus := range headroom.services {
-		s.cfg.SetServiceHeadroom(zone, cpus)
+		a.cfg.SetServiceHeadroom(zone, cpus)
 	}
 	run.openOnDemandHeadroom(headroom)
 	run.openBatchHeadroom(headroom)
-	run.provisionMissing()
+	run.requestMachines()
 	run.scaleIn(headroom)
 }
 
@@ -54,19 +54,19 @@
 	now            ident.MonotonicTime
 	catalog        []cloud.MachineType
 	capacity       *capacityModel
-	missing        map[pool]int // number of machines to be provisioned
+	toProvision    map[pool]int // number of machines to be provisioned
 	onDemandBudget float64      // CPUs of batch work for which on-demand machines may replace spot machines
 	movesLeft      int          // number of replicas for which this run may still search a destination
 }
 
 // newRun returns a run that starts from the present capacity of the fleet.
-func (s *autoscaler) newRun(catalog []cloud.MachineType) *scalingRun {
+func (a *autoscaler) newRun(catalog []cloud.MachineType) *scalingRun {
 	run := &scalingRun{
-		autoscaler: s,
-		now:        s.port.Now(),
-		catalog:    catalog,
-		missing:    map[pool]int{},
-		movesLeft:  maxMovesPerTick,
+		autoscaler:  a,
+		now:         a.port.Now(),
+		catalog:     catalog,
+		toProvision: map[pool]int{},
+		movesLeft:   maxMovesPerTick,
 	}
 	run.capacity = run.measureCapacity()
 	run.onDemandBudget = run.batchShortfall()
--- a/internal/fleet/bin_opening.go
+++ b/internal/fleet/bin_opening.go
@@ -28,7 +28,7 @@
 func (r *scalingRun) open(spec *api.Spec, constraint binConstraint) *bin {
 	b := r.cheapestBin(spec, constraint)
 	if b != nil {
-		r.missing[b.pool]++
+		r.toProvision[b.pool]++
 		r.capacity.addBooting(b)
 	}
 	return b
@@ -77,16 +77,16 @@
 	})
 }
 
-// provisionMissing requests the missing machines from the provider, in batches from each pool in turn,
+// requestMachines requests the machines to be provisioned from the provider, in batches from each pool in turn,
 // until all are requested or the rate limit is reached.
-func (r *scalingRun) provisionMissing() {
-	pools := sortedPools(r.missing)
+func (r *scalingRun) requestMachines() {
+	pools := sortedPools(r.toProvision)
 	for again := true; again; {
 		again = false
 		for _, p := range pools {
-			count := r.provisionLimit(p, min(r.missing[p], maxProvisionBatch))
+			count := r.provisionLimit(p, min(r.toProvision[p], maxProvisionBatch))
 			if count > 0 && r.provisioner.provision(p, count) {
-				r.missing[p] -= count
+				r.toProvision[p] -= count
 				again = true
 			}
 		}
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -91,7 +91,7 @@
 		}
 	}
 	best, most := "", 0
-	for zone, count := range c.roomByZone(spec) {
+	for zone, count := range c.fittingTasksByZone(spec) {
 		if count > most || count == most && zone < best {
 			best, most = zone, count
 		}
@@ -99,17 +99,17 @@
 	return best
 }
 
-// roomByZone returns the number of tasks of a job that fit in each zone.
-func (c *capacityModel) roomByZone(spec *api.Spec) map[string]int {
-	room := map[string]int{}
+// fittingTasksByZone returns the number of tasks of a job that fit in each zone.
+func (c *capacityModel) fittingTasksByZone(spec *api.Spec) map[string]int {
+	fitting := map[string]int{}
 	for _, bins := range c.bins {
 		for _, b := range bins {
 			if b.allows(spec) {
-				room[b.pool.zone] += b.tasksPerMachine(spec) * b.machines
+				fitting[b.pool.zone] += b.tasksPerMachine(spec) * b.machines
 			}
 		}
 	}
-	return room
+	return fitting
 }
 
 // onDemandByZone returns the CPUs that services could use in each zone: those of on-demand machines that
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -34,9 +34,9 @@
 
 func (p *fakePort) After(_ time.Duration, f func()) { p.timers = append(p.timers, f) }
 
-func (p *fakePort) Cloud(r cloud.Request, f func(cloud.Response)) {
-	p.calls = append(p.calls, r)
-	f(p.reply(r))
+func (p *fakePort) Cloud(request cloud.Request, f func(cloud.Response)) {
+	p.calls = append(p.calls, request)
+	f(p.reply(request))
 }
 
 func (p *fakePort) Store(_ kvstore.Request, f func(kvstore.Response)) {
@@ -45,16 +45,16 @@
 
 // Worker responds to a command if deadAddrs contains the worker and it is not dead. Otherwise the command
 // gets no response.
-func (p *fakePort) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
-	addr := c.Addr
+func (p *fakePort) Worker(call workers.CommandCall, f func(workers.CommandResult)) {
+	addr := call.Addr
 	if dead, ok := p.deadAddrs[addr]; dead || !ok {
 		f(workers.CommandResult{})
 		return
 	}
 	p.sequence++
-	answer := newHeartbeat(ident.MachineID(addr), p.sequence)
-	answer.Addr, answer.FencingToken = addr, c.Body.FencingToken
-	f(workers.CommandResult{Status: 200, Heartbeat: answer})
+	heartbeat := newHeartbeat(ident.MachineID(addr), p.sequence)
+	heartbeat.Addr, heartbeat.FencingToken = addr, call.Body.FencingToken
+	f(workers.CommandResult{Status: 200, Heartbeat: heartbeat})
 }
 
 // advance advances the clock in steps of half a second, and runs all timers and a tick in each step.
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -57,14 +57,14 @@
 func (r *scalingRun) addExpectedArrivals(h *headroom) {
 	factor := r.cfg.Tuning.Headroom
 	if len(r.arrivals.services.times) > 0 {
-		rate, _, largest := r.arrivals.services.rate(r.now, r.arrivals.since)
+		rate, _, largest := r.arrivals.services.rate(r.now, r.arrivals.historyStart)
 		boot := r.longestBoot().Seconds()
 		for zone := range h.services {
 			h.services[zone] = factor * (rate*boot*arrivalMargin + largest) / float64(len(h.services))
 		}
 	}
 	if len(r.arrivals.batch.times) > 0 {
-		_, mean, _ := r.arrivals.batch.rate(r.now, r.arrivals.since)
+		_, mean, _ := r.arrivals.batch.rate(r.now, r.arrivals.historyStart)
 		h.batch = factor * mean
 	}
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -231,9 +231,9 @@
 // inspectRunning checks a machine that is expected to be reachable.
 func (h *healthMonitor) inspectRunning(w *workers.Worker, sweep *healthSweep) {
 	sweep.expected++
-	countsFrom := max(h.lastStall, h.zones.recoveredAt[w.Zone])
+	silenceStart := max(h.lastStall, h.zones.recoveredAt[w.Zone])
 	contact := machineContact{
-		silence: min(h.machines.TimeSinceContact(w), sweep.now.Sub(countsFrom)),
+		silence: min(h.machines.TimeSinceContact(w), sweep.now.Sub(silenceStart)),
 		limit:   h.fenceTimeout,
 	}
 	if w.ServiceVCPUs > 0 {
--- a/internal/fleet/manager.go
+++ b/internal/fleet/manager.go
@@ -111,7 +111,7 @@
 		zones:       m.health.zones,
 		provisioner: m.provisioner,
 		terminator:  m.terminator,
-		arrivals:    arrivals{teams: teams, since: port.Now()},
+		arrivals:    arrivals{teams: teams, historyStart: port.Now()},
 	}
 	return m
 }
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -36,15 +36,15 @@
 func TestLostProvisionRequestIsRetried(t *testing.T) {
 	r := newHarness()
 	tries := map[string]int{}
-	r.reply = func(q cloud.Request) cloud.Response {
-		if q.Op != cloud.Provision {
+	r.reply = func(request cloud.Request) cloud.Response {
+		if request.Op != cloud.Provision {
 			return cloud.Response{Outcome: cloud.OK}
 		}
-		tries[q.RequestID]++
-		if tries[q.RequestID] < 3 {
+		tries[request.RequestID]++
+		if tries[request.RequestID] < 3 {
 			return cloud.Response{Outcome: cloud.NoAnswer}
 		}
-		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + q.RequestID)}}
+		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + request.RequestID)}}
 	}
 	for i := range 2 {
 		id := ident.JobID(fmt.Sprintf("j-%d", i))
@@ -140,8 +140,8 @@
 func TestFailedMachineIsNoCapacity(t *testing.T) {
 	r := newHarness()
 	r.addMachines(1)
-	r.reply = func(q cloud.Request) cloud.Response {
-		if q.Op == cloud.Provision {
+	r.reply = func(request cloud.Request) cloud.Response {
+		if request.Op == cloud.Provision {
 			return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{"host-000777"}}
 		}
 		return cloud.Response{Outcome: cloud.OK}
@@ -314,19 +314,20 @@
 		r.manager.cfg.Tuning.Headroom = 0 // provision nothing for jobs that have not arrived yet
 		r.manager.cfg.Catalog = func() []cloud.MachineType { return []cloud.MachineType{testMachineType("east", "west")} }
 		provisioned := map[string]int{}
-		r.reply = func(q cloud.Request) cloud.Response {
+		r.reply = func(request cloud.Request) cloud.Response {
 			switch {
-			case q.Op != cloud.Provision:
+			case request.Op != cloud.Provision:
 				return cloud.Response{Outcome: cloud.OK}
-			case q.Zone == full:
+			case request.Zone == full:
 				return cloud.Response{Outcome: cloud.NoCapacity}
 			}
-			a := cloud.Response{Outcome: cloud.OK}
-			for range q.Count {
-				provisioned[q.Zone]++
-				a.Provisioned = append(a.Provisioned, ident.MachineID(fmt.Sprintf("host-%s%03d", q.Zone, provisioned[q.Zone])))
+			response := cloud.Response{Outcome: cloud.OK}
+			for range request.Count {
+				provisioned[request.Zone]++
+				response.Provisioned = append(response.Provisioned,
+					ident.MachineID(fmt.Sprintf("host-%s%03d", request.Zone, provisioned[request.Zone])))
 			}
-			return a
+			return response
 		}
 		r.submit(&api.Spec{ID: "j-1", Team: "red", Shape: api.Gang, Tasks: 6, VCPUs: 4, OneZone: true})
 		r.advance(2*time.Second, r.manager)
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -89,24 +89,24 @@
 }
 
 // state returns the state of a pool. It creates the state if the pool is new.
-func (v *provisioner) state(p pool) *poolState {
-	state := v.pools[p]
+func (prov *provisioner) state(p pool) *poolState {
+	state := prov.pools[p]
 	if state == nil {
 		state = &poolState{}
-		v.pools[p] = state
+		prov.pools[p] = state
 	}
 	return state
 }
 
 // available reports whether machines may be requested from a pool, because it is not suspended.
-func (v *provisioner) available(p pool, now ident.MonotonicTime) bool {
-	return v.state(p).unavailableUntil <= now
+func (prov *provisioner) available(p pool, now ident.MonotonicTime) bool {
+	return prov.state(p).unavailableUntil <= now
 }
 
 // pendingIn returns the number of machines in a zone whose requests have no response yet.
-func (v *provisioner) pendingIn(zone string) int {
+func (prov *provisioner) pendingIn(zone string) int {
 	count := 0
-	for p, state := range v.pools {
+	for p, state := range prov.pools {
 		if p.zone == zone {
 			count += state.pending
 		}
@@ -116,20 +116,20 @@
 
 // provision requests machines from a pool. It returns false, without a request, if the rate limit is
 // reached.
-func (v *provisioner) provision(p pool, count int) bool {
-	if !v.requester.acquire() {
+func (prov *provisioner) provision(p pool, count int) bool {
+	if !prov.requester.acquire() {
 		return false
 	}
-	v.requestCount++
+	prov.requestCount++
 	slog.Info("provisioning machines", "model", p.model, "zone", p.zone, "spot", p.spot, "count", count)
-	v.state(p).pending += count
+	prov.state(p).pending += count
 	r := &provisionRequest{
-		provisioner: v,
+		provisioner: prov,
 		pool:        p,
 		request: cloud.Request{
 			Op: cloud.Provision,
 			// The term distinguishes the requests of different leaders, and the count those within a term.
-			RequestID: fmt.Sprintf("opaldale-%d-%d", v.term, v.requestCount),
+			RequestID: fmt.Sprintf("opaldale-%d-%d", prov.term, prov.requestCount),
 			Model:     p.model,
 			Zone:      p.zone,
 			Spot:      p.spot,
@@ -143,9 +143,9 @@
 
 // suspend suspends provisioning from a pool. The duration doubles with each suspension, up to
 // maxPoolBackoff, until a request succeeds.
-func (v *provisioner) suspend(state *poolState) {
+func (prov *provisioner) suspend(state *poolState) {
 	state.backoff = min(max(2*state.backoff, minPoolBackoff), maxPoolBackoff)
-	state.unavailableUntil = v.requester.port.Now().Add(v.requester.jitter(state.backoff))
+	state.unavailableUntil = prov.requester.port.Now().Add(prov.requester.jitter(state.backoff))
 }
 
 // provisionRequest is an idempotent provisioning request, together with the state of its retries.
--- a/internal/fleet/zone_health_test.go
+++ b/internal/fleet/zone_health_test.go
@@ -16,16 +16,16 @@
 	r = newReplicaHarness(30, func(int) bool { return true })
 	r.manager.cfg.ZoneUnreachable = func(string) bool { return unreachable }
 	nextID := 1000
-	r.reply = func(q cloud.Request) cloud.Response {
-		a := cloud.Response{Outcome: cloud.OK}
-		if q.Op == cloud.Provision {
-			for range q.Count {
+	r.reply = func(request cloud.Request) cloud.Response {
+		response := cloud.Response{Outcome: cloud.OK}
+		if request.Op == cloud.Provision {
+			for range request.Count {
 				nextID++
-				a.Provisioned = append(a.Provisioned, ident.MachineID(time.Duration(nextID).String()))
+				response.Provisioned = append(response.Provisioned, ident.MachineID(time.Duration(nextID).String()))
 				provisioned++
 			}
 		}
-		return a
+		return response
 	}
 	r.advance(5*30*time.Second, r.manager)
 	for _, c := range r.calls {
