--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,40 +1,41 @@
-// Package authority derives which actions a node may take at a given moment from its leadership,
-// from whether the key-value store accepts its writes, and from a handover in progress.
+// Package authority decides which actions a node may perform at a given moment. The decision depends on
+// whether the node leads, whether it has loaded the stored state, whether the key-value store accepts
+// writes, and whether a handover is in progress.
 //
 // The package performs no I/O and reads no clock.
 package authority
 
 import "opaldale/internal/enum"
 
-// State is the extent of a node's authority.
+// State determines the actions that a node may perform.
 type State uint8
 
-// The states, from no authority to full authority.
+// The states, from no permitted action to all actions.
 const (
-	None        State = iota // the node does not lead, or the grace period after its lease expiry is over
-	Grace                    // its lease has expired, and only worker leases may be renewed
-	Loading                  // it leads, but has not read the stored state yet
-	HandingOver              // it leads, and is handing over to another node
-	StoreDown                // it leads, but the key-value store does not accept its writes
-	Active                   // it leads without restrictions
+	None        State = iota // the node does not lead, or its lease and the grace period after it have expired
+	Grace                    // the leader lease has expired within the grace period; only worker leases may be renewed
+	Loading                  // the node leads, but has not loaded the stored state yet
+	HandingOver              // the node leads, and is handing over leadership to another node
+	StoreDown                // the node leads, but the key-value store does not accept writes
+	Active                   // the node leads and may perform all actions
 )
 
-// String returns the state's name in reports and metrics, where it must not change. It differs from
-// the constant's name.
+// String returns the name of the state in reports and metrics, which must not change. It differs from the
+// name of the constant.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"none", "grace", "loading", "yielding", "holding", "deciding"}
 
-// Action is an operation that only a node with authority may perform.
+// Action is an operation that only the leader may perform.
 type Action uint8
 
 // The actions.
 const (
 	// Place assigns tasks to machines, preempts other tasks for them, and records both.
 	Place Action = iota
-	// Launch sends the command that starts a task whose placement is durable.
+	// Launch sends the command that starts a task once its placement is durable.
 	Launch
-	// AcceptSubmissions accepts submissions and cancellations, and confirms them once durable.
+	// AcceptSubmissions accepts job submissions and cancellations, and confirms them once they are durable.
 	AcceptSubmissions
 	// ServeReads answers users' queries from memory.
 	ServeReads
@@ -42,7 +43,7 @@
 	CommandWorkers
 	// RenewWorkerLeases answers workers' heartbeats without starting anything.
 	RenewWorkerLeases
-	// Scale provisions machines, and terminates those that are not needed.
+	// Scale provisions machines and terminates machines that are not needed.
 	Scale
 	// Fence terminates machines that have stopped sending heartbeats.
 	Fence
@@ -50,7 +51,7 @@
 	actionCount
 )
 
-// String returns the action's name.
+// String returns the name of the action.
 func (a Action) String() string { return enum.Name(actionNames[:], a, "action") }
 
 var actionNames = [...]string{"place", "launch", "accept", "answer", "command", "keep leases", "rent", "fence"}
@@ -68,9 +69,9 @@
 
 func (s actionSet) contains(a Action) bool { return a < actionCount && s&(1<<a) != 0 }
 
-// permissions are the actions that each state allows. Commands to workers require no write to the
-// store, and are allowed in HandingOver and StoreDown as well: a command that stops a task is safe
-// whichever node leads, and a command that starts one belongs to a durable placement.
+// permissions holds the actions that each state allows. HandingOver and StoreDown allow commands to workers,
+// because these need no write to the store: stopping a task is safe under any leader, and a task is
+// started only if its placement is durable.
 var permissions = [...]actionSet{
 	None:        newActionSet(),
 	Grace:       newActionSet(RenewWorkerLeases),
@@ -86,26 +87,26 @@
 	return int(s) < len(permissions) && permissions[s].contains(a)
 }
 
-// Leadership is the certainty of a node that no other node leads.
+// Leadership describes how certain a node is that no other node leads.
 type Leadership uint8
 
-// The degrees of leadership, from none to full.
+// The levels of leadership, in increasing order.
 const (
 	NotLeader    Leadership = iota // the node leads no term, or its term has ended
-	LeaseExpired                   // its lease has expired, and the grace period after that is over
-	LeaseInGrace                   // its lease has expired within the grace period
+	LeaseExpired                   // the lease and the grace period after it have expired
+	LeaseInGrace                   // the lease has expired, but the grace period has not
 	LeaseValid                     // no other node can lead at this moment
 )
 
-// Facts are the inputs from which a node's authority is derived.
+// Facts are the inputs of Evaluate.
 type Facts struct {
 	Leadership    Leadership
-	StateLoaded   bool // the state stored by earlier terms has been read
+	StateLoaded   bool // the node has loaded the state that earlier leaders stored
 	StoreWritable bool // the key-value store accepts writes
-	HandingOver   bool // a handover has begun
+	HandingOver   bool // a handover is in progress
 }
 
-// Evaluate returns the state that follows from the facts.
+// Evaluate returns the state for the given facts.
 func Evaluate(f Facts) State {
 	switch {
 	case f.Leadership == LeaseInGrace && f.StateLoaded:
@@ -122,16 +123,17 @@
 	return Active
 }
 
-// Tracker holds a node's present state. The zero Tracker is in state None. It is not safe for
+// Tracker holds the current state of a node. The zero Tracker is in state None. It is not safe for
 // concurrent use.
 type Tracker struct {
 	state State
 }
 
-// State returns the state after the last Update.
+// State returns the state that the last Update set.
 func (t *Tracker) State() State { return t.state }
 
-// Update is the only function that changes the state. It returns the states before and after.
+// Update evaluates the facts and sets the state. It returns the previous and the new state. No other function
+// changes the state.
 func (t *Tracker) Update(f Facts) (from, to State) {
 	from = t.state
 	t.state = Evaluate(f)
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -15,68 +15,70 @@
 	}
 }
 
-// TestActionsRequireCertainLeadership: for all facts, a node takes only actions for which its leadership is
-// certain enough, its state is loaded and its writes are accepted, and it places nothing during a
-// handover.
+// TestActionsRequireCertainLeadership checks the permitted actions for all combinations of facts. Each
+// action requires loaded state and a valid leader lease; worker leases may also be renewed within the grace
+// period. A handover and an unwritable store restrict the actions further.
 func TestActionsRequireCertainLeadership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
 		s := Evaluate(f)
-		sure := f.StateLoaded && f.Leadership == LeaseValid
+		certain := f.StateLoaded && f.Leadership == LeaseValid
 		for a := Place; a < actionCount; a++ {
 			allowed := s.Allows(a)
 			switch {
 			case !allowed:
 			case a == RenewWorkerLeases && f.StateLoaded && f.Leadership >= LeaseInGrace:
-			case !sure:
-				t.Fatalf("%+v: %v may %v without sure leadership", f, s, a)
+			case !certain:
+				t.Fatalf("%+v: state %v allows %v without a valid lease and loaded state", f, s, a)
 			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
-				t.Fatalf("%+v: %v may %v during a handover", f, s, a)
+				t.Fatalf("%+v: state %v allows %v during a handover", f, s, a)
 			case !f.StoreWritable && (a == Place || a == Scale || a == Fence):
-				t.Fatalf("%+v: %v may %v while the store is down", f, s, a)
+				t.Fatalf("%+v: state %v allows %v while the store is not writable", f, s, a)
 			}
 		}
-		if sure && f.StoreWritable && !f.HandingOver && s != Active {
-			t.Fatalf("%+v: only %v", f, s)
+		if certain && f.StoreWritable && !f.HandingOver && s != Active {
+			t.Fatalf("%+v: state is %v, want %v", f, s, Active)
 		}
 	})
 }
 
-// TestWeakerFactsAddNoPermission: weaker facts never add a permission, except for the renewal of worker
-// leases, which Grace allows as well.
+// TestWeakerFactsAddNoPermission checks that weakening one fact never permits an additional action. It
+// skips RenewWorkerLeases, which Grace allows as well.
 func TestWeakerFactsAddNoPermission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFacts(t)
-		fewer := f
+		weaker := f
 		switch rapid.IntRange(0, 3).Draw(t, "lost") {
 		case 0:
-			fewer.Leadership = Leadership(rapid.IntRange(int(NotLeader), int(f.Leadership)).Draw(t, "fewer leadership"))
+			weaker.Leadership = Leadership(rapid.IntRange(int(NotLeader), int(f.Leadership)).Draw(t, "fewer leadership"))
 		case 1:
-			fewer.StateLoaded = false
+			weaker.StateLoaded = false
 		case 2:
-			fewer.StoreWritable = false
+			weaker.StoreWritable = false
 		case 3:
-			fewer.HandingOver = true
+			weaker.HandingOver = true
 		}
 		for a := Place; a < actionCount; a++ {
-			if Evaluate(fewer).Allows(a) && !Evaluate(f).Allows(a) && a != RenewWorkerLeases {
-				t.Fatalf("%v may %v, and %v may not", Evaluate(fewer), a, Evaluate(f))
+			if Evaluate(weaker).Allows(a) && !Evaluate(f).Allows(a) && a != RenewWorkerLeases {
+				t.Fatalf("state %v (weaker facts) allows %v, state %v does not", Evaluate(weaker), a, Evaluate(f))
 			}
 		}
 	})
 }
 
-// TestTracker: an update returns the states before and after.
+// TestTracker checks that Update returns the previous and the new state, and that unknown states and actions
+// are not allowed anything.
 func TestTracker(t *testing.T) {
 	var tracker Tracker
 	all := Facts{Leadership: LeaseValid, StateLoaded: true, StoreWritable: true}
 	if from, to := tracker.Update(all); from != None || to != Active || tracker.State() != Active {
-		t.Errorf("from %v to %v, now %v", from, to, tracker.State())
+		t.Errorf("first update: from %v to %v, current state %v, want from %v to %v", from, to, tracker.State(), None, Active)
 	}
 	if from, to := tracker.Update(all); from != to {
-		t.Error("the same facts changed the state")
+		t.Errorf("update with the same facts changed the state from %v to %v", from, to)
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
-		t.Error("an impossible state or action is allowed")
+		t.Errorf("State(99).Allows(Place) = %v, Active.Allows(Action(99)) = %v, want false for both",
+			State(99).Allows(Place), Active.Allows(Action(99)))
 	}
 }
--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -10,7 +10,7 @@
 // revisions that it compares let it be applied at most once.
 type txn struct {
 	documents  []*Document
-	records    []openRecord
+	records    []inFlightRecord
 	request    kvstore.Request
 	uncertain  bool // a copy of it may have been applied, or may yet be
 	retryDelay time.Duration
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	maxOpenTxns           = 3 // transactions whose outcome is open
+	maxInFlightTxns       = 3 // transactions whose outcome is open
 	lazyRecheckInterval   = 100 * time.Millisecond
 	initialRetryDelay     = 100 * time.Millisecond
 	maxRetryDelay         = time.Second
@@ -88,7 +88,7 @@
 	log            changeLog
 	urgentQueue    []*Document
 	lazyQueue      []*Document
-	openTxns       int
+	inFlightTxns   int
 	flushScheduled bool
 }
 
@@ -111,7 +111,7 @@
 // content.
 func (c *Committer) UseTextFormat() {
 	c.log.format = textFormat{}
-	c.limiter.tighten()
+	c.limiter.applyExpectedLimits()
 }
 
 // HasSpareCapacity reports whether nothing urgent is queued and content that is not urgent may be
@@ -124,7 +124,7 @@
 func (c *Committer) Quiesce() { c.advance(quiescing) }
 
 // Drained reports whether no transaction is open.
-func (c *Committer) Drained() bool { return c.openTxns == 0 }
+func (c *Committer) Drained() bool { return c.inFlightTxns == 0 }
 
 // Stop ends the committer. No callback is called after that.
 func (c *Committer) Stop() { c.advance(stopped) }
@@ -154,7 +154,7 @@
 
 // Flush sends what is queued, as far as the limits allow.
 func (c *Committer) Flush() {
-	for c.lifecycle == running && c.openTxns < maxOpenTxns {
+	for c.lifecycle == running && c.inFlightTxns < maxInFlightTxns {
 		wait, queued := c.timeToNextTxn(c.port.Now())
 		if wait > 0 {
 			c.scheduleFlush(wait)
--- a/internal/commit/document.go
+++ b/internal/commit/document.go
@@ -25,16 +25,16 @@
 	contentChanged documentEvent = iota // in memory
 	sent                                // in a transaction
 	committed                           // the transaction was applied
-	withdrawn                           // the transaction was given up; the document waits for another one
-	abandoned                           // the transaction was given up, and the document with it
+	requeued                            // the transaction was given up; the document waits for another one
+	discarded                           // the transaction was given up, and the document with it
 )
 
 // documentTransitions holds the state after each event that may occur in a state.
 var documentTransitions = map[documentState]map[documentEvent]documentState{
 	clean:         {contentChanged: dirty},
 	dirty:         {contentChanged: dirty, sent: inFlight},
-	inFlight:      {contentChanged: inFlightDirty, committed: clean, withdrawn: dirty, abandoned: clean},
-	inFlightDirty: {contentChanged: inFlightDirty, committed: dirty, withdrawn: dirty, abandoned: clean},
+	inFlight:      {contentChanged: inFlightDirty, committed: clean, requeued: dirty, discarded: clean},
+	inFlightDirty: {contentChanged: inFlightDirty, committed: dirty, requeued: dirty, discarded: clean},
 }
 
 // urgency is the queue in which a document waits.
@@ -124,20 +124,20 @@
 	d.transition(sent)
 }
 
-// withdraw takes the document out of a transaction that is given up; it waits for another one.
-func (d *Document) withdraw(uncertain bool) {
+// requeue takes the document out of a transaction that is given up; it waits for another one.
+func (d *Document) requeue(uncertain bool) {
 	d.pendingCallbacks = append(d.inFlightCallbacks, d.pendingCallbacks...)
 	d.inFlightCallbacks = nil
 	d.uncertain = d.uncertain || uncertain
 	d.queuedAs = urgent
-	d.transition(withdrawn)
+	d.transition(requeued)
 }
 
-// abandon takes the document out of a transaction that was not applied because one of its
+// discard takes the document out of a transaction that was not applied because one of its
 // MustNotExist keys exists.
-func (d *Document) abandon() {
+func (d *Document) discard() {
 	d.inFlightCallbacks, d.pendingCallbacks = nil, nil
-	d.transition(abandoned)
+	d.transition(discarded)
 	if d.OnExists != nil {
 		d.OnExists()
 	}
--- a/internal/commit/format.go
+++ b/internal/commit/format.go
@@ -26,8 +26,8 @@
 	// fill writes the first of the pending entries to a record that must not take more than
 	// maxValueBytes. It returns their number, which is at least one.
 	fill(record *logRecord, pending []Entry, maxValueBytes int) int
-	// retain makes a durable record needed by what has changes in it.
-	retain(slots *slotTable, slot *logSlot, entries []Entry)
+	// addReferences makes a durable record needed by what has changes in it.
+	addReferences(slots *slotTable, slot *logSlot, entries []Entry)
 	// compact makes the oldest records obsolete if the log is too long: it queues their entries
 	// again, or returns the documents to put.
 	compact(log *changeLog, maxValueBytes int) []*Document
@@ -48,7 +48,7 @@
 	return count
 }
 
-func (jsonFormat) retain(slots *slotTable, slot *logSlot, entries []Entry) {
+func (jsonFormat) addReferences(slots *slotTable, slot *logSlot, entries []Entry) {
 	documents := make([]*Document, len(entries))
 	for i, e := range entries {
 		documents[i] = e.Document()
@@ -101,7 +101,7 @@
 	return count
 }
 
-func (textFormat) retain(slots *slotTable, slot *logSlot, entries []Entry) {
+func (textFormat) addReferences(slots *slotTable, slot *logSlot, entries []Entry) {
 	slots.pinEntries(slot, entries)
 }
 
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -66,7 +66,7 @@
 
 // drainTokens delays further transactions after a response that the rate was too high.
 func (l *limiter) drainTokens() {
-	l.tighten()
+	l.applyExpectedLimits()
 	l.tokens = 0
 }
 
@@ -78,19 +78,19 @@
 // hasSpareTokens reports whether there are tokens left for content that is not urgent.
 func (l *limiter) hasSpareTokens() bool { return l.tokens > l.limits.MutationsPerSecond/2 }
 
-// tighten puts the expected limits into force and reports whether they are stricter.
-func (l *limiter) tighten() bool {
+// applyExpectedLimits puts the expected limits into force and reports whether they are stricter.
+func (l *limiter) applyExpectedLimits() bool {
 	before := l.limits
 	l.limits = l.limits.Min(l.expected)
 	l.tokens = min(l.tokens, l.limits.MutationsPerSecond)
 	return l.limits != before
 }
 
-// shrink makes the limits stricter after a transaction was rejected. It returns false if the
+// reduceLimits makes the limits stricter after a transaction was rejected. It returns false if the
 // transaction cannot be made any smaller.
-func (l *limiter) shrink(rejected *txn) bool {
+func (l *limiter) reduceLimits(rejected *txn) bool {
 	switch {
-	case l.tighten():
+	case l.applyExpectedLimits():
 	case len(rejected.documents)+len(rejected.records) > 1:
 		l.limits.MutationsPerTxn = max(1, len(rejected.request.Mutations)/2)
 	case len(rejected.records) > 0 && l.limits.MaxValueBytes > minValueBytes:
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -47,8 +47,8 @@
 	callbacks []func() // to call when it is durable
 }
 
-// openRecord is a record in an open transaction.
-type openRecord struct {
+// inFlightRecord is a record in an open transaction.
+type inFlightRecord struct {
 	slot    *logSlot
 	format  logFormat
 	entries []recordEntry
@@ -95,7 +95,7 @@
 }
 
 // takeRecord moves pending entries, as many as fit, into a new record and returns it with its value.
-func (l *changeLog) takeRecord(now ident.MonotonicTime, maxValueBytes int) (openRecord, json.RawMessage) {
+func (l *changeLog) takeRecord(now ident.MonotonicTime, maxValueBytes int) (inFlightRecord, json.RawMessage) {
 	l.lastLSN++
 	l.lastRecordAt = now
 	record := logRecord{LSN: l.lastLSN}
@@ -104,10 +104,10 @@
 	if err != nil {
 		panic(err) // the lines are made of plain fields
 	}
-	open := openRecord{slot: l.slots.allocate(), format: l.format, entries: l.takePending(count)}
-	open.slot.lsn = record.LSN
+	inFlight := inFlightRecord{slot: l.slots.allocate(), format: l.format, entries: l.takePending(count)}
+	inFlight.slot.lsn = record.LSN
 	l.inFlightLSNs[record.LSN] = true
-	return open, value
+	return inFlight, value
 }
 
 // takePending removes the first pending entries.
@@ -124,8 +124,8 @@
 	return taken
 }
 
-// settle marks a record as durable, and returns the callbacks of its entries.
-func (l *changeLog) settle(record openRecord, revision ident.Revision) (callbacks []func()) {
+// markDurable marks a record as durable, and returns the callbacks of its entries.
+func (l *changeLog) markDurable(record inFlightRecord, revision ident.Revision) (callbacks []func()) {
 	record.slot.revision, record.slot.uncertain = revision, false
 	delete(l.inFlightLSNs, record.slot.lsn)
 	entries := make([]Entry, len(record.entries))
@@ -133,14 +133,14 @@
 		entries[i] = p.entry
 		callbacks = append(callbacks, p.callbacks...)
 	}
-	record.format.retain(&l.slots, record.slot, entries)
+	record.format.addReferences(&l.slots, record.slot, entries)
 	return callbacks
 }
 
-// withdraw takes a record out of a transaction that is given up: its entries wait for another
+// requeue takes a record out of a transaction that is given up: its entries wait for another
 // record, and its slot is free. If the outcome of the transaction is uncertain, so is the content
 // of the slot.
-func (l *changeLog) withdraw(record openRecord, uncertain bool) {
+func (l *changeLog) requeue(record inFlightRecord, uncertain bool) {
 	delete(l.inFlightLSNs, record.slot.lsn)
 	record.slot.uncertain = record.slot.uncertain || uncertain
 	l.slots.free = append(l.slots.free, record.slot)
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -12,7 +12,7 @@
 
 // send counts a transaction and sends its first copy.
 func (c *Committer) send(t *txn) {
-	c.openTxns++
+	c.inFlightTxns++
 	c.Txns++
 	c.Puts += uint64(len(t.request.Mutations))
 	c.sendCopy(t)
@@ -63,11 +63,11 @@
 
 // handleCommitted settles a transaction that was applied. revision is that of the keys it put.
 func (c *Committer) handleCommitted(t *txn, revision ident.Revision) {
-	c.openTxns--
+	c.inFlightTxns--
 	c.limiter.rejections = 0
-	callbacks := c.settleDocuments(t, revision)
+	callbacks := c.markDocumentsDurable(t, revision)
 	for _, record := range t.records {
-		callbacks = append(callbacks, c.log.settle(record, revision)...)
+		callbacks = append(callbacks, c.log.markDurable(record, revision)...)
 	}
 	c.compactLog()
 	for _, f := range callbacks {
@@ -76,8 +76,8 @@
 	c.Flush()
 }
 
-// settleDocuments marks the documents of a transaction as durable, and returns their callbacks.
-func (c *Committer) settleDocuments(t *txn, revision ident.Revision) (callbacks []func()) {
+// markDocumentsDurable marks the documents of a transaction as durable, and returns their callbacks.
+func (c *Committer) markDocumentsDurable(t *txn, revision ident.Revision) (callbacks []func()) {
 	putKeys := make(map[string]bool, len(t.request.Mutations))
 	for _, mutation := range t.request.Mutations {
 		putKeys[mutation.Put] = true
@@ -148,9 +148,9 @@
 // No copy of it was applied: one that was would have found these keys absent, and would have
 // left them so.
 func (c *Committer) handleExisting(t *txn, existing, others []*Document) {
-	c.openTxns--
+	c.inFlightTxns--
 	for _, d := range existing {
-		d.abandon()
+		d.discard()
 	}
 	c.requeue(t, others)
 	c.Flush()
@@ -159,11 +159,11 @@
 // requeue gives up a transaction: its records' entries and the given documents wait for another one.
 func (c *Committer) requeue(t *txn, documents []*Document) {
 	for _, d := range documents {
-		d.withdraw(t.uncertain)
+		d.requeue(t.uncertain)
 		c.enqueue(d)
 	}
 	for _, record := range t.records {
-		c.log.withdraw(record, t.uncertain)
+		c.log.requeue(record, t.uncertain)
 	}
 }
 
@@ -172,7 +172,7 @@
 // complete and newer. Once it is applied, the earlier transaction can't be any more.
 func (c *Committer) refreshRevisions(t *txn, failed []string) {
 	if len(failed) == 0 {
-		c.openTxns--
+		c.inFlightTxns--
 		c.requeue(t, t.documents)
 		c.scheduleFlush(initialRetryDelay)
 		return
@@ -238,11 +238,11 @@
 // keys are uncertain until something newer is written there. The content is written again in
 // smaller transactions; a document that is rejected by itself waits longer each time.
 func (c *Committer) handleRejected(t *txn, reason string) {
-	c.openTxns--
+	c.inFlightTxns--
 	c.Rejected++
 	slog.Error("transaction rejected", "mutations", len(t.request.Mutations), "reason", reason)
 	documents := t.documents
-	if !c.limiter.shrink(t) && len(documents) > 0 {
+	if !c.limiter.reduceLimits(t) && len(documents) > 0 {
 		c.postpone(t, documents[0])
 		documents = nil
 	}
@@ -253,7 +253,7 @@
 
 // postpone takes the only document out of a rejected transaction and queues it again later.
 func (c *Committer) postpone(t *txn, d *Document) {
-	d.withdraw(t.uncertain)
+	d.requeue(t.uncertain)
 	d.rejections++
 	c.after(rejectionPause(d.rejections), func() {
 		if d.state == dirty {
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -9,12 +9,12 @@
 
 // candidacy is the state of one attempt to become leader.
 type candidacy struct {
-	// staleRevision is the revision of the leader key when it was found to be free, 0 if it did not
-	// exist.
+	// staleRevision is the revision of the leader key that the claim overwrites, 0 if the key did not
+	// exist when the candidacy began.
 	staleRevision ident.Revision
-	// startedAt precedes the grant of the lease, and therefore the start of its TTL.
+	// startedAt is when the lease was requested. The TTL of the lease starts at that time or later.
 	startedAt ident.MonotonicTime
-	// pending is the number of responses still awaited.
+	// pending is the number of responses that have not arrived yet.
 	pending int
 
 	leaseID      uint64
@@ -23,13 +23,14 @@
 	termRevision ident.Revision // of the term key, 0 if it does not exist
 }
 
-// awaitedResponses is the number of responses that a candidacy needs: the lease and the last term.
+// awaitedResponses is the number of store responses that a claim requires: the granted lease and the last
+// term.
 const awaitedResponses = 2
 
-// campaign tries to become leader, unless the node abstains or lets another node claim first.
+// campaign tries to become leader, unless the node abstains or must let another node claim first.
 // staleRevision is the revision of a leader key that may be overwritten, 0 if the key does not exist.
 //
-// A lease granted to a candidacy that fails before its claim is left to expire.
+// If a candidacy fails before its claim, its lease is not revoked and expires after its TTL.
 func (e *Elector) campaign(staleRevision ident.Revision) {
 	if e.port.Now() < e.abstainUntil {
 		e.retryLater(abstaining)
@@ -67,7 +68,8 @@
 	})
 }
 
-// setTerm sets the last term from a read of the term key, and reports whether it is known.
+// setTerm sets the last term from the response to a read of the term key. It returns false if the read
+// failed or the value cannot be decoded.
 func (c *candidacy) setTerm(response kvstore.Response) bool {
 	switch response.Outcome {
 	case kvstore.OK:
@@ -84,7 +86,7 @@
 	return false
 }
 
-// claimWhenReady counts one response, and claims the leader key after the last one.
+// claimWhenReady counts one successful response, and claims the leader key once all have arrived.
 func (e *Elector) claimWhenReady(c *candidacy) {
 	c.pending--
 	if c.pending == 0 {
@@ -118,8 +120,9 @@
 	})
 }
 
-// claimFailed abandons a candidacy. If the claim was applied and only its response was lost, the next
-// check finds this node's own record, and the node campaigns for a later term.
+// claimFailed ends a candidacy and schedules another read of the leader key. If the claim was applied but
+// its response was lost, that read returns this node's own record, and the node campaigns for a later
+// term.
 func (e *Elector) claimFailed(c *candidacy, outcome kvstore.Outcome) {
 	if outcome == kvstore.Conflict {
 		e.revokeLease(c.leaseID)
@@ -127,7 +130,7 @@
 	e.retryLater(transitionReason("claim: " + outcome.String()))
 }
 
-// startLeading begins a term. revision is that of the leader key which the claim has written.
+// startLeading begins a term. revision is the revision of the leader key after the claim.
 func (e *Elector) startLeading(c *candidacy, term ident.Term, revision ident.Revision) {
 	e.setState(Leading, claimSucceeded)
 	e.term = term
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,10 +1,10 @@
-// Package election elects one leader among the nodes of a cluster by means of a key attached to a
-// short lease of the key-value store, and bounds the time until which no other node can lead.
+// Package election elects one leader among the nodes of a cluster. The leader holds a key of the
+// key-value store that is attached to a short lease, and computes until when no other node can lead.
 //
-// A node follows while another one holds the leader key. When the key is gone, it requests a
-// lease, reads the number of the last term, and claims the leader key for the next term in one
-// transaction. As leader it renews the lease until it steps down or learns that its lease or its
-// key is lost.
+// A node is a follower while another node holds the leader key. When the key is deleted, the node
+// requests a lease, reads the number of the last term, and claims the leader key for the next term
+// in one transaction. The leader renews the lease until it steps down or detects that it has lost the
+// lease or the key.
 package election
 
 import (
@@ -19,8 +19,8 @@
 
 // The keys of an election.
 const (
-	LeaderKey = "leader" // held by the leader, deleted with its lease
-	TermKey   = "term"   // the last term; never deleted
+	LeaderKey = "leader" // written by the leader; deleted when its lease expires or is revoked
+	TermKey   = "term"   // the number of the last term; never deleted
 )
 
 // State is a node's role in the election.
@@ -30,34 +30,34 @@
 const (
 	Following       State = iota // watching the leader key, or waiting to read it again
 	RequestingLease              // requesting a lease and reading the last term
-	Claiming                     // the transaction on the leader key is under way
-	Leading                      // the leader key was this node's when last read
+	Claiming                     // the transaction that claims the leader key is in flight
+	Leading                      // this node held the leader key when it was last read or written
 )
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"following", "requesting lease", "claiming", "leading"}
 
-// transitionReason is the reason of a state change, for logs.
+// transitionReason is the reason for a state change. It is used in logs only.
 type transitionReason string
 
 const (
-	checkingLeader  transitionReason = "checking the leader key"
-	abstaining      transitionReason = "abstaining from candidacy"
-	deferring       transitionReason = "letting other nodes claim first"
-	leaderKeyFree   transitionReason = "the leader key is free"
-	leaseNotGranted transitionReason = "no lease granted"
-	termNotRead     transitionReason = "the last term is unknown"
-	candidacyReady  transitionReason = "lease granted and last term known"
+	checkingLeader  transitionReason = "reading the leader key"
+	abstaining      transitionReason = "no candidacy allowed yet after resignation or handover"
+	deferring       transitionReason = "waiting for other nodes to claim first"
+	leaderKeyFree   transitionReason = "leader key has no holder"
+	leaseNotGranted transitionReason = "lease request failed"
+	termNotRead     transitionReason = "last term could not be read"
+	candidacyReady  transitionReason = "lease granted and last term read"
 	claimSucceeded  transitionReason = "claim succeeded"
 )
 
-// callTimeout bounds requests to the key-value store, except for watches and lease renewals.
+// callTimeout is the timeout of requests to the key-value store, except for watches and lease renewals.
 const callTimeout = time.Second
 
-// Port is the environment of an Elector. Timers and responses must not run concurrently with one
-// another, or with calls of the Elector's methods.
+// Port gives an Elector access to the clock, to timers and to the key-value store. Callbacks must not run
+// concurrently with one another or with the Elector's methods.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
@@ -66,10 +66,10 @@
 
 // Callbacks notify the owner of an Elector. They are never called concurrently.
 type Callbacks interface {
-	// OnStartedLeading reports the start of a term at the format level in force. The owner adds
+	// OnStartedLeading is called at the start of a term, with the current format level. The owner adds
 	// leaderKey to the compares of its transactions, so that they fail once another node leads.
 	OnStartedLeading(term ident.Term, level ident.FormatLevel, leaderKey kvstore.Compare)
-	// OnStoppedLeading reports the end of the term.
+	// OnStoppedLeading is called at the end of the term.
 	OnStoppedLeading(reason StepDownReason)
 }
 
@@ -77,18 +77,18 @@
 type leaderRecord struct {
 	Node  ident.NodeID `json:"node"`
 	Term  ident.Term   `json:"term"`
-	Nonce uint64       `json:"nonce"` // distinguishes the processes of a node
+	Nonce uint64       `json:"nonce"` // random number of the process that wrote the record
 }
 
 // knownLeader is the leader of the latest term known to the node.
 type knownLeader struct {
 	leaderRecord
-	gone bool // its key was deleted
+	keyDeleted bool // the leader key was deleted after that leader had written it
 }
 
-func (l knownLeader) exists() bool { return l.Node != "" && !l.gone }
+func (l knownLeader) exists() bool { return l.Node != "" && !l.keyDeleted }
 
-// Elector takes part in elections on behalf of a node. It is not safe for concurrent use.
+// Elector runs the election protocol for one node. It is not safe for concurrent use.
 type Elector struct {
 	port      Port
 	callbacks Callbacks
@@ -98,8 +98,8 @@
 	rng       *rand.Rand
 
 	state State
-	// generation counts the calls of setState. Responses and timers of earlier generations are
-	// ignored.
+	// generation counts the calls of setState. Responses and timers that were requested in an earlier
+	// generation are ignored.
 	generation uint64
 
 	knownLeader  knownLeader
@@ -107,17 +107,17 @@
 	preferred    successorPreference
 	// campaignDelayed is set once CampaignDelay has been applied, until a leader is known again.
 	campaignDelayed bool
-	// CampaignDelay returns how long the node lets other nodes claim first, 0 for no delay. It may
-	// be nil, and must be set before Start.
+	// CampaignDelay returns how long the node waits for other nodes to claim first, 0 for no delay. It
+	// may be nil, and must be set before Start.
 	CampaignDelay func() time.Duration
 
-	// The term that the node leads, or led last.
+	// term is the term that the node leads, or led most recently; the fields below belong to it.
 	term       ident.Term
-	leaderKey  kvstore.Compare // the leader key as this node wrote it
+	leaderKey  kvstore.Compare // holds while the leader key is as this node wrote it
 	leaseID    uint64
 	validUntil ident.MonotonicTime // no other node can lead before this time
-	// unansweredSince is when the oldest renewal without a response was sent, ident.Never if there
-	// is none.
+	// unansweredSince is when the first renewal since the last response was sent, ident.Never if no
+	// renewal awaits a response.
 	unansweredSince ident.MonotonicTime
 }
 
@@ -135,13 +135,13 @@
 	}
 }
 
-// Start begins to take part in elections.
+// Start starts the election protocol by reading the leader key.
 func (e *Elector) Start() { e.checkLeader() }
 
 // State returns the node's role in the election.
 func (e *Elector) State() State { return e.state }
 
-// Term returns the term that the node leads, or led last.
+// Term returns the term that the node leads, or led most recently.
 func (e *Elector) Term() ident.Term { return e.term }
 
 // LeaseValid reports whether this node leads and no other node can lead at this moment.
@@ -150,13 +150,12 @@
 // LeaseExpiry returns when LeaseValid becomes false, unless the lease is renewed.
 func (e *Elector) LeaseExpiry() ident.MonotonicTime { return e.validUntil }
 
-// WithinGrace reports whether this node leads and its lease is valid or has expired less than grace
-// ago.
+// WithinGrace reports whether this node leads and its lease is valid or expired less than grace ago.
 func (e *Elector) WithinGrace(grace time.Duration) bool {
 	return e.state == Leading && e.port.Now() < e.validUntil.Add(grace)
 }
 
-// Leader returns the leader of the latest term known, and whether it is known to lead.
+// Leader returns the leader of the latest known term, and whether that node still leads as far as known.
 func (e *Elector) Leader() (ident.NodeID, bool) {
 	if e.state == Leading {
 		return e.self, true
@@ -164,8 +163,8 @@
 	return e.knownLeader.Node, e.knownLeader.exists() && e.knownLeader.Node != e.self
 }
 
-// ObserveLeader records that a node leads a term, as a peer's heartbeat reports. It ends this node's
-// term if the reported term is later.
+// ObserveLeader records the leader and term that a peer reports in a heartbeat. If this node leads an
+// earlier term, it steps down.
 func (e *Elector) ObserveLeader(node ident.NodeID, term ident.Term) {
 	if e.state == Leading && term > e.term {
 		e.stepDown(LaterTermKnown)
@@ -175,8 +174,8 @@
 	}
 }
 
-// setState is the only function that changes the state. A change to the same state also cancels
-// pending responses and timers.
+// setState is the only function that changes the state. Every call, also one with the current state,
+// cancels pending responses and timers.
 func (e *Elector) setState(next State, reason transitionReason) {
 	if e.state != next {
 		slog.Debug("election state changed", "from", e.state.String(), "to", next.String(), "reason", string(reason))
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -10,13 +10,13 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// fakeStore is a key-value store and a clock for the electors of a test. Responses arrive after a
-// millisecond; watches never respond.
+// fakeStore is an in-memory key-value store and a clock for the electors of a test. Responses arrive after
+// one millisecond; watches receive no response.
 type fakeStore struct {
 	*kvstoretest.MemoryStore
 	clocktest.Clock
 	leaseCount  uint64
-	loseDeletes bool // transactions that delete a key are lost
+	loseDeletes bool // transactions that delete a key are neither applied nor answered
 }
 
 func (s *fakeStore) Store(request kvstore.Request, onResponse func(kvstore.Response)) {
@@ -43,7 +43,7 @@
 		}
 		return s.Apply(request.Mutations), true
 	case kvstore.Watch:
-		return kvstore.Response{}, false // followers learn of changes by checkLeader alone
+		return kvstore.Response{}, false // followers detect changes only by calling checkLeader
 	}
 	return kvstore.Response{Outcome: kvstore.OK}, true
 }
--- a/internal/election/follow.go
+++ b/internal/election/follow.go
@@ -13,13 +13,13 @@
 	// minRecheckDelay is the minimum delay before the leader key is read again after a failure.
 	// Jitter of up to the same duration is added.
 	minRecheckDelay = 300 * time.Millisecond
-	// watchBlock is how long the store may hold a watch open without a change. Its response may
-	// arrive up to watchTimeoutMargin later.
+	// watchBlock is how long the store may hold a watch open without a change. The request times out
+	// watchTimeoutMargin after that.
 	watchBlock         = 10 * time.Second
 	watchTimeoutMargin = 2 * time.Second
 )
 
-// retryLater makes the node a follower that reads the leader key again after a delay.
+// retryLater returns the node to Following and schedules another read of the leader key.
 func (e *Elector) retryLater(reason transitionReason) {
 	e.setState(Following, reason)
 	e.checkLeaderLater()
@@ -30,7 +30,8 @@
 	e.afterInState(minRecheckDelay+jitter, e.checkLeader)
 }
 
-// checkLeader reads the leader key. The node then follows its holder, or campaigns if there is none.
+// checkLeader reads the leader key. The node then follows the holder of the key, or campaigns if the key
+// does not exist.
 func (e *Elector) checkLeader() {
 	e.setState(Following, checkingLeader)
 	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
@@ -46,7 +47,8 @@
 	})
 }
 
-// followOrCampaign follows the holder of a leader key, or campaigns if the key is a stale one of this node.
+// followOrCampaign follows the holder of an existing leader key. If the key is a stale one that this node
+// wrote, the node campaigns.
 func (e *Elector) followOrCampaign(response kvstore.Response) {
 	var record leaderRecord
 	if err := json.Unmarshal(response.Value, &record); err != nil {
@@ -55,8 +57,8 @@
 		return
 	}
 	if record.Node == e.self {
-		// The key was written by an earlier process of this node, which no longer runs, or by a
-		// claim of this process whose response was lost.
+		// The key was written by an earlier process of this node, which no longer runs, by a claim of
+		// this process whose response was lost, or in a term that this process no longer leads.
 		e.campaign(response.Revision)
 		return
 	}
@@ -109,7 +111,7 @@
 		}
 	}
 	if deleted {
-		e.knownLeader.gone = true
+		e.knownLeader.keyDeleted = true
 		e.campaign(0)
 		return
 	}
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -12,7 +12,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recordingStore is a fakeStore that keeps a description of each request.
+// recordingStore is a fakeStore that also records a description of each request.
 type recordingStore struct {
 	*fakeStore
 	kvstoretest.RequestLog
@@ -23,8 +23,8 @@
 	s.fakeStore.Store(request, onResponse)
 }
 
-// TestGoldenElection pins the requests of a node that is elected, renews its lease and steps down,
-// for each form of the term key's earlier value.
+// TestGoldenElection compares the requests of a node that is elected, renews its lease and steps down with
+// the golden file, for a missing term key and for each encoding of its value.
 func TestGoldenElection(t *testing.T) {
 	var d golden.Document
 	for _, c := range []struct {
@@ -51,7 +51,8 @@
 	d.Compare(t, "election")
 }
 
-// TestGoldenLeaderKey pins how a follower decodes the leader key, and its requests.
+// TestGoldenLeaderKey checks that a follower decodes the leader key, and compares its requests with the
+// golden file.
 func TestGoldenLeaderKey(t *testing.T) {
 	s := &recordingStore{fakeStore: newFakeStore()}
 	value := `{"node":"agent-7","term":43,"nonce":99}`
@@ -60,12 +61,12 @@
 	e.Start()
 	s.Advance(50 * time.Millisecond)
 	if node, known := e.Leader(); node != "agent-7" || !known || e.knownLeader.Term != 43 || e.knownLeader.Nonce != 99 {
-		t.Errorf("%+v", e.knownLeader)
+		t.Errorf("known leader is %+v (known: %v), want node agent-7, term 43, nonce 99", e.knownLeader, known)
 	}
 	golden.Compare(t, "follower", s.Requests())
 }
 
-// TestGoldenRecords pins the values of the leader key and of the term key.
+// TestGoldenRecords compares the encoded values of the leader key and the term key with the golden file.
 func TestGoldenRecords(t *testing.T) {
 	var d golden.Document
 	golden.RoundTrip(t, &d, "leader", golden.Filled[leaderRecord](0))
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -8,9 +8,9 @@
 // renewalsPerTTL is the number of renewals sent within the TTL of a lease.
 const renewalsPerTTL = 4
 
-// extendValidity records that the lease was granted or renewed at some time after sentAt. The store
-// counts the TTL from that time. This node counts from sentAt, and allows for clock drift, so that
-// the lease outlasts the validity.
+// extendValidity records that the lease was granted or renewed in response to a request sent at sentAt. The
+// store starts the TTL when it applies the request. This node starts it at sentAt and subtracts the
+// maximum clock drift, so that validUntil is never later than the expiry of the lease.
 func (e *Elector) extendValidity(sentAt ident.MonotonicTime) {
 	e.validUntil = max(e.validUntil, sentAt.Add(ident.LeastElapsed(e.leaseTTL)))
 }
@@ -22,10 +22,10 @@
 	})
 }
 
-// renew renews the lease. Once renewals have had no response for half of the TTL, it reads the leader
-// key first, to check that responses arrive. If requests were applied while their responses were lost,
-// renewals alone would keep the lease alive although its holder does not know that it is valid, and
-// the cluster would be without an acting leader.
+// renew renews the lease. If renewals have had no response for half of the TTL, it first reads the leader
+// key and renews only after a response. Otherwise, if requests were applied but their responses were lost,
+// renewals would keep the lease alive while this node has to treat it as expired: the cluster would have
+// no acting leader, and no other node could be elected.
 func (e *Elector) renew() {
 	if e.unansweredSince != ident.Never && e.port.Now().Sub(e.unansweredSince) >= e.leaseTTL/2 {
 		e.confirmLeadership()
@@ -51,8 +51,8 @@
 	})
 }
 
-// confirmLeadership reads the leader key, renews the lease if this node still holds the key, and steps
-// down if it does not.
+// confirmLeadership reads the leader key. It renews the lease if this node still holds the key, and steps
+// down otherwise.
 func (e *Elector) confirmLeadership() {
 	request := kvstore.Request{Op: kvstore.Get, Key: LeaderKey, Timeout: callTimeout}
 	e.callStore(request, func(response kvstore.Response) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// revokeLease ends a lease without waiting for the response: if the request is lost, the lease expires.
+// revokeLease revokes a lease. It ignores the response: if the request is lost, the lease expires.
 func (e *Elector) revokeLease(leaseID uint64) {
 	request := kvstore.Request{Op: kvstore.RevokeLease, LeaseID: leaseID, Timeout: callTimeout}
 	e.port.Store(request, func(kvstore.Response) {})
--- a/internal/election/step_down.go
+++ b/internal/election/step_down.go
@@ -7,19 +7,18 @@
 	"opaldale/internal/kvstore"
 )
 
-// StepDownReason is the reason why a node stopped leading. The owner of an Elector may define further
-// reasons.
+// StepDownReason is the reason why a node stopped leading. The owner of an Elector may define more reasons.
 type StepDownReason string
 
-// The reasons detected by the Elector itself.
+// The reasons that the Elector itself detects.
 const (
-	LaterTermKnown StepDownReason = "a later term is known"
-	LeaseLost      StepDownReason = "the lease has expired"
-	LeaderKeyLost  StepDownReason = "the leader key is gone or held by another node"
+	LaterTermKnown StepDownReason = "a peer reported a leader of a later term"
+	LeaseLost      StepDownReason = "leader lease expired or revoked"
+	LeaderKeyLost  StepDownReason = "leader key deleted or held by another node"
 )
 
-// Resign ends the node's leadership by revoking its lease. The node is no candidate again before
-// abstain has elapsed. Resign does nothing if the node does not lead.
+// Resign ends the node's leadership by revoking its lease. The node does not campaign again until abstain
+// has elapsed. Resign does nothing if the node does not lead.
 func (e *Elector) Resign(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
@@ -30,9 +29,9 @@
 }
 
 // HandOver ends the node's leadership by deleting the leader key in one transaction, so that any other
-// node may claim it at once. The node is no candidate again before abstain has elapsed. The term ends
-// with the call, whatever the outcome of the transaction: if it is lost, the key is deleted when the
-// lease expires. HandOver does nothing if the node does not lead.
+// node may claim it immediately. The node does not campaign again until abstain has elapsed. HandOver ends
+// the term without waiting for the response: if the transaction is lost, the store deletes the key when
+// the lease expires. HandOver does nothing if the node does not lead.
 func (e *Elector) HandOver(abstain time.Duration, reason StepDownReason) {
 	if e.state != Leading {
 		return
@@ -42,15 +41,16 @@
 	e.stepDown(reason)
 }
 
-// Depose ends the node's leadership. The owner calls it when it has learned that the term is over. It
-// does nothing if the node does not lead.
+// Depose makes the node step down without revoking its lease or deleting the leader key. The owner calls it
+// when it has evidence that the term must end, such as a later term or a conflicting write. It does
+// nothing if the node does not lead.
 func (e *Elector) Depose(reason StepDownReason) {
 	if e.state == Leading {
 		e.stepDown(reason)
 	}
 }
 
-// stepDown ends the term and makes the node a follower.
+// stepDown ends the term, returns the node to Following and reads the leader key.
 func (e *Elector) stepDown(reason StepDownReason) {
 	slog.Info("stepped down", "term", uint64(e.term), "reason", string(reason))
 	e.setState(Following, transitionReason(reason))
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,20 +22,20 @@
 
 // termModel is a coordinator under test with the expected progress of its term.
 type termModel struct {
-	config         Config
-	coordinator    *Coordinator
-	now            ident.MonotonicTime
-	began          ident.MonotonicTime
-	warrantedSince ident.MonotonicTime // 0 while there is no reason for a handover
-	announced      ident.MonotonicTime // 0 until then
-	ended          bool
+	config        Config
+	coordinator   *Coordinator
+	now           ident.MonotonicTime
+	termStartedAt ident.MonotonicTime
+	reasonSince   ident.MonotonicTime // 0 while there is no reason for a handover
+	announcedAt   ident.MonotonicTime // 0 until then
+	ended         bool
 }
 
 func newTermModel() *termModel {
 	config, now := DefaultConfig(), ident.MonotonicTime(time.Hour)
 	history := &History{}
 	history.ObserveTerm(1, now)
-	return &termModel{config: config, coordinator: New(config, history, now), now: now, began: now}
+	return &termModel{config: config, coordinator: New(config, history, now), now: now, termStartedAt: now}
 }
 
 // drawConditions advances the clock and returns the conditions at that time.
@@ -52,11 +52,11 @@
 		WritesDrained: rapid.Bool().Draw(t, "writes drained"),
 		StoreWritable: rapid.IntRange(0, 3).Draw(t, "store writable") > 0,
 	}
-	switch warranted := conditions.Successor != "" || conditions.Isolated; {
-	case !warranted:
-		m.warrantedSince = 0
-	case m.warrantedSince == 0:
-		m.warrantedSince = m.now
+	switch hasReason := conditions.Successor != "" || conditions.Isolated; {
+	case !hasReason:
+		m.reasonSince = 0
+	case m.reasonSince == 0:
+		m.reasonSince = m.now
 	}
 	return conditions
 }
@@ -66,27 +66,27 @@
 	switch m.coordinator.Advance(conditions) {
 	case Announce:
 		m.checkAnnounce(t, conditions)
-		m.announced = m.now
+		m.announcedAt = m.now
 	case EndTerm:
-		if m.announced == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announced) < m.config.DrainTimeout {
-			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announced), conditions)
+		if m.announcedAt == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announcedAt) < m.config.DrainTimeout {
+			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announcedAt), conditions)
 		}
 		m.ended = true
 	}
-	if m.coordinator.Begun() != (m.announced > 0) {
-		t.Fatalf("begun %v, announced %v", m.coordinator.Begun(), m.announced > 0)
+	if m.coordinator.Begun() != (m.announcedAt > 0) {
+		t.Fatalf("begun %v, announced %v", m.coordinator.Begun(), m.announcedAt > 0)
 	}
-	if m.announced > 0 && !m.ended && m.now.Sub(m.announced) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
+	if m.announcedAt > 0 && !m.ended && m.now.Sub(m.announcedAt) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
 		t.Fatal("an announced handover does not end")
 	}
 }
 
 func (m *termModel) checkAnnounce(t *rapid.T, conditions Conditions) {
-	if m.announced > 0 || m.warrantedSince == 0 || !conditions.StoreWritable ||
-		m.now.Sub(m.began) < m.config.MinTermDuration ||
-		m.now.Sub(m.warrantedSince) < m.config.StabilizationWindow {
+	if m.announcedAt > 0 || m.reasonSince == 0 || !conditions.StoreWritable ||
+		m.now.Sub(m.termStartedAt) < m.config.MinTermDuration ||
+		m.now.Sub(m.reasonSince) < m.config.StabilizationWindow {
 		t.Fatalf("announced %v into the term, %v after a handover was warranted: %+v",
-			m.now.Sub(m.began), m.now.Sub(m.warrantedSince), conditions)
+			m.now.Sub(m.termStartedAt), m.now.Sub(m.reasonSince), conditions)
 	}
 	if d := m.coordinator.Decision(); d.Successor != conditions.Successor || d.Reason == NoReason {
 		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, conditions)
@@ -111,8 +111,8 @@
 		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			e := Conditions{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
-			if coordinator.Advance(e) == EndTerm {
+			conditions := Conditions{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
+			if coordinator.Advance(conditions) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
