--- a/internal/election/successor_test.go
+++ b/internal/election/successor_test.go
@@ -21,7 +21,8 @@
 		other.PreferSuccessor("b", old.Term())
 		old.HandOver(15*time.Second, "a test")
 		if old.LeaseValid() || old.State() == Leading {
-			t.Fatalf("former leader after the handover: state %v, lease valid %v, want no leadership", old.State(), old.LeaseValid())
+			t.Fatalf("after the handover the former leader is %v, lease valid %v, want neither leading nor valid",
+				old.State(), old.LeaseValid())
 		}
 		s.Advance(5 * time.Millisecond)
 		if _, held := s.Entries[LeaderKey]; held {
@@ -56,7 +57,8 @@
 	other.Start()
 	s.Advance(time.Second)
 	if old.LeaseValid() || other.LeaseValid() {
-		t.Errorf("former leader leads %v, other node leads %v while the leader key exists, want neither", old.LeaseValid(), other.LeaseValid())
+		t.Errorf("former leader leads %v, other node leads %v while the leader key exists, want neither",
+			old.LeaseValid(), other.LeaseValid())
 	}
 	delete(s.Entries, LeaderKey) // its lease has expired
 	other.checkLeader()
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -47,7 +47,8 @@
 		return 0, 0, fmt.Errorf("term key must have a positive term and level, got term %d, level %d", record.Term, record.Level)
 	}
 	if record.Level > ident.NewestFormatLevel {
-		return 0, 0, fmt.Errorf("format level %d is not supported, newest supported level is %d", record.Level, ident.NewestFormatLevel)
+		return 0, 0, fmt.Errorf("format level %d is not supported, newest supported level is %d",
+			record.Level, ident.NewestFormatLevel)
 	}
 	return record.Term, record.Level, nil
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,10 @@
-// Package handover decides when a leader transfers leadership to a peer that is better placed to
-// lead, and sequences the transfer: the leader stops making decisions, announces its successor,
-// drains its writes, and ends its term.
+// Package handover decides when a leader hands leadership over to a peer, for example because the peer has
+// better network connectivity, and sequences the handover: the leader stops making scheduling decisions,
+// announces its successor, waits until its writes have completed, and ends its term.
 //
-// The process may crash after any step: leadership ends only with the transaction on the leader key
-// that ends the term, and the next leader is elected. Announcing a successor merely shortens the
-// election.
+// The process may crash after any step: the term ends only with the transaction that deletes the leader
+// key or with the expiry of the lease, and the next leader is elected in any case. Announcing a successor
+// only shortens the election.
 //
 // The package performs no I/O and reads no clock.
 package handover
@@ -22,12 +22,12 @@
 // The states of a handover.
 const (
 	Steady      State = iota // there is no reason for a handover
-	Considering              // there is a reason, but a handover is not allowed yet
-	Draining                 // the successor is announced, and writes in flight complete
-	Ended                    // the term has been ended
+	Considering              // there is a reason for a handover, but it may not begin yet
+	Draining                 // the successor is announced; waiting for in-flight writes to complete
+	Ended                    // the caller was told to end the term
 )
 
-// String returns the state's name in reports, where it must not change.
+// String returns the name of the state in reports, which must not change.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"steady", "worse", "draining", "ended"}
@@ -38,12 +38,12 @@
 // The reasons for a handover.
 const (
 	NoReason     Reason = iota
-	BetterPlaced        // a peer is better placed by a clear margin
-	Isolated            // the links to all peers and machines are broken
+	BetterPlaced        // a peer is better connected by more than the required margin
+	Isolated            // the links to all peers and machines are down
 	Requested           // the node is shutting down
 )
 
-// String returns the reason in reports, where it must not change.
+// String returns the text of the reason in reports, which must not change.
 func (r Reason) String() string { return enum.Name(reasonNames[:], r, "reason") }
 
 var reasonNames = [...]string{"none", "a sibling is better placed", "neither siblings nor machines are reached", "requested"}
@@ -53,13 +53,13 @@
 	// MinTermDuration is the minimum time that a node leads before it hands over. It doubles with
 	// each recent change of leader; see History.MinTermDuration.
 	MinTermDuration time.Duration
-	// StabilizationWindow is how long the reason for a handover must have persisted.
+	// StabilizationWindow is how long a reason for a handover must persist before the handover begins.
 	StabilizationWindow time.Duration
-	// DrainTimeout is how long writes in flight may take to complete.
+	// DrainTimeout is how long to wait for in-flight writes before the term is ended.
 	DrainTimeout time.Duration
 }
 
-// DefaultConfig returns the configuration that applies unless the settings override it.
+// DefaultConfig returns the default configuration. Settings may override it.
 func DefaultConfig() Config {
 	return Config{
 		MinTermDuration:     15 * time.Second,
@@ -68,16 +68,16 @@
 	}
 }
 
-// Conditions are the inputs of Coordinator.Advance: a leader's situation at the time Now.
+// Conditions are the inputs of Coordinator.Advance, as observed by the leader at the time Now.
 type Conditions struct {
 	Now           ident.MonotonicTime
-	Successor     ident.NodeID // the peer that is better placed by a clear margin, "" for none
-	Isolated      bool         // the links to all peers and machines are broken
+	Successor     ident.NodeID // peer that is better connected by more than the required margin, "" for none
+	Isolated      bool         // the links to all peers and machines are down
 	WritesDrained bool         // no write is in flight
 	StoreWritable bool         // the key-value store accepts writes
 }
 
-// reason returns why the leader should hand over.
+// reason returns why the leader should hand over, or NoReason.
 func (c Conditions) reason() Reason {
 	switch {
 	case c.Successor != "":
@@ -94,17 +94,17 @@
 // The steps.
 const (
 	NoStep   Step = iota
-	Announce      // stop making decisions, and announce the successor to all peers
-	EndTerm       // end the term in one transaction
+	Announce      // stop making scheduling decisions, and announce the successor to all peers
+	EndTerm       // end the term by deleting the leader key in one transaction
 )
 
-// Decision is the successor of a handover and its reason. It is zero until a handover has begun.
+// Decision holds the successor of a handover and its reason. It is zero until a handover begins.
 type Decision struct {
 	Successor ident.NodeID // "" if no peer is preferred
 	Reason    Reason
 }
 
-// Coordinator sequences the handover that ends one term of a node. It is not safe for concurrent use.
+// Coordinator decides on and sequences the handover of one term. It is not safe for concurrent use.
 type Coordinator struct {
 	config     Config
 	history    *History
@@ -114,8 +114,7 @@
 	decision   Decision
 }
 
-// New returns the coordinator of a term that began at startedAt. The history is shared by all terms
-// of the node.
+// New returns the coordinator of a term that began at startedAt. All terms of the node share one history.
 func New(config Config, history *History, startedAt ident.MonotonicTime) *Coordinator {
 	return &Coordinator{config: config, history: history, startedAt: startedAt, stateSince: startedAt}
 }
@@ -123,20 +122,20 @@
 // State returns the progress of the handover.
 func (c *Coordinator) State() State { return c.state }
 
-// Decision returns what was decided when the handover began.
+// Decision returns the successor and reason that were chosen when the handover began.
 func (c *Coordinator) Decision() Decision { return c.decision }
 
-// Begun reports whether a handover has begun. The leader must make no decisions from then on.
+// Begun reports whether a handover has begun. From then on the leader must make no scheduling decisions.
 func (c *Coordinator) Begun() bool { return c.state == Draining || c.state == Ended }
 
-// setState is the only function that changes the state.
+// setState changes the state and records the time of the change. No other function changes the state.
 func (c *Coordinator) setState(next State, now ident.MonotonicTime) {
 	if c.state != next {
 		c.state, c.stateSince = next, now
 	}
 }
 
-// Advance evaluates the present conditions and returns the step that is due.
+// Advance evaluates the current conditions and returns the next step for the caller.
 func (c *Coordinator) Advance(conditions Conditions) Step {
 	switch c.state {
 	case Steady, Considering:
@@ -147,7 +146,7 @@
 	return NoStep
 }
 
-// consider decides whether a handover begins.
+// consider begins a handover if there is a reason for it and it may begin.
 func (c *Coordinator) consider(conditions Conditions) Step {
 	reason := conditions.reason()
 	switch {
@@ -170,12 +169,12 @@
 		return false
 	}
 	if !conditions.StoreWritable {
-		return false // the transaction would fail; the term ends when its lease expires
+		return false // the transaction that ends the term would fail; the term ends when the leader lease expires
 	}
 	return conditions.Now.Sub(c.startedAt) >= c.history.MinTermDuration(c.config.MinTermDuration, conditions.Now)
 }
 
-// drain ends the term once no write is in flight, or after a timeout.
+// drain ends the term once no write is in flight, or after DrainTimeout.
 func (c *Coordinator) drain(conditions Conditions) Step {
 	if !conditions.WritesDrained && conditions.Now.Sub(c.stateSince) < c.config.DrainTimeout {
 		return NoStep
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestSteps drives a term with random conditions: the steps occur in order, at most once each, and
-// only when their preconditions hold.
+// TestSteps advances a coordinator with random conditions, and checks that the steps occur in order, at most
+// once each, and only when their preconditions hold.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTermModel()
@@ -20,14 +20,14 @@
 	})
 }
 
-// termModel is a coordinator under test with the expected progress of its term.
+// termModel is a coordinator under test together with the expected progress of its term.
 type termModel struct {
 	config        Config
 	coordinator   *Coordinator
 	now           ident.MonotonicTime
 	termStartedAt ident.MonotonicTime
 	reasonSince   ident.MonotonicTime // 0 while there is no reason for a handover
-	announcedAt   ident.MonotonicTime // 0 until then
+	announcedAt   ident.MonotonicTime // 0 until the successor is announced
 	ended         bool
 }
 
@@ -69,15 +69,16 @@
 		m.announcedAt = m.now
 	case EndTerm:
 		if m.announcedAt == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announcedAt) < m.config.DrainTimeout {
-			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announcedAt), conditions)
+			t.Fatalf("term ended too early, twice or unannounced: %v after the announcement (ended before: %v), conditions %+v",
+				m.now.Sub(m.announcedAt), m.ended, conditions)
 		}
 		m.ended = true
 	}
 	if m.coordinator.Begun() != (m.announcedAt > 0) {
-		t.Fatalf("begun %v, announced %v", m.coordinator.Begun(), m.announcedAt > 0)
+		t.Fatalf("Begun() = %v, want %v", m.coordinator.Begun(), m.announcedAt > 0)
 	}
 	if m.announcedAt > 0 && !m.ended && m.now.Sub(m.announcedAt) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
-		t.Fatal("an announced handover does not end")
+		t.Fatalf("term not ended %v after the announcement, drain timeout is %v", m.now.Sub(m.announcedAt), m.config.DrainTimeout)
 	}
 }
 
@@ -85,16 +86,17 @@
 	if m.announcedAt > 0 || m.reasonSince == 0 || !conditions.StoreWritable ||
 		m.now.Sub(m.termStartedAt) < m.config.MinTermDuration ||
 		m.now.Sub(m.reasonSince) < m.config.StabilizationWindow {
-		t.Fatalf("announced %v into the term, %v after a handover was warranted: %+v",
+		t.Fatalf("announced %v after the start of the term, %v after the reason occurred: %+v",
 			m.now.Sub(m.termStartedAt), m.now.Sub(m.reasonSince), conditions)
 	}
 	if d := m.coordinator.Decision(); d.Successor != conditions.Successor || d.Reason == NoReason {
-		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, conditions)
+		t.Fatalf("decision is successor %q, reason %v, want successor %q and a reason; conditions %+v",
+			d.Successor, d.Reason, conditions.Successor, conditions)
 	}
 }
 
-// TestHandoversAreBounded: if every leader always finds a better placed peer, handovers stay within
-// the bound and become less frequent.
+// TestHandoversAreBounded checks that the rate of handovers is limited, in a minute and over ten minutes, even
+// if every leader always finds a better connected peer.
 func TestHandoversAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, start := DefaultConfig(), ident.MonotonicTime(time.Hour)
@@ -128,11 +130,11 @@
 				}
 			}
 			if n > maxPerMinute(config) {
-				t.Fatalf("%d handovers within a minute, the bound is %d", n, maxPerMinute(config))
+				t.Fatalf("got %d handovers within a minute, want at most %d", n, maxPerMinute(config))
 			}
 		}
 		if len(times) == 0 || len(times) > 12 {
-			t.Fatalf("%d handovers in ten minutes", len(times))
+			t.Fatalf("got %d handovers in ten minutes, want 1 to 12", len(times))
 		}
 	})
 }
@@ -141,18 +143,18 @@
 // each other's terms: each leader leads for at least the minimum duration.
 func maxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
 
-// TestRequested: a node that is shutting down hands over immediately, and only once.
+// TestRequested checks that a requested handover, as at shutdown, begins immediately and only once.
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
 	coordinator := New(DefaultConfig(), &History{}, now)
 	if coordinator.Request(now, "agent-1") != Announce || coordinator.Request(now, "agent-2") != NoStep {
-		t.Error("a request is announced once")
+		t.Error("two requests: want Announce for the first and NoStep for the second")
 	}
 	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
-		t.Errorf("to %q for %v", d.Successor, d.Reason)
+		t.Errorf("decision is successor %q, reason %v, want successor agent-1, reason %v", d.Successor, d.Reason, Requested)
 	}
 	drained := Conditions{Now: now, WritesDrained: true}
 	if coordinator.Advance(drained) != EndTerm || coordinator.Advance(drained) != NoStep {
-		t.Error("the term is ended once")
+		t.Error("two advances after draining: want EndTerm for the first and NoStep for the second")
 	}
 }
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -7,8 +7,8 @@
 	"opaldale/internal/ident"
 )
 
-// History holds the recent changes of leader that a node has observed. It limits the rate of
-// handovers: the minimum duration of a term doubles with each recent change. The zero History is
+// History holds the recent leader changes that a node has observed. It limits the rate of handovers: the
+// minimum duration of a term doubles with each recent change. The zero History is
 // empty and ready to use.
 type History struct {
 	changes []leaderChange
@@ -22,17 +22,17 @@
 const (
 	// changeWindow is the age up to which a change counts as recent.
 	changeWindow = 5 * time.Minute
-	// maxDoublings limits the minimum duration of a term to 16 times the configured one.
+	// maxDoublings limits the minimum duration of a term to 16 times the configured duration.
 	maxDoublings = 4
-	// maxChanges is the maximum length of the history.
+	// maxChanges is the maximum number of changes in the history.
 	maxChanges = 64
-	// uncountedChanges is the number of recent changes that do not double the duration: the one
-	// that began the present term, and one before it.
+	// uncountedChanges is the number of recent changes that do not double the duration: the change
+	// that began the current term, and one change before it.
 	uncountedChanges = 2
 )
 
-// ObserveTerm records that some node leads a term. Terms that are not later than the newest one
-// are ignored.
+// ObserveTerm records the start of a term of any node. It ignores terms that are not later than the newest
+// recorded term.
 func (h *History) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 && term <= h.changes[n-1].term {
 		return
@@ -46,12 +46,12 @@
 // RecordHandover records that this node has handed over leadership.
 func (h *History) RecordHandover(now ident.MonotonicTime) {
 	if n := len(h.changes); n > 0 {
-		// A handover counts as a change in addition to the one that began the term.
+		// A handover counts as a change in addition to the change that began the term.
 		h.changes = append(h.changes, leaderChange{h.changes[n-1].term, now})
 	}
 }
 
-// recentChanges returns the number of recent changes.
+// recentChanges returns the number of changes that are less than changeWindow old.
 func (h *History) recentChanges(now ident.MonotonicTime) int {
 	n := 0
 	for _, c := range h.changes {
@@ -62,8 +62,8 @@
 	return n
 }
 
-// MinTermDuration returns the minimum time that a node leads before it hands over. base is the
-// minimum without recent changes.
+// MinTermDuration returns the minimum time that a node leads before it may hand over. base is the minimum
+// without recent leader changes.
 func (h *History) MinTermDuration(base time.Duration, now ident.MonotonicTime) time.Duration {
 	doublings := min(max(0, h.recentChanges(now)-uncountedChanges), maxDoublings)
 	return base << doublings
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -10,16 +10,16 @@
 
 const grace = 20 * time.Second
 
-// peerProcess is a process of the peer.
+// peerProcess is one process of the simulated peer.
 type peerProcess struct {
 	SentHeartbeats
 	Renewer
-	startedAt        ident.MonotonicTime // by the leader's clock
-	clockRate        float64
-	newestReceivedID uint64 // newest heartbeat received from the leader
+	startedAt        ident.MonotonicTime // on the leader's clock
+	clockRate        float64             // relative to the leader's clock
+	newestReceivedID uint64              // newest heartbeat received from the leader
 }
 
-// now returns the reading of the process's clock at a time of the leader's clock.
+// now converts a time on the leader's clock to the clock of the process.
 func (p *peerProcess) now(at ident.MonotonicTime) ident.MonotonicTime {
 	return ident.MonotonicTime(float64(at-p.startedAt) * p.clockRate)
 }
@@ -35,22 +35,23 @@
 	heartbeatInterval = 700 * time.Millisecond
 )
 
-// registryRun is a leader and a peer that exchange heartbeats over a link which loses and delays
-// them. All times are by the leader's clock.
+// registryRun simulates a leader and a peer that exchange heartbeats over a link that loses and delays
+// some of them. All times are on the leader's clock.
 type registryRun struct {
 	rng       *rand.Rand
 	now       ident.MonotonicTime
-	cutUntil  ident.MonotonicTime // the link is cut
+	cutUntil  ident.MonotonicTime // the link is down until this time
 	inTransit []delivery
 	newestID  uint64
 
 	registry         *Registry
-	sent             SentHeartbeats // of the leader
+	sent             SentHeartbeats // heartbeats sent by the leader
 	newestReceivedID uint64         // newest heartbeat that the leader has received from the peer
 
 	peer        *peerProcess
-	lastRenewal ident.MonotonicTime // of a lease, by the peer; 0: never
+	lastRenewal ident.MonotonicTime // last renewal of a lease by the peer, 0 if there was none
 
+	// tightBounds counts the steps at which the bound is more than a minute old.
 	renewals, tightBounds int
 }
 
@@ -85,7 +86,8 @@
 	}
 	bound := r.registry.LatestRenewal(r.now)
 	if bound < r.lastRenewal.Add(-10*time.Millisecond) && r.lastRenewal > 0 {
-		t.Fatalf("seed %d, %v: renewed at %v, bound %v", seed, r.now.Sub(0), r.lastRenewal.Sub(0), bound.Sub(0))
+		t.Fatalf("seed %d at %v: peer renewed at %v, want a bound no earlier, got %v",
+			seed, r.now.Sub(0), r.lastRenewal.Sub(0), bound.Sub(0))
 	}
 	if bound < r.now.Add(-time.Minute) {
 		r.tightBounds++
@@ -127,8 +129,8 @@
 	})
 }
 
-// send delays a heartbeat by a few milliseconds. While the link is cut, and occasionally otherwise, the
-// heartbeat is lost or delayed until after the cut.
+// send delivers a heartbeat after a few milliseconds. While the link is down, and at random otherwise, the
+// heartbeat is lost or delayed until the link is up again.
 func (r *registryRun) send(receive func(at ident.MonotonicTime)) {
 	delay := time.Duration(r.rng.IntN(5)) * time.Millisecond
 	if r.now < r.cutUntil || r.rng.IntN(20) == 0 {
@@ -140,7 +142,7 @@
 	r.inTransit = append(r.inTransit, delivery{at: r.now.Add(delay), receive: receive})
 }
 
-// deliver passes all heartbeats that are due to their receivers, in the order in which they were sent.
+// deliver delivers all heartbeats that are due, in the order in which they were sent.
 func (r *registryRun) deliver() {
 	var remaining []delivery
 	for _, d := range r.inTransit {
@@ -153,8 +155,9 @@
 	r.inTransit = remaining
 }
 
-// TestRegistry exchanges heartbeats, some lost or delayed, with a peer that restarts and that renews
-// leases whenever it may. The leader's bound is never earlier than the peer's last renewal.
+// TestRegistry checks that the leader's bound is never earlier than the peer's last renewal, with a
+// tolerance of 10 ms. Heartbeats are lost or delayed, and the peer restarts and renews leases whenever it
+// may.
 func TestRegistry(t *testing.T) {
 	renewals, tightBounds := 0, 0
 	for seed := range uint64(200) {
@@ -167,21 +170,21 @@
 		tightBounds += r.tightBounds
 	}
 	if renewals == 0 || tightBounds == 0 {
-		t.Errorf("%d renewals, %d bounds more than a minute back: the test covers nothing", renewals, tightBounds)
+		t.Errorf("got %d renewals and %d bounds more than a minute old, want both above 0", renewals, tightBounds)
 	}
 }
 
-// TestMayRenew: leases are renewed only after MinLeaderSilence, within the leader's allowance, and for a
-// worker that knows no later leader.
+// TestMayRenew checks that a node renews leases only after MinLeaderSilence, within the leader's allowance,
+// and for a worker that has no fencing token of a later term.
 func TestMayRenew(t *testing.T) {
 	var renewer Renewer
 	token := ident.MakeFencingToken(7, 2)
 	if renewer.MayRenew(ident.MonotonicTime(time.Hour), token) {
-		t.Error("renewed without a permit")
+		t.Error("MayRenew = true without a permit, want false")
 	}
 	at := ident.MonotonicTime(time.Minute)
 	renewer.Permit(7, at, grace)
-	renewer.Permit(6, at.Add(time.Minute), grace) // of an earlier term, delayed
+	renewer.Permit(6, at.Add(time.Minute), grace) // delayed permit of an earlier term, must be ignored
 	for _, c := range []struct {
 		name  string
 		after time.Duration
@@ -197,7 +200,7 @@
 		{"no token", 5 * time.Second, 0, false},
 	} {
 		if got := renewer.MayRenew(at.Add(c.after), c.token); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: MayRenew = %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/upgrade/announce.go
+++ b/internal/upgrade/announce.go
@@ -12,28 +12,28 @@
 )
 
 // NodeKeyPrefix is the prefix of the keys under which nodes announce the formats that they can decode.
-// Versions without format levels do not read these keys.
+// Program versions without format levels do not read these keys.
 const NodeKeyPrefix = "nodes/"
 
 // announcement is the value of a node's key.
 type announcement struct {
 	Level           ident.FormatLevel `json:"level"`            // the newest format level that the node can decode
-	FrameCapability int               `json:"frames,omitempty"` // the optional messages between nodes that it can decode
+	FrameCapability int               `json:"frames,omitempty"` // level of optional inter-node messages that the node can decode
 }
 
-// ownAnnouncement is the announcement of this program.
+// ownAnnouncement is the announcement of this program version.
 var ownAnnouncement = announcement{
 	Level:           ident.NewestFormatLevel,
 	FrameCapability: transport.LinkStateCapability,
 }
 
-// covers reports whether a node can decode everything that another announcement names.
+// covers reports whether a node with this announcement can decode all formats of another announcement.
 func (a announcement) covers(other announcement) bool {
 	return a.Level >= other.Level && a.FrameCapability >= other.FrameCapability
 }
 
-// decodeAnnouncements returns the announcements among key-value pairs, by node. Malformed ones are
-// skipped.
+// decodeAnnouncements returns the announcements in a list of key-value pairs, by node. It skips other keys and
+// malformed values.
 func decodeAnnouncements(pairs []kvstore.KeyValue) map[ident.NodeID]announcement {
 	announcements := map[ident.NodeID]announcement{}
 	for _, pair := range pairs {
@@ -49,8 +49,8 @@
 	return announcements
 }
 
-// FrameCapabilities returns the capabilities of the nodes to decode optional messages, such as
-// transport.LinkStateCapability, from the announcements among key-value pairs.
+// FrameCapabilities returns which optional inter-node messages each node can decode, such as
+// transport.LinkStateCapability, from the announcements in a list of key-value pairs.
 func FrameCapabilities(pairs []kvstore.KeyValue) map[ident.NodeID]int {
 	capabilities := map[ident.NodeID]int{}
 	for node, a := range decodeAnnouncements(pairs) {
@@ -59,20 +59,20 @@
 	return capabilities
 }
 
-// minAnnounceDelay is the minimum delay before an announcement is retried. Jitter of up to the same
+// minAnnounceDelay is the minimum delay before an announcement is retried. Random jitter of up to the same
 // duration is added.
 const minAnnounceDelay = time.Second
 
-// announcer writes the announcement of this program under a node's key.
+// announcer writes the announcement of this program version to the key of a node.
 type announcer struct {
 	port Port
 	rng  *rand.Rand
 	key  string
 }
 
-// Announce writes the announcement of this program under the node's key, unless the key covers it
-// already. It retries until the key is known to be written. The key is never deleted: a node that
-// restarts runs the same program or a later one.
+// Announce writes the announcement of this program version to the key of a node, unless the stored
+// announcement already covers it. It retries until the store confirms the announcement. The key is never
+// deleted: a node that restarts is assumed to run the same program version or a later one.
 func Announce(port Port, rng *rand.Rand, node ident.NodeID) {
 	a := announcer{port: port, rng: rng, key: NodeKeyPrefix + string(node)}
 	a.announce()
@@ -94,13 +94,13 @@
 	})
 }
 
-// isAnnounced reports whether a key's value covers the announcement of this program.
+// isAnnounced reports whether a stored announcement covers the one of this program version.
 func isAnnounced(value []byte) bool {
 	var announced announcement
 	return json.Unmarshal(value, &announced) == nil && announced.covers(ownAnnouncement)
 }
 
-// write writes the key if it is still at the given revision, where 0 means that it does not exist.
+// write writes the key if it is still at the given revision; 0 means that the key does not exist.
 func (a announcer) write(revision ident.Revision) {
 	value, err := json.Marshal(ownAnnouncement)
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	a.port.Store(request, func(response kvstore.Response) {
 		if response.Outcome != kvstore.OK {
-			a.retryLater() // the write may have been applied; the next read shows it
+			a.retryLater() // if the write was applied nevertheless, the next read detects it
 		}
 	})
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// recorder is a key-value store that records its requests, and responds at once.
+// recorder is an in-memory key-value store that records its requests and responds synchronously.
 type recorder struct{ *kvstoretest.RecordingStore }
 
 func (r recorder) Store(q kvstore.Request, f func(kvstore.Response)) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestGoldenAnnouncements pins what a node announces, for each earlier value of its key, and how other
-// nodes decode it.
+// TestGoldenAnnouncements compares the requests by which a node announces its formats, for each earlier value of
+// its key, and the decoded announcements with the golden file.
 func TestGoldenAnnouncements(t *testing.T) {
 	var d golden.Document
 	golden.RoundTrip(t, &d, "notice", golden.Filled[announcement](0))
@@ -48,7 +48,7 @@
 	d.Compare(t, "announcements")
 }
 
-// TestGoldenRaise pins the requests that raise the level.
+// TestGoldenRaise compares the requests that raise the format level with the golden file.
 func TestGoldenRaise(t *testing.T) {
 	newest := kvstore.KeyValue{Key: NodeKeyPrefix + "agent-1", Value: json.RawMessage(`{"level":1,"frames":1}`), Revision: 3}
 	other := newest
@@ -69,7 +69,7 @@
 	raiser.Poll()
 	c.Flush()
 	if !done || raiser.State() != Raised {
-		t.Errorf("done %v, %s", done, raiser.State())
+		t.Errorf("OnRaised called %v, state %s, want true, %s", done, raiser.State(), Raised)
 	}
 	golden.Compare(t, "raise", r.Requests())
 }
--- a/internal/upgrade/raiser.go
+++ b/internal/upgrade/raiser.go
@@ -1,8 +1,9 @@
-// Package upgrade raises the format level of stored data once every node runs a version that can decode
-// it. Until then nodes of the old and the new version share the data.
+// Package upgrade raises the format level of stored data once every node runs a program version that can
+// decode the new format. Until then, during a rolling upgrade, nodes of the old and the new version share
+// data in the old format.
 //
-// It is needed as long as some deployment stores data of a level below ident.FormatPacked. After that
-// the package and the earlier formats can be removed.
+// The package and the earlier formats can be removed once no deployment stores data at a level below
+// ident.FormatPacked.
 package upgrade
 
 import (
@@ -22,7 +23,8 @@
 	pollInterval = 500 * time.Millisecond
 )
 
-// Port is the environment of the package. Responses and timers must not run concurrently.
+// Port gives the package access to timers and to the key-value store. Responses and timers must not run
+// concurrently.
 type Port interface {
 	After(time.Duration, func())
 	Store(kvstore.Request, func(kvstore.Response))
@@ -33,12 +35,12 @@
 
 // The states of a Raiser.
 const (
-	Mixed   State = iota // not all nodes are known to decode the newest level
+	Mixed   State = iota // not all nodes have announced that they can decode the newest level
 	Raising              // the newest level is being written
 	Raised               // the newest level is durable
 )
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"mixed", "raising", "raised"}
@@ -47,15 +49,15 @@
 type Config struct {
 	Port      Port
 	Term      ident.Term
-	LeaderKey kvstore.Compare // as written when the term began
+	LeaderKey kvstore.Compare // leader key as written when the term began
 	Nodes     []ident.NodeID  // all nodes of the cluster
-	// Persist writes a document and calls the function once it is durable.
+	// Persist writes a document and calls the given function once the document is durable.
 	Persist func(*commit.Document, func())
 	// OnRaised is called once the newest level is durable.
 	OnRaised func()
 }
 
-// Raiser raises the format level on behalf of a leader during one term. It is not safe for concurrent use.
+// Raiser raises the format level for the leader of one term. It is not safe for concurrent use.
 type Raiser struct {
 	config   Config
 	document *commit.Document
@@ -63,26 +65,26 @@
 	closed   bool
 }
 
-// New returns the raiser of a term. Poll starts it.
+// New returns the Raiser of a term. The caller starts it with Poll.
 func New(config Config) *Raiser {
 	return &Raiser{
 		config: config,
 		document: &commit.Document{
 			Key: election.TermKey,
-			// The election writes the term key and the leader key in one transaction.
+			// The election writes the term key and the leader key in one transaction, so both have this revision.
 			Revision: config.LeaderKey.Revision,
 			Render:   func() json.RawMessage { return election.EncodeTerm(config.Term, ident.NewestFormatLevel) },
 		},
 	}
 }
 
-// State returns the progress.
+// State returns the progress of the upgrade.
 func (r *Raiser) State() State { return r.state }
 
-// Close stops polling. It must be called at the end of the term.
+// Close stops polling. The caller must call it at the end of the term.
 func (r *Raiser) Close() { r.closed = true }
 
-// setState is the only function that changes the state.
+// setState changes the state and logs the change. No other function changes the state.
 func (r *Raiser) setState(next State) {
 	slog.Info("format level state changed", "from", r.state.String(), "to", next.String())
 	r.state = next
@@ -108,8 +110,8 @@
 
 func (r *Raiser) polling() bool { return !r.closed && r.state == Mixed }
 
-// raise writes the newest level. Persist makes no callbacks after the end of the term, so that closed
-// need not be checked.
+// raise writes the newest level. The callback does not check closed, because Persist calls nothing after the end
+// of the term.
 func (r *Raiser) raise() {
 	r.setState(Raising)
 	r.config.Persist(r.document, func() {
