--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -6,18 +6,18 @@
 	"opaldale/internal/kvstore"
 )
 
-// txn is one transaction. Its request never changes: a repetition is the same request, so the
-// revisions that it compares let it be applied at most once.
+// txn is one transaction. Retries send the same request again. The compared revisions change when the request
+// is applied, so that it is applied at most once.
 type txn struct {
 	documents  []*Document
 	records    []inFlightRecord
 	request    kvstore.Request
-	uncertain  bool // a copy of it may have been applied, or may yet be
+	uncertain  bool // an earlier copy had no response: it may have been applied, or may still be applied
 	retryDelay time.Duration
 }
 
-// hasUncertainKeys reports whether a transaction that was given up may yet change, or have
-// changed, a key of this one.
+// hasUncertainKeys reports whether an abandoned transaction may have changed, or may still change, a key of
+// this transaction.
 func (t *txn) hasUncertainKeys() bool {
 	for _, d := range t.documents {
 		if d.uncertain {
@@ -32,7 +32,7 @@
 	return false
 }
 
-// firstPut returns the first key that the transaction puts, or "" if it only deletes.
+// firstPut returns the first key that the transaction puts, or "" if it only deletes keys.
 func (t *txn) firstPut() string {
 	for _, mutation := range t.request.Mutations {
 		if mutation.Put != "" {
@@ -47,18 +47,18 @@
 	txn       *txn
 	compares  []kvstore.Compare
 	mutations []kvstore.Mutation
-	size      int // estimated, in bytes
+	size      int // estimated size of the request, in bytes
 }
 
-// add adds compares and mutations to the draft. valueBytes is the size of the values.
+// add adds compares and mutations to the draft. valueBytes is the total size of the values.
 func (d *txnDraft) add(compares []kvstore.Compare, mutations []kvstore.Mutation, valueBytes int) {
 	d.compares = append(d.compares, compares...)
 	d.mutations = append(d.mutations, mutations...)
 	d.size += mutationsBytes(mutations, valueBytes)
 }
 
-// fits reports whether compares and mutations can be added within the limits. An empty draft takes
-// any: a transaction of one document can't be made smaller.
+// fits reports whether compares and mutations can be added within the limits. It returns true for an empty
+// draft, because the mutations of one document cannot be split.
 func (d *txnDraft) fits(l *limiter, compares []kvstore.Compare, mutations []kvstore.Mutation, valueBytes int) bool {
 	if len(d.mutations) == 0 {
 		return true
@@ -74,8 +74,8 @@
 	return valueBytes + mutationOverheadBytes*len(mutations)
 }
 
-// buildTxn makes a transaction of queued content: records of the log first, then urgent documents
-// and, if there is capacity to spare, others. It returns nil if nothing is queued.
+// buildTxn builds a transaction from the queues: first records of the log, then urgent documents and, if there
+// is spare capacity, lazy documents. It returns nil if nothing is queued.
 func (c *Committer) buildTxn() *txn {
 	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []kvstore.Compare{c.leaderCompare}}
 	c.addLogRecords(draft)
@@ -95,7 +95,7 @@
 	return draft.txn
 }
 
-// addLogRecords adds records with the pending entries of the log.
+// addLogRecords adds up to maxRecordsPerTxn records with pending entries of the log.
 func (c *Committer) addLogRecords(draft *txnDraft) {
 	limits := c.limiter.limits
 	maxRecords := min(maxRecordsPerTxn, limits.MutationsPerTxn)
@@ -109,13 +109,13 @@
 	}
 }
 
-// addDocuments adds documents from the front of a queue as far as the limits allow, and returns
-// the rest of the queue.
+// addDocuments adds documents from the front of a queue until the next one exceeds the limits, and returns the
+// rest of the queue.
 func (c *Committer) addDocuments(draft *txnDraft, queue []*Document, u urgency) []*Document {
 	taken := 0
 	for _, d := range queue {
 		if d.queuedAs != u || d.state != dirty {
-			taken++ // sent from the other queue
+			taken++ // already sent from the other queue
 			continue
 		}
 		mutations, valueBytes := d.mutations()
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,15 +1,15 @@
-// Package commit writes the leader's documents to the key-value store: grouped into
-// transactions, within the limits of the store, and each change at most once, although
-// transactions may be repeated, delayed or lost.
+// Package commit writes the leader's documents to the key-value store. It groups writes into
+// compare-and-swap transactions within the limits of the store, and applies each change at most once,
+// although transactions may be retried, delayed or lost.
 //
-// Small and frequent changes are written to a log instead of to their documents: a record of
-// the log holds changes of many documents in one put. The slot of a record, its key, is reused
-// once the record is obsolete. Which records are obsolete depends on the format of the log:
+// Small and frequent changes are written to a log instead of to their documents: one record of the log
+// holds changes of many documents. Each record is stored under a key, its slot, which is reused once the
+// record is obsolete. Whether a record is obsolete depends on the format of the log:
 //
-//   - In the JSON format, a record is obsolete when each document with a change in it has been
-//     put as a whole, or deleted, since.
-//   - In the text format, a record is obsolete when each of its entries has a newer line in
-//     another record. Lines of the oldest records are written again when the log becomes long.
+//   - In the JSON format, a record is obsolete when every document with a change in the record has
+//     been put or deleted since.
+//   - In the text format, a record is obsolete when every entry in the record has a newer line in
+//     another record. If the log becomes too long, the lines of its oldest records are written again.
 package commit
 
 import (
@@ -21,8 +21,8 @@
 	"opaldale/internal/kvstore"
 )
 
-// Port is the environment of a committer. Its callbacks run in the event loop that calls the
-// committer.
+// Port gives a Committer access to the clock, to timers and to the key-value store. Callbacks run in the event
+// loop that calls the Committer.
 type Port interface {
 	Now() ident.MonotonicTime
 	After(time.Duration, func())
@@ -30,60 +30,60 @@
 }
 
 const (
-	maxInFlightTxns       = 3 // transactions whose outcome is open
+	maxInFlightTxns       = 3 // transactions whose outcome is not known yet
 	lazyRecheckInterval   = 100 * time.Millisecond
 	initialRetryDelay     = 100 * time.Millisecond
 	maxRetryDelay         = time.Second
 	txnTimeout            = 1500 * time.Millisecond
-	maxTxnBytes           = 48 << 10 // of a transaction, below the 64 KiB that the store takes
-	mutationOverheadBytes = 200      // bytes of a mutation beside its value
+	maxTxnBytes           = 48 << 10 // estimated size of a transaction, below the store's limit of 64 KiB
+	mutationOverheadBytes = 200      // estimated size of a mutation without its value
 )
 
-// The errors for which a committer ends its term. Each means that the content in memory may differ
-// from the stored one.
+// The errors for which a Committer ends the term. After each of them the content in memory may differ from the
+// stored content.
 var (
 	// ErrAnotherLeader means that the leader key has changed.
-	ErrAnotherLeader = errors.New("another leader")
-	// ErrConflict means that a key has a revision that no write of this leader gave it.
-	ErrConflict = errors.New("unexpected conflict")
-	// ErrKeyLost means that a key that the leader has put does not exist.
-	ErrKeyLost = errors.New("key lost")
-	// ErrUnexpectedResponse means that the store gave an answer that does not belong to the request.
-	ErrUnexpectedResponse = errors.New("unexpected response of the store")
+	ErrAnotherLeader = errors.New("leader key changed, another node may lead")
+	// ErrConflict means that a key has a revision that was not set by a write of this leader.
+	ErrConflict = errors.New("key was changed by another writer")
+	// ErrKeyLost means that a key that this leader has put does not exist.
+	ErrKeyLost = errors.New("key written by this leader does not exist")
+	// ErrUnexpectedResponse means that the store sent an outcome that is not valid for the request.
+	ErrUnexpectedResponse = errors.New("unexpected outcome of a key-value store transaction")
 )
 
-// lifecycle is the state of a committer. It only moves forward.
+// lifecycle is the state of a Committer. It never returns to an earlier state.
 type lifecycle uint8
 
 const (
 	running   lifecycle = iota
-	quiescing           // open transactions are settled, no others are sent
-	stopped             // nothing is sent, and responses are dropped
+	quiescing           // in-flight transactions are completed, no new ones are sent
+	stopped             // nothing is sent, and responses are ignored
 )
 
-// Counters count what a committer has sent.
+// Counters count the transactions and requests of a Committer.
 type Counters struct {
-	Txns     uint64 // transactions, each counted once however often it is sent
+	Txns     uint64 // transactions, each counted once regardless of retries
 	Puts     uint64 // mutations of these transactions
-	Retries  uint64 // requests that were sent again
-	Rejected uint64 // transactions that the store found malformed or too large
+	Retries  uint64 // retried requests
+	Rejected uint64 // transactions that the store rejected as malformed or too large
 }
 
-// Committer is the only writer of the leader's keys, for one term. It is not safe for concurrent use:
-// all calls come from the node's event loop.
+// Committer writes the leader's keys during one term. No other component writes them. A Committer is not safe
+// for concurrent use: all calls must come from the event loop of the node.
 type Committer struct {
 	Counters
 
-	// OnUnavailable is called whenever the store is unavailable for a transaction or does not answer.
+	// OnUnavailable is called each time the store is unavailable or does not respond to a transaction.
 	// It may be nil.
 	OnUnavailable func()
 
 	port          Port
-	leaderCompare kvstore.Compare // holds as long as this node is the leader
+	leaderCompare kvstore.Compare // holds while this node holds the leader key
 	onTermLost    func(error)
 
 	lifecycle      lifecycle
-	unavailable    bool // the store was unavailable or did not answer at the last transaction
+	unavailable    bool // the store was unavailable or did not respond to the last transaction
 	limiter        limiter
 	log            changeLog
 	urgentQueue    []*Document
@@ -92,8 +92,8 @@
 	flushScheduled bool
 }
 
-// New makes the committer of a term. onTermLost is called at most once, with one of the errors
-// above; the committer has stopped by then.
+// New returns the Committer of a term. When a transaction fails with one of the errors above, the Committer
+// stops and then calls onTermLost with that error. It calls onTermLost at most once.
 func New(port Port, limits Limits, leaderCompare kvstore.Compare, onTermLost func(error)) *Committer {
 	return &Committer{
 		port:          port,
@@ -104,42 +104,43 @@
 	}
 }
 
-// ExpectLimits sets the limits that the store may introduce without notice.
+// ExpectLimits sets stricter limits that the store may start to enforce without notice. The Committer applies
+// them after the first rejected or rate-limited transaction, or with UseTextFormat.
 func (c *Committer) ExpectLimits(l Limits) { c.limiter.expected = c.limiter.limits.Min(l) }
 
-// UseTextFormat switches the log to the text format, and puts the expected limits into force for all
-// content.
+// UseTextFormat switches the log to the text format, and applies the expected limits to all further
+// transactions.
 func (c *Committer) UseTextFormat() {
 	c.log.format = textFormat{}
 	c.limiter.applyExpectedLimits()
 }
 
-// HasSpareCapacity reports whether nothing urgent is queued and content that is not urgent may be
-// sent now.
+// HasSpareCapacity reports whether nothing urgent is queued and the rate limit leaves capacity for lazy
+// documents.
 func (c *Committer) HasSpareCapacity() bool {
 	return len(c.urgentQueue)+len(c.log.pending) == 0 && c.limiter.hasSpareTokens()
 }
 
-// Quiesce ends the sending of transactions; the open ones are still settled.
+// Quiesce stops sending new transactions. In-flight transactions are still retried and completed.
 func (c *Committer) Quiesce() { c.advance(quiescing) }
 
-// Drained reports whether no transaction is open.
+// Drained reports whether no transaction is in flight.
 func (c *Committer) Drained() bool { return c.inFlightTxns == 0 }
 
-// Stop ends the committer. No callback is called after that.
+// Stop stops the Committer. It calls no callbacks after that.
 func (c *Committer) Stop() { c.advance(stopped) }
 
-// advance changes the state of the committer, unless it is in a later one.
+// advance moves the Committer to a state, unless it is already in a later state.
 func (c *Committer) advance(to lifecycle) { c.lifecycle = max(c.lifecycle, to) }
 
-// failTerm stops the committer and ends the term.
+// failTerm stops the Committer and reports the end of the term.
 func (c *Committer) failTerm(err error) {
-	slog.Error("term lost", "err", err)
+	slog.Error("committer stopped, term must end", "err", err)
 	c.advance(stopped)
 	c.onTermLost(err)
 }
 
-// StoreUnavailable reports whether the store was unavailable or did not answer at the last transaction.
+// StoreUnavailable reports whether the store was unavailable or did not respond to the last transaction.
 func (c *Committer) StoreUnavailable() bool { return c.unavailable }
 
 func (c *Committer) setUnavailable(unavailable bool) {
@@ -149,10 +150,11 @@
 	c.unavailable = unavailable
 }
 
-// Backlog returns the number of urgent documents that wait for a transaction.
+// Backlog returns the number of queued urgent documents.
 func (c *Committer) Backlog() int { return len(c.urgentQueue) }
 
-// Flush sends what is queued, as far as the limits allow.
+// Flush sends queued documents and log entries within the limits. If a limit is reached, it schedules another
+// call.
 func (c *Committer) Flush() {
 	for c.lifecycle == running && c.inFlightTxns < maxInFlightTxns {
 		wait, queued := c.timeToNextTxn(c.port.Now())
@@ -172,8 +174,8 @@
 	}
 }
 
-// timeToNextTxn returns how long to wait before a transaction may be sent, and whether anything
-// is queued for one.
+// timeToNextTxn returns how long to wait before the next transaction may be sent. queued is false if there is
+// nothing to send.
 func (c *Committer) timeToNextTxn(now ident.MonotonicTime) (wait time.Duration, queued bool) {
 	if now < c.limiter.pausedUntil {
 		return c.limiter.pausedUntil.Sub(now), true
@@ -194,7 +196,7 @@
 	return wait, true
 }
 
-// scheduleFlush calls Flush after d, unless a call is scheduled already.
+// scheduleFlush calls Flush after d, unless a call is already scheduled.
 func (c *Committer) scheduleFlush(d time.Duration) {
 	if c.flushScheduled {
 		return
@@ -206,7 +208,7 @@
 	})
 }
 
-// after calls f after d, unless the committer has stopped by then.
+// after calls f after d, unless the Committer has been stopped by then.
 func (c *Committer) after(d time.Duration, f func()) {
 	c.port.After(d, func() {
 		if c.lifecycle != stopped {
@@ -215,7 +217,7 @@
 	})
 }
 
-// request sends a request; its response is dropped if the committer has stopped by then.
+// request sends a request. It ignores the response if the Committer has been stopped by then.
 func (c *Committer) request(r kvstore.Request, onResponse func(kvstore.Response)) {
 	c.port.Store(r, func(response kvstore.Response) {
 		if c.lifecycle != stopped {
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -10,14 +10,14 @@
 	"opaldale/internal/kvstore"
 )
 
-// documentWorkload changes documents, each of which holds a number that only grows.
+// documentWorkload changes documents at random. Each document holds a number that only increases.
 type documentWorkload struct {
 	t         *testing.T
 	store     *flakyStore
 	committer *Committer
 	documents []*Document
 	values    []int
-	durable   map[documentValue]int // times that each value was reported durable
+	durable   map[documentValue]int // how often each value was reported durable
 }
 
 type documentValue struct{ document, value int }
@@ -39,7 +39,7 @@
 	return w
 }
 
-// change changes one document.
+// change increments the number in a random document.
 func (w *documentWorkload) change() {
 	i := w.store.rng.IntN(len(w.documents))
 	w.values[i]++
@@ -51,21 +51,22 @@
 			w.t.Errorf("%s: %v", w.documents[i].Key, err)
 		}
 		if stored < value {
-			w.t.Errorf("%s is reported durable at %d, is %d", w.documents[i].Key, value, stored)
+			w.t.Errorf("%s: value %d reported durable, but the stored value is %d", w.documents[i].Key, value, stored)
 		}
 	})
 	w.committer.Flush()
 }
 
-// check checks the stored content of a document, how it came about, and the callbacks.
+// check checks the stored content of a document, the sequence of values put to it, and the callbacks.
 func (w *documentWorkload) check(i int) {
 	w.t.Helper()
 	d := w.documents[i]
 	if got := string(w.store.Entries[d.Key].Value); w.values[i] > 0 && got != fmt.Sprint(w.values[i]) {
-		w.t.Errorf("%s ends as %s, want %d", d.Key, got, w.values[i])
+		w.t.Errorf("%s: final stored value %s, want %d", d.Key, got, w.values[i])
 	}
 	if d.Revision != w.store.Entries[d.Key].Revision || !d.Idle() {
-		w.t.Errorf("%s: revision %d, is %d", d.Key, d.Revision, w.store.Entries[d.Key].Revision)
+		w.t.Errorf("%s: revision %d, idle %v, want stored revision %d and idle",
+			d.Key, d.Revision, d.Idle(), w.store.Entries[d.Key].Revision)
 	}
 	last := 0
 	for _, put := range w.store.puts[d.Key] {
@@ -74,19 +75,20 @@
 			w.t.Errorf("%s: %v", d.Key, err)
 		}
 		if value <= last {
-			w.t.Errorf("%s goes through %v", d.Key, w.store.puts[d.Key])
+			w.t.Errorf("%s: values put are %v, want strictly increasing values", d.Key, w.store.puts[d.Key])
 		}
 		last = value
 	}
 	for value := 1; value <= w.values[i]; value++ {
 		if n := w.durable[documentValue{i, value}]; n != 1 {
-			w.t.Errorf("%d of %s is reported durable %d times", value, d.Key, n)
+			w.t.Errorf("%s: value %d reported durable %d times, want once", d.Key, value, n)
 		}
 	}
 }
 
-// TestAtMostOnce: whatever is lost or late, every document ends with its newest content, never
-// returns to an older one, and every callback is called once.
+// TestAtMostOnce checks that every document ends with its newest content, that its stored content is never
+// replaced by older content, and that every callback is called once, although requests and responses are lost
+// or delayed.
 func TestAtMostOnce(t *testing.T) {
 	runSeeds(t, 60, func(t *testing.T, seed uint64) {
 		w := newDocumentWorkload(t, seed, 12)
@@ -100,22 +102,22 @@
 	})
 }
 
-// TestOtherLeader: once the leader key has changed nothing is written, and the term ends.
+// TestOtherLeader checks that nothing is written and the term ends if the leader key has changed.
 func TestOtherLeader(t *testing.T) {
 	store := newReliableStore(t, kvstore.KeyValue{Key: leaderKey.Key, Revision: 5})
 	var lost []error
 	c := New(store, testLimits, leaderKey, func(err error) { lost = append(lost, err) })
 	render := func() json.RawMessage { return json.RawMessage("1") }
-	c.MarkDirty(&Document{Key: "d", Render: render}, func() { t.Error("reported durable") })
+	c.MarkDirty(&Document{Key: "d", Render: render}, func() { t.Error("document d reported durable, want no callback") })
 	c.Flush()
 	store.run(time.Minute)
 	if len(lost) != 1 || !errors.Is(lost[0], ErrAnotherLeader) || len(store.puts) != 0 {
-		t.Errorf("term lost by %v, puts %v", lost, store.puts)
+		t.Errorf("onTermLost called with %v, puts %v, want one ErrAnotherLeader and no puts", lost, store.puts)
 	}
 }
 
-// TestExists: a MustNotExist key that exists fails its own document alone; the others of the
-// transaction are written.
+// TestExists checks that an existing MustNotExist key prevents only the write of its own document, and that the
+// other documents of the transaction are written.
 func TestExists(t *testing.T) {
 	store := newReliableStore(t, kvstore.KeyValue{Key: "over/1", Revision: 1})
 	c := newTestCommitter(t, store, testLimits)
@@ -123,26 +125,26 @@
 	render := func() json.RawMessage { return json.RawMessage("1") }
 	first := &Document{Key: "live/1", Render: render, MustNotExist: []string{"over/1"}, OnExists: func() { exists++ }}
 	second := &Document{Key: "live/2", Render: render, MustNotExist: []string{"over/2"}}
-	c.MarkDirty(first, func() { t.Error("reported durable") })
+	c.MarkDirty(first, func() { t.Error("live/1 reported durable, want OnExists instead") })
 	c.MarkDirty(second, func() { stored++ })
 	c.Flush()
 	store.run(time.Minute)
 	if exists != 1 || stored != 1 {
-		t.Errorf("exists %d, stored %d", exists, stored)
+		t.Errorf("OnExists called %d times, onDurable %d times, want once each", exists, stored)
 	}
 }
 
-// TestConflictOfLogRecord: a record of the log alone in a transaction whose key was written by
-// another process ends the term.
+// TestConflictOfLogRecord checks that the term ends if another process has written the key of a log record. The
+// record is alone in its transaction.
 func TestConflictOfLogRecord(t *testing.T) {
 	store := newReliableStore(t, kvstore.KeyValue{Key: LogPrefix + "00000", Revision: 1})
 	var lost []error
 	c := New(store, testLimits, leaderKey, func(err error) { lost = append(lost, err) })
-	c.Append(&testEntry{document: &Document{Key: "d/0"}}, func() { t.Error("reported durable") })
+	c.Append(&testEntry{document: &Document{Key: "d/0"}}, func() { t.Error("entry reported durable, want no callback") })
 	c.Flush()
 	store.run(time.Minute)
 	if len(lost) != 1 || !errors.Is(lost[0], ErrConflict) {
-		t.Errorf("term lost by %v, want ErrConflict", lost)
+		t.Errorf("onTermLost called with %v, want one ErrConflict", lost)
 	}
 }
 
@@ -151,8 +153,8 @@
 	c.Quiesce()
 }
 
-// TestLifecycle: a quiescing committer settles what is open and sends nothing else; a stopped one
-// calls nothing.
+// TestLifecycle checks that a quiescing Committer completes in-flight transactions and sends no new ones, and that
+// a stopped Committer calls no callbacks.
 func TestLifecycle(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -171,11 +173,11 @@
 			c.MarkDirty(&Document{Key: "d/1", Render: render}, func() { durable++ })
 			c.Flush()
 			tc.end(c)
-			c.MarkDirty(&Document{Key: "d/2", Render: render}, func() { t.Error("reported durable") })
+			c.MarkDirty(&Document{Key: "d/2", Render: render}, func() { t.Error("d/2 reported durable, want it not sent") })
 			c.Flush()
 			store.run(time.Minute)
 			if durable != tc.wantDurable || len(store.puts["d/2"]) != 0 {
-				t.Errorf("durable %d, puts %v, want %d durable", durable, store.puts, tc.wantDurable)
+				t.Errorf("d/1 reported durable %d times, want %d; puts %v, want none to d/2", durable, tc.wantDurable, store.puts)
 			}
 		})
 	}
--- a/internal/commit/document.go
+++ b/internal/commit/document.go
@@ -8,28 +8,28 @@
 	"opaldale/internal/kvstore"
 )
 
-// documentState relates the content of a document in memory to the stored one.
+// documentState describes how the content of a document in memory relates to its stored content.
 type documentState uint8
 
 const (
-	clean         documentState = iota // both are equal
-	dirty                              // changed in memory, waiting for a transaction
-	inFlight                           // in a transaction whose outcome is open
-	inFlightDirty                      // in such a transaction, and changed again since
+	clean         documentState = iota // the stored content is current
+	dirty                              // changed in memory, not yet in a transaction
+	inFlight                           // in a transaction whose outcome is not known yet
+	inFlightDirty                      // in flight, and changed in memory again since
 )
 
-// documentEvent is what changes the state of a document.
+// documentEvent is an event that changes the state of a document.
 type documentEvent uint8
 
 const (
-	contentChanged documentEvent = iota // in memory
-	sent                                // in a transaction
+	contentChanged documentEvent = iota // the content changed in memory
+	sent                                // the document was sent in a transaction
 	committed                           // the transaction was applied
-	requeued                            // the transaction was given up; the document waits for another one
-	discarded                           // the transaction was given up, and the document with it
+	requeued                            // the transaction was abandoned, and the document will be sent in another one
+	discarded                           // the transaction was abandoned, and the document will not be sent again
 )
 
-// documentTransitions holds the state after each event that may occur in a state.
+// documentTransitions holds the next state for each event that is valid in a state.
 var documentTransitions = map[documentState]map[documentEvent]documentState{
 	clean:         {contentChanged: dirty},
 	dirty:         {contentChanged: dirty, sent: inFlight},
@@ -37,62 +37,62 @@
 	inFlightDirty: {contentChanged: inFlightDirty, committed: dirty, requeued: dirty, discarded: clean},
 }
 
-// urgency is the queue in which a document waits.
+// urgency is the queue that a document is in.
 type urgency uint8
 
 const (
 	notQueued urgency = iota
-	lazy              // sent when there is capacity to spare
-	urgent            // sent with the next transaction
+	lazy              // sent when there is spare capacity
+	urgent            // sent in the next transaction
 )
 
-// Document is one key that only the leader writes.
+// Document is the content of one key that only the leader writes.
 type Document struct {
 	Key      string
-	Revision ident.Revision // of the last applied write of the key
-	LSN      uint64         // the stored content includes the records of the log up to it
+	Revision ident.Revision // revision of the key after the last applied write
+	LSN      uint64         // the stored content includes all log records up to this LSN
 
-	// Render returns the value to put; nil deletes the key.
+	// Render returns the value to put, or nil to delete the key.
 	Render func() json.RawMessage
-	// ExtraMutations returns further mutations of the same transaction. It may be nil.
+	// ExtraMutations returns further mutations for the same transaction. It may be nil.
 	ExtraMutations func() []kvstore.Mutation
-	// MustNotExist are keys that must not exist at the first put.
+	// MustNotExist lists keys that must not exist when the document is first put.
 	MustNotExist []string
-	// OnExists is called instead of the callbacks of MarkDirty if one of these keys does exist:
-	// nothing was put, and nothing is queued any more. It may be nil.
+	// OnExists is called if a key of MustNotExist exists. The document is then neither put nor queued
+	// again, and the callbacks of MarkDirty are not called. It may be nil.
 	OnExists func()
 
 	state             documentState
 	queuedAs          urgency
-	renderedLSN       uint64     // LSN of the value in the open transaction
-	slots             []*logSlot // with changes that the stored content does not include
-	deleted           bool       // a delete of the key was applied
-	uncertain         bool       // a transaction that was given up may yet be applied
-	rejections        int        // times in a row that the store rejected it in a transaction by itself
-	pendingCallbacks  []func()   // to call when the present content is durable
-	inFlightCallbacks []func()   // to call when the open transaction is applied
+	renderedLSN       uint64     // LSN of the value in the in-flight transaction
+	slots             []*logSlot // slots of log records whose changes the stored content does not include
+	deleted           bool       // the key was deleted
+	uncertain         bool       // an abandoned transaction may have been applied, or may still be applied
+	rejections        int        // consecutive rejections of a transaction with this document alone
+	pendingCallbacks  []func()   // to call when the current content is durable
+	inFlightCallbacks []func()   // to call when the in-flight transaction is applied
 }
 
-// OutcomeUnknown reports whether a write of this document may or may not have been applied: a
-// transaction with it is open, or was given up without an answer.
+// OutcomeUnknown reports whether it is unknown if a write of this document was applied: a transaction with the
+// document is in flight, or was abandoned without a response.
 func (d *Document) OutcomeUnknown() bool {
 	return d.state == inFlight || d.state == inFlightDirty || d.uncertain
 }
 
-// Idle reports whether the document is neither queued nor in an open transaction.
+// Idle reports whether the document is neither queued nor in an in-flight transaction.
 func (d *Document) Idle() bool { return d.state == clean }
 
-// transition moves the document to the state that follows from an event. It panics if the event
-// can't occur in the present state.
+// transition changes the state of the document after an event. It panics if the event is not valid in the
+// current state.
 func (d *Document) transition(event documentEvent) {
 	next, valid := documentTransitions[d.state][event]
 	if !valid {
-		panic(fmt.Sprintf("document %s in state %d: event %d", d.Key, d.state, event))
+		panic(fmt.Sprintf("document %s: event %d is not valid in state %d", d.Key, event, d.state))
 	}
 	d.state = next
 }
 
-// mutations returns the mutations that write the document's content, and the bytes of its value.
+// mutations returns the mutations that write the document, and the size of its value in bytes.
 func (d *Document) mutations() (mutations []kvstore.Mutation, valueBytes int) {
 	value := d.Render()
 	switch {
@@ -107,7 +107,7 @@
 	return mutations, len(value)
 }
 
-// compares returns what must hold for the document to be written.
+// compares returns the conditions under which the document may be written.
 func (d *Document) compares() []kvstore.Compare {
 	compares := []kvstore.Compare{{Key: d.Key, Revision: d.Revision}}
 	for _, key := range d.MustNotExist {
@@ -116,7 +116,7 @@
 	return compares
 }
 
-// markSent moves the document into a transaction. lsn is that of the rendered value.
+// markSent records that the document is in a transaction. lsn is the LSN of the rendered value.
 func (d *Document) markSent(lsn uint64) {
 	d.inFlightCallbacks, d.pendingCallbacks = d.pendingCallbacks, nil
 	d.renderedLSN = lsn
@@ -124,7 +124,9 @@
 	d.transition(sent)
 }
 
-// requeue takes the document out of a transaction that is given up; it waits for another one.
+// requeue returns a document of an abandoned transaction to the dirty state, so that it can be sent in another
+// one. uncertain is set if the abandoned transaction may still be applied. The caller adds the document to the
+// queue.
 func (d *Document) requeue(uncertain bool) {
 	d.pendingCallbacks = append(d.inFlightCallbacks, d.pendingCallbacks...)
 	d.inFlightCallbacks = nil
@@ -133,7 +135,7 @@
 	d.transition(requeued)
 }
 
-// discard takes the document out of a transaction that was not applied because one of its
+// discard drops the document's changes, after a transaction that was not applied because one of the document's
 // MustNotExist keys exists.
 func (d *Document) discard() {
 	d.inFlightCallbacks, d.pendingCallbacks = nil, nil
@@ -143,11 +145,11 @@
 	}
 }
 
-// MarkDirty queues the document's present content. onDurable, unless nil, is called once that
-// content, or a later one, is durable.
+// MarkDirty queues the document to be written. onDurable, unless nil, is called once the current content or
+// later content is durable.
 func (c *Committer) MarkDirty(d *Document, onDurable func()) { c.markDirty(d, urgent, onDurable) }
 
-// MarkDirtyLazily is MarkDirty for content that may wait until there is capacity to spare.
+// MarkDirtyLazily is like MarkDirty, but the document is sent only when there is spare capacity.
 func (c *Committer) MarkDirtyLazily(d *Document, onDurable func()) { c.markDirty(d, lazy, onDurable) }
 
 func (c *Committer) markDirty(d *Document, u urgency, onDurable func()) {
@@ -164,8 +166,8 @@
 	}
 }
 
-// enqueue puts a dirty document at the end of its queue. If it is also in the other queue, it is
-// skipped there.
+// enqueue adds a dirty document to the end of the queue for its urgency. If the document is also in the other
+// queue, addDocuments skips it there.
 func (c *Committer) enqueue(d *Document) {
 	if d.queuedAs == urgent {
 		c.urgentQueue = append(c.urgentQueue, d)
--- a/internal/commit/format.go
+++ b/internal/commit/format.go
@@ -3,38 +3,40 @@
 import "strings"
 
 const (
-	// jsonRateShare and textRateShare are the parts of the mutation rate that records may take.
-	// In the text format, documents are put only when they are created and deleted.
+	// jsonRateShare and textRateShare are the fractions of the mutation rate that log records may use.
+	// The share of the text format is larger, because documents are then written only when they are
+	// created and when they are deleted.
 	jsonRateShare = 0.25
 	textRateShare = 0.5
-	// A log is compacted when it has more records than compactAfterRecords or, in the text
-	// format, more than compactAfterBytes hold or twice the number that its lines need.
+	// The log is compacted when it has more needed records than compactAfterRecords. In the text format
+	// this threshold is raised to the number of full records in compactAfterBytes, or to twice the number
+	// of full records that all needed lines fill, whichever is larger.
 	compactAfterRecords = 200
 	compactAfterBytes   = 2 << 20
-	estimatedLineBytes  = 24 // of a line in the text format
-	// recordEnvelopeBytes bounds the size of a record without its lines.
+	estimatedLineBytes  = 24 // estimated size of a line in the text format
+	// recordEnvelopeBytes is the maximum size of a record without its lines.
 	recordEnvelopeBytes = 64
-	// escapedNewlineBytes is the size of a newline within a JSON string.
+	// escapedNewlineBytes is the size of an escaped newline in a JSON string.
 	escapedNewlineBytes = 2
 )
 
-// logFormat is a way to write entries to the log. A successor of the leader reads the whole log,
-// so each format also bounds its length.
+// logFormat defines how entries are written to the log. Each new leader reads the whole log, so each format
+// also limits the length of the log.
 type logFormat interface {
-	// rateShare is the part of the mutation rate that records may take.
+	// rateShare returns the fraction of the mutation rate that log records may use.
 	rateShare() float64
-	// fill writes the first of the pending entries to a record that must not take more than
-	// maxValueBytes. It returns their number, which is at least one.
+	// fill adds pending entries, from the first, to a record while its size is at most maxValueBytes. It
+	// adds at least one entry, and returns the number of added entries.
 	fill(record *logRecord, pending []Entry, maxValueBytes int) int
-	// addReferences makes a durable record needed by what has changes in it.
+	// addReferences marks a durable record as needed by the entries, or their documents, in the record.
 	addReferences(slots *slotTable, slot *logSlot, entries []Entry)
-	// compact makes the oldest records obsolete if the log is too long: it queues their entries
-	// again, or returns the documents to put.
+	// compact shortens the log if it is too long. To make the oldest records obsolete, it queues their
+	// entries again, or returns the documents that the caller must put.
 	compact(log *changeLog, maxValueBytes int) []*Document
 }
 
-// jsonFormat is the format of ident.FormatLevel 0: a record is a list of JSON lines and is needed
-// until the documents of its lines have been put.
+// jsonFormat is the log format at format level 0. A record is a list of JSON lines, and is needed until the
+// documents of its lines have been put or deleted.
 type jsonFormat struct{}
 
 func (jsonFormat) rateShare() float64 { return jsonRateShare }
@@ -67,8 +69,8 @@
 	return outdated
 }
 
-// textFormat is the format from ident.FormatPacked on: a record is a text with a line for each
-// group of entries and is needed until its entries have been written again.
+// textFormat is the log format at ident.FormatPacked and later levels. A record is a text with a line for each
+// group of entries, and is needed until all of its entries have a newer line in another record.
 type textFormat struct{}
 
 func (textFormat) rateShare() float64 { return textRateShare }
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// ParseText calls visit for each line of a record's text, until it returns an error.
+// ParseText calls visit for each entry's line in the text of a record. It stops at the first error of visit and
+// returns that error.
 func ParseText(text string, visit func(group, line string) error) error {
 	for len(text) > 0 {
 		var groupLine string
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// goldenEntry is a small part of a document.
+// goldenEntry is an entry with a fixed group and line.
 type goldenEntry struct {
 	document    *Document
 	group, line string
@@ -22,7 +22,7 @@
 func (e *goldenEntry) TextLine() (string, string) { return e.group, e.line }
 func (e *goldenEntry) Pin() *Pin                  { return &e.pin }
 
-// recordTransactions writes documents and records of the log, and returns the transactions.
+// recordTransactions writes documents and log records, and returns a description of the transactions.
 func recordTransactions(t *testing.T, useTextFormat bool) string {
 	t.Helper()
 	r := kvstoretest.NewRecordingStore()
@@ -58,8 +58,8 @@
 	return r.Requests()
 }
 
-// TestGoldenTransactions pins the transactions in which documents and records of the log are
-// written, in either format of the log.
+// TestGoldenTransactions compares the transactions that write documents and log records with the golden file, for
+// both formats of the log.
 func TestGoldenTransactions(t *testing.T) {
 	var d golden.Document
 	for _, packed := range []bool{false, true} {
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -6,14 +6,14 @@
 	"opaldale/internal/ident"
 )
 
-// Limits bound what may be written to the store, already reduced by what other requests need.
+// Limits are the limits on writes to the store. The caller subtracts the capacity reserved for other requests.
 type Limits struct {
 	MutationsPerTxn    int     // puts and deletes in a transaction
-	MutationsPerSecond float64 // puts and deletes a second
-	MaxValueBytes      int     // of a value
+	MutationsPerSecond float64 // puts and deletes per second
+	MaxValueBytes      int     // maximum size of a value
 }
 
-// Min returns the stricter of both for each limit.
+// Min returns the smaller value of each limit.
 func (l Limits) Min(other Limits) Limits {
 	return Limits{
 		MutationsPerTxn:    min(l.MutationsPerTxn, other.MutationsPerTxn),
@@ -23,39 +23,39 @@
 }
 
 const (
-	// minTokensPerTxn keeps transactions from being sent one mutation at a time: as long as there
-	// are fewer tokens, and fewer than a full transaction takes, sending waits for tokenRefillWait.
+	// minTokensPerTxn prevents transactions with a single mutation when the rate limit is reached. If there
+	// are fewer tokens, and fewer than a full transaction needs, sending waits for tokenRefillWait.
 	minTokensPerTxn = 4
 	tokenRefillWait = 50 * time.Millisecond
-	// comparesPerMutation is the number of compares that the store accepts for each mutation of its
-	// limit.
+	// comparesPerMutation is the ratio of the store's limit on compares to its limit on mutations in a
+	// transaction.
 	comparesPerMutation = 4
-	// minValueBytes is the lower bound to which rejections lower the limit on the size of values.
+	// minValueBytes is the minimum to which rejections can reduce MaxValueBytes.
 	minValueBytes = 256
-	// maxImmediateRejections is the number of rejections in a row after which smaller transactions
-	// are sent without a pause. Each further one is followed by a pause, up to maxRejectionPause.
+	// maxImmediateRejections is the number of consecutive rejections after which sending continues without
+	// a pause. Each further rejection is followed by a longer pause, up to maxRejectionPause.
 	maxImmediateRejections = 20
 	maxRejectionPause      = time.Minute
 	initialRejectionPause  = time.Second
-	maxPauseDoublings      = 10 // bounds the shift; the pause is maxRejectionPause by then
+	maxPauseDoublings      = 10 // prevents overflow of the shift; the pause has reached maxRejectionPause before
 )
 
-// limiter keeps transactions within the limits of the store. Mutations take tokens from a bucket
-// that holds those of a second; the limits in force only ever become stricter.
+// limiter keeps transactions within the limits of the store. It limits the rate of mutations by a token bucket
+// that holds the tokens of one second. The current limits can only become stricter.
 type limiter struct {
-	limits      Limits              // in force
-	expected    Limits              // that the store may introduce without notice
+	limits      Limits              // current limits
+	expected    Limits              // limits that the store may start to enforce without notice
 	tokens      float64             // mutations that may be sent now
-	refilledAt  ident.MonotonicTime // time up to which tokens were added
-	rejections  int                 // transactions rejected in a row
-	pausedUntil ident.MonotonicTime // nothing is sent earlier
+	refilledAt  ident.MonotonicTime // time of the last refill
+	rejections  int                 // consecutive rejected transactions
+	pausedUntil ident.MonotonicTime // no new transaction is sent before this time
 }
 
 func newLimiter(limits Limits, now ident.MonotonicTime) limiter {
 	return limiter{limits: limits, expected: limits, tokens: limits.MutationsPerSecond, refilledAt: now}
 }
 
-// refill adds the tokens of the time since the last call.
+// refill adds the tokens for the time since the last call.
 func (l *limiter) refill(now ident.MonotonicTime) {
 	rate := l.limits.MutationsPerSecond
 	l.tokens = min(rate, l.tokens+rate*now.Sub(l.refilledAt).Seconds())
@@ -64,21 +64,22 @@
 
 func (l *limiter) spend(mutations int) { l.tokens -= float64(mutations) }
 
-// drainTokens delays further transactions after a response that the rate was too high.
+// drainTokens removes all tokens after the store has reported that the rate limit is exceeded. This delays
+// further transactions.
 func (l *limiter) drainTokens() {
 	l.applyExpectedLimits()
 	l.tokens = 0
 }
 
-// allowsTxn reports whether there are tokens for a transaction of reasonable size.
+// allowsTxn reports whether there are enough tokens for minTokensPerTxn mutations or a full transaction.
 func (l *limiter) allowsTxn() bool {
 	return l.tokens >= float64(min(l.limits.MutationsPerTxn, minTokensPerTxn))
 }
 
-// hasSpareTokens reports whether there are tokens left for content that is not urgent.
+// hasSpareTokens reports whether there are enough tokens to send lazy documents: more than half of the bucket.
 func (l *limiter) hasSpareTokens() bool { return l.tokens > l.limits.MutationsPerSecond/2 }
 
-// applyExpectedLimits puts the expected limits into force and reports whether they are stricter.
+// applyExpectedLimits applies the expected limits and reports whether any limit became stricter.
 func (l *limiter) applyExpectedLimits() bool {
 	before := l.limits
 	l.limits = l.limits.Min(l.expected)
@@ -87,7 +88,7 @@
 }
 
 // reduceLimits makes the limits stricter after a transaction was rejected. It returns false if the
-// transaction cannot be made any smaller.
+// transaction cannot be made smaller.
 func (l *limiter) reduceLimits(rejected *txn) bool {
 	switch {
 	case l.applyExpectedLimits():
@@ -101,7 +102,8 @@
 	return true
 }
 
-// recordRejection counts a rejected transaction, and pauses sending after many in a row.
+// recordRejection counts a rejected transaction, and pauses sending after maxImmediateRejections consecutive
+// rejections.
 func (l *limiter) recordRejection(now ident.MonotonicTime) {
 	l.rejections++
 	if excess := l.rejections - maxImmediateRejections; excess > 0 {
@@ -109,7 +111,7 @@
 	}
 }
 
-// rejectionPause is the pause after the nth rejection: it doubles each time.
+// rejectionPause returns the pause after n rejections. It doubles with each rejection up to maxRejectionPause.
 func rejectionPause(n int) time.Duration {
 	return min(initialRejectionPause<<min(n, maxPauseDoublings), maxRejectionPause)
 }
--- a/internal/commit/limits_test.go
+++ b/internal/commit/limits_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/kvstore"
 )
 
-// limitedStore is a flaky store that rejects what is too large, from some time on, and now and
-// then answers that the rate is too high.
+// limitedStore is a flakyStore that rejects transactions that are too large from enforcedFrom on, and reports an
+// exceeded rate limit for random transactions.
 type limitedStore struct {
 	*flakyStore
 	maxMutations, maxValueBytes int
@@ -35,16 +35,16 @@
 	}
 }
 
-// mixedWorkload changes documents and entries, with a log in the text format.
+// mixedWorkload changes documents and entries at random, with a log in the text format.
 type mixedWorkload struct {
 	t         *testing.T
 	store     *limitedStore
 	committer *Committer
 	documents []*Document
 	values    []int
-	entries   [][]*testEntry // of each document
+	entries   [][]*testEntry // entries of each document
 	changes   int
-	durable   int // callbacks called
+	durable   int // number of callback calls
 }
 
 func newMixedWorkload(t *testing.T, seed uint64, documents, entries int) *mixedWorkload {
@@ -64,7 +64,7 @@
 		values:    make([]int, documents),
 		entries:   make([][]*testEntry, documents),
 	}
-	w.committer.log.format = textFormat{} // without the expected limits, unlike UseTextFormat
+	w.committer.log.format = textFormat{} // UseTextFormat would also apply the expected limits
 	for d := range documents {
 		document := &Document{Key: fmt.Sprintf("d/%d", d), MustNotExist: []string{fmt.Sprintf("x/%d", d)}}
 		document.Render = func() json.RawMessage { return json.RawMessage(fmt.Sprint(w.values[d])) }
@@ -76,7 +76,7 @@
 	return w
 }
 
-// change changes a document or an entry of it.
+// change changes a random document or one of its entries.
 func (w *mixedWorkload) change() {
 	rng := w.store.rng
 	d := rng.IntN(len(w.documents))
@@ -92,25 +92,25 @@
 	w.committer.Flush()
 }
 
-// check checks the stored content of the documents and entries.
+// check checks the stored content of all documents and entries.
 func (w *mixedWorkload) check() {
 	w.t.Helper()
 	stored := readText(w.t, w.store.flakyStore)
 	for d, document := range w.documents {
 		if got := string(w.store.Entries[document.Key].Value); w.values[d] > 0 && got != fmt.Sprint(w.values[d]) {
-			w.t.Errorf("%s ends as %s, want %d", document.Key, got, w.values[d])
+			w.t.Errorf("%s: final stored value %s, want %d", document.Key, got, w.values[d])
 		}
 		for _, entry := range w.entries[d] {
 			if entry.value > 0 && stored[entry.name()] != entry.value {
-				w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
+				w.t.Errorf("%s: final stored value %d, want %d", entry.name(), stored[entry.name()], entry.value)
 			}
 		}
 	}
 }
 
-// TestLowerLimits: limits that become stricter without notice, expected or not, cost neither the
-// term nor any content, although responses are lost and transactions are applied late. Copies that
-// were sent before one was rejected may still be applied.
+// TestLowerLimits checks that neither the term nor any content is lost if the store enforces stricter limits
+// without notice, whether they were expected or not. Responses are lost and transactions are applied late, so
+// that a copy of a rejected transaction that was sent earlier may still be applied.
 func TestLowerLimits(t *testing.T) {
 	runSeeds(t, 40, func(t *testing.T, seed uint64) {
 		w := newMixedWorkload(t, seed, 6, 10)
@@ -123,17 +123,18 @@
 		}
 		w.store.run(10 * time.Minute)
 		if w.durable != w.changes {
-			t.Errorf("%d of %d called back", w.durable, w.changes)
+			t.Errorf("%d changes reported durable, want %d", w.durable, w.changes)
 		}
-		// Expected limits may come into force with the first response that the rate is too high.
+		// The first response with an exceeded rate limit already applies the expected limits, so that no
+		// transaction need be rejected.
 		if !expected && w.store.rejected == 0 {
-			t.Error("nothing was rejected: the test shows nothing")
+			t.Error("the store rejected 0 transactions, want at least 1 so that the stricter limits are tested")
 		}
 		w.check()
 	})
 }
 
-// TestRejectionPause: the pause doubles from two seconds up to the longest.
+// TestRejectionPause checks that the pause doubles from two seconds up to maxRejectionPause.
 func TestRejectionPause(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -9,60 +9,60 @@
 
 // Entry is a small part of a document whose changes are written to the log.
 type Entry interface {
-	// JSONLine is the entry's present content in the JSON format of the log.
+	// JSONLine returns the entry's current content in the JSON format of the log.
 	JSONLine() any
-	// Document is the document that the entry is part of. Only the JSON format needs it.
+	// Document returns the document that contains the entry. Only the JSON format uses it.
 	Document() *Document
-	// TextLine is the entry's present content in the text format, and the group that it is
-	// listed under. Neither contains a space.
+	// TextLine returns the entry's current content in the text format of the log, and the group under
+	// which it is listed. Neither contains a space or a newline.
 	TextLine() (group, line string)
-	// Pin is the entry's reference to the record with its newest line in the text format.
+	// Pin returns the entry's reference to the record that holds its newest line. Only the text format
+	// uses it.
 	Pin() *Pin
 }
 
-// MaxLineBytes bounds the size of a JSONLine, including the comma after it.
+// MaxLineBytes is the maximum size of an encoded JSONLine, including the comma after it.
 const MaxLineBytes = 130
 
-// LogPrefix is the prefix of the keys of the log.
+// LogPrefix is the prefix of the keys that hold the records of the log.
 const LogPrefix = "log/"
 
 const (
-	// maxRecordsPerTxn bounds the records of the log in a transaction.
+	// maxRecordsPerTxn is the maximum number of log records in a transaction.
 	maxRecordsPerTxn = 2
-	// idleBeforeStart is the time for which a new log counts as idle, so that its first
-	// record is not delayed.
+	// idleBeforeStart is the assumed time since the last record when a log is created, so that its first
+	// record is sent without delay.
 	idleBeforeStart = time.Hour
 )
 
-// logRecord is the value of a slot of the log.
+// logRecord is a record of the log, as stored under the key of its slot.
 type logRecord struct {
 	LSN   uint64 `json:"n"`
 	Lines []any  `json:"l,omitempty"` // JSON format
-	Text  string `json:"t,omitempty"` // text format: a line for each group, with its name and its entries' lines
+	Text  string `json:"t,omitempty"` // text format: a line for each group, with its name and the lines of its entries
 }
 
-// recordEntry is an entry in a record of an open transaction.
+// recordEntry is an entry in a record of an in-flight transaction.
 type recordEntry struct {
 	entry     Entry
-	callbacks []func() // to call when it is durable
+	callbacks []func() // to call when the record is durable
 }
 
-// inFlightRecord is a record in an open transaction.
+// inFlightRecord is a record in an in-flight transaction.
 type inFlightRecord struct {
 	slot    *logSlot
 	format  logFormat
 	entries []recordEntry
 }
 
-// changeLog is the log of small changes. Records are numbered by their LSN, in the order in which
-// they were made.
+// changeLog is the log of small changes. Its records have increasing log sequence numbers (LSNs).
 type changeLog struct {
 	format       logFormat
 	slots        slotTable
-	pending      []Entry            // changed, not yet in a record
-	callbacks    map[Entry][]func() // of the pending entries
-	lastLSN      uint64             // of the newest record
-	inFlightLSNs map[uint64]bool    // of records in open transactions
+	pending      []Entry            // changed entries that are not in a record yet
+	callbacks    map[Entry][]func() // callbacks of the pending entries
+	lastLSN      uint64             // LSN of the newest record
+	inFlightLSNs map[uint64]bool    // LSNs of records in in-flight transactions
 	lastRecordAt ident.MonotonicTime
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// append queues an entry's present content for the next record.
+// append queues an entry for the next record.
 func (l *changeLog) append(e Entry, onDurable func()) {
 	callbacks, queued := l.callbacks[e]
 	if !queued {
@@ -87,14 +87,15 @@
 	l.callbacks[e] = callbacks
 }
 
-// timeToNextRecord returns how long the next record must wait. Records are paced so that
-// capacity is left for documents; entries that change meanwhile share the record.
+// timeToNextRecord returns how long to wait before the next record may be sent. The rate of records is limited
+// to leave capacity for documents. Entries that change in the meantime are written in the same record.
 func (l *changeLog) timeToNextRecord(now ident.MonotonicTime, mutationsPerSecond float64) time.Duration {
 	interval := time.Duration(float64(time.Second) / (l.format.rateShare() * mutationsPerSecond))
 	return l.lastRecordAt.Add(interval).Sub(now)
 }
 
-// takeRecord moves pending entries, as many as fit, into a new record and returns it with its value.
+// takeRecord moves as many pending entries as fit into a new record, and returns the record and its encoded
+// value.
 func (l *changeLog) takeRecord(now ident.MonotonicTime, maxValueBytes int) (inFlightRecord, json.RawMessage) {
 	l.lastLSN++
 	l.lastRecordAt = now
@@ -102,7 +103,7 @@
 	count := l.format.fill(&record, l.pending, maxValueBytes)
 	value, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // the lines are made of plain fields
+		panic(err) // cannot occur: JSONLine returns values that can be encoded
 	}
 	inFlight := inFlightRecord{slot: l.slots.allocate(), format: l.format, entries: l.takePending(count)}
 	inFlight.slot.lsn = record.LSN
@@ -110,7 +111,7 @@
 	return inFlight, value
 }
 
-// takePending removes the first pending entries.
+// takePending removes and returns the first count pending entries.
 func (l *changeLog) takePending(count int) []recordEntry {
 	taken := make([]recordEntry, count)
 	for i, e := range l.pending[:count] {
@@ -124,7 +125,7 @@
 	return taken
 }
 
-// markDurable marks a record as durable, and returns the callbacks of its entries.
+// markDurable records that a record is durable at a revision, and returns the callbacks of its entries.
 func (l *changeLog) markDurable(record inFlightRecord, revision ident.Revision) (callbacks []func()) {
 	record.slot.revision, record.slot.uncertain = revision, false
 	delete(l.inFlightLSNs, record.slot.lsn)
@@ -137,9 +138,9 @@
 	return callbacks
 }
 
-// requeue takes a record out of a transaction that is given up: its entries wait for another
-// record, and its slot is free. If the outcome of the transaction is uncertain, so is the content
-// of the slot.
+// requeue queues the entries of a record again after its transaction was abandoned, and frees the slot of the
+// record. uncertain is set if the transaction may have been applied or may still be applied; the content of
+// the slot is then unknown.
 func (l *changeLog) requeue(record inFlightRecord, uncertain bool) {
 	delete(l.inFlightLSNs, record.slot.lsn)
 	record.slot.uncertain = record.slot.uncertain || uncertain
@@ -150,7 +151,7 @@
 	}
 }
 
-// durableLSN returns the newest LSN up to which all records are durable.
+// durableLSN returns the highest LSN up to which all records are durable.
 func (l *changeLog) durableLSN() uint64 {
 	lsn := l.lastLSN
 	for n := range l.inFlightLSNs {
@@ -159,42 +160,43 @@
 	return lsn
 }
 
-// observeRecord keeps the LSN and the slot of a record of an earlier term from being assigned
-// again.
+// observeRecord reserves the LSN and the slot of a record of an earlier term, so that they are not assigned
+// to a new record.
 func (l *changeLog) observeRecord(key string, lsn uint64) {
 	l.lastLSN = max(l.lastLSN, lsn)
 	l.slots.reserveKey(key)
 }
 
-// LSN returns the newest LSN up to which all records of the log are durable. Documents store it beside
-// their content, which includes the changes of all these records. The LSN of a record in an open
-// transaction must not be stored: if that record is lost, the next term assigns its LSN again, and
-// the document would hide the changes of that later record.
+// LSN returns the highest LSN up to which all records of the log are durable. Documents store this LSN with
+// their content, which includes the changes of all these records. A document must not store the LSN of a
+// record that is in flight: if that record is lost, the next term assigns the same LSN to another record,
+// and would ignore the changes in that record, because the document seems to include them.
 func (c *Committer) LSN() uint64 { return c.log.durableLSN() }
 
-// ObserveLSN keeps an LSN, and all lower ones, from being assigned to a record: a document of an
-// earlier term includes the record with that LSN.
+// ObserveLSN reserves an LSN and all lower ones, so that they are not assigned to new records. The caller passes
+// the LSN of each document of an earlier term.
 func (c *Committer) ObserveLSN(lsn uint64) { c.log.lastLSN = max(c.log.lastLSN, lsn) }
 
-// Append queues an entry's present content for the log. onDurable, unless nil, is called once that
-// content, or a later one, is durable.
+// Append queues an entry to be written to the log. onDurable, unless nil, is called once the current content or
+// later content is durable.
 func (c *Committer) Append(e Entry, onDurable func()) { c.log.append(e, onDurable) }
 
-// Release drops the need for an entry's line: its document is deleted for good.
+// Release removes an entry's reference to its record permanently. The caller uses it when the document of the
+// entry is deleted.
 func (c *Committer) Release(p *Pin) {
 	p.released = true
 	c.log.slots.unpin(p)
 }
 
-// RestoreJSON restores a record in the JSON format from an earlier term, with those of its documents
-// that were not put since.
+// RestoreJSON restores a record in the JSON format that an earlier term wrote. documents are the documents with
+// changes in the record. Documents that already include the record are ignored.
 func (c *Committer) RestoreJSON(key string, revision ident.Revision, lsn uint64, documents []*Document) {
 	c.log.observeRecord(key, lsn)
 	c.log.slots.pinDocuments(&logSlot{key: key, revision: revision, lsn: lsn}, documents)
 }
 
-// RestoreText restores a record in the text format from an earlier term, with its entries.
-// Records must be restored in the order of their LSNs.
+// RestoreText restores a record in the text format that an earlier term wrote, with its entries. Records must be
+// restored in the order of their LSNs.
 func (c *Committer) RestoreText(key string, revision ident.Revision, lsn uint64, entries []Entry) {
 	c.log.observeRecord(key, lsn)
 	c.log.slots.pinEntries(&logSlot{key: key, revision: revision, lsn: lsn}, entries)
--- a/internal/commit/log_test.go
+++ b/internal/commit/log_test.go
@@ -17,19 +17,19 @@
 	entriesPerDocument = 4
 )
 
-// storedDocument is a document with the values of its entries.
+// storedDocument is the stored content of a document: the values of its entries and an LSN.
 type storedDocument struct {
 	LSN    uint64
 	Values [entriesPerDocument]int
 }
 
-// jsonLogWorkload changes entries of documents, with a log in the JSON format.
+// jsonLogWorkload changes entries of documents at random, with a log in the JSON format.
 type jsonLogWorkload struct {
 	t         *testing.T
 	store     *flakyStore
 	committer *Committer
 	entries   [logDocuments][entriesPerDocument]*testEntry
-	durable   int // callbacks called
+	durable   int // number of callback calls
 }
 
 func newJSONLogWorkload(t *testing.T, seed uint64) *jsonLogWorkload {
@@ -60,7 +60,8 @@
 	return encoded
 }
 
-// load reads the documents as a successor does: as last put, with the later records of the log.
+// load reads the documents as a new leader does: it reads the stored documents and applies the log records that
+// they do not include. It also returns the number of log records.
 func (w *jsonLogWorkload) load() (documents [logDocuments]storedDocument, records int) {
 	for d := range documents {
 		pair, exists := w.store.Entries[fmt.Sprintf("d/%d", d)]
@@ -96,7 +97,7 @@
 	return documents, len(log)
 }
 
-// change changes one entry and, now and then, puts its document.
+// change increments a random entry and, in one of 20 calls, also puts its document.
 func (w *jsonLogWorkload) change() {
 	rng := w.store.rng
 	entry := w.entries[rng.IntN(logDocuments)][rng.IntN(entriesPerDocument)]
@@ -105,7 +106,7 @@
 	w.committer.Append(entry, func() {
 		w.durable++
 		if stored, _ := w.load(); stored[entry.documentNumber()].Values[entry.index] < value {
-			w.t.Errorf("%s is reported durable at %d, is %v", entry.name(), value, stored)
+			w.t.Errorf("%s: value %d reported durable, but the stored documents are %v", entry.name(), value, stored)
 		}
 	})
 	if rng.IntN(20) == 0 {
@@ -114,8 +115,8 @@
 	w.committer.Flush()
 }
 
-// TestLog: what is durable of the entries is what the documents, as last put, and the later records
-// of the log say together, whatever requests are lost or late; and a long log is compacted.
+// TestLog checks that the stored documents and the later log records together hold the durable value of every
+// entry, although requests are lost or delayed, and that a long log is compacted.
 func TestLog(t *testing.T) {
 	const changes = 1500
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
@@ -128,18 +129,19 @@
 		for d := range w.entries {
 			for n, entry := range w.entries[d] {
 				if stored[d].Values[n] != entry.value {
-					t.Errorf("%s ends as %d, want %d", entry.name(), stored[d].Values[n], entry.value)
+					t.Errorf("%s: final stored value %d, want %d", entry.name(), stored[d].Values[n], entry.value)
 				}
 			}
 		}
 		if w.durable != changes || records > 2*compactAfterRecords {
-			t.Errorf("%d of %d called back, %d records are left", w.durable, changes, records)
+			t.Errorf("%d changes reported durable, want %d; %d log records left, want at most %d",
+				w.durable, changes, records, 2*compactAfterRecords)
 		}
 	})
 }
 
-// TestLSN: the LSN does not include records in open transactions, and stays below the first of
-// them until it is durable.
+// TestLSN checks that Committer.LSN stays below the LSN of the oldest in-flight record until that record is
+// durable.
 func TestLSN(t *testing.T) {
 	store := kvstoretest.NewSteppedStore(kvstoretest.NewMemoryStore())
 	unpaced := Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e10, MaxValueBytes: 1024}
@@ -151,7 +153,7 @@
 		c.Flush()
 	}
 	if lsn := c.LSN(); lsn != 7 || len(store.Pending) != 2 {
-		t.Errorf("LSN %d with records in %d open transactions, want 7 and 2", lsn, len(store.Pending))
+		t.Errorf("LSN %d with records in %d in-flight transactions, want 7 and 2", lsn, len(store.Pending))
 	}
 	store.Run()
 	if lsn := c.LSN(); lsn != 9 {
@@ -159,7 +161,7 @@
 	}
 }
 
-// readText returns the newest value of each entry in the records of the log, by its name.
+// readText returns the newest value of each entry in the log records, by the name of the entry.
 func readText(t *testing.T, store *flakyStore) map[string]int {
 	t.Helper()
 	type textRecord struct {
@@ -190,7 +192,7 @@
 	return values
 }
 
-// textLogWorkload changes entries, with a log in the text format.
+// textLogWorkload changes entries at random, with a log in the text format.
 type textLogWorkload struct {
 	t         *testing.T
 	store     *flakyStore
@@ -213,7 +215,8 @@
 	return w
 }
 
-// change changes one entry. Reading the log is slow, so it is done for one value in four.
+// change increments a random entry. Its callback checks the log for one value in four only, because reading the
+// log is slow.
 func (w *textLogWorkload) change() {
 	entry := w.entries[w.store.rng.IntN(len(w.entries))]
 	entry.value++
@@ -223,29 +226,28 @@
 			return
 		}
 		if stored := readText(w.t, w.store)[entry.name()]; stored < value {
-			w.t.Errorf("%s is reported durable at %d, is %d", entry.name(), value, stored)
+			w.t.Errorf("%s: value %d reported durable, but the log holds %d", entry.name(), value, stored)
 		}
 	})
 	w.committer.Flush()
 }
 
-// checkEntries checks that the newest line of each entry is in a record that it holds.
+// checkEntries checks that the log holds the newest line of each entry, and that each entry refers to a record.
 func (w *textLogWorkload) checkEntries() {
 	w.t.Helper()
 	stored := readText(w.t, w.store)
 	for _, entry := range w.entries {
 		if stored[entry.name()] != entry.value {
-			w.t.Errorf("%s ends as %d, want %d", entry.name(), stored[entry.name()], entry.value)
+			w.t.Errorf("%s: final value in the log %d, want %d", entry.name(), stored[entry.name()], entry.value)
 		}
 		if entry.value > 0 && !entry.pin.Held() {
-			w.t.Errorf("nothing holds the line of %s", entry.name())
+			w.t.Errorf("%s refers to no record, want a reference to the record with value %d", entry.name(), entry.value)
 		}
 	}
 }
 
-// TestTextLog: with records in the text format, the newest line of each entry is always in some
-// record, although slots are reused and a long log is compacted; entries that are released hold
-// nothing.
+// TestTextLog checks that a log in the text format always holds the newest line of each entry, although slots are
+// reused and a long log is compacted. Released entries must not keep any record in use.
 func TestTextLog(t *testing.T) {
 	const maxValueBytes = 256
 	runSeeds(t, 2, func(t *testing.T, seed uint64) {
@@ -261,24 +263,25 @@
 			w.committer.Release(&entry.pin)
 		}
 		if slots.live != 0 || held == 0 || slots.pinnedEntries != 0 {
-			t.Errorf("%d records held, %d after all were released", held, slots.live)
+			t.Errorf("%d needed records, want above 0; %d needed records and %d pinned entries after the release, want 0",
+				held, slots.live, slots.pinnedEntries)
 		}
 		for key, pair := range w.store.Entries {
 			if len(pair.Value) > maxValueBytes {
-				t.Errorf("%s has %d bytes", key, len(pair.Value))
+				t.Errorf("%s has %d bytes, want at most %d", key, len(pair.Value), maxValueBytes)
 			}
 		}
 	})
 }
 
-// TestLongLogIsCompacted: records of which few entries still hold do not accumulate.
+// TestLongLogIsCompacted checks that records that only a few entries still need do not accumulate.
 func TestLongLogIsCompacted(t *testing.T) {
 	const maxValueBytes = 1 << 10
 	store := newReliableStore(t)
 	c := newTestCommitter(t, store, Limits{MutationsPerTxn: 8, MutationsPerSecond: 2000, MaxValueBytes: maxValueBytes})
 	c.UseTextFormat()
 	rng := rand.New(rand.NewPCG(1, 1))
-	var idle []*testEntry // each in a record of its own, among others that change again and again
+	var idle []*testEntry // written once, each to its own record along with busy entries
 	busy := make([]*testEntry, 60)
 	for i := range busy {
 		busy[i] = &testEntry{document: &Document{Key: "d/0"}, index: i}
@@ -296,11 +299,12 @@
 	}
 	store.RunUntil(store.Now().Add(time.Minute))
 	if c.log.slots.live > maxRecords+20 {
-		t.Errorf("%d records are held, for %d lines", c.log.slots.live, c.log.slots.pinnedEntries)
+		t.Errorf("%d records are needed for %d lines, want at most %d records",
+			c.log.slots.live, c.log.slots.pinnedEntries, maxRecords+20)
 	}
 	for _, entry := range idle {
 		if !entry.pin.Held() {
-			t.Fatalf("the line of %s is in no record", entry.name())
+			t.Fatalf("%s refers to no record, want a reference to the record with its line", entry.name())
 		}
 	}
 }
--- a/internal/commit/slot.go
+++ b/internal/commit/slot.go
@@ -9,34 +9,34 @@
 	"opaldale/internal/ident"
 )
 
-// logSlot is a key of the log with the record in it.
+// logSlot is a key of the log and the record that is stored under the key.
 type logSlot struct {
 	key        string
 	revision   ident.Revision
-	lsn        uint64      // of the record
-	references int         // documents, or entries, that need the record
-	documents  []*Document // that need it, in the JSON format
-	entries    []Entry     // that needed it when it was written, in the text format
-	rewriting  bool        // its entries are queued again, to be written to newer records
-	uncertain  bool        // a transaction that was given up may yet change the key
+	lsn        uint64      // LSN of the record
+	references int         // number of documents or entries that need the record
+	documents  []*Document // JSON format: documents that needed the record when it became durable
+	entries    []Entry     // text format: entries that needed the record when it became durable
+	rewriting  bool        // the needed entries are queued again, to be written to newer records
+	uncertain  bool        // an abandoned transaction may have changed the key, or may still change it
 }
 
-// Pin is an entry's reference to the record that has its newest line.
+// Pin is an entry's reference to the record that holds its newest line.
 type Pin struct {
 	slot     *logSlot
-	released bool // the entry needs no line any more
+	released bool // the entry no longer needs a record
 }
 
-// Held reports whether a durable record has the entry's newest line.
+// Held reports whether a durable record holds the entry's newest line.
 func (p *Pin) Held() bool { return p.slot != nil }
 
-// slotTable is the set of slots of the log.
+// slotTable manages the slots of the log.
 type slotTable struct {
-	count         int        // keys ever used
-	free          []*logSlot // with a record that nothing needs, or with none
-	used          []*logSlot // with a durable record, oldest first; some are free again
+	count         int        // number of keys that have been used
+	free          []*logSlot // slots without a record, or with an obsolete one
+	used          []*logSlot // slots with a durable record, oldest first; may include slots that have become free
 	live          int        // number of used slots with references
-	pinnedEntries int        // entries that need a record
+	pinnedEntries int        // number of entries that need a record
 }
 
 // allocate returns a slot for a new record.
@@ -50,15 +50,16 @@
 	return &logSlot{key: fmt.Sprintf("%s%05d", LogPrefix, t.count-1)}
 }
 
-// reserveKey keeps a key that an earlier term used from being given to a new slot. The keys in use
-// may have gaps, where the first record of a slot was never written.
+// reserveKey reserves a key that an earlier term used, so that no new slot gets it. The numbers of the keys in
+// use may have gaps: a slot whose first record was never written has no key in the store.
 func (t *slotTable) reserveKey(key string) {
 	if n, err := strconv.Atoi(strings.TrimPrefix(key, LogPrefix)); err == nil {
 		t.count = max(t.count, n+1)
 	}
 }
 
-// pinEntries makes entries need a durable record, instead of an earlier one.
+// pinEntries moves the references of entries from earlier records to a durable record. It skips released entries
+// and entries that refer to a newer record.
 func (t *slotTable) pinEntries(slot *logSlot, entries []Entry) {
 	slot.references, slot.documents, slot.entries = 0, nil, nil
 	for _, e := range entries {
@@ -86,7 +87,8 @@
 	t.releaseReference(slot)
 }
 
-// pinDocuments makes documents need a durable record until their stored content includes it.
+// pinDocuments adds references from documents to a durable record. It skips documents that are deleted or whose
+// stored content includes the record.
 func (t *slotTable) pinDocuments(slot *logSlot, documents []*Document) {
 	slot.references, slot.documents = 0, nil
 	seen := map[*Document]bool{}
@@ -101,7 +103,8 @@
 	t.retain(slot)
 }
 
-// releaseCovered removes a document's references to the records that its stored content includes.
+// releaseCovered removes a document's references to the records that its stored content includes. A deleted
+// document needs no records.
 func (t *slotTable) releaseCovered(d *Document) {
 	remaining := d.slots[:0]
 	for _, slot := range d.slots {
@@ -114,7 +117,7 @@
 	d.slots = remaining
 }
 
-// retain keeps a record for as long as something needs it.
+// retain adds a slot to the used slots if its record has references, and to the free slots otherwise.
 func (t *slotTable) retain(slot *logSlot) {
 	if slot.references == 0 {
 		t.free = append(t.free, slot)
@@ -124,26 +127,26 @@
 	t.live++
 }
 
-// releaseReference removes one reference to a record; without any its slot is free.
+// releaseReference removes one reference to a record. The slot becomes free with the last reference.
 func (t *slotTable) releaseReference(slot *logSlot) {
 	slot.references--
 	if slot.references > 0 {
 		return
 	}
-	// The slot itself stays in its place among the used ones until dropObsolete.
+	// The old logSlot stays in used until dropObsolete removes it.
 	t.free = append(t.free, &logSlot{key: slot.key, revision: slot.revision})
 	slot.documents, slot.entries = nil, nil
 	t.live--
 }
 
-// dropObsolete removes slots without references from the used ones, once there are many of them.
+// dropObsolete removes slots without references from the used slots, once there are many of them.
 func (t *slotTable) dropObsolete() {
 	if len(t.used) > 2*t.live+compactAfterRecords {
 		t.used = slices.DeleteFunc(t.used, func(s *logSlot) bool { return s.references == 0 })
 	}
 }
 
-// oldestLive returns the n oldest slots whose record is needed, or all if there are fewer.
+// oldestLive returns the n oldest slots whose records are needed, or all such slots if there are fewer.
 func (t *slotTable) oldestLive(n int) (oldest []*logSlot) {
 	for i := 0; i < len(t.used) && len(oldest) < n; i++ {
 		if t.used[i].references > 0 {
--- a/internal/commit/store_test.go
+++ b/internal/commit/store_test.go
@@ -12,19 +12,19 @@
 	"opaldale/internal/kvstoretest"
 )
 
-// leaderKey is the key of the leader in the test stores, as the committers compare it.
+// leaderKey is the compare on the leader key for which the leader key of the test stores is unchanged.
 var leaderKey = kvstore.Compare{Key: "leader", Revision: 1}
 
-// testLimits leave room for several documents in a transaction.
+// testLimits allow several documents in a transaction.
 var testLimits = Limits{MutationsPerTxn: 8, MutationsPerSecond: 100, MaxValueBytes: 16 << 10}
 
-// newTestCommitter makes a committer whose term must not be lost.
+// newTestCommitter returns a Committer that fails the test if its term is lost.
 func newTestCommitter(t *testing.T, port Port, limits Limits) *Committer {
 	t.Helper()
-	return New(port, limits, leaderKey, func(err error) { t.Errorf("term lost: %v", err) })
+	return New(port, limits, leaderKey, func(err error) { t.Errorf("onTermLost called with %q, want no call", err) })
 }
 
-// runSeeds runs a test with each of the first seeds.
+// runSeeds runs a test with each seed from 0 to count-1.
 func runSeeds(t *testing.T, count uint64, test func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := range count {
@@ -32,8 +32,8 @@
 	}
 }
 
-// flakyStore is a store, with a clock, that loses responses and applies requests late, twice or
-// never.
+// flakyStore is an in-memory key-value store with a clock. It loses responses, and applies some requests late or
+// not at all.
 type flakyStore struct {
 	*kvstoretest.MemoryStore
 	clocktest.Clock
@@ -42,8 +42,8 @@
 	puts map[string][]string // the values put to each key, in order
 }
 
-// newFlakyStore makes a store that has the leader key and the given ones. Tests use a stream of
-// random numbers each.
+// newFlakyStore returns a store that holds the leader key and the given pairs. Each test uses its own stream of
+// random numbers.
 func newFlakyStore(t *testing.T, seed, stream uint64, pairs ...kvstore.KeyValue) *flakyStore {
 	t.Helper()
 	leader := kvstore.KeyValue{Key: leaderKey.Key, Revision: leaderKey.Revision}
@@ -59,10 +59,10 @@
 	switch f.rng.IntN(5) {
 	case 0: // never applied
 		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
-	case 1: // applied, but the response is lost
+	case 1: // applied, response lost
 		f.serve(r)
 		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
-	case 2: // applied later
+	case 2: // applied later, response lost
 		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
 		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
 	case 3:
@@ -85,7 +85,7 @@
 		return kvstore.Response{Outcome: kvstore.Conflict, FailedKeys: failed}
 	}
 	if len(r.Mutations) > testLimits.MutationsPerTxn {
-		f.t.Errorf("%d mutations in a transaction", len(r.Mutations))
+		f.t.Errorf("%d mutations in a transaction, want at most %d", len(r.Mutations), testLimits.MutationsPerTxn)
 	}
 	for _, mutation := range r.Mutations {
 		if mutation.Put != "" {
@@ -95,10 +95,10 @@
 	return f.Apply(r.Mutations)
 }
 
-// run runs the scheduled events up to a time, including those that they add.
+// run runs all events that are scheduled up to a time, including events that they schedule.
 func (f *flakyStore) run(until time.Duration) { f.RunUntil(ident.MonotonicTime(until)) }
 
-// reliableStore applies every request at once and answers it.
+// reliableStore applies every request immediately and responds to it.
 type reliableStore struct{ *flakyStore }
 
 func newReliableStore(t *testing.T, pairs ...kvstore.KeyValue) reliableStore {
@@ -110,7 +110,7 @@
 	s.respond(s.serve(r), onResponse)
 }
 
-// testEntry is one of several values of a document.
+// testEntry is an entry that holds one of several values of a document.
 type testEntry struct {
 	document *Document
 	index    int
@@ -123,7 +123,7 @@
 	Doc, N, Value int
 }
 
-// documentNumber is the number of the entry's document, the last byte of its key.
+// documentNumber returns the number of the entry's document, which is the last digit of its key.
 func (e *testEntry) documentNumber() int { return int(e.document.Key[len(e.document.Key)-1] - '0') }
 
 func (e *testEntry) JSONLine() any       { return testLine{e.documentNumber(), e.index, e.value} }
@@ -133,5 +133,5 @@
 	return e.document.Key, fmt.Sprint(e.index, ",", e.value)
 }
 
-// name is the entry's name in the result of readText.
+// name returns the name of the entry in the result of readText.
 func (e *testEntry) name() string { return fmt.Sprintf("%s %d", e.document.Key, e.index) }
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/kvstore"
 )
 
-// send counts a transaction and sends its first copy.
+// send counts a new transaction and sends it for the first time.
 func (c *Committer) send(t *txn) {
 	c.inFlightTxns++
 	c.Txns++
@@ -18,7 +18,7 @@
 	c.sendCopy(t)
 }
 
-// sendCopy sends a copy of a transaction and handles its outcome.
+// sendCopy sends a transaction, for the first time or as a retry, and handles the outcome.
 func (c *Committer) sendCopy(t *txn) {
 	c.request(t.request, func(response kvstore.Response) {
 		switch response.Outcome {
@@ -32,7 +32,7 @@
 			c.setUnavailable(false)
 			c.handleRejected(t, response.Error)
 		case kvstore.RateLimited:
-			// This copy was not applied.
+			// The store did not apply this copy.
 			c.limiter.drainTokens()
 			c.retry(t, func() { c.sendCopy(t) })
 		case kvstore.Unavailable:
@@ -46,7 +46,7 @@
 	})
 }
 
-// retry calls f after the delay of a transaction, which doubles each time.
+// retry calls f after the retry delay of a transaction, which doubles with each retry up to maxRetryDelay.
 func (c *Committer) retry(t *txn, f func()) {
 	c.Retries++
 	c.after(t.retryDelay, f)
@@ -61,7 +61,8 @@
 	c.retry(t, func() { c.sendCopy(t) })
 }
 
-// handleCommitted settles a transaction that was applied. revision is that of the keys it put.
+// handleCommitted completes a transaction that was applied. revision is the new revision of the keys that the
+// transaction put.
 func (c *Committer) handleCommitted(t *txn, revision ident.Revision) {
 	c.inFlightTxns--
 	c.limiter.rejections = 0
@@ -76,7 +77,7 @@
 	c.Flush()
 }
 
-// markDocumentsDurable marks the documents of a transaction as durable, and returns their callbacks.
+// markDocumentsDurable records that the documents of a transaction are durable, and returns their callbacks.
 func (c *Committer) markDocumentsDurable(t *txn, revision ident.Revision) (callbacks []func()) {
 	putKeys := make(map[string]bool, len(t.request.Mutations))
 	for _, mutation := range t.request.Mutations {
@@ -102,7 +103,7 @@
 	return callbacks
 }
 
-// compactLog shortens a log that has become long.
+// compactLog shortens the log if it has become too long.
 func (c *Committer) compactLog() {
 	c.log.slots.dropObsolete()
 	for _, d := range c.log.format.compact(&c.log, c.limiter.limits.MaxValueBytes) {
@@ -110,9 +111,10 @@
 	}
 }
 
-// handleConflict settles a transaction with compares that failed. As long as the leader key is
-// unchanged, only this committer has written. So a key of MustNotExist exists, or an earlier copy
-// of this very transaction, or a transaction that was given up, has been applied.
+// handleConflict handles a transaction that was not applied because compares failed. If the leader key is
+// unchanged, no other leader has written, which leaves three expected causes: a key of MustNotExist exists, an
+// earlier copy of this transaction was applied, or an abandoned transaction was applied. Any other conflict
+// ends the term.
 func (c *Committer) handleConflict(t *txn, failed []string) {
 	if slices.Contains(failed, c.leaderCompare.Key) {
 		c.failTerm(ErrAnotherLeader)
@@ -127,11 +129,12 @@
 	case t.uncertain:
 		c.recoverRevision(t)
 	default:
-		c.failTerm(fmt.Errorf("%w on %s", ErrConflict, strings.Join(failed, ", ")))
+		c.failTerm(fmt.Errorf("%w: %s", ErrConflict, strings.Join(failed, ", ")))
 	}
 }
 
-// partitionByExistence separates the documents with a MustNotExist key among the failed ones.
+// partitionByExistence separates the documents that have a MustNotExist key among the failed keys from the
+// others.
 func partitionByExistence(documents []*Document, failed []string) (existing, others []*Document) {
 	isFailed := func(key string) bool { return slices.Contains(failed, key) }
 	for _, d := range documents {
@@ -144,9 +147,9 @@
 	return existing, others
 }
 
-// handleExisting gives up a transaction because of documents with a MustNotExist key that exists.
-// No copy of it was applied: one that was would have found these keys absent, and would have
-// left them so.
+// handleExisting abandons a transaction because a MustNotExist key of some of its documents exists. It discards
+// these documents and sends the others again. No copy of the transaction was applied: a copy could be applied
+// only while these keys did not exist, and would not have created them.
 func (c *Committer) handleExisting(t *txn, existing, others []*Document) {
 	c.inFlightTxns--
 	for _, d := range existing {
@@ -156,7 +159,7 @@
 	c.Flush()
 }
 
-// requeue gives up a transaction: its records' entries and the given documents wait for another one.
+// requeue abandons a transaction, and queues the entries of its records and the given documents for another one.
 func (c *Committer) requeue(t *txn, documents []*Document) {
 	for _, d := range documents {
 		d.requeue(t.uncertain)
@@ -167,9 +170,10 @@
 	}
 }
 
-// refreshRevisions reads the revisions of the failed keys, which a transaction that was given up
-// has changed after all, and gives this transaction up to write its content again. The content is
-// complete and newer. Once it is applied, the earlier transaction can't be any more.
+// refreshRevisions handles a conflict with an abandoned transaction that was applied nevertheless. It reads the
+// current revisions of the failed keys, abandons this transaction, and queues its content again. That content
+// is complete and newer than the content of the earlier transaction. Once it is written, the earlier
+// transaction can no longer be applied.
 func (c *Committer) refreshRevisions(t *txn, failed []string) {
 	if len(failed) == 0 {
 		c.inFlightTxns--
@@ -188,7 +192,7 @@
 	})
 }
 
-// setRevision sets the revision of a key among the documents and records of a transaction.
+// setRevision sets the revision of the document or record with the given key in a transaction.
 func (t *txn) setRevision(key string, revision ident.Revision) {
 	for _, d := range t.documents {
 		if d.Key == key {
@@ -202,8 +206,8 @@
 	}
 }
 
-// recoverRevision settles a transaction of which an earlier copy was applied: it reads the revision
-// that the copy gave to the keys.
+// recoverRevision completes a transaction whose earlier copy was applied. It reads the revision that the copy
+// gave to the keys from the store.
 func (c *Committer) recoverRevision(t *txn) {
 	key := t.firstPut()
 	if key == "" {
@@ -222,7 +226,7 @@
 	})
 }
 
-// readRevision reads the revision of a key; it is 0 unless the outcome is OK.
+// readRevision reads the revision of a key. The revision is 0 unless the outcome is OK.
 func (c *Committer) readRevision(key string, onResponse func(ident.Revision, kvstore.Outcome)) {
 	c.request(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: txnTimeout}, func(response kvstore.Response) {
 		revision := response.Revision
@@ -233,10 +237,11 @@
 	})
 }
 
-// handleRejected gives up a transaction that the store finds malformed or too large: its limits
-// are stricter than known. This copy was not applied. If an earlier one was not answered, its
-// keys are uncertain until something newer is written there. The content is written again in
-// smaller transactions; a document that is rejected by itself waits longer each time.
+// handleRejected abandons a transaction that the store rejected as malformed or too large, because the limits of
+// the store are stricter than the known limits. The store did not apply this copy. If an earlier copy had no
+// response, the revisions of its keys are uncertain until newer content is written to them. The content is
+// sent again in smaller transactions. If a transaction with a single document is rejected, the document is
+// sent again after a pause that increases with each rejection.
 func (c *Committer) handleRejected(t *txn, reason string) {
 	c.inFlightTxns--
 	c.Rejected++
@@ -251,7 +256,7 @@
 	c.scheduleFlush(initialRetryDelay)
 }
 
-// postpone takes the only document out of a rejected transaction and queues it again later.
+// postpone queues the only document of a rejected transaction again after a pause.
 func (c *Committer) postpone(t *txn, d *Document) {
 	d.requeue(t.uncertain)
 	d.rejections++
