--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -78,7 +78,6 @@
 		t.Errorf("update with the same facts changed the state from %v to %v", from, to)
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
-		t.Errorf("State(99).Allows(Place) = %v, Active.Allows(Action(99)) = %v, want false for both",
-			State(99).Allows(Place), Active.Allows(Action(99)))
+		t.Error("State(99) allows Place or Active allows Action(99), want neither")
 	}
 }
--- a/internal/commit/document.go
+++ b/internal/commit/document.go
@@ -87,7 +87,7 @@
 func (d *Document) transition(event documentEvent) {
 	next, valid := documentTransitions[d.state][event]
 	if !valid {
-		panic(fmt.Sprintf("document %s: event %d is not valid in state %d", d.Key, event, d.state))
+		panic(fmt.Sprintf("document %s in state %d: invalid event %d", d.Key, d.state, event))
 	}
 	d.state = next
 }
@@ -124,10 +124,10 @@
 	d.transition(sent)
 }
 
-// requeue returns a document of an abandoned transaction to the dirty state, so that it can be sent in another
+// markUnsent returns a document of an abandoned transaction to the dirty state, so that it can be sent in another
 // one. uncertain is set if the abandoned transaction may still be applied. The caller adds the document to the
 // queue.
-func (d *Document) requeue(uncertain bool) {
+func (d *Document) markUnsent(uncertain bool) {
 	d.pendingCallbacks = append(d.inFlightCallbacks, d.pendingCallbacks...)
 	d.inFlightCallbacks = nil
 	d.uncertain = d.uncertain || uncertain
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -64,8 +64,8 @@
 
 func (l *limiter) spend(mutations int) { l.tokens -= float64(mutations) }
 
-// drainTokens removes all tokens after the store has reported that the rate limit is exceeded. This delays
-// further transactions.
+// drainTokens applies the expected limits and removes all tokens, after the store has reported that the rate limit
+// is exceeded. This delays further transactions.
 func (l *limiter) drainTokens() {
 	l.applyExpectedLimits()
 	l.tokens = 0
--- a/internal/commit/log.go
+++ b/internal/commit/log.go
@@ -138,10 +138,10 @@
 	return callbacks
 }
 
-// requeue queues the entries of a record again after its transaction was abandoned, and frees the slot of the
+// requeueEntries queues the entries of a record again after its transaction was abandoned, and frees the slot of the
 // record. uncertain is set if the transaction may have been applied or may still be applied; the content of
 // the slot is then unknown.
-func (l *changeLog) requeue(record inFlightRecord, uncertain bool) {
+func (l *changeLog) requeueEntries(record inFlightRecord, uncertain bool) {
 	delete(l.inFlightLSNs, record.slot.lsn)
 	record.slot.uncertain = record.slot.uncertain || uncertain
 	l.slots.free = append(l.slots.free, record.slot)
--- a/internal/commit/store_test.go
+++ b/internal/commit/store_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// flakyStore is an in-memory key-value store with a clock. It loses responses, and applies some requests late or
-// not at all.
+// flakyStore is an in-memory key-value store with a clock. It loses responses, and delays or drops some
+// requests.
 type flakyStore struct {
 	*kvstoretest.MemoryStore
 	clocktest.Clock
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -162,11 +162,11 @@
 // requeue abandons a transaction, and queues the entries of its records and the given documents for another one.
 func (c *Committer) requeue(t *txn, documents []*Document) {
 	for _, d := range documents {
-		d.requeue(t.uncertain)
+		d.markUnsent(t.uncertain)
 		c.enqueue(d)
 	}
 	for _, record := range t.records {
-		c.log.requeue(record, t.uncertain)
+		c.log.requeueEntries(record, t.uncertain)
 	}
 }
 
@@ -258,7 +258,7 @@
 
 // postpone queues the only document of a rejected transaction again after a pause.
 func (c *Committer) postpone(t *txn, d *Document) {
-	d.requeue(t.uncertain)
+	d.markUnsent(t.uncertain)
 	d.rejections++
 	c.after(rejectionPause(d.rejections), func() {
 		if d.state == dirty {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,7 +24,7 @@
 	Steady      State = iota // there is no reason for a handover
 	Considering              // there is a reason for a handover, but it may not begin yet
 	Draining                 // the successor is announced; waiting for in-flight writes to complete
-	Ended                    // the caller was told to end the term
+	Ended                    // Advance has returned EndTerm
 )
 
 // String returns the name of the state in reports, which must not change.
