--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -177,7 +177,8 @@
 			c.Flush()
 			store.run(time.Minute)
 			if durable != tc.wantDurable || len(store.puts["d/2"]) != 0 {
-				t.Errorf("d/1 reported durable %d times, puts %v, want %d times and no put to d/2", durable, store.puts, tc.wantDurable)
+				t.Errorf("d/1 reported durable %d times, puts %v, want %d times and no put to d/2",
+					durable, store.puts, tc.wantDurable)
 			}
 		})
 	}
