--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestSteps drives a term with random conditions: the steps occur in order, at most once each, and
-// only when their preconditions hold.
+// TestSteps advances a coordinator with random conditions, and checks that the steps occur in order, at most
+// once each, and only when their preconditions hold.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTermModel()
@@ -20,22 +20,22 @@
 	})
 }
 
-// termModel is a coordinator under test with the expected progress of its term.
+// termModel is a coordinator under test together with the expected progress of its term.
 type termModel struct {
-	config         Config
-	coordinator    *Coordinator
-	now            ident.MonotonicTime
-	began          ident.MonotonicTime
-	warrantedSince ident.MonotonicTime // 0 while there is no reason for a handover
-	announced      ident.MonotonicTime // 0 until then
-	ended          bool
+	config        Config
+	coordinator   *Coordinator
+	now           ident.MonotonicTime
+	termStartedAt ident.MonotonicTime
+	reasonSince   ident.MonotonicTime // 0 while there is no reason for a handover
+	announcedAt   ident.MonotonicTime // 0 until the successor is announced
+	ended         bool
 }
 
 func newTermModel() *termModel {
 	config, now := DefaultConfig(), ident.MonotonicTime(time.Hour)
 	history := &History{}
 	history.ObserveTerm(1, now)
-	return &termModel{config: config, coordinator: New(config, history, now), now: now, began: now}
+	return &termModel{config: config, coordinator: New(config, history, now), now: now, termStartedAt: now}
 }
 
 // drawConditions advances the clock and returns the conditions at that time.
@@ -52,11 +52,11 @@
 		WritesDrained: rapid.Bool().Draw(t, "writes drained"),
 		StoreWritable: rapid.IntRange(0, 3).Draw(t, "store writable") > 0,
 	}
-	switch warranted := conditions.Successor != "" || conditions.Isolated; {
-	case !warranted:
-		m.warrantedSince = 0
-	case m.warrantedSince == 0:
-		m.warrantedSince = m.now
+	switch hasReason := conditions.Successor != "" || conditions.Isolated; {
+	case !hasReason:
+		m.reasonSince = 0
+	case m.reasonSince == 0:
+		m.reasonSince = m.now
 	}
 	return conditions
 }
@@ -66,35 +66,37 @@
 	switch m.coordinator.Advance(conditions) {
 	case Announce:
 		m.checkAnnounce(t, conditions)
-		m.announced = m.now
+		m.announcedAt = m.now
 	case EndTerm:
-		if m.announced == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announced) < m.config.DrainTimeout {
-			t.Fatalf("ended %v after the announcement: %+v", m.now.Sub(m.announced), conditions)
+		if m.announcedAt == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announcedAt) < m.config.DrainTimeout {
+			t.Fatalf("term ended too early, twice or unannounced: %v after the announcement (ended before: %v), conditions %+v",
+				m.now.Sub(m.announcedAt), m.ended, conditions)
 		}
 		m.ended = true
 	}
-	if m.coordinator.Begun() != (m.announced > 0) {
-		t.Fatalf("begun %v, announced %v", m.coordinator.Begun(), m.announced > 0)
+	if m.coordinator.Begun() != (m.announcedAt > 0) {
+		t.Fatalf("Begun() = %v, want %v", m.coordinator.Begun(), m.announcedAt > 0)
 	}
-	if m.announced > 0 && !m.ended && m.now.Sub(m.announced) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
-		t.Fatal("an announced handover does not end")
+	if m.announcedAt > 0 && !m.ended && m.now.Sub(m.announcedAt) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
+		t.Fatalf("term not ended %v after the announcement, drain timeout is %v", m.now.Sub(m.announcedAt), m.config.DrainTimeout)
 	}
 }
 
 func (m *termModel) checkAnnounce(t *rapid.T, conditions Conditions) {
-	if m.announced > 0 || m.warrantedSince == 0 || !conditions.StoreWritable ||
-		m.now.Sub(m.began) < m.config.MinTermDuration ||
-		m.now.Sub(m.warrantedSince) < m.config.StabilizationWindow {
-		t.Fatalf("announced %v into the term, %v after a handover was warranted: %+v",
-			m.now.Sub(m.began), m.now.Sub(m.warrantedSince), conditions)
+	if m.announcedAt > 0 || m.reasonSince == 0 || !conditions.StoreWritable ||
+		m.now.Sub(m.termStartedAt) < m.config.MinTermDuration ||
+		m.now.Sub(m.reasonSince) < m.config.StabilizationWindow {
+		t.Fatalf("announced %v after the start of the term, %v after the reason occurred: %+v",
+			m.now.Sub(m.termStartedAt), m.now.Sub(m.reasonSince), conditions)
 	}
 	if d := m.coordinator.Decision(); d.Successor != conditions.Successor || d.Reason == NoReason {
-		t.Fatalf("to %q for %v: %+v", d.Successor, d.Reason, conditions)
+		t.Fatalf("decision is successor %q, reason %v, want successor %q and a reason; conditions %+v",
+			d.Successor, d.Reason, conditions.Successor, conditions)
 	}
 }
 
-// TestHandoversAreBounded: if every leader always finds a better placed peer, handovers stay within
-// the bound and become less frequent.
+// TestHandoversAreBounded checks that the rate of handovers is limited, in a minute and over ten minutes, even
+// if every leader always finds a better connected peer.
 func TestHandoversAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, start := DefaultConfig(), ident.MonotonicTime(time.Hour)
@@ -111,8 +113,8 @@
 		var times []ident.MonotonicTime
 		for now.Sub(start) < 10*time.Minute {
 			now = now.Add(250 * time.Millisecond)
-			e := Conditions{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
-			if coordinator.Advance(e) == EndTerm {
+			conditions := Conditions{Now: now, Successor: "x", WritesDrained: true, StoreWritable: true}
+			if coordinator.Advance(conditions) == EndTerm {
 				times = append(times, now)
 				leader = (leader + 1 + rapid.IntRange(0, nodes-2).Draw(t, "next")) % nodes
 				term++
@@ -128,11 +130,11 @@
 				}
 			}
 			if n > maxPerMinute(config) {
-				t.Fatalf("%d handovers within a minute, the bound is %d", n, maxPerMinute(config))
+				t.Fatalf("got %d handovers within a minute, want at most %d", n, maxPerMinute(config))
 			}
 		}
 		if len(times) == 0 || len(times) > 12 {
-			t.Fatalf("%d handovers in ten minutes", len(times))
+			t.Fatalf("got %d handovers in ten minutes, want 1 to 12", len(times))
 		}
 	})
 }
@@ -141,18 +143,18 @@
 // each other's terms: each leader leads for at least the minimum duration.
 func maxPerMinute(c Config) int { return 1 + int(time.Minute/max(c.MinTermDuration, time.Second)) }
 
-// TestRequested: a node that is shutting down hands over immediately, and only once.
+// TestRequested checks that a requested handover, as at shutdown, begins immediately and only once.
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
 	coordinator := New(DefaultConfig(), &History{}, now)
 	if coordinator.Request(now, "agent-1") != Announce || coordinator.Request(now, "agent-2") != NoStep {
-		t.Error("a request is announced once")
+		t.Error("two requests: want Announce for the first and NoStep for the second")
 	}
 	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
-		t.Errorf("to %q for %v", d.Successor, d.Reason)
+		t.Errorf("decision is successor %q, reason %v, want successor agent-1, reason %v", d.Successor, d.Reason, Requested)
 	}
 	drained := Conditions{Now: now, WritesDrained: true}
 	if coordinator.Advance(drained) != EndTerm || coordinator.Advance(drained) != NoStep {
-		t.Error("the term is ended once")
+		t.Error("two advances after draining: want EndTerm for the first and NoStep for the second")
 	}
 }
