--- a/internal/gang/attempt.go
+++ b/internal/gang/attempt.go
@@ -8,19 +8,19 @@
 	"opaldale/internal/jobs"
 )
 
-// State is the state of an attempt's life cycle.
+// State is the state of an attempt in its life cycle.
 type State uint8
 
 // The states of an attempt.
 const (
-	Placed        State = iota // machines were chosen; the placements of some tasks are not durable
+	Placed        State = iota // all tasks have a machine; some placements may not be durable yet
 	Gathering                  // launched: the tasks pull their image and wait for each other
-	Running                    // all tasks were reported running
-	Checkpointing              // all tasks are being stopped with a grace period to save a checkpoint
-	Stopping                   // all tasks that are left are being stopped without a grace period
+	Running                    // all tasks were reported as running
+	Checkpointing              // all tasks are being stopped with a grace period for saving a checkpoint
+	Stopping                   // the remaining tasks are being stopped without a grace period
 )
 
-// stateNames are the names in the log; some differ from the constants' names.
+// stateNames are the names of the states in log messages. Some differ from the names of the constants.
 var stateNames = [...]string{
 	Placed:        "placed",
 	Gathering:     "gathering",
@@ -29,22 +29,22 @@
 	Stopping:      "ending",
 }
 
-// String returns the state's name.
+// String returns the name of the state in log messages.
 func (s State) String() string { return stateNames[s] }
 
-// attempt is one attempt to run a gang.
+// attempt is one attempt to run all tasks of a gang.
 type attempt struct {
 	job          *jobs.Job
 	number       ident.Attempt
 	state        State
 	stateSince   ident.MonotonicTime
-	placedAt     ident.MonotonicTime // when its first machines were chosen
-	missingSince ident.MonotonicTime // when the first of the missing tasks was lost; 0: none is missing
-	// placedThisTerm is set if the attempt began in this term, so that usedMachines has all machines
-	// on which any of its tasks was placed.
+	placedAt     ident.MonotonicTime // when the first placements were made
+	missingSince ident.MonotonicTime // when the first of the missing tasks was found missing; 0 if none is missing
+	// placedThisTerm is set if the attempt began in this term. Only then does usedMachines contain all
+	// machines on which a task of the attempt was placed.
 	placedThisTerm bool
 	usedMachines   map[ident.MachineID]bool
-	launchedOn     map[int]ident.MachineID // machine on which each task was launched last, by its index
+	launchedOn     map[int]ident.MachineID // by task index: the machine on which the task was last launched
 }
 
 func newAttempt(j *jobs.Job, number ident.Attempt, state State, now ident.MonotonicTime) *attempt {
@@ -59,7 +59,7 @@
 	}
 }
 
-// setState is the only function that changes an attempt's state.
+// setState changes the state of an attempt and logs the change. All state changes go through it.
 func (tb *Table) setState(a *attempt, next State, reason Reason) {
 	if a.state == next {
 		return
@@ -71,7 +71,7 @@
 	a.state, a.stateSince = next, now
 }
 
-// hasUnlaunched reports whether any task was not launched on its present machine.
+// hasUnlaunched reports whether any task has not been launched on its current machine.
 func (a *attempt) hasUnlaunched() bool {
 	for i := range a.job.Tasks {
 		if a.launchedOn[i] != a.job.Tasks[i].MachineID {
@@ -81,12 +81,12 @@
 	return false
 }
 
-// taskCounts holds the numbers of a gang's tasks by state.
+// taskCounts holds the number of a gang's tasks in each state.
 type taskCounts struct {
 	missing  int // not allocated
 	placing  int
 	stopping int
-	running  int // reported running
+	running  int // reported as running
 }
 
 func countTasks(j *jobs.Job) taskCounts {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,6 +1,6 @@
-// Package gang controls the attempts of gangs: jobs whose tasks run at the same time or not at
-// all. The tasks of an attempt find each other by its number. An attempt is launched once the
-// placements of all tasks are durable, and ends as soon as a task is lost after its start.
+// Package gang controls the attempts to run gangs. A gang is a job whose tasks must all run at the same
+// time. The tasks of an attempt identify each other by the attempt number. An attempt is launched once
+// the placements of all its tasks are durable. After it has started, the loss of any task aborts it.
 package gang
 
 import (
@@ -15,49 +15,49 @@
 	"opaldale/internal/workers"
 )
 
-// Placement is a machine that was chosen for a task.
+// Placement is a task and the machine to run it on.
 type Placement struct {
 	Task   *jobs.Task
 	Worker *workers.Worker
 }
 
-// Config holds the times of the workers' protocol that matter to gangs.
+// Config holds the intervals and timeouts of the worker protocol that gangs depend on.
 type Config struct {
-	GatherTimeout     time.Duration // for which a launched task waits for the others to start
-	PeerLossTimeout   time.Duration // within which the other tasks notice that one is gone
-	HeartbeatInterval time.Duration // between two heartbeats of a worker
+	GatherTimeout     time.Duration // how long a launched task waits for the other tasks to start
+	PeerLossTimeout   time.Duration // how long the other tasks take at most to detect that a task is lost
+	HeartbeatInterval time.Duration // time between two heartbeats of a worker
 }
 
 const (
-	// replacementWindow is the time for which the tasks of an attempt keep their room while one that
-	// was lost before the start may be replaced.
+	// replacementWindow is how long an attempt that lost a task before its start waits for a replacement.
+	// The other tasks keep their machines during that time.
 	replacementWindow = 3 * time.Second
-	// replacementDivisor gives the part of the gather timeout within which a lost task may be
-	// replaced: the replacement needs the rest to start.
+	// replacementDivisor sets the deadline for replacements: the gather timeout divided by
+	// replacementDivisor, from the first placement on. The replacement needs the remaining time to start.
 	replacementDivisor = 2
-	// stopOverrun is the time that a graceful stop may take beyond its grace period.
+	// stopOverrun is how long a graceful stop may take in addition to its grace period.
 	stopOverrun = 2 * time.Second
 )
 
-// Table holds the attempts of all gangs, for one term. It is not safe for concurrent use: all calls
-// come from the node's event loop.
+// Table holds the attempts of all gangs during one term. It is not safe for concurrent use: all calls
+// must come from the event loop of the node.
 type Table struct {
 	cfg       Config
 	now       func() ident.MonotonicTime
-	mayLaunch func() bool // whether launches may be sent now
+	mayLaunch func() bool // reports whether launch commands may be sent now
 	jobs      *jobs.Table
 	workers   *workers.Table
 	attempts  map[*jobs.Job]*attempt
-	changed   []*jobs.Job // whose attempts ProcessChanges advances
+	changed   []*jobs.Job // jobs whose attempts ProcessChanges must advance
 
-	Started  uint64 // attempts of which all tasks ran
-	Lost     uint64 // attempts that were aborted
-	Replaced uint64 // tasks that were replaced before the start
-	Stopped  uint64 // attempts that were stopped gracefully
+	Started  uint64 // attempts whose tasks all ran at the same time
+	Lost     uint64 // aborted attempts
+	Replaced uint64 // tasks replaced before the start of their attempt
+	Stopped  uint64 // attempts stopped on request
 }
 
-// NewTable makes the table of a term. now is the monotonic clock; mayLaunch reports whether launches may
-// be sent at present.
+// NewTable returns an empty table for a term. now is the monotonic clock. mayLaunch reports whether launch
+// commands may be sent now.
 func NewTable(
 	jobTable *jobs.Table, workerTable *workers.Table, now func() ident.MonotonicTime, mayLaunch func() bool, cfg Config,
 ) *Table {
@@ -71,15 +71,15 @@
 	}
 }
 
-// MarkChanged marks a job of which a task has changed, for ProcessChanges.
+// MarkChanged records that a task of a job has changed, so that ProcessChanges advances the job's attempt.
 func (tb *Table) MarkChanged(j *jobs.Job) {
 	if j.IsGang() && !slices.Contains(tb.changed, j) {
 		tb.changed = append(tb.changed, j)
 	}
 }
 
-// ProcessChanges advances the attempts of the gangs that have changed. It is called at the end of an
-// event, once all of its changes are made.
+// ProcessChanges advances the attempts of the gangs that have changed. The event loop calls it at the end
+// of each event, after all changes of the event.
 func (tb *Table) ProcessChanges() {
 	for len(tb.changed) > 0 {
 		changed := tb.changed
@@ -90,14 +90,15 @@
 	}
 }
 
-// Tick advances all attempts, since some transitions depend on the time alone.
+// Tick advances all attempts. It is called periodically, since some transitions depend only on time.
 func (tb *Table) Tick() {
 	tb.changed = slices.SortedFunc(maps.Keys(tb.attempts), func(a, b *jobs.Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	tb.ProcessChanges()
 }
 
-// Adopt restores the attempt of a gang that an earlier term has placed. It continues if the placements
-// of all tasks are known. An incomplete one is aborted: it may have been launched.
+// Adopt restores the attempt of a gang that was placed in an earlier term. The attempt continues if the
+// placements of all tasks are known. Otherwise it is aborted, since some of its tasks may have been
+// launched.
 func (tb *Table) Adopt(j *jobs.Job) {
 	if !j.IsGang() || j.AllocatedTasks == 0 || j.Phase != jobs.Open {
 		return
@@ -105,15 +106,17 @@
 	a := newAttempt(j, j.HighestAttempt(), Gathering, tb.now())
 	tb.attempts[j] = a
 	for i := range j.Tasks {
-		// Assumed. A task that was not launched counts as lost once a heartbeat shows that.
+		// Assume that the task was launched. If it was not, a heartbeat will show that, and the task
+		// counts as lost.
 		a.launchedOn[i] = j.Tasks[i].MachineID
 	}
 	if !j.ReadyToLaunch() {
-		tb.abort(a, reasonPartial)
+		tb.abort(a, reasonIncomplete)
 	}
 }
 
-// Place begins an attempt, or replaces lost tasks of one, with placements for all waiting tasks.
+// Place begins an attempt of a gang, or replaces the lost tasks of the current attempt. The placements
+// must cover all waiting tasks.
 func (tb *Table) Place(j *jobs.Job, placements []Placement) {
 	a := tb.attempts[j]
 	if a == nil {
@@ -132,21 +135,22 @@
 	}
 }
 
-// HasUsed reports whether a task of the gang's present attempt was placed on a machine. No other task of
-// the attempt may be placed there: a late heartbeat could say that it has ended.
+// HasUsed reports whether a task of the gang's current attempt was placed on a machine. Replacements must
+// not be placed there: a late heartbeat of the machine could report the end of the earlier task, which
+// would be taken for the end of the replacement.
 func (tb *Table) HasUsed(j *jobs.Job, machineID ident.MachineID) bool {
 	a := tb.attempts[j]
 	return a != nil && a.usedMachines[machineID]
 }
 
-// advance moves a gang's attempt to the state that follows from those of its tasks.
+// advance changes the state of a gang's attempt according to the states of its tasks.
 func (tb *Table) advance(j *jobs.Job) {
 	a := tb.attempts[j]
 	if a == nil {
 		return
 	}
 	if j.Phase != jobs.Open || j.AllocatedTasks == 0 {
-		// The job is over, or all tasks are proven gone, so that the next attempt may begin.
+		// The job has ended, or all tasks are confirmed to have stopped, so the next attempt may begin.
 		delete(tb.attempts, j)
 		j.AcceptsReplacements = false
 		return
@@ -168,7 +172,7 @@
 	}
 }
 
-// advanceToStart is advance for an attempt that has not started.
+// advanceToStart implements advance for an attempt that has not started.
 func (tb *Table) advanceToStart(a *attempt, counts taskCounts) {
 	switch {
 	case counts.stopping > 0:
@@ -186,8 +190,8 @@
 	}
 }
 
-// awaitReplacement lets tasks that were lost before the start be replaced for a limited time, and
-// aborts an attempt that cannot have replacements or had none in that time.
+// awaitReplacement allows the replacement of tasks that were lost before the start, for a limited time.
+// It aborts the attempt if replacements are not possible or the time has elapsed.
 func (tb *Table) awaitReplacement(a *attempt, counts taskCounts) {
 	now := tb.now()
 	if a.missingSince == 0 {
@@ -207,7 +211,7 @@
 	}
 }
 
-// launchPlaced launches the tasks that were not launched on their present machines.
+// launchPlaced launches the tasks that have not been launched on their current machines.
 func (tb *Table) launchPlaced(a *attempt) {
 	for i := range a.job.Tasks {
 		t := &a.job.Tasks[i]
@@ -217,13 +221,14 @@
 		a.launchedOn[i] = t.MachineID
 		w := tb.workers.Workers[t.MachineID]
 		if w == nil || w.State == workers.Terminating || w.State == workers.Terminated || !tb.mayLaunch() {
-			continue // launched by the response to the machine's next heartbeat, if there is one
+			continue // the response to the machine's next heartbeat, if any, launches the task
 		}
 		tb.workers.Launch(w, t)
 	}
 }
 
-// abort ends an attempt without a grace period: its remaining tasks make no progress alone.
+// abort stops the remaining tasks of an attempt without a grace period, since they can't make progress
+// without the others.
 func (tb *Table) abort(a *attempt, reason Reason) {
 	if a.state != Stopping {
 		tb.Lost++
@@ -235,32 +240,33 @@
 	tb.workers.StopAllocated(a.job, 0)
 }
 
-// checkpointGracePeriod returns the grace period for a whole gang to save a checkpoint: the time that
-// each task takes, and the time for which tasks then wait for each other.
+// checkpointGracePeriod returns the grace period for saving a checkpoint of a gang: the checkpoint time of
+// a task plus the time for which the tasks then wait for each other.
 func (tb *Table) checkpointGracePeriod(j *jobs.Job) time.Duration {
 	return j.CheckpointTime() + tb.cfg.PeerLossTimeout
 }
 
-// maxContactAge returns the greatest age of the newest heartbeat of a machine that counts as reachable:
-// one and a half intervals.
-func (tb *Table) maxContactAge() time.Duration { return tb.cfg.HeartbeatInterval * 3 / 2 }
+// maxHeartbeatAge returns the maximum age of the last heartbeat of a machine that counts as reachable: one
+// and a half heartbeat intervals.
+func (tb *Table) maxHeartbeatAge() time.Duration { return tb.cfg.HeartbeatInterval * 3 / 2 }
 
-// CanStop reports whether a gang can be stopped now such that it loses no more than the progress since
-// its last checkpoint: all its machines must be reachable, so that all tasks stop in time.
+// CanStop reports whether a gang can be stopped now without losing more than the progress since its last
+// checkpoint. All its machines must be reachable, so that all tasks stop in time.
 func (tb *Table) CanStop(j *jobs.Job) bool {
 	a := tb.attempts[j]
 	if a == nil || a.state != Running && a.state != Gathering || !j.ReadyToLaunch() {
 		return false
 	}
 	for i := range j.Tasks {
-		if !tb.workers.Reachable(j.Tasks[i].MachineID, tb.maxContactAge()) {
+		if !tb.workers.Reachable(j.Tasks[i].MachineID, tb.maxHeartbeatAge()) {
 			return false
 		}
 	}
 	return true
 }
 
-// Stop stops a whole gang gracefully. It returns false if that is not possible, see CanStop.
+// Stop stops all tasks of a gang, with a grace period if they can save a checkpoint. It does nothing and
+// returns false if CanStop returns false.
 func (tb *Table) Stop(j *jobs.Job, reason Reason) bool {
 	if !tb.CanStop(j) {
 		return false
@@ -269,7 +275,7 @@
 	tb.Stopped++
 	slog.Info("gang stopping", "job", string(j.Spec.ID), "reason", string(reason))
 	if a.state == Gathering || !j.Spec.CanCheckpoint() {
-		tb.abort(a, reason) // there is nothing to save
+		tb.abort(a, reason) // there is no progress that a checkpoint could save
 		return true
 	}
 	tb.setState(a, Checkpointing, reason)
--- a/internal/gang/reason.go
+++ b/internal/gang/reason.go
@@ -1,22 +1,22 @@
 package gang
 
-// Reason says why an attempt changed its state. It is written to the log only.
+// Reason describes why an attempt changed its state. It appears only in log messages.
 type Reason string
 
-// The reasons for which the owner of a table stops a gang.
+// Reasons for stopping a gang with Table.Stop.
 const (
 	ReasonPreempted     Reason = "preempted"      // other work needs its machines
-	ReasonReclaimNotice Reason = "reclaim notice" // the provider takes back one of its machines
+	ReasonReclaimNotice Reason = "reclaim notice" // the cloud provider reclaims one of its machines
 )
 
 const (
 	reasonDurable            Reason = "all placements are durable"
-	reasonAllRunning         Reason = "all tasks run"
-	reasonPartial            Reason = "the earlier term left a part of it"
+	reasonAllRunning         Reason = "all tasks are running"
+	reasonIncomplete         Reason = "attempt of an earlier term is incomplete"
 	reasonTaskStopped        Reason = "a task was stopped"
 	reasonTaskLost           Reason = "a task was lost"
-	reasonLostAfterStart     Reason = "a task was lost after the start"
-	reasonMachinesUnknown    Reason = "a task was lost, and its earlier machines are not all known"
+	reasonLostAfterStart     Reason = "a task was lost after another task had started"
+	reasonMachinesUnknown    Reason = "a task was lost, and not all machines used by the attempt are known"
 	reasonReplacementTimeout Reason = "a task was lost and not replaced in time"
-	reasonCheckpointTimeout  Reason = "checkpoint timeout"
+	reasonCheckpointTimeout  Reason = "gang did not stop within the checkpoint grace period"
 )
--- a/internal/placement/asm1.go
+++ b/internal/placement/asm1.go
@@ -1,36 +1,40 @@
-// Package placement decides which task goes to which machine.
+// Package placement decides which machine each task runs on.
 //
-// Batch tasks are assigned to the machines that hold their image by a plan, which Algorithm 1 of
-// the paper (ASM1; docs/design.md cites it) computes in rounds as a semi-matching of tasks and
-// machines. Between the rounds, machines with room take their planned tasks, then local ones, and
-// steal from the plans of others. Services are placed first-fit, and gangs as a whole. The package
-// also keeps the teams' quotas and guarantees, and chooses the tasks that are preempted for work of
-// higher precedence.
+// Batch tasks are placed by a plan that assigns them to machines with their image in the cache. The
+// planner recomputes the plan in rounds: Algorithm 1 of the paper (ASM1; docs/design.md cites it)
+// computes a semi-matching of tasks and machines. Between rounds, each machine with free capacity
+// runs the tasks that the plan assigns to it, then other tasks whose image it has cached, and then
+// steals tasks from the plans of other machines. Services are placed first-fit. All tasks of a gang
+// are placed together. The package also tracks the quotas and guarantees of the teams, and selects
+// the tasks to preempt for work of higher precedence.
+//
+// The holders of an image are the machines that have it cached. A task is local to the holders of
+// its image. A borrower is a team with neither a guarantee nor a limit: it uses idle capacity only.
 package placement
 
 // Group is a set of tasks with the same edges in the bipartite graph of tasks and machines, such as
 // the tasks of one job.
 type Group struct {
-	Tasks    int
-	Machines []int32 // indexes of the machines that hold the image of the tasks: the other ends of the edges
+	Tasks    int     // number of tasks
+	Machines []int32 // indexes of the machines that each task has an edge to: the holders of its image
 }
 
-// Share is how many tasks of a group a machine takes.
+// Share is the number of tasks of a group that are assigned to one machine.
 type Share struct {
 	Machine int32
 	Tasks   int
 }
 
-// ASM1 is Algorithm 1 of the paper (§5.2) over groups of equal tasks. It computes a semi-matching:
-// each task is assigned to one machine at most, and a machine takes any number of tasks. The result
-// has, for each group, the shares of those of the n machines that take tasks of it; tasks of a
+// ASM1 runs Algorithm 1 of the paper (§5.2) on groups of identical tasks and n machines. It computes
+// a semi-matching: each task is assigned to at most one machine, and a machine can be assigned any
+// number of tasks. The result lists the shares of each group, indexed as in groups. The tasks of a
 // group without edges stay unassigned.
 //
-// Machines are taken in turn. Each flips its shortest alternating path to an unassigned task; one
-// that has none is dropped. The semi-matching has no cost-reducing path (Definition 9), so it
-// minimises the largest number of tasks on a machine as well as the total excess over the even
-// share (Theorem 10). The tasks of a group are interchangeable on any path, so a search visits each
-// group only once.
+// The algorithm visits the machines round-robin. Each machine flips its shortest alternating path to
+// an unassigned task; a machine without such a path is not visited again. The resulting
+// semi-matching has no cost-reducing path (Definition 9), so it minimises both the largest number of
+// tasks on a machine and the total excess over the even share (Theorem 10). The tasks of a group are
+// interchangeable on any path, so a search visits each group only once.
 func ASM1(n int, groups []Group) [][]Share {
 	s := newPathSearch(n, groups)
 	active := make([]int32, n)
@@ -49,32 +53,33 @@
 	return s.assigned
 }
 
-// noGroup ends an alternating path: the machine at which it starts was reached through no group.
+// noGroup marks the first machine of an alternating path, which was not reached through a group.
 const noGroup = -1
 
-// pathSearch holds the semi-matching so far and the arrays of the breadth-first search, which are
-// reused from one path to the next. Arrays by group and by machine are indexed by their numbers.
+// pathSearch holds the semi-matching computed so far, and the arrays of the breadth-first search for
+// alternating paths, which all searches reuse. The arrays are indexed by group or by machine.
 type pathSearch struct {
-	// By group.
+	// Indexed by group.
 	assigned  [][]Share
 	remaining []int  // unassigned tasks
-	exhausted []bool // no path leads from the group to an unassigned task any more
+	exhausted []bool // no path from the group leads to an unassigned task
 
-	// By machine.
+	// Indexed by machine.
 	candidateGroups [][]int32 // groups that have an edge to the machine
-	cursor          []int32   // index of the first of those that may have unassigned tasks
+	cursor          []int32   // index of the first candidate group that may have unassigned tasks
 
-	// The search. round is its number; nodes reached in an earlier round count as not reached.
+	// State of the current search. round counts the searches: a node whose round is lower has not been
+	// reached in the current search.
 	round              int32
-	groupRound         []int32 // by group: the round in which it was reached
-	reachedFromMachine []int32 // by group: the machine from which it was reached
-	machineRound       []int32 // by machine: the round in which it was reached
-	reachedFromGroup   []int32 // by machine: the group through which it was reached
+	groupRound         []int32 // by group: the round of the last search that reached the group
+	reachedFromMachine []int32 // by group: the machine from which that search reached it
+	machineRound       []int32 // by machine: the round of the last search that reached the machine
+	reachedFromGroup   []int32 // by machine: the group through which that search reached it
 	queue              []int32 // machines reached in this round
 	reachedGroups      []int32 // groups reached in this round
 }
 
-// newPathSearch makes an empty semi-matching.
+// newPathSearch returns a search that starts with an empty semi-matching.
 func newPathSearch(machines int, groups []Group) *pathSearch {
 	s := &pathSearch{
 		assigned:           make([][]Share, len(groups)),
@@ -96,8 +101,8 @@
 	return s
 }
 
-// augment flips the shortest alternating path from a machine to an unassigned task. It returns
-// false if there is none.
+// augment finds and flips the shortest alternating path from the machine start to an unassigned
+// task. It returns false if there is no such path.
 func (s *pathSearch) augment(start int32) bool {
 	s.round++
 	s.queue = append(s.queue[:0], start)
@@ -114,15 +119,16 @@
 		}
 		s.expand(m)
 	}
-	// Every reachable task is assigned, and a path of another machine can change that only by
-	// reaching one of these groups. So no later search needs to visit them.
+	// All tasks of the reached groups are assigned, and every path that enters one of these groups stays
+	// within them. Later searches can therefore skip them.
 	for _, g := range s.reachedGroups {
 		s.exhausted[g] = true
 	}
 	return false
 }
 
-// expand adds to the queue the machines that hold tasks which a machine could take.
+// expand enqueues the machines that can be reached from machine m: those with assigned tasks of a
+// group that has an edge to m.
 func (s *pathSearch) expand(m int32) {
 	for _, g := range s.candidateGroups[m] {
 		if s.exhausted[g] || s.groupRound[g] == s.round {
@@ -141,9 +147,9 @@
 	}
 }
 
-// unassigned returns the first group with unassigned tasks that a machine could take. No group ever
-// gets more of them, so each is passed over once: in a large cluster most paths are found here,
-// without a search.
+// unassigned returns the first candidate group of machine m that has unassigned tasks. The number of
+// unassigned tasks of a group never grows, so the cursor of the machine only moves forward. In a
+// large cluster, most paths consist of this one edge and need no search.
 func (s *pathSearch) unassigned(m int32) (int32, bool) {
 	groups := s.candidateGroups[m]
 	for s.cursor[m] < int32(len(groups)) {
@@ -155,8 +161,8 @@
 	return 0, false
 }
 
-// flip flips the alternating path that ends at a group: a task of each group on it goes to the
-// machine from which the group was reached.
+// flip flips the alternating path that ends at group g: one task of each group on the path is
+// assigned to the machine from which the group was reached.
 func (s *pathSearch) flip(g int32) {
 	for g != noGroup {
 		m := s.reachedFromMachine[g]
@@ -168,7 +174,7 @@
 	}
 }
 
-// add changes the number of a group's tasks on a machine.
+// add adds n, which may be negative, to the number of tasks of group g that machine m is assigned.
 func (s *pathSearch) add(g, m int32, n int) {
 	for i := range s.assigned[g] {
 		share := &s.assigned[g][i]
--- a/internal/placement/asm1_test.go
+++ b/internal/placement/asm1_test.go
@@ -6,13 +6,13 @@
 )
 
 // machineLoads counts the tasks of each machine, and checks that each has an edge.
-func machineLoads(t *testing.T, g [][]int32, owner []int32) []int {
+func machineLoads(t *testing.T, tasksByMachine [][]int32, owner []int32) []int {
 	t.Helper()
-	out := make([]int, len(g))
+	loads := make([]int, len(tasksByMachine))
 	for task, m := range owner {
 		holders := 0
 		ok := m < 0
-		for k, list := range g {
+		for k, list := range tasksByMachine {
 			for _, x := range list {
 				if int(x) == task {
 					holders++
@@ -27,10 +27,10 @@
 			t.Fatalf("task %d has holders and no machine", task)
 		}
 		if m >= 0 {
-			out[m]++
+			loads[m]++
 		}
 	}
-	return out
+	return loads
 }
 
 // loadStats returns the largest load and the total excess over the even share.
@@ -44,15 +44,15 @@
 }
 
 // bruteForceBest returns the least largest load and the least total excess of all assignments.
-func bruteForceBest(g [][]int32, tasks, placed int) (largest, excess int) {
+func bruteForceBest(tasksByMachine [][]int32, tasks, placed int) (largest, excess int) {
 	holders := make([][]int, tasks)
-	for m, list := range g {
+	for m, list := range tasksByMachine {
 		for _, t := range list {
 			holders[t] = append(holders[t], m)
 		}
 	}
 	largest, excess = 1<<30, 1<<30
-	load := make([]int, len(g))
+	load := make([]int, len(tasksByMachine))
 	var try func(int)
 	try = func(t int) {
 		if t == tasks {
@@ -125,15 +125,15 @@
 }
 
 // randomGroups makes random groups, and the same tasks one by one.
-func randomGroups(r *rand.Rand, groups, machines, most int, p float64) (gs []Group, single [][]int32, tasks int) {
-	single = make([][]int32, machines)
+func randomGroups(r *rand.Rand, groups, machines, maxTasks int, density float64) (gs []Group, tasksByMachine [][]int32, tasks int) {
+	tasksByMachine = make([][]int32, machines)
 	for range groups {
-		g := Group{Tasks: 1 + r.IntN(most)}
+		g := Group{Tasks: 1 + r.IntN(maxTasks)}
 		for m := range machines {
-			if r.Float64() < p {
+			if r.Float64() < density {
 				g.Machines = append(g.Machines, int32(m))
 				for t := range g.Tasks {
-					single[m] = append(single[m], int32(tasks+t))
+					tasksByMachine[m] = append(tasksByMachine[m], int32(tasks+t))
 				}
 			}
 		}
@@ -144,10 +144,10 @@
 }
 
 // expandGroups turns the outcome for groups into one for single tasks.
-func expandGroups(t *testing.T, gs []Group, owners [][]Share, tasks int) []int32 {
+func expandGroups(t *testing.T, gs []Group, assigned [][]Share, tasks int) []int32 {
 	t.Helper()
 	out := make([]int32, 0, tasks)
-	for g, shares := range owners {
+	for g, shares := range assigned {
 		n := 0
 		for _, s := range shares {
 			for range s.Tasks {
@@ -172,11 +172,11 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range 900 {
 		small := i%3 > 0
-		groups, machines, most := 1+r.IntN(4), 1+r.IntN(4), 3
+		groups, machines, maxTasks := 1+r.IntN(4), 1+r.IntN(4), 3
 		if !small {
-			groups, machines, most = 1+r.IntN(30), 1+r.IntN(25), 12
+			groups, machines, maxTasks = 1+r.IntN(30), 1+r.IntN(25), 12
 		}
-		gs, g, tasks := randomGroups(r, groups, machines, most, 0.1+0.6*r.Float64())
+		gs, g, tasks := randomGroups(r, groups, machines, maxTasks, 0.1+0.6*r.Float64())
 		if small && tasks > 8 {
 			continue
 		}
--- a/internal/placement/batch.go
+++ b/internal/placement/batch.go
@@ -7,17 +7,17 @@
 	"opaldale/internal/workers"
 )
 
-// placementRule says by which rule a batch task was chosen for a machine.
+// placementRule is the rule that selected a batch task for a machine.
 type placementRule uint8
 
 const (
-	rulePlanned  placementRule = iota // the plan names the machine
-	ruleLocal                         // the machine holds the image
-	ruleUncached                      // no eligible machine holds the image
-	ruleStolen                        // taken from the plan of another machine
+	rulePlanned  placementRule = iota // the plan assigns the task to the machine
+	ruleLocal                         // the machine has the image cached
+	ruleUncached                      // no eligible machine has the image cached
+	ruleStolen                        // stolen from the plan of another machine
 )
 
-// countBatchTask counts a batch task by the rule that placed it.
+// countBatchTask increments the counter of the rule that placed a batch task.
 func (s *Stats) countBatchTask(rule placementRule) {
 	switch rule {
 	case rulePlanned:
@@ -31,27 +31,28 @@
 	}
 }
 
-// spotFirst holds the values of Worker.Spot in the order in which machines are filled: spot
+// spotFirst lists the values of Worker.Spot in the order in which machines receive batch tasks: spot
 // instances before on-demand machines.
 var spotFirst = [...]bool{true, false}
 
 // jobRange is the half-open range [from, to) of indexes in dispatch.batchJobs.
 type jobRange struct{ from, to int }
 
-// fillIdleMachines lets every machine with room take work. Teams without a guarantee have what the
-// others leave. Their tasks are local to the machines that they fill, so they would otherwise take
-// all room that becomes free there, and guaranteed work would have to preempt them.
+// fillIdleMachines places batch tasks on all machines with free capacity: first the tasks of teams
+// with a guarantee, then those of borrowers. The tasks of borrowers are local to the machines that
+// already run them. Without this order, they would take all capacity that becomes free there, and
+// guaranteed work would have to preempt them.
 func (d *dispatch) fillIdleMachines() {
-	d.fillFrom(jobRange{0, d.firstBorrower})
+	d.fillFromRange(jobRange{0, d.firstBorrower})
 	if d.firstBorrower < len(d.batchJobs) {
-		d.fillFrom(jobRange{d.firstBorrower, len(d.batchJobs)})
+		d.fillFromRange(jobRange{d.firstBorrower, len(d.batchJobs)})
 	}
 }
 
-// fillFrom lets every machine with room take tasks of a range of the batch jobs. Tasks whose image
-// a machine with room holds go first on all machines: the first machine by name would otherwise
-// take, and pull the image for, a task that is local to another.
-func (d *dispatch) fillFrom(active jobRange) {
+// fillFromRange places tasks of a range of the batch jobs on all machines with free capacity. The
+// first pass places only tasks that need no image pull. Without this pass, the first machine by name
+// could pull the image for a task that is local to another machine.
+func (d *dispatch) fillFromRange(active jobRange) {
 	d.activeRange = active
 	d.resetCursors()
 	d.listUncachedJobs()
@@ -71,10 +72,10 @@
 	d.resetCursors()
 }
 
-// fillInOrder lets the machines of a kind take tasks in the order of their names, each as many as
-// it has room for.
+// fillInOrder fills the spot instances, or else the on-demand machines, in the order of their names.
+// choose returns the next task for a machine, or nil if there is none.
 func (d *dispatch) fillInOrder(spot bool, need jobs.Resources, choose func(*workers.Worker) (*jobs.Task, placementRule)) {
-	for _, w := range d.machinesWithRoom {
+	for _, w := range d.machinesWithCapacity {
 		if w.Spot != spot {
 			continue
 		}
@@ -89,13 +90,13 @@
 	}
 }
 
-// resetCursors makes the searches for tasks start over.
+// resetCursors makes the searches for waiting tasks start from the first task and job again.
 func (d *dispatch) resetCursors() {
 	clear(d.taskCursor)
 	clear(d.imageCursor)
 }
 
-// listUncachedJobs lists the active jobs whose image no eligible machine holds.
+// listUncachedJobs sets uncachedJobs to the active jobs whose image no eligible machine has cached.
 func (d *dispatch) listUncachedJobs() {
 	d.uncachedJobs = d.uncachedJobs[:0]
 	for _, j := range d.activeJobs() {
@@ -109,7 +110,8 @@
 // activeJobs returns the batch jobs in the active range.
 func (d *dispatch) activeJobs() []*jobs.Job { return d.batchJobs[d.activeRange.from:d.activeRange.to] }
 
-// minNeed returns the least that any waiting task of a range of the batch jobs needs.
+// minNeed returns, for each resource, the smallest amount that a waiting task of a range of the batch
+// jobs requests. A machine with less of any resource free can run none of them.
 func (d *dispatch) minNeed(within jobRange) jobs.Resources {
 	need := jobs.UnboundedResources()
 	for _, j := range d.batchJobs[within.from:within.to] {
@@ -120,7 +122,7 @@
 	return need
 }
 
-// inActiveRange reports whether a task's job is in the active range or precedes it.
+// inActiveRange reports whether the job of a task is in the active range or before it.
 func (d *dispatch) inActiveRange(t *jobs.Task) bool {
 	return d.activeRange.to > d.firstBorrower || !d.teams.IsBorrower(t.Job.Spec.Team)
 }
@@ -142,9 +144,10 @@
 	return j.WaitingCount() > 0 && d.canRunOn(j, w) && d.nextTask(j) != nil
 }
 
-// localTask chooses a batch task that a machine can run without an image pull: one that the plan
-// assigns to the machine, else the first by precedence whose image it holds. It returns nil if there
-// is none. A reserved machine takes only tasks of the job that it is reserved for.
+// localTask returns a batch task that a machine can run without an image pull, or nil if there is
+// none. Tasks that the plan assigns to the machine come first, then the task of the highest precedence
+// whose image the machine has cached. A reserved machine runs only tasks of the job that it is
+// reserved for, whether or not it has their image cached.
 func (d *dispatch) localTask(w *workers.Worker) (*jobs.Task, placementRule) {
 	if j := d.reservations.jobOn(w); j != nil {
 		return d.reservedTask(j, w), ruleLocal
@@ -163,8 +166,8 @@
 	return nil, ruleLocal
 }
 
-// reservedTask returns the next task of the job that a machine is reserved for, nil if the machine
-// can't take it. The tasks of a gang are placed together, never one by one.
+// reservedTask returns the next task of the job that a machine is reserved for, or nil if the machine
+// can't run it. It returns no tasks of a gang, since these are placed together.
 func (d *dispatch) reservedTask(j *jobs.Job, w *workers.Worker) *jobs.Task {
 	t := d.nextTask(j)
 	if t == nil || j.IsGang() || !d.canTakeTask(t, w) {
@@ -173,8 +176,8 @@
 	return t
 }
 
-// firstCachedJob returns the first active job by precedence whose image a machine holds and whose
-// tasks it may take, nil if there is none.
+// firstCachedJob returns the active job of the highest precedence whose image a machine has cached and
+// whose tasks may be placed there, or nil if there is none.
 func (d *dispatch) firstCachedJob(w *workers.Worker) *jobs.Job {
 	best := d.activeRange.to
 	for _, image := range w.CachedImages() {
@@ -199,8 +202,8 @@
 	return d.batchJobs[best]
 }
 
-// chooseTask chooses a batch task for a machine: a local one, then the oldest whose image no
-// eligible machine holds, then one stolen from the fullest plan. It returns nil if there is none.
+// chooseTask returns the next batch task for a machine, or nil if there is none: a local task, else
+// the oldest task whose image no eligible machine has cached, else a task stolen from the longest plan.
 func (d *dispatch) chooseTask(w *workers.Worker) (*jobs.Task, placementRule) {
 	if t, rule := d.localTask(w); t != nil || d.IsReserved(w) {
 		return t, rule
@@ -213,7 +216,7 @@
 	if d.config.UseASM1 {
 		return d.steal(w), ruleStolen
 	}
-	// Without plans, an idle machine steals from the queue.
+	// Without a plan, an idle machine takes tasks from the queue.
 	for _, j := range d.activeJobs() {
 		if d.canTakeAnyOf(j, w) {
 			return d.nextTask(j), ruleStolen
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -7,49 +7,49 @@
 	"opaldale/internal/workers"
 )
 
-// dispatch is the state of one dispatch or round of a planner: the sorted waiting jobs and
-// machines, and the progress so far.
+// dispatch is the state of a single dispatch or planning round: the sorted waiting jobs and machines,
+// and the placements made so far.
 type dispatch struct {
 	*Planner
 
-	openMachines     []*workers.Worker // schedulable machines, by name
-	machinesWithRoom []*workers.Worker // those of them in which some waiting task fits
-	holdersByImage   map[string][]*workers.Worker
+	schedulableMachines  []*workers.Worker // schedulable machines, by name
+	machinesWithCapacity []*workers.Worker // schedulable machines on which some waiting task may fit
+	holdersByImage       map[string][]*workers.Worker
 
 	services []*jobs.Job // by precedence
 	gangs    []*jobs.Job // by precedence
 
-	batchJobs        []*jobs.Job      // batch jobs that wait, by precedence
-	firstBorrower    int              // index in batchJobs of the first job of a team without a guarantee
+	batchJobs        []*jobs.Job      // waiting batch jobs, by precedence
+	firstBorrower    int              // index in batchJobs of the first job of a borrower
 	activeRange      jobRange         // the batch jobs that are being placed
 	batchJobsByImage map[string][]int // indexes in batchJobs
 	imageCursor      map[string]int   // index in batchJobsByImage of the first job that may have waiting tasks
-	uncachedJobs     []*jobs.Job      // whose image no eligible machine holds, oldest first
+	uncachedJobs     []*jobs.Job      // jobs whose image no eligible machine has cached, oldest first
 	imageCached      map[*jobs.Job]bool
 	taskCursor       map[*jobs.Job]int // index of the first task that may still be placed
-	plans            []*planQueue      // fullest first
+	plans            []*planQueue      // by number of waiting tasks, descending
 
-	quotaBlocked     map[string]*jobs.Job // by team: the starved job for which the team's quota is kept
+	quotaBlocked     map[string]*jobs.Job // by team: the starved job that the team's quota is reserved for
 	victimSearches   map[victimSearchKey]*preemptionHeap
 	placed           int // tasks placed
 	machinesSearched int // machines searched for victims
 }
 
-// newDispatch sorts the waiting jobs and the machines for a dispatch.
+// newDispatch returns a dispatch with the waiting jobs and the machines sorted.
 func (p *Planner) newDispatch() *dispatch {
 	now := p.now()
 	p.teams.UpdateGuarantees(p.jobs)
 	p.freeOnDemand = map[string]float64{}
 	p.reservations.expire(now)
 	d := &dispatch{
-		Planner:          p,
-		openMachines:     p.storage.openMachines[:0],
-		machinesWithRoom: p.storage.machinesWithRoom[:0],
-		batchJobs:        p.storage.batchJobs[:0],
-		imageCached:      map[*jobs.Job]bool{},
-		taskCursor:       map[*jobs.Job]int{},
-		quotaBlocked:     map[string]*jobs.Job{},
-		victimSearches:   map[victimSearchKey]*preemptionHeap{},
+		Planner:              p,
+		schedulableMachines:  p.storage.schedulableMachines[:0],
+		machinesWithCapacity: p.storage.machinesWithCapacity[:0],
+		batchJobs:            p.storage.batchJobs[:0],
+		imageCached:          map[*jobs.Job]bool{},
+		taskCursor:           map[*jobs.Job]int{},
+		quotaBlocked:         map[string]*jobs.Job{},
+		victimSearches:       map[victimSearchKey]*preemptionHeap{},
 	}
 	queues, need := p.queueByShape(now)
 	sortServices(queues[api.Service])
@@ -61,20 +61,22 @@
 		d.indexMachines(need, now)
 	}
 	p.storage = dispatchStorage{
-		openMachines:     d.openMachines,
-		machinesWithRoom: d.machinesWithRoom,
-		batchJobs:        d.batchJobs,
+		schedulableMachines:  d.schedulableMachines,
+		machinesWithCapacity: d.machinesWithCapacity,
+		batchJobs:            d.batchJobs,
 	}
 	return d
 }
 
-// dispatchStorage is the storage of the longest lists of a dispatch, which the next dispatch reuses.
+// dispatchStorage holds the largest slices of a dispatch, so that the next dispatch can reuse their
+// memory.
 type dispatchStorage struct {
-	openMachines, machinesWithRoom []*workers.Worker
-	batchJobs                      []*jobs.Job
+	schedulableMachines, machinesWithCapacity []*workers.Worker
+	batchJobs                                 []*jobs.Job
 }
 
-// run places what can be placed now. It returns true if it stopped at maxPlacedPerDispatch.
+// run places the tasks that can be placed now: services, then gangs, then batch tasks. It returns true
+// if it stopped at maxPlacedPerDispatch.
 func (d *dispatch) run() bool {
 	for _, j := range d.services {
 		if d.full() {
@@ -93,9 +95,9 @@
 	}
 	d.placeFirstTasks()
 	d.fillIdleMachines()
-	if !d.full() && d.hasStrandedTask() {
-		// Tasks that are in no plan can't be stolen. An extra round plans them, so that machines with
-		// room can steal them from holders that are full.
+	if !d.full() && d.hasUnplannedTask() {
+		// Tasks that are in no plan can't be stolen. An extra round adds them to the plan, so that machines
+		// with free capacity can steal them from holders that have none.
 		d.Stats.ExtraRounds++
 		d.makePlan()
 		d.fillIdleMachines()
@@ -113,7 +115,7 @@
 	d.actions.Place(t, w)
 }
 
-// recordPlacement accounts for a placement.
+// recordPlacement updates the statistics, the headroom and the reservations for a placement.
 func (d *dispatch) recordPlacement(t *jobs.Task, w *workers.Worker) {
 	if !w.HasImage(t.Job.Spec.Image) && !w.HasTaskWithImage(t.Job.Spec.Image) {
 		d.Stats.FetchedGB += t.Job.Spec.ImageGB
@@ -125,16 +127,16 @@
 	d.placed++
 }
 
-// blockQuota keeps a team's quota for a starved job, unless it is kept for another one already.
-// No other batch job of the team is placed in this dispatch.
+// blockQuota reserves the quota of a job's team for the job, which is starved, unless it is already
+// reserved for another job. This dispatch then places no other batch job of the team.
 func (d *dispatch) blockQuota(j *jobs.Job) {
 	if d.quotaBlocked[j.Spec.Team] == nil {
 		d.quotaBlocked[j.Spec.Team] = j
 	}
 }
 
-// queueByShape lists the jobs that wait and may be placed now, and the least that any of their
-// tasks needs.
+// queueByShape returns the waiting jobs that may be placed now, by shape, and the smallest amount of
+// each resource that one of their tasks requests.
 func (p *Planner) queueByShape(now ident.MonotonicTime) (map[api.Shape][]queuedJob, jobs.Resources) {
 	queues := map[api.Shape][]queuedJob{}
 	need := jobs.UnboundedResources()
@@ -152,7 +154,7 @@
 	return queues, need
 }
 
-// jobsOf returns the jobs of a list of queued jobs.
+// jobsOf returns the jobs of a list of queued jobs, in the same order.
 func jobsOf(list []queuedJob) []*jobs.Job {
 	var out []*jobs.Job
 	for i := range list {
@@ -161,7 +163,7 @@
 	return out
 }
 
-// indexBatchJobs lists the batch jobs by precedence, and by image.
+// indexBatchJobs stores the batch jobs of a sorted list, and indexes them by image.
 func (d *dispatch) indexBatchJobs(list []queuedJob) {
 	d.batchJobsByImage, d.imageCursor = map[string][]int{}, map[string]int{}
 	d.firstBorrower = len(list)
@@ -175,15 +177,16 @@
 	}
 }
 
-// indexMachines lists the machines that take work, and those where some waiting task fits.
+// indexMachines lists the schedulable machines and those on which some waiting task may fit, and sums
+// up the free CPUs of the on-demand machines by zone.
 func (d *dispatch) indexMachines(need jobs.Resources, now ident.MonotonicTime) {
 	for _, w := range d.machineTable.Sorted() {
 		if !w.Schedulable(now) || w.Type == nil {
 			continue
 		}
-		d.openMachines = append(d.openMachines, w)
+		d.schedulableMachines = append(d.schedulableMachines, w)
 		if w.HasRoom(need) {
-			d.machinesWithRoom = append(d.machinesWithRoom, w)
+			d.machinesWithCapacity = append(d.machinesWithCapacity, w)
 		}
 		if !w.Spot {
 			d.freeOnDemand[w.Zone] += w.Free().VCPUs
@@ -191,11 +194,11 @@
 	}
 }
 
-// holdersOf returns the open machines that hold an image.
+// holdersOf returns the schedulable machines that have an image cached.
 func (d *dispatch) holdersOf(image string) []*workers.Worker {
 	if d.holdersByImage == nil {
 		d.holdersByImage = map[string][]*workers.Worker{}
-		for _, w := range d.openMachines {
+		for _, w := range d.schedulableMachines {
 			for _, cached := range w.CachedImages() {
 				d.holdersByImage[cached.Name] = append(d.holdersByImage[cached.Name], w)
 			}
--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -6,12 +6,13 @@
 	"opaldale/internal/workers"
 )
 
-// allows checks what a job requires of a machine apart from room and zone.
+// allows reports whether a machine satisfies the constraints of a job other than free capacity and zone.
 func allows(w *workers.Worker, j *jobs.Job) bool {
 	return w.Allows(j.Spec) && !j.AvoidedMachines[w.ID]
 }
 
-// zoneAllows checks the constraints one_zone and spread against the job's allocated tasks.
+// zoneAllows reports whether one more task in a zone satisfies the job's one_zone and spread
+// constraints, given the tasks that are already allocated.
 func zoneAllows(j *jobs.Job, zone string) bool {
 	s := j.Spec
 	if s.OneZone {
@@ -24,24 +25,26 @@
 	return !s.Spread || j.AllocatedByZone[zone] < MaxTasksPerZone(s)
 }
 
-// MaxTasksPerZone is how many tasks of a job that is spread over zones may be in one of them.
+// MaxTasksPerZone returns the maximum number of tasks in one zone for a job that is spread over zones.
 func MaxTasksPerZone(s *api.Spec) int { return (s.Tasks + 1) / 2 }
 
-// unusedVCPUs are the CPUs of a machine that no task uses, reserved or not.
+// unusedVCPUs returns the number of CPUs of a machine that no task uses, whether reserved or not.
 func unusedVCPUs(w *workers.Worker) float64 { return w.Type.VCPUs - w.VCPUs }
 
-// hasRoom checks the room on a machine, and for batch jobs the headroom kept for services.
-func (p *Planner) hasRoom(j *jobs.Job, w *workers.Worker) bool {
+// hasCapacity reports whether a task of a job fits into the free capacity of a machine. For a batch job,
+// the headroom for services must remain free as well.
+func (p *Planner) hasCapacity(j *jobs.Job, w *workers.Worker) bool {
 	return w.Fits(j.Spec) && p.KeepsServiceHeadroom(j, w)
 }
 
-// KeepsServiceHeadroom reports whether one more task of a job on a machine leaves the room that
-// batch jobs must leave free for services, as of the last dispatch.
+// KeepsServiceHeadroom reports whether the headroom for services remains free if one more task of a
+// job is placed on a machine, based on the free capacity at the last dispatch. Only batch tasks on
+// on-demand machines are restricted.
 func (p *Planner) KeepsServiceHeadroom(j *jobs.Job, w *workers.Worker) bool {
 	return w.Spot || !isBatch(j) || p.freeOnDemand[w.Zone]-j.Spec.VCPUs >= p.ServiceHeadroom[w.Zone]-tolerance
 }
 
-// eligible reports whether a machine may take a task of a job, apart from room.
+// eligible reports whether a task of a job may be placed on a machine, regardless of its free capacity.
 func (d *dispatch) eligible(j *jobs.Job, w *workers.Worker) bool {
 	if reservedFor := d.reservations.jobOn(w); reservedFor != nil && reservedFor != j {
 		return false
@@ -52,14 +55,14 @@
 	return allows(w, j) && zoneAllows(j, w.Zone) && d.teams.Allows(j.Spec, 1)
 }
 
-// canRunOn reports whether a machine may take a task of a job, and has room for it.
+// canRunOn reports whether a task of a job may be placed on a machine and fits there.
 func (d *dispatch) canRunOn(j *jobs.Job, w *workers.Worker) bool {
-	return d.hasRoom(j, w) && d.eligible(j, w)
+	return d.hasCapacity(j, w) && d.eligible(j, w)
 }
 
-// isImageCached reports whether a machine that may take the job's tasks holds its image. Machines in
-// other zones and those that take no work don't count: if they did, no other machine would pull
-// the image, and the tasks would never be placed.
+// isImageCached reports whether any machine that may run the job's tasks has its image cached. Machines
+// that are unschedulable or in a zone that the job may not use are ignored: otherwise no other machine
+// would pull the image, and the tasks would never be placed.
 func (d *dispatch) isImageCached(j *jobs.Job) bool {
 	cached, ok := d.imageCached[j]
 	if !ok {
@@ -74,7 +77,7 @@
 	return cached
 }
 
-// nextTask returns the job's first waiting task that may be placed now, nil if there is none.
+// nextTask returns the job's first waiting task that may be placed now, or nil if there is none.
 func (d *dispatch) nextTask(j *jobs.Job) *jobs.Task {
 	now := d.now()
 	if j.PlaceableCount() == 0 {
--- a/internal/placement/first_task.go
+++ b/internal/placement/first_task.go
@@ -7,15 +7,17 @@
 	"opaldale/internal/workers"
 )
 
-// firstTaskPacing is the number of starved jobs of a team that may get their first task ahead of
-// other work within Config.MaxWait. In a backlog every job is starved; if each got its first task
-// at once, hardly any room would be left for the other tasks, and few jobs would ever complete.
+// firstTaskPacing is the maximum number of starved jobs per team whose first task is placed ahead of
+// other work within Config.MaxWait. In a backlog every job is starved. If the first tasks of all jobs
+// were placed immediately, almost no capacity would remain for the other tasks, and few jobs would
+// complete.
 const firstTaskPacing = 24
 
-// placeFirstTasks places the first task of each starved batch job, or else reserves a machine or
-// the team's quota for it: smaller tasks would otherwise take any room that becomes free before it
-// is enough. The largest jobs go first, since each takes room for one task only; the rest of its
-// tasks are placed in the usual order.
+// placeFirstTasks places the first task of each starved batch job, paced by firstTaskPacing. If the
+// task can't be placed, it reserves a machine or the team's quota for the job: otherwise smaller tasks
+// would take freed capacity before enough of it is free for this task. The largest jobs are served
+// first, since each of them gets capacity for one task only; the rest of its tasks are placed in the
+// normal order.
 func (d *dispatch) placeFirstTasks() {
 	for _, j := range d.starvedJobs() {
 		team := j.Spec.Team
@@ -32,13 +34,13 @@
 			continue
 		}
 		if d.reservations.starvedCount() < maxStarvationReserved && !d.reservations.hasStarvedReservation(j) {
-			d.reserveRoomiestFor(j)
+			d.reserveMostFreeMachine(j)
 		}
 	}
 }
 
-// starvedJobs lists the batch jobs that have waited too long for their first task, the largest
-// first.
+// starvedJobs returns the batch jobs that have waited longer than Config.MaxWait for their first task,
+// largest first.
 func (d *dispatch) starvedJobs() []*jobs.Job {
 	var starved []*jobs.Job
 	for _, j := range d.batchJobs {
@@ -56,11 +58,11 @@
 	return starved
 }
 
-// machineForFirstTask returns a machine with room for a job's first task, one that holds its image
-// if there is one; nil if none has room.
+// machineForFirstTask returns a machine that the first task of a job fits on, preferably a holder of
+// its image. It returns nil if there is no such machine.
 func (d *dispatch) machineForFirstTask(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range d.machinesWithRoom {
+	for _, w := range d.machinesWithCapacity {
 		if !d.canRunOn(j, w) {
 			continue
 		}
@@ -74,10 +76,10 @@
 	return found
 }
 
-// reserveRoomiestFor reserves the machine with the most room for a starved job.
-func (d *dispatch) reserveRoomiestFor(j *jobs.Job) {
+// reserveMostFreeMachine reserves the eligible machine with the most unused CPUs for a starved job.
+func (d *dispatch) reserveMostFreeMachine(j *jobs.Job) {
 	var best *workers.Worker
-	for _, w := range d.openMachines {
+	for _, w := range d.schedulableMachines {
 		if d.reservations.isReservedForStarved(w) || !d.eligible(j, w) {
 			continue
 		}
--- a/internal/placement/gang_planner.go
+++ b/internal/placement/gang_planner.go
@@ -14,15 +14,16 @@
 // gangPlan is a possible placement of all waiting tasks of a gang.
 type gangPlan struct {
 	placements        []gang.Placement
-	victims           []*jobs.Task  // preempted to make room
-	pullTime          time.Duration // the longest pull of the image
+	victims           []*jobs.Task  // tasks to preempt
+	pullTime          time.Duration // the longest image pull on any of the machines
 	cost              float64       // work lost by preemption, in CPU seconds
 	machines          int
-	waitForCheckpoint bool // a victim writes a checkpoint first
+	waitForCheckpoint bool // whether a victim writes a checkpoint before it terminates
 }
 
-// betterThan reports whether a gang starts sooner by a than by b, or else preempts less work, or else
-// uses fewer machines. Any plan is better than none.
+// betterThan reports whether plan a is better than plan b. A plan is better if its image pull is
+// shorter, then if it preempts less work, and then if it uses fewer machines. Any plan is better than
+// nil.
 func (a *gangPlan) betterThan(b *gangPlan) bool {
 	return b == nil || cmp.Or(
 		cmp.Compare(a.pullTime, b.pullTime),
@@ -31,21 +32,23 @@
 	) < 0
 }
 
-// gangPlanner chooses machines for the waiting tasks of one gang in one zone.
+// gangPlanner selects machines for the waiting tasks of one gang in one zone.
 type gangPlanner struct {
 	*dispatch
 	job       *jobs.Job
 	zone      string // may be anyZone
 	plan      *gangPlan
-	remaining []*jobs.Task             // without a machine yet
+	remaining []*jobs.Task             // tasks not assigned to a machine yet
 	used      map[*workers.Worker]bool // machines in the plan
-	byZone    map[string]int           // the gang's tasks, allocated or in the plan
+	byZone    map[string]int           // number of the gang's tasks by zone, allocated or in the plan
 }
 
-// planGang plans a gang's tasks in a zone, and returns nil if not all of them can be placed. It uses
-// machines in this order: those with room that hold the image; if the image pull takes long, those
-// that hold the image and have work to preempt; those with the most room, so that few must pull the
-// image; any that have work to preempt.
+// planGang returns a plan that places all given tasks of a gang in a zone, or nil if they can't all be
+// placed. It uses machines in this order:
+//   - holders of the image with free capacity;
+//   - if an image pull would take too long, holders on which work can be preempted;
+//   - other machines with free capacity, those with the most first, so that few machines pull the image;
+//   - once the gang has waited for reclaimAfter, any machines on which work can be preempted.
 func (d *dispatch) planGang(j *jobs.Job, tasks []*jobs.Task, zone string) *gangPlan {
 	g := &gangPlanner{
 		dispatch:  d,
@@ -83,22 +86,22 @@
 // allAssigned reports whether every task is assigned to a machine.
 func (g *gangPlanner) allAssigned() bool { return len(g.remaining) == 0 }
 
-// allowed reports whether the gang may use a machine, apart from room.
+// allowed reports whether tasks of the gang may be placed on a machine, regardless of its free capacity.
 func (g *gangPlanner) allowed(w *workers.Worker) bool {
 	return inZone(w, g.zone) && g.eligible(g.job, w) && !g.actions.GangUsedMachine(g.job, w)
 }
 
-// machineSlots is a machine and the number of a gang's tasks that it has room for.
+// machineSlots is a machine and the number of a gang's tasks that fit on it.
 type machineSlots struct {
 	worker *workers.Worker
 	tasks  int
 }
 
-// machinesWithSlots lists the allowed machines with room, those that hold the image and the others,
-// each list by room in descending order.
+// machinesWithSlots returns the allowed machines with free capacity: the holders of the image and the
+// others, each sorted by the number of tasks that fit, in descending order.
 func (g *gangPlanner) machinesWithSlots() (holders, others []machineSlots) {
 	spec := g.job.Spec
-	for _, w := range g.machinesWithRoom {
+	for _, w := range g.machinesWithCapacity {
 		n := w.TaskCapacity(spec)
 		if n <= 0 || !g.allowed(w) {
 			continue
@@ -116,8 +119,8 @@
 	return holders, others
 }
 
-// assign assigns remaining tasks to a machine, as many as its slots and the spread over zones allow.
-// It returns false if it assigned none.
+// assign assigns as many remaining tasks to a machine as its slots and the job's spread over zones
+// allow. It returns false if it assigned none.
 func (g *gangPlanner) assign(s machineSlots) bool {
 	spec := g.job.Spec
 	n := s.tasks
@@ -138,27 +141,27 @@
 	return true
 }
 
-// addPullTime accounts for the image pull of a machine that doesn't hold the image.
+// addPullTime updates the pull time of the plan for a machine that doesn't have the image cached.
 func (g *gangPlanner) addPullTime(w *workers.Worker) {
 	g.plan.pullTime = max(g.plan.pullTime, w.ImagePullTime(g.job.Spec))
 }
 
-// pullTooSlow reports whether an image pull takes more of the start objective than gangPullDivisor
-// allows, as estimated for the first open machine.
+// pullTooSlow reports whether an image pull takes longer than the start objective divided by
+// gangPullDivisor. It estimates the pull time on the first schedulable machine.
 func (g *gangPlanner) pullTooSlow() bool {
-	return len(g.openMachines) > 0 && g.pullExceedsObjective(g.job, g.openMachines[0], gangPullDivisor)
+	return len(g.schedulableMachines) > 0 && g.pullExceedsObjective(g.job, g.schedulableMachines[0], gangPullDivisor)
 }
 
-// gangPreemption is a preemption that makes room for a number of a gang's tasks.
+// gangPreemption is a preemption that frees capacity for a number of a gang's tasks.
 type gangPreemption struct {
 	*preemption
 	tasks int
 }
 
-// costPerTask is the work lost for each task that gets room, in CPU seconds.
+// costPerTask returns the work lost per task of the gang that is placed, in CPU seconds.
 func (p gangPreemption) costPerTask() float64 { return p.cost / float64(p.tasks) }
 
-// holdsImage returns a filter of the machines that hold an image.
+// holdsImage returns a filter that accepts the machines with an image in the cache.
 func holdsImage(image string) func(*workers.Worker) bool {
 	return func(w *workers.Worker) bool { return w.HasImage(image) }
 }
@@ -166,8 +169,8 @@
 // anyMachine is a filter that accepts all machines.
 func anyMachine(*workers.Worker) bool { return true }
 
-// preemptOn assigns tasks to machines that a filter accepts and on which work of lower precedence
-// can be preempted, by cost per task in ascending order.
+// preemptOn assigns remaining tasks to machines that a filter accepts and on which work of lower
+// precedence can be preempted, in ascending order of cost per task. It adds the victims to the plan.
 func (g *gangPlanner) preemptOn(accepts func(*workers.Worker) bool) {
 	preemptions := g.findPreemptions(accepts)
 	slices.SortStableFunc(preemptions, func(a, b gangPreemption) int { return cmp.Compare(a.costPerTask(), b.costPerTask()) })
@@ -187,13 +190,13 @@
 	}
 }
 
-// findPreemptions searches the machines that a filter accepts for victims, within the limit of the
-// dispatch.
+// findPreemptions searches the machines that a filter accepts for victims. All searches of a dispatch
+// share the limit on the number of machines.
 func (g *gangPlanner) findPreemptions(accepts func(*workers.Worker) bool) []gangPreemption {
 	var preemptions []gangPreemption
-	enough := max(minGangSearch, g.job.Spec.Tasks)
-	for _, w := range g.openMachines {
-		if len(preemptions) >= enough || g.machinesSearched >= g.searchLimit() {
+	maxCandidates := max(minGangSearch, g.job.Spec.Tasks)
+	for _, w := range g.schedulableMachines {
+		if len(preemptions) >= maxCandidates || g.machinesSearched >= g.searchLimit() {
 			break
 		}
 		if g.used[w] || !accepts(w) || !mayHaveVictims(w, g.job) || !g.allowed(w) {
@@ -207,8 +210,9 @@
 	return preemptions
 }
 
-// findPreemptionOn finds a preemption that makes room for remaining tasks on a machine. It halves
-// the number of tasks until there are enough victims.
+// findPreemptionOn returns a preemption on a machine that frees capacity for some of the remaining
+// tasks, and false if there is none. It tries all remaining tasks first and halves the number until
+// the machine has enough victims.
 func (g *gangPlanner) findPreemptionOn(w *workers.Worker) (gangPreemption, bool) {
 	request := victimRequest{job: g.job, now: g.now(), skipRecent: true}
 	for n := len(g.remaining); n > 0; n /= 2 {
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -8,24 +8,27 @@
 	"opaldale/internal/workers"
 )
 
-// Gangs are placed neither by the plan nor first-fit: both place tasks independently of each other
-// (paper, §2.1 and §5.2), while a gang needs all of its tasks at once. As in the plan, machines that
-// hold the image are preferred.
+// Gangs are placed neither by the plan nor first-fit, since both place tasks independently of each
+// other (paper, §2.1 and §5.2), while a gang needs all of its tasks at the same time. As in the plan,
+// machines that have the image cached are preferred.
 
 const (
-	// minGangSearch bounds the candidate machines for preemption by a gang; the bound is the number
-	// of its tasks where that is larger.
+	// minGangSearch limits the number of candidate machines for preemption by a gang. If the gang has
+	// more tasks than that, the number of its tasks is the limit.
 	minGangSearch = 64
-	// Once a gang has waited for Config.MaxWait/gangReserveDivisor, machines are reserved for it, at
-	// most maxGangReserved of them.
+	// gangReserveDivisor sets when machines are reserved for a gang: once it has waited for
+	// Config.MaxWait/gangReserveDivisor.
 	gangReserveDivisor = 8
-	maxGangReserved    = 16
-	// If an image pull takes longer than the start objective divided by gangPullDivisor, a gang
-	// preempts work on the machines that hold the image before others pull it.
+	// maxGangReserved is the maximum number of machines reserved for a gang.
+	maxGangReserved = 16
+	// gangPullDivisor sets when an image pull is too slow for a gang: if it takes longer than the start
+	// objective divided by gangPullDivisor. The gang then preempts work on the holders of the image
+	// before other machines pull it.
 	gangPullDivisor = 2
 )
 
-// placeGang finds machines for all waiting tasks of a gang at once, or for none.
+// placeGang places all waiting tasks of a gang, or none of them. If the gang can't be placed, it may
+// reserve the team's quota or machines for it.
 func (d *dispatch) placeGang(j *jobs.Job) {
 	if j.AllocatedTasks > 0 && !j.AcceptsReplacements {
 		return
@@ -42,7 +45,7 @@
 	}
 	plan := d.bestGangPlan(j, tasks)
 	if plan != nil {
-		d.carryOutGangPlan(j, tasks, plan)
+		d.applyGangPlan(j, tasks, plan)
 		return
 	}
 	if d.now().Sub(j.SubmittedAt) > d.config.MaxWait/gangReserveDivisor {
@@ -50,7 +53,7 @@
 	}
 }
 
-// placeableGangTasks lists the waiting tasks of a gang, none if one of them may not be placed yet.
+// placeableGangTasks returns the waiting tasks of a gang, or nil if any of them may not be placed yet.
 func (d *dispatch) placeableGangTasks(j *jobs.Job) []*jobs.Task {
 	now := d.now()
 	var tasks []*jobs.Task
@@ -67,8 +70,7 @@
 	return tasks
 }
 
-// bestGangPlan returns the best plan for a gang over the zones that it could be in, nil if there
-// is none.
+// bestGangPlan returns the best plan for a gang over all candidate zones, or nil if there is none.
 func (d *dispatch) bestGangPlan(j *jobs.Job, tasks []*jobs.Task) *gangPlan {
 	var best *gangPlan
 	for _, zone := range d.candidateZones(j) {
@@ -79,9 +81,9 @@
 	return best
 }
 
-// carryOutGangPlan preempts the victims of a plan and places the gang, or lets it wait while the
-// victims write their checkpoints.
-func (d *dispatch) carryOutGangPlan(j *jobs.Job, tasks []*jobs.Task, plan *gangPlan) {
+// applyGangPlan preempts the victims of a plan and places the gang. If a victim writes a checkpoint
+// first, it places nothing and delays the tasks of the gang by preemptionRetry.
+func (d *dispatch) applyGangPlan(j *jobs.Job, tasks []*jobs.Task, plan *gangPlan) {
 	now := d.now()
 	for _, victim := range plan.victims {
 		d.preemptVictim(victim, d.machineTable.Workers[victim.MachineID], now)
@@ -100,20 +102,20 @@
 	d.actions.PlaceGang(j, plan.placements)
 }
 
-// anyZone stands for all zones together.
+// anyZone is the zone argument for placements that may use machines of all zones.
 const anyZone = ""
 
-// inZone reports whether a machine is in a zone, or the zone is anyZone.
+// inZone reports whether a machine is in a zone. Every machine is in anyZone.
 func inZone(w *workers.Worker, zone string) bool { return zone == anyZone || w.Zone == zone }
 
-// candidateZones lists the zones that a gang could be in, anyZone alone if it may be in several
-// at once.
+// candidateZones returns the zones to plan a gang for: each zone with schedulable machines if the gang
+// must be in one zone, otherwise only anyZone.
 func (d *dispatch) candidateZones(j *jobs.Job) []string {
 	if !j.Spec.OneZone {
 		return []string{anyZone}
 	}
 	var out []string
-	for _, w := range d.openMachines {
+	for _, w := range d.schedulableMachines {
 		if !slices.Contains(out, w.Zone) {
 			out = append(out, w.Zone)
 		}
@@ -122,9 +124,9 @@
 	return out
 }
 
-// reserveForGang reserves machines of a zone for a gang that can't be placed, since smaller tasks
-// would otherwise take any room that becomes free. It reserves as few machines as possible, and
-// none while any are reserved for a starved job.
+// reserveForGang reserves machines of a zone for a gang that can't be placed. Without reservations,
+// smaller tasks would take all capacity that becomes free. It reserves as few machines as possible,
+// and none while any machines are reserved for a starved job or a gang.
 func (d *dispatch) reserveForGang(j *jobs.Job, tasks int) {
 	if d.reservations.starvedCount() > 0 {
 		return
@@ -144,8 +146,8 @@
 	}
 }
 
-// fewestMachinesFor returns the fewest machines of a zone that have room for a number of a gang's
-// tasks once their batch tasks have ended, nil if the whole zone has too little.
+// fewestMachinesFor returns the smallest set of machines of a zone on which a number of a gang's tasks
+// fit after the batch tasks there have ended, or nil if the whole zone doesn't have enough CPUs.
 func (d *dispatch) fewestMachinesFor(j *jobs.Job, zone string, tasks int) []*workers.Worker {
 	slots := func(w *workers.Worker) int {
 		if j.Spec.VCPUs <= 0 {
@@ -154,7 +156,7 @@
 		return int((unusedVCPUs(w) + w.BatchVCPUs + tolerance) / j.Spec.VCPUs)
 	}
 	var list []*workers.Worker
-	for _, w := range d.openMachines {
+	for _, w := range d.schedulableMachines {
 		if inZone(w, zone) && slots(w) > 0 && d.eligible(j, w) {
 			list = append(list, w)
 		}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/jobs"
 )
 
-// zonesOf counts the allocated tasks of a job by zone.
-func zonesOf(c *testCluster, j *jobs.Job) map[string]int {
+// allocatedByZone counts the allocated tasks of a job by zone.
+func allocatedByZone(c *testCluster, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Allocated() {
@@ -36,8 +36,8 @@
 	}
 	c = newTwoZoneCluster(2, 3)
 	j = c.submitGang(5, 8, true)
-	if c.dispatchAll(); j.AllocatedTasks != 5 || zonesOf(c, j)["west"] != 5 {
-		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, zonesOf(c, j))
+	if c.dispatchAll(); j.AllocatedTasks != 5 || allocatedByZone(c, j)["west"] != 5 {
+		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, allocatedByZone(c, j))
 	}
 }
 
@@ -150,7 +150,7 @@
 		if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
 			return fmt.Errorf("%d of %d tasks of %s are allocated", j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
 		}
-		if z := zonesOf(c, j); j.Spec.OneZone && len(z) > 1 {
+		if z := allocatedByZone(c, j); j.Spec.OneZone && len(z) > 1 {
 			return fmt.Errorf("%s is in %v", j.Spec.ID, z)
 		}
 	}
--- a/internal/placement/least_used.go
+++ b/internal/placement/least_used.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/workers"
 )
 
-// leastUsedHeap is a heap.Interface of machines, the least used first, then by name.
+// leastUsedHeap implements heap.Interface for machines, ordered by CPU utilization and then by name.
 type leastUsedHeap []*workers.Worker
 
 // utilization is the fraction of a machine's CPUs that is in use.
@@ -29,12 +29,12 @@
 	return last
 }
 
-// fillLeastUsedFirst lets the machines of a kind take planned and local tasks one at a time, always
-// the least used machine next, so that work is spread over the machines that hold its image. Tasks
-// whose image must be pulled are not spread, since every machine would have to pull it.
+// fillLeastUsedFirst places planned and local tasks on the spot instances, or else the on-demand
+// machines. Each task goes to the least used machine, so that load is spread over the holders of an
+// image. Tasks whose image must be pulled are not spread, since every machine would have to pull it.
 func (d *dispatch) fillLeastUsedFirst(spot bool, need jobs.Resources) {
 	queue := leastUsedHeap{}
-	for _, w := range d.machinesWithRoom {
+	for _, w := range d.machinesWithCapacity {
 		if w.Spot == spot && w.HasRoom(need) {
 			queue = append(queue, w)
 		}
@@ -57,11 +57,11 @@
 	}
 }
 
-// leastUsedHolder returns the least used machine that holds a service's image and has room
-// for one of its tasks, nil if there is none.
+// leastUsedHolder returns the least used machine that has a service's image cached and can run one of
+// its tasks, or nil if there is none.
 func (d *dispatch) leastUsedHolder(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range d.machinesWithRoom {
+	for _, w := range d.machinesWithCapacity {
 		if found != nil && utilization(w) >= utilization(found) {
 			continue
 		}
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -44,15 +44,15 @@
 		j := c.submitAs("red", api.Critical, 12)
 		j.Spec.Shape = api.Service
 		c.dispatchAll()
-		held := 0
+		placed := 0
 		for i := range j.Tasks {
 			if j.Tasks[i].State != jobs.Waiting {
-				held++
+				placed++
 			}
 		}
 		most, least := usedVCPURange(c, 6)
-		if held != 12 || spread && most-least > 1 || !spread && most-least < 4 {
-			t.Errorf("spread %v: %d replicas are placed, between %v and %v CPUs in use", spread, held, least, most)
+		if placed != 12 || spread && most-least > 1 || !spread && most-least < 4 {
+			t.Errorf("spread %v: %d replicas are placed, between %v and %v CPUs in use", spread, placed, least, most)
 		}
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -7,25 +7,25 @@
 	"opaldale/internal/workers"
 )
 
-// A plan covers at most minPlanned tasks, or plannedPerMachine tasks per machine where that is more.
-// This bounds the time for making it.
+// The number of tasks in a plan is limited to minPlanned, or to plannedPerMachine tasks per machine if
+// that is more. This bounds the time that a planning round takes.
 const (
 	minPlanned        = 4000
 	plannedPerMachine = 2
 )
 
-// planLimit returns the number of tasks that a plan may cover.
+// planLimit returns the maximum number of tasks in a plan.
 func planLimit(machines int) int { return max(minPlanned, plannedPerMachine*machines) }
 
-// demand is the input of a plan: the bipartite graph of waiting tasks, in groups with the same
-// edges, and of the machines that hold their images.
-type demand struct {
+// planInput is the bipartite graph from which a plan is computed. Its nodes are the waiting tasks, in
+// groups with the same edges, and the machines; each task has edges to the holders of its image.
+type planInput struct {
 	groups []Group
-	tasks  [][]*jobs.Task // of each group
+	tasks  [][]*jobs.Task // by group, indexed as groups
 }
 
-// makePlan joins the waiting batch tasks within their teams' quota to the machines that hold their
-// image, and runs ASM1 on that graph.
+// makePlan replaces the plan. It runs ASM1 on the graph of the waiting batch tasks that fit into the
+// quotas of their teams and of the machines that have their images cached.
 func (d *dispatch) makePlan() {
 	began := time.Now()
 	d.Stats.Rounds++
@@ -33,12 +33,12 @@
 	if !d.config.UseASM1 {
 		return
 	}
-	waiting := d.gatherDemand()
-	// Groups are in the order of precedence, and so are the tasks in each machine's plan.
-	for g, shares := range ASM1(len(d.openMachines), waiting.groups) {
-		tasks := waiting.tasks[g]
+	input := d.buildPlanInput()
+	// The groups are ordered by precedence. Therefore the tasks in the plan of each machine are, too.
+	for g, shares := range ASM1(len(d.schedulableMachines), input.groups) {
+		tasks := input.tasks[g]
 		for _, share := range shares {
-			w := d.openMachines[share.Machine]
+			w := d.schedulableMachines[share.Machine]
 			for _, t := range tasks[:share.Tasks] {
 				w.PlannedTasks = append(w.PlannedTasks, t)
 				t.PlannedMachine = w.ID
@@ -49,7 +49,7 @@
 	d.Stats.PlanTime += time.Since(began)
 }
 
-// clearPlans withdraws the previous plan.
+// clearPlans removes the previous plan from all machines and tasks.
 func (d *dispatch) clearPlans() {
 	for _, w := range d.machineTable.Workers {
 		for _, t := range w.PlannedTasks {
@@ -59,16 +59,16 @@
 	}
 }
 
-// gatherDemand groups the waiting tasks by job, as many as a plan may cover and their teams' quotas
-// admit.
-func (d *dispatch) gatherDemand() demand {
-	machineIndex := make(map[*workers.Worker]int32, len(d.openMachines))
-	for i, w := range d.openMachines {
+// buildPlanInput groups the waiting batch tasks by job. It includes tasks up to the limit of the plan
+// and the remaining quotas of their teams.
+func (d *dispatch) buildPlanInput() planInput {
+	machineIndex := make(map[*workers.Worker]int32, len(d.schedulableMachines))
+	for i, w := range d.schedulableMachines {
 		machineIndex[w] = int32(i)
 	}
-	var result demand
+	var result planInput
 	quotaLeft := map[string]int{} // by team
-	remaining := planLimit(len(d.openMachines))
+	remaining := planLimit(len(d.schedulableMachines))
 	for _, j := range d.batchJobs {
 		admitted, ok := quotaLeft[j.Spec.Team]
 		if !ok {
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -30,9 +30,9 @@
 	for _, v := range w.Tasks {
 		v.PreemptedAt = c.now
 	}
-	sparing := request
-	sparing.skipRecent = true
-	if c.planner.chooseVictims(w, sparing) != nil {
+	skippingRecent := request
+	skippingRecent.skipRecent = true
+	if c.planner.chooseVictims(w, skippingRecent) != nil {
 		t.Error("a task that was preempted recently is preempted though there is room elsewhere")
 	}
 	if c.planner.chooseVictims(w, request) == nil {
@@ -62,11 +62,11 @@
 	c := newBorrowedCluster(2, 3)
 	j := c.submitAs("red", api.Standard, 2)
 	borrower := c.jobs.Jobs["j-1"]
-	held := borrower.AllocatedTasks
+	allocatedBefore := borrower.AllocatedTasks
 	c.planner.Round()
 	c.planner.Dispatch()
-	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != held+1 {
+	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != allocatedBefore+1 {
 		t.Errorf("%d of 2 tasks of the other team are placed, and %d more of the borrower",
-			j.AllocatedTasks, borrower.AllocatedTasks-held)
+			j.AllocatedTasks, borrower.AllocatedTasks-allocatedBefore)
 	}
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// A search collects at most maxPreemptions candidates for a job, and preemptionsPerTask more for
-	// each of its waiting tasks. The cheapest of them costs little more than the cheapest of all.
+	// A search collects at most maxPreemptions candidates, plus preemptionsPerTask for each waiting task
+	// of the job. The cheapest of that many costs little more than the cheapest in the cluster.
 	maxPreemptions     = 100
 	preemptionsPerTask = 2
-	// pullCostFactor weighs the time of an image pull against work lost by preemption.
+	// pullCostFactor is the cost of an image pull relative to the same time of work lost by preemption.
 	pullCostFactor = 2
-	// reclaimAfter is how long guaranteed work waits before borrowers are preempted for it: long
-	// enough for running tasks to complete, short against objectives of a few seconds.
+	// reclaimAfter is how long guaranteed work waits before borrowers are preempted for it. This gives
+	// short running tasks time to complete, and is short compared to objectives of a few seconds.
 	reclaimAfter = 500 * time.Millisecond
 )
 
-// victimSearchKey identifies a search for victims within a dispatch.
+// victimSearchKey identifies a search for victims in a dispatch. Equal searches share their result.
 type victimSearchKey struct {
 	job          *jobs.Job
-	holdersOnly  bool // only on machines that hold the image
-	includeGangs bool // whole gangs may be preempted as well
+	holdersOnly  bool // search only the holders of the image
+	includeGangs bool // allow the preemption of gangs
 }
 
-// preemptionHeap is a heap.Interface of preemptions, the cheapest first.
+// preemptionHeap implements heap.Interface for preemptions, ordered by cost.
 type preemptionHeap []*preemption
 
 func (h preemptionHeap) Len() int           { return len(h) }
@@ -42,20 +42,21 @@
 	return last
 }
 
-// preemptOnHolder makes room for a task on a machine that holds its image, as preempt does.
+// preemptOnHolder preempts work for a task on a holder of its image. See preempt.
 func (d *dispatch) preemptOnHolder(t *jobs.Task) bool {
 	return d.preempt(t, victimSearchKey{job: t.Job, holdersOnly: true})
 }
 
-// preemptAnywhere makes room for a task on any machine, as preempt does. Gangs are preempted only
-// once the task has waited for Config.GangWait.
+// preemptAnywhere preempts work for a task on any machine. Gangs are preempted only if the task has
+// waited longer than Config.GangWait. See preempt.
 func (d *dispatch) preemptAnywhere(t *jobs.Task) bool {
 	waitedLong := d.now().Sub(t.StateSince) > d.config.GangWait
 	return d.preempt(t, victimSearchKey{job: t.Job, includeGangs: waitedLong})
 }
 
-// preempt makes room for a task where the least work is lost, and places it there; if a victim
-// writes a checkpoint first, the task waits for that. It returns false if no room can be made.
+// preempt stops the victims of the cheapest preemption for a task and places the task on their machine.
+// If a victim writes a checkpoint first, it delays the placement by preemptionRetry instead. It returns
+// false if there is no preemption for the task.
 func (d *dispatch) preempt(t *jobs.Task, key victimSearchKey) bool {
 	if !d.hasVictims(t.Job) {
 		return false
@@ -80,10 +81,10 @@
 	return true
 }
 
-// preemptVictim stops a task, or the whole gang that it belongs to.
+// preemptVictim stops a task, or all tasks of its gang.
 func (p *Planner) preemptVictim(victim *jobs.Task, w *workers.Worker, now ident.MonotonicTime) {
 	if victim.State != jobs.Assigned {
-		return // stopped along with its gang
+		return // already stopped together with its gang
 	}
 	p.Stats.Preempted++
 	victim.PreemptedAt = now
@@ -97,9 +98,9 @@
 	p.actions.Preempt(victim, w, victim.CheckpointGracePeriod())
 }
 
-// cheapestPreemption removes the cheapest preemption from a search and returns it, nil if there is
-// none left. The tasks of a job share one search in a dispatch: with a search for each task, the
-// bound on the machines searched would be reached after few tasks of a large job.
+// cheapestPreemption removes the cheapest preemption from the result of a search and returns it, or nil
+// if there is none left. The tasks of a job share one search per dispatch: with a search for each task,
+// the limit on searched machines would be reached after a few tasks of a large job.
 func (d *dispatch) cheapestPreemption(key victimSearchKey, now ident.MonotonicTime) *preemption {
 	found := d.victimSearches[key]
 	if found == nil {
@@ -111,7 +112,7 @@
 	}
 	for found.Len() > 0 {
 		old := heap.Pop(found).(*preemption)
-		// Placements and preemptions since the search may have changed it.
+		// Placements and preemptions since the search may have changed the victims or their cost.
 		current := d.preemptionOn(key, old.worker, now)
 		switch {
 		case current == nil:
@@ -125,16 +126,16 @@
 	return nil
 }
 
-// searchLimit returns how many machines a dispatch may search for victims.
-func (d *dispatch) searchLimit() int { return max(minVictimSearch, len(d.openMachines)) }
+// searchLimit returns the maximum number of machines that a dispatch searches for victims.
+func (d *dispatch) searchLimit() int { return max(minVictimSearch, len(d.schedulableMachines)) }
 
-// searchVictims searches machines for victims, up to the limit of the dispatch: those that hold the
-// image, then the others, starting where the previous search ended.
+// searchVictims searches for preemptions, up to the limit of the dispatch: first on the holders of the
+// image, then on the other machines, starting where the previous search stopped.
 func (d *dispatch) searchVictims(key victimSearchKey, now ident.MonotonicTime) *preemptionHeap {
 	found := &preemptionHeap{}
-	enough := maxPreemptions + preemptionsPerTask*key.job.WaitingCount()
+	maxCandidates := maxPreemptions + preemptionsPerTask*key.job.WaitingCount()
 	search := func(w *workers.Worker) bool {
-		if d.machinesSearched >= d.searchLimit() || found.Len() >= enough {
+		if d.machinesSearched >= d.searchLimit() || found.Len() >= maxCandidates {
 			return false
 		}
 		if !d.worthSearching(key, w) {
@@ -158,12 +159,12 @@
 	return found
 }
 
-// searchNonHolders calls search for the machines that don't hold an image until it returns false.
-// The next search resumes there.
+// searchNonHolders calls search for each machine that doesn't have an image cached, until search
+// returns false. The next search of the planner starts at that machine.
 func (d *dispatch) searchNonHolders(image string, search func(*workers.Worker) bool) {
-	for i := range d.openMachines {
-		at := (d.searchFrom + i) % len(d.openMachines)
-		w := d.openMachines[at]
+	for i := range d.schedulableMachines {
+		at := (d.searchFrom + i) % len(d.schedulableMachines)
+		w := d.schedulableMachines[at]
 		if w.HasImage(image) {
 			continue
 		}
@@ -174,7 +175,7 @@
 	}
 }
 
-// worthSearching reports whether a machine may have victims for a search.
+// worthSearching reports whether a machine may have victims for a search, by quick checks only.
 func (d *dispatch) worthSearching(key victimSearchKey, w *workers.Worker) bool {
 	if !mayHaveVictims(w, key.job) {
 		return false
@@ -185,8 +186,8 @@
 	return d.eligible(key.job, w)
 }
 
-// preemptionOn finds the cheapest preemption on a machine for one task of a job, nil if there is
-// none. An image pull adds to its cost.
+// preemptionOn returns the cheapest preemption on a machine for one task of a job, or nil if there is
+// none. The cost includes the image pull if the machine doesn't have the image cached.
 func (d *dispatch) preemptionOn(key victimSearchKey, w *workers.Worker, now ident.MonotonicTime) *preemption {
 	if !d.worthSearching(key, w) {
 		return nil
@@ -205,8 +206,8 @@
 	return found
 }
 
-// reclaimGuarantees preempts work for batch jobs within their team's guarantee, and work of
-// borrowers for other batch jobs: borrowers are entitled to idle capacity only. See canPreempt.
+// reclaimGuarantees preempts work for batch jobs within the guarantee of their team, and work of
+// borrowers for all other batch jobs that don't belong to a borrower. See canPreempt for the rules.
 func (d *dispatch) reclaimGuarantees() {
 	now := d.now()
 	clear(d.taskCursor)
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/settings"
 )
 
-// queuedJob is a job with what its precedence depends on.
+// queuedJob is a job with the values that determine its precedence.
 type queuedJob struct {
 	job      *jobs.Job
 	borrower bool
@@ -18,7 +18,7 @@
 	work     float64 // see remainingWork
 }
 
-// newQueuedJob evaluates what the precedence of a job depends on.
+// newQueuedJob evaluates the values that determine the precedence of a job.
 func (p *Planner) newQueuedJob(j *jobs.Job) queuedJob {
 	return queuedJob{
 		job:      j,
@@ -29,9 +29,10 @@
 	}
 }
 
-// before reports whether a job precedes another. Teams with a guarantee precede those without; then
-// overdue jobs come in the order of submission; then jobs within their guarantee, by priority, and
-// by urgency. Among those on track, the shortest goes first.
+// before reports whether job a has precedence over job b. The criteria are, in this order: jobs of
+// borrowers come last; overdue jobs come first, in the order of submission; jobs within the guarantee
+// of their team; priority; urgency; for jobs that are on track, the least remaining work; and the order
+// of submission.
 func (a *queuedJob) before(b *queuedJob) bool {
 	switch {
 	case a.borrower != b.borrower:
@@ -52,8 +53,8 @@
 	return a.job.Seq < b.job.Seq
 }
 
-// sortServices sorts services by precedence. Priority goes before all else, except between a
-// service that is overdue and one that is not.
+// sortServices sorts services by precedence. Unlike for other jobs, priority is compared before all
+// other criteria, except between a service that is overdue and one that is not.
 func sortServices(list []queuedJob) {
 	sort.Slice(list, func(i, k int) bool {
 		a, b := &list[i], &list[k]
@@ -69,8 +70,7 @@
 	sort.Slice(list, func(i, k int) bool { return list[i].before(&list[k]) })
 }
 
-// Objective returns the shortest time within which jobs of a class should be done, 0 if there is
-// no such objective.
+// Objective returns the shortest completion-time objective of a class, or 0 if the class has none.
 func (p *Planner) Objective(class string) time.Duration {
 	if objectives := p.finishObjectives[class]; len(objectives) > 0 {
 		return objectives[0]
@@ -78,23 +78,23 @@
 	return 0
 }
 
-// urgency orders jobs of one priority by the objectives that can still be met. If jobs went in the
-// order of submission alone, a short backlog would make every job miss its objective, while jobs
-// that have missed it already lose nothing by starting later.
+// urgency orders the jobs of one priority by the objectives that they can still meet. If jobs were
+// ordered by submission alone, a short backlog would make every job miss its objective, whereas jobs
+// that have already missed it lose nothing by starting later.
 type urgency uint8
 
 const (
-	overdue      urgency = iota // has waited longer than any job may
-	deadlineNear                // the last objective is about to be missed
-	onTrack                     // the first objective can be met
-	firstMissed                 // the first objective can't be met, the last is far
+	overdue      urgency = iota // the job has waited longer than the maximum for any job
+	deadlineNear                // the job would finish in the last third of its longest objective
+	onTrack                     // the job can meet its shortest objective, or has no objective
+	firstMissed                 // the job can't meet its shortest objective, and none is near
 )
 
 // urgency returns the urgency of a job.
 func (p *Planner) urgency(j *jobs.Job) urgency {
 	age := p.now().Sub(j.SubmittedAt)
-	// The other levels defer large and late jobs for as long as other jobs arrive. This one bounds
-	// the deferral.
+	// The other levels could defer large and late jobs for as long as new jobs arrive. This level limits
+	// the delay.
 	if age > overdueFactor*p.config.MaxWait && isBatch(j) || !isBatch(j) && p.starved(j) {
 		return overdue
 	}
@@ -111,16 +111,16 @@
 	switch {
 	case end <= objectives[0]:
 		return onTrack
-	case end <= last && end > last*2/3: // in the last third of the time
+	case end <= last && end > last*2/3: // in the last third of the longest objective
 		return deadlineNear
 	}
 	return firstMissed
 }
 
-// overdueFactor is how many times MaxWait a batch job may take before all of its tasks go first.
+// overdueFactor is the age, as a multiple of Config.MaxWait, above which a batch job is overdue.
 const overdueFactor = 3
 
-// remainingWork is what a job still has to start, in CPU seconds as estimated.
+// remainingWork returns the estimated work of the waiting tasks of a job, in CPU seconds.
 func remainingWork(j *jobs.Job) float64 {
 	return float64(j.WaitingCount()) * j.Spec.VCPUs * max(j.Spec.RuntimeS, 1)
 }
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -9,33 +9,34 @@
 	"opaldale/internal/settings"
 )
 
-// Teams keeps what each team uses against its quota: a guarantee, within which its jobs can take
-// back room that other teams have borrowed, and a limit, which it never exceeds.
+// Teams tracks the resource usage of each team against its quota. A quota consists of a guarantee and
+// a limit. Jobs within the guarantee can preempt work of other teams that is beyond their guarantees. A
+// team's usage never exceeds its limit.
 type Teams struct {
 	byName map[string]*team
 }
 
 type team struct {
 	settings.Team
-	usedVCPUs, usedGPUs float64 // of allocated tasks
-	borrower            bool    // has neither guarantee nor limit
+	usedVCPUs, usedGPUs float64 // resources of the allocated tasks
+	borrower            bool    // the team has neither guarantee nor limit
 }
 
 const (
 	// tolerance allows for rounding in sums of CPUs, GPUs and costs.
 	tolerance = 1e-6
-	// unlimited is the limit of borrowers in CPUs and GPUs: more than any cluster has, and small
-	// enough to be converted to a number of tasks.
+	// unlimited is the limit, in CPUs and GPUs, of teams without a limit: more than any cluster has, but
+	// small enough to be converted to a number of tasks.
 	unlimited = 1e9
 )
 
-// NewTeams makes the teams of the settings, none of which uses anything.
+// NewTeams returns the teams from the settings, with no usage.
 func NewTeams(list []settings.Team) *Teams {
 	ts := &Teams{byName: make(map[string]*team, len(list))}
 	for _, t := range list {
 		borrower := t.CPUs == 0 && t.GPUs == 0 && t.CPUsMax == 0 && t.GPUsMax == 0
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
-			// In the settings 0 stands for no limit.
+			// In the settings, 0 means no limit.
 			t.CPUsMax, t.GPUsMax = unlimited, unlimited
 		}
 		ts.byName[t.Name] = &team{Team: t, borrower: borrower}
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// AddUsage adds the resources of count tasks like s to their team's usage. A negative count subtracts
-// them.
+// AddUsage adds the resources of count tasks with spec s to the usage of their team. A negative count
+// subtracts them.
 func (ts *Teams) AddUsage(s *api.Spec, count float64) {
 	if t := ts.byName[s.Team]; t != nil {
 		t.usedVCPUs += count * s.VCPUs
@@ -77,7 +78,7 @@
 	}
 }
 
-// Allows reports whether a team's limit has room for n more tasks like s.
+// Allows reports whether n more tasks with spec s fit into the limit of their team.
 func (ts *Teams) Allows(s *api.Spec, n float64) bool {
 	t := ts.byName[s.Team]
 	return t != nil && t.usedVCPUs+n*s.VCPUs <= t.CPUsMax+tolerance && t.usedGPUs+n*s.GPUs <= t.GPUsMax+tolerance
@@ -89,7 +90,7 @@
 	return t != nil && t.borrower
 }
 
-// BorrowersActive reports whether any team without guarantee and limit uses anything.
+// BorrowersActive reports whether any team with neither guarantee nor limit has allocated tasks.
 func (ts *Teams) BorrowersActive() bool {
 	for _, t := range ts.byName {
 		if t.borrower && t.usedVCPUs > tolerance {
@@ -99,7 +100,8 @@
 	return false
 }
 
-// RemainingTasks returns for how many more tasks like s a team's limit has room.
+// RemainingTasks returns how many more tasks with spec s fit into the limit of their team, at most
+// api.MaxTasks.
 func (ts *Teams) RemainingTasks(s *api.Spec) int {
 	t := ts.byName[s.Team]
 	if t == nil {
@@ -115,7 +117,7 @@
 	return max(n, 0)
 }
 
-// LargestGuarantee returns the largest guarantee of a team in CPUs.
+// LargestGuarantee returns the largest guarantee of any team, in CPUs.
 func (ts *Teams) LargestGuarantee() float64 {
 	largest := 0.0
 	for _, t := range ts.byName {
@@ -124,8 +126,8 @@
 	return largest
 }
 
-// UpdateGuarantees sets jobs.Job.WithinQuota for the teams whose jobs have changed: it is true for
-// jobs that fit into their team's guarantee together with the team's earlier open jobs.
+// UpdateGuarantees updates jobs.Job.WithinQuota for the teams whose jobs have changed. A job is within
+// its quota if it fits into the guarantee of its team together with the earlier open jobs of the team.
 func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
@@ -143,8 +145,8 @@
 	}
 }
 
-// OthersOverGuarantee reports whether teams other than the named one run batch jobs beyond their
-// guarantee.
+// OthersOverGuarantee reports whether any team other than except has allocated tasks of batch jobs that
+// are beyond its guarantee.
 func (ts *Teams) OthersOverGuarantee(all *jobs.Table, except string) bool {
 	for name, list := range all.Teams {
 		if name == except {
@@ -152,7 +154,7 @@
 		}
 		for _, j := range slices.Backward(list.OpenJobs) {
 			if j.WithinQuota {
-				break // earlier jobs are within the guarantee as well
+				break // all earlier jobs of the team are within the guarantee as well
 			}
 			if j.AllocatedTasks > 0 && j.Spec.Shape == api.Batch {
 				return true
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -6,14 +6,14 @@
 	"opaldale/internal/workers"
 )
 
-// reservations are the machines whose room only one job may take. Without them smaller tasks
-// would take whatever becomes free before it is enough for a larger one.
+// reservations records the machines on which only one job may be placed. Without reservations, smaller
+// tasks would take freed capacity before enough of it is free for a larger task.
 type reservations struct {
-	starved map[*workers.Worker]*jobs.Job        // for a job that has waited too long, until it gets a task
-	timed   map[*workers.Worker]timedReservation // for the beneficiary of a migration, until a time
+	starved map[*workers.Worker]*jobs.Job        // for a starved job or gang, until one of its tasks is placed
+	timed   map[*workers.Worker]timedReservation // for the job that a migration frees capacity for
 }
 
-// timedReservation keeps the room on a machine for a job until a time.
+// timedReservation reserves the free capacity of a machine for a job until a point in time.
 type timedReservation struct {
 	job   *jobs.Job
 	until ident.MonotonicTime
@@ -26,8 +26,8 @@
 	}
 }
 
-// jobOn returns the job that alone may take a machine's room, nil if any may. A starved job has
-// precedence over the beneficiary of a migration.
+// jobOn returns the job that a machine is reserved for, or nil if it isn't reserved. The reservation
+// for a starved job takes precedence over a timed reservation.
 func (r *reservations) jobOn(w *workers.Worker) *jobs.Job {
 	if j := r.starved[w]; j != nil {
 		return j
@@ -38,10 +38,10 @@
 // isReservedForStarved reports whether a machine is reserved for a starved job.
 func (r *reservations) isReservedForStarved(w *workers.Worker) bool { return r.starved[w] != nil }
 
-// starvedCount is how many machines are reserved for starved jobs.
+// starvedCount returns the number of machines that are reserved for starved jobs and gangs.
 func (r *reservations) starvedCount() int { return len(r.starved) }
 
-// hasStarvedReservation reports whether a machine is reserved for a starved job already.
+// hasStarvedReservation reports whether any machine is reserved for a starved job.
 func (r *reservations) hasStarvedReservation(j *jobs.Job) bool {
 	for _, reservedFor := range r.starved {
 		if reservedFor == j {
@@ -54,7 +54,7 @@
 // reserveStarved reserves a machine for a starved job.
 func (r *reservations) reserveStarved(w *workers.Worker, j *jobs.Job) { r.starved[w] = j }
 
-// consume ends the reservations of a machine for a job once a task of the job is placed there.
+// consume removes the reservations of a machine for a job, after a task of the job was placed there.
 func (r *reservations) consume(w *workers.Worker, j *jobs.Job) {
 	if r.starved[w] == j {
 		delete(r.starved, w)
@@ -62,7 +62,7 @@
 	r.releaseTimed(w, j)
 }
 
-// releaseStarved ends all reservations for a starved job.
+// releaseStarved removes all reservations for a starved job.
 func (r *reservations) releaseStarved(j *jobs.Job) {
 	for w, reservedFor := range r.starved {
 		if reservedFor == j {
@@ -71,15 +71,15 @@
 	}
 }
 
-// releaseTimed ends the timed reservation of a machine if it is for the job.
+// releaseTimed removes the timed reservation of a machine if it is for the given job.
 func (r *reservations) releaseTimed(w *workers.Worker, j *jobs.Job) {
 	if r.timed[w].job == j {
 		delete(r.timed, w)
 	}
 }
 
-// expire ends the reservations that have timed out, whose job has got what it waits for, or whose
-// machine takes no work.
+// expire removes the reservations that have expired, those whose job no longer needs them, and those of
+// machines that are not schedulable.
 func (r *reservations) expire(now ident.MonotonicTime) {
 	for w, j := range r.starved {
 		if j.WaitingCount() == 0 || j.AllocatedTasks > 0 || !w.Schedulable(now) {
@@ -93,15 +93,15 @@
 	}
 }
 
-// ReserveFor keeps what becomes free on a machine for a job until a time.
+// ReserveFor reserves the free capacity of a machine for a job until a point in time.
 func (p *Planner) ReserveFor(w *workers.Worker, j *jobs.Job, until ident.MonotonicTime) {
 	p.reservations.timed[w] = timedReservation{job: j, until: until}
 }
 
-// ReleaseReservation ends a reservation made by ReserveFor, if it is for the job.
+// ReleaseReservation removes the reservation of a machine made by ReserveFor, if it is for the given job.
 func (p *Planner) ReleaseReservation(w *workers.Worker, j *jobs.Job) {
 	p.reservations.releaseTimed(w, j)
 }
 
-// IsReserved reports whether a machine's room is kept for some job.
+// IsReserved reports whether a machine is reserved for a job.
 func (p *Planner) IsReserved(w *workers.Worker) bool { return p.reservations.jobOn(w) != nil }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -5,8 +5,8 @@
 	"opaldale/internal/workers"
 )
 
-// placeService places the tasks of a service first-fit: on the machines that hold the image, then
-// on the others, then where work of lower precedence can be preempted.
+// placeService places the tasks of a service. It prefers machines with the image in the cache, then
+// other machines with free capacity, then machines on which work of lower precedence can be preempted.
 func (d *dispatch) placeService(j *jobs.Job) {
 	holders := &holderSearch{dispatch: d, job: j}
 	for !d.full() {
@@ -18,14 +18,14 @@
 	}
 }
 
-// placeServiceTask places one task of a service. It returns false if there is no room and none can
-// be made.
+// placeServiceTask places one task of a service, or preempts work for it. It returns false if neither is
+// possible.
 func (d *dispatch) placeServiceTask(t *jobs.Task, holders *holderSearch) bool {
 	if w := holders.next(); w != nil {
 		d.place(t, w)
 		return true
 	}
-	w := d.roomiest(t.Job)
+	w := d.mostFreeMachine(t.Job)
 	if w == nil {
 		return d.preemptAnywhere(t)
 	}
@@ -36,31 +36,34 @@
 	return true
 }
 
-// holderSearch finds machines that hold a service's image, for one of its tasks after another.
+// holderSearch finds machines that have a service's image cached, for each of its tasks in turn.
 type holderSearch struct {
 	*dispatch
-	job    *jobs.Job
-	cursor int // index in machinesWithRoom; room only shrinks, so earlier machines are not searched again
+	job *jobs.Job
+	// cursor is an index in machinesWithCapacity. Free capacity only shrinks during a dispatch, so earlier
+	// machines are not searched again.
+	cursor int
 }
 
-// next returns a machine that holds the image and has room, nil if there is none.
+// next returns a machine that has the image cached and can run a task of the service, or nil if there
+// is none.
 func (s *holderSearch) next() *workers.Worker {
 	if s.SpreadLoad() {
 		return s.leastUsedHolder(s.job)
 	}
-	for ; s.cursor < len(s.machinesWithRoom); s.cursor++ {
-		if w := s.machinesWithRoom[s.cursor]; w.HasImage(s.job.Spec.Image) && s.canRunOn(s.job, w) {
+	for ; s.cursor < len(s.machinesWithCapacity); s.cursor++ {
+		if w := s.machinesWithCapacity[s.cursor]; w.HasImage(s.job.Spec.Image) && s.canRunOn(s.job, w) {
 			return w
 		}
 	}
 	return nil
 }
 
-// roomiest returns the machine with the most room, nil if none has enough. Where the image must
-// be pulled, it serves the most tasks with one image pull.
-func (d *dispatch) roomiest(j *jobs.Job) *workers.Worker {
+// mostFreeMachine returns the machine with the most unused CPUs that can run a task of a job, or nil if
+// there is none. Such a machine can run the largest number of tasks after one image pull.
+func (d *dispatch) mostFreeMachine(j *jobs.Job) *workers.Worker {
 	var found *workers.Worker
-	for _, w := range d.machinesWithRoom {
+	for _, w := range d.machinesWithCapacity {
 		if found != nil && unusedVCPUs(w) <= unusedVCPUs(found)+tolerance {
 			continue
 		}
@@ -71,7 +74,7 @@
 	return found
 }
 
-// Movable reports whether a replica would find room on another machine that holds its image.
+// Movable reports whether a replica fits on another machine that has its image cached.
 func (p *Planner) Movable(t *jobs.Task, from *workers.Worker) bool {
 	j := t.Job
 	if !p.teams.Allows(j.Spec, 0) {
@@ -82,7 +85,7 @@
 		if w == from || !w.Fits(j.Spec) || !w.Schedulable(now) || !w.Allows(j.Spec) || !w.HasImage(j.Spec.Image) {
 			continue
 		}
-		// A move within the zone leaves the spread over zones as it is.
+		// A move within a zone doesn't change the number of tasks per zone.
 		if w.Zone == from.Zone || zoneAllows(j, w.Zone) {
 			return true
 		}
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -12,14 +12,19 @@
 )
 
 const (
-	// gangRestartSeconds is the time that each task of a preempted gang loses beside its progress.
+	// gangRestartSeconds is the time, in seconds, that each task of a preempted gang loses in addition to
+	// its lost progress.
 	gangRestartSeconds = 30
-	// preemptionCooldown is how long a preempted task is spared. Tasks that have just started cost
-	// least, so without it the same tasks would be preempted repeatedly.
+	// preemptionCooldown is the time after a preemption in which the task is not preempted again if there
+	// are other victims. Tasks that have just started are the cheapest victims, so without a cooldown the
+	// same tasks would be preempted repeatedly.
 	preemptionCooldown = time.Minute
 )
 
-// canPreempt reports whether a running task may be preempted for a job.
+// canPreempt reports whether a running task may be preempted for a job. Tasks of lower priority may be
+// preempted, but a batch job beyond its team's guarantee may preempt only those of borrowers. A job
+// within its team's guarantee may also preempt batch tasks of other teams that are beyond their
+// guarantee, regardless of priority.
 func (p *Planner) canPreempt(victim *jobs.Task, j *jobs.Job) bool {
 	if victim.State != jobs.Assigned {
 		return false
@@ -30,7 +35,7 @@
 	return j.WithinQuota && !victim.Job.WithinQuota && victim.Job.Spec.Team != j.Spec.Team && isBatch(victim.Job)
 }
 
-// hasVictims reports whether there is anything in the cluster that may be preempted for a job.
+// hasVictims is a quick check whether the cluster may have any task that can be preempted for a job.
 func (p *Planner) hasVictims(j *jobs.Job) bool {
 	if p.machineTable.LowerPriorityTasks(j.Spec.Priority) > 0 {
 		return true
@@ -38,7 +43,7 @@
 	return j.WithinQuota && p.teams.OthersOverGuarantee(p.jobs, j.Spec.Team)
 }
 
-// mayHaveVictims is a quick check that rules out most machines without a victim for a job.
+// mayHaveVictims is a quick check that excludes most machines without a victim for a job.
 func mayHaveVictims(w *workers.Worker, j *jobs.Job) bool {
 	return w.LowerPriorityTasks(j.Spec.Priority) > 0 || j.WithinQuota && w.BatchVCPUs != 0
 }
@@ -48,27 +53,27 @@
 	return t.PreemptedAt > 0 && now.Sub(t.PreemptedAt) < preemptionCooldown
 }
 
-// preemption is a set of tasks whose end makes enough room on a machine.
+// preemption is a set of tasks on a machine that frees enough capacity when they are stopped.
 type preemption struct {
 	worker  *workers.Worker
 	victims []*jobs.Task
 	cost    float64 // work lost, in CPU seconds
 }
 
-// needsCheckpoint reports whether a victim writes a checkpoint before it ends, so that the room is
-// not there at once.
+// needsCheckpoint reports whether a victim writes a checkpoint before it terminates. Its capacity is
+// then not free immediately.
 func (p *preemption) needsCheckpoint() bool {
 	return slices.ContainsFunc(p.victims, func(t *jobs.Task) bool { return t.Job.Spec.CanCheckpoint() })
 }
 
-// victimRequest asks for room on a machine for a job.
+// victimRequest specifies the capacity to free on a machine for a job, and the tasks to exclude.
 type victimRequest struct {
 	job  *jobs.Job
 	need jobs.Resources
 	now  ident.MonotonicTime
-	// skipRecent spares tasks that were preempted within preemptionCooldown.
+	// skipRecent excludes tasks that were preempted within preemptionCooldown.
 	skipRecent bool
-	// includeGangs lets whole gangs be preempted; those preempted recently are spared always.
+	// includeGangs allows the preemption of gangs, except those preempted within preemptionCooldown.
 	includeGangs bool
 }
 
@@ -78,9 +83,9 @@
 	cost float64 // work lost, in CPU seconds
 }
 
-// chooseVictims chooses tasks to preempt on a machine, in ascending order of cost until the
-// requested room is free. It returns nil if all candidates together don't make enough. The room of
-// tasks that are being stopped without a grace period counts as free.
+// chooseVictims selects tasks to preempt on a machine, in ascending order of cost until the requested
+// capacity is free. It returns nil if all candidates together don't free enough. Resources of tasks
+// that are being stopped without a grace period count as free.
 func (p *Planner) chooseVictims(w *workers.Worker, r victimRequest) *preemption {
 	free := w.FreeFor(r.job.Spec.Priority)
 	var candidates []candidateVictim
@@ -108,8 +113,8 @@
 	return found
 }
 
-// isCandidate reports whether a task may be preempted for a request. A gang is preempted as a whole or
-// not at all.
+// isCandidate reports whether a task may be preempted for a request. A task of a gang is a candidate
+// only if its whole gang can be stopped.
 func (p *Planner) isCandidate(t *jobs.Task, r *victimRequest) bool {
 	if t.Job.IsGang() {
 		return r.includeGangs && !recentlyPreempted(t, r.now) && p.canPreempt(t, r.job) && p.actions.CanStopGang(t.Job)
@@ -117,7 +122,7 @@
 	return p.canPreempt(t, r.job) && !(r.skipRecent && recentlyPreempted(t, r.now))
 }
 
-// compareVictims orders victims by cost, then the newest first.
+// compareVictims orders victims by cost, then by the order of submission with the newest first.
 func compareVictims(a, b candidateVictim) int {
 	return cmp.Or(
 		cmp.Compare(a.cost, b.cost),
@@ -126,7 +131,8 @@
 	)
 }
 
-// lostWork returns the work that is lost when a task is preempted, in CPU seconds.
+// lostWork estimates the work that is lost when a task is preempted, in CPU seconds. A recent preemption
+// adds to the cost, so that the same task is not preempted repeatedly.
 func lostWork(t *jobs.Task, now ident.MonotonicTime) float64 {
 	lost := now.Sub(t.StateSince).Seconds()
 	if t.ReportedStatus == "" || t.ReportedStatus == api.Pulling {
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -8,14 +8,14 @@
 	"opaldale/internal/workers"
 )
 
-// planQueue is a machine's plan, from which other machines steal.
+// planQueue is the plan of a machine, from which other machines can steal tasks.
 type planQueue struct {
 	owner     *workers.Worker
-	remaining int // tasks that wait
-	next      int // index in the plan; earlier tasks are placed
+	remaining int // number of waiting tasks
+	next      int // index in the plan of the first task that may be waiting
 }
 
-// waiting returns the plan from its first waiting task on.
+// waiting returns the tasks of the plan from the first waiting task to the end.
 func (q *planQueue) waiting() []*jobs.Task {
 	plan := q.owner.PlannedTasks
 	for q.next < len(plan) && plan[q.next].State != jobs.Waiting {
@@ -24,10 +24,10 @@
 	return plan[q.next:]
 }
 
-// sortPlans sorts the plans for the machines that steal from them.
+// sortPlans lists the plans that have waiting tasks, sorted by the number of these in descending order.
 func (d *dispatch) sortPlans() {
 	d.plans = d.plans[:0]
-	for _, w := range d.openMachines {
+	for _, w := range d.schedulableMachines {
 		n := 0
 		for _, t := range w.PlannedTasks {
 			if t.State == jobs.Waiting {
@@ -41,8 +41,8 @@
 	sort.SliceStable(d.plans, func(i, k int) bool { return d.plans[i].remaining > d.plans[k].remaining })
 }
 
-// steal finds a task for a machine in the fullest plan of another machine that has one, among the
-// maxPlansSearched fullest. It returns nil if there is none.
+// steal returns a task for a machine from the plan of another machine, or nil if there is none. It
+// searches the plans with the most waiting tasks first, and at most maxPlansSearched of them.
 func (d *dispatch) steal(w *workers.Worker) *jobs.Task {
 	searched := 0
 	for i := 0; i < len(d.plans) && searched < maxPlansSearched; i++ {
@@ -53,10 +53,10 @@
 		searched++
 		for _, t := range queue.waiting() {
 			if !d.inActiveRange(t) {
-				break // plans have their tasks by precedence
+				break // the tasks of a plan are ordered by precedence
 			}
 			if d.canTakeTask(t, w) {
-				d.shrinkPlan(i)
+				d.decrementPlan(i)
 				return t
 			}
 		}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// shrinkPlan removes a task from the count of a plan, and moves the plan to its place in the order.
-func (d *dispatch) shrinkPlan(i int) {
+// decrementPlan decrements the number of waiting tasks of a plan, and restores the order of the plans.
+func (d *dispatch) decrementPlan(i int) {
 	queue := d.plans[i]
 	queue.remaining--
 	for k := i + 1; k < len(d.plans) && d.plans[k].remaining > queue.remaining; k++ {
@@ -73,9 +73,9 @@
 	}
 }
 
-// hasStrandedTask reports whether a machine with room could take a waiting task that is in no plan and
-// whose image is cached.
-func (d *dispatch) hasStrandedTask() bool {
+// hasUnplannedTask reports whether a machine with free capacity could run a waiting task that is in no
+// plan although its image is cached on some machine.
+func (d *dispatch) hasUnplannedTask() bool {
 	if !d.config.UseASM1 {
 		return false
 	}
@@ -85,13 +85,13 @@
 		planned[queue.owner.ID] = true
 	}
 	need := d.minNeed(jobRange{0, len(d.batchJobs)})
-	var withRoom []*workers.Worker
-	for _, w := range d.machinesWithRoom {
+	var withCapacity []*workers.Worker
+	for _, w := range d.machinesWithCapacity {
 		if w.HasRoom(need) {
-			withRoom = append(withRoom, w)
+			withCapacity = append(withCapacity, w)
 		}
 	}
-	if len(withRoom) == 0 {
+	if len(withCapacity) == 0 {
 		return false
 	}
 	for _, j := range d.batchJobs {
@@ -102,14 +102,14 @@
 		if t == nil || planned[t.PlannedMachine] {
 			continue
 		}
-		if d.canRunOnAny(j, withRoom) {
+		if d.canRunOnAny(j, withCapacity) {
 			return true
 		}
 	}
 	return false
 }
 
-// canRunOnAny reports whether any of the machines may take a task of a job, and has room for it.
+// canRunOnAny reports whether a task of a job may be placed on any of the machines and fits there.
 func (d *dispatch) canRunOnAny(j *jobs.Job, machines []*workers.Worker) bool {
 	for _, w := range machines {
 		if d.canRunOn(j, w) {
