--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -16,12 +16,12 @@
 	"opaldale/internal/workerstest"
 )
 
-// harness is a gang of three tasks, on five machines that record the commands sent to them.
+// harness is a gang of three tasks in a cluster of five machines. It records the commands sent to machines.
 type harness struct {
 	t             *testing.T
 	now           ident.MonotonicTime
 	queue         []func()
-	heldResponses []func() // responses of the store that are held back
+	heldResponses []func() // store responses that are delayed while holdResponses is set
 	holdResponses bool
 	sent          map[ident.MachineID][]api.Command
 	unresponsive  map[string]bool
@@ -34,71 +34,72 @@
 	job           *jobs.Job
 }
 
-func (r *harness) Now() ident.MonotonicTime        { return r.now }
-func (r *harness) After(_ time.Duration, f func()) { r.queue = append(r.queue, f) }
-func (r *harness) Store(_ kvstore.Request, f func(kvstore.Response)) {
-	r.revision++
-	response := kvstore.Response{Outcome: kvstore.OK, StoreRevision: r.revision}
-	if r.holdResponses {
-		r.heldResponses = append(r.heldResponses, func() { f(response) })
+func (h *harness) Now() ident.MonotonicTime        { return h.now }
+func (h *harness) After(_ time.Duration, f func()) { h.queue = append(h.queue, f) }
+func (h *harness) Store(_ kvstore.Request, f func(kvstore.Response)) {
+	h.revision++
+	response := kvstore.Response{Outcome: kvstore.OK, StoreRevision: h.revision}
+	if h.holdResponses {
+		h.heldResponses = append(h.heldResponses, func() { f(response) })
 		return
 	}
-	r.queue = append(r.queue, func() { f(response) })
+	h.queue = append(h.queue, func() { f(response) })
 }
 
-func (r *harness) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
+func (h *harness) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	addr := c.Addr
-	if r.unresponsive[addr] {
-		r.queue = append(r.queue, func() { f(workers.CommandResult{}) })
+	if h.unresponsive[addr] {
+		h.queue = append(h.queue, func() { f(workers.CommandResult{}) })
 		return
 	}
 	machineID := ident.MachineID(addr)
-	r.sent[machineID] = append(r.sent[machineID], c.Body.Commands...)
-	// A stale response: heartbeats come only from the test.
-	r.queue = append(r.queue, func() {
+	h.sent[machineID] = append(h.sent[machineID], c.Body.Commands...)
+	// The heartbeat in this response has sequence number 0, so it is stale and ignored: only the test
+	// delivers heartbeats.
+	h.queue = append(h.queue, func() {
 		f(workers.CommandResult{Status: 200, Heartbeat: &api.Heartbeat{MachineID: machineID, Addr: addr, Incarnation: 1}})
 	})
 }
 
-// run handles events until there are none.
-func (r *harness) run() {
+// run processes queued events until none are left.
+func (h *harness) run() {
 	for {
-		r.now = r.now.Add(time.Millisecond)
-		r.commits.Flush()
-		if len(r.queue) == 0 {
-			r.gangs.Tick()
-			if r.commits.Flush(); len(r.queue) == 0 {
+		h.now = h.now.Add(time.Millisecond)
+		h.commits.Flush()
+		if len(h.queue) == 0 {
+			h.gangs.Tick()
+			if h.commits.Flush(); len(h.queue) == 0 {
 				return
 			}
 		}
-		f := r.queue[0]
-		r.queue = r.queue[1:]
+		f := h.queue[0]
+		h.queue = h.queue[1:]
 		f()
 	}
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &harness{t: t, now: ident.MonotonicTime(time.Hour)}
-	r.sent, r.unresponsive = map[ident.MachineID][]api.Command{}, map[string]bool{}
+	h := &harness{t: t, now: ident.MonotonicTime(time.Hour)}
+	h.sent, h.unresponsive = map[ident.MachineID][]api.Command{}, map[string]bool{}
 	limits := commit.Limits{MutationsPerTxn: 8, MutationsPerSecond: 1e9, MaxValueBytes: 2048}
-	r.commits = commit.New(r, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
-	r.commits.UseTextFormat()
-	r.jobs = jobs.NewTable(r.commits, 2048, r.Now, func() int64 { return 0 })
-	r.jobs.UsePackedLog()
+	h.commits = commit.New(h, limits, kvstore.Compare{Key: "leader", Revision: 1}, func(err error) { t.Error(err) })
+	h.commits.UseTextFormat()
+	h.jobs = jobs.NewTable(h.commits, 2048, h.Now, func() int64 { return 0 })
+	h.jobs.UsePackedLog()
 	workersConfig := workerstest.Config(3, cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32})
 	workersConfig.OnDeposed = func() { t.Error("deposed") }
-	r.workers = workers.NewTable(r, r.jobs, workersConfig)
+	h.workers = workers.NewTable(h, h.jobs, workersConfig)
 	config := Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second}
-	r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, config)
-	trackAllocation := workerstest.TrackAllocation(r.workers)
-	r.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
-		r.gangs.MarkChanged(task.Job)
+	h.gangs = NewTable(h.jobs, h.workers, h.Now, func() bool { return true }, config)
+	trackAllocation := workerstest.TrackAllocation(h.workers)
+	h.jobs.OnStateChange = func(task *jobs.Task, from, to jobs.State) {
+		h.gangs.MarkChanged(task.Job)
 		trackAllocation(task, from, to)
 	}
 	for i := range 5 {
-		r.workers.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: r.now})
-		r.heartbeat(i)
+		h.workers.Add(workers.MachineInfo{ID: machineID(i), Model: "m8", Zone: "east", CreatedAt: h.now})
+		h.heartbeat(i)
 	}
 	spec := &api.Spec{
 		ID:               "j-1",
@@ -110,69 +111,69 @@
 		CheckpointEveryS: 20,
 		CheckpointS:      3,
 	}
-	r.job = r.jobs.Add(spec, func() {}, nil)
-	r.run()
-	return r
+	h.job = h.jobs.Add(spec, func() {}, nil)
+	h.run()
+	return h
 }
 
 func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%d", i)) }
 
-// heartbeat handles the next heartbeat of a machine, which reports the given tasks and no other.
-func (r *harness) heartbeat(machine int, tasks ...api.TaskReport) *api.HeartbeatResponse {
-	r.sequence++
+// heartbeat delivers the next heartbeat of a machine, which reports only the given tasks.
+func (h *harness) heartbeat(machine int, tasks ...api.TaskReport) *api.HeartbeatResponse {
+	h.sequence++
 	id := machineID(machine)
-	return r.workers.HandleHeartbeat(&api.Heartbeat{
+	return h.workers.HandleHeartbeat(&api.Heartbeat{
 		MachineID:      id,
 		Addr:           string(id),
 		Model:          "m8",
 		Zone:           "east",
 		Incarnation:    1,
-		SequenceNumber: r.sequence,
+		SequenceNumber: h.sequence,
 		FencingToken:   ident.MakeFencingToken(3, 0),
 		Tasks:          tasks,
 	})
 }
 
-func (r *harness) taskReport(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
-	return api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: i}, Attempt: r.job.Tasks[i].Attempt, Status: s, Cause: c}
+func (h *harness) taskReport(i int, s api.TaskStatus, c api.Cause) api.TaskReport {
+	return api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: i}, Attempt: h.job.Tasks[i].Attempt, Status: s, Cause: c}
 }
 
-// place places the waiting tasks, each on the next machine from a given one on.
-func (r *harness) place(from int) {
+// place places the waiting tasks on consecutive machines, starting with the machine from.
+func (h *harness) place(from int) {
 	var placements []Placement
-	for i := range r.job.Tasks {
-		if t := &r.job.Tasks[i]; t.State == jobs.Waiting {
-			placements = append(placements, Placement{t, r.workers.Workers[machineID(from+len(placements))]})
+	for i := range h.job.Tasks {
+		if t := &h.job.Tasks[i]; t.State == jobs.Waiting {
+			placements = append(placements, Placement{t, h.workers.Workers[machineID(from+len(placements))]})
 		}
 	}
-	r.gangs.Place(r.job, placements)
-	r.run()
+	h.gangs.Place(h.job, placements)
+	h.run()
 }
 
-func (r *harness) reportAll(s api.TaskStatus) {
+func (h *harness) reportAll(s api.TaskStatus) {
 	for i := range 3 {
-		r.heartbeat(i, r.taskReport(i, s, ""))
+		h.heartbeat(i, h.taskReport(i, s, ""))
 	}
-	r.run()
+	h.run()
 }
 
-func (r *harness) state() string {
-	if a := r.gangs.attempts[r.job]; a != nil {
+func (h *harness) state() string {
+	if a := h.gangs.attempts[h.job]; a != nil {
 		return a.state.String()
 	}
 	return "none"
 }
 
-func (r *harness) wantState(state string) {
-	r.t.Helper()
-	if got := r.state(); got != state {
-		r.t.Fatalf("the attempt is %s, want %s", got, state)
+func (h *harness) wantState(state string) {
+	h.t.Helper()
+	if got := h.state(); got != state {
+		h.t.Fatalf("attempt state: got %s, want %s", got, state)
 	}
 }
 
-// countCommands counts the commands with a verb that were sent.
-func (r *harness) countCommands(v api.Verb) (n int) {
-	for _, commands := range r.sent {
+// countCommands returns the number of commands with a verb that were sent.
+func (h *harness) countCommands(v api.Verb) (n int) {
+	for _, commands := range h.sent {
 		for _, command := range commands {
 			if command.Verb == v {
 				n++
@@ -182,185 +183,190 @@
 	return n
 }
 
-// TestLaunchWaitsForAllPlacements: no task is launched, by a command or the response to a heartbeat, before all
-// placements of the attempt are durable.
+// TestLaunchWaitsForAllPlacements checks that no task is launched, by a command or by the response to a
+// heartbeat, before all placements of the attempt are durable.
 func TestLaunchWaitsForAllPlacements(t *testing.T) {
-	r := newHarness(t)
-	r.holdResponses = true
-	r.place(0)
+	h := newHarness(t)
+	h.holdResponses = true
+	h.place(0)
 	for i := range 3 {
-		if response := r.heartbeat(i); len(response.Commands) > 0 {
-			t.Errorf("host-%d is sent %v", i, response.Commands)
+		if response := h.heartbeat(i); len(response.Commands) > 0 {
+			t.Errorf("host-%d: got commands %v before the placements are durable, want none", i, response.Commands)
 		}
 	}
-	r.wantState("placed")
-	if n := r.countCommands(api.Launch); n > 0 {
-		t.Fatalf("%d launches before anything is durable", n)
+	h.wantState("placed")
+	if n := h.countCommands(api.Launch); n > 0 {
+		t.Fatalf("got %d launches before any placement is durable, want 0", n)
 	}
-	r.holdResponses = false
-	r.queue = append(r.queue, r.heldResponses...)
-	r.run()
-	r.wantState("gathering")
-	if n := r.countCommands(api.Launch); n != 3 {
-		t.Errorf("%d launches", n)
+	h.holdResponses = false
+	h.queue = append(h.queue, h.heldResponses...)
+	h.run()
+	h.wantState("gathering")
+	if n := h.countCommands(api.Launch); n != 3 {
+		t.Errorf("got %d launches, want 3", n)
 	}
-	r.reportAll(api.Gathering)
-	r.wantState("gathering")
-	if v := r.job.View(); v.Running != 0 || v.Status != "queued" {
-		t.Errorf("tasks that wait for the others are counted as running: %+v", v)
+	h.reportAll(api.Gathering)
+	h.wantState("gathering")
+	if v := h.job.View(); v.Running != 0 || v.Status != "queued" {
+		t.Errorf("tasks that wait for the others: got view %+v, want 0 running and status queued", v)
 	}
-	r.reportAll(api.Running)
-	r.wantState("running")
+	h.reportAll(api.Running)
+	h.wantState("running")
 }
 
-// TestReplacementBeforeStart: a task that is lost before the start is placed again in the same attempt, on a
-// machine that the attempt has not used.
+// TestReplacementBeforeStart checks that a task that is lost before the start of an attempt is replaced in the
+// same attempt, on a machine that the attempt has not used.
 func TestReplacementBeforeStart(t *testing.T) {
-	r := newHarness(t)
-	r.place(0)
-	r.heartbeat(0, r.taskReport(0, api.Gathering, ""))
-	r.heartbeat(1, r.taskReport(1, api.Gathering, ""))
-	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseNoCapacity))
-	r.run()
-	if r.wantState("gathering"); !r.job.AcceptsReplacements || r.job.Tasks[2].State != jobs.Waiting {
-		t.Fatalf("accepts replacements %v, task %v", r.job.AcceptsReplacements, r.job.Tasks[2].State)
+	h := newHarness(t)
+	h.place(0)
+	h.heartbeat(0, h.taskReport(0, api.Gathering, ""))
+	h.heartbeat(1, h.taskReport(1, api.Gathering, ""))
+	h.heartbeat(2, h.taskReport(2, api.Ended, api.CauseNoCapacity))
+	h.run()
+	if h.wantState("gathering"); !h.job.AcceptsReplacements || h.job.Tasks[2].State != jobs.Waiting {
+		t.Fatalf("got AcceptsReplacements %v and task state %v, want true and waiting",
+			h.job.AcceptsReplacements, h.job.Tasks[2].State)
 	}
-	if !r.gangs.HasUsed(r.job, "host-2") || r.gangs.HasUsed(r.job, "host-3") {
-		t.Error("the machines that the attempt has used are not known")
+	if !h.gangs.HasUsed(h.job, "host-2") || h.gangs.HasUsed(h.job, "host-3") {
+		t.Error("HasUsed must be true for host-2 and false for host-3")
 	}
-	number := r.job.Tasks[0].Attempt
-	r.place(3)
-	if r.job.Tasks[2].Attempt != number || r.job.Tasks[2].MachineID != "host-3" || len(r.sent["host-3"]) != 1 {
-		t.Errorf("attempt %d on %s, sent %v", r.job.Tasks[2].Attempt, r.job.Tasks[2].MachineID, r.sent["host-3"])
+	number := h.job.Tasks[0].Attempt
+	h.place(3)
+	if h.job.Tasks[2].Attempt != number || h.job.Tasks[2].MachineID != "host-3" || len(h.sent["host-3"]) != 1 {
+		t.Errorf("replacement: got attempt %d on %s, commands %v; want attempt %d on host-3, one command",
+			h.job.Tasks[2].Attempt, h.job.Tasks[2].MachineID, h.sent["host-3"], number)
 	}
-	r.heartbeat(3, r.taskReport(2, api.Running, ""))
-	r.heartbeat(0, r.taskReport(0, api.Running, ""))
-	r.heartbeat(1, r.taskReport(1, api.Running, ""))
-	r.run()
-	r.wantState("running")
+	h.heartbeat(3, h.taskReport(2, api.Running, ""))
+	h.heartbeat(0, h.taskReport(0, api.Running, ""))
+	h.heartbeat(1, h.taskReport(1, api.Running, ""))
+	h.run()
+	h.wantState("running")
 }
 
-// TestNoReplacementInTime: the other tasks keep their room for a limited time.
+// TestNoReplacementInTime checks that an attempt is aborted if a lost task is not replaced within
+// replacementWindow.
 func TestNoReplacementInTime(t *testing.T) {
-	r := newHarness(t)
-	r.place(0)
-	r.reportAll(api.Gathering)
-	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseError))
-	r.run()
-	r.now = r.now.Add(replacementWindow + time.Second)
-	r.gangs.Tick()
-	r.run()
-	if r.wantState("ending"); r.job.AcceptsReplacements || r.countCommands(api.Kill) != 2 {
-		t.Errorf("accepts replacements %v, %d kills", r.job.AcceptsReplacements, r.countCommands(api.Kill))
+	h := newHarness(t)
+	h.place(0)
+	h.reportAll(api.Gathering)
+	h.heartbeat(2, h.taskReport(2, api.Ended, api.CauseError))
+	h.run()
+	h.now = h.now.Add(replacementWindow + time.Second)
+	h.gangs.Tick()
+	h.run()
+	if h.wantState("ending"); h.job.AcceptsReplacements || h.countCommands(api.Kill) != 2 {
+		t.Errorf("got AcceptsReplacements %v and %d kill commands, want false and 2",
+			h.job.AcceptsReplacements, h.countCommands(api.Kill))
 	}
 }
 
-// TestTaskLossEndsAttempt: after the start the loss of one task ends the attempt. The next one begins with a new
-// number, once all tasks of the old one are proven gone.
+// TestTaskLossEndsAttempt checks that the loss of one task after the start ends the attempt. The next attempt
+// gets a new number and begins only after all tasks of the old one are confirmed to have stopped.
 func TestTaskLossEndsAttempt(t *testing.T) {
-	r := newHarness(t)
-	r.place(0)
-	r.reportAll(api.Running)
-	r.heartbeat(1, r.taskReport(1, api.Ended, api.CauseGangMemberLost))
-	r.run()
-	r.wantState("ending")
-	for i := range r.job.Tasks {
-		if s := r.job.Tasks[i].State; s != jobs.Stopping && i != 1 {
-			t.Errorf("task %d is %v", i, s)
+	h := newHarness(t)
+	h.place(0)
+	h.reportAll(api.Running)
+	h.heartbeat(1, h.taskReport(1, api.Ended, api.CauseGangMemberLost))
+	h.run()
+	h.wantState("ending")
+	for i := range h.job.Tasks {
+		if s := h.job.Tasks[i].State; s != jobs.Stopping && i != 1 {
+			t.Errorf("task %d: got state %v, want %v", i, s, jobs.Stopping)
 		}
 	}
-	number := r.job.HighestAttempt()
-	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseStopped))
-	r.run()
-	if r.wantState("ending"); r.job.AllocatedTasks != 1 {
-		t.Fatalf("%d allocated", r.job.AllocatedTasks)
+	number := h.job.HighestAttempt()
+	h.heartbeat(0, h.taskReport(0, api.Ended, api.CauseStopped))
+	h.run()
+	if h.wantState("ending"); h.job.AllocatedTasks != 1 {
+		t.Fatalf("got %d allocated tasks, want 1", h.job.AllocatedTasks)
 	}
-	r.heartbeat(2, r.taskReport(2, api.Ended, api.CauseStopped))
-	r.run()
-	r.wantState("none")
-	r.place(0)
-	for i := range r.job.Tasks {
-		if got := r.job.Tasks[i].Attempt; got != number+1 {
-			t.Errorf("task %d is in attempt %d after %d", i, got, number)
+	h.heartbeat(2, h.taskReport(2, api.Ended, api.CauseStopped))
+	h.run()
+	h.wantState("none")
+	h.place(0)
+	for i := range h.job.Tasks {
+		if got := h.job.Tasks[i].Attempt; got != number+1 {
+			t.Errorf("task %d: got attempt %d, want %d", i, got, number+1)
 		}
 	}
 }
 
-// TestCompletionOfOneCompletesAll: a gang is done with the first task that completes, even if another one was
-// lost before.
+// TestCompletionOfOneCompletesAll checks that a gang is done once its first task completes, even if another
+// task was lost before.
 func TestCompletionOfOneCompletesAll(t *testing.T) {
-	r := newHarness(t)
-	r.place(0)
-	r.reportAll(api.Running)
-	r.heartbeat(1, r.taskReport(1, api.Ended, api.CauseGangMemberLost))
-	r.heartbeat(0, r.taskReport(0, api.Ended, api.CauseDone))
-	r.run()
-	if archived, ok := r.jobs.LookupArchived("j-1"); !ok || archived.Phase != jobs.Done || r.state() != "none" {
-		t.Errorf("%+v %v, %s", archived, ok, r.state())
+	h := newHarness(t)
+	h.place(0)
+	h.reportAll(api.Running)
+	h.heartbeat(1, h.taskReport(1, api.Ended, api.CauseGangMemberLost))
+	h.heartbeat(0, h.taskReport(0, api.Ended, api.CauseDone))
+	h.run()
+	if archived, ok := h.jobs.LookupArchived("j-1"); !ok || archived.Phase != jobs.Done || h.state() != "none" {
+		t.Errorf("got archived job %+v (found: %v), attempt %s; want a job that is done, none", archived, ok, h.state())
 	}
-	// Tasks that are reported later are only cleared.
+	// A task that is reported later only gets the command to clear its record.
 	last := api.TaskReport{TaskID: ident.TaskID{Job: "j-1", Index: 2}, Attempt: 1, Status: api.Ended, Cause: api.CauseDone}
-	response := r.heartbeat(2, last)
+	response := h.heartbeat(2, last)
 	if len(response.Commands) != 1 || response.Commands[0].Verb != api.Clear {
-		t.Errorf("%v", response.Commands)
+		t.Errorf("got commands %v, want one with the verb %v", response.Commands, api.Clear)
 	}
 }
 
-// TestGracefulStop: all tasks are stopped at once, with time to save a checkpoint and to wait for each other, but
-// none while the newest heartbeat of a machine is too old.
+// TestGracefulStop checks that all tasks are stopped together, with a grace period for saving a checkpoint and
+// waiting for each other. No task may be stopped while the last heartbeat of any of the machines is too old.
 func TestGracefulStop(t *testing.T) {
-	r := newHarness(t)
-	r.place(0)
-	r.reportAll(api.Running)
-	r.now = r.now.Add(6 * time.Second)
-	r.heartbeat(0, r.taskReport(0, api.Running, ""))
-	if r.gangs.Stop(r.job, "test") || r.countCommands(api.Kill) > 0 {
-		t.Fatal("stopped though two machines have sent no heartbeat lately")
+	h := newHarness(t)
+	h.place(0)
+	h.reportAll(api.Running)
+	h.now = h.now.Add(6 * time.Second)
+	h.heartbeat(0, h.taskReport(0, api.Running, ""))
+	if h.gangs.Stop(h.job, "test") || h.countCommands(api.Kill) > 0 {
+		t.Fatal("gang stopped although the last heartbeats of two machines are too old")
 	}
-	r.reportAll(api.Running)
-	if !r.gangs.Stop(r.job, "test") {
-		t.Fatal("not stopped")
+	h.reportAll(api.Running)
+	if !h.gangs.Stop(h.job, "test") {
+		t.Fatal("gang not stopped although all its machines are reachable")
 	}
-	r.run()
-	r.wantState("saving")
+	h.run()
+	h.wantState("saving")
 	for i := range 3 {
-		commands := r.sent[machineID(i)]
+		commands := h.sent[machineID(i)]
 		last := commands[len(commands)-1]
 		if last.Verb != api.Kill || last.GracePeriodS == nil || *last.GracePeriodS < 3+5 {
-			t.Errorf("host-%d is sent %+v", i, last)
+			t.Errorf("host-%d: got last command %+v, want a kill with a grace period of at least 8 s", i, last)
 		}
 	}
 	for i := range 3 {
-		report := r.taskReport(i, api.Ended, api.CauseStopped)
+		report := h.taskReport(i, api.Ended, api.CauseStopped)
 		report.CheckpointStored = true
-		r.heartbeat(i, report)
+		h.heartbeat(i, report)
 	}
-	r.run()
-	if r.wantState("none"); r.job.WaitingCount() != 3 {
-		t.Errorf("%d wait", r.job.WaitingCount())
+	h.run()
+	if h.wantState("none"); h.job.WaitingCount() != 3 {
+		t.Errorf("got %d waiting tasks, want 3", h.job.WaitingCount())
 	}
 }
 
-// TestAdopt: a new leader continues a complete attempt, and aborts an incomplete one.
+// TestAdopt checks that a new leader continues an attempt whose tasks are all placed, and aborts an
+// incomplete one.
 func TestAdopt(t *testing.T) {
 	for _, complete := range []bool{true, false} {
-		r := newHarness(t)
-		r.place(0)
-		r.reportAll(api.Gathering)
+		h := newHarness(t)
+		h.place(0)
+		h.reportAll(api.Gathering)
 		if !complete {
-			r.jobs.MarkGone(&r.job.Tasks[1], nil)
+			h.jobs.MarkGone(&h.job.Tasks[1], nil)
 		}
-		r.gangs = NewTable(r.jobs, r.workers, r.Now, func() bool { return true }, r.gangs.cfg)
-		r.gangs.Adopt(r.job)
-		r.run()
+		h.gangs = NewTable(h.jobs, h.workers, h.Now, func() bool { return true }, h.gangs.cfg)
+		h.gangs.Adopt(h.job)
+		h.run()
 		if complete {
-			r.wantState("gathering")
-			r.reportAll(api.Running)
-			r.wantState("running")
+			h.wantState("gathering")
+			h.reportAll(api.Running)
+			h.wantState("running")
 			continue
 		}
-		if r.wantState("ending"); r.job.AcceptsReplacements {
-			t.Error("an incomplete attempt of an earlier term accepts replacements")
+		if h.wantState("ending"); h.job.AcceptsReplacements {
+			t.Error("incomplete attempt of an earlier term: got AcceptsReplacements true, want false")
 		}
 	}
 }
--- a/internal/placement/asm1_test.go
+++ b/internal/placement/asm1_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// machineLoads counts the tasks of each machine, and checks that each has an edge.
+// machineLoads returns the number of tasks on each machine. It fails the test if a task is on a machine
+// that it has no edge to, or is unassigned although it has edges.
 func machineLoads(t *testing.T, tasksByMachine [][]int32, owner []int32) []int {
 	t.Helper()
 	loads := make([]int, len(tasksByMachine))
@@ -21,10 +22,10 @@
 			}
 		}
 		if !ok {
-			t.Fatalf("task %d is on machine %d, which does not hold it", task, m)
+			t.Fatalf("task %d is assigned to machine %d, to which it has no edge", task, m)
 		}
 		if m < 0 && holders > 0 {
-			t.Fatalf("task %d has holders and no machine", task)
+			t.Fatalf("task %d is not assigned although it has edges to machines", task)
 		}
 		if m >= 0 {
 			loads[m]++
@@ -33,7 +34,7 @@
 	return loads
 }
 
-// loadStats returns the largest load and the total excess over the even share.
+// loadStats returns the largest number of tasks on a machine and the total excess over the even share.
 func loadStats(loads []int, tasks int) (largest, excess int) {
 	share := (tasks + len(loads) - 1) / len(loads)
 	for _, n := range loads {
@@ -43,7 +44,8 @@
 	return
 }
 
-// bruteForceBest returns the least largest load and the least total excess of all assignments.
+// bruteForceBest tries all assignments. It returns the smallest possible values of the largest load and of
+// the total excess over the even share.
 func bruteForceBest(tasksByMachine [][]int32, tasks, placed int) (largest, excess int) {
 	holders := make([][]int, tasks)
 	for m, list := range tasksByMachine {
@@ -73,7 +75,8 @@
 	return
 }
 
-// referenceASM1 is the algorithm as given in the paper, over single tasks.
+// referenceASM1 implements the algorithm as described in the paper, on single tasks instead of groups. It
+// returns the machine of each of n tasks, or -1.
 func referenceASM1(n int, machines [][]int32) []int32 {
 	owner := make([]int32, n)
 	for i := range owner {
@@ -95,37 +98,40 @@
 	return owner
 }
 
-// referenceAugment flips the shortest alternating path from machine p to an unassigned task, and
-// returns false if there is none.
-func referenceAugment(machines [][]int32, owner []int32, p int32) bool {
-	via, from, seen := map[int32]int32{}, map[int32]int32{p: -1}, []int32{p}
-	for head := 0; head < len(seen); head++ {
-		m := seen[head]
+// referenceAugment flips the shortest alternating path from the machine start to an unassigned task. It
+// returns false if there is no such path.
+func referenceAugment(machines [][]int32, owner []int32, start int32) bool {
+	taskReachedFrom, machineReachedFrom, queue := map[int32]int32{}, map[int32]int32{start: -1}, []int32{start}
+	for head := 0; head < len(queue); head++ {
+		m := queue[head]
 		for _, t := range machines[m] {
-			if _, ok := via[t]; ok || owner[t] == m {
+			if _, ok := taskReachedFrom[t]; ok || owner[t] == m {
 				continue
 			}
-			via[t] = m
-			o := owner[t]
-			if o < 0 {
+			taskReachedFrom[t] = m
+			assignedTo := owner[t]
+			if assignedTo < 0 {
 				for t >= 0 {
-					m := via[t]
+					m := taskReachedFrom[t]
 					owner[t] = m
-					t = from[m]
+					t = machineReachedFrom[m]
 				}
 				return true
 			}
-			if _, ok := from[o]; !ok {
-				from[o] = t
-				seen = append(seen, o)
+			if _, ok := machineReachedFrom[assignedTo]; !ok {
+				machineReachedFrom[assignedTo] = t
+				queue = append(queue, assignedTo)
 			}
 		}
 	}
 	return false
 }
 
-// randomGroups makes random groups, and the same tasks one by one.
-func randomGroups(r *rand.Rand, groups, machines, maxTasks int, density float64) (gs []Group, tasksByMachine [][]int32, tasks int) {
+// randomGroups returns random groups, and the same graph as lists of single tasks by machine. Each
+// possible edge of a group exists with the probability density.
+func randomGroups(
+	r *rand.Rand, groups, machines, maxTasks int, density float64,
+) (gs []Group, tasksByMachine [][]int32, tasks int) {
 	tasksByMachine = make([][]int32, machines)
 	for range groups {
 		g := Group{Tasks: 1 + r.IntN(maxTasks)}
@@ -143,7 +149,7 @@
 	return
 }
 
-// expandGroups turns the outcome for groups into one for single tasks.
+// expandGroups converts the shares of groups to the machine of each single task, or -1 if unassigned.
 func expandGroups(t *testing.T, gs []Group, assigned [][]Share, tasks int) []int32 {
 	t.Helper()
 	out := make([]int32, 0, tasks)
@@ -156,7 +162,7 @@
 			}
 		}
 		if n > gs[g].Tasks {
-			t.Fatalf("group %d of %d tasks got %d", g, gs[g].Tasks, n)
+			t.Fatalf("group %d has %d tasks, but %d are assigned", g, gs[g].Tasks, n)
 		}
 		for ; n < gs[g].Tasks; n++ {
 			out = append(out, -1)
@@ -165,9 +171,9 @@
 	return out
 }
 
-// TestASM1AgainstBruteForce compares both of the paper's objectives (Theorem 10)
-// with the best of all assignments on small random graphs, and with the algorithm
-// over single tasks on larger ones.
+// TestASM1AgainstBruteForce checks that ASM1 minimises both objectives of Theorem 10 of the paper. It
+// compares the result with all assignments on small random graphs, and with the reference
+// implementation on larger graphs.
 func TestASM1AgainstBruteForce(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range 900 {
@@ -176,7 +182,7 @@
 		if !small {
 			groups, machines, maxTasks = 1+r.IntN(30), 1+r.IntN(25), 12
 		}
-		gs, g, tasks := randomGroups(r, groups, machines, maxTasks, 0.1+0.6*r.Float64())
+		gs, tasksByMachine, tasks := randomGroups(r, groups, machines, maxTasks, 0.1+0.6*r.Float64())
 		if small && tasks > 8 {
 			continue
 		}
@@ -187,27 +193,27 @@
 				placed++
 			}
 		}
-		largest, excess := loadStats(machineLoads(t, g, owner), placed)
-		bestLargest, bestExcess := loadStats(machineLoads(t, g, referenceASM1(tasks, g)), placed)
+		largest, excess := loadStats(machineLoads(t, tasksByMachine, owner), placed)
+		bestLargest, bestExcess := loadStats(machineLoads(t, tasksByMachine, referenceASM1(tasks, tasksByMachine)), placed)
 		if small {
-			bestLargest, bestExcess = bruteForceBest(g, tasks, placed)
+			bestLargest, bestExcess = bruteForceBest(tasksByMachine, tasks, placed)
 		}
 		if largest != bestLargest || excess != bestExcess {
-			t.Fatalf("%d tasks, %v: largest %d, excess %d; best %d, %d", tasks, gs, largest, excess, bestLargest, bestExcess)
+			t.Fatalf("%d tasks, %v: got largest %d, excess %d; want %d, %d", tasks, gs, largest, excess, bestLargest, bestExcess)
 		}
 	}
 }
 
-// TestNoCostReducingPath checks Definition 9 on larger graphs: from no machine
-// does an alternating path lead to one with at least two tasks more.
+// TestNoCostReducingPath checks on larger graphs that the result has no cost-reducing path (Definition 9):
+// an alternating path from one machine to another that has at least two tasks more.
 func TestNoCostReducingPath(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 60 {
 		machines := 2 + r.IntN(20)
-		gs, g, tasks := randomGroups(r, 10+r.IntN(40), machines, 6, 3/float64(machines))
+		gs, tasksByMachine, tasks := randomGroups(r, 10+r.IntN(40), machines, 6, 3/float64(machines))
 		owner := expandGroups(t, gs, ASM1(machines, gs), tasks)
-		load := machineLoads(t, g, owner)
-		for start := range g {
+		load := machineLoads(t, tasksByMachine, owner)
+		for start := range tasksByMachine {
 			seen := map[int]bool{start: true}
 			queue := []int{start}
 			for len(queue) > 0 {
@@ -216,7 +222,7 @@
 				if load[start]+1 < load[m] {
 					t.Fatalf("cost-reducing path from machine %d (%d tasks) to %d (%d)", start, load[start], m, load[m])
 				}
-				for _, task := range g[m] {
+				for _, task := range tasksByMachine[m] {
 					if o := int(owner[task]); o != m && !seen[o] {
 						seen[o] = true
 						queue = append(queue, o)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/ident"
 )
 
-// BenchmarkASM1 plans for clusters of growing size, each image on a third of the machines and twenty
-// tasks a job.
+// BenchmarkASM1 computes plans for clusters of increasing size. Each image is cached on a third of the
+// machines, and jobs have 20 tasks on average.
 func BenchmarkASM1(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
@@ -24,10 +24,10 @@
 	}
 }
 
-// fleetSizes are numbers of machines up to the largest clusters that are supported.
+// fleetSizes are the cluster sizes in machines, up to the largest supported size.
 var fleetSizes = []int{500, 1000, 2000, 4500}
 
-// BenchmarkFill places three tasks a machine in an empty cluster.
+// BenchmarkFill places three tasks per machine in an empty cluster.
 func BenchmarkFill(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkDispatch looks for room for one job in a cluster that has some, and in one that has none.
+// BenchmarkDispatch dispatches one service job in a cluster with free capacity, and in a full cluster.
 func BenchmarkDispatch(b *testing.B) {
 	for _, n := range fleetSizes {
 		for _, full := range []bool{false, true} {
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkHeartbeat parses and answers the heartbeat of a machine with four tasks on which nothing
-// has changed.
+// BenchmarkHeartbeat parses and answers a heartbeat that reports no changes, from a machine with four
+// running tasks.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("%d machines", n), func(b *testing.B) {
@@ -99,9 +99,8 @@
 	}
 }
 
-// BenchmarkBorrowerBacklog places one guaranteed job of 40 tasks in a cluster of 1,900 machines
-// that a team without a guarantee has filled, and of which 25,000 tasks and 800 small jobs
-// wait.
+// BenchmarkBorrowerBacklog places one guaranteed job of 40 tasks in a cluster of 1,900 machines that is
+// filled by a borrower, which has another 25,000 tasks and 800 small jobs waiting.
 func BenchmarkBorrowerBacklog(b *testing.B) {
 	c := newBorrowedCluster(1900, 0)
 	c.submitAs("guest", api.BestEffort, 25_000)
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -10,7 +10,7 @@
 	"opaldale/internal/jobs"
 )
 
-// allocatedByZone counts the allocated tasks of a job by zone.
+// allocatedByZone returns the number of allocated tasks of a job by zone.
 func allocatedByZone(c *testCluster, j *jobs.Job) map[string]int {
 	out := map[string]int{}
 	for i := range j.Tasks {
@@ -21,27 +21,28 @@
 	return out
 }
 
-// TestGangsPlaceAllOrNothing: a gang is placed when a zone has room for all of it, not for
-// a part, and never holds room while it waits for more.
+// TestGangsPlaceAllOrNothing checks that a gang is placed only when a zone has capacity for all of its
+// tasks. A gang that waits for capacity must not occupy any.
 func TestGangsPlaceAllOrNothing(t *testing.T) {
 	c := newTwoZoneCluster(2, 1) // two tasks of 8 CPUs on each machine
 	j := c.submitGang(5, 8, true)
 	c.dispatchAll()
 	if j.AllocatedTasks > 0 {
-		t.Fatalf("%d of 5 tasks hold room for 4", j.AllocatedTasks)
+		t.Fatalf("got %d of 5 tasks allocated in a zone with capacity for 4, want 0", j.AllocatedTasks)
 	}
 	anywhere := c.submitGang(6, 8, false)
 	if c.dispatchAll(); anywhere.AllocatedTasks != 6 {
-		t.Fatalf("%d of 6 tasks are placed where there is room for 6", anywhere.AllocatedTasks)
+		t.Fatalf("got %d of 6 tasks allocated in a cluster with capacity for 6, want 6", anywhere.AllocatedTasks)
 	}
 	c = newTwoZoneCluster(2, 3)
 	j = c.submitGang(5, 8, true)
 	if c.dispatchAll(); j.AllocatedTasks != 5 || allocatedByZone(c, j)["west"] != 5 {
-		t.Errorf("%d tasks are placed: %v", j.AllocatedTasks, allocatedByZone(c, j))
+		t.Errorf("got %d tasks allocated, by zone %v; want 5, all in west", j.AllocatedTasks, allocatedByZone(c, j))
 	}
 }
 
-// TestGangsGoToHolders: machines that hold the image are preferred to those with the most room.
+// TestGangsGoToHolders checks that a gang is placed on machines that have its image cached rather than on
+// machines with more free capacity.
 func TestGangsGoToHolders(t *testing.T) {
 	c := newTwoZoneCluster(6, 0)
 	first := c.submitGang(2, 2, true)
@@ -52,13 +53,13 @@
 	c.dispatchAll()
 	for i := range second.Tasks {
 		if second.Tasks[i].MachineID != w.ID {
-			t.Errorf("task %d is on %s, which has no image", i, second.Tasks[i].MachineID)
+			t.Errorf("task %d is on %s, want %s, which has the image cached", i, second.Tasks[i].MachineID, w.ID)
 		}
 	}
 }
 
-// TestGangsPreemptBatch: batch jobs of a lower priority are preempted for all tasks of a gang at
-// once, after reclaimAfter.
+// TestGangsPreemptBatch checks that batch jobs of lower priority are preempted for all tasks of a gang
+// together, once the gang has waited for reclaimAfter.
 func TestGangsPreemptBatch(t *testing.T) {
 	c := newTwoZoneCluster(3, 0)
 	c.submit(api.Batch, 12, 4)
@@ -70,12 +71,12 @@
 	c.now = c.now.Add(2 * reclaimAfter)
 	c.dispatchAll()
 	if j.AllocatedTasks != 6 {
-		t.Errorf("%d of 6 tasks are placed", j.AllocatedTasks)
+		t.Errorf("got %d of 6 tasks allocated, want all", j.AllocatedTasks)
 	}
 }
 
-// TestGangsDontStarve: machines are reserved for a gang that has waited for long, though smaller tasks
-// would fill any room.
+// TestGangsDontStarve checks that machines are reserved for a gang that has waited for long. Otherwise a
+// steady stream of smaller tasks would take all capacity that becomes free.
 func TestGangsDontStarve(t *testing.T) {
 	c := newTwoZoneCluster(2, 0)
 	c.planner.config.MaxWait = 40 * time.Second
@@ -84,10 +85,10 @@
 	}
 	c.dispatchAll()
 	j := c.submitGang(2, 16, true)
-	j.Spec.Priority = api.Standard // nothing is preempted for it
+	j.Spec.Priority = api.Standard // the same as the batch jobs, so nothing is preempted for the gang
 	for step := 0; step < 60 && j.AllocatedTasks == 0; step++ {
 		c.now = c.now.Add(time.Second)
-		// Each second a task ends and another comes.
+		// Each second, one task completes and another is submitted.
 		for _, w := range c.machines.Sorted() {
 			if list := c.machines.SortedTasks(w); len(list) > 0 {
 				c.jobs.Complete(list[0], nil)
@@ -98,12 +99,12 @@
 		c.dispatchAll()
 	}
 	if j.AllocatedTasks != 2 {
-		t.Errorf("%d of 2 tasks are placed after a minute", j.AllocatedTasks)
+		t.Errorf("got %d of 2 tasks allocated after a minute, want 2", j.AllocatedTasks)
 	}
 }
 
-// TestGangsAtRandom: whatever the machines and the jobs, a gang is allocated whole or not at all, in
-// one zone if it must be, and within its team's limit.
+// TestGangsAtRandom checks invariants on random clusters and jobs: either all tasks of a gang are allocated
+// or none, gangs with the one_zone constraint are in one zone, and teams stay within their limit.
 func TestGangsAtRandom(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -128,7 +129,7 @@
 	}
 }
 
-// completeSome completes the first task of about a third of the gangs that are allocated whole.
+// completeSome completes the first task of about a third of the gangs whose tasks are all allocated.
 func completeSome(c *testCluster, gangs []*jobs.Job, rng *rand.Rand) {
 	for _, j := range gangs {
 		if j.AllocatedTasks == len(j.Tasks) && rng.IntN(3) == 0 {
@@ -137,21 +138,21 @@
 	}
 }
 
-// checkGangs checks the limit of the team red and the constraints of its gangs.
+// checkGangs returns an error if the team red exceeds its limit or one of its gangs violates a constraint.
 func checkGangs(c *testCluster, gangs []*jobs.Job) error {
 	used := 0.0
 	for _, w := range c.machines.Sorted() {
 		used += w.VCPUs
 	}
 	if most := c.planner.teams.byName["red"].CPUsMax; used > most+tolerance {
-		return fmt.Errorf("the team uses %v of %v CPUs", used, most)
+		return fmt.Errorf("team red uses %v CPUs, over its limit of %v", used, most)
 	}
 	for _, j := range gangs {
 		if j.Phase == jobs.Open && j.AllocatedTasks != 0 && j.AllocatedTasks != len(j.Tasks) {
-			return fmt.Errorf("%d of %d tasks of %s are allocated", j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
+			return fmt.Errorf("got %d of %d tasks of gang %s, want all or none", j.AllocatedTasks, len(j.Tasks), j.Spec.ID)
 		}
 		if z := allocatedByZone(c, j); j.Spec.OneZone && len(z) > 1 {
-			return fmt.Errorf("%s is in %v", j.Spec.ID, z)
+			return fmt.Errorf("gang %s is allocated in zones %v, want one zone", j.Spec.ID, z)
 		}
 	}
 	return nil
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -16,7 +16,7 @@
 	"opaldale/internal/workerstest"
 )
 
-// instantEnv is an environment whose store carries out each request at once.
+// instantEnv is an environment with a store that executes each request synchronously.
 type instantEnv struct{ now ident.MonotonicTime }
 
 func (e *instantEnv) Now() ident.MonotonicTime    { return e.now }
@@ -26,7 +26,7 @@
 }
 func (e *instantEnv) Worker(workers.CommandCall, func(workers.CommandResult)) {}
 
-// testCluster is a planner with its tables, in which decisions are carried out at once.
+// testCluster is a planner with its tables. It implements Actions by executing decisions immediately.
 type testCluster struct {
 	instantEnv
 	jobs     *jobs.Table
@@ -37,9 +37,9 @@
 	jobCount int
 }
 
-// PlaceGang places the tasks of a gang. Attempts of gangs are not simulated.
-func (c *testCluster) PlaceGang(_ *jobs.Job, picks []gang.Placement) {
-	for _, p := range picks {
+// PlaceGang implements Actions. It places the tasks of a gang one by one, without an attempt.
+func (c *testCluster) PlaceGang(_ *jobs.Job, placements []gang.Placement) {
+	for _, p := range placements {
 		c.Place(p.Task, p.Worker)
 	}
 }
@@ -50,7 +50,7 @@
 // machineID returns the ID of the i-th machine.
 func machineID(i int) ident.MachineID { return ident.MachineID(fmt.Sprintf("host-%06d", i)) }
 
-// newTestCluster makes a cluster of machines with 16 CPUs and three waiting tasks for each machine.
+// newTestCluster returns a cluster of machines with 16 CPUs each, and with three waiting tasks per machine.
 func newTestCluster(machines int) *testCluster {
 	const maxValueBytes = 16 << 10
 	c := &testCluster{instantEnv: instantEnv{now: ident.MonotonicTime(time.Hour)}}
@@ -74,7 +74,7 @@
 	return c
 }
 
-// addMachine adds the i-th machine, which sends its first heartbeat.
+// addMachine adds the i-th machine and delivers its first heartbeat.
 func (c *testCluster) addMachine(i int, zone string, spot bool) {
 	c.heartbeat(c.machines.Add(workers.MachineInfo{
 		ID:        machineID(i),
@@ -85,7 +85,7 @@
 	}))
 }
 
-// heartbeat delivers a heartbeat of a machine on which all tasks run.
+// heartbeat delivers a heartbeat that reports all tasks of a machine as running.
 func (c *testCluster) heartbeat(w *workers.Worker) {
 	c.sequence++
 	heartbeat := &api.Heartbeat{
@@ -113,10 +113,10 @@
 	return j
 }
 
-// lastJobID returns the ID of the job submitted last.
+// lastJobID returns the ID of the last submitted job.
 func (c *testCluster) lastJobID() ident.JobID { return ident.JobID(fmt.Sprintf("j-%d", c.jobCount)) }
 
-// submit submits a job of the team red, with one of sixteen images.
+// submit submits a job of the team red that uses one of 16 images.
 func (c *testCluster) submit(shape api.Shape, tasks int, vcpus float64) {
 	c.add(api.Spec{
 		Team:     "red",
@@ -132,18 +132,20 @@
 	})
 }
 
-// Place and Preempt carry out what the planner decides.
+// Place implements Actions. It assigns a task to a machine.
 func (c *testCluster) Place(t *jobs.Task, w *workers.Worker) {
 	c.jobs.Place(t, w.ID, 1, func() {})
 }
+
+// Preempt implements Actions. It stops a task on its machine.
 func (c *testCluster) Preempt(t *jobs.Task, w *workers.Worker, d time.Duration) {
 	if w.ID != t.MachineID {
-		panic("a task is preempted on another machine than its own")
+		panic("Preempt called with a machine that does not run the task")
 	}
 	c.machines.StopTask(w, t, d)
 }
 
-// dispatchAll places all there is, in as many dispatches as it takes.
+// dispatchAll repeats dispatches until all placeable tasks are placed.
 func (c *testCluster) dispatchAll() {
 	for c.planner.Dispatch() {
 		c.now = c.now.Add(time.Second)
@@ -153,7 +155,7 @@
 	c.commits.Flush()
 }
 
-// cancel cancels the job submitted last, and has its tasks leave their machines.
+// cancel cancels the last submitted job and removes its tasks from their machines.
 func (c *testCluster) cancel() {
 	j := c.jobs.Jobs[c.lastJobID()]
 	c.now = c.now.Add(time.Second)
@@ -165,7 +167,7 @@
 	c.commits.Flush()
 }
 
-// newTwoZoneCluster makes a cluster of on-demand machines with 16 CPUs in two zones, without jobs.
+// newTwoZoneCluster returns a cluster of on-demand machines with 16 CPUs each in two zones, without jobs.
 func newTwoZoneCluster(east, west int) *testCluster {
 	c := newTestCluster(0)
 	onStateChange := c.jobs.OnStateChange
@@ -203,8 +205,8 @@
 	})
 }
 
-// newBorrowedCluster makes a cluster that a borrower has filled, except for leftFree CPUs of the first
-// machines.
+// newBorrowedCluster returns a cluster that the tasks of a borrower fill, except for leftFree CPUs on the
+// first machines.
 func newBorrowedCluster(machines, leftFree int) *testCluster {
 	c := newTestCluster(0)
 	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
@@ -222,7 +224,7 @@
 	return c
 }
 
-// submitAs submits a batch job of tasks of one CPU with an image of the team's own.
+// submitAs submits a batch job of a team. Each task needs one CPU. All jobs of a team use the same image.
 func (c *testCluster) submitAs(team string, priority api.Priority, tasks int) *jobs.Job {
 	return c.add(api.Spec{
 		Team:     team,
@@ -238,7 +240,7 @@
 	})
 }
 
-// newClusterWithHolders makes a cluster in which a number of machines hold the image of the team red.
+// newClusterWithHolders returns a cluster in which the first machines have the image of the team red cached.
 func newClusterWithHolders(machines, holding int) *testCluster {
 	c := newTestCluster(0)
 	for i := range machines {
@@ -255,8 +257,8 @@
 	return c
 }
 
-// newReservedCluster makes one empty machine that is reserved for a job that can't be placed yet, and
-// another job that waits.
+// newReservedCluster returns a cluster with one empty machine and two waiting jobs. The machine is reserved
+// for the first job, which can't be placed yet.
 func newReservedCluster() (c *testCluster, first, other *jobs.Job) {
 	c = newTestCluster(0)
 	c.addMachine(1, "east", true)
--- a/internal/placement/least_used_test.go
+++ b/internal/placement/least_used_test.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/jobs"
 )
 
-// usedVCPURange returns the CPUs in use on the fullest and on the emptiest of the first machines.
+// usedVCPURange returns the largest and the smallest number of CPUs in use on one of the first machines.
 func usedVCPURange(c *testCluster, machines int) (most, least float64) {
 	least = 1e9
 	for _, w := range c.machines.Sorted()[:machines] {
@@ -16,8 +16,9 @@
 	return most, least
 }
 
-// TestSpreadLoadOverHolders: if load is spread, the tasks of a job go in turn to the machines that hold
-// its image; otherwise the first by name are filled. No task goes to machines that would pull it.
+// TestSpreadLoadOverHolders checks that the tasks of a job are spread evenly over the machines that have
+// its image cached if SpreadLoad is true, and otherwise fill these machines in the order of their names.
+// In both cases, no task may go to a machine that would have to pull the image.
 func TestSpreadLoadOverHolders(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		c := newClusterWithHolders(12, 8)
@@ -26,17 +27,19 @@
 		c.dispatchAll()
 		most, least := usedVCPURange(c, 8)
 		if spread && most-least > 1 || !spread && most-least < 8 {
-			t.Errorf("spread %v: between %v and %v CPUs are in use", spread, least, most)
+			t.Errorf("SpreadLoad %v: got %v to %v CPUs in use, want a difference of at most 1 if true, at least 8 if false",
+				spread, least, most)
 		}
 		for _, w := range c.machines.Sorted()[8:] {
 			if w.VCPUs > 0 {
-				t.Errorf("spread %v: %s, which doesn't hold the image, has work", spread, w.ID)
+				t.Errorf("SpreadLoad %v: %s doesn't have the image cached, but %v of its CPUs are in use", spread, w.ID, w.VCPUs)
 			}
 		}
 	}
 }
 
-// TestSpreadLoadServices: if load is spread, replicas go to the least used machine that holds their image.
+// TestSpreadLoadServices checks that each replica goes to the least used machine that has its image cached if
+// SpreadLoad is true, and otherwise to the first such machine by name.
 func TestSpreadLoadServices(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		c := newClusterWithHolders(6, 6)
@@ -52,7 +55,7 @@
 		}
 		most, least := usedVCPURange(c, 6)
 		if placed != 12 || spread && most-least > 1 || !spread && most-least < 4 {
-			t.Errorf("spread %v: %d replicas are placed, between %v and %v CPUs in use", spread, placed, least, most)
+			t.Errorf("SpreadLoad %v: got %d of 12 replicas placed, %v to %v CPUs in use per machine", spread, placed, least, most)
 		}
 	}
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/jobs"
 )
 
-// TestRecentlyPreemptedIsSpared: a recently preempted task is not the cheapest victim, although it has
-// just started.
+// TestRecentlyPreemptedIsSpared checks that a recently preempted task is not the cheapest victim, although
+// it has just started and would lose the least work. Otherwise it would be preempted repeatedly.
 func TestRecentlyPreemptedIsSpared(t *testing.T) {
 	c := newTestCluster(1)
 	c.submit(api.Batch, 4, 4)
@@ -21,11 +21,11 @@
 	request := victimRequest{job: j, need: jobs.ResourcesOf(j.Spec), now: c.now}
 	first := c.planner.chooseVictims(w, request)
 	if first == nil || len(first.victims) != 1 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("got preemption %+v, want one victim", first)
 	}
 	first.victims[0].PreemptedAt = c.now
 	if next := c.planner.chooseVictims(w, request); next == nil || next.victims[0] == first.victims[0] {
-		t.Errorf("the same task again: %+v", next)
+		t.Errorf("got preemption %+v, want a victim that was not preempted recently", next)
 	}
 	for _, v := range w.Tasks {
 		v.PreemptedAt = c.now
@@ -33,31 +33,32 @@
 	skippingRecent := request
 	skippingRecent.skipRecent = true
 	if c.planner.chooseVictims(w, skippingRecent) != nil {
-		t.Error("a task that was preempted recently is preempted though there is room elsewhere")
+		t.Error("got a preemption of recently preempted tasks with skipRecent, want none")
 	}
 	if c.planner.chooseVictims(w, request) == nil {
-		t.Error("nothing is preempted though there is no other room")
+		t.Error("got no preemption without skipRecent, want one of a recently preempted task")
 	}
 }
 
-// TestGuaranteedJobIsPlacedAtOnce: one dispatch preempts borrowers for all tasks of a guaranteed job,
-// in a cluster with more machines than a dispatch could search for each task.
+// TestGuaranteedJobIsPlacedAtOnce checks that a single dispatch preempts borrowers for all tasks of a
+// guaranteed job, although the cluster has more machines than a dispatch may search for each task
+// separately.
 func TestGuaranteedJobIsPlacedAtOnce(t *testing.T) {
 	c := newBorrowedCluster(900, 0)
 	j := c.submitAs("red", api.Standard, 80)
 	c.now = c.now.Add(time.Second)
 	c.planner.Dispatch()
 	if j.AllocatedTasks != 80 {
-		t.Errorf("%d of 80 tasks are placed by the first dispatch", j.AllocatedTasks)
+		t.Errorf("got %d of 80 tasks allocated after the first dispatch, want 80", j.AllocatedTasks)
 	}
 	if n := c.planner.Stats.Preempted; n != 80 {
-		t.Errorf("%d tasks were stopped for 80 of the same size", n)
+		t.Errorf("got %d tasks preempted for 80 tasks of the same size, want 80", n)
 	}
 }
 
-// TestBorrowersComeLast: room on a machine that holds the image of a borrower goes to another team's
-// tasks, though they must pull their image and the borrower's waiting tasks are local there. The
-// borrower gets the rest.
+// TestBorrowersComeLast checks that the tasks of a team with a guarantee are placed before those of a
+// borrower, although they need an image pull and the borrower's image is cached on the machine. The
+// borrower gets the remaining capacity.
 func TestBorrowersComeLast(t *testing.T) {
 	c := newBorrowedCluster(2, 3)
 	j := c.submitAs("red", api.Standard, 2)
@@ -66,7 +67,7 @@
 	c.planner.Round()
 	c.planner.Dispatch()
 	if j.AllocatedTasks != 2 || borrower.AllocatedTasks != allocatedBefore+1 {
-		t.Errorf("%d of 2 tasks of the other team are placed, and %d more of the borrower",
+		t.Errorf("got %d tasks of the other team and %d more of the borrower allocated, want 2 and 1",
 			j.AllocatedTasks, borrower.AllocatedTasks-allocatedBefore)
 	}
 }
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -7,21 +7,22 @@
 	"opaldale/internal/settings"
 )
 
-// TestBorrowerHasNoLimit: a team whose settings are all 0 has neither guarantee nor limit, and may use
-// whatever is free.
+// TestBorrowerHasNoLimit checks that a team whose settings are all 0 has neither guarantee nor limit: it may
+// use any free capacity.
 func TestBorrowerHasNoLimit(t *testing.T) {
 	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "guest"}})
 	bigJob := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
 	if err := ts.Validate(bigJob); err != nil {
-		t.Error(err)
+		t.Errorf("Validate of a large job of a borrower: %v", err)
 	}
 	ts.AddUsage(bigJob, 5000)
 	if !ts.Allows(bigJob, 1) || ts.RemainingTasks(bigJob) != api.MaxTasks {
-		t.Errorf("room for %d", ts.RemainingTasks(bigJob))
+		t.Errorf("RemainingTasks of a borrower: got %d, want %d", ts.RemainingTasks(bigJob), api.MaxTasks)
 	}
 	house := &api.Spec{Team: "house", Shape: api.Batch, Tasks: 1, VCPUs: 2}
 	if ts.RemainingTasks(house) != 8 || ts.Validate(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 17}) != ErrOverQuota ||
 		ts.Validate(&api.Spec{Team: "house", Shape: api.Batch, VCPUs: 1, GPUs: 1}) != ErrOverQuota {
-		t.Errorf("a team with a limit: room for %d", ts.RemainingTasks(house))
+		t.Errorf("team with a limit: got RemainingTasks %d, want 8; or Validate did not return ErrOverQuota",
+			ts.RemainingTasks(house))
 	}
 }
