--- a/internal/links/advertisement.go
+++ b/internal/links/advertisement.go
@@ -14,11 +14,11 @@
 	Damped   bool // either direction is suppressed by flap damping
 }
 
-// usable reports whether requests over the link are known to arrive and to be served.
+// usable reports whether the evidence shows that requests over the link arrive and are served.
 func (l LinkState) usable() bool { return l.Out == Up && l.In != Down && !l.Refusing }
 
-// broken reports whether requests over the link are known to be lost or refused. A link whose state is
-// Unknown or Suspect may be neither usable nor broken.
+// broken reports whether the evidence shows that requests over the link are lost or refused. A link
+// whose state is Unknown or Suspect may be neither usable nor broken.
 func (l LinkState) broken() bool { return l.Out == Down || l.In == Down || l.Refusing }
 
 // ProbeTarget is a machine to which peers may send a request to probe their own links to its zone.
@@ -38,7 +38,7 @@
 	// milliseconds.
 	Age          time.Duration
 	Links        []LinkState
-	ProbeTargets []ProbeTarget // of a leader, nil otherwise
+	ProbeTargets []ProbeTarget // nil unless the origin is the leader
 }
 
 // Link returns the state of the link to an endpoint. Both directions are Unknown if the link is not
@@ -60,8 +60,8 @@
 	return a.Sequence > other.Sequence
 }
 
-// Advertisement returns an advertisement of the verdicts as of the last Evaluate. origin is the monitor's
-// own node. Its Age is 0, and it has no probe targets.
+// Advertisement returns an advertisement with the verdicts of the last Evaluate. origin is the node that
+// runs the monitor. The advertisement has Age 0 and no probe targets.
 func (m *Monitor) Advertisement(origin ident.NodeID, incarnation, sequence uint64) Advertisement {
 	advertisement := Advertisement{Origin: origin, Incarnation: incarnation, Sequence: sequence}
 	for _, endpoint := range m.Endpoints() {
--- a/internal/links/codec.go
+++ b/internal/links/codec.go
@@ -19,7 +19,7 @@
 	MaxName           = 200 // bytes in a name or an address
 )
 
-// ErrMalformedAdvertisements is returned for input that is not an encoded list of advertisements.
+// ErrMalformedAdvertisements is returned for input that is not a valid encoded list of advertisements.
 var ErrMalformedAdvertisements = errors.New("malformed link state advertisements")
 
 // wireVersion is the version of the encoding.
@@ -34,8 +34,8 @@
 
 // AppendAdvertisements appends an encoded list to b: the version, the number of advertisements, and each
 // advertisement with its links and probe targets. Integers are big-endian; counts and lengths of names
-// are one byte; ages are in milliseconds. The caller must keep to the limits on counts. Longer names are
-// truncated.
+// are one byte; ages are in milliseconds. The caller must not exceed the limits on counts. Names longer
+// than MaxName are truncated.
 func AppendAdvertisements(b []byte, advertisements []Advertisement) []byte {
 	b = append(b, wireVersion, byte(len(advertisements)))
 	for i := range advertisements {
@@ -85,12 +85,12 @@
 	return append(b, name...)
 }
 
-// DecodeAdvertisements decodes a list encoded by AppendAdvertisements. Trailing bytes are an error. Ages
-// are those claimed by the sender; see Database.Merge. Errors wrap ErrMalformedAdvertisements.
+// DecodeAdvertisements decodes a list encoded by AppendAdvertisements. Trailing bytes are an error. The
+// ages are as stated by the sender; see Database.Merge. Errors wrap ErrMalformedAdvertisements.
 func DecodeAdvertisements(b []byte) ([]Advertisement, error) {
 	d := decoder{wire.NewReader(b)}
 	if v := d.Uint8(); v != wireVersion {
-		return nil, fmt.Errorf("%w: version %d", ErrMalformedAdvertisements, v)
+		return nil, fmt.Errorf("%w: got encoding version %d, want %d", ErrMalformedAdvertisements, v, wireVersion)
 	}
 	n := d.count(MaxAdvertisements)
 	advertisements := make([]Advertisement, 0, n)
@@ -156,7 +156,8 @@
 	return d.String(n)
 }
 
-// count returns the length of a list, 0 if the message is malformed.
+// count reads the length of a list. It returns 0 if the message is malformed, and marks the message as
+// malformed if the length exceeds limit.
 func (d decoder) count(limit int) int {
 	n := int(d.Uint8())
 	if n > limit {
--- a/internal/links/codec_test.go
+++ b/internal/links/codec_test.go
@@ -45,19 +45,19 @@
 		b := AppendAdvertisements(nil, sent)
 		got, err := DecodeAdvertisements(b)
 		if err != nil || len(got) != len(sent) || len(sent) > 0 && !reflect.DeepEqual(got, sent) {
-			t.Fatalf("%+v is decoded as %+v, %v", sent, got, err)
+			t.Fatalf("decoded %+v, error %v; want %+v", got, err, sent)
 		}
 		short := rapid.IntRange(0, len(b)-1).Draw(t, "short")
 		if _, err := DecodeAdvertisements(b[:short]); !errors.Is(err, ErrMalformedAdvertisements) {
-			t.Fatalf("%d of %d bytes: %v", short, len(b), err)
+			t.Fatalf("decoding %d of %d bytes: got error %v, want %v", short, len(b), err, ErrMalformedAdvertisements)
 		}
 		if _, err := DecodeAdvertisements(append(b, 0)); !errors.Is(err, ErrMalformedAdvertisements) {
-			t.Fatalf("a byte too many: %v", err)
+			t.Fatalf("decoding with a trailing byte: got error %v, want %v", err, ErrMalformedAdvertisements)
 		}
 	})
 }
 
-// FuzzDecodeAdvertisements: the decoder never panics, and encodes what it accepts to the same bytes.
+// FuzzDecodeAdvertisements: the decoder never panics, and encoding the decoded list gives the input bytes.
 func FuzzDecodeAdvertisements(f *testing.F) {
 	f.Add(AppendAdvertisements(nil, nil))
 	f.Add(AppendAdvertisements(nil, []Advertisement{{
@@ -74,12 +74,12 @@
 			return
 		}
 		if again := AppendAdvertisements(nil, advertisements); !bytes.Equal(again, b) {
-			t.Fatalf("%x decodes to %+v, which encodes to %x", b, advertisements, again)
+			t.Fatalf("got %x after encoding %+v, want the input %x", again, advertisements, b)
 		}
 	})
 }
 
-// TestMalformedAdvertisements: impossible states, kinds, flags and counts are malformed.
+// TestMalformedAdvertisements: a list with an invalid version, state, kind, flag, name or count is malformed.
 func TestMalformedAdvertisements(t *testing.T) {
 	links := []LinkState{{Endpoint: Endpoint{PeerNode, "b"}, In: Up, Out: Up}}
 	good := AppendAdvertisements(nil, []Advertisement{{Origin: "a", Links: links}})
@@ -98,7 +98,7 @@
 		b := bytes.Clone(good)
 		change(b)
 		if got, err := DecodeAdvertisements(b); !errors.Is(err, ErrMalformedAdvertisements) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: got %+v, error %v; want error %v", name, got, err, ErrMalformedAdvertisements)
 		}
 	}
 }
--- a/internal/links/damper.go
+++ b/internal/links/damper.go
@@ -7,9 +7,9 @@
 	"opaldale/internal/ident"
 )
 
-// damper implements route flap damping (RFC 2439) for one direction of a link. Each break adds to a
-// penalty that decays exponentially. The direction is suppressed from the time when the penalty reaches
-// suppressAt until it falls below reuseAt.
+// damper implements route flap damping (RFC 2439) for one direction of a link. Each break increases a
+// penalty that decays exponentially. The direction is suppressed when the penalty reaches suppressAt, and
+// reused when the penalty falls below reuseAt.
 type damper struct {
 	penalty    float64
 	updatedAt  ident.MonotonicTime // when the penalty was last decayed
@@ -24,7 +24,7 @@
 	maxPenalty   = 4000.0
 )
 
-// decay decays the penalty to its value at now, and ends the suppression if that is low enough.
+// decay reduces the penalty to its value at now, and ends the suppression if the penalty is below reuseAt.
 func (d *damper) decay(now ident.MonotonicTime, halfLife time.Duration) {
 	if now > d.updatedAt && d.penalty > 0 {
 		d.penalty *= math.Exp2(-float64(now.Sub(d.updatedAt)) / float64(halfLife))
@@ -35,7 +35,7 @@
 	}
 }
 
-// recordBreak adds the penalty of a break, and begins the suppression if the sum is high enough.
+// recordBreak adds the penalty of a break, and begins the suppression if the total reaches suppressAt.
 func (d *damper) recordBreak(now ident.MonotonicTime, halfLife time.Duration) {
 	d.decay(now, halfLife)
 	d.penalty = min(maxPenalty, d.penalty+breakPenalty)
--- a/internal/links/database.go
+++ b/internal/links/database.go
@@ -18,8 +18,8 @@
 const (
 	Accepted      MergeResult = iota
 	UnknownOrigin             // its origin is not a peer
-	Expired                   // its age is unknown, or not below AdvertisementLifetime
-	Superseded                // it is not newer than the one in the database
+	Expired                   // its age is unknown or has reached AdvertisementLifetime
+	Superseded                // the database holds the same or a newer one of the same origin
 )
 
 // String returns the result's name in metrics.
@@ -35,15 +35,14 @@
 
 type databaseEntry struct {
 	advertisement Advertisement
-	// madeAfter is the earliest time, by this node's clock, at which the advertisement can have
-	// been made.
+	// madeAfter is the earliest possible creation time of the advertisement by this node's clock.
 	madeAfter ident.MonotonicTime
 }
 
-// age returns the maximum time that can have elapsed since the advertisement was made.
+// age returns an upper bound on the time since the advertisement was made.
 func (e databaseEntry) age(now ident.MonotonicTime) time.Duration { return now.Sub(e.madeAfter) }
 
-// NewDatabase returns an empty database for the advertisements of some peers.
+// NewDatabase returns an empty database that accepts advertisements of the given peers only.
 func NewDatabase(peers []ident.NodeID) *Database {
 	database := &Database{peers: map[ident.NodeID]bool{}, entries: map[ident.NodeID]databaseEntry{}}
 	for _, peer := range peers {
@@ -53,8 +52,9 @@
 }
 
 // Merge adds an advertisement received from its origin or from another peer. Its Age must be valid at
-// now: the caller measures it from the sending of the message that the sender has echoed, so that a
-// delayed advertisement has a high age regardless of the sender's clock. A negative age is unknown.
+// now: the caller adds the time since this node sent the message that the sender has echoed, so that a
+// delayed advertisement has a high age regardless of the sender's clock. A negative age means that the
+// age is unknown.
 func (d *Database) Merge(advertisement Advertisement, now ident.MonotonicTime) MergeResult {
 	if !d.peers[advertisement.Origin] {
 		return UnknownOrigin
@@ -73,7 +73,8 @@
 	return Accepted
 }
 
-// Advertisement returns a peer's newest advertisement with its present age, unless it has expired.
+// Advertisement returns a peer's newest advertisement with its current age, and false if there is none
+// or it has expired.
 func (d *Database) Advertisement(origin ident.NodeID, now ident.MonotonicTime) (Advertisement, bool) {
 	held, ok := d.entries[origin]
 	if !ok || held.age(now) >= AdvertisementLifetime {
@@ -84,8 +85,8 @@
 	return advertisement, true
 }
 
-// Advertisements returns the newest advertisements of all peers that have not expired, ordered by
-// origin.
+// Advertisements returns the newest advertisement of each peer, ordered by origin, without those that
+// have expired.
 func (d *Database) Advertisements(now ident.MonotonicTime) []Advertisement {
 	var current []Advertisement
 	for _, origin := range d.origins() {
@@ -96,7 +97,7 @@
 	return current
 }
 
-// origins returns the peers in the database, in order.
+// origins returns the peers whose advertisements are in the database, sorted.
 func (d *Database) origins() []ident.NodeID {
 	origins := make([]ident.NodeID, 0, len(d.entries))
 	for origin := range d.entries {
--- a/internal/links/database_test.go
+++ b/internal/links/database_test.go
@@ -10,12 +10,12 @@
 )
 
 // TestSupersededAdvertisements merges advertisements in random order, including duplicates and delayed
-// ones: the database holds the newest one that has not expired.
+// ones, and checks that the database holds the newest one that has not expired.
 func TestSupersededAdvertisements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		database := NewDatabase([]ident.NodeID{"a"})
 		now := ident.MonotonicTime(time.Hour)
-		var held *Advertisement // by the test's own model
+		var held *Advertisement // the expected content of the database
 		var made ident.MonotonicTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause_ms")) * time.Millisecond)
@@ -30,18 +30,18 @@
 				a.Incarnation == held.Incarnation && a.Sequence > held.Sequence
 			want := a.Age < AdvertisementLifetime && newer
 			if got := database.Merge(a, now); (got == Accepted) != want {
-				t.Fatalf("%+v over %+v: %v", a, held, got)
+				t.Fatalf("merging %+v into a database with %+v: got %v, want accepted %v", a, held, got, want)
 			}
 			if want {
 				held, made = &a, now.Add(-a.Age)
 			}
 			got, ok := database.Advertisement("a", now)
 			if fresh := held != nil && now.Sub(made) < AdvertisementLifetime; ok != fresh || ok && got.Sequence != held.Sequence {
-				t.Fatalf("held %+v, %v; want %+v, %v", got, ok, held, fresh)
+				t.Fatalf("got advertisement %+v, %v; want %+v, %v", got, ok, held, fresh)
 			}
 		}
 		if got := database.Merge(Advertisement{Origin: "stranger", Incarnation: 9, Sequence: 9}, now); got != UnknownOrigin {
-			t.Fatalf("an advertisement of an unknown origin: %v", got)
+			t.Fatalf("merging an advertisement of an unknown origin: got %v, want %v", got, UnknownOrigin)
 		}
 	})
 }
--- a/internal/links/detector.go
+++ b/internal/links/detector.go
@@ -6,8 +6,8 @@
 )
 
 // detector is a phi accrual failure detector (Hayashibara et al., 2004) for one series of delays: the
-// suspicion rises with the time for which a message is overdue, relative to the previous delays. Mean
-// and deviation are the moving averages of RFC 6298.
+// suspicion rises with the time for which a message is overdue, relative to the previous delays. The mean
+// and the deviation are exponentially weighted moving averages, as in RFC 6298.
 type detector struct {
 	mean, deviation float64 // seconds
 	samples         int
@@ -17,11 +17,11 @@
 	// meanGain and deviationGain are the weights of a new sample (RFC 6298).
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// minDeviation and minRelativeDeviation prevent a single scheduling delay from raising the
-	// suspicion of a very regular series.
+	// minDeviation and minRelativeDeviation are the minimum deviations that are assumed, so that a
+	// single scheduling delay does not raise the suspicion of a very regular series.
 	minDeviation         = 0.05 // seconds
 	minRelativeDeviation = 0.25 // of the mean
-	// maxSuspicion is the suspicion when the probability underflows.
+	// maxSuspicion is the upper bound of the suspicion, returned when the probability underflows to 0.
 	maxSuspicion = 40
 )
 
@@ -37,8 +37,8 @@
 	d.mean += meanGain * (s - d.mean)
 }
 
-// suspicion returns -log10 of the probability that a message which is overdue will still arrive,
-// assuming normally distributed delays, with grace added to each. It is 0 without samples.
+// suspicion returns -log10 of the probability that an overdue message will still arrive. It assumes that
+// delays are normally distributed, and adds grace to each. Without samples, the result is 0.
 func (d *detector) suspicion(overdue, grace time.Duration) float64 {
 	if d.samples == 0 {
 		return 0
--- a/internal/links/endpoint.go
+++ b/internal/links/endpoint.go
@@ -1,13 +1,12 @@
-// Package links monitors whether messages get through on every link of a node, in each direction: to and
-// from the key-value store, the cloud provider, each peer, and the machines of each zone.
+// Package links monitors the health of a node's links in each direction. A link leads to the key-value
+// store, the cloud provider, a peer, or the machines of a zone.
 //
-// A Monitor turns evidence from traffic into a verdict for each direction, by an accrual failure
-// detector whose thresholds follow the link's own delays, and by flap damping. Nodes exchange
-// their verdicts as link state advertisements; a Database holds those of the peers, and
-// Cluster.Assess compares how well the nodes are placed to lead.
+// A Monitor derives a verdict for each direction from the traffic on the link. It uses an accrual
+// failure detector, which adapts to the delays of the link, and flap damping. Nodes exchange their
+// verdicts as link state advertisements. A Database holds the advertisements of the peers, and
+// Cluster.Assess compares which node has the best links for a leader.
 //
-// The package is pure: it neither sends messages nor reads a clock. Its types are not safe for
-// concurrent use.
+// The package sends no messages and reads no clock. Its types are not safe for concurrent use.
 package links
 
 import (
@@ -48,7 +47,7 @@
 // Endpoint is the far end of a link.
 type Endpoint struct {
 	Kind Kind
-	Name string // the peer's node or the machines' zone; "" for the key-value store and the cloud
+	Name string // the peer's node ID or the machines' zone; "" for the key-value store and the cloud
 }
 
 // String returns the endpoint's name in reports and metrics.
@@ -87,13 +86,13 @@
 
 // The states of a direction.
 const (
-	Unknown State = iota // there is no conclusive evidence
+	Unknown State = iota // the evidence is not conclusive
 	Up                   // messages arrive
 	Suspect              // messages are later than usual
 	Down                 // messages are so late that the direction is almost certainly broken
 )
 
-// String returns the state's name in reports and metrics.
+// String returns the state's name in reports and metrics, where it must not change.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
 var stateNames = [...]string{"unknown", "up", "suspect", "down"}
@@ -112,10 +111,10 @@
 	Message                    // the endpoint sent a message
 	ErrorResponse              // the endpoint responded that it does not serve this node
 	ConnectionRefused          // the endpoint's machine, or a firewall in front of it, refused a connection
-	Silence                    // no message arrived for longer than usual
+	Silence                    // no message arrived, for longer than the usual delay
 )
 
-// String returns the evidence's name in reports.
+// String returns the evidence's name in reports, where it must not change.
 func (e Evidence) String() string { return enum.Name(evidenceNames[:], e, "evidence") }
 
 var evidenceNames = [...]string{"none", "answer", "echo", "message", "error answer", "connection refused", "silence"}
--- a/internal/links/golden_test.go
+++ b/internal/links/golden_test.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/golden"
 )
 
-// goldenAdvertisements has links of each kind and in each state.
+// goldenAdvertisements returns advertisements with links of each kind and in each state.
 func goldenAdvertisements() []Advertisement {
 	full := Advertisement{
 		Origin:      "agent-1",
@@ -40,6 +40,6 @@
 	raw := AppendAdvertisements(nil, advertisements)
 	golden.Compare(t, "rows", hex.Dump(raw))
 	if decoded, err := DecodeAdvertisements(raw); err != nil || !reflect.DeepEqual(decoded, advertisements) {
-		t.Errorf("%+v is decoded as %+v, %v", advertisements, decoded, err)
+		t.Errorf("decoded %+v, error %v; want %+v", decoded, err, advertisements)
 	}
 }
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -28,14 +28,14 @@
 
 	refusing     bool                // the newest response was an ErrorResponse
 	refusedConns int                 // consecutive refused connections
-	lastActivity ident.MonotonicTime // of the newest evidence or message sent
+	lastActivity ident.MonotonicTime // time of the newest evidence, or of the last message sent
 }
 
-func (l *link) touch(now ident.MonotonicTime) { l.lastActivity = max(l.lastActivity, now) }
+func (l *link) recordActivity(now ident.MonotonicTime) { l.lastActivity = max(l.lastActivity, now) }
 
 // Monitor monitors the links of one node. Its event methods, from Sent to ConnectionRefused, record
-// evidence; Evaluate turns the evidence into verdicts. In all of them now is the present time, and sent
-// is when the message that has arrived was sent.
+// evidence; Evaluate derives verdicts from it. In all of these methods now is the current time, and sent
+// is the time at which this node sent the message that the event is about.
 type Monitor struct {
 	config Config
 	links  map[Endpoint]*link
@@ -46,7 +46,8 @@
 	return &Monitor{config: config, links: map[Endpoint]*link{}}
 }
 
-// Watch adds a link before there is evidence. Links are also added by the first event.
+// Watch adds a link for which there is no evidence yet. The first event of an endpoint adds its link as
+// well.
 func (m *Monitor) Watch(endpoint Endpoint) { m.link(endpoint) }
 
 // Forget removes a link whose endpoint no longer exists.
@@ -61,24 +62,24 @@
 	return l
 }
 
-// Sent records that this node sent a message whose arrival will be acknowledged: a request, or a
-// heartbeat that is echoed.
+// Sent records that this node sent a message that the endpoint acknowledges: a request, or a heartbeat
+// that the peer echoes.
 func (m *Monitor) Sent(endpoint Endpoint, now ident.MonotonicTime) {
 	l := m.link(endpoint)
-	l.touch(now)
+	l.recordActivity(now)
 	if !l.hasUnacked {
 		l.oldestUnacked, l.hasUnacked = now, true
 	}
 }
 
-// Unsent reverts Sent for a message that was not sent after all.
+// Unsent reverts Sent for a message that could not be sent.
 func (m *Monitor) Unsent(endpoint Endpoint, sent ident.MonotonicTime) {
 	if l := m.link(endpoint); l.hasUnacked && l.oldestUnacked == sent {
 		l.hasUnacked = false
 	}
 }
 
-// Received records a message that acknowledges no message of this node.
+// Received records the arrival of a message that does not acknowledge a message of this node.
 func (m *Monitor) Received(endpoint Endpoint, now ident.MonotonicTime) {
 	m.link(endpoint).recordArrival(now, Message)
 }
@@ -91,7 +92,7 @@
 	l.recordDelivery(sent, now, Response)
 }
 
-// RespondedWithError records a response by which the endpoint refuses to serve this node.
+// RespondedWithError records a response in which the endpoint refuses to serve this node.
 func (m *Monitor) RespondedWithError(endpoint Endpoint, sent, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.refusing = true
@@ -105,13 +106,13 @@
 	m.link(endpoint).recordDelivery(sent, now, Echo)
 }
 
-// ConnectionRefused records a refused connection. Only maxConnectionRefusals in a row count as a break: a
-// machine that is out of sockets refuses connections as well.
+// ConnectionRefused records a refused connection. Only maxConnectionRefusals consecutive ones count as a
+// break, because a machine that has run out of sockets refuses connections as well.
 func (m *Monitor) ConnectionRefused(endpoint Endpoint, now ident.MonotonicTime) {
 	l := m.link(endpoint)
 	l.refusedConns++
 	l.out.verdict.Evidence = ConnectionRefused
-	l.touch(now)
+	l.recordActivity(now)
 }
 
 // recordArrival records the arrival of a message from the endpoint as evidence.
@@ -120,15 +121,15 @@
 		l.in.detector.sample(now.Sub(l.in.lastSuccess))
 	}
 	l.in.recordSuccess(now, evidence)
-	l.touch(now)
+	l.recordActivity(now)
 }
 
-// recordDelivery records the arrival of a message of this node at the endpoint as evidence.
+// recordDelivery records as evidence that a message of this node arrived at the endpoint.
 func (l *link) recordDelivery(sent, now ident.MonotonicTime, evidence Evidence) {
 	l.refusedConns = 0
-	l.touch(now)
+	l.recordActivity(now)
 	if l.out.hasSuccess && sent <= l.out.lastSuccess {
-		return // already known: each heartbeat of a peer echoes the newest one received
+		return // already recorded: each heartbeat of a peer echoes the newest heartbeat that it received
 	}
 	l.out.detector.sample(now.Sub(sent))
 	l.out.recordSuccess(sent, evidence)
@@ -145,14 +146,14 @@
 	return 0
 }
 
-// Idle reports whether there was neither evidence nor a message sent for d, so that only a probe can
-// determine the link's state.
+// Idle reports whether no message was sent and no evidence recorded for at least d, so that only a probe
+// can determine the link's state.
 func (m *Monitor) Idle(endpoint Endpoint, now ident.MonotonicTime, d time.Duration) bool {
 	return now.Sub(m.link(endpoint).lastActivity) >= d
 }
 
-// Delivering reports whether messages to the endpoint are believed to arrive at present, regardless of
-// flap damping. It is true for an unknown link.
+// Delivering reports whether the failure detector assumes that messages to the endpoint currently arrive,
+// regardless of flap damping. It returns true for an unknown link.
 func (m *Monitor) Delivering(endpoint Endpoint) bool {
 	l := m.links[endpoint]
 	return l == nil || l.out.detected != Down
@@ -164,7 +165,7 @@
 	return l != nil && l.refusing
 }
 
-// Endpoints returns the endpoints of all links, in order.
+// Endpoints returns the endpoints of all links, sorted by kind and name.
 func (m *Monitor) Endpoints() []Endpoint {
 	endpoints := make([]Endpoint, 0, len(m.links))
 	for endpoint := range m.links {
@@ -174,8 +175,8 @@
 	return endpoints
 }
 
-// Verdict returns the verdict on one direction of a link, as of the last Evaluate. It is zero for
-// an unknown link.
+// Verdict returns the verdict of the last Evaluate on one direction of a link. It returns the zero
+// Verdict for an unknown link.
 func (m *Monitor) Verdict(endpoint Endpoint, direction Direction) Verdict {
 	l := m.links[endpoint]
 	switch {
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -12,20 +12,20 @@
 
 var testConfig = Config{SuspectGrace: time.Second, PenaltyHalfLife: 15 * time.Second}
 
-// simulatedLink exchanges heartbeats with echoes over one link, and evaluates it as a node does.
+// simulatedLink simulates a link to a peer that echoes heartbeats, and evaluates the link periodically.
 type simulatedLink struct {
 	monitor       *Monitor
 	peer          Endpoint
 	now           ident.MonotonicTime
-	nextHeartbeat ident.MonotonicTime // when it is sent
+	nextHeartbeat ident.MonotonicTime // when the next heartbeat is sent
 	delay         time.Duration
 	down          func(ident.MonotonicTime) bool // whether the peer's messages are lost
-	changes       int                            // between down and any other state, inbound
+	changes       int                            // inbound changes between down and any other state
 }
 
 const (
 	heartbeatInterval = 700 * time.Millisecond
-	stepEvery         = 50 * time.Millisecond
+	stepInterval      = 50 * time.Millisecond
 )
 
 func newSimulatedLink(delay time.Duration) *simulatedLink {
@@ -39,7 +39,7 @@
 }
 
 func (l *simulatedLink) run(d time.Duration) {
-	for end := l.now.Add(d); l.now < end; l.now = l.now.Add(stepEvery) {
+	for end := l.now.Add(d); l.now < end; l.now = l.now.Add(stepInterval) {
 		if l.now >= l.nextHeartbeat {
 			l.nextHeartbeat = l.now.Add(heartbeatInterval)
 			l.monitor.Sent(l.peer, l.now)
@@ -66,18 +66,18 @@
 		l := newSimulatedLink(delay)
 		l.run(time.Duration(rapid.IntRange(10, 40).Draw(t, "steady_s")) * time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
-			t.Fatalf("a working link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
+			t.Fatalf("a working link is %v inbound, %v outbound; want up", l.state(Inbound), l.state(Outbound))
 		}
 		broke := l.now
 		l.down = func(at ident.MonotonicTime) bool { return at >= broke }
 		l.run(2*time.Second + 2*heartbeatInterval + 3*delay)
 		if l.state(Inbound) != Down || l.state(Outbound) != Down {
-			t.Fatalf("a broken link is %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
+			t.Fatalf("a broken link is %v inbound, %v outbound; want down", l.state(Inbound), l.state(Outbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
 		l.run((recoverySuccesses + 1) * heartbeatInterval)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
-			t.Fatalf("the link is back, and %v inbound, %v outbound", l.state(Inbound), l.state(Outbound))
+			t.Fatalf("a recovered link is %v inbound, %v outbound; want up", l.state(Inbound), l.state(Outbound))
 		}
 	})
 }
@@ -87,9 +87,9 @@
 	return time.Duration(math.Log2(maxPenalty/reuseAt) * float64(halfLife))
 }
 
-// TestFlapsAreDamped: a link that breaks periodically for long enough that each break is detected settles
-// at one verdict. With shorter breaks, only some of which are detected, the verdict changes no more often
-// than damping allows. In both cases the link is up within a bounded time after the last break.
+// TestFlapsAreDamped: if a link breaks periodically and each break is long enough to be detected, the
+// verdict settles at down. With shorter breaks, only some of which are detected, the verdict changes no
+// more often than damping allows. In both cases the link is up within a bounded time after the last break.
 func TestFlapsAreDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1000, 6000).Draw(t, "period_ms")) * time.Millisecond
@@ -104,21 +104,23 @@
 		l.run(2 * time.Minute)
 		detected := down >= detectableBreak
 		if l.changes > maxChanges || detected && l.changes > 0 {
-			t.Fatalf("%d changes after %v of flapping with period %v, down for %v", l.changes, settlingTime, period, down)
+			t.Fatalf("got %d changes after %v of flapping with period %v, down for %v; want at most %d, and 0 if each break is detected",
+				l.changes, settlingTime, period, down, maxChanges)
 		}
 		if detected && (l.state(Inbound) != Down || !l.monitor.Verdict(l.peer, Inbound).Damped) {
-			t.Fatalf("down for %v of %v, and %v", down, period, l.state(Inbound))
+			t.Fatalf("a link that is down for %v of every %v is %v inbound; want down and damped", down, period, l.state(Inbound))
 		}
 		l.down = func(ident.MonotonicTime) bool { return false }
 		l.run(maxSuppression(testConfig.PenaltyHalfLife) + 3*time.Second)
 		if l.state(Inbound) != Up || l.state(Outbound) != Up {
-			t.Fatalf("steady for %v, and %v inbound", maxSuppression(testConfig.PenaltyHalfLife), l.state(Inbound))
+			t.Fatalf("%v after the last break the link is %v inbound, %v outbound; want up",
+				maxSuppression(testConfig.PenaltyHalfLife)+3*time.Second, l.state(Inbound), l.state(Outbound))
 		}
 	})
 }
 
 const (
-	// settlingTime is the time in which a flapping link settles at one verdict.
+	// settlingTime is the time after which the verdict on a flapping link no longer changes.
 	settlingTime = 40 * time.Second
 	// detectableBreak is the minimum duration of a break that is always detected on a link with
 	// heartbeats.
@@ -128,8 +130,8 @@
 	maxChanges = 22
 )
 
-// TestSlowLinkIsNotSuspected: a silence within the usual delays of a slow link does not make it Suspect,
-// unlike the same silence on a fast link.
+// TestSlowLinkIsNotSuspected: silence for the usual delay of a slow link leaves that link Up, while the
+// same silence makes a fast link Down.
 func TestSlowLinkIsNotSuspected(t *testing.T) {
 	m := NewMonitor(testConfig)
 	slow, fast := Endpoint{PeerNode, "slow"}, Endpoint{PeerNode, "fast"}
@@ -147,15 +149,16 @@
 	now = now.Add(2 * time.Second)
 	m.Evaluate(now)
 	if s := m.Verdict(slow, Outbound).State; s != Up {
-		t.Errorf("slow link is %v after a usual delay", s)
+		t.Errorf("slow link is %v after its usual delay, want up", s)
 	}
 	if s := m.Verdict(fast, Outbound).State; s != Down {
-		t.Errorf("fast link is %v after 200 times the usual delay", s)
+		t.Errorf("fast link is %v after 200 times its usual delay, want down", s)
 	}
 }
 
-// TestDirectionsAreIndependent: messages from a peer are no evidence that it receives those of this node,
-// even if they echo the last heartbeat that it has received. A repeated echo is no sample of the delay.
+// TestDirectionsAreIndependent: messages from a peer do not show that the peer receives messages of this
+// node, even if they echo the last heartbeat that the peer received. A repeated echo is not a sample of
+// the delay.
 func TestDirectionsAreIndependent(t *testing.T) {
 	l := newSimulatedLink(5 * time.Millisecond)
 	l.run(10 * time.Second)
@@ -164,18 +167,18 @@
 		l.now = l.now.Add(heartbeatInterval)
 		l.monitor.Sent(l.peer, l.now)
 		l.monitor.Received(l.peer, l.now)
-		l.monitor.Echoed(l.peer, last, l.now) // of a heartbeat long ago
+		l.monitor.Echoed(l.peer, last, l.now) // repeats the echo of an old heartbeat
 		l.monitor.Evaluate(l.now)
 	}
 	if in, out := l.state(Inbound), l.state(Outbound); in != Up || out != Down {
-		t.Errorf("inbound %v, outbound %v", in, out)
+		t.Errorf("got inbound %v, outbound %v; want up, down", in, out)
 	}
 }
 
 // TestEvidence: error responses, refused connections and silence are distinguished.
 func TestEvidence(t *testing.T) {
 	store, now := Endpoint{Kind: KVStore}, ident.MonotonicTime(time.Hour)
-	fresh := func() *Monitor {
+	newWorkingMonitor := func() *Monitor {
 		m := NewMonitor(testConfig)
 		for range 10 {
 			m.Sent(store, now)
@@ -186,11 +189,11 @@
 		return m
 	}
 	for _, c := range []struct {
-		name     string
-		happens  func(*Monitor)
-		evidence Evidence
-		state    State
-		usable   bool
+		name         string
+		recordEvents func(*Monitor)
+		evidence     Evidence
+		state        State
+		usable       bool
 	}{
 		{"responses", func(m *Monitor) {
 			m.Sent(store, now)
@@ -216,25 +219,26 @@
 			now = now.Add(time.Minute)
 		}, Response, Up, true},
 	} {
-		m := fresh()
-		c.happens(m)
+		m := newWorkingMonitor()
+		c.recordEvents(m)
 		m.Evaluate(now)
 		v := m.Verdict(store, Outbound)
 		if v.Evidence != c.evidence || v.State != c.state || usable(m, store) != c.usable {
-			t.Errorf("%s: %v by %v, usable %v", c.name, v.State, v.Evidence, usable(m, store))
+			t.Errorf("%s: got %v by %v, usable %v; want %v by %v, usable %v",
+				c.name, v.State, v.Evidence, usable(m, store), c.state, c.evidence, c.usable)
 		}
 	}
 }
 
-// usable reports whether requests to the endpoint are served according to the verdicts.
+// usable reports whether the endpoint serves requests according to the verdicts.
 func usable(m *Monitor, endpoint Endpoint) bool {
 	in := m.Verdict(endpoint, Inbound).State
 	out := m.Verdict(endpoint, Outbound).State
 	return in != Down && out != Down && !m.Refusing(endpoint)
 }
 
-// TestSilentZoneIsUnknown: the silence of a zone is no evidence on the link, since a machine sends its
-// heartbeats to one node at a time.
+// TestSilentZoneIsUnknown: silence of a zone does not show that the link is broken, because a machine
+// sends its heartbeats to one node at a time.
 func TestSilentZoneIsUnknown(t *testing.T) {
 	m, zone, now := NewMonitor(testConfig), Endpoint{Machines, "east"}, ident.MonotonicTime(time.Hour)
 	for range 10 {
@@ -245,6 +249,6 @@
 	now = now.Add(time.Minute)
 	m.Evaluate(now)
 	if s := m.Verdict(zone, Inbound).State; s != Unknown {
-		t.Errorf("inbound %v", s)
+		t.Errorf("inbound state after a minute of silence is %v, want unknown", s)
 	}
 }
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -6,11 +6,11 @@
 	"opaldale/internal/ident"
 )
 
-// Score rates how well a node is placed to lead, from 0 to 100.
+// Score rates the links that a node would have as leader, from 0 to 100.
 type Score int
 
-// The parts of a score. Each is the weight of working links to the endpoints of one kind. The score is 0
-// without a link to the key-value store, because a leader cannot record decisions without it.
+// The maximum contribution to a score of working links to each kind of endpoint. The score is 0 without a
+// link to the key-value store, because a leader cannot record decisions without it.
 const (
 	storeScore    = 30
 	machinesScore = 30
@@ -18,20 +18,20 @@
 	cloudScore    = 15
 )
 
-// minScoreMargin is the minimum difference in scores that warrants a change of leader: the smallest part
-// of a score.
+// minScoreMargin is the minimum difference in scores that justifies a change of leader: the smallest
+// maximum contribution of a kind of endpoint.
 const minScoreMargin Score = cloudScore
 
-// Cluster holds the inputs of scores other than advertisements.
+// Cluster holds the inputs of scores in addition to the advertisements.
 type Cluster struct {
-	Peers    []ident.NodeID // all nodes but the one that assesses
+	Peers    []ident.NodeID // all nodes except the one that calls Assess
 	Machines map[string]int // number of machines that are up, by zone
 }
 
 // linkTest reports whether a node's link to an endpoint counts as working.
 type linkTest func(Endpoint) bool
 
-// scoreOwn returns the score of the node that assesses. Unknown links count as working.
+// scoreOwn returns the score of the node that calls Assess. Unknown links count as working.
 func (c *Cluster) scoreOwn(advertisement *Advertisement) Score {
 	return c.score(advertisement, func(endpoint Endpoint) bool {
 		l := advertisement.Link(endpoint)
@@ -58,7 +58,8 @@
 	return Score(score)
 }
 
-// machinesPart weights each zone by its number of machines.
+// machinesPart returns the contribution of the zones' machines. Each zone is weighted by its number of
+// machines.
 func (c *Cluster) machinesPart(works linkTest) int {
 	total, reached := 0, 0
 	for zone, n := range c.Machines {
@@ -73,7 +74,7 @@
 	return machinesScore * reached / total
 }
 
-// peersPart weights all links to other nodes equally.
+// peersPart returns the contribution of the links to other nodes, all of which have the same weight.
 func peersPart(advertisement *Advertisement, works linkTest) int {
 	total, reached := 0, 0
 	for _, l := range advertisement.Links {
@@ -91,22 +92,22 @@
 	return peersScore * reached / total
 }
 
-// Assessment compares a leader with its peers.
+// Assessment is the result of comparing a leader with its peers.
 type Assessment struct {
 	OwnScore  Score
 	BestPeer  ident.NodeID // the peer with the highest score, "" if no peer's score is known
 	BestScore Score        // of BestPeer
-	// Isolated is set if the links to all peers and all machines are broken. No peer can be named
-	// as successor in that case.
+	// Isolated is set if the links to all peers and all machines are broken. The leader cannot choose
+	// a successor in that case.
 	Isolated bool
 }
 
-// PeerIsBetter reports whether the score of the best peer exceeds the own one by at least minScoreMargin.
+// PeerIsBetter reports whether BestScore exceeds OwnScore by at least minScoreMargin.
 func (a Assessment) PeerIsBetter() bool {
 	return a.BestPeer != "" && a.BestScore >= a.OwnScore+minScoreMargin
 }
 
-// Successor returns the best peer if PeerIsBetter, and "" otherwise.
+// Successor returns BestPeer if PeerIsBetter, and "" otherwise.
 func (a Assessment) Successor() ident.NodeID {
 	if !a.PeerIsBetter() {
 		return ""
@@ -117,7 +118,7 @@
 // Assess compares a node's own advertisement with those of its peers.
 func (c *Cluster) Assess(own Advertisement, database *Database, now ident.MonotonicTime) Assessment {
 	assessment := Assessment{OwnScore: c.scoreOwn(&own), Isolated: c.isolated(&own)}
-	// Of peers with the same score, the first by name is the best.
+	// Among peers with the same score, the first by node ID is the best.
 	for _, peer := range slices.Sorted(slices.Values(c.Peers)) {
 		advertisement, ok := database.Advertisement(peer, now)
 		if !ok {
--- a/internal/links/score_test.go
+++ b/internal/links/score_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// TestAssess: a peer is better placed than the leader if the leader has lost a part of its score that
-// the peer has, but not if both have lost it or the loss is unknown.
+// TestAssess: a peer counts as better than the leader if links of the leader are broken that work for the
+// peer, but not if they are broken for both or the state of one of them is unknown.
 func TestAssess(t *testing.T) {
 	cluster := Cluster{Peers: []ident.NodeID{"b", "c"}, Machines: map[string]int{"east": 10, "west": 10}}
 	lose := func(kind Kind, state State) func(*LinkState) {
@@ -39,27 +39,27 @@
 	refuse := func(l *LinkState) { l.Refusing = l.Endpoint.Kind == KVStore }
 	damp := func(l *LinkState) { l.Damped = l.Endpoint.Kind == Machines }
 	for _, c := range []struct {
-		name      string
-		own, peer func(*LinkState)
-		worse     bool
-		isolated  bool
+		name         string
+		own, peer    func(*LinkState)
+		peerIsBetter bool
+		isolated     bool
 	}{
 		{"no link is broken", nil, nil, false, false},
 		{"the leader has lost the machines", lose(Machines, Down), nil, true, false},
-		{"both have", lose(Machines, Down), lose(Machines, Down), false, false},
-		{"the peer doesn't know", lose(Machines, Down), lose(Machines, Unknown), false, false},
-		{"the leader doesn't know", lose(Machines, Unknown), nil, false, false},
+		{"both have lost the machines", lose(Machines, Down), lose(Machines, Down), false, false},
+		{"the peer's link to the machines is unknown", lose(Machines, Down), lose(Machines, Unknown), false, false},
+		{"the leader's link to the machines is unknown", lose(Machines, Unknown), nil, false, false},
 		{"the leader has lost the cloud", lose(Cloud, Down), nil, true, false},
 		{"the leader has lost its peers", lose(PeerNode, Down), nil, true, false},
-		{"the leader is refused", refuse, nil, true, false},
-		{"the peer is refused", lose(Machines, Down), refuse, false, false},
+		{"the store refuses the leader", refuse, nil, true, false},
+		{"the store refuses the peer", lose(Machines, Down), refuse, false, false},
 		{"the leader's links to the machines are damped", damp, nil, true, false},
-		{"one zone of two", func(l *LinkState) {
+		{"the leader has lost one zone of two", func(l *LinkState) {
 			if l.Endpoint.Name == "west" {
 				l.Out = Down
 			}
 		}, nil, true, false},
-		{"neither peers nor machines", func(l *LinkState) {
+		{"the leader has lost peers and machines", func(l *LinkState) {
 			if l.Endpoint.Kind == PeerNode || l.Endpoint.Kind == Machines {
 				l.Out = Down
 			}
@@ -69,12 +69,13 @@
 		now := ident.MonotonicTime(time.Hour)
 		database.Merge(advertisementOf("b", c.peer), now)
 		a := cluster.Assess(advertisementOf("a", c.own), database, now)
-		if a.PeerIsBetter() != c.worse || a.Isolated != c.isolated {
-			t.Errorf("%s: worse %v, isolated %v: %+v", c.name, a.PeerIsBetter(), a.Isolated, a)
+		if a.PeerIsBetter() != c.peerIsBetter || a.Isolated != c.isolated {
+			t.Errorf("%s: got peer is better %v, isolated %v; want %v, %v: %+v",
+				c.name, a.PeerIsBetter(), a.Isolated, c.peerIsBetter, c.isolated, a)
 		}
 		a = cluster.Assess(advertisementOf("a", c.own), database, now.Add(AdvertisementLifetime))
 		if a.PeerIsBetter() {
-			t.Errorf("%s: worse than an advertisement that has expired", c.name)
+			t.Errorf("%s: a peer with an expired advertisement counts as better: %+v", c.name, a)
 		}
 	}
 }
--- a/internal/links/verdict.go
+++ b/internal/links/verdict.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// suspectSuspicion and downSuspicion are the detector's levels at which a direction becomes
-	// Suspect and Down.
+	// suspectSuspicion and downSuspicion are the suspicion levels at which a direction becomes
+	// Suspect and Down. A level is -log10 of the probability that the message still arrives.
 	suspectSuspicion = 2
 	downSuspicion    = 8
 	// recoverySuccesses is the number of successes, each within recoveryMaxGap of the previous one,
-	// that end a break. A single message may get through even on a link that loses most of them.
+	// that end a break. A single message may arrive even on a link that loses most messages.
 	recoverySuccesses = 3
 	recoveryMaxGap    = 3 * time.Second
-	// firstResponseTimeout is the time within which the first message to an endpoint must be
-	// acknowledged.
+	// firstResponseTimeout is the time after which a direction without samples of the delay is Down
+	// if a message is still unacknowledged.
 	firstResponseTimeout = 5 * time.Second
 )
 
@@ -25,9 +25,9 @@
 	State     State
 	Since     ident.MonotonicTime // when State last changed
 	Evidence  Evidence            // the newest evidence
-	Suspicion float64             // the failure detector's level at the last evaluation
-	Damped    bool                // State is Down because breaks are too frequent
-	Breaks    uint64              // all breaks so far
+	Suspicion float64             // the failure detector's suspicion at the last evaluation
+	Damped    bool                // State is Down because flap damping suppresses the direction
+	Breaks    uint64              // total number of breaks
 }
 
 // VerdictChange is a change of State or Damped in a verdict.
@@ -37,9 +37,9 @@
 	From, To  Verdict
 }
 
-// directionState is one direction of a link. Evidence and silence determine the detected state.
-// Recovery after a break is delayed, which gives the undamped state, and flap damping overrides
-// that, which gives the verdict's.
+// directionState is one direction of a link. Its state is derived in three steps: the failure detector
+// determines the detected state, delayed recovery after a break turns it into the undamped state, and
+// flap damping turns that into the state of the verdict.
 type directionState struct {
 	detector detector
 	damper   damper
@@ -48,12 +48,12 @@
 	undamped State // with delayed recovery, without flap damping
 	verdict  Verdict
 
-	successes   int                 // since the direction was last Down, each within recoveryMaxGap of the previous one
-	lastSuccess ident.MonotonicTime // the latest time at which it is known to have worked
+	successes   int                 // since the last break, each within recoveryMaxGap of the previous one
+	lastSuccess ident.MonotonicTime // the latest time at which the evidence shows that the direction worked
 	hasSuccess  bool                // whether lastSuccess is valid
 }
 
-// recordSuccess records evidence that the direction worked at a time.
+// recordSuccess records evidence that the direction worked at the given time.
 func (d *directionState) recordSuccess(at ident.MonotonicTime, evidence Evidence) {
 	if at.Sub(d.lastSuccess) > recoveryMaxGap {
 		d.successes = 0
@@ -70,8 +70,7 @@
 	detected  State
 }
 
-// Evaluate brings all verdicts up to date and returns those that have changed, ordered by endpoint
-// and direction.
+// Evaluate updates all verdicts and returns the changes, ordered by endpoint and direction.
 func (m *Monitor) Evaluate(now ident.MonotonicTime) []VerdictChange {
 	var changes []VerdictChange
 	for _, endpoint := range m.Endpoints() {
@@ -93,9 +92,9 @@
 	return changes
 }
 
-// detectInbound returns the detected state of the inbound direction. The silence of a peer is evidence,
-// since peers send heartbeats continually. The silence of a zone is not: a machine sends its heartbeats
-// to one node at a time.
+// detectInbound returns the detected state of the inbound direction. Silence of a peer is evidence of a
+// break, because peers send heartbeats continually. Silence of a zone is not, because a machine sends its
+// heartbeats to one node at a time.
 func (m *Monitor) detectInbound(endpoint Endpoint, l *link, now ident.MonotonicTime) State {
 	d := &l.in
 	if !d.hasSuccess {
@@ -131,8 +130,8 @@
 	return Unknown
 }
 
-// detectOverdue returns the detected state of an outbound direction whose oldest unacknowledged message
-// was sent some time ago.
+// detectOverdue returns the detected state of an outbound direction, given the time since its oldest
+// unacknowledged message was sent.
 func (m *Monitor) detectOverdue(d *directionState, overdue time.Duration) State {
 	if d.detector.samples == 0 {
 		return detectFirstOverdue(d, overdue)
@@ -145,7 +144,7 @@
 	return state
 }
 
-// detectFirstOverdue is detectOverdue for a direction without samples of the delay.
+// detectFirstOverdue is detectOverdue for a direction that has no samples of the delay.
 func detectFirstOverdue(d *directionState, overdue time.Duration) State {
 	if overdue <= firstResponseTimeout {
 		return Unknown
--- a/internal/linktracker/env.go
+++ b/internal/linktracker/env.go
@@ -1,6 +1,6 @@
 package linktracker
 
-// This file observes the calls of a node as evidence on its links.
+// This file records the calls of a node as evidence on its links.
 
 import (
 	"time"
@@ -38,29 +38,29 @@
 	return links.Endpoint{Kind: links.Machines, Name: zone}
 }
 
-// monitoredEnv wraps an environment, and reports calls and their answers to the monitor.
+// monitoredEnv wraps an Env and reports calls and their responses to the monitor.
 type monitoredEnv struct {
 	Env
 	monitor *links.Monitor
 }
 
-// callEnd is how a call to an endpoint ended, as evidence on the link.
-type callEnd uint8
+// callOutcome is the outcome of a call to an endpoint, as evidence on the link.
+type callOutcome uint8
 
 const (
-	callUnanswered callEnd = iota // no evidence: the monitor counts the time since the call itself
+	callUnanswered callOutcome = iota // nothing is recorded: the monitor itself measures the time since the call
 	callNotSent
 	callRejected // the endpoint responded that it does not serve this node
 	callAnswered
 	callRefused // the connection was refused
 )
 
-// beginCall records a call to an endpoint, and returns the function that records how it ended.
-func (e monitoredEnv) beginCall(endpoint links.Endpoint) func(callEnd) {
+// beginCall records a call to an endpoint, and returns the function that records the outcome of the call.
+func (e monitoredEnv) beginCall(endpoint links.Endpoint) func(callOutcome) {
 	sent := e.Now()
 	e.monitor.Sent(endpoint, sent)
-	return func(end callEnd) {
-		switch end {
+	return func(outcome callOutcome) {
+		switch outcome {
 		case callNotSent:
 			e.monitor.Unsent(endpoint, sent)
 		case callRejected:
@@ -73,20 +73,21 @@
 	}
 }
 
-// Store sends a request to the store. Watches are not monitored, since their answers are delayed by design.
+// Store sends a request to the store. Watches are not monitored, because they are long polls: the store delays its
+// response until a key changes.
 func (e monitoredEnv) Store(r kvstore.Request, done func(kvstore.Response)) {
 	if r.Op == kvstore.Watch {
 		e.Env.Store(r, done)
 		return
 	}
-	end := e.beginCall(storeEndpoint)
+	recordOutcome := e.beginCall(storeEndpoint)
 	e.Env.Store(r, func(response kvstore.Response) {
-		end(storeCallEnd(response))
+		recordOutcome(storeCallOutcome(response))
 		done(response)
 	})
 }
 
-func storeCallEnd(response kvstore.Response) callEnd {
+func storeCallOutcome(response kvstore.Response) callOutcome {
 	switch {
 	case response.Outcome == kvstore.Unavailable:
 		return callRejected
@@ -98,16 +99,16 @@
 	return callUnanswered
 }
 
-// Cloud sends a request to the cloud.
+// Cloud sends a request to the cloud provider.
 func (e monitoredEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
-	end := e.beginCall(cloudEndpoint)
+	recordOutcome := e.beginCall(cloudEndpoint)
 	e.Env.Cloud(r, func(response cloud.Response) {
-		end(cloudCallEnd(response))
+		recordOutcome(cloudCallOutcome(response))
 		done(response)
 	})
 }
 
-func cloudCallEnd(response cloud.Response) callEnd {
+func cloudCallOutcome(response cloud.Response) callOutcome {
 	switch {
 	case response.Outcome == cloud.NotSent:
 		return callNotSent
@@ -121,21 +122,21 @@
 	return callUnanswered
 }
 
-// Worker sends a command to a machine. A refused connection counts as an answer: it is the machine that has failed, and the
+// Worker sends a command to a machine. A refused connection counts as a response: only the machine has failed, while the
 // link to its zone works in both directions.
 func (e monitoredEnv) Worker(command workers.CommandCall, done func(workers.CommandResult)) {
 	if command.Zone == "" {
 		e.Env.Worker(command, done)
 		return
 	}
-	end := e.beginCall(machinesEndpoint(command.Zone))
+	recordOutcome := e.beginCall(machinesEndpoint(command.Zone))
 	e.Env.Worker(command, func(result workers.CommandResult) {
-		end(workerCallEnd(result))
+		recordOutcome(workerCallOutcome(result))
 		done(result)
 	})
 }
 
-func workerCallEnd(result workers.CommandResult) callEnd {
+func workerCallOutcome(result workers.CommandResult) callOutcome {
 	switch {
 	case result.NotSent:
 		return callNotSent
--- a/internal/linktracker/exchange.go
+++ b/internal/linktracker/exchange.go
@@ -1,6 +1,6 @@
 package linktracker
 
-// This file exchanges verdicts on links with the peers.
+// This file exchanges link state advertisements with the peers.
 
 import (
 	"maps"
@@ -14,23 +14,23 @@
 	"opaldale/internal/upgrade"
 )
 
-// capabilityCheckInterval is the interval between checks of which peers support frames about links.
+// capabilityCheckInterval is the interval between checks of which peers support link state frames.
 const capabilityCheckInterval = 3 * time.Second
 
-// capabilities records which frames peers support.
+// capabilities records which peers support link state frames.
 type capabilities struct {
-	linkState    map[ident.NodeID]bool // peers that support frames about links
-	checkedAt    ident.MonotonicTime   // time of the last check; 0: none yet
+	linkState    map[ident.NodeID]bool // peers that support link state frames
+	checkedAt    ident.MonotonicTime   // time of the last check; 0 before the first one
 	checkPending bool
 }
 
-// droppedAdvertisements counts the advertisements of peers that were not merged.
+// droppedAdvertisements counts advertisements and messages of peers that were dropped.
 type droppedAdvertisements struct {
-	byReason map[links.MergeResult]uint64
-	undated  uint64 // messages that echo no recent heartbeat of this node
+	byReason   map[links.MergeResult]uint64
+	unknownAge uint64 // messages that do not echo a recent heartbeat of this node
 }
 
-// refreshCapabilities reads from the store at intervals which peers support frames about links, until all do.
+// refreshCapabilities periodically reads from the store which peers support link state frames, until all peers do.
 func (t *Tracker) refreshCapabilities(now ident.MonotonicTime) {
 	packed := t.node.FormatLevel() >= ident.FormatPacked
 	known := &t.capabilities
@@ -57,12 +57,13 @@
 	}
 }
 
-// SupportsLinks reports whether a peer supports frames about links.
+// SupportsLinks reports whether a peer supports link state frames and the cluster's format level allows them.
 func (t *Tracker) SupportsLinks(n ident.NodeID) bool {
 	return t.capabilities.linkState[n] && t.node.FormatLevel() >= ident.FormatPacked
 }
 
-// OwnAdvertisement returns a new advertisement of this node's links. A leader's also names machines for its peers to probe.
+// OwnAdvertisement returns a new advertisement of this node's links. The advertisement of a leader also lists machines for its
+// peers to probe.
 func (t *Tracker) OwnAdvertisement() links.Advertisement {
 	t.sequence++
 	advertisement := t.monitor.Advertisement(t.id, t.incarnation, t.sequence)
@@ -77,7 +78,7 @@
 	return advertisement
 }
 
-// SendAdvertisements sends a peer this node's own advertisement, and those received from other peers.
+// SendAdvertisements sends a peer this node's own advertisement and the advertisements received from other peers.
 func (t *Tracker) SendAdvertisements(to ident.NodeID, own links.Advertisement, now ident.MonotonicTime) {
 	if !t.SupportsLinks(to) {
 		return
@@ -96,8 +97,9 @@
 	})
 }
 
-// MergeAdvertisements merges the advertisements in a peer's frame. The peer sent them after it had received the heartbeat
-// that the frame names, which bounds their age. They are dropped if that heartbeat is not a recent one.
+// MergeAdvertisements merges the advertisements in a peer's frame. The frame has the ID of a heartbeat that the peer had
+// received from this node before it sent the frame. The time since that heartbeat was sent is added to the ages, which makes
+// them upper bounds. The frame is dropped if this node no longer knows when it sent the heartbeat.
 func (t *Tracker) MergeAdvertisements(frame *transport.Frame) {
 	if t == nil {
 		return
@@ -105,7 +107,7 @@
 	now := t.env.Now()
 	sentAt, ok := t.node.HeartbeatSentAt(frame.ID)
 	if !ok {
-		t.dropped.undated++
+		t.dropped.unknownAge++
 		return
 	}
 	for _, advertisement := range frame.LinkState {
--- a/internal/linktracker/probe.go
+++ b/internal/linktracker/probe.go
@@ -1,6 +1,6 @@
 package linktracker
 
-// This file probes links that carry no traffic.
+// This file probes links that have been idle.
 
 import (
 	"maps"
@@ -15,26 +15,26 @@
 )
 
 const (
-	// storeIdleAfter, machinesIdleAfter and cloudIdleAfter are how long a link must be without traffic to be
-	// probed.
+	// storeIdleAfter, machinesIdleAfter and cloudIdleAfter are the idle times after which a link is probed.
 	storeIdleAfter    = time.Second
 	machinesIdleAfter = 1500 * time.Millisecond
 	cloudIdleAfter    = 5 * time.Second
-	// zoneOverdueAfter is how long a machine may take to answer before others of its zone are probed, so that
-	// one lost machine is not taken for a lost zone; zoneProbeInterval paces these probes.
+	// zoneOverdueAfter is the time without a response from a machine after which all targets of its zone are
+	// probed, so that the failure of one machine is not mistaken for a broken link to the zone.
+	// zoneProbeInterval is the minimum interval between such probes of a zone.
 	zoneOverdueAfter  = 300 * time.Millisecond
 	zoneProbeInterval = 500 * time.Millisecond
-	// sampleInterval is the shortest interval between heartbeats of workers that a follower parses.
+	// sampleInterval is the minimum interval between worker heartbeats that a follower parses.
 	sampleInterval = 500 * time.Millisecond
-	// targetsPerZone bounds the machines of each zone that are kept as targets of probes, and named to peers.
+	// targetsPerZone is the maximum number of probe targets per zone that a node keeps and a leader advertises.
 	targetsPerZone = 3
-	// maxAdvertisedZones bounds the zones for which a leader names machines.
+	// maxAdvertisedZones is the maximum number of zones whose probe targets a leader advertises.
 	maxAdvertisedZones = links.MaxProbeTargets / targetsPerZone
 )
 
-// probes holds the targets of probes, and when they were last used.
+// probes holds the probe targets, and the times of the last probes and samples.
 type probes struct {
-	targets      map[string][]links.ProbeTarget // by zone: machines whose heartbeats came here
+	targets      map[string][]links.ProbeTarget // by zone: machines whose heartbeats this node received
 	zoneProbedAt map[string]ident.MonotonicTime // when all targets of a zone were last probed
 	sampledAt    ident.MonotonicTime            // when a follower last parsed a heartbeat
 }
@@ -43,7 +43,7 @@
 	return probes{targets: map[string][]links.ProbeTarget{}, zoneProbedAt: map[string]ident.MonotonicTime{}}
 }
 
-// probeIdleLinks probes the links that carry no traffic.
+// probeIdleLinks probes the links that have been idle for longer than their limits.
 func (t *Tracker) probeIdleLinks(now ident.MonotonicTime) {
 	if t.monitor.Idle(storeEndpoint, now, storeIdleAfter) {
 		t.node.ProbeStore()
@@ -59,7 +59,7 @@
 	}
 }
 
-// probeZone probes one target of an idle zone, or all targets of a zone with an overdue answer.
+// probeZone probes one target of a zone whose link is idle, or all targets of a zone with an overdue response.
 func (t *Tracker) probeZone(zone string, targets []links.ProbeTarget, now ident.MonotonicTime) {
 	link := machinesEndpoint(zone)
 	switch {
@@ -76,8 +76,7 @@
 	}
 }
 
-// probeMachine sends a machine an empty list of commands without a fencing token, which has no effect except that the
-// machine answers.
+// probeMachine sends a machine an empty list of commands without a fencing token. The machine responds and does nothing else.
 func (t *Tracker) probeMachine(target links.ProbeTarget) {
 	command := workers.CommandCall{
 		Addr: target.Address,
@@ -91,15 +90,15 @@
 	})
 }
 
-// removeTarget removes a machine that didn't answer from the targets. It may have been terminated: further probes of it
-// would make its zone look down.
+// removeTarget removes a machine that didn't respond from the targets. The machine may have been terminated, and further
+// unanswered probes would make the link to its zone appear down.
 func (t *Tracker) removeTarget(target links.ProbeTarget) {
 	isTarget := func(other links.ProbeTarget) bool { return other == target }
 	t.probes.targets[target.Zone] = slices.DeleteFunc(t.probes.targets[target.Zone], isTarget)
 }
 
-// probeTargetsByZone returns, by zone, the machines that this node may probe: those whose heartbeats came here,
-// and on a follower those that the leader names.
+// probeTargetsByZone returns, by zone, the machines that this node may probe: those whose heartbeats it received, and on a
+// follower also those that the leader advertises.
 func (t *Tracker) probeTargetsByZone(now ident.MonotonicTime) map[string][]links.ProbeTarget {
 	byZone := map[string][]links.ProbeTarget{}
 	for zone, list := range t.probes.targets {
@@ -116,8 +115,8 @@
 	return byZone
 }
 
-// RecordWorkerHeartbeat records a machine's heartbeat; one that came directly from the machine shows that its zone
-// reaches this node.
+// RecordWorkerHeartbeat adds the machine that sent a heartbeat to the probe targets. If direct is set, the machine sent the
+// heartbeat to this node itself, which is evidence that the inbound link from its zone works.
 func (t *Tracker) RecordWorkerHeartbeat(heartbeat *api.Heartbeat, direct bool) {
 	if t == nil {
 		return
@@ -136,7 +135,8 @@
 	t.probes.targets[heartbeat.Zone] = append(targets, target)
 }
 
-// SampleWorkerHeartbeat records some of the heartbeats that a follower forwards. Parsing all of them would take too long.
+// SampleWorkerHeartbeat records some of the worker heartbeats that a follower forwards, at most one per sampleInterval.
+// Parsing all of them would take too much CPU time.
 func (t *Tracker) SampleWorkerHeartbeat(body []byte) {
 	if t == nil {
 		return
--- a/internal/linktracker/report.go
+++ b/internal/linktracker/report.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/links"
 )
 
-// Report is the report on a node's links for operators.
+// Report is the report on a node's links and handovers for operators.
 type Report struct {
 	Node           ident.NodeID         `json:"node"`
 	Enabled        bool                 `json:"enabled"`
@@ -20,7 +20,7 @@
 	Links          []LinkEntry          `json:"links"`
 	Advertisements []AdvertisementEntry `json:"rows"`
 	Handovers      []HandoverEntry      `json:"handovers"`
-	// HandoverCount counts all handovers, also those that are not listed any more.
+	// HandoverCount is the number of all handovers, including those no longer in Handovers.
 	HandoverCount uint64            `json:"handover_count"`
 	Dropped       map[string]uint64 `json:"dropped"`
 }
@@ -39,14 +39,14 @@
 	Breaks    uint64  `json:"breaks"`
 }
 
-// AdvertisementEntry is the newest advertisement that was received from a peer.
+// AdvertisementEntry is the newest advertisement received from a peer.
 type AdvertisementEntry struct {
 	Origin ident.NodeID     `json:"origin"`
 	AgeS   float64          `json:"age_s"`
 	Links  []AdvertisedLink `json:"links"`
 }
 
-// AdvertisedLink is one link of a peer.
+// AdvertisedLink is one link in a peer's advertisement.
 type AdvertisedLink struct {
 	Peer     string `json:"peer"`
 	Inbound  string `json:"inbound"`
@@ -55,7 +55,7 @@
 	Damped   bool   `json:"damped,omitempty"`
 }
 
-// HandoverEntry is one handover of leadership by the node.
+// HandoverEntry is one handover of leadership by the node, as listed in a Report.
 type HandoverEntry struct {
 	Term           uint64       `json:"term"`
 	AgoS           float64      `json:"ago_s"`
@@ -75,10 +75,10 @@
 	SuccessorScore links.Score
 }
 
-// maxHandoverRecords bounds the handovers remembered for operators.
+// maxHandoverRecords is the maximum number of handovers that are listed in a Report.
 const maxHandoverRecords = 8
 
-// RecordHandover remembers a handover that has been announced.
+// RecordHandover adds an announced handover to the records, and drops the oldest record beyond maxHandoverRecords.
 func (t *Tracker) RecordHandover(record HandoverRecord) {
 	t.handovers = append(t.handovers, record)
 	if len(t.handovers) > maxHandoverRecords {
@@ -86,7 +86,7 @@
 	}
 }
 
-// CountHandover counts a term that has ended by a handover.
+// CountHandover increments the number of this node's terms that ended by a handover.
 func (t *Tracker) CountHandover() { t.handoverCount++ }
 
 // FillReport sets the links, advertisements, handovers and dropped messages of a report.
@@ -103,12 +103,12 @@
 	for reason, n := range t.dropped.byReason {
 		report.Dropped[reason.String()] = n
 	}
-	report.Dropped[undatedLabel] = t.dropped.undated
+	report.Dropped[unknownAgeLabel] = t.dropped.unknownAge
 }
 
-// undatedLabel is the reason in reports for dropping advertisements that could not be dated, in addition to those of
-// links.MergeResult.
-const undatedLabel = "undated"
+// unknownAgeLabel is the reason in reports for dropping messages whose advertisements have an unknown age, in addition to the
+// reasons of links.MergeResult.
+const unknownAgeLabel = "undated"
 
 // linkEntries lists the verdicts on all directions of the node's links.
 func (t *Tracker) linkEntries(now ident.MonotonicTime) []LinkEntry {
--- a/internal/linktracker/tracker.go
+++ b/internal/linktracker/tracker.go
@@ -1,6 +1,6 @@
-// Package linktracker watches a node's links to the store, the cloud, its peers and the machines of each zone.
-// The node's regular traffic is the evidence; links without traffic are probed. Nodes exchange their verdicts, so that
-// each knows which links its peers have, and the leader can hand over to a peer with better links.
+// Package linktracker monitors a node's links to the store, the cloud provider, its peers and the machines of each zone.
+// It uses the node's regular traffic as evidence, and probes idle links. Nodes exchange their verdicts, so that each node
+// knows the links of its peers, and the leader can hand over leadership to a peer with better links.
 package linktracker
 
 import (
@@ -19,25 +19,25 @@
 	// evaluateInterval is the interval between evaluations of all links.
 	evaluateInterval = 250 * time.Millisecond
 	storeTimeout     = time.Second
-	// dampedCandidacyDelay is how long a node with a damped link to the store waits before it campaigns.
+	// dampedCandidacyDelay is how long a node with a damped link to the store waits before it becomes a candidate for leadership.
 	dampedCandidacyDelay = 2 * time.Second
 )
 
-// Node is the controller whose links are watched.
+// Node is the controller whose links are monitored.
 type Node interface {
 	IsLeader() bool
 	FormatLevel() ident.FormatLevel
 	// RefreshFormatLevel reads the format level from the store, and calls done whether or not the store has answered.
 	RefreshFormatLevel(done func())
-	// ProbeStore sends the store a request whose only use is the answer.
+	// ProbeStore sends the store a request to check that it responds.
 	ProbeStore()
-	// Reachable reports whether frames to a peer probably arrive.
+	// Reachable reports whether frames to a peer are expected to arrive.
 	Reachable(ident.NodeID) bool
-	// LastHeartbeatID returns the ID of the newest heartbeat of a peer.
+	// LastHeartbeatID returns the ID of the newest heartbeat received from a peer.
 	LastHeartbeatID(ident.NodeID) uint64
-	// HeartbeatSentAt returns when a recent heartbeat of this node was sent.
+	// HeartbeatSentAt returns when this node sent a heartbeat. ok is false if the heartbeat is not a recent one.
 	HeartbeatSentAt(id uint64) (sentAt ident.MonotonicTime, ok bool)
-	// LinksEvaluated is called after each evaluation of the links.
+	// LinksEvaluated is called after each evaluation of all links.
 	LinksEvaluated(now ident.MonotonicTime)
 }
 
@@ -50,8 +50,8 @@
 
 // Tracker tracks a node's own links, and those that its peers advertise. It is not safe for concurrent use.
 //
-// A nil Tracker is that of a node that doesn't watch its links: Enabled returns false, methods that record an event do
-// nothing, and methods that look for a fault find none. The other methods must not be called on it.
+// A nil Tracker stands in on a node that doesn't monitor its links: Enabled returns false, methods that record an event do
+// nothing, and methods that check the health of a link report a healthy one. The other methods must not be called on it.
 type Tracker struct {
 	node           Node
 	env            Env
@@ -61,17 +61,18 @@
 	monitor        *links.Monitor
 	advertisements *links.Database
 	leaderHistory  handover.History
-	incarnation    uint64 // of this process, by the wall clock at its start
+	incarnation    uint64 // of this process: the wall-clock time of its start in milliseconds
 	sequence       uint64 // of the newest advertisement
 
 	capabilities  capabilities
 	probes        probes
 	dropped       droppedAdvertisements
-	handovers     []HandoverRecord // the last handovers by this node, oldest first
+	handovers     []HandoverRecord // the newest handovers by this node, oldest first
 	handoverCount uint64
 }
 
-// New returns the tracker of a node. It does nothing before Start, except that calls through its Env are monitored.
+// New returns the tracker of a node. Calls through its Env are monitored from the beginning. Evaluation and probing begin
+// with Start.
 func New(config Config, node Node, env Env, rng *rand.Rand) *Tracker {
 	monitorConfig := links.Config{SuspectGrace: config.Links.SuspectGrace, PenaltyHalfLife: config.Links.PenaltyHalfLife}
 	t := &Tracker{
@@ -96,16 +97,16 @@
 	return t
 }
 
-// Env returns the environment through which the node must make its calls, so that they are monitored.
+// Env returns the environment through which the node must make its calls so that they are monitored.
 func (t *Tracker) Env() Env { return t.env }
 
-// Enabled reports whether links are watched.
+// Enabled reports whether links are monitored.
 func (t *Tracker) Enabled() bool { return t != nil }
 
-// LeaderHistory returns the history of recent changes of the leader, which ObserveTerm extends.
+// LeaderHistory returns the history of recent leader changes, to which ObserveTerm adds.
 func (t *Tracker) LeaderHistory() *handover.History { return &t.leaderHistory }
 
-// Start evaluates the links now and at intervals from then on.
+// Start evaluates the links immediately, and every evaluateInterval from then on.
 func (t *Tracker) Start() {
 	if t != nil {
 		t.evaluate()
@@ -124,7 +125,8 @@
 	t.env.After(evaluateInterval, t.evaluate)
 }
 
-// logVerdictChange logs a change of a verdict, at debug level unless the link goes down or comes up again.
+// logVerdictChange logs a change of a verdict, at info level if the link goes down or comes up again, otherwise at debug
+// level.
 func logVerdictChange(change links.VerdictChange) {
 	level := slog.LevelInfo
 	if change.From.State != links.Down && change.To.State != links.Down {
@@ -136,7 +138,7 @@
 		"evidence", change.To.Evidence.String(), "damped", change.To.Damped)
 }
 
-// ObserveTerm records that some node leads in a term.
+// ObserveTerm records a term in which this node or a peer is the leader.
 func (t *Tracker) ObserveTerm(term ident.Term, now ident.MonotonicTime) {
 	if t != nil {
 		t.leaderHistory.ObserveTerm(term, now)
@@ -157,14 +159,15 @@
 	}
 }
 
-// FrameReceived records that a message from a peer has arrived.
+// FrameReceived records the arrival of a message from a peer.
 func (t *Tracker) FrameReceived(from ident.NodeID, now ident.MonotonicTime) {
 	if t != nil {
 		t.monitor.Received(peerEndpoint(from), now)
 	}
 }
 
-// CandidacyDelay returns how long this node waits before it campaigns, so that nodes with better links come first.
+// CandidacyDelay returns how long this node must wait before it becomes a candidate, so that nodes with better links are
+// elected first.
 func (t *Tracker) CandidacyDelay() time.Duration {
 	if t.monitor.Verdict(storeEndpoint, links.Outbound).Damped {
 		return dampedCandidacyDelay
@@ -172,19 +175,19 @@
 	return 0
 }
 
-// PeerDelivering reports whether frames to a peer arrive, as far as this node can tell.
+// PeerDelivering reports whether the failure detector assumes that frames to a peer currently arrive.
 func (t *Tracker) PeerDelivering(n ident.NodeID) bool {
 	return t == nil || t.monitor.Delivering(peerEndpoint(n))
 }
 
-// StoreDelivering reports whether the store serves this node at this moment. That differs from the verdict: a flapping link
-// counts as down most of the time, although transactions still succeed.
+// StoreDelivering reports whether the store currently serves this node. That differs from the verdict: a flapping link counts
+// as down most of the time, although transactions still succeed.
 func (t *Tracker) StoreDelivering() bool {
 	return t.monitor.Delivering(storeEndpoint) && !t.monitor.Refusing(storeEndpoint)
 }
 
-// PeerDownFor returns for how long the link to a peer has counted as down in either direction, and whether it does. A
-// flapping link may count as down while it delivers messages.
+// PeerDownFor reports whether the link to a peer counts as down in either direction, and returns for how long. A flapping
+// link may count as down while it delivers messages.
 func (t *Tracker) PeerDownFor(n ident.NodeID) (longest time.Duration, down bool) {
 	if t == nil {
 		return 0, false
@@ -198,7 +201,7 @@
 	return longest, down
 }
 
-// PeerDown reports whether the link to a peer counts as down.
+// PeerDown reports whether the link to a peer counts as down in either direction.
 func (t *Tracker) PeerDown(n ident.NodeID) bool {
 	_, down := t.PeerDownFor(n)
 	return down
@@ -222,8 +225,8 @@
 	return "", false
 }
 
-// Assess compares how well this node and its peers are suited to lead, by their links. machines is the number of machines in
-// each zone.
+// Assess compares the links of this node with those of its peers, to find the node with the best links for a leader. machines
+// is the number of machines that are up, by zone.
 func (t *Tracker) Assess(machines map[string]int, peers []ident.NodeID, now ident.MonotonicTime) links.Assessment {
 	cluster := links.Cluster{Peers: peers, Machines: machines}
 	return cluster.Assess(t.OwnAdvertisement(), t.advertisements, now)
--- a/internal/linktracker/tracker_test.go
+++ b/internal/linktracker/tracker_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/transport"
 )
 
-// TestNilTracker: the tracker of a node that doesn't watch its links takes events, and finds no fault.
+// TestNilTracker: the nil tracker of a node that doesn't monitor its links accepts events, and reports all links as healthy.
 func TestNilTracker(t *testing.T) {
 	var tracker *Tracker
 	tracker.Start()
@@ -20,20 +20,20 @@
 	tracker.SampleWorkerHeartbeat(nil)
 	tracker.MergeAdvertisements(&transport.Frame{})
 	if tracker.Enabled() {
-		t.Error("links are watched")
+		t.Error("a nil tracker reports that links are monitored")
 	}
 	if !tracker.PeerDelivering("agent-1") || tracker.PeerDown("agent-1") {
-		t.Error("a peer is down")
+		t.Error("a nil tracker reports a peer as down")
 	}
 	if !tracker.ZoneHealthy("a") {
-		t.Error("a zone is not healthy")
+		t.Error("a nil tracker reports a zone as unhealthy")
 	}
 	if relay, ok := tracker.RelayFor("agent-1"); ok {
-		t.Errorf("relay %s", relay)
+		t.Errorf("a nil tracker returned relay %s, want none", relay)
 	}
 }
 
-// TestHandoverRecordsAreBounded: the last handovers are remembered, and all are counted.
+// TestHandoverRecordsAreBounded: only the newest maxHandoverRecords handovers are kept, but all are counted.
 func TestHandoverRecordsAreBounded(t *testing.T) {
 	const handovers = maxHandoverRecords + 3
 	var tracker Tracker
@@ -42,9 +42,10 @@
 		tracker.CountHandover()
 	}
 	if n := len(tracker.handovers); n != maxHandoverRecords || tracker.handovers[0].Term != handovers-maxHandoverRecords {
-		t.Errorf("%d handovers, the first in term %d", n, tracker.handovers[0].Term)
+		t.Errorf("got %d handover records, the first of term %d; want %d, the first of term %d",
+			n, tracker.handovers[0].Term, maxHandoverRecords, handovers-maxHandoverRecords)
 	}
 	if tracker.handoverCount != handovers {
-		t.Errorf("%d are counted", tracker.handoverCount)
+		t.Errorf("got %d counted handovers, want %d", tracker.handoverCount, handovers)
 	}
 }
--- a/internal/linktracker/zone.go
+++ b/internal/linktracker/zone.go
@@ -1,12 +1,11 @@
 package linktracker
 
-// This file answers questions about the links to the machines of a zone.
+// This file evaluates the links to the machines of a zone.
 
 import "opaldale/internal/links"
 
-// ForgetEmptyZones forgets the links to zones without machines, given the number of machines in each zone. A terminated
-// machine may have left a command unanswered, for which the link would count as down when the zone gets its next
-// machine.
+// ForgetEmptyZones removes the links to zones without machines, given the number of machines in each zone. Otherwise a
+// command that a terminated machine left unanswered would make the link count as down when the zone gets its next machine.
 func (t *Tracker) ForgetEmptyZones(machines map[string]int) {
 	for _, endpoint := range t.monitor.Endpoints() {
 		if endpoint.Kind == links.Machines && machines[endpoint.Name] == 0 {
@@ -16,8 +15,8 @@
 	}
 }
 
-// ZoneUnreachable reports whether neither this node nor any peer, by its advertisement, has a working link to a zone's
-// machines.
+// ZoneUnreachable reports whether no link to a zone's machines is up in any direction, neither from this node nor, according
+// to its advertisement, from any peer.
 func (t *Tracker) ZoneUnreachable(zone string) bool {
 	endpoint := machinesEndpoint(zone)
 	for _, direction := range directions {
@@ -28,7 +27,8 @@
 	return !t.anyPeerReaches(endpoint)
 }
 
-// ZoneReachedByPeersOnly reports whether a peer reaches a zone's machines, and this node can't send to them.
+// ZoneReachedByPeersOnly reports whether this node's outbound link to a zone's machines is down while a peer advertises a
+// link to them that is up.
 func (t *Tracker) ZoneReachedByPeersOnly(zone string) bool {
 	endpoint := machinesEndpoint(zone)
 	return t.monitor.Verdict(endpoint, links.Outbound).State == links.Down && t.anyPeerReaches(endpoint)
--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -8,16 +8,16 @@
 	"opaldale/internal/ident"
 )
 
-// DemandState is the state of a team's demand in relation to what the team is entitled to.
+// DemandState is the state of a team's demand relative to its guaranteed CPUs.
 type DemandState uint8
 
-// The states of a team's demand. Rising and Recovering last for Config.MinDuration before the next
-// state, so that short changes of the demand have no effect.
+// The states of a team's demand. A team must be in Rising or Recovering for Config.MinDuration before it
+// becomes Overloaded or Normal, so that short changes of the demand have no effect.
 const (
-	Normal     DemandState = iota // below Config.OverloadAt
-	Rising                        // at or above Config.OverloadAt, for less than Config.MinDuration
-	Overloaded                    // was at or above Config.OverloadAt for Config.MinDuration
-	Recovering                    // was overloaded, and is below Config.RecoverAt for less than Config.MinDuration
+	Normal     DemandState = iota // the demand is below Config.OverloadAt
+	Rising                        // the demand is at or above Config.OverloadAt, for less than Config.MinDuration
+	Overloaded                    // the demand was at or above Config.OverloadAt for Config.MinDuration
+	Recovering                    // overloaded before; the demand is below Config.RecoverAt, for less than Config.MinDuration
 )
 
 // demandStateNames are part of the metrics and logs, and must not change.
@@ -33,20 +33,20 @@
 
 // team is the demand of one team.
 type team struct {
-	entitled float64 // CPUs
-	demand   Average // CPUs
-	state    DemandState
-	since    ident.MonotonicTime // when the team entered its state
+	guaranteedCPUs float64
+	demand         Average // CPUs
+	state          DemandState
+	since          ident.MonotonicTime // when the team entered its state
 }
 
 // DemandStateChange is a change of the state of a team's demand.
 type DemandStateChange struct {
 	Team     string
 	From, To DemandState
-	Ratio    float64 // of demand to what the team is entitled to
+	Ratio    float64 // demand divided by the guaranteed CPUs
 }
 
-// SetDemand sets the CPUs that a team's running and waiting tasks need together.
+// SetDemand sets the total number of CPUs that a team's running and waiting tasks request.
 func (m *Model) SetDemand(name string, cpus float64, now ident.MonotonicTime) {
 	t := m.teams[name]
 	if t == nil {
@@ -56,17 +56,17 @@
 	t.demand.Set(cpus, now, m.config.HalfLife)
 }
 
-// ratio returns a team's demand as a multiple of what it is entitled to. A team without an
-// entitlement counts as entitled to an equal share of all machines.
+// ratio returns a team's demand as a multiple of its guaranteed CPUs. For a team without a guarantee, an
+// equal share of the CPUs of all machines is used instead.
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
-	entitled := t.entitled
-	if entitled <= 0 {
-		entitled = max(1, m.totalCPUs/float64(len(m.teams)))
+	guaranteed := t.guaranteedCPUs
+	if guaranteed <= 0 {
+		guaranteed = max(1, m.totalCPUs/float64(len(m.teams)))
 	}
-	return t.demand.Value(now, m.config.HalfLife) / entitled
+	return t.demand.Value(now, m.config.HalfLife) / guaranteed
 }
 
-// Evaluate brings the teams' states up to date and returns those that have changed.
+// Evaluate updates the states of all teams and returns the changes, ordered by team.
 func (m *Model) Evaluate(now ident.MonotonicTime) []DemandStateChange {
 	var changes []DemandStateChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -81,9 +81,9 @@
 	return changes
 }
 
-// updateState takes a team to its next state, if the ratio and the time in its state require that.
+// updateState moves a team to its next state if its ratio and its time in the current state require it.
 func (m *Model) updateState(t *team, ratio float64, now ident.MonotonicTime) {
-	minDurationOver := now.Sub(t.since) >= m.config.MinDuration
+	minDurationElapsed := now.Sub(t.since) >= m.config.MinDuration
 	switch t.state {
 	case Normal:
 		if ratio >= m.config.OverloadAt {
@@ -93,7 +93,7 @@
 		switch {
 		case ratio < m.config.OverloadAt:
 			m.transition(t, Normal, now)
-		case minDurationOver:
+		case minDurationElapsed:
 			m.transition(t, Overloaded, now)
 		}
 	case Overloaded:
@@ -104,13 +104,13 @@
 		switch {
 		case ratio >= m.config.RecoverAt:
 			m.transition(t, Overloaded, now)
-		case minDurationOver:
+		case minDurationElapsed:
 			m.transition(t, Normal, now)
 		}
 	}
 }
 
-// transition changes the state of a team. All changes of state go through it.
+// transition changes the state of a team. No other function changes it.
 func (m *Model) transition(t *team, state DemandState, now ident.MonotonicTime) {
 	if t.overloaded() {
 		m.overloadedTeams--
@@ -121,8 +121,7 @@
 	}
 }
 
-// overloaded reports whether the team counts as overloaded. A recovering team does until it is back
-// to normal.
+// overloaded reports whether the team counts as overloaded. A recovering team still does.
 func (t *team) overloaded() bool { return t.state == Overloaded || t.state == Recovering }
 
 // AnyOverloaded reports whether any team counts as overloaded.
@@ -134,14 +133,14 @@
 	return t != nil && t.overloaded()
 }
 
-// TeamDemand is the demand of a team at one time.
+// TeamDemand is the demand of a team at a point in time.
 type TeamDemand struct {
 	Team  string
 	State DemandState
-	Ratio float64 // of demand to what the team is entitled to
+	Ratio float64 // demand divided by the guaranteed CPUs
 }
 
-// Teams returns the demand of all teams, in the order of their names.
+// Teams returns the demand of all teams, ordered by name.
 func (m *Model) Teams(now ident.MonotonicTime) []TeamDemand {
 	var out []TeamDemand
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,8 @@
 // Package load tracks the load of machines, zones and teams: how evenly the machines are used, which
-// teams demand far more than they are entitled to, and which machines are slow.
+// teams request far more than their guaranteed CPUs, and which machines are slow.
 //
-// It does no I/O and reads no clock. Each change updates the sums, so that no query iterates over the
-// machines. Its types are not safe for concurrent use.
+// The package does no I/O and reads no clock. Each change updates running sums, so that no query iterates
+// over the machines. Its types are not safe for concurrent use.
 package load
 
 import (
@@ -12,16 +12,16 @@
 	"opaldale/internal/ident"
 )
 
-// Average is the exponentially decaying average of a level that changes in steps: after one half-life
-// the previous average counts half.
+// Average is the exponentially decaying average of a level that changes in steps. After one half-life,
+// the weight of earlier levels has halved.
 type Average struct {
-	current     float64 // level since updatedAt
-	mean        float64 // average at updatedAt
+	current     float64 // the level since updatedAt
+	mean        float64 // the average at updatedAt
 	updatedAt   ident.MonotonicTime
 	initialized bool
 }
 
-// Set changes the level at a time. The first level is the initial average as well.
+// Set sets the level from now on. The first level is also the initial average.
 func (a *Average) Set(level float64, now ident.MonotonicTime, halfLife time.Duration) {
 	if !a.initialized {
 		*a = Average{current: level, mean: level, updatedAt: now, initialized: true}
@@ -31,7 +31,7 @@
 	a.current, a.updatedAt = level, max(a.updatedAt, now)
 }
 
-// Value returns the average at a time.
+// Value returns the average at now.
 func (a *Average) Value(now ident.MonotonicTime, halfLife time.Duration) float64 {
 	if now <= a.updatedAt {
 		return a.mean
@@ -39,19 +39,19 @@
 	return a.current + (a.mean-a.current)*math.Exp2(-float64(now.Sub(a.updatedAt))/float64(halfLife))
 }
 
-// Config holds the time constants and thresholds of a model.
+// Config holds the time constants and thresholds of a Model.
 type Config struct {
 	// HalfLife is the half-life of all averages.
 	HalfLife time.Duration
-	// OverloadAt is the demand, as a multiple of what a team is entitled to, from which the team is
-	// overloaded. RecoverAt is the demand below which it recovers.
+	// OverloadAt is the demand at or above which a team becomes overloaded, and RecoverAt the demand
+	// below which it recovers. Both are multiples of the team's guaranteed CPUs.
 	OverloadAt, RecoverAt float64
-	// MinDuration is how long the demand of a team must be beyond either threshold before the team
-	// counts as overloaded or as normal.
+	// MinDuration is how long the demand of a team must stay beyond a threshold before the team
+	// becomes overloaded or normal.
 	MinDuration time.Duration
 }
 
-// DefaultConfig returns the values that are used unless the settings override them.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		HalfLife:    10 * time.Second,
@@ -61,33 +61,33 @@
 	}
 }
 
-// machineUse is the use of one machine.
+// machineUse is the usage of one machine.
 type machineUse struct {
 	zone string
-	cpus float64 // 0 while the size of the machine is unknown
-	used float64 // CPUs
+	cpus float64 // number of CPUs, 0 while unknown
+	used float64 // CPUs in use
 }
 
-// utilization is the fraction of the machine's CPUs that is in use.
+// utilization returns the fraction of the machine's CPUs that is in use.
 func (m *machineUse) utilization() float64 { return m.used / m.cpus }
 
-// distribution keeps the sums from which the imbalance of a set of machines follows.
+// distribution holds the sums from which the imbalance of a set of machines is computed.
 type distribution struct {
 	machines        int
 	sum, sumSquares float64 // of the utilizations
 }
 
-// add adds the utilization of a machine if sign is 1, and removes it if sign is -1.
+// add adds the utilization of a machine if sign is 1, and subtracts it if sign is -1.
 func (d *distribution) add(utilization float64, sign float64) {
 	d.machines += int(sign)
 	d.sum += sign * utilization
 	d.sumSquares += sign * utilization * utilization
 }
 
-// imbalance returns the coefficient of variation of the utilizations: the standard deviation divided
-// by the mean; 0 if all are equal, or nothing is in use.
+// imbalance returns the coefficient of variation of the utilizations, which is the standard deviation
+// divided by the mean. It returns 0 if there are fewer than two machines or no CPU is in use.
 func (d *distribution) imbalance() float64 {
-	if d.machines < 2 || d.sum < negligible {
+	if d.machines < 2 || d.sum < roundingTolerance {
 		return 0
 	}
 	n := float64(d.machines)
@@ -96,10 +96,10 @@
 	return math.Sqrt(variance) / mean
 }
 
-// negligible is the tolerance for rounding errors of sums.
-const negligible = 1e-9
+// roundingTolerance is the absolute value below which a sum counts as 0, since sums have rounding errors.
+const roundingTolerance = 1e-9
 
-// Model is the load of a cluster.
+// Model tracks the load of a cluster.
 type Model struct {
 	config          Config
 	machines        map[ident.MachineID]*machineUse
@@ -110,28 +110,28 @@
 	totalCPUs       float64 // of all machines
 }
 
-// New makes a model without machines. entitled holds the CPUs that each team is entitled to.
-func New(config Config, entitled map[string]float64) *Model {
+// New returns a model without machines. guaranteedCPUs holds the guaranteed CPUs of each team.
+func New(config Config, guaranteedCPUs map[string]float64) *Model {
 	m := &Model{
 		config:   config,
 		machines: map[ident.MachineID]*machineUse{},
 		zones:    map[string]*distribution{},
 		teams:    map[string]*team{},
 	}
-	for name, cpus := range entitled {
-		m.teams[name] = &team{entitled: cpus}
+	for name, cpus := range guaranteedCPUs {
+		m.teams[name] = &team{guaranteedCPUs: cpus}
 	}
 	return m
 }
 
-// update changes a machine with apply, and keeps the sums up to date.
+// update changes a machine by calling apply, and updates the sums.
 func (m *Model) update(machine *machineUse, apply func()) {
 	m.addToTotals(machine, -1)
 	apply()
 	m.addToTotals(machine, 1)
 }
 
-// addToTotals adds a machine to the sums if sign is 1, and removes it if sign is -1.
+// addToTotals adds a machine to the sums if sign is 1, and subtracts it if sign is -1.
 func (m *Model) addToTotals(machine *machineUse, sign float64) {
 	if machine.cpus <= 0 {
 		return
@@ -146,7 +146,7 @@
 	z.add(machine.utilization(), sign)
 }
 
-// ensureMachine returns the use of a machine, and adds it if it is new.
+// ensureMachine returns the usage of a machine, which it adds if it is new.
 func (m *Model) ensureMachine(id ident.MachineID) *machineUse {
 	machine := m.machines[id]
 	if machine == nil {
@@ -156,7 +156,7 @@
 	return machine
 }
 
-// SetMachine sets the zone and the size of a machine, and adds it if it is new.
+// SetMachine sets the zone and the number of CPUs of a machine, which it adds if it is new.
 func (m *Model) SetMachine(id ident.MachineID, zone string, cpus float64) {
 	machine := m.ensureMachine(id)
 	if machine.zone == zone && machine.cpus == cpus {
@@ -165,7 +165,7 @@
 	m.update(machine, func() { machine.zone, machine.cpus = zone, cpus })
 }
 
-// RemoveMachine removes a machine that is gone.
+// RemoveMachine removes a machine and its usage.
 func (m *Model) RemoveMachine(id ident.MachineID) {
 	if machine := m.machines[id]; machine != nil {
 		m.addToTotals(machine, -1)
@@ -173,16 +173,16 @@
 	}
 }
 
-// AddUsage adds the CPUs of a task to those in use on a machine, or subtracts them if negative. A
-// machine that is not known yet is added, with an unknown size; a subtraction from one that was
-// removed is ignored.
+// AddUsage adds a number of CPUs, negative when a task ends, to those in use on a machine. It adds an
+// unknown machine with an unknown number of CPUs, except that a negative number is ignored: the machine
+// has been removed.
 func (m *Model) AddUsage(id ident.MachineID, cpus float64) {
 	if m.machines[id] == nil && cpus < 0 {
 		return
 	}
 	machine := m.ensureMachine(id)
 	m.update(machine, func() {
-		if machine.used += cpus; math.Abs(machine.used) < negligible {
+		if machine.used += cpus; math.Abs(machine.used) < roundingTolerance {
 			machine.used = 0
 		}
 	})
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
-// referenceMachine is the use of one machine in a reference model, which keeps no sums.
+// referenceMachine is the usage of one machine in a reference model that keeps no sums.
 type referenceMachine struct {
 	zone       string
 	cpus, used float64
 }
 
-// utilizationsOf returns the utilizations of the machines of a zone, of all machines if zone is empty.
+// utilizationsOf returns the utilizations of the machines in a zone, or of all machines if zone is empty.
 func utilizationsOf(model map[ident.MachineID]*referenceMachine, zone string) []float64 {
 	var utilizations []float64
 	for _, k := range model {
@@ -32,8 +32,8 @@
 	return utilizations
 }
 
-// TestImbalance compares the incremental sums with a computation over all machines of a reference
-// model, as machines are added, resized, used and removed in any order.
+// TestImbalance compares the imbalance from the incremental sums with one computed over all machines of a
+// reference model, while machines are added, resized, used and removed in random order.
 func TestImbalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, model := New(DefaultConfig(), nil), map[ident.MachineID]*referenceMachine{}
@@ -72,7 +72,7 @@
 				got = m.ZoneImbalance(zone)
 			}
 			if want := variation(utilizations); math.Abs(got-want) > 1e-3*max(1, want) && want < 1e3 {
-				t.Fatalf("zone %q: %v, want %v of %v", zone, got, want, utilizations)
+				t.Fatalf("zone %q: got imbalance %v, want %v for utilizations %v", zone, got, want, utilizations)
 			}
 		}
 	})
@@ -94,23 +94,24 @@
 	return math.Sqrt(square/float64(len(utilizations))) / mean
 }
 
-// TestAverage: after one half-life the average has gone half of a step, and setting the same level
-// again changes nothing.
+// TestAverage: one half-life after a step, the average has changed by half of the step. Setting the same
+// level again has no effect.
 func TestAverage(t *testing.T) {
 	var a Average
 	now, half := ident.MonotonicTime(time.Hour), 10*time.Second
 	a.Set(4, now, half)
 	a.Set(8, now, half)
 	if got := a.Value(now.Add(half), half); math.Abs(got-6) > 1e-9 {
-		t.Errorf("after a half-life %v", got)
+		t.Errorf("got average %v one half-life after a step from 4 to 8, want 6", got)
 	}
 	a.Set(8, now.Add(half), half)
 	if got := a.Value(now.Add(2*half), half); math.Abs(got-7) > 1e-9 {
-		t.Errorf("after another %v", got)
+		t.Errorf("got average %v two half-lives after a step from 4 to 8, want 7", got)
 	}
 }
 
-// runDemand makes the demand of a team follow a function of time, and returns the states of the team.
+// runDemand sets the demand of team red to a function of time for a duration, and returns the states that
+// the team enters.
 func runDemand(d time.Duration, demand func(time.Duration) float64) []DemandState {
 	var states []DemandState
 	m := New(DefaultConfig(), map[string]float64{"red": 100, "blue": 100})
@@ -121,39 +122,40 @@
 		m.SetDemand("blue", 50, now)
 		for _, c := range m.Evaluate(now) {
 			if c.Team != "red" {
-				panic("the other team is " + c.To.String())
+				panic("team " + c.Team + " with a constant demand below its guarantee changed to " + c.To.String())
 			}
 			states = append(states, c.To)
 		}
 		if m.AnyOverloaded() != m.IsOverloaded("red") {
-			panic("AnyOverloaded doesn't follow the one team that is overloaded")
+			panic(fmt.Sprintf("AnyOverloaded is %v while IsOverloaded of the only varying team is %v",
+				m.AnyOverloaded(), m.IsOverloaded("red")))
 		}
 	}
 	return states
 }
 
-// TestDemandStates: a flood of jobs makes a team overloaded within seconds, and it recovers some time
-// after; a short peak, or demand between the thresholds, doesn't make the state oscillate.
+// TestDemandStates: a team with far too much demand becomes overloaded, and normal again after the demand
+// ends. A short peak, or demand between the thresholds, doesn't make the state oscillate.
 func TestDemandStates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		demand func(time.Duration) float64
 		states []DemandState
 	}{
-		{"within its share", func(time.Duration) float64 { return 90 }, nil},
-		{"a hundred times its share for a minute", func(at time.Duration) float64 {
+		{"within its guarantee", func(time.Duration) float64 { return 90 }, nil},
+		{"a hundred times its guarantee for a minute", func(at time.Duration) float64 {
 			if at < time.Minute {
 				return 10_000
 			}
 			return 10
 		}, []DemandState{Rising, Overloaded, Recovering, Normal}},
-		{"a moment", func(at time.Duration) float64 {
+		{"a peak of two seconds", func(at time.Duration) float64 {
 			if at > 20*time.Second && at < 22*time.Second {
 				return 1000
 			}
 			return 50
 		}, nil},
-		{"just beyond the bound and back", func(at time.Duration) float64 {
+		{"overloaded, then between the thresholds", func(at time.Duration) float64 {
 			if at < 20*time.Second {
 				return 300
 			}
@@ -163,14 +165,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			states := runDemand(4*time.Minute, c.demand)
 			if fmt.Sprint(states) != fmt.Sprint(c.states) {
-				t.Errorf("%v, want %v", states, c.states)
+				t.Errorf("got states %v, want %v", states, c.states)
 			}
 		})
 	}
 }
 
-// TestPulsesDontOscillate: with demand in short pulses, a team changes between overloaded and normal
-// twice at the most; with longer ones, each pulse changes that twice at the most.
+// TestPulsesDontOscillate: if the demand comes in short pulses, a team changes between overloaded and
+// normal at most twice in all. With longer pulses, it changes at most twice per pulse.
 func TestPulsesDontOscillate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(1, 60).Draw(t, "period_s")) * time.Second
@@ -193,12 +195,12 @@
 			most = 2
 		}
 		if flips > most {
-			t.Fatalf("%d changes between overloaded and normal with pulses every %v, at the most %d", flips, period, most)
+			t.Fatalf("got %d changes between overloaded and normal with pulses every %v, want at most %d", flips, period, most)
 		}
 	})
 }
 
-// BenchmarkUse shows that a change costs the same whatever the number of machines.
+// BenchmarkUse measures the time of a change of usage, which must not depend on the number of machines.
 func BenchmarkUse(b *testing.B) {
 	for _, machines := range []int{500, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
--- a/internal/load/slowness.go
+++ b/internal/load/slowness.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// minRunTime is the shortest run that counts: ends of tasks are reported up to a second late.
+	// minRunTime is the minimum run time of a sample. Shorter runs are too inaccurate, since the end of
+	// a task is reported up to a second late.
 	minRunTime = 5 * time.Second
-	// minComparisonRuns is how many tasks of a job must have ended on other machines for a run to be
-	// compared with them, and maxRunsKept how many are kept.
+	// minComparisonRuns is the minimum number of runs on other machines with which a run is compared,
+	// and maxRunsKept the maximum number of runs that are kept for a group.
 	minComparisonRuns = 4
 	maxRunsKept       = 64
-	// minSamples is how many tasks must have ended on a machine before it may count as slow: run
-	// times of a job's tasks vary on any machine.
+	// minSamples is the minimum number of samples of a slow machine: the run times of a job's tasks
+	// vary on any machine.
 	minSamples = 5
-	// sampleWeight is the weight of the newest sample in the average of a machine.
+	// sampleWeight is the weight of the newest sample in a machine's average.
 	sampleWeight = 0.2
-	// slowFactor is the run time of tasks on a slow machine, as a multiple of that elsewhere, from
-	// which the machine counts as slow.
+	// slowFactor is the minimum run time of tasks on a slow machine, as a multiple of their run time on
+	// other machines.
 	slowFactor = 2
-	// maxSlowFraction is the fraction of the machines that may count as slow at a time, at least one
-	// machine: if more seem to be slow, the estimate is wrong.
+	// maxSlowFraction is the maximum fraction of machines that count as slow at a time, but at least one
+	// machine may. If more appear to be slow, the estimate is assumed to be wrong.
 	maxSlowFraction = 0.02
-	// maxRunGroups bounds the groups whose runs are kept. All are dropped when it is exceeded.
+	// maxRunGroups is the maximum number of groups whose runs are kept. A new group beyond it drops all
+	// others.
 	maxRunGroups = 10_000
 )
 
-// SlownessEstimator estimates how slow machines are, by how long tasks of the same job take on
+// SlownessEstimator estimates how slow machines are by comparing the run times of tasks of the same job on
 // machines of the same type.
 type SlownessEstimator struct {
-	runsByGroup map[runGroup]*runHistory
-	paces       map[ident.MachineID]*pace
-	slow        map[ident.MachineID]bool // machines that count as slow
+	runsByGroup      map[runGroup]*runHistory
+	relativeRunTimes map[ident.MachineID]*relativeRunTime
+	slow             map[ident.MachineID]bool // machines that count as slow
 }
 
-// runGroup identifies tasks that should take equally long: those of a job on a type of machine.
+// runGroup identifies tasks whose run times are comparable: tasks of a job on machines of a type.
 type runGroup struct {
 	job   ident.JobID
 	model string
 }
 
-// run is the time that a task took on a machine.
+// run is the run time of a task on a machine.
 type run struct {
 	machine ident.MachineID
 	took    time.Duration
@@ -53,25 +55,27 @@
 // runHistory is a ring buffer of the newest runs of a group.
 type runHistory struct {
 	list   []run
-	oldest int // index of the run that the next one replaces, once there are maxRunsKept
+	oldest int // index of the run that the next one replaces, once list holds maxRunsKept
 }
 
-// pace is the average of how long tasks take on a machine, as a multiple of what they take elsewhere.
-type pace struct {
+// relativeRunTime is the average run time of tasks on a machine, as a multiple of their run time on other
+// machines.
+type relativeRunTime struct {
 	samples int
-	mean    float64 // of the logarithms of the multiples
+	mean    float64 // average of the logarithms of the multiples
 }
 
-// NewSlownessEstimator makes an estimator without runs.
+// NewSlownessEstimator returns an estimator without runs.
 func NewSlownessEstimator() *SlownessEstimator {
 	return &SlownessEstimator{
-		runsByGroup: map[runGroup]*runHistory{},
-		paces:       map[ident.MachineID]*pace{},
-		slow:        map[ident.MachineID]bool{},
+		runsByGroup:      map[runGroup]*runHistory{},
+		relativeRunTimes: map[ident.MachineID]*relativeRunTime{},
+		slow:             map[ident.MachineID]bool{},
 	}
 }
 
-// RecordRun records the time that a completed task of a job took on a machine of a type.
+// RecordRun records the run time of a completed task of a job on a machine of type model. It ignores runs
+// shorter than minRunTime.
 func (s *SlownessEstimator) RecordRun(job ident.JobID, model string, machine ident.MachineID, took time.Duration) {
 	if took < minRunTime {
 		return
@@ -91,7 +95,7 @@
 	r.add(run{machine: machine, took: took})
 }
 
-// add keeps a run in place of the oldest.
+// add adds a run, which replaces the oldest one if the history is full.
 func (r *runHistory) add(newest run) {
 	if len(r.list) < maxRunsKept {
 		r.list = append(r.list, newest)
@@ -101,8 +105,8 @@
 	r.oldest = (r.oldest + 1) % maxRunsKept
 }
 
-// medianElsewhere returns the median of the runs on other machines. It returns false if there are
-// fewer than minComparisonRuns.
+// medianElsewhere returns the median run time on other machines. It returns false if there are fewer than
+// minComparisonRuns runs.
 func (r *runHistory) medianElsewhere(machine ident.MachineID) (time.Duration, bool) {
 	var others []time.Duration
 	for _, other := range r.list {
@@ -117,31 +121,31 @@
 	return others[len(others)/2], true
 }
 
-// addSample adds the logarithm of a run time, as a multiple of that elsewhere, to the average of a
-// machine.
+// addSample adds the logarithm of a run time, as a multiple of the run time on other machines, to a
+// machine's average.
 func (s *SlownessEstimator) addSample(machine ident.MachineID, logRatio float64) {
-	p := s.paces[machine]
+	p := s.relativeRunTimes[machine]
 	if p == nil {
-		p = &pace{}
-		s.paces[machine] = p
+		p = &relativeRunTime{}
+		s.relativeRunTimes[machine] = p
 	}
 	p.samples++
 	// The first samples have equal weights.
 	p.mean += (logRatio - p.mean) * max(sampleWeight, 1/float64(p.samples))
 }
 
-// Slowness returns the run time of tasks on a machine as a multiple of that elsewhere, 1 if it is
-// unknown.
+// Slowness returns the run time of tasks on a machine as a multiple of their run time on other machines.
+// It returns 1 if the machine has fewer than minSamples samples.
 func (s *SlownessEstimator) Slowness(machine ident.MachineID) float64 {
-	p := s.paces[machine]
+	p := s.relativeRunTimes[machine]
 	if p == nil || p.samples < minSamples {
 		return 1
 	}
 	return math.Exp(p.mean)
 }
 
-// DetectSlow reports whether a machine counts as slow, given the number of machines in the cluster. A
-// machine that has been reported as slow stays so until RemoveMachine.
+// DetectSlow reports whether a machine counts as slow, given the number of machines in the cluster. Once
+// it returns true for a machine, it does so until RemoveMachine is called.
 func (s *SlownessEstimator) DetectSlow(machine ident.MachineID, machines int) bool {
 	if s.slow[machine] {
 		return true
@@ -153,8 +157,8 @@
 	return true
 }
 
-// RemoveMachine drops the samples and the state of a machine.
+// RemoveMachine removes the samples of a machine, and whether it counts as slow.
 func (s *SlownessEstimator) RemoveMachine(machine ident.MachineID) {
-	delete(s.paces, machine)
+	delete(s.relativeRunTimes, machine)
 	delete(s.slow, machine)
 }
--- a/internal/load/slowness_test.go
+++ b/internal/load/slowness_test.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// runTasks records runs of jobs with tasks of different lengths on machines, some of which are slower
-// by a factor, and returns the machines that count as slow.
+// runTasks records runs of jobs with tasks of different lengths on random machines, and returns the
+// machines that count as slow. factor multiplies the run times on some of the machines.
 func runTasks(seed uint64, machines int, factor map[int]float64) map[int]bool {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := NewSlownessEstimator()
@@ -35,30 +35,30 @@
 	return slow
 }
 
-// TestSlowMachines: a machine that takes three times as long is detected among others whose run times
-// vary by half in either direction, and no other counts as slow; if many seem slow, only a small
-// fraction counts.
+// TestSlowMachines: a machine with three times the usual run time is detected while run times on all
+// machines vary by half in either direction, and no other machine counts as slow. If many machines are
+// slow, at most 2 % count as slow.
 func TestSlowMachines(t *testing.T) {
 	for seed := range uint64(20) {
 		slow := runTasks(seed, 100, map[int]float64{7: 3})
 		if len(slow) != 1 || !slow[7] {
-			t.Errorf("seed %d: slow are %v", seed, slow)
+			t.Errorf("seed %d: got slow machines %v, want machine 7 only", seed, slow)
 		}
 		if slow := runTasks(seed, 100, map[int]float64{7: 1.3}); len(slow) != 0 {
-			t.Errorf("seed %d: with one a little slower: %v", seed, slow)
+			t.Errorf("seed %d: got slow machines %v with one slower by a factor of 1.3, want none", seed, slow)
 		}
 		many := map[int]float64{}
 		for i := range 30 {
 			many[i] = 4
 		}
 		if slow := runTasks(seed, 100, many); len(slow) > 2 {
-			t.Errorf("seed %d: with many slower: %v", seed, slow)
+			t.Errorf("seed %d: got slow machines %v with 30 slower by a factor of 4, want at most 2", seed, slow)
 		}
 	}
 }
 
-// TestSlownessNeedsEvidence: few or short runs, and runs without comparable ones on other machines,
-// don't make a machine slow, and a removed machine is forgotten.
+// TestSlownessNeedsEvidence: a machine with few or short runs, or runs without comparable ones on other
+// machines, does not count as slow. The samples of a removed machine are dropped.
 func TestSlownessNeedsEvidence(t *testing.T) {
 	peers := func(s *SlownessEstimator, model string, took time.Duration) {
 		for i := range 8 {
@@ -71,13 +71,13 @@
 		s.RecordRun("j-1", "m8", "late", time.Minute)
 	}
 	if s.Slowness("late") != 1 || s.DetectSlow("late", 100) {
-		t.Errorf("few ends: %v", s.Slowness("late"))
+		t.Errorf("with fewer than %d samples: got slowness %v, want 1 and not slow", minSamples, s.Slowness("late"))
 	}
 	if s.RecordRun("j-1", "m8", "late", time.Minute); s.Slowness("late") < 5 || !s.DetectSlow("late", 100) {
-		t.Errorf("enough ends: %v", s.Slowness("late"))
+		t.Errorf("with %d samples: got slowness %v, want at least 5 and slow", minSamples, s.Slowness("late"))
 	}
 	if s.RemoveMachine("late"); s.DetectSlow("late", 100) {
-		t.Error("a machine that is gone is slow")
+		t.Error("a removed machine counts as slow")
 	}
 	s = NewSlownessEstimator()
 	peers(s, "m8", time.Second)
@@ -87,6 +87,6 @@
 		s.RecordRun("j-2", "m16", "late", time.Minute)
 	}
 	if s.DetectSlow("late", 100) {
-		t.Error("slow beside short runs, another type, or nothing")
+		t.Error("a machine counts as slow without comparable runs: short runs, another type, or no runs on other machines")
 	}
 }
