--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -12,7 +12,7 @@
 	"opaldale/internal/rebalance"
 )
 
-// TestGoldenHistory pins the keys and values that moves are recorded with.
+// TestGoldenHistory pins the keys and values of the stored records of moves.
 func TestGoldenHistory(t *testing.T) {
 	r := kvstoretest.NewRecordingStore()
 	c := commit.New(r, testLimits, kvstore.Compare{Key: "leader", Revision: 61}, func(err error) { t.Error(err) })
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -13,12 +13,12 @@
 	"opaldale/internal/ident"
 )
 
-// Prefix is the prefix of the keys under which the moves of jobs are recorded, one key for each job
-// that has any. Versions without migration never read it, and treat a task that is being moved as
-// one that was stopped.
+// Prefix is the prefix of the keys with the records of moves, one key for each job that has any moves.
+// Versions without migration never read these keys, and treat a task that is being moved as a task that
+// was stopped.
 const Prefix = "moves/"
 
-// Key returns the key under which a job's moves are recorded.
+// Key returns the key of the record of a job's moves.
 func Key(id ident.JobID) string { return Prefix + string(id) }
 
 // Entry is one recorded move.
@@ -34,14 +34,15 @@
 	CostS         float64         `json:"cost_s"`
 }
 
-// Record is the value of a job's key: all of its moves, the oldest first.
+// Record is the stored record of all moves of a job, the oldest first.
 type Record struct {
 	Moves []Entry `json:"moves"`
 }
 
-var errNoMoves = errors.New("no moves")
+var errNoMoves = errors.New("move record has no moves, want at least one")
 
-// ReadRecord reads the value of a job's key.
+// ReadRecord decodes the stored record of a job. It returns an error for a record without moves, or with a
+// negative task index.
 func ReadRecord(value json.RawMessage) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -52,35 +53,35 @@
 	}
 	for _, e := range r.Moves {
 		if e.Index < 0 {
-			return Record{}, fmt.Errorf("task %d: %w", e.Index, ident.ErrMalformed)
+			return Record{}, fmt.Errorf("task index %d is negative: %w", e.Index, ident.ErrMalformed)
 		}
 	}
 	return r, nil
 }
 
-// jobHistory is the record of one job.
+// jobHistory is the record of one job's moves.
 type jobHistory struct {
 	record     Record
 	doc        *commit.Document
-	unreadable bool // the stored value can't be decoded, and is left as it is
-	deleted    bool
+	unreadable bool // whether the stored value can't be decoded; it is then not overwritten
+	deleted    bool // whether the record is to be deleted from the store
 }
 
 // History records the moves of each job in the key-value store. A move is recorded before its task is
-// stopped, so that the record survives a failover.
+// stopped, so that the next leader knows about the move after a failover.
 type History struct {
 	commits     *commit.Committer
 	wallClockMS func() int64 // Unix time in milliseconds
 	jobs        map[ident.JobID]*jobHistory
 }
 
-// NewHistory makes an empty history for a leader's term.
+// NewHistory returns an empty history for a leader's term.
 func NewHistory(commits *commit.Committer, wallClockMS func() int64) *History {
 	return &History{commits: commits, wallClockMS: wallClockMS, jobs: map[ident.JobID]*jobHistory{}}
 }
 
-// Load adds the record of a job that an earlier term stored. A record that can't be decoded bars its
-// job from being moved. It is no reason to resign, since only moves depend on it.
+// Load adds the stored record of a job. If the record can't be decoded, the tasks of the job are not moved.
+// The leader need not resign in that case, since only moves depend on the record.
 func (h *History) Load(path string, value json.RawMessage, revision ident.Revision) {
 	id := ident.JobID(strings.TrimPrefix(path, Prefix))
 	j := h.addJob(id)
@@ -107,7 +108,7 @@
 	return j
 }
 
-// MoveCount returns the number of recorded moves of a job's tasks, including abandoned ones.
+// MoveCount returns the number of recorded moves of a job's tasks, including abandoned moves.
 func (h *History) MoveCount(id ident.JobID) int {
 	if j := h.jobs[id]; j != nil {
 		return len(j.record.Moves)
@@ -115,13 +116,13 @@
 	return 0
 }
 
-// IsBarred reports whether a job may not be moved because its record can't be decoded.
-func (h *History) IsBarred(id ident.JobID) bool {
+// IsExcluded reports whether a job's tasks must not be moved because its record can't be decoded.
+func (h *History) IsExcluded(id ident.JobID) bool {
 	j := h.jobs[id]
 	return j != nil && j.unreadable
 }
 
-// RecordMove records a move, and calls durable once the record is durable.
+// RecordMove adds a move to the record of its job, and calls durable once the record is durable.
 func (h *History) RecordMove(m *Move, durable func()) {
 	j := h.jobs[m.Task.Job]
 	if j == nil {
@@ -141,7 +142,7 @@
 	h.commits.MarkDirty(j.doc, durable)
 }
 
-// Forget deletes the record of a job that is closed, along with the next write that has room for it.
+// Forget deletes the record of a closed job, as part of a later transaction that is not full.
 func (h *History) Forget(id ident.JobID) {
 	j := h.jobs[id]
 	if j == nil {
@@ -152,8 +153,8 @@
 	h.commits.MarkDirtyLazily(j.doc, nil)
 }
 
-// Prune deletes the records of jobs that are not live, which an earlier term or a version without
-// migration has left.
+// Prune deletes the records of jobs that are not live. Such records remain if an earlier term ended before
+// it deleted them, or if a version without migration, which does not delete them, was the leader.
 func (h *History) Prune(live func(ident.JobID) bool) {
 	for id := range h.jobs {
 		if !live(id) {
@@ -162,9 +163,9 @@
 	}
 }
 
-// Interrupted lists, in no particular order, the tasks whose last recorded move may not have ended:
-// those that are still in the attempt that was to be moved. attempt returns the present attempt of a
-// task, and false for an unknown one.
+// Interrupted lists, in no particular order, the tasks whose last recorded move may not have ended: the
+// current attempt of the task is still the one that was to be moved. attempt returns the current attempt of
+// a task, and false for an unknown task.
 func (h *History) Interrupted(attempt func(ident.TaskID) (ident.Attempt, bool)) []ident.TaskID {
 	var out []ident.TaskID
 	for id, j := range h.jobs {
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -21,7 +21,7 @@
 	destination = ident.MachineID("host-2")
 )
 
-// proposal is a move of a task in its third attempt.
+// proposal returns a proposed move from source to destination, for a beneficiary that would wait a minute.
 func proposal() rebalance.Move {
 	return rebalance.Move{
 		Task:           ident.TaskID{Job: "j-1"},
@@ -36,7 +36,7 @@
 	}
 }
 
-// observationAt returns the observation of a task in a state, with no reason to abandon its move.
+// observationAt returns an observation of a task, with no reason to abandon its move.
 func observationAt(task jobs.State, attempt ident.Attempt, machine ident.MachineID) Observation {
 	return Observation{
 		JobOpen:            true,
@@ -50,53 +50,53 @@
 	}
 }
 
-// moveHarness takes one move through its states.
+// moveHarness moves one move through its states.
 type moveHarness struct {
 	table *Table
 	move  *Move
 	now   ident.MonotonicTime
 }
 
-// newMoveHarness begins a move.
+// newMoveHarness returns a harness with a new move of a task in its third attempt.
 func newMoveHarness() *moveHarness {
-	w := &moveHarness{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
-	w.move = w.table.Begin(proposal(), 3, w.now)
-	return w
+	h := &moveHarness{table: NewTable(DefaultConfig(time.Second)), now: ident.MonotonicTime(time.Hour)}
+	h.move = h.table.Begin(proposal(), 3, h.now)
+	return h
 }
 
-// advance advances the table after a time, and returns the effects.
-func (w *moveHarness) advance(d time.Duration, o Observation) []EffectKind {
-	w.now = w.now.Add(d)
+// advance advances the clock by d and the table with an observation, and returns the kinds of the effects.
+func (h *moveHarness) advance(d time.Duration, o Observation) []EffectKind {
+	h.now = h.now.Add(d)
 	var kinds []EffectKind
-	for _, e := range w.table.Advance(w.now, func(*Move) Observation { return o }) {
+	for _, e := range h.table.Advance(h.now, func(*Move) Observation { return o }) {
 		kinds = append(kinds, e.Kind)
 	}
 	return kinds
 }
 
-// advanceTo takes the move to a state without a reason to abandon it.
-func (w *moveHarness) advanceTo(s State) *moveHarness {
+// advanceTo advances the move to a state by observations without a reason to abandon it.
+func (h *moveHarness) advanceTo(s State) *moveHarness {
 	if s >= Stopping {
-		w.table.MarkRecorded(w.move)
-		w.advance(time.Millisecond, observationAt(jobs.Assigned, 3, source))
+		h.table.MarkRecorded(h.move)
+		h.advance(time.Millisecond, observationAt(jobs.Assigned, 3, source))
 	}
 	if s >= Stopped {
 		o := observationAt(jobs.Waiting, 3, "")
 		o.HasAuthority = s > Stopped
-		w.advance(time.Second, o)
+		h.advance(time.Second, o)
 	}
-	return w
+	return h
 }
 
-// TestSuccessfulMove: a move is recorded, its task is stopped, placed once it is proven to have left its
-// machine, and runs.
+// TestSuccessfulMove: a move is recorded, its task is stopped, placed once it no longer runs on the source,
+// and runs on the destination.
 func TestSuccessfulMove(t *testing.T) {
-	w := newMoveHarness()
+	h := newMoveHarness()
 	for i, step := range []struct {
-		record bool
-		see    Observation
-		want   []EffectKind
-		state  State
+		record      bool
+		observation Observation
+		want        []EffectKind
+		state       State
 	}{
 		{false, observationAt(jobs.Assigned, 3, source), nil, Proposed},
 		{true, observationAt(jobs.Assigned, 3, source), []EffectKind{StopTask}, Stopping},
@@ -106,32 +106,33 @@
 		{false, observationAt(jobs.Assigned, 4, destination), nil, Placing},
 	} {
 		if step.record {
-			w.table.MarkRecorded(w.move)
+			h.table.MarkRecorded(h.move)
 		}
-		if got := w.advance(100*time.Millisecond, step.see); !slices.Equal(got, step.want) || w.move.State != step.state {
-			t.Fatalf("step %d: %v in %s", i, got, w.move.State)
+		if got := h.advance(100*time.Millisecond, step.observation); !slices.Equal(got, step.want) || h.move.State != step.state {
+			t.Fatalf("step %d: got effects %v, state %s; want %v, %s", i, got, h.move.State, step.want, step.state)
 		}
 	}
 	o := observationAt(jobs.Assigned, 4, destination)
 	o.TaskRunning = true
-	got := w.advance(time.Second, o)
-	if !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.move.Reason != Arrived || len(w.table.Active()) > 0 {
-		t.Fatalf("%v in %s, %d active", got, w.move.State, len(w.table.Active()))
+	got := h.advance(time.Second, o)
+	if !slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || h.move.Reason != Arrived || len(h.table.Active()) > 0 {
+		t.Fatalf("got effects %v, state %s, reason %q, %d active moves; want %v, reason %q, 0 active moves",
+			got, h.move.State, h.move.Reason, len(h.table.Active()), []EffectKind{ReleaseReservation, ReportEnd}, Arrived)
 	}
 	o.BeneficiaryPlaced = true
-	w.advance(time.Second, o)
-	if got := w.table.TotalGain; got != w.move.RealizedGain() || got < 45*time.Second || got > time.Minute {
-		t.Errorf("gained %v, realized %v", got, w.move.RealizedGain())
+	h.advance(time.Second, o)
+	if got := h.table.TotalGain; got != h.move.RealizedGain() || got < 45*time.Second || got > time.Minute {
+		t.Errorf("got total gain %v, want the realized gain %v, between 45s and 1m", got, h.move.RealizedGain())
 	}
 }
 
-// with returns an observation with a change.
+// with returns a copy of an observation to which change was applied.
 func with(o Observation, change func(*Observation)) Observation {
 	change(&o)
 	return o
 }
 
-// Changes of an observation that are reasons to abandon a move.
+// Changes of an observation that may be reasons to abandon a move.
 var (
 	closed            = func(o *Observation) { o.JobOpen = false }
 	unauthorized      = func(o *Observation) { o.HasAuthority = false }
@@ -144,8 +145,8 @@
 	reportedElsewhere = func(o *Observation) { o.ReportedElsewhere = true }
 )
 
-// TestAbandoned: each reason for abandoning a move in a state ends it for that reason, and its
-// reservations are released.
+// TestAbandoned: an observation that is a reason for abandoning a move in its state ends the move for that
+// reason, and releases its reservations.
 func TestAbandoned(t *testing.T) {
 	here := observationAt(jobs.Assigned, 3, source)
 	leaving := observationAt(jobs.Stopping, 3, source)
@@ -160,47 +161,50 @@
 	}{
 		{"it completes", Proposed, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled", Proposed, 0, with(here, closed), JobClosed},
-		{"it is stopped by something else", Proposed, 0, leaving, TaskChanged},
-		{"it was placed anew", Proposed, 0, observationAt(jobs.Assigned, 4, source), TaskChanged},
-		{"nothing can be recorded", Proposed, 0, with(here, unauthorized), AuthorityLost},
-		{"a link is in doubt", Proposed, 0, with(here, linkSuspected), LinkSuspected},
+		{"it is stopped for another reason", Proposed, 0, leaving, TaskChanged},
+		{"it was placed again", Proposed, 0, observationAt(jobs.Assigned, 4, source), TaskChanged},
+		{"the node has no authority", Proposed, 0, with(here, unauthorized), AuthorityLost},
+		{"a link is suspected", Proposed, 0, with(here, linkSuspected), LinkSuspected},
 		{"the destination is unschedulable", Proposed, 0, with(here, unschedulable), DestinationClosed},
-		{"the room is taken", Proposed, 0, with(here, full), DestinationTaken},
+		{"the destination is full", Proposed, 0, with(here, full), DestinationTaken},
 		{"an overloaded team recovers", Proposed, 0, with(here, recovered), TeamRecovered},
-		{"the beneficiary waits no longer", Proposed, 0, with(here, noneWaiting), NotNeeded},
+		{"the beneficiary no longer waits", Proposed, 0, with(here, noneWaiting), NotNeeded},
 		{"the record is late", Proposed, 3 * time.Second, here, RecordOverdue},
 		{"it completes as it is stopped", Stopping, 0, observationAt(jobs.Completed, 3, ""), TaskCompleted},
 		{"its job is cancelled meanwhile", Stopping, 0, with(leaving, closed), JobClosed},
 		{"the destination is lost meanwhile", Stopping, 0, with(leaving, unschedulable), DestinationClosed},
-		{"the proof is late", Stopping, 5 * time.Second, leaving, StopOverdue},
-		{"something else placed it", Stopping, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
+		{"the stop is not confirmed in time", Stopping, 5 * time.Second, leaving, StopOverdue},
+		{"it is placed elsewhere as it is stopped", Stopping, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
 		{"its job is cancelled after the stop", Stopped, 0, with(gone, closed), JobClosed},
 		{"the destination is lost after the stop", Stopped, 0, with(gone, unschedulable), DestinationClosed},
-		{"the room is taken after the stop", Stopped, 0, with(gone, full), DestinationTaken},
+		{"the destination is full after the stop", Stopped, 0, with(gone, full), DestinationTaken},
 		{"its team is at its limit", Stopped, 0, with(gone, atLimit), TeamAtLimit},
 		{"it can't be placed in time", Stopped, 6 * time.Second, with(gone, unauthorized), PlacementOverdue},
 		{"another machine still reports it", Stopped, 6 * time.Second, with(gone, reportedElsewhere), PlacementOverdue},
-		{"it is placed by something else", Stopped, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
+		{"it is placed elsewhere after the stop", Stopped, 0, observationAt(jobs.Placing, 4, "host-3"), TaskChanged},
 		{"it is lost at the destination", Placing, 0, observationAt(jobs.Waiting, 4, ""), LostAtDestination},
 		{"it is placed elsewhere", Placing, 0, observationAt(jobs.Assigned, 5, "host-3"), LostAtDestination},
 		{"its job is cancelled as it starts", Placing, 0, with(there, closed), JobClosed},
-		{"it doesn't start", Placing, 8 * time.Second, there, StartOverdue},
+		{"it doesn't start in time", Placing, 8 * time.Second, there, StartOverdue},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newMoveHarness().advanceTo(c.state)
-			if w.move.State != c.state {
-				t.Fatalf("brought to %s", w.move.State)
+			h := newMoveHarness().advanceTo(c.state)
+			if h.move.State != c.state {
+				t.Fatalf("advanceTo: got state %s, want %s", h.move.State, c.state)
 			}
-			got := w.advance(c.after, c.see)
-			if w.move.State != Abandoned || w.move.Reason != c.want ||
-				!slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || w.table.EndedByReason[c.want] != 1 {
-				t.Errorf("%s, %s, %v", w.move.State, w.move.Reason, got)
+			got := h.advance(c.after, c.see)
+			if h.move.State != Abandoned || h.move.Reason != c.want ||
+				!slices.Equal(got, []EffectKind{ReleaseReservation, ReportEnd}) || h.table.EndedByReason[c.want] != 1 {
+				t.Errorf("got state %s, reason %q, effects %v, %d moves ended for %q; want %s, %q, %v, 1",
+					h.move.State, h.move.Reason, got, h.table.EndedByReason[c.want], c.want,
+					Abandoned, c.want, []EffectKind{ReleaseReservation, ReportEnd})
 			}
 		})
 	}
 }
 
-// TestIrrelevantObservationsKeepMove: an observation that doesn't matter in a state doesn't end a move.
+// TestIrrelevantObservationsKeepMove: observations that are irrelevant in the state of a move don't end the
+// move.
 func TestIrrelevantObservationsKeepMove(t *testing.T) {
 	leaving := observationAt(jobs.Stopping, 3, source)
 	leaving.HasAuthority = false
@@ -208,23 +212,23 @@
 	leaving.BeneficiaryWaiting = false
 	leaving.DemandRecovered = true
 	leaving.TeamAllows = false
-	if w := newMoveHarness().advanceTo(Stopping); w.advance(time.Second, leaving) != nil || w.move.State != Stopping {
-		t.Errorf("stopping: %s, %s", w.move.State, w.move.Reason)
+	if h := newMoveHarness().advanceTo(Stopping); h.advance(time.Second, leaving) != nil || h.move.State != Stopping {
+		t.Errorf("got state %s, reason %q after a second in stopping; want stopping", h.move.State, h.move.Reason)
 	}
 	gone := observationAt(jobs.Waiting, 3, "")
 	gone.ReportedElsewhere = true
-	w := newMoveHarness().advanceTo(Stopped)
-	if w.advance(time.Second, gone) != nil || w.move.State != Stopped {
-		t.Errorf("stopped: %s, %s", w.move.State, w.move.Reason)
+	h := newMoveHarness().advanceTo(Stopped)
+	if h.advance(time.Second, gone) != nil || h.move.State != Stopped {
+		t.Errorf("got state %s, reason %q after a second in stopped; want stopped", h.move.State, h.move.Reason)
 	}
 	gone.ReportedElsewhere = false
-	if got := w.advance(time.Second, gone); !slices.Equal(got, []EffectKind{PlaceTask}) {
-		t.Errorf("once it may be placed: %v in %s", got, w.move.State)
+	if got := h.advance(time.Second, gone); !slices.Equal(got, []EffectKind{PlaceTask}) {
+		t.Errorf("once the task may be placed: got effects %v, state %s; want %v", got, h.move.State, []EffectKind{PlaceTask})
 	}
 }
 
-// drawObservation draws an observation of a move in a state: mostly a usual one with some changes,
-// sometimes an arbitrary one.
+// drawObservation draws an observation of a move in a state. Most observations are usual ones with some
+// changes, and some are arbitrary.
 func drawObservation(t *rapid.T, s State) Observation {
 	usual := map[State][]Observation{
 		Proposed: {observationAt(jobs.Assigned, 3, source)},
@@ -255,57 +259,58 @@
 // effectCounts counts the effects of a move.
 type effectCounts struct{ stopped, placed, released int }
 
-// add counts an effect, and checks that what was observed allows it.
+// add counts an effect, and checks that the observation permits it.
 func (n *effectCounts) add(t *rapid.T, kind EffectKind, m *Move, o Observation) {
 	switch kind {
 	case StopTask:
 		n.stopped++
 		if !m.recorded || o.Task != jobs.Assigned || o.Machine != source || !o.JobOpen {
-			t.Fatalf("stopped in %+v", o)
+			t.Fatalf("task stopped although the observation does not permit it (recorded %v): %+v", m.recorded, o)
 		}
 	case PlaceTask:
 		n.placed++
 		if o.Task != jobs.Waiting || o.Attempt != 3 || o.ReportedElsewhere || !o.JobOpen ||
 			!o.HasAuthority || !o.TeamAllows || o.Destination != DestinationReady {
-			t.Fatalf("placed in %+v", o)
+			t.Fatalf("task placed although the observation does not permit it: %+v", o)
 		}
 	case ReleaseReservation:
 		n.released++
 	}
 }
 
-// TestEffectsInAnyOrder: for observations in any order, the task is stopped once at the most and only
-// after the record, it is placed only while it waits in the attempt that was stopped, and the
+// TestEffectsInAnyOrder: for observations in any order, the task is stopped at most once and only after the
+// move was recorded, the task is placed only while it waits in the attempt that was stopped, and the
 // reservations are released exactly once, however the move ends.
 func TestEffectsInAnyOrder(t *testing.T) {
 	ends := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newMoveHarness()
+		h := newMoveHarness()
 		var counts effectCounts
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "record") {
-				w.table.MarkRecorded(w.move)
+				h.table.MarkRecorded(h.move)
 			}
-			o := drawObservation(t, w.move.State)
-			was := w.move.State
+			o := drawObservation(t, h.move.State)
+			was := h.move.State
 			after := time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			for _, k := range w.advance(after, o) {
-				counts.add(t, k, w.move, o)
+			for _, k := range h.advance(after, o) {
+				counts.add(t, k, h.move, o)
 			}
-			if was.Ended() && w.move.State != was {
-				t.Fatalf("from %s to %s", was, w.move.State)
+			if was.Ended() && h.move.State != was {
+				t.Fatalf("the state of an ended move changed from %s to %s", was, h.move.State)
 			}
 		}
 		ended := 0
-		if w.move.State.Ended() {
+		if h.move.State.Ended() {
 			ended = 1
-			ends[w.move.Reason]++
+			ends[h.move.Reason]++
 		}
 		if counts.stopped > 1 || counts.placed > counts.stopped || counts.released != ended {
-			t.Fatalf("%+v in %s", counts, w.move.State)
+			t.Fatalf("got effects %+v in state %s; want stopped at most 1, placed at most stopped, released %d",
+				counts, h.move.State, ended)
 		}
 	})
 	if len(ends) < 10 {
-		t.Errorf("only these ends came about: %v", ends)
+		t.Errorf("moves ended for %d different reasons, want at least 10: %v", len(ends), ends)
 	}
 }
--- a/internal/migration/move.go
+++ b/internal/migration/move.go
@@ -7,27 +7,28 @@
 	"opaldale/internal/rebalance"
 )
 
-// Move is one move of a task.
+// Move is a move of one task to another machine.
 type Move struct {
 	rebalance.Move
-	Attempt    ident.Attempt // of the task when the move was proposed
+	Attempt    ident.Attempt // the task's attempt when the move was proposed
 	State      State
 	Reason     Reason
 	StartedAt  ident.MonotonicTime
-	StateSince ident.MonotonicTime // when it entered its state
-	// StoppedAt and RunningAt are when the task was proven to have left its machine and when it
-	// was reported as running at the destination, 0 if that has not happened.
+	StateSince ident.MonotonicTime // when the move entered its current state
+	// StoppedAt is when it was confirmed that the task no longer runs on the source, and RunningAt is
+	// when the task was reported as running at the destination. Both are 0 before that.
 	StoppedAt, RunningAt ident.MonotonicTime
-	// BeneficiaryPlacedAt is when the beneficiary was placed on the machine that the task left, 0
-	// if it was not.
+	// BeneficiaryPlacedAt is when the beneficiary was placed on the source, 0 if it was not.
 	BeneficiaryPlacedAt ident.MonotonicTime
 
-	recorded bool // the record is durable
+	recorded bool // whether the record of the move is durable
 }
 
-// RealizedGain returns the measured gain of a move. For one that frees capacity that is by how much
-// sooner the beneficiary was placed than expected without the move, less the cost of the move; for
-// one off a slow machine, the expected gain less the time that the move took.
+// RealizedGain returns the measured gain of a move. If the move frees capacity, the gain is the expected
+// wait of the beneficiary without the move, minus its wait since the start of the move and the cost of the
+// move. If the task leaves a slow machine, the gain is the expected gain minus the duration of the move. A
+// move that has not reached its purpose has the negative of its cost as gain, or 0 if its task was not
+// stopped.
 func (m *Move) RealizedGain() time.Duration {
 	cost := time.Duration(0)
 	if m.StoppedAt > 0 {
@@ -42,5 +43,5 @@
 	return m.ExpectedWait - m.BeneficiaryPlacedAt.Sub(m.StartedAt) - cost
 }
 
-// atSource reports whether the task is still in the attempt that is to be moved, on its machine.
+// atSource reports whether the attempt that is to be moved is still assigned to the source.
 func (m *Move) atSource(o Observation) bool { return o.Attempt == m.Attempt && o.Machine == m.From }
--- a/internal/migration/observation.go
+++ b/internal/migration/observation.go
@@ -5,42 +5,42 @@
 	"opaldale/internal/jobs"
 )
 
-// DestinationStatus reports whether a move's destination can still take its task.
+// DestinationStatus tells whether a move's destination can still accept the task.
 type DestinationStatus uint8
 
-// The states of a destination.
+// The statuses of a destination.
 const (
 	DestinationReady DestinationStatus = iota
-	// DestinationUnschedulable: the machine is gone, silent, being terminated, or has a reclaim
-	// notice.
+	// DestinationUnschedulable: the machine accepts no tasks, for example because it is unreachable,
+	// being terminated, or has a reclaim notice.
 	DestinationUnschedulable
-	// DestinationFull: the reserved room was taken by other work.
+	// DestinationFull: other tasks use the reserved capacity.
 	DestinationFull
 )
 
-// Observation is the state of a move's task and machines at one time.
+// Observation is the state of a move's task, beneficiary and machines at a point in time.
 type Observation struct {
 	// The task.
-	JobOpen           bool
+	JobOpen           bool // whether the job is neither cancelled nor done
 	Task              jobs.State
 	Attempt           ident.Attempt
 	Machine           ident.MachineID // empty unless the task is allocated
-	TaskRunning       bool            // the task was reported as running in its present attempt
-	ReportedElsewhere bool            // a machine to which the task is not assigned reports it
-	TeamAllows        bool            // the team's limit has room for the task
+	TaskRunning       bool            // whether the current attempt was reported as running
+	ReportedElsewhere bool            // whether a machine reports the task that the task is not assigned to
+	TeamAllows        bool            // whether the team's limit allows one more task of the job
 
 	// The beneficiary.
-	BeneficiaryWaiting bool // the beneficiary still waits
-	BeneficiaryPlaced  bool // the beneficiary was placed on the machine that the task leaves
-	DemandRecovered    bool // an overloaded team has recovered since the move was proposed
+	BeneficiaryWaiting bool // whether the beneficiary still waits
+	BeneficiaryPlaced  bool // whether the beneficiary was placed on the source
+	DemandRecovered    bool // whether an overloaded team has recovered since the move was started
 
 	// The controller and the destination.
-	HasAuthority bool // the node has the authority to place tasks
-	LinksHealthy bool // no link to the zone of either machine is suspected to be broken
+	HasAuthority bool // whether the node has the authority to place tasks
+	LinksHealthy bool // whether the links to the zones of both machines are healthy
 	Destination  DestinationStatus
 }
 
-// endReason returns TaskCompleted or JobClosed if the task no longer needs the move, else NotEnded.
+// endReason returns TaskCompleted or JobClosed if the task need no longer be moved, otherwise NotEnded.
 func (o *Observation) endReason() Reason {
 	switch {
 	case o.Task == jobs.Completed:
@@ -51,8 +51,8 @@
 	return NotEnded
 }
 
-// destinationReason returns DestinationTaken or DestinationClosed if the destination can't take the
-// task, else NotEnded.
+// destinationReason returns DestinationTaken or DestinationClosed if the destination can't accept the task,
+// otherwise NotEnded.
 func (o *Observation) destinationReason() Reason {
 	switch o.Destination {
 	case DestinationReady:
@@ -64,5 +64,5 @@
 	}
 }
 
-// canPlace reports whether a task that has left its machine may be placed now.
+// canPlace reports whether a task that no longer runs on the source may be placed now.
 func (o *Observation) canPlace() bool { return o.HasAuthority && !o.ReportedElsewhere }
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -1,10 +1,11 @@
-// Package migration carries out moves of running tasks. A move is a graceful stop whose next placement
-// is chosen beforehand: room is reserved at the destination, the move is recorded, the task is
-// stopped, and once it is proven to have left its machine it is placed where the room was reserved.
-// A move can be abandoned at any point; the task is then placed as any waiting task is.
+// Package migration executes moves of running tasks to other machines. A move is a graceful stop with a
+// predetermined next placement: capacity is reserved on the destination, the move is recorded, the task is
+// stopped, and as soon as it is certain that the task no longer runs on the source, it is placed on the
+// destination. A move can be abandoned at any point. A task that was stopped is then placed like any other
+// waiting task.
 //
-// Table is a state machine that does no I/O and reads no clock: observations and times come in,
-// effects go out. History keeps the durable record of moves.
+// Table is the state machine of moves. It does no I/O and reads no clock: the caller supplies observations
+// and times, and executes the effects that Table returns. History keeps the durable record of moves.
 package migration
 
 import "opaldale/internal/enum"
@@ -14,17 +15,18 @@
 
 // The states of a move.
 const (
-	// Proposed: the move is being recorded, and nothing has been stopped.
+	// Proposed: the move is being recorded, and the task has not been stopped.
 	Proposed State = iota
-	// Stopping: the task was commanded to stop, and may still be on its machine.
+	// Stopping: the task was commanded to stop, and may still run on the source.
 	Stopping
-	// Stopped: the task is proven to have left its machine.
+	// Stopped: it is certain that the task no longer runs on the source.
 	Stopped
 	// Placing: the task's next attempt was assigned to the destination.
 	Placing
 	// Running: the task was reported as running at the destination, or has completed there.
 	Running
-	// Abandoned: the move ended without success; the task is placed as any waiting task is.
+	// Abandoned: the move ended without success. If the task was stopped, it is placed like any other
+	// waiting task.
 	Abandoned
 )
 
@@ -40,30 +42,30 @@
 // String returns the name of a state for metrics and logs.
 func (s State) String() string { return enum.Name(stateNames[:], s, "state") }
 
-// Ended reports whether a move in that state is over.
+// Ended reports whether a move in state s has ended.
 func (s State) Ended() bool { return s == Running || s == Abandoned }
 
-// Reason is the reason for which a move ended.
+// Reason is the reason why a move ended.
 type Reason uint8
 
-// The reasons for the end of a move.
+// The reasons why a move ended. All except Arrived are reasons for abandoning it.
 const (
 	NotEnded          Reason = iota
 	Arrived                  // the task runs at the destination
 	TaskCompleted            // the task completed before it was stopped
-	JobClosed                // the job was cancelled, or is done
-	NotNeeded                // the beneficiary waits no longer
+	JobClosed                // the job was cancelled or is done
+	NotNeeded                // the beneficiary no longer waits
 	TeamRecovered            // an overloaded team recovered before the task was stopped
-	AuthorityLost            // the node can't record decisions any more
-	LinkSuspected            // a link to the zone of either machine is suspected to be broken
-	RecordOverdue            // the record was not durable in time
-	TaskChanged              // the task was stopped, lost or placed by something else
-	StopOverdue              // there was no proof in time that the task has left its machine
-	DestinationClosed        // the destination takes no work any more
-	DestinationTaken         // work of higher priority took the room
-	TeamAtLimit              // the team's limit has no room for the task
-	PlacementOverdue         // the task could not be placed in time
-	StartOverdue             // the task was not reported as running at the destination in time
+	AuthorityLost            // the node has lost the authority to place tasks
+	LinkSuspected            // the link to the zone of the source or the destination is not healthy
+	RecordOverdue            // the record was not durable within Config.RecordTimeout
+	TaskChanged              // the task was stopped, lost or placed for another reason
+	StopOverdue              // the stop was not confirmed within the grace period and Config.StopTimeout
+	DestinationClosed        // the destination no longer accepts tasks
+	DestinationTaken         // tasks of higher priority use the reserved capacity
+	TeamAtLimit              // the team's limit does not allow the task
+	PlacementOverdue         // the task could not be placed within Config.PlaceTimeout
+	StartOverdue             // the task was not running at the destination within Config.StartTimeout and the image pull
 	LostAtDestination        // the task was lost before it ran at the destination
 	reasonCount
 )
--- a/internal/migration/table.go
+++ b/internal/migration/table.go
@@ -10,20 +10,20 @@
 	"opaldale/internal/rebalance"
 )
 
-// Config holds the times that bound a move.
+// Config holds the timeouts of the states of a move.
 type Config struct {
-	// RecordTimeout is how long the record may take to become durable.
+	// RecordTimeout is the maximum time for the record to become durable.
 	RecordTimeout time.Duration
-	// StopTimeout is how long the proof that a task has left its machine may take, beyond the grace
-	// period for its checkpoint.
+	// StopTimeout is the maximum time until it is certain that the task no longer runs on the source,
+	// in addition to the grace period for its checkpoint.
 	StopTimeout time.Duration
-	// PlaceTimeout is how long room is reserved for a task that has left its machine.
+	// PlaceTimeout is the maximum time for which capacity stays reserved for a stopped task.
 	PlaceTimeout time.Duration
-	// StartTimeout is how long the start may take beyond the pull of the image.
+	// StartTimeout is the maximum time for the start at the destination, in addition to the image pull.
 	StartTimeout time.Duration
 }
 
-// DefaultConfig returns the times for a cluster with a heartbeat interval.
+// DefaultConfig returns the default timeouts for a heartbeat interval.
 func DefaultConfig(heartbeatInterval time.Duration) Config {
 	return Config{
 		RecordTimeout: 2 * time.Second,
@@ -33,7 +33,7 @@
 	}
 }
 
-// EffectKind is a kind of action that the caller of Table.Advance carries out for a move.
+// EffectKind is a kind of action that the caller of Table.Advance executes for a move.
 type EffectKind uint8
 
 // The kinds of effects.
@@ -42,19 +42,19 @@
 	StopTask EffectKind = iota
 	// PlaceTask places the task at the destination and releases the reservation there.
 	PlaceTask
-	// ReleaseReservation releases what was reserved for the move.
+	// ReleaseReservation releases the capacity reserved for the move.
 	ReleaseReservation
 	// ReportEnd logs the end of the move.
 	ReportEnd
 )
 
-// Effect is an action to be carried out for a move.
+// Effect is an action that the caller of Table.Advance executes for a move.
 type Effect struct {
 	Kind EffectKind
 	Move *Move
 }
 
-// effects returns the effects of some kinds for a move, in that order.
+// effects returns effects of the given kinds for a move, in the order of kinds.
 func effects(m *Move, kinds ...EffectKind) []Effect {
 	out := make([]Effect, 0, len(kinds))
 	for _, kind := range kinds {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// maxRecent bounds the ended moves that a table keeps.
+// maxRecent is the maximum number of ended moves that a Table keeps.
 const maxRecent = 100
 
 // Table holds the moves of a leader's term.
@@ -72,39 +72,39 @@
 	active []*Move
 	recent []*Move // newest last
 
-	// EndedByReason counts the moves by how they ended.
+	// EndedByReason counts the ended moves by reason.
 	EndedByReason map[Reason]uint64
 	// TotalGain is the sum of the realized gains of the moves that reached the state Running.
 	TotalGain time.Duration
 }
 
-// NewTable makes the table of a term.
+// NewTable returns an empty table for a leader's term.
 func NewTable(config Config) *Table {
 	return &Table{config: config, EndedByReason: map[Reason]uint64{}}
 }
 
-// Active returns the moves that have not ended, the oldest first.
+// Active returns the moves that have not ended, in the order in which they were started.
 func (t *Table) Active() []*Move { return t.active }
 
-// Recent returns the moves that have ended recently, the newest first.
+// Recent returns the last moves that ended, at most maxRecent, the newest first.
 func (t *Table) Recent() []*Move {
 	out := slices.Clone(t.recent)
 	slices.Reverse(out)
 	return out
 }
 
-// Begin starts a proposed move of a task in its present attempt.
+// Begin starts a proposed move. attempt is the current attempt of its task.
 func (t *Table) Begin(proposal rebalance.Move, attempt ident.Attempt, now ident.MonotonicTime) *Move {
 	m := &Move{Move: proposal, Attempt: attempt, State: Proposed, StartedAt: now, StateSince: now}
 	t.active = append(t.active, m)
 	return m
 }
 
-// MarkRecorded marks the record of a move as durable, so that the next Advance stops its task. It has
-// no effect on a move that was abandoned meanwhile.
+// MarkRecorded marks the record of a move as durable, so that the next Advance stops its task. It has no
+// effect on a move that has been abandoned.
 func (t *Table) MarkRecorded(m *Move) { m.recorded = true }
 
-// transition changes the state of a move. All changes of state go through it.
+// transition changes the state of a move. No other function changes it.
 func (t *Table) transition(m *Move, state State, reason Reason, now ident.MonotonicTime) {
 	m.State, m.StateSince, m.Reason = state, now, reason
 	switch state {
@@ -118,8 +118,8 @@
 	}
 }
 
-// Advance takes all moves to their next states according to what observe returns for them, and returns
-// the effects in the order in which they are to be carried out.
+// Advance moves all active moves to their next states, according to their observations, and returns the
+// effects in the order in which the caller must execute them.
 func (t *Table) Advance(now ident.MonotonicTime, observe func(*Move) Observation) []Effect {
 	var out []Effect
 	for _, m := range t.active {
@@ -131,14 +131,14 @@
 	}
 	for _, e := range out {
 		if e.Kind == ReportEnd {
-			t.remember(e.Move)
+			t.addRecent(e.Move)
 		}
 	}
 	return out
 }
 
-// remember adds an ended move to the recent ones.
-func (t *Table) remember(m *Move) {
+// addRecent adds an ended move to the recent moves, and its gain to TotalGain if it succeeded.
+func (t *Table) addRecent(m *Move) {
 	if m.State == Running {
 		t.TotalGain += m.RealizedGain()
 	}
@@ -146,8 +146,9 @@
 	t.recent = t.recent[max(0, len(t.recent)-maxRecent):]
 }
 
-// trackBeneficiary sets BeneficiaryPlacedAt on a completed move whose beneficiary has been placed in
-// the room that was made. After the wait expected without the move there is no gain any more.
+// trackBeneficiary sets BeneficiaryPlacedAt on a successful move when its beneficiary has been placed in the
+// freed capacity, and updates TotalGain. It does nothing after the expected wait without the move, because
+// a later placement is no gain.
 func (t *Table) trackBeneficiary(m *Move, now ident.MonotonicTime, observe func(*Move) Observation) {
 	if m.State != Running || m.Purpose != rebalance.FreesCapacity || m.BeneficiaryPlacedAt > 0 {
 		return
@@ -162,7 +163,7 @@
 	}
 }
 
-// advance takes one move to its next states.
+// advance moves one move through as many states as its observation permits.
 func (t *Table) advance(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if o.BeneficiaryPlaced && m.BeneficiaryPlacedAt == 0 {
 		m.BeneficiaryPlacedAt = now
@@ -171,14 +172,14 @@
 	for {
 		step := t.step(m, now, o)
 		out = append(out, step...)
-		// A task that is proven to have left its machine is placed without waiting for the next call.
+		// A stopped task is placed in this call, without waiting for the next one.
 		if m.State != Stopped || len(step) > 0 || !o.canPlace() {
 			return out
 		}
 	}
 }
 
-// step takes a move from its present state to the next one, if the observation permits that.
+// step moves a move from its current state to the next one, if the observation permits it.
 func (t *Table) step(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch m.State {
 	case Proposed:
@@ -193,14 +194,14 @@
 	return nil
 }
 
-// abandon ends a move without success and releases its reservations.
+// abandon ends a move without success and returns the effects that release its reservations.
 func (t *Table) abandon(m *Move, reason Reason, now ident.MonotonicTime) []Effect {
 	t.transition(m, Abandoned, reason, now)
 	return effects(m, ReleaseReservation, ReportEnd)
 }
 
-// advanceProposed waits for the record to become durable, then stops the task. Until then abandoning
-// the move costs nothing, so any doubt about it suffices.
+// advanceProposed stops the task once the record is durable. Until then abandoning the move costs nothing,
+// so any doubt about the move is a sufficient reason.
 func (t *Table) advanceProposed(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if reason := t.abandonReason(m, now, o); reason != NotEnded {
 		return t.abandon(m, reason, now)
@@ -212,8 +213,8 @@
 	return effects(m, StopTask)
 }
 
-// abandonReason returns the reason for abandoning a move before its task is stopped, NotEnded if
-// there is none.
+// abandonReason returns the reason for abandoning a move before its task is stopped, or NotEnded if there
+// is none.
 func (t *Table) abandonReason(m *Move, now ident.MonotonicTime, o Observation) Reason {
 	if reason := o.endReason(); reason != NotEnded {
 		return reason
@@ -237,7 +238,7 @@
 	return NotEnded
 }
 
-// advanceStopping waits for the proof that the task has left its machine.
+// advanceStopping changes the move to Stopped once it is certain that the task no longer runs on the source.
 func (t *Table) advanceStopping(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if reason := o.endReason(); reason != NotEnded {
 		return t.abandon(m, reason, now)
@@ -256,7 +257,7 @@
 	return nil
 }
 
-// advanceStopped places the task at the destination.
+// advanceStopped places the task at the destination once that is permitted.
 func (t *Table) advanceStopped(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	switch {
 	case !o.JobOpen:
@@ -276,7 +277,7 @@
 	return effects(m, PlaceTask)
 }
 
-// advancePlacing waits for the task to run at the destination.
+// advancePlacing ends the move once the task runs at the destination.
 func (t *Table) advancePlacing(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	atDestination := o.Attempt > m.Attempt && o.Machine == m.To
 	switch {
@@ -293,7 +294,7 @@
 	return nil
 }
 
-// ByReason returns EndedByReason as a list in the order of the reasons.
+// ByReason returns EndedByReason as a list, sorted by reason.
 func (t *Table) ByReason() []Outcome {
 	out := make([]Outcome, 0, len(t.EndedByReason))
 	for r, n := range t.EndedByReason {
@@ -303,7 +304,7 @@
 	return out
 }
 
-// Outcome is the number of moves that ended for a reason.
+// Outcome is a reason and the number of moves that ended for it.
 type Outcome struct {
 	Reason Reason
 	Count  uint64
--- a/internal/rebalance/budget.go
+++ b/internal/rebalance/budget.go
@@ -2,17 +2,17 @@
 
 import "opaldale/internal/ident"
 
-// budgetUse counts the active and the proposed moves against the budgets.
+// budgetUse counts active and proposed moves, and compares the counts with the budgets.
 type budgetUse struct {
 	budgets  Budgets
 	cluster  int
-	machines map[ident.MachineID]int // moves from and to a machine
-	zones    map[string]int          // moves from a machine of the zone
+	machines map[ident.MachineID]int // moves from or to the machine
+	zones    map[string]int          // moves from machines of the zone
 	teams    map[string]int
 	jobs     map[ident.JobID]int
 }
 
-// newBudgetUse makes a budgetUse without moves.
+// newBudgetUse returns a budgetUse without moves.
 func newBudgetUse(budgets Budgets) budgetUse {
 	return budgetUse{
 		budgets:  budgets,
@@ -33,18 +33,18 @@
 	u.jobs[a.Job]++
 }
 
-// clusterFull reports whether the budget of the cluster is used up.
+// clusterFull reports whether the budget of the cluster is exhausted.
 func (u *budgetUse) clusterFull() bool { return u.cluster >= u.budgets.Cluster }
 
-// allowsMachine reports whether one more move from or to a machine is within its budget.
+// allowsMachine reports whether the machine's budget allows one more move from or to it.
 func (u *budgetUse) allowsMachine(m *Machine) bool { return u.machines[m.ID] < u.budgets.Machine }
 
-// allowsSource reports whether one more move from a machine is within its budget and its zone's.
+// allowsSource reports whether the budgets of a machine and of its zone allow one more move from it.
 func (u *budgetUse) allowsSource(m *Machine) bool {
 	return u.allowsMachine(m) && u.zones[m.Zone] < u.budgets.Zone
 }
 
-// allowsTask reports whether a move of a task is within the budgets of its team and its job.
+// allowsTask reports whether the budgets of a task's team and job allow one more move.
 func (u *budgetUse) allowsTask(t *Task) bool {
 	return u.teams[t.Team] < u.budgets.Team && t.MoveCount+u.jobs[t.ID.Job] < u.budgets.Job
 }
--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -1,9 +1,9 @@
-// Package rebalance decides which running tasks are worth moving. A task that waits because no
-// machine has enough room may start at once if a smaller one is moved, and a task on a slow machine
-// may end sooner on another one.
+// Package rebalance decides which running tasks are worth moving to another machine. If a task waits
+// because no machine has enough free capacity, moving a smaller task may let it start at once. A task on a
+// slow machine may complete sooner on another one.
 //
-// Plan is a pure function: the state of the cluster comes in, proposals come out. Package migration
-// carries the proposals out.
+// Plan does no I/O: its input is the state of the cluster, its result a list of proposed moves. Package
+// migration executes them.
 package rebalance
 
 import (
@@ -21,93 +21,93 @@
 	Need               jobs.Resources
 	PriorityLevel      int           // 0 is the highest priority
 	RunningFor         time.Duration // since its last start
-	Remaining          time.Duration // by its owner's estimate; 0 if unknown, or if it runs until it is cancelled
-	EstimatedRuntime   time.Duration // by its owner's estimate; 0 if unknown
+	Remaining          time.Duration // as estimated by its owner; 0 if unknown, or if it runs until it is cancelled
+	EstimatedRuntime   time.Duration // as estimated by its owner; 0 if unknown
 	CheckpointInterval time.Duration // 0 if it writes no checkpoints
-	CheckpointTime     time.Duration // for a checkpoint when it is stopped
-	Replica            bool          // task of a service; a move costs its downtime, but no progress
-	MoveCount          int           // moves of its job's tasks so far
+	CheckpointTime     time.Duration // time to write a checkpoint when it is stopped
+	Replica            bool          // whether it is a replica of a service: a move causes downtime, but no loss of work
+	MoveCount          int           // number of earlier moves of its job's tasks
 }
 
-// Machine is a machine that takes work.
+// Machine is a machine that accepts tasks.
 type Machine struct {
 	ID          ident.MachineID
 	Zone        string
 	Free        jobs.Resources
-	Tasks       []Task       // those of its tasks that may be moved
-	Completions []Completion // of those of its tasks that are expected to end, in any order
+	Tasks       []Task       // its tasks that may be moved
+	Completions []Completion // the expected completions of its tasks, in any order
 
-	completionsSorted bool // Completions are in the order of time
+	completionsSorted bool // whether Completions is sorted by time
 }
 
-// Completion is when a task is expected to leave its machine, and what it frees.
+// Completion is the expected completion of a task, which frees its resources.
 type Completion struct {
 	Remaining time.Duration
 	Frees     jobs.Resources
 }
 
-// SlowMachine is a machine that is much slower than others. It takes no work, and its tasks may be
+// SlowMachine is a machine that is much slower than others. It accepts no tasks, and its tasks may be
 // worth moving.
 type SlowMachine struct {
 	Machine
-	Slowness float64 // run time of tasks as a multiple of what they take elsewhere
+	Slowness float64 // run time of tasks as a multiple of their run time on other machines
 }
 
-// WaitingTask is a task that waits for room.
+// WaitingTask is a task that waits for free capacity.
 type WaitingTask struct {
 	ID            ident.TaskID
 	Need          jobs.Resources
-	PriorityLevel int           // 0 is the highest priority
-	WaitedFor     time.Duration // so far
-	// BootRemaining is the time until a booting machine may have room for it, 0 if there is none.
+	PriorityLevel int // 0 is the highest priority
+	WaitedFor     time.Duration
+	// BootRemaining is the estimated time until a booting machine that may run it is up, 0 if there is none.
 	BootRemaining time.Duration
-	Allowed       func(*Machine) bool // whether it may run on a machine, apart from room
+	Allowed       func(*Machine) bool // whether it may run on a machine, regardless of the free capacity
 }
 
-// ActiveMove is a move that has not ended, which counts against the budgets.
+// ActiveMove is a move that has not ended. It counts against the budgets.
 type ActiveMove struct {
 	Job           ident.JobID
 	Team          string
 	From, To      ident.MachineID
-	Zone          string       // of the machine From
-	BeneficiaryID ident.TaskID // the waiting task that gets the room
+	Zone          string       // zone of the machine From
+	BeneficiaryID ident.TaskID // the waiting task for which the move frees capacity
 }
 
-// Cluster is the input of a plan: the state of the cluster.
+// Cluster is the state of the cluster, the input of Plan.
 type Cluster struct {
 	Machines     []*Machine
-	Waiting      []WaitingTask  // in the order of precedence
+	Waiting      []WaitingTask  // in scheduling order
 	SlowMachines []*SlowMachine // not included in Machines
 	ActiveMoves  []ActiveMove
-	// Fits reports whether a running task may be moved to a machine, and how long its image pull would
-	// take there.
+	// Fits reports whether a running task may be moved to a machine, and returns the time of the image
+	// pull there.
 	Fits func(*Task, *Machine) (pullTime time.Duration, ok bool)
 }
 
-// Budgets bound the simultaneous moves in the cluster, from a zone, of a team and from or to a
-// machine, and the total number of moves of a job.
+// Budgets holds the maximum numbers of simultaneous moves in the cluster, from a zone, of a team, and
+// from or to a machine, and the maximum total number of moves of a job.
 type Budgets struct {
 	Cluster, Zone, Team, Machine int
 	Job                          int
 }
 
-// Config holds the budgets and the thresholds by which moves are chosen.
+// Config holds the budgets and thresholds of Plan.
 type Config struct {
 	Budgets Budgets
-	// GainMargin is the gain that a move must have as a multiple of its cost: estimates are often
-	// wrong by half.
+	// GainMargin is the minimum gain of a move as a multiple of its cost. It is above 1 because
+	// estimates are often wrong by half.
 	GainMargin float64
-	// StartOverhead is the time that a move takes in addition to the image pull and the checkpoint.
+	// StartOverhead is the time for a move apart from the image pull and the checkpoint.
 	StartOverhead time.Duration
-	// MinWait is how long a task must have waited before others are moved for it: most find room
-	// sooner, as other tasks end.
+	// MinWait is how long a task must have waited before other tasks are moved for it. Most tasks are
+	// placed sooner than that, when other tasks complete.
 	MinWait time.Duration
-	// MinRuntime is how long a task must have run before it is moved: one that has just started was
-	// often stopped elsewhere shortly before.
+	// MinRuntime is how long a task must have run before it is moved. A task that has just started was
+	// often stopped on another machine shortly before, and would be stopped again.
 	MinRuntime time.Duration
 }
 
-// DefaultConfig returns the values that are used unless the settings override them.
+// DefaultConfig returns the default configuration. The settings override some of its values.
 func DefaultConfig() Config {
 	return Config{
 		Budgets:       Budgets{Cluster: 4, Zone: 2, Team: 2, Machine: 1, Job: 2},
@@ -123,8 +123,8 @@
 
 // The purposes of moves.
 const (
-	FreesCapacity     Purpose = iota // makes room for a task that waits
-	LeavesSlowMachine                // lets the task end sooner elsewhere
+	FreesCapacity     Purpose = iota // frees capacity for a waiting task
+	LeavesSlowMachine                // lets the moved task complete sooner on a faster machine
 	purposeCount
 )
 
@@ -144,15 +144,15 @@
 	Team           string
 	Need           jobs.Resources
 	From, To       ident.MachineID
-	BeneficiaryID  ident.TaskID  // the waiting task that gets the room, if the purpose is FreesCapacity
-	ExpectedWait   time.Duration // of the beneficiary without the move
-	Gain           time.Duration // expected: how much sooner the beneficiary starts, or the moved task ends
-	Cost           time.Duration // work lost and time spent
-	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is ended at once
+	BeneficiaryID  ident.TaskID  // the waiting task for which capacity is freed, if the purpose is FreesCapacity
+	ExpectedWait   time.Duration // remaining wait of the beneficiary without the move
+	Gain           time.Duration // expected time by which the beneficiary starts sooner, or the moved task completes sooner
+	Cost           time.Duration // expected loss of work and time of the move
+	CheckpointTime time.Duration // grace period for a checkpoint; 0 if the task is terminated immediately
 	ImagePullTime  time.Duration // at the destination
 }
 
-// Beneficiary returns the ID of the task that a move makes room for, "" if that is not its purpose.
+// Beneficiary returns the ID of the waiting task for which a move frees capacity, "" for other purposes.
 func (m *Move) Beneficiary() string {
 	if m.Purpose != FreesCapacity {
 		return ""
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// maxWaiting bounds the waiting tasks that one plan considers.
+	// maxWaiting is the maximum number of waiting tasks that one plan considers.
 	maxWaiting = 32
-	// maxCandidates bounds the tasks for which a destination is searched, the cheapest to move first;
-	// maxDestinations bounds the machines that are considered for each.
+	// maxCandidates is the maximum number of tasks for which a destination is searched, those with the
+	// lowest cost first. maxDestinations is the maximum number of machines considered for each.
 	maxCandidates   = 32
 	maxDestinations = 64
-	// unknownWait is the assumed wait if nothing is known to make room.
+	// unknownWait is the assumed wait if neither completions nor a booting machine are known to provide
+	// enough capacity.
 	unknownWait = 5 * time.Minute
 )
 
-// planner makes one plan.
+// planner holds the state of one call of Plan.
 type planner struct {
 	config        Config
 	cluster       *Cluster
-	byFree        []*Machine // the most free CPUs first
+	byFreeCPUs    []*Machine // sorted by free CPUs, the most first
 	moves         []Move
 	usage         budgetUse
-	beneficiaries map[ident.TaskID]bool // waiting tasks that a move makes room for
+	beneficiaries map[ident.TaskID]bool // waiting tasks for which a move frees capacity
 }
 
-// Plan proposes the moves whose gain is worth their cost: those that make room, in the order of the
-// waiting tasks, then those off slow machines. It is deterministic. It modifies the cluster, which
-// must not be used again. Its running time is proportional to the number of waiting tasks, bounded by
-// maxWaiting, and to that of machines and their tasks.
+// Plan proposes moves whose gain justifies their cost: first those that free capacity, in the order of the
+// waiting tasks, then those away from slow machines. It is deterministic. It modifies the cluster, which
+// must not be used again. Its running time is proportional to the number of waiting tasks, of which it
+// considers at most maxWaiting, and to the number of machines and their tasks.
 func Plan(config Config, cluster *Cluster) []Move {
 	p := newPlanner(config, cluster)
 	for i := range cluster.Waiting[:min(len(cluster.Waiting), maxWaiting)] {
@@ -45,19 +46,19 @@
 			continue
 		}
 		if best, ok := p.cheapestMove(w); ok {
-			p.applyRoomMove(best)
+			p.applyCapacityMove(best)
 		}
 	}
 	p.planSlowMachines()
 	return p.moves
 }
 
-// newPlanner makes a planner whose budgets are used by the active moves only.
+// newPlanner returns a planner that has counted the active moves against the budgets.
 func newPlanner(config Config, cluster *Cluster) *planner {
 	p := &planner{
 		config:        config,
 		cluster:       cluster,
-		byFree:        slices.Clone(cluster.Machines),
+		byFreeCPUs:    slices.Clone(cluster.Machines),
 		beneficiaries: map[ident.TaskID]bool{},
 		usage:         newBudgetUse(config.Budgets),
 	}
@@ -65,31 +66,31 @@
 		p.usage.count(a)
 		p.beneficiaries[a.BeneficiaryID] = true
 	}
-	p.sortByFree()
+	p.sortByFreeCPUs()
 	return p
 }
 
-// sortByFree sorts the machines by their free CPUs, the most first.
-func (p *planner) sortByFree() {
-	slices.SortFunc(p.byFree, func(a, b *Machine) int {
+// sortByFreeCPUs sorts the machines by their free CPUs in descending order.
+func (p *planner) sortByFreeCPUs() {
+	slices.SortFunc(p.byFreeCPUs, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.Free.VCPUs, a.Free.VCPUs), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// candidate is a task that would make room by leaving its machine.
+// candidate is a running task whose move is considered.
 type candidate struct {
 	task         *Task
 	from         *Machine
-	expectedWait time.Duration // of the waiting task, without the move
-	remaining    time.Duration // until the task ends without a move; 0 if that doesn't matter
+	expectedWait time.Duration // remaining wait of the waiting task without the move
+	remaining    time.Duration // until the candidate completes without a move; 0 if it is not taken into account
 	gain         time.Duration
 	cost         time.Duration // without the image pull at the destination
 }
 
-// cheapestMove finds the move of least cost that makes room for a waiting task, if there is one that
-// pays and no machine has room without it.
+// cheapestMove returns the worthwhile move with the lowest cost that frees enough capacity for a waiting
+// task. It returns false if there is none, or if a machine has enough free capacity without a move.
 func (p *planner) cheapestMove(w *WaitingTask) (Move, bool) {
-	for _, m := range p.byFree {
+	for _, m := range p.byFreeCPUs {
 		if m.Free.Covers(w.Need) && w.Allowed(m) {
 			return Move{}, false
 		}
@@ -98,7 +99,7 @@
 	ok := false
 	for _, c := range p.candidates(w) {
 		if ok && found.Cost <= c.cost {
-			break // an image pull only adds to the cost
+			break // the image pull would add to a cost that is too high already
 		}
 		if m, pays := p.bestDestination(c); pays && (!ok || m.Cost < found.Cost) {
 			found, ok = m, true
@@ -108,17 +109,17 @@
 	return found, ok
 }
 
-// candidates lists the tasks whose moves would make room for a waiting one, the cheapest first.
+// candidates returns the tasks whose moves would free enough capacity for a waiting task, sorted by cost.
 func (p *planner) candidates(w *WaitingTask) []candidate {
 	var list []candidate
-	for _, m := range p.byFree {
+	for _, m := range p.byFreeCPUs {
 		if !p.usage.allowsSource(m) || !w.Allowed(m) {
 			continue
 		}
-		wait := time.Duration(-1) // not known yet
+		wait := time.Duration(-1) // not computed yet
 		for i := range m.Tasks {
 			t := &m.Tasks[i]
-			if !p.wouldMakeRoom(w, m, t) {
+			if !p.wouldFreeEnough(w, m, t) {
 				continue
 			}
 			if wait < 0 {
@@ -132,7 +133,7 @@
 				gain:         wait - t.CheckpointTime - p.config.StartOverhead,
 				cost:         p.moveCost(t),
 			}
-			if p.pays(c.gain, c.cost) {
+			if p.isWorthwhile(c.gain, c.cost) {
 				list = insertCheapest(list, c)
 			}
 		}
@@ -140,7 +141,8 @@
 	return list
 }
 
-// insertCheapest inserts a candidate in the order of cost, and drops the last beyond maxCandidates.
+// insertCheapest inserts a candidate into a list sorted by cost, and drops the most expensive one beyond
+// maxCandidates.
 func insertCheapest(list []candidate, c candidate) []candidate {
 	at, _ := slices.BinarySearchFunc(list, c, func(a, b candidate) int {
 		return cmp.Or(
@@ -157,48 +159,50 @@
 	return list[:min(len(list), maxCandidates)]
 }
 
-// wouldMakeRoom reports whether a task may be moved for a waiting one, and its move makes enough room.
-func (p *planner) wouldMakeRoom(w *WaitingTask, from *Machine, t *Task) bool {
+// wouldFreeEnough reports whether a task may be moved for a waiting one, and the move would free enough
+// capacity for the waiting task.
+func (p *planner) wouldFreeEnough(w *WaitingTask, from *Machine, t *Task) bool {
 	switch {
 	case t.Need.VCPUs <= 0 || !from.Free.Add(t.Need).Covers(w.Need):
 		return false
 	case t.Need.Covers(w.Need):
-		return false // any room for this task would do for the waiting one
+		return false // any destination of this task could run the waiting task instead
 	case t.ID.Job == w.ID.Job || t.PriorityLevel < w.PriorityLevel || t.RunningFor < p.config.MinRuntime:
 		return false
 	}
 	return p.usage.allowsTask(t)
 }
 
-// pays reports whether a gain is worth its cost.
-func (p *planner) pays(gain, cost time.Duration) bool {
+// isWorthwhile reports whether a gain is at least GainMargin times the cost.
+func (p *planner) isWorthwhile(gain, cost time.Duration) bool {
 	return float64(gain) >= p.config.GainMargin*float64(cost)
 }
 
-// bestDestination finds the move of a task to the machine with the shortest image pull, if it pays.
+// bestDestination returns the worthwhile move of a candidate to the machine with the shortest image pull,
+// and false if there is none.
 func (p *planner) bestDestination(c candidate) (best Move, found bool) {
 	searched := 0
-	for _, to := range p.byFree {
+	for _, to := range p.byFreeCPUs {
 		if to.Free.VCPUs < c.task.Need.VCPUs || searched >= maxDestinations {
-			break // the machines after it have no more room
+			break // the remaining machines have even fewer free CPUs
 		}
 		if to == c.from || !p.usage.allowsMachine(to) || !to.Free.Covers(c.task.Need) {
 			continue
 		}
 		searched++
 		pullTime, ok := p.cluster.Fits(c.task, to)
-		if !ok || found && pullTime >= best.ImagePullTime || !p.pays(c.gain, c.cost+pullTime) {
+		if !ok || found && pullTime >= best.ImagePullTime || !p.isWorthwhile(c.gain, c.cost+pullTime) {
 			continue
 		}
 		if c.remaining > 0 && c.remaining <= c.task.CheckpointTime+pullTime+p.config.StartOverhead {
-			continue // the task ends before the move would
+			continue // the task would complete before the end of the move
 		}
 		best, found = p.newMove(c, to, pullTime), true
 	}
 	return best, found
 }
 
-// newMove makes a proposal from a candidate and its destination.
+// newMove returns the proposed move of a candidate to a destination.
 func (p *planner) newMove(c candidate, to *Machine, pullTime time.Duration) Move {
 	checkpointTime := time.Duration(0)
 	if c.task.CheckpointInterval > 0 {
@@ -218,8 +222,8 @@
 	}
 }
 
-// expectedWait estimates how much longer a task waits for room on a machine without a move: until
-// enough tasks there have completed, or a machine has booted.
+// expectedWait estimates the remaining wait of a task for capacity without a move: until enough tasks on
+// the machine have completed, or a booting machine is up.
 func (p *planner) expectedWait(w *WaitingTask, m *Machine) time.Duration {
 	wait := unknownWait
 	free := m.Free
@@ -235,7 +239,7 @@
 	return wait
 }
 
-// sortedCompletions returns the expected completions on a machine, the next one first. It sorts them
+// sortedCompletions returns the expected completions on a machine, the earliest first. It sorts them only
 // once.
 func (m *Machine) sortedCompletions() []Completion {
 	if !m.completionsSorted {
@@ -245,29 +249,29 @@
 	return m.Completions
 }
 
-// moveCost returns the cost of a move without the image pull: the work that is lost if the task writes
-// no checkpoints, and the time for the checkpoint and the start. A replica loses no work, but is down
-// for that time.
+// moveCost returns the cost of a move without the image pull: the time for the checkpoint and the start,
+// and the work that is lost if the task writes no checkpoints. A replica of a service loses no work, but
+// is down during the move.
 func (p *planner) moveCost(t *Task) time.Duration {
 	lost := t.RunningFor
 	if t.Replica || t.CheckpointInterval > 0 {
-		lost = 0 // it has no progress, or writes a checkpoint when it is stopped
+		lost = 0 // a replica has no work to lose, and other tasks write a checkpoint when they are stopped
 	}
 	return lost + t.CheckpointTime + p.config.StartOverhead
 }
 
-// applyRoomMove adds a move that makes room to the plan. The room is reserved for the beneficiary, and
-// the plan moves no other task off the machine.
-func (p *planner) applyRoomMove(m Move) {
+// applyCapacityMove adds a move that frees capacity to the plan. The source machine's capacity is reserved
+// for the beneficiary, and the plan moves no other task from that machine.
+func (p *planner) applyCapacityMove(m Move) {
 	from := p.machine(m.From)
 	p.addMove(m, from.Zone)
 	p.beneficiaries[m.BeneficiaryID] = true
 	from.Free = jobs.Resources{}
 	from.Tasks = nil
-	p.sortByFree()
+	p.sortByFreeCPUs()
 }
 
-// addMove adds a move to the plan and takes its room at the destination.
+// addMove adds a move to the plan and subtracts its resources from the free capacity of the destination.
 func (p *planner) addMove(m Move, zone string) {
 	p.moves = append(p.moves, m)
 	p.usage.count(ActiveMove{Job: m.Task.Job, Team: m.Team, From: m.From, To: m.To, Zone: zone})
@@ -277,6 +281,6 @@
 
 // machine returns the machine with an ID, which must be in the cluster.
 func (p *planner) machine(id ident.MachineID) *Machine {
-	i := slices.IndexFunc(p.byFree, func(m *Machine) bool { return m.ID == id })
-	return p.byFree[i]
+	i := slices.IndexFunc(p.byFreeCPUs, func(m *Machine) bool { return m.ID == id })
+	return p.byFreeCPUs[i]
 }
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -16,15 +16,15 @@
 
 func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
 
-// jobID returns the ID of a job by its number.
+// jobID returns the ID of the job with a number.
 func jobID(n int) ident.JobID { return ident.JobID(fmt.Sprintf("j-%d", n)) }
 
-// fitsAnywhere lets all tasks run on all machines, with a pull of a second.
+// fitsAnywhere allows moves of all tasks to all machines, with an image pull of one second.
 func fitsAnywhere(*Task, *Machine) (time.Duration, bool) { return time.Second, true }
 
-// drawCluster makes a cluster of small machines with running and waiting tasks.
+// drawCluster draws a cluster of small machines with running and waiting tasks.
 func drawCluster(t *rapid.T) *Cluster {
-	p := &Cluster{Fits: fitsAnywhere}
+	cluster := &Cluster{Fits: fitsAnywhere}
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 		m := &Machine{
 			ID:   ident.MachineID(fmt.Sprintf("host-%02d", i)),
@@ -39,10 +39,10 @@
 				m.Completions = append(m.Completions, Completion{Remaining: x.Remaining, Frees: x.Need})
 			}
 		}
-		p.Machines = append(p.Machines, m)
+		cluster.Machines = append(cluster.Machines, m)
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "active") {
-		p.ActiveMoves = append(p.ActiveMoves, ActiveMove{
+		cluster.ActiveMoves = append(cluster.ActiveMoves, ActiveMove{
 			Job:           jobID(1 + i),
 			Team:          "red",
 			From:          "host-00",
@@ -53,7 +53,7 @@
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "waiting") {
 		zone := rapid.SampledFrom([]string{"", "east"}).Draw(t, "zone")
-		p.Waiting = append(p.Waiting, WaitingTask{
+		cluster.Waiting = append(cluster.Waiting, WaitingTask{
 			ID:            ident.TaskID{Job: jobID(100 + i)},
 			Need:          drawNeed(t, 2, 8),
 			PriorityLevel: rapid.IntRange(0, 3).Draw(t, "level"),
@@ -62,10 +62,10 @@
 			Allowed:       func(m *Machine) bool { return zone == "" || m.Zone == zone },
 		})
 	}
-	return p
+	return cluster
 }
 
-// drawTask makes a running task of one of five jobs.
+// drawTask draws a running task of one of five jobs.
 func drawTask(t *rapid.T, index int) Task {
 	return Task{
 		ID:                 ident.TaskID{Job: jobID(rapid.IntRange(1, 5).Draw(t, "job")), Index: index},
@@ -81,7 +81,7 @@
 	}
 }
 
-// drawNeed draws a need of CPUs and memory.
+// drawNeed draws the CPUs and the memory that a task needs.
 func drawNeed(t *rapid.T, least, most int) jobs.Resources {
 	return jobs.Resources{
 		VCPUs:    float64(rapid.IntRange(least, most).Draw(t, "cpus")),
@@ -89,15 +89,15 @@
 	}
 }
 
-// seconds draws a time of whole seconds.
+// seconds draws a duration in whole seconds.
 func seconds(t *rapid.T, name string, most int) time.Duration {
 	return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Second
 }
 
-// cloneCluster copies a cluster, since Plan changes it.
-func cloneCluster(p *Cluster) *Cluster {
-	out := &Cluster{Fits: p.Fits, Waiting: p.Waiting, ActiveMoves: p.ActiveMoves}
-	for _, m := range p.Machines {
+// cloneCluster copies a cluster, since Plan modifies its input.
+func cloneCluster(cluster *Cluster) *Cluster {
+	out := &Cluster{Fits: cluster.Fits, Waiting: cluster.Waiting, ActiveMoves: cluster.ActiveMoves}
+	for _, m := range cluster.Machines {
 		k := *m
 		k.Tasks = append([]Task(nil), m.Tasks...)
 		k.Completions = append([]Completion(nil), m.Completions...)
@@ -106,80 +106,83 @@
 	return out
 }
 
-// TestPlan: for any cluster, the gain of each move is worth its cost, the destination has room, the move
-// makes enough room for its beneficiary, the budgets are kept, and the plan is deterministic.
+// TestPlan: for any cluster, the gain of each move justifies its cost, the destination has enough free
+// capacity, the move frees enough capacity for its beneficiary, the budgets are not exceeded, and the plan
+// is deterministic.
 func TestPlan(t *testing.T) {
 	planned := 0
 	rapid.Check(t, func(t *rapid.T) {
-		p, c := drawCluster(t), DefaultConfig()
+		cluster, c := drawCluster(t), DefaultConfig()
 		machines, tasks := map[ident.MachineID]*Machine{}, map[ident.TaskID]Task{}
-		for _, m := range cloneCluster(p).Machines {
+		for _, m := range cloneCluster(cluster).Machines {
 			machines[m.ID] = m
 			for _, x := range m.Tasks {
 				tasks[x.ID] = x
 			}
 		}
-		moves := Plan(c, cloneCluster(p))
-		if again := Plan(c, cloneCluster(p)); !reflect.DeepEqual(moves, again) {
-			t.Fatalf("%+v, then %+v", moves, again)
+		moves := Plan(c, cloneCluster(cluster))
+		if again := Plan(c, cloneCluster(cluster)); !reflect.DeepEqual(moves, again) {
+			t.Fatalf("got %+v, then %+v for the same cluster", moves, again)
 		}
 		planned += len(moves)
 		used := newBudgetUse(c.Budgets)
-		served := map[ident.TaskID]bool{}
-		for _, a := range p.ActiveMoves {
+		beneficiaries := map[ident.TaskID]bool{}
+		for _, a := range cluster.ActiveMoves {
 			used.count(a)
-			served[a.BeneficiaryID] = true
+			beneficiaries[a.BeneficiaryID] = true
 		}
 		for _, m := range moves {
 			x, from, to := tasks[m.Task], machines[m.From], machines[m.To]
-			w := findWaiting(p, m.BeneficiaryID)
+			w := findWaiting(cluster, m.BeneficiaryID)
 			used.count(ActiveMove{Job: m.Task.Job, Team: x.Team, From: m.From, To: m.To, Zone: from.Zone})
 			switch {
 			case float64(m.Gain) < c.GainMargin*float64(m.Cost):
-				t.Fatalf("%+v doesn't pay", m)
+				t.Fatalf("gain of %+v is below %v times its cost", m, c.GainMargin)
 			case !to.Free.Covers(x.Need) || !from.Free.Add(x.Need).Covers(w.Need) || from.Free.Covers(w.Need):
-				t.Fatalf("%+v: %v free there, %v here, %v needed", m, to.Free, from.Free, w.Need)
+				t.Fatalf("%+v: task needs %v, beneficiary %v; free capacity is %v at the destination, %v at the source",
+					m, x.Need, w.Need, to.Free, from.Free)
 			case x.Remaining > 0 && x.Remaining <= x.CheckpointTime+c.StartOverhead:
-				t.Fatalf("%+v ends before its move", m)
+				t.Fatalf("%+v: task completes in %v, before the end of its move", m, x.Remaining)
 			case x.PriorityLevel < w.PriorityLevel || x.RunningFor < c.MinRuntime ||
-				w.WaitedFor < c.MinWait || served[m.BeneficiaryID]:
-				t.Fatalf("%+v: moved %+v for %+v", m, x, w)
+				w.WaitedFor < c.MinWait || beneficiaries[m.BeneficiaryID]:
+				t.Fatalf("%+v: task %+v must not be moved for %+v", m, x, w)
 			case w.BootRemaining > 0 && m.ExpectedWait > w.BootRemaining:
-				t.Fatalf("%+v: a machine comes in %v", m, w.BootRemaining)
+				t.Fatalf("%+v: expected wait is %v, but a machine is up in %v", m, m.ExpectedWait, w.BootRemaining)
 			case x.MoveCount+used.jobs[m.Task.Job] > c.Budgets.Job ||
 				used.zones[from.Zone] > c.Budgets.Zone ||
 				used.teams[x.Team] > c.Budgets.Team ||
 				used.machines[m.From] > c.Budgets.Machine ||
 				used.machines[m.To] > c.Budgets.Machine ||
 				used.cluster > c.Budgets.Cluster:
-				t.Fatalf("over a budget: %+v beside %+v", moves, p.ActiveMoves)
+				t.Fatalf("budgets %+v exceeded by moves %+v with active moves %+v", c.Budgets, moves, cluster.ActiveMoves)
 			}
-			served[m.BeneficiaryID] = true
+			beneficiaries[m.BeneficiaryID] = true
 			to.Free, from.Free = to.Free.Sub(x.Need), jobs.Resources{}
 		}
 	})
 	if planned == 0 {
-		t.Error("no move in any cluster: the test shows nothing")
+		t.Error("got 0 moves in all clusters, want at least 1: no move was checked")
 	}
 }
 
 // findWaiting returns the waiting task with an ID, nil if there is none.
-func findWaiting(p *Cluster, id ident.TaskID) *WaitingTask {
-	for i := range p.Waiting {
-		if p.Waiting[i].ID == id {
-			return &p.Waiting[i]
+func findWaiting(cluster *Cluster, id ident.TaskID) *WaitingTask {
+	for i := range cluster.Waiting {
+		if cluster.Waiting[i].ID == id {
+			return &cluster.Waiting[i]
 		}
 	}
 	return nil
 }
 
-// cpuNeed is a need of CPUs alone.
+// cpuNeed returns resources with CPUs only.
 func cpuNeed(n float64) jobs.Resources { return jobs.Resources{VCPUs: n} }
 
-// allowedAnywhere lets a waiting task run on all machines.
+// allowedAnywhere allows a waiting task on all machines.
 func allowedAnywhere(*Machine) bool { return true }
 
-// smallCluster is a cluster in which one task waits for 4 CPUs and two machines have 3 and 2 free.
+// smallCluster returns a cluster in which one task waits for 4 CPUs and two machines have 3 and 2 free CPUs,
+// with change applied to it if that is not nil.
 func smallCluster(change func(*Cluster)) *Cluster {
 	running := Task{
 		ID:                 ident.TaskID{Job: "j-1"},
@@ -190,8 +193,8 @@
 		CheckpointInterval: 10 * time.Second,
 		CheckpointTime:     time.Second,
 	}
-	p := &Cluster{Fits: fitsAnywhere}
-	p.Machines = []*Machine{
+	cluster := &Cluster{Fits: fitsAnywhere}
+	cluster.Machines = []*Machine{
 		{
 			ID:          "host-1",
 			Zone:        "east",
@@ -201,75 +204,80 @@
 		},
 		{ID: "host-2", Zone: "east", Free: cpuNeed(2)},
 	}
-	p.Waiting = []WaitingTask{{
+	cluster.Waiting = []WaitingTask{{
 		ID:        ident.TaskID{Job: "j-9"},
 		Need:      cpuNeed(4),
 		WaitedFor: time.Minute,
 		Allowed:   allowedAnywhere,
 	}}
 	if change != nil {
-		change(p)
+		change(cluster)
 	}
-	return p
+	return cluster
 }
 
-// TestMakeRoom: a small task is moved to make room when that is worth its cost, and only then.
-func TestMakeRoom(t *testing.T) {
+// TestFreeCapacity: a small task is moved to free capacity for a waiting one if and only if that is
+// worthwhile.
+func TestFreeCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Cluster)
 		moves  int
 	}{
 		{"worth it", nil, 1},
-		{"there is room without it", func(p *Cluster) { p.Machines[1].Free = cpuNeed(4) }, 0},
-		{"all machines are full", func(p *Cluster) { p.Machines[1].Free = cpuNeed(0) }, 0},
-		{"it has run for long and writes no checkpoints", func(p *Cluster) {
-			p.Machines[0].Tasks[0].RunningFor, p.Machines[0].Tasks[0].CheckpointInterval = time.Minute, 0
+		{"a machine has enough capacity without a move", func(cluster *Cluster) { cluster.Machines[1].Free = cpuNeed(4) }, 0},
+		{"all machines are full", func(cluster *Cluster) { cluster.Machines[1].Free = cpuNeed(0) }, 0},
+		{"it has run for long and writes no checkpoints", func(cluster *Cluster) {
+			cluster.Machines[0].Tasks[0].RunningFor, cluster.Machines[0].Tasks[0].CheckpointInterval = time.Minute, 0
 		}, 0},
-		{"it writes no checkpoints and has not run for long", func(p *Cluster) {
-			p.Machines[0].Tasks[0].CheckpointInterval = 0
+		{"it writes no checkpoints and has not run for long", func(cluster *Cluster) {
+			cluster.Machines[0].Tasks[0].CheckpointInterval = 0
 		}, 1},
-		{"it has just started", func(p *Cluster) { p.Machines[0].Tasks[0].RunningFor = 20 * time.Second }, 0},
-		{"it ends soon", func(p *Cluster) { p.Machines[0].Completions[0].Remaining = 6 * time.Second }, 0},
-		{"it ends before it could move", func(p *Cluster) { p.Machines[0].Tasks[0].Remaining = 3 * time.Second }, 0},
-		{"a machine comes soon", func(p *Cluster) { p.Waiting[0].BootRemaining = 5 * time.Second }, 0},
-		{"a machine comes late", func(p *Cluster) { p.Waiting[0].BootRemaining = time.Minute }, 1},
-		{"it was moved twice", func(p *Cluster) { p.Machines[0].Tasks[0].MoveCount = 2 }, 0},
-		{"it was moved once", func(p *Cluster) { p.Machines[0].Tasks[0].MoveCount = 1 }, 1},
-		{"it has a higher priority", func(p *Cluster) { p.Waiting[0].PriorityLevel = 1 }, 0},
-		{"what waits has just begun to", func(p *Cluster) { p.Waiting[0].WaitedFor = time.Second }, 0},
-		{"its image takes long to pull", func(p *Cluster) {
-			p.Fits = func(*Task, *Machine) (time.Duration, bool) { return 2 * time.Minute, true }
+		{"it has just started", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].RunningFor = 20 * time.Second }, 0},
+		{"it ends soon", func(cluster *Cluster) { cluster.Machines[0].Completions[0].Remaining = 6 * time.Second }, 0},
+		{"it ends before it could move", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].Remaining = 3 * time.Second }, 0},
+		{"a booting machine is up soon", func(cluster *Cluster) { cluster.Waiting[0].BootRemaining = 5 * time.Second }, 0},
+		{"a booting machine is up late", func(cluster *Cluster) { cluster.Waiting[0].BootRemaining = time.Minute }, 1},
+		{"it was moved twice", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].MoveCount = 2 }, 0},
+		{"it was moved once", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].MoveCount = 1 }, 1},
+		{"it has a higher priority than the waiting task", func(cluster *Cluster) { cluster.Waiting[0].PriorityLevel = 1 }, 0},
+		{"the waiting task has just begun to wait", func(cluster *Cluster) { cluster.Waiting[0].WaitedFor = time.Second }, 0},
+		{"its image takes long to pull", func(cluster *Cluster) {
+			cluster.Fits = func(*Task, *Machine) (time.Duration, bool) { return 2 * time.Minute, true }
 		}, 0},
-		{"it may not go there", func(p *Cluster) {
-			p.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
+		{"it may not go there", func(cluster *Cluster) {
+			cluster.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
 		}, 0},
-		{"it is as large as what waits", func(p *Cluster) {
-			p.Machines[0].Free, p.Machines[0].Tasks[0].Need = cpuNeed(0), cpuNeed(4)
+		{"it is as large as the waiting task", func(cluster *Cluster) {
+			cluster.Machines[0].Free, cluster.Machines[0].Tasks[0].Need = cpuNeed(0), cpuNeed(4)
 		}, 0},
-		{"memory is short there", func(p *Cluster) { p.Machines[0].Tasks[0].Need.MemoryGB = 1 }, 0},
-		{"what waits may not run there", func(p *Cluster) {
-			p.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-2" }
+		{"the destination has too little memory", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].Need.MemoryGB = 1 }, 0},
+		{"the waiting task may not run on its machine", func(cluster *Cluster) {
+			cluster.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-2" }
 		}, 0},
-		{"one machine is much larger, and has the room", func(p *Cluster) { p.Machines[1].Free = cpuNeed(60) }, 0},
-		{"one machine is much larger, and what waits may not run there", func(p *Cluster) {
-			p.Machines[1].Free = cpuNeed(60)
-			p.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-1" }
+		{"one machine is much larger, and has enough capacity", func(cluster *Cluster) { cluster.Machines[1].Free = cpuNeed(60) }, 0},
+		{"one machine is much larger, and the waiting task may not run there", func(cluster *Cluster) {
+			cluster.Machines[1].Free = cpuNeed(60)
+			cluster.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-1" }
 		}, 1},
-		{"a move is under way for it", func(p *Cluster) { p.ActiveMoves = []ActiveMove{{BeneficiaryID: p.Waiting[0].ID}} }, 0},
-		{"a move uses its machine", func(p *Cluster) { p.ActiveMoves = []ActiveMove{{From: "host-3", To: "host-1"}} }, 0},
-		{"the cluster has its moves", func(p *Cluster) { p.ActiveMoves = make([]ActiveMove, 4) }, 0},
+		{"a move for the waiting task is active", func(cluster *Cluster) {
+			cluster.ActiveMoves = []ActiveMove{{BeneficiaryID: cluster.Waiting[0].ID}}
+		}, 0},
+		{"an active move uses its machine", func(cluster *Cluster) {
+			cluster.ActiveMoves = []ActiveMove{{From: "host-3", To: "host-1"}}
+		}, 0},
+		{"the budget of the cluster is exhausted", func(cluster *Cluster) { cluster.ActiveMoves = make([]ActiveMove, 4) }, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if moves := Plan(DefaultConfig(), smallCluster(c.change)); len(moves) != c.moves {
-				t.Errorf("%d moves, want %d: %+v", len(moves), c.moves, moves)
+				t.Errorf("got %d moves, want %d: %+v", len(moves), c.moves, moves)
 			}
 		})
 	}
 }
 
-// TestLeaveSlowMachine: a task is moved off a slow machine if it ends sooner elsewhere by a gain that is
-// worth the cost, and only then.
+// TestLeaveSlowMachine: a task is moved away from a slow machine if and only if it completes so much sooner
+// on another machine that the move is worthwhile.
 func TestLeaveSlowMachine(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -283,36 +291,42 @@
 		}, 0},
 		{"it writes checkpoints, and is nearly done", func(_ *Cluster, x *Task) { x.RunningFor = 296 * time.Second }, 0},
 		{"it should have ended long ago", func(_ *Cluster, x *Task) { x.RunningFor = 20 * time.Minute }, 0},
-		{"nothing is known of its end", func(_ *Cluster, x *Task) { x.EstimatedRuntime = 0 }, 0},
-		{"the machine is hardly slower", func(p *Cluster, _ *Task) { p.SlowMachines[0].Slowness = 1.05 }, 0},
+		{"its run time is unknown", func(_ *Cluster, x *Task) { x.EstimatedRuntime = 0 }, 0},
+		{"the machine is hardly slower", func(cluster *Cluster, _ *Task) { cluster.SlowMachines[0].Slowness = 1.05 }, 0},
 		{"it has just started", func(_ *Cluster, x *Task) { x.RunningFor = time.Second }, 0},
 		{"it was moved twice", func(_ *Cluster, x *Task) { x.MoveCount = 2 }, 0},
-		{"there is no room", func(p *Cluster, _ *Task) { p.Machines[0].Free = cpuNeed(1) }, 0},
-		{"it may not go there", func(p *Cluster, _ *Task) {
-			p.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
+		{"the destination has too little capacity", func(cluster *Cluster, _ *Task) { cluster.Machines[0].Free = cpuNeed(1) }, 0},
+		{"it may not go there", func(cluster *Cluster, _ *Task) {
+			cluster.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
+		}, 0},
+		{"an active move uses the machine", func(cluster *Cluster, _ *Task) { cluster.ActiveMoves = []ActiveMove{{From: "slow"}} }, 0},
+		{"an active move uses the destination", func(cluster *Cluster, _ *Task) {
+			cluster.ActiveMoves = []ActiveMove{{To: "host-1"}}
 		}, 0},
-		{"a move uses the machine", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{From: "slow"}} }, 0},
-		{"a move uses the destination", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{To: "host-1"}} }, 0},
-		{"the zone has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{Zone: "west"}, {Zone: "west"}} }, 0},
-		{"the team has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = []ActiveMove{{Team: "red"}, {Team: "red"}} }, 0},
-		{"the cluster has its moves", func(p *Cluster, _ *Task) { p.ActiveMoves = make([]ActiveMove, 4) }, 0},
+		{"the budget of the zone is exhausted", func(cluster *Cluster, _ *Task) {
+			cluster.ActiveMoves = []ActiveMove{{Zone: "west"}, {Zone: "west"}}
+		}, 0},
+		{"the budget of the team is exhausted", func(cluster *Cluster, _ *Task) {
+			cluster.ActiveMoves = []ActiveMove{{Team: "red"}, {Team: "red"}}
+		}, 0},
+		{"the budget of the cluster is exhausted", func(cluster *Cluster, _ *Task) { cluster.ActiveMoves = make([]ActiveMove, 4) }, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := clusterWithSlowMachine()
-			c.change(p, &p.SlowMachines[0].Tasks[0])
-			moves := Plan(DefaultConfig(), p)
+			cluster := clusterWithSlowMachine()
+			c.change(cluster, &cluster.SlowMachines[0].Tasks[0])
+			moves := Plan(DefaultConfig(), cluster)
 			if len(moves) != c.moves {
-				t.Errorf("%d moves, want %d: %+v", len(moves), c.moves, moves)
+				t.Errorf("got %d moves, want %d: %+v", len(moves), c.moves, moves)
 			}
 			if len(moves) == 1 && (moves[0].Purpose != LeavesSlowMachine || moves[0].From != "slow" || moves[0].To != "host-1") {
-				t.Errorf("the move is %+v", moves[0])
+				t.Errorf("got move %+v, want one from slow to host-1 with purpose %q", moves[0], LeavesSlowMachine)
 			}
 		})
 	}
 }
 
-// clusterWithSlowMachine is a cluster in which one task runs on a slow machine, and another machine has
-// room for it.
+// clusterWithSlowMachine returns a cluster in which one task runs on a slow machine, and another machine
+// has enough free capacity for it.
 func clusterWithSlowMachine() *Cluster {
 	running := Task{
 		ID:                 ident.TaskID{Job: "j-1"},
@@ -333,12 +347,13 @@
 	}
 }
 
-// manyWaiting is a cluster in which eight tasks wait for room that one move each would make: sources in
-// the given zone and of the given team, and a destination for each.
+// manyWaiting returns a cluster with eight waiting tasks. For each of them there is a running task whose
+// move would free enough capacity, and a destination. zone and team return the zone and the team of the
+// i-th running task.
 func manyWaiting(zone, team func(i int) string) *Cluster {
-	p := &Cluster{Fits: func(_ *Task, m *Machine) (time.Duration, bool) { return 0, m.Zone == "far" }}
+	cluster := &Cluster{Fits: func(_ *Task, m *Machine) (time.Duration, bool) { return 0, m.Zone == "far" }}
 	for i := range 8 {
-		p.Machines = append(p.Machines,
+		cluster.Machines = append(cluster.Machines,
 			&Machine{
 				ID:   ident.MachineID(fmt.Sprintf("source-%d", i)),
 				Zone: zone(i),
@@ -353,56 +368,56 @@
 			},
 			&Machine{ID: ident.MachineID(fmt.Sprintf("target-%d", i)), Zone: "far", Free: cpuNeed(1)},
 		)
-		p.Waiting = append(p.Waiting, WaitingTask{
+		cluster.Waiting = append(cluster.Waiting, WaitingTask{
 			ID:        ident.TaskID{Job: jobID(100 + i)},
 			Need:      cpuNeed(4),
 			WaitedFor: time.Minute,
 			Allowed:   allowedAnywhere,
 		})
 	}
-	return p
+	return cluster
 }
 
-// TestBudgets: each budget bounds the moves where the others would allow more.
+// TestBudgets: each budget limits the number of moves when the other budgets would allow more.
 func TestBudgets(t *testing.T) {
 	own := func(i int) string { return fmt.Sprint(i) }
 	same := func(int) string { return "same" }
 	wide := Budgets{Cluster: 100, Zone: 100, Team: 100, Machine: 1, Job: 2}
 	for _, c := range []struct {
-		name   string
-		p      *Cluster
-		lower  func(*Budgets)
-		active []ActiveMove
-		want   int
+		name    string
+		cluster *Cluster
+		lower   func(*Budgets)
+		active  []ActiveMove
+		want    int
 	}{
 		{"none", manyWaiting(same, same), func(*Budgets) {}, nil, 8},
 		{"cluster", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, nil, 3},
-		{"cluster, with one under way", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
+		{"cluster, with one active move", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
 		{"zone", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, nil, 2},
-		{"zone, with one under way", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
+		{"zone, with one active move", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
 		{"team", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, nil, 2},
-		{"team, with one under way", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
+		{"team, with one active move", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
 		{"source in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{From: "source-0"}, {To: "source-1"}}, 6},
 		{"destinations in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{To: "target-0"}, {From: "target-1"}}, 6},
-		{"job, with two under way", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
+		{"job, with two active moves", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			config := DefaultConfig()
 			config.Budgets = wide
 			c.lower(&config.Budgets)
-			c.p.ActiveMoves = c.active
-			if got := Plan(config, c.p); len(got) != c.want {
-				t.Errorf("%d moves, want %d", len(got), c.want)
+			c.cluster.ActiveMoves = c.active
+			if got := Plan(config, c.cluster); len(got) != c.want {
+				t.Errorf("got %d moves, want %d: %+v", len(got), c.want, got)
 			}
 		})
 	}
 }
 
-// BenchmarkPlan measures how the time for a plan grows with the machines.
+// BenchmarkPlan measures how the time of Plan grows with the number of machines.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4500} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
-			p := &Cluster{Fits: fitsAnywhere}
+			cluster := &Cluster{Fits: fitsAnywhere}
 			for i := range machines {
 				m := &Machine{ID: ident.MachineID(fmt.Sprintf("host-%06d", i)), Zone: "east", Free: cpuNeed(float64(i % 4))}
 				for k := range 4 {
@@ -415,10 +430,10 @@
 					})
 					m.Completions = append(m.Completions, Completion{Remaining: 5 * time.Minute, Frees: cpuNeed(3)})
 				}
-				p.Machines = append(p.Machines, m)
+				cluster.Machines = append(cluster.Machines, m)
 			}
 			for i := range 100 {
-				p.Waiting = append(p.Waiting, WaitingTask{
+				cluster.Waiting = append(cluster.Waiting, WaitingTask{
 					ID:        ident.TaskID{Job: "j-w", Index: i},
 					Need:      cpuNeed(6),
 					WaitedFor: time.Minute,
@@ -426,7 +441,7 @@
 				})
 			}
 			for b.Loop() {
-				Plan(DefaultConfig(), cloneCluster(p))
+				Plan(DefaultConfig(), cloneCluster(cluster))
 			}
 		})
 	}
--- a/internal/rebalance/slow_machines.go
+++ b/internal/rebalance/slow_machines.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// planSlowMachines proposes moves of tasks off slow machines, on each the one with the largest net
-// gain.
+// planSlowMachines proposes moves of tasks away from slow machines: for each machine the move with the
+// largest net gain.
 func (p *planner) planSlowMachines() {
 	for _, s := range p.cluster.SlowMachines {
 		if p.usage.clusterFull() {
@@ -12,16 +12,16 @@
 		if !p.usage.allowsSource(&s.Machine) {
 			continue
 		}
-		if m, ok := p.bestMoveOff(s); ok {
+		if m, ok := p.bestMoveFromSlowMachine(s); ok {
 			p.addMove(m, s.Zone)
-			p.sortByFree()
+			p.sortByFreeCPUs()
 		}
 	}
 }
 
-// bestMoveOff finds the task on a slow machine that gains most by moving elsewhere, if any gains
-// enough.
-func (p *planner) bestMoveOff(s *SlowMachine) (best Move, found bool) {
+// bestMoveFromSlowMachine returns the worthwhile move from a slow machine with the largest net gain, and
+// false if there is none.
+func (p *planner) bestMoveFromSlowMachine(s *SlowMachine) (best Move, found bool) {
 	for i := range s.Tasks {
 		t := &s.Tasks[i]
 		if t.EstimatedRuntime <= 0 || t.RunningFor < p.config.MinRuntime || !p.usage.allowsTask(t) {
@@ -30,7 +30,7 @@
 		c := candidate{
 			task: t,
 			from: &s.Machine,
-			gain: t.timeSaved(s.Slowness), // accounts for work lost without checkpoints
+			gain: t.timeSaved(s.Slowness), // includes the loss of work without checkpoints
 			cost: t.CheckpointTime + p.config.StartOverhead,
 		}
 		m, ok := p.bestDestination(c)
@@ -42,8 +42,8 @@
 	return best, found
 }
 
-// timeSaved estimates by how much a task would end sooner on a machine of usual speed, apart from
-// the time for the move. Without checkpoints it starts over there.
+// timeSaved estimates how much sooner a task would complete on a machine of normal speed, without the time
+// for the move. A task without checkpoints starts from the beginning there.
 func (t *Task) timeSaved(slowness float64) time.Duration {
 	here := time.Duration(float64(t.EstimatedRuntime)*slowness) - t.RunningFor
 	there := t.EstimatedRuntime
--- a/internal/rebalancer/hold.go
+++ b/internal/rebalancer/hold.go
@@ -1,6 +1,6 @@
 package rebalancer
 
-// This file decides when no moves are planned.
+// This file decides whether a round may plan moves.
 
 import (
 	"time"
@@ -10,19 +10,19 @@
 	"opaldale/internal/workers"
 )
 
-// HoldReason is the reason for which a round plans no moves.
+// HoldReason is the reason why a round plans no moves.
 type HoldReason uint8
 
-// The reasons. Their names are labels of a metric.
+// The reasons why a round plans no moves. Their names are label values of a metric, and must not change.
 const (
 	HoldNone           HoldReason = iota
-	HoldPlanBudget                // planning has used up its share of the time
-	HoldNoAuthority               // the leader has no authority to place tasks
-	HoldNewTerm                   // the term has just begun
-	HoldWriteBacklog              // decisions are still being written
-	HoldTeamCooled                // a team has only just ceased to be overloaded
-	HoldFleetUnstable             // many machines are silent, drained or being terminated
-	HoldNothingWaiting            // no task has waited for long enough
+	HoldPlanBudget                // planning has used its share of time, see planTimeDivisor
+	HoldNoAuthority               // the leader currently has no authority to place tasks
+	HoldNewTerm                   // the term began less than LeaderSettleTime ago
+	HoldWriteBacklog              // there are pending writes to the key-value store
+	HoldTeamRecovered             // a team left load.Overloaded less than cooldownAfterOverload ago
+	HoldFleetUnstable             // many machines are unreachable, cordoned, or being terminated or reclaimed
+	HoldNothingWaiting            // no task has waited for at least MinWait, and no machine is slow
 	holdReasonCount
 )
 
@@ -34,17 +34,17 @@
 func (r HoldReason) String() string { return enum.Name(holdReasonNames[:], r, "restraint") }
 
 const (
-	// cooldownAfterHotTeam is how long no moves are planned after the demand of an overloaded team has returned to
-	// its quota.
-	cooldownAfterHotTeam = 5 * time.Second
-	// unstableFleetDivisor and minUnstableMachines define an unstable fleet: more than one in unstableFleetDivisor
-	// machines is leaving, and more than minUnstableMachines are.
+	// cooldownAfterOverload is how long no moves are planned after the demand of an overloaded team has fallen below
+	// load.Config.RecoverAt.
+	cooldownAfterOverload = 5 * time.Second
+	// unstableFleetDivisor and minUnstableMachines define an unstable fleet: tasks are likely to have to leave more
+	// than one in unstableFleetDivisor machines, and more than minUnstableMachines machines.
 	unstableFleetDivisor = 20
 	minUnstableMachines  = 2
 )
 
-// currentHold returns the reason for which no moves may be planned at present. If moves are only reported, only the time
-// budget applies.
+// currentHold returns the reason why no moves may be planned now, or HoldNone. If moves are only reported and not executed,
+// only the time budget of planning applies.
 func (r *Rebalancer) currentHold(now ident.MonotonicTime) HoldReason {
 	switch {
 	case now < r.nextPlanAt:
@@ -54,11 +54,11 @@
 	case !r.leader.MayPlace():
 		return HoldNoAuthority
 	case now.Sub(r.tookOverAt) < r.config.Limits.LeaderSettleTime:
-		return HoldNewTerm // machines of earlier terms may not have reported yet
+		return HoldNewTerm // machines may not have sent a heartbeat to this leader yet
 	case r.committer.Backlog() > 0:
 		return HoldWriteBacklog
-	case r.teamCooledAt > 0 && now.Sub(r.teamCooledAt) < cooldownAfterHotTeam:
-		return HoldTeamCooled
+	case r.teamRecoveredAt > 0 && now.Sub(r.teamRecoveredAt) < cooldownAfterOverload:
+		return HoldTeamRecovered
 	case r.fleetUnstable():
 		return HoldFleetUnstable
 	}
@@ -70,7 +70,7 @@
 	leaving, all := 0, 0
 	for _, w := range r.workers.Sorted() {
 		switch {
-		case isLeaving(w):
+		case expectsEvacuation(w):
 			leaving++
 			all++
 		case w.State == workers.Up:
@@ -80,8 +80,8 @@
 	return leaving > max(minUnstableMachines, all/unstableFleetDivisor)
 }
 
-// isLeaving reports whether the tasks of a machine are likely to have to move soon.
-func isLeaving(w *workers.Worker) bool {
+// expectsEvacuation reports whether tasks are likely to have to leave a machine soon.
+func expectsEvacuation(w *workers.Worker) bool {
 	switch w.State {
 	case workers.Unreachable, workers.Terminating:
 		return true
--- a/internal/rebalancer/input.go
+++ b/internal/rebalancer/input.go
@@ -1,6 +1,6 @@
 package rebalancer
 
-// This file describes the cluster to the planner of moves.
+// This file builds the input of rebalance.Plan from the leader's tables.
 
 import (
 	"time"
@@ -14,11 +14,11 @@
 	"opaldale/internal/workers"
 )
 
-// minRemaining is the least estimate for the remaining time of a task or of the start of a machine.
+// minRemaining is the minimum estimate of the remaining time of a task, and of a booting machine until it is up.
 const minRemaining = time.Second
 
-// waitingTasks lists the first waiting task of each job for which others may be moved, if it has waited for at least
-// MinWait, in the order of the jobs' submission.
+// waitingTasks lists the first waiting task of each job for which tasks of other jobs may be moved, if that task has waited
+// for at least MinWait. The list is in the order in which the jobs were submitted.
 func (r *Rebalancer) waitingTasks(now ident.MonotonicTime) []rebalance.WaitingTask {
 	var list []rebalance.WaitingTask
 	booting := r.bootingMachines()
@@ -54,7 +54,7 @@
 	return !j.Spec.OneZone && !j.Spec.Spread && r.teams.Allows(j.Spec, 1)
 }
 
-// bootingMachines lists the machines that are starting.
+// bootingMachines lists the machines in state Booting.
 func (r *Rebalancer) bootingMachines() []*workers.Worker {
 	var list []*workers.Worker
 	for _, w := range r.workers.Sorted() {
@@ -65,8 +65,8 @@
 	return list
 }
 
-// nextMachineETA estimates how soon the first of the booting machines that the job allows is up. It returns 0 if there is
-// none.
+// nextMachineETA estimates the time until the first booting machine on which a job may run is up. It returns 0 if there is no
+// such machine.
 func nextMachineETA(booting []*workers.Worker, s *api.Spec, now ident.MonotonicTime) time.Duration {
 	soonest := time.Duration(0)
 	for _, w := range booting {
@@ -81,14 +81,14 @@
 	return soonest
 }
 
-// planInput describes the cluster to the planner. Machines in zones with an unhealthy link are left out.
+// planInput returns the input of rebalance.Plan. It omits machines in zones with an unhealthy link.
 func (r *Rebalancer) planInput(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
-	input := &rebalance.Cluster{Waiting: waiting, Fits: r.fetchTimeIfFits}
+	input := &rebalance.Cluster{Waiting: waiting, Fits: r.imagePullTimeIfFits}
 	for _, w := range r.workers.Sorted() {
 		switch {
 		case w.Type == nil || !r.leader.ZoneHealthy(w.Zone):
-		case w.Slow && r.recentlyHeard(w):
-			slow := &rebalance.SlowMachine{Machine: *r.machineInput(w, now), Slowness: r.speedTracker.Slowness(w.ID)}
+		case w.Slow && r.reachable(w):
+			slow := &rebalance.SlowMachine{Machine: *r.machineInput(w, now), Slowness: r.slownessEstimator.Slowness(w.ID)}
 			input.SlowMachines = append(input.SlowMachines, slow)
 		case r.usable(w) && !r.planner.IsReserved(w):
 			input.Machines = append(input.Machines, r.machineInput(w, now))
@@ -100,7 +100,7 @@
 	return input
 }
 
-// activeMove describes a move under way to the planner, which counts it against its budgets.
+// activeMove converts an active move to the input of rebalance.Plan, which counts it against the budgets.
 func (r *Rebalancer) activeMove(move *migration.Move) rebalance.ActiveMove {
 	active := rebalance.ActiveMove{
 		Job:           move.Task.Job,
@@ -115,7 +115,8 @@
 	return active
 }
 
-// machineInput describes a machine to the planner: its free resources, its movable tasks, and when others complete.
+// machineInput converts a machine to the input of rebalance.Plan: its free resources, its movable tasks, and the expected
+// completions of its tasks.
 func (r *Rebalancer) machineInput(w *workers.Worker, now ident.MonotonicTime) *rebalance.Machine {
 	input := &rebalance.Machine{ID: w.ID, Zone: w.Zone, Free: w.Free()}
 	for _, t := range r.workers.SortedTasks(w) {
@@ -130,7 +131,7 @@
 	return input
 }
 
-// remainingRuntime estimates how long a task stays on its machine; 0 means unknown.
+// remainingRuntime estimates how long a task will remain on its machine. It returns 0 if that is unknown.
 func remainingRuntime(t *jobs.Task, now ident.MonotonicTime) time.Duration {
 	runtime := settings.Seconds(t.Job.Spec.RuntimeS)
 	switch {
@@ -144,20 +145,20 @@
 	return runtime
 }
 
-// movable reports whether a task is running, and may be stopped independently of others and started on any machine that its
-// job allows. The only running replica of a service is not moved, since the service would be down meanwhile.
+// movable reports whether a task is running and may be moved on its own: it is not bound to other tasks of its job by a gang,
+// a single zone or a spread. The only running replica of a service is not movable, since a move would interrupt the service.
 func (r *Rebalancer) movable(t *jobs.Task) bool {
 	s := t.Job.Spec
 	if t.State != jobs.Assigned || !t.SeenRunning() || t.Job.IsGang() || t.Job.Suspect {
 		return false
 	}
-	if s.OneZone || s.Spread || r.history.IsBarred(s.ID) {
+	if s.OneZone || s.Spread || r.history.IsExcluded(s.ID) {
 		return false
 	}
 	return s.Shape != api.Service || t.Job.RunningTasks > 1
 }
 
-// runningTask describes a movable task to the planner.
+// runningTask converts a movable task to the input of rebalance.Plan.
 func (r *Rebalancer) runningTask(t *jobs.Task, now ident.MonotonicTime) rebalance.Task {
 	s := t.Job.Spec
 	return rebalance.Task{
@@ -175,13 +176,13 @@
 	}
 }
 
-// fetchTimeIfFits returns whether a running task may move to a machine, and how long fetching its image takes there.
-func (r *Rebalancer) fetchTimeIfFits(t *rebalance.Task, candidate *rebalance.Machine) (time.Duration, bool) {
+// imagePullTimeIfFits reports whether a running task may be moved to a machine, and returns the time of its image pull there.
+func (r *Rebalancer) imagePullTimeIfFits(t *rebalance.Task, candidate *rebalance.Machine) (time.Duration, bool) {
 	j, w := r.jobs.Jobs[t.ID.Job], r.workers.Workers[candidate.ID]
 	if j == nil || w == nil || !w.Allows(j.Spec) || j.AvoidedMachines[w.ID] || w.Faulty() {
 		return 0, false
 	}
-	// A move between on-demand machines of one zone takes nothing from the headroom for services.
+	// A move between on-demand machines of one zone does not reduce the headroom for services.
 	from := r.workers.Workers[j.Tasks[t.ID.Index].MachineID]
 	if (from == nil || from.Spot || from.Zone != w.Zone) && !r.planner.KeepsServiceHeadroom(j, w) {
 		return 0, false
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -1,6 +1,6 @@
-// Package rebalancer moves running tasks to other machines for a leader: to make room for tasks that wait, and away
-// from slow machines. Package rebalance decides which moves are worth their cost, package migration what the next step of a
-// move is, and this package carries both out on the leader's tables.
+// Package rebalancer moves running tasks to other machines on behalf of a leader, to free capacity for waiting tasks and to
+// get tasks off slow machines. Package rebalance decides which moves are worth their cost, and package migration determines
+// the next step of each move. This package supplies both with the state of the leader's tables, and executes their decisions.
 package rebalancer
 
 import (
@@ -21,41 +21,41 @@
 )
 
 const (
-	// planTimeDivisor bounds the share of the time that planning takes: the pause after a plan is planTimeDivisor times
-	// its duration.
+	// planTimeDivisor limits the share of time spent on planning: the pause after a plan is planTimeDivisor times its
+	// duration.
 	planTimeDivisor = 50
-	// freedRoomHold is how long the room freed by a move stays reserved for the waiting task, after the grace period of
-	// the task that is moved.
-	freedRoomHold = 10 * time.Second
-	// maxCountedProposals bounds the proposals that are remembered as counted.
+	// freedCapacityReservation is how long the capacity freed by a move stays reserved for the waiting task after the
+	// grace period of the moved task.
+	freedCapacityReservation = 10 * time.Second
+	// maxCountedProposals is the maximum number of proposals kept to avoid counting a proposal twice.
 	maxCountedProposals = 10_000
-	// missedHeartbeats and heartbeatMargin define the silence after which no tasks are moved to or from a machine:
-	// missedHeartbeats heartbeat intervals and heartbeatMargin.
+	// missedHeartbeats and heartbeatMargin define the time without a heartbeat after which no tasks are moved to or from
+	// a machine: missedHeartbeats heartbeat intervals plus heartbeatMargin.
 	missedHeartbeats = 2
 	heartbeatMargin  = time.Second
 )
 
-// Leader is the term of leadership for which tasks are moved.
+// Leader is the leader's term in which a Rebalancer runs.
 type Leader interface {
 	Now() ident.MonotonicTime
 	WallMS() int64
 	// Closed reports whether the term has ended.
 	Closed() bool
-	// MayPlace reports whether the leader has the authority to place tasks at this moment.
+	// MayPlace reports whether the leader currently has the authority to place tasks.
 	MayPlace() bool
-	// ZoneHealthy reports whether the leader's link to a zone's machines works reliably.
+	// ZoneHealthy reports whether the leader's link to a zone's machines is healthy.
 	ZoneHealthy(zone string) bool
-	// Place records the placement of a waiting task, which is launched once that is durable.
+	// Place records the placement of a waiting task. The task is launched once the record is durable.
 	Place(*jobs.Task, *workers.Worker)
-	// RequestDispatch makes the leader dispatch waiting tasks after the present event.
+	// RequestDispatch makes the leader dispatch waiting tasks after the current event.
 	RequestDispatch()
 }
 
 // Config configures a Rebalancer.
 type Config struct {
-	Execute           bool // carry out moves; otherwise they are only reported
+	Execute           bool // whether to execute moves; otherwise they are only reported
 	Limits            settings.MigrationLimits
-	HeartbeatInterval time.Duration // of the workers
+	HeartbeatInterval time.Duration // interval of the workers' heartbeats
 }
 
 // Tables are the leader's tables that a Rebalancer reads and changes.
@@ -77,29 +77,29 @@
 	planner   *placement.Planner
 	committer *commit.Committer
 
-	planConfig   rebalance.Config
-	speedTracker *load.SlownessEstimator
-	moves        *migration.Table
-	history      *migration.History
-	// reservedMachines holds the destination of each move while room is reserved on it.
+	planConfig        rebalance.Config
+	slownessEstimator *load.SlownessEstimator
+	moves             *migration.Table
+	history           *migration.History
+	// reservedMachines holds the destination of each move while capacity is reserved on it.
 	reservedMachines map[*migration.Move]*workers.Worker
 
-	slowMachines     int // machines that count as slow
+	slowMachines     int // number of machines that count as slow
 	tookOverAt       ident.MonotonicTime
-	teamCooledAt     ident.MonotonicTime // when a team was last no longer overloaded; 0: never
-	nextPlanAt       ident.MonotonicTime // earliest next plan
+	teamRecoveredAt  ident.MonotonicTime // when a team last left load.Overloaded; 0 if none has
+	nextPlanAt       ident.MonotonicTime // earliest time of the next plan
 	proposedMoves    uint64
 	proposedGain     time.Duration
-	skippedRounds    [holdReasonCount]uint64 // rounds without a plan, by reason
-	countedProposals map[proposal]bool       // proposals that are included in proposedMoves
+	skippedRounds    [holdReasonCount]uint64 // number of rounds without a plan, by reason
+	countedProposals map[proposal]bool       // proposals already included in proposedMoves
 }
 
-// proposal identifies a move that is proposed.
+// proposal identifies a proposed move.
 type proposal struct {
 	task, beneficiary ident.TaskID
 }
 
-// New returns a rebalancer without any moves. Restore, for each stored record, and TakeOver must follow.
+// New returns a Rebalancer without moves. The caller must then call Restore for each stored record, and TakeOver.
 func New(config Config, leader Leader, tables Tables) *Rebalancer {
 	planConfig := rebalance.DefaultConfig()
 	planConfig.GainMargin = config.Limits.MinGainFactor
@@ -109,32 +109,33 @@
 	planConfig.MinWait = config.Limits.MinTaskWait
 	planConfig.MinRuntime = config.Limits.MinRunTime
 	return &Rebalancer{
-		leader:           leader,
-		config:           config,
-		jobs:             tables.Jobs,
-		workers:          tables.Workers,
-		teams:            tables.Teams,
-		planner:          tables.Planner,
-		committer:        tables.Committer,
-		planConfig:       planConfig,
-		speedTracker:     load.NewSlownessEstimator(),
-		moves:            migration.NewTable(migration.DefaultConfig(config.HeartbeatInterval)),
-		history:          migration.NewHistory(tables.Committer, leader.WallMS),
-		reservedMachines: map[*migration.Move]*workers.Worker{},
-		countedProposals: map[proposal]bool{},
+		leader:            leader,
+		config:            config,
+		jobs:              tables.Jobs,
+		workers:           tables.Workers,
+		teams:             tables.Teams,
+		planner:           tables.Planner,
+		committer:         tables.Committer,
+		planConfig:        planConfig,
+		slownessEstimator: load.NewSlownessEstimator(),
+		moves:             migration.NewTable(migration.DefaultConfig(config.HeartbeatInterval)),
+		history:           migration.NewHistory(tables.Committer, leader.WallMS),
+		reservedMachines:  map[*migration.Move]*workers.Worker{},
+		countedProposals:  map[proposal]bool{},
 	}
 }
 
-// Restore loads the stored record of a job's moves in earlier terms.
+// Restore loads the stored record of a job's moves. It is called before TakeOver.
 func (r *Rebalancer) Restore(pair kvstore.KeyValue) {
 	r.history.Load(pair.Key, pair.Value, pair.Revision)
 }
 
-// ForgetJob forgets the moves of a job that has been archived.
+// ForgetJob deletes the record of the moves of an archived job.
 func (r *Rebalancer) ForgetJob(id ident.JobID) { r.history.Forget(id) }
 
-// TakeOver begins the term after all records are restored. Moves of earlier terms are abandoned: a task that is still
-// running stays where it is, and a stopped one is placed like any other once it is proven to have left its machine.
+// TakeOver begins the term after all records are restored. Moves of earlier terms are abandoned: a task that is still running
+// keeps running on its machine, and a stopped task is placed like any other as soon as it is certain that it no longer runs
+// there.
 func (r *Rebalancer) TakeOver() {
 	r.tookOverAt = r.leader.Now()
 	r.history.Prune(func(id ident.JobID) bool { return r.jobs.Jobs[id] != nil })
@@ -143,7 +144,7 @@
 	}
 }
 
-// openAttempt returns the present attempt of a task that has not completed.
+// openAttempt returns the current attempt of a task, and false if the task is unknown or has completed.
 func (r *Rebalancer) openAttempt(id ident.TaskID) (ident.Attempt, bool) {
 	t := r.findTask(id)
 	if t == nil || t.State == jobs.Completed {
@@ -152,7 +153,7 @@
 	return t.Attempt, true
 }
 
-// findTask returns a task of a live job, or nil if there is none.
+// findTask returns a task of a live job, or nil if there is no such task.
 func (r *Rebalancer) findTask(id ident.TaskID) *jobs.Task {
 	j := r.jobs.Jobs[id.Job]
 	if j == nil || id.Index >= len(j.Tasks) {
@@ -161,7 +162,7 @@
 	return &j.Tasks[id.Index]
 }
 
-// PlanRound plans moves whose gain exceeds their cost, and starts them if Config.Execute is set.
+// PlanRound plans moves that are worth their cost, and starts them if Config.Execute is set.
 func (r *Rebalancer) PlanRound() {
 	now := r.leader.Now()
 	waiting, hold := r.beneficiaries(now)
@@ -183,7 +184,7 @@
 	}
 }
 
-// beneficiaries lists the waiting tasks for which others may be moved, or returns the reason for which no moves are planned.
+// beneficiaries lists the waiting tasks for which others may be moved, or returns the reason why no moves are planned.
 func (r *Rebalancer) beneficiaries(now ident.MonotonicTime) ([]rebalance.WaitingTask, HoldReason) {
 	if hold := r.currentHold(now); hold != HoldNone {
 		return nil, hold
@@ -195,7 +196,7 @@
 	return waiting, HoldNone
 }
 
-// countProposal counts and logs a proposal, unless it has been counted before.
+// countProposal counts and logs a proposed move, unless it has been counted before.
 func (r *Rebalancer) countProposal(move rebalance.Move) {
 	key := proposal{task: move.Task, beneficiary: move.BeneficiaryID}
 	if r.countedProposals[key] {
@@ -210,15 +211,15 @@
 	logMove("move proposed", move)
 }
 
-// logMove logs a move that is proposed or begun.
+// logMove logs a move that has been proposed or started.
 func logMove(message string, move rebalance.Move) {
 	slog.Info(message, "task", move.Task.String(), "source", move.Purpose.String(), "team", move.Team,
 		"from", string(move.From), "to", string(move.To), "for", move.Beneficiary(),
 		"gain_s", move.Gain.Seconds(), "cost_s", move.Cost.Seconds())
 }
 
-// startMove begins a proposed move: it reserves room on the destination, and records the move. The task is stopped once the
-// record is durable.
+// startMove starts a proposed move: it reserves capacity on the destination, and records the move. The task is stopped once
+// the record is durable.
 func (r *Rebalancer) startMove(planned rebalance.Move, now ident.MonotonicTime) {
 	t, destination := r.findTask(planned.Task), r.workers.Workers[planned.To]
 	if t == nil || destination == nil {
@@ -237,7 +238,7 @@
 	})
 }
 
-// Advance updates the state of all moves, and carries out the effects of that. It is called after each event.
+// Advance updates the states of all moves, and executes the resulting effects. It is called after each event.
 func (r *Rebalancer) Advance() {
 	for _, effect := range r.moves.Advance(r.leader.Now(), r.observe) {
 		switch effect.Kind {
@@ -253,12 +254,12 @@
 	}
 }
 
-// observe gathers the facts about a move's task and machines.
+// observe returns the current state of a move's task, beneficiary and machines.
 func (r *Rebalancer) observe(move *migration.Move) migration.Observation {
 	observation := migration.Observation{
 		HasAuthority:      r.leader.MayPlace(),
 		LinksHealthy:      r.linksHealthy(move),
-		DemandRecovered:   r.teamCooledAt > move.StartedAt,
+		DemandRecovered:   r.teamRecoveredAt > move.StartedAt,
 		Destination:       r.destinationStatus(move),
 		ReportedElsewhere: r.workers.HasUnknownAttempt(move.Task),
 	}
@@ -279,13 +280,13 @@
 	return observation
 }
 
-// linksHealthy reports whether the links to the zones of both machines work reliably.
+// linksHealthy reports whether the links to the zones of both machines of a move are healthy.
 func (r *Rebalancer) linksHealthy(move *migration.Move) bool {
 	from, to := r.workers.Workers[move.From], r.workers.Workers[move.To]
 	return from != nil && to != nil && r.leader.ZoneHealthy(from.Zone) && r.leader.ZoneHealthy(to.Zone)
 }
 
-// destinationStatus returns whether a move's destination still has the room that was reserved on it.
+// destinationStatus returns whether a move's destination accepts tasks, and still has the capacity reserved on it.
 func (r *Rebalancer) destinationStatus(move *migration.Move) migration.DestinationStatus {
 	w := r.reservedMachines[move]
 	if w == nil || !r.usable(w) {
@@ -297,35 +298,35 @@
 	return migration.DestinationReady
 }
 
-// usable reports whether a machine accepts tasks and was heard recently.
+// usable reports whether a machine accepts tasks and is reachable.
 func (r *Rebalancer) usable(w *workers.Worker) bool {
-	return w.Schedulable(r.leader.Now()) && r.recentlyHeard(w)
+	return w.Schedulable(r.leader.Now()) && r.reachable(w)
 }
 
-// recentlyHeard reports whether a machine was heard recently, and receives commands.
-func (r *Rebalancer) recentlyHeard(w *workers.Worker) bool {
+// reachable reports whether a machine has sent a heartbeat recently and receives commands.
+func (r *Rebalancer) reachable(w *workers.Worker) bool {
 	return r.workers.Reachable(w.ID, missedHeartbeats*r.config.HeartbeatInterval+heartbeatMargin)
 }
 
-// stopTask stops the task of a move, and reserves the room that it frees for the waiting task.
+// stopTask stops the task of a move, and reserves the capacity that it frees for the waiting task.
 func (r *Rebalancer) stopTask(move *migration.Move) {
 	t, from := r.findTask(move.Task), r.workers.Workers[move.From]
 	gracePeriod := t.CheckpointGracePeriod()
 	if j := r.jobs.Jobs[move.BeneficiaryID.Job]; j != nil {
-		r.planner.ReserveFor(from, j, r.leader.Now().Add(gracePeriod+freedRoomHold))
+		r.planner.ReserveFor(from, j, r.leader.Now().Add(gracePeriod+freedCapacityReservation))
 	}
 	r.workers.StopTask(from, t, gracePeriod)
 }
 
-// placeTask places the task of a move on its destination, in the reserved room.
+// placeTask places the task of a move on its destination, and uses the capacity reserved there.
 func (r *Rebalancer) placeTask(move *migration.Move) {
 	w := r.reservedMachines[move]
 	r.releaseReservation(move)
 	r.leader.Place(r.findTask(move.Task), w)
 }
 
-// releaseReservation releases the room reserved for a move on its destination. If the move was abandoned before its task was
-// stopped, the room reserved on the source is released as well.
+// releaseReservation releases the capacity reserved for a move on its destination. If the move was abandoned before its task
+// was confirmed to have left the source, it also releases the capacity reserved for the beneficiary there.
 func (r *Rebalancer) releaseReservation(move *migration.Move) {
 	if w := r.reservedMachines[move]; w != nil {
 		w.ReleaseReservation()
@@ -344,10 +345,10 @@
 		"state", move.State.String(), "reason", move.Reason.String(), "took_s", r.leader.Now().Sub(move.StartedAt).Seconds())
 }
 
-// RecordTeamCooled records that a team is no longer overloaded.
-func (r *Rebalancer) RecordTeamCooled(now ident.MonotonicTime) { r.teamCooledAt = now }
+// RecordTeamCooled records that the demand of a team left the state load.Overloaded.
+func (r *Rebalancer) RecordTeamCooled(now ident.MonotonicTime) { r.teamRecoveredAt = now }
 
-// Moves lists the active moves, and those that have ended recently.
+// Moves lists the active moves, followed by those that ended recently.
 func (r *Rebalancer) Moves() []*migration.Move {
 	return slices.Concat(r.moves.Active(), r.moves.Recent())
 }
--- a/internal/rebalancer/slow_machines.go
+++ b/internal/rebalancer/slow_machines.go
@@ -1,6 +1,6 @@
 package rebalancer
 
-// This file detects machines that are slower than others.
+// This file detects machines that are much slower than others.
 
 import (
 	"log/slog"
@@ -9,19 +9,19 @@
 	"opaldale/internal/workers"
 )
 
-// RecordCompletion records how long a task has run on a machine, if that is comparable with other tasks of its job. The
-// runtime of a task that was resumed from a checkpoint is shorter, and the start of a task that an earlier term placed
-// is unknown.
+// RecordCompletion records the run time of a completed task on a machine, if it is comparable with that of other tasks of the
+// job. It is not if the task resumed from a checkpoint, which shortens the run time, or if an earlier term placed the task, so
+// that the start is unknown. Tasks of gangs are not recorded either.
 func (r *Rebalancer) RecordCompletion(t *jobs.Task, w *workers.Worker) {
 	resumed := t.Attempt > 1 && t.Job.Spec.CanCheckpoint()
 	if !t.SeenRunning() || !t.PlacedThisTerm() || resumed || t.Job.IsGang() {
 		return
 	}
-	r.speedTracker.RecordRun(t.Job.Spec.ID, w.Model, w.ID, r.leader.Now().Sub(t.RunningSince))
+	r.slownessEstimator.RecordRun(t.Job.Spec.ID, w.Model, w.ID, r.leader.Now().Sub(t.RunningSince))
 }
 
-// DetectSlowMachines marks machines that are much slower than others. No more tasks are placed on them; their tasks
-// complete or are moved, and a machine without tasks is terminated.
+// DetectSlowMachines marks machines that are much slower than others. No more tasks are placed on a marked machine. It is
+// terminated when all its tasks have completed or been moved.
 func (r *Rebalancer) DetectSlowMachines() {
 	if !r.config.Execute {
 		return
@@ -31,19 +31,20 @@
 	for _, w := range all {
 		switch {
 		case w.State == workers.Terminated:
-			r.speedTracker.RemoveMachine(w.ID)
-		case w.State == workers.Up && r.speedTracker.DetectSlow(w.ID, len(all)):
+			r.slownessEstimator.RemoveMachine(w.ID)
+		case w.State == workers.Up && r.slownessEstimator.DetectSlow(w.ID, len(all)):
 			r.slowMachines++
 			r.markSlow(w)
 		}
 	}
 }
 
-// markSlow marks a machine as slow, for the rest of the term.
+// markSlow marks a machine as slow for the rest of the term.
 func (r *Rebalancer) markSlow(w *workers.Worker) {
 	if w.Slow {
 		return
 	}
 	w.Slow = true
-	slog.Info("machine is slow", "machine", string(w.ID), "slowness", r.speedTracker.Slowness(w.ID), "tasks", len(w.Tasks))
+	slog.Info("machine marked as slow",
+		"machine", string(w.ID), "slowness", r.slownessEstimator.Slowness(w.ID), "tasks", len(w.Tasks))
 }
--- a/internal/rebalancer/stats.go
+++ b/internal/rebalancer/stats.go
@@ -1,6 +1,6 @@
 package rebalancer
 
-// This file collects the counters of moves.
+// This file reports the counters of moves.
 
 import (
 	"time"
@@ -8,19 +8,19 @@
 	"opaldale/internal/migration"
 )
 
-// Stats are the counters and gauges of a term's moves.
+// Stats holds the counters and gauges of a term's moves.
 type Stats struct {
 	Proposed      uint64
-	ProposedGain  time.Duration // less the cost of the moves
+	ProposedGain  time.Duration // total expected gain minus cost of the proposed moves
 	Active        int
 	Ended         []migration.Outcome
 	RealizedGain  time.Duration
-	SkippedRounds map[string]uint64 // rounds without a plan, by reason
-	SlowMachines  int               // machines that count as slow
-	Reservations  int               // machines on which room is reserved for a move
+	SkippedRounds map[string]uint64 // number of rounds without a plan, by reason
+	SlowMachines  int               // number of machines that count as slow
+	Reservations  int               // number of machines on which capacity is reserved for a move
 }
 
-// Stats returns the counters.
+// Stats returns the current counters and gauges of the term's moves.
 func (r *Rebalancer) Stats() Stats {
 	stats := Stats{
 		Proposed:      r.proposedMoves,
