--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -59,11 +59,11 @@
 // ratio returns a team's demand as a multiple of its guaranteed CPUs. For a team without a guarantee, an
 // equal share of the CPUs of all machines is used instead.
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
-	guaranteed := t.guaranteedCPUs
-	if guaranteed <= 0 {
-		guaranteed = max(1, m.totalCPUs/float64(len(m.teams)))
+	guaranteedCPUs := t.guaranteedCPUs
+	if guaranteedCPUs <= 0 {
+		guaranteedCPUs = max(1, m.totalCPUs/float64(len(m.teams)))
 	}
-	return t.demand.Value(now, m.config.HalfLife) / guaranteed
+	return t.demand.Value(now, m.config.HalfLife) / guaranteedCPUs
 }
 
 // Evaluate updates the states of all teams and returns the changes, ordered by team.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -142,8 +142,8 @@
 		demand func(time.Duration) float64
 		states []DemandState
 	}{
-		{"within its guarantee", func(time.Duration) float64 { return 90 }, nil},
-		{"a hundred times its guarantee for a minute", func(at time.Duration) float64 {
+		{"within its share", func(time.Duration) float64 { return 90 }, nil},
+		{"a hundred times its share for a minute", func(at time.Duration) float64 {
 			if at < time.Minute {
 				return 10_000
 			}
--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -68,7 +68,7 @@
 }
 
 // History records the moves of each job in the key-value store. A move is recorded before its task is
-// stopped, so that the next leader knows about the move after a failover.
+// stopped, so that the record survives a failover.
 type History struct {
 	commits     *commit.Committer
 	wallClockMS func() int64 // Unix time in milliseconds
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -240,7 +240,7 @@
 		{"a booting machine is up late", func(cluster *Cluster) { cluster.Waiting[0].BootRemaining = time.Minute }, 1},
 		{"it was moved twice", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].MoveCount = 2 }, 0},
 		{"it was moved once", func(cluster *Cluster) { cluster.Machines[0].Tasks[0].MoveCount = 1 }, 1},
-		{"it has a higher priority than the waiting task", func(cluster *Cluster) { cluster.Waiting[0].PriorityLevel = 1 }, 0},
+		{"it has a higher priority", func(cluster *Cluster) { cluster.Waiting[0].PriorityLevel = 1 }, 0},
 		{"the waiting task has just begun to wait", func(cluster *Cluster) { cluster.Waiting[0].WaitedFor = time.Second }, 0},
 		{"its image takes long to pull", func(cluster *Cluster) {
 			cluster.Fits = func(*Task, *Machine) (time.Duration, bool) { return 2 * time.Minute, true }
@@ -263,7 +263,7 @@
 		{"a move for the waiting task is active", func(cluster *Cluster) {
 			cluster.ActiveMoves = []ActiveMove{{BeneficiaryID: cluster.Waiting[0].ID}}
 		}, 0},
-		{"an active move uses its machine", func(cluster *Cluster) {
+		{"a move uses its machine", func(cluster *Cluster) {
 			cluster.ActiveMoves = []ActiveMove{{From: "host-3", To: "host-1"}}
 		}, 0},
 		{"the budget of the cluster is exhausted", func(cluster *Cluster) { cluster.ActiveMoves = make([]ActiveMove, 4) }, 0},
@@ -299,8 +299,8 @@
 		{"it may not go there", func(cluster *Cluster, _ *Task) {
 			cluster.Fits = func(*Task, *Machine) (time.Duration, bool) { return 0, false }
 		}, 0},
-		{"an active move uses the machine", func(cluster *Cluster, _ *Task) { cluster.ActiveMoves = []ActiveMove{{From: "slow"}} }, 0},
-		{"an active move uses the destination", func(cluster *Cluster, _ *Task) {
+		{"a move uses the machine", func(cluster *Cluster, _ *Task) { cluster.ActiveMoves = []ActiveMove{{From: "slow"}} }, 0},
+		{"a move uses the destination", func(cluster *Cluster, _ *Task) {
 			cluster.ActiveMoves = []ActiveMove{{To: "host-1"}}
 		}, 0},
 		{"the budget of the zone is exhausted", func(cluster *Cluster, _ *Task) {
@@ -392,14 +392,14 @@
 	}{
 		{"none", manyWaiting(same, same), func(*Budgets) {}, nil, 8},
 		{"cluster", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, nil, 3},
-		{"cluster, with one active move", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
+		{"cluster, with one under way", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
 		{"zone", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, nil, 2},
-		{"zone, with one active move", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
+		{"zone, with one under way", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
 		{"team", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, nil, 2},
-		{"team, with one active move", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
+		{"team, with one under way", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
 		{"source in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{From: "source-0"}, {To: "source-1"}}, 6},
 		{"destinations in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{To: "target-0"}, {From: "target-1"}}, 6},
-		{"job, with two active moves", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
+		{"job, with two under way", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			config := DefaultConfig()
