--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -104,7 +104,7 @@
 		l.run(2 * time.Minute)
 		detected := down >= detectableBreak
 		if l.changes > maxChanges || detected && l.changes > 0 {
-			t.Fatalf("got %d changes after %v of flapping with period %v, down for %v; want at most %d, and 0 if each break is detected",
+			t.Fatalf("got %d changes after %v of flapping with period %v, down for %v; want at most %d, 0 if detectable",
 				l.changes, settlingTime, period, down, maxChanges)
 		}
 		if detected && (l.state(Inbound) != Down || !l.monitor.Verdict(l.peer, Inbound).Damped) {
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -255,7 +255,9 @@
 		{"the waiting task may not run on its machine", func(cluster *Cluster) {
 			cluster.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-2" }
 		}, 0},
-		{"one machine is much larger, and has enough capacity", func(cluster *Cluster) { cluster.Machines[1].Free = cpuNeed(60) }, 0},
+		{"one machine is much larger, and has enough capacity", func(cluster *Cluster) {
+			cluster.Machines[1].Free = cpuNeed(60)
+		}, 0},
 		{"one machine is much larger, and the waiting task may not run there", func(cluster *Cluster) {
 			cluster.Machines[1].Free = cpuNeed(60)
 			cluster.Waiting[0].Allowed = func(m *Machine) bool { return m.ID == "host-1" }
@@ -309,7 +311,9 @@
 		{"the budget of the team is exhausted", func(cluster *Cluster, _ *Task) {
 			cluster.ActiveMoves = []ActiveMove{{Team: "red"}, {Team: "red"}}
 		}, 0},
-		{"the budget of the cluster is exhausted", func(cluster *Cluster, _ *Task) { cluster.ActiveMoves = make([]ActiveMove, 4) }, 0},
+		{"the budget of the cluster is exhausted", func(cluster *Cluster, _ *Task) {
+			cluster.ActiveMoves = make([]ActiveMove, 4)
+		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := clusterWithSlowMachine()
