--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -9,7 +9,7 @@
 
 // Config holds the timing parameters of a Monitor.
 type Config struct {
-	// SuspectGrace is added to a link's usual delays before it becomes Suspect.
+	// SuspectGrace is added to the usual delay of a link before a longer delay raises the suspicion.
 	SuspectGrace time.Duration
 	// PenaltyHalfLife is the half-life of the flap damping penalty.
 	PenaltyHalfLife time.Duration
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -58,7 +58,7 @@
 
 func (l *simulatedLink) state(d Direction) State { return l.monitor.Verdict(l.peer, d).State }
 
-// TestBreakIsDetected: a working link is up whatever its delay, is down within a bounded time after it
+// TestBreakIsDetected: a working link is up regardless of its delay, is down within a bounded time after it
 // breaks, and is up again within a bounded time after a single short break.
 func TestBreakIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -120,7 +120,7 @@
 }
 
 const (
-	// settlingTime is the time after which the verdict on a flapping link no longer changes.
+	// settlingTime is the time within which the verdict on a link with detectable breaks settles at down.
 	settlingTime = 40 * time.Second
 	// detectableBreak is the minimum duration of a break that is always detected on a link with
 	// heartbeats.
--- a/internal/migration/observation.go
+++ b/internal/migration/observation.go
@@ -26,7 +26,7 @@
 	Attempt           ident.Attempt
 	Machine           ident.MachineID // empty unless the task is allocated
 	TaskRunning       bool            // whether the current attempt was reported as running
-	ReportedElsewhere bool            // whether a machine reports the task that the task is not assigned to
+	ReportedElsewhere bool            // whether a machine reports the task that is not assigned to it
 	TeamAllows        bool            // whether the team's limit allows one more task of the job
 
 	// The beneficiary.
