--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/transport"
 )
 
-// TestAdmissionPriority: the higher the lag or the number of requests in flight, the fewer kinds of
-// requests are admitted. Heartbeats are refused last.
+// TestAdmissionPriority: as the lag or the number of requests in flight rises, fewer kinds of requests are
+// admitted. Heartbeats are rejected last.
 func TestAdmissionPriority(t *testing.T) {
 	kinds := []transport.Method{transport.SubmitJob, transport.GetJob, transport.CancelJob, transport.WorkerHeartbeat}
 	admitted := func(a *admission) (methods []transport.Method) {
@@ -20,7 +20,7 @@
 		}
 		return methods
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name       string
 		lag        time.Duration
 		requests   int64
@@ -37,12 +37,12 @@
 		{"heartbeats at their limit", 0, 0, 1200, kinds[:3]},
 		{"all at their limits", 0, 800, 1200, nil},
 	} {
-		a := &admission{lag: func() time.Duration { return c.lag }}
-		a.userRequestsInFlight.Store(c.requests)
-		a.heartbeatsInFlight.Store(c.heartbeats)
-		if got := admitted(a); !slices.Equal(got, c.want) {
-			t.Errorf("%s: lag %v, %d and %d in flight: admits %v, want %v",
-				c.name, c.lag, c.requests, c.heartbeats, got, c.want)
+		a := &admission{lag: func() time.Duration { return testCase.lag }}
+		a.userRequestsInFlight.Store(testCase.requests)
+		a.heartbeatsInFlight.Store(testCase.heartbeats)
+		if got := admitted(a); !slices.Equal(got, testCase.want) {
+			t.Errorf("%s: lag %v, %d user requests and %d heartbeats in flight: admitted methods %v, want %v",
+				testCase.name, testCase.lag, testCase.requests, testCase.heartbeats, got, testCase.want)
 		}
 	}
 }
@@ -56,16 +56,16 @@
 		l.userEvents <- event{func() { order = append(order, "user") }, time.Now().Add(-time.Minute)}
 	}
 	l.postUrgent(func() { order = append(order, "renewal") })
-	if n := l.drain(maxBatch); n != maxBatch || order[0] != "renewal" {
-		t.Errorf("%d events, first %q", n, order[0])
+	if n := l.runQueued(maxBatch); n != maxBatch || order[0] != "renewal" {
+		t.Errorf("ran %d events, the first for %q, want %d events, the first for \"renewal\"", n, order[0], maxBatch)
 	}
 	if l.Lag() < time.Minute {
-		t.Errorf("lag %v with users' requests a minute old", l.Lag())
+		t.Errorf("lag is %v with user events posted a minute ago, want at least 1m", l.Lag())
 	}
 	for range 4 {
-		l.drain(maxBatch)
+		l.runQueued(maxBatch)
 	}
 	if len(order) != 101 || l.Lag() != 0 {
-		t.Errorf("%d events run, lag %v with none left", len(order), l.Lag())
+		t.Errorf("ran %d events, lag is %v with empty queues, want 101 events and lag 0", len(order), l.Lag())
 	}
 }
--- a/internal/server/conn_limiter.go
+++ b/internal/server/conn_limiter.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// Shares of the sockets of a node. The remainder serves the key-value store, the provider, the peers
-// and other open files of the process.
+// Shares of the sockets of a node. The remainder is for connections to the key-value store, the provider
+// and the peers, and for other open files of the process.
 const (
-	inboundShare = 0.75 // connections of users, workers and probes
-	commandShare = 0.2  // commands to workers
-	// keepAliveShare is the share of the inbound connections up to which those of workers are kept
-	// open between heartbeats. The remainder is reserved for new connections: a fleet may have more
-	// machines than a node has sockets.
+	inboundShare = 0.75 // inbound connections of users, workers and health checks
+	commandShare = 0.2  // outbound connections that send commands to workers
+	// keepAliveShare is the share of the limit on inbound connections above which connections of
+	// workers are closed after each heartbeat. The remainder is reserved for new connections, because
+	// a fleet may have more machines than a node has sockets.
 	keepAliveShare = 0.75
 
 	minInbound = 4 // lower bound on the limit of inbound connections
-	// acquireTimeout bounds the wait of a new connection for room. Requests take milliseconds.
+	// acquireTimeout is the maximum time that a new connection waits for another one to close or to
+	// become idle. Requests take milliseconds.
 	acquireTimeout = 300 * time.Millisecond
 )
 
-// connLimiter limits the inbound connections. At the limit, the connection that has been idle longest
-// is closed in favour of a new one. Its methods may be called from any goroutine.
+// connLimiter limits the number of inbound connections. At the limit, it closes the connection that has
+// been idle longest before it accepts a new one. Its methods may be called from any goroutine.
 type connLimiter struct {
-	limit   int
-	mu      sync.Mutex
-	open    int
-	idle    *list.List    // of *trackedConn, longest idle first
-	room    chan struct{} // signalled when a connection closes or becomes idle
-	evicted atomic.Uint64 // idle connections closed for new ones
-	refused atomic.Uint64 // new connections closed at the limit
+	limit     int
+	mu        sync.Mutex
+	open      int
+	idle      *list.List    // of *trackedConn, longest idle first
+	slotFreed chan struct{} // signalled when a connection closes or becomes idle
+	evicted   atomic.Uint64 // idle connections closed for new ones
+	refused   atomic.Uint64 // new connections closed because the limit was reached
 }
 
 func newConnLimiter(totalSockets int) *connLimiter {
 	return &connLimiter{
-		limit: max(minInbound, int(inboundShare*float64(totalSockets))),
-		idle:  list.New(),
-		room:  make(chan struct{}, 1),
+		limit:     max(minInbound, int(inboundShare*float64(totalSockets))),
+		idle:      list.New(),
+		slotFreed: make(chan struct{}, 1),
 	}
 }
 
-// signalRoom wakes up an acquire that waits for room, if there is one.
-func (l *connLimiter) signalRoom() {
+// signalSlotFreed wakes up a waiting call of acquire, if there is one.
+func (l *connLimiter) signalSlotFreed() {
 	select {
-	case l.room <- struct{}{}:
+	case l.slotFreed <- struct{}{}:
 	default:
 	}
 }
@@ -59,11 +60,12 @@
 	return l.open
 }
 
-// nearLimit reports whether connections of workers should be closed after each heartbeat.
+// nearLimit reports whether so many connections are open that those of workers should be closed after
+// each heartbeat.
 func (l *connLimiter) nearLimit() bool { return float64(l.count()) > keepAliveShare*float64(l.limit) }
 
-// tryAcquire counts a new connection if there is room for it, and reports whether there is. It closes
-// idle connections to make room.
+// tryAcquire counts a new connection unless the limit is reached, and reports whether it did. At the
+// limit, it closes idle connections first.
 func (l *connLimiter) tryAcquire() bool {
 	for {
 		acquired, idle := l.acquireOrFindIdle()
@@ -74,12 +76,12 @@
 			return false
 		}
 		l.evicted.Add(1)
-		_ = idle.Close() // the connection is dropped whatever the result
+		_ = idle.Close() // the connection is dropped even if this fails
 	}
 }
 
-// acquireOrFindIdle counts a new connection if there is room. Otherwise it returns the connection that
-// has been idle longest, or nil if none is idle.
+// acquireOrFindIdle counts a new connection unless the limit is reached. At the limit, it returns the
+// connection that has been idle longest, or nil if no connection is idle.
 func (l *connLimiter) acquireOrFindIdle() (acquired bool, idle *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,8 +95,9 @@
 	return false, nil
 }
 
-// acquire counts a new connection, waiting up to acquireTimeout for room, and reports whether there
-// was any. Further connections wait in the listener's backlog meanwhile.
+// acquire counts a new connection. At the limit, it waits up to acquireTimeout for another connection to
+// close or to become idle, and returns false if none does. Meanwhile further connections wait in the
+// listener's backlog.
 func (l *connLimiter) acquire() bool {
 	if l.tryAcquire() {
 		return true
@@ -103,7 +106,7 @@
 	defer timeout.Stop()
 	for {
 		select {
-		case <-l.room:
+		case <-l.slotFreed:
 			if l.tryAcquire() {
 				return true
 			}
@@ -124,7 +127,7 @@
 	conn.removeFromIdle()
 	if connState == http.StateIdle && !conn.closed {
 		conn.idleElement = l.idle.PushBack(conn)
-		l.signalRoom()
+		l.signalSlotFreed()
 	}
 }
 
@@ -139,7 +142,7 @@
 	limiter *connLimiter
 }
 
-// Accept implements net.Listener. Connections for which there is no room are closed.
+// Accept implements net.Listener. It closes connections that exceed the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -170,14 +173,14 @@
 	}
 }
 
-// Close implements net.Conn. It stops counting the connection; further calls have no effect on the count.
+// Close implements net.Conn. The first call also releases the connection's slot in the limiter.
 func (c *trackedConn) Close() error {
 	c.limiter.mu.Lock()
 	if !c.closed {
 		c.closed = true
 		c.limiter.open--
 		c.removeFromIdle()
-		c.limiter.signalRoom()
+		c.limiter.signalSlotFreed()
 	}
 	c.limiter.mu.Unlock()
 	return c.Conn.Close()
--- a/internal/server/controller_env.go
+++ b/internal/server/controller_env.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// commandTimeout bounds a command, and allows for one retransmission: a worker responds within
-	// milliseconds.
+	// commandTimeout is the maximum time for a command and its response. A worker responds within
+	// milliseconds; the timeout allows for one TCP retransmission.
 	commandTimeout = 1200 * time.Millisecond
-	// maxCommandResponseBytes bounds the size of a worker's response that is read.
+	// maxCommandResponseBytes is the number of bytes after which a worker's response is truncated.
 	maxCommandResponseBytes = 1 << 20
 )
 
 // controllerEnv implements the environment of a controller. Its methods are called on the event loop.
-// Blocking calls run on separate goroutines, and their callbacks on the event loop.
+// Blocking calls run on separate goroutines, and callbacks run on the event loop.
 type controllerEnv struct{ server *Server }
 
 // Now returns the reading of the monotonic clock.
@@ -34,7 +34,7 @@
 // After calls f on the event loop once d has elapsed.
 func (e controllerEnv) After(d time.Duration, f func()) { e.server.loop.after(d, f) }
 
-// SendPeer queues a frame for a peer. The frame is dropped if the peer is not connected.
+// SendPeer enqueues a frame for a peer. The frame is dropped if the peer is not connected.
 func (e controllerEnv) SendPeer(to ident.NodeID, f *transport.Frame) { e.server.transport.Send(to, f) }
 
 // Store sends a request to the key-value store and calls done with the response.
@@ -42,8 +42,8 @@
 	callAsync(e.server.loop, func() kvstore.Response { return e.server.store.Do(r) }, done)
 }
 
-// Cloud sends a request to the provider and calls done with the response. A request whose deadline has
-// passed is not sent.
+// Cloud sends a request to the provider and calls done with the response. It does not send a request
+// whose deadline has passed.
 func (e controllerEnv) Cloud(r cloud.Request, done func(cloud.Response)) {
 	callAsync(e.server.loop, func() cloud.Response {
 		if e.server.loop.expired(r.NotAfter) {
@@ -58,7 +58,7 @@
 	callAsync(e.server.loop, func() workers.CommandResult { return e.server.sendCommand(command) }, done)
 }
 
-// callAsync runs a blocking call on a new goroutine, and then done with its result on the event loop.
+// callAsync runs a blocking call on a new goroutine, and then calls done with the result on the event loop.
 func callAsync[T any](l *eventLoop, call func() T, done func(T)) {
 	go func() {
 		result := call()
@@ -66,8 +66,8 @@
 	}()
 }
 
-// sendCommand sends commands to a worker. It waits for one of the command slots first; commands whose
-// deadline passes meanwhile are not sent.
+// sendCommand sends commands to a worker and waits for the response. It waits for a command slot first,
+// and does not send commands whose deadline has passed by then.
 func (s *Server) sendCommand(command workers.CommandCall) workers.CommandResult {
 	s.commandSlots <- struct{}{}
 	defer func() { <-s.commandSlots }()
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -1,6 +1,6 @@
-// Package server runs a controller as a network service. It contains the event loop, on which all of
-// the controller's code runs, the HTTP API, the clients of the key-value store, the provider and the
-// workers, and the limits that keep an overloaded node operational.
+// Package server runs a controller as a network service. It contains the event loop that runs all of
+// the controller's code, the HTTP API, the clients of the key-value store, the provider and the
+// workers, admission control and the metrics.
 package server
 
 import (
@@ -14,32 +14,32 @@
 
 const (
 	// eventQueueSize is the capacity of each event queue. Posting to a full queue blocks. The capacity
-	// exceeds the heartbeats and responses that a fleet of 4,000 workers can have in flight, so that
-	// peer frames do not block.
+	// exceeds the number of heartbeats and responses that a fleet of 4,000 workers can have in flight,
+	// so that posting peer frames does not block.
 	eventQueueSize = 16_384
 	// maxBatch is the maximum number of events between two calls of afterBatch.
 	maxBatch = 32
-	// maxWait bounds the wait for an event or a timer.
+	// maxWait is the maximum time that the loop waits for an event or a timer.
 	maxWait = time.Hour
 )
 
-// event is a function to be run by the loop, with the time at which it was posted.
+// event is a function that the loop runs, with the time at which it was posted.
 type event struct {
 	run      func()
 	postedAt time.Time
 }
 
-// eventLoop serializes all code that uses the controller. Functions are posted from other goroutines;
-// timers are set by the functions that it runs.
+// eventLoop runs all code that uses the controller on one goroutine. Other goroutines post functions to
+// the loop; only functions that run on the loop set timers.
 type eventLoop struct {
 	start        time.Time
-	urgentEvents chan event // required to keep leadership and workers
-	userEvents   chan event // user requests
+	urgentEvents chan event // events on which leadership and worker leases depend; run before userEvents
+	userEvents   chan event // user requests and reports
 	timers       timerHeap
 	timerSeq     uint64
-	afterBatch   func()       // called after each batch of events
-	lag          atomic.Int64 // nanoseconds that the newest user event waited; 0 once the queues are empty
-	done         chan struct{}
+	afterBatch   func()        // called after each batch of events
+	lag          atomic.Int64  // time in ns that the latest user event waited; 0 once the queues are empty
+	done         chan struct{} // closed to stop the loop
 }
 
 func newEventLoop() *eventLoop {
@@ -54,19 +54,20 @@
 // now reads the monotonic clock.
 func (l *eventLoop) now() ident.MonotonicTime { return ident.MonotonicTime(time.Since(l.start)) }
 
-// expired reports whether a deadline has passed. 0 stands for no deadline.
+// expired reports whether a deadline has passed. A deadline of 0 means that there is none.
 func (l *eventLoop) expired(deadline ident.MonotonicTime) bool {
 	return deadline > 0 && l.now() >= deadline
 }
 
-// post queues a function to be run by the loop. The loop itself must not call it: it blocks while the
-// queue is full.
+// post enqueues a user event. It blocks while the queue is full, and must not be called on the loop,
+// which would deadlock.
 func (l *eventLoop) post(f func()) { l.enqueue(l.userEvents, f) }
 
-// postUrgent is post for a function that takes precedence over those queued by post.
+// postUrgent enqueues an urgent event, which runs before all user events. Like post, it must not be
+// called on the loop.
 func (l *eventLoop) postUrgent(f func()) { l.enqueue(l.urgentEvents, f) }
 
-// enqueue queues an event, unless the loop is closed.
+// enqueue adds an event to a queue, unless the loop is closed.
 func (l *eventLoop) enqueue(queue chan event, f func()) {
 	select {
 	case queue <- event{f, time.Now()}:
@@ -74,8 +75,7 @@
 	}
 }
 
-// query runs compute on the loop and waits for its value. It returns the zero value if the loop is
-// closed.
+// query runs compute on the loop and returns its result, or the zero value if the loop is closed.
 func query[T any](l *eventLoop, post func(func()), compute func() T) T {
 	result := make(chan T, 1)
 	post(func() { result <- compute() })
@@ -88,8 +88,9 @@
 	}
 }
 
-// begin starts an operation on the loop, and returns a channel that receives its first result.
-func begin[T any](post func(func()), operation func(done func(T))) <-chan T {
+// startOperation starts an asynchronous operation on the loop and returns a channel that receives the
+// operation's first result.
+func startOperation[T any](post func(func()), operation func(done func(T))) <-chan T {
 	results := make(chan T, 1)
 	post(func() {
 		operation(func(result T) {
@@ -102,7 +103,7 @@
 	return results
 }
 
-// await waits for a result, and reports whether it arrived before the context ended.
+// await waits for a result. It returns false if the context ends first.
 func await[T any](ctx context.Context, results <-chan T) (T, bool) {
 	select {
 	case result := <-results:
@@ -113,13 +114,13 @@
 	}
 }
 
-// after runs f on the loop once d has elapsed. Only the loop itself may call it.
+// after runs f on the loop once d has elapsed. It must be called on the loop.
 func (l *eventLoop) after(d time.Duration, f func()) {
 	l.timerSeq++
 	heap.Push(&l.timers, timer{l.now().Add(d), l.timerSeq, f})
 }
 
-// Lag returns how long user events wait at present. Any goroutine may call it.
+// Lag returns how long the latest user event waited in its queue. Any goroutine may call it.
 func (l *eventLoop) Lag() time.Duration { return time.Duration(l.lag.Load()) }
 
 // run runs events and timers until the loop is closed.
@@ -131,7 +132,7 @@
 			return
 		}
 		ran += l.runTimers(maxBatch - ran)
-		ran += l.drain(maxBatch - ran)
+		ran += l.runQueued(maxBatch - ran)
 		if ran > 0 {
 			l.afterBatch()
 		}
@@ -148,8 +149,8 @@
 	}
 }
 
-// waitForEvent waits until a timer is due or an event arrives, and runs the event. It returns the number
-// of events that it ran.
+// waitForEvent waits until a timer is due or an event arrives. It runs that event, but not the timer,
+// and returns the number of events that it ran.
 func (l *eventLoop) waitForEvent(wakeUp *time.Timer) int {
 	wait := maxWait
 	if len(l.timers) > 0 {
@@ -172,7 +173,7 @@
 	return 0
 }
 
-// runTimers runs up to limit timers that are due, and returns their number.
+// runTimers runs at most limit timers that are due, and returns the number of timers that it ran.
 func (l *eventLoop) runTimers(limit int) int {
 	ran := 0
 	for now := l.now(); ran < limit && len(l.timers) > 0 && l.timers[0].due <= now; ran++ {
@@ -181,8 +182,9 @@
 	return ran
 }
 
-// drain runs up to limit queued events, urgent ones first, and returns their number.
-func (l *eventLoop) drain(limit int) int {
+// runQueued runs at most limit queued events, urgent ones first, and returns the number of events that it
+// ran. It does not wait for further events.
+func (l *eventLoop) runQueued(limit int) int {
 	n := 0
 	for ; n < limit; n++ {
 		switch {
@@ -198,20 +200,20 @@
 	return n
 }
 
-// runUserEvent runs a user event, and records how long it waited.
+// runUserEvent runs a user event, and records how long the event waited.
 func (l *eventLoop) runUserEvent(e event) {
 	l.lag.Store(int64(time.Since(e.postedAt)))
 	e.run()
 }
 
-// timer is a function to be run by the loop once it is due.
+// timer is a function that the loop runs once the timer is due.
 type timer struct {
 	due ident.MonotonicTime
-	seq uint64 // orders timers by creation
+	seq uint64 // position in the order of creation
 	run func()
 }
 
-// timerHeap is a heap.Interface of timers, ordered by due time and then by creation.
+// timerHeap is a heap of timers, ordered by due time and then by creation. It implements heap.Interface.
 type timerHeap []timer
 
 // Len implements heap.Interface.
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// requestTimeout bounds the time in which the controller must respond to a request.
+	// requestTimeout is the maximum time that the controller may take to respond to a request.
 	requestTimeout = 4 * time.Second
-	// timeoutRetryAfterS is the Retry-After, in seconds, of a request that timed out.
+	// timeoutRetryAfterS is the Retry-After header, in seconds, of the response to a request that timed out.
 	timeoutRetryAfterS = 1
 )
 
-// timeoutError is the body of a response to a request that timed out.
+// timeoutError is the body of the response to a request that timed out.
 var timeoutError = api.ErrorResponse{Error: "no answer in time"}
 
 // frontend serves the HTTP API to users, workers, load balancers and operators.
@@ -45,7 +45,7 @@
 	return mux
 }
 
-// withAdmission wraps a handler so that requests which are not admitted are refused before their bodies are read.
+// withAdmission wraps a handler with admission control, which rejects requests before their bodies are read.
 func (f *frontend) withAdmission(method transport.Method, next http.HandlerFunc) http.HandlerFunc {
 	admission := &f.server.admission
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// forwardBody returns a handler that passes the body of a request to the controller.
+// forwardBody returns a handler that passes a request with its body to the controller.
 func (f *frontend) forwardBody(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
@@ -76,8 +76,8 @@
 	}
 }
 
-// forwardJobID returns a handler that passes the job ID in the path of a request to the controller. It
-// responds with 404 to malformed IDs.
+// forwardJobID returns a handler that passes a request with the job ID in its path to the controller.
+// The handler responds with 404 if the ID is malformed.
 func (f *frontend) forwardJobID(method transport.Method) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := ident.ParseJobID(r.PathValue("id"))
@@ -93,24 +93,25 @@
 func (f *frontend) serve(w http.ResponseWriter, method transport.Method, jobID string, body []byte) {
 	start := time.Now()
 	response := f.dispatch(method, jobID, body)
-	// The process may have been suspended, and leadership lost, since the response was computed.
+	// The process may have been suspended since the response was computed, and may have lost its
+	// leadership meanwhile.
 	response = response.IfValid(f.server.loop.now())
 	if method == transport.WorkerHeartbeat && f.server.connLimiter.nearLimit() {
-		// The connection would be idle until the next heartbeat, which opens a new one instead.
+		// The connection would be idle until the next heartbeat. The worker opens a new one then.
 		w.Header().Set("Connection", "close")
 	}
 	writeResponse(w, response)
 	f.metrics.observe(method, response.Status, time.Since(start))
 }
 
-// dispatch runs the controller's handler of a request on the event loop, and waits for the response. It
-// responds with 503 after requestTimeout.
+// dispatch passes a request to the controller on the event loop and waits for the response. It returns
+// a response with status 503 if there is none within requestTimeout.
 func (f *frontend) dispatch(method transport.Method, jobID string, body []byte) controller.Response {
 	post := f.server.loop.post
 	if isUrgent(method) {
 		post = f.server.loop.postUrgent
 	}
-	responses := begin(post, func(done func(controller.Response)) {
+	responses := startOperation(post, func(done func(controller.Response)) {
 		f.server.controller.HandleRequest(method, jobID, body, done)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
@@ -126,13 +127,13 @@
 	return response
 }
 
-// isUrgent reports whether requests of a kind take precedence over other user requests, because worker
-// leases or running tasks depend on them.
+// isUrgent reports whether requests of this kind are urgent events. Worker leases depend on heartbeats,
+// and running tasks on cancellations.
 func isUrgent(method transport.Method) bool {
 	return method == transport.WorkerHeartbeat || method == transport.CancelJob
 }
 
-// health serves the health checks of a load balancer.
+// health responds to the health checks of load balancers.
 func (f *frontend) health(w http.ResponseWriter, _ *http.Request) {
 	loop := f.server.loop
 	if !query(loop, loop.postUrgent, f.server.controller.Healthy) {
@@ -157,7 +158,7 @@
 	writeJSON(w, http.StatusOK, report)
 }
 
-// writeResponse writes a response of the controller.
+// writeResponse writes a response returned by the controller.
 func writeResponse(w http.ResponseWriter, response controller.Response) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -28,7 +28,7 @@
 	"opaldale/internal/workers"
 )
 
-// serveRequest passes a request to a handler, and formats the response.
+// serveRequest passes a request to a handler and returns the formatted response.
 func serveRequest(h http.Handler, method, path, body string) string {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -42,8 +42,8 @@
 	return b.String() + w.Body.String()
 }
 
-// TestGoldenInterface pins status, headers and body of the responses of a node without a leader and a
-// key-value store, and of an overloaded node.
+// TestGoldenInterface pins the status, headers and body of the responses of a node without a leader and a
+// key-value store, and those of an overloaded node.
 func TestGoldenInterface(t *testing.T) {
 	s := newTestServer(t, 1000)
 	h := s.handler()
@@ -83,15 +83,15 @@
 	report := golden.Filled[api.Heartbeat](0)
 	transport := &golden.Transport{Status: http.StatusConflict, Body: string(api.JSON(report))}
 	s := &Server{loop: newEventLoop(), workerClient: &http.Client{Transport: transport}, commandSlots: make(chan struct{}, 1)}
-	answer := s.sendCommand(workers.CommandCall{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.CommandRequest](0)})
+	result := s.sendCommand(workers.CommandCall{Addr: "10.1.0.1:9000", Zone: "east", Body: golden.Filled[api.CommandRequest](0)})
 	d.Add("commands", transport.NewestRequest)
-	if want := (workers.CommandResult{Status: http.StatusConflict, Heartbeat: &report}); !reflect.DeepEqual(answer, want) {
-		t.Errorf("%+v, want %+v", answer, want)
+	if want := (workers.CommandResult{Status: http.StatusConflict, Heartbeat: &report}); !reflect.DeepEqual(result, want) {
+		t.Errorf("result of the commands is %+v, want %+v", result, want)
 	}
 	d.Compare(t, "commands")
 }
 
-// goldenCollector collects the metrics of a leader and of a node that monitors its links.
+// goldenCollector collects the load metrics of a leader and the link metrics of a node whose link monitor is enabled.
 type goldenCollector struct{}
 
 func (goldenCollector) Describe(chan<- *prometheus.Desc) {}
@@ -121,8 +121,8 @@
 	})
 }
 
-// goldenEnv is the environment of a controller whose clock stands still and whose key-value store responds
-// immediately.
+// goldenEnv is the environment of a controller. Its clock always returns the same time, and its key-value
+// store responds immediately.
 type goldenEnv struct{ *kvstoretest.MemoryStore }
 
 func (goldenEnv) Now() ident.MonotonicTime                                { return ident.MonotonicTime(time.Hour) }
@@ -147,7 +147,7 @@
 	}
 }
 
-// goldenLeader returns a node that leads, with jobs, tasks and machines in the key-value store.
+// goldenLeader returns a node that is the leader, with jobs, tasks and machines in the key-value store.
 func goldenLeader(t *testing.T) *Server {
 	t.Helper()
 	const tasks = `"tasks":[{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-1","n":1},{"t":1,"h":"host-2","n":1},{},{},{},{}]`
@@ -176,8 +176,8 @@
 	return s
 }
 
-// TestGoldenMetrics pins names, types, labels and help of the metrics, and which counters of
-// the node they show.
+// TestGoldenMetrics pins the names, types, labels and help texts of the metrics, and the counter of the node
+// that each metric exports.
 func TestGoldenMetrics(t *testing.T) {
 	s := newTestServer(t, 1000)
 	m := newMetrics(s)
--- a/internal/server/link_metrics.go
+++ b/internal/server/link_metrics.go
@@ -6,19 +6,21 @@
 	"opaldale/internal/linktracker"
 )
 
-// Metrics of a node's links and of its authority.
+// Metrics of a node's links and of its authority to act as the leader.
 var (
-	linkState = newGauge("link_state", "Verdict on a direction of a link: 0 unknown, 1 up, 2 suspect, 3 down.",
+	linkState = newGauge("link_state", "State of a direction of a link: 0 unknown, 1 up, 2 suspect, 3 down.",
 		"peer", "direction")
-	linkDamped = newGauge("link_damped", "1 while a direction counts as down for having broken too often.",
+	linkDamped = newGauge("link_damped",
+		"1 while a direction of a link counts as down because it has failed too often, otherwise 0.",
 		"peer", "direction")
-	linkBreaks            = newCounter("link_breaks", "Breaks noticed of a direction of a link.", "peer", "direction")
-	advertisementsDropped = newCounter("link_rows_dropped", "Rows of siblings that were not taken, by reason.", "reason")
-	authorityState        = newGauge("authority", "1 for the state of the node's authority.", "state")
-	handovers             = newCounter("handovers", "Leads that this node has given up by choice.")
+	linkBreaks            = newCounter("link_breaks", "Failures detected of a direction of a link.", "peer", "direction")
+	advertisementsDropped = newCounter("link_rows_dropped",
+		"Link state advertisements of peers that were dropped, by reason.", "reason")
+	authorityState = newGauge("authority", "1 for the current state of the node's authority.", "state")
+	handovers      = newCounter("handovers", "Terms that this node ended by handing over leadership.")
 )
 
-// collectLinks sends the metrics of the node's authority and, if it monitors them, of its links.
+// collectLinks sends the metric of the node's authority and, if the link monitor is enabled, those of its links.
 func collectLinks(ch chan<- prometheus.Metric, report linktracker.Report) {
 	authorityState.send(ch, 1, report.Authority)
 	if !report.Enabled {
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -26,19 +26,19 @@
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    metricPrefix + "request_seconds",
-			Help:    "Time to answer requests, by kind and status.",
+			Help:    "Time to respond to requests, by kind and status.",
 			Buckets: []float64{.002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5},
 		}, []string{"kind", "status"}),
 		shed: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: metricPrefix + "shed_total",
-			Help: "Requests refused for overload, by kind.",
+			Help: "Requests rejected because of overload, by kind.",
 		}, []string{"kind"}),
 	}
 	m.registry.MustRegister(m.requests, m.shed, controllerCollector{s})
 	return m
 }
 
-// methodNames are the values of the label "kind".
+// methodNames are the values of the label "kind", by method.
 var methodNames = map[transport.Method]string{
 	transport.SubmitJob:       "submit",
 	transport.GetJob:          "poll",
@@ -51,19 +51,20 @@
 	m.requests.WithLabelValues(methodNames[method], strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// handler serves the metrics in the format of Prometheus.
+// handler returns the HTTP handler that serves the metrics in the Prometheus format.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// controllerCollector collects the metrics whose values the controller owns. They are read on each
-// scrape.
+// controllerCollector collects the metrics of the controller, the sockets and the links. It reads their
+// values on each scrape.
 type controllerCollector struct{ server *Server }
 
-// Describe implements prometheus.Collector. It sends nothing, which makes the collector unchecked.
+// Describe implements prometheus.Collector. It sends no descriptions, so that Prometheus does not check
+// the collected metrics against them.
 func (controllerCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector. It reads the values on the event loop.
+// Collect implements prometheus.Collector. It reads the controller's values on the event loop.
 func (c controllerCollector) Collect(ch chan<- prometheus.Metric) {
 	stats := c.server.stats()
 	collectStats(ch, &stats)
@@ -88,7 +89,7 @@
 	return metric{prometheus.NewDesc(metricPrefix+name+"_total", help, labels, nil), prometheus.CounterValue}
 }
 
-// send sends a value of the metric with the given label values.
+// send sends a value of the metric, with the given label values, to a collector's channel.
 func (m metric) send(ch chan<- prometheus.Metric, value float64, labels ...string) {
 	ch <- prometheus.MustNewConstMetric(m.desc, m.valueType, value, labels...)
 }
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -12,78 +12,85 @@
 	value func(*controller.Stats) float64
 }
 
-// statsMetrics are the metrics without labels of every controller. Most are 0 on a node that does not
-// lead.
+// statsMetrics are the metrics of every controller that have no labels. Most are 0 on a node that is not
+// the leader.
 var statsMetrics = []statsMetric{
-	{newGauge("leading", "1 on the leader."), func(s *controller.Stats) float64 { return boolToFloat(s.Leading) }},
-	{newGauge("leadership_valid", "1 while leadership is sure."),
+	{newGauge("leading", "1 if the node is the leader, even if its lease has expired, otherwise 0."),
+		func(s *controller.Stats) float64 { return boolToFloat(s.Leading) }},
+	{newGauge("leadership_valid", "1 while the node holds a valid leader lease, otherwise 0."),
 		func(s *controller.Stats) float64 { return boolToFloat(s.LeadershipValid) }},
-	{newGauge("term", "Newest term led."), func(s *controller.Stats) float64 { return float64(s.Term) }},
+	{newGauge("term", "Newest term in which the node was the leader."),
+		func(s *controller.Stats) float64 { return float64(s.Term) }},
 	{newGauge("format_level",
-		"Format of what is stored, as far as the node knows; 0 while nodes of the first version may come back."),
+		"Format level of the stored data, as known to the node; 0 while nodes of the first version may rejoin."),
 		func(s *controller.Stats) float64 { return float64(s.FormatLevel) }},
-	{newGauge("jobs", "Jobs not over."), func(s *controller.Stats) float64 { return float64(s.Jobs) }},
-	{newGauge("tasks_held", "Tasks that count on a machine."),
+	{newGauge("jobs", "Jobs that have not ended."), func(s *controller.Stats) float64 { return float64(s.Jobs) }},
+	{newGauge("tasks_held", "Tasks that are allocated to a machine."),
 		func(s *controller.Stats) float64 { return float64(s.TasksHeld) }},
-	{newGauge("tasks_waiting", "Tasks that wait for a machine."),
+	{newGauge("tasks_waiting", "Tasks that wait for placement on a machine."),
 		func(s *controller.Stats) float64 { return float64(s.TasksWaiting) }},
 
-	{newCounter("preempted", "Tasks stopped to make room."),
+	{newCounter("preempted", "Tasks, or whole gangs, preempted in favour of others."),
 		func(s *controller.Stats) float64 { return float64(s.Preempted) }},
-	{newCounter("plan_rounds", "Plans made."), func(s *controller.Stats) float64 { return float64(s.PlanRounds) }},
-	{newCounter("plan_extra", "Plans made between rounds."),
+	{newCounter("plan_rounds", "Placement plans computed."), func(s *controller.Stats) float64 { return float64(s.PlanRounds) }},
+	{newCounter("plan_extra", "Placement plans computed in addition to those of the periodic rounds."),
 		func(s *controller.Stats) float64 { return float64(s.PlanExtraRounds) }},
-	{newCounter("plan_seconds", "Time spent on plans."), func(s *controller.Stats) float64 { return s.PlanSeconds }},
-	{newCounter("fetched_gigabytes", "Images sent to machines that did not hold them."),
+	{newCounter("plan_seconds", "Time spent on computing placement plans."),
+		func(s *controller.Stats) float64 { return s.PlanSeconds }},
+	{newCounter("fetched_gigabytes", "Size of the images pulled by machines that did not hold them."),
 		func(s *controller.Stats) float64 { return s.FetchedGB }},
 
-	{newCounter("rented", "Machines rented."), func(s *controller.Stats) float64 { return float64(s.MachinesProvisioned) }},
-	{newCounter("returned", "Machines returned."), func(s *controller.Stats) float64 { return float64(s.MachinesTerminated) }},
-	{newCounter("fenced", "Machines returned for their silence."),
+	{newCounter("rented", "Machines provisioned."), func(s *controller.Stats) float64 { return float64(s.MachinesProvisioned) }},
+	{newCounter("returned", "Machines terminated."), func(s *controller.Stats) float64 { return float64(s.MachinesTerminated) }},
+	{newCounter("fenced", "Machines terminated because they were unreachable."),
 		func(s *controller.Stats) float64 { return float64(s.MachinesFenced) }},
 
-	{newCounter("txns", "Transactions sent."), func(s *controller.Stats) float64 { return float64(s.Txns) }},
-	{newCounter("puts", "Puts and deletes sent."), func(s *controller.Stats) float64 { return float64(s.Puts) }},
-	{newCounter("txn_repeats", "Transactions repeated."), func(s *controller.Stats) float64 { return float64(s.TxnRetries) }},
-	{newCounter("txns_rejected", "Transactions that the state service found too large."),
+	{newCounter("txns", "Transactions sent to the key-value store."),
+		func(s *controller.Stats) float64 { return float64(s.Txns) }},
+	{newCounter("puts", "Puts and deletes sent to the key-value store."),
+		func(s *controller.Stats) float64 { return float64(s.Puts) }},
+	{newCounter("txn_repeats", "Transactions retried."), func(s *controller.Stats) float64 { return float64(s.TxnRetries) }},
+	{newCounter("txns_rejected", "Transactions that the key-value store rejected as malformed or too large."),
 		func(s *controller.Stats) float64 { return float64(s.TxnsRejected) }},
 
-	{newCounter("gangs_started", "Attempts of gangs that ran."),
+	{newCounter("gangs_started", "Gang attempts of which all tasks ran."),
 		func(s *controller.Stats) float64 { return float64(s.GangsStarted) }},
-	{newCounter("gangs_lost", "Attempts of gangs that were given up."),
+	{newCounter("gangs_lost", "Gang attempts that were aborted."),
 		func(s *controller.Stats) float64 { return float64(s.GangsLost) }},
-	{newCounter("gangs_replaced", "Tasks of gangs replaced before the start."),
+	{newCounter("gangs_replaced", "Gang tasks that were replaced before the start of their gang."),
 		func(s *controller.Stats) float64 { return float64(s.GangsReplaced) }},
-	{newCounter("gangs_stopped", "Gangs stopped in order."),
+	{newCounter("gangs_stopped", "Gang attempts that were stopped gracefully."),
 		func(s *controller.Stats) float64 { return float64(s.GangsStopped) }},
 
-	{newCounter("tasks_lost", "Tasks proven gone before they ended."),
+	{newCounter("tasks_lost", "Tasks that were lost before they ended."),
 		func(s *controller.Stats) float64 { return float64(s.TasksLost) }},
-	{newCounter("command_fences", "Tokens raised over unanswered commands."),
+	{newCounter("command_fences", "Fencing tokens raised because a command got no response."),
 		func(s *controller.Stats) float64 { return float64(s.CommandFences) }},
-	{newCounter("stale_reports", "Reports older than what was known."),
+	{newCounter("stale_reports", "Worker heartbeats dropped as stale."),
 		func(s *controller.Stats) float64 { return float64(s.StaleHeartbeats) }},
 
-	{newCounter("forwarded", "Requests passed to the leader."),
+	{newCounter("forwarded", "Requests forwarded to the leader."),
 		func(s *controller.Stats) float64 { return float64(s.Forwarded) }},
-	{newCounter("refused", "Requests refused for want of a leader or of the state service."),
+	{newCounter("refused", "Requests refused because the leader or the key-value store was unavailable."),
 		func(s *controller.Stats) float64 { return float64(s.Refused) }},
-	{newCounter("relayed", "Requests passed to the leader by a sibling that reaches it."),
+	{newCounter("relayed", "Requests forwarded to the leader through a peer, because the leader was unreachable."),
 		func(s *controller.Stats) float64 { return float64(s.Relayed) }},
-	{newCounter("leases_kept", "Leases renewed for a leader that was out of reach."),
+	{newCounter("leases_kept", "Worker leases renewed on behalf of an unreachable leader."),
 		func(s *controller.Stats) float64 { return float64(s.LeasesKept) }},
-	{newCounter("vouched", "Deprecated: opaldale_leases_kept_total. Leases renewed for a leader that was out of reach."),
+	{newCounter("vouched",
+		"Deprecated: use opaldale_leases_kept_total. Worker leases renewed on behalf of an unreachable leader."),
 		func(s *controller.Stats) float64 { return float64(s.LeasesKept) }},
-	{newCounter("elected", "Terms begun."), func(s *controller.Stats) float64 { return float64(s.TermsBegun) }},
+	{newCounter("elected", "Terms that the node has begun as the leader."),
+		func(s *controller.Stats) float64 { return float64(s.TermsBegun) }},
 }
 
-// Metrics with labels of every controller.
+// Metrics of every controller that have labels.
 var (
 	machinesByState = newGauge("machines", "Machines by state.", "state")
-	placedByRule    = newCounter("placed", "Tasks placed, by the rule that did.", "rule")
+	placedByRule    = newCounter("placed", "Tasks placed, by placement rule; a gang counts as one.", "rule")
 )
 
-// collectStats sends the metrics of every controller.
+// collectStats sends the metrics of the controller's statistics.
 func collectStats(ch chan<- prometheus.Metric, stats *controller.Stats) {
 	for _, m := range statsMetrics {
 		m.send(ch, m.value(stats))
@@ -99,13 +106,13 @@
 	placedByRule.send(ch, float64(stats.PlacedGangs), "gang")
 }
 
-// Metrics of the sockets of a node.
+// Metrics of a node's sockets.
 var (
-	connections        = newGauge("connections", "Connections of users, workers and probes.")
-	connectionLimit    = newGauge("connections_most", "Bound on them.")
-	connectionsEvicted = newCounter("connections_evicted", "Idle ones closed to make room.")
-	connectionsRefused = newCounter("connections_refused", "Closed as they came, for want of room.")
-	malformedFrames    = newCounter("mesh_malformed", "Frames of siblings that could not be read.")
+	connections        = newGauge("connections", "Open inbound connections of users, workers and health checks.")
+	connectionLimit    = newGauge("connections_most", "Maximum number of open inbound connections.")
+	connectionsEvicted = newCounter("connections_evicted", "Idle inbound connections closed in favour of new ones.")
+	connectionsRefused = newCounter("connections_refused", "New inbound connections closed because the limit was reached.")
+	malformedFrames    = newCounter("mesh_malformed", "Malformed frames received from peers.")
 )
 
 // collectServer sends the metrics of the node's sockets.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,10 +23,10 @@
 
 // Limits of the process.
 const (
-	// maxThreads is GOMAXPROCS. A node has a fraction of one core, so that more threads only add
+	// maxThreads is GOMAXPROCS. A node has a fraction of one core: more threads would only add
 	// overhead.
 	maxThreads = 1
-	// memoryShare is the share of the node's memory that is the runtime's soft memory limit.
+	// memoryShare is the runtime's soft memory limit as a share of the node's memory.
 	memoryShare = 0.65
 	// gcPercent is GOGC: the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 300
@@ -38,14 +38,14 @@
 const (
 	dialTimeout        = time.Second
 	idleConnTimeout    = 90 * time.Second
-	idleStoreConns     = 8 // kept to the key-value store
-	idleCloudConns     = 4 // kept to the provider
+	idleStoreConns     = 8 // maximum number of idle connections to the key-value store
+	idleCloudConns     = 4 // maximum number of idle connections to the provider
 	idleConnsPerWorker = 1
-	unlimitedConns     = 0 // in http.Transport.MaxIdleConns
+	unlimitedConns     = 0 // means no limit in http.Transport.MaxIdleConns
 	minCommands        = 8 // lower bound on the limit of concurrent commands to workers
 )
 
-// moveReportTimeout bounds the time to obtain the report on moves.
+// moveReportTimeout is the maximum time for creating the report on moves.
 const moveReportTimeout = 2 * time.Second
 
 // Limits of inbound HTTP connections.
@@ -68,7 +68,7 @@
 	commandSlots chan struct{} // semaphore: one element for each command in flight
 	connLimiter  *connLimiter
 	transport    *transport.Transport
-	admission    admission // limits the requests of users and workers, including those forwarded by peers
+	admission    admission // limits requests from users and workers, including those forwarded by peers
 
 	listener, peerListener net.Listener
 	httpServer             *http.Server
@@ -80,7 +80,7 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Run runs a node until the process is killed. It returns an error if a socket cannot be opened or
-// fails. It sets limits of the whole process, such as the memory limit.
+// fails. Run also sets process-wide limits, such as the memory limit.
 func Run(cfg *settings.Settings) error {
 	runtime.GOMAXPROCS(maxThreads)
 	debug.SetMemoryLimit(int64(memoryShare * cfg.Cluster.Resources.MemoryMB * bytesPerMB))
@@ -92,8 +92,8 @@
 	return s.Serve()
 }
 
-// New returns a node that listens on its addresses, but does not accept connections before Serve. All
-// outbound connections are opened by dial.
+// New returns a node that listens on its addresses, but does not accept connections until Serve is
+// called. dial opens all outbound connections.
 func New(cfg *settings.Settings, dial Dialer) (*Server, error) {
 	s := &Server{settings: cfg, loop: newEventLoop(), connLimiter: newConnLimiter(cfg.Cluster.Resources.Sockets)}
 	s.admission.lag = s.loop.Lag
@@ -113,15 +113,15 @@
 func (s *Server) createClients(dial Dialer) {
 	s.store = kvstore.NewClient(s.settings.Endpoints.Store, s.newHTTPTransport(dial, idleStoreConns, unlimitedConns))
 	s.cloud = cloud.NewClient(s.settings.Endpoints.Cloud, s.newHTTPTransport(dial, idleCloudConns, unlimitedConns))
-	// Keeping connections to all machines open, in addition to those of their heartbeats, would
-	// exceed the sockets of the node.
+	// The number of connections is limited because an open connection to each machine, in addition
+	// to the one on which the machine sends heartbeats, would exceed the node's socket limit.
 	maxCommands := max(minCommands, int(commandShare*float64(s.settings.Cluster.Resources.Sockets)))
 	s.workerClient = &http.Client{Transport: s.newHTTPTransport(dial, idleConnsPerWorker, maxCommands)}
 	s.commandSlots = make(chan struct{}, maxCommands)
 }
 
 // newHTTPTransport returns a transport that keeps at most idlePerHost idle connections to each host, and
-// at most idle in total.
+// at most idle connections in total.
 func (s *Server) newHTTPTransport(dial Dialer, idlePerHost, idle int) *http.Transport {
 	t := &http.Transport{
 		DialContext:         dial,
@@ -144,7 +144,7 @@
 	}
 }
 
-// listen opens the listeners of the node's addresses.
+// listen opens the listeners for peers and for HTTP.
 func (s *Server) listen() error {
 	var err error
 	if s.peerListener, err = net.Listen("tcp4", s.settings.TransportAddr); err != nil {
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// Serve runs the node until it is closed or a socket fails, and returns the error of the listener.
+// Serve runs the node until it is closed or a listener fails, and returns the listener's error.
 func (s *Server) Serve() error {
 	for _, p := range s.settings.Peers {
 		s.transport.Connect(p.Node, p.Address)
@@ -179,12 +179,12 @@
 	return <-errs
 }
 
-// Close stops the node immediately, as if its process were killed: leadership is not handed over.
+// Close stops the node immediately, without handing over leadership, as if its process were killed.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.loop.done)
 		s.peerListener.Close()
-		_ = s.httpServer.Close() // the node stops whatever the result
+		_ = s.httpServer.Close() // the node stops even if this fails
 		s.transport.Close()
 		for _, t := range s.httpTransports {
 			t.CloseIdleConnections()
@@ -192,8 +192,8 @@
 	})
 }
 
-// dispatchPeerFrame passes a frame of a peer to the controller. Forwarded user requests are queued and
-// shed like those that users send to this node directly.
+// dispatchPeerFrame passes a frame from a peer to the controller. Forwarded user requests are subject to
+// the same queueing and admission control as requests that users send to this node.
 func (s *Server) dispatchPeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
 	isRequest := frame.Type == transport.MsgRequest || frame.Type == transport.MsgRelayRequest
@@ -224,12 +224,12 @@
 	return query(s.loop, s.loop.post, s.controller.LinkReport)
 }
 
-// moveReport returns the report on moves of running tasks, or false if it is not available in time: a
-// node that does not lead reads the moves from the key-value store.
+// moveReport returns the report on moves of running tasks, or false if the report is not available
+// within moveReportTimeout. A node that is not the leader has to read the moves from the key-value store.
 func (s *Server) moveReport(ctx context.Context) (controller.MoveReport, bool) {
 	ctx, cancel := context.WithTimeout(ctx, moveReportTimeout)
 	defer cancel()
-	return await(ctx, begin(s.loop.post, s.controller.MoveReport))
+	return await(ctx, startOperation(s.loop.post, s.controller.MoveReport))
 }
 
 // writeJSON writes a response whose body is v as JSON.
@@ -237,6 +237,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		slog.Debug("response not written", "err", err)
+		slog.Debug("writing HTTP response failed", "err", err)
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -46,11 +46,11 @@
 // newTestServer returns a running node that has no leader and no key-value store.
 func newTestServer(t *testing.T, sockets int) *Server {
 	t.Helper()
-	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	unavailable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	t.Cleanup(down.Close)
-	addr := strings.TrimPrefix(down.URL, "http://")
+	t.Cleanup(unavailable.Close)
+	addr := strings.TrimPrefix(unavailable.URL, "http://")
 	s := &Server{
 		loop:         newEventLoop(),
 		connLimiter:  newConnLimiter(sockets),
@@ -67,13 +67,14 @@
 	return s
 }
 
-// TestHTTPAPIWithoutLeader sends requests to a node that has no leader and no key-value store.
+// TestHTTPAPIWithoutLeader: a node without a leader and a key-value store responds to each kind of request,
+// and to malformed ones, with the right status and text.
 func TestHTTPAPIWithoutLeader(t *testing.T) {
 	s := newTestServer(t, 1000)
 	web := httptest.NewServer(s.handler())
 	defer web.Close()
 
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		method, path, body string
 		status             int
 		wantText           string
@@ -98,23 +99,25 @@
 		{"GET", "/moves", "", 200, `"error":"state service unavailable"`},
 	} {
 		began := time.Now()
-		req, _ := http.NewRequest(c.method, web.URL+c.path, strings.NewReader(c.body))
+		req, _ := http.NewRequest(testCase.method, web.URL+testCase.path, strings.NewReader(testCase.body))
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != c.status || !strings.Contains(string(b), c.wantText) {
-			t.Errorf("%s %s: %d %s", c.method, c.path, resp.StatusCode, b)
+		if resp.StatusCode != testCase.status || !strings.Contains(string(b), testCase.wantText) {
+			t.Errorf("%s %s: got %d %s, want %d and %q", testCase.method, testCase.path, resp.StatusCode, b,
+				testCase.status, testCase.wantText)
 		}
 		if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s %s: 503 without Retry-After after %v", c.method, c.path, time.Since(began))
+			t.Errorf("%s %s: got 503 without Retry-After after %v, want the header",
+				testCase.method, testCase.path, time.Since(began))
 		}
 	}
 }
 
-// fillWithIdleConnections opens connections that stay open after one request each.
+// fillWithIdleConnections opens connections, sends one request on each, and keeps them open and idle.
 func fillWithIdleConnections(t *testing.T, addr string, count int) {
 	t.Helper()
 	for range count {
@@ -132,7 +135,7 @@
 	}
 }
 
-// sendHeartbeat sends a worker's heartbeat, with retries, and reports whether there was a response.
+// sendHeartbeat sends a worker's heartbeat, with up to 50 attempts, and reports whether there was a response.
 func sendHeartbeat(client *http.Client, url string, worker, sequence int) bool {
 	body := fmt.Sprintf(`{"host":"host-%06d","addr":"1.2.3.4:5","model":"m","site":"a","tenure":1,"serial":%d}`, worker, sequence)
 	for range 50 {
@@ -149,10 +152,10 @@
 	return false
 }
 
-// TestMoreWorkersThanConnections: the heartbeats of three times as many workers as a node accepts
-// connections all get a response, users on new connections are served meanwhile, idle connections are
-// evicted, and the number of threads stays low. If the node refused new connections at the limit instead,
-// workers would lose their leases, and health checks would fail.
+// TestMoreWorkersThanConnections sends heartbeats from three times as many workers as the node accepts
+// connections. All heartbeats get a response, users on new connections are served at the same time, idle
+// connections are evicted, and the number of threads stays low. If the node rejected new connections at
+// the limit, workers would lose their leases and health checks would fail.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	s := newTestServer(t, 160)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -172,20 +175,20 @@
 	}()
 	url := "http://" + l.Addr().String()
 
-	// Three quarters of the limit are used by idle connections.
+	// Idle connections use three quarters of the limit.
 	fillWithIdleConnections(t, l.Addr().String(), 3*s.connLimiter.limit/4)
 	var wg sync.WaitGroup
-	var lost, most atomic.Int64
+	var unanswered, maxOpenConns atomic.Int64
 	for i := range 3 * s.connLimiter.limit {
 		wg.Go(func() {
-			c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-			defer c.CloseIdleConnections()
+			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+			defer client.CloseIdleConnections()
 			for n := range 4 {
-				if !sendHeartbeat(c, url, i, n+1) {
-					lost.Add(1)
+				if !sendHeartbeat(client, url, i, n+1) {
+					unanswered.Add(1)
 				}
-				if n := int64(s.connLimiter.count()); n > most.Load() {
-					most.Store(n)
+				if n := int64(s.connLimiter.count()); n > maxOpenConns.Load() {
+					maxOpenConns.Store(n)
 				}
 			}
 		})
@@ -201,17 +204,17 @@
 		resp.Body.Close()
 	}
 	wg.Wait()
-	if lost.Load() > 0 || failed > 5 {
-		t.Errorf("%d heartbeats and %d users without an answer; %d connections refused",
-			lost.Load(), failed, s.connLimiter.refused.Load())
+	if unanswered.Load() > 0 || failed > 5 {
+		t.Errorf("%d heartbeats and %d user requests without a response, want 0 and at most 5; %d connections refused",
+			unanswered.Load(), failed, s.connLimiter.refused.Load())
 	}
-	if n := int(most.Load()); n > s.connLimiter.limit {
-		t.Errorf("%d connections of %d", n, s.connLimiter.limit)
+	if n := int(maxOpenConns.Load()); n > s.connLimiter.limit {
+		t.Errorf("%d connections were open, want at most %d", n, s.connLimiter.limit)
 	}
 	if s.connLimiter.evicted.Load() == 0 {
-		t.Error("no idle connection made room: the test shows nothing")
+		t.Error("no idle connection was evicted, want at least one: the test did not reach the limit")
 	}
 	if n := pprof.Lookup("threadcreate").Count(); n > 100 {
-		t.Errorf("%d threads", n)
+		t.Errorf("%d threads were created, want at most 100", n)
 	}
 }
