--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -11,16 +11,16 @@
 	"opaldale/internal/wire"
 )
 
-// ErrMalformedFrame is returned for input that is not a frame of this version.
+// ErrMalformedFrame is the error for input that is not a valid frame of this Version.
 var ErrMalformedFrame = errors.New("malformed frame")
 
 const (
 	lengthBytes = 4 // size of a frame's length
-	headerBytes = 2 // size of the version and the message type
+	headerBytes = 2 // size of the version and message type fields
 )
 
-// codec encodes and decodes the fields of one message type. Decode checks for truncated fields and
-// trailing bytes, so that decoders need not do so.
+// codec encodes and decodes the fields of one message type. The decode functions need not check for
+// truncated fields and trailing bytes: Decode does so afterwards.
 type codec struct {
 	encode func(b []byte, f *Frame) []byte
 	decode func(r *wire.Reader, f *Frame) error
@@ -36,7 +36,7 @@
 	MsgRelayRequest:   {encodeRequest, decodeRequest},
 }
 
-// Append appends the encoded frame, preceded by its length, to b.
+// Append appends the encoded frame, including its length field, to b.
 func (f *Frame) Append(b []byte) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, Version, byte(f.Type))
@@ -47,31 +47,31 @@
 	return b
 }
 
-// Decode decodes a frame without its length. The body of the result shares the memory of b. Errors wrap
-// ErrMalformedFrame.
+// Decode decodes a frame that is given without its length field. The body of the result shares the memory
+// of b. Errors wrap ErrMalformedFrame.
 func Decode(b []byte) (*Frame, error) {
 	if len(b) < headerBytes || len(b) > MaxFrameBytes {
-		return nil, ErrMalformedFrame
+		return nil, fmt.Errorf("%w: %d bytes, want %d to %d", ErrMalformedFrame, len(b), headerBytes, MaxFrameBytes)
 	}
 	if b[0] != Version {
-		return nil, fmt.Errorf("%w: version %d", ErrMalformedFrame, b[0])
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrMalformedFrame, b[0], Version)
 	}
 	f := &Frame{Type: MessageType(b[1])}
 	c, ok := codecs[f.Type]
 	if !ok {
-		return nil, fmt.Errorf("%w: message type %d", ErrMalformedFrame, f.Type)
+		return nil, fmt.Errorf("%w: unknown message type %d", ErrMalformedFrame, f.Type)
 	}
 	r := wire.NewReader(b[headerBytes:])
 	if err := c.decode(r, f); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	if !r.Complete() {
-		return nil, ErrMalformedFrame
+		return nil, fmt.Errorf("%w: truncated field or trailing bytes in message type %d", ErrMalformedFrame, f.Type)
 	}
 	return f, nil
 }
 
-// Read reads one frame, preceded by its length. Errors are those of r, or wrap ErrMalformedFrame.
+// Read reads one frame, including its length field. Errors are those of r, or wrap ErrMalformedFrame.
 func Read(r io.Reader) (*Frame, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -79,7 +79,7 @@
 	}
 	n := binary.BigEndian.Uint32(length[:])
 	if n > MaxFrameBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMalformedFrame, n)
+		return nil, fmt.Errorf("%w: %d bytes, want at most %d", ErrMalformedFrame, n, MaxFrameBytes)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -131,7 +131,7 @@
 	f.JobID = readString(r)
 	f.Body = readBody(r)
 	if f.Method < SubmitJob || f.Method > WorkerHeartbeat {
-		return fmt.Errorf("method %d", f.Method)
+		return fmt.Errorf("unknown request method %d", f.Method)
 	}
 	return nil
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/links"
 )
 
-// goldenFrames has a frame of each message type, with distinct values in the fields of that type.
+// goldenFrames are frames of each message type, with distinct values in the fields that belong to the type.
 var goldenFrames = []struct {
 	name  string
 	frame Frame
@@ -61,14 +61,14 @@
 	}},
 }
 
-// TestGoldenFrames pins the bytes of each message type.
+// TestGoldenFrames pins the encoding of each message type.
 func TestGoldenFrames(t *testing.T) {
 	var d golden.Document
 	for _, c := range goldenFrames {
 		raw := c.frame.Append(nil)
 		d.Add(c.name, hex.EncodeToString(raw))
 		if decoded, err := Read(bytes.NewReader(raw)); err != nil || !reflect.DeepEqual(*decoded, c.frame) {
-			t.Errorf("%s: %+v is read as %+v, %v", c.name, c.frame, decoded, err)
+			t.Errorf("%s: encoded and decoded: got %+v, %v, want %+v", c.name, decoded, err, c.frame)
 		}
 	}
 	d.Compare(t, "frames")
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// Limits of the queue of a peer. It has room for the worker heartbeats that a fleet of several thousand
-// machines sends while a connection is stalled for a few seconds.
+// Limits of the send queue of a peer. The queue can hold the worker heartbeats that a fleet of several
+// thousand machines sends while the connection is stalled for a few seconds.
 const (
 	maxQueuedFrames = 8192
 	maxQueuedBytes  = 16 << 20
 )
 
-// outbox is the queue of frames to be sent to a peer. Any goroutine may call put; only the one that
-// sends may call the other methods.
+// outbox is the send queue of a peer. Any goroutine may call enqueue; only the sending goroutine may call
+// the other methods.
 type outbox struct {
 	frames      chan *Frame
-	queuedBytes atomic.Int64 // total size of the bodies in the queue
+	queuedBytes atomic.Int64 // total size of the bodies of the frames in the queue
 }
 
 func newOutbox() *outbox { return &outbox{frames: make(chan *Frame, maxQueuedFrames)} }
 
-// put queues a frame, and reports whether there was room.
-func (o *outbox) put(f *Frame) bool {
+// enqueue adds a frame to the queue. It returns false, and drops the frame, if the queue is full.
+func (o *outbox) enqueue(f *Frame) bool {
 	size := int64(len(f.Body))
 	if o.queuedBytes.Add(size) > maxQueuedBytes {
 		o.queuedBytes.Add(-size)
@@ -34,24 +34,24 @@
 	}
 }
 
-// release frees the room of a frame that was taken from the queue, and returns the frame.
-func (o *outbox) release(f *Frame) *Frame {
+// dequeued subtracts the size of a frame that was taken from the queue, and returns the frame.
+func (o *outbox) dequeued(f *Frame) *Frame {
 	o.queuedBytes.Add(-int64(len(f.Body)))
 	return f
 }
 
-// appendQueued takes the frames that are queued at present and appends them to buf, until buf has the
-// size of a frame of maximum size.
+// appendQueued takes frames from the queue and appends their encodings to buf, until the queue is empty or
+// buf is at least MaxFrameBytes long. It does not wait for further frames.
 func (o *outbox) appendQueued(buf []byte) []byte {
 	for n := len(o.frames); n > 0 && len(buf) < MaxFrameBytes; n-- {
-		buf = o.release(<-o.frames).Append(buf)
+		buf = o.dequeued(<-o.frames).Append(buf)
 	}
 	return buf
 }
 
-// drain discards all frames in the queue.
-func (o *outbox) drain() {
+// discardAll removes all frames from the queue.
+func (o *outbox) discardAll() {
 	for len(o.frames) > 0 {
-		o.release(<-o.frames)
+		o.dequeued(<-o.frames)
 	}
 }
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestOutboxBounds: the queue has room for maxQueuedFrames heartbeats, the total size of large bodies is
-// limited, and each frame taken makes room for another one.
+// TestOutboxBounds: the queue holds maxQueuedFrames heartbeats, the total size of the bodies is limited, and
+// after a frame is dequeued exactly one more frame of the same size is accepted.
 func TestOutboxBounds(t *testing.T) {
 	small := &Frame{Type: MsgRequest, Body: make([]byte, 1500)}
 	large := &Frame{Type: MsgRequest, Body: make([]byte, 64<<10)}
@@ -17,19 +17,19 @@
 	} {
 		o := newOutbox()
 		n := 0
-		for o.put(c.frame) {
+		for o.enqueue(c.frame) {
 			n++
 		}
 		if n != c.want {
-			t.Errorf("%s: %d frames found room, want %d", c.name, n, c.want)
+			t.Errorf("%s: the queue accepted %d frames, want %d", c.name, n, c.want)
 		}
-		o.release(<-o.frames)
-		if !o.put(c.frame) || o.put(c.frame) {
-			t.Errorf("%s: a frame that is taken must make room for one", c.name)
+		o.dequeued(<-o.frames)
+		if !o.enqueue(c.frame) || o.enqueue(c.frame) {
+			t.Errorf("%s: after a frame was dequeued, want exactly one more frame accepted", c.name)
 		}
-		o.drain()
-		if o.queuedBytes.Load() != 0 || !o.put(c.frame) {
-			t.Errorf("%s: after drain %d bytes are counted", c.name, o.queuedBytes.Load())
+		o.discardAll()
+		if o.queuedBytes.Load() != 0 || !o.enqueue(c.frame) {
+			t.Errorf("%s: %d bytes counted after discardAll, want 0 and a frame accepted", c.name, o.queuedBytes.Load())
 		}
 	}
 }
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// readBufferSize has room for several forwarded worker heartbeats.
+	// readBufferSize is the size of the read buffer in bytes. Several forwarded worker heartbeats fit in.
 	readBufferSize = 32 << 10
-	// maxInboundConns is the maximum number of connections opened by peers.
+	// maxInboundConns is the maximum number of connections that peers may open. Others are closed.
 	maxInboundConns = 32
-	// acceptRetryDelay is the delay after a failure to accept a connection.
+	// acceptRetryDelay is the delay between a failure to accept a connection and the next attempt.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Serve accepts the connections of peers until the listener is closed. It always returns an error that
-// wraps net.ErrClosed.
+// Serve accepts connections of peers until the listener is closed, and returns an error that wraps
+// net.ErrClosed.
 func (t *Transport) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -29,7 +29,7 @@
 			return err
 		}
 		if err != nil {
-			slog.Info("accepting peer connection failed", "err", err)
+			slog.Info("accepting peer connection failed, retrying", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-// serveConn receives on a connection that holds one of the inbound slots.
+// serveConn receives frames on an inbound connection, and releases the connection's slot when it ends.
 func (t *Transport) serveConn(conn net.Conn) {
 	defer func() { <-t.inboundSlots }()
 	if !t.trackConn(conn) {
@@ -58,10 +58,10 @@
 	transport *Transport
 	conn      net.Conn
 	reader    *bufio.Reader
-	peer      ident.NodeID // "" until the handshake
+	peer      ident.NodeID // "" before the handshake
 }
 
-// receiveLoop receives frames until the connection fails, is idle or breaks the protocol.
+// receiveLoop receives frames until the connection fails or is idle, or the peer violates the protocol.
 func (c *inboundConn) receiveLoop() {
 	if !c.handshake() {
 		return
@@ -74,31 +74,31 @@
 	}
 }
 
-// handshake reads the hello that begins a connection, and reports whether a peer sent it.
+// handshake reads the hello with which a connection must begin, and reports whether it names a known peer.
 func (c *inboundConn) handshake() bool {
 	f, ok := c.readFrame()
 	if !ok {
 		return false
 	}
 	if f.Type != MsgHello {
-		slog.Error("peer connection without hello", "remote", c.conn.RemoteAddr().String())
+		slog.Error("rejected peer connection: first frame is not a hello", "remote", c.conn.RemoteAddr().String())
 		return false
 	}
 	return c.acceptHello(f)
 }
 
-// acceptHello sets the peer of the connection, and reports whether it is known.
+// acceptHello sets the peer of the connection, and reports whether the peer is known.
 func (c *inboundConn) acceptHello(hello *Frame) bool {
 	c.peer = hello.Node
 	if c.transport.outboxes[c.peer] == nil {
-		slog.Error("rejected connection of unknown peer", "peer", string(c.peer))
+		slog.Error("rejected peer connection: unknown peer", "peer", string(c.peer))
 		return false
 	}
 	return true
 }
 
-// receive echoes a heartbeat, and passes every frame except a hello to onFrame. It reports whether the
-// connection is to be kept open.
+// receive echoes a heartbeat, and passes every frame except a hello to onFrame. It returns false if the
+// connection must be closed.
 func (c *inboundConn) receive(f *Frame) bool {
 	if f.Type == MsgHello {
 		return c.acceptHello(f)
@@ -110,7 +110,7 @@
 	return true
 }
 
-// echoFrame is sent in return for a heartbeat on the same connection, so that the sender does not close
+// echoFrame is the encoded frame that is sent in response to a heartbeat, so that the sender does not close
 // the connection as idle.
 var echoFrame = (&Frame{Type: MsgHeartbeat}).Append(nil)
 
@@ -122,9 +122,10 @@
 	return err == nil
 }
 
-// readFrame reads the next frame. It returns false, and logs the reason, if there is none.
+// readFrame reads the next frame. If that fails, it logs the reason, except for the end of the stream, and
+// returns false.
 func (c *inboundConn) readFrame() (*Frame, bool) {
-	// This fails only on a closed connection, on which Read fails once the buffer is empty.
+	// Setting the deadline fails only on a closed connection, where Read fails once the buffer is empty.
 	_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	f, err := Read(c.reader)
 	switch {
@@ -132,9 +133,9 @@
 		return f, true
 	case errors.Is(err, ErrMalformedFrame):
 		c.transport.Malformed.Add(1)
-		slog.Error("peer connection closed", "peer", string(c.peer), "err", err)
+		slog.Error("peer connection closed: malformed frame", "peer", string(c.peer), "err", err)
 	case !errors.Is(err, io.EOF):
-		slog.Debug("peer connection closed", "peer", string(c.peer), "err", err)
+		slog.Debug("peer connection closed: read failed", "peer", string(c.peer), "err", err)
 	}
 	return nil, false
 }
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -11,7 +11,7 @@
 // same duration is added.
 const minRedialDelay = 300 * time.Millisecond
 
-// connectLoop maintains a connection to a peer, on which it sends the frames of the outbox, until the
+// connectLoop maintains a connection to a peer and sends the frames in the outbox on it, until the
 // transport is closed.
 func (t *Transport) connectLoop(addr string, o *outbox) {
 	for {
@@ -24,13 +24,13 @@
 			return
 		case <-time.After(minRedialDelay + rand.N(minRedialDelay)):
 		}
-		// Frames queued while there was no connection are stale.
-		o.drain()
+		// Frames that were enqueued while there was no connection are stale.
+		o.discardAll()
 	}
 }
 
-// sendLoop sends a hello and then the frames of an outbox, until the connection fails or the
-// transport is closed.
+// sendLoop sends a hello and then the frames in the outbox, until the connection fails or the transport is
+// closed.
 func (t *Transport) sendLoop(conn net.Conn, o *outbox) {
 	peerClosed := make(chan struct{})
 	go func() {
@@ -48,7 +48,7 @@
 		}
 		select {
 		case f := <-o.frames:
-			buf = o.release(f).Append(buf[:0])
+			buf = o.dequeued(f).Append(buf[:0])
 			buf = o.appendQueued(buf)
 		case <-peerClosed:
 			return
@@ -58,8 +58,8 @@
 	}
 }
 
-// discardEchoes reads the echoes of heartbeats that a peer sends back, until the connection fails
-// or is idle.
+// discardEchoes reads and discards the heartbeats that the peer echoes, until the connection fails or no
+// echo arrives for idleTimeout.
 func discardEchoes(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -60,6 +60,7 @@
 	}
 )
 
+// TestRoundTrip: each encoded frame decodes to the same frame.
 func TestRoundTrip(t *testing.T) {
 	var all []byte
 	for _, f := range sampleFrames {
@@ -69,39 +70,39 @@
 	for _, f := range sampleFrames {
 		g, err := Read(r)
 		if err != nil || !reflect.DeepEqual(f, g) {
-			t.Errorf("%+v came back as %+v, %v", f, g, err)
+			t.Errorf("encoded and decoded: got %+v, %v, want %+v", g, err, f)
 		}
 	}
 }
 
-// TestMalformed: input that is not a frame of this version is rejected.
+// TestMalformed: input that is not a frame of this version is rejected with ErrMalformedFrame.
 func TestMalformed(t *testing.T) {
-	good := submission.Append(nil)[4:]
+	valid := submission.Append(nil)[4:]
 	linkStateID := []byte{0, 0, 0, 0, 0, 0, 0, 1}
 	for _, c := range []struct {
 		name  string
 		frame []byte
 	}{
 		{"empty", nil},
-		{"other version", append([]byte{Version + 1}, good[1:]...)},
+		{"other version", append([]byte{Version + 1}, valid[1:]...)},
 		{"unknown message type", []byte{Version, 99}},
-		{"cut short", good[:len(good)-1]},
-		{"too long", append(good[:len(good):len(good)], 0)},
+		{"cut short", valid[:len(valid)-1]},
+		{"too long", append(valid[:len(valid):len(valid)], 0)},
 		{"advertisements cut short", append(append([]byte{Version, byte(MsgLinkState)}, linkStateID...), 1, 1, 5)},
 		{"no advertisements", append([]byte{Version, byte(MsgLinkState)}, linkStateID...)},
 		{"unknown method", []byte{Version, byte(MsgRequest), 0, 0, 0, 0, 0, 0, 0, 1, 77, 0, 0, 0, 0, 0, 0}},
 	} {
 		if _, err := Decode(c.frame); !errors.Is(err, ErrMalformedFrame) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want %v", c.name, err, ErrMalformedFrame)
 		}
 	}
 	huge := binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1)
 	if _, err := Read(bytes.NewReader(huge)); !errors.Is(err, ErrMalformedFrame) {
-		t.Errorf("oversized: %v", err)
+		t.Errorf("length above the maximum: got error %v, want %v", err, ErrMalformedFrame)
 	}
 }
 
-// FuzzDecode: the decoder never panics, and encodes what it accepts to the same bytes.
+// FuzzDecode: Decode never panics, and each frame that it accepts encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	for _, s := range sampleFrames {
 		f.Add(s.Append(nil)[4:])
@@ -111,13 +112,14 @@
 		if err != nil {
 			return
 		}
-		if again := g.Append(nil)[4:]; !bytes.Equal(again, b) {
-			t.Fatalf("%x decodes to %+v, which encodes to %x", b, g, again)
+		if encoded := g.Append(nil)[4:]; !bytes.Equal(encoded, b) {
+			t.Fatalf("decoded %+v encodes to %x, want %x", g, encoded, b)
 		}
 	})
 }
 
-// TestTransport sends frames over sockets, and violates the protocol on further connections.
+// TestTransport: a frame that is sent over a socket is received, and connections that violate the protocol
+// are closed.
 func TestTransport(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,7 +129,7 @@
 	received := make(chan *Frame, 10)
 	b := New("b", func(from ident.NodeID, f *Frame) {
 		if from != "a" {
-			t.Errorf("frame from %s", from)
+			t.Errorf("got a frame from peer %q, want peer \"a\"", from)
 		}
 		received <- f
 	})
@@ -137,27 +139,27 @@
 	go func() {
 		defer wg.Done()
 		if err := b.Serve(l); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("Serve returned %v, want %v", err, net.ErrClosed)
 		}
 	}()
 
 	a := New("a", func(ident.NodeID, *Frame) {})
 	a.Connect("b", l.Addr().String())
 	if f := sendUntilReceived(a, "b", submission, received); !reflect.DeepEqual(f, submission) {
-		t.Errorf("received %+v", f)
+		t.Errorf("received %+v, want %+v", f, submission)
 	}
 
 	checkClosed(t, l.Addr().String(), "unknown peer", (&Frame{Type: MsgHello, Node: "x"}).Append(nil))
 	checkClosed(t, l.Addr().String(), "no hello", submission.Append(nil))
 	checkClosed(t, l.Addr().String(), "garbage", []byte{0, 0, 0, 2, 99, 99})
 	if n := b.Malformed.Load(); n != 1 {
-		t.Errorf("%d malformed frames were counted", n)
+		t.Errorf("counted %d malformed frames, want 1", n)
 	}
 	l.Close()
 	wg.Wait()
 }
 
-// sendUntilReceived sends a frame repeatedly until it is received: frames are dropped until the
+// sendUntilReceived sends a frame repeatedly until it is received, because frames are dropped until the
 // connection is open.
 func sendUntilReceived(t *Transport, peer ident.NodeID, f *Frame, received <-chan *Frame) *Frame {
 	for {
@@ -170,7 +172,7 @@
 	}
 }
 
-// checkClosed expects a connection to be closed after something was sent on it.
+// checkClosed sends bytes on a new connection and checks that the connection is closed.
 func checkClosed(t *testing.T, addr, name string, sent []byte) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -182,13 +184,13 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%s: the connection stays open", name)
+		t.Errorf("%s: the connection stays open, want it closed", name)
 	}
 }
 
-// TestWireCompatibility: frames encode to the bytes that the version in production sends, and what
-// it sends is decoded. testdata/production.hex was written by that version (deploy/service.toml)
-// with the frames below.
+// TestWireCompatibility: frames encode to the same bytes as in the version in production, and the frames
+// that it sends are decoded. That version (see deploy/service.toml) wrote testdata/production.hex from the
+// frames below.
 func TestWireCompatibility(t *testing.T) {
 	b, err := os.ReadFile("testdata/production.hex")
 	if err != nil {
@@ -206,18 +208,18 @@
 		{Type: MsgResponse, ID: 12, Status: 503, RetryAfterS: 1, Body: []byte(`{"error":"no leader at present"}`)},
 	}
 	if len(lines) != len(frames) {
-		t.Fatalf("%d frames, want %d", len(lines), len(frames))
+		t.Fatalf("production.hex has %d frames, want %d", len(lines), len(frames))
 	}
 	for i, f := range frames {
 		if got := hex.EncodeToString(f.Append(nil)); got != lines[i] {
-			t.Errorf("frame %d is sent as %s, want %s", i, got, lines[i])
+			t.Errorf("frame %d encodes to %s, want %s", i, got, lines[i])
 		}
 		raw, err := hex.DecodeString(lines[i])
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Decode(raw[4:]); err != nil {
-			t.Errorf("frame %d: %v", i, err)
+			t.Errorf("decoding frame %d of production.hex: %v", i, err)
 		}
 	}
 }
