--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api defines the messages of the users' interface and of the workers' interface, and
-// checks those that come in. Durations in messages are in seconds, sizes in GB.
+// Package api defines the messages of the HTTP APIs for users and for workers, and validates those that
+// are received. Durations in messages are in seconds, sizes in GB.
 package api
 
 import (
@@ -7,24 +7,24 @@
 	"fmt"
 )
 
-// MaxBodyBytes is the largest request body that is read.
+// MaxBodyBytes is the maximum size of a request body. Larger ones are rejected.
 const MaxBodyBytes = 64 << 10
 
-// FieldError is the error of a malformed message.
+// FieldError is the error for a malformed field of a message, or for a message that is malformed as a whole.
 type FieldError struct {
-	Field   string // its name in JSON, or "body" for the whole message
+	Field   string // name of the field in JSON, or "body" for the whole message
 	Problem string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Problem) }
 
-// ErrorResponse is the body of each response that refuses a request.
+// ErrorResponse is the body of a response with an error status.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// JSON encodes a message or a stored value. It panics if the value cannot be encoded, which no message
-// and no stored value is.
+// JSON encodes a message or a stored value. It panics if v cannot be encoded, which never happens for
+// messages and stored values.
 func JSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -12,8 +12,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestGoldenMessages pins the messages of the users' and the workers' interfaces, with all of
-// their fields set.
+// TestGoldenMessages pins the encoding of the messages of both APIs, with all of their fields set.
 func TestGoldenMessages(t *testing.T) {
 	var d golden.Document
 	for v := range golden.BoolVariants {
@@ -21,12 +20,12 @@
 		s.Shape, s.Priority = Gang, BestEffort
 		golden.RoundTrip(t, &d, fmt.Sprintf("submission %d", v), s)
 		if parsed, err := ParseSpec(JSON(s)); err != nil || !reflect.DeepEqual(*parsed, s) {
-			t.Errorf("%+v is parsed as %+v, %v", s, parsed, err)
+			t.Errorf("encoded and parsed: got %+v, %v, want %+v", parsed, err, s)
 		}
 		r := golden.Filled[Heartbeat](v)
 		golden.RoundTrip(t, &d, fmt.Sprintf("report %d", v), r)
 		if parsed, err := ParseHeartbeat(JSON(r)); err != nil || !reflect.DeepEqual(*parsed, r) {
-			t.Errorf("%+v is parsed as %+v, %v", r, parsed, err)
+			t.Errorf("encoded and parsed: got %+v, %v, want %+v", parsed, err, r)
 		}
 	}
 	golden.RoundTrip(t, &d, "view", golden.Filled[JobView](0))
@@ -34,11 +33,11 @@
 	golden.RoundTrip(t, &d, "problem", golden.Filled[ErrorResponse](0))
 	golden.RoundTrip(t, &d, "answer to a report", golden.Filled[HeartbeatResponse](0))
 	commands := golden.Filled[CommandRequest](0)
-	none := 0.0
+	noGracePeriod := 0.0
 	id := ident.TaskID{Job: "j-7", Index: 8}
 	commands.Commands = append(commands.Commands,
 		Command{Verb: Launch, TaskID: id, Attempt: 9},
-		Command{Verb: Kill, TaskID: id, Attempt: 10, GracePeriodS: &none},
+		Command{Verb: Kill, TaskID: id, Attempt: 10, GracePeriodS: &noGracePeriod},
 		Command{Verb: Clear, TaskID: id, Attempt: 11})
 	golden.RoundTrip(t, &d, "commands", commands)
 	d.Add("words", fmt.Sprintln(Batch, Service, Gang)+fmt.Sprintln(Critical, High, Standard, BestEffort)+
@@ -48,7 +47,7 @@
 	d.Compare(t, "messages")
 }
 
-// TestGoldenRefusals pins the errors of malformed submissions and heartbeats, which are part of the responses.
+// TestGoldenRefusals pins the errors for malformed submissions and heartbeats, which are part of the responses.
 func TestGoldenRefusals(t *testing.T) {
 	var d golden.Document
 	var submissions, reports strings.Builder
@@ -81,9 +80,9 @@
 	} {
 		body := strings.Replace(string(JSON(report)), change.from, change.to, 1)
 		_, err := ParseHeartbeat([]byte(body))
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			err = fmt.Errorf("wrong type of %s", wrong.Field) // without the names of Go's types
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			err = fmt.Errorf("wrong type of %s", typeErr.Field) // without the names of Go's types
 		}
 		fmt.Fprintf(&reports, "%s for %s: %v\n", change.to, change.from, err)
 	}
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -11,48 +11,48 @@
 
 // The states that workers report.
 const (
-	Pulling   TaskStatus = "pulling"   // it waits for its image
-	Gathering TaskStatus = "gathering" // of a gang: it has its image and waits for the other tasks
+	Pulling   TaskStatus = "pulling"   // the machine pulls the image
+	Gathering TaskStatus = "gathering" // gangs only: the image is present, and the task waits for the other tasks of the gang
 	Running   TaskStatus = "running"
-	Flushing  TaskStatus = "flushing" // it saves a checkpoint, and ends then
+	Flushing  TaskStatus = "flushing" // the task saves a checkpoint before it ends
 	Ended     TaskStatus = "ended"
 )
 
-// Cause is the reason for which a task has ended.
+// Cause is the reason why a task ended.
 type Cause string
 
 // The causes that workers report.
 const (
-	CauseDone           Cause = "done"       // it has completed
-	CauseStopped        Cause = "stopped"    // by a kill command
-	CauseError          Cause = "error"      // it has failed
-	CauseNoCapacity     Cause = "full"       // not started: the machine has no room for it
-	CauseBusy           Cause = "busy"       // not started: the machine has another attempt of the task
-	CauseUnknown        Cause = "unknown"    // not started: there is no such task
-	CauseGangMemberLost Cause = "mates_gone" // of a gang: another task is gone
-	CauseGangIncomplete Cause = "incomplete" // of a gang: the other tasks did not start in time
+	CauseDone           Cause = "done"       // the task completed
+	CauseStopped        Cause = "stopped"    // a kill command stopped the task
+	CauseError          Cause = "error"      // the task failed
+	CauseNoCapacity     Cause = "full"       // not started: the machine lacks the free capacity
+	CauseBusy           Cause = "busy"       // not started: another attempt of the task is on the machine
+	CauseUnknown        Cause = "unknown"    // not started: the worker does not know the task
+	CauseGangMemberLost Cause = "mates_gone" // gangs only: another task of the gang was lost
+	CauseGangIncomplete Cause = "incomplete" // gangs only: the other tasks of the gang did not start in time
 )
 
-// TaskReport is the state of one task in a heartbeat. An ended task is reported until it is cleared.
+// TaskReport is the state of one task in a heartbeat. An ended task is reported until a Clear command.
 type TaskReport struct {
 	TaskID           ident.TaskID  `json:"piece"`
 	Attempt          ident.Attempt `json:"try"`
 	Status           TaskStatus    `json:"status"`
-	Cause            Cause         `json:"cause,omitempty"`  // of an ended task
-	CheckpointStored bool          `json:"stored,omitempty"` // an ended task has saved a checkpoint
+	Cause            Cause         `json:"cause,omitempty"`  // ended tasks only
+	CheckpointStored bool          `json:"stored,omitempty"` // ended tasks only: a checkpoint was saved
 }
 
-// Heartbeat is the periodic report of a worker, and its response to commands.
+// Heartbeat is the periodic report of a worker. It is also the worker's response to commands.
 type Heartbeat struct {
 	MachineID      ident.MachineID      `json:"host"`
-	Addr           string               `json:"addr"`  // where the worker takes commands
-	Model          string               `json:"model"` // type of the machine
+	Addr           string               `json:"addr"`  // address at which the worker accepts commands
+	Model          string               `json:"model"` // machine type
 	Zone           string               `json:"site"`
 	Spot           bool                 `json:"standby"`
-	Incarnation    ident.Incarnation    `json:"tenure"`    // from 1; raised whenever the worker's lease expires
-	SequenceNumber ident.SequenceNumber `json:"serial"`    // raised with every heartbeat
-	FencingToken   ident.FencingToken   `json:"epoch"`     // the highest that the worker has seen
-	ReclaimNoticeS *float64             `json:"warning_s"` // time until the machine is reclaimed; nil: not announced
+	Incarnation    ident.Incarnation    `json:"tenure"`    // starts at 1; increases whenever the worker's lease expires
+	SequenceNumber ident.SequenceNumber `json:"serial"`    // increases with each heartbeat
+	FencingToken   ident.FencingToken   `json:"epoch"`     // the highest one that the worker has received
+	ReclaimNoticeS *float64             `json:"warning_s"` // time until the provider reclaims the machine; nil: not announced
 	Tasks          []TaskReport         `json:"pieces"`
 }
 
@@ -62,8 +62,8 @@
 	Commands     []Command          `json:"orders"`
 }
 
-// ParseHeartbeat parses and checks a heartbeat. Its errors are those of encoding/json, for IDs those
-// that wrap ident.ErrMalformed, or of type *FieldError.
+// ParseHeartbeat parses and validates a heartbeat. Its errors are errors of encoding/json, errors that wrap
+// ident.ErrMalformed for malformed IDs, or of type *FieldError.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
@@ -80,7 +80,7 @@
 		return nil, &FieldError{"model", "model or site missing"}
 	}
 	for _, task := range heartbeat.Tasks {
-		// An unknown status is accepted: the task counts as one that takes its room.
+		// An unknown status is accepted: such a task counts as one that occupies its resources.
 		if task.Status == "" {
 			return nil, &FieldError{"pieces", "status missing"}
 		}
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -9,14 +9,14 @@
 	"opaldale/internal/ident"
 )
 
-// Shape is the relation of the tasks of a job to each other.
+// Shape is how the tasks of a job depend on each other.
 type Shape string
 
 // The shapes of a job.
 const (
 	Batch   Shape = "batch"   // tasks that run independently until they complete
 	Service Shape = "service" // replicas that run until the job is cancelled
-	Gang    Shape = "gang"    // tasks that run at the same time, or not at all
+	Gang    Shape = "gang"    // tasks that must all run at the same time
 )
 
 // Priority is the priority of a job.
@@ -30,11 +30,11 @@
 	BestEffort Priority = "best_effort"
 )
 
-// PriorityLevels is the number of levels of priorities.
+// PriorityLevels is the number of priorities.
 const PriorityLevels = 4
 
-// Level returns the order of the priority: 0 is the highest. An unknown priority has the lowest,
-// PriorityLevels-1.
+// Level returns the rank of the priority, from 0 for the highest to PriorityLevels-1 for the lowest. An
+// unknown priority has the lowest rank.
 func (p Priority) Level() int {
 	switch p {
 	case Critical:
@@ -47,10 +47,10 @@
 	return PriorityLevels - 1
 }
 
-// Spec is a job as its user submits it. Resources are those of each task.
+// Spec is the specification of a job as submitted by a user. Resources are those of a single task.
 type Spec struct {
 	ID               ident.JobID `json:"id"`
-	Class            string      `json:"lane"` // class of service, to which the objectives belong
+	Class            string      `json:"lane"` // class of service; objectives apply to a class
 	Team             string      `json:"desk"`
 	Shape            Shape       `json:"shape"`
 	Priority         Priority    `json:"rank"`
@@ -60,27 +60,26 @@
 	MemoryGB         float64     `json:"memory_gb"`
 	Image            string      `json:"bundle"`
 	ImageGB          float64     `json:"image_gb"`
-	Models           []string    `json:"models"`           // types of machines that it may run on; nil: all
-	Zone             *string     `json:"site"`             // the zone that it must run in; nil: any
+	Models           []string    `json:"models"`           // machine types on which tasks may run; nil: all
+	Zone             *string     `json:"site"`             // zone in which all tasks must run; nil: any
 	OneZone          bool        `json:"one_zone"`         // all tasks run in the same zone
-	Spread           bool        `json:"apart"`            // a zone has at most half of the tasks, rounded up
+	Spread           bool        `json:"apart"`            // at most half of the tasks, rounded up, run in one zone
 	Spot             bool        `json:"standby"`          // tasks may run on spot machines
 	RuntimeS         float64     `json:"runtime_s"`        // estimated running time of a task, without pulling its image
-	CheckpointEveryS float64     `json:"snapshot_every_s"` // 0: a task saves none
-	CheckpointS      float64     `json:"snapshot_s"`       // time that a task takes to save one when it is stopped
+	CheckpointEveryS float64     `json:"snapshot_every_s"` // interval between checkpoints; 0: tasks save none
+	CheckpointS      float64     `json:"snapshot_s"`       // time that a task needs to save a checkpoint when it is stopped
 	DeadlineS        *float64    `json:"due_s"`            // time from submission to completion; nil: none
 }
 
-// CanCheckpoint reports whether a task of the job keeps its progress when it is stopped with a grace
+// CanCheckpoint reports whether a task of the job can save its progress when it is stopped with a grace
 // period.
 func (s *Spec) CanCheckpoint() bool { return s.CheckpointEveryS > 0 && s.Shape != Service }
 
-// requiredFields lists the fields of a submission that must be present and not null.
+// requiredFields are the fields that must be present and not null in a submission.
 var requiredFields = []string{"id", "lane", "desk", "shape", "rank", "pieces", "vcpus", "cards", "memory_gb",
 	"bundle", "image_gb", "one_zone", "apart", "standby", "runtime_s", "snapshot_every_s", "snapshot_s"}
 
-// ParseSpec parses and checks a submission. Its errors are of type *FieldError, and meant for the
-// user.
+// ParseSpec parses and validates a submission. Its errors are of type *FieldError and are sent to the user.
 func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
@@ -102,7 +101,7 @@
 	return &s, s.validate()
 }
 
-// The limits of a submission. The texts of its errors repeat them.
+// The limits on the fields of a submission. The error texts repeat the numbers.
 const (
 	MaxTasks      = 100_000
 	maxNameBytes  = 200
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// validateKind checks the ID, and the fields with a fixed set of values.
+// validateKind checks the job ID, the fields with a fixed set of values and the number of tasks.
 func (s *Spec) validateKind() error {
 	if _, err := ident.ParseJobID(string(s.ID)); err != nil {
 		return &FieldError{"id", "not in the form j-000412"}
@@ -172,7 +171,7 @@
 	return nil
 }
 
-// Status is the state of a job as its user sees it.
+// Status is the state of a job as shown to users.
 type Status string
 
 // The states of a job. StatusDone and StatusCancelled are final.
@@ -180,15 +179,15 @@
 	StatusQueued    Status = "queued"    // no task runs
 	StatusRunning   Status = "running"   // at least one task runs
 	StatusDone      Status = "done"      // all tasks have completed
-	StatusCancelled Status = "cancelled" // its user has cancelled it
+	StatusCancelled Status = "cancelled" // a user cancelled the job
 )
 
-// JobView is the response to a query for a job.
+// JobView is the response to a query of a job.
 type JobView struct {
 	ID      ident.JobID `json:"id"`
 	Status  Status      `json:"status"`
-	Done    int         `json:"done"`    // number of tasks that have completed
-	Running int         `json:"running"` // number of tasks that run
+	Done    int         `json:"done"`    // number of completed tasks
+	Running int         `json:"running"` // number of running tasks
 }
 
 // StatusResponse is the response to a submission or a cancellation.
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -60,7 +60,7 @@
 }
 
 // post enqueues a user event. It blocks while the queue is full, and must not be called on the loop,
-// which would deadlock.
+// where blocking would deadlock.
 func (l *eventLoop) post(f func()) { l.enqueue(l.userEvents, f) }
 
 // postUrgent enqueues an urgent event, which runs before all user events. Like post, it must not be
