--- a/internal/settings/deploy_test.go
+++ b/internal/settings/deploy_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestDeployFiles: every shipped tuning file is valid and enables the link monitor.
+// TestDeployFiles: every tuning file in deploy is valid and enables the link monitor.
 func TestDeployFiles(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.sexp")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("tuning files in deploy: got %v, %v, want at least 2", files, err)
 	}
 	for _, f := range files {
 		b, err := os.ReadFile(f)
@@ -19,10 +19,10 @@
 		}
 		tuning := DefaultTuning()
 		if err := tuning.Apply(b); err != nil {
-			t.Errorf("%s: %v", f, err)
+			t.Errorf("%s: applying the file failed: %v", f, err)
 		}
 		if err := tuning.check(); err != nil || !tuning.Links.Enabled {
-			t.Errorf("%s: %v, links %v", f, err, tuning.Links.Enabled)
+			t.Errorf("%s: got error %v and link monitor enabled %v, want no error and true", f, err, tuning.Links.Enabled)
 		}
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestGoldenSettings pins the names of the platform's settings, with all of them set.
+// TestGoldenSettings pins the names of the platform's settings in a file with all of them.
 func TestGoldenSettings(t *testing.T) {
 	want := golden.Filled[Settings](0)
 	want.Bind, want.TransportAddr = "10.0.0.1:1", "10.0.0.1:2"
@@ -27,19 +27,19 @@
 	}
 	golden.Compare(t, "settings", string(text))
 	if got, err := Parse(text); err != nil || !reflect.DeepEqual(*got, want) {
-		t.Errorf("%+v is read as %+v, %v", want, got, err)
+		t.Errorf("encoded and parsed: got %+v, %v, want %+v", got, err, want)
 	}
 }
 
-// tuningNames are the operators' settings in the order of Tuning's fields.
+// tuningNames are the names of the operators' settings, in the order of the fields of Tuning.
 var tuningNames = []string{
 	"leader-lease", "round", "silent", "idle-keep", "boot-factor", "headroom", "spare", "max-wait", "gang-wait", "plan",
 	"links", "links-suspect", "links-half-life", "links-hold", "links-persist",
 	"rebalance", "moves-cluster", "moves-zone", "moves-team", "moves-margin", "moves-settle", "moves-patience", "moves-min-run",
 }
 
-// TestGoldenTuning pins the names of the operators' settings, the value that each of them changes, and
-// its errors.
+// TestGoldenTuning pins the names of the operators' settings, the field that each of them sets, and their
+// errors.
 func TestGoldenTuning(t *testing.T) {
 	var d golden.Document
 	d.Add("defaults", fmt.Sprintf("%v", DefaultTuning()))
@@ -55,7 +55,7 @@
 	d.Compare(t, "tuning")
 }
 
-// TestGoldenFaults pins the errors of faulty settings.
+// TestGoldenFaults pins the errors for invalid settings.
 func TestGoldenFaults(t *testing.T) {
 	var d golden.Document
 	empty := &Settings{}
@@ -87,7 +87,7 @@
 	d.Compare(t, "faults")
 }
 
-// oneLine puts joined errors on one line.
+// oneLine returns an error with the texts of joined errors on one line.
 func oneLine(err error) error {
 	if err == nil {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the two configuration files of a controller: the platform's settings in TOML,
-// and the operators' tuning as S-expressions. It reports all faults of a file, not only the first one.
+// Package settings reads and validates the two configuration files of a controller: the platform's
+// settings in TOML, and the operators' tuning as S-expressions. It reports all errors in a file, not only
+// the first one.
 package settings
 
 import (
@@ -31,17 +32,17 @@
 	Address string       `toml:"address"`
 }
 
-// Endpoints are the addresses (IP address and port) of the services that a controller uses.
+// Endpoints are the addresses (IP address and port) of the external services that a controller uses.
 type Endpoints struct {
 	Cloud string `toml:"cloud"` // the provider's API
 	Store string `toml:"state"` // the key-value store
 }
 
-// Cluster is the configuration that all nodes share.
+// Cluster is the part of the configuration that is the same on all nodes.
 type Cluster struct {
 	Nodes             int           `toml:"nodes"` // number of controllers
 	Zones             []string      `toml:"zones"`
-	ClockErrorBoundMS float64       `toml:"time_bound_ms"` // not used: leases depend on elapsed time only
+	ClockErrorBoundMS float64       `toml:"time_bound_ms"` // unused: leases depend on elapsed time only, not on the wall clock
 	Teams             []Team        `toml:"teams"`
 	Objectives        []Objective   `toml:"objectives"`
 	Workers           WorkerTimes   `toml:"workers"`
@@ -50,8 +51,8 @@
 	Resources         NodeResources `toml:"resources"`
 }
 
-// Team is a team's quota: its guaranteed CPUs and GPUs, and the limits on them. 0 means no guarantee, or
-// no limit.
+// Team is the quota of a team: the CPUs and GPUs that are guaranteed to it, and the maximum that it may use.
+// 0 means no guarantee or no maximum.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -65,10 +66,10 @@
 	Kind    ObjectiveKind `toml:"kind"`
 	Class   string        `toml:"class"`
 	WithinS float64       `toml:"within_s"` // time limit in seconds
-	Share   float64       `toml:"share"`    // fraction of the jobs that must meet the limit
+	Share   float64       `toml:"share"`    // fraction of the jobs that must meet the time limit
 }
 
-// ObjectiveKind is the duration of a job that an objective limits. Unknown kinds are ignored.
+// ObjectiveKind is the duration that an objective limits. Objectives of unknown kinds are ignored.
 type ObjectiveKind string
 
 // The kinds of objectives.
@@ -77,33 +78,33 @@
 	ObjectiveWait     ObjectiveKind = "wait"     // from submission to the start of its tasks
 )
 
-// WorkerTimes are the intervals and time limits of workers, in seconds.
+// WorkerTimes are the intervals and timeouts of workers, in seconds.
 type WorkerTimes struct {
-	HeartbeatS float64 `toml:"report_s"`    // from one heartbeat to the next
-	LeaseS     float64 `toml:"lease_s"`     // a worker whose lease is not renewed kills its tasks after this time
-	CancelS    float64 `toml:"cancel_s"`    // a cancelled task has ended after this time
-	GangWaitS  float64 `toml:"gang_wait_s"` // a task waits this long for the other tasks of its gang
-	GangPeerS  float64 `toml:"gang_peer_s"` // the tasks of a gang detect the loss of one of them within this time
+	HeartbeatS float64 `toml:"report_s"`    // interval between heartbeats
+	LeaseS     float64 `toml:"lease_s"`     // a worker kills its tasks if its lease is not renewed for this time
+	CancelS    float64 `toml:"cancel_s"`    // maximum time from the cancellation of a task to its end
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task waits for the other tasks of its gang to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // maximum time until the tasks of a gang detect the loss of one of them
 }
 
 // StoreLimits are the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
-	ValueKB  float64 `toml:"value_kb"`  // largest value, in KiB
-	TxnOps   int     `toml:"txn_ops"`   // operations in a transaction
-	// Announced are limits that the store will introduce at an unknown time, nil if there are none.
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value, in KiB
+	TxnOps   int     `toml:"txn_ops"`   // maximum number of operations in a transaction
+	// Announced are limits that the store will introduce at an unknown time; nil if there are none.
 	Announced *AnnouncedStoreLimits `toml:"next"`
 }
 
-// AnnouncedStoreLimits are limits that the store will introduce. 0 means that a limit will not change.
+// AnnouncedStoreLimits are limits that the store will introduce, see StoreLimits. A limit of 0 will not change.
 type AnnouncedStoreLimits struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Strictest returns the lower of each present and announced limit.
+// Strictest returns, for each limit, the lower one of the current and the announced value.
 func (s StoreLimits) Strictest() StoreLimits {
 	announced := s.Announced
 	if announced == nil {
@@ -124,21 +125,21 @@
 // CloudLimits are the limits of the provider's API.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // seconds by which a listing may be out of date
+	ListLagS float64 `toml:"list_lag_s"` // maximum staleness of a listing, in seconds
 }
 
-// NodeResources are the resources of its machine that a controller may use.
+// NodeResources are the resources that a controller may use on its machine.
 type NodeResources struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"` // MiB
 	Sockets  int     `toml:"sockets"`
 }
 
-// Seconds returns the duration for a number of seconds in the settings.
+// Seconds converts a number of seconds in the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks the platform's settings and, unless tuningPath is empty, the tuning file. The
-// error joins all faults of the first file that has any.
+// Load reads and validates the platform's settings and, unless tuningPath is empty, the tuning file. The
+// error joins all errors of the first file that has any.
 func Load(path, tuningPath string) (*Settings, error) {
 	platformFile, err := os.ReadFile(path)
 	if err != nil {
@@ -163,8 +164,8 @@
 	return s, nil
 }
 
-// Parse reads and checks the platform's settings in TOML. The tuning of the result is the default one.
-// Unknown fields are ignored. The error joins all faults.
+// Parse parses and validates the platform's settings in TOML. The result has the default tuning. Unknown
+// fields are ignored. The error joins all errors of the file.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{Tuning: DefaultTuning()}
 	if err := toml.Unmarshal(b, s); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,37 +48,37 @@
 sockets = 3500
 `
 
-// TestParse: a valid file is parsed, and the error of a faulty file names all faults.
+// TestParse: a valid file is parsed, and the error for an invalid file names all invalid settings.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validConfig))
 	if err != nil || s.Cluster.Teams[0].CPUsMax != 88 || s.Cluster.Objectives[0].WithinS != 1 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("parsed settings: got %+v, %v, want the values of validConfig", s, err)
 	}
-	// Every fault is named, not only the first.
+	// The error names every invalid setting, not only the first one.
 	bad := strings.NewReplacer(`"agent-1"`, `"agent-0"`, `10.2.0.2:8443`, `cloud.example:1`, `lease_s = 36.0`, `lease_s = 70.0`,
 		`txn_ops = 24`, `txn_ops = 0`, `sockets = 3500`, ``).Replace(validConfig)
 	_, err = Parse([]byte(bad))
 	for _, name := range []string{"siblings[0].node_name", "endpoints.cloud", "cancel_s", "txn_ops", "sockets"} {
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s is not named in %v", name, err)
+			t.Errorf("got error %v, want one that names %s", err, name)
 		}
 	}
 }
 
-// TestTuning: a tuning file sets the values that it contains, and a malformed file is rejected.
+// TestTuning: a tuning file sets the values that it contains, and malformed files are rejected.
 func TestTuning(t *testing.T) {
 	tuning := DefaultTuning()
 	if err := tuning.Apply([]byte("; ours\n(tuning (leader-lease 3s)\n (plan none) (headroom 1.5))")); err != nil {
 		t.Fatal(err)
 	}
 	if tuning.LeaderLease != 3*time.Second || tuning.PlanMode != "none" || tuning.Headroom != 1.5 {
-		t.Errorf("%+v", tuning)
+		t.Errorf("got %+v, want leader-lease 3s, plan none and headroom 1.5", tuning)
 	}
 	for _, bad := range []string{"", "(tuning", "(tuning))", "(other)", "(tuning (colour red))", "(tuning (round))",
 		"(tuning (round soon))", strings.Repeat("(", 100)} {
 		tuning := DefaultTuning()
 		if tuning.Apply([]byte(bad)) == nil {
-			t.Errorf("%q is accepted", bad)
+			t.Errorf("tuning file %q was accepted, want an error", bad)
 		}
 	}
 	links := "(links on) (links-suspect 800ms) (links-half-life 20s) (links-hold 30s) (links-persist 5s)"
@@ -93,7 +93,7 @@
 		StabilizationWindow: 5 * time.Second,
 	}
 	if tuning.Links != wantLinks || tuning.check() != nil {
-		t.Errorf("%+v, %v", tuning.Links, tuning.check())
+		t.Errorf("got %+v, %v, want %+v and no error", tuning.Links, tuning.check(), wantLinks)
 	}
 	moves := "(rebalance move) (moves-cluster 6) (moves-zone 3) (moves-team 1) (moves-margin 1.5) (moves-settle 5s)" +
 		" (moves-patience 2s) (moves-min-run 0s)"
@@ -109,11 +109,12 @@
 		MinTaskWait:      2 * time.Second,
 	}
 	if tuning.Migration != wantLimits || tuning.Rebalance != RebalanceMove || tuning.check() != nil {
-		t.Errorf("%+v, %v", tuning.Migration, tuning.check())
+		t.Errorf("got rebalance %s, %+v, %v, want rebalance move, %+v and no error",
+			tuning.Rebalance, tuning.Migration, tuning.check(), wantLimits)
 	}
 }
 
-// TestFaultyTuning: the error names a setting whose value is malformed or out of bounds.
+// TestFaultyTuning: the error names the setting whose value is malformed or out of bounds.
 func TestFaultyTuning(t *testing.T) {
 	for _, bad := range []struct{ text, name string }{
 		{"(links-suspect 1h)", "links-suspect"},
@@ -136,18 +137,18 @@
 		tuning := DefaultTuning()
 		err := errors.Join(tuning.Apply([]byte("(tuning "+bad.text+")")), tuning.check())
 		if err == nil || !strings.Contains(err.Error(), bad.name) {
-			t.Errorf("%s: %v", bad.text, err)
+			t.Errorf("%s: got error %v, want one that names %s", bad.text, err, bad.name)
 		}
 	}
 	tuning := DefaultTuning()
 	tuning.PlanMode = "guess"
 	if tuning.check() == nil {
-		t.Error("an unknown plan mode is accepted")
+		t.Error("the unknown plan mode \"guess\" was accepted, want an error")
 	}
 }
 
-// TestAnnouncedStoreLimits: announced limits apply where they are lower, limits without announcement are
-// unchanged, and the error names faulty announcements.
+// TestAnnouncedStoreLimits: Strictest returns announced limits where they are lower and leaves limits without
+// an announcement unchanged, and the error for invalid announcements names them.
 func TestAnnouncedStoreLimits(t *testing.T) {
 	next := func(body string) string {
 		return strings.Replace(validConfig, "[cluster.cloud]", "[cluster.state.next]\n"+body+"\n[cluster.cloud]", 1)
@@ -157,16 +158,17 @@
 		t.Fatal(err)
 	}
 	if got := s.Cluster.Store.Strictest(); got.WriteRPS != 56 || got.ValueKB != 2 || got.TxnOps != 24 || got.RPS != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want WriteRPS 56, ValueKB 2, TxnOps 24 and RPS 200", got)
 	}
 	plain, err := Parse([]byte(validConfig))
 	if err != nil || plain.Cluster.Store.Strictest() != plain.Cluster.Store {
-		t.Errorf("without an announcement: %+v, %v", plain.Cluster.Store.Strictest(), err)
+		t.Errorf("without an announcement: got limits %+v, %v, want %+v",
+			plain.Cluster.Store.Strictest(), err, plain.Cluster.Store)
 	}
 	_, err = Parse([]byte(next("write_rps = -1.0\nvalue_kb = 0.5\ntxn_ops = 2")))
 	for _, name := range []string{"next.write_rps", "next.value_kb", "next.txn_ops"} {
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s is not named: %v", name, err)
+			t.Errorf("got error %v, want one that names %s", err, name)
 		}
 	}
 }
--- a/internal/settings/sexp.go
+++ b/internal/settings/sexp.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// sexp is an S-expression: an atom, or a list of S-expressions. There is no quoting. Comments extend from
-// ';' to the end of the line.
+// sexp is an S-expression: an atom, or a list of S-expressions. Atoms cannot be quoted. A comment extends
+// from ';' to the end of the line.
 type sexp struct {
 	atom string
 	list []sexp
 }
 
-// maxDepth is the maximum nesting depth. It prevents stack exhaustion.
+// maxDepth is the maximum nesting depth of lists. It prevents stack exhaustion in the recursive parser. The
+// error text repeats the number.
 const maxDepth = 16
 
 // Characters that separate atoms.
@@ -21,26 +22,26 @@
 	delimiters = whitespace + "();"
 )
 
-// parseSexp parses the S-expressions in a text.
+// parseSexp parses a sequence of S-expressions.
 func parseSexp(src string) ([]sexp, error) {
 	p := &sexpParser{src: src}
 	exprs, err := p.parseSequence(0)
 	if err == nil && p.pos < len(p.src) {
-		err = errors.New("unexpected )")
+		err = errors.New("unexpected ) without a matching (")
 	}
 	return exprs, err
 }
 
-// sexpParser is a recursive descent parser of S-expressions.
+// sexpParser is a recursive descent parser for S-expressions.
 type sexpParser struct {
 	src string
 	pos int
 }
 
-// parseSequence reads expressions up to a ')' or the end.
+// parseSequence parses expressions up to a ')' or the end of the text.
 func (p *sexpParser) parseSequence(depth int) ([]sexp, error) {
 	if depth > maxDepth {
-		return nil, errors.New("nested too deeply")
+		return nil, errors.New("lists nested more than 16 levels deep")
 	}
 	var exprs []sexp
 	for p.pos < len(p.src) {
@@ -64,7 +65,7 @@
 	return exprs, nil
 }
 
-// skipComment skips to the end of the line.
+// skipComment advances to the end of the line.
 func (p *sexpParser) skipComment() {
 	if n := strings.IndexByte(p.src[p.pos:], '\n'); n >= 0 {
 		p.pos += n
@@ -73,7 +74,7 @@
 	}
 }
 
-// parseList reads a list from its '(' to its ')'.
+// parseList parses a list from its '(' to its ')'.
 func (p *sexpParser) parseList(depth int) (sexp, error) {
 	p.pos++
 	list, err := p.parseSequence(depth)
@@ -81,13 +82,13 @@
 		return sexp{}, err
 	}
 	if p.pos >= len(p.src) {
-		return sexp{}, errors.New("missing )")
+		return sexp{}, errors.New("missing ) at the end of the file")
 	}
 	p.pos++
 	return sexp{list: list}, nil
 }
 
-// parseAtom reads an atom.
+// parseAtom parses an atom.
 func (p *sexpParser) parseAtom() sexp {
 	end := strings.IndexAny(p.src[p.pos:], delimiters)
 	if end < 0 {
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -9,74 +9,75 @@
 	"time"
 )
 
-// Tuning is the part of the configuration that operators set, written as an S-expression:
+// Tuning is the part of the configuration that operators set. The tuning file is an S-expression:
 //
 //	(tuning (leader-lease 2s) (round 5s) (plan asm1))
 type Tuning struct {
-	LeaderLease          time.Duration // TTL of the leader lease
-	PlanInterval         time.Duration // time between placement plans
-	UnreachableAfter     time.Duration // a machine silent for this time is fenced; 0: a multiple of report_s
-	ScaleInDelay         time.Duration // how long excess capacity is kept
-	BootTimeoutFactor    float64       // a boot has failed after this many times startup_s
-	Headroom             float64       // factor on the capacity kept free for expected arrivals
-	ServiceSpareFraction float64       // fraction of the services' capacity kept free in case of failures
-	StarvationTimeout    time.Duration // a job that waits longer for its first task takes precedence over all others
-	GangPreemptAfter     time.Duration // other work waits this long before a whole gang is preempted for it
+	LeaderLease          time.Duration // duration of the leader lease
+	PlanInterval         time.Duration // interval between placement plans
+	UnreachableAfter     time.Duration // a machine without heartbeats for this time is fenced; 0: a multiple of report_s
+	ScaleInDelay         time.Duration // how long excess capacity is kept before machines are terminated
+	BootTimeoutFactor    float64       // a boot counts as failed after this multiple of startup_s
+	Headroom             float64       // factor applied to the free capacity kept for expected arrivals
+	ServiceSpareFraction float64       // free capacity kept for failures, as a fraction of the services' capacity
+	StarvationTimeout    time.Duration // a job whose first task waits longer takes precedence over all other jobs
+	GangPreemptAfter     time.Duration // how long other tasks wait before a whole gang is preempted for them
 	PlanMode             PlanMode      // how waiting tasks are assigned to machines
 	Links                Links
 	Rebalance            Rebalance
 	Migration            MigrationLimits
 }
 
-// PlanMode is the way in which waiting tasks are assigned to machines.
+// PlanMode is the method by which waiting tasks are assigned to machines.
 type PlanMode string
 
 // The plan modes.
 const (
-	PlanASM1 PlanMode = "asm1" // by periodic plans, with local work and stealing between them
-	PlanNone PlanMode = "none" // by local work and stealing only
+	PlanASM1 PlanMode = "asm1" // periodic plans; between them, machines take tasks whose image they hold or steal tasks
+	PlanNone PlanMode = "none" // no plans; machines only take tasks whose image they hold or steal tasks
 )
 
-// Rebalance is the reaction to uneven load.
+// Rebalance is the mode of rebalancing, which is the reaction to uneven load.
 type Rebalance string
 
-// The modes of rebalancing. Each includes the ones before it.
+// The modes of rebalancing. Each mode includes the previous ones.
 const (
 	RebalanceOff    Rebalance = "off"
-	RebalanceReport Rebalance = "report" // load, imbalance and overloaded teams are reported
-	RebalancePlace  Rebalance = "place"  // while a team is overloaded, its tasks are spread over equal machines
-	RebalanceMove   Rebalance = "move"   // running tasks are moved when the gain exceeds the cost
+	RebalanceReport Rebalance = "report" // report load, imbalance and overloaded teams
+	RebalancePlace  Rebalance = "place"  // while a team is overloaded, spread its tasks over equal machines
+	RebalanceMove   Rebalance = "move"   // move running tasks if the gain exceeds the cost
 )
 
 // rebalanceModes are all modes of rebalancing.
 var rebalanceModes = []Rebalance{RebalanceOff, RebalanceReport, RebalancePlace, RebalanceMove}
 
-// MigrationLimits restrict the moves of running tasks.
+// MigrationLimits are the limits on moves of running tasks.
 type MigrationLimits struct {
-	Cluster, Zone, Team int           // maximum number of concurrent moves in each
+	Cluster, Zone, Team int           // maximum number of concurrent moves in the cluster, from one zone, of one team
 	MinGainFactor       float64       // minimum ratio of the gain of a move to its cost
-	LeaderSettleTime    time.Duration // no task is moved in a term before this time
-	MinTaskWait         time.Duration // no task is moved to make room for one that has waited less than this
-	MinRunTime          time.Duration // no task is moved that has run for less than this
+	LeaderSettleTime    time.Duration // time after the start of a term before the first move
+	MinTaskWait         time.Duration // a task must wait this long before a running task is moved to free capacity for it
+	MinRunTime          time.Duration // a task must run this long before it is moved
 }
 
-// Upper bounds of tuning values.
+// Upper bounds of tuning values. The error texts repeat the numbers.
 const (
 	maxHeadroom        = 10
 	maxConcurrentMoves = 1000
 	maxGainFactor      = 100
 )
 
-// Links is the tuning of the link monitor, which detects partial network failures, and of handovers.
+// Links is the tuning of the link monitor, which detects partial network failures, and of leadership
+// handovers.
 type Links struct {
 	Enabled             bool
-	SuspectGrace        time.Duration // how long beyond its usual delays a link becomes suspect; see links.Config
-	PenaltyHalfLife     time.Duration // of the flap damping penalty; see links.Config
-	MinTermDuration     time.Duration // see handover.Config
-	StabilizationWindow time.Duration // see handover.Config
+	SuspectGrace        time.Duration // time added to a link's usual delays before the link becomes suspect; see links.Config
+	PenaltyHalfLife     time.Duration // half-life of the flap damping penalty; see links.Config
+	MinTermDuration     time.Duration // minimum time that a node leads before a handover; see handover.Config
+	StabilizationWindow time.Duration // how long the reason for a handover must persist; see handover.Config
 }
 
-// DefaultTuning returns the default values, which apply to settings that a tuning file omits.
+// DefaultTuning returns the default tuning, which applies to settings that are not in the tuning file.
 func DefaultTuning() Tuning {
 	return Tuning{
 		LeaderLease:          2 * time.Second,
@@ -107,7 +108,7 @@
 	}
 }
 
-// check returns all faults of the tuning.
+// check validates the values and returns all errors.
 func (t *Tuning) check() error {
 	v := &validation{}
 	t.checkScheduling(v)
@@ -153,8 +154,8 @@
 // outside reports whether a value is out of the inclusive range from least to greatest.
 func outside[T cmp.Ordered](value, least, greatest T) bool { return value < least || value > greatest }
 
-// Apply applies the settings in a tuning file. The error joins all faults of the file, such as syntax
-// errors and unknown names. Values are not checked against their bounds.
+// Apply sets the fields for the settings in a tuning file. The error joins all syntax errors, unknown names and
+// malformed values. Apply does not check values against their bounds; check does.
 func (t *Tuning) Apply(b []byte) error {
 	exprs, err := parseSexp(string(b))
 	if err != nil {
@@ -166,7 +167,7 @@
 	var faults []error
 	for _, expr := range exprs[0].list[1:] {
 		if len(expr.list) != 2 || expr.list[0].atom == "" || expr.list[1].atom == "" {
-			faults = append(faults, errors.New("want (name value)"))
+			faults = append(faults, errors.New("want a setting of the form (name value)"))
 			continue
 		}
 		name := expr.list[0].atom
@@ -177,13 +178,13 @@
 	return errors.Join(faults...)
 }
 
-// errNotOnOff is the fault of a boolean setting whose value is neither on nor off.
+// errNotOnOff is the error for a boolean setting whose value is neither on nor off.
 var errNotOnOff = errors.New("must be on or off")
 
-// errUnknownSetting is the fault of an unknown setting name.
+// errUnknownSetting is the error for an unknown setting name.
 var errUnknownSetting = errors.New("unknown setting")
 
-// set sets one setting by its name.
+// set parses a value and assigns it to the setting with the given name.
 func (t *Tuning) set(name, value string) error {
 	var err error
 	switch field := t.field(name).(type) {
@@ -205,7 +206,7 @@
 	return err
 }
 
-// field returns a pointer to the field of a setting, nil for an unknown name.
+// field returns a pointer to the field of the setting with the given name, or nil if the name is unknown.
 func (t *Tuning) field(name string) any {
 	return map[string]any{
 		"leader-lease":    &t.LeaderLease,
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -8,31 +8,31 @@
 	"opaldale/internal/ident"
 )
 
-// The minimum limits and resources with which a controller can work.
+// The minimum limits and resources that a controller needs.
 const (
-	minValueKB = 1  // largest value of the store, in KiB
-	minTxnOps  = 4  // operations in a transaction
-	minSockets = 16 // sockets of a node
+	minValueKB = 1  // minimum for the store's limit on the size of a value, in KiB
+	minTxnOps  = 4  // minimum for the store's limit on operations in a transaction
+	minSockets = 16 // minimum number of sockets of a node
 )
 
-// validation collects the faults of settings. The text of each fault begins with the name of the setting.
+// validation collects the errors of settings. Each error text begins with the name of the setting.
 type validation struct {
 	faults []error
 }
 
-// add adds a fault.
+// add adds an error.
 func (v *validation) add(format string, args ...any) {
 	v.faults = append(v.faults, fmt.Errorf(format, args...))
 }
 
-// rejectIf adds a fault if a condition holds.
+// rejectIf adds an error if the condition is true.
 func (v *validation) rejectIf(faulty bool, fault string) {
 	if faulty {
 		v.faults = append(v.faults, errors.New(fault))
 	}
 }
 
-// err returns the joined faults, nil if there are none.
+// err returns the joined errors, or nil if there are none.
 func (v *validation) err() error { return errors.Join(v.faults...) }
 
 // checkAddress checks that a value is an IP address with a port.
@@ -43,21 +43,21 @@
 	}
 }
 
-// checkPositive checks that a value is above 0, and not NaN.
+// checkPositive checks that a value is above 0 and is not NaN.
 func (v *validation) checkPositive(name string, value float64) {
 	if !(value > 0) {
 		v.add("%s: must be above 0", name)
 	}
 }
 
-// checkAtLeast checks that a value is not below a minimum.
+// checkAtLeast checks that a value is not below the minimum.
 func (v *validation) checkAtLeast(name string, value, minimum float64) {
 	if value < minimum {
 		v.add("%s: must be at least %v", name, minimum)
 	}
 }
 
-// check returns all faults of the platform's settings.
+// check validates the platform's settings and returns all errors.
 func (s *Settings) check() error {
 	v := &validation{}
 	v.rejectIf(s.Node == "", "node_name: missing")
@@ -75,7 +75,7 @@
 	return v.err()
 }
 
-// checkPeers checks that the names of all nodes are unique, and that all peers have valid addresses.
+// checkPeers checks that the names of all nodes are set and unique, and that all peers have valid addresses.
 func (s *Settings) checkPeers(v *validation) {
 	seen := map[ident.NodeID]bool{s.Node: true}
 	for i, p := range s.Peers {
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkTeams checks that team names are unique and quotas are not negative.
+// checkTeams checks that team names are set and unique, and that quotas are not negative.
 func (c *Cluster) checkTeams(v *validation) {
 	v.rejectIf(len(c.Teams) == 0, "cluster.teams: missing")
 	seen := map[string]bool{}
@@ -97,7 +97,7 @@
 		}
 		seen[t.Name] = true
 		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			v.add("cluster.teams[%d]: negative amount", i)
+			v.add("cluster.teams[%d]: cpus, cpus_max, gpus and gpus_max must not be negative", i)
 		}
 	}
 }
