--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -13,30 +13,30 @@
 const (
 	requestTimeout   = 4 * time.Second
 	maxResponseBytes = 4 << 20
-	listPageSize     = "500" // the largest that the API has
+	listPageSize     = "500" // the maximum that the API allows
 )
 
-// noCapacityError is the error in the body of a 503 that distinguishes a lack of machines from an
-// outage.
+// noCapacityError is the error in the body of a response with status 503 that distinguishes a lack of
+// machines from an outage of the API.
 const noCapacityError = "no capacity"
 
-// Client calls the provider's API over HTTP.
+// Client is a client of the provider's API.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 }
 
-// NewClient makes a client for the API at an address of the form host:port.
+// NewClient returns a client for the API at addr, which has the form host:port.
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}}
 }
 
-// machineIDList is the body of a termination, and of the response to a provisioning.
+// machineIDList is the body of a termination request and of the response to a provisioning request.
 type machineIDList struct {
 	MachineIDs []ident.MachineID `json:"hosts"`
 }
 
-// Do makes a call and waits for its response.
+// Do sends a request and waits for the response.
 func (c *Client) Do(request Request) Response {
 	method, path, body := request.encode()
 	call := httpcall.Call{
@@ -53,8 +53,8 @@
 	return decodeResponse(request.Op, status, response)
 }
 
-// encode returns the method, the path with its query, and the body of the request, nil if it
-// has none.
+// encode returns the HTTP method, the path with the query, and the body of the request, which is nil if the
+// request has none.
 func (r Request) encode() (method, path string, body any) {
 	switch r.Op {
 	case Catalog:
@@ -122,5 +122,5 @@
 		err := json.Unmarshal(body, &list)
 		return Response{Machines: list.Machines, Truncated: list.Truncated}, err
 	}
-	return Response{}, nil // the body of other responses does not matter
+	return Response{}, nil // the bodies of other responses are ignored
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestDecode: only a 503 with "no capacity" says that there are no machines, and only what the API defines is
-// a definite outcome.
+// TestDecode: only status 503 with the error "no capacity" is decoded as NoCapacity, and responses that the API
+// does not define are decoded as NoAnswer.
 func TestDecode(t *testing.T) {
 	for _, testCase := range []struct {
 		op     Op
@@ -24,10 +24,11 @@
 		{Catalog, 200, `{"models":[{"sku":"g8","vcpus":96}]}`, OK},
 	} {
 		if got := decodeResponse(testCase.op, testCase.status, []byte(testCase.body)); got.Outcome != testCase.want {
-			t.Errorf("%d %s: %v, %s", testCase.status, testCase.body, got.Outcome, got.Error)
+			t.Errorf("%d %s: got outcome %v, error %q, want outcome %v",
+				testCase.status, testCase.body, got.Outcome, got.Error, testCase.want)
 		}
 	}
 	if r := decodeResponse(Provision, 200, []byte(`{"hosts":["host-1"]}`)); len(r.Provisioned) != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("provisioning response: got %+v, want one provisioned machine", r)
 	}
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -12,7 +12,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestGoldenRequests pins method, path, query and body of each operation.
+// TestGoldenRequests pins the method, path, query and body of the request for each operation.
 func TestGoldenRequests(t *testing.T) {
 	var d golden.Document
 	transport := &golden.Transport{Status: http.StatusOK, Body: "{}"}
@@ -46,7 +46,7 @@
 	d.Compare(t, "requests")
 }
 
-// TestGoldenAnswers pins how each kind of response is decoded, field by field, and the outcome of each status.
+// TestGoldenAnswers pins the decoding of each field of the responses, and the outcome for each status.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	models := []MachineType{golden.Filled[MachineType](0)}
@@ -72,7 +72,7 @@
 	} {
 		c := NewClient("cloud:1", &golden.Transport{Status: http.StatusOK, Body: testCase.body})
 		if got := c.Do(Request{Op: testCase.op}); !reflect.DeepEqual(got, testCase.want) {
-			t.Errorf("%s is decoded as %+v", testCase.body, got)
+			t.Errorf("decoding %s: got %+v, want %+v", testCase.body, got, testCase.want)
 		}
 	}
 	names := map[Outcome]string{NoAnswer: "lost", OK: "ok", NoCapacity: "no capacity", Unavailable: "refused", Invalid: "bad"}
--- a/internal/enum/enum.go
+++ b/internal/enum/enum.go
@@ -1,10 +1,10 @@
-// Package enum names the values of enumerations.
+// Package enum provides the names of the values of enumerated types.
 package enum
 
 import "fmt"
 
-// Name returns the name of a value, which is its index in names. The name of any other value is the kind with
-// its number, such as "state 9".
+// Name returns names[value]. For a value outside names, it returns kind and the number of the value, such as
+// "state 9".
 func Name[E ~uint8](names []string, value E, kind string) string {
 	if int(value) < len(names) {
 		return names[value]
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,4 +1,4 @@
-// Package httpcall makes HTTP calls with JSON bodies, with limits on the time and the size of the response.
+// Package httpcall sends HTTP requests with JSON bodies, and limits the time until the response and its size.
 package httpcall
 
 import (
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Call is a request with the limits on its response.
+// Call is an HTTP request with limits on its response.
 type Call struct {
 	Method string
 	URL    string
 	Body   any // encoded as JSON; nil for a request without a body
 
 	Timeout          time.Duration // of the whole call, including reading the response body
-	MaxResponseBytes int64         // longer bodies are truncated without an error
+	MaxResponseBytes int64         // longer response bodies are truncated without an error
 }
 
-// Do sends the request and returns the status and the body of the response. If it returns an error, the
-// server may nevertheless have processed the request, unless ConnectionRefused reports true for the error.
+// Do sends the request and returns the status and the body of the response. After an error the server may
+// still have processed the request, unless ConnectionRefused returns true for the error.
 func (c Call) Do(client *http.Client) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -56,5 +56,6 @@
 	return request, nil
 }
 
-// ConnectionRefused reports whether err is a refused connection, in which case nothing was sent.
+// ConnectionRefused reports whether a call failed because the connection was refused, in which case the
+// request was not sent.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// received is a request received by the server.
+// received is a request that the server received.
 type received struct{ method, contentType, body string }
 
-// newServer starts a server that sends each request to the returned channel and responds with a status
-// and a body.
+// newServer starts a server that passes each request to the returned channel and responds with the given
+// status and body.
 func newServer(t *testing.T, status int, body string) (*httptest.Server, <-chan received) {
 	t.Helper()
 	requests := make(chan received, 1)
@@ -29,6 +29,7 @@
 	return server, requests
 }
 
+// TestDo: the server receives the method and the JSON body, and the response is returned up to the size limit.
 func TestDo(t *testing.T) {
 	const responseBody = `{"error":"no such lease"}`
 	for _, tc := range []struct {
@@ -54,25 +55,27 @@
 			}
 			status, body, err := call.Do(server.Client())
 			if err != nil || status != http.StatusBadRequest || string(body) != tc.wantBody {
-				t.Errorf("response %d %q, %v, want %d %q", status, body, err, http.StatusBadRequest, tc.wantBody)
+				t.Errorf("got response %d %q, %v, want %d %q", status, body, err, http.StatusBadRequest, tc.wantBody)
 			}
 			if got := <-requests; got != tc.wantReceived {
-				t.Errorf("request %+v, want %+v", got, tc.wantReceived)
+				t.Errorf("the server received %+v, want %+v", got, tc.wantReceived)
 			}
 		})
 	}
 }
 
+// TestTimeout: a call without a response in time fails with context.DeadlineExceeded.
 func TestTimeout(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer server.Close()
 	call := Call{Method: http.MethodGet, URL: server.URL, Timeout: 50 * time.Millisecond, MaxResponseBytes: 100}
 	_, _, err := call.Do(server.Client())
 	if !errors.Is(err, context.DeadlineExceeded) || ConnectionRefused(err) {
-		t.Errorf("got %v, want that the deadline was exceeded", err)
+		t.Errorf("got error %v, want %v", err, context.DeadlineExceeded)
 	}
 }
 
+// TestConnectionRefused: ConnectionRefused returns true for a call to a closed port.
 func TestConnectionRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,13 +85,14 @@
 	listener.Close()
 	call := Call{Method: http.MethodGet, URL: url, Timeout: time.Minute, MaxResponseBytes: 100}
 	if _, _, err := call.Do(http.DefaultClient); !ConnectionRefused(err) {
-		t.Errorf("got %v, want a refused connection", err)
+		t.Errorf("got error %v, want a refused connection", err)
 	}
 }
 
+// TestBodyThatCannotBeEncoded: a body that cannot be encoded as JSON is an error other than a refused connection.
 func TestBodyThatCannotBeEncoded(t *testing.T) {
 	call := Call{Method: http.MethodPost, URL: "http://127.0.0.1:1", Body: func() {}, Timeout: time.Minute}
 	if _, _, err := call.Do(http.DefaultClient); err == nil || ConnectionRefused(err) {
-		t.Errorf("got %v, want that nothing is sent", err)
+		t.Errorf("got error %v, want an error of the JSON encoding", err)
 	}
 }
--- a/internal/ident/clock_test.go
+++ b/internal/ident/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestLeastElapsed: the bound is a thousandth below the time on the other clock.
+// TestLeastElapsed: the minimum is 0.1% below the time that elapsed on the other clock.
 func TestLeastElapsed(t *testing.T) {
 	for _, c := range []struct{ elapsed, want time.Duration }{
 		{0, 0},
@@ -13,7 +13,7 @@
 		{-time.Second, -999 * time.Millisecond},
 	} {
 		if got := LeastElapsed(c.elapsed); got != c.want {
-			t.Errorf("%v: %v, want %v", c.elapsed, got, c.want)
+			t.Errorf("LeastElapsed(%v): got %v, want %v", c.elapsed, got, c.want)
 		}
 	}
 }
--- a/internal/ident/ident_test.go
+++ b/internal/ident/ident_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestParseJobID: IDs of the required form are accepted, and others are rejected with ErrMalformed.
 func TestParseJobID(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -24,38 +25,40 @@
 		t.Run(tc.name, func(t *testing.T) {
 			id, err := ParseJobID(tc.text)
 			if tc.valid && (err != nil || id != JobID(tc.text)) {
-				t.Errorf("%q: got %q, %v", tc.text, id, err)
+				t.Errorf("ParseJobID(%q): got %q, %v, want the same text and no error", tc.text, id, err)
 			}
 			if !tc.valid && !errors.Is(err, ErrMalformed) {
-				t.Errorf("%q: got %q, %v, want ErrMalformed", tc.text, id, err)
+				t.Errorf("ParseJobID(%q): got %q, %v, want ErrMalformed", tc.text, id, err)
 			}
 		})
 	}
 }
 
+// TestTaskIDText: a task ID is encoded in its text form, and decoded from it.
 func TestTaskIDText(t *testing.T) {
 	want := TaskID{Job: "j-000412", Index: 3}
 	text, err := want.MarshalText()
 	if err != nil || string(text) != "j-000412/3" {
-		t.Fatalf("%+v is encoded as %q, %v", want, text, err)
+		t.Fatalf("encoding %+v: got %q, %v, want \"j-000412/3\"", want, text, err)
 	}
 	var got TaskID
 	if err := got.UnmarshalText(text); err != nil || got != want {
-		t.Errorf("%q is decoded as %+v, %v", text, got, err)
+		t.Errorf("decoding %q: got %+v, %v, want %+v", text, got, err, want)
 	}
 }
 
+// TestMalformedTaskIDText: malformed texts are rejected with ErrMalformed and leave the ID unchanged.
 func TestMalformedTaskIDText(t *testing.T) {
 	for _, text := range []string{"", "j-1", "j-1/", "j-1/-1", "j-1/x", "j-1/1/1", "/1", "1/1"} {
 		var id TaskID
 		err := id.UnmarshalText([]byte(text))
 		if !errors.Is(err, ErrMalformed) || id != (TaskID{}) {
-			t.Errorf("%q is decoded as %+v, %v, want ErrMalformed", text, id, err)
+			t.Errorf("decoding %q: got %+v, %v, want the zero ID and ErrMalformed", text, id, err)
 		}
 	}
 }
 
-// TestFencingTokenOrder: tokens are ordered by the term first, then by the counter.
+// TestFencingTokenOrder: tokens are ordered by term first, and by counter within a term.
 func TestFencingTokenOrder(t *testing.T) {
 	const lastCounter = 1<<tokenCounterBits - 1
 	ascending := []FencingToken{
@@ -66,10 +69,10 @@
 	}
 	for i, token := range ascending[1:] {
 		if token <= ascending[i] {
-			t.Errorf("token %d is not above token %d", token, ascending[i])
+			t.Errorf("got token %d after token %d, want a higher one", token, ascending[i])
 		}
 	}
 	if term := MakeFencingToken(7, lastCounter).Term(); term != 7 {
-		t.Errorf("the term of the token is %d, want 7", term)
+		t.Errorf("term of the token: got %d, want 7", term)
 	}
 }
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -33,8 +33,8 @@
 
 // The plan modes.
 const (
-	PlanASM1 PlanMode = "asm1" // periodic plans; between them, machines take tasks whose image they hold or steal tasks
-	PlanNone PlanMode = "none" // no plans; machines only take tasks whose image they hold or steal tasks
+	PlanASM1 PlanMode = "asm1" // periodic plans; in between, idle machines take or steal waiting tasks
+	PlanNone PlanMode = "none" // no plans: idle machines take or steal waiting tasks
 )
 
 // Rebalance is the mode of rebalancing, which is the reaction to uneven load.
