--- a/cmd/opaldale/client.go
+++ b/cmd/opaldale/client.go
@@ -18,20 +18,20 @@
 const (
 	// defaultAddr is the default of the flag --addr.
 	defaultAddr = "127.0.0.1:8080"
-	// clientTimeout bounds a request to a node, including reading the response.
+	// clientTimeout is the maximum time for a request to a node, including reading the response.
 	clientTimeout = 5 * time.Second
-	// maxResponseBytes bounds the size of a response body that is read.
+	// maxResponseBytes is the number of bytes after which a response body is truncated.
 	maxResponseBytes = 1 << 20
 
 	jobsPath = "/v2/runs"
-	// standardInput is the file name that stands for standard input.
+	// standardInput is the file name that denotes standard input.
 	standardInput = "-"
 )
 
-// apiClient sends user requests to a node. It never retries; that is left to the caller of the command.
+// apiClient sends user requests to a node. It never retries; the user of the command decides on retries.
 type apiClient struct{ addr string }
 
-// clientCommand returns the commands for users.
+// clientCommand returns the command that contains the commands for users.
 func clientCommand() *cobra.Command {
 	client := &apiClient{}
 	cmd := &cobra.Command{Use: "client", Short: "Submit, look up and cancel jobs"}
@@ -77,10 +77,10 @@
 	}
 }
 
-// jobPath returns the path of a job in the API.
+// jobPath returns the URL path of a job in the API.
 func jobPath(id string) string { return jobsPath + "/" + url.PathEscape(id) }
 
-// readSpec reads a job specification from a file or from standard input, and validates it.
+// readSpec reads and validates a job specification from a file or from standard input.
 func readSpec(stdin io.Reader, path string) ([]byte, error) {
 	var body []byte
 	var err error
@@ -99,8 +99,8 @@
 	return body, nil
 }
 
-// call sends a request and prints the body of the response. It returns an error with the status of the
-// response unless that is a success.
+// call sends a request and prints the body of the response. It returns an error if the status of the
+// response is not a success.
 func (c *apiClient) call(cmd *cobra.Command, method, path string, body []byte) error {
 	req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -115,8 +115,8 @@
 	return statusError(resp)
 }
 
-// sendRequest sends a request to a node. It returns the response, whose Body is closed, and the content
-// of the body.
+// sendRequest sends a request to a node. It returns the response, whose Body is already closed, and the
+// content of the body.
 func sendRequest(req *http.Request) (*http.Response, []byte, error) {
 	resp, err := (&http.Client{Timeout: clientTimeout}).Do(req)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return resp, body, nil
 }
 
-// statusError returns an error with the status of a response that is not a success, nil otherwise.
+// statusError returns an error with the status of the response, or nil if the status is a success.
 func statusError(resp *http.Response) error {
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return nil
--- a/cmd/opaldale/golden_test.go
+++ b/cmd/opaldale/golden_test.go
@@ -27,29 +27,29 @@
 	os.Exit(m.Run())
 }
 
-// execute runs the command, and returns its output and exit code. ADDR in args stands for addr.
+// execute runs the command and returns its output and exit code. It replaces ADDR in args by addr.
 func execute(t *testing.T, addr string, environment []string, args ...string) string {
 	t.Helper()
-	given := make([]string, len(args))
+	substituted := make([]string, len(args))
 	for i, a := range args {
-		given[i] = strings.ReplaceAll(a, "ADDR", addr)
+		substituted[i] = strings.ReplaceAll(a, "ADDR", addr)
 	}
-	cmd := exec.Command(os.Args[0], given...)
+	cmd := exec.Command(os.Args[0], substituted...)
 	cmd.Env = append([]string{runMainVariable + "=1", "GOCOVERDIR=" + t.TempDir()}, environment...)
-	var out, faults strings.Builder
-	cmd.Stdout, cmd.Stderr = &out, &faults
+	var stdout, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	err := cmd.Run()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintf("%sexit %d, on standard error:\n%s", out.String(), cmd.ProcessState.ExitCode(), faults.String())
+	text := fmt.Sprintf("%sexit %d, on standard error:\n%s", stdout.String(), cmd.ProcessState.ExitCode(), stderr.String())
 	if addr != "" {
 		text = strings.ReplaceAll(text, addr, "ADDR")
 	}
 	return text
 }
 
-// TestGoldenHelp pins the names of commands and flags, and their help.
+// TestGoldenHelp pins the names and help texts of commands and flags.
 func TestGoldenHelp(t *testing.T) {
 	var d golden.Document
 	for _, command := range []string{
@@ -62,7 +62,7 @@
 	d.Compare(t, "help")
 }
 
-// TestGoldenSettings pins the output of the check of settings, and of commands that fail.
+// TestGoldenSettings pins the output of settings check, and of commands that fail.
 func TestGoldenSettings(t *testing.T) {
 	var d golden.Document
 	for _, line := range []string{
@@ -87,10 +87,10 @@
 	d.Compare(t, "settings")
 }
 
-// goldenNode responds to all requests alike, and records the last one.
+// goldenNode sends the same response to all requests, and records the last request.
 type goldenNode struct {
 	status      int
-	retry       string
+	retryAfter  string
 	body        string
 	mu          sync.Mutex
 	lastRequest string
@@ -104,21 +104,21 @@
 	n.mu.Lock()
 	n.lastRequest = fmt.Sprintf("%s %s %s\n%s\n", r.Method, r.URL, r.Header.Get("Content-Type"), body)
 	n.mu.Unlock()
-	if n.retry != "" {
-		w.Header().Set("Retry-After", n.retry)
+	if n.retryAfter != "" {
+		w.Header().Set("Retry-After", n.retryAfter)
 	}
 	w.WriteHeader(n.status)
 	io.WriteString(w, n.body)
 }
 
-// request returns the last request.
+// request returns the last request that the node received.
 func (n *goldenNode) request() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lastRequest
 }
 
-// TestGoldenClient pins the requests of the client, and what it prints.
+// TestGoldenClient pins the requests that the client commands send, and their output.
 func TestGoldenClient(t *testing.T) {
 	var d golden.Document
 	lines := []string{
@@ -128,7 +128,7 @@
 	for _, node := range []*goldenNode{
 		{status: http.StatusOK, body: `{"id":"j-000412","status":"queued"}` + "\n"},
 		{status: http.StatusNotFound, body: `{"error":"no such job"}`},
-		{status: http.StatusServiceUnavailable, retry: "2", body: `{"error":"overloaded"}`},
+		{status: http.StatusServiceUnavailable, retryAfter: "2", body: `{"error":"overloaded"}`},
 	} {
 		web := httptest.NewServer(node)
 		addr := strings.TrimPrefix(web.URL, "http://")
@@ -141,7 +141,7 @@
 	d.Compare(t, "client")
 }
 
-// TestGoldenTables pins the tables of reports with all of their fields set.
+// TestGoldenTables pins the tables that are printed for reports with all fields set.
 func TestGoldenTables(t *testing.T) {
 	var d golden.Document
 	var b strings.Builder
--- a/cmd/opaldale/links.go
+++ b/cmd/opaldale/links.go
@@ -10,16 +10,16 @@
 	"opaldale/internal/linktracker"
 )
 
-// linksCommand returns the command that shows the state of a node's links, and those advertised by its
-// peers.
+// linksCommand returns the command that shows the state of a node's links and of the links that its peers
+// advertise.
 func linksCommand() *cobra.Command {
-	return reportCommand("links", "Show who reaches whom, as a node knows it", writeLinks)
+	return reportCommand("links", "Show the links of a node and those advertised by its peers", writeLinks)
 }
 
-// newTable returns a writer that aligns tab-separated columns.
+// newTable returns a writer that aligns tab-separated columns. The caller must call Flush.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
-// writeLinks prints a report as tables.
+// writeLinks prints a report on links as tables.
 func writeLinks(out io.Writer, report linktracker.Report) error {
 	fmt.Fprintf(out, "%s: authority %s", report.Node, report.Authority)
 	if report.Handover != "" {
@@ -27,7 +27,7 @@
 	}
 	fmt.Fprintln(out)
 	if !report.Enabled {
-		fmt.Fprintln(out, "the view of links is off (docs/links-operations.md)")
+		fmt.Fprintln(out, "link monitoring is off (docs/links-operations.md)")
 		return nil
 	}
 	table := newTable(out)
@@ -62,7 +62,7 @@
 	}
 }
 
-// linkNote returns the reason why a link that may be up is not used, "" if there is none.
+// linkNote returns the reason why a link is not used although its state may be up, or "" if there is none.
 func linkNote(damped, refusing bool) string {
 	switch {
 	case damped && refusing:
--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/linktracker"
 )
 
-// TestLinksCommand prints the report of a node, as tables and as JSON.
+// TestLinksCommand: the command prints the report of a node as tables or as JSON, and fails on an error status.
 func TestLinksCommand(t *testing.T) {
 	report := linktracker.Report{
 		Node:      "agent-0",
@@ -35,20 +35,20 @@
 		"damped", "refuses", "term 7", "a sibling is better placed",
 	} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("%q is not in the tables, %v:\n%s", want, err, out)
+			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
 		}
 	}
 	out, err = run("--json")
-	var again linktracker.Report
-	if err != nil || json.Unmarshal([]byte(out), &again) != nil || again.Handovers[0].To != "agent-2" {
-		t.Errorf("as JSON: %v\n%s", err, out)
+	var decoded linktracker.Report
+	if err != nil || json.Unmarshal([]byte(out), &decoded) != nil || decoded.Handovers[0].To != "agent-2" {
+		t.Errorf("with --json: got error %v, want none and the report as JSON:\n%s", err, out)
 	}
 	report.Enabled = false
 	if out, err = run(); err != nil || !strings.Contains(out, "is off") {
-		t.Errorf("with the view off: %v\n%s", err, out)
+		t.Errorf("with link monitoring off: got error %v, want none and a notice:\n%s", err, out)
 	}
 	node.status = http.StatusServiceUnavailable
 	if _, err = run(); err == nil {
-		t.Error("a refusal is no error")
+		t.Error("got no error for status 503, want one")
 	}
 }
--- a/cmd/opaldale/main.go
+++ b/cmd/opaldale/main.go
@@ -1,5 +1,5 @@
-// Command opaldale runs a controller of the cluster scheduler. It is also the client for users and
-// operators of the cluster.
+// Command opaldale runs a controller of the cluster scheduler. It also contains the client commands for
+// users and operators of the cluster.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFailure is the exit code of failed commands.
+// exitFailure is the exit code of a command that failed.
 const exitFailure = 2
 
 func main() {
--- a/cmd/opaldale/moves.go
+++ b/cmd/opaldale/moves.go
@@ -12,18 +12,18 @@
 
 // movesCommand returns the command that shows the moves of running tasks.
 func movesCommand() *cobra.Command {
-	return reportCommand("moves", "Show moves of running tasks, under way and lately", writeMoves)
+	return reportCommand("moves", "Show active and recent moves of running tasks", writeMoves)
 }
 
-// writeMoves prints a report as a table.
+// writeMoves prints a report on moves as a table.
 func writeMoves(out io.Writer, report controller.MoveReport) error {
-	role := "follows: moves on record"
+	role := "follows: stored moves"
 	if report.Leader {
-		role = "leads: moves under way and lately"
+		role = "leads: active and recent moves"
 	}
 	fmt.Fprintf(out, "%s: rebalance %s, %s\n", report.Node, report.Mode, role)
 	if report.Mode != settings.RebalanceMove {
-		fmt.Fprintln(out, "this node carries no moves out (docs/rebalancing-operations.md)")
+		fmt.Fprintln(out, "this node does not move tasks (docs/rebalancing-operations.md)")
 	}
 	if report.Error != "" {
 		fmt.Fprintln(out, report.Error)
@@ -37,12 +37,12 @@
 		return err
 	}
 	if report.Truncated {
-		fmt.Fprintln(out, "more is on record than is shown")
+		fmt.Fprintln(out, "the list is truncated: there are more stored moves")
 	}
 	return nil
 }
 
-// writeMove prints the row of a move.
+// writeMove prints the table row of a move.
 func writeMove(table io.Writer, m *controller.MoveEntry) {
 	realised := "-"
 	if m.RealizedGainS != nil {
--- a/cmd/opaldale/moves_test.go
+++ b/cmd/opaldale/moves_test.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/controller"
 )
 
-// TestMovesCommand prints the report of a node, as a table and as JSON.
+// TestMovesCommand: the command prints the report of a node as a table or as JSON.
 func TestMovesCommand(t *testing.T) {
 	gain := 12.5
 	report := controller.MoveReport{Node: "agent-1", Mode: "move", Leader: true, Moves: []controller.MoveEntry{
@@ -35,22 +35,22 @@
 		"j-000012/3  vision", "arrived", "16.0 s", "12.5 s", "stopping",
 	} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("%q is not in the table, %v:\n%s", want, err, out)
+			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
 		}
 	}
 	out, err = run("--json")
-	var again controller.MoveReport
-	if err != nil || json.Unmarshal([]byte(out), &again) != nil {
-		t.Fatalf("as JSON: %v\n%s", err, out)
+	var decoded controller.MoveReport
+	if err != nil || json.Unmarshal([]byte(out), &decoded) != nil {
+		t.Fatalf("with --json: got error %v, want none and the report as JSON:\n%s", err, out)
 	}
-	if len(again.Moves) != 2 || *again.Moves[0].RealizedGainS != gain {
-		t.Errorf("as JSON: %v\n%s", err, out)
+	if len(decoded.Moves) != 2 || *decoded.Moves[0].RealizedGainS != gain {
+		t.Errorf("with --json: got %d moves, want 2 and a realized gain of %v:\n%s", len(decoded.Moves), gain, out)
 	}
 	report = controller.MoveReport{Node: "agent-2", Mode: "off", Truncated: true, Error: "state service unavailable"}
 	out, err = run()
-	for _, want := range []string{"follows", "carries no moves out", "state service unavailable", "more is on record"} {
+	for _, want := range []string{"follows", "does not move tasks", "state service unavailable", "the list is truncated"} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("%q is not in the answer, %v:\n%s", want, err, out)
+			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
 		}
 	}
 }
--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 )
 
-// reportCommand returns a command that shows a report of a node to operators, as tables printed by write
-// or as the JSON sent by the node. name is both the command's name and the path of the report.
+// reportCommand returns a command that prints a report of a node for operators, either with write or as the
+// JSON that the node sent. name is the name of the command and the URL path of the report.
 func reportCommand[T any](name, short string, write func(io.Writer, T) error) *cobra.Command {
 	var addr string
 	var asJSON bool
@@ -35,11 +35,11 @@
 		},
 	}
 	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of a node")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print the node's answer as it is")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the JSON that the node sent")
 	return cmd
 }
 
-// fetchReport requests a report of a node and returns its JSON.
+// fetchReport requests a report from a node and returns its JSON.
 func fetchReport(addr, name string) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/"+name, nil)
 	if err != nil {
--- a/cmd/opaldale/report_command_test.go
+++ b/cmd/opaldale/report_command_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// runAgainst returns a function that runs a command against a node, and returns what it prints.
+// runAgainst returns a function that runs a command against a node and returns the command's output.
 func runAgainst(t *testing.T, node *fakeNode, command func() *cobra.Command) func(args ...string) (string, error) {
 	t.Helper()
 	node.t = t
--- a/cmd/opaldale/serve.go
+++ b/cmd/opaldale/serve.go
@@ -11,14 +11,14 @@
 	"opaldale/internal/settings"
 )
 
-// Environment variables that a controller reads.
+// Environment variables that the serve command reads.
 const (
 	logLevelVariable = "LOG_LEVEL"
 	tuningVariable   = "OPALDALE_TUNING" // default path of the tuning file
 )
 
-// tuningUsage is the usage of the flag --tuning.
-const tuningUsage = "the operators' settings (S-expressions)"
+// tuningUsage is the help text of the flag --tuning.
+const tuningUsage = "file with the operators' settings (S-expressions)"
 
 func serveCommand() *cobra.Command {
 	var configPath, tuningPath string
@@ -28,15 +28,15 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return serve(configPath, tuningPath) },
 	}
-	cmd.Flags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
+	cmd.Flags().StringVar(&configPath, "config", "", "file with the platform's settings (TOML)")
 	cmd.Flags().StringVar(&tuningPath, "tuning", os.Getenv(tuningVariable), tuningUsage)
 	if err := cmd.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag is not defined
+		panic(err) // happens only if the flag is not defined
 	}
 	return cmd
 }
 
-// serve runs a controller. It returns only on failure.
+// serve runs a controller. It returns only if the controller fails.
 func serve(configPath, tuningPath string) error {
 	configureLogging()
 	loaded, err := settings.Load(configPath, tuningPath)
@@ -47,7 +47,7 @@
 	return server.Run(loaded)
 }
 
-// configureLogging sets up logging to standard error, at the level set by logLevelVariable.
+// configureLogging configures logging to standard error, at the level in the environment variable LOG_LEVEL.
 func configureLogging() {
 	level := slog.LevelInfo
 	if v := os.Getenv(logLevelVariable); v != "" {
--- a/cmd/opaldale/settings.go
+++ b/cmd/opaldale/settings.go
@@ -8,9 +8,9 @@
 	"opaldale/internal/settings"
 )
 
-// settingsCommand returns the commands for settings files.
+// settingsCommand returns the command that contains the commands for settings files.
 func settingsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "settings", Short: "Work with settings"}
+	cmd := &cobra.Command{Use: "settings", Short: "Check settings files"}
 	cmd.AddCommand(settingsCheckCommand())
 	return cmd
 }
@@ -19,7 +19,7 @@
 	var tuningPath string
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Name every fault in a settings file",
+		Short: "Check a settings file and print all errors",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.Load(args[0], tuningPath); err != nil {
--- a/cmd/opaldale/version.go
+++ b/cmd/opaldale/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// release is the version under development, as in CHANGELOG.md.
+// release is the version under development. CHANGELOG.md has the same version.
 const release = "0.1.0"
 
 // revisionSetting is the key of the build setting that holds the source revision.
@@ -25,7 +25,7 @@
 	}
 }
 
-// sourceRevision returns the source revision of the build, "unknown" if it was not recorded.
+// sourceRevision returns the source revision of the build, or "unknown" if the build did not record it.
 func sourceRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/deploy/links.sexp
+++ b/deploy/links.sexp
@@ -1,8 +1,8 @@
-; Turns the view of half-broken links on (docs/links-operations.md). Given to `serve` with
-; --tuning; the times are the defaults.
+; Enables the link monitor, which detects partial network failures (docs/links-operations.md). Pass
+; this file to `serve` with --tuning. The durations are the defaults.
 (tuning
   (links on)
-  (links-suspect 1s)      ; granted beyond a link's usual delays before it is suspected
-  (links-half-life 15s)   ; of the penalty for a link that breaks again and again
-  (links-hold 15s)        ; a lead is kept for so long before it is handed over
-  (links-persist 3s))     ; a sibling must be better placed for so long
+  (links-suspect 1s)      ; time added to a link's usual delays before the link becomes suspect
+  (links-half-life 15s)   ; half-life of the flap damping penalty for a link that fails repeatedly
+  (links-hold 15s)        ; minimum time that a node leads before it hands over
+  (links-persist 3s))     ; how long another node must be better connected before a handover
--- a/deploy/load.sexp
+++ b/deploy/load.sexp
@@ -1,5 +1,5 @@
-; Shows the load of machines and teams (docs/rebalancing-operations.md), with the view of
-; half-broken links on as in links.sexp.
+; Reports the load of machines and teams (docs/rebalancing-operations.md). The link monitor is
+; enabled as in links.sexp. Pass this file to `serve` with --tuning.
 (tuning
   (links on)
   (rebalance report))
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -35,8 +35,8 @@
 		"snapshot_every_s": {`30.0`, `null`},
 	} {
 		_, err := ParseSpec([]byte(strings.Replace(validSpec, change[0], change[1], 1)))
-		var fe *FieldError
-		if !errors.As(err, &fe) || fe.Field != field {
+		var fieldErr *FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.Field != field {
 			t.Errorf("%s: got error %v, want a FieldError for that field", field, err)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -150,22 +150,22 @@
 // TestAnnouncedStoreLimits: Strictest returns announced limits where they are lower and leaves limits without
 // an announcement unchanged, and the error for invalid announcements names them.
 func TestAnnouncedStoreLimits(t *testing.T) {
-	next := func(body string) string {
+	withAnnouncement := func(body string) string {
 		return strings.Replace(validConfig, "[cluster.cloud]", "[cluster.state.next]\n"+body+"\n[cluster.cloud]", 1)
 	}
-	s, err := Parse([]byte(next("write_rps = 56.0\nvalue_kb = 2.0\nlater = 1")))
+	s, err := Parse([]byte(withAnnouncement("write_rps = 56.0\nvalue_kb = 2.0\nlater = 1")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := s.Cluster.Store.Strictest(); got.WriteRPS != 56 || got.ValueKB != 2 || got.TxnOps != 24 || got.RPS != 200 {
 		t.Errorf("got %+v, want WriteRPS 56, ValueKB 2, TxnOps 24 and RPS 200", got)
 	}
-	plain, err := Parse([]byte(validConfig))
-	if err != nil || plain.Cluster.Store.Strictest() != plain.Cluster.Store {
+	unannounced, err := Parse([]byte(validConfig))
+	if err != nil || unannounced.Cluster.Store.Strictest() != unannounced.Cluster.Store {
 		t.Errorf("without an announcement: got limits %+v, %v, want %+v",
-			plain.Cluster.Store.Strictest(), err, plain.Cluster.Store)
+			unannounced.Cluster.Store.Strictest(), err, unannounced.Cluster.Store)
 	}
-	_, err = Parse([]byte(next("write_rps = -1.0\nvalue_kb = 0.5\ntxn_ops = 2")))
+	_, err = Parse([]byte(withAnnouncement("write_rps = -1.0\nvalue_kb = 0.5\ntxn_ops = 2")))
 	for _, name := range []string{"next.write_rps", "next.value_kb", "next.txn_ops"} {
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("got error %v, want one that names %s", err, name)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -68,9 +68,9 @@
 	}
 	r := bytes.NewReader(all)
 	for _, f := range sampleFrames {
-		g, err := Read(r)
-		if err != nil || !reflect.DeepEqual(f, g) {
-			t.Errorf("encoded and decoded: got %+v, %v, want %+v", g, err, f)
+		decoded, err := Read(r)
+		if err != nil || !reflect.DeepEqual(f, decoded) {
+			t.Errorf("encoded and decoded: got %+v, %v, want %+v", decoded, err, f)
 		}
 	}
 }
@@ -108,12 +108,12 @@
 		f.Add(s.Append(nil)[4:])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, err := Decode(b)
+		decoded, err := Decode(b)
 		if err != nil {
 			return
 		}
-		if encoded := g.Append(nil)[4:]; !bytes.Equal(encoded, b) {
-			t.Fatalf("decoded %+v encodes to %x, want %x", g, encoded, b)
+		if encoded := decoded.Append(nil)[4:]; !bytes.Equal(encoded, b) {
+			t.Fatalf("decoded %+v encodes to %x, want %x", decoded, encoded, b)
 		}
 	})
 }
