--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -65,7 +65,7 @@
 	OneZone          bool        `json:"one_zone"`         // all tasks run in the same zone
 	Spread           bool        `json:"apart"`            // at most half of the tasks, rounded up, run in one zone
 	Spot             bool        `json:"standby"`          // tasks may run on spot machines
-	RuntimeS         float64     `json:"runtime_s"`        // estimated running time of a task, without pulling its image
+	RuntimeS         float64     `json:"runtime_s"`        // estimated running time of a task, excluding the pull of its image
 	CheckpointEveryS float64     `json:"snapshot_every_s"` // interval between checkpoints; 0: tasks save none
 	CheckpointS      float64     `json:"snapshot_s"`       // time that a task needs to save a checkpoint when it is stopped
 	DeadlineS        *float64    `json:"due_s"`            // time from submission to completion; nil: none
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,7 +21,7 @@
 	"opaldale/internal/transport"
 )
 
-// Limits of the process.
+// Process-wide limits.
 const (
 	// maxThreads is GOMAXPROCS. A node has a fraction of one core: more threads would only add
 	// overhead.
