--- a/internal/loopback/cloud.go
+++ b/internal/loopback/cloud.go
@@ -17,33 +17,34 @@
 const (
 	machineType = "m8"
 	machineCPUs = 8
-	// zoneCapacity is how many machines of a zone and kind there are by default.
-	zoneCapacity = 8
-	bootTime     = 100 * time.Millisecond
+	// defaultZoneCapacity is the default of Options.ZoneCapacity.
+	defaultZoneCapacity = 8
+	// bootDuration is the time from provisioning a machine to the start of its worker.
+	bootDuration = 100 * time.Millisecond
 )
 
-// provider implements the protocol of the cloud. Its machines are workers in this process.
+// provider is a cloud provider that serves the HTTP API of the cloud. Each of its machines is a worker in this process.
 type provider struct {
 	cluster  *Cluster
-	capacity int // of a zone and kind
+	capacity int // maximum number of machines per zone, for spot and on-demand machines separately
 
 	mu                sync.Mutex
 	lastMachineNumber int
-	provisioned       map[string][]ident.MachineID
+	provisioned       map[string][]ident.MachineID // machines by request ID, so that a retry provisions no more machines
 	machines          map[ident.MachineID]*machine
 }
 
-// machine is a machine of the cloud.
+// machine is a machine that the cloud has provisioned.
 type machine struct {
 	zone      string
 	spot      bool
 	createdAt time.Time
-	worker    *worker // nil while it boots
+	worker    *worker // nil while the machine boots
 }
 
 func newProvider(c *Cluster, capacity int) *provider {
 	if capacity == 0 {
-		capacity = zoneCapacity
+		capacity = defaultZoneCapacity
 	}
 	return &provider{
 		cluster:     c,
@@ -63,7 +64,7 @@
 }
 
 func (p *provider) catalog(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{
+	writeJSON(w, http.StatusOK, map[string]any{"models": []cloud.MachineType{{
 		SKU:         machineType,
 		VCPUs:       machineCPUs,
 		MemoryGB:    32,
@@ -84,33 +85,33 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ids, known := p.provisioned[q.RequestID]
-	if !known {
-		have := 0
+	ids, repeated := p.provisioned[q.RequestID]
+	if !repeated {
+		existing := 0
 		for _, m := range p.machines {
 			if m.zone == q.Zone && m.spot == q.Spot {
-				have++
+				existing++
 			}
 		}
-		for range min(q.Count, p.capacity-have) {
-			ids = append(ids, p.boot(q.Zone, q.Spot))
+		for range min(q.Count, p.capacity-existing) {
+			ids = append(ids, p.provisionMachine(q.Zone, q.Spot))
 		}
 		if len(ids) == 0 {
-			answer(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+			writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 			return
 		}
 		p.provisioned[q.RequestID] = ids
 	}
-	answer(w, http.StatusOK, map[string]any{"hosts": ids})
+	writeJSON(w, http.StatusOK, map[string]any{"hosts": ids})
 }
 
-// boot provisions a machine, whose worker starts after the time of a boot.
-func (p *provider) boot(zone string, spot bool) ident.MachineID {
+// provisionMachine adds a machine, whose worker starts after bootDuration. The caller must hold p.mu.
+func (p *provider) provisionMachine(zone string, spot bool) ident.MachineID {
 	p.lastMachineNumber++
 	id := ident.MachineID(fmt.Sprintf("host-%06d", p.lastMachineNumber))
 	m := &machine{zone: zone, spot: spot, createdAt: time.Now()}
 	p.machines[id] = m
-	time.AfterFunc(bootTime, func() {
+	time.AfterFunc(bootDuration, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.machines[id] != m || p.cluster.stopped() {
@@ -134,10 +135,10 @@
 	for _, id := range q.Hosts {
 		p.terminate(id)
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// terminate terminates a machine with its worker.
+// terminate terminates a machine and its worker.
 func (p *provider) terminate(id ident.MachineID) {
 	p.mu.Lock()
 	m := p.machines[id]
@@ -171,23 +172,23 @@
 		list = append(list, l)
 	}
 	slices.SortFunc(list, func(a, b cloud.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
-	answer(w, http.StatusOK, map[string]any{"hosts": list, "truncated": false})
+	writeJSON(w, http.StatusOK, map[string]any{"hosts": list, "truncated": false})
 }
 
-// runningMachines returns the machines that have booted, each with no CPUs in use.
+// runningMachines returns a map with an entry of 0 CPUs in use for each machine that has booted.
 func (p *provider) runningMachines() map[ident.MachineID]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	up := map[ident.MachineID]float64{}
+	running := map[ident.MachineID]float64{}
 	for id, m := range p.machines {
 		if m.worker != nil {
-			up[id] = 0
+			running[id] = 0
 		}
 	}
-	return up
+	return running
 }
 
-// worker returns the worker of a machine, nil if there is none.
+// worker returns the worker on a machine, or nil if there is none.
 func (p *provider) worker(id ident.MachineID) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// zoneOf returns the zone of the machine at an address, "" if there is none.
+// zoneOf returns the zone of the machine with an address, or "" if there is none.
 func (p *provider) zoneOf(addr string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -21,16 +21,17 @@
 	"opaldale/internal/settings"
 )
 
-// zones are the zones of the machines, over which the nodes are spread.
+// zones are the zones of the machines. Nodes are assigned to them in turn.
 var zones = []string{"east", "west"}
 
-// The ends of links beside the nodes, by name, and the machines, by zone.
+// Store and Cloud are the party names of the key-value store and of the cloud. The other parties are the nodes, by name,
+// and the machines, by zone.
 const (
 	Store = "state"
 	Cloud = "cloud"
 )
 
-// Cluster is a cluster on the loopback interface.
+// Cluster is a cluster of controllers, workers, a key-value store and a cloud on the loopback interface.
 type Cluster struct {
 	Network  *Network
 	Recorder *Recorder
@@ -41,35 +42,35 @@
 
 	mu       sync.Mutex
 	nodes    []*node
-	parties  map[string]string // by address
+	parties  map[string]string // party name by address
 	jobs     map[ident.JobID]Workload
 	stopping bool
 }
 
-// Options configure a cluster.
+// Options configures a cluster.
 type Options struct {
 	Nodes int
-	// ZoneCapacity is how many machines of each zone and kind the cloud has, by default a few.
+	// ZoneCapacity is the maximum number of machines per zone, for spot and on-demand machines separately. 0 means 8.
 	ZoneCapacity int
-	// Tune changes the settings of each node. It must not be nil.
+	// Tune modifies the settings of each node before the node starts. It must not be nil.
 	Tune func(*settings.Settings)
 }
 
-// Workload is what the tasks of a job do.
+// Workload defines how long the tasks of a job run.
 type Workload struct {
-	FirstDuration time.Duration // run time of the first task; 0: a replica
-	DurationStep  time.Duration // by which each task runs longer than the one before
-	CPUs          float64       // of each task, set by Submit
+	FirstDuration time.Duration // run time of the first task; 0 for a replica, which runs until it is stopped
+	DurationStep  time.Duration // additional run time of each task over the previous one
+	CPUs          float64       // per task, set by Submit
 }
 
-// node is a controller, whose process is a server that can be killed and restarted.
+// node is a controller. Its process is a server.Server that can be killed and restarted.
 type node struct {
 	name     string
 	settings *settings.Settings
 	server   *server.Server
 }
 
-// Start starts a cluster.
+// Start starts a cluster. The caller must stop it.
 func Start(o Options) (*Cluster, error) {
 	c := &Cluster{
 		Network:  NewNetwork(),
@@ -100,27 +101,27 @@
 	return c, nil
 }
 
-// serve starts a service and returns its address.
+// serve starts the HTTP server of the store or of the cloud and returns its address.
 func (c *Cluster) serve(name string, h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	web := &http.Server{Handler: h}
-	c.services = append(c.services, web)
+	httpServer := &http.Server{Handler: h}
+	c.services = append(c.services, httpServer)
 	c.parties[listener.Addr().String()] = name
-	go serveHTTP(name, web, listener)
+	go serveHTTP(name, httpServer, listener)
 	return listener.Addr().String(), nil
 }
 
-// serveHTTP serves requests to a party until its server is closed, and logs any other end.
-func serveHTTP(name string, web *http.Server, listener net.Listener) {
-	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+// serveHTTP serves HTTP requests to a party until its server is closed, and logs any other error.
+func serveHTTP(name string, httpServer *http.Server, listener net.Listener) {
+	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("HTTP server failed", "party", name, "err", err)
 	}
 }
 
-// freeAddr returns an address that is not in use at present.
+// freeAddr returns a loopback address with a port that is currently free.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +131,7 @@
 	return listener.Addr().String(), nil
 }
 
-// configureNodes makes the settings of the nodes.
+// configureNodes creates the nodes with their settings.
 func (c *Cluster) configureNodes(nodes int, storeAddr, cloudAddr string, tune func(*settings.Settings)) error {
 	for i := range nodes {
 		bind, err := freeAddr()
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// partyAt returns the party at an address: a node, a service, or the zone of a machine.
+// partyAt returns the party that serves an address: a node, Store, Cloud, or the zone of a machine.
 func (c *Cluster) partyAt(addr string) string {
 	c.mu.Lock()
 	name, ok := c.parties[addr]
@@ -199,7 +200,7 @@
 	return names
 }
 
-// Restart starts the next process of a node.
+// Restart starts a new process of a node.
 func (c *Cluster) Restart(i int) error {
 	n := c.nodes[i]
 	s, err := server.New(n.settings, c.Network.Dialer(n.name, c.partyAt))
@@ -209,7 +210,7 @@
 	c.mu.Lock()
 	n.server = s
 	c.mu.Unlock()
-	go func() { slog.Debug("node stopped serving", "node", n.name, "err", s.Serve()) }()
+	go func() { slog.Debug("node server stopped", "node", n.name, "err", s.Serve()) }()
 	return nil
 }
 
@@ -221,7 +222,7 @@
 	s.Close()
 }
 
-// Stop stops the nodes, the machines and the services.
+// Stop heals all links and stops the nodes, the machines, the store and the cloud.
 func (c *Cluster) Stop() {
 	c.Network.HealAll()
 	c.mu.Lock()
@@ -232,21 +233,24 @@
 	}
 	c.provider.terminateAll()
 	for _, s := range c.services {
-		_ = s.Close() // nothing uses the service any more
+		_ = s.Close() // all clients have stopped, so an error has no effect
 	}
 }
 
+// stopped reports whether Stop was called.
 func (c *Cluster) stopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stopping
 }
 
+// nodeAddr returns the HTTP address of node i modulo the number of nodes.
 func (c *Cluster) nodeAddr(i int) string {
 	return c.nodes[i%len(c.nodes)].settings.Bind
 }
 
-func (c *Cluster) homeNode(id ident.MachineID) uint32 {
+// initialNode returns the index of the node to which the worker of a machine sends its first heartbeat.
+func (c *Cluster) initialNode(id ident.MachineID) uint32 {
 	f := fnv.New32()
 	f.Write([]byte(id))
 	return f.Sum32() % uint32(len(c.nodes))
@@ -260,18 +264,18 @@
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.LeaseS)
 }
 
-// CancelDeadline returns how long tasks of a cancelled job may still run.
+// CancelDeadline returns the time after a cancellation within which all tasks of the job must have stopped.
 func (c *Cluster) CancelDeadline() time.Duration {
 	return settings.Seconds(c.nodes[0].settings.Cluster.Workers.CancelS)
 }
 
-// mayStillRun reports whether tasks of a machine may still run, as its lease has not expired.
+// mayStillRun reports whether tasks may still run on a machine: it is not terminated and its lease has not expired.
 func (c *Cluster) mayStillRun(id ident.MachineID) bool {
 	w := c.provider.worker(id)
 	return w != nil && w.mayStillRun()
 }
 
-// workload returns what the tasks of a job do.
+// workload returns the workload of a job.
 func (c *Cluster) workload(id ident.JobID) (Workload, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -279,61 +283,61 @@
 	return w, ok
 }
 
-// Answer is a node's reply to a user.
-type Answer struct {
-	Status int // HTTP status, 0: no reply
+// Response is the response of a node to a user.
+type Response struct {
+	Status int // HTTP status, 0 if there was no response
 	Job    api.JobView
 }
 
-// Submit submits a job with a workload at a node.
-func (c *Cluster) Submit(i int, s api.Spec, w Workload) Answer {
+// Submit submits a job to a node. The tasks of the job run as the workload defines.
+func (c *Cluster) Submit(i int, s api.Spec, w Workload) Response {
 	w.CPUs = s.VCPUs
 	c.mu.Lock()
 	c.jobs[s.ID] = w
 	c.mu.Unlock()
 	body, err := json.Marshal(s)
 	if err != nil {
-		return Answer{}
+		return Response{}
 	}
-	return c.ask(i, http.MethodPost, "/v2/runs", body)
+	return c.sendRequest(i, http.MethodPost, "/v2/runs", body)
 }
 
-// Get queries a node about a job.
-func (c *Cluster) Get(i int, id ident.JobID) Answer {
-	return c.ask(i, http.MethodGet, "/v2/runs/"+string(id), nil)
+// Get requests the status of a job from a node.
+func (c *Cluster) Get(i int, id ident.JobID) Response {
+	return c.sendRequest(i, http.MethodGet, "/v2/runs/"+string(id), nil)
 }
 
-// Cancel cancels a job at a node.
-func (c *Cluster) Cancel(i int, id ident.JobID) Answer {
-	return c.ask(i, http.MethodPost, "/v2/runs/"+string(id)+"/cancel", nil)
+// Cancel requests a node to cancel a job.
+func (c *Cluster) Cancel(i int, id ident.JobID) Response {
+	return c.sendRequest(i, http.MethodPost, "/v2/runs/"+string(id)+"/cancel", nil)
 }
 
-// ask sends a request to a node.
-func (c *Cluster) ask(i int, method, path string, body []byte) Answer {
+// sendRequest sends an HTTP request to a node.
+func (c *Cluster) sendRequest(i int, method, path string, body []byte) Response {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.nodeAddr(i)+path, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}
+		return Response{}
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return Answer{}
+		return Response{}
 	}
 	defer resp.Body.Close()
-	a := Answer{Status: resp.StatusCode}
+	a := Response{Status: resp.StatusCode}
 	if json.NewDecoder(resp.Body).Decode(&a.Job) != nil {
 		a.Job = api.JobView{}
 	}
 	return a
 }
 
-// Violations returns the invariants that were violated, by the workers' own record.
+// Violations returns a description of each invariant violation in the record of the workers.
 func (c *Cluster) Violations() []string {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
 	return slices.Clone(c.Recorder.violations)
 }
 
-// Moves returns how many moves of running tasks were recorded.
+// Moves returns the number of moves of running tasks in the records of the store.
 func (c *Cluster) Moves() int {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
@@ -344,8 +348,8 @@
 	return total
 }
 
-// Load returns the number of machines that run tasks, the number of these tasks, and the imbalance: the coefficient of
-// variation of the CPUs in use on all machines that have booted.
+// Load returns the number of machines that run tasks, the number of running tasks, and the imbalance, which is the
+// coefficient of variation of the CPUs in use over all machines that have booted.
 func (c *Cluster) Load() (machines, tasks int, imbalance float64) {
 	used := c.provider.runningMachines()
 	for machine, list := range c.Recorder.running() {
@@ -369,7 +373,7 @@
 	return machines, tasks, math.Sqrt(max(0, square/n-mean*mean)) / mean
 }
 
-// StartCount returns how many tasks were started.
+// StartCount returns the number of task starts, including those of repeated attempts.
 func (c *Cluster) StartCount() int {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -15,20 +15,20 @@
 const (
 	fleetNodes   = 3
 	fleetWorkers = 50
-	// narrowCPUs is the size of the tasks that fill the machines, narrowTasks to each, and wideCPUs that of the tasks that
-	// then fit on no machine.
+	// narrowTasks tasks of narrowCPUs each fill a machine. When one of them has ended on each machine, a task of wideCPUs
+	// still fits on none.
 	narrowCPUs  = 2
 	narrowTasks = 4
 	wideCPUs    = 4
 	wideJobs    = 30
-	// narrowTaskDuration is how long the narrow tasks run, except the first of each job: longer than the test on a busy
-	// machine, so that the test does not depend on it.
+	// narrowTaskDuration is the run time of narrow tasks, except the first task of each job. It is longer than the test takes
+	// on a busy computer, so that they never end during the test.
 	narrowTaskDuration = time.Hour
-	// maxImbalance is the imbalance that the fleet must fall below.
+	// maxImbalance is the imbalance, as defined by Cluster.Load, below which the fleet must fall.
 	maxImbalance = 0.35
 )
 
-// tuneFleet has moves begin soon, as the test is short.
+// tuneFleet enables moves of running tasks and shortens the delays before them, as the test is short.
 func tuneFleet(s *settings.Settings) {
 	s.Tuning.Links.Enabled = true
 	s.Tuning.Rebalance = settings.RebalanceMove
@@ -41,18 +41,18 @@
 	}
 }
 
-// fleet is a cluster of fifty workers.
+// fleet is a cluster with fleetWorkers workers.
 type fleet struct {
 	*Cluster
-	rng  *rand.Rand
-	next int
+	rng      *rand.Rand
+	jobCount int
 }
 
-// spec returns an array of a team.
+// spec returns the specification of a new batch job of a team.
 func (f *fleet) spec(team string, tasks int, cpus, runtime float64) api.Spec {
-	f.next++
+	f.jobCount++
 	return api.Spec{
-		ID:               ident.JobID(fmt.Sprintf("j-%06d", f.next)),
+		ID:               ident.JobID(fmt.Sprintf("j-%06d", f.jobCount)),
 		Class:            "render",
 		Team:             team,
 		Shape:            api.Batch,
@@ -69,29 +69,28 @@
 	}
 }
 
-// askUntil asks nodes in turn until one gives an accepted answer.
-func (f *fleet) askUntil(t *testing.T, ask func(node int) Answer, accepted func(Answer) bool) bool {
+// requestUntil sends a request to the nodes in turn until a response is accepted, and fails the test after userTimeout.
+func (f *fleet) requestUntil(t *testing.T, request func(node int) Response, accepted func(Response) bool) bool {
 	t.Helper()
 	for end := time.Now().Add(userTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for node := range fleetNodes {
-			if a := ask(node); accepted(a) {
+			if a := request(node); accepted(a) {
 				return true
 			}
 		}
 	}
-	t.Error("no accepted answer")
+	t.Errorf("no node gave an accepted response within %v", userTimeout)
 	return false
 }
 
 func (f *fleet) submit(t *testing.T, s api.Spec, w Workload) {
 	t.Helper()
-	f.askUntil(t, func(n int) Answer {
+	f.requestUntil(t, func(n int) Response {
 		return f.Submit(n, s, w)
-	}, func(a Answer) bool { return a.Status == 200 || a.Status == 201 })
+	}, func(a Response) bool { return a.Status == 200 || a.Status == 201 })
 }
 
-// fill fills all machines with jobs whose first tasks end soon, so that each machine then has capacity for half of a wide
-// task.
+// fill fills all machines with jobs whose first task ends early. Each machine then has free capacity for half a wide task.
 func (f *fleet) fill(t *testing.T) []ident.JobID {
 	t.Helper()
 	var jobs []ident.JobID
@@ -107,22 +106,23 @@
 	return jobs
 }
 
-// waitUntil waits for a condition, within a generous timeout.
+// waitUntil waits for a condition, and fails the test after userTimeout.
 func (f *fleet) waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(userTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			machines, tasks, imbalance := f.Load()
-			t.Fatalf("%d machines with %d tasks, imbalance %.2f, %d moves", machines, tasks, imbalance, f.Moves())
+			t.Fatalf("condition not met within %v: %d machines with %d tasks, imbalance %.2f, %d moves", userTimeout,
+				machines, tasks, imbalance, f.Moves())
 		}
 	}
 }
 
-// minFaults is the minimum number of controllers that are killed and of links that are broken.
+// minFaults is the minimum number of controllers to kill and of links to break.
 const minFaults = 3
 
-// injectFaults kills controllers, which restart after half a second, and breaks links in turn, until stop is closed and
-// there were minFaults of both.
+// injectFaults alternately kills a controller, which restarts after half a second, and breaks a link for a while. It returns
+// when stop is closed and it has injected at least minFaults faults of each kind.
 func (f *fleet) injectFaults(t *testing.T, stop <-chan struct{}) (killed, broken int) {
 	t.Helper()
 	names := f.Names()
@@ -141,7 +141,7 @@
 			f.Kill(n)
 			time.Sleep(500 * time.Millisecond)
 			if err := f.Restart(n); err != nil {
-				t.Errorf("restart: %v", err)
+				t.Errorf("restarting node %d: %v", n, err)
 			}
 			killed++
 			continue
@@ -157,9 +157,10 @@
 	}
 }
 
-// TestFleetLoadConverges: three real controllers and fifty workers on sockets. One team submits many wide tasks that fit on
-// no machine, while controllers are killed and links break. Running tasks are moved for them, all of them complete, no job
-// is moved more than twice, no task runs twice by the workers' own record, and the load evens out.
+// TestFleetLoadConverges runs three real controllers and fifty workers on sockets. One team submits many wide tasks that fit
+// on no machine, while controllers are killed and links break. The controllers must move running tasks to free capacity for
+// them, and all wide tasks must complete. By the record of the workers, no task may run on two machines at a time. No job
+// may be moved more than maxMovesPerJob times, and the imbalance must fall below maxImbalance.
 func TestFleetLoadConverges(t *testing.T) {
 	t.Parallel()
 	const seed = 1
@@ -170,9 +171,9 @@
 	defer c.Stop()
 	f := &fleet{Cluster: c, rng: rand.New(rand.NewPCG(seed, 1))}
 	narrow := f.fill(t)
-	stop, disturbed := make(chan struct{}), sync.WaitGroup{}
+	stop, faults := make(chan struct{}), sync.WaitGroup{}
 	killed, broken := 0, 0
-	disturbed.Go(func() { killed, broken = f.injectFaults(t, stop) })
+	faults.Go(func() { killed, broken = f.injectFaults(t, stop) })
 	var wide []ident.JobID
 	for range wideJobs {
 		s := f.spec("red", 1, wideCPUs, 4)
@@ -181,22 +182,24 @@
 	}
 	f.waitUntil(t, func() bool { return f.Moves() > 0 })
 	for _, id := range wide {
-		f.askUntil(t, func(n int) Answer { return f.Get(n, id) }, func(a Answer) bool { return a.Job.Status == "done" })
+		f.requestUntil(t, func(n int) Response { return f.Get(n, id) }, func(a Response) bool { return a.Job.Status == "done" })
 		if !f.Recorder.complete(id, 1) {
-			t.Errorf("%s is reported as done, and is not", id)
+			t.Errorf("job %s: got status done, but its task has not completed on a worker", id)
 		}
 	}
 	close(stop)
-	disturbed.Wait()
+	faults.Wait()
 	f.waitUntil(t, func() bool {
 		_, tasks, imbalance := f.Load()
 		return tasks >= fleetWorkers*(narrowTasks-1) && imbalance < maxImbalance
 	})
 	for _, id := range narrow {
-		f.askUntil(t, func(n int) Answer { return f.Cancel(n, id) }, func(a Answer) bool { return a.Job.Status == "cancelled" })
+		f.requestUntil(t, func(n int) Response {
+			return f.Cancel(n, id)
+		}, func(a Response) bool { return a.Job.Status == "cancelled" })
 	}
-	if rules := c.Violations(); len(rules) > 0 {
-		t.Errorf("rules broken: %v", rules)
+	if violations := c.Violations(); len(violations) > 0 {
+		t.Errorf("got invariant violations %q, want none", violations)
 	}
-	t.Logf("%d moves, %d controllers ended, %d links broken", c.Moves(), killed, broken)
+	t.Logf("%d moves, %d controllers killed, %d links broken", c.Moves(), killed, broken)
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -16,25 +16,25 @@
 
 func init() { slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) }
 
-// user submits a job, queries it until it has ended, and checks the answers.
+// user submits a job, polls its status or cancels it until it has a final status, and checks the responses.
 type user struct {
 	id                ident.JobID
 	tasks             int
 	cancels           bool
 	accepted          bool
-	finalStatus       api.Status // the first final state
-	cancelConfirmedAt time.Time  // when that was confirmed
+	finalStatus       api.Status // the first final status
+	cancelConfirmedAt time.Time  // when a response first reported the job as cancelled
 	violations        []string
 }
 
-// userTimeout bounds how long a user waits. It says nothing of how fast the cluster is, as all links heal long before.
+// userTimeout bounds how long a user waits. It does not check the speed of the cluster, as all links heal long before.
 const userTimeout = 4 * time.Minute
 
 func (u *user) reportViolation(format string, args ...any) {
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// run runs the user. rng is used by no one else.
+// run submits the job and polls until it has a final status. No other goroutine may use rng.
 func (u *user) run(c *Cluster, rng *rand.Rand, nodes int) {
 	spec := api.Spec{
 		ID:       u.id,
@@ -58,7 +58,7 @@
 		case 200, 201:
 			u.accepted = true
 		case 400, 422:
-			u.reportViolation("a valid submission got %d", a.Status)
+			u.reportViolation("valid submission: got HTTP status %d, want 200 or 201", a.Status)
 			return
 		default:
 			time.Sleep(200 * time.Millisecond)
@@ -68,28 +68,28 @@
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	}
 	for u.finalStatus == "" && time.Now().Before(end) {
-		var a Answer
+		var a Response
 		if u.cancels {
 			a = c.Cancel(rng.IntN(nodes), u.id)
 		} else {
 			a = c.Get(rng.IntN(nodes), u.id)
 		}
-		u.checkAnswer(a)
+		u.checkResponse(a)
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
-// checkAnswer checks an answer about the job against earlier ones.
-func (u *user) checkAnswer(a Answer) {
+// checkResponse checks a response about the job against earlier responses.
+func (u *user) checkResponse(a Response) {
 	switch {
 	case a.Status == 404:
-		u.reportViolation("forgotten: 404")
+		u.reportViolation("accepted job not found: got HTTP status 404")
 	case a.Status != 200:
 	case a.Job.Status == "cancelled" && !u.cancels:
-		u.reportViolation("cancelled by nobody")
+		u.reportViolation("got status cancelled, though the user did not cancel the job")
 	case a.Job.Status == "done" || a.Job.Status == "cancelled":
 		if u.finalStatus != "" && u.finalStatus != a.Job.Status {
-			u.reportViolation("went back: %s, then %s", u.finalStatus, a.Job.Status)
+			u.reportViolation("final status changed: got %s, then %s", u.finalStatus, a.Job.Status)
 		}
 		if u.finalStatus == "" {
 			u.finalStatus = a.Job.Status
@@ -98,35 +98,35 @@
 			}
 		}
 	case u.finalStatus != "":
-		u.reportViolation("went back: %s, then %s", u.finalStatus, a.Job.Status)
+		u.reportViolation("final status changed: got %s, then %s", u.finalStatus, a.Job.Status)
 	}
 }
 
-// checkOutcome checks the final answer against what workers ran.
+// checkOutcome checks the final status of the job against the record of the workers.
 func (u *user) checkOutcome(c *Cluster) {
 	switch u.finalStatus {
 	case "":
-		u.reportViolation("no final result")
+		u.reportViolation("no final status within %v", userTimeout)
 	case "done":
 		if !c.Recorder.complete(u.id, u.tasks) {
-			u.reportViolation("done, though not all its tasks have completed")
+			u.reportViolation("got status done, but not all %d tasks have completed on workers", u.tasks)
 		}
 	case "cancelled":
 		if n := c.Recorder.startsAfter(u.id, u.cancelConfirmedAt.Add(c.CancelDeadline())); n > 0 {
-			u.reportViolation("%d tasks started after the time of its cancellation", n)
+			u.reportViolation("%d tasks started after the cancellation deadline, want 0", n)
 		}
 	}
 }
 
-// breakLinks breaks directed links, one at a time, until a time. It returns how many it broke.
-func breakLinks(c *Cluster, rng *rand.Rand, over time.Time) int {
+// breakLinks breaks and heals random directed links, one at a time, until a point in time. It returns how many it broke.
+func breakLinks(c *Cluster, rng *rand.Rand, until time.Time) int {
 	names := c.Names()
 	broken := 0
-	for time.Now().Before(over) {
+	for time.Now().Before(until) {
 		n := names[rng.IntN(len(names))]
-		ends := append([]string{Store, Store, Cloud}, zones...)
-		ends = append(ends, names...)
-		other := ends[rng.IntN(len(ends))]
+		parties := append([]string{Store, Store, Cloud}, zones...)
+		parties = append(parties, names...)
+		other := parties[rng.IntN(len(parties))]
 		if other == n {
 			continue
 		}
@@ -144,9 +144,9 @@
 	return broken
 }
 
-// TestUnidirectionalPartitionsOnSockets: real controllers on real sockets, whose directed links break one at a time during
-// steady submissions and cancellations, while one node is killed as well. Every job has one final result, nothing starts
-// after its cancellation, and no two nodes act in one term, by the record of workers and users.
+// TestUnidirectionalPartitionsOnSockets runs real controllers on real sockets. Directed links break one at a time while users
+// submit and cancel jobs, and one node is killed and restarted. By the records of workers and users, each job must have one
+// final status, no task may start after the deadline of a cancellation, and only one node may send commands in a term.
 func TestUnidirectionalPartitionsOnSockets(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
@@ -156,54 +156,54 @@
 	}
 }
 
-// runWithPartitions runs a cluster while links break and a node is killed.
+// runWithPartitions runs a cluster while links break and node 0 is killed and restarted.
 func runWithPartitions(t *testing.T, nodes int, seed uint64) {
 	c, err := Start(Options{Nodes: nodes, Tune: func(s *settings.Settings) { s.Tuning.Links.Enabled = true }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	const jobs, breaking = 60, 14 * time.Second
+	const jobs, faultDuration = 60, 14 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	users := make([]*user, jobs)
 	for i := range users {
 		users[i] = &user{id: ident.JobID(fmt.Sprintf("j-%06d", i)), tasks: 1 + i%4, cancels: i%3 == 0}
-		own := rand.New(rand.NewPCG(seed, uint64(100+i)))
-		all.Go(func() {
-			time.Sleep(time.Duration(i) * breaking / jobs)
-			users[i].run(c, own, nodes)
+		userRNG := rand.New(rand.NewPCG(seed, uint64(100+i)))
+		running.Go(func() {
+			time.Sleep(time.Duration(i) * faultDuration / jobs)
+			users[i].run(c, userRNG, nodes)
 		})
 	}
-	all.Go(func() {
-		time.Sleep(breaking / 2)
+	running.Go(func() {
+		time.Sleep(faultDuration / 2)
 		c.Kill(0)
 		time.Sleep(500 * time.Millisecond)
 		if err := c.Restart(0); err != nil {
-			t.Errorf("restart: %v", err)
+			t.Errorf("restarting node 0: %v", err)
 		}
 	})
-	broken := breakLinks(c, rng, time.Now().Add(breaking))
-	all.Wait()
+	broken := breakLinks(c, rng, time.Now().Add(faultDuration))
+	running.Wait()
 	done := 0
 	for _, u := range users {
-		for i := range nodes { // no node may answer otherwise
-			u.checkAnswer(c.Get(i, u.id))
+		for i := range nodes { // all nodes must report the same final status
+			u.checkResponse(c.Get(i, u.id))
 		}
 		u.checkOutcome(c)
 		if len(u.violations) > 0 {
-			t.Errorf("%s: %v", u.id, u.violations)
+			t.Errorf("job %s: %q", u.id, u.violations)
 		}
 		if u.finalStatus == "done" {
 			done++
 		}
 	}
 	if violations := c.Violations(); len(violations) > 0 {
-		t.Errorf("violations: %v", violations)
+		t.Errorf("got invariant violations %q, want none", violations)
 	}
-	if broken == 0 || c.Network.HeldCount() == 0 || done < jobs/2 || c.StartCount() < jobs/2 || c.Recorder.commandCount == 0 {
-		t.Errorf("%d links were broken, %d messages held up, %d jobs done, %d tasks started, "+
-			"%d commands: the test proves nothing",
-			broken, c.Network.HeldCount(), done, c.StartCount(), c.Recorder.commandCount)
+	if broken == 0 || c.Network.DelayedCount() == 0 || done < jobs/2 || c.StartCount() < jobs/2 || c.Recorder.commandCount == 0 {
+		t.Errorf("too little activity for a valid test: %d links broken, %d reads and writes delayed, %d jobs done, "+
+			"%d tasks started, %d command requests",
+			broken, c.Network.DelayedCount(), done, c.StartCount(), c.Recorder.commandCount)
 	}
 }
--- a/internal/loopback/network.go
+++ b/internal/loopback/network.go
@@ -1,6 +1,6 @@
-// Package loopback runs a cluster for tests on sockets of the loopback interface: real controllers, and implementations of
-// the protocols of the key-value store, the cloud and the workers. Every directed link can be broken. What workers run is
-// recorded independently of the controllers, and checked at the end.
+// Package loopback runs a cluster for tests on sockets of the loopback interface. The controllers are real; the key-value
+// store, the cloud and the workers are in-memory implementations of their protocols. Tests can break each directed link.
+// A Recorder records the tasks that workers run, independently of the controllers, and checks invariants.
 package loopback
 
 import (
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// link is a link from one party to another.
+// link is a directed link from one party to another. A party is a node, the key-value store, the cloud, or all machines of
+// a zone.
 type link struct{ from, to string }
 
 // Network breaks and heals directed links between parties. Its methods may be called concurrently.
 type Network struct {
-	mu     sync.Mutex
-	broken map[link]chan struct{} // closed when the link heals
-	held   int                    // reads and writes that were held up
-	// dialers has the party that opened each connection.
+	mu      sync.Mutex
+	broken  map[link]chan struct{} // closed when the link heals
+	delayed int                    // number of waits of a read or write for a broken link
+	// dialers maps each connection to the party that opened it.
 	dialers map[connection]string
 }
 
-// connection identifies a connection by both addresses, as a local port may be in use for several.
+// connection identifies a connection by both of its addresses, as several connections may share a local port.
 type connection struct {
 	from, to string
 }
 
-// NewNetwork returns a network without a broken link.
+// NewNetwork returns a network in which all links work.
 func NewNetwork() *Network {
 	return &Network{broken: map[link]chan struct{}{}, dialers: map[connection]string{}}
 }
 
-// Break holds up all data from one party to another until the link heals.
+// Break delays all data from one party to another until the link is healed.
 func (n *Network) Break(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -42,7 +43,7 @@
 	}
 }
 
-// Heal heals a link, which delivers what was held up.
+// Heal heals a link, so that delayed data is delivered.
 func (n *Network) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,32 +63,32 @@
 	}
 }
 
-// HeldCount returns how many reads and writes were held up.
-func (n *Network) HeldCount() int {
+// DelayedCount returns the number of times that a read or write waited for a broken link.
+func (n *Network) DelayedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held
+	return n.delayed
 }
 
-// dialedFrom returns the party that opened the connection from one address to another, "" if it is not known.
+// dialedFrom returns the party that opened the connection from one address to another, or "" if it is unknown.
 func (n *Network) dialedFrom(from, to string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dialers[connection{from, to}]
 }
 
-// gate returns a channel that is closed when a link heals, nil if the link works.
+// gate returns a channel that is closed when a broken link heals, or nil if the link works.
 func (n *Network) gate(from, to string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	gate := n.broken[link{from, to}]
 	if gate != nil {
-		n.held++
+		n.delayed++
 	}
 	return gate
 }
 
-// Dialer returns a function that opens connections of a party. nameOf returns the party at an address.
+// Dialer returns a dial function for a party. nameOf returns the party that serves an address.
 func (n *Network) Dialer(party string, nameOf func(addr string) string) func(ctx context.Context, network, addr string) (net.Conn,
 	error) {
 	dialer := net.Dialer{Timeout: time.Second}
@@ -103,7 +104,7 @@
 	}
 }
 
-// gatedConn is a connection whose data waits while the link in its direction is broken.
+// gatedConn is a connection whose reads and writes wait while the link in their direction is broken.
 type gatedConn struct {
 	net.Conn
 	network    *Network
@@ -116,30 +117,31 @@
 	writeDeadline time.Time
 }
 
-func (c *gatedConn) deadline(which *time.Time) time.Time {
+// deadline returns the value of one of the deadline fields.
+func (c *gatedConn) deadline(field *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return *which
+	return *field
 }
 
-// waitUntilHealed waits until a link works. It returns an error if the connection is closed or its deadline passes before.
-func (c *gatedConn) waitUntilHealed(from, to string, which *time.Time) error {
+// waitUntilHealed waits until a link works. It returns an error if the connection is closed or its deadline passes first.
+func (c *gatedConn) waitUntilHealed(from, to string, field *time.Time) error {
 	for {
 		gate := c.network.gate(from, to)
 		if gate == nil {
 			return nil
 		}
-		var over <-chan time.Time
-		if at := c.deadline(which); !at.IsZero() {
+		var timeout <-chan time.Time
+		if at := c.deadline(field); !at.IsZero() {
 			timer := time.NewTimer(time.Until(at))
 			defer timer.Stop()
-			over = timer.C
+			timeout = timer.C
 		}
 		select {
 		case <-gate:
 		case <-c.done:
 			return net.ErrClosed
-		case <-over:
+		case <-timeout:
 			return os.ErrDeadlineExceeded
 		}
 	}
--- a/internal/loopback/recorder.go
+++ b/internal/loopback/recorder.go
@@ -11,7 +11,7 @@
 	"opaldale/internal/migration"
 )
 
-// execution is one run of a task on a machine.
+// execution is the execution of one attempt of a task on a machine.
 type execution struct {
 	task    ident.TaskID
 	machine ident.MachineID
@@ -19,16 +19,17 @@
 	end     time.Time // zero while the task runs
 }
 
-// Recorder records what workers run and whose commands they execute, independently of the controllers.
+// Recorder records, independently of the controllers, the tasks that workers run and the nodes whose commands they execute.
+// It reports violated invariants.
 type Recorder struct {
 	mu           sync.Mutex
 	executions   []*execution
-	leaders      map[ident.Term]string // node that acted in each term
-	completed    map[ident.TaskID]bool // that have completed
+	leaders      map[ident.Term]string // node whose commands were executed, by term
+	completed    map[ident.TaskID]bool // tasks that completed on a worker
 	violations   []string
 	startCount   int
 	commandCount int
-	moves        map[ident.JobID]int // recorded moves of running tasks
+	moves        map[ident.JobID]int // number of moves of running tasks in the stored record of each job
 }
 
 func newRecorder() *Recorder {
@@ -39,8 +40,9 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// recordCommand records that a command of a node with a token was executed. Only commands sent by the node itself count, as
-// followers pass on the replies of the leader.
+// recordCommand records that a worker executed a command request of a node. It reports a violation if another node sent
+// commands in the same term. It counts only requests that a node sent itself, not commands in heartbeat responses, as a
+// follower forwards those of the leader.
 func (r *Recorder) recordCommand(node string, token ident.FencingToken) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,20 +51,20 @@
 	}
 	r.commandCount++
 	if other, ok := r.leaders[token.Term()]; ok && other != node {
-		r.reportViolation("%s and %s both acted in term %d", other, node, token.Term())
+		r.reportViolation("%s and %s both sent commands in term %d", other, node, token.Term())
 	}
 	r.leaders[token.Term()] = node
 }
 
-// recordStart records the start of a task. It is a violation if the task runs on another machine, unless the lease of that
-// machine has expired, which its worker may not have noticed yet.
+// recordStart records the start of a task. It reports a violation if the task already runs on another machine, unless the
+// lease of that machine has expired, as its worker may not yet have stopped the task.
 func (r *Recorder) recordStart(task ident.TaskID, machine ident.MachineID, mayStillRun func(ident.MachineID) bool) *execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.startCount++
 	for _, other := range r.executions {
 		if other.task == task && other.end.IsZero() && other.machine != machine && mayStillRun(other.machine) {
-			r.reportViolation("%s starts on %s while on %s", task, machine, other.machine)
+			r.reportViolation("task %s started on %s while it was running on %s", task, machine, other.machine)
 		}
 	}
 	x := &execution{task: task, machine: machine, begin: time.Now()}
@@ -70,7 +72,7 @@
 	return x
 }
 
-// recordEnd records the end of an execution.
+// recordEnd records the end of an execution. done is true if the task completed.
 func (r *Recorder) recordEnd(x *execution, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,10 +84,11 @@
 	}
 }
 
-// maxMovesPerJob is how often the tasks of a job may be moved in its life.
+// maxMovesPerJob is the maximum number of moves of running tasks of one job.
 const maxMovesPerJob = 2
 
-// recordChange records a mutation in the store. The recorded moves of a job must only grow, up to maxMovesPerJob.
+// recordChange records a mutation of the store. It reports a violation if the number of recorded moves of a job decreases
+// or exceeds maxMovesPerJob.
 func (r *Recorder) recordChange(m kvstore.Mutation) {
 	id, ok := strings.CutPrefix(m.Put, migration.Prefix)
 	if !ok {
@@ -96,7 +99,8 @@
 	record, err := migration.ReadRecord(m.Value)
 	job := ident.JobID(id)
 	if err != nil || len(record.Moves) > maxMovesPerJob || len(record.Moves) < r.moves[job] {
-		r.reportViolation("%s: %d moves after %d, %v", m.Put, len(record.Moves), r.moves[job], err)
+		r.reportViolation("%s: got %d recorded moves, want %d to %d; decoding error: %v", m.Put, len(record.Moves),
+			r.moves[job], maxMovesPerJob, err)
 	}
 	r.moves[job] = len(record.Moves)
 }
@@ -105,16 +109,16 @@
 func (r *Recorder) running() map[ident.MachineID][]ident.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	on := map[ident.MachineID][]ident.TaskID{}
+	tasks := map[ident.MachineID][]ident.TaskID{}
 	for _, x := range r.executions {
 		if x.end.IsZero() {
-			on[x.machine] = append(on[x.machine], x.task)
+			tasks[x.machine] = append(tasks[x.machine], x.task)
 		}
 	}
-	return on
+	return tasks
 }
 
-// startsAfter returns how many tasks of a job were started after a time.
+// startsAfter returns the number of task starts of a job after a time.
 func (r *Recorder) startsAfter(id ident.JobID, at time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -11,50 +11,50 @@
 	"opaldale/internal/ident"
 )
 
-// TestRecorderDetectsViolations shows that the checks of the recorder and of users can fail.
+// TestRecorderDetectsViolations checks that Recorder and user report each kind of violation, and nothing else.
 func TestRecorderDetectsViolations(t *testing.T) {
 	r := newRecorder()
 	task := ident.TaskID{Job: "j-1"}
 	alive := func(ident.MachineID) bool { return true }
 	first := r.recordStart(task, "host-1", alive)
 	if r.recordStart(task, "host-2", func(ident.MachineID) bool { return false }); len(r.violations) != 0 {
-		t.Errorf("a task whose machine's lease has expired counts: %v", r.violations)
+		t.Errorf("second start after the lease of the first machine expired: got violations %q, want none", r.violations)
 	}
 	if r.recordStart(task, "host-3", alive); len(r.violations) == 0 {
-		t.Error("a task that runs twice is not detected")
+		t.Error("task running on two machines: got no violation, want one")
 	}
 	before := len(r.violations)
 	r.recordCommand("agent-0", ident.MakeFencingToken(4, 1))
 	r.recordCommand("agent-0", ident.MakeFencingToken(4, 2))
 	r.recordCommand("agent-1", ident.MakeFencingToken(5, 0))
 	if len(r.violations) != before {
-		t.Errorf("one node a term is a violation: %v", r.violations)
+		t.Errorf("commands of one node in each term: got violations %q, want none", r.violations)
 	}
 	if r.recordCommand("agent-1", ident.MakeFencingToken(4, 3)); len(r.violations) == before {
-		t.Error("two nodes in one term are not detected")
+		t.Error("commands of two nodes in one term: got no violation, want one")
 	}
 	if r.complete("j-1", 1) {
-		t.Error("complete before its end")
+		t.Error("complete before the task ended: got true, want false")
 	}
 	if r.recordEnd(first, true); !r.complete("j-1", 1) || r.complete("j-1", 2) {
-		t.Error("completion is not counted by tasks")
+		t.Error("one completed task: complete must be true for a job of one task and false for a job of two")
 	}
 	if r.startsAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startsAfter("j-1", time.Now()) != 0 {
-		t.Error("starts are not counted by time")
+		t.Error("startsAfter: want 3 starts since an hour ago and 0 since now")
 	}
-	for _, a := range []Answer{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
+	for _, a := range []Response{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
 		u := &user{id: "j-1"}
-		if u.checkAnswer(a); len(u.violations) == 0 {
-			t.Errorf("%+v is no violation", a)
+		if u.checkResponse(a); len(u.violations) == 0 {
+			t.Errorf("response %+v: got no violation, want one", a)
 		}
 	}
 	u := &user{id: "j-1", finalStatus: "done"}
-	if u.checkAnswer(Answer{Status: 200, Job: api.JobView{Status: "running"}}); len(u.violations) == 0 {
-		t.Error("an answer that went back is no violation")
+	if u.checkResponse(Response{Status: 200, Job: api.JobView{Status: "running"}}); len(u.violations) == 0 {
+		t.Error("response running after done: got no violation, want one")
 	}
 }
 
-// echoBytes sends back the data of the first connection, and passes it on.
+// echoBytes accepts one connection, sends each byte that it receives to got, and writes it back.
 func echoBytes(l net.Listener, got chan<- byte) {
 	conn, err := l.Accept()
 	if err != nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestBrokenLinkHoldsTraffic: a broken link holds up data in its direction and lets the other pass. Held data is delivered
-// when the link heals, and a deadline ends the wait.
+// TestBrokenLinkHoldsTraffic checks that a broken link delays data in its direction only. Delayed data is delivered when the
+// link heals, and a read that waits fails at its deadline.
 func TestBrokenLinkHoldsTraffic(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -91,13 +91,13 @@
 	defer conn.Close()
 	n.Break("b", "a")
 	if _, err := conn.Write([]byte{1}); err != nil || <-got != 1 {
-		t.Fatalf("the working direction: %v", err)
+		t.Fatalf("write in the working direction: %v", err)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("an answer came by the broken direction")
+		t.Error("read in the broken direction: got data, want a timeout")
 	}
 	n.Break("a", "b")
 	written := make(chan error, 1)
@@ -107,24 +107,24 @@
 	}()
 	select {
 	case b := <-got:
-		t.Errorf("%d passed the broken direction", b)
+		t.Errorf("write in the broken direction: byte %d was delivered before the link healed", b)
 	case <-time.After(20 * time.Millisecond):
 	}
 	n.HealAll()
 	if b := <-got; b != 2 {
-		t.Errorf("%d was delivered", b)
+		t.Errorf("after healing: got byte %d, want 2", b)
 	}
 	if err := <-written; err != nil {
-		t.Errorf("the delayed write: %v", err)
+		t.Errorf("delayed write: %v", err)
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-		t.Errorf("after healing: %v", err)
+		t.Errorf("read after healing: %v", err)
 	}
-	if n.HeldCount() < 2 || n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
-		t.Errorf("%d were held up, the connection is of %q", n.HeldCount(),
+	if n.DelayedCount() < 2 || n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
+		t.Errorf("got %d delayed reads and writes, want at least 2; connection dialed from %q, want \"a\"", n.DelayedCount(),
 			n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()))
 	}
 }
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -15,16 +15,16 @@
 	"opaldale/internal/kvstore"
 )
 
-// store implements the protocol of the key-value store in memory.
+// store is an in-memory key-value store that serves the HTTP API of the key-value store.
 type store struct {
-	mu        sync.Mutex
-	revision  ident.Revision
-	entries   map[string]storeEntry
-	leases    map[uint64]*storeLease
-	lastLease uint64
-	history   []kvstore.WatchEvent
-	changed   chan struct{} // closed at the next revision
-	onChange  func(kvstore.Mutation)
+	mu          sync.Mutex
+	revision    ident.Revision
+	entries     map[string]storeEntry
+	leases      map[uint64]*storeLease
+	lastLeaseID uint64
+	history     []kvstore.WatchEvent
+	changed     chan struct{} // closed at the next revision
+	onChange    func(kvstore.Mutation)
 }
 
 type storeEntry struct {
@@ -39,7 +39,7 @@
 	end time.Time
 }
 
-// pageSize is the maximum number of entries that a list returns.
+// pageSize is the maximum number of entries in a response to a list request.
 const pageSize = 1000
 
 func newStore() *store {
@@ -58,38 +58,41 @@
 	return mux
 }
 
-// answer writes a JSON response.
-func answer(w http.ResponseWriter, status int, v any) {
+// writeJSON writes a JSON response.
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		slog.Debug("response not written", "err", err)
+		slog.Debug("writing HTTP response failed", "err", err)
 	}
 }
 
-// expireLeases ends the leases that have expired. It is called before each request is served.
+// expireLeases deletes the leases that have expired, with their keys. Each request calls it first. The caller must hold
+// s.mu.
 func (s *store) expireLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
 		if now.After(lease.end) {
-			s.endLease(id)
+			s.deleteLease(id)
 		}
 	}
 }
 
-func (s *store) endLease(id uint64) {
+// deleteLease deletes a lease and all keys that are attached to it. The caller must hold s.mu.
+func (s *store) deleteLease(id uint64) {
 	delete(s.leases, id)
-	var gone []kvstore.Mutation
+	var deletions []kvstore.Mutation
 	for path, e := range s.entries {
 		if e.LeaseID == id {
-			gone = append(gone, kvstore.Mutation{Delete: path})
+			deletions = append(deletions, kvstore.Mutation{Delete: path})
 		}
 	}
-	if len(gone) > 0 {
-		s.apply(gone)
+	if len(deletions) > 0 {
+		s.apply(deletions)
 	}
 }
 
+// apply applies mutations in one new revision and wakes the watches. The caller must hold s.mu.
 func (s *store) apply(changes []kvstore.Mutation) {
 	s.revision++
 	for _, c := range changes {
@@ -115,10 +118,10 @@
 	defer s.mu.Unlock()
 	s.expireLeases()
 	if e, ok := s.entries[r.PathValue("path")]; ok {
-		answer(w, http.StatusOK, e)
+		writeJSON(w, http.StatusOK, e)
 		return
 	}
-	answer(w, http.StatusNotFound, kvstore.Response{StoreRevision: s.revision})
+	writeJSON(w, http.StatusNotFound, kvstore.Response{StoreRevision: s.revision})
 }
 
 func (s *store) list(w http.ResponseWriter, r *http.Request) {
@@ -134,7 +137,7 @@
 	}
 	slices.SortFunc(page, func(a, b storeEntry) int { return cmp.Compare(a.Key, b.Key) })
 	truncated := len(page) > pageSize
-	answer(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated,
+	writeJSON(w, http.StatusOK, map[string]any{"pairs": page[:min(len(page), pageSize)], "truncated": truncated,
 		"ledger": s.revision})
 }
 
@@ -144,7 +147,7 @@
 		Then []kvstore.Mutation `json:"then"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
-		answer(w, http.StatusBadRequest, kvstore.Response{Error: err.Error()})
+		writeJSON(w, http.StatusBadRequest, kvstore.Response{Error: err.Error()})
 		return
 	}
 	s.mu.Lock()
@@ -152,7 +155,7 @@
 	s.expireLeases()
 	for _, c := range t.Then {
 		if c.Put != "" && c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
-			answer(w, http.StatusBadRequest, kvstore.Response{Error: "no such lease"})
+			writeJSON(w, http.StatusBadRequest, kvstore.Response{Error: "no such lease"})
 			return
 		}
 	}
@@ -163,11 +166,11 @@
 		}
 	}
 	if failed != nil {
-		answer(w, http.StatusConflict, kvstore.Response{FailedKeys: failed, StoreRevision: s.revision})
+		writeJSON(w, http.StatusConflict, kvstore.Response{FailedKeys: failed, StoreRevision: s.revision})
 		return
 	}
 	s.apply(t.Then)
-	answer(w, http.StatusOK, kvstore.Response{StoreRevision: s.revision})
+	writeJSON(w, http.StatusOK, kvstore.Response{StoreRevision: s.revision})
 }
 
 func (s *store) grantLease(w http.ResponseWriter, r *http.Request) {
@@ -175,18 +178,19 @@
 		TTL int64 `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.TTL <= 0 {
-		answer(w, http.StatusBadRequest, kvstore.Response{Error: "ttl_ms"})
+		writeJSON(w, http.StatusBadRequest, kvstore.Response{Error: "ttl_ms"})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastLease++
+	s.lastLeaseID++
 	ttl := time.Duration(body.TTL) * time.Millisecond
-	s.leases[s.lastLease] = &storeLease{ttl: ttl, end: time.Now().Add(ttl)}
-	answer(w, http.StatusOK, kvstore.Response{LeaseID: s.lastLease})
+	s.leases[s.lastLeaseID] = &storeLease{ttl: ttl, end: time.Now().Add(ttl)}
+	writeJSON(w, http.StatusOK, kvstore.Response{LeaseID: s.lastLeaseID})
 }
 
-// requestedLease returns the lease that a request names, nil if it is not there. Called with the lock.
+// requestedLease returns the lease whose ID is in the path of a request, or nil if it does not exist. The caller must hold
+// s.mu.
 func (s *store) requestedLease(r *http.Request) (uint64, *storeLease) {
 	s.expireLeases()
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
@@ -201,37 +205,38 @@
 	defer s.mu.Unlock()
 	if _, lease := s.requestedLease(r); lease != nil {
 		lease.end = time.Now().Add(lease.ttl)
-		answer(w, http.StatusOK, kvstore.Response{})
+		writeJSON(w, http.StatusOK, kvstore.Response{})
 		return
 	}
-	answer(w, http.StatusNotFound, kvstore.Response{})
+	writeJSON(w, http.StatusNotFound, kvstore.Response{})
 }
 
 func (s *store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id, lease := s.requestedLease(r); lease != nil {
-		s.endLease(id)
+		s.deleteLease(id)
 	}
-	answer(w, http.StatusOK, kvstore.Response{})
+	writeJSON(w, http.StatusOK, kvstore.Response{})
 }
 
-// watchPollInterval is how often a watch checks for leases that have expired.
+// watchPollInterval is the interval at which a waiting watch checks for expired leases.
 const watchPollInterval = 20 * time.Millisecond
 
+// watch responds with the changes after a revision, and waits up to block_ms for the first one.
 func (s *store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
-	block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
-	over := time.After(time.Duration(block) * time.Millisecond)
+	blockMS, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
+	timeout := time.After(time.Duration(blockMS) * time.Millisecond)
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		news := s.changesSince(query.Get("starts"), ident.Revision(since))
+		events := s.changesSince(query.Get("starts"), ident.Revision(since))
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
-		if len(news) > 0 {
-			answer(w, http.StatusOK, kvstore.Response{StoreRevision: revision, Events: news})
+		if len(events) > 0 {
+			writeJSON(w, http.StatusOK, kvstore.Response{StoreRevision: revision, Events: events})
 			return
 		}
 		select {
@@ -239,20 +244,20 @@
 		case <-time.After(watchPollInterval):
 		case <-r.Context().Done():
 			return
-		case <-over:
-			answer(w, http.StatusOK, kvstore.Response{StoreRevision: revision})
+		case <-timeout:
+			writeJSON(w, http.StatusOK, kvstore.Response{StoreRevision: revision})
 			return
 		}
 	}
 }
 
-// changesSince returns the changes of keys with a prefix after a revision.
+// changesSince returns the changes after a revision to keys that start with a prefix.
 func (s *store) changesSince(prefix string, revision ident.Revision) []kvstore.WatchEvent {
-	var news []kvstore.WatchEvent
+	var events []kvstore.WatchEvent
 	for _, n := range s.history {
 		if n.Revision > revision && strings.HasPrefix(n.Put+n.Delete, prefix) {
-			news = append(news, n)
+			events = append(events, n)
 		}
 	}
-	return news
+	return events
 }
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -16,7 +16,7 @@
 	"opaldale/internal/ident"
 )
 
-// worker is a machine and the worker on it.
+// worker is the worker on a machine. It simulates tasks with timers.
 type worker struct {
 	cluster *Cluster
 	id      ident.MachineID
@@ -31,7 +31,7 @@
 	incarnation    ident.Incarnation
 	sequence       ident.SequenceNumber
 	token          ident.FencingToken
-	leaseRenewedAt time.Time // when the last answered heartbeat was sent
+	leaseRenewedAt time.Time // when the last heartbeat with a response was sent
 	tasks          map[taskKey]*task
 	heartbeatNow   chan struct{}
 	terminated     bool
@@ -65,12 +65,12 @@
 		tasks:          map[taskKey]*task{},
 		heartbeatNow:   make(chan struct{}, 1),
 	}
-	// The machines of a zone are one end of a link.
+	// All machines of a zone are one party.
 	w.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Dialer(zone, c.partyAt)}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", w.handleCommands)
 	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) {
-		answer(rw, http.StatusOK, w.currentHeartbeat())
+		writeJSON(rw, http.StatusOK, w.currentHeartbeat())
 	})
 	w.server = &http.Server{Handler: mux}
 	go serveHTTP(string(id), w.server, listener)
@@ -80,17 +80,17 @@
 	return w, nil
 }
 
-// terminate ends the worker with all of its tasks.
+// terminate stops the worker and all of its tasks.
 func (w *worker) terminate() {
 	w.stop()
-	_ = w.server.Close() // the machine is gone, whatever its listener says
+	_ = w.server.Close() // the machine is terminated, so an error has no effect
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.terminated = true
 	w.endAllTasks()
 }
 
-// endAllTasks ends all tasks. Called with the lock.
+// endAllTasks ends and removes all tasks. The caller must hold w.mu.
 func (w *worker) endAllTasks() {
 	for _, t := range w.tasks {
 		t.end(w, api.CauseStopped)
@@ -98,7 +98,7 @@
 	w.tasks = map[taskKey]*task{}
 }
 
-// end ends the task for a cause, unless it has ended. Called with the lock of its worker.
+// end ends the task with a cause, unless it has already ended. The caller must hold w.mu.
 func (t *task) end(w *worker, cause api.Cause) {
 	if t.status == api.Ended {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkLease begins the next incarnation if the lease has expired. Called with the lock.
+// checkLease stops all tasks and begins a new incarnation if the lease has expired. The caller must hold w.mu.
 func (w *worker) checkLease() {
 	if time.Since(w.leaseRenewedAt) > w.cluster.leaseDuration() {
 		w.endAllTasks()
@@ -122,7 +122,7 @@
 	}
 }
 
-// mayStillRun reports whether tasks may still run on the machine, as its lease has not expired.
+// mayStillRun reports whether tasks may still run on the machine: it is not terminated and its lease has not expired.
 func (w *worker) mayStillRun() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,7 +136,7 @@
 	return w.buildHeartbeat()
 }
 
-// buildHeartbeat returns a heartbeat with the present status. Called with the lock.
+// buildHeartbeat returns a heartbeat with the current status of all tasks. The caller must hold w.mu.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
 	r := &api.Heartbeat{
@@ -160,6 +160,8 @@
 	return r
 }
 
+// handleCommands executes the commands of a node. It responds with a conflict if they are for another incarnation or carry an
+// outdated fencing token.
 func (w *worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var c api.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
@@ -170,16 +172,16 @@
 	defer w.mu.Unlock()
 	w.checkLease()
 	if w.terminated || c.Incarnation != w.incarnation || c.FencingToken < w.token {
-		answer(rw, http.StatusConflict, w.buildHeartbeat())
+		writeJSON(rw, http.StatusConflict, w.buildHeartbeat())
 		return
 	}
 	w.cluster.Recorder.recordCommand(w.cluster.Network.dialedFrom(r.RemoteAddr, w.addr), c.FencingToken)
 	w.token = c.FencingToken
 	w.execute(c.Commands)
-	answer(rw, http.StatusOK, w.buildHeartbeat())
+	writeJSON(rw, http.StatusOK, w.buildHeartbeat())
 }
 
-// execute executes commands. Called with the lock.
+// execute executes commands. The caller must hold w.mu.
 func (w *worker) execute(commands []api.Command) {
 	for _, o := range commands {
 		k := taskKey{o.TaskID, o.Attempt}
@@ -204,7 +206,7 @@
 	}
 }
 
-// expediteHeartbeat has the next heartbeat sent at once.
+// expediteHeartbeat makes heartbeatLoop send the next heartbeat after minHeartbeatInterval.
 func (w *worker) expediteHeartbeat() {
 	select {
 	case w.heartbeatNow <- struct{}{}:
@@ -212,7 +214,8 @@
 	}
 }
 
-// launch starts an attempt of a task. Called with the lock.
+// launch starts an attempt of a task. The attempt fails if another attempt of the task still runs or if the job is unknown.
+// The caller must hold w.mu.
 func (w *worker) launch(k taskKey) {
 	t := &task{status: api.Running}
 	w.tasks[k] = t
@@ -244,9 +247,9 @@
 	})
 }
 
-// heartbeatLoop sends heartbeats to one node after another, and stays with the one that answers.
+// heartbeatLoop sends heartbeats to one node, and switches to the next node when there is no response.
 func (w *worker) heartbeatLoop(ctx context.Context) {
-	node := int(w.cluster.homeNode(w.id))
+	node := int(w.cluster.initialNode(w.id))
 	for ctx.Err() == nil {
 		if !w.sendHeartbeat(ctx, w.cluster.nodeAddr(node)) {
 			node++
@@ -263,9 +266,11 @@
 }
 
 const (
-	retryInterval        = 200 * time.Millisecond
+	// retryInterval is the delay after a heartbeat without a response.
+	retryInterval = 200 * time.Millisecond
+	// minHeartbeatInterval is the delay before an expedited heartbeat.
 	minHeartbeatInterval = 50 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 2 * time.Second
 )
 
@@ -276,7 +281,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and executes the commands of the reply. It returns false if there is no reply.
+// sendHeartbeat sends a heartbeat and executes the commands in the response. It returns false if there is no valid response.
 func (w *worker) sendHeartbeat(ctx context.Context, addr string) bool {
 	sentAt := time.Now()
 	body, err := json.Marshal(w.currentHeartbeat())
