--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -11,24 +11,25 @@
 	"opaldale/internal/simulator"
 )
 
-// perMille is the unit of imbalance in histograms.
+// perMille scales imbalance to integers for histograms.
 const perMille = 1000
 
-// floodCommand returns the command that studies a flood by one team.
+// floodCommand returns the command that measures the effect of a flood of submissions by one team.
 func floodCommand() *cobra.Command {
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "flood",
-		Short: "Have one team flood a fleet of fifty machines, by mode of rebalancing",
+		Short: "Measure load balance while one team floods a fleet of fifty machines, by rebalancing mode",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return fmt.Errorf("seeds: must be at least 1")
+				return fmt.Errorf("--seeds must be at least 1, got %d", seeds)
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			out := cmd.OutOrStdout()
-			fmt.Fprintln(out, "| mode | imbalance (p50, p90, max) | hot team's arrays done after, s (p50, p90, max) | others' "+
-				"| fetched GB a day | machines a day | hot, of 81 s | moves that would pay |")
+			fmt.Fprintln(out, "| mode | imbalance (p50, p90, max) | latency of flooding team's arrays, s (p50, p90, max) "+
+				"| latency of other teams' arrays, s (p50, p90, max) | images fetched per run, GB "+
+				"| machines provisioned per run | only flooding team overloaded, s of 81 | moves proposed per run |")
 			fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 			for _, mode := range []settings.Rebalance{settings.RebalanceReport, settings.RebalancePlace, settings.RebalanceMove} {
 				if err := runFlood(out, mode, seeds); err != nil {
@@ -38,11 +39,11 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
+	cmd.Flags().IntVar(&seeds, "seeds", 20, "number of simulated runs per table row")
 	return cmd
 }
 
-// runFlood runs all seeds with a mode of rebalancing and prints a row.
+// runFlood runs all seeds with a rebalancing mode and prints a row of the table.
 func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
 	outcomes := runAll(seeds, func(seed int) simulator.LoadOutcome { return simulator.StudyFlood(uint64(seed), mode) })
 	imbalance, hot, others := newHistogram(), newHistogram(), newHistogram()
@@ -75,7 +76,7 @@
 		formatQuantiles(hot), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds),
 		float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
 	if problems > 0 {
-		fmt.Fprintf(out, "\nRULES BROKEN, or work left undone: %d\n\n", problems)
+		fmt.Fprintf(out, "\nINVARIANT VIOLATIONS or unfinished work: %d\n\n", problems)
 	}
 	return nil
 }
--- a/cmd/study/golden_test.go
+++ b/cmd/study/golden_test.go
@@ -13,36 +13,36 @@
 	"opaldale/internal/simulator"
 )
 
-// runMain has the test's own program run the command instead of the tests.
-const runMain = "STUDY_TEST_RUN_MAIN"
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
+const runMainVariable = "STUDY_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runMain) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// TestGoldenHelp pins the names of commands and flags, their help, and their errors.
+// TestGoldenHelp compares the help of the commands and the errors for invalid arguments with a golden file.
 func TestGoldenHelp(t *testing.T) {
 	var d golden.Document
 	for _, line := range []string{"--help", "links --help", "flood --help", "moves --help", "links --seeds 0", "flood --seeds 0",
 		"moves --seeds 0", "nonsense"} {
 		cmd := exec.Command(os.Args[0], strings.Fields(line)...)
-		cmd.Env = []string{runMain + "=1", "GOCOVERDIR=" + t.TempDir()}
-		var out, faults strings.Builder
-		cmd.Stdout, cmd.Stderr = &out, &faults
+		cmd.Env = []string{runMainVariable + "=1", "GOCOVERDIR=" + t.TempDir()}
+		var out, stderr strings.Builder
+		cmd.Stdout, cmd.Stderr = &out, &stderr
 		if err := cmd.Run(); cmd.ProcessState == nil {
 			t.Fatal(err)
 		}
 		d.Add("study "+line, fmt.Sprintf("%sexit %d, on standard error:\n%s", out.String(), cmd.ProcessState.ExitCode(),
-			faults.String()))
+			stderr.String()))
 	}
 	d.Compare(t, "help")
 }
 
-// TestGoldenOutcomes pins the record and the table of moves, with all of their fields set.
+// TestGoldenOutcomes compares the JSON record and the table of the moves study, with all fields set, with a golden file.
 func TestGoldenOutcomes(t *testing.T) {
 	outcome := golden.Filled[simulator.MovesOutcome](0)
 	outcome.Mode, outcome.Violations, outcome.Unfinished = settings.RebalanceMove, 0, 0
@@ -57,7 +57,7 @@
 	var d golden.Document
 	d.Add("record", string(body))
 	outcome.Violations, outcome.Unfinished = 101, 102
-	d.JSON(t, "rules broken", outcome)
+	d.JSON(t, "invariant violations", outcome)
 	var table strings.Builder
 	other := outcome
 	other.SlowMachines, other.Estimate = 0, 1.5
--- a/cmd/study/links.go
+++ b/cmd/study/links.go
@@ -12,33 +12,33 @@
 	"opaldale/internal/simulator"
 )
 
-// linkStudy is a way to break links: throughout a duration or, with a period, for a part of each period.
+// linkStudy defines how a link is broken: for the whole duration or, if period is set, for 60 % of each period.
 type linkStudy struct {
 	name             string
 	duration, period time.Duration
 }
 
-// linkTotals has the outcomes of one link over all seeds.
+// linkTotals aggregates the outcomes for one link over all seeds.
 type linkTotals struct {
 	lastDecision, nextPlacement             *hdrhistogram.Histogram // in ms
 	leaderChanges                           *hdrhistogram.Histogram
-	noNextPlacement                         int
+	noNextPlacement                         int // runs without a placement by another leader
 	lateSubmissions, submissions, tasksLost int
 	violations, unfinished                  int
 }
 
 const (
-	// histogramMax is the largest time in a histogram, in ms, and histogramDigits the number of significant digits.
+	// histogramMax is the maximum value of a histogram, in ms. histogramDigits is its number of significant decimal digits.
 	histogramMax    = 3_600_000
 	histogramDigits = 3
 )
 
-// newLinkTotals returns totals without an outcome.
+// newLinkTotals returns empty totals.
 func newLinkTotals() *linkTotals {
 	return &linkTotals{lastDecision: newHistogram(), nextPlacement: newHistogram(), leaderChanges: newHistogram()}
 }
 
-// add adds the outcome of a seed.
+// add adds the outcome of one run.
 func (t *linkTotals) add(o simulator.LinkOutcome) error {
 	if err := t.lastDecision.RecordValue(o.LastDecision.Milliseconds()); err != nil {
 		return err
@@ -59,16 +59,16 @@
 	return nil
 }
 
-// linksCommand returns the command that studies broken links.
+// linksCommand returns the command that measures the effect of broken links.
 func linksCommand() *cobra.Command {
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "links",
-		Short: "Break each directed link of a leader, with the view of links off and on",
+		Short: "Measure failover when each directed link of the leader breaks, with link monitoring off and on",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return fmt.Errorf("seeds: must be at least 1")
+				return fmt.Errorf("--seeds must be at least 1, got %d", seeds)
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			for _, s := range []linkStudy{
@@ -86,16 +86,16 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntVar(&seeds, "seeds", 20, "how many days of each kind are played")
+	cmd.Flags().IntVar(&seeds, "seeds", 20, "number of simulated runs per table row")
 	return cmd
 }
 
-// run prints a table with two rows for each link, without and with link monitoring.
+// run prints a table with two rows for each link: without and with link monitoring.
 func (s linkStudy) run(out io.Writer, seeds int) error {
 	fmt.Fprintf(out, "### %s, %d seeds\n\n", s.name, seeds)
-	fmt.Fprintln(out, "| link | view | last decision of the cut leader, s (p50, p90, max) "+
-		"| another places after, s (p50, p90, max) | never "+
-		"| changes of the lead (p50, max) | late submissions | tasks lost with leases |")
+	fmt.Fprintln(out, "| link | link monitoring | last decision of disconnected leader, s (p50, p90, max) "+
+		"| first placement by another leader, s (p50, p90, max) | runs without such a placement "+
+		"| leader changes (p50, max) | late submissions | tasks lost to expired leases |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, link := range simulator.StudiedLinks {
 		for _, monitored := range []bool{false, true} {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// runSeeds runs all seeds with a broken link and returns their totals.
+// runSeeds runs all seeds with one broken link and returns their totals.
 func (s linkStudy) runSeeds(link simulator.DirectedLink, monitored bool, seeds int) (*linkTotals, error) {
 	outcomes := runAll(seeds, func(seed int) simulator.LinkOutcome {
 		return simulator.StudyLink(uint64(seed), monitored, link, s.duration, s.period)
@@ -124,7 +124,7 @@
 	return t, nil
 }
 
-// printRow prints the totals.
+// printRow prints the totals as a row of the table.
 func (t *linkTotals) printRow(out io.Writer, link simulator.DirectedLink, monitored bool) {
 	view := map[bool]string{false: "off", true: "on"}[monitored]
 	fmt.Fprintf(out, "| %s to %s | %s | %s | %s | %d | %d, %d | %d of %d | %d |\n", link.From, link.To, view,
@@ -132,7 +132,7 @@
 		t.leaderChanges.Max(),
 		t.lateSubmissions, t.submissions, t.tasksLost)
 	if t.violations+t.unfinished > 0 {
-		fmt.Fprintf(out, "\nRULES BROKEN: %d, work left undone: %d\n\n", t.violations, t.unfinished)
+		fmt.Fprintf(out, "\nINVARIANT VIOLATIONS: %d, unfinished work: %d\n\n", t.violations, t.unfinished)
 	}
 }
 
@@ -141,6 +141,6 @@
 	if h.TotalCount() == 0 {
 		return "-"
 	}
-	s := func(ms int64) float64 { return float64(ms) / 1000 }
-	return fmt.Sprintf("%.1f, %.1f, %.1f", s(h.ValueAtQuantile(50)), s(h.ValueAtQuantile(90)), s(h.Max()))
+	toSeconds := func(ms int64) float64 { return float64(ms) / 1000 }
+	return fmt.Sprintf("%.1f, %.1f, %.1f", toSeconds(h.ValueAtQuantile(50)), toSeconds(h.ValueAtQuantile(90)), toSeconds(h.Max()))
 }
--- a/cmd/study/main.go
+++ b/cmd/study/main.go
@@ -1,4 +1,4 @@
-// Command study runs the simulator with many seeds and prints the distributions of the outcomes, or a digest of each run.
+// Command study runs the cluster simulator with many seeds and prints a table of the outcomes, or a digest of each run.
 package main
 
 import (
@@ -11,7 +11,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "study",
-		Short:         "Measure in simulated time, over many seeds",
+		Short:         "Measure the scheduler in simulated time, over many seeds",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/study/moves_test.go
+++ b/cmd/study/moves_test.go
@@ -11,30 +11,30 @@
 	"opaldale/internal/simulator"
 )
 
-// TestMovesRecord: outcomes are recorded, plotted and printed; one with a violation, or one that does not conform to the
-// schema, is not recorded.
+// TestMovesRecord checks that outcomes are recorded, plotted and printed. Outcomes with a violation, and those that do not
+// conform to the schema, must fail the validation.
 func TestMovesRecord(t *testing.T) {
 	outcome := simulator.StudyMoves(1, settings.RebalanceMove, 1)
-	path, picture := filepath.Join(t.TempDir(), "moves.json"), filepath.Join(t.TempDir(), "moves.svg")
+	path, plotPath := filepath.Join(t.TempDir(), "moves.json"), filepath.Join(t.TempDir(), "moves.svg")
 	if err := recordMoves(path, []simulator.MovesOutcome{outcome}); err != nil {
 		t.Fatal(err)
 	}
-	if err := plotMoves(picture, []simulator.MovesOutcome{outcome}); err != nil {
+	if err := plotMoves(plotPath, []simulator.MovesOutcome{outcome}); err != nil {
 		t.Fatal(err)
 	}
 	body, err := os.ReadFile(path)
 	if err != nil || validateMoves(body) != nil {
-		t.Errorf("%v, %v", err, validateMoves(body))
+		t.Errorf("recorded outcomes: read error %v, validation error %v, want none", err, validateMoves(body))
 	}
-	if info, err := os.Stat(picture); err != nil || info.Size() == 0 {
-		t.Errorf("plot: %v", err)
+	if info, err := os.Stat(plotPath); err != nil || info.Size() == 0 {
+		t.Errorf("plot: got error %v or an empty file", err)
 	}
 	var table strings.Builder
 	if err := writeMoves(&table, []simulator.MovesOutcome{outcome}); err != nil || !strings.Contains(table.String(), "| move |") {
-		t.Errorf("%v: %s", err, table.String())
+		t.Errorf("table: error %v, got %q, want a row of mode move", err, table.String())
 	}
 	if outcome.Moves == 0 || len(outcome.RealisedS) == 0 {
-		t.Errorf("nothing was moved: %+v", outcome)
+		t.Errorf("got no moves or no realised gains, want some: %+v", outcome)
 	}
 	for _, change := range []func(*simulator.MovesOutcome){
 		func(o *simulator.MovesOutcome) { o.Violations = 1 },
@@ -42,11 +42,11 @@
 		func(o *simulator.MovesOutcome) { o.WideWaitS = []float64{-1} },
 		func(o *simulator.MovesOutcome) { o.Estimate = 0 },
 	} {
-		bad := outcome
-		change(&bad)
-		body, err := json.Marshal([]simulator.MovesOutcome{bad})
+		invalid := outcome
+		change(&invalid)
+		body, err := json.Marshal([]simulator.MovesOutcome{invalid})
 		if err != nil || validateMoves(body) == nil {
-			t.Errorf("%v: taken: %s", err, body)
+			t.Errorf("invalid outcome: encoding error %v, validation succeeded, want an error: %s", err, body)
 		}
 	}
 }
--- a/cmd/study/parallel.go
+++ b/cmd/study/parallel.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// runAll returns the results of n runs, as many at a time as there are cores.
+// runAll calls run for each i below n, on as many goroutines at a time as there are CPUs, and returns the results in order.
 func runAll[T any](n int, run func(i int) T) []T {
 	results := make([]T, n)
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
 	for i := range n {
-		all.Go(func() {
+		runs.Go(func() {
 			slots <- struct{}{}
 			results[i] = run(i)
 			<-slots
 		})
 	}
-	all.Wait()
+	runs.Wait()
 	return results
 }
--- a/cmd/study/replay.go
+++ b/cmd/study/replay.go
@@ -11,34 +11,34 @@
 	"opaldale/internal/simulator"
 )
 
-// errViolation is returned when a replayed run violated an invariant.
+// errViolation is returned if a replayed run violated an invariant.
 var errViolation = errors.New("rules broken")
 
-// replayCommand returns the command that replays scenarios and prints their digests.
+// replayCommand returns the command that runs simulated scenarios and prints their digests.
 func replayCommand() *cobra.Command {
 	var seed uint64
 	var days int
 	cmd := &cobra.Command{
 		Use:   "replay",
 		Args:  cobra.NoArgs,
-		Short: "Print a digest of all that the controllers send on days of trouble, to compare builds",
-		Long: "Replay plays days of the stand-in world, of a kind that follows from the seed, and prints a line for each: its\n" +
-			"seed, its kind, and a SHA-256 of all that the controllers send and answer, in order. Two builds that print the\n" +
-			"same lines have behaved alike on these days.",
+		Short: "Print a digest of all controller messages in runs with faults or overload, to compare builds",
+		Long: "Replay runs the simulator with consecutive seeds and prints one line for each run: the seed, the scenario that\n" +
+			"the seed selects, and the SHA-256 of all requests and responses that the controllers send, in order. Two builds\n" +
+			"that print the same lines behaved identically in these runs.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if days < 1 {
-				return fmt.Errorf("days: must be at least 1")
+				return fmt.Errorf("--days must be at least 1, got %d", days)
 			}
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			return replay(cmd.OutOrStdout(), seed, days)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the first day")
-	cmd.Flags().IntVar(&days, "days", 1, "how many days are played, each with the seed after that of the day before")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run")
+	cmd.Flags().IntVar(&days, "days", 1, "number of simulated runs; each uses the next seed")
 	return cmd
 }
 
-// replay prints a line for each run, and returns an error for those that violated an invariant.
+// replay prints a line for each run, and returns an error that lists the runs that violated an invariant.
 func replay(out io.Writer, seed uint64, days int) error {
 	outcomes := runAll(days, func(i int) simulator.ReplayOutcome { return simulator.Replay(seed + uint64(i)) })
 	var violations []error
