--- a/internal/clocktest/clock.go
+++ b/internal/clocktest/clock.go
@@ -1,4 +1,4 @@
-// Package clocktest provides a clock with timers that a test advances. Only tests may import it.
+// Package clocktest provides a fake clock with timers, which a test advances. Only tests may import it.
 package clocktest
 
 import (
@@ -8,9 +8,9 @@
 	"opaldale/internal/ident"
 )
 
-// Clock is a clock whose timers run when a test advances it. It is not safe for concurrent use.
+// Clock is a fake clock whose timers run when a test advances it. It is not safe for concurrent use.
 type Clock struct {
-	Time   ident.MonotonicTime // set it to let time pass without running timers
+	Time   ident.MonotonicTime // current time; a test may set it to advance the clock without running timers
 	timers []timer
 }
 
@@ -19,24 +19,24 @@
 	run func()
 }
 
-// Now returns the time.
+// Now returns the current time of the clock.
 func (c *Clock) Now() ident.MonotonicTime { return c.Time }
 
-// After has f run when the clock is advanced by d.
+// After adds a timer that calls f when the clock has advanced by d.
 func (c *Clock) After(d time.Duration, f func()) {
 	c.timers = append(c.timers, timer{c.Time.Add(d), f})
 }
 
-// Advance runs the timers that are due within d, including those that they add, and advances the clock by d.
+// Advance advances the clock by d and runs the timers that are due by then, including those that these timers add.
 func (c *Clock) Advance(d time.Duration) {
 	end := c.Time.Add(d)
 	c.RunUntil(end)
 	c.Time = end
 }
 
-// RunUntil runs the timers that are due by a time, including those that they add: the earliest first,
-// and those of the same time in the order in which they were added. It advances the clock to the last
-// one.
+// RunUntil runs the timers that are due at or before end, including those that these timers add. They
+// run in the order of their due times, and timers with the same due time in the order in which they
+// were added. RunUntil advances the clock to the due time of the last timer that it runs, not to end.
 func (c *Clock) RunUntil(end ident.MonotonicTime) {
 	for {
 		next, ok := c.earliest()
@@ -50,7 +50,7 @@
 	}
 }
 
-// earliest returns the index of the timer that runs next, if there is one.
+// earliest returns the index of the timer with the earliest due time. ok is false if there are no timers.
 func (c *Clock) earliest() (index int, ok bool) {
 	for i, t := range c.timers {
 		if t.due < c.timers[index].due {
--- a/internal/clocktest/clock_test.go
+++ b/internal/clocktest/clock_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestClock: timers run in the order of their times, at their times, and only if they are due.
+// TestClock checks that timers run in the order of their due times, at their due times, and only when they are due.
 func TestClock(t *testing.T) {
 	var c Clock
 	var ran []time.Duration
@@ -21,13 +21,13 @@
 	c.After(9*time.Second, record)
 	c.RunUntil(ident.MonotonicTime(2500 * time.Millisecond))
 	if want := []time.Duration{time.Second, 2 * time.Second}; !slices.Equal(ran, want) || c.Time.Sub(0) != 2*time.Second {
-		t.Errorf("ran at %v, is at %v", ran, c.Time.Sub(0))
+		t.Errorf("RunUntil 2.5s: got timers run at %v, clock at %v; want %v and 2s", ran, c.Time.Sub(0), want)
 	}
 	c.Advance(4 * time.Second)
 	if want := []time.Duration{time.Second, 2 * time.Second, 3 * time.Second}; !slices.Equal(ran, want) {
-		t.Errorf("ran at %v", ran)
+		t.Errorf("Advance by 4s: got timers run at %v, want %v", ran, want)
 	}
 	if c.Time.Sub(0) != 6*time.Second {
-		t.Errorf("is at %v", c.Time.Sub(0))
+		t.Errorf("Advance by 4s: got clock at %v, want 6s", c.Time.Sub(0))
 	}
 }
--- a/internal/golden/compare_test.go
+++ b/internal/golden/compare_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// recordingTB is a test that keeps its failures instead of reporting them.
+// recordingTB is a testing.TB that records failures instead of failing the test.
 type recordingTB struct {
 	testing.TB
 	failures []string
@@ -20,13 +20,13 @@
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// Fatalf ends the function under test by a panic, which check recovers from.
+// Fatalf records a failure and ends the function under test by a panic, from which check recovers.
 func (r *recordingTB) Fatalf(format string, args ...any) {
 	r.Errorf(format, args...)
 	panic(r)
 }
 
-// check returns the failures that a check reports.
+// check runs a function with a recordingTB and returns the failures that the function reported.
 func check(t *testing.T, run func(testing.TB)) []string {
 	t.Helper()
 	r := &recordingTB{TB: t}
@@ -41,6 +41,7 @@
 	return r.failures
 }
 
+// TestCompare checks that Compare accepts an equal document, and reports a missing file or the first line that differs.
 func TestCompare(t *testing.T) {
 	defer func(flagged bool) { *update = flagged }(*update)
 	*update = false
@@ -72,13 +73,13 @@
 				t.Errorf("failures %q, want none", failures)
 			}
 			if tc.wantFailure != "" && (len(failures) != 1 || !strings.Contains(failures[0], tc.wantFailure)) {
-				t.Errorf("failures %q, want %q", failures, tc.wantFailure)
+				t.Errorf("failures %q, want one that contains %q", failures, tc.wantFailure)
 			}
 		})
 	}
 }
 
-// TestRoundTrip: a field that is not encoded is a failure.
+// TestRoundTrip checks that RoundTrip fails if a field is not encoded.
 func TestRoundTrip(t *testing.T) {
 	type complete struct {
 		Number int `json:"number"`
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -6,13 +6,14 @@
 	"reflect"
 )
 
-// BoolVariants is the number of variants of Filled in which any two of up to seven booleans
-// differ at least once.
+// BoolVariants is the number of variants of Filled after which each pair of booleans has differed
+// in at least one variant, for types with up to seven booleans.
 const BoolVariants = 3
 
-// Filled returns a value with all exported fields set, each to a different value that depends only
-// on the order of the fields. Slices and maps have one element. Strings have the form of a job
-// ID, as decoders of IDs require it. variant, from 0, selects which booleans are true.
+// Filled returns a value with all exported fields set. Fields other than booleans have distinct
+// values, which depend only on the order of the fields. Slices and maps have one element. Strings
+// have the format of a job ID, which decoders of IDs require. variant, counted from 0, selects the
+// booleans that are true.
 func Filled[T any](variant int) T {
 	var value T
 	f := filler{variant: variant}
@@ -20,13 +21,14 @@
 	return value
 }
 
-// filler sets values by reflection, numbering them.
+// filler sets values by reflection. Each value derives from the number of values set before it.
 type filler struct {
 	variant  int
 	values   int // values set so far
 	booleans int // booleans among them
 }
 
+// fill sets a value, including the values that it contains.
 func (f *filler) fill(v reflect.Value) {
 	f.values++
 	switch v.Kind() {
@@ -57,7 +59,7 @@
 	case reflect.Struct:
 		f.fillStruct(v)
 	default:
-		panic(fmt.Sprintf("no values of type %s", v.Type()))
+		panic(fmt.Sprintf("golden: cannot fill a value of type %s", v.Type()))
 	}
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares texts with golden files: files in the testdata directory of the package
-// under test. They pin what leaves the process, so a change in them is a change of an interface.
-// Only tests may import the package.
+// Package golden compares texts with golden files in the testdata directory of the package under
+// test. Golden files hold texts that leave the process, such as messages, keys and metrics, so a
+// change of a golden file is a change of an external interface. Only tests may import the package.
 package golden
 
 import (
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 // Document collects the sections of a golden file. The zero value is empty.
 type Document struct{ text strings.Builder }
@@ -28,34 +28,34 @@
 	}
 }
 
-// JSON appends a section with a message in its JSON encoding, one field a line.
+// JSON appends a section with the JSON encoding of a message, one field per line.
 func (d *Document) JSON(t testing.TB, title string, message any) {
 	t.Helper()
 	d.Add(title, Indent(t, encode(t, message)))
 }
 
-// Compare compares the document with a golden file, as the function Compare does.
+// Compare compares the document with the golden file testdata/NAME.golden, like the function Compare.
 func (d *Document) Compare(t testing.TB, name string) {
 	t.Helper()
 	Compare(t, name, d.text.String())
 }
 
-// RoundTrip appends a section with a message in its JSON encoding, and checks that decoding it
-// returns the same message.
+// RoundTrip appends a section with the JSON encoding of a message, and checks that decoding it
+// yields an equal message.
 func RoundTrip[T any](t testing.TB, d *Document, title string, message T) {
 	t.Helper()
 	d.JSON(t, title, message)
 	var decoded T
 	if err := json.Unmarshal(encode(t, message), &decoded); err != nil {
-		t.Errorf("%s: %v", title, err)
+		t.Errorf("%s: decoding its JSON encoding: %v", title, err)
 	}
 	if !reflect.DeepEqual(decoded, message) {
-		t.Errorf("%s: %+v is decoded as %+v", title, message, decoded)
+		t.Errorf("%s: JSON round trip: got %+v, want %+v", title, decoded, message)
 	}
 }
 
 // Compare compares a text with the golden file testdata/NAME.golden and reports the first line
-// that differs. With the flag -update it writes the file instead.
+// that differs. With the flag -update, it writes the file instead.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -67,8 +67,8 @@
 	if err != nil {
 		t.Fatalf("%v (written by go test -update)", err)
 	}
-	if number, was, is, differ := firstDifference(string(want), got); differ {
-		t.Errorf("%s:%d: want %q, got %q", path, number, was, is)
+	if number, wantLine, gotLine, differ := firstDifference(string(want), got); differ {
+		t.Errorf("%s:%d: want %q, got %q", path, number, wantLine, gotLine)
 	}
 }
 
@@ -82,17 +82,17 @@
 	}
 }
 
-// firstDifference returns the number of the first line, from 1, in which two texts differ, and
-// that line of each. A line after the end of a text is empty.
-func firstDifference(want, got string) (number int, was, is string, differ bool) {
+// firstDifference returns the number of the first line in which two texts differ, counted from 1,
+// and that line of each text, which is empty after the end of the text.
+func firstDifference(want, got string) (number int, wantLine, gotLine string, differ bool) {
 	if want == got {
 		return 0, "", "", false
 	}
-	wanted, given := strings.SplitAfter(want, "\n"), strings.SplitAfter(got, "\n")
-	for i := range max(len(wanted), len(given)) {
-		was, is = lineAt(wanted, i), lineAt(given, i)
-		if was != is {
-			return i + 1, was, is, true
+	wantLines, gotLines := strings.SplitAfter(want, "\n"), strings.SplitAfter(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		wantLine, gotLine = lineAt(wantLines, i), lineAt(gotLines, i)
+		if wantLine != gotLine {
+			return i + 1, wantLine, gotLine, true
 		}
 	}
 	return 0, "", "", false
@@ -105,8 +105,8 @@
 	return ""
 }
 
-// Indent puts each field of a JSON text on a line of its own, in the order of the text. It
-// returns a text that is not JSON unchanged.
+// Indent returns a JSON text with each field on its own line, in unchanged order. It returns a
+// text that is not JSON unchanged.
 func Indent(t testing.TB, text []byte) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestFirstDifference: the first line that differs is reported, also where one text ends.
+// TestFirstDifference checks that firstDifference finds the first line that differs, even if one text ends before the other.
 func TestFirstDifference(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		want, got string
-		number    int
-		was, is   string
+		name              string
+		want, got         string
+		number            int
+		wantLine, gotLine string
 	}{
 		{"equal", "a\nb\n", "a\nb\n", 0, "", ""},
 		{"two lines differ", "a\nb\nc\n", "a\nx\ny\n", 2, "b\n", "x\n"},
@@ -17,15 +17,17 @@
 		{"last newline missing", "a\n", "a", 1, "a\n", "a"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			number, was, is, differ := firstDifference(tc.want, tc.got)
-			if number != tc.number || was != tc.was || is != tc.is || differ != (tc.want != tc.got) {
-				t.Errorf("%q and %q: %d, %q, %q, %v", tc.want, tc.got, number, was, is, differ)
+			number, wantLine, gotLine, differ := firstDifference(tc.want, tc.got)
+			if number != tc.number || wantLine != tc.wantLine || gotLine != tc.gotLine || differ != (tc.want != tc.got) {
+				t.Errorf("%q and %q: got line %d, %q, %q, differ %v; want line %d, %q, %q, differ %v", tc.want, tc.got,
+					number, wantLine, gotLine, differ, tc.number, tc.wantLine, tc.gotLine, tc.want != tc.got)
 			}
 		})
 	}
 }
 
-// TestFilled: no two fields are equal, and each pair of booleans differs in some variant.
+// TestFilled checks that Filled sets exported fields, also of nested and embedded values, and no others, and that each pair
+// of booleans differs in at least one variant.
 func TestFilled(t *testing.T) {
 	type inner struct{ Number uint8 }
 	type message struct {
@@ -38,7 +40,7 @@
 	}
 	m := Filled[message](0)
 	if m.Number == 0 || m.Text == "" || m.Amount == nil || len(m.List) != 1 || m.List[0] == m.inner || m.hidden != 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("got %+v, want all exported fields set, List[0] to differ from inner, and hidden unset", m)
 	}
 	var one, two, three [BoolVariants]bool
 	for v := range BoolVariants {
@@ -46,6 +48,6 @@
 		one[v], two[v], three[v] = m.One, m.Two, m.Three
 	}
 	if one == two || two == three || one == three {
-		t.Errorf("%v, %v, %v", one, two, three)
+		t.Errorf("got booleans %v, %v, %v by variant, want three different patterns", one, two, three)
 	}
 }
--- a/internal/golden/transport.go
+++ b/internal/golden/transport.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Transport is an http.RoundTripper that gives every request the same response and keeps the
-// newest request as text.
+// Transport is an http.RoundTripper that returns the same response to every request and records
+// the newest request as text.
 type Transport struct {
-	Status        int    // of the response
-	Body          string // of the response
-	NewestRequest string // the newest request: a line with method, URL and content type, then the body
+	Status        int    // HTTP status code of the response
+	Body          string // body of the response
+	NewestRequest string // a line with method, URL and content type, then the body
 }
 
-// RoundTrip returns the response.
+// RoundTrip records the request and returns the response.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	t.NewestRequest = fmt.Sprintf("%s %s %s\n", r.Method, r.URL, r.Header.Get("Content-Type"))
 	if r.Body != nil {
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -1,5 +1,5 @@
-// Package propertytest makes property tests draw the same cases in every run. Only tests may
-// import it.
+// Package propertytest makes property tests that use rapid generate the same cases in every run.
+// Only tests may import it.
 package propertytest
 
 import (
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// defaults are the flags of rapid that differ from its own defaults: a fixed seed, and no files
-// with failed cases in the source tree.
+// defaults are the default values of flags that replace those of rapid: a fixed seed, and no
+// files with failed cases in the source tree.
 var defaults = map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
 
-// Main runs the tests of a package that uses rapid, for its TestMain, and returns the exit code.
-// Flags given on the command line take precedence.
+// Main runs the tests of a package that uses rapid and returns the exit code. The TestMain of the
+// package calls it. Flags on the command line that differ from rapid's defaults take precedence.
 func Main(m *testing.M) int {
 	flag.Parse()
 	for name, value := range defaults {
--- a/internal/workerstest/workerstest.go
+++ b/internal/workerstest/workerstest.go
@@ -1,5 +1,5 @@
-// Package workerstest sets up tables of machines for the tests of other packages. Only tests may
-// import it.
+// Package workerstest provides helpers to set up a workers.Table in the tests of other packages.
+// Only tests may import it.
 package workerstest
 
 import (
@@ -12,8 +12,8 @@
 	"opaldale/internal/workers"
 )
 
-// Config returns the configuration of a table of machines of one type: leases of half a minute and
-// no grace period, machines that count as persisted at once, and events that have no effect.
+// Config returns the configuration of a table of machines of one type. Leases last 30 seconds and
+// there is no grace period. Machines count as persisted at once. The event callbacks do nothing.
 func Config(term ident.Term, machineType cloud.MachineType) workers.Config {
 	return workers.Config{
 		Term:              term,
@@ -28,8 +28,8 @@
 	}
 }
 
-// TrackAllocation returns a function for jobs.Table.OnStateChange. It adds tasks to their machines in a table
-// when they are allocated, and removes them when their allocation ends.
+// TrackAllocation returns a callback for jobs.Table.OnStateChange. The callback adds a task to its machine in
+// the table when the task is allocated, and removes it when the task is no longer allocated.
 func TrackAllocation(table *workers.Table) func(task *jobs.Task, from, to jobs.State) {
 	return func(task *jobs.Task, from, to jobs.State) {
 		w := table.Workers[task.MachineID]
