--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -323,11 +323,11 @@
 		return Response{}
 	}
 	defer resp.Body.Close()
-	a := Response{Status: resp.StatusCode}
-	if json.NewDecoder(resp.Body).Decode(&a.Job) != nil {
-		a.Job = api.JobView{}
+	response := Response{Status: resp.StatusCode}
+	if json.NewDecoder(resp.Body).Decode(&response.Job) != nil {
+		response.Job = api.JobView{}
 	}
-	return a
+	return response
 }
 
 // Violations returns a description of each invariant violation in the record of the workers.
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -54,11 +54,11 @@
 	duration := time.Duration(300+rng.IntN(1500)) * time.Millisecond
 	end := time.Now().Add(userTimeout)
 	for !u.accepted && time.Now().Before(end) {
-		switch a := c.Submit(rng.IntN(nodes), spec, Workload{FirstDuration: duration}); a.Status {
+		switch response := c.Submit(rng.IntN(nodes), spec, Workload{FirstDuration: duration}); response.Status {
 		case 200, 201:
 			u.accepted = true
 		case 400, 422:
-			u.reportViolation("valid submission: got HTTP status %d, want 200 or 201", a.Status)
+			u.reportViolation("valid submission: got HTTP status %d, want 200 or 201", response.Status)
 			return
 		default:
 			time.Sleep(200 * time.Millisecond)
@@ -68,37 +68,37 @@
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	}
 	for u.finalStatus == "" && time.Now().Before(end) {
-		var a Response
+		var response Response
 		if u.cancels {
-			a = c.Cancel(rng.IntN(nodes), u.id)
+			response = c.Cancel(rng.IntN(nodes), u.id)
 		} else {
-			a = c.Get(rng.IntN(nodes), u.id)
+			response = c.Get(rng.IntN(nodes), u.id)
 		}
-		u.checkResponse(a)
+		u.checkResponse(response)
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
 // checkResponse checks a response about the job against earlier responses.
-func (u *user) checkResponse(a Response) {
+func (u *user) checkResponse(response Response) {
 	switch {
-	case a.Status == 404:
+	case response.Status == 404:
 		u.reportViolation("accepted job not found: got HTTP status 404")
-	case a.Status != 200:
-	case a.Job.Status == "cancelled" && !u.cancels:
+	case response.Status != 200:
+	case response.Job.Status == "cancelled" && !u.cancels:
 		u.reportViolation("got status cancelled, though the user did not cancel the job")
-	case a.Job.Status == "done" || a.Job.Status == "cancelled":
-		if u.finalStatus != "" && u.finalStatus != a.Job.Status {
-			u.reportViolation("final status changed: got %s, then %s", u.finalStatus, a.Job.Status)
+	case response.Job.Status == "done" || response.Job.Status == "cancelled":
+		if u.finalStatus != "" && u.finalStatus != response.Job.Status {
+			u.reportViolation("final status changed: got %s, then %s", u.finalStatus, response.Job.Status)
 		}
 		if u.finalStatus == "" {
-			u.finalStatus = a.Job.Status
+			u.finalStatus = response.Job.Status
 			if u.finalStatus == "cancelled" {
 				u.cancelConfirmedAt = time.Now()
 			}
 		}
 	case u.finalStatus != "":
-		u.reportViolation("final status changed: got %s, then %s", u.finalStatus, a.Job.Status)
+		u.reportViolation("final status changed: got %s, then %s", u.finalStatus, response.Job.Status)
 	}
 }
 
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -82,9 +82,9 @@
 func (s *store) deleteLease(id uint64) {
 	delete(s.leases, id)
 	var deletions []kvstore.Mutation
-	for path, e := range s.entries {
+	for key, e := range s.entries {
 		if e.LeaseID == id {
-			deletions = append(deletions, kvstore.Mutation{Delete: path})
+			deletions = append(deletions, kvstore.Mutation{Delete: key})
 		}
 	}
 	if len(deletions) > 0 {
@@ -130,8 +130,8 @@
 	s.expireLeases()
 	prefix, since := r.URL.Query().Get("starts"), r.URL.Query().Get("since")
 	page := []storeEntry{}
-	for path, e := range s.entries {
-		if strings.HasPrefix(path, prefix) && path > since {
+	for key, e := range s.entries {
+		if strings.HasPrefix(key, prefix) && key > since {
 			page = append(page, e)
 		}
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -183,10 +183,10 @@
 
 // execute executes commands. The caller must hold w.mu.
 func (w *worker) execute(commands []api.Command) {
-	for _, o := range commands {
-		k := taskKey{o.TaskID, o.Attempt}
+	for _, command := range commands {
+		k := taskKey{command.TaskID, command.Attempt}
 		t := w.tasks[k]
-		switch o.Verb {
+		switch command.Verb {
 		case api.Launch:
 			if t == nil {
 				w.launch(k)
