--- a/cmd/opaldale/log_source_test.go
+++ b/cmd/opaldale/log_source_test.go
@@ -50,6 +50,16 @@
 
 // readLogStatements returns the log statements of the program's packages, and what could not be analyzed.
 func readLogStatements(t *testing.T) (statements []logStatement, problems []string) {
+	t.Helper()
+	for _, sources := range parsePackages(t) {
+		sources.analyze()
+		statements, problems = append(statements, sources.statements...), append(problems, sources.problems...)
+	}
+	return statements, problems
+}
+
+// parsePackages parses the packages that the program consists of, without their tests.
+func parsePackages(t *testing.T) (packages []*logSources) {
 	t.Helper()
 	directories := []string{"."}
 	err := filepath.WalkDir("../../internal", func(path string, entry fs.DirEntry, err error) error {
@@ -66,25 +76,30 @@
 		t.Fatal(err)
 	}
 	for _, directory := range directories {
-		sources := &logSources{fileSet: token.NewFileSet()}
-		names, err := filepath.Glob(filepath.Join(directory, "*.go"))
+		packages = append(packages, parsePackage(t, directory))
+	}
+	return packages
+}
+
+// parsePackage parses the files in a directory, without tests.
+func parsePackage(t *testing.T, directory string) *logSources {
+	t.Helper()
+	sources := &logSources{fileSet: token.NewFileSet()}
+	names, err := filepath.Glob(filepath.Join(directory, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(sources.fileSet, name, nil, parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range names {
-			if strings.HasSuffix(name, "_test.go") {
-				continue
-			}
-			file, err := parser.ParseFile(sources.fileSet, name, nil, parser.SkipObjectResolution)
-			if err != nil {
-				t.Fatal(err)
-			}
-			sources.files = append(sources.files, file)
-		}
-		sources.analyze()
-		statements, problems = append(statements, sources.statements...), append(problems, sources.problems...)
+		sources.files = append(sources.files, file)
 	}
-	return statements, problems
+	return sources
 }
 
 // analyze finds the log statements in all files.
