--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -11,24 +11,24 @@
 	"opaldale/internal/transport"
 )
 
-// apiRequest is a request of a user or a worker to a node.
+// apiRequest is a request from a user or a worker to a node.
 type apiRequest struct {
 	from    string
 	node    *node
 	method  transport.Method
-	job     string // "" for requests that are not about a job
+	job     string // "" if the route names no job
 	body    []byte
 	timeout time.Duration
 }
 
 const (
-	// requestTimeout is how long users wait for the reply to a submission or a cancellation, and queryTimeout for that to
-	// a query.
+	// requestTimeout is how long users wait for the reply to a submission or a cancellation.
 	requestTimeout = 5 * time.Second
-	queryTimeout   = 2 * time.Second
+	// queryTimeout is how long users wait for the reply to a status query.
+	queryTimeout = 2 * time.Second
 )
 
-// request sends a request to a node and passes the reply to done, nil if there is none in time.
+// request sends a request to a node and passes the reply to done, or nil if no reply arrives within the timeout.
 func (sim *Simulation) request(r apiRequest, done func(*controller.Response)) {
 	n := r.node
 	if !n.alive {
@@ -45,7 +45,7 @@
 	call(sim, r.from, n.name, r.timeout, handle, func(a *controller.Response, _ bool) { done(a) })
 }
 
-// handleRequest has the node's process handle a request.
+// handleRequest passes a request to the controller of the node and sends its response to reply.
 func (n *node) handleRequest(r apiRequest, reply func(*controller.Response)) {
 	if cached := n.cachedReply(r); cached != nil {
 		reply(cached)
@@ -67,7 +67,7 @@
 	})
 }
 
-// randomNode draws a node, up to three times if it does not accept connections.
+// randomNode returns a random node. It prefers running nodes: it draws up to three times until it finds one.
 func (sim *Simulation) randomNode() *node {
 	for range 3 {
 		if n := sim.nodes[sim.rng.IntN(len(sim.nodes))]; n.alive {
@@ -77,17 +77,18 @@
 	return sim.nodes[0]
 }
 
-// submit submits a job at any node, again and again until it is accepted or the time is over.
+// submit submits a job to a random node and retries every second until the job is accepted or the time given by until has
+// passed.
 func (sim *Simulation) submit(j *userJob, until ident.MonotonicTime) {
 	sim.submitTo(j, until, sim.randomNode())
 }
 
-// resubmitAt repeats the submission of a job at a node, once.
+// resubmitAt repeats the submission of a job at the given node once, without retries.
 func (sim *Simulation) resubmitAt(j *userJob, n *node) { sim.submitTo(j, 0, n) }
 
-// submitTo is submit with the first attempt at a node.
+// submitTo submits a job like submit, but sends the first attempt to the given node.
 func (sim *Simulation) submitTo(j *userJob, until ident.MonotonicTime, n *node) {
-	asked := sim.now
+	requestedAt := sim.now
 	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(j.spec), requestTimeout},
 		func(r *controller.Response) {
 			if r != nil && isAccepted(r) {
@@ -96,14 +97,14 @@
 					sim.poll(j)
 					sim.probeAllNodes(j)
 				}
-				sim.checkAnswer(j, r, asked)
-				if sim.rng.IntN(6) == 0 { // an idempotent submission, much later
+				sim.checkAnswer(j, r, requestedAt)
+				if sim.rng.IntN(6) == 0 { // repeat the idempotent submission much later
 					sim.schedule(time.Duration(sim.rng.IntN(60_000))*time.Millisecond, func() { sim.submit(j, 0) })
 				}
 				return
 			}
 			if r != nil && (r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity) {
-				sim.reportViolation("%s: a valid submission got %d %s", j.spec.ID, r.Status, r.Body)
+				sim.reportViolation("%s: a valid submission was rejected with status %d: %s", j.spec.ID, r.Status, r.Body)
 			}
 			if sim.now < until {
 				sim.schedule(time.Second, func() { sim.submit(j, until) })
@@ -111,11 +112,11 @@
 		})
 }
 
-// poll has a user query the status of a job throughout the run, and sometimes that of a job that does not exist.
+// poll queries the status of a job periodically until the end of the run, and sometimes that of a job that does not exist.
 func (sim *Simulation) poll(j *userJob) {
 	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
 	if gap := sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)); sim.now > quiescentFrom && gap > maxStatusGap {
-		sim.reportViolation("forgotten: no query about %s was answered for %v", j.spec.ID, gap)
+		sim.reportViolation("forgotten: no status query for %s was answered for %v", j.spec.ID, gap)
 	}
 	if sim.mutates(StarvePolls) && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
 		sim.schedule(5*time.Second, func() { sim.poll(j) })
@@ -129,38 +130,38 @@
 		sim.request(apiRequest{usersParty, sim.randomNode(), transport.GetJob, id, nil, queryTimeout},
 			func(r *controller.Response) {
 				if r != nil && r.Status == http.StatusOK {
-					sim.reportViolation("invented: %s got 200", id)
+					sim.reportViolation("invented: the status query for %s, which was never submitted, got 200", id)
 				}
 			})
 	}
 }
 
-// pollNode queries a node about a job once.
+// pollNode queries the status of a job at a node once.
 func (sim *Simulation) pollNode(j *userJob, n *node) { sim.queryStatus(j, n, func() {}) }
 
-// queryStatus queries a node about a job, checks the reply, and calls then, whether there is one or not.
-func (sim *Simulation) queryStatus(j *userJob, n *node, then func()) {
-	asked := sim.now
+// queryStatus queries the status of a job at a node, checks the reply if there is one, and then calls onDone.
+func (sim *Simulation) queryStatus(j *userJob, n *node, onDone func()) {
+	requestedAt := sim.now
 	sim.request(apiRequest{usersParty, n, transport.GetJob, string(j.spec.ID), nil, queryTimeout}, func(r *controller.Response) {
 		if r != nil {
 			if r.Status == http.StatusNotFound {
-				sim.reportViolation("forgotten: %s got 404", j.spec.ID)
+				sim.reportViolation("forgotten: the status query for accepted job %s got 404", j.spec.ID)
 			}
 			if r.Status == http.StatusOK {
 				j.lastAnsweredAt = sim.now
-				sim.checkAnswer(j, r, asked)
+				sim.checkAnswer(j, r, requestedAt)
 			}
 		}
-		then()
+		onDone()
 	})
 }
 
-// cancel cancels a job at any node.
+// cancel cancels a job at a random node.
 func (sim *Simulation) cancel(j *userJob) { sim.cancelAt(j, nil) }
 
-// cancelAt cancels a job at a node, at any if it is nil, again and again until that is confirmed.
+// cancelAt cancels a job at a node, or at a random one if at is nil, and retries every second until it is confirmed.
 func (sim *Simulation) cancelAt(j *userJob, at *node) {
-	asked := sim.now
+	requestedAt := sim.now
 	n := at
 	if n == nil {
 		n = sim.randomNode()
@@ -168,22 +169,22 @@
 	sim.request(apiRequest{usersParty, n, transport.CancelJob, string(j.spec.ID), nil, requestTimeout},
 		func(r *controller.Response) {
 			if r != nil && r.Status == http.StatusOK {
-				sim.checkAnswer(j, r, asked)
+				sim.checkAnswer(j, r, requestedAt)
 				return
 			}
 			if r != nil && r.Status == http.StatusNotFound {
-				sim.reportViolation("forgotten: cancelling %s got 404", j.spec.ID)
+				sim.reportViolation("forgotten: the cancellation of accepted job %s got 404", j.spec.ID)
 			}
 			sim.schedule(time.Second, func() { sim.cancelAt(j, at) })
 		})
 }
 
-// cancelWhenAccepted has a user cancel a job once it is accepted, at a node, or at any if it is nil.
+// cancelWhenAccepted cancels a job as soon as it is accepted, at the given node, or at a random one if at is nil.
 func (sim *Simulation) cancelWhenAccepted(j *userJob, at *node) {
 	if j.cancelSentAt > 0 || isTerminal(j.lastStatus) {
 		return
 	}
-	if !j.accepted { // the user does not know yet that there is something to cancel
+	if !j.accepted { // a user only cancels a job whose submission was accepted
 		sim.schedule(3*time.Millisecond, func() { sim.cancelWhenAccepted(j, at) })
 		return
 	}
@@ -191,8 +192,8 @@
 	sim.cancelAt(j, at)
 }
 
-// probeAllNodes has a user query all nodes about a job several times within milliseconds, and repeat its submission, during
-// such a fault window.
+// probeAllNodes queries all nodes about a job several times within milliseconds and repeats its submission, to compare
+// their replies. It does nothing outside the fault window probeAfterAnswer.
 func (sim *Simulation) probeAllNodes(j *userJob) {
 	if sim.now >= sim.probeAfterAnswer.until {
 		return
--- a/internal/simulator/arrivals.go
+++ b/internal/simulator/arrivals.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// generateArrivals submits random jobs throughout the active part, the first ones in quick succession.
+// generateArrivals submits random jobs at random intervals until the active part ends. The first jobs arrive 10 ms apart.
 func (sim *Simulation) generateArrivals() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
@@ -21,8 +21,8 @@
 	sim.schedule(d, sim.generateArrivals)
 }
 
-// submitRandomJob draws a job and submits it. Some jobs fail on every machine until they are cancelled, and of the others
-// some are cancelled as well.
+// submitRandomJob submits a randomly drawn job. With concurrent faults some jobs fail on every machine until they are
+// cancelled. Some of the other jobs are cancelled after a random time.
 func (sim *Simulation) submitRandomJob() {
 	s := sim.drawSpec()
 	r := sim.rng
@@ -45,7 +45,7 @@
 	}
 }
 
-// drawSpec draws an array, a service or a gang. The order of the draws decides what a seed does.
+// drawSpec returns a random array, service or gang. The order of the draws must not change: it determines what a seed does.
 func (sim *Simulation) drawSpec() api.Spec {
 	sim.lastJobNumber++
 	r := sim.rng
@@ -70,7 +70,7 @@
 		s.VCPUs = 1
 	}
 	if r.IntN(40) == 0 {
-		s.Tasks, s.VCPUs = 200, 0.1 // more tasks than a job's header holds
+		s.Tasks, s.VCPUs = 200, 0.1 // more tasks than the job's header record can hold
 		s.Shape, s.Priority, s.OneZone = api.Batch, api.Standard, false
 	}
 	if sim.gangsSupported() && r.IntN(12) < 2 || sim.cfg.MoreGangs && r.IntN(2) == 0 {
@@ -80,18 +80,19 @@
 }
 
 const (
-	// jobClass is the class of all jobs but a few.
+	// jobClass is the class of nearly all jobs.
 	jobClass = "lane"
-	// maxReplicas bounds the replicas of a team, so that its limit leaves capacity for arrays.
+	// maxReplicas bounds the service replicas of a team, so that its CPU limit leaves capacity for arrays.
 	maxReplicas = 4
 )
 
-// jobID returns the name of the job with the last number.
+// jobID returns the id of the job with number lastJobNumber.
 func (sim *Simulation) jobID() ident.JobID {
 	return ident.JobID(fmt.Sprintf("j-%06d", sim.lastJobNumber))
 }
 
-// drawZoneConstraint draws whether a job is bound to one zone, to a given zone, or spread over zones.
+// drawZoneConstraint randomly binds a job to a single zone or to a given zone, spreads it over zones, or leaves it
+// unconstrained.
 func (sim *Simulation) drawZoneConstraint(s *api.Spec) {
 	switch sim.rng.IntN(6) {
 	case 0:
@@ -105,7 +106,7 @@
 	}
 }
 
-// drawGang makes a job a gang.
+// drawGang turns a job into a gang with random properties.
 func (sim *Simulation) drawGang(s *api.Spec) {
 	r := sim.rng
 	s.Shape, s.Spread, s.VCPUs, s.RuntimeS = api.Gang, false, 1, 40
@@ -118,7 +119,7 @@
 	}
 }
 
-// registerJob has a user submit a job, again and again for a minute until it is accepted.
+// registerJob adds a job to the simulation and submits it; the submission is retried for up to a minute.
 func (sim *Simulation) registerJob(j *userJob) {
 	if j.checkpointed == nil {
 		j.checkpointed = map[int]time.Duration{}
@@ -129,8 +130,8 @@
 	sim.submit(j, sim.now.Add(60*time.Second))
 }
 
-// generateOverload submits more small jobs of a team than its limit admits, among them some whose tasks are large and some
-// of a team without a guarantee.
+// generateOverload submits small jobs of one team faster than its limit allows them to run. Among them are some jobs with
+// large tasks, a part of which belong to a team without a guarantee.
 func (sim *Simulation) generateOverload() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
@@ -163,7 +164,7 @@
 	sim.schedule(600*time.Millisecond, sim.generateOverload)
 }
 
-// activeReplicas counts the replicas of a team's services that are not cancelled.
+// activeReplicas returns the number of replicas of a team's services that are not cancelled.
 func (sim *Simulation) activeReplicas(team string) int {
 	n := 0
 	for _, j := range sim.jobs {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -8,32 +8,32 @@
 	"opaldale/internal/ident"
 )
 
-// provider simulates the cloud by its protocol.
+// provider simulates the cloud provider.
 type provider struct {
 	sim           *Simulation
-	models        []cloud.MachineType
-	machines      []*machine                   // in the order of their ids, terminated ones included
+	machineTypes  []cloud.MachineType
+	machines      []*machine                   // by id, including terminated ones
 	provisioned   map[string][]ident.MachineID // by request id
 	downUntil     ident.MonotonicTime
-	outOfCapacity bool // no machine can be provisioned
+	outOfCapacity bool // all provisioning requests fail
 }
 
-// machine is a machine of the cloud.
+// machine is a virtual machine of the cloud.
 type machine struct {
 	id           ident.MachineID
 	zone         string
 	spot         bool
 	createdAt    ident.MonotonicTime
-	bootedAt     ident.MonotonicTime // 0: not yet
-	terminatedAt ident.MonotonicTime // 0: not yet
+	bootedAt     ident.MonotonicTime // 0: not booted yet
+	terminatedAt ident.MonotonicTime // 0: not terminated
 	neverBoots   bool
 }
 
 const (
 	machineModel = "m8"
-	// cloudLatency is how long the cloud takes for a request.
+	// cloudLatency is the time that the cloud takes to process a request.
 	cloudLatency = 50 * time.Millisecond
-	// defaultZoneCapacity is how many machines of a zone and kind there are unless the configuration says otherwise.
+	// defaultZoneCapacity is the smallest number of machines per zone and kind if Config.ZoneCapacity is 0.
 	defaultZoneCapacity = 6
 )
 
@@ -41,7 +41,7 @@
 	return &provider{
 		sim:         sim,
 		provisioned: map[string][]ident.MachineID{},
-		models: []cloud.MachineType{{
+		machineTypes: []cloud.MachineType{{
 			SKU:         machineModel,
 			VCPUs:       8,
 			MemoryGB:    32,
@@ -55,7 +55,7 @@
 	}
 }
 
-// zoneCapacity returns how many machines of a zone and kind (spot or not) there are.
+// zoneCapacity returns the number of machines per zone and kind (spot or on-demand).
 func (p *provider) zoneCapacity() int {
 	if p.sim.cfg.ZoneCapacity > 0 {
 		return p.sim.cfg.ZoneCapacity
@@ -63,7 +63,7 @@
 	return max(defaultZoneCapacity, p.sim.cfg.FleetSize/(2*len(p.sim.settings.Zones)))
 }
 
-// serve serves a request of a node.
+// serve handles a request from a node.
 func (p *provider) serve(r cloud.Request, reply func(cloud.Response)) {
 	if p.sim.now < p.downUntil {
 		reply(cloud.Response{Outcome: cloud.Unavailable})
@@ -72,7 +72,7 @@
 	out := cloud.Response{Outcome: cloud.OK}
 	switch r.Op {
 	case cloud.Catalog:
-		out.MachineTypes = append(out.MachineTypes, p.models...)
+		out.MachineTypes = append(out.MachineTypes, p.machineTypes...)
 	case cloud.Provision:
 		var ok bool
 		if out.Provisioned, ok = p.provisionAll(r); !ok {
@@ -87,8 +87,8 @@
 	p.sim.schedule(cloudLatency, func() { reply(out) })
 }
 
-// provisionAll provisions as many machines of a request as there is capacity for. A repeated request returns the same
-// machines. It returns false if there is capacity for none.
+// provisionAll provisions the machines of a request, or fewer if capacity is short. A repeated request returns the machines
+// that the first one provisioned. It returns false if no machine is available.
 func (p *provider) provisionAll(r cloud.Request) (ids []ident.MachineID, ok bool) {
 	if ids, known := p.provisioned[r.RequestID]; known {
 		return ids, true
@@ -110,7 +110,7 @@
 	return ids, true
 }
 
-// terminateAll terminates machines.
+// terminateAll terminates the machines with the given ids.
 func (p *provider) terminateAll(ids []ident.MachineID) {
 	for _, id := range ids {
 		for _, m := range p.machines {
@@ -121,7 +121,7 @@
 	}
 }
 
-// list lists the machines as they were some time ago, within twice the announced lag.
+// list returns the machines as they were up to twice the announced listing lag ago.
 func (p *provider) list(r cloud.Request) (out []cloud.ListedMachine) {
 	lag := time.Duration(p.sim.rng.IntN(int(2*p.sim.settings.Cloud.ListLagS*1000))) * time.Millisecond
 	at := ident.MonotonicTime(max(0, p.sim.now.Sub(0)-lag))
@@ -146,7 +146,7 @@
 	return out
 }
 
-// provision provisions a machine, which boots within seconds unless a fault delays or prevents it.
+// provision creates a machine, which boots within seconds unless a fault delays or prevents the boot.
 func (p *provider) provision(r cloud.Request) ident.MachineID {
 	sim := p.sim
 	m := &machine{
@@ -169,28 +169,28 @@
 	return m.id
 }
 
-// drawBootTime draws how long a machine takes to boot. A fault may keep it from booting at all.
+// drawBootTime returns a random boot time for a machine. A fault may mark the machine as one that never boots.
 func (p *provider) drawBootTime(m *machine) time.Duration {
 	sim := p.sim
 	boot := time.Duration(3000+sim.rng.IntN(6000)) * time.Millisecond
 	if sim.rng.IntN(15) == 0 {
 		boot *= 4
 	}
-	if sim.faultHits(sim.fastBoots) {
+	if sim.faultOccurs(sim.fastBoots) {
 		boot = time.Duration(300+sim.rng.IntN(1500)) * time.Millisecond
 	}
 	switch {
-	case sim.faultHits(sim.failedBoots):
+	case sim.faultOccurs(sim.failedBoots):
 		sim.countEvent(bootFailedEvent)
 		m.neverBoots = true
-	case sim.faultHits(sim.slowBoots):
+	case sim.faultOccurs(sim.slowBoots):
 		sim.countEvent(bootSlowEvent)
 		boot *= 6
 	}
 	return boot
 }
 
-// terminate ends a machine with all of its tasks.
+// terminate terminates a machine together with its worker and all of its tasks.
 func (p *provider) terminate(m *machine) {
 	if m.terminatedAt != 0 {
 		return
@@ -203,7 +203,7 @@
 	}
 }
 
-// reclaimSpot reclaims a share of the spot machines, with or without notice.
+// reclaimSpot reclaims a random share of the spot machines, some of them without notice.
 func (p *provider) reclaimSpot(share float64) {
 	p.sim.logf("spot machines reclaimed")
 	for _, m := range p.machines {
--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -7,46 +7,46 @@
 	"opaldale/internal/settings"
 )
 
-// Config configures a run. The zero value of a field means its default.
+// Config configures a run. The zero value of a field selects its default.
 type Config struct {
-	// Seed determines the run: two runs with the same configuration do the same.
+	// Seed seeds the random number generator. Two runs with the same configuration behave identically.
 	Seed uint64
-	// Mutation is a safeguard that is switched off.
+	// Mutation disables one safeguard of the protocol, to test that the checks detect its absence.
 	Mutation Mutation
-	// ActiveDuration is how long jobs arrive and faults are injected, and QuiescentDuration for how long the run goes on
-	// after that, so that all work can end.
+	// ActiveDuration is the part of the run in which jobs arrive and faults are injected. QuiescentDuration is the part
+	// after it, in which running work can complete.
 	ActiveDuration, QuiescentDuration time.Duration
-	// Faults injects random faults; with ConcurrentFaults they are of more kinds, and several overlap.
+	// Faults enables random faults. ConcurrentFaults adds more kinds of faults and lets several of them overlap.
 	Faults, ConcurrentFaults bool
-	// NoArrivals leaves all submissions to the scenario. MoreGangs has more gangs arrive, and Overload more work than
-	// there is capacity for.
+	// NoArrivals disables random job arrivals, so that only the scenario submits jobs. MoreGangs raises the share of gangs
+	// among the arrivals. Overload submits more work than the fleet has capacity for.
 	NoArrivals, MoreGangs, Overload bool
-	// RollingUpgrade starts all nodes with the version in production and replaces them one by one. LegacyNodes is how
-	// many run that version otherwise.
+	// RollingUpgrade starts all nodes on the version in production and upgrades them one by one. Without RollingUpgrade,
+	// LegacyNodes is the number of nodes that run the version in production.
 	RollingUpgrade bool
 	LegacyNodes    int
-	// Nodes is the number of controllers, by default three.
+	// Nodes is the number of controllers; the default is defaultNodes.
 	Nodes int
-	// FleetSize is how many machines the cloud has in all, with limits of the teams to match, by default a few.
-	// ZoneCapacity overrides how many it has of each zone and kind.
+	// FleetSize is the total number of machines that the cloud offers. It also scales the limits of the teams; the default
+	// is a few machines. ZoneCapacity overrides the number of machines per zone and kind (spot or on-demand).
 	FleetSize, ZoneCapacity int
-	// SlowMachines is how many of the first machines are much slower than the others.
+	// SlowMachines is the number of machines, the first to boot, that run tasks much slower than the others.
 	SlowMachines int
 	// Teams replaces the default teams.
 	Teams []settings.Team
-	// LinkMonitoring has the nodes monitor their links, and Rebalance sets what they do about uneven load.
+	// LinkMonitoring makes the nodes monitor their network links. Rebalance selects how the nodes react to uneven load.
 	LinkMonitoring bool
 	Rebalance      settings.Rebalance
-	// Tune changes the tuning of each node.
+	// Tune, if set, modifies the tuning of each node.
 	Tune func(*settings.Tuning)
-	// Digest records what the controllers send.
+	// Digest, if set, hashes all messages that the controllers send.
 	Digest *Digest
 }
 
-// defaultNodes is the number of controllers unless the configuration says otherwise.
+// defaultNodes is the number of controllers if Config.Nodes is 0.
 const defaultNodes = 3
 
-// clusterSettings returns the settings of the cluster.
+// clusterSettings returns the cluster settings that the configuration selects.
 func (c Config) clusterSettings() settings.Cluster {
 	s := settings.Cluster{
 		Nodes:             cmp.Or(c.Nodes, defaultNodes),
@@ -74,10 +74,11 @@
 	return s
 }
 
-// borrowers is the default team that has neither a guarantee nor a limit.
+// borrowers is the default team with neither a guarantee nor a limit: it only borrows capacity that other teams leave free.
 const borrowers = "guest"
 
-// scaleToFleet sets limits of teams for a large fleet, and the longer intervals of heartbeats that go with it.
+// scaleToFleet scales the guarantees and limits of the teams to a large fleet, and sets the longer heartbeat interval,
+// lease and cancellation time that such a fleet uses.
 func scaleToFleet(s *settings.Cluster, machines int) {
 	for i := range s.Teams {
 		s.Teams[i].CPUs *= float64(machines)
@@ -86,7 +87,7 @@
 	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 8, 36, 70
 }
 
-// equalTeams returns the three teams that submit jobs, with the same guarantee and limit each.
+// equalTeams returns the three teams that submit jobs, all with the same guarantee and the same limit.
 func equalTeams(cpus, limit float64) (teams []settings.Team) {
 	for _, name := range []string{"red", "blue", "grey"} {
 		teams = append(teams, settings.Team{Name: name, CPUs: cpus, CPUsMax: limit})
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -15,20 +15,21 @@
 	"opaldale/internal/workers"
 )
 
-// Digest hashes what the controllers of a run send: requests to the key-value store and the
-// cloud, commands to workers, frames to other controllers, and answers to users and workers,
-// in order, each with its simulated time, sender and addressee. A nil Digest records nothing.
+// Digest hashes all messages that the controllers of a run send, in order: requests to the
+// key-value store and the cloud, commands to workers, frames to other controllers, and responses
+// to users and workers. Each record includes the simulated time, the sender and the receiver.
+// A nil Digest records nothing.
 //
-// Two builds with the same digest for a seed have behaved alike in that run. The encoding is
-// made of the labels below and of wire formats only, so that no renaming of a type, a field
-// or a constant changes it. Log lines and metrics are not part of it.
+// Two builds with the same digest for a seed behaved identically in that run. The encoding uses
+// only the labels below and wire formats, so that renaming a type, a field or a constant does
+// not change the digest. Log lines and metrics are not included.
 type Digest struct {
 	hash   hash.Hash
-	record []byte         // being encoded
-	counts map[string]int // records by kind
+	record []byte         // the record being encoded
+	counts map[string]int // number of records by kind
 }
 
-// The kinds of records.
+// Kinds of records.
 const (
 	storeRecord   = "state"
 	cloudRecord   = "cloud"
@@ -37,7 +38,7 @@
 	answerRecord  = "answer"
 )
 
-// The labels of the parties that have no name of their own.
+// Labels of the receivers that have no name of their own.
 const (
 	storeLabel = "state service"
 	cloudLabel = "cloud"
@@ -56,13 +57,13 @@
 	transport.SubmitJob: "submit", transport.GetJob: "poll", transport.CancelJob: "cancel", transport.WorkerHeartbeat: "report",
 }
 
-// NewDigest returns the digest of a run in which nothing has been sent yet.
+// NewDigest returns an empty digest.
 func NewDigest() *Digest { return &Digest{hash: sha256.New(), counts: map[string]int{}} }
 
-// Sum returns the digest of all records so far, in hexadecimal.
+// Sum returns the hash of all records so far, in hexadecimal.
 func (d *Digest) Sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// storeRequest records a request of a controller to the key-value store.
+// storeRequest records a request from a controller to the key-value store.
 func (d *Digest) storeRequest(now ident.MonotonicTime, from string, r kvstore.Request) {
 	if d == nil {
 		return
@@ -92,7 +93,7 @@
 	d.end()
 }
 
-// cloudRequest records a request of a controller to the cloud.
+// cloudRequest records a request from a controller to the cloud.
 func (d *Digest) cloudRequest(now ident.MonotonicTime, from string, r cloud.Request) {
 	if d == nil {
 		return
@@ -113,7 +114,7 @@
 	d.end()
 }
 
-// command records a call of a worker.
+// command records a command request from a controller to a worker.
 func (d *Digest) command(now ident.MonotonicTime, from string, c workers.CommandCall) {
 	if d == nil {
 		return
@@ -125,7 +126,7 @@
 	d.end()
 }
 
-// frame records an encoded frame from one controller to another.
+// frame records an encoded frame that one controller sends to another.
 func (d *Digest) frame(now ident.MonotonicTime, from, to string, encoded []byte) {
 	if d == nil {
 		return
@@ -135,13 +136,13 @@
 	d.end()
 }
 
-// answer records the reply of a controller to a request of a user or a worker.
-func (d *Digest) answer(now ident.MonotonicTime, from, to string, v transport.Method, job string, r controller.Response) {
+// answer records the response of a controller to a request from a user or a worker.
+func (d *Digest) answer(now ident.MonotonicTime, from, to string, method transport.Method, job string, r controller.Response) {
 	if d == nil {
 		return
 	}
 	d.begin(answerRecord, now, from, to)
-	d.text("request", requestLabels[v])
+	d.text("request", requestLabels[method])
 	d.text("job", job)
 	d.number("status", uint64(r.Status))
 	d.number("retry after", uint64(r.RetryAfterS))
@@ -149,7 +150,7 @@
 	d.end()
 }
 
-// begin starts a record.
+// begin starts a record with its kind, time, sender and receiver.
 func (d *Digest) begin(kind string, now ident.MonotonicTime, from, to string) {
 	d.counts[kind]++
 	d.record = d.record[:0]
@@ -159,13 +160,13 @@
 	d.text("to", to)
 }
 
-// end hashes the record with its length before it.
+// end adds the record to the hash, prefixed with its length.
 func (d *Digest) end() {
 	d.hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(d.record))))
 	d.hash.Write(d.record)
 }
 
-// text appends a field, label and value each with its length before it.
+// text appends a text field: its label and its value, each prefixed with its length.
 func (d *Digest) text(label, value string) {
 	for _, s := range []string{label, value} {
 		d.record = binary.AppendUvarint(d.record, uint64(len(s)))
@@ -173,13 +174,13 @@
 	}
 }
 
-// number appends a field that is a number.
+// number appends a numeric field.
 func (d *Digest) number(label string, value uint64) {
 	d.text(label, "")
 	d.record = binary.BigEndian.AppendUint64(d.record, value)
 }
 
-// flag appends a field that is true or false.
+// flag appends a boolean field.
 func (d *Digest) flag(label string, value bool) {
 	n := uint64(0)
 	if value {
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -12,10 +12,10 @@
 	"opaldale/internal/transport"
 )
 
-// requiredFields are fields of a submission without which it is malformed.
+// requiredFields lists fields that a well-formed submission must have.
 var requiredFields = []string{"pieces", "vcpus", "shape", "bundle", "runtime_s", "one_zone"}
 
-// sendEdgeCaseRequests has users send unusual requests, for which the protocol defines the reply, until a time.
+// sendEdgeCaseRequests sends random requests with defined error or idempotency behavior until the given time.
 func (sim *Simulation) sendEdgeCaseRequests(until ident.MonotonicTime) {
 	if sim.now > until {
 		return
@@ -52,22 +52,22 @@
 	sim.schedule(time.Duration(100+sim.rng.IntN(400))*time.Millisecond, func() { sim.sendEdgeCaseRequests(until) })
 }
 
-// isRejected reports whether a status rejects a well-formed job that cannot be accepted.
+// isRejected reports whether an HTTP status is a valid reply to a well-formed job that cannot be accepted.
 func isRejected(status int) bool {
 	return status == http.StatusUnprocessableEntity || status == http.StatusServiceUnavailable
 }
 
-// sendInvalidJob submits a body for which a reply with any other status than the expected ones is a violation.
-func (sim *Simulation) sendInvalidJob(n *node, body []byte, what string, expected func(status int) bool) {
+// sendInvalidJob submits a body and reports a violation if the reply has an unexpected status.
+func (sim *Simulation) sendInvalidJob(n *node, body []byte, description string, expected func(status int) bool) {
 	sim.countEvent(edgeCaseRequestEvent)
 	sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", body, requestTimeout}, func(r *controller.Response) {
 		if r != nil && !expected(r.Status) {
-			sim.reportViolation("%s got %d %s", what, r.Status, r.Body)
+			sim.reportViolation("%s got unexpected status %d: %s", description, r.Status, r.Body)
 		}
 	})
 }
 
-// sendWithoutField submits a job without one of its required fields.
+// sendWithoutField submits a job that lacks a random required field, which must get status 400.
 func (sim *Simulation) sendWithoutField(n *node, s api.Spec) {
 	var m map[string]any
 	if json.Unmarshal(api.JSON(s), &m) != nil {
@@ -79,7 +79,7 @@
 	sim.sendInvalidJob(n, body, "a job without "+field, func(status int) bool { return status == http.StatusBadRequest })
 }
 
-// cancelDoneJob cancels a job that is done, which must stay done.
+// cancelDoneJob cancels a random job that is done. The reply must still call the job done.
 func (sim *Simulation) cancelDoneJob(n *node) {
 	for _, id := range sim.jobOrder {
 		if j := sim.jobs[id]; j.lastStatus != api.StatusDone || sim.rng.IntN(3) > 0 {
@@ -93,14 +93,14 @@
 				}
 				var v api.JobView
 				if r.Status != http.StatusOK || json.Unmarshal(r.Body, &v) != nil || v.Status != api.StatusDone {
-					sim.reportViolation("cancelling %s, which is done, got %d %s", id, r.Status, r.Body)
+					sim.reportViolation("the cancellation of %s, which is done, got status %d: %s", id, r.Status, r.Body)
 				}
 			})
 		return
 	}
 }
 
-// resubmitChanged repeats the submission of a job with another body, which must return the job as it was accepted.
+// resubmitChanged repeats the submission of a random job with a changed body. The reply must be the job as accepted before.
 func (sim *Simulation) resubmitChanged(n *node) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -109,23 +109,23 @@
 		}
 		changed := j.spec
 		changed.RuntimeS, changed.Image = changed.RuntimeS+1, "another"
-		asked := sim.now
+		requestedAt := sim.now
 		sim.countEvent(submissionChangedEvent)
 		sim.request(apiRequest{usersParty, n, transport.SubmitJob, "", api.JSON(changed), requestTimeout},
 			func(r *controller.Response) {
 				switch {
 				case r == nil || r.Status == http.StatusServiceUnavailable:
 				case isAccepted(r):
-					sim.checkAnswer(j, r, asked)
+					sim.checkAnswer(j, r, requestedAt)
 				default:
-					sim.reportViolation("forgotten: a submission of %s again got %d", id, r.Status)
+					sim.reportViolation("forgotten: a repeated submission of %s got status %d", id, r.Status)
 				}
 			})
 		return
 	}
 }
 
-// isAccepted reports whether a reply accepts a submission.
+// isAccepted reports whether a reply means that a submission was accepted.
 func isAccepted(r *controller.Response) bool {
 	return r.Status == http.StatusOK || r.Status == http.StatusCreated
 }
--- a/internal/simulator/event_loop.go
+++ b/internal/simulator/event_loop.go
@@ -7,31 +7,31 @@
 	"opaldale/internal/ident"
 )
 
-// eventLoop is the simulated clock with the events that are scheduled on it. Events run in the order of their times,
-// and those of one time in the order in which they were scheduled.
+// eventLoop is the simulated clock and its queue of scheduled events. Events run in order of their time; events with
+// the same time run in the order in which they were scheduled.
 type eventLoop struct {
 	now           ident.MonotonicTime
 	events        eventHeap
-	eventSequence uint64 // that of the event scheduled last
+	eventSequence uint64 // sequence number of the event scheduled last
 }
 
-// schedule runs f after d.
+// schedule schedules f to run after d.
 func (l *eventLoop) schedule(d time.Duration, f func()) {
 	l.eventSequence++
 	heap.Push(&l.events, event{l.now.Add(d), l.eventSequence, f})
 }
 
-// scheduleAt runs f at a time, in seconds from the start of the run.
+// scheduleAt schedules f to run s seconds after the start of the run.
 func (l *eventLoop) scheduleAt(s float64, f func()) { l.schedule(timeAt(s).Sub(l.now), f) }
 
-// every calls f now and then after each interval, until f returns false.
+// every calls f immediately and then once per interval, until f returns false.
 func (l *eventLoop) every(interval time.Duration, f func() (again bool)) {
 	if f() {
 		l.schedule(interval, func() { l.every(interval, f) })
 	}
 }
 
-// run advances the clock from event to event until it would pass end, no event is left, or stopped returns true.
+// run runs events in order until the next one is later than end, no event is left, or stopped returns true.
 func (l *eventLoop) run(end ident.MonotonicTime, stopped func() bool) {
 	for len(l.events) > 0 && !stopped() {
 		e := heap.Pop(&l.events).(event)
@@ -43,14 +43,14 @@
 	}
 }
 
-// event is a function that is due at a time.
+// event is a function scheduled to run at a given time.
 type event struct {
 	at       ident.MonotonicTime
 	sequence uint64
 	run      func()
 }
 
-// eventHeap implements heap.Interface with the earliest event first.
+// eventHeap implements heap.Interface as a min-heap with the earliest event on top.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -1,9 +1,9 @@
 package simulator
 
-// eventName names a kind of event that a run counts, so that tests can check that what they inject takes place.
+// eventName names a kind of event that a run counts. Tests use the counts to check that an injected fault took effect.
 type eventName string
 
-// The events that the simulator counts by itself.
+// Events that the simulator itself counts. Tests define further ones.
 const (
 	allNodesCrashedEvent               eventName = "all nodes crashed"
 	attemptFailedEvent                 eventName = "attempt failed"
@@ -20,10 +20,10 @@
 	handoverAnnouncedEvent             eventName = "handover announced"
 	heartbeatOfEarlierIncarnationEvent eventName = "heartbeat of an earlier incarnation"
 	heldHeartbeatDeliveredEvent        eventName = "held heartbeat delivered"
-	lateWriteEvent                     eventName = "write after newer ones"
+	lateWriteEvent                     eventName = "late write executed after newer ones"
 	launchWithoutLeadershipEvent       eventName = "launch without leadership"
 	leaderCrashedEvent                 eventName = "leader crashed"
-	leaderPausedEvent                  eventName = "leader paused within an event"
+	leaderPausedEvent                  eventName = "leader paused in the middle of an event"
 	legacyNodeEvent                    eventName = "legacy node"
 	limitsBelowAnnouncedEvent          eventName = "limits lower than announced"
 	linkSlowEvent                      eventName = "slow link"
@@ -32,25 +32,25 @@
 	nodesProbedEvent                   eventName = "nodes probed"
 	onlyHotTeamEvent                   eventName = "one hot team"
 	partitionedEvent                   eventName = "partition"
-	processPausedEvent                 eventName = "paused within an event"
+	processPausedEvent                 eventName = "process paused in the middle of an event"
 	reclaimNoticeEvent                 eventName = "reclaim notice"
 	replyDroppedEvent                  eventName = "reply dropped"
-	rowsRedeliveredEvent               eventName = "rows delivered late"
-	rowsSentEvent                      eventName = "rows sent"
-	staleHeartbeatEvent                eventName = "heartbeat after newer ones"
+	rowsRedeliveredEvent               eventName = "stale link states delivered"
+	rowsSentEvent                      eventName = "link states sent"
+	staleHeartbeatEvent                eventName = "stale heartbeat delivered"
 	storeOutageEvent                   eventName = "store outage"
 	storeSlowEvent                     eventName = "slow store"
 	submissionChangedEvent             eventName = "submission repeated with another body"
 )
 
-// moveStateEvent counts the moves that reach a state.
+// moveStateEvent returns the event of a move that reaches the given state.
 func moveStateEvent(state string) eventName { return eventName("move " + state) }
 
-// moveEndEvent counts the moves that end for a reason.
+// moveEndEvent returns the event of a move that ends for the given reason.
 func moveEndEvent(reason string) eventName { return eventName("move ended: " + reason) }
 
-// countEvent counts an event.
+// countEvent counts one occurrence of an event.
 func (sim *Simulation) countEvent(name eventName) { sim.eventCounts[name]++ }
 
-// countEvents counts an event n times.
+// countEvents counts n occurrences of an event.
 func (sim *Simulation) countEvents(name eventName, n int) { sim.eventCounts[name] += n }
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -6,10 +6,11 @@
 	"opaldale/internal/ident"
 )
 
-// faultKind is a kind of random fault. The numbers are drawn at random and decide what a seed does: they must not change.
+// faultKind is a kind of random fault. Kinds are drawn by number, so the numbers determine what a seed does and must not
+// change.
 type faultKind int
 
-// The kinds of random faults. Kinds with two numbers are drawn twice as often as the others.
+// Kinds of random faults. A kind with two numbers is drawn twice as often as the others.
 const (
 	nodeCrash              faultKind = 0 // and 1
 	allNodesCrash          faultKind = 2
@@ -44,26 +45,28 @@
 	leaderRejectionOutage  faultKind = 33
 	eventPauseWindow       faultKind = 34
 
-	// singleFaultKinds is how many kinds are drawn from, and concurrentFaultKinds how many with Config.ConcurrentFaults.
+	// singleFaultKinds bounds the numbers that are drawn without Config.ConcurrentFaults, and concurrentFaultKinds those
+	// that are drawn with it.
 	singleFaultKinds     = 20
 	concurrentFaultKinds = 35
 )
 
-// The longest times between two random faults beyond a second, in milliseconds.
+// The random part of the interval between two random faults, in milliseconds: an interval is one second plus a random time
+// below these bounds.
 const (
-	faultPauseMS           = 14_000
-	concurrentFaultPauseMS = 7_000 // two or three faults overlap
+	faultIntervalJitterMS           = 14_000
+	concurrentFaultIntervalJitterMS = 7_000 // short enough for two or three faults to overlap
 )
 
-// faultTarget is what a random fault hits. It is drawn before the kind of the fault.
+// faultTarget holds the random parameters of a fault. They are drawn before the kind of the fault.
 type faultTarget struct {
-	node         *node // the leader more often than the others
-	hold         bool  // messages on a broken link are delivered when it heals, not dropped
+	node         *node // the leader with a higher probability than the others
+	hold         bool  // a blocked link buffers messages until it recovers, instead of dropping them
 	restartAfter time.Duration
-	worker       *worker // nil: no machine is up
+	worker       *worker // nil: no machine is running
 }
 
-// faultInjectors has a function for each kind of fault.
+// faultInjectors holds the function that injects each kind of fault.
 var faultInjectors = [concurrentFaultKinds]func(sim *Simulation, t faultTarget){
 	nodeCrash:              crashNode,
 	nodeCrash + 1:          crashNode,
@@ -97,12 +100,12 @@
 	answerProbing:          func(sim *Simulation, _ faultTarget) { sim.probeAfterAnswer = sim.randomWindow(1) },
 	workerOutboundLoss:     blockOutboundOfWorker,
 	runningJobsCancelled:   cancelRandomJobs,
-	edgeCaseRequests:       sendEdgeCasesForAWhile,
+	edgeCaseRequests:       startEdgeCaseRequests,
 	leaderRejectionOutage:  rejectLeaderThenStopStore,
 	eventPauseWindow:       func(sim *Simulation, t faultTarget) { t.node.eventPause.window = sim.randomWindow(0.01) },
 }
 
-// injectFault injects a random fault, again and again until the active part of the run is over.
+// injectFault injects a random fault and schedules the next one, until the active part of the run ends.
 func (sim *Simulation) injectFault() {
 	if sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) {
 		return
@@ -110,24 +113,25 @@
 	target := sim.drawFaultTarget()
 	if sim.cfg.LinkMonitoring && sim.rng.IntN(3) == 0 {
 		sim.injectOneWayFault(target.node)
-		sim.scheduleFault(faultPauseMS)
+		sim.scheduleFault(faultIntervalJitterMS)
 		return
 	}
 	if sim.cfg.ConcurrentFaults {
 		faultInjectors[sim.rng.IntN(concurrentFaultKinds)](sim, target)
-		sim.scheduleFault(concurrentFaultPauseMS)
+		sim.scheduleFault(concurrentFaultIntervalJitterMS)
 		return
 	}
 	faultInjectors[sim.rng.IntN(singleFaultKinds)](sim, target)
-	sim.scheduleFault(faultPauseMS)
+	sim.scheduleFault(faultIntervalJitterMS)
 }
 
-// scheduleFault schedules the next random fault.
-func (sim *Simulation) scheduleFault(maxPauseMS int) {
-	sim.schedule(time.Duration(1000+sim.rng.IntN(maxPauseMS))*time.Millisecond, sim.injectFault)
+// scheduleFault schedules the next random fault in one second plus up to jitterMS milliseconds.
+func (sim *Simulation) scheduleFault(jitterMS int) {
+	sim.schedule(time.Duration(1000+sim.rng.IntN(jitterMS))*time.Millisecond, sim.injectFault)
 }
 
-// drawFaultTarget draws what the next fault hits. The order of the draws decides what a seed does.
+// drawFaultTarget draws the parameters of the next fault. The order of the draws must not change: it determines what a seed
+// does.
 func (sim *Simulation) drawFaultTarget() faultTarget {
 	t := faultTarget{node: sim.nodes[sim.rng.IntN(len(sim.nodes))]}
 	for _, n := range sim.nodes {
@@ -144,12 +148,12 @@
 	return t
 }
 
-// randomSeconds draws a whole number of seconds of at least atLeast and less than below.
+// randomSeconds returns a random whole number of seconds in [atLeast, below).
 func (sim *Simulation) randomSeconds(atLeast, below int) time.Duration {
 	return time.Duration(atLeast+sim.rng.IntN(below-atLeast)) * time.Second
 }
 
-// randomWindow draws a window from now on in which a fault occurs with a probability.
+// randomWindow returns a window of random length that starts now, in which a fault occurs with the given probability.
 func (sim *Simulation) randomWindow(probability float64) faultWindow {
 	return faultWindow{probability, sim.now.Add(sim.randomSeconds(5, 30))}
 }
@@ -163,17 +167,17 @@
 }
 
 func stopStore(sim *Simulation, _ faultTarget) {
-	sim.logf("key-value store down")
+	sim.logf("key-value store unavailable")
 	sim.store.downUntil = sim.now.Add(sim.randomSeconds(3, 30))
 }
 
 func stopCloud(sim *Simulation, _ faultTarget) {
-	sim.logf("cloud down")
+	sim.logf("cloud unavailable")
 	sim.cloud.downUntil = sim.now.Add(sim.randomSeconds(3, 20))
 }
 
 func rejectNodeAtStore(sim *Simulation, t faultTarget) {
-	sim.logf("key-value store rejects %s", t.node.name)
+	sim.logf("key-value store rejects requests from %s", t.node.name)
 	sim.store.rejectUntil[t.node.name] = sim.now.Add(sim.randomSeconds(3, 20))
 }
 
@@ -195,7 +199,7 @@
 	sim.disconnect(t.node.name, machines, t.hold, sim.randomSeconds(5, 45))
 }
 
-// isolateNode leaves a node in reach of workers and users only.
+// isolateNode disconnects a node from the store and the other nodes; workers and users can still reach it.
 func isolateNode(sim *Simulation, t faultTarget) {
 	sim.isolate(t.node, t.hold, sim.randomSeconds(3, 40))
 }
@@ -224,7 +228,7 @@
 
 func blockInboundOfWorker(sim *Simulation, t faultTarget) {
 	if t.worker != nil {
-		sim.logf("nothing reaches %s", t.worker.id)
+		sim.logf("no message reaches %s", t.worker.id)
 		sim.inboundBlockedUntil[string(t.worker.id)] = sim.now.Add(sim.randomSeconds(3, 50))
 	}
 }
@@ -243,12 +247,12 @@
 	sim.cancelRunning(1+sim.rng.IntN(3), time.Duration(sim.rng.IntN(2))*sim.randomSeconds(2, 19))
 }
 
-func sendEdgeCasesForAWhile(sim *Simulation, _ faultTarget) {
+func startEdgeCaseRequests(sim *Simulation, _ faultTarget) {
 	sim.sendEdgeCaseRequests(sim.now.Add(10 * time.Second))
 }
 
-// rejectLeaderThenStopStore has the store reject the leader alone, and then everybody for longer than a cancellation may
-// take.
+// rejectLeaderThenStopStore makes the store reject the requests of the leader, and then those of all nodes for longer than
+// a cancellation may take.
 func rejectLeaderThenStopStore(sim *Simulation, _ faultTarget) {
 	l := sim.leader()
 	if l == nil {
@@ -260,7 +264,7 @@
 	})
 }
 
-// injectOneWayFault breaks one direction of one of a node's links, either for a while or repeatedly.
+// injectOneWayFault blocks one direction of one of a node's links, either once or repeatedly.
 func (sim *Simulation) injectOneWayFault(n *node) {
 	o := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	ends := []string{storeParty, cloudParty, machines}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -7,77 +7,77 @@
 	"opaldale/internal/kvstore"
 )
 
-// faultWindow is a fault that occurs with a probability until a time.
+// faultWindow is a time window in which a fault occurs with a given probability.
 type faultWindow struct {
 	probability float64
 	until       ident.MonotonicTime
 }
 
-// faultHits draws whether a fault occurs. It draws nothing outside of the window.
-func (sim *Simulation) faultHits(f faultWindow) bool {
+// faultOccurs reports at random whether a fault occurs. It uses the random generator only inside the window.
+func (sim *Simulation) faultOccurs(f faultWindow) bool {
 	return sim.now < f.until && sim.rng.Float64() < f.probability
 }
 
-// activeFaults has the faults that several parts of the simulation consult.
+// activeFaults holds the fault windows in effect and the counts of the events that took place.
 type activeFaults struct {
-	delayedWrites      faultWindow // transactions get no reply, and are carried out 2 to 12 s later
-	droppedReplies     faultWindow // transactions get no reply, and are carried out at once
+	delayedWrites      faultWindow // transactions get no reply and are executed 2 to 12 s later
+	droppedReplies     faultWindow // transactions get no reply but are executed at once
 	delayedHeartbeats  faultWindow // duplicates of heartbeats arrive up to two lease durations later
-	heldHeartbeats     faultWindow // duplicates of heartbeats arrive when the next leader begins
+	heldHeartbeats     faultWindow // duplicates of heartbeats arrive when the next leader is elected
 	slowStore          faultWindow // messages to and from the store take up to half a second longer
 	slowLinks          faultWindow // messages between nodes take up to half a second longer
-	delayedCommands    faultWindow // commands to machines, and their replies, take seconds longer
+	delayedCommands    faultWindow // commands to workers and their replies take seconds longer
 	fastBoots          faultWindow // machines boot within two seconds
 	slowBoots          faultWindow // machines take six times as long to boot
 	failedBoots        faultWindow // machines never boot
-	cancelAtCompletion faultWindow // users cancel jobs when their last task completes
-	probeAfterAnswer   faultWindow // users query all nodes within milliseconds of an answer
-	heldDeliveries     []func()
-	awaitingNextLeader bool // heldDeliveries are delivered when the next leader begins
+	cancelAtCompletion faultWindow // users cancel jobs right after the last task completes
+	probeAfterAnswer   faultWindow // users query all nodes within milliseconds of a reply
+	heldDeliveries     []func()    // delivers the duplicates of heldHeartbeats
+	awaitingNextLeader bool        // the delivery of heldDeliveries at the next term is set up
 
-	// eventCounts counts what took place.
+	// eventCounts counts the events that took place, by kind.
 	eventCounts map[eventName]int
 }
 
-// blockOutbound keeps messages of a machine from all nodes, while theirs reach it.
+// blockOutbound drops all messages from a machine to the nodes for d; messages to the machine still arrive.
 func (sim *Simulation) blockOutbound(w *worker, d time.Duration) {
-	sim.logf("%s cannot send for %v", w.id, d)
+	sim.logf("%s cannot send to nodes for %v", w.id, d)
 	sim.outboundBlockedUntil[string(w.id)] = sim.now.Add(d)
 }
 
-// extraLatency draws the latency that faults add to a message.
+// extraLatency returns the random latency that active faults add to a message.
 func (sim *Simulation) extraLatency(from, to string) time.Duration {
 	switch {
-	case isNode(from) && isNode(to) && sim.faultHits(sim.slowLinks):
+	case isNode(from) && isNode(to) && sim.faultOccurs(sim.slowLinks):
 		sim.countEvent(linkSlowEvent)
 		return time.Duration(100+sim.rng.IntN(400)) * time.Millisecond
-	case (from == storeParty || to == storeParty) && sim.faultHits(sim.slowStore):
+	case (from == storeParty || to == storeParty) && sim.faultOccurs(sim.slowStore):
 		sim.countEvent(storeSlowEvent)
 		return time.Duration(50+sim.rng.IntN(450)) * time.Millisecond
 	}
 	return 0
 }
 
-// delayCommand carries on with a command to a machine, or with its reply, after the delay that a fault adds.
-func (sim *Simulation) delayCommand(carryOn func()) {
-	if !sim.faultHits(sim.delayedCommands) {
-		carryOn()
+// delayCommand calls proceed, which delivers a command or its reply, after the delay that an active fault adds.
+func (sim *Simulation) delayCommand(proceed func()) {
+	if !sim.faultOccurs(sim.delayedCommands) {
+		proceed()
 		return
 	}
 	sim.countEvent(commandDelayedEvent)
-	sim.schedule(time.Duration(500+sim.rng.IntN(5500))*time.Millisecond, carryOn)
+	sim.schedule(time.Duration(500+sim.rng.IntN(5500))*time.Millisecond, proceed)
 }
 
-// interceptTransaction carries a transaction out without a reply, at once or late, during such faults. It returns false if
-// none applies.
+// interceptTransaction executes a transaction without a reply, either at once or late, if such a fault occurs. It returns
+// false if none does.
 func (s *store) interceptTransaction(r kvstore.Request) bool {
 	sim := s.sim
 	switch {
-	case sim.faultHits(sim.droppedReplies):
+	case sim.faultOccurs(sim.droppedReplies):
 		sim.countEvent(replyDroppedEvent)
 		s.transact(r)
 		return true
-	case sim.faultHits(sim.delayedWrites):
+	case sim.faultOccurs(sim.delayedWrites):
 		before := s.revision
 		sim.schedule(time.Duration(2000+sim.rng.IntN(10_000))*time.Millisecond, func() {
 			if sim.now < s.downUntil {
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -9,28 +9,28 @@
 	"opaldale/internal/ident"
 )
 
-// gangAttempt simulates an attempt of a gang by the protocol.
+// gangAttempt simulates one attempt to run a gang, whose tasks start, checkpoint and end together.
 type gangAttempt struct {
 	sim              *Simulation
 	job              *userJob
 	attempt          ident.Attempt
 	members          map[int]*member
 	started          bool
-	finished         bool // a task has exited since the start
+	finished         bool // the attempt has started, and a task has exited since
 	finishedAt       ident.MonotonicTime
-	progress         float64             // in seconds
-	stopRequestedAt  ident.MonotonicTime // of the first request, 0: none
-	stopRequested    map[int]bool
+	progress         float64             // completed run time in seconds
+	stopRequestedAt  ident.MonotonicTime // time of the first request to checkpoint and stop; 0: none
+	stopRequested    map[int]bool        // by task index
 	checkpointFailed bool
 	checkpointed     bool // a task has exited with a stored checkpoint
 }
 
-// member is a task of an attempt on its machine.
+// member is a task of a gang attempt on a machine.
 type member struct {
 	worker            *worker
 	task              *task
 	incarnation       ident.Incarnation
-	unresponsiveSince ident.MonotonicTime // when it was first found to be gone or hung, 0: it responds
+	unresponsiveSince ident.MonotonicTime // when it was first found to be gone or hung; 0: it responds
 }
 
 // gangKey identifies an attempt of a gang.
@@ -39,7 +39,7 @@
 	attempt ident.Attempt
 }
 
-// gang returns an attempt of a gang, a new one if it is not there yet.
+// gang returns the given attempt of a gang and creates it if necessary.
 func (sim *Simulation) gang(j *userJob, attempt ident.Attempt) *gangAttempt {
 	k := gangKey{j.spec.ID, attempt}
 	g := sim.gangs[k]
@@ -51,18 +51,18 @@
 	return g
 }
 
-// gangTick is the interval at which gangs advance.
+// gangTick is the interval at which gang attempts make progress.
 const gangTick = 250 * time.Millisecond
 
-// present reports whether a member is still on its machine.
+// present reports whether the task has not exited and its machine still runs the same worker incarnation.
 func (m *member) present() bool {
 	return !m.worker.dead && m.worker.incarnation == m.incarnation && m.task.status != api.Ended
 }
 
-// responsive reports whether a member is on its machine and the machine does not hang.
+// responsive reports whether a member is present and its machine does not hang.
 func (m *member) responsive() bool { return m.present() && m.worker.sim.now >= m.worker.hungUntil }
 
-// join adds a task whose image is there to the attempt.
+// join adds a task to the attempt after its image was pulled.
 func (g *gangAttempt) join(w *worker, t *task) {
 	sim := g.sim
 	t.status = api.Gathering
@@ -75,14 +75,14 @@
 	}
 	for o := range sim.gangs {
 		if o.job == g.job.spec.ID && o.attempt > g.attempt && sim.gangs[o].started {
-			sim.reportViolation("attempt %d of %s begins after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
+			sim.reportViolation("attempt %d of %s starts a task after attempt %d ran", g.attempt, g.job.spec.ID, o.attempt)
 		}
 	}
 	if m := g.members[i]; m != nil && m.worker == w && m.incarnation == w.incarnation {
-		sim.reportViolation("attempt %d of %s begins twice on %s", g.attempt, t.id, w.id)
+		sim.reportViolation("attempt %d of %s starts twice on %s", g.attempt, t.id, w.id)
 	}
 	if g.finished && sim.now.Sub(g.finishedAt).Seconds() > 4*sim.settings.Workers.LeaseS {
-		sim.reportViolation("attempt %d of %s is used again long after its end", g.attempt, t.id)
+		sim.reportViolation("attempt %d of %s starts again long after the attempt ended", g.attempt, t.id)
 	}
 	g.members[i] = &member{worker: w, task: t, incarnation: w.incarnation}
 	w.scheduleStep(t, seconds(sim.settings.Workers.GangWaitS), func() {
@@ -93,7 +93,7 @@
 	g.start()
 }
 
-// start starts the gang once its last task has joined.
+// start starts the gang once all of its tasks have joined and are still waiting.
 func (g *gangAttempt) start() {
 	if g.started || len(g.members) < g.job.spec.Tasks {
 		return
@@ -113,11 +113,11 @@
 			m.worker.scheduleStep(m.task, time.Second, func() { m.worker.endTask(m.task, api.CauseError) })
 		}
 	}
-	g.sim.logf("gang %s runs in attempt %d from %.0f s", g.job.spec.ID, g.attempt, g.progress)
+	g.sim.logf("gang %s: attempt %d starts at progress %.0f s", g.job.spec.ID, g.attempt, g.progress)
 	g.sim.GangRuns++
 }
 
-// sorted returns the members by index.
+// sorted returns the members in the order of their task index.
 func (g *gangAttempt) sorted() []*member {
 	out := make([]*member, 0, len(g.members))
 	for _, m := range g.members {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// kill handles the command to stop a task, which checkpoints first if it has the time for it.
+// kill handles the command to stop a task. The task checkpoints first if the grace period is long enough.
 func (g *gangAttempt) kill(w *worker, t *task, gracePeriod float64) {
 	s := &g.job.spec
 	if t.status != api.Running || !s.CanCheckpoint() || gracePeriod < s.CheckpointS {
@@ -147,13 +147,14 @@
 	w.scheduleStep(t, seconds(s.CheckpointS), func() { g.finishCheckpoint(w, t) })
 }
 
-// finishCheckpoint ends a task that has checkpointed, once the others have.
+// finishCheckpoint ends a task that has written its checkpoint, once all other tasks of the gang were asked to checkpoint
+// too. If they are not asked in time, the task ends without a stored checkpoint.
 func (g *gangAttempt) finishCheckpoint(w *worker, t *task) {
 	switch {
 	case !g.checkpointFailed && len(g.stopRequested) == g.job.spec.Tasks:
 		g.checkpointed = true
 		g.job.checkpointedSeconds = g.progress
-		t.stored = true
+		t.checkpointStored = true
 		w.endTask(t, api.CauseStopped)
 	case g.checkpointFailed || g.sim.now.Sub(g.stopRequestedAt).Seconds() > g.sim.settings.Workers.GangPeerS:
 		w.endTask(t, api.CauseStopped)
@@ -162,7 +163,7 @@
 	}
 }
 
-// tick advances an attempt by one interval.
+// tick advances the attempt by one interval and schedules the next tick until all members are gone.
 func (g *gangAttempt) tick() {
 	present, complete := g.countMembers()
 	if g.started && present == 0 {
@@ -187,8 +188,8 @@
 	}
 }
 
-// countMembers returns how many members are on their machines, and whether all of them respond. It notes since when
-// the others do not.
+// countMembers returns the number of present members, and whether all members are responsive. It updates
+// unresponsiveSince of each member.
 func (g *gangAttempt) countMembers() (present int, complete bool) {
 	complete = true
 	for _, m := range g.sorted() {
@@ -208,19 +209,19 @@
 	return present, complete
 }
 
-// finish notes that a member of a started attempt has exited.
+// finish records that a member of a started attempt has exited.
 func (g *gangAttempt) finish() { g.finished, g.finishedAt = true, g.sim.now }
 
-// peerTimeout is how long members wait for each other.
+// peerTimeout returns how long members wait for each other.
 func (g *gangAttempt) peerTimeout() time.Duration { return seconds(g.sim.settings.Workers.GangPeerS) }
 
-// checkpointOverdue reports whether members wait to checkpoint for others that were not asked to stop in time.
+// checkpointOverdue reports whether the checkpoint timed out because some members were not asked to stop in time.
 func (g *gangAttempt) checkpointOverdue() bool {
 	return g.stopRequestedAt > 0 && !g.checkpointed && !g.checkpointFailed && len(g.stopRequested) < g.job.spec.Tasks &&
 		g.sim.now.Sub(g.stopRequestedAt) > g.peerTimeout()
 }
 
-// failCheckpoint ends the members that were not asked to stop. Without faults all must have been asked.
+// failCheckpoint ends the members that were not asked to stop. Without faults, all of them must have been asked.
 func (g *gangAttempt) failCheckpoint(complete bool) {
 	g.checkpointFailed = true
 	if complete && g.sim.quiescentFor(g.peerTimeout()) {
@@ -234,7 +235,7 @@
 	}
 }
 
-// endIfMemberLost ends the attempt once a member has not responded for the time that members wait for each other.
+// endIfMemberLost ends the attempt once a member has been unresponsive for the peer timeout.
 func (g *gangAttempt) endIfMemberLost() {
 	lost := false
 	for _, m := range g.members {
@@ -250,7 +251,7 @@
 	}
 }
 
-// advance adds an interval to the progress of a complete gang, and ends the gang once it has run for its duration.
+// advance adds one interval to the progress of a complete gang, and ends the gang once it has run for its duration.
 func (g *gangAttempt) advance() {
 	g.progress += gangTick.Seconds()
 	if interval := g.job.spec.CheckpointEveryS; interval > 0 {
@@ -268,10 +269,10 @@
 	g.finish()
 }
 
-// quiescentFor reports whether no fault has been able to keep a command from a machine for d.
+// quiescentFor reports whether all faults have been over for longer than d.
 func (sim *Simulation) quiescentFor(d time.Duration) bool {
 	return !sim.cfg.Faults || sim.now.Sub(ident.MonotonicTime(sim.cfg.ActiveDuration+faultDrainTime)) > d
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulator/heartbeat_faults.go
+++ b/internal/simulator/heartbeat_faults.go
@@ -9,8 +9,8 @@
 	"opaldale/internal/transport"
 )
 
-// duplicateLate delivers a duplicate of some heartbeats up to two lease durations late, even if the machine is gone by
-// then. Nobody waits for the reply.
+// duplicateLate delivers duplicates of some heartbeats up to two lease durations late, even if the machine was terminated
+// in the meantime. The reply is ignored.
 func (w *worker) duplicateLate(m *api.Heartbeat) {
 	sim := w.sim
 	if !sim.cfg.Faults || sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) || sim.rng.IntN(30) > 0 {
@@ -20,7 +20,7 @@
 	sim.schedule(late, func() { sim.deliverStaleHeartbeat(m, sim.nodes[sim.rng.IntN(len(sim.nodes))]) })
 }
 
-// deliverStaleHeartbeat delivers a duplicate of a heartbeat to a node.
+// deliverStaleHeartbeat delivers a duplicate of an earlier heartbeat to a node.
 func (sim *Simulation) deliverStaleHeartbeat(m *api.Heartbeat, n *node) {
 	if w := sim.workers[m.MachineID]; w != nil {
 		switch {
@@ -38,7 +38,8 @@
 		func(*controller.Response) {})
 }
 
-// duplicateHeartbeat delivers duplicates of a heartbeat to all nodes, late or to the next leader, during such faults.
+// duplicateHeartbeat delivers duplicates of a heartbeat to all nodes, either late or when the next leader is elected, if
+// such a fault occurs.
 func (sim *Simulation) duplicateHeartbeat(m *api.Heartbeat) {
 	deliverCopies := func(delay time.Duration) {
 		for i, n := range sim.nodes {
@@ -46,16 +47,17 @@
 		}
 	}
 	switch {
-	case sim.faultHits(sim.delayedHeartbeats):
+	case sim.faultOccurs(sim.delayedHeartbeats):
 		deliverCopies(time.Duration(2000+sim.rng.Float64()*2000*sim.settings.Workers.LeaseS) * time.Millisecond)
-	case sim.faultHits(sim.heldHeartbeats):
+	case sim.faultOccurs(sim.heldHeartbeats):
 		sim.heldDeliveries = append(sim.heldDeliveries, func() {
 			deliverCopies(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 		})
 	}
 }
 
-// holdHeartbeatsForNextLeader keeps duplicates of heartbeats until the next leader begins.
+// holdHeartbeatsForNextLeader buffers duplicates of a share of the heartbeats sent within d, and delivers them when the next
+// leader is elected.
 func (sim *Simulation) holdHeartbeatsForNextLeader(share float64, d time.Duration) {
 	sim.heldHeartbeats = faultWindow{share, sim.now.Add(d)}
 	if sim.awaitingNextLeader {
@@ -63,9 +65,9 @@
 	}
 	sim.awaitingNextLeader = true
 	sim.onNewTerm(func() {
-		kept := sim.heldDeliveries
+		deliveries := sim.heldDeliveries
 		sim.heldDeliveries = nil
-		for _, f := range kept {
+		for _, f := range deliveries {
 			sim.countEvent(heldHeartbeatDeliveredEvent)
 			f()
 		}
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -15,13 +15,14 @@
 	"opaldale/internal/migration"
 )
 
-// reportViolation records the violation of an invariant, which ends the run.
+// reportViolation records the violation of an invariant. The run stops at the first violation.
 func (sim *Simulation) reportViolation(format string, a ...any) {
-	sim.logf("BROKEN: "+format, a...)
+	sim.logf("VIOLATION: "+format, a...)
 	sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f: ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// checkTaskStart checks the rules that hold when a task starts on a machine.
+// checkTaskStart checks the invariants that must hold when a task starts: it runs nowhere else, its team stays within the
+// limit, its constraints are met, and its job is not cancelled.
 func (sim *Simulation) checkTaskStart(w *worker, t *task) {
 	sim.TaskStarts++
 	j := sim.jobs[t.id.Job]
@@ -31,16 +32,15 @@
 	used := newUsage(j)
 	for _, o := range sim.sortedWorkers() {
 		if o.dead || o.leaseExpired() {
-			continue // its tasks end before it does anything else
+			continue // the worker ends its tasks before it does anything else
 		}
 		o.forEachTask(func(other *task) {
 			if other == t || !other.onMachine() {
 				return
 			}
 			if other.id == t.id && o != w {
-				sim.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", t.id, w.id, t.attempt,
-					o.id,
-					other.attempt)
+				sim.reportViolation("ran_twice: %s starts on %s (attempt %d) while it runs on %s (attempt %d)", t.id, w.id,
+					t.attempt, o.id, other.attempt)
 			}
 			used.add(sim.jobs[other.id.Job], o, other)
 		})
@@ -48,50 +48,52 @@
 	sim.checkQuota(j, t, used)
 	sim.checkPlacement(j, w, t, used)
 	if j.cancelConfirmedAt > 0 && sim.now.Sub(j.cancelConfirmedAt).Seconds() > sim.settings.Workers.CancelS {
-		sim.reportViolation("ran_cancelled: %s starts", t.id)
+		sim.reportViolation("ran_cancelled: %s starts on %s after its cancellation was confirmed", t.id, w.id)
 	}
 }
 
-// checkQuota checks that a team stays within its limit with a task that starts.
+// checkQuota checks that the team of a starting task stays within its CPU limit.
 func (sim *Simulation) checkQuota(j *userJob, t *task, used *usage) {
 	limit := sim.cpuLimit(j.spec.Team)
 	if cpus := used.teamCPUs + j.spec.VCPUs; limit > 0 && cpus > limit+roundingError {
-		sim.reportViolation("quota: %s uses %v of %v with %s", j.spec.Team, cpus, limit, t.id)
+		sim.reportViolation("quota: team %s uses %v CPUs with %s, its limit is %v", j.spec.Team, cpus, t.id, limit)
 	}
 }
 
-// checkPlacement checks that a machine is one that a job admits, given where its other tasks are.
+// checkPlacement checks that a machine meets the constraints of a job, given the zones of its other tasks.
 func (sim *Simulation) checkPlacement(j *userJob, w *worker, t *task, used *usage) {
 	zone := w.machine.zone
 	switch {
 	case j.spec.Zone != nil && *j.spec.Zone != zone:
-		sim.reportViolation("wrong_place: %s in %s", t.id, zone)
+		sim.reportViolation("wrong_place: %s starts in %s, but is bound to %s", t.id, zone, *j.spec.Zone)
 	case w.machine.spot && !j.spec.Spot:
-		sim.reportViolation("wrong_place: %s on a spot machine", t.id)
+		sim.reportViolation("wrong_place: %s starts on a spot machine, which its job does not allow", t.id)
 	case used.exceedsSpread(zone):
-		sim.reportViolation("wrong_place: %s is one of %d in %s", t.id, used.tasksByZone[zone]+1, zone)
+		sim.reportViolation("wrong_place: %s is one of %d tasks of a spread job in %s", t.id, used.tasksByZone[zone]+1, zone)
 	}
 	if j.spec.OneZone && used.runsOutside(zone) {
-		sim.reportViolation("wrong_place: %s in %s, others in another zone", t.id, zone)
+		sim.reportViolation("wrong_place: %s starts in %s, but other tasks of its single-zone job run in another zone", t.id,
+			zone)
 	}
 }
 
-// checkAnswer checks a reply against what the user knew at the time of the request, as requests that overlap have no order.
-func (sim *Simulation) checkAnswer(j *userJob, r *controller.Response, asked ident.MonotonicTime) {
+// checkAnswer checks the job status in a reply. A final status must not change, which only holds for requests sent after the
+// user learned of it: overlapping requests have no order.
+func (sim *Simulation) checkAnswer(j *userJob, r *controller.Response, requestedAt ident.MonotonicTime) {
 	var v api.JobView
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
-		sim.reportViolation("%s: unreadable answer %s", j.spec.ID, r.Body)
+		sim.reportViolation("%s: the reply is not a view of the job: %s", j.spec.ID, r.Body)
 		return
 	}
-	if isTerminal(j.lastStatus) && v.Status != j.lastStatus && asked > j.lastStatusAt {
-		sim.reportViolation("went_back: %s was %s, is %s", j.spec.ID, j.lastStatus, v.Status)
+	if isTerminal(j.lastStatus) && v.Status != j.lastStatus && requestedAt > j.lastStatusAt {
+		sim.reportViolation("went_back: %s has status %s after the final status %s", j.spec.ID, v.Status, j.lastStatus)
 	}
 	switch v.Status {
 	case api.StatusCancelled:
 		sim.checkCancelled(j)
 	case api.StatusDone:
 		if i := slices.Index(j.done, false); i >= 0 {
-			sim.reportViolation("not_done: %s is called done, task %d is not", j.spec.ID, i)
+			sim.reportViolation("not_done: %s has status done, but task %d has not completed", j.spec.ID, i)
 		}
 	}
 	if isTerminal(j.lastStatus) {
@@ -103,11 +105,11 @@
 	}
 }
 
-// checkCancelled checks that a job which is called cancelled was cancelled by its user, and that none of its tasks is on
-// a machine once the time of a cancellation is over.
+// checkCancelled checks that a job with status cancelled was cancelled by its user, and that none of its tasks is left on
+// a machine once the time allowed for a cancellation has passed.
 func (sim *Simulation) checkCancelled(j *userJob) {
 	if j.cancelSentAt == 0 {
-		sim.reportViolation("went_back: %s was not cancelled by its user", j.spec.ID)
+		sim.reportViolation("went_back: %s has status cancelled, but its user did not cancel it", j.spec.ID)
 	}
 	if j.cancelConfirmedAt > 0 {
 		return
@@ -116,10 +118,11 @@
 	sim.schedule(seconds(sim.settings.Workers.CancelS)+time.Millisecond, func() {
 		for _, w := range sim.sortedWorkers() {
 			if sim.now < w.hungUntil && w.leaseExpired() {
-				continue // its tasks end before it does anything else
+				continue // the worker ends its tasks before it does anything else
 			}
 			if w.taskCount(j.spec.ID) > 0 {
-				sim.reportViolation("ran_cancelled: %s is still on %s", j.spec.ID, w.id)
+				sim.reportViolation("ran_cancelled: %s still has tasks on %s, %v s after its cancellation was confirmed",
+					j.spec.ID, w.id, sim.settings.Workers.CancelS)
 			}
 		}
 	})
@@ -129,21 +132,21 @@
 func isTerminal(s api.Status) bool { return s == api.StatusDone || s == api.StatusCancelled }
 
 const (
-	// faultDrainTime is how long after the start of the last fault all faults are over.
+	// faultDrainTime is the time after the active part by which all faults have ended.
 	faultDrainTime = 50 * time.Second
-	// maxStatusGap is how long a user may go without an answer from then on.
+	// maxStatusGap is how long status queries for a job may remain unanswered once all faults have ended.
 	maxStatusGap = 75 * time.Second
-	// maxStartDelay is how long the largest jobs may wait for their first task.
+	// maxStartDelay is how long the largest jobs may wait until their first task starts.
 	maxStartDelay = 4 * time.Minute
-	// roundingError is the imprecision of sums of CPUs.
+	// roundingError is the tolerance for comparisons of CPU sums, which are floating-point.
 	roundingError = 1e-6
 )
 
-// maxMovesPerJob is how often the tasks of a job may be moved in its life.
+// maxMovesPerJob is how many moves of its tasks a job may have in total.
 const maxMovesPerJob = 2
 
-// checkMoveRecord checks a mutation of a record of moves: it only grows, up to maxMovesPerJob, and is not deleted before the
-// job has ended.
+// checkMoveRecord checks a mutation of a job's move record: the record only grows, up to maxMovesPerJob, and is not deleted
+// before the job has ended.
 func (sim *Simulation) checkMoveRecord(c kvstore.Mutation) {
 	id, ok := jobOfMoveKey(c.Put + c.Delete)
 	if !ok {
@@ -157,7 +160,7 @@
 	}
 	if c.Delete != "" {
 		if sim.store.keys["live/"+id] != nil {
-			sim.reportViolation("the record of moves of %s is deleted before its end", id)
+			sim.reportViolation("the move record of %s is deleted before the job has ended", id)
 		}
 		return
 	}
@@ -166,44 +169,44 @@
 	case err != nil:
 		sim.reportViolation("%s: %v", c.Put, err)
 	case len(r.Moves) < before:
-		sim.reportViolation("%s: %d moves on record, %d before", id, len(r.Moves), before)
+		sim.reportViolation("%s: the move record shrinks to %d moves from %d", id, len(r.Moves), before)
 	case len(r.Moves) > maxMovesPerJob:
-		sim.reportViolation("%s is moved %d times", id, len(r.Moves))
+		sim.reportViolation("%s: the move record has %d moves, at most %d are allowed", id, len(r.Moves), maxMovesPerJob)
 	}
 	sim.Moves += len(r.Moves) - before
-	sim.logf("move of %s on record, its %d.", id, len(r.Moves))
+	sim.logf("move of %s recorded, %d in total", id, len(r.Moves))
 }
 
-// jobOfMoveKey returns the job of the key of a record of moves.
+// jobOfMoveKey returns the job id in the key of a move record.
 func jobOfMoveKey(path string) (id string, ok bool) { return strings.CutPrefix(path, migration.Prefix) }
 
-// handingOver reports whether a node's process has announced a handover and its term is not over.
+// handingOver reports whether a node's process has announced a handover of leadership and its term has not ended.
 func (sim *Simulation) handingOver(n *node) bool {
-	life, ok := sim.handovers[n.name]
-	if ok && (life != n.incarnation || n.controller.Election().State() != election.Leading) {
+	incarnation, ok := sim.handovers[n.name]
+	if ok && (incarnation != n.incarnation || n.controller.Election().State() != election.Leading) {
 		delete(sim.handovers, n.name)
 		return false
 	}
 	return ok
 }
 
-// checkHandoverWrites checks that a node which hands over leadership writes nothing new but the end of its term. It may repeat
-// transactions that were under way.
+// checkHandoverWrites checks that a node that is handing over leadership sends no new transactions except the one that ends
+// its term. It may retry transactions that it had already sent.
 func (sim *Simulation) checkHandoverWrites(n *node, r kvstore.Request) {
 	if r.Op != kvstore.Txn || !sim.handingOver(n) || len(r.Mutations) == 1 && r.Mutations[0].Delete == election.LeaderKey {
 		return
 	}
 	if !sim.sentTransactions[transactionKey(n, r)] {
-		sim.reportViolation("%s writes %s%s during its handover", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
+		sim.reportViolation("%s sends a new write of %s%s during its handover", n.name, r.Mutations[0].Put, r.Mutations[0].Delete)
 	}
 }
 
-// transactionKey identifies a transaction of a process; a repeat has the same key.
+// transactionKey identifies a transaction of a process. A retry has the same key.
 func transactionKey(n *node, r kvstore.Request) string {
 	return fmt.Sprint(n.name, n.incarnation, r.Compares, len(r.Mutations), r.Mutations[0].Put, r.Mutations[0].Delete)
 }
 
-// recordTransaction records a transaction of a node that monitors its links, after the checks of a handover.
+// recordTransaction checks and records a transaction of a node, if the nodes monitor their links.
 func (sim *Simulation) recordTransaction(n *node, r kvstore.Request) {
 	if sim.cfg.LinkMonitoring && r.Op == kvstore.Txn && len(r.Mutations) > 0 {
 		sim.checkHandoverWrites(n, r)
--- a/internal/simulator/leadership.go
+++ b/internal/simulator/leadership.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/ident"
 )
 
-// leader returns the node with a valid leader lease, nil if there is none.
+// leader returns the node that holds a valid leader lease, or nil if there is none.
 func (sim *Simulation) leader() *node {
 	for _, n := range sim.nodes {
 		if n.alive && n.controller.Election().LeaseValid() {
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// newestTerm returns the newest term, which is also the number of terms so far.
+// newestTerm returns the highest term that a node knows. Terms count up from 1, so it is also the number of terms so far.
 func (sim *Simulation) newestTerm() ident.Term {
 	most := ident.Term(0)
 	for _, n := range sim.nodes {
@@ -25,7 +25,7 @@
 	return most
 }
 
-// onNewTerm calls f whenever a leader of a newer term is there.
+// onNewTerm calls f each time that a leader of a newer term holds its lease.
 func (sim *Simulation) onNewTerm(f func()) {
 	newest := sim.newestTerm()
 	sim.every(20*time.Millisecond, func() bool {
@@ -37,7 +37,7 @@
 	})
 }
 
-// countLeaderChanges counts an event for each newer term from now on.
+// countLeaderChanges counts the given event for each new term from now on.
 func (sim *Simulation) countLeaderChanges(name eventName) {
 	sim.onNewTerm(func() { sim.countEvent(name) })
 }
--- a/internal/simulator/legacy_node.go
+++ b/internal/simulator/legacy_node.go
@@ -11,10 +11,10 @@
 	"opaldale/internal/upgrade"
 )
 
-// The types below are the formats of the version in production (deploy/service.toml). They can be removed with package
-// upgrade.
+// The types below are the storage formats of the version in production, which deploy/service.toml names. They can be
+// removed together with package upgrade.
 
-// legacyRecord is the placement of a task.
+// legacyRecord is the placement of a task in the format of the version in production.
 type legacyRecord struct {
 	Attempt ident.Attempt     `json:"t,omitempty"`
 	Host    ident.MachineID   `json:"h,omitempty"`
@@ -22,7 +22,7 @@
 	Done    bool              `json:"d,omitempty"`
 }
 
-// legacyHeader is the header of a job.
+// legacyHeader is the header record of a job.
 type legacyHeader struct {
 	Spec  json.RawMessage `json:"spec"`
 	Seq   uint64          `json:"seq"`
@@ -32,13 +32,13 @@
 	Tasks []legacyRecord  `json:"tasks,omitempty"`
 }
 
-// legacySegment is a further part of a job with many tasks.
+// legacySegment is a further record of a job whose tasks do not fit in its header record.
 type legacySegment struct {
 	LSN   uint64         `json:"lsn,omitempty"`
 	Tasks []legacyRecord `json:"tasks"`
 }
 
-// legacyLog is a record of the log.
+// legacyLog is a record of the commit log.
 type legacyLog struct {
 	LSN   uint64 `json:"n"`
 	Lines []struct {
@@ -48,7 +48,7 @@
 	} `json:"l"`
 }
 
-// legacyGroup is the record of the machines of a type and zone.
+// legacyGroup is the record of the machines of one type in one zone.
 type legacyGroup struct {
 	Model string `json:"model"`
 	Zone  string `json:"site"`
@@ -60,8 +60,8 @@
 	} `json:"hosts"`
 }
 
-// checkLegacyValue decodes a value as the version in production does. That version drops unknown fields when it writes the
-// value again, so there must be none.
+// checkLegacyValue returns an error if the version in production could not read a value without loss. That version drops
+// unknown fields when it writes the value again, so the value must have none.
 func checkLegacyValue(path string, value json.RawMessage) error {
 	var v any
 	prefix, rest, _ := strings.Cut(path, "/")
@@ -89,17 +89,17 @@
 			Shape string `json:"shape"`
 		}
 		if json.Unmarshal(h.Spec, &spec) != nil || spec.Shape != "batch" && spec.Shape != "service" {
-			return fmt.Errorf("%s: a job of shape %q", path, spec.Shape)
+			return fmt.Errorf("%s: got a job of shape %q, want batch or service", path, spec.Shape)
 		}
 	}
 	return nil
 }
 
-// legacyRequest returns f with a check that a legacy node can read the response. It returns false for a request that such a
-// node does not make.
+// legacyRequest wraps f in a check that a legacy node can read the values of the response. It returns false for a request
+// that such a node would not send.
 func (e *nodeEnv) legacyRequest(r kvstore.Request, f func(kvstore.Response)) (func(kvstore.Response), bool) {
 	if r.Prefix == upgrade.NodeKeyPrefix || strings.HasPrefix(r.Key, upgrade.NodeKeyPrefix) {
-		return nil, false // legacy nodes know no format levels of nodes
+		return nil, false // legacy nodes do not announce or read format levels
 	}
 	return func(a kvstore.Response) {
 		pairs := a.KeyValues
@@ -108,7 +108,7 @@
 		}
 		for _, p := range pairs {
 			if err := checkLegacyValue(p.Key, p.Value); err != nil {
-				e.sim().reportViolation("a legacy node cannot read, or would not keep: %v", err)
+				e.sim().reportViolation("a legacy node cannot read the value, or would drop fields of it: %v", err)
 			}
 		}
 		f(a)
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -9,19 +9,19 @@
 	"opaldale/internal/transport"
 )
 
-// linkMonitor follows what nodes announce of their links and handovers.
+// linkMonitor records the link states and leadership handovers that the nodes announce to each other.
 type linkMonitor struct {
 	announcedTerms  map[ident.Term]bool
-	onHandover      func(from *node, to ident.NodeID) // called at the first announcement of a term
-	staleRowDelay   time.Duration                     // delay of duplicates of link states; 0: none
-	newestHeartbeat map[string]uint64                 // number of the newest heartbeat from one node to another
-	// sentTransactions has the transactions that were sent, by transactionKey.
+	onHandover      func(from *node, to ident.NodeID) // called when a handover of a term is first announced
+	staleRowDelay   time.Duration                     // delay of duplicated link states; 0: no duplicates
+	newestHeartbeat map[string]uint64                 // id of the newest heartbeat by "sender receiver"
+	// sentTransactions is the set of the transactions that were sent, by transactionKey.
 	sentTransactions map[string]bool
-	handovers        map[string]int // incarnations of the nodes that hand over leadership
+	handovers        map[string]int // incarnation of each node that is handing over leadership
 }
 
-// observeFrame observes a frame before it is sent. It returns false for one that the version in production does not know,
-// which closes the connection on it.
+// observeFrame records a frame before it is sent. It returns false for a link frame to or from a legacy node, which is a
+// violation: the version in production closes the connection when it receives an unknown frame.
 func (sim *Simulation) observeFrame(from, to *node, f *transport.Frame) bool {
 	reversePath := to.name + " " + from.name
 	switch f.Type {
@@ -36,7 +36,7 @@
 	switch f.Type {
 	case transport.MsgLinkState:
 		sim.countEvent(rowsSentEvent)
-		sim.redeliverRows(from, to, reversePath, f)
+		sim.redeliverLinkStates(from, to, reversePath, f)
 	case transport.MsgTransferLeader:
 		if !sim.announcedTerms[f.Term] {
 			sim.announcedTerms[f.Term] = true
@@ -51,14 +51,14 @@
 	return true
 }
 
-// redeliverRows delivers a duplicate of link states late. With the mutation FreshenStaleRows it refers to the newest
-// heartbeat of the receiver, as if it had just been made.
-func (sim *Simulation) redeliverRows(from, to *node, reversePath string, f *transport.Frame) {
+// redeliverLinkStates delivers a duplicate of a frame of link states late. With the mutation FreshenStaleRows the duplicate
+// refers to the newest heartbeat of the receiver and has a higher sequence number, so that it appears to be current.
+func (sim *Simulation) redeliverLinkStates(from, to *node, reversePath string, f *transport.Frame) {
 	if sim.staleRowDelay == 0 {
 		return
 	}
 	late := *f
-	late.LinkState = slices.Clone(f.LinkState[:1]) // the sender's own
+	late.LinkState = slices.Clone(f.LinkState[:1]) // the sender's own advertisement
 	sim.schedule(sim.staleRowDelay, func() {
 		if !to.alive {
 			return
@@ -72,10 +72,10 @@
 	})
 }
 
-// staleSequenceOffset makes the sequence number of a stale row larger than that of any newer one.
+// staleSequenceOffset raises the sequence number of a stale advertisement above that of any newer one.
 const staleSequenceOffset = 100_000
 
-// forgedRows returns link states by which all links of one node are up, and all of the others down.
+// forgedRows returns forged advertisements in which all links of one node are up and all links of the other nodes are down.
 func forgedRows(sim *Simulation, best *node) []links.Advertisement {
 	var rows []links.Advertisement
 	for _, n := range sim.nodes {
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -8,7 +8,8 @@
 	"opaldale/internal/ident"
 )
 
-// checkIdleCapacity checks that no job waits while there is capacity for it, once all faults are over.
+// checkIdleCapacity checks every five seconds that no job waits too long although there is free capacity for it. It starts
+// once all faults have ended.
 func (sim *Simulation) checkIdleCapacity() {
 	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
 	sim.schedule(5*time.Second, sim.checkIdleCapacity)
@@ -17,8 +18,9 @@
 	}
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
-		if j.idleCapacitySince > 0 && sim.now.Sub(j.idleCapacitySince) > maxWaitBesideCapacity {
-			sim.reportViolation("%s waits for %v while there is capacity for it", id, sim.now.Sub(j.idleCapacitySince))
+		if j.idleCapacitySince > 0 && sim.now.Sub(j.idleCapacitySince) > maxWaitWithFreeCapacity {
+			sim.reportViolation("%s has waited for %v although there is free capacity for it", id,
+				sim.now.Sub(j.idleCapacitySince))
 			return
 		}
 		switch {
@@ -30,13 +32,13 @@
 	}
 }
 
-// maxWaitBesideCapacity is how long a job may wait while there is capacity for it.
-const maxWaitBesideCapacity = 90 * time.Second
+// maxWaitWithFreeCapacity is how long a job may wait although there is free capacity for it.
+const maxWaitWithFreeCapacity = 90 * time.Second
 
-// hasCapacityFor reports whether a task of a job waits though it could start.
+// hasCapacityFor reports whether a job has a waiting task that could start on a machine now.
 func (sim *Simulation) hasCapacityFor(j *userJob) bool {
 	if j.alwaysFails {
-		return false // retries are held back on purpose
+		return false // the controllers delay retries of failing tasks on purpose
 	}
 	used := newUsage(j)
 	for _, w := range sim.workers {
@@ -60,7 +62,7 @@
 	return false
 }
 
-// admits reports whether a machine works, meets the constraints of a job and has capacity for a task of it.
+// admits reports whether a machine is healthy, meets the constraints of a job and has free capacity for one of its tasks.
 func (sim *Simulation) admits(w *worker, j *userJob, used *usage) bool {
 	zone := w.machine.zone
 	switch {
@@ -73,10 +75,10 @@
 	case used.exceedsSpread(zone) || j.spec.OneZone && used.runsOutside(zone):
 		return false
 	}
-	return sim.cloud.models[0].VCPUs-w.usedCPUs() >= j.spec.VCPUs
+	return sim.cloud.machineTypes[0].VCPUs-w.usedCPUs() >= j.spec.VCPUs
 }
 
-// largestJobs lists the largest jobs of each class, by CPUs in total.
+// largestJobs returns the jobs of each class that require the most CPUs in total.
 func (sim *Simulation) largestJobs() (out []*userJob) {
 	most := map[string]float64{}
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.VCPUs }
@@ -91,54 +93,55 @@
 	return out
 }
 
-// checkFairness checks that at least half of the jobs of each class, of each team and of the largest ones were served, and
-// that the largest ones started in time.
+// checkFairness checks that at least half of the jobs of each class, of each team, and of the largest jobs of each class
+// were served, and that the largest jobs started in time.
 func (sim *Simulation) checkFairness() {
 	type share struct{ all, ok int }
-	by := map[string]*share{}
-	count := func(what string, ok bool) {
-		s := by[what]
+	shares := map[string]*share{}
+	count := func(group string, ok bool) {
+		s := shares[group]
 		if s == nil {
 			s = &share{}
-			by[what] = s
+			shares[group] = s
 		}
 		s.all++
 		if ok {
 			s.ok++
 		}
 	}
-	good := func(j *userJob) bool {
+	served := func(j *userJob) bool {
 		return j.lastStatus == api.StatusDone || j.spec.Shape == api.Service && j.firstStartAt > 0
 	}
 	for _, id := range sim.jobOrder {
 		if j := sim.jobs[id]; j.accepted && j.cancelSentAt == 0 {
-			count("class "+j.spec.Class, good(j))
-			count("team "+j.spec.Team, good(j))
+			count("class "+j.spec.Class, served(j))
+			count("team "+j.spec.Team, served(j))
 		}
 	}
 	for _, j := range sim.largestJobs() {
 		if j.cancelSentAt > 0 {
 			continue
 		}
-		count("largest of "+j.spec.Class, good(j))
+		count("largest of "+j.spec.Class, served(j))
 		if j.firstStartAt == 0 || j.firstStartAt.Sub(j.submittedAt) > maxStartDelay {
-			sim.reportUnfinished("%s, the largest of %s, did not begin within %v", j.spec.ID, j.spec.Class, maxStartDelay)
+			sim.reportUnfinished("%s, the largest job of class %s, did not start within %v", j.spec.ID, j.spec.Class,
+				maxStartDelay)
 		}
 	}
-	for what, s := range by {
+	for group, s := range shares {
 		if 2*s.ok < s.all {
-			sim.reportUnfinished("%s: %d of %d served", what, s.ok, s.all)
+			sim.reportUnfinished("%s: %d of %d jobs served, want at least half", group, s.ok, s.all)
 		}
 	}
 }
 
-// defaultQuiescence is the duration of the quiescent part unless the configuration says otherwise.
+// defaultQuiescence is the duration of the quiescent part if Config.QuiescentDuration is 0.
 const defaultQuiescence = 260 * time.Second
 
-// checkCompletion checks that all work has ended.
+// checkCompletion checks at the end of the run that all jobs are done or cancelled, and that all services run.
 func (sim *Simulation) checkCompletion() {
 	if !sim.cfg.Overload {
-		sim.checkFairness() // with overload there is not enough capacity for that
+		sim.checkFairness() // an overloaded fleet cannot serve half of the jobs
 	}
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -146,9 +149,9 @@
 		case !j.accepted:
 		case j.lastStatus == api.StatusCancelled || j.lastStatus == api.StatusDone:
 		case j.cancelSentAt > 0:
-			sim.reportUnfinished("%s: its cancellation was never confirmed", id)
+			sim.reportUnfinished("%s: the cancellation was never confirmed", id)
 		case j.spec.Shape != api.Service:
-			sim.reportUnfinished("%s: never done, last status %q", id, j.lastStatus)
+			sim.reportUnfinished("%s: not done, last status %q", id, j.lastStatus)
 		default:
 			n := 0
 			for _, w := range sim.workers {
@@ -161,7 +164,7 @@
 	}
 }
 
-// reportUnfinished records work that has not ended.
+// reportUnfinished records work that has not ended by the end of the run.
 func (sim *Simulation) reportUnfinished(format string, a ...any) {
 	sim.Unfinished = append(sim.Unfinished, fmt.Sprintf(format, a...))
 }
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -10,18 +10,18 @@
 	"opaldale/internal/settings"
 )
 
-// Times of the scenario in which moves gain.
+// Times of the scenario in which moving running tasks pays off.
 const (
-	// firstTaskDuration is how long the first task of a job runs, and taskDurationStep how much longer each
-	// further one does.
+	// firstTaskDuration is the run time of the first task of a job. Each further task runs taskDurationStep longer than
+	// the one before it.
 	firstTaskDuration = 28 * time.Second
 	taskDurationStep  = 60 * time.Second
 	wideTaskDuration  = 25 * time.Second
-	// wideTasksAt is when the wide tasks are submitted, after the end of the first tasks, in seconds.
+	// wideTasksAt is when the wide tasks are submitted, in seconds. The first tasks of the narrow jobs have ended by then.
 	wideTasksAt = 50.0
 )
 
-// rebalancingConfig has a small fleet that cannot grow, with nodes that move running tasks.
+// rebalancingConfig returns a configuration with a small fleet that cannot grow and nodes that move running tasks.
 func rebalancingConfig(seed uint64) Config {
 	return Config{
 		Seed:           seed,
@@ -33,8 +33,8 @@
 	}
 }
 
-// fragmentFleet fills the machines with jobs of four tasks, one of which ends early, so that each machine has capacity for
-// half of a wide task. Then it submits wide tasks.
+// fragmentFleet fills the machines with jobs of four tasks. One task of each job ends early, which leaves each machine with
+// free capacity for half of a wide task. Then it submits wide tasks.
 func (sim *Simulation) fragmentFleet(wide int) {
 	sim.checkReservations()
 	sim.scheduleAt(2, func() {
@@ -64,30 +64,30 @@
 	}
 }
 
-// makeNarrow makes a job one of four tasks of 2 CPUs that checkpoint when they are stopped.
+// makeNarrow turns a job into an array of four tasks of 2 CPUs each that checkpoint when they are stopped.
 func makeNarrow(s *api.Spec) {
 	s.Tasks, s.VCPUs, s.Spot, s.Image = 4, 2, true, "img-0"
 	s.CheckpointEveryS, s.CheckpointS = 5, 1
 	s.RuntimeS = (firstTaskDuration + 3*taskDurationStep).Seconds()
 }
 
-// makeWide makes a job one of a single task that never checkpoints.
+// makeWide turns a job into one with a single task that never checkpoints.
 func makeWide(s *api.Spec, cpus, runtimeS float64) {
 	makeNarrow(s)
 	s.Tasks, s.VCPUs, s.CheckpointEveryS, s.RuntimeS = 1, cpus, 0, runtimeS
 }
 
-// checkReservations checks every second that no capacity is reserved without an active move.
+// checkReservations checks every second that the leader reserves no capacity without an active move.
 func (sim *Simulation) checkReservations() {
 	if l := sim.leader(); l != nil {
 		if s := l.controller.Stats(); s.Reservations > s.MovesActive {
-			sim.reportViolation("capacity is reserved on %d machines for %d moves", s.Reservations, s.MovesActive)
+			sim.reportViolation("capacity is reserved on %d machines for %d active moves", s.Reservations, s.MovesActive)
 		}
 	}
 	sim.schedule(time.Second, sim.checkReservations)
 }
 
-// activeMoves lists the moves that a node reports as leader.
+// activeMoves returns the moves that a node reports, or none if the node is not the leader.
 func activeMoves(n *node) (out []controller.MoveEntry) {
 	if n == nil || !n.alive || !n.controller.Election().LeaseValid() {
 		return nil
@@ -100,7 +100,7 @@
 	return out
 }
 
-// onMoveState calls f once, as soon as a leader reports a move in a state.
+// onMoveState calls f once, as soon as a leader reports a move in the given state.
 func (sim *Simulation) onMoveState(state migration.State, f func(l *node, m controller.MoveEntry)) {
 	sim.pollMoves(time.Millisecond, func(l *node, m controller.MoveEntry) bool {
 		if m.State != state.String() {
@@ -112,7 +112,7 @@
 	})
 }
 
-// pollMoves calls f with the moves that the leader reports, at each interval until f returns true.
+// pollMoves calls f for each move that the leader reports, at each interval, until f returns true.
 func (sim *Simulation) pollMoves(every time.Duration, f func(l *node, m controller.MoveEntry) bool) {
 	l := sim.leader()
 	for _, m := range activeMoves(l) {
@@ -123,13 +123,13 @@
 	sim.schedule(every, func() { sim.pollMoves(every, f) })
 }
 
-// countMoveOutcomes counts how the moves of each leader end.
+// countMoveOutcomes counts the moves of each leader by the reason for which they end.
 func (sim *Simulation) countMoveOutcomes() {
 	type key struct {
-		node string
-		life int
-		task string
-		from ident.MachineID
+		node        string
+		incarnation int
+		task        string
+		from        ident.MachineID
 	}
 	seen := map[key]bool{}
 	sim.pollMoves(100*time.Millisecond, func(l *node, m controller.MoveEntry) bool {
@@ -142,8 +142,8 @@
 	})
 }
 
-// workerByID returns the worker of a machine, nil if it is gone.
-func (sim *Simulation) workerByID(h ident.MachineID) *worker { return sim.workers[h] }
+// workerByID returns the worker of a machine, or nil if the machine does not run.
+func (sim *Simulation) workerByID(id ident.MachineID) *worker { return sim.workers[id] }
 
 // submitShortTasks submits an array of short tasks of different run times every two seconds.
 func (sim *Simulation) submitShortTasks(from, to float64) {
@@ -159,26 +159,26 @@
 	}
 }
 
-// longTaskDuration is how long the long tasks of a run with a slow machine take on the others.
+// longTaskDuration is the run time of the long tasks on machines of normal speed, in runs with slow machines.
 const longTaskDuration = 160 * time.Second
 
-// slowMachineScenario has a fleet with slow machines, and the work by which they are detected.
+// slowMachineScenario returns a simulation of a fleet with slow machines, and with tasks by which they are detected.
 func slowMachineScenario(seed uint64, mode settings.Rebalance, slow int) *Simulation {
-	sim := New(slowConfig(seed, mode, slow))
-	sim.workBesideSlow()
+	sim := New(slowFleetConfig(seed, mode, slow))
+	sim.submitSlowMachineLoad()
 	return sim
 }
 
-// slowConfig has a small fleet with some slow machines.
-func slowConfig(seed uint64, mode settings.Rebalance, slow int) Config {
+// slowFleetConfig returns a configuration with a small fleet of which some machines are slow.
+func slowFleetConfig(seed uint64, mode settings.Rebalance, slow int) Config {
 	cfg := rebalancingConfig(seed)
 	cfg.Rebalance, cfg.SlowMachines, cfg.QuiescentDuration = mode, slow, 700*time.Second
 	return cfg
 }
 
-// workBesideSlow submits long tasks that leave capacity on most machines, and arrays of short tasks by which a slow machine
-// is detected.
-func (sim *Simulation) workBesideSlow() {
+// submitSlowMachineLoad submits long tasks that leave free capacity on most machines, and arrays of short tasks whose run
+// times reveal a slow machine.
+func (sim *Simulation) submitSlowMachineLoad() {
 	sim.scheduleAt(2, func() {
 		for range 6 {
 			sim.submitJob(func(s *api.Spec) {
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -17,7 +17,7 @@
 	"opaldale/internal/upgrade"
 )
 
-// mutateHeartbeatReply applies mutations to the reply to a heartbeat.
+// mutateHeartbeatReply applies the active mutation to the reply to a heartbeat.
 func (sim *Simulation) mutateHeartbeatReply(n *node, body []byte, r *controller.Response) *controller.Response {
 	var m api.Heartbeat
 	switch {
@@ -36,7 +36,7 @@
 	return r
 }
 
-// withoutStops drops the commands that stop tasks.
+// withoutStops returns the commands except those that stop tasks.
 func withoutStops(list []api.Command) []api.Command {
 	out := []api.Command{}
 	for _, o := range list {
@@ -47,15 +47,16 @@
 	return out
 }
 
-// cachedAnswer is a reply to a query that a node repeats for a while, under CacheStatusAnswers.
+// cachedAnswer is a reply to a status query that a node caches, for the mutation CacheStatusAnswers.
 type cachedAnswer struct {
 	at   ident.MonotonicTime
 	body []byte
 }
 
+// cacheTTL is how long a node reuses a cached reply.
 const cacheTTL = 3 * time.Second
 
-// cachedReply returns the cached reply to a query, nil if there is none or nothing is cached in this run.
+// cachedReply returns the cached reply to a status query, or nil if there is none or this run caches no replies.
 func (n *node) cachedReply(r apiRequest) *controller.Response {
 	if r.method != transport.GetJob || !n.sim.mutates(CacheStatusAnswers) {
 		return nil
@@ -67,14 +68,14 @@
 	return &controller.Response{Status: http.StatusOK, Body: c.body}
 }
 
-// cacheReply keeps the reply to a query, if replies are cached in this run.
+// cacheReply caches the reply to a status query, if this run caches replies.
 func (n *node) cacheReply(r apiRequest, a controller.Response) {
 	if r.method == transport.GetJob && n.sim.mutates(CacheStatusAnswers) && a.Status == http.StatusOK {
 		n.cache[r.job] = cachedAnswer{n.sim.now, a.Body}
 	}
 }
 
-// forgetPlacements drops the placements from a page of the log, for the mutation ForgetPlacements.
+// forgetPlacements removes the placements from a page of the commit log, for the mutation ForgetPlacements.
 func forgetPlacements(a kvstore.Response) kvstore.Response {
 	pairs := append([]kvstore.KeyValue(nil), a.KeyValues...)
 	for i, p := range pairs {
@@ -92,7 +93,7 @@
 			} else {
 				rows = append(rows, group+" "+f[0]+","+f[1])
 			}
-			return nil // for every line
+			return nil // keep parsing: every line is kept or shortened
 		})
 		v.Text = strings.Join(rows, "\n")
 		pairs[i].Value = api.JSON(v)
@@ -101,7 +102,7 @@
 	return a
 }
 
-// dropZoneConstraint drops the constraints to a zone from a submission, for the mutation DropZoneConstraint.
+// dropZoneConstraint removes the zone constraints from a submission, for the mutation DropZoneConstraint.
 func dropZoneConstraint(body []byte) []byte {
 	var s api.Spec
 	if json.Unmarshal(body, &s) != nil {
@@ -111,61 +112,62 @@
 	return api.JSON(s)
 }
 
-// Mutation names a safeguard that is switched off, to show that the checks detect its absence.
+// Mutation disables one safeguard of the protocol, to test that the checks detect its absence.
 type Mutation uint8
 
-// The mutations.
+// Mutations.
 const (
-	// None switches nothing off.
+	// None disables no safeguard.
 	None Mutation = iota
-	// LaunchBeforeCommit sends launches before their placement is durable.
+	// LaunchBeforeCommit sends launch commands before the placement is committed to the store.
 	LaunchBeforeCommit
-	// IgnoreFencingTokens has workers execute commands with any token.
+	// IgnoreFencingTokens makes workers execute commands with outdated fencing tokens.
 	IgnoreFencingTokens
-	// IgnoreRevisions carries out transactions whatever the revisions they demand.
+	// IgnoreRevisions makes the store execute transactions without checking the revisions that they require.
 	IgnoreRevisions
-	// StarvePolls leaves the queries for some jobs unanswered.
+	// StarvePolls leaves the status queries for some jobs unanswered.
 	StarvePolls
-	// AcceptStaleHeartbeats gives delayed copies of heartbeats new sequence numbers, as if they were sent just then.
+	// AcceptStaleHeartbeats gives delayed duplicates of heartbeats new sequence numbers, so that they appear to be current.
 	AcceptStaleHeartbeats
-	// NoMaxWait leaves the wait of a job for its first task unbounded.
+	// NoMaxWait disables the starvation timeout, so that a job may wait for its first task without a bound.
 	NoMaxWait
-	// KeepLeasesForever has nodes that are partitioned with workers renew their leases without a bound.
+	// KeepLeasesForever lets nodes that are partitioned together with workers renew the workers' leases without a bound.
 	KeepLeasesForever
-	// StopPartOfGang has only the first task of a gang learn that it shall checkpoint and stop.
+	// StopPartOfGang makes only the first task of a gang execute the command to checkpoint and stop.
 	StopPartOfGang
-	// HideWaitingGangTasks leaves tasks that wait for their gang out of heartbeats.
+	// HideWaitingGangTasks omits tasks that wait for the rest of their gang from heartbeats.
 	HideWaitingGangTasks
-	// ReuseGangAttempt numbers every attempt of a gang alike.
+	// ReuseGangAttempt gives every attempt of a gang the same number.
 	ReuseGangAttempt
-	// RaiseFormatEarly raises the format level while legacy nodes are there.
+	// RaiseFormatEarly raises the format level while legacy nodes are still running.
 	RaiseFormatEarly
-	// WriteNewFieldsEarly writes new fields below their format level.
+	// WriteNewFieldsEarly writes new fields before the format level that allows them.
 	WriteNewFieldsEarly
-	// RenewWithoutLeadership has nodes that may not lead renew every lease.
+	// RenewWithoutLeadership makes nodes without a valid leader lease renew the lease of every worker.
 	RenewWithoutLeadership
-	// DropStopCommands has no command to stop a task reach a machine.
+	// DropStopCommands drops all commands that stop tasks.
 	DropStopCommands
-	// CacheStatusAnswers has nodes repeat replies to queries for a while.
+	// CacheStatusAnswers makes nodes serve status queries from a cache.
 	CacheStatusAnswers
-	// ForgetPlacements hides from a new leader which machines tasks are on.
+	// ForgetPlacements removes from the commit log that a new leader reads which machines the tasks are on.
 	ForgetPlacements
-	// DropZoneConstraint hides from the controllers that a job is bound to one zone.
+	// DropZoneConstraint removes the zone constraints from submissions before the controllers receive them.
 	DropZoneConstraint
-	// IgnoreSendDeadlines sends out what a node decided however long ago.
+	// IgnoreSendDeadlines sends requests, commands and replies even after their deadline.
 	IgnoreSendDeadlines
-	// FreshenStaleRows makes delayed copies of link states look new.
+	// FreshenStaleRows makes delayed duplicates of link states appear to be current.
 	FreshenStaleRows
-	// UnboundedHandovers leaves the rate of handovers unbounded.
+	// UnboundedHandovers disables the rate limit on leadership handovers.
 	UnboundedHandovers
-	// NoFlapDamping takes a link that broke just before for as good as any other.
+	// NoFlapDamping disables the penalty for a link that failed recently.
 	NoFlapDamping
 )
 
-// mutates reports whether a safeguard is switched off in this run.
+// mutates reports whether this run disables the given safeguard.
 func (sim *Simulation) mutates(m Mutation) bool { return sim.cfg.Mutation == m }
 
-// launchBeforeCommit sends the launches of a transaction before it is committed, for the mutation LaunchBeforeCommit.
+// launchBeforeCommit launches the tasks that a transaction places before the transaction is committed, for the mutation
+// LaunchBeforeCommit.
 func (sim *Simulation) launchBeforeCommit(from string, r kvstore.Request) {
 	for _, c := range r.Mutations {
 		var v struct {
@@ -176,13 +178,13 @@
 		}
 		err := commit.ParseText(v.Text, func(id, line string) error {
 			var i int
-			var try ident.Attempt
+			var attempt ident.Attempt
 			var incarnation ident.Incarnation
 			f := strings.Split(line, ",")
 			if len(f) != 4 {
 				return nil
 			}
-			if _, err := fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &try, &incarnation); err != nil {
+			if _, err := fmt.Sscan(f[0]+" "+f[1]+" "+f[3], &i, &attempt, &incarnation); err != nil {
 				return err
 			}
 			w := sim.workers[ident.MachineID(f[2])]
@@ -192,21 +194,21 @@
 			sim.deliver(from, f[2], func() {
 				w.whenResponsive(func() {
 					taskID := ident.TaskID{Job: ident.JobID(id), Index: i}
-					if w.incarnation == incarnation && w.tasks[taskID][try] == nil {
-						w.launch(taskID, try)
+					if w.incarnation == incarnation && w.tasks[taskID][attempt] == nil {
+						w.launch(taskID, attempt)
 					}
 				})
 			})
 			return nil
 		})
 		if err != nil {
-			panic(fmt.Sprintf("simulator: line of the log: %v", err))
+			panic(fmt.Sprintf("simulator: invalid line in a commit log record: %v", err))
 		}
 	}
 }
 
-// mutateRequest applies the mutations of a rolling upgrade to a request of a new node to the store. It returns false if it
-// has answered the request itself.
+// mutateRequest applies the mutations about rolling upgrades to a request from an upgraded node to the store. It returns
+// false if it replied to the request itself.
 func (sim *Simulation) mutateRequest(r kvstore.Request, f func(kvstore.Response)) (kvstore.Request, bool) {
 	if sim.mutates(RaiseFormatEarly) && r.Prefix == upgrade.NodeKeyPrefix {
 		out := kvstore.Response{Outcome: kvstore.OK}
@@ -218,13 +220,13 @@
 		return r, false
 	}
 	if sim.mutates(WriteNewFieldsEarly) && r.Op == kvstore.Txn {
-		then := append([]kvstore.Mutation(nil), r.Mutations...)
-		for i, c := range then {
+		mutations := append([]kvstore.Mutation(nil), r.Mutations...)
+		for i, c := range mutations {
 			if strings.HasPrefix(c.Put, "live/") && bytes.HasPrefix(c.Value, []byte("{")) {
-				then[i].Value = append([]byte(`{"early":1,`), c.Value[1:]...)
+				mutations[i].Value = append([]byte(`{"early":1,`), c.Value[1:]...)
 			}
 		}
-		r.Mutations = then
+		r.Mutations = mutations
 	}
 	return r, true
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -7,38 +7,38 @@
 	"opaldale/internal/ident"
 )
 
-// The parties between which messages pass, beside nodes and machines, which are parties by their names.
+// Parties that send and receive messages, in addition to nodes and machines, which are identified by their names.
 const (
 	storeParty      = "state"
 	cloudParty      = "cloud"
 	usersParty      = "users"
-	duplicatesParty = "copies" // sends duplicates of heartbeats
-	// machines is all machines, including later ones, as one end of a link.
+	duplicatesParty = "copies" // sender of the duplicates of heartbeats
+	// machines matches all machines, including those provisioned later, as one end of a link.
 	machines = "machines"
-	// anyParty is everybody, as one end of a link.
+	// anyParty matches every party, as one end of a link.
 	anyParty = "*"
 
 	nodePrefix    = "agent-"
 	machinePrefix = "host-"
 )
 
-// link is a link from one party to another.
+// link is a network link from one party to another.
 type link struct{ from, to string }
 
-// networkPartition is a fault of a link or of a zone's links while it lasts.
+// networkPartition is a fault in effect that blocks a link or all links between a zone and the rest of the cluster.
 type networkPartition struct {
-	hold bool     // messages are delivered when the fault ends, in order, not dropped
-	held []func() // deliveries that wait for that
+	hold bool     // messages are buffered and delivered in order when the fault ends, instead of dropped
+	held []func() // deliveries buffered until the fault ends
 }
 
-// networkFaults has the faults of the network at present.
+// networkFaults holds the network faults in effect.
 type networkFaults struct {
-	partitions           map[link]*networkPartition // of both directions of a link
-	directedPartitions   map[link]*networkPartition // of one direction
+	partitions           map[link]*networkPartition // links blocked in both directions
+	directedPartitions   map[link]*networkPartition // links blocked in one direction
 	zonePartitions       map[string]*networkPartition
-	inboundBlockedUntil  map[string]ident.MonotonicTime // machines that receive nothing until then
-	outboundBlockedUntil map[string]ident.MonotonicTime // machines from which nothing reaches nodes until then
-	// blockedOneWay counts the messages that did not pass a link broken in one direction.
+	inboundBlockedUntil  map[string]ident.MonotonicTime // by machine: no message reaches it until then
+	outboundBlockedUntil map[string]ident.MonotonicTime // by machine: none of its messages reach nodes until then
+	// blockedOneWay counts the messages dropped or held by a fault that blocks one direction of a link.
 	blockedOneWay int
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// deliver carries a message from one party to another: normally within milliseconds, under faults late or never.
+// deliver delivers a message from one party to another, normally within milliseconds. A fault may delay or drop it.
 func (sim *Simulation) deliver(from, to string, receive func()) {
 	if p := sim.partitionOf(from, to); p != nil {
 		if p.hold {
@@ -66,7 +66,7 @@
 	latency := time.Duration(200+sim.rng.IntN(3000)) * time.Microsecond
 	oneIn := 200
 	if isMachine(to) {
-		oneIn = 25 // late commands are what fencing tokens protect against
+		oneIn = 25 // late commands test the fencing tokens
 	}
 	if sim.cfg.Faults && sim.now < ident.MonotonicTime(sim.cfg.ActiveDuration) && sim.rng.IntN(oneIn) == 0 {
 		if sim.rng.IntN(2) == 0 {
@@ -77,8 +77,8 @@
 	sim.schedule(latency+sim.extraLatency(from, to), receive)
 }
 
-// partitionOf returns the fault that keeps messages from one party from another, nil if there is none. It counts those
-// held up by a fault of one direction.
+// partitionOf returns the fault that blocks messages from one party to another, or nil if there is none. It counts the
+// messages that are blocked in one direction only.
 func (sim *Simulation) partitionOf(from, to string) *networkPartition {
 	if p := sim.partitionBetween(from, to); p != nil {
 		return p
@@ -90,7 +90,7 @@
 	return p
 }
 
-// partitionBetween returns the fault of both directions between two parties, nil if there is none.
+// partitionBetween returns the fault that blocks both directions between two parties, or nil if there is none.
 func (sim *Simulation) partitionBetween(a, b string) *networkPartition {
 	for _, l := range []link{{a, b}, {b, a}, {a, anyParty}, {b, anyParty}, {a, partyGroup(b)}, {b, partyGroup(a)}} {
 		if p := sim.partitions[l]; p != nil {
@@ -107,7 +107,7 @@
 	return sim.zonePartitions[zoneB]
 }
 
-// directedPartition returns the fault of a link in the direction from one party to another, nil if there is none.
+// directedPartition returns the fault that blocks only the direction from one party to another, or nil if there is none.
 func (sim *Simulation) directedPartition(from, to string) *networkPartition {
 	for _, l := range []link{{from, to}, {from, anyParty}, {anyParty, to}, {from, partyGroup(to)}, {partyGroup(from), to}} {
 		if p := sim.directedPartitions[l]; p != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// zoneOf returns the zone of a node or a machine, "" for any other party.
+// zoneOf returns the zone of a node or a machine, or "" for any other party.
 func (sim *Simulation) zoneOf(name string) string {
 	for _, n := range sim.nodes {
 		if n.name == name {
@@ -134,7 +134,7 @@
 
 func isMachine(party string) bool { return strings.HasPrefix(party, machinePrefix) }
 
-// partyGroup returns the end of a link that a party belongs to, "" if it belongs to none.
+// partyGroup returns the group of parties that a party belongs to, or "" if it belongs to none.
 func partyGroup(party string) string {
 	if isMachine(party) {
 		return machines
@@ -142,7 +142,7 @@
 	return ""
 }
 
-// partitionZone separates a zone from everything outside for d.
+// partitionZone blocks all messages between a zone and the rest of the cluster for d.
 func (sim *Simulation) partitionZone(zone string, hold bool, d time.Duration) {
 	if sim.zonePartitions[zone] != nil {
 		return
@@ -157,24 +157,24 @@
 	})
 }
 
-// deliverHeld delivers the messages held during a fault, in order.
+// deliverHeld delivers the messages buffered during a fault, in order.
 func (sim *Simulation) deliverHeld(p *networkPartition) {
 	for i, receive := range p.held {
 		sim.schedule(time.Duration(i)*time.Microsecond, receive)
 	}
 }
 
-// disconnect breaks both directions of a link for d.
+// disconnect blocks both directions of a link for d.
 func (sim *Simulation) disconnect(a, b string, hold bool, d time.Duration) {
 	sim.addPartition(sim.partitions, link{a, b}, hold, d)
 }
 
-// disconnectOneWay breaks one direction of a link for d, for requests and replies alike.
+// disconnectOneWay blocks one direction of a link for d. It blocks requests as well as replies.
 func (sim *Simulation) disconnectOneWay(from, to string, hold bool, d time.Duration) {
 	sim.addPartition(sim.directedPartitions, link{from, to}, hold, d)
 }
 
-// addPartition breaks a link of a table for d. A link that is broken already stays as it is.
+// addPartition blocks a link for d by an entry in the table. A link that is already blocked keeps its current fault.
 func (sim *Simulation) addPartition(table map[link]*networkPartition, l link, hold bool, d time.Duration) {
 	if table[l] != nil {
 		return
@@ -189,14 +189,14 @@
 	})
 }
 
-// flapLink breaks one direction of a link repeatedly, for down out of each period.
+// flapLink blocks one direction of a link repeatedly over total: for down at the start of each period.
 func (sim *Simulation) flapLink(from, to string, down, period, total time.Duration) {
 	for at := time.Duration(0); at < total; at += period {
 		sim.schedule(at, func() { sim.disconnectOneWay(from, to, false, down) })
 	}
 }
 
-// forEachPeer calls f for each node but n.
+// forEachPeer calls f for each node except n.
 func (sim *Simulation) forEachPeer(n *node, f func(*node)) {
 	for _, o := range sim.nodes {
 		if o != n {
@@ -205,20 +205,20 @@
 	}
 }
 
-// isolate separates a node from the store and the other nodes, but not from workers and users.
+// isolate disconnects a node from the store and from the other nodes; workers and users can still reach it.
 func (sim *Simulation) isolate(n *node, hold bool, d time.Duration) {
 	sim.disconnect(n.name, storeParty, hold, d)
 	sim.forEachPeer(n, func(o *node) { sim.disconnect(n.name, o.name, hold, d) })
 }
 
-// call sends a request and passes its reply to done. handle serves the request and may reply at any time; done gets
-// false if no reply comes within the timeout.
+// call sends a request over the network and calls done once, with the reply, or with ok false if no reply arrives within
+// the timeout. handle serves the request at the receiver and may reply at any later time.
 func call[T any](sim *Simulation, from, to string, timeout time.Duration, handle func(reply func(T)),
 	done func(reply T, ok bool)) {
-	over := false
+	finished := false
 	finish := func(reply T, ok bool) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(reply, ok)
 		}
 	}
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -9,29 +9,29 @@
 	"opaldale/internal/settings"
 )
 
-// node is the machine of a controller, whose process crashes and restarts.
+// node is a host that runs a controller process. The process can crash and restart; the node stays.
 type node struct {
 	sim         *Simulation
 	name        string
 	zone        string
 	controller  *controller.Controller
-	incarnation int // counts the starts and crashes of processes
+	incarnation int // incremented at each start and each crash of the process
 	alive       bool
-	legacy      bool                    // its next process runs the version in production
-	pausedUntil ident.MonotonicTime     // its process is paused until then, while its clocks go on
-	env         *nodeEnv                // of the present process
-	eventPause  eventPause              // in the midst of an event
-	cache       map[string]cachedAnswer // replies by job, under CacheStatusAnswers
+	legacy      bool                    // the next process runs the version in production
+	pausedUntil ident.MonotonicTime     // the process is paused until then; its clocks keep running
+	env         *nodeEnv                // environment of the current process
+	eventPause  eventPause              // pause in the middle of an event
+	cache       map[string]cachedAnswer // status replies by job, for the mutation CacheStatusAnswers
 }
 
-// pauseFor pauses the node's process.
+// pauseFor pauses the node's process for d. A longer pause that is already under way stays.
 func (n *node) pauseFor(d time.Duration) {
 	n.sim.logf("%s paused for %v", n.name, d)
 	n.pausedUntil = max(n.pausedUntil, n.sim.now.Add(d))
 }
 
-// whenResponsive runs f in the process of an incarnation, if it still runs, once it is not paused. What arrives during a
-// pause waits, in order.
+// whenResponsive runs f as an event of the process with the given incarnation. If the process is paused, f runs after the
+// pause; calls deferred by a pause keep their order. If the process has crashed, f is dropped.
 func (n *node) whenResponsive(incarnation int, f func()) {
 	switch {
 	case !n.alive || n.incarnation != incarnation:
@@ -45,7 +45,7 @@
 	}
 }
 
-// start starts the node's next process.
+// start starts a new process on the node.
 func (n *node) start() {
 	n.incarnation++
 	n.alive = true
@@ -71,10 +71,10 @@
 	n.controller.AfterEvent()
 }
 
-// maxClockDrift is by how much the rates of two nodes' clocks may differ.
+// maxClockDrift is the largest difference between the clock rates of two nodes, relative to simulated time.
 const maxClockDrift = 0.001
 
-// tuning returns the tuning of the node's next process.
+// tuning returns the tuning for the node's next process.
 func (n *node) tuning() settings.Tuning {
 	t := settings.DefaultTuning()
 	t.Links.Enabled = n.sim.cfg.LinkMonitoring
@@ -95,7 +95,7 @@
 	return t
 }
 
-// peers returns the settings of the other nodes.
+// peers returns the settings that describe the other nodes.
 func (n *node) peers() (peers []settings.Peer) {
 	n.sim.forEachPeer(n, func(o *node) {
 		peers = append(peers, settings.Peer{Node: ident.NodeID(o.name), Zone: o.zone})
@@ -103,7 +103,7 @@
 	return peers
 }
 
-// crash kills the node's process and restarts it later.
+// crash kills the node's process and starts a new one after restartAfter. It does nothing if no process is running.
 func (n *node) crash(restartAfter time.Duration) {
 	if !n.alive {
 		return
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -10,38 +10,38 @@
 	"opaldale/internal/workers"
 )
 
-// nodeEnv is the environment of one process of a node.
+// nodeEnv implements controller.Env for one process of a node: clocks, timers and calls to other parties.
 type nodeEnv struct {
 	node        *node
 	incarnation int
 	legacy      bool // the process runs the version in production
 	startedAt   ident.MonotonicTime
-	clockRate   float64 // of its monotonic clock, relative to simulated time
+	clockRate   float64 // rate of the monotonic clock relative to simulated time
 }
 
 func (e *nodeEnv) sim() *Simulation { return e.node.sim }
 
-// Now implements the environment of a controller.
+// Now returns the monotonic clock of the process, which drifts from simulated time.
 func (e *nodeEnv) Now() ident.MonotonicTime {
 	e.maybePause()
 	return ident.MonotonicTime(float64(e.sim().now.Add(e.node.eventPause.paused)-e.startedAt) * e.clockRate)
 }
 
-// WallMS implements the environment of a controller.
+// WallMS returns the wall clock in milliseconds since the epoch.
 func (e *nodeEnv) WallMS() int64 { return startWallMS + e.sim().now.Sub(0).Milliseconds() }
 
-// ifAlive returns a function that runs f if the process still runs.
+// ifAlive returns a function that runs f in the process, and does nothing once the process has crashed.
 func (e *nodeEnv) ifAlive(f func()) func() {
 	return func() { e.node.whenResponsive(e.incarnation, f) }
 }
 
-// After implements the environment of a controller.
+// After runs f in the process once d has passed on its monotonic clock.
 func (e *nodeEnv) After(d time.Duration, f func()) {
 	e.maybePause()
 	e.sim().schedule(e.node.eventPause.paused+max(0, time.Duration(float64(d)/e.clockRate)+time.Microsecond), e.ifAlive(f))
 }
 
-// Store implements the environment of a controller.
+// Store sends a request to the key-value store and passes the response to f.
 func (e *nodeEnv) Store(r kvstore.Request, f func(kvstore.Response)) {
 	sim := e.sim()
 	sim.cfg.Digest.storeRequest(sim.now, e.node.name, r)
@@ -70,7 +70,7 @@
 	send()
 }
 
-// callStore sends a request to the store.
+// callStore sends a request over the network to the store. f gets NoAnswer if no reply arrives within the timeout.
 func (e *nodeEnv) callStore(r kvstore.Request, f func(kvstore.Response)) {
 	serve := func(reply func(kvstore.Response)) { e.sim().store.serve(e.node.name, r, reply) }
 	call(e.sim(), e.node.name, storeParty, r.Timeout, serve, func(a kvstore.Response, ok bool) {
@@ -81,12 +81,12 @@
 	})
 }
 
-// replyIfAlive returns a function that passes a response on to f if the process still runs.
+// replyIfAlive returns a function that passes a response to f, and does nothing once the process has crashed.
 func (e *nodeEnv) replyIfAlive(f func(kvstore.Response)) func(kvstore.Response) {
 	return func(a kvstore.Response) { e.ifAlive(func() { f(a) })() }
 }
 
-// Cloud implements the environment of a controller.
+// Cloud sends a request to the cloud and passes the response to f. A request past its deadline is not sent.
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	sim := e.sim()
 	sim.cfg.Digest.cloudRequest(sim.now, e.node.name, r)
@@ -106,13 +106,13 @@
 	})()
 }
 
-// Worker implements the environment of a controller.
+// Worker sends commands to a worker and passes the result to f.
 func (e *nodeEnv) Worker(c workers.CommandCall, f func(workers.CommandResult)) {
 	e.sim().cfg.Digest.command(e.sim().now, e.node.name, c)
 	e.afterPause(func() { e.command(c, f) })()
 }
 
-// command sends a command call to its worker.
+// command sends a command call to the worker that it addresses. A call past its deadline is not sent.
 func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
 	sim := e.sim()
 	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
@@ -147,14 +147,14 @@
 	call(sim, e.node.name, c.Addr, commandTimeout, handle, func(a workers.CommandResult, _ bool) { answer(a) })
 }
 
-// SendPeer implements the environment of a controller.
+// SendPeer sends a frame to another controller.
 func (e *nodeEnv) SendPeer(to ident.NodeID, f *transport.Frame) {
 	sim := e.sim()
 	for _, o := range sim.nodes {
 		if o.name != string(to) {
 			continue
 		}
-		// Encoded and decoded as between processes.
+		// The frame is encoded and decoded as it would be between processes, so that both codecs run.
 		encoded := f.Append(nil)
 		sim.cfg.Digest.frame(sim.now, e.node.name, o.name, encoded)
 		g, err := transport.Decode(encoded[4:])
@@ -177,9 +177,9 @@
 }
 
 const (
-	// startWallMS is the time of the wall clock at the start of a run, in milliseconds since the epoch.
+	// startWallMS is the wall clock at the start of a run, in milliseconds since the epoch.
 	startWallMS = 1_700_000_000_000
-	// cloudTimeout is how long a node waits for a reply of the cloud, and commandTimeout for one of a worker.
+	// cloudTimeout is how long a node waits for a reply from the cloud, and commandTimeout for one from a worker.
 	cloudTimeout   = 4 * time.Second
 	commandTimeout = 1200 * time.Millisecond
 )
--- a/internal/simulator/process_pause.go
+++ b/internal/simulator/process_pause.go
@@ -7,47 +7,47 @@
 	"opaldale/internal/ident"
 )
 
-// eventPause pauses a process in the midst of an event: between any two of its readings of the clock and calls to the
-// outside, while its clocks go on. What it sends after that goes out when the pause is over.
+// eventPause simulates a process that is paused in the middle of handling an event, between two of its clock reads or
+// outgoing calls, while its clocks keep running. Calls that follow in the same event are sent when the pause ends.
 type eventPause struct {
-	window          faultWindow   // its probability is that of a pause in an event
-	stepsUntilPause int           // readings and calls until the pause; 0: none in this event
-	paused          time.Duration // in this event so far
+	window          faultWindow   // with the probability of a pause per event
+	stepsUntilPause int           // clock reads and calls until the pause; 0: no pause in this event
+	paused          time.Duration // length of the pause in this event; 0: none so far
 }
 
-// maxStepsBeforePause bounds how many readings and calls of an event precede a pause.
+// maxStepsBeforePause is the largest number of clock reads and calls of an event up to the pause.
 const maxStepsBeforePause = 12
 
-// beginEvent begins an event, and draws whether it has a pause.
-func (h *eventPause) beginEvent(sim *Simulation) {
-	if sim.faultHits(h.window) {
-		h.stepsUntilPause = 1 + sim.rng.IntN(maxStepsBeforePause)
+// beginEvent starts an event and decides at random whether the process is paused in it.
+func (p *eventPause) beginEvent(sim *Simulation) {
+	if sim.faultOccurs(p.window) {
+		p.stepsUntilPause = 1 + sim.rng.IntN(maxStepsBeforePause)
 	}
 }
 
-// endEvent ends the event.
-func (h *eventPause) endEvent() { h.stepsUntilPause, h.paused = 0, 0 }
+// endEvent ends the event and resets its pause.
+func (p *eventPause) endEvent() { p.stepsUntilPause, p.paused = 0, 0 }
 
-// maybePause begins the pause if it is due.
+// maybePause counts a clock read or call, and starts the pause of the event if it is due.
 func (e *nodeEnv) maybePause() {
-	h, sim := &e.node.eventPause, e.sim()
-	if h.stepsUntilPause == 0 {
+	pause, sim := &e.node.eventPause, e.sim()
+	if pause.stepsUntilPause == 0 {
 		return
 	}
-	if h.stepsUntilPause--; h.stepsUntilPause > 0 {
+	if pause.stepsUntilPause--; pause.stepsUntilPause > 0 {
 		return
 	}
-	h.paused = time.Duration(500+sim.rng.IntN(12_000)) * time.Millisecond
+	pause.paused = time.Duration(500+sim.rng.IntN(12_000)) * time.Millisecond
 	sim.countEvent(processPausedEvent)
 	if e.leads() {
 		sim.countEvent(leaderPausedEvent)
 	}
-	sim.logf("%s paused for %v within an event", e.node.name, h.paused)
-	e.node.pausedUntil = max(e.node.pausedUntil, sim.now.Add(h.paused))
+	sim.logf("%s paused for %v in the middle of an event", e.node.name, pause.paused)
+	e.node.pausedUntil = max(e.node.pausedUntil, sim.now.Add(pause.paused))
 }
 
-// afterPause returns a function that makes a call to the outside once the process is not paused. The call is lost with the
-// process.
+// afterPause returns a function that makes an outgoing call, after the pause of the event if there is one. The call is
+// dropped if the process crashes before that.
 func (e *nodeEnv) afterPause(send func()) func() {
 	return func() {
 		e.maybePause()
@@ -64,18 +64,18 @@
 	}
 }
 
-// clock reads the monotonic clock without a pause.
+// clock returns the monotonic clock of the process. Unlike Now, it never starts a pause.
 func (e *nodeEnv) clock() ident.MonotonicTime {
 	return ident.MonotonicTime(float64(e.sim().now-e.startedAt) * e.clockRate)
 }
 
-// leads reports whether the process holds a valid leader lease, without a pause.
+// leads reports whether the process holds a valid leader lease. It never starts a pause.
 func (e *nodeEnv) leads() bool {
 	m := e.node.controller.Election()
 	return m.State() == election.Leading && e.clock() < m.LeaseExpiry()
 }
 
-// deadlinePassed reports whether a deadline of the process has passed; 0 is none.
+// deadlinePassed reports whether a deadline has passed on the clock of the process. 0 means no deadline.
 func (e *nodeEnv) deadlinePassed(limit ident.MonotonicTime) bool {
 	return limit > 0 && e.clock() >= limit && !e.sim().mutates(IgnoreSendDeadlines)
 }
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ReplayOutcome is the outcome of a run that is compared with the same run of another build.
+// ReplayOutcome is the outcome of a replay run, to be compared with the same run of another build.
 type ReplayOutcome struct {
 	// Seed and Scenario identify the run.
 	Seed     uint64
 	Scenario string
-	// Digest is that of all that the controllers sent, in hexadecimal.
+	// Digest is the digest of all messages that the controllers sent, in hexadecimal.
 	Digest string
 	// Violations lists the invariants that were violated.
 	Violations []string
 }
 
-// replayScenario is a kind of run. The variant counts the smaller seeds of the same scenario; what differs between runs
-// of a scenario beside chance follows from it.
+// replayScenario is a kind of replay run. The variant is the number of smaller seeds that run the same scenario. It selects
+// the deterministic differences between the runs of a scenario; all other differences are random.
 type replayScenario struct {
 	name   string
 	config func(seed, variant uint64) Config
@@ -22,17 +22,19 @@
 }
 
 const (
+	// replayLength is the active part of a replay run.
 	replayLength = 150 * time.Second
-	// replayQuiescence is shorter than work may take to end, as replays are compared and need not complete.
+	// replayQuiescence is the quiescent part of a replay run. It is too short for all work to end: replays are only compared
+	// and need not complete.
 	replayQuiescence = 90 * time.Second
 )
 
-// replayScenarios are the scenarios, which take turns by seed.
+// replayScenarios lists the scenarios; consecutive seeds select them in rotation.
 var replayScenarios = []replayScenario{
-	{"faults", faultyConfig, asConfigured},
-	{"concurrent-faults", concurrentFaultsConfig, asConfigured},
+	{"faults", faultyConfig, noSetUp},
+	{"concurrent-faults", concurrentFaultsConfig, noSetUp},
 	{"gangs", gangsConfig, setUpGangs},
-	{"links", linksConfig, asConfigured},
+	{"links", linksConfig, noSetUp},
 	{"handover", handoverConfig, setUpHandover},
 	{"moves", movesConfig, setUpMoves},
 	{"slow-machine", slowMachineConfig, setUpSlowMachine},
@@ -47,14 +49,14 @@
 	{"overload", overloadConfig, setUpOverload},
 }
 
-// Replay runs the scenario of a seed. All runs of one build have the same outcome.
+// Replay runs the scenario that a seed selects. All runs of a seed with the same build have the same outcome.
 func Replay(seed uint64) ReplayOutcome {
 	scenario, sim := newReplay(seed)
 	sim.Run()
 	return ReplayOutcome{Seed: seed, Scenario: scenario.name, Digest: sim.cfg.Digest.Sum(), Violations: sim.Violations}
 }
 
-// newReplay makes the simulation of a seed.
+// newReplay returns the scenario and the simulation for a seed.
 func newReplay(seed uint64) (replayScenario, *Simulation) {
 	kinds := uint64(len(replayScenarios))
 	scenario, variant := replayScenarios[seed%kinds], seed/kinds
@@ -66,13 +68,13 @@
 	return scenario, sim
 }
 
-// odd reports whether a variant is odd, to have every other run differ.
+// odd reports whether a variant is odd. Scenarios use it to vary every other run.
 func odd(variant uint64) bool { return variant%2 == 1 }
 
-// asConfigured adds nothing to what the configuration injects.
-func asConfigured(*Simulation, uint64) {}
+// noSetUp schedules nothing: the run only has the arrivals and faults of its configuration.
+func noSetUp(*Simulation, uint64) {}
 
-// onLeader calls f at a time with the leader, if there is one.
+// onLeader schedules f to run with the current leader s seconds after the start of the run. f is skipped if there is none.
 func (sim *Simulation) onLeader(s float64, f func(l *node)) {
 	sim.scheduleAt(s, func() {
 		if l := sim.leader(); l != nil {
@@ -81,7 +83,7 @@
 	})
 }
 
-// crashLeaderAt crashes the leader at a time.
+// crashLeaderAt schedules a crash of the current leader s seconds after the start of the run.
 func (sim *Simulation) crashLeaderAt(s float64, restartAfter time.Duration) {
 	sim.onLeader(s, func(l *node) {
 		sim.countEvent(leaderCrashedEvent)
@@ -89,7 +91,7 @@
 	})
 }
 
-// between draws a duration.
+// between returns a random duration in [least, most).
 func (sim *Simulation) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -11,20 +11,21 @@
 	"opaldale/internal/settings"
 )
 
-// faultyConfig has jobs of all kinds arrive during random faults.
+// faultyConfig returns a configuration with arrivals of all kinds of jobs and random faults.
 func faultyConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, Faults: true, ActiveDuration: replayLength}
 }
 
-// concurrentFaultsConfig has two or three faults of more kinds at a time.
+// concurrentFaultsConfig returns a configuration with more kinds of random faults, two or three of which overlap.
 func concurrentFaultsConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, Faults: true, ConcurrentFaults: true, ActiveDuration: replayLength}
 }
 
-// gangsFillFleet reports whether gangs leave no capacity to other work in a variant.
+// gangsFillFleet reports whether a variant fills the fleet with gangs, which leaves no free capacity for other jobs.
 func gangsFillFleet(variant uint64) bool { return variant%3 == 0 }
 
-// gangsConfig has many gangs arrive with and without faults, or fill a small fleet.
+// gangsConfig returns a configuration with many arriving gangs, with or without faults, or one with a small fleet that
+// setUpGangs fills.
 func gangsConfig(seed, variant uint64) Config {
 	if gangsFillFleet(variant) {
 		return rebalancingConfig(seed)
@@ -32,7 +33,8 @@
 	return Config{Seed: seed, Faults: odd(variant), MoreGangs: true, ActiveDuration: replayLength}
 }
 
-// setUpGangs submits services that preempt whole gangs, and reclaims a spot machine with members of a gang.
+// setUpGangs fills the fleet with gangs, submits services that preempt whole gangs, and reclaims a spot machine that runs
+// tasks of a gang.
 func setUpGangs(sim *Simulation, variant uint64) {
 	if !gangsFillFleet(variant) {
 		return
@@ -62,35 +64,36 @@
 	})
 }
 
-// reclaimNotice is how long before a spot machine is reclaimed its worker learns of it.
+// reclaimNotice is the time between the reclaim notice to a worker and the termination of its spot machine.
 const reclaimNotice = 14 * time.Second
 
-// submitService submits a critical service of one replica.
+// submitService submits a critical service with one replica.
 func (sim *Simulation) submitService(cpus float64) *userJob {
 	return sim.submitJob(func(s *api.Spec) {
 		s.Shape, s.Priority, s.Spot, s.RuntimeS, s.VCPUs, s.Tasks, s.Image = api.Service, api.Critical, true, 0, cpus, 1, "img-0"
 	}, 0)
 }
 
-// linksConfig has nodes monitor their links, some of which break in one direction.
+// linksConfig returns a configuration in which nodes monitor their links and some links fail in one direction.
 func linksConfig(seed, variant uint64) Config {
 	return Config{Seed: seed, Faults: true, ConcurrentFaults: odd(variant), LinkMonitoring: true, ActiveDuration: replayLength}
 }
 
-// scriptedConfig leaves all arrivals and faults to the scenario.
+// scriptedConfig returns a configuration without random arrivals and faults: the scenario schedules them all.
 func scriptedConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, NoArrivals: true, ActiveDuration: replayLength}
 }
 
-// handoverConfig has nodes monitor their links, and leaves arrivals and faults to the scenario.
+// handoverConfig returns a configuration in which nodes monitor their links and the scenario schedules all arrivals and
+// faults.
 func handoverConfig(seed, _ uint64) Config {
 	return Config{Seed: seed, LinkMonitoring: true, NoArrivals: true, ActiveDuration: replayLength}
 }
 
-// firstHandoverLink is the index in StudiedLinks of the first link whose loss makes a leader hand over.
+// firstHandoverLink is the index in StudiedLinks of the first link whose loss makes a leader hand over leadership.
 const firstHandoverLink = 4
 
-// setUpHandover breaks a link of the leader for a minute, has it flap, or breaks the links of all nodes to the machines.
+// setUpHandover blocks a link of the leader for a minute, makes it flap, or blocks the links of all nodes to the machines.
 func setUpHandover(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, replayLength.Seconds(), 1.3, 20*time.Second)
@@ -111,8 +114,8 @@
 	})
 }
 
-// movesConfig has running tasks moved, with the tuning of deploy/moves.sexp: links are monitored, and the budgets are the
-// defaults.
+// movesConfig returns a configuration in which nodes move running tasks, with the tuning of deploy/moves.sexp: links are
+// monitored and the move budgets are the defaults.
 func movesConfig(seed, variant uint64) Config {
 	cfg := rebalancingConfig(seed)
 	cfg.LinkMonitoring, cfg.ZoneCapacity = true, 4
@@ -121,8 +124,8 @@
 	return cfg
 }
 
-// setUpMoves submits wide tasks that fit nowhere on a fragmented fleet. A fault is injected during the first move, and the
-// leader crashes later.
+// setUpMoves submits wide tasks that fit on no machine of a fragmented fleet. A fault is injected during the first move, and
+// the leader crashes later.
 func setUpMoves(sim *Simulation, variant uint64) {
 	sim.fragmentFleet(4)
 	sim.submitWideTasks(wideTasksAt, 140)
@@ -137,7 +140,7 @@
 	sim.crashLeaderAt(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
 }
 
-// injectMoveFault injects a fault during a move.
+// injectMoveFault injects a fault during a move; the variant selects the kind.
 func (sim *Simulation) injectMoveFault(l *node, m controller.MoveEntry, variant uint64) {
 	from, to := sim.workerByID(m.From), sim.workerByID(m.To)
 	sim.countEvent(moveFaultInjectedEvent)
@@ -162,26 +165,26 @@
 	}
 }
 
-// slowMachineConfig has one machine that is much slower than the others.
+// slowMachineConfig returns a configuration with one machine that is much slower than the others.
 func slowMachineConfig(seed, variant uint64) Config {
-	cfg := slowConfig(seed, settings.RebalanceMove, 1)
+	cfg := slowFleetConfig(seed, settings.RebalanceMove, 1)
 	cfg.LinkMonitoring = odd(variant)
 	return cfg
 }
 
-// setUpSlowMachine submits work by which the slow machine is detected; in odd variants the leader crashes.
+// setUpSlowMachine submits tasks by which the slow machine is detected. In odd variants the leader crashes.
 func setUpSlowMachine(sim *Simulation, variant uint64) {
-	sim.workBesideSlow()
+	sim.submitSlowMachineLoad()
 	sim.scheduleAt(30, sim.countMoveOutcomes)
 	if odd(variant) {
 		sim.crashLeaderAt(100, 3*time.Second)
 	}
 }
 
-// replayedLegacyNodes is how many nodes run the version in production where not all do.
+// replayedLegacyNodes is the number of nodes that run the version in production in variants without a full rolling upgrade.
 const replayedLegacyNodes = 2
 
-// upgradeConfig has all nodes, or some, start with the version in production.
+// upgradeConfig returns a configuration in which all or some nodes start on the version in production.
 func upgradeConfig(seed, variant uint64) Config {
 	cfg := Config{Seed: seed, Faults: odd(variant), MoreGangs: true, LinkMonitoring: variant%4 > 1, ActiveDuration: replayLength}
 	if variant%3 == 2 {
@@ -192,7 +195,7 @@
 	return cfg
 }
 
-// setUpUpgrade replaces the legacy nodes one by one.
+// setUpUpgrade upgrades the legacy nodes one by one.
 func setUpUpgrade(sim *Simulation, _ uint64) {
 	for _, n := range sim.nodes {
 		if n.legacy {
@@ -205,14 +208,15 @@
 }
 
 const (
-	// smallestReplayedFleet is the number of machines of the smallest fleet, and replayedFleetStep the difference between
-	// the fleets of consecutive variants.
+	// smallestReplayedFleet is the number of machines in the smallest fleet, and replayedFleetStep the number by which the
+	// next larger fleets grow.
 	smallestReplayedFleet = 300
 	replayedFleetStep     = 100
-	arrayTasks            = 50
+	// arrayTasks is the number of tasks of each array.
+	arrayTasks = 50
 )
 
-// largeFleetConfig has several hundred machines.
+// largeFleetConfig returns a configuration with several hundred machines.
 func largeFleetConfig(seed, variant uint64) Config {
 	return Config{
 		Seed:           seed,
@@ -222,7 +226,7 @@
 	}
 }
 
-// setUpLargeFleet has a large fleet go through a leader change, an outage of the store and the partition of a zone.
+// setUpLargeFleet loads a large fleet, and schedules a leader crash, a store outage and a zone partition.
 func setUpLargeFleet(sim *Simulation, variant uint64) {
 	sim.scheduleAt(1, func() {
 		for range sim.cfg.FleetSize / arrayTasks {
@@ -248,8 +252,8 @@
 	sim.store.downUntil = sim.now.Add(d)
 }
 
-// setUpStoreOutage has outages of the store for all nodes and for the leader alone; in odd variants the leader crashes in
-// one.
+// setUpStoreOutage schedules store outages for all nodes and for the leader alone. In odd variants the leader crashes during
+// the first outage.
 func setUpStoreOutage(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 20*time.Second)
@@ -267,13 +271,13 @@
 	}
 }
 
-// tightenStoreLimits sets limits of the store below the announced ones.
+// tightenStoreLimits sets the store limits below the announced ones, which the nodes do not expect.
 func (sim *Simulation) tightenStoreLimits() {
 	sim.countEvent(limitsBelowAnnouncedEvent)
 	sim.store.limits.ValueKB, sim.store.limits.TxnOps, sim.store.limits.Announced = 1, 3, nil
 }
 
-// setUpFailover crashes the leader repeatedly; it restarts either at once or after a failover.
+// setUpFailover crashes the leader repeatedly. It restarts either before or after another node takes over.
 func setUpFailover(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(4)
 	sim.submitStream(10, replayLength.Seconds(), 0.8, 15*time.Second)
@@ -294,7 +298,7 @@
 	}
 }
 
-// setUpPartitions separates the leader from one party after the other, while users probe all nodes.
+// setUpPartitions disconnects the leader from one party after another, while users query all nodes.
 func setUpPartitions(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(5)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 10*time.Second)
@@ -317,7 +321,7 @@
 	}
 }
 
-// partition separates a node from a party, or pauses it.
+// partition disconnects a node from some parties for d, or pauses its process; part selects which.
 func (sim *Simulation) partition(n *node, part int, d time.Duration) {
 	hold := sim.rng.IntN(2) == 0
 	switch part {
@@ -336,7 +340,7 @@
 	}
 }
 
-// floodedConfig has a flood by one team, with the modes of rebalancing in turn.
+// floodedConfig returns the configuration for a flood by one team; the variants use the rebalancing modes in rotation.
 func floodedConfig(seed, variant uint64) Config {
 	modes := []settings.Rebalance{settings.RebalanceMove, settings.RebalancePlace, settings.RebalanceReport}
 	cfg := floodConfig(seed, modes[variant%uint64(len(modes))])
@@ -344,7 +348,7 @@
 	return cfg
 }
 
-// setUpFlood has one team flood the cluster, during which the leader crashes.
+// setUpFlood makes one team flood the cluster with jobs, and crashes the leader during the flood.
 func setUpFlood(sim *Simulation, _ uint64) {
 	sim.submitSteadyLoad()
 	sim.schedule(floodStart, func() { sim.flood(sim.now.Add(floodDuration)) })
@@ -362,7 +366,7 @@
 	sim.crashLeaderAt((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
 }
 
-// failingJobKinds are kinds of jobs that fail on every machine.
+// failingJobKinds lists the kinds of jobs that fail on every machine, and how many of each are submitted.
 var failingJobKinds = []struct {
 	jobs   int
 	change func(s *api.Spec)
@@ -374,17 +378,17 @@
 	{40, func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 0.5 }},
 }
 
-// setUpFailingJobs has jobs that fail on every machine until they are cancelled, beside sound ones and a faulty machine.
-// The leader crashes meanwhile.
+// setUpFailingJobs submits jobs that fail on every machine until they are cancelled, together with normal jobs. One machine
+// is faulty, and the leader crashes.
 func setUpFailingJobs(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(3)
-	var list []*userJob
+	var failing []*userJob
 	sim.scheduleAt(30, func() {
-		m := failingJobKinds[variant%uint64(len(failingJobKinds))]
-		for range m.jobs {
-			j := sim.submitJob(m.change, 10*time.Second)
+		kind := failingJobKinds[variant%uint64(len(failingJobKinds))]
+		for range kind.jobs {
+			j := sim.submitJob(kind.change, 10*time.Second)
 			j.alwaysFails = true
-			list = append(list, j)
+			failing = append(failing, j)
 		}
 	})
 	sim.scheduleAt(45, func() {
@@ -395,15 +399,15 @@
 	sim.submitStream(40, 140, 3, 20*time.Second)
 	sim.crashLeaderAt(80, 3*time.Second)
 	sim.scheduleAt(120, func() {
-		for _, j := range list {
+		for _, j := range failing {
 			sim.countEvents(attemptFailedEvent, j.failures)
 			sim.cancelWhenAccepted(j, nil)
 		}
 	})
 }
 
-// setUpBorrowers has a team without a guarantee and a limit submit a vast array, a swarm of jobs of one task and
-// backfill work.
+// setUpBorrowers makes a team without a guarantee and without a limit submit a huge array, many jobs of a single task, and
+// a backfill array.
 func setUpBorrowers(sim *Simulation, _ uint64) {
 	sim.submitBaseLoad(3)
 	sim.submitStream(40, 140, 5, 20*time.Second)
@@ -422,12 +426,12 @@
 	sim.crashLeaderAt(70, 4*time.Second)
 }
 
-// overloadConfig has more work arrive than there is capacity for.
+// overloadConfig returns a configuration in which more work arrives than the fleet has capacity for.
 func overloadConfig(seed, variant uint64) Config {
 	return Config{Seed: seed, Overload: true, Faults: odd(variant), ActiveDuration: replayLength}
 }
 
-// setUpOverload slows the links between nodes, and submits services that are cancelled soon and jobs with a deadline and a
+// setUpOverload slows down the links between nodes, and submits short-lived services and jobs with a deadline and a required
 // machine type.
 func setUpOverload(sim *Simulation, _ uint64) {
 	sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, sim.now.Add(replayLength)} })
@@ -435,7 +439,7 @@
 		sim.scheduleAt(s, func() {
 			due := sim.between(20*time.Second, 90*time.Second).Seconds()
 			sim.submitJob(func(s *api.Spec) {
-				s.Tasks, s.VCPUs, s.DeadlineS, s.Models = 2, 1, &due, []string{sim.cloud.models[0].SKU}
+				s.Tasks, s.VCPUs, s.DeadlineS, s.Models = 2, 1, &due, []string{sim.cloud.machineTypes[0].SKU}
 			}, 10*time.Second)
 		})
 	}
--- a/internal/simulator/rolling_upgrade.go
+++ b/internal/simulator/rolling_upgrade.go
@@ -3,13 +3,15 @@
 import "time"
 
 const (
+	// upgradeStart is when a rolling upgrade begins, and upgradeInterval the time between the upgrades of two nodes.
 	upgradeStart    = 40 * time.Second
 	upgradeInterval = 20 * time.Second
-	// limitChangeDelay is how long after the start, or after that of a rolling upgrade, the store lowers its limits.
+	// limitChangeDelay is the time after which the store applies its announced limits, counted from the start of the run or
+	// of the rolling upgrade.
 	limitChangeDelay = 90 * time.Second
 )
 
-// rollingUpgrade restarts the nodes from i on with the new version, one after the other.
+// rollingUpgrade restarts the nodes from index i on with the new version, one at a time.
 func (sim *Simulation) rollingUpgrade(i int) {
 	if i == len(sim.nodes) {
 		return
@@ -24,7 +26,7 @@
 	sim.schedule(upgradeInterval, func() { sim.rollingUpgrade(i + 1) })
 }
 
-// gangsSupported reports whether no node runs the version in production, which has no gangs.
+// gangsSupported reports whether all nodes support gangs, which the version in production does not.
 func (sim *Simulation) gangsSupported() bool {
 	for _, n := range sim.nodes {
 		if n.legacy {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -1,6 +1,7 @@
-// Package simulator runs controllers in simulated time against a key-value store, a cloud, workers, users and a network,
-// all implemented from the protocol. Faults and arrivals follow from a seed, so that a run can be repeated exactly.
-// The invariants of the scheduler are checked at every step.
+// Package simulator tests the scheduler by deterministic simulation. It runs the real controllers in simulated time
+// against simulated versions of the key-value store, the cloud, the workers, the users and the network, which implement
+// the protocol on their own. Job arrivals and faults are drawn from a seeded generator, so a run can be repeated exactly
+// from its seed. The invariants of the scheduler are checked throughout the run.
 package simulator
 
 import (
@@ -15,7 +16,7 @@
 	"opaldale/internal/settings"
 )
 
-// Simulation is one run. It is used by one goroutine.
+// Simulation is one run of the simulated cluster. It is not safe for concurrent use.
 type Simulation struct {
 	eventLoop
 	cfg Config
@@ -29,31 +30,33 @@
 	jobs          map[ident.JobID]*userJob
 	gangs         map[gangKey]*gangAttempt
 	jobOrder      []ident.JobID
-	sortedByID    []*worker // the workers by name, nil when they have changed
+	sortedByID    []*worker // cache of sortedWorkers; nil after a worker was added or removed
 	lastJobNumber int
 	networkFaults
 	activeFaults
 	linkMonitor
 
-	// Violations lists the invariants that were violated, and Unfinished the work that did not end in the quiescent part.
+	// Violations lists the violated invariants. Unfinished lists the work that had not ended by the end of the
+	// quiescent part.
 	Violations, Unfinished []string
-	// Log has a line for each event worth noting, with its time.
+	// Log holds one line for each fault and other notable event, prefixed with the simulated time in seconds.
 	Log []string
-	// TaskStarts counts the starts of tasks.
+	// TaskStarts counts the task attempts that started on a machine.
 	TaskStarts int
-	// GangRuns counts the attempts of gangs that ran, and GangStops those that were stopped to checkpoint.
+	// GangRuns counts the gang attempts that ran. GangStops counts the gang attempts that received a command to
+	// checkpoint and stop.
 	GangRuns, GangStops int
-	// TasksLostWithLease counts the tasks that ended with their machines' leases.
+	// TasksLostWithLease counts the tasks that ended because the lease of their machine expired.
 	TasksLostWithLease int
 	linkStudy          linkStudy
-	slowMachineCount   int // slow machines so far
+	slowMachineCount   int // slow machines created so far
 	// Moves counts the moves of running tasks that were recorded in the store.
 	Moves int
-	// OversizedTransactions counts the transactions that the store rejected for its limits.
+	// OversizedTransactions counts the transactions that the store rejected because they exceeded a size limit.
 	OversizedTransactions int
 }
 
-// New makes a simulation with its nodes started. The scenario adds what shall happen before Run.
+// New returns a simulation whose nodes are started. A scenario schedules its events before it calls Run.
 func New(cfg Config) *Simulation {
 	sim := &Simulation{
 		cfg:           cfg,
@@ -87,13 +90,13 @@
 	return sim
 }
 
-// logf adds a line to the log.
+// logf appends a line with the simulated time to Log.
 func (sim *Simulation) logf(format string, a ...any) {
 	sim.Log = append(sim.Log, fmt.Sprintf("%8.3f ", sim.now.Sub(0).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// Run runs the simulation: the active part with arrivals and faults, then the quiescent part in which all work must end.
-// It stops at the first violation.
+// Run runs the simulation. Jobs arrive and faults are injected in the active part; all work must end in the quiescent
+// part that follows. Run stops at the first violation.
 func (sim *Simulation) Run() {
 	switch {
 	case sim.cfg.Overload:
@@ -110,7 +113,7 @@
 		sim.schedule(upgradeStart, func() { sim.rollingUpgrade(0) })
 		limitChange += upgradeStart
 	}
-	sim.schedule(limitChange, sim.store.lowerLimits)
+	sim.schedule(limitChange, sim.store.applyAnnouncedLimits)
 	end := ident.MonotonicTime(sim.cfg.ActiveDuration + cmp.Or(sim.cfg.QuiescentDuration, defaultQuiescence))
 	sim.run(end, func() bool { return len(sim.Violations) > 0 })
 	if len(sim.Violations) == 0 {
@@ -118,7 +121,7 @@
 	}
 }
 
-// sortedWorkers returns the workers in the order of their machines.
+// sortedWorkers returns the workers sorted by machine id.
 func (sim *Simulation) sortedWorkers() []*worker {
 	if sim.sortedByID == nil {
 		sim.sortedByID = make([]*worker, 0, len(sim.workers))
@@ -130,7 +133,7 @@
 	return sim.sortedByID
 }
 
-// anyWorker draws a worker, nil if there is none.
+// anyWorker returns a random worker, or nil if there is none.
 func (sim *Simulation) anyWorker() *worker {
 	all := sim.sortedWorkers()
 	if len(all) == 0 {
@@ -139,7 +142,7 @@
 	return all[sim.rng.IntN(len(all))]
 }
 
-// LogTail returns the last n lines of the log.
+// LogTail returns the last n lines of Log.
 func (sim *Simulation) LogTail(n int) string {
 	return strings.Join(sim.Log[max(0, len(sim.Log)-n):], "\n")
 }
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -13,12 +13,12 @@
 	"opaldale/internal/settings"
 )
 
-// store simulates the key-value store by its protocol.
+// store simulates the key-value store.
 type store struct {
 	sim         *Simulation
 	revision    ident.Revision
 	keys        map[string]*entry
-	leases      map[uint64]ident.MonotonicTime // expiry by lease
+	leases      map[uint64]ident.MonotonicTime // expiry times by lease id
 	leaseTTLs   map[uint64]time.Duration
 	lastLeaseID uint64
 	watchers    []*watcher
@@ -28,14 +28,14 @@
 	limits      settings.StoreLimits
 }
 
-// entry is the value of a key.
+// entry is the value of a key with its metadata.
 type entry struct {
 	value    json.RawMessage
 	revision ident.Revision
 	leaseID  uint64
 }
 
-// watcher is a watch that waits for its reply.
+// watcher is a watch request that waits for changes.
 type watcher struct {
 	prefix        string
 	afterRevision ident.Revision
@@ -56,37 +56,38 @@
 	return s
 }
 
-// expireLeases ends the leases that have expired. An outage extends each to its full time after the outage.
+// expireLeases ends expired leases periodically. An outage renews every lease, so that its full TTL starts when the outage
+// ends.
 func (s *store) expireLeases() {
 	if s.sim.now < s.downUntil {
-		for g := range s.leases {
-			s.leases[g] = s.downUntil.Add(s.leaseTTLs[g])
+		for id := range s.leases {
+			s.leases[id] = s.downUntil.Add(s.leaseTTLs[id])
 		}
 	}
-	for _, g := range slices.Sorted(maps.Keys(s.leases)) {
-		if s.sim.now > s.leases[g] {
-			s.endLease(g)
+	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+		if s.sim.now > s.leases[id] {
+			s.endLease(id)
 		}
 	}
 	s.sim.schedule(20*time.Millisecond, s.expireLeases)
 }
 
-// endLease deletes a lease with its keys.
+// endLease deletes a lease and all keys attached to it.
 func (s *store) endLease(leaseID uint64) {
 	delete(s.leases, leaseID)
-	var gone []kvstore.Mutation
+	var deletions []kvstore.Mutation
 	for k, e := range s.keys {
 		if e.leaseID == leaseID {
-			gone = append(gone, kvstore.Mutation{Delete: k})
+			deletions = append(deletions, kvstore.Mutation{Delete: k})
 		}
 	}
-	if len(gone) > 0 {
-		sort.Slice(gone, func(i, k int) bool { return gone[i].Delete < gone[k].Delete })
-		s.apply(gone)
+	if len(deletions) > 0 {
+		sort.Slice(deletions, func(i, k int) bool { return deletions[i].Delete < deletions[k].Delete })
+		s.apply(deletions)
 	}
 }
 
-// apply carries out mutations as one revision, and notifies watchers.
+// apply executes mutations as one revision and notifies the watchers.
 func (s *store) apply(mutations []kvstore.Mutation) {
 	s.revision++
 	for _, c := range mutations {
@@ -104,8 +105,8 @@
 	}
 }
 
-// notify replies to a watcher for which there are changes, or whose time is over.
-func (s *store) notify(w *watcher, over bool) {
+// notify replies to a watcher if there are changes for it or if it timed out.
+func (s *store) notify(w *watcher, timedOut bool) {
 	if w.done {
 		return
 	}
@@ -115,13 +116,13 @@
 			out.Events = append(out.Events, e)
 		}
 	}
-	if len(out.Events) > 0 || over {
+	if len(out.Events) > 0 || timedOut {
 		w.done = true
 		w.reply(out)
 	}
 }
 
-// serve serves a request of a node. A watch is answered later.
+// serve handles a request from a node. The reply to a watch may come later.
 func (s *store) serve(from string, r kvstore.Request, reply func(kvstore.Response)) {
 	if s.sim.now < s.downUntil || s.sim.now < s.rejectUntil[from] {
 		reply(kvstore.Response{Outcome: kvstore.Unavailable})
@@ -141,7 +142,7 @@
 	case kvstore.RenewLease:
 		reply(s.renewLease(r))
 	case kvstore.RevokeLease:
-		out := s.ok() // the revision is that of before
+		out := s.ok() // with the revision before the deletions
 		if _, ok := s.leases[r.LeaseID]; ok {
 			s.endLease(r.LeaseID)
 		}
@@ -153,7 +154,7 @@
 	}
 }
 
-// ok is the response to a request that was carried out and returns nothing more.
+// ok returns the response to a successful request, with the current revision.
 func (s *store) ok() kvstore.Response {
 	return kvstore.Response{Outcome: kvstore.OK, StoreRevision: s.revision}
 }
@@ -169,7 +170,7 @@
 	return out
 }
 
-// listPageSize is how many keys a list returns. Pages are small, so that paging is tested.
+// listPageSize is the largest number of keys per page of a list. Pages are small so that the clients have to paginate.
 const listPageSize = 7
 
 func (s *store) list(r kvstore.Request) kvstore.Response {
@@ -207,10 +208,10 @@
 	return out
 }
 
-// maxWatchers bounds the list of watchers; half of it, the oldest, is dropped beyond that.
+// maxWatchers bounds the list of watchers. Beyond it, the oldest half is dropped.
 const maxWatchers = 100
 
-// watch replies as soon as a change is there, or when the time of the request is over.
+// watch replies as soon as there is a change under the prefix, or once the request times out.
 func (s *store) watch(r kvstore.Request, reply func(kvstore.Response)) {
 	w := &watcher{prefix: r.Prefix, afterRevision: r.Revision, reply: reply}
 	s.watchers = append(s.watchers, w)
@@ -221,16 +222,16 @@
 	}
 }
 
-// lowerLimits puts the announced limits into force.
-func (s *store) lowerLimits() {
+// applyAnnouncedLimits makes the announced limits effective.
+func (s *store) applyAnnouncedLimits() {
 	s.limits = s.limits.Strictest()
-	s.sim.logf("key-value store has its new limits")
+	s.sim.logf("key-value store applies its announced limits")
 }
 
-// maxTransactionBytes bounds the values of a transaction together.
+// maxTransactionBytes bounds the total size of the values in a transaction.
 const maxTransactionBytes = 64 << 10
 
-// transact carries out a transaction, if it is within the limits and its conditions hold.
+// transact executes a transaction if it is within the limits and the revisions that it requires match.
 func (s *store) transact(r kvstore.Request) kvstore.Response {
 	if rejected, ok := s.checkLimits(r); !ok {
 		return rejected
@@ -242,17 +243,18 @@
 	return s.ok()
 }
 
-// checkLimits rejects a transaction that is over a limit or uses a lease that is not there.
+// checkLimits rejects a transaction that exceeds a limit or refers to a lease that does not exist.
 func (s *store) checkLimits(r kvstore.Request) (rejected kvstore.Response, ok bool) {
 	if len(r.Mutations) > s.limits.TxnOps || len(r.Compares) > 4*s.limits.TxnOps {
-		return s.rejectOversized("transaction over the limits: %d mutations, %d compares", len(r.Mutations),
-			len(r.Compares)), false
+		return s.rejectOversized("transaction exceeds the limits: %d mutations (limit %d), %d compares (limit %d)",
+			len(r.Mutations), s.limits.TxnOps, len(r.Compares), 4*s.limits.TxnOps), false
 	}
 	size := 0
 	for _, m := range r.Mutations {
 		size += len(m.Value)
 		if float64(len(m.Value)) > s.limits.ValueKB*1024 {
-			return s.rejectOversized("value of %s over the limit: %d bytes", m.Put, len(m.Value)), false
+			return s.rejectOversized("value of %s exceeds the limit: %d bytes, limit %v KiB", m.Put, len(m.Value),
+				s.limits.ValueKB), false
 		}
 		if m.Put == "" || m.LeaseID == 0 {
 			continue
@@ -262,13 +264,13 @@
 		}
 	}
 	if size > maxTransactionBytes {
-		s.sim.reportViolation("transaction of %d bytes", size)
+		s.sim.reportViolation("transaction of %d bytes exceeds the limit of %d", size, maxTransactionBytes)
 	}
 	return kvstore.Response{}, true
 }
 
-// rejectOversized rejects a transaction for a limit. That is a violation unless the limits were lowered: a node may not
-// have learnt of it yet.
+// rejectOversized rejects a transaction that exceeds a limit. That is a violation as long as the limits are the initial
+// ones; after they were lowered, a node may not know the new limits yet.
 func (s *store) rejectOversized(format string, a ...any) kvstore.Response {
 	s.sim.OversizedTransactions++
 	s.sim.logf(format, a...)
@@ -278,7 +280,7 @@
 	return kvstore.Response{Outcome: kvstore.Invalid, Error: "too large"}
 }
 
-// failedCompares lists the keys whose revision is not what a transaction demands.
+// failedCompares returns the keys whose revision differs from the one that a transaction requires.
 func (s *store) failedCompares(r kvstore.Request) (failed []string) {
 	election := r.Compares[0].Key == "leader" && len(r.Compares) == 2 && r.Compares[1].Key == "term"
 	if s.sim.mutates(IgnoreRevisions) && !election {
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -10,18 +10,18 @@
 	"opaldale/internal/workers"
 )
 
-// DirectedLink is a directed link of a leader that a study breaks, by its ends.
+// DirectedLink is one direction of a link of the leader, which a study blocks.
 type DirectedLink struct {
 	From, To string
 }
 
-// The ends of links in a study, beside the names of the services. Peer is one of the other nodes.
+// Ends of links in a study, in addition to the names of the services. Peer is one of the other nodes.
 const (
 	Leader = "leader"
 	Peer   = "sibling"
 )
 
-// StudiedLinks are the links of a leader, in both directions.
+// StudiedLinks lists the links of a leader, both directions separately.
 var StudiedLinks = []DirectedLink{
 	{Leader, storeParty}, {storeParty, Leader},
 	{Leader, cloudParty}, {cloudParty, Leader},
@@ -29,39 +29,39 @@
 	{Leader, Peer}, {Peer, Leader},
 }
 
-// LinkOutcome is the outcome of a run with a broken link.
+// LinkOutcome is the outcome of a run with a blocked link.
 type LinkOutcome struct {
-	// LastDecision is the time from the break to the last placement or launch of the disconnected leader while the link was
-	// broken.
+	// LastDecision is the time from the start of the fault to the last placement or launch by the disconnected leader during
+	// the fault.
 	LastDecision time.Duration
-	// NextPlacement is the time from the break to the first placement of another leader while the link was broken, negative
-	// if there was none.
+	// NextPlacement is the time from the start of the fault to the first placement by another leader during the fault. It is
+	// negative if there was none.
 	NextPlacement time.Duration
-	// LeaderChanges counts the newer terms that began while the link was broken.
+	// LeaderChanges counts the new terms that began during the fault.
 	LeaderChanges int
-	// Submissions counts the submissions while the link was broken, and LateSubmissions those of them that were not accepted
+	// Submissions counts the jobs submitted during the fault. LateSubmissions counts those of them that were not accepted
 	// within a second.
 	LateSubmissions, Submissions int
-	// TasksLost counts the tasks that ended as the lease of their machine expired.
+	// TasksLost counts the tasks that ended because the lease of their machine expired.
 	TasksLost int
-	// Violations counts the violated invariants, and Unfinished the work that did not end.
+	// Violations counts the violated invariants, and Unfinished the work that had not ended by the end of the run.
 	Violations, Unfinished int
 }
 
-// linkStudy records what nodes decide while a link is broken.
+// linkStudy records the decisions of the nodes while a link is blocked.
 type linkStudy struct {
 	from, until        ident.MonotonicTime
-	disconnectedLeader string // the leader with the broken link
+	disconnectedLeader string // the leader whose link is blocked
 	lastDecision       ident.MonotonicTime
 	nextPlacement      ident.MonotonicTime
 }
 
-// active reports whether the link is broken.
+// active reports whether the link is blocked at the given time.
 func (s *linkStudy) active(now ident.MonotonicTime) bool {
 	return s.from > 0 && now >= s.from && now < s.until
 }
 
-// recordPlacement records a transaction of a node that writes the log: a placement, or the end of one.
+// recordPlacement records the time of a transaction that writes the commit log, which starts or ends a placement.
 func (sim *Simulation) recordPlacement(node string, r kvstore.Request) {
 	s := &sim.linkStudy
 	if !s.active(sim.now) || r.Op != kvstore.Txn {
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordLaunch records a command of a node that launches a task.
+// recordLaunch records the time of a command that launches a task.
 func (sim *Simulation) recordLaunch(node string, c workers.CommandCall) {
 	if s := &sim.linkStudy; s.active(sim.now) && c.Launches() && node == s.disconnectedLeader {
 		s.lastDecision = sim.now
@@ -87,35 +87,35 @@
 }
 
 const (
-	linkBreakAt         = 60 * time.Second // when the link breaks
+	linkBreakAt         = 60 * time.Second // when the link is blocked
 	linkStudyQuiescence = 100 * time.Second
-	acceptanceDeadline  = time.Second
+	acceptanceDeadline  = time.Second // a submission accepted later counts as late
 )
 
-// StudyLink runs steady submissions during which one link of the leader is broken: throughout a time, or, with a period, for
-// six tenths of each period in it.
-func StudyLink(seed uint64, monitored bool, link DirectedLink, broken, period time.Duration) LinkOutcome {
+// StudyLink runs a steady load and blocks one link of the leader for breakDuration. With a period, the link flaps: it is
+// blocked for the first 60% of each period.
+func StudyLink(seed uint64, monitored bool, link DirectedLink, breakDuration, period time.Duration) LinkOutcome {
 	sim := New(Config{
 		Seed:              seed,
 		LinkMonitoring:    monitored,
 		NoArrivals:        true,
-		ActiveDuration:    linkBreakAt + broken + 20*time.Second,
+		ActiveDuration:    linkBreakAt + breakDuration + 20*time.Second,
 		QuiescentDuration: linkStudyQuiescence,
 	})
 	sim.submitBaseLoad(6)
-	sim.submitStream(20, (linkBreakAt + broken).Seconds(), 1.3, 20*time.Second)
+	sim.submitStream(20, (linkBreakAt + breakDuration).Seconds(), 1.3, 20*time.Second)
 	var out LinkOutcome
 	sim.schedule(linkBreakAt, func() {
 		l := sim.leader()
 		if l == nil {
 			return
 		}
-		sim.linkStudy = linkStudy{from: sim.now, until: sim.now.Add(broken), disconnectedLeader: l.name}
+		sim.linkStudy = linkStudy{from: sim.now, until: sim.now.Add(breakDuration), disconnectedLeader: l.name}
 		from, to := sim.resolveLinkEnd(link.From, l), sim.resolveLinkEnd(link.To, l)
 		if period > 0 {
-			sim.flapLink(from, to, period*6/10, period, broken)
+			sim.flapLink(from, to, period*6/10, period, breakDuration)
 		} else {
-			sim.disconnectOneWay(from, to, false, broken)
+			sim.disconnectOneWay(from, to, false, breakDuration)
 		}
 		sim.onNewTerm(func() {
 			if sim.linkStudy.active(sim.now) {
@@ -135,7 +135,7 @@
 	return out
 }
 
-// resolveLinkEnd returns the party at the end of a link.
+// resolveLinkEnd returns the name of the party at an end of a DirectedLink.
 func (sim *Simulation) resolveLinkEnd(name string, leader *node) string {
 	switch name {
 	case Leader:
@@ -150,7 +150,7 @@
 	return name
 }
 
-// countSubmissions counts the jobs that were submitted while the link was broken.
+// countSubmissions counts the jobs that were submitted while the link was blocked.
 func (sim *Simulation) countSubmissions(out *LinkOutcome) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -12,20 +12,21 @@
 
 // LoadOutcome is the outcome of a run with a flood by one team.
 type LoadOutcome struct {
-	// Imbalance is the coefficient of variation of the machines' use in each second of the flood, by the workers' own record.
+	// Imbalance has the coefficient of variation of the machines' CPU utilization in each second of the flood, measured at
+	// the workers.
 	Imbalance []float64
-	// HotTeamLatencies and OtherTeamLatencies are the times from the submission of an array to its end, for the flooding team
-	// and for the others.
+	// HotTeamLatencies and OtherTeamLatencies have the time from submission to completion of each array of the flooding team
+	// and of the other teams.
 	HotTeamLatencies, OtherTeamLatencies []time.Duration
-	// FetchedGB is the size of the images fetched.
+	// FetchedGB is the total size of the images pulled.
 	FetchedGB float64
-	// Machines counts the machines provisioned.
+	// Machines is the number of machines provisioned.
 	Machines int
-	// Moves counts the moves proposed by the nodes that run at the end.
+	// Moves counts the moves proposed by the processes that run at the end.
 	Moves uint64
-	// HotSeconds counts the seconds in which the leader took the flooding team, and no other, for overloaded.
+	// HotSeconds counts the seconds in which the leader classified the flooding team, and no other, as overloaded.
 	HotSeconds int
-	// Violations counts the violated invariants, and Unfinished the work that did not end.
+	// Violations counts the violated invariants, and Unfinished the work that had not ended by the end of the run.
 	Violations, Unfinished int
 }
 
@@ -36,7 +37,7 @@
 	hotTeam        = "red"
 )
 
-// floodConfig has fifty machines and three teams with a guarantee of a part of them each.
+// floodConfig returns a configuration with fifty machines, of which three teams are guaranteed a part each.
 func floodConfig(seed uint64, mode settings.Rebalance) Config {
 	return Config{
 		Seed:              seed,
@@ -49,7 +50,7 @@
 	}
 }
 
-// StudyFlood runs a flood of the cluster with arrays by one team, while the others submit steadily.
+// StudyFlood runs a cluster that one team floods with arrays while the other teams submit a steady load.
 func StudyFlood(seed uint64, mode settings.Rebalance) LoadOutcome {
 	sim := New(floodConfig(seed, mode))
 	sim.submitSteadyLoad()
@@ -86,7 +87,7 @@
 	return out
 }
 
-// submitSteadyLoad has the other teams submit small arrays throughout, and now and then a task that takes most of a machine.
+// submitSteadyLoad makes the other teams submit small arrays throughout, and at times a task that needs most of a machine.
 func (sim *Simulation) submitSteadyLoad() {
 	for s := 2.0; s < (floodStart + floodDuration).Seconds(); s += 0.8 {
 		sim.scheduleAt(s, func() {
@@ -94,14 +95,14 @@
 				s.Team = []string{"blue", "grey"}[sim.rng.IntN(2)]
 				s.Tasks, s.VCPUs, s.Spot = 1+sim.rng.IntN(4), 1, true
 				if sim.rng.IntN(5) == 0 {
-					s.Tasks, s.VCPUs = 1, 6 // hard to place among small tasks
+					s.Tasks, s.VCPUs = 1, 6 // needs most of a machine, which small tasks fragment
 				}
 			}, time.Duration(8+sim.rng.IntN(15))*time.Second)
 		})
 	}
 }
 
-// flood has the hot team submit arrays one after the other.
+// flood makes the hot team submit arrays in quick succession until the given time.
 func (sim *Simulation) flood(until ident.MonotonicTime) {
 	if sim.now > until {
 		return
@@ -112,23 +113,23 @@
 	sim.schedule(time.Duration(150+sim.rng.IntN(200))*time.Millisecond, func() { sim.flood(until) })
 }
 
-// imbalance returns the coefficient of variation of the machines' use, by what workers run.
+// imbalance returns the coefficient of variation of the machines' CPU utilization, measured at the workers.
 func (sim *Simulation) imbalance() float64 {
-	n, sum, square := 0.0, 0.0, 0.0
+	n, sum, sumOfSquares := 0.0, 0.0, 0.0
 	for _, w := range sim.sortedWorkers() {
-		share := w.usedCPUs() / sim.cloud.models[0].VCPUs
+		share := w.usedCPUs() / sim.cloud.machineTypes[0].VCPUs
 		n++
 		sum += share
-		square += share * share
+		sumOfSquares += share * share
 	}
 	if n < 2 || sum == 0 {
 		return 0
 	}
 	mean := sum / n
-	return math.Sqrt(max(0, square/n-mean*mean)) / mean
+	return math.Sqrt(max(0, sumOfSquares/n-mean*mean)) / mean
 }
 
-// isOnlyHotTeam reports whether the leader takes a team, and no other, for overloaded.
+// isOnlyHotTeam reports whether the leader classifies the given team, and no other, as overloaded.
 func (sim *Simulation) isOnlyHotTeam(team string) bool {
 	l := sim.leader()
 	if l == nil {
--- a/internal/simulator/study_moves.go
+++ b/internal/simulator/study_moves.go
@@ -9,37 +9,37 @@
 	"opaldale/internal/settings"
 )
 
-// MovesOutcome is the outcome of a run in which wide tasks fit nowhere on a fragmented fleet.
+// MovesOutcome is the outcome of a run of StudyMoves or StudySlow.
 type MovesOutcome struct {
 	Seed         uint64             `json:"seed"`
 	Mode         settings.Rebalance `json:"mode"`
-	Estimate     float64            `json:"estimate"` // of run times, as a multiple of the true ones
+	Estimate     float64            `json:"estimate"` // estimated run times as a multiple of the true ones
 	SlowMachines int                `json:"slow"`     // machines that are much slower than the others
-	// WideWaitS has the time from submission to start of each wide task, and NarrowDoneS that from submission to end of each
-	// other job that ended, in seconds.
+	// WideWaitS has the time from submission to start of each wide task, in seconds. NarrowDoneS has the time from submission
+	// to completion of each other job that completed, in seconds.
 	WideWaitS   []float64 `json:"wide_wait_s"`
 	NarrowDoneS []float64 `json:"narrow_done_s"`
-	// LostCPUS is the work lost by stops without a checkpoint, in CPU seconds.
+	// LostCPUS is the work lost when tasks were stopped without a checkpoint, in CPU seconds.
 	LostCPUS float64        `json:"lost_cpu_s"`
 	Moves    int            `json:"moves"`
 	Ended    map[string]int `json:"ended"`
-	// ExpectedS has the expected gains less the costs of the moves that arrived, and RealisedS the realised ones, in seconds.
+	// ExpectedS has the expected gain minus the cost of each move that arrived, and RealisedS the realized gain, in seconds.
 	ExpectedS  []float64 `json:"expected_s"`
 	RealisedS  []float64 `json:"realised_s"`
-	MostMoved  int       `json:"most_moved"` // largest number of stops of a job
+	MostMoved  int       `json:"most_moved"` // largest number of stopped task attempts of a job
 	Violations int       `json:"broken"`
 	Unfinished int       `json:"undone"`
 }
 
 const (
-	// studyZoneCapacity is how many machines of each zone and kind the cloud has.
+	// studyZoneCapacity is the number of machines per zone and kind.
 	studyZoneCapacity   = 6
 	wideArrivalSeconds  = 50.0
 	wideArrivalInterval = 2.0
 )
 
-// StudyMoves runs a fleet that is fragmented as one task on each machine ends early, with wide tasks submitted every few
-// seconds. The leader crashes meanwhile.
+// StudyMoves runs a fleet that becomes fragmented because one task on each machine ends early. Wide tasks are then submitted
+// every two seconds, and the leader crashes once. The outcome shows how much moving running tasks helps the wide tasks.
 func StudyMoves(seed uint64, mode settings.Rebalance, estimate float64) MovesOutcome {
 	cfg := rebalancingConfig(seed)
 	cfg.Rebalance, cfg.ZoneCapacity, cfg.QuiescentDuration = mode, studyZoneCapacity, 400*time.Second
@@ -63,8 +63,8 @@
 	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: estimate}, &wide, &narrow)
 }
 
-// StudySlow runs a fleet of eight machines, one of which takes four times as long as the others. NarrowDoneS of the outcome is
-// that of the long jobs.
+// StudySlow runs a fleet of eight machines, one of which is slower than the others by slowFactor. NarrowDoneS of the outcome
+// covers the long jobs.
 func StudySlow(seed uint64, mode settings.Rebalance) MovesOutcome {
 	sim := slowMachineScenario(seed, mode, 1)
 	var long []*userJob
@@ -78,7 +78,7 @@
 	return sim.runMovesStudy(MovesOutcome{Seed: seed, Mode: mode, Estimate: 1, SlowMachines: 1}, &[]*userJob{}, &long)
 }
 
-// runMovesStudy runs the simulation and completes the outcome.
+// runMovesStudy runs the simulation and fills in the measurements of the outcome.
 func (sim *Simulation) runMovesStudy(out MovesOutcome, wide, narrow *[]*userJob) MovesOutcome {
 	out.Ended, out.ExpectedS, out.RealisedS = map[string]int{}, []float64{}, []float64{}
 	out.WideWaitS, out.NarrowDoneS = []float64{}, []float64{}
@@ -105,7 +105,7 @@
 	return out
 }
 
-// collectFinishedMoves collects the moves that have ended, as last reported by the leader that carried them out.
+// collectFinishedMoves collects the moves that ended, each as last reported by a leader. The slice fills during the run.
 func (sim *Simulation) collectFinishedMoves() *[]controller.MoveEntry {
 	var all []controller.MoveEntry
 	same := func(a, b controller.MoveEntry) bool { return a.Task == b.Task && a.From == b.From && a.To == b.To }
--- a/internal/simulator/usage.go
+++ b/internal/simulator/usage.go
@@ -1,18 +1,18 @@
 package simulator
 
-// usage is what the tasks on machines take from the limits of a job's team and from the job's own constraints.
+// usage sums up the tasks on machines that count toward the CPU limit of a job's team and toward the job's zone constraints.
 type usage struct {
 	job         *userJob
 	teamCPUs    float64
-	tasksByZone map[string]int // of the job
-	indexes     map[int]bool   // tasks of the job
+	tasksByZone map[string]int // number of tasks of the job
+	indexes     map[int]bool   // tasks of the job that are on machines
 }
 
 func newUsage(j *userJob) *usage {
 	return &usage{job: j, tasksByZone: map[string]int{}, indexes: map[int]bool{}}
 }
 
-// add counts a task of a job on a machine.
+// add counts a task of job j that is on a machine.
 func (u *usage) add(j *userJob, w *worker, t *task) {
 	if j.spec.Team == u.job.spec.Team {
 		u.teamCPUs += j.spec.VCPUs
@@ -23,12 +23,12 @@
 	}
 }
 
-// exceedsSpread reports whether one more task in a zone would be more than half of a job that is spread over zones.
+// exceedsSpread reports whether one more task in a zone would put more than half of a spread job there.
 func (u *usage) exceedsSpread(zone string) bool {
 	return u.job.spec.Spread && u.tasksByZone[zone]+1 > (u.job.spec.Tasks+1)/2
 }
 
-// runsOutside reports whether tasks of the job are in another zone.
+// runsOutside reports whether the job has tasks in a zone other than the given one.
 func (u *usage) runsOutside(zone string) bool {
 	for z, n := range u.tasksByZone {
 		if z != zone && n > 0 {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// hasWaitingTask reports whether a task of the job neither is on a machine nor has completed.
+// hasWaitingTask reports whether the job has a task that is on no machine and has not completed.
 func (u *usage) hasWaitingTask() bool {
 	for i, done := range u.job.done {
 		if !done && !u.indexes[i] {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// cpuLimit returns the limit of a team, 0 if it has none.
+// cpuLimit returns the CPU limit of a team, or 0 if it has none.
 func (sim *Simulation) cpuLimit(team string) float64 {
 	for _, t := range sim.settings.Teams {
 		if t.Name == team {
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// forEachTask calls f for each task of a worker, ended ones included, in no order.
+// forEachTask calls f for each task of a worker, including ended ones, in unspecified order.
 func (w *worker) forEachTask(f func(t *task)) {
 	for _, attempts := range w.tasks {
 		for _, t := range attempts {
--- a/internal/simulator/user_faults.go
+++ b/internal/simulator/user_faults.go
@@ -6,7 +6,7 @@
 	"opaldale/internal/api"
 )
 
-// runningJobs lists the jobs with tasks on machines that are not cancelled.
+// runningJobs returns the accepted, uncancelled jobs that have tasks on machines.
 func (sim *Simulation) runningJobs() (out []*userJob) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -20,7 +20,7 @@
 	return out
 }
 
-// workersOf lists the workers with tasks of a job.
+// workersOf returns the workers that have tasks of a job.
 func (sim *Simulation) workersOf(j *userJob) (out []*worker) {
 	for _, w := range sim.sortedWorkers() {
 		if w.taskCount(j.spec.ID) > 0 {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// cancelRunning cancels up to n running jobs within a fifth of a second. If hang is positive, up to eight of their
-// machines hang for that long.
+// cancelRunning cancels up to n running jobs within 200 ms. If hang is positive, up to eight of their machines hang for
+// that long.
 func (sim *Simulation) cancelRunning(n int, hang time.Duration) {
 	hung := 0
 	for i, j := range sim.runningJobs() {
@@ -49,14 +49,15 @@
 	}
 }
 
-// onTaskCompleted is called when a task has completed, before its machine reports it.
+// onTaskCompleted is called when a task has completed, before the worker reports it. If a fault occurs, the user cancels a
+// job whose last task has just completed.
 func (sim *Simulation) onTaskCompleted(j *userJob) {
 	for _, d := range j.done {
 		if !d {
 			return
 		}
 	}
-	if j.spec.Shape == api.Service || !sim.faultHits(sim.cancelAtCompletion) {
+	if j.spec.Shape == api.Service || !sim.faultOccurs(sim.cancelAtCompletion) {
 		return
 	}
 	sim.countEvent(cancelledAtCompletionEvent)
--- a/internal/simulator/user_job.go
+++ b/internal/simulator/user_job.go
@@ -7,36 +7,36 @@
 	"opaldale/internal/ident"
 )
 
-// userJob is a job, with what its user knows of it and what its tasks have done.
+// userJob is a submitted job, with the status that its user has seen and the progress of its tasks.
 type userJob struct {
 	spec                api.Spec
 	duration            time.Duration
 	alwaysFails         bool                                    // its tasks fail on every machine
-	failures            int                                     // attempts that failed for that
-	durationStep        time.Duration                           // by which each task runs longer than the one before
-	idleCapacitySince   ident.MonotonicTime                     // since when it waits though there is capacity, 0: it does not
+	failures            int                                     // attempts that failed because of alwaysFails or a faulty machine
+	durationStep        time.Duration                           // difference between the run times of consecutive tasks
+	idleCapacitySince   ident.MonotonicTime                     // since when it waits despite free capacity; 0: it does not
 	checkpointedSeconds float64                                 // checkpointed progress of a gang, in seconds
-	checkpointed        map[int]time.Duration                   // checkpointed progress of the tasks of an array
-	lostWork            time.Duration                           // run time lost by stops without a checkpoint
-	stops               map[ident.TaskID]map[ident.Attempt]bool // attempts stopped by commands before its cancellation
-	done                []bool
+	checkpointed        map[int]time.Duration                   // checkpointed progress of an array, by task index
+	lostWork            time.Duration                           // run time lost when tasks stopped without a checkpoint
+	stops               map[ident.TaskID]map[ident.Attempt]bool // attempts stopped by commands before the job was cancelled
+	done                []bool                                  // completed tasks, by index
 	accepted            bool
-	lastStatus          api.Status
+	lastStatus          api.Status // as last reported to the user
 	lastStatusAt        ident.MonotonicTime
 	cancelSentAt        ident.MonotonicTime
 	cancelConfirmedAt   ident.MonotonicTime
 	submittedAt         ident.MonotonicTime
 	acceptedAt          ident.MonotonicTime
-	firstStartAt        ident.MonotonicTime // when its first task started, 0: not yet
-	lastAnsweredAt      ident.MonotonicTime // when a query was last answered
+	firstStartAt        ident.MonotonicTime // when its first task started; 0: not yet
+	lastAnsweredAt      ident.MonotonicTime // when a status query was last answered
 }
 
-// durationOf returns the run time of a task.
+// durationOf returns the run time of the task with index i.
 func (j *userJob) durationOf(i int) time.Duration {
 	return j.duration + time.Duration(i)*j.durationStep
 }
 
-// recordStop notes that a command stops an attempt.
+// recordStop records that a command stopped an attempt, unless the job is being cancelled.
 func (j *userJob) recordStop(t *task) {
 	if j.cancelSentAt > 0 {
 		return
@@ -50,7 +50,7 @@
 	j.stops[t.id][t.attempt] = true
 }
 
-// stopCount returns how many attempts of a job's tasks were stopped by commands.
+// stopCount returns the number of task attempts that were stopped by commands before the job was cancelled.
 func (j *userJob) stopCount() int {
 	n := 0
 	for _, attempts := range j.stops {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -14,28 +14,28 @@
 	"opaldale/internal/workers"
 )
 
-// worker simulates the worker of a machine by its protocol.
+// worker simulates the worker process on a machine.
 type worker struct {
 	sim               *Simulation
 	machine           *machine
 	id                ident.MachineID
-	dead              bool
-	hungUntil         ident.MonotonicTime
+	dead              bool                // the machine was terminated
+	hungUntil         ident.MonotonicTime // the machine does nothing until then
 	incarnation       ident.Incarnation
 	sequence          ident.SequenceNumber
 	token             ident.FencingToken
 	leaseRenewedAt    ident.MonotonicTime
-	reclaimAt         ident.MonotonicTime
-	nodeIndex         int
+	reclaimAt         ident.MonotonicTime // when the announced reclaim takes place; 0: none announced
+	nodeIndex         int                 // of the node that receives the heartbeats
 	tasks             map[ident.TaskID]map[ident.Attempt]*task
-	images            map[string]bool
+	images            map[string]bool // pulled images
 	heartbeatInFlight bool
 	lastHeartbeat     ident.MonotonicTime
-	faulty            bool
-	slowdown          float64 // factor by which tasks of arrays take longer
+	faulty            bool    // every task fails on the machine
+	slowdown          float64 // factor on the run time of array tasks
 }
 
-// slowFactor is the slowdown of slow machines.
+// slowFactor is the slowdown of a slow machine.
 const slowFactor = 4
 
 func newWorker(sim *Simulation, m *machine) *worker {
@@ -62,7 +62,7 @@
 	return w
 }
 
-// whenResponsive runs f once the machine does not hang.
+// whenResponsive runs f as soon as the machine does not hang, after a check of the lease.
 func (w *worker) whenResponsive(f func()) {
 	if w.dead {
 		return
@@ -75,16 +75,16 @@
 	f()
 }
 
-// hangFor makes the machine hang. What it holds up goes on later.
+// hangFor makes the machine hang for d. Work that is deferred by the hang is done afterwards.
 func (w *worker) hangFor(d time.Duration) {
 	w.sim.logf("%s hangs for %v", w.id, d)
 	w.hungUntil = max(w.hungUntil, w.sim.now.Add(d))
 }
 
-// announceReclaim has heartbeats announce that the machine will be reclaimed.
+// announceReclaim makes the heartbeats announce that the machine will be reclaimed in d.
 func (w *worker) announceReclaim(d time.Duration) { w.reclaimAt = w.sim.now.Add(d) }
 
-// checkLease begins the next incarnation if the lease has expired.
+// checkLease starts the next incarnation, without tasks, if the lease has expired.
 func (w *worker) checkLease() {
 	if w.leaseExpired() {
 		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
@@ -93,18 +93,18 @@
 	}
 }
 
-// leaseExpired reports whether the worker's lease has expired, even if the worker has not checked yet.
+// leaseExpired reports whether the lease has expired, even if the worker has not noticed it yet.
 func (w *worker) leaseExpired() bool {
 	return w.sim.now.Sub(w.leaseRenewedAt).Seconds() > w.sim.settings.Workers.LeaseS
 }
 
-// tick sends a heartbeat whenever one is due.
+// tick sends a heartbeat if one is due, and schedules the next tick.
 func (w *worker) tick() {
 	if w.dead {
 		return
 	}
 	w.whenResponsive(func() {
-		interval := time.Duration(w.sim.settings.Workers.HeartbeatS*900) * time.Millisecond // a little less than announced
+		interval := time.Duration(w.sim.settings.Workers.HeartbeatS*900) * time.Millisecond // 90% of the configured interval
 		if !w.heartbeatInFlight && w.sim.now.Sub(w.lastHeartbeat) >= interval {
 			w.sendHeartbeat()
 		}
@@ -112,15 +112,15 @@
 	w.sim.schedule(250*time.Millisecond, w.tick)
 }
 
-// expeditedAge is how long ago the last heartbeat counts as sent once the next is expedited.
+// expeditedAge is the assumed age of the last heartbeat after expediteHeartbeat, so that the next one is due soon.
 const expeditedAge = 2500 * time.Millisecond
 
-// expediteHeartbeat has the next heartbeat sent sooner, as there is news.
+// expediteHeartbeat makes the next heartbeat due sooner, because the state to report has changed.
 func (w *worker) expediteHeartbeat() {
 	w.lastHeartbeat = min(w.lastHeartbeat, w.sim.now.Add(-expeditedAge))
 }
 
-// buildHeartbeat returns a heartbeat with the present status.
+// buildHeartbeat returns a heartbeat with the current state of the worker.
 func (w *worker) buildHeartbeat() *api.Heartbeat {
 	w.sequence++
 	r := &api.Heartbeat{
@@ -146,7 +146,7 @@
 			Attempt:          t.attempt,
 			Status:           t.status,
 			Cause:            t.cause,
-			CheckpointStored: t.stored,
+			CheckpointStored: t.checkpointStored,
 		})
 	})
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
@@ -157,13 +157,13 @@
 }
 
 const (
-	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat; later ones don't count.
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat. A later reply does not renew the lease.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryDelay is how long it waits before it tries the next node.
+	// heartbeatRetryDelay is how long a worker waits after a failed heartbeat before it sends one to the next node.
 	heartbeatRetryDelay = time.Second
 )
 
-// sendHeartbeat sends a heartbeat to the worker's node.
+// sendHeartbeat sends a heartbeat to the node at nodeIndex.
 func (w *worker) sendHeartbeat() {
 	w.heartbeatInFlight = true
 	w.lastHeartbeat = w.sim.now
@@ -177,12 +177,13 @@
 		if w.dead {
 			return
 		}
-		// A machine that hangs handles the reply when it goes on.
+		// A machine that hangs handles the reply after the hang.
 		w.whenResponsive(func() { w.handleHeartbeatReply(a, sentAt, incarnation) })
 	})
 }
 
-// handleHeartbeatReply renews the lease and executes the commands of a reply, or turns to another node.
+// handleHeartbeatReply renews the lease and executes the commands of a reply. Without a valid reply it switches to another
+// node.
 func (w *worker) handleHeartbeatReply(a *controller.Response, sentAt ident.MonotonicTime, incarnation ident.Incarnation) {
 	if a != nil && a.Status == http.StatusOK && w.sim.now.Sub(sentAt) <= heartbeatTimeout {
 		w.heartbeatInFlight = false
@@ -197,39 +198,40 @@
 	if a != nil && a.Status == http.StatusMisdirectedRequest && w.redirect(a.Body) {
 		return
 	}
-	w.sim.schedule(heartbeatRetryDelay, func() { w.turnToNode((w.nodeIndex + 1) % len(w.sim.nodes)) })
+	w.sim.schedule(heartbeatRetryDelay, func() { w.switchToNode((w.nodeIndex + 1) % len(w.sim.nodes)) })
 }
 
-// redirect turns to the node that a reply names. It returns false if that is the present one or none.
+// redirect switches to the node that a reply names as responsible. It returns false if the reply names no node or the
+// current one.
 func (w *worker) redirect(body []byte) bool {
 	var home struct {
 		Home string `json:"home"`
 	}
-	_ = json.Unmarshal(body, &home) // without a home node the next one is tried
+	_ = json.Unmarshal(body, &home) // if the body names no node, the caller retries with the next one
 	for i, n := range w.sim.nodes {
 		if n.name == home.Home && i != w.nodeIndex {
-			w.turnToNode(i)
+			w.switchToNode(i)
 			return true
 		}
 	}
 	return false
 }
 
-// turnToNode has the next heartbeat go to a node, at once.
-func (w *worker) turnToNode(i int) {
+// switchToNode makes the node with index i the receiver of heartbeats and makes the next heartbeat due at once.
+func (w *worker) switchToNode(i int) {
 	w.nodeIndex = i
 	w.heartbeatInFlight = false
 	w.lastHeartbeat = 0
 }
 
-// restart ends the worker with all of its tasks, and starts its next incarnation at once.
+// restart restarts the worker: its tasks end and the next incarnation starts at once.
 func (w *worker) restart() {
 	w.sim.logf("%s restarts", w.id)
 	w.beginIncarnation()
 	w.lastHeartbeat = 0
 }
 
-// beginIncarnation begins the next incarnation, without any task.
+// beginIncarnation starts the next incarnation, without tasks and cached images.
 func (w *worker) beginIncarnation() {
 	w.tasks = map[ident.TaskID]map[ident.Attempt]*task{}
 	w.images = map[string]bool{}
@@ -238,19 +240,19 @@
 	w.leaseRenewedAt = w.sim.now
 }
 
-// acceptToken checks a fencing token, and keeps it if it is newer. It returns false for an older one.
-func (w *worker) acceptToken(e ident.FencingToken) bool {
-	if e < w.token && !w.sim.mutates(IgnoreFencingTokens) {
+// acceptToken checks a fencing token and stores it if it is newer. It returns false for an outdated token.
+func (w *worker) acceptToken(token ident.FencingToken) bool {
+	if token < w.token && !w.sim.mutates(IgnoreFencingTokens) {
 		return false
 	}
-	if e > w.token {
-		w.token = e
+	if token > w.token {
+		w.token = token
 		w.expediteHeartbeat()
 	}
 	return true
 }
 
-// handleCommands executes a command request unless it is fenced or for another incarnation.
+// handleCommands executes a command request, unless its fencing token is outdated or it is for another incarnation.
 func (w *worker) handleCommands(c api.CommandRequest, reply func(workers.CommandResult)) {
 	if w.sim.now < w.sim.outboundBlockedUntil[string(w.id)] {
 		w.sim.countEvent(commandWhileOutboundBlockedEvent)
