--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -7,45 +7,45 @@
 	"opaldale/internal/ident"
 )
 
-// task is an attempt of a task on a worker.
+// task is one attempt of a task on a worker.
 type task struct {
-	id            ident.TaskID
-	attempt       ident.Attempt
-	status        api.TaskStatus
-	cause         api.Cause
-	stored        bool
-	reusesAttempt bool // under ReuseGangAttempt
-	generation    int  // counts the changes of status that cancel scheduled steps
-	startedAt     ident.MonotonicTime
+	id               ident.TaskID
+	attempt          ident.Attempt
+	status           api.TaskStatus
+	cause            api.Cause
+	checkpointStored bool
+	reusesAttempt    bool // joins the first attempt of its gang, for the mutation ReuseGangAttempt
+	generation       int  // incremented by status changes that cancel scheduled steps
+	startedAt        ident.MonotonicTime
 }
 
-// onMachine reports whether a task has its image and has not exited.
+// onMachine reports whether a task has started on the machine and has not exited.
 func (t *task) onMachine() bool {
 	return t.status == api.Running || t.status == api.Flushing || t.status == api.Gathering
 }
 
-// execute executes commands.
+// execute executes the commands of a node.
 func (w *worker) execute(commands []api.Command) {
-	for _, o := range commands {
-		t := w.tasks[o.TaskID][o.Attempt]
-		switch o.Verb {
+	for _, c := range commands {
+		t := w.tasks[c.TaskID][c.Attempt]
+		switch c.Verb {
 		case api.Launch:
-			if j := w.sim.jobs[o.TaskID.Job]; w.sim.mutates(ReuseGangAttempt) && j != nil && j.spec.Shape == api.Gang {
-				w.executeReusingAttempt(o)
+			if j := w.sim.jobs[c.TaskID.Job]; w.sim.mutates(ReuseGangAttempt) && j != nil && j.spec.Shape == api.Gang {
+				w.executeReusingAttempt(c)
 				continue
 			}
 			if t == nil {
-				w.launch(o.TaskID, o.Attempt)
+				w.launch(c.TaskID, c.Attempt)
 			}
 		case api.Kill:
 			if t != nil && t.status != api.Ended {
-				w.kill(t, o.GracePeriodS)
+				w.kill(t, c.GracePeriodS)
 			}
 		case api.Clear:
 			if t != nil && t.status == api.Ended {
-				delete(w.tasks[o.TaskID], o.Attempt)
-				if len(w.tasks[o.TaskID]) == 0 {
-					delete(w.tasks, o.TaskID)
+				delete(w.tasks[c.TaskID], c.Attempt)
+				if len(w.tasks[c.TaskID]) == 0 {
+					delete(w.tasks, c.TaskID)
 				}
 			}
 		}
@@ -53,7 +53,7 @@
 	}
 }
 
-// launch starts an attempt of a task: it ends at once if the worker cannot run it, and runs once its image is there.
+// launch starts an attempt of a task. It ends at once if the worker cannot run it; otherwise it runs once its image is pulled.
 func (w *worker) launch(id ident.TaskID, attempt ident.Attempt) {
 	t := &task{id: id, attempt: attempt, status: api.Pulling}
 	cause, rejected := w.rejects(id)
@@ -76,7 +76,7 @@
 	})
 }
 
-// rejects reports whether, and why, the worker cannot run another attempt of a task.
+// rejects reports whether the worker cannot run another attempt of a task, and the cause.
 func (w *worker) rejects(id ident.TaskID) (cause api.Cause, rejected bool) {
 	j := w.sim.jobs[id.Job]
 	if j == nil || id.Index >= j.spec.Tasks {
@@ -87,13 +87,13 @@
 			return api.CauseBusy, true
 		}
 	}
-	if w.usedCPUs()+j.spec.VCPUs > w.sim.cloud.models[0].VCPUs+roundingError {
+	if w.usedCPUs()+j.spec.VCPUs > w.sim.cloud.machineTypes[0].VCPUs+roundingError {
 		return api.CauseNoCapacity, true
 	}
 	return cause, false
 }
 
-// run runs a task whose image is there, until it fails or has run for its duration.
+// run runs a task whose image is pulled, until it fails or has run for its duration.
 func (w *worker) run(t *task, j *userJob) {
 	if j.spec.Shape == api.Gang && !w.faulty {
 		attempt := t.attempt
@@ -126,7 +126,7 @@
 	})
 }
 
-// kill stops a task. A second command without a grace period ends one that is checkpointing.
+// kill handles a command to stop a task. A second command without a grace period also ends a task that is checkpointing.
 func (w *worker) kill(t *task, gracePeriod *float64) {
 	j := w.sim.jobs[t.id.Job]
 	d := 0.0
@@ -138,7 +138,7 @@
 		return
 	}
 	if t.status == api.Flushing && d > 0 {
-		return // it checkpoints already
+		return // already checkpointing
 	}
 	if w.sim.mutates(StopPartOfGang) && d > 0 && t.id.Index > 0 {
 		return
@@ -146,7 +146,7 @@
 	w.sim.gang(j, t.attempt).kill(w, t, d)
 }
 
-// stop ends a task of an array or a service. One of an array checkpoints first if it has the time for it.
+// stop ends a task of an array or a service. An array task checkpoints first if the grace period is long enough.
 func (w *worker) stop(t *task, j *userJob, gracePeriod float64) {
 	if j != nil {
 		j.recordStop(t)
@@ -160,7 +160,7 @@
 		return
 	}
 	if t.status == api.Flushing {
-		return // it checkpoints already
+		return // already checkpointing
 	}
 	ran := time.Duration(float64(w.sim.now.Sub(t.startedAt)) / w.slowdown)
 	t.status = api.Flushing
@@ -168,12 +168,12 @@
 	w.expediteHeartbeat()
 	w.scheduleStep(t, seconds(j.spec.CheckpointS), func() {
 		j.checkpointed[t.id.Index] += ran
-		t.stored = true
+		t.checkpointStored = true
 		w.endTask(t, api.CauseStopped)
 	})
 }
 
-// endTask ends a task for a cause.
+// endTask ends a task with the given cause.
 func (w *worker) endTask(t *task, c api.Cause) {
 	t.status, t.cause = api.Ended, c
 	t.generation++
@@ -181,17 +181,17 @@
 }
 
 // executeReusingAttempt launches a task that joins the first attempt of its gang, for the mutation ReuseGangAttempt.
-func (w *worker) executeReusingAttempt(o api.Command) {
-	if t := w.tasks[o.TaskID][o.Attempt]; t != nil {
+func (w *worker) executeReusingAttempt(c api.Command) {
+	if t := w.tasks[c.TaskID][c.Attempt]; t != nil {
 		return
 	}
-	w.launch(o.TaskID, o.Attempt)
-	if t := w.tasks[o.TaskID][o.Attempt]; t != nil && t.status != api.Ended {
+	w.launch(c.TaskID, c.Attempt)
+	if t := w.tasks[c.TaskID][c.Attempt]; t != nil && t.status != api.Ended {
 		t.reusesAttempt = true
 	}
 }
 
-// scheduleStep runs f later, unless the task changes or its incarnation ends before.
+// scheduleStep schedules f to run after d, unless the task changes its status or the worker its incarnation before.
 func (w *worker) scheduleStep(t *task, d time.Duration, f func()) {
 	gen, incarnation := t.generation, w.incarnation
 	w.sim.schedule(d, func() {
@@ -203,7 +203,7 @@
 	})
 }
 
-// taskCount returns the number of tasks of a job on the machine.
+// taskCount returns the number of tasks of a job that are on the machine.
 func (w *worker) taskCount(id ident.JobID) int {
 	n := 0
 	w.forEachTask(func(t *task) {
@@ -214,7 +214,7 @@
 	return n
 }
 
-// usedCPUs returns the CPUs in use by tasks that have not ended.
+// usedCPUs returns the total CPUs of the tasks that have not ended.
 func (w *worker) usedCPUs() float64 {
 	cpus := 0.0
 	w.forEachTask(func(t *task) {
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -7,7 +7,7 @@
 	"opaldale/internal/api"
 )
 
-// submitJob submits an array of three tasks of 2 CPUs, which change may alter.
+// submitJob submits an array of three tasks of 2 CPUs each, after change, if not nil, has modified it.
 func (sim *Simulation) submitJob(change func(s *api.Spec), duration time.Duration) *userJob {
 	sim.lastJobNumber++
 	s := api.Spec{
@@ -33,7 +33,7 @@
 	return j
 }
 
-// submitBaseLoad submits n long jobs, of all teams, and two services.
+// submitBaseLoad submits n long jobs, of all teams, and two services, two seconds after the start of the run.
 func (sim *Simulation) submitBaseLoad(n int) {
 	sim.scheduleAt(2, func() {
 		for i := range n {
@@ -47,7 +47,8 @@
 	})
 }
 
-// submitStream submits a job of one short task at each interval, in seconds. A third of them are cancelled within a time.
+// submitStream submits a job with one short task every so many seconds, from one time to another. A third of the jobs are
+// cancelled after a random time below cancelWithin.
 func (sim *Simulation) submitStream(from, to, every float64, cancelWithin time.Duration) {
 	for s := from; s < to; s += every {
 		sim.scheduleAt(s, func() {
