--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -8,8 +8,9 @@
 	"opaldale/internal/api"
 )
 
-// TestBorrowersDoNotDelayGuaranteedJobs: a team without a guarantee and a limit submits a vast array, a swarm of jobs of one
-// task and backfill work. All of it is accepted and ends, and jobs within a guarantee start as soon as without it.
+// TestBorrowersDoNotDelayGuaranteedJobs guards against work of a team without a guarantee or limit delaying other teams. The
+// team submits an array of 2,000 tasks, a job of 60 longer tasks and 200 jobs of one task. All of them are accepted and end,
+// and jobs within a guarantee start within 12 s, as they do without that work.
 func TestBorrowersDoNotDelayGuaranteedJobs(t *testing.T) {
 	t.Parallel()
 	for _, withBorrowers := range []bool{false, true} {
@@ -31,18 +32,18 @@
 			sim.Run()
 			requireClean(t, sim)
 			if withBorrowers && len(sim.jobs) < 200 {
-				t.Errorf("%d jobs: those of the borrowers are missing", len(sim.jobs))
+				t.Errorf("got %d jobs, want at least 200 with those of the team without a guarantee", len(sim.jobs))
 			}
 			for _, j := range guaranteed {
 				if wait := j.firstStartAt.Sub(j.submittedAt); wait > 12*time.Second {
-					t.Errorf("%s, within a guarantee, started after %v", j.spec.ID, wait)
+					t.Errorf("%s, within a guarantee, started after %v, want at most 12 s", j.spec.ID, wait)
 				}
 			}
 		})
 	}
 }
 
-// submitBorrowerJobs submits the work of a team without a guarantee and a limit, and crashes the leader meanwhile.
+// submitBorrowerJobs submits the work of a team without a guarantee or limit, and crashes the leader meanwhile.
 func (sim *Simulation) submitBorrowerJobs() {
 	submit := func(class string, tasks int, vcpus float64, duration time.Duration) {
 		sim.submitJob(func(s *api.Spec) {
@@ -58,8 +59,9 @@
 	sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 }
 
-// TestAlwaysFailingJobsKeepMachines: jobs fail on every machine until their users cancel them. No machine is terminated for
-// it and the attempts are few, while a machine that is really faulty is still detected.
+// TestAlwaysFailingJobsKeepMachines guards against healthy machines being blamed for jobs that fail everywhere. The jobs fail on
+// every machine until their users cancel them. They are retried only a few times, and a machine that is really faulty is still
+// detected and terminated.
 func TestAlwaysFailingJobsKeepMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -93,11 +95,12 @@
 		requireClean(t, sim)
 		for _, j := range list {
 			if j.failures > 30 || j.failures < 4 || j.lastStatus != api.StatusCancelled {
-				t.Errorf("seed %d: %d attempts of 12 tasks in 110 s, ended as %q", seed, j.failures, j.lastStatus)
+				t.Errorf("seed %d: got %d failed attempts of 12 tasks in 110 s and status %q, want 4 to 30 and cancelled", seed,
+					j.failures, j.lastStatus)
 			}
 		}
 		if faultyWorker.machine.terminatedAt == 0 {
-			t.Errorf("seed %d: the faulty machine was kept", seed)
+			t.Errorf("seed %d: the faulty machine was not terminated", seed)
 		}
 	}
 }
--- a/internal/simulator/concurrent_fault_injectors_test.go
+++ b/internal/simulator/concurrent_fault_injectors_test.go
@@ -6,6 +6,8 @@
 	"opaldale/internal/api"
 )
 
+// blockWorkersOutbound keeps two thirds of the workers from sending, while commands still reach them, and crashes the
+// leader meanwhile.
 func blockWorkersOutbound(sim *Simulation) {
 	sim.submitBaseLoad(6)
 	sim.scheduleAt(60, func() {
@@ -19,6 +21,8 @@
 	sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 }
 
+// disconnectCancelledJobs cancels every other running job while its machines are disconnected or hang, with all teams at
+// their limits, and then crashes the leader.
 func disconnectCancelledJobs(sim *Simulation) {
 	sim.saturateTeams()
 	sim.scheduleAt(60, func() {
@@ -40,6 +44,7 @@
 	sim.scheduleAt(61, func() { sim.crashLeader(3 * time.Second) })
 }
 
+// restartLeaderQuickly crashes leaders that restart within a second, while jobs are placed, and then all nodes.
 func restartLeaderQuickly(sim *Simulation) {
 	sim.submitBaseLoad(6)
 	for s := 50.0; s < 80; s += 6 {
@@ -57,6 +62,8 @@
 	})
 }
 
+// bootFastDuringDelayedWrites has new machines boot before the writes that record them are committed, and crashes the
+// leader.
 func bootFastDuringDelayedWrites(sim *Simulation) {
 	sim.scheduleAt(1, func() { sim.fastBoots = faultWindow{1, timeAt(100)} })
 	sim.submitBaseLoad(3)
@@ -79,6 +86,7 @@
 	})
 }
 
+// deliverStaleHeartbeats delivers duplicates of heartbeats late, while workers restart.
 func deliverStaleHeartbeats(sim *Simulation) {
 	sim.submitBaseLoad(5)
 	sim.scheduleAt(30, func() { sim.delayedHeartbeats = faultWindow{0.6, timeAt(100)} })
@@ -93,6 +101,7 @@
 	sim.scheduleAt(70, func() { sim.crashLeader(time.Second) })
 }
 
+// submitShortJobs submits four jobs of a few seconds each second and cancels a quarter of them.
 func submitShortJobs(sim *Simulation) {
 	sim.scheduleAt(1, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(90)} })
 	for s := 5.0; s < 105; s += 0.25 {
@@ -113,6 +122,7 @@
 	sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
 }
 
+// delayCommands delays commands and their replies, while machines hang, jobs are cancelled and leaders crash.
 func delayCommands(sim *Simulation) {
 	sim.submitBaseLoad(6)
 	sim.scheduleAt(30, func() { sim.delayedCommands = faultWindow{0.7, timeAt(100)} })
@@ -131,6 +141,8 @@
 	}
 }
 
+// changeLeaderTenTimes crashes a leader every 9 s while half of the busy machines are disconnected. The store is down during
+// one of the changes.
 func changeLeaderTenTimes(sim *Simulation) {
 	sim.submitBaseLoad(2)
 	for s := 20.0; s < 130; s += 9 {
@@ -156,11 +168,13 @@
 	})
 }
 
+// dropTransactionReplies drops replies to the transactions of a leader that is also cut off from the other nodes, so that it
+// does not learn whether they are committed while the others read the store.
 func dropTransactionReplies(sim *Simulation) {
 	sim.submitBaseLoad(4)
 	sim.scheduleAt(30, func() {
 		sim.droppedReplies, sim.probeAfterAnswer = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
-		if l := sim.leader(); l != nil { // the others read for themselves
+		if l := sim.leader(); l != nil { // the other nodes read from the store
 			sim.forEachPeer(l, func(n *node) { sim.disconnect(l.name, n.name, false, 60*time.Second) })
 		}
 	})
@@ -178,7 +192,7 @@
 			}
 		})
 	}
-	for s := 31.0; s < 95; s += 0.1 { // in between as well: who reads first tells first
+	for s := 31.0; s < 95; s += 0.1 { // often, as a follower may read a commit from the store before the leader knows of it
 		sim.scheduleAt(s, func() {
 			for _, id := range sim.jobOrder[max(0, len(sim.jobOrder)-6):] {
 				if j := sim.jobs[id]; j.accepted {
@@ -189,6 +203,7 @@
 	}
 }
 
+// overloadOverSlowLinks slows the links between nodes and adds critical services to a run with too much work.
 func overloadOverSlowLinks(sim *Simulation) {
 	sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, timeAt(400)} })
 	for s := 30.0; s < 400; s += 10 {
@@ -202,6 +217,7 @@
 	}
 }
 
+// probeAfterAnswers has users query all nodes after each answer, while jobs are submitted and cancelled.
 func probeAfterAnswers(sim *Simulation) {
 	sim.scheduleAt(5, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(125)} })
 	sim.submitBaseLoad(3)
@@ -224,6 +240,8 @@
 	sim.scheduleAt(80, func() { sim.sendEdgeCaseRequests(timeAt(110)) })
 }
 
+// isolateLeaderThenCancel separates the leader from the store and its peers, but not from workers and users, and cancels
+// jobs at the next leader, which cannot reach their workers.
 func isolateLeaderThenCancel(sim *Simulation) {
 	sim.submitBaseLoad(8)
 	sim.scheduleAt(60, func() {
@@ -237,7 +255,7 @@
 		}
 		sim.isolate(old, hold, 58*time.Second)
 		sim.onNextLeader(old, func(n *node) {
-			for _, j := range sim.runningJobs() { // the new one's commands are lost
+			for _, j := range sim.runningJobs() { // commands of the new leader are lost
 				for _, w := range sim.workersOf(j) {
 					sim.disconnect(n.name, string(w.id), false, 56*time.Second)
 				}
@@ -254,6 +272,7 @@
 	})
 }
 
+// crashLeaderWithUnreachableMachines crashes the leader after two thirds of the machines became unreachable.
 func crashLeaderWithUnreachableMachines(sim *Simulation) {
 	sim.submitBaseLoad(7)
 	sim.scheduleAt(60, func() {
@@ -274,6 +293,7 @@
 	sim.scheduleAt(61, func() { sim.crashLeader(5 * time.Second) })
 }
 
+// delayWrites delays transactions, so that they reach the store after newer ones, and crashes the leader.
 func delayWrites(sim *Simulation) {
 	sim.submitBaseLoad(4)
 	sim.scheduleAt(20, func() { sim.delayedWrites = faultWindow{0.4, timeAt(100)} })
@@ -290,6 +310,7 @@
 	sim.scheduleAt(70, func() { sim.crashLeader(4 * time.Second) })
 }
 
+// partitionZoneThenCancel partitions a zone for longer than a lease and cancels the jobs that run there.
 func partitionZoneThenCancel(sim *Simulation) {
 	sim.submitBaseLoad(8)
 	sim.scheduleAt(60, func() {
@@ -310,6 +331,7 @@
 	})
 }
 
+// completeAcrossLeaderChange changes the leader when only some tasks of each job have completed.
 func completeAcrossLeaderChange(sim *Simulation) {
 	sim.scheduleAt(5, func() {
 		for range 6 {
@@ -337,6 +359,7 @@
 	})
 }
 
+// holdHeartbeatsAcrossTerms delivers duplicates of heartbeats only once the next leader has begun its term.
 func holdHeartbeatsAcrossTerms(sim *Simulation) {
 	sim.submitBaseLoad(6)
 	sim.scheduleAt(30, func() { sim.holdHeartbeatsForNextLeader(0.5, 60*time.Second) })
@@ -346,6 +369,7 @@
 	}
 }
 
+// cancelAsTasksComplete has users cancel jobs as their last tasks complete, and then query all nodes.
 func cancelAsTasksComplete(sim *Simulation) {
 	sim.scheduleAt(5, func() {
 		sim.cancelAtCompletion, sim.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
@@ -360,6 +384,7 @@
 	}
 }
 
+// slowStoreThenOutage slows the store before cancelDuringFailoverAndOutage.
 func slowStoreThenOutage(sim *Simulation) {
 	sim.scheduleAt(30, func() { sim.slowStore = faultWindow{0.8, timeAt(60)} })
 	for s := 31.0; s < 60; s += 4 {
@@ -369,6 +394,7 @@
 	sim.scheduleAt(50, func() { sim.submitJob(nil, 60*time.Second); sim.submitJob(nil, 60*time.Second) })
 }
 
+// loseMachinesOfZoneJobs terminates machines of jobs that are bound to one zone, and crashes the leader.
 func loseMachinesOfZoneJobs(sim *Simulation) {
 	sim.scheduleAt(3, func() {
 		for range 4 {
@@ -390,6 +416,7 @@
 	sim.scheduleAt(52, func() { sim.crashLeader(4 * time.Second) })
 }
 
+// cancelDuringFailover cancels jobs from just before a leader crash until after it.
 func cancelDuringFailover(sim *Simulation) {
 	sim.submitBaseLoad(8)
 	sim.scheduleAt(60, func() { sim.crashLeader(4 * time.Second) })
@@ -398,6 +425,7 @@
 	}
 }
 
+// holdHeartbeatsUntilFailover holds messages of half of the workers, and duplicates of heartbeats, beyond a leader crash.
 func holdHeartbeatsUntilFailover(sim *Simulation) {
 	sim.submitBaseLoad(6)
 	sim.scheduleAt(56, func() {
@@ -413,12 +441,13 @@
 	sim.scheduleAt(62, func() { sim.cancelRunning(2, 0); sim.submitJob(nil, 20*time.Second) })
 }
 
+// crashAllControllers stops all nodes for about a lease or longer. Half of the machines hang for that time.
 func crashAllControllers(sim *Simulation) {
 	sim.submitBaseLoad(7)
 	sim.scheduleAt(60, func() {
 		back := time.Duration(14+4*sim.cfg.Seed%24) * time.Second
 		for i, w := range sim.sortedWorkers() {
-			if i%2 == 0 { // within its lease it goes on
+			if i%2 == 0 { // it resumes with its tasks if its lease has not expired
 				w.hangFor(back + time.Duration(sim.rng.IntN(4))*time.Second)
 			}
 		}
@@ -429,6 +458,7 @@
 	})
 }
 
+// cancelAtTeamLimit cancels jobs of teams at their limits after a leader crash, while some of the machines cannot receive.
 func cancelAtTeamLimit(sim *Simulation) {
 	sim.saturateTeams()
 	sim.scheduleAt(59, func() {
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// concurrentFaults is a scenario with two or more faults that overlap.
+// concurrentFaults is a scenario in which two or more faults overlap.
 type concurrentFaults struct {
 	name              string
-	guardsAgainst     string // what the schedulers must not do
+	guardsAgainst     string // the failure that the scenario would expose
 	inject            func(sim *Simulation)
 	expectedEvents    map[eventName]int // lower bounds
-	detectedMutations []Mutation        // safeguards without which some seed violates an invariant
-	seeds             uint64            // 0: three
-	overload          bool
-	length            time.Duration // 0: 130 s
+	detectedMutations []Mutation        // disabled safeguards, each of which some seed must detect
+	seeds             uint64            // number of seeds; 0: three
+	overload          bool              // submits more work than there is capacity for
+	length            time.Duration     // active part of the run; 0: 130 s
 }
 
-// concurrentFaultScenarios are combinations of faults that overlap.
+// concurrentFaultScenarios are the combinations of overlapping faults that TestConcurrentFaults runs.
 var concurrentFaultScenarios = []concurrentFaults{
 	{
 		name:          "workers cannot send, commands reach them",
-		guardsAgainst: "workers that execute commands being thought to keep their leases",
+		guardsAgainst: "the leases of workers that execute commands being treated as renewed",
 		inject:        blockWorkersOutbound,
 		expectedEvents: map[eventName]int{commandWhileOutboundBlockedEvent: 2, cancelledWhileRunningEvent: 1,
 			leaderReplacedEvent: 1},
@@ -30,42 +30,42 @@
 	},
 	{
 		name:              "teams at their limit, machines of cancelled jobs unreachable, leader change",
-		guardsAgainst:     "cancelled tasks that may still run not being counted by the next leader",
+		guardsAgainst:     "the next leader not counting cancelled tasks that may still run",
 		inject:            disconnectCancelledJobs,
 		expectedEvents:    map[eventName]int{teamAtLimitEvent: 2, cancelledWhileRunningEvent: 2, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name:              "leader restarts within a second",
-		guardsAgainst:     "unfinished actions of a term, or a node's former key, being taken for those of the present term",
+		guardsAgainst:     "unfinished actions of an earlier term, or a node's earlier key, being treated as current",
 		inject:            restartLeaderQuickly,
 		expectedEvents:    map[eventName]int{newTermEvent: 6, allNodesCrashedEvent: 1},
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
 		name:              "fast boots during delayed writes, leader crash",
-		guardsAgainst:     "tasks on a machine that no successor knows of",
+		guardsAgainst:     "tasks on a machine of which the next leader has no record",
 		inject:            bootFastDuringDelayedWrites,
 		expectedEvents:    map[eventName]int{newMachineHasTasksEvent: 1, newTermEvent: 2, lateWriteEvent: 1},
 		detectedMutations: []Mutation{LaunchBeforeCommit},
 	},
 	{
 		name:              "stale heartbeats after newer ones",
-		guardsAgainst:     "a duplicate of an earlier incarnation or attempt proving that a task is gone",
+		guardsAgainst:     "a late duplicate of an earlier incarnation or attempt being accepted as proof that a task ended",
 		inject:            deliverStaleHeartbeats,
 		expectedEvents:    map[eventName]int{staleHeartbeatEvent: 20, heartbeatOfEarlierIncarnationEvent: 3},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
 		name:              "four short jobs a second, a quarter cancelled",
-		guardsAgainst:     "the backlog of completions and cancellations, and elections with hundreds of ended jobs",
+		guardsAgainst:     "failures from a backlog of completions and cancellations, or at an election with hundreds of ended jobs",
 		inject:            submitShortJobs,
 		expectedEvents:    map[eventName]int{shortJobCancelledEvent: 40, leaderReplacedEvent: 1, nodesProbedEvent: 1000},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
 		name:          "cancellation while the store rejects the leader, then an outage",
-		guardsAgainst: "a lease renewed by a node that does not know of a cancellation, for longer than that may take",
+		guardsAgainst: "a node that does not know of a cancellation renewing leases for longer than a cancellation may take",
 		inject:        cancelDuringFailoverAndOutage,
 		seeds:         12,
 		expectedEvents: map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1,
@@ -74,14 +74,14 @@
 	},
 	{
 		name:              "delayed commands and replies, machine recovers",
-		guardsAgainst:     "a delayed command meeting what has replaced it (for fencing tokens see TestMutationsAreDetected)",
+		guardsAgainst:     "a delayed command acting on newer state (TestMutationsAreDetected covers fencing tokens)",
 		inject:            delayCommands,
 		expectedEvents:    map[eventName]int{commandDelayedEvent: 50, cancelledWhileRunningEvent: 3, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name:              "ten leader changes in two minutes, one in an outage",
-		guardsAgainst:     "tasks and answers lost between terms",
+		guardsAgainst:     "tasks or answers being lost between terms",
 		inject:            changeLeaderTenTimes,
 		length:            150 * time.Second,
 		expectedEvents:    map[eventName]int{tenTermsEvent: 1, newTermEvent: 8, leaderReplacedEvent: 1},
@@ -89,7 +89,7 @@
 	},
 	{
 		name:              "replies to transactions lost, other nodes read",
-		guardsAgainst:     "a leader answering from memory while another node reads the store",
+		guardsAgainst:     "a leader answering from memory differently from a node that reads the store",
 		inject:            dropTransactionReplies,
 		expectedEvents:    map[eventName]int{replyDroppedEvent: 10, nodesProbedEvent: 100},
 		detectedMutations: []Mutation{CacheStatusAnswers},
@@ -106,7 +106,7 @@
 	},
 	{
 		name:          "users query all nodes right after an answer",
-		guardsAgainst: "a node answering with an older state than another",
+		guardsAgainst: "a node answering with an older state than another node reported before",
 		inject:        probeAfterAnswers,
 		expectedEvents: map[eventName]int{nodesProbedEvent: 500, leaderReplacedEvent: 1, edgeCaseRequestEvent: 20,
 			submissionChangedEvent: 1,
@@ -115,28 +115,28 @@
 	},
 	{
 		name:              "leader reaches only workers and users, cancellation at the next",
-		guardsAgainst:     "the old leader renewing the leases of machines whose tasks the new one has cancelled",
+		guardsAgainst:     "the old leader renewing the leases of machines whose tasks the new leader has cancelled",
 		inject:            isolateLeaderThenCancel,
 		expectedEvents:    map[eventName]int{leaderReplacedEvent: 1, cancellationConfirmedEvent: 1, leaseKeptByOldLeaderEvent: 1},
 		detectedMutations: []Mutation{RenewWithoutLeadership},
 	},
 	{
 		name:              "leader crash with unreachable machines",
-		guardsAgainst:     "a successor restarting tasks that still run there",
+		guardsAgainst:     "the next leader restarting tasks that still run on unreachable machines",
 		inject:            crashLeaderWithUnreachableMachines,
 		expectedEvents:    map[eventName]int{machineDisconnectedEvent: 1, machineInboundBlockedEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name:              "delayed writes after newer ones",
-		guardsAgainst:     "an old value overwriting a new one",
+		guardsAgainst:     "an old value overwriting a newer one",
 		inject:            delayWrites,
 		expectedEvents:    map[eventName]int{lateWriteEvent: 10, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{IgnoreRevisions},
 	},
 	{
 		name:              "zone partitioned for longer than a lease",
-		guardsAgainst:     "leases kept inside for jobs cancelled outside",
+		guardsAgainst:     "nodes in the zone renewing leases for jobs that were cancelled outside of it",
 		inject:            partitionZoneThenCancel,
 		expectedEvents:    map[eventName]int{zonePartitionedEvent: 1, cancelledInPartitionEvent: 1},
 		detectedMutations: []Mutation{KeepLeasesForever},
@@ -144,28 +144,28 @@
 	},
 	{
 		name:              "tasks of a job complete far apart, across a leader change",
-		guardsAgainst:     "a completion of the previous term being forgotten, or a running task started again",
+		guardsAgainst:     "the next leader losing a completion of the previous term, or starting a running task again",
 		inject:            completeAcrossLeaderChange,
 		expectedEvents:    map[eventName]int{partlyCompletedEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name:              "held heartbeats reach every node as a new leader begins",
-		guardsAgainst:     "the first heartbeat of a term being taken for the newest",
+		guardsAgainst:     "the first heartbeat that arrives in a term being treated as the newest",
 		inject:            holdHeartbeatsAcrossTerms,
 		expectedEvents:    map[eventName]int{heldHeartbeatDeliveredEvent: 20, leaderReplacedEvent: 2},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
 		name:              "cancelled, queried and resubmitted as the last task completes",
-		guardsAgainst:     "a job being cancelled for one node and done for another",
+		guardsAgainst:     "one node reporting a job as cancelled and another as done",
 		inject:            cancelAsTasksComplete,
 		expectedEvents:    map[eventName]int{cancelledAtCompletionEvent: 30, nodesProbedEvent: 300},
 		detectedMutations: []Mutation{CacheStatusAnswers},
 	},
 	{
 		name:          "store slow, rejecting the leader, then down",
-		guardsAgainst: "cancellations confirmed and queries answered on the way into an outage",
+		guardsAgainst: "wrong confirmations of cancellations, or wrong answers, as an outage begins",
 		inject:        slowStoreThenOutage,
 		expectedEvents: map[eventName]int{storeSlowEvent: 20, leaderReplacedEvent: 1, cancellationConfirmedEvent: 1,
 			outageAfterConfirmationEvent: 1},
@@ -174,35 +174,35 @@
 	},
 	{
 		name:              "jobs bound to one zone lose machines",
-		guardsAgainst:     "the place of a lost task being chosen without regard to the others",
+		guardsAgainst:     "a lost task being replaced without regard to the zone of the job's other tasks",
 		inject:            loseMachinesOfZoneJobs,
 		expectedEvents:    map[eventName]int{machineLostEvent: 3, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{DropZoneConstraint},
 	},
 	{
 		name:              "cancellations during a failover",
-		guardsAgainst:     "a cancellation that neither leader carries out",
+		guardsAgainst:     "a cancellation that neither the old nor the new leader carries out",
 		inject:            cancelDuringFailover,
 		expectedEvents:    map[eventName]int{cancelledWhileRunningEvent: 4, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{DropStopCommands},
 	},
 	{
 		name:              "heartbeats held until a new leader has acted",
-		guardsAgainst:     "actions of a new leader being undone by an older heartbeat",
+		guardsAgainst:     "an older heartbeat undoing actions of a new leader",
 		inject:            holdHeartbeatsUntilFailover,
 		expectedEvents:    map[eventName]int{heartbeatsHeldEvent: 2, heldHeartbeatDeliveredEvent: 1, leaderReplacedEvent: 1},
 		detectedMutations: []Mutation{AcceptStaleHeartbeats},
 	},
 	{
 		name:              "all controllers down for longer than a lease",
-		guardsAgainst:     "tasks that may still run being started elsewhere",
+		guardsAgainst:     "tasks that may still run being started on other machines",
 		inject:            crashAllControllers,
 		expectedEvents:    map[eventName]int{allNodesDownEvent: 1},
 		detectedMutations: []Mutation{ForgetPlacements},
 	},
 	{
 		name:          "team at its limit, machines unreachable, failover, cancellation",
-		guardsAgainst: "capacity of the limit given away before its machine reports",
+		guardsAgainst: "capacity within a team limit being reused before the machine that holds it reports",
 		inject:        cancelAtTeamLimit,
 		expectedEvents: map[eventName]int{teamAtLimitEvent: 2, machineInboundBlockedEvent: 2, cancelledWhileRunningEvent: 2,
 			leaderReplacedEvent: 1},
@@ -210,6 +210,7 @@
 	},
 }
 
+// run runs the scenario with a seed and a mutation.
 func (m *concurrentFaults) run(seed uint64, without Mutation) *Simulation {
 	length := cmp.Or(m.length, 130*time.Second)
 	sim := New(Config{Seed: seed, Mutation: without, ActiveDuration: length, NoArrivals: !m.overload, Overload: m.overload})
@@ -218,7 +219,8 @@
 	return sim
 }
 
-// unfinished reports whether work has not ended. With overload that is only whether the largest jobs started in time.
+// unfinished reports whether work has not ended. With overload it reports whether a large job started late, or whether there
+// were too few large jobs to tell.
 func (m *concurrentFaults) unfinished(sim *Simulation) bool {
 	if !m.overload {
 		return len(sim.Unfinished) > 0
@@ -227,9 +229,9 @@
 	return len(ids) > 0 || n < 10
 }
 
-// TestConcurrentFaults runs each scenario with a few seeds: no invariant is violated and every job ends. A run in which the
-// faults did not overlap as intended fails. Each is also run without the safeguards that it rests on, which some seed must
-// detect.
+// TestConcurrentFaults guards against failures that occur only while faults overlap. It runs each scenario with a few seeds:
+// no invariant may be violated, every job must end, and the intended events must occur. It also runs each scenario with a
+// safeguard disabled, which some seed must detect.
 func TestConcurrentFaults(t *testing.T) {
 	for _, m := range concurrentFaultScenarios {
 		t.Run(m.name, func(t *testing.T) {
@@ -244,21 +246,23 @@
 	}
 }
 
-// check runs the scenario with a seed.
+// check runs the scenario with a seed and checks invariants, completion and expected events.
 func (m *concurrentFaults) check(t *testing.T, seed uint64) {
 	t.Helper()
 	sim := m.run(seed, None)
 	if len(sim.Violations) > 0 || m.unfinished(sim) {
-		t.Errorf("guards against %s; seed %d: %v %v\n%s", m.guardsAgainst, seed, sim.Violations, sim.Unfinished, sim.LogTail(40))
+		t.Errorf("guards against %s; seed %d: violations %v, unfinished %v, want none\n%s", m.guardsAgainst, seed,
+			sim.Violations, sim.Unfinished, sim.LogTail(40))
 	}
 	for name, n := range m.expectedEvents {
 		if sim.eventCounts[name] < n {
-			t.Errorf("seed %d: %q took place %d times, not %d: %v", seed, name, sim.eventCounts[name], n, sim.eventCounts)
+			t.Errorf("seed %d: event %q: got %d, want at least %d; all events: %v", seed, name, sim.eventCounts[name], n,
+				sim.eventCounts)
 		}
 	}
 }
 
-// checkDetects checks that some seed detects that a safeguard is switched off.
+// checkDetects checks that some seed detects a disabled safeguard.
 func (m *concurrentFaults) checkDetects(t *testing.T, x Mutation) {
 	t.Helper()
 	for seed := range uint64(20) {
@@ -267,5 +271,5 @@
 			return
 		}
 	}
-	t.Errorf("no seed detects that safeguard %d is off", x)
+	t.Errorf("no seed of 20 detects mutation %d", x)
 }
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -8,12 +8,13 @@
 	"opaldale/internal/ident"
 )
 
-// partition is a way in which a controller is separated from others.
+// partition separates a controller from other parties, or has the store reject it.
 type partition struct {
 	name  string
 	apply func(sim *Simulation, n *node, hold bool, d time.Duration)
 }
 
+// partitions are the partitions of which TestConsecutivePartitions tests each sequence of two.
 var partitions = []partition{
 	{"the network", func(sim *Simulation, n *node, hold bool, d time.Duration) { sim.disconnect(n.name, anyParty, hold, d) }},
 	{"the store", func(sim *Simulation, n *node, hold bool, d time.Duration) {
@@ -25,7 +26,7 @@
 	}},
 }
 
-// runConsecutivePartitions runs a simulation in which a controller has one partition and then another.
+// runConsecutivePartitions runs a simulation in which the leader or a follower has one partition and then another.
 func runConsecutivePartitions(seed uint64, leader bool, first, then partition) *Simulation {
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
 	sim.submitBaseLoad(4)
@@ -51,9 +52,10 @@
 	return sim
 }
 
-// TestConsecutivePartitions: a controller, leader or follower, is separated from the network, the store or the workers,
-// or rejected by the store, and then once more; held messages are delivered at the end or dropped. No invariant is
-// violated, jobs submitted meanwhile are served, and workers keep their leases.
+// TestConsecutivePartitions guards against a controller handling the first of two partitions but not the second. The leader
+// or a follower is separated from the network, the store or the workers, or rejected by the store, and then again in the same
+// or another way. Blocked messages are dropped or delivered when the partition ends. No invariant is violated, jobs submitted
+// meanwhile are served, and workers keep their leases.
 func TestConsecutivePartitions(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(0)
@@ -67,7 +69,7 @@
 				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 				if sim.eventCounts[laterTermEvent] == 0 {
-					t.Errorf("seed %d: the leader continued without %s and %s", seed, first.name, then.name)
+					t.Errorf("seed %d: no later term began within 30 s of the leader losing %s, then %s", seed, first.name, then.name)
 				}
 				sim = runConsecutivePartitions(seed+1, false, first, then)
 				requireClean(t, sim)
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -14,14 +14,14 @@
 	"opaldale/internal/workers"
 )
 
-// sumOf returns the digest of what f records.
+// sumOf returns the digest of the messages that f records.
 func sumOf(f func(d *Digest)) string {
 	d := NewDigest()
 	f(d)
 	return d.Sum()
 }
 
-// fill sets every field that can be reached from v, with one element in each list.
+// fill sets every field reachable from v to a value other than zero, with one element in each slice.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -39,7 +39,7 @@
 	}
 }
 
-// alter gives a plain value another one.
+// alter changes a value of a basic type.
 func alter(v reflect.Value) {
 	switch {
 	case v.Kind() == reflect.String:
@@ -53,12 +53,12 @@
 	case v.CanFloat():
 		v.SetFloat(v.Float() + 1)
 	default:
-		panic("no other value of " + v.Type().String())
+		panic("simulator: cannot change a value of type " + v.Type().String())
 	}
 }
 
-// alterEach alters one plain value after the other that can be reached from v, and the length of
-// each list, calls f each time, and takes the change back.
+// alterEach changes each basic value reachable from v, and the length of each slice, one at a time. It calls f after each
+// change and then reverts it.
 func alterEach(v reflect.Value, path string, f func(path string)) {
 	before := reflect.New(v.Type()).Elem()
 	before.Set(v)
@@ -69,7 +69,7 @@
 		}
 	case reflect.Slice:
 		v.Set(reflect.Append(v.Slice(0, 1), v.Index(0)))
-		f(path + " with an element more")
+		f(path + " with one more element")
 		v.Set(before)
 		alterEach(v.Index(0), path+"[0]", f)
 	case reflect.Pointer:
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkFields checks that each field of a message changes its digest.
+// checkFields checks that a change of any field of a message changes its digest.
 func checkFields[T any](t *testing.T, message T, record func(*Digest, T)) {
 	t.Helper()
 	v := reflect.ValueOf(&message).Elem()
@@ -89,28 +89,28 @@
 	sum := func() string { return sumOf(func(d *Digest) { record(d, message) }) }
 	before, changed := sum(), 0
 	if before != sum() {
-		t.Error("one message has two digests")
+		t.Errorf("%T: recording the same message twice gave two digests", message)
 	}
 	alterEach(v, "", func(path string) {
 		changed++
 		if sum() == before {
-			t.Errorf("%T: %s does not count", message, path)
+			t.Errorf("%T: a change of %s does not change the digest", message, path)
 		}
 	})
 	if before != sum() || changed < v.NumField() {
-		t.Errorf("%T: %d changes were tried, not all taken back", message, changed)
+		t.Errorf("%T: a change was not reverted, or got %d changes, want at least one for each field", message, changed)
 	}
 }
 
-// sentReply is the part of an answer that is sent.
+// sentReply has the fields of a controller.Response that are sent to the client.
 type sentReply struct {
 	Status, Retry int
 	Body          []byte
 }
 
-// TestEveryFieldCounts: whichever field of a request, a command, a frame or an answer is another,
-// the digest is another.
-func TestEveryFieldCounts(t *testing.T) {
+// TestEveryFieldChangesDigest guards against fields left out of the digest, which would hide differences between two runs:
+// any changed field of a request, a command, a frame or an answer changes the digest.
+func TestEveryFieldChangesDigest(t *testing.T) {
 	t.Parallel()
 	at := timeAt(1)
 	checkFields(t, kvstore.Request{}, func(d *Digest, r kvstore.Request) { d.storeRequest(at, "agent-0", r) })
@@ -127,19 +127,19 @@
 			return sumOf(func(d *Digest) { d.frame(at, "agent-0", "agent-1", f.Append(nil)) })
 		}
 		if sum(one) == sum(other) {
-			t.Errorf("frames of kind %d count alike", kind)
+			t.Errorf("two different frames of type %d have the same digest", kind)
 		}
 	}
 }
 
-// TestEveryOperationHasALabel: no two operations count alike.
+// TestEveryOperationHasALabel: records of different operations have different digests.
 func TestEveryOperationHasALabel(t *testing.T) {
 	t.Parallel()
 	seen := map[string]string{}
 	check := func(what string, f func(d *Digest)) {
 		sum := sumOf(f)
 		if seen[sum] != "" {
-			t.Errorf("%s counts as %s", what, seen[sum])
+			t.Errorf("records of %q and %q have the same digest", what, seen[sum])
 		}
 		seen[sum] = what
 	}
@@ -157,9 +157,9 @@
 	check("frame", func(d *Digest) { d.frame(0, "a", "b", nil) })
 }
 
-// TestTimeOrderAndPartiesCount: the same messages at another time, from or to another party, or in
-// another order give another digest.
-func TestTimeOrderAndPartiesCount(t *testing.T) {
+// TestTimeOrderAndPartiesChangeDigest: the same messages at another time, from or to another party, or in another order have
+// another digest.
+func TestTimeOrderAndPartiesChangeDigest(t *testing.T) {
 	t.Parallel()
 	frame := func(at ident.MonotonicTime, from, to, text string) func(d *Digest) {
 		return func(d *Digest) { d.frame(at, from, to, []byte(text)) }
@@ -172,16 +172,16 @@
 		func(d *Digest) {
 			d.command(1, "a", workers.CommandCall{Addr: "b", Body: api.CommandRequest{Commands: []api.Command{}}})
 		},
-		func(d *Digest) { d.command(1, "a", workers.CommandCall{Addr: "b"}) }, // null on the wire
+		func(d *Digest) { d.command(1, "a", workers.CommandCall{Addr: "b"}) }, // encoded as null
 	} {
 		sums[sumOf(f)] = true
 	}
 	if len(sums) != 11 {
-		t.Errorf("%d digests of 11", len(sums))
+		t.Errorf("got %d different digests, want 11", len(sums))
 	}
 }
 
-// TestRecordingChangesNothing: a run is the same whether it is recorded or not.
+// TestRecordingChangesNothing: a run has the same log whether its messages are recorded in a digest or not.
 func TestRecordingChangesNothing(t *testing.T) {
 	t.Parallel()
 	cfg := Config{
@@ -198,11 +198,11 @@
 	recorded := New(cfg)
 	recorded.Run()
 	if plain.LogTail(len(plain.Log)) != recorded.LogTail(len(recorded.Log)) {
-		t.Error("a recorded run differs")
+		t.Error("a recorded run has a different log from the same run without recording")
 	}
 	for _, kind := range []string{storeRecord, cloudRecord, commandRecord, frameRecord, answerRecord} {
 		if cfg.Digest.counts[kind] == 0 {
-			t.Errorf("no record of kind %s: %v", kind, cfg.Digest.counts)
+			t.Errorf("got no record of kind %s, want at least one; counts: %v", kind, cfg.Digest.counts)
 		}
 	}
 }
--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -1,6 +1,6 @@
 package simulator
 
-// The events that only scenarios of tests count.
+// The events that are counted only by tests.
 const (
 	allNodesDownEvent            eventName = "all nodes down"
 	cancellationConfirmedEvent   eventName = "cancellation confirmed by the next leader"
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -7,18 +7,18 @@
 	"opaldale/internal/api"
 )
 
-// failingJobs is a kind of jobs that fail on every machine.
+// failingJobs is a group of jobs whose tasks fail on every machine.
 type failingJobs struct {
 	name   string
 	jobs   int
 	change func(s *api.Spec)
-	// maxFailures bounds the attempts of all their tasks in a minute and a half.
+	// maxFailures bounds the failed attempts of all their tasks together in 90 s.
 	maxFailures int
 }
 
-// TestAlwaysFailingJobsOfEveryShape: jobs that fail on every machine come as a vast array, as services, as gangs and many
-// at once, while the leader crashes. Their attempts stay few, no sound machine is replaced for them, other jobs start
-// without delay, and they end once cancelled.
+// TestAlwaysFailingJobsOfEveryShape guards against retry storms by jobs that fail on every machine: one large array, services,
+// gangs, or many jobs at once, with a leader crash. The number of attempts stays bounded, no healthy machine is replaced for
+// them, other jobs start without delay, and the failing jobs end once they are cancelled.
 func TestAlwaysFailingJobsOfEveryShape(t *testing.T) {
 	t.Parallel()
 	for _, m := range []failingJobs{
@@ -38,7 +38,7 @@
 	}
 }
 
-// check runs the jobs beside sound ones.
+// check runs the failing jobs together with jobs that succeed.
 func (m failingJobs) check(t *testing.T, seed uint64) {
 	t.Helper()
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
@@ -69,26 +69,26 @@
 	m.checkFailing(t, sim, failing)
 	for _, j := range sound {
 		if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 25*time.Second {
-			t.Errorf("seed %d: %s beside them started after %v", seed, j.spec.ID, wait)
+			t.Errorf("seed %d: %s, which does not fail, started after %v, want at most 25 s", seed, j.spec.ID, wait)
 		}
 	}
 	if n := len(sim.cloud.machines); n > 16 {
-		t.Errorf("seed %d: %d machines were provisioned where 12 are enough", seed, n)
+		t.Errorf("seed %d: got %d provisioned machines, want at most 16 (12 are enough)", seed, n)
 	}
 }
 
-// checkFailing checks that the failing jobs ended as cancelled after a number of attempts within the bounds.
+// checkFailing checks that the failing jobs ended as cancelled and that the number of attempts is within the bounds.
 func (m failingJobs) checkFailing(t *testing.T, sim *Simulation, failing []*userJob) {
 	t.Helper()
 	attempts := 0
 	for _, j := range failing {
 		attempts += j.failures
 		if j.lastStatus != api.StatusCancelled {
-			t.Errorf("seed %d: %s ended as %q", sim.cfg.Seed, j.spec.ID, j.lastStatus)
+			t.Errorf("seed %d: %s has status %q, want cancelled", sim.cfg.Seed, j.spec.ID, j.lastStatus)
 		}
 	}
 	if attempts < 4 || attempts > m.maxFailures {
-		t.Errorf("seed %d: %d attempts in 90 s", sim.cfg.Seed, attempts)
+		t.Errorf("seed %d: got %d failed attempts in 90 s, want 4 to %d", sim.cfg.Seed, attempts, m.maxFailures)
 	}
-	t.Logf("seed %d: %d attempts, %d machines", sim.cfg.Seed, attempts, len(sim.cloud.machines))
+	t.Logf("seed %d: %d failed attempts, %d machines", sim.cfg.Seed, attempts, len(sim.cloud.machines))
 }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -9,7 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// TestGangsUnderFaults runs many gangs during faults: their tasks run together or not at all, and every gang ends.
+// TestGangsUnderFaults guards against gangs of which only some tasks run: during random faults the tasks of a gang run
+// together or none of them does, and every gang ends.
 func TestGangsUnderFaults(t *testing.T) {
 	t.Parallel()
 	runs := 0
@@ -20,23 +21,24 @@
 		runs += sim.GangRuns
 	}
 	if runs < 100 {
-		t.Errorf("only %d gangs ran", runs)
+		t.Errorf("got %d gang runs over all seeds, want at least 100", runs)
 	}
 }
 
-// TestGangsWithoutFaults: without faults gangs run, and nothing is violated.
+// TestGangsWithoutFaults: without faults gangs run, and no invariant is violated.
 func TestGangsWithoutFaults(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 3, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	sim.Run()
 	requireClean(t, sim)
 	if sim.GangRuns < 5 {
-		t.Errorf("%d gangs ran", sim.GangRuns)
+		t.Errorf("got %d gang runs, want at least 5", sim.GangRuns)
 	}
 }
 
-// TestRollingUpgradeUnderFaults upgrades a cluster during faults: nodes of both versions read each other's data, the
-// format level is not raised before all are new, and afterwards nothing exceeds the announced limits.
+// TestRollingUpgradeUnderFaults upgrades a cluster node by node during faults. It guards against data that the version in
+// production cannot read: nodes of both versions read each other's data, and the format level is raised only once all nodes
+// run the new version. After that, nothing exceeds the announced limits of the store.
 func TestRollingUpgradeUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(30) {
@@ -51,15 +53,16 @@
 		requireClean(t, sim)
 		if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 			level != ident.NewestFormatLevel {
-			t.Errorf("seed %d: the format level is %d at the end, %v", seed, level, err)
+			t.Errorf("seed %d: got format level %d at the end (error %v), want the newest", seed, level, err)
 		}
 		if sim.GangRuns == 0 {
-			t.Errorf("seed %d: no gang ran", seed)
+			t.Errorf("seed %d: got no gang run, want at least 1", seed)
 		}
 	}
 }
 
-// TestGangMutationsAreDetected shows that the checks of gangs and of a rolling upgrade can fail.
+// TestGangMutationsAreDetected shows that the checks of gangs and of a rolling upgrade can fail: with a safeguard disabled,
+// some seed violates an invariant.
 func TestGangMutationsAreDetected(t *testing.T) {
 	t.Parallel()
 	for name, m := range map[string]Mutation{"new attempt while an old task runs": HideWaitingGangTasks,
@@ -82,13 +85,13 @@
 					return
 				}
 			}
-			t.Fatal("no seed detects it")
+			t.Fatalf("no seed of 40 detects mutation %d", m)
 		})
 	}
 }
 
-// runWithReclaimNotices runs a simulation without faults in which spot machines with running gangs are reclaimed after
-// a notice.
+// runWithReclaimNotices runs a simulation without random faults in which spot machines with running gangs are reclaimed
+// after a notice.
 func runWithReclaimNotices(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, MoreGangs: true, ActiveDuration: 250 * time.Second})
 	for at := 40 * time.Second; at < 240*time.Second; at += 3 * time.Second {
@@ -111,8 +114,8 @@
 	return sim
 }
 
-// TestGangsCheckpointOnReclaimNotice: a gang on a machine that will be reclaimed checkpoints as a whole and continues
-// elsewhere. The checks detect that only a part of it is told to stop.
+// TestGangsCheckpointOnReclaimNotice guards against the loss of a gang's progress when one of its machines is reclaimed: the
+// whole gang checkpoints, stops and continues on other machines. If only some of its tasks are stopped, a check detects it.
 func TestGangsCheckpointOnReclaimNotice(t *testing.T) {
 	t.Parallel()
 	stops := 0
@@ -122,7 +125,7 @@
 		stops += sim.GangStops
 	}
 	if stops < 3 {
-		t.Errorf("%d gangs were stopped to checkpoint", stops)
+		t.Errorf("got %d gangs stopped to checkpoint, want at least 3", stops)
 	} else {
 		t.Logf("%d gangs were stopped to checkpoint", stops)
 	}
@@ -132,5 +135,5 @@
 			return
 		}
 	}
-	t.Error("no seed detects that only a part of a gang is stopped")
+	t.Error("no seed of 20 detects that only a part of a gang is stopped")
 }
--- a/internal/simulator/health_check_test.go
+++ b/internal/simulator/health_check_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestNodesStayHealthyDuringElection: during the election after a leader crash no node reports to the load balancer
-// that it cannot take requests, as all would do so at once.
+// TestNodesStayHealthyDuringElection guards against a load balancer with no healthy backend during an election: after a leader
+// crash, no running node reports itself as unhealthy, as otherwise all would do so at once.
 func TestNodesStayHealthyDuringElection(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -23,7 +23,8 @@
 		}
 		sim.Run()
 		if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[nodeUnhealthyEvent] > 0 {
-			t.Errorf("seed %d: %v %v %v", seed, sim.Violations, sim.Unfinished, sim.eventCounts)
+			t.Errorf("seed %d: violations %v, unfinished %v, events %v; want none, none and no unhealthy node", seed, sim.Violations,
+				sim.Unfinished, sim.eventCounts)
 		}
 	}
 }
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -8,8 +8,8 @@
 	"opaldale/internal/settings"
 )
 
-// TestHotTeamIsDetected: a team that floods the cluster is overloaded while it does, no other is, and it ceases to be.
-// Invariants hold through a leader change meanwhile.
+// TestHotTeamIsDetected: the leader reports a team that floods the cluster as overloaded during the flood, and no longer some
+// time after it. The invariants hold, with a leader crash during the flood.
 func TestHotTeamIsDetected(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -43,7 +43,8 @@
 		sim.Run()
 		requireClean(t, sim)
 		if sim.eventCounts[floodingTeamHotEvent] < 20 || sim.eventCounts[teamStillHotEvent] > 0 {
-			t.Errorf("seed %d: %v", seed, sim.eventCounts)
+			t.Errorf("seed %d: got events %v, want at least 20 of %q and none of %q", seed, sim.eventCounts, floodingTeamHotEvent,
+				teamStillHotEvent)
 		}
 	}
 }
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -11,11 +11,11 @@
 	"opaldale/internal/settings"
 )
 
-// largeFleet is more machines than the users run.
+// largeFleet is a number of machines larger than that of any cluster in use.
 const largeFleet = 4500
 
-// TestLargeFleet: with 4,500 machines every invariant holds through a leader change, an outage of the store and the
-// partition of a zone, and all work ends.
+// TestLargeFleet guards against failures that occur only at scale: with 4,500 machines every invariant holds during a leader
+// crash, an outage of the store and the partition of a zone, and all work ends.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{
@@ -54,20 +54,20 @@
 	sim.Run()
 	requireClean(t, sim)
 	if most < 4000 {
-		t.Errorf("the fleet has only %d machines", most)
+		t.Errorf("got %d machines before the faults, want at least 4,000", most)
 	}
 	if sim.eventCounts[newTermEvent] == 0 {
-		t.Error("no leader followed the one that was killed")
+		t.Error("no new leader 10 s after the leader crash")
 	}
 }
 
-// TestLargeFleetMoves: on 4,500 machines, all in use, wide tasks fit only after moves among a few of them, and the
-// leader crashes as the first moves begin.
+// TestLargeFleetMoves: 4,500 machines are in use, and tasks of 4 CPUs fit only after running tasks are moved between a hundred
+// of them. Moves take place although the leader crashes as the first one begins.
 func TestLargeFleetMoves(t *testing.T) {
 	t.Parallel()
 	const (
-		fragmented = 100 // machines with capacity for half of a wide task
-		full       = 88  // jobs of 50 tasks that fill a machine each
+		fragmented = 100 // machines that get free capacity for half of a wide task each
+		full       = 88  // jobs of 50 tasks, each of which fills a machine
 	)
 	var teams []settings.Team
 	for _, name := range []string{"red", "blue", "grey"} {
@@ -107,6 +107,7 @@
 	requireClean(t, sim)
 	checkStopCounts(t, sim)
 	if sim.Moves == 0 || sim.eventCounts[largeFleetUpEvent] == 0 || sim.eventCounts[newTermEvent] == 0 {
-		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
+		t.Errorf("got %d moves and events %v, want moves and each of %q and %q", sim.Moves, sim.eventCounts,
+			largeFleetUpEvent, newTermEvent)
 	}
 }
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -7,21 +7,23 @@
 	"opaldale/internal/ident"
 )
 
-// linkScenario is a scenario with broken links, and bounds for what it must lead to.
+// linkScenario is a scenario with broken links, and bounds for the events that it must cause.
 type linkScenario struct {
 	name           string
-	nodes          int // 0: three
+	nodes          int // number of nodes; 0: three
 	rollingUpgrade bool
 	inject         func(sim *Simulation)
 	minEvents      map[eventName]int // lower bounds
 	maxEvents      map[eventName]int // upper bounds
-	seeds          uint64            // 0: three
-	length         time.Duration     // 0: 200 s
+	seeds          uint64            // number of seeds; 0: three
+	length         time.Duration     // active part of the run; 0: 200 s
 }
 
-// staleRowsScenario delivers link states late, when the followers were still better placed than the leader.
+// staleRowsScenario delivers link states late. They show followers with better links than the leader, which no longer holds:
+// a leader that accepted them would hand over to a node without access to the store.
 const staleRowsScenario = "link states delivered late"
 
+// linkScenarios are the scenarios that TestUnidirectionalPartitions runs.
 var linkScenarios = []linkScenario{
 	{
 		name: "replies of the cloud are lost",
@@ -268,7 +270,7 @@
 	},
 }
 
-// withLeaderAt calls f at a time with the leader, and counts an event if there is none.
+// withLeaderAt calls f with the leader at a time in seconds, and counts an event if there is no leader.
 func (sim *Simulation) withLeaderAt(s float64, f func(l *node)) {
 	sim.scheduleAt(s, func() {
 		if l := sim.leader(); l != nil {
@@ -279,7 +281,7 @@
 	})
 }
 
-// recordLeaderAfter counts an event, d from now, for whether l leads, another node does, or none.
+// recordLeaderAfter counts one of three events d from now: l leads, another node leads, or no node leads.
 func (sim *Simulation) recordLeaderAfter(l *node, d time.Duration) {
 	sim.schedule(d, func() {
 		switch n := sim.leader(); {
@@ -293,15 +295,15 @@
 	})
 }
 
-// submitContinuously submits and cancels work throughout.
+// submitContinuously submits and cancels jobs during the active part of a run.
 func (sim *Simulation) submitContinuously() {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, 150, 1.5, 20*time.Second)
 }
 
-// countFencedWithin counts the machines that nodes fence within d.
+// countFencedWithin counts the machines that nodes fence in the next d.
 func (sim *Simulation) countFencedWithin(d time.Duration) {
-	var counts [8]uint64 // by node, in its present term
+	var counts [8]uint64 // machines fenced by each node in its current term
 	until := sim.now.Add(d)
 	for i, n := range sim.nodes {
 		counts[i] = n.controller.Stats().MachinesFenced
@@ -319,7 +321,7 @@
 	})
 }
 
-// nodeOtherThan returns a node that is none of the given ones.
+// nodeOtherThan returns the first node that is not in excluded, nil if there is none.
 func (sim *Simulation) nodeOtherThan(not ...*node) *node {
 	for _, n := range sim.nodes {
 		found := false
@@ -333,6 +335,7 @@
 	return nil
 }
 
+// run runs the scenario with a seed and a mutation.
 func (c linkScenario) run(seed uint64, m Mutation) *Simulation {
 	if c.length == 0 {
 		c.length = 200 * time.Second
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -10,8 +10,8 @@
 	"opaldale/internal/transport"
 )
 
-// TestInvariantsHoldWithLinkMonitoring runs random faults, links broken in one direction among them, with nodes that
-// monitor their links: every invariant holds and all work ends.
+// TestInvariantsHoldWithLinkMonitoring runs random faults, including links broken in one direction, with nodes that monitor
+// their links: every invariant holds and all work ends.
 func TestInvariantsHoldWithLinkMonitoring(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
@@ -25,19 +25,21 @@
 		sim.Run()
 		requireClean(t, sim)
 		if sim.TaskStarts < 20 || sim.blockedOneWay == 0 {
-			t.Errorf("seed %d: only %d tasks started, %d messages lost in one direction", seed, sim.TaskStarts, sim.blockedOneWay)
+			t.Errorf("seed %d: got %d task starts and %d messages lost in one direction, want at least 20 and 1", seed,
+				sim.TaskStarts, sim.blockedOneWay)
 		}
 	}
 }
 
-// faultAt is when the links of the scenarios break, in seconds, and faultDuration for how long.
 const (
-	faultAt       = 60
+	// faultAt is the time at which the links of the scenarios break, in seconds.
+	faultAt = 60
+	// faultDuration is how long the links stay broken.
 	faultDuration = 60 * time.Second
 )
 
-// TestUnidirectionalPartitions runs the scenarios: every invariant holds, all work ends, and leadership changes or
-// stays as it should.
+// TestUnidirectionalPartitions guards against a leader that keeps its lease although one direction of a link that it needs is
+// broken. In each scenario every invariant holds, all work ends, and leadership changes or stays as expected.
 func TestUnidirectionalPartitions(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
@@ -49,12 +51,13 @@
 				requireClean(t, sim)
 				for what, n := range c.minEvents {
 					if sim.eventCounts[what] < n {
-						t.Errorf("seed %d: %s: %d times, want %d: %v", seed, what, sim.eventCounts[what], n, sim.eventCounts)
+						t.Errorf("seed %d: event %q: got %d, want at least %d; all events: %v", seed, what, sim.eventCounts[what], n,
+							sim.eventCounts)
 					}
 				}
 				for what, n := range c.maxEvents {
 					if sim.eventCounts[what] > n {
-						t.Errorf("seed %d: %s: %d times, at the most %d", seed, what, sim.eventCounts[what], n)
+						t.Errorf("seed %d: event %q: got %d, want at most %d", seed, what, sim.eventCounts[what], n)
 					}
 				}
 			}
@@ -62,8 +65,8 @@
 	}
 }
 
-// leaderChangesWhileFlapping runs a simulation in which a link of the leader flaps for two minutes, and returns the
-// number of leader changes in that time.
+// leaderChangesWhileFlapping runs a simulation in which a link of the leader flaps for two minutes, and returns the number of
+// leader changes from then on.
 func leaderChangesWhileFlapping(t *testing.T, link int, seed uint64) int {
 	t.Helper()
 	sim := New(Config{Seed: seed, LinkMonitoring: true, ActiveDuration: 200 * time.Second})
@@ -78,13 +81,13 @@
 	sim.Run()
 	requireClean(t, sim)
 	if sim.blockedOneWay == 0 {
-		t.Error("the link did not flap")
+		t.Errorf("seed %d: got no message lost in one direction, want some while link %d flaps", seed, link)
 	}
 	return sim.eventCounts[leaderChangeEvent]
 }
 
-// TestFlappingLinkBoundsLeaderChanges: one link of the leader flaps, in either direction, with any period. Leadership
-// moves away from it at most, and not back and forth.
+// TestFlappingLinkBoundsLeaderChanges guards against leadership oscillating between nodes: one link of the leader flaps in one
+// direction, with periods of 1 to 5 s, and there are at most two leader changes.
 func TestFlappingLinkBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
 	for link := range 10 {
@@ -92,28 +95,29 @@
 			t.Parallel()
 			for seed := range uint64(5) {
 				if n := leaderChangesWhileFlapping(t, link, seed); n > 2 {
-					t.Errorf("seed %d: the leader changed %d times in two minutes", seed, n)
+					t.Errorf("seed %d: got %d leader changes in two minutes, want at most 2", seed, n)
 				}
 			}
 		})
 	}
 }
 
-// TestFlappingPeerLinkKeepsLeader: the link to one peer flaps for ten minutes, while machines of small zones come and
-// go. Leadership stays, and submissions at that peer are relayed by the third node. Machines that are terminated must
-// not count against the link to their zone.
+// TestFlappingPeerLinkKeepsLeader: the link from the leader to one peer flaps for ten minutes, while machines of small zones are
+// created and terminated. The leader must not change, and submissions to that peer are relayed by the third node. It guards
+// against terminated machines being counted as failures of the link to their zone.
 func TestFlappingPeerLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		o := StudyLink(seed, true, DirectedLink{From: Leader, To: Peer}, 10*time.Minute, 4*time.Second)
 		if o.LeaderChanges > 0 || o.LateSubmissions > o.Submissions/50 || o.Violations+o.Unfinished > 0 {
-			t.Errorf("seed %d: %+v", seed, o)
+			t.Errorf("seed %d: got %+v, want no leader change, violation or unfinished work, and at most 2%% late submissions",
+				seed, o)
 		}
 	}
 }
 
-// leaderChangesUnderAlternatingFaults breaks the links of each leader to the machines in turn, and returns the number
-// of leader changes in two minutes, -1 if an invariant is violated.
+// leaderChangesUnderAlternatingFaults breaks the link from the current leader to the machines every 8 s for two minutes. It
+// returns the number of leader changes from then on, -1 if an invariant is violated.
 func leaderChangesUnderAlternatingFaults(seed uint64, m Mutation) int {
 	sim := New(Config{Seed: seed, Mutation: m, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 200 * time.Second})
 	sim.submitContinuously()
@@ -128,26 +132,27 @@
 	return sim.eventCounts[leaderChangeEvent]
 }
 
-// TestHandoverHoldBoundsLeaderChanges: whichever node leads is soon worse placed than another. Leadership changes no
-// more often than the hold between handovers allows, and without the hold the test detects it.
+// TestHandoverHoldBoundsLeaderChanges guards against repeated handovers: whichever node leads soon has worse links than another.
+// The leader changes only as often as the minimum time between handovers allows. Without that minimum, some seed exceeds the
+// bound.
 func TestHandoverHoldBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
-	const most = 6 // 15, 15, 30 and 60 s, and what the first hold had already passed
+	const most = 6 // holds of 15, 15, 30 and 60 s, the first of which is partly over at the start
 	detected := false
 	for seed := range uint64(3) {
 		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > most {
-			t.Errorf("seed %d: the leader changed %d times in two minutes", seed, n)
+			t.Errorf("seed %d: got %d leader changes in two minutes (-1: violated invariant), want 1 to %d", seed, n, most)
 		}
 		detected = detected || leaderChangesUnderAlternatingFaults(seed, UnboundedHandovers) > most
 	}
 	if !detected {
-		t.Error("no seed detects unbounded handovers")
+		t.Error("no seed of 3 detects unbounded handovers")
 	}
 }
 
-// TestFlappingLeaderIsReplaced: a leader that receives replies of the store for only a part of every few seconds is
-// replaced, though its lease does not expire. Without damping of flaps its link looks good between two breaks, and it
-// stays.
+// TestFlappingLeaderIsReplaced guards against a leader with a flapping store link staying leader. Replies of the store reach it
+// for only 1.6 of every 4 s, so that its lease does not expire, and it must still be replaced. Without flap damping, its link
+// counts as up between two breaks and it stays leader.
 func TestFlappingLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	detected := false
@@ -162,18 +167,18 @@
 			sim.Run()
 			requireClean(t, sim)
 			if m == None && sim.eventCounts[leaderReplacedEvent] == 0 {
-				t.Errorf("seed %d: the leader is not replaced: %v", seed, sim.eventCounts)
+				t.Errorf("seed %d: no other node leads 40 s after the store link began to flap; events: %v", seed, sim.eventCounts)
 			}
 			detected = detected || m == NoFlapDamping && sim.eventCounts[leaderReplacedEvent] == 0
 		}
 	}
 	if !detected {
-		t.Error("no seed detects that flaps are not damped")
+		t.Error("no seed of 3 detects missing flap damping")
 	}
 }
 
-// TestStaleRowsMutationIsDetected: if late duplicates of link states were taken for new ones, a leader would hand over
-// to a node that cannot write.
+// TestStaleRowsMutationIsDetected shows that the check of late link states can fail: if late duplicates are accepted as new, a
+// leader hands over to a node that cannot write to the store.
 func TestStaleRowsMutationIsDetected(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
@@ -186,11 +191,12 @@
 			}
 		}
 	}
-	t.Error("no seed detects it")
+	t.Error("no seed of 3 detects that late link states are accepted as new")
 }
 
-// TestPartitionAtEachCommitStep breaks one direction of the leader's link to the store around a transaction with a
-// submission: whatever its outcome, the job ends once.
+// TestPartitionAtEachCommitStep guards against a job being lost or run twice when the leader does not learn whether a
+// transaction was committed. It breaks one direction of the leader's link to the store at 12 points in time, 0.5 ms apart,
+// after a submission; the job ends whether the transaction is committed or not.
 func TestPartitionAtEachCommitStep(t *testing.T) {
 	t.Parallel()
 	for step := range 12 {
@@ -211,15 +217,15 @@
 			})
 			sim.Run()
 			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[linkBrokenInCommitEvent] == 0 {
-				t.Errorf("step %d, outbound %v: %v %v %v\n%s", step, way, sim.Violations, sim.Unfinished, sim.eventCounts,
-					sim.LogTail(30))
+				t.Errorf("step %d, outbound %v: violations %v, unfinished %v, events %v\n%s", step, way, sim.Violations,
+					sim.Unfinished, sim.eventCounts, sim.LogTail(30))
 			}
 		}
 	}
 }
 
-// TestForgedRowsViolateNothing: a peer that forges its link states may become leader, but no invariant is violated by
-// it.
+// TestForgedRowsViolateNothing: nodes receive forged link states in which the sender has the best links of all nodes. This may
+// make the sender leader, but no invariant is violated and all work ends.
 func TestForgedRowsViolateNothing(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 2, LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
@@ -237,11 +243,12 @@
 	})
 	sim.Run()
 	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[rowsForgedEvent] < 40 {
-		t.Errorf("%v %v, %d forged rows\n%s", sim.Violations, sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
+		t.Errorf("violations %v, unfinished %v, %d forged messages, want none, none and at least 40\n%s", sim.Violations,
+			sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
 	}
 }
 
-// sendForgedRows sends link states to a node by which the sender is the best placed of all nodes.
+// sendForgedRows sends a node link states in which all links of the sender are up and those of all other nodes down.
 func (sim *Simulation) sendForgedRows(from, to *node) {
 	sim.countEvent(rowsForgedEvent)
 	f := &transport.Frame{
--- a/internal/simulator/main_test.go
+++ b/internal/simulator/main_test.go
@@ -1,3 +1,3 @@
 package simulator
 
-import _ "opaldale/internal/kvstoretest"
+import _ "opaldale/internal/kvstoretest" // discards the log
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -12,19 +12,19 @@
 	"opaldale/internal/migration"
 )
 
-// checkStopCounts checks, by the workers' own record, that the tasks of no job were stopped more often than they may be
-// moved.
+// checkStopCounts checks that workers stopped the tasks of no job more often than these may be moved. It uses the record of the
+// simulated workers, not that of the controllers.
 func checkStopCounts(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, id := range sim.jobOrder {
 		if n := sim.jobs[id].stopCount(); n > maxMovesPerJob {
-			t.Errorf("seed %d: tasks of %s were stopped %d times", sim.cfg.Seed, id, n)
+			t.Errorf("seed %d: tasks of %s were stopped %d times, want at most %d", sim.cfg.Seed, id, n, maxMovesPerJob)
 		}
 	}
 }
 
-// TestMovesFreeCapacity: wide tasks that fit on no machine are placed after moves, no job is moved more than twice, and
-// all work ends.
+// TestMovesFreeCapacity: tasks of 4 CPUs that fit on no machine are placed after running tasks are moved away. No job is moved
+// more than twice, and all work ends.
 func TestMovesFreeCapacity(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -35,7 +35,7 @@
 		requireClean(t, sim)
 		checkStopCounts(t, sim)
 		if sim.Moves == 0 || sim.eventCounts[moveEndEvent(migration.Arrived.String())] == 0 {
-			t.Errorf("seed %d: %d moves, %v", seed, sim.Moves, sim.eventCounts)
+			t.Errorf("seed %d: got %d moves and events %v, want moves that arrive", seed, sim.Moves, sim.eventCounts)
 		}
 	}
 }
@@ -44,14 +44,14 @@
 type moveFault struct {
 	name           string
 	links          bool // the nodes monitor their links
-	legacyNodes    int  // nodes of the version in production
+	legacyNodes    int  // number of nodes that run the version in production
 	inject         func(sim *Simulation, l *node, m controller.MoveEntry)
 	expectedEvents []eventName // at least once each
-	// stopsOtherTasks says that tasks are stopped for other reasons as well.
+	// stopsOtherTasks means that the fault also stops tasks that are not moved, so that their stops do not count moves.
 	stopsOtherTasks bool
 }
 
-// moveEndpoints returns the workers of a move; one that is gone is replaced by any other.
+// moveEndpoints returns the source and destination workers of a move, or any worker in place of one that no longer exists.
 func (sim *Simulation) moveEndpoints(m controller.MoveEntry) (from, to *worker) {
 	from, to = sim.workerByID(m.From), sim.workerByID(m.To)
 	if from == nil {
@@ -69,15 +69,15 @@
 	return sim.jobs[ident.JobID(id)]
 }
 
-// expectNewLeader counts an event when another node than l leads.
+// expectNewLeader counts an event once a node other than l leads.
 func (sim *Simulation) expectNewLeader(l *node) { sim.onNextLeader(l, func(*node) {}) }
 
-// expectNewTerm counts an event when a newer term has begun.
+// expectNewTerm counts an event once a term after that of l has begun.
 func (sim *Simulation) expectNewTerm(l *node) {
 	sim.afterTerm(l.controller.Election().Term(), func() { sim.countEvent(newTermEvent) })
 }
 
-// reclaimMachine has the cloud reclaim a machine, after a notice unless that is 0.
+// reclaimMachine has the cloud reclaim a machine: at once if notice is 0, otherwise that long after a reclaim notice.
 func (sim *Simulation) reclaimMachine(w *worker, notice time.Duration) {
 	if notice > 0 {
 		w.announceReclaim(notice)
@@ -88,8 +88,10 @@
 	})
 }
 
-const longerThanLease = 26 * time.Second // longer than a worker's lease
+// longerThanLease is longer than the lease of a worker, which is 20 s.
+const longerThanLease = 26 * time.Second
 
+// moveFaults are the faults that TestMovesWithFaultInEachState injects in each state of a move.
 var moveFaults = []moveFault{
 	{
 		name:           "leader and another node crash",
@@ -295,8 +297,8 @@
 	},
 }
 
-// cancelThenOutage has the store reject the leader alone, the moved job cancelled at the next leader, and then the
-// store down for longer than a cancellation may take.
+// cancelThenOutage has the store reject only the leader, cancels the moved job at the next leader, and then stops the store for
+// longer than a cancellation may take.
 func cancelThenOutage(sim *Simulation, l *node, m controller.MoveEntry) {
 	sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
 	j := sim.jobOf(m)
@@ -314,8 +316,8 @@
 	})
 }
 
-// delayPlacementAfterStop delays the placement of the next task that is stopped for a move: the store rejects what the
-// leader writes meanwhile.
+// delayPlacementAfterStop delays the placement of the next task that is stopped for a move, by having the store reject the
+// leader's writes for 1.8 s.
 func (sim *Simulation) delayPlacementAfterStop() {
 	sim.onMoveState(migration.Stopping, func(l *node, _ controller.MoveEntry) {
 		sim.store.rejectUntil[l.name] = sim.now.Add(1800 * time.Millisecond)
@@ -324,7 +326,7 @@
 	})
 }
 
-// runMoveFault runs a simulation with a fault during a move in a state.
+// runMoveFault runs a simulation with a fault that is injected as soon as a move is in a state.
 func runMoveFault(f moveFault, state migration.State, seed uint64) *Simulation {
 	cfg := rebalancingConfig(seed)
 	cfg.LinkMonitoring, cfg.LegacyNodes = f.links, f.legacyNodes
@@ -345,7 +347,7 @@
 	return sim
 }
 
-// crashUntilNewVersionLeads crashes legacy leaders until a node of the new version leads.
+// crashUntilNewVersionLeads crashes legacy leaders until a node with the new version leads.
 func (sim *Simulation) crashUntilNewVersionLeads() {
 	l := sim.leader()
 	if l != nil && !l.env.legacy {
@@ -357,9 +359,9 @@
 	sim.schedule(3*time.Second, sim.crashUntilNewVersionLeads)
 }
 
-// TestMovesWithFaultInEachState: in each state of a move controllers crash, are paused, partitioned or hand over,
-// machines hang or go, writes and heartbeats are late, and jobs are cancelled. No task runs twice, none is lost, no job
-// is moved a third time, and all work ends.
+// TestMovesWithFaultInEachState guards against tasks being lost, run twice or moved too often when a fault interrupts a move.
+// In each state of a move, controllers crash, pause, are partitioned or hand over, machines hang or are reclaimed, writes and
+// heartbeats are late, or jobs are cancelled. No invariant is violated, no job is moved a third time, and all work ends.
 func TestMovesWithFaultInEachState(t *testing.T) {
 	t.Parallel()
 	for _, f := range moveFaults {
@@ -374,7 +376,7 @@
 					}
 					for _, what := range append([]eventName{moveStateEvent(state.String())}, f.expectedEvents...) {
 						if sim.eventCounts[what] == 0 {
-							t.Errorf("seed %d: %q did not take place: %v", seed, what, sim.eventCounts)
+							t.Errorf("seed %d: event %q: got 0, want at least 1; all events: %v", seed, what, sim.eventCounts)
 						}
 					}
 				}
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// runWithPauses runs a simulation in which processes pause for up to 12 s in the midst of events, while jobs are
-// submitted and cancelled every second.
+// runWithPauses runs a simulation in which node processes pause for up to 12.5 s while they handle an event, and jobs are
+// submitted and cancelled all the time.
 func runWithPauses(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, NoArrivals: true, ActiveDuration: 150 * time.Second})
 	sim.submitBaseLoad(5)
@@ -23,10 +23,10 @@
 	return sim
 }
 
-// TestProcessPausesWithinEvents: a process that is paused between a decision and its effects acts on nothing old
-// afterwards: no invariant is violated, no answer is older than another node's, and no task is launched by a node that
-// may not lead any more. An answer that is itself delayed does not count as older, as it was asked for before the other
-// one was given.
+// TestProcessPausesWithinEvents guards against a process acting on an outdated decision after a pause, such as a long garbage
+// collection, between the decision and its effects. No invariant is violated, no answer is older than one that another node gave
+// before, and no task is launched by a node whose leadership has ended. A delayed answer to a query that was sent before the
+// other node answered does not count as older. Without send deadlines, some seed launches a task without leadership.
 func TestProcessPausesWithinEvents(t *testing.T) {
 	t.Parallel()
 	leaders := 0
@@ -35,17 +35,17 @@
 		requireClean(t, sim)
 		leaders += sim.eventCounts[leaderPausedEvent]
 		if n := sim.eventCounts[launchWithoutLeadershipEvent]; n > 0 {
-			t.Errorf("seed %d: %d launches were sent without leadership", seed, n)
+			t.Errorf("seed %d: got %d launches sent without leadership, want none", seed, n)
 		}
 	}
 	if leaders < 60 {
-		t.Errorf("leaders were paused %d times within an event", leaders)
+		t.Errorf("got %d pauses of leaders within an event over all seeds, want at least 60", leaders)
 	}
 	launches := 0
 	for seed := uint64(0); seed < 10 && launches == 0; seed++ {
 		launches += runWithPauses(seed, IgnoreSendDeadlines).eventCounts[launchWithoutLeadershipEvent]
 	}
 	if launches == 0 {
-		t.Error("without send deadlines no launch was sent without leadership: the test shows nothing")
+		t.Error("got no launch sent without leadership with send deadlines disabled, want at least one: the check detects nothing")
 	}
 }
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -13,7 +13,7 @@
 	"opaldale/internal/settings"
 )
 
-// runMoveScenario runs a scenario with each seed, checks the runs, and returns the number of recorded moves.
+// runMoveScenario runs a scenario with seeds from 0 on, checks the runs, and returns the number of recorded moves.
 func runMoveScenario(t *testing.T, seeds uint64, inject func(sim *Simulation)) (moves int) {
 	t.Helper()
 	for seed := range seeds {
@@ -27,28 +27,28 @@
 	return moves
 }
 
-// tuneForFrequentMoves has moves made as often as possible.
+// tuneForFrequentMoves removes most of the limits on how often tasks are moved.
 func tuneForFrequentMoves(t *settings.Tuning) {
 	t.PlanInterval = time.Second
 	t.Migration.LeaderSettleTime, t.Migration.MinTaskWait, t.Migration.MinRunTime = time.Second, 500*time.Millisecond, 0
 	t.Migration.Cluster, t.Migration.Zone, t.Migration.Team, t.Migration.MinGainFactor = 20, 20, 20, 1
 }
 
-// TestMovesUnderFaults runs moves during faults of all kinds, several at once, with jobs that arrive and are cancelled:
+// TestMovesUnderFaults runs moves during random faults, with some seeds several at once, while jobs arrive and are cancelled:
 // every invariant holds, no job is moved a third time, and all work ends.
 func TestMovesUnderFaults(t *testing.T) {
 	t.Parallel()
 	moves := 0
 	for seed := range uint64(24) {
 		cfg := rebalancingConfig(seed)
-		cfg.ZoneCapacity = 4 // with fewer, arrays may wait for the capacity that is kept for services
+		cfg.ZoneCapacity = 4 // with less, arrays may wait for the capacity that is reserved for services
 		cfg.Faults, cfg.ConcurrentFaults, cfg.LinkMonitoring, cfg.NoArrivals = true, seed%2 == 1, seed%4 > 1, false
 		if seed%3 > 0 {
 			cfg.Tune = tuneForFrequentMoves
 		}
-		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // long tasks may restart late
+		cfg.ActiveDuration, cfg.QuiescentDuration = 200*time.Second, 450*time.Second // long tasks may restart near the end
 		if cfg.SlowMachines = int(seed % 2); cfg.SlowMachines > 0 {
-			cfg.QuiescentDuration = 20 * time.Minute // or complete on the slow machine
+			cfg.QuiescentDuration = 20 * time.Minute // long tasks may complete on the slow machine
 		}
 		sim := New(cfg)
 		sim.fragmentFleet(4)
@@ -60,19 +60,20 @@
 	}
 	t.Logf("%d moves", moves)
 	if moves < 60 {
-		t.Errorf("only %d moves in all: the test proves little", moves)
+		t.Errorf("got %d moves over all seeds, want at least 60", moves)
 	}
 }
 
 const (
-	// convergenceTime is how long after the start of a flood the load must have evened out: the mean imbalance of the next
-	// half a minute is at most maxImbalance.
+	// convergenceTime is the time from the start of a flood until the load must be balanced.
 	convergenceTime = time.Minute
-	maxImbalance    = 0.45
+	// maxImbalance bounds the mean imbalance in the 30 s after convergenceTime. Imbalance is the coefficient of variation of
+	// the machines' use.
+	maxImbalance = 0.45
 )
 
-// TestLoadConverges: on fifty machines one team floods while the others submit small and large tasks, with the settings
-// of deploy/moves.sexp. Within a minute the load has evened out, though the leader crashes meanwhile, and no job is
+// TestLoadConverges: on fifty machines, one team floods the cluster while the others submit small and large tasks, with the
+// settings of deploy/moves.sexp. Within a minute the load is balanced, although the leader crashes meanwhile, and no job is
 // moved more than twice.
 func TestLoadConverges(t *testing.T) {
 	t.Parallel()
@@ -93,13 +94,13 @@
 		sim.Run()
 		requireClean(t, sim)
 		if mean := sum / float64(n); mean > maxImbalance {
-			t.Errorf("seed %d: imbalance %.2f a minute after the flood began", seed, mean)
+			t.Errorf("seed %d: got imbalance %.2f a minute after the flood began, want at most %.2f", seed, mean, maxImbalance)
 		}
 	}
 }
 
-// TestFloodEndsAsMovesBegin: the flood ends as the first move begins. Tasks that were not stopped yet stay where they
-// are, and nothing moves back.
+// TestFloodEndsAsMovesBegin guards against moves that are no longer needed: the jobs for which tasks would be moved are cancelled
+// as soon as the first move is proposed. Tasks that were not stopped by then stay on their machines, and none is moved back.
 func TestFloodEndsAsMovesBegin(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -126,12 +127,14 @@
 		requireClean(t, sim)
 		checkStopCounts(t, sim)
 		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > recorded {
-			t.Errorf("seed %d: %d moves, %d of them later, %v", seed, sim.Moves, sim.Moves-recorded, sim.eventCounts)
+			t.Errorf("seed %d: got %d moves, %d of them more than 20 s after the load began, events %v; want no late ones and %q", seed,
+				sim.Moves, sim.Moves-recorded, sim.eventCounts, loadCancelledEvent)
 		}
 	}
 }
 
-// TestNoMovesWithoutGain: where no move can gain, nothing is moved.
+// TestNoMovesWithoutGain: no task is moved if no move can have a gain, as no machine has free capacity, a restart would lose
+// too much work, or the waiting job fails anyway.
 func TestNoMovesWithoutGain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -179,15 +182,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			if n := runMoveScenario(t, 2, c.inject); n > 0 {
-				t.Errorf("%d moves", n)
+				t.Errorf("got %d moves, want none", n)
 			}
 		})
 	}
 }
 
-// TestPulsingLoadDoesNotOscillate: wide tasks arrive and end at the interval of the planner, with estimates that are
-// wrong by half in either direction. No job is moved more than twice, and no task returns to a machine that a move took
-// it from.
+// TestPulsingLoadDoesNotOscillate guards against moves back and forth: wide tasks arrive at the interval of the planner, and
+// run time estimates are wrong by up to half in either direction. No job is moved more than twice, and no task returns to a
+// machine that it was moved from.
 func TestPulsingLoadDoesNotOscillate(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 6, func(sim *Simulation) {
@@ -211,19 +214,19 @@
 				}
 				left[m.Task][m.From] = true
 				if m.To != "" && left[m.Task][m.To] {
-					sim.reportViolation("%s goes back to %s", m.Task, m.To)
+					sim.reportViolation("%s is moved back to %s", m.Task, m.To)
 				}
 				return false
 			})
 		})
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test proves nothing")
+		t.Error("got no move over all seeds, want at least one")
 	}
 }
 
-// TestMoveLimitHoldsAcrossTerms: jobs that were moved twice in earlier terms are not moved by the next leader,
-// and those that were moved once are moved once more.
+// TestMoveLimitHoldsAcrossTerms guards against a new leader starting the count of moves anew: jobs that were moved twice in
+// earlier terms are not moved again, and jobs that were moved once may be moved once more.
 func TestMoveLimitHoldsAcrossTerms(t *testing.T) {
 	t.Parallel()
 	for before, moves := range map[int]bool{0: true, 1: true, 2: false} {
@@ -247,13 +250,14 @@
 			requireClean(t, sim)
 			checkStopCounts(t, sim)
 			if moves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
-				t.Errorf("seed %d, %d moves before: %d moves, %v", seed, before, sim.Moves, sim.eventCounts)
+				t.Errorf("seed %d, %d moves before: got %d moves and events %v, want moves: %v, and %q", seed, before, sim.Moves,
+					sim.eventCounts, moves, newTermEvent)
 			}
 		}
 	}
 }
 
-// TestEveryNodeReportsMoves: the leader reports a move under way, and the other nodes report its record.
+// TestEveryNodeReportsMoves: while the leader carries out a move, the two other nodes report its record from the store.
 func TestEveryNodeReportsMoves(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -275,11 +279,11 @@
 	sim.Run()
 	requireClean(t, sim)
 	if sim.eventCounts[moveReportedByPeerEvent] != 2 {
-		t.Errorf("%v", sim.eventCounts)
+		t.Errorf("got events %v, want %q twice", sim.eventCounts, moveReportedByPeerEvent)
 	}
 }
 
-// TestNoMovesSoonAfterElection: a leader moves nothing until it has led for LeaderSettleTime, and does so afterwards.
+// TestNoMovesSoonAfterElection: a leader moves no tasks until it has led for LeaderSettleTime, and moves some after that.
 func TestNoMovesSoonAfterElection(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -295,16 +299,17 @@
 		requireClean(t, sim)
 		moves += sim.Moves
 		if early > 0 || sim.eventCounts[newTermEvent] == 0 {
-			t.Errorf("seed %d: %d moves, %d of them early, %v", seed, sim.Moves, early, sim.eventCounts)
+			t.Errorf("seed %d: got %d moves, %d of them early, and events %v, want no early moves and %q", seed, sim.Moves, early,
+				sim.eventCounts, newTermEvent)
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test proves nothing")
+		t.Error("got no move over all seeds, want at least one")
 	}
 }
 
-// TestReservedCapacityGoesToItsTask: small tasks that would fit into the capacity freed by a move arrive all the time,
-// and the task that it was freed for gets it.
+// TestReservedCapacityGoesToItsTask guards against other tasks taking the capacity that a move frees: small tasks that would fit
+// arrive all the time, and the task for which the capacity was freed still gets it.
 func TestReservedCapacityGoesToItsTask(t *testing.T) {
 	t.Parallel()
 	arrived := 0
@@ -328,17 +333,17 @@
 			}
 			arrived++
 			if *m.RealizedGainS < 0 {
-				t.Errorf("seed %d: %s was moved for %s, which did not get the capacity", seed, m.Task, m.For)
+				t.Errorf("seed %d: %s was moved for %s, which did not get the capacity: realized gain is negative", seed, m.Task, m.For)
 			}
 		}
 	}
 	if arrived == 0 {
-		t.Error("no move arrived: the test proves nothing")
+		t.Error("got no move that arrived over all seeds, want at least one")
 	}
 }
 
-// TestImagesEvictEachOther: machines hold two images and there are four, so that a move fetches an image and evicts
-// another. Nothing moves back and forth for it.
+// TestImagesEvictEachOther: machines cache two of four images, so that a move fetches one image and evicts another. No job is
+// moved more than twice because of that.
 func TestImagesEvictEachOther(t *testing.T) {
 	t.Parallel()
 	moves := runMoveScenario(t, 4, func(sim *Simulation) {
@@ -360,12 +365,12 @@
 		}
 	})
 	if moves == 0 {
-		t.Error("no move at all: the test proves nothing")
+		t.Error("got no move over all seeds, want at least one")
 	}
 }
 
-// TestUnreadableMoveRecord: a record of moves that cannot be decoded keeps its job from being moved, and the leader
-// continues.
+// TestUnreadableMoveRecord guards against a leader failing on a record of moves that it cannot decode: it does not move the job
+// and keeps leading. Once the job has ended, the record is deleted.
 func TestUnreadableMoveRecord(t *testing.T) {
 	t.Parallel()
 	sim := New(rebalancingConfig(1))
@@ -385,16 +390,17 @@
 	sim.Run()
 	requireClean(t, sim)
 	if sim.Moves > 0 || sim.eventCounts[leaderContinuesEvent] == 0 {
-		t.Errorf("%d moves, %v", sim.Moves, sim.eventCounts)
+		t.Errorf("got %d moves and events %v, want no moves and %q", sim.Moves, sim.eventCounts, leaderContinuesEvent)
 	}
 	for path := range sim.store.keys {
 		if id, ok := jobOfMoveKey(path); ok && sim.store.keys["live/"+id] == nil {
-			t.Errorf("%s is left", path)
+			t.Errorf("%s is still stored after its job has ended", path)
 		}
 	}
 }
 
-// TestMoveRecordsAreDeleted: the records of ended jobs are deleted, by later terms as well, and none before.
+// TestMoveRecordsAreDeleted: move records are deleted once their jobs have ended, also by leaders of later terms. The simulator
+// reports a deletion before the end as a violation.
 func TestMoveRecordsAreDeleted(t *testing.T) {
 	t.Parallel()
 	moves := 0
@@ -407,11 +413,11 @@
 		moves += sim.Moves
 		for path := range sim.store.keys {
 			if id, ok := jobOfMoveKey(path); ok {
-				t.Errorf("seed %d: the record of moves of %s is left", seed, id)
+				t.Errorf("seed %d: the move record of %s is still stored at the end", seed, id)
 			}
 		}
 	}
 	if moves == 0 {
-		t.Error("no move at all: the test proves nothing")
+		t.Error("got no move over all seeds, want at least one")
 	}
 }
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -9,23 +9,23 @@
 	"opaldale/internal/migration"
 )
 
-// replaysPerScenario is how many runs of each scenario the test makes.
+// replaysPerScenario is the number of seeds that the test runs of each scenario.
 const replaysPerScenario = 3
 
-// expectation is what the runs of a scenario must lead to, in total.
+// expectation is a lower bound for a count over all runs of a scenario.
 type expectation struct {
 	what  string
 	count func(sim *Simulation) int
 	least int
 }
 
-// counted expects an event.
+// counted expects an event to be counted at least so many times.
 func counted(name eventName, least int) expectation {
 	return expectation{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
 }
 
 var (
-	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first term and one more in each run
+	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first term and another one in each run
 	gangRan      = expectation{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
 	moveRecorded = expectation{"move recorded", func(sim *Simulation) int { return sim.Moves }, 1}
 	lostOneWay   = expectation{"message lost in one direction", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
@@ -33,7 +33,7 @@
 	upgraded     = expectation{"format level raised", upgradesOf, replaysPerScenario}
 )
 
-// upgradesOf returns 1 if the newest format level is in use at the end.
+// upgradesOf returns 1 if the newest format level is in use at the end of a run, 0 otherwise.
 func upgradesOf(sim *Simulation) int {
 	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 		level != ident.NewestFormatLevel {
@@ -42,7 +42,7 @@
 	return 1
 }
 
-// replayExpectations are those of each scenario.
+// replayExpectations has the expectations of each scenario, by its name.
 var replayExpectations = map[string][]expectation{
 	"faults":            {leaderChange},
 	"concurrent-faults": {leaderChange},
@@ -71,8 +71,9 @@
 	"overload":     {counted(linkSlowEvent, 50)},
 }
 
-// TestReplayScenarios: the runs of each scenario meet its expectations and violate no invariant. Run again, a seed has
-// the same digest, and no other seed has it.
+// TestReplayScenarios guards against runs that depend on anything but their seed, and scenarios without the events that they are
+// meant to test. The runs of each scenario meet its expectations and violate no invariant. A seed that is run again has the same
+// digest, and different seeds have different digests.
 func TestReplayScenarios(t *testing.T) {
 	t.Parallel()
 	for i, scenario := range replayScenarios {
@@ -80,7 +81,7 @@
 			t.Parallel()
 			expectations := slices.Concat(replayExpectations[scenario.name], []expectation{tasksStarted})
 			if len(expectations) == 1 {
-				t.Error("the scenario has no expectations")
+				t.Errorf("scenario %q has no entry in replayExpectations", scenario.name)
 			}
 			totals := make([]int, len(expectations))
 			sums := map[string]bool{}
@@ -92,28 +93,28 @@
 				sums[sim.cfg.Digest.Sum()] = true
 			}
 			if len(sums) != replaysPerScenario {
-				t.Errorf("%d digests of %d runs", len(sums), replaysPerScenario)
+				t.Errorf("got %d different digests, want %d", len(sums), replaysPerScenario)
 			}
 			for k, e := range expectations {
 				if totals[k] < e.least {
-					t.Errorf("%s: %d times, want %d", e.what, totals[k], e.least)
+					t.Errorf("%s: got %d, want at least %d", e.what, totals[k], e.least)
 				}
 			}
 		})
 	}
 }
 
-// checkReplay runs a seed twice, and checks that nothing is violated and that both runs have the same digest.
+// checkReplay runs a seed twice, and checks that no invariant is violated and that both runs have the same digest.
 func checkReplay(t *testing.T, seed uint64, name string) *Simulation {
 	t.Helper()
 	_, sim := newReplay(seed)
 	sim.Run()
 	if len(sim.Violations) > 0 {
-		t.Errorf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(30))
+		t.Errorf("seed %d: violations %v, want none\n%s", seed, sim.Violations, sim.LogTail(30))
 	}
 	sum := sim.cfg.Digest.Sum()
 	if again := Replay(seed); again.Digest != sum || again.Scenario != name || again.Seed != seed {
-		t.Errorf("seed %d: %+v, before it was %s", seed, again, sum)
+		t.Errorf("seed %d: the second run is %+v, want digest %s of scenario %q", seed, again, sum, name)
 	}
 	return sim
 }
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -9,7 +9,8 @@
 	"opaldale/internal/ident"
 )
 
-// saturateTeams keeps every team at its limit, with more work waiting than it admits.
+// saturateTeams keeps every team at its limit, with further work waiting. After 58 s it counts an event for each team that is
+// near its limit.
 func (sim *Simulation) saturateTeams() {
 	sim.submitBaseLoad(12)
 	for s := 4.0; s < 110; s += 4 {
@@ -32,8 +33,8 @@
 	})
 }
 
-// crashLeader crashes the leader, and counts events for the next term and for another node leading in it. A leader that
-// restarts at once leads again.
+// crashLeader crashes the leader, and counts an event for the next term and one if another node leads in it. A leader that
+// restarts at once may lead again.
 func (sim *Simulation) crashLeader(restartAfter time.Duration) {
 	l := sim.leader()
 	if l == nil {
@@ -50,7 +51,7 @@
 	})
 }
 
-// afterTerm calls f as soon as a leader of a newer term is there.
+// afterTerm calls f as soon as there is a leader of a later term.
 func (sim *Simulation) afterTerm(term ident.Term, f func()) {
 	sim.waitUntil(func() bool {
 		n := sim.leader()
@@ -58,12 +59,12 @@
 	}, f)
 }
 
-// anotherLeads reports whether another node than old holds a valid leader lease.
+// anotherLeads reports whether a node other than old holds a valid leader lease.
 func (sim *Simulation) anotherLeads(old *node) bool {
 	return slices.ContainsFunc(sim.nodes, func(n *node) bool { return n != old && n.controller.Election().LeaseValid() })
 }
 
-// waitUntil calls f as soon as a condition holds.
+// waitUntil calls f once a condition holds, which it checks every 10 ms.
 func (sim *Simulation) waitUntil(condition func() bool, f func()) {
 	if condition() {
 		f()
@@ -72,14 +73,14 @@
 	sim.schedule(10*time.Millisecond, func() { sim.waitUntil(condition, f) })
 }
 
-// submitBurst submits a job every 50 ms between two times, in seconds, so that placements are under way.
+// submitBurst submits a job every 50 ms between two times, in seconds, so that placements are in progress at the end.
 func (sim *Simulation) submitBurst(from, to float64) {
 	for s := from; s < to; s += 0.05 {
 		sim.scheduleAt(s, func() { sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs = 1, 1 }, 15*time.Second) })
 	}
 }
 
-// onNextLeader calls f when another node than old leads.
+// onNextLeader counts an event and calls f once a node other than old leads.
 func (sim *Simulation) onNextLeader(old *node, f func(n *node)) {
 	sim.waitUntil(func() bool { n := sim.leader(); return n != nil && n != old }, func() {
 		sim.countEvent(leaderReplacedEvent)
@@ -87,7 +88,7 @@
 	})
 }
 
-// onceServing calls f once a node that leads has loaded its state and can answer.
+// onceServing calls f once a leader has loaded its state and can answer, but not if it loses its lease before that.
 func (sim *Simulation) onceServing(n *node, f func()) {
 	leads := func() bool { return n.alive && n.controller.Election().LeaseValid() }
 	sim.waitUntil(func() bool { return !leads() || n.controller.Stats().Jobs > 0 }, func() {
@@ -97,14 +98,14 @@
 	})
 }
 
-// redirectHeartbeats has the workers of a job report to a node, as they do after a failover.
+// redirectHeartbeats has the workers of a job send their next heartbeats to a node, as after a failover.
 func (sim *Simulation) redirectHeartbeats(j *userJob, to *node) {
 	for _, w := range sim.workersOf(j) {
 		w.nodeIndex = slices.Index(sim.nodes, to)
 	}
 }
 
-// cancelAndConfirm cancels up to n running jobs at a node, and counts those that it confirms.
+// cancelAndConfirm cancels up to n running jobs at a node, and counts the cancellations confirmed within 250 ms.
 func (sim *Simulation) cancelAndConfirm(at *node, n int) {
 	for i, j := range sim.runningJobs() {
 		if i == n {
@@ -119,8 +120,8 @@
 	}
 }
 
-// cancelDuringFailoverAndOutage has the store reject the leader alone, another leader confirm cancellations, and then the
-// store be down for longer than these may take. The workers of the old leader still report to it.
+// cancelDuringFailoverAndOutage has the store reject only the leader, cancels jobs at the next leader, and then stops the store
+// for longer than a cancellation may take. The workers of these jobs still send their heartbeats to the old leader.
 func cancelDuringFailoverAndOutage(sim *Simulation) {
 	sim.submitBaseLoad(8)
 	sim.scheduleAt(60, func() {
@@ -148,8 +149,8 @@
 	})
 }
 
-// keepWorkersAtOldLeader has the workers of a job report to the old leader. With even seeds commands of the next leader do
-// not reach them, so that they learn of a cancellation by heartbeats alone.
+// keepWorkersAtOldLeader has the workers of a job send their heartbeats to the old leader. With even seeds, commands of the next
+// leader do not reach them, so that only a reply to a heartbeat can tell them of a cancellation.
 func (sim *Simulation) keepWorkersAtOldLeader(j *userJob, old, next *node) {
 	sim.redirectHeartbeats(j, old)
 	if sim.cfg.Seed%2 > 0 {
@@ -163,7 +164,7 @@
 	}
 }
 
-// stopStoreAfterConfirmation stops the store for d. With some seeds the next leader crashes or is paused at the same time.
+// stopStoreAfterConfirmation stops the store for d. With some seeds, the next leader crashes or is paused at the same time.
 func (sim *Simulation) stopStoreAfterConfirmation(list []*userJob, old, next *node, d time.Duration) {
 	sim.store.downUntil = sim.now.Add(d)
 	sim.logf("key-value store down for %v", d)
@@ -181,13 +182,15 @@
 	}
 }
 
-// requireClean checks that a run violated no invariant, left no work unfinished and stayed within the limits of the store.
+// requireClean checks that a run violated no invariant, left no work unfinished and stayed within the limits of the store. It
+// stops the test on a violation or unfinished work.
 func requireClean(t *testing.T, sim *Simulation) {
 	t.Helper()
 	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 {
-		t.Fatalf("seed %d: %v %v\n%s", sim.cfg.Seed, sim.Violations, sim.Unfinished, sim.LogTail(60))
+		t.Fatalf("seed %d: violations %v, unfinished %v, want none\n%s", sim.cfg.Seed, sim.Violations, sim.Unfinished, sim.LogTail(60))
 	}
 	if sim.OversizedTransactions > 0 {
-		t.Errorf("seed %d: %d transactions over the lowered limits", sim.cfg.Seed, sim.OversizedTransactions)
+		t.Errorf("seed %d: got %d transactions over the lowered limits of the store, want none", sim.cfg.Seed,
+			sim.OversizedTransactions)
 	}
 }
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -9,32 +9,33 @@
 	"opaldale/internal/api"
 )
 
+// runWithFaults runs a simulation with random faults, one at a time.
 func runWithFaults(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, Faults: true, ActiveDuration: 300 * time.Second})
 	sim.Run()
 	return sim
 }
 
-// TestInvariantsHoldUnderFaults runs random faults with fixed seeds: every invariant holds at every step and every job
-// ends. In every other run two or three faults overlap.
+// TestInvariantsHoldUnderFaults runs random faults with fixed seeds: every invariant holds at every step and every job ends. In
+// every other run, two or three faults overlap.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(80) {
 		sim := New(Config{Seed: seed / 2, Faults: true, ConcurrentFaults: seed%2 == 1, ActiveDuration: 300 * time.Second})
 		sim.Run()
 		if len(sim.Violations) > 0 {
-			t.Fatalf("seed %d: %v\n%s", seed, sim.Violations, sim.LogTail(60))
+			t.Fatalf("seed %d: violations %v, want none\n%s", seed, sim.Violations, sim.LogTail(60))
 		}
 		if len(sim.Unfinished) > 0 {
-			t.Fatalf("seed %d: %v\n%s", seed, sim.Unfinished, sim.LogTail(60))
+			t.Fatalf("seed %d: unfinished %v, want none\n%s", seed, sim.Unfinished, sim.LogTail(60))
 		}
 		if sim.TaskStarts < 20 {
-			t.Errorf("seed %d: only %d tasks started", seed, sim.TaskStarts)
+			t.Errorf("seed %d: got %d task starts, want at least 20", seed, sim.TaskStarts)
 		}
 	}
 }
 
-// TestInvariantsHoldWithoutFaults: without faults nothing is violated either.
+// TestInvariantsHoldWithoutFaults: without faults, no invariant is violated and all work ends.
 func TestInvariantsHoldWithoutFaults(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 1, ActiveDuration: 200 * time.Second})
@@ -42,7 +43,7 @@
 	requireClean(t, sim)
 }
 
-// TestMutationsAreDetected shows that the checks can fail: without a safeguard, some seed violates an invariant.
+// TestMutationsAreDetected shows that the checks can fail: with a safeguard disabled, some seed violates an invariant.
 func TestMutationsAreDetected(t *testing.T) {
 	t.Parallel()
 	for name, m := range map[string]Mutation{"launch before commit": LaunchBeforeCommit, "no fencing tokens": IgnoreFencingTokens,
@@ -56,18 +57,19 @@
 					return
 				}
 			}
-			t.Fatal("no seed detects it")
+			t.Fatalf("no seed of 60 detects mutation %d", m)
 		})
 	}
 }
 
-// cancelInPartitionedZone partitions a zone for longer than any lease may be kept, while users cancel what runs there.
+// cancelInPartitionedZone partitions a zone for longer than nodes may renew leases there, while users cancel the jobs that run
+// in it. It does nothing if the leader is in the zone.
 func cancelInPartitionedZone(seed uint64, m Mutation) (sim *Simulation, cancelled int) {
 	sim = New(Config{Seed: seed, Mutation: m, ActiveDuration: 220 * time.Second})
 	sim.schedule(70*time.Second, func() {
 		zone := sim.nodes[1].zone
 		if l := sim.leader(); l == nil || l.zone == zone {
-			return // the leader is inside
+			return // the leader must be outside of the zone
 		}
 		sim.partitionZone(zone, false, 120*time.Second)
 		sim.schedule(3*time.Second, func() {
@@ -88,8 +90,9 @@
 	return sim, cancelled
 }
 
-// TestKeptLeasesExpire: nodes that are partitioned with workers renew their leases no longer than a cancellation may
-// take. The checks detect the lack of that bound.
+// TestKeptLeasesExpire guards against tasks of cancelled jobs running in a partitioned zone without end: nodes that are
+// partitioned together with workers renew the workers' leases no longer than a cancellation may take. Without that bound, some
+// seed violates an invariant.
 func TestKeptLeasesExpire(t *testing.T) {
 	t.Parallel()
 	cancelled, detected := 0, false
@@ -101,31 +104,32 @@
 		detected = detected || len(sim.Violations) > 0
 	}
 	if cancelled == 0 || !detected {
-		t.Errorf("%d jobs were cancelled; unbounded leases were detected: %v", cancelled, detected)
+		t.Errorf("got %d cancelled jobs, unbounded leases detected: %v; want at least one, true", cancelled, detected)
 	}
 }
 
-// TestRunsAreDeterministic checks that two runs with a seed are the same.
+// TestRunsAreDeterministic checks that two runs with the same seed start as many tasks and log as many lines.
 func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	a, b := runWithFaults(3, None), runWithFaults(3, None)
 	if a.TaskStarts != b.TaskStarts || len(a.Log) != len(b.Log) {
-		t.Fatalf("%d starts and %d lines, then %d and %d", a.TaskStarts, len(a.Log), b.TaskStarts, len(b.Log))
+		t.Fatalf("the first run has %d task starts and %d log lines, the second %d and %d; want the same", a.TaskStarts, len(a.Log),
+			b.TaskStarts, len(b.Log))
 	}
 }
 
-// checkNoTasksLost checks that no worker lost tasks with its lease.
+// checkNoTasksLost checks that no worker dropped tasks because its lease expired.
 func checkNoTasksLost(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, l := range sim.Log {
 		if strings.Contains(l, "lease over") && !strings.Contains(l, "with 0 tasks") {
-			t.Errorf("seed %d: %s", sim.cfg.Seed, l)
+			t.Errorf("seed %d: a worker lost tasks: %s", sim.cfg.Seed, l)
 		}
 	}
 }
 
-// TestLeaderReachingOnlyStoreIsReplaced: a leader that reaches only the store could keep its lease; it must give way to
-// a node that users and machines can reach.
+// TestLeaderReachingOnlyStoreIsReplaced guards against a leader that reaches only the store keeping its lease: it must be
+// replaced by a node that reaches the machines and the other nodes.
 func TestLeaderReachingOnlyStoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
@@ -144,7 +148,8 @@
 	requireClean(t, sim)
 }
 
-// largeJobsStartedLate lists the jobs with the largest tasks that did not start in time, and counts all of these jobs.
+// largeJobsStartedLate lists the jobs with tasks of 7 CPUs or more that did not start within maxStartDelay, and returns how many
+// such jobs there are in all.
 func largeJobsStartedLate(sim *Simulation) (out []string, large int) {
 	for _, id := range sim.jobOrder {
 		j := sim.jobs[id]
@@ -159,17 +164,18 @@
 	return
 }
 
-// TestLargeJobsAreNotStarved: more small jobs than the limit of a team admits neither starve large ones nor those of a
-// team without a guarantee, though small ones go first as long as possible.
+// TestLargeJobsAreNotStarved guards against starvation: under overload, small jobs are placed before large ones until these
+// have waited for the maximum time. Large jobs must still start in time, and at least half of the jobs of each team must be
+// done, also of a team without a guarantee. Without the maximum wait, a large job starts late.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second})
 	sim.Run()
 	if len(sim.Violations) > 0 {
-		t.Fatalf("%v\n%s", sim.Violations, sim.LogTail(30))
+		t.Fatalf("violations %v, want none\n%s", sim.Violations, sim.LogTail(30))
 	}
 	if ids, n := largeJobsStartedLate(sim); len(ids) > 0 || n < 10 {
-		t.Errorf("of %d large jobs, late: %v", n, ids)
+		t.Errorf("got %d large jobs, of which %v started late, want at least 10 and none late", n, ids)
 	}
 	done, all := map[string]int{}, map[string]int{}
 	for _, j := range sim.jobs {
@@ -180,19 +186,20 @@
 	}
 	for team, n := range all {
 		if 2*done[team] < n {
-			t.Errorf("%s: %d of %d jobs served", team, done[team], n)
+			t.Errorf("team %s: %d of %d jobs are done, want at least half", team, done[team], n)
 		}
 	}
 	sim = New(Config{Seed: 2, Overload: true, ActiveDuration: 400 * time.Second, Mutation: NoMaxWait})
 	sim.Run()
 	if ids, _ := largeJobsStartedLate(sim); len(ids) == 0 {
-		t.Error("without the bound no large job is late: the test proves nothing")
+		t.Error("got no large job that started late without the maximum wait, want at least one: the check detects nothing")
 	}
 }
 
-// TestLeaderReachingOnlyWorkersIsReplaced: a leader that loses the store and its peers reports so at /up, and its
-// workers keep their tasks: it answers them until they show a successor's token, when they turn to another node. If it
-// went on, they would drop its answers as fenced and lose their tasks with their leases.
+// TestLeaderReachingOnlyWorkersIsReplaced guards against workers losing their tasks when their leader is cut off from the store
+// and its peers. It reports itself unhealthy at /up, and answers workers until their heartbeats carry the fencing token of the
+// next leader; the workers then switch to another node. If it still answered, workers would reject its replies as fenced and
+// drop their tasks when their leases expire.
 func TestLeaderReachingOnlyWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 5, ActiveDuration: 120 * time.Second})
@@ -206,7 +213,7 @@
 	})
 	sim.schedule(67*time.Second, func() {
 		if old.controller.Healthy() {
-			t.Error("/up reports health 7 s after the partition")
+			t.Error("/up reports the old leader as healthy 7 s after the partition")
 		}
 		if !sim.anotherLeads(old) {
 			t.Error("no other node leads 7 s after the partition")
@@ -217,15 +224,15 @@
 	checkNoTasksLost(t, sim)
 }
 
-// TestLeaderLosingWorkersIsReplaced: a leader that loses the workers alone gives way to a peer that reaches them. It
-// must not take their silence for their failure, and fence machines with replicas.
+// TestLeaderLosingWorkersIsReplaced guards against a leader that fences machines because it receives no heartbeats itself: if
+// only its links to the workers fail, a node that reaches them replaces it, and at most one busy machine is terminated.
 func TestLeaderLosingWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		var old *node
-		fenced := 0
-		busy := map[*machine]bool{} // idle ones may be terminated for that
+		fenced := 0                 // negative: the number of busy machines that were terminated
+		busy := map[*machine]bool{} // machines with tasks; idle ones may be terminated
 		sim.schedule(80*time.Second, func() {
 			old = sim.leader()
 			sim.disconnect(old.name, machines, seed%2 == 0, 41*time.Second)
@@ -246,7 +253,7 @@
 				}
 			}
 			if fenced < -1 {
-				t.Errorf("seed %d: %d machines were terminated", seed, -fenced)
+				t.Errorf("seed %d: %d busy machines were terminated, want at most 1", seed, -fenced)
 			}
 		})
 		sim.Run()
@@ -254,8 +261,8 @@
 	}
 }
 
-// TestTasksSurviveZonePartition: in a zone that is partitioned for less than a lease and its grace period tasks keep
-// running, whether the leader is inside or a node that renews leases for it.
+// TestTasksSurviveZonePartition: tasks in a zone that is partitioned for less than a lease plus its grace period keep running.
+// Their leases are renewed by the leader if it is in the zone, or otherwise by a node in the zone in place of the leader.
 func TestTasksSurviveZonePartition(t *testing.T) {
 	t.Parallel()
 	kept := uint64(0)
@@ -282,17 +289,17 @@
 		sim.Run()
 		requireClean(t, sim)
 		if inside == 0 {
-			t.Errorf("seed %d: no work inside", seed)
+			t.Errorf("seed %d: got no machine with tasks in the zone, want at least one", seed)
 		}
 		checkNoTasksLost(t, sim)
 	}
 	if kept == 0 {
-		t.Error("no node kept leases: the test proves nothing")
+		t.Error("got no lease renewal by a node other than the leader, want at least one over all seeds")
 	}
 }
 
-// TestLeaderCrashDuringStoreOutage: during an outage of the store no node can succeed a leader that crashes. The others
-// renew leases for it, and no worker loses its lease for as long as lease and grace period last together.
+// TestLeaderCrashDuringStoreOutage: no node can become leader while the store is down. If the leader crashes then, the other
+// nodes renew the leases of workers, and no worker loses its tasks during a lease plus its grace period.
 func TestLeaderCrashDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	sim := New(Config{Seed: 3, ActiveDuration: 160 * time.Second})
@@ -316,12 +323,13 @@
 	requireClean(t, sim)
 	checkNoTasksLost(t, sim)
 	if kept == 0 {
-		t.Error("no node kept leases: the test proves nothing")
+		t.Error("got no lease renewal by a node other than the leader, want at least one")
 	}
 }
 
-// TestPausedLeaderIsReplaced: a leader that was paused finds its lease expired: it launches nothing, a peer has led
-// meanwhile, and no machine is fenced for what the leader missed.
+// TestPausedLeaderIsReplaced guards against a paused leader continuing as leader: another node leads within 6 s. After the pause,
+// the old leader knows that its lease has expired, so that it launches nothing and fences no machine for heartbeats that it
+// missed.
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -339,7 +347,7 @@
 		for ms := 112_000; ms < 114_000; ms += 10 {
 			sim.schedule(time.Duration(ms)*time.Millisecond+time.Microsecond, func() {
 				if old.controller.Election().LeaseValid() {
-					t.Errorf("seed %d: the node believes after its pause that it leads", seed)
+					t.Errorf("seed %d: the paused node treats its leader lease as valid after its pause", seed)
 				}
 			})
 		}
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -9,9 +9,9 @@
 	"opaldale/internal/settings"
 )
 
-// TestSlowMachineIsEvacuated: a machine that takes four times as long is detected by the ends of short tasks. Nothing
-// more is placed on it, tasks that gain are moved away, and it is terminated once it is empty. Leaders crash meanwhile,
-// and no other machine is taken for slow.
+// TestSlowMachineIsEvacuated: a machine on which tasks take four times as long is detected by the completion times of short
+// tasks. No more tasks are placed on it, tasks that benefit are moved away, and it is terminated once it is empty. With some
+// seeds the leader crashes meanwhile. No other machine is treated as slow.
 func TestSlowMachineIsEvacuated(t *testing.T) {
 	t.Parallel()
 	evacuated := 0
@@ -40,33 +40,34 @@
 		requireClean(t, sim)
 		checkStopCounts(t, sim)
 		if slow == nil {
-			t.Errorf("seed %d: no machine is slow", seed)
+			t.Errorf("seed %d: got no slow machine 20 s after the start, want one", seed)
 			continue
 		}
 		if sim.eventCounts[slowMachineEvacuatedEvent] > 0 {
 			evacuated++
 			if !slow.dead {
-				t.Errorf("seed %d: the slow machine is not terminated", seed)
+				t.Errorf("seed %d: the slow machine was evacuated but not terminated", seed)
 			}
 		}
 	}
 	if evacuated < 2 {
-		t.Errorf("the slow machine was evacuated in %d runs", evacuated)
+		t.Errorf("the slow machine was evacuated in %d of 4 runs, want at least 2", evacuated)
 	}
 }
 
-// checkEvacuation checks that a move of an evacuation leaves the slow machine, and counts an event when it has arrived.
+// checkEvacuation checks that a move to evacuate a slow machine has that machine as source, and counts an event for a move that
+// arrived.
 func (sim *Simulation) checkEvacuation(m controller.MoveEntry, slow *worker) {
 	switch {
 	case m.Source != "leaves a slow machine":
 	case slow == nil || m.From != slow.id:
-		sim.reportViolation("%s leaves %s, which is not slow", m.Task, m.From)
+		sim.reportViolation("%s is moved away from %s, which is not slow", m.Task, m.From)
 	case m.Reason == "arrived":
 		sim.countEvent(slowMachineEvacuatedEvent)
 	}
 }
 
-// checkNoStartsOn checks that no task starts on a machine from two seconds after a leader has detected that it is slow.
+// checkNoStartsOn checks that no task starts on a slow machine more than 2 s after a leader reports a slow machine.
 func (sim *Simulation) checkNoStartsOn(w *worker) {
 	found := ident.Never
 	sim.every(200*time.Millisecond, func() bool {
@@ -84,7 +85,8 @@
 	})
 }
 
-// TestUniformMachinesAreNotSlow: where all machines are alike and tasks differ, none is taken for slow.
+// TestUniformMachinesAreNotSlow guards against different run times of tasks being attributed to machines: with machines of the
+// same speed, none is reported as slow.
 func TestUniformMachinesAreNotSlow(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -92,7 +94,7 @@
 		for s := 20.0; s < 150; s += 5 {
 			sim.scheduleAt(s, func() {
 				if l := sim.leader(); l != nil && l.controller.Stats().SlowMachines > 0 {
-					sim.reportViolation("a machine is called slow")
+					sim.reportViolation("a leader reports a slow machine, but all have the same speed")
 				}
 			})
 		}
--- a/internal/simulator/unidirectional_partition_test.go
+++ b/internal/simulator/unidirectional_partition_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// leaderLinks are the directed links of a leader.
+// leaderLinks lists the directed links of a leader: to and from the store, the cloud, the machines and each other node.
 func leaderLinks(leader string, others []string) []link {
 	links := []link{{leader, storeParty}, {storeParty, leader}, {leader, cloudParty}, {cloudParty, leader},
 		{leader, machines}, {machines, leader}}
@@ -16,8 +16,8 @@
 	return links
 }
 
-// TestUnidirectionalLinkFlaps: each directed link of the leader flaps for two minutes. No invariant is violated, and
-// all work ends.
+// TestUnidirectionalLinkFlaps: one directed link of the leader flaps for two minutes, with nodes that do not monitor their
+// links. No invariant is violated, and all work ends.
 func TestUnidirectionalLinkFlaps(t *testing.T) {
 	t.Parallel()
 	for i := range 10 {
@@ -40,15 +40,17 @@
 				sim.Run()
 				requireClean(t, sim)
 				if sim.eventCounts[linkFlappingEvent] == 0 || sim.blockedOneWay == 0 {
-					t.Errorf("the link did not flap: %v, %d messages lost", sim.eventCounts, sim.blockedOneWay)
+					t.Errorf("got events %v and %d messages lost in one direction, want a flapping link and lost messages",
+						sim.eventCounts, sim.blockedOneWay)
 				}
 			})
 		}
 	}
 }
 
-// TestLeaderIsReplacedWhenStoreRepliesAreLost: the leader's lease renewals reach the store, but the replies are lost.
-// Another node leads within seconds: a lease that the leader cannot rely on must not live on.
+// TestLeaderIsReplacedWhenStoreRepliesAreLost guards against a cluster without a working leader: the leader's lease renewals
+// reach the store but the replies are lost, so that the store extends a lease that the leader has to treat as expired. Another
+// node must lead within 6 s.
 func TestLeaderIsReplacedWhenStoreRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -8,9 +8,9 @@
 	"opaldale/internal/api"
 )
 
-// TestUnresponsiveControllers: controllers are paused or partitioned for more than a minute: the leader, a follower, two of
-// three, and one that is back in the midst of an election. The others lead within seconds, a node that is back acts on
-// nothing old, no invariant is violated, and no answer is older than another node's.
+// TestUnresponsiveControllers guards against a controller acting on outdated state after it was paused or partitioned for more
+// than a minute. That happens to the leader, a follower, two of three nodes, or a node that resumes during an election. Another
+// node leads for most of that time, no invariant is violated, and no answer is older than one that another node gave before.
 func TestUnresponsiveControllers(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(sim *Simulation, l *node){
@@ -43,6 +43,7 @@
 	}
 }
 
+// pauseLeadersRepeatedly pauses the current leader every 9 s, eight times, for up to 7.5 s.
 func pauseLeadersRepeatedly(sim *Simulation, _ *node) {
 	for s := range 8 {
 		sim.schedule(time.Duration(s)*9*time.Second, func() {
@@ -53,7 +54,8 @@
 	}
 }
 
-// checkUnresponsive injects a fault after a minute, while users probe all nodes.
+// checkUnresponsive injects a fault after a minute, while users submit, cancel and query jobs, and query all nodes after each
+// answer.
 func checkUnresponsive(t *testing.T, seed uint64, inject func(sim *Simulation, l *node)) {
 	t.Helper()
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
@@ -72,22 +74,21 @@
 	sim.Run()
 	requireClean(t, sim)
 	if led < 80 {
-		t.Errorf("seed %d: a node led at %d of 124 times", seed, led)
+		t.Errorf("seed %d: a node led at %d of 124 samples, want at least 80", seed, led)
 	}
 	if sim.eventCounts[nodesProbedEvent] < 200 {
-		t.Errorf("seed %d: users did not probe the nodes: %v", seed, sim.eventCounts)
+		t.Errorf("seed %d: got events %v, want at least 200 of %q", seed, sim.eventCounts, nodesProbedEvent)
 	}
 }
 
-// peerOf returns another node than n.
+// peerOf returns the first node other than n.
 func (sim *Simulation) peerOf(n *node) (found *node) {
 	sim.forEachPeer(n, func(o *node) { found = cmp.Or(found, o) })
 	return found
 }
 
-// TestSlowAndFailedBoots: new machines take six times as long to boot, or never do, while arrays and services wait for
-// capacity. Others are provisioned in time, those that never boot are terminated, and not many more are paid for than are
-// needed.
+// TestSlowAndFailedBoots: new machines take six times as long to boot, or never boot, while arrays wait for capacity. Other
+// machines are provisioned in time, those that never boot are terminated, and few machines more than needed are paid for.
 func TestSlowAndFailedBoots(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -115,25 +116,25 @@
 		sim.Run()
 		requireClean(t, sim)
 		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
-			t.Errorf("seed %d: all machines booted in time: %v", seed, sim.eventCounts)
+			t.Errorf("seed %d: got events %v, want at least 2 slow or failed boots", seed, sim.eventCounts)
 		}
 		for _, j := range list {
 			if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 45*time.Second {
-				t.Errorf("seed %d: %s of %s started after %v", seed, j.spec.ID, j.spec.Team, wait)
+				t.Errorf("seed %d: %s of team %s started after %v, want at most 45 s", seed, j.spec.ID, j.spec.Team, wait)
 			}
 		}
 		if most > 20 {
-			t.Errorf("seed %d: %d machines at a time for 28 and 20 CPUs of limits", seed, most)
+			t.Errorf("seed %d: got %d machines at a time for team limits of 28 and 20 CPUs, want at most 20", seed, most)
 		}
 	}
 }
 
-// checkBootedMachines checks that no machine which never booted is kept.
+// checkBootedMachines checks that each machine which did not boot within a minute is terminated.
 func checkBootedMachines(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, m := range sim.paidMachines() {
 		if m.bootedAt == 0 && sim.now.Sub(m.createdAt) > time.Minute {
-			t.Errorf("seed %d: %s never booted and is still paid for", sim.cfg.Seed, m.id)
+			t.Errorf("seed %d: machine %s did not boot within a minute and is not terminated", sim.cfg.Seed, m.id)
 		}
 	}
 }
