--- a/internal/simulator/borrowers_test.go
+++ b/internal/simulator/borrowers_test.go
@@ -67,13 +67,13 @@
 	for seed := range uint64(4) {
 		sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
 		sim.submitBaseLoad(4)
-		var list []*userJob
+		var failing []*userJob
 		sim.scheduleAt(30, func() {
 			for i := range 3 {
-				list = append(list, sim.submitJob(func(s *api.Spec) {
+				failing = append(failing, sim.submitJob(func(s *api.Spec) {
 					s.Tasks, s.VCPUs, s.Team = 12, 1, sim.settings.Teams[i].Name
 				}, 10*time.Second))
-				list[i].alwaysFails = true
+				failing[i].alwaysFails = true
 			}
 		})
 		var faultyWorker *worker
@@ -87,13 +87,13 @@
 			})
 		}
 		sim.scheduleAt(140, func() {
-			for _, j := range list {
+			for _, j := range failing {
 				sim.cancelWhenAccepted(j, nil)
 			}
 		})
 		sim.Run()
 		requireClean(t, sim)
-		for _, j := range list {
+		for _, j := range failing {
 			if j.failures > 30 || j.failures < 4 || j.lastStatus != api.StatusCancelled {
 				t.Errorf("seed %d: got %d failed attempts of 12 tasks in 110 s and status %q, want 4 to 30 and cancelled", seed,
 					j.failures, j.lastStatus)
--- a/internal/simulator/concurrent_fault_injectors_test.go
+++ b/internal/simulator/concurrent_fault_injectors_test.go
@@ -146,9 +146,9 @@
 func changeLeaderTenTimes(sim *Simulation) {
 	sim.submitBaseLoad(2)
 	for s := 20.0; s < 130; s += 9 {
-		back := 150 * time.Millisecond
+		restartAfter := 150 * time.Millisecond
 		if sim.rng.IntN(2) == 0 {
-			back = 3200 * time.Millisecond
+			restartAfter = 3200 * time.Millisecond
 		}
 		sim.scheduleAt(s-0.2, func() {
 			for i, w := range sim.sortedWorkers() {
@@ -157,7 +157,7 @@
 				}
 			}
 		})
-		sim.scheduleAt(s, func() { sim.crashLeader(back) })
+		sim.scheduleAt(s, func() { sim.crashLeader(restartAfter) })
 		sim.submitBurst(s-0.4, s)
 	}
 	sim.scheduleAt(73, func() { sim.store.downUntil = sim.now.Add(12 * time.Second) })
@@ -192,7 +192,7 @@
 			}
 		})
 	}
-	for s := 31.0; s < 95; s += 0.1 { // often, as a follower may read a commit from the store before the leader knows of it
+	for s := 31.0; s < 95; s += 0.1 { // often, as a follower may read a commit from the store before the leader is told of it
 		sim.scheduleAt(s, func() {
 			for _, id := range sim.jobOrder[max(0, len(sim.jobOrder)-6):] {
 				if j := sim.jobs[id]; j.accepted {
@@ -445,14 +445,14 @@
 func crashAllControllers(sim *Simulation) {
 	sim.submitBaseLoad(7)
 	sim.scheduleAt(60, func() {
-		back := time.Duration(14+4*sim.cfg.Seed%24) * time.Second
+		restartAfter := time.Duration(14+4*sim.cfg.Seed%24) * time.Second
 		for i, w := range sim.sortedWorkers() {
 			if i%2 == 0 { // it resumes with its tasks if its lease has not expired
-				w.hangFor(back + time.Duration(sim.rng.IntN(4))*time.Second)
+				w.hangFor(restartAfter + time.Duration(sim.rng.IntN(4))*time.Second)
 			}
 		}
 		for _, n := range sim.nodes {
-			n.crash(back)
+			n.crash(restartAfter)
 		}
 		sim.countEvent(allNodesDownEvent)
 	})
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// concurrentFaults is a scenario in which two or more faults overlap.
-type concurrentFaults struct {
+// concurrentFaultScenario is a scenario in which two or more faults overlap.
+type concurrentFaultScenario struct {
 	name              string
 	guardsAgainst     string // the failure that the scenario would expose
 	inject            func(sim *Simulation)
@@ -19,7 +19,7 @@
 }
 
 // concurrentFaultScenarios are the combinations of overlapping faults that TestConcurrentFaults runs.
-var concurrentFaultScenarios = []concurrentFaults{
+var concurrentFaultScenarios = []concurrentFaultScenario{
 	{
 		name:          "workers cannot send, commands reach them",
 		guardsAgainst: "the leases of workers that execute commands being treated as renewed",
@@ -211,18 +211,18 @@
 }
 
 // run runs the scenario with a seed and a mutation.
-func (m *concurrentFaults) run(seed uint64, without Mutation) *Simulation {
-	length := cmp.Or(m.length, 130*time.Second)
-	sim := New(Config{Seed: seed, Mutation: without, ActiveDuration: length, NoArrivals: !m.overload, Overload: m.overload})
-	m.inject(sim)
+func (s *concurrentFaultScenario) run(seed uint64, mutation Mutation) *Simulation {
+	length := cmp.Or(s.length, 130*time.Second)
+	sim := New(Config{Seed: seed, Mutation: mutation, ActiveDuration: length, NoArrivals: !s.overload, Overload: s.overload})
+	s.inject(sim)
 	sim.Run()
 	return sim
 }
 
 // unfinished reports whether work has not ended. With overload it reports whether a large job started late, or whether there
 // were too few large jobs to tell.
-func (m *concurrentFaults) unfinished(sim *Simulation) bool {
-	if !m.overload {
+func (s *concurrentFaultScenario) unfinished(sim *Simulation) bool {
+	if !s.overload {
 		return len(sim.Unfinished) > 0
 	}
 	ids, n := largeJobsStartedLate(sim)
@@ -233,28 +233,28 @@
 // no invariant may be violated, every job must end, and the intended events must occur. It also runs each scenario with a
 // safeguard disabled, which some seed must detect.
 func TestConcurrentFaults(t *testing.T) {
-	for _, m := range concurrentFaultScenarios {
-		t.Run(m.name, func(t *testing.T) {
+	for _, scenario := range concurrentFaultScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range cmp.Or(m.seeds, 3) {
-				m.check(t, seed)
+			for seed := range cmp.Or(scenario.seeds, 3) {
+				scenario.check(t, seed)
 			}
-			for _, x := range m.detectedMutations {
-				m.checkDetects(t, x)
+			for _, mutation := range scenario.detectedMutations {
+				scenario.checkDetects(t, mutation)
 			}
 		})
 	}
 }
 
 // check runs the scenario with a seed and checks invariants, completion and expected events.
-func (m *concurrentFaults) check(t *testing.T, seed uint64) {
+func (s *concurrentFaultScenario) check(t *testing.T, seed uint64) {
 	t.Helper()
-	sim := m.run(seed, None)
-	if len(sim.Violations) > 0 || m.unfinished(sim) {
-		t.Errorf("guards against %s; seed %d: violations %v, unfinished %v, want none\n%s", m.guardsAgainst, seed,
+	sim := s.run(seed, None)
+	if len(sim.Violations) > 0 || s.unfinished(sim) {
+		t.Errorf("guards against %s; seed %d: violations %v, unfinished %v, want none\n%s", s.guardsAgainst, seed,
 			sim.Violations, sim.Unfinished, sim.LogTail(40))
 	}
-	for name, n := range m.expectedEvents {
+	for name, n := range s.expectedEvents {
 		if sim.eventCounts[name] < n {
 			t.Errorf("seed %d: event %q: got %d, want at least %d; all events: %v", seed, name, sim.eventCounts[name], n,
 				sim.eventCounts)
@@ -263,13 +263,13 @@
 }
 
 // checkDetects checks that some seed detects a disabled safeguard.
-func (m *concurrentFaults) checkDetects(t *testing.T, x Mutation) {
+func (s *concurrentFaultScenario) checkDetects(t *testing.T, mutation Mutation) {
 	t.Helper()
 	for seed := range uint64(20) {
-		sim := m.run(seed, x)
-		if len(sim.Violations) > 0 || x == NoMaxWait && m.unfinished(sim) {
+		sim := s.run(seed, mutation)
+		if len(sim.Violations) > 0 || mutation == NoMaxWait && s.unfinished(sim) {
 			return
 		}
 	}
-	t.Errorf("no seed of 20 detects mutation %d", x)
+	t.Errorf("no seed of 20 detects mutation %d", mutation)
 }
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -27,7 +27,7 @@
 }
 
 // runConsecutivePartitions runs a simulation in which the leader or a follower has one partition and then another.
-func runConsecutivePartitions(seed uint64, leader bool, first, then partition) *Simulation {
+func runConsecutivePartitions(seed uint64, leader bool, first, second partition) *Simulation {
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
 	sim.submitBaseLoad(4)
 	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{0.3, ident.MonotonicTime(140 * time.Second)} })
@@ -41,7 +41,7 @@
 		}
 		hold := seed%4 < 2
 		first.apply(sim, n, hold, 18*time.Second)
-		sim.schedule(20*time.Second, func() { then.apply(sim, n, !hold, 18*time.Second) })
+		sim.schedule(20*time.Second, func() { second.apply(sim, n, !hold, 18*time.Second) })
 	})
 	sim.scheduleAt(90, func() {
 		if n := sim.leader(); n != nil && n.controller.Election().Term() > term {
@@ -60,18 +60,18 @@
 	t.Parallel()
 	seeds := uint64(0)
 	for _, first := range partitions {
-		for _, then := range partitions {
+		for _, second := range partitions {
 			seeds += 2
 			seed := seeds
-			t.Run(fmt.Sprintf("%s, then %s", first.name, then.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, then %s", first.name, second.name), func(t *testing.T) {
 				t.Parallel()
-				sim := runConsecutivePartitions(seed, true, first, then)
+				sim := runConsecutivePartitions(seed, true, first, second)
 				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 				if sim.eventCounts[laterTermEvent] == 0 {
-					t.Errorf("seed %d: no later term began within 30 s of the leader losing %s, then %s", seed, first.name, then.name)
+					t.Errorf("seed %d: no later term began within 30 s of the leader losing %s, then %s", seed, first.name, second.name)
 				}
-				sim = runConsecutivePartitions(seed+1, false, first, then)
+				sim = runConsecutivePartitions(seed+1, false, first, second)
 				requireClean(t, sim)
 				checkNoTasksLost(t, sim)
 			})
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -172,7 +172,7 @@
 		func(d *Digest) {
 			d.command(1, "a", workers.CommandCall{Addr: "b", Body: api.CommandRequest{Commands: []api.Command{}}})
 		},
-		func(d *Digest) { d.command(1, "a", workers.CommandCall{Addr: "b"}) }, // encoded as null
+		func(d *Digest) { d.command(1, "a", workers.CommandCall{Addr: "b"}) }, // nil commands, encoded as null
 	} {
 		sums[sumOf(f)] = true
 	}
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -21,7 +21,7 @@
 // them, other jobs start without delay, and the failing jobs end once they are cancelled.
 func TestAlwaysFailingJobsOfEveryShape(t *testing.T) {
 	t.Parallel()
-	for _, m := range []failingJobs{
+	for _, f := range []failingJobs{
 		{"vast array", 1, func(s *api.Spec) { s.Tasks, s.VCPUs = 2000, 0.25 }, 400},
 		{"services", 3, func(s *api.Spec) {
 			s.Shape, s.Priority, s.RuntimeS, s.Spot = api.Service, api.Critical, 0, false
@@ -29,24 +29,24 @@
 		{"gangs", 2, func(s *api.Spec) { s.Shape, s.Tasks, s.VCPUs, s.OneZone = api.Gang, 4, 1, true }, 250},
 		{"many at once", 40, func(s *api.Spec) { s.Tasks, s.VCPUs = 2, 0.5 }, 900},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				m.check(t, seed)
+				f.check(t, seed)
 			}
 		})
 	}
 }
 
 // check runs the failing jobs together with jobs that succeed.
-func (m failingJobs) check(t *testing.T, seed uint64) {
+func (f failingJobs) check(t *testing.T, seed uint64) {
 	t.Helper()
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
 	sim.submitBaseLoad(2)
 	var failing, sound []*userJob
 	sim.scheduleAt(40, func() {
-		for range m.jobs {
-			j := sim.submitJob(m.change, 10*time.Second)
+		for range f.jobs {
+			j := sim.submitJob(f.change, 10*time.Second)
 			j.alwaysFails = true
 			failing = append(failing, j)
 		}
@@ -66,7 +66,7 @@
 	})
 	sim.Run()
 	requireClean(t, sim)
-	m.checkFailing(t, sim, failing)
+	f.checkFailing(t, sim, failing)
 	for _, j := range sound {
 		if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 25*time.Second {
 			t.Errorf("seed %d: %s, which does not fail, started after %v, want at most 25 s", seed, j.spec.ID, wait)
@@ -78,7 +78,7 @@
 }
 
 // checkFailing checks that the failing jobs ended as cancelled and that the number of attempts is within the bounds.
-func (m failingJobs) checkFailing(t *testing.T, sim *Simulation, failing []*userJob) {
+func (f failingJobs) checkFailing(t *testing.T, sim *Simulation, failing []*userJob) {
 	t.Helper()
 	attempts := 0
 	for _, j := range failing {
@@ -87,8 +87,8 @@
 			t.Errorf("seed %d: %s has status %q, want cancelled", sim.cfg.Seed, j.spec.ID, j.lastStatus)
 		}
 	}
-	if attempts < 4 || attempts > m.maxFailures {
-		t.Errorf("seed %d: got %d failed attempts in 90 s, want 4 to %d", sim.cfg.Seed, attempts, m.maxFailures)
+	if attempts < 4 || attempts > f.maxFailures {
+		t.Errorf("seed %d: got %d failed attempts in 90 s, want 4 to %d", sim.cfg.Seed, attempts, f.maxFailures)
 	}
 	t.Logf("seed %d: %d failed attempts, %d machines", sim.cfg.Seed, attempts, len(sim.cloud.machines))
 }
--- a/internal/simulator/large_fleet_test.go
+++ b/internal/simulator/large_fleet_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/settings"
 )
 
-// largeFleet is a number of machines larger than that of any cluster in use.
-const largeFleet = 4500
+// largeFleetSize is a number of machines larger than that of any cluster in use.
+const largeFleetSize = 4500
 
 // TestLargeFleet guards against failures that occur only at scale: with 4,500 machines every invariant holds during a leader
 // crash, an outage of the store and the partition of a zone, and all work ends.
@@ -23,7 +23,7 @@
 		ActiveDuration:    150 * time.Second,
 		QuiescentDuration: 110 * time.Second,
 		NoArrivals:        true,
-		FleetSize:         largeFleet,
+		FleetSize:         largeFleetSize,
 	})
 	sim.scheduleAt(1, func() {
 		for range 90 {
@@ -35,10 +35,10 @@
 			}, 0)
 		}
 	})
-	var most int
+	var machinesBefore int
 	var term ident.Term
 	sim.scheduleAt(55, func() {
-		most = len(sim.workers)
+		machinesBefore = len(sim.workers)
 		if l := sim.leader(); l != nil {
 			term = l.controller.Election().Term()
 			l.crash(3 * time.Second)
@@ -53,8 +53,8 @@
 	sim.scheduleAt(100, func() { sim.partitionZone("west", false, 25*time.Second) })
 	sim.Run()
 	requireClean(t, sim)
-	if most < 4000 {
-		t.Errorf("got %d machines before the faults, want at least 4,000", most)
+	if machinesBefore < 4000 {
+		t.Errorf("got %d machines before the faults, want at least 4,000", machinesBefore)
 	}
 	if sim.eventCounts[newTermEvent] == 0 {
 		t.Error("no new leader 10 s after the leader crash")
@@ -71,7 +71,7 @@
 	)
 	var teams []settings.Team
 	for _, name := range []string{"red", "blue", "grey"} {
-		teams = append(teams, settings.Team{Name: name, CPUs: 8 * largeFleet, CPUsMax: 8 * largeFleet})
+		teams = append(teams, settings.Team{Name: name, CPUs: 8 * largeFleetSize, CPUsMax: 8 * largeFleetSize})
 	}
 	sim := New(Config{
 		Seed:              1,
@@ -80,7 +80,7 @@
 		ActiveDuration:    150 * time.Second,
 		QuiescentDuration: 250 * time.Second,
 		NoArrivals:        true,
-		FleetSize:         largeFleet,
+		FleetSize:         largeFleetSize,
 	})
 	sim.scheduleAt(1, func() {
 		for range fragmented {
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -322,10 +322,10 @@
 }
 
 // nodeOtherThan returns the first node that is not in excluded, nil if there is none.
-func (sim *Simulation) nodeOtherThan(not ...*node) *node {
+func (sim *Simulation) nodeOtherThan(excluded ...*node) *node {
 	for _, n := range sim.nodes {
 		found := false
-		for _, o := range not {
+		for _, o := range excluded {
 			found = found || n == o
 		}
 		if !found {
@@ -336,21 +336,21 @@
 }
 
 // run runs the scenario with a seed and a mutation.
-func (c linkScenario) run(seed uint64, m Mutation) *Simulation {
-	if c.length == 0 {
-		c.length = 200 * time.Second
+func (s linkScenario) run(seed uint64, m Mutation) *Simulation {
+	if s.length == 0 {
+		s.length = 200 * time.Second
 	}
 	sim := New(Config{
 		Seed:           seed,
 		Mutation:       m,
 		LinkMonitoring: true,
-		Nodes:          c.nodes,
-		RollingUpgrade: c.rollingUpgrade,
+		Nodes:          s.nodes,
+		RollingUpgrade: s.rollingUpgrade,
 		NoArrivals:     true,
-		ActiveDuration: c.length,
+		ActiveDuration: s.length,
 	})
 	sim.submitContinuously()
-	c.inject(sim)
+	s.inject(sim)
 	sim.Run()
 	return sim
 }
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -42,22 +42,22 @@
 // broken. In each scenario every invariant holds, all work ends, and leadership changes or stays as expected.
 func TestUnidirectionalPartitions(t *testing.T) {
 	t.Parallel()
-	for _, c := range linkScenarios {
-		t.Run(c.name, func(t *testing.T) {
+	for _, scenario := range linkScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			seeds := max(c.seeds, 3)
+			seeds := max(scenario.seeds, 3)
 			for seed := range seeds {
-				sim := c.run(seed, None)
+				sim := scenario.run(seed, None)
 				requireClean(t, sim)
-				for what, n := range c.minEvents {
-					if sim.eventCounts[what] < n {
-						t.Errorf("seed %d: event %q: got %d, want at least %d; all events: %v", seed, what, sim.eventCounts[what], n,
+				for event, n := range scenario.minEvents {
+					if sim.eventCounts[event] < n {
+						t.Errorf("seed %d: event %q: got %d, want at least %d; all events: %v", seed, event, sim.eventCounts[event], n,
 							sim.eventCounts)
 					}
 				}
-				for what, n := range c.maxEvents {
-					if sim.eventCounts[what] > n {
-						t.Errorf("seed %d: event %q: got %d, want at most %d", seed, what, sim.eventCounts[what], n)
+				for event, n := range scenario.maxEvents {
+					if sim.eventCounts[event] > n {
+						t.Errorf("seed %d: event %q: got %d, want at most %d", seed, event, sim.eventCounts[event], n)
 					}
 				}
 			}
@@ -108,10 +108,10 @@
 func TestFlappingPeerLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		o := StudyLink(seed, true, DirectedLink{From: Leader, To: Peer}, 10*time.Minute, 4*time.Second)
-		if o.LeaderChanges > 0 || o.LateSubmissions > o.Submissions/50 || o.Violations+o.Unfinished > 0 {
+		outcome := StudyLink(seed, true, DirectedLink{From: Leader, To: Peer}, 10*time.Minute, 4*time.Second)
+		if outcome.LeaderChanges > 0 || outcome.LateSubmissions > outcome.Submissions/50 || outcome.Violations+outcome.Unfinished > 0 {
 			t.Errorf("seed %d: got %+v, want no leader change, violation or unfinished work, and at most 2%% late submissions",
-				seed, o)
+				seed, outcome)
 		}
 	}
 }
@@ -137,13 +137,13 @@
 // bound.
 func TestHandoverHoldBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
-	const most = 6 // holds of 15, 15, 30 and 60 s, the first of which is partly over at the start
+	const maxChanges = 6 // holds of 15, 15, 30 and 60 s, the first of which is partly over at the start
 	detected := false
 	for seed := range uint64(3) {
-		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > most {
-			t.Errorf("seed %d: got %d leader changes in two minutes (-1: violated invariant), want 1 to %d", seed, n, most)
+		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > maxChanges {
+			t.Errorf("seed %d: got %d leader changes in two minutes (-1: violated invariant), want 1 to %d", seed, n, maxChanges)
 		}
-		detected = detected || leaderChangesUnderAlternatingFaults(seed, UnboundedHandovers) > most
+		detected = detected || leaderChangesUnderAlternatingFaults(seed, UnboundedHandovers) > maxChanges
 	}
 	if !detected {
 		t.Error("no seed of 3 detects unbounded handovers")
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestStaleRowsMutationIsDetected shows that the check of late link states can fail: if late duplicates are accepted as new, a
-// leader hands over to a node that cannot write to the store.
+// TestStaleRowsMutationIsDetected shows that the check for outdated link states can fail: if late duplicates are accepted as
+// new, a leader hands over to a node that cannot write to the store.
 func TestStaleRowsMutationIsDetected(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
@@ -200,7 +200,7 @@
 func TestPartitionAtEachCommitStep(t *testing.T) {
 	t.Parallel()
 	for step := range 12 {
-		for _, way := range []bool{false, true} {
+		for _, outbound := range []bool{false, true} {
 			sim := New(Config{Seed: uint64(step), LinkMonitoring: true, NoArrivals: true, ActiveDuration: 160 * time.Second})
 			sim.submitContinuously()
 			sim.withLeaderAt(faultAt, func(l *node) {
@@ -208,7 +208,7 @@
 				sim.resubmitAt(j, l)
 				sim.schedule(time.Duration(step)*500*time.Microsecond, func() {
 					sim.countEvent(linkBrokenInCommitEvent)
-					if way {
+					if outbound {
 						sim.disconnectOneWay(l.name, storeParty, step%2 == 0, 20*time.Second)
 					} else {
 						sim.disconnectOneWay(storeParty, l.name, step%2 == 0, 20*time.Second)
@@ -217,7 +217,7 @@
 			})
 			sim.Run()
 			if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[linkBrokenInCommitEvent] == 0 {
-				t.Errorf("step %d, outbound %v: violations %v, unfinished %v, events %v\n%s", step, way, sim.Violations,
+				t.Errorf("step %d, outbound %v: violations %v, unfinished %v, events %v\n%s", step, outbound, sim.Violations,
 					sim.Unfinished, sim.eventCounts, sim.LogTail(30))
 			}
 		}
--- a/internal/simulator/moves_test.go
+++ b/internal/simulator/moves_test.go
@@ -43,7 +43,7 @@
 // moveFault is a fault during a move.
 type moveFault struct {
 	name           string
-	links          bool // the nodes monitor their links
+	linkMonitoring bool // the nodes monitor their links
 	legacyNodes    int  // number of nodes that run the version in production
 	inject         func(sim *Simulation, l *node, m controller.MoveEntry)
 	expectedEvents []eventName // at least once each
@@ -69,11 +69,11 @@
 	return sim.jobs[ident.JobID(id)]
 }
 
-// expectNewLeader counts an event once a node other than l leads.
-func (sim *Simulation) expectNewLeader(l *node) { sim.onNextLeader(l, func(*node) {}) }
+// countNewLeader counts an event once a node other than l leads.
+func (sim *Simulation) countNewLeader(l *node) { sim.onNextLeader(l, func(*node) {}) }
 
-// expectNewTerm counts an event once a term after that of l has begun.
-func (sim *Simulation) expectNewTerm(l *node) {
+// countNewTerm counts an event once a term after that of l has begun.
+func (sim *Simulation) countNewTerm(l *node) {
 	sim.afterTerm(l.controller.Election().Term(), func() { sim.countEvent(newTermEvent) })
 }
 
@@ -98,7 +98,7 @@
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.peerOf(l).crash(12 * time.Second)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			l.crash(9 * time.Second)
 		},
 	},
@@ -106,7 +106,7 @@
 		name:           "leader restarts within a second",
 		expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewTerm(l)
+			sim.countNewTerm(l)
 			sim.peerOf(l).crash(700 * time.Millisecond)
 			l.crash(300 * time.Millisecond)
 		},
@@ -115,7 +115,7 @@
 		name:           "leader paused",
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			l.pauseFor(15 * time.Second)
 		},
 	},
@@ -123,7 +123,7 @@
 		name:           "leader loses the store alone",
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.disconnect(l.name, storeParty, sim.cfg.Seed%2 == 0, 15*time.Second)
 		},
 	},
@@ -131,7 +131,7 @@
 		name:           "leader rejected by the store alone",
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second)
 		},
 	},
@@ -139,17 +139,17 @@
 		name:           "leader partitioned, another node crashes",
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.peerOf(l).crash(20 * time.Second)
 			sim.disconnect(l.name, anyParty, sim.cfg.Seed%2 == 0, 18*time.Second)
 		},
 	},
 	{
 		name:           "handover",
-		links:          true,
+		linkMonitoring: true,
 		expectedEvents: []eventName{leaderReplacedEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.disconnect(l.name, machines, sim.cfg.Seed%2 == 0, 25*time.Second)
 		},
 	},
@@ -157,7 +157,7 @@
 		name:           "all nodes crash and one restarts",
 		expectedEvents: []eventName{newTermEvent},
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
-			sim.expectNewTerm(l)
+			sim.countNewTerm(l)
 			for i, n := range sim.nodes {
 				n.crash(time.Duration(1+15*i) * time.Second)
 			}
@@ -195,7 +195,7 @@
 			from, to := sim.moveEndpoints(m)
 			sim.disconnect(string(from.id), anyParty, sim.cfg.Seed%2 == 0, 12*time.Second)
 			sim.disconnect(string(to.id), anyParty, sim.cfg.Seed%2 == 1, longerThanLease)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			l.crash(5 * time.Second)
 		},
 	},
@@ -205,7 +205,7 @@
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			from, _ := sim.moveEndpoints(m)
 			sim.inboundBlockedUntil[string(from.id)] = sim.now.Add(longerThanLease)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.schedule(2*time.Second, func() { l.crash(3 * time.Second) })
 		},
 	},
@@ -218,7 +218,7 @@
 		inject: func(sim *Simulation, l *node, m controller.MoveEntry) {
 			_, to := sim.moveEndpoints(m)
 			sim.reclaimMachine(to, 0)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			l.crash(4 * time.Second)
 		}},
 	{
@@ -248,7 +248,7 @@
 			_ controller.MoveEntry) {
 			sim.delayedWrites = faultWindow{0.5, sim.now.Add(6 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+2)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		},
 	},
@@ -258,7 +258,7 @@
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.droppedReplies = faultWindow{0.7, sim.now.Add(4 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.schedule(1500*time.Millisecond, func() { l.crash(3 * time.Second) })
 		},
 	},
@@ -269,7 +269,7 @@
 			_ controller.MoveEntry) {
 			sim.holdHeartbeatsForNextLeader(0.8, 8*time.Second)
 			sim.delayedHeartbeats = faultWindow{0.3, sim.now.Add(8 * time.Second)}
-			sim.expectNewLeader(l)
+			sim.countNewLeader(l)
 			sim.schedule(4*time.Second, func() { l.crash(6 * time.Second) })
 		},
 	},
@@ -278,7 +278,7 @@
 		inject: func(sim *Simulation, l *node, _ controller.MoveEntry) {
 			sim.delayedCommands = faultWindow{0.6, sim.now.Add(10 * time.Second)}
 			sim.submitBurst(sim.now.Sub(0).Seconds(), sim.now.Sub(0).Seconds()+1)
-			sim.expectNewTerm(l)
+			sim.countNewTerm(l)
 			sim.schedule(2*time.Second, func() { l.crash(300 * time.Millisecond) })
 		}},
 	{
@@ -329,7 +329,7 @@
 // runMoveFault runs a simulation with a fault that is injected as soon as a move is in a state.
 func runMoveFault(f moveFault, state migration.State, seed uint64) *Simulation {
 	cfg := rebalancingConfig(seed)
-	cfg.LinkMonitoring, cfg.LegacyNodes = f.links, f.legacyNodes
+	cfg.LinkMonitoring, cfg.LegacyNodes = f.linkMonitoring, f.legacyNodes
 	sim := New(cfg)
 	sim.fragmentFleet(4)
 	if f.legacyNodes > 0 {
@@ -374,9 +374,9 @@
 					if !f.stopsOtherTasks {
 						checkStopCounts(t, sim)
 					}
-					for _, what := range append([]eventName{moveStateEvent(state.String())}, f.expectedEvents...) {
-						if sim.eventCounts[what] == 0 {
-							t.Errorf("seed %d: event %q: got 0, want at least 1; all events: %v", seed, what, sim.eventCounts)
+					for _, event := range append([]eventName{moveStateEvent(state.String())}, f.expectedEvents...) {
+						if sim.eventCounts[event] == 0 {
+							t.Errorf("seed %d: event %q: got 0, want at least 1; all events: %v", seed, event, sim.eventCounts)
 						}
 					}
 				}
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -121,14 +121,14 @@
 				sim.countEvent(loadCancelledEvent)
 			})
 		})
-		recorded := 0
-		sim.scheduleAt(wideTasksAt+20, func() { recorded = sim.Moves })
+		movesInTime := 0
+		sim.scheduleAt(wideTasksAt+20, func() { movesInTime = sim.Moves })
 		sim.Run()
 		requireClean(t, sim)
 		checkStopCounts(t, sim)
-		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > recorded {
+		if sim.eventCounts[loadCancelledEvent] == 0 || sim.Moves > movesInTime {
 			t.Errorf("seed %d: got %d moves, %d of them more than 20 s after the load began, events %v; want no late ones and %q", seed,
-				sim.Moves, sim.Moves-recorded, sim.eventCounts, loadCancelledEvent)
+				sim.Moves, sim.Moves-movesInTime, sim.eventCounts, loadCancelledEvent)
 		}
 	}
 }
@@ -206,14 +206,14 @@
 				sim.submitJob(func(s *api.Spec) { makeNarrow(s); s.Tasks, s.VCPUs, s.RuntimeS = 1, 4, 3 }, 6*time.Second)
 			})
 		}
-		left := map[string]map[ident.MachineID]bool{}
+		sources := map[string]map[ident.MachineID]bool{}
 		sim.scheduleAt(wideTasksAt, func() {
 			sim.pollMoves(200*time.Millisecond, func(_ *node, m controller.MoveEntry) bool {
-				if left[m.Task] == nil {
-					left[m.Task] = map[ident.MachineID]bool{}
+				if sources[m.Task] == nil {
+					sources[m.Task] = map[ident.MachineID]bool{}
 				}
-				left[m.Task][m.From] = true
-				if m.To != "" && left[m.Task][m.To] {
+				sources[m.Task][m.From] = true
+				if m.To != "" && sources[m.Task][m.To] {
 					sim.reportViolation("%s is moved back to %s", m.Task, m.To)
 				}
 				return false
@@ -229,17 +229,17 @@
 // earlier terms are not moved again, and jobs that were moved once may be moved once more.
 func TestMoveLimitHoldsAcrossTerms(t *testing.T) {
 	t.Parallel()
-	for before, moves := range map[int]bool{0: true, 1: true, 2: false} {
+	for movesBefore, wantMoves := range map[int]bool{0: true, 1: true, 2: false} {
 		for seed := range uint64(3) {
 			sim := New(rebalancingConfig(seed))
 			sim.fragmentFleet(4)
 			sim.scheduleAt(30, func() {
 				var r migration.Record
-				for n := range before {
+				for n := range movesBefore {
 					r.Moves = append(r.Moves, migration.Entry{Index: n, Attempt: 1, From: "host-a", To: "host-b"})
 				}
 				for _, id := range sim.jobOrder {
-					if before > 0 {
+					if movesBefore > 0 {
 						sim.store.apply([]kvstore.Mutation{{Put: migration.Key(id), Value: api.JSON(r)}})
 					}
 				}
@@ -249,9 +249,9 @@
 			sim.Run()
 			requireClean(t, sim)
 			checkStopCounts(t, sim)
-			if moves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
-				t.Errorf("seed %d, %d moves before: got %d moves and events %v, want moves: %v, and %q", seed, before, sim.Moves,
-					sim.eventCounts, moves, newTermEvent)
+			if wantMoves != (sim.Moves > 0) || sim.eventCounts[newTermEvent] == 0 {
+				t.Errorf("seed %d, %d moves before: got %d moves and events %v, want moves: %v, and %q", seed, movesBefore, sim.Moves,
+					sim.eventCounts, wantMoves, newTermEvent)
 			}
 		}
 	}
@@ -293,13 +293,13 @@
 		sim := New(cfg)
 		sim.fragmentFleet(4)
 		sim.scheduleAt(wideTasksAt+3, func() { sim.crashLeader(2 * time.Second) })
-		early := 0
-		sim.scheduleAt(wideTasksAt+3+25, func() { early = sim.Moves })
+		earlyMoves := 0
+		sim.scheduleAt(wideTasksAt+3+25, func() { earlyMoves = sim.Moves })
 		sim.Run()
 		requireClean(t, sim)
 		moves += sim.Moves
-		if early > 0 || sim.eventCounts[newTermEvent] == 0 {
-			t.Errorf("seed %d: got %d moves, %d of them early, and events %v, want no early moves and %q", seed, sim.Moves, early,
+		if earlyMoves > 0 || sim.eventCounts[newTermEvent] == 0 {
+			t.Errorf("seed %d: got %d moves, %d of them early, and events %v, want no early moves and %q", seed, sim.Moves, earlyMoves,
 				sim.eventCounts, newTermEvent)
 		}
 	}
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -14,27 +14,27 @@
 
 // expectation is a lower bound for a count over all runs of a scenario.
 type expectation struct {
-	what  string
-	count func(sim *Simulation) int
-	least int
+	description string
+	count       func(sim *Simulation) int
+	atLeast     int
 }
 
-// counted expects an event to be counted at least so many times.
-func counted(name eventName, least int) expectation {
-	return expectation{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, least}
+// expectEvent expects an event at least so many times over all runs.
+func expectEvent(name eventName, atLeast int) expectation {
+	return expectation{string(name), func(sim *Simulation) int { return sim.eventCounts[name] }, atLeast}
 }
 
 var (
-	leaderChange = counted(newTermEvent, 2*replaysPerScenario) // the first term and another one in each run
+	leaderChange = expectEvent(newTermEvent, 2*replaysPerScenario) // the first term and another one in each run
 	gangRan      = expectation{"gang ran", func(sim *Simulation) int { return sim.GangRuns }, 1}
 	moveRecorded = expectation{"move recorded", func(sim *Simulation) int { return sim.Moves }, 1}
 	lostOneWay   = expectation{"message lost in one direction", func(sim *Simulation) int { return sim.blockedOneWay }, 1}
 	tasksStarted = expectation{"task started", func(sim *Simulation) int { return sim.TaskStarts }, 20 * replaysPerScenario}
-	upgraded     = expectation{"format level raised", upgradesOf, replaysPerScenario}
+	upgraded     = expectation{"format level raised", countUpgrade, replaysPerScenario}
 )
 
-// upgradesOf returns 1 if the newest format level is in use at the end of a run, 0 otherwise.
-func upgradesOf(sim *Simulation) int {
+// countUpgrade returns 1 if the newest format level is in use at the end of a run, 0 otherwise.
+func countUpgrade(sim *Simulation) int {
 	if _, level, err := election.DecodeTerm(sim.store.keys[election.TermKey].value); err != nil ||
 		level != ident.NewestFormatLevel {
 		return 0
@@ -46,29 +46,29 @@
 var replayExpectations = map[string][]expectation{
 	"faults":            {leaderChange},
 	"concurrent-faults": {leaderChange},
-	"gangs": {gangRan, counted(newTermEvent, 1), counted(reclaimNoticeEvent, 1),
+	"gangs": {gangRan, expectEvent(newTermEvent, 1), expectEvent(reclaimNoticeEvent, 1),
 		{"gang stopped to checkpoint", func(sim *Simulation) int { return sim.GangStops }, 1}},
-	"links":    {counted(rowsSentEvent, 100), lostOneWay, leaderChange},
-	"handover": {counted(handoverAnnouncedEvent, 1), lostOneWay},
-	"moves": {moveRecorded, counted(moveEndEvent(migration.Arrived.String()), 1),
-		counted(moveFaultInjectedEvent, replaysPerScenario),
-		counted(rowsSentEvent, 100), leaderChange},
+	"links":    {expectEvent(rowsSentEvent, 100), lostOneWay, leaderChange},
+	"handover": {expectEvent(handoverAnnouncedEvent, 1), lostOneWay},
+	"moves": {moveRecorded, expectEvent(moveEndEvent(migration.Arrived.String()), 1),
+		expectEvent(moveFaultInjectedEvent, replaysPerScenario),
+		expectEvent(rowsSentEvent, 100), leaderChange},
 	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int {
 		return sim.slowMachineCount
 	}, replaysPerScenario}},
-	"upgrade":     {counted(legacyNodeEvent, 3*replaysPerScenario-1), upgraded, gangRan, leaderChange},
-	"large-fleet": {counted(fleetMachineEvent, 900), counted(storeOutageEvent, replaysPerScenario), leaderChange},
-	"store-outage": {counted(storeOutageEvent, replaysPerScenario), counted(storeSlowEvent, 20),
-		counted(limitsBelowAnnouncedEvent, 1),
+	"upgrade":     {expectEvent(legacyNodeEvent, 3*replaysPerScenario-1), upgraded, gangRan, leaderChange},
+	"large-fleet": {expectEvent(fleetMachineEvent, 900), expectEvent(storeOutageEvent, replaysPerScenario), leaderChange},
+	"store-outage": {expectEvent(storeOutageEvent, replaysPerScenario), expectEvent(storeSlowEvent, 20),
+		expectEvent(limitsBelowAnnouncedEvent, 1),
 		{"transaction too large", func(sim *Simulation) int { return sim.OversizedTransactions }, 1}, leaderChange},
-	"failover": {counted(leaderCrashedEvent, 5*replaysPerScenario), counted(allNodesCrashedEvent, 1),
-		counted(newTermEvent, 8*replaysPerScenario)},
-	"partitions": {counted(partitionedEvent, 4*replaysPerScenario), counted(nodesProbedEvent, 50),
-		counted(bootSlowEvent, 1), leaderChange},
-	"flood":        {counted(onlyHotTeamEvent, 1), leaderChange},
-	"failing-jobs": {counted(attemptFailedEvent, 10), leaderChange},
-	"borrowers":    {counted(borrowerJobEvent, 70*replaysPerScenario), leaderChange},
-	"overload":     {counted(linkSlowEvent, 50)},
+	"failover": {expectEvent(leaderCrashedEvent, 5*replaysPerScenario), expectEvent(allNodesCrashedEvent, 1),
+		expectEvent(newTermEvent, 8*replaysPerScenario)},
+	"partitions": {expectEvent(partitionedEvent, 4*replaysPerScenario), expectEvent(nodesProbedEvent, 50),
+		expectEvent(bootSlowEvent, 1), leaderChange},
+	"flood":        {expectEvent(onlyHotTeamEvent, 1), leaderChange},
+	"failing-jobs": {expectEvent(attemptFailedEvent, 10), leaderChange},
+	"borrowers":    {expectEvent(borrowerJobEvent, 70*replaysPerScenario), leaderChange},
+	"overload":     {expectEvent(linkSlowEvent, 50)},
 }
 
 // TestReplayScenarios guards against runs that depend on anything but their seed, and scenarios without the events that they are
@@ -96,8 +96,8 @@
 				t.Errorf("got %d different digests, want %d", len(sums), replaysPerScenario)
 			}
 			for k, e := range expectations {
-				if totals[k] < e.least {
-					t.Errorf("%s: got %d, want at least %d", e.what, totals[k], e.least)
+				if totals[k] < e.atLeast {
+					t.Errorf("%s: got %d, want at least %d", e.description, totals[k], e.atLeast)
 				}
 			}
 		})
--- a/internal/simulator/slow_machine_test.go
+++ b/internal/simulator/slow_machine_test.go
@@ -69,14 +69,14 @@
 
 // checkNoStartsOn checks that no task starts on a slow machine more than 2 s after a leader reports a slow machine.
 func (sim *Simulation) checkNoStartsOn(w *worker) {
-	found := ident.Never
+	checkFrom := ident.Never
 	sim.every(200*time.Millisecond, func() bool {
-		if l := sim.leader(); found == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
-			found = sim.now.Add(2 * time.Second)
+		if l := sim.leader(); checkFrom == ident.Never && l != nil && l.controller.Stats().SlowMachines > 0 {
+			checkFrom = sim.now.Add(2 * time.Second)
 		}
 		for id, attempts := range w.tasks {
 			for _, t := range attempts {
-				if t.startedAt > found {
+				if t.startedAt > checkFrom {
 					sim.reportViolation("%s starts on %s, which is slow", id, w.id)
 				}
 			}
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -63,18 +63,18 @@
 	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
 	sim.submitStream(40.0, 140, 2, 8*time.Second)
 	sim.scheduleAt(60, func() { inject(sim, sim.leader()) })
-	led := 0
+	samplesWithLeader := 0
 	for s := 66.0; s < 128; s += 0.5 {
 		sim.scheduleAt(s, func() {
 			if sim.leader() != nil {
-				led++
+				samplesWithLeader++
 			}
 		})
 	}
 	sim.Run()
 	requireClean(t, sim)
-	if led < 80 {
-		t.Errorf("seed %d: a node led at %d of 124 samples, want at least 80", seed, led)
+	if samplesWithLeader < 80 {
+		t.Errorf("seed %d: a node led at %d of 124 samples, want at least 80", seed, samplesWithLeader)
 	}
 	if sim.eventCounts[nodesProbedEvent] < 200 {
 		t.Errorf("seed %d: got events %v, want at least 200 of %q", seed, sim.eventCounts, nodesProbedEvent)
@@ -101,16 +101,16 @@
 				sim.slowBoots = faultWindow{0.6, timeAt(90)}
 			}
 		})
-		var list []*userJob
+		var jobs []*userJob
 		sim.scheduleAt(32, func() {
 			for range 3 {
-				list = append(list, sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 3, 4, "red" }, 15*time.Second),
+				jobs = append(jobs, sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 3, 4, "red" }, 15*time.Second),
 					sim.submitJob(func(s *api.Spec) { s.Tasks, s.VCPUs, s.Team = 2, 4, "blue" }, 15*time.Second))
 			}
 		})
-		most := 0
+		maxPaid := 0
 		for s := 33.0; s < 200; s++ {
-			sim.scheduleAt(s, func() { most = max(most, len(sim.paidMachines())) })
+			sim.scheduleAt(s, func() { maxPaid = max(maxPaid, len(sim.paidMachines())) })
 		}
 		sim.scheduleAt(240, func() { checkBootedMachines(t, sim) })
 		sim.Run()
@@ -118,13 +118,13 @@
 		if sim.eventCounts[bootFailedEvent]+sim.eventCounts[bootSlowEvent] < 2 {
 			t.Errorf("seed %d: got events %v, want at least 2 slow or failed boots", seed, sim.eventCounts)
 		}
-		for _, j := range list {
+		for _, j := range jobs {
 			if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 45*time.Second {
 				t.Errorf("seed %d: %s of team %s started after %v, want at most 45 s", seed, j.spec.ID, j.spec.Team, wait)
 			}
 		}
-		if most > 20 {
-			t.Errorf("seed %d: got %d machines at a time for team limits of 28 and 20 CPUs, want at most 20", seed, most)
+		if maxPaid > 20 {
+			t.Errorf("seed %d: got %d machines at a time for team limits of 28 and 20 CPUs, want at most 20", seed, maxPaid)
 		}
 	}
 }
