--- a/internal/simulator/concurrent_fault_injectors_test.go
+++ b/internal/simulator/concurrent_fault_injectors_test.go
@@ -192,7 +192,7 @@
 			}
 		})
 	}
-	for s := 31.0; s < 95; s += 0.1 { // often, as a follower may read a commit from the store before the leader is told of it
+	for s := 31.0; s < 95; s += 0.1 { // often, as a follower may read a commit before the leader learns its outcome
 		sim.scheduleAt(s, func() {
 			for _, id := range sim.jobOrder[max(0, len(sim.jobOrder)-6):] {
 				if j := sim.jobs[id]; j.accepted {
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -58,7 +58,7 @@
 	},
 	{
 		name:              "four short jobs a second, a quarter cancelled",
-		guardsAgainst:     "failures due to a backlog of completions and cancellations, or to hundreds of ended jobs at elections",
+		guardsAgainst:     "failures due to queued completions and cancellations, or to hundreds of ended jobs at an election",
 		inject:            submitShortJobs,
 		expectedEvents:    map[eventName]int{shortJobCancelledEvent: 40, leaderReplacedEvent: 1, nodesProbedEvent: 1000},
 		detectedMutations: []Mutation{CacheStatusAnswers},
--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -30,7 +30,7 @@
 	machineReclaimedEvent        eventName = "machine reclaimed"
 	moveReportedByPeerEvent      eventName = "move reported by a peer"
 	newMachineHasTasksEvent      eventName = "new machine has tasks"
-	noLeaderEvent                eventName = "no leader"
+	noLeaderAtFaultEvent         eventName = "no leader"
 	noLeaderToCrashEvent         eventName = "no leader to crash"
 	nodeUnhealthyEvent           eventName = "node unhealthy"
 	otherTeamHotEvent            eventName = "another team is hot"
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -276,7 +276,7 @@
 		if l := sim.leader(); l != nil {
 			f(l)
 		} else {
-			sim.countEvent(noLeaderEvent)
+			sim.countEvent(noLeaderAtFaultEvent)
 		}
 	})
 }
