--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -40,7 +40,7 @@
 	}
 	c.MarkDirty(first, nil)
 	c.MarkDirty(second, nil)
-	r.Settle(c)
+	r.FlushAndRun(c)
 	entries := []*goldenEntry{
 		{document: first, group: "a", line: "0,1"},
 		{document: first, group: "a", line: "1,2,+"},
@@ -49,12 +49,12 @@
 	for _, e := range entries {
 		c.Append(e, nil)
 	}
-	r.Settle(c)
+	r.FlushAndRun(c)
 	c.Append(entries[1], nil)
-	r.Settle(c)
+	r.FlushAndRun(c)
 	value = json.RawMessage(`{"first":2}`)
 	c.MarkDirty(first, nil)
-	r.Settle(c)
+	r.FlushAndRun(c)
 	return r.Requests()
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -68,11 +68,11 @@
 
 // Counters count events of a node since its start.
 type Counters struct {
-	Forwarded  uint64 // requests forwarded to the leader
-	Relayed    uint64 // forwarded requests that were sent through a relaying peer
-	Refused    uint64 // refused requests that may succeed if retried
-	Elections  uint64 // terms that the node has started as the leader
-	LeasesKept uint64 // worker leases that the node has renewed without the leader
+	Forwarded                  uint64 // requests forwarded to the leader
+	Relayed                    uint64 // forwarded requests that were sent through a relaying peer
+	Refused                    uint64 // refused requests that may succeed if retried
+	Elections                  uint64 // terms that the node has started as the leader
+	LeasesRenewedWithoutLeader uint64 // worker leases that the node has renewed without the leader
 }
 
 const (
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -49,12 +49,12 @@
 	cfg.Cluster.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
 	c := New(s, cfg, newTestRand())
 	c.OnStartedLeading(term, level, kvstore.Compare{Key: "leader", Revision: 9})
-	s.settle(c)
+	s.flush(c)
 	return c
 }
 
-// settle advances the clock until all changes are written to the store.
-func (s goldenStore) settle(c *Controller) {
+// flush advances the clock until all changes are written to the store.
+func (s goldenStore) flush(c *Controller) {
 	for range 50 {
 		s.Advance(100 * time.Millisecond)
 		c.AfterEvent()
@@ -110,7 +110,7 @@
 				})
 			}
 		}
-		s.settle(c)
+		s.flush(c)
 		d.Add(fmt.Sprintf("level %d", level), s.stored())
 		d.Add(fmt.Sprintf("level %d: read", level), formatMachines(s.startLeader(8, level).leader))
 		if level < ident.FormatPacked {
@@ -118,7 +118,7 @@
 			d.Add("level 0: read above it", formatMachines(c.leader))
 			d.Add("level 0: written above it", s.stored())
 			c.leader.enablePackedFormat()
-			s.settle(c)
+			s.flush(c)
 			d.Add("level 0: written as the level is raised", s.stored())
 		}
 	}
@@ -292,7 +292,7 @@
 // TestGoldenStats checks that each counter of a leader appears in the right field of Stats.
 func TestGoldenStats(t *testing.T) {
 	c, _ := newTestLeader(ident.FormatPacked)
-	c.Forwarded, c.Refused, c.Elections, c.LeasesKept, c.Relayed = 101, 102, 103, 104, 105
+	c.Forwarded, c.Refused, c.Elections, c.LeasesRenewedWithoutLeader, c.Relayed = 101, 102, 103, 104, 105
 	l := c.leader
 	p := &l.planner.Stats
 	p.Planned, p.Local, p.Uncached, p.Stolen, p.Services, p.Gangs, p.Preempted = 201, 202, 203, 204, 205, 206, 207
@@ -310,11 +310,11 @@
 		{"forwarded", s.Forwarded, 101},
 		{"refused", s.Refused, 102},
 		{"terms begun", s.TermsBegun, 103},
-		{"leases kept", s.LeasesKept, 104},
+		{"leases kept", s.LeasesRenewedWithoutLeader, 104},
 		{"relayed", s.Relayed, 105},
 		{"placed as planned", s.PlacedPlanned, 201},
 		{"placed locally", s.PlacedLocal, 202},
-		{"placed without the image", s.PlacedNew, 203},
+		{"placed without the image", s.PlacedUncached, 203},
 		{"placed by stealing", s.PlacedStolen, 204},
 		{"placed services", s.PlacedServices, 205},
 		{"placed gangs", s.PlacedGangs, 206},
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -113,7 +113,7 @@
 	c := l.controller
 	limits, strictest := commitLimits(c.settings.Cluster.Store), l.strictestLimits()
 	l.committer = commit.New(l.env, limits, leaderKey, func(err error) {
-		c.election.Depose(election.StepDownReason(err.Error()))
+		c.election.StepDown(election.StepDownReason(err.Error()))
 	})
 	l.committer.ExpectLimits(strictest)
 	l.committer.OnUnavailable = l.replies.failAll
@@ -156,7 +156,7 @@
 		LeaseDuration:     settings.Seconds(c.settings.Cluster.Workers.LeaseS),
 		LeaderGrace:       c.renewalGrace,
 		Catalog:           l.catalog.Type,
-		OnDeposed:         func() { c.election.Depose(laterTermSeen) },
+		OnLaterTerm:       func() { c.election.StepDown(laterTermSeen) },
 		OnCapacityChanged: l.requestDispatch,
 		OnTaskFailed:      l.onTaskFailed,
 		OnTaskCompleted: func(t *jobs.Task, w *workers.Worker) {
@@ -201,15 +201,15 @@
 func (l *leaderTerm) fleetConfig() fleet.Config {
 	c := l.controller
 	config := fleet.Config{
-		Term:             l.term,
-		Tuning:           c.settings.Tuning,
-		Cloud:            c.settings.Cluster.Cloud,
-		Workers:          c.settings.Cluster.Workers,
-		Catalog:          l.catalog.Types,
-		ReachableViaPeer: l.requireHeartbeatSource,
-		ZonePeersSilent:  l.zonePeersSilent,
-		DirectContact:    func() bool { return l.contact.recent(l.env.Now()) },
-		Objective:        l.planner.Objective,
+		Term:                 l.term,
+		Tuning:               c.settings.Tuning,
+		Cloud:                c.settings.Cluster.Cloud,
+		Workers:              c.settings.Cluster.Workers,
+		Catalog:              l.catalog.Types,
+		ReachableViaPeer:     l.requireHeartbeatSource,
+		ZonePeersUnreachable: l.zonePeersUnreachable,
+		DirectContact:        func() bool { return l.contact.recent(l.env.Now()) },
+		Objective:            l.planner.Objective,
 		Movable: func(t *jobs.Task, from *workers.Worker) bool {
 			return c.allows(authority.Place) && l.planner.Movable(t, from)
 		},
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -29,7 +29,7 @@
 		return Response{}, false
 	}
 	c.renewer.RecordRenewal(now)
-	c.LeasesKept++
+	c.LeasesRenewedWithoutLeader++
 	response := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
 	for _, task := range heartbeat.Tasks {
 		// Killing a task is safe without leadership. Without the command it would run until the lease expires.
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -30,7 +30,7 @@
 	resignationPause = 12 * time.Second
 )
 
-// The reasons why a leader resigns or is deposed, in addition to those of package election.
+// The reasons why a leader resigns or steps down, in addition to those of package election.
 const (
 	unreadableRecord       election.StepDownReason = "unreadable record in store"
 	leaderIsolated         election.StepDownReason = "no messages from peers or machines"
@@ -151,8 +151,8 @@
 	return max(0, allowance)
 }
 
-// zonePeersSilent reports whether a zone has peers and none of them is reachable.
-func (l *leaderTerm) zonePeersSilent(zone string) bool {
+// zonePeersUnreachable reports whether a zone has peers and none of them is reachable.
+func (l *leaderTerm) zonePeersUnreachable(zone string) bool {
 	silentPeers := 0
 	for _, s := range l.controller.settings.Peers {
 		if s.Zone != zone {
--- a/internal/controller/rebalancing.go
+++ b/internal/controller/rebalancing.go
@@ -91,7 +91,7 @@
 		slog.Info("team load state changed", "team", change.Team, "from", change.From.String(), "to", change.To.String(),
 			"demand_ratio", change.Ratio)
 		if change.From == load.Overloaded {
-			l.rebalancer.RecordTeamCooled(now)
+			l.rebalancer.RecordTeamRecovered(now)
 		}
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -123,7 +123,7 @@
 				// The machine's record was deleted, so the machine was terminated. Terminating it again confirms
 				// that before its tasks are placed elsewhere.
 				w = l.workers.Add(workers.MachineInfo{ID: t.MachineID, CreatedAt: l.env.Now()})
-				l.fleet.Terminate(w, workers.ReasonNotOnRecord)
+				l.fleet.Terminate(w, workers.ReasonNoStoredRecord)
 			}
 			l.adjustUsage(t, w, 1)
 		}
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -17,19 +17,19 @@
 	FormatLevel     uint8
 
 	// Requests that users and workers have sent to this node.
-	Forwarded, Refused  uint64
-	LeasesKept, Relayed uint64
+	Forwarded, Refused                  uint64
+	LeasesRenewedWithoutLeader, Relayed uint64
 
-	Jobs, TasksHeld, TasksWaiting int
-	Machines                      map[string]int // by state
+	Jobs, TasksAllocated, TasksWaiting int
+	Machines                           map[string]int // by state
 
 	// Placement.
-	PlacedPlanned, PlacedLocal, PlacedNew, PlacedStolen uint64
-	PlacedServices, PlacedGangs, Preempted              uint64
-	PlanRounds, PlanExtraRounds                         uint64
-	FetchedGB, PlanSeconds                              float64
-	GangsStarted, GangsLost                             uint64
-	GangsReplaced, GangsStopped                         uint64
+	PlacedPlanned, PlacedLocal, PlacedUncached, PlacedStolen uint64
+	PlacedServices, PlacedGangs, Preempted                   uint64
+	PlanRounds, PlanExtraRounds                              uint64
+	FetchedGB, PlanSeconds                                   float64
+	GangsStarted, GangsLost                                  uint64
+	GangsReplaced, GangsStopped                              uint64
 
 	// Machines and their workers.
 	MachinesProvisioned, MachinesTerminated, MachinesFenced uint64
@@ -54,16 +54,16 @@
 // Stats returns the node's counters.
 func (c *Controller) Stats() Stats {
 	stats := Stats{
-		Leading:         c.leader != nil,
-		LeadershipValid: c.election.LeaseValid(),
-		Term:            uint64(c.election.Term()),
-		TermsBegun:      c.Elections,
-		FormatLevel:     uint8(c.formatLevel),
-		Forwarded:       c.Forwarded,
-		Refused:         c.Refused,
-		LeasesKept:      c.LeasesKept,
-		Relayed:         c.Relayed,
-		Machines:        map[string]int{},
+		Leading:                    c.leader != nil,
+		LeadershipValid:            c.election.LeaseValid(),
+		Term:                       uint64(c.election.Term()),
+		TermsBegun:                 c.Elections,
+		FormatLevel:                uint8(c.formatLevel),
+		Forwarded:                  c.Forwarded,
+		Refused:                    c.Refused,
+		LeasesRenewedWithoutLeader: c.LeasesRenewedWithoutLeader,
+		Relayed:                    c.Relayed,
+		Machines:                   map[string]int{},
 	}
 	if l := c.leader; l != nil && l.loaded() {
 		l.fillTableStats(&stats)
@@ -76,7 +76,7 @@
 func (l *leaderTerm) fillTableStats(stats *Stats) {
 	stats.Jobs = len(l.jobs.Jobs)
 	for _, j := range l.jobs.Jobs {
-		stats.TasksHeld += j.AllocatedTasks
+		stats.TasksAllocated += j.AllocatedTasks
 		stats.TasksWaiting += j.WaitingCount()
 	}
 	for _, w := range l.workers.Workers {
@@ -98,7 +98,7 @@
 	placed := l.planner.Stats
 	stats.PlacedPlanned = placed.Planned
 	stats.PlacedLocal = placed.Local
-	stats.PlacedNew = placed.Uncached
+	stats.PlacedUncached = placed.Uncached
 	stats.PlacedStolen = placed.Stolen
 	stats.PlacedServices = placed.Services
 	stats.PlacedGangs = placed.Gangs
--- a/internal/election/step_down.go
+++ b/internal/election/step_down.go
@@ -41,10 +41,10 @@
 	e.stepDown(reason)
 }
 
-// Depose makes the node step down without revoking its lease or deleting the leader key. The owner calls it
+// StepDown makes the node step down without revoking its lease or deleting the leader key. The owner calls it
 // when it has evidence that the term must end, such as a later term or a conflicting write. It does
 // nothing if the node does not lead.
-func (e *Elector) Depose(reason StepDownReason) {
+func (e *Elector) StepDown(reason StepDownReason) {
 	if e.state == Leading {
 		e.stepDown(reason)
 	}
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -73,12 +73,12 @@
 // harness is a manager and its machine and job tables, which run on a fakePort.
 type harness struct {
 	*fakePort
-	manager          *Manager
-	table            *workers.Table
-	jobs             *jobs.Table
-	commits          *commit.Committer
-	reachableViaPeer bool
-	zonePeersSilent  bool
+	manager              *Manager
+	table                *workers.Table
+	jobs                 *jobs.Table
+	commits              *commit.Committer
+	reachableViaPeer     bool
+	zonePeersUnreachable bool
 }
 
 // testMachineType returns the machine type of the tests, which is offered in the given zones.
@@ -102,18 +102,18 @@
 	tuning.ScaleInDelay = time.Hour // the tests terminate machines for other reasons
 	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
 	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{
-		Term:               3,
-		Tuning:             tuning,
-		Cloud:              settings.CloudLimits{RPS: 5, ListLagS: 10},
-		Workers:            settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
-		Catalog:            func() []cloud.MachineType { return []cloud.MachineType{machineType} },
-		ReachableViaPeer:   func() bool { return r.reachableViaPeer },
-		DirectContact:      func() bool { return true },
-		ZonePeersSilent:    func(string) bool { return r.zonePeersSilent },
-		Objective:          func(string) time.Duration { return 0 },
-		Movable:            func(*jobs.Task, *workers.Worker) bool { return false },
-		Drain:              func(*workers.Worker) {},
-		SetServiceHeadroom: func(string, float64) {},
+		Term:                 3,
+		Tuning:               tuning,
+		Cloud:                settings.CloudLimits{RPS: 5, ListLagS: 10},
+		Workers:              settings.WorkerTimes{HeartbeatS: 3, LeaseS: 30},
+		Catalog:              func() []cloud.MachineType { return []cloud.MachineType{machineType} },
+		ReachableViaPeer:     func() bool { return r.reachableViaPeer },
+		DirectContact:        func() bool { return true },
+		ZonePeersUnreachable: func(string) bool { return r.zonePeersUnreachable },
+		Objective:            func(string) time.Duration { return 0 },
+		Movable:              func(*jobs.Task, *workers.Worker) bool { return false },
+		Drain:                func(*workers.Worker) {},
+		SetServiceHeadroom:   func(string, float64) {},
 	})
 	return r
 }
--- a/internal/fleet/manager.go
+++ b/internal/fleet/manager.go
@@ -45,8 +45,8 @@
 	// DirectContact reports whether this node communicates directly with any machine, in either
 	// direction. If it does not, the fault is more likely at the leader.
 	DirectContact func() bool
-	// ZonePeersSilent reports whether a zone has other controllers and all of these are unreachable.
-	ZonePeersSilent func(zone string) bool
+	// ZonePeersUnreachable reports whether a zone has other controllers and all of these are unreachable.
+	ZonePeersUnreachable func(zone string) bool
 	// ZoneUnreachable reports whether no controller can reach the machines of a zone, in which case
 	// they may still be running behind a network partition. If nil, it is never the case.
 	ZoneUnreachable func(zone string) bool
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -208,9 +208,9 @@
 // since their tasks may still be running. No tasks are placed there, and tasks stay allocated until the
 // leases of their machines have expired. If a controller of the zone is reachable, the machines are fenced.
 func TestZonePartition(t *testing.T) {
-	for _, peersSilent := range []bool{true, false} {
+	for _, peersUnreachable := range []bool{true, false} {
 		r := newHarness()
-		r.zonePeersSilent = peersSilent
+		r.zonePeersUnreachable = peersUnreachable
 		r.addMachines(12)
 		for i, w := range r.table.Sorted() {
 			if i < 5 {
@@ -233,7 +233,7 @@
 			}
 		}
 		runWithHeartbeats(25 * time.Second)
-		if !peersSilent {
+		if !peersUnreachable {
 			if lost.State != workers.Terminated {
 				t.Errorf("a silent machine of a zone with a reachable peer is %v after 25 s, want %v",
 					lost.State, workers.Terminated)
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -77,7 +77,7 @@
 func (z *zoneMonitor) isPartitioned(zone string, contact *zoneContact, now ident.MonotonicTime) bool {
 	heartbeatGap := z.cfg.Workers.HeartbeatS / float64(contact.expected)
 	threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*heartbeatGap))
-	return contact.expected >= minZoneMachines && now.Sub(contact.lastContact) > threshold && z.cfg.ZonePeersSilent(zone)
+	return contact.expected >= minZoneMachines && now.Sub(contact.lastContact) > threshold && z.cfg.ZonePeersUnreachable(zone)
 }
 
 // detectUnreachable finds the zones whose machines no controller can reach. A zone stays unreachable until
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -88,7 +88,7 @@
 	h.jobs = jobs.NewTable(h.commits, 2048, h.Now, func() int64 { return 0 })
 	h.jobs.UsePackedLog()
 	workersConfig := workerstest.Config(3, cloud.MachineType{SKU: "m8", VCPUs: 8, MemoryGB: 32})
-	workersConfig.OnDeposed = func() { t.Error("deposed") }
+	workersConfig.OnLaterTerm = func() { t.Error("a worker reported a later term, want none") }
 	h.workers = workers.NewTable(h, h.jobs, workersConfig)
 	config := Config{GatherTimeout: 40 * time.Second, PeerLossTimeout: 5 * time.Second, HeartbeatInterval: 3 * time.Second}
 	h.gangs = NewTable(h.jobs, h.workers, h.Now, func() bool { return true }, config)
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -63,14 +63,14 @@
 			RuntimeS:  30,
 		}
 		j := tb.Add(s, func() {}, nil)
-		store.Settle(c)
+		store.FlushAndRun(c)
 		return j
 	}
 	place := func(j *Job, n int) {
 		for i := range n {
 			tb.Place(&j.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i)), ident.Incarnation(1+i%3), func() {})
 		}
-		store.Settle(c)
+		store.FlushAndRun(c)
 	}
 	small, service := add("j-1", api.Batch, 3), add("j-2", api.Service, 4)
 	large, cancelled := add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
@@ -81,17 +81,17 @@
 	place(cancelled, 2)
 	tb.Complete(&small.Tasks[1], nil)
 	tb.MarkGone(&service.Tasks[2], nil)
-	store.Settle(c)
+	store.FlushAndRun(c)
 	for _, d := range large.storage.segments {
 		c.MarkDirty(d, nil)
 	}
 	c.MarkDirty(service.storage.header, nil)
-	store.Settle(c)
+	store.FlushAndRun(c)
 	tb.MarkGone(&large.Tasks[148], nil)
 	tb.Complete(&large.Tasks[7], nil)
 	tb.Place(&service.Tasks[2], "host-000999", 7, func() {})
 	tb.Cancel(cancelled, func() {})
-	store.Settle(c)
+	store.FlushAndRun(c)
 }
 
 // assertSameJobs checks that a table has the same jobs as the version in production has in memory. stage names
@@ -167,9 +167,9 @@
 	store := g.newStore()
 	tb, c := loadTable(t, store, true)
 	for tb.ConvertToLog(1) || !allConverted(tb) {
-		store.Settle(c)
+		store.FlushAndRun(c)
 	}
-	store.Settle(c)
+	store.FlushAndRun(c)
 	assertSameJobs(t, "converted", tb, g)
 	next, _ := loadTable(t, store, true)
 	assertSameJobs(t, "loaded again", next, g)
@@ -242,7 +242,7 @@
 	delete(store.Entries, "log/00000")
 	tb, c := loadTable(t, store, false)
 	tb.Place(&tb.Jobs["j-1"].Tasks[1], "host-2", 1, func() {})
-	store.Settle(c)
+	store.FlushAndRun(c)
 	var r struct {
 		N uint64 `json:"n"`
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -58,10 +58,10 @@
 
 // runLifecycles takes jobs through all changes that are written to the store.
 func runLifecycles(r *recorder, tb *Table, c *commit.Committer) {
-	settle := func() { r.Settle(c) }
+	flush := func() { r.FlushAndRun(c) }
 	add := func(id ident.JobID) *Job {
 		j := tb.Add(goldenSpec(id), func() {}, nil)
-		settle()
+		flush()
 		return j
 	}
 	open, cancelled, held, done := add("j-11"), add("j-12"), add("j-13"), add("j-14")
@@ -70,23 +70,23 @@
 		tb.Place(&done.Tasks[i], "host-14", 31, func() {})
 	}
 	tb.Place(&held.Tasks[1], "host-13", 41, func() {})
-	settle()
+	flush()
 	tb.MarkGone(&open.Tasks[0], nil)
-	settle()
+	flush()
 	tb.Place(&open.Tasks[0], "host-77", 51, func() {})
 	tb.Complete(&open.Tasks[1], nil)
-	settle()
+	flush()
 	tb.Cancel(cancelled, func() {})
 	tb.Cancel(held, func() {})
 	for i := range done.Tasks {
 		tb.Complete(&done.Tasks[i], nil)
 	}
-	settle()
+	flush()
 	c.MarkDirty(open.storage.header, nil)
 	for _, d := range open.storage.segments {
 		c.MarkDirty(d, nil)
 	}
-	settle()
+	flush()
 }
 
 // describe returns a description of the jobs in a table.
@@ -155,9 +155,9 @@
 	runLifecycles(r, tb, c)
 	next, c := loadTable(t, r.fakeStore, true)
 	for next.ConvertToLog(1) || !allConverted(next) {
-		r.Settle(c)
+		r.FlushAndRun(c)
 	}
-	r.Settle(c)
+	r.FlushAndRun(c)
 	goldenfile.Compare(t, "conversion", stored(r.fakeStore))
 }
 
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -97,15 +97,15 @@
 	s := &api.Spec{ID: "j-1", Shape: api.Batch, Tasks: tasks, Image: strings.Repeat("x", 200)}
 	accepted := false
 	j := tb.Add(s, func() { accepted = true }, nil)
-	store.Settle(c)
+	store.FlushAndRun(c)
 	for i := range j.Tasks {
 		tb.Place(&j.Tasks[i], "host-999999", 1<<40, func() {})
 	}
-	store.Settle(c)
+	store.FlushAndRun(c)
 	for i := 0; i < tasks/2; i++ {
 		tb.Complete(&j.Tasks[i], nil)
 	}
-	store.Settle(c)
+	store.FlushAndRun(c)
 	if !accepted {
 		t.Fatal("submission of j-1 is not durable after all responses have arrived")
 	}
@@ -139,9 +139,9 @@
 	store := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(store)
 	j := tb.Add(&api.Spec{ID: "j-1", Shape: api.Service, Tasks: 2}, func() {}, nil)
-	store.Settle(c)
+	store.FlushAndRun(c)
 	tb.Place(&j.Tasks[0], "h", 1, func() {})
-	store.Settle(c)
+	store.FlushAndRun(c)
 	status, archived := api.Status(""), 0
 	tb.OnArchived = func(id ident.JobID) {
 		archived++
@@ -150,13 +150,13 @@
 		}
 	}
 	tb.Cancel(j, func() { status = j.View().Status })
-	store.Settle(c)
+	store.FlushAndRun(c)
 	if status != "cancelled" || store.Entries["over/j-1"].Revision != 0 || store.Entries["live/j-1"].Revision == 0 {
 		t.Fatalf("after the cancellation: status %q, keys %v; want status cancelled, key live/j-1 and not over/j-1",
 			status, store.Entries)
 	}
 	tb.MarkGone(&j.Tasks[0], nil)
-	store.Settle(c)
+	store.FlushAndRun(c)
 	if store.Entries["over/j-1"].Revision == 0 || store.Entries["live/j-1"].Revision != 0 || archived != 1 {
 		t.Errorf("after the task is gone: keys %v, archived %d times; want key over/j-1 and not live/j-1, archived once",
 			store.Entries, archived)
--- a/internal/kvstoretest/stepped_store.go
+++ b/internal/kvstoretest/stepped_store.go
@@ -48,9 +48,9 @@
 // flusher is implemented by committers.
 type flusher interface{ Flush() }
 
-// Settle flushes a committer, so that it writes all pending changes, and then runs all queued responses and
+// FlushAndRun flushes a committer, so that it writes all pending changes, and then runs all queued responses and
 // timers.
-func (s *SteppedStore) Settle(committer flusher) {
+func (s *SteppedStore) FlushAndRun(committer flusher) {
 	committer.Flush()
 	s.Run()
 }
--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/ident"
 )
 
-// DemandState is the state of a team's demand relative to its guaranteed CPUs.
+// DemandState is the state of a team's demand relative to its entitled CPUs, see Model.ratio.
 type DemandState uint8
 
 // The states of a team's demand. A team must be in Rising or Recovering for Config.MinDuration before it
@@ -43,7 +43,7 @@
 type DemandStateChange struct {
 	Team     string
 	From, To DemandState
-	Ratio    float64 // demand divided by the guaranteed CPUs
+	Ratio    float64 // demand divided by the entitled CPUs, see Model.ratio
 }
 
 // SetDemand sets the total number of CPUs that a team's running and waiting tasks request.
@@ -56,14 +56,14 @@
 	t.demand.Set(cpus, now, m.config.HalfLife)
 }
 
-// ratio returns a team's demand as a multiple of its guaranteed CPUs. For a team without a guarantee, an
-// equal share of the CPUs of all machines is used instead.
+// ratio returns a team's demand as a multiple of its entitled CPUs: the guaranteed CPUs or, for a team
+// without a guarantee, an equal share of the CPUs of all machines.
 func (m *Model) ratio(t *team, now ident.MonotonicTime) float64 {
-	guaranteedCPUs := t.guaranteedCPUs
-	if guaranteedCPUs <= 0 {
-		guaranteedCPUs = max(1, m.totalCPUs/float64(len(m.teams)))
+	entitledCPUs := t.guaranteedCPUs
+	if entitledCPUs <= 0 {
+		entitledCPUs = max(1, m.totalCPUs/float64(len(m.teams)))
 	}
-	return t.demand.Value(now, m.config.HalfLife) / guaranteedCPUs
+	return t.demand.Value(now, m.config.HalfLife) / entitledCPUs
 }
 
 // Evaluate updates the states of all teams and returns the changes, ordered by team.
@@ -137,7 +137,7 @@
 type TeamDemand struct {
 	Team  string
 	State DemandState
-	Ratio float64 // demand divided by the guaranteed CPUs
+	Ratio float64 // demand divided by the entitled CPUs, see Model.ratio
 }
 
 // Teams returns the demand of all teams, ordered by name.
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -33,10 +33,10 @@
 	for _, purpose := range []rebalance.Purpose{rebalance.FreesCapacity, rebalance.LeavesSlowMachine} {
 		move.Purpose = purpose
 		h.RecordMove(&Move{Move: move, Attempt: 8}, nil)
-		r.Settle(c)
+		r.FlushAndRun(c)
 	}
 	h.Forget("j-11")
-	r.Settle(c)
+	r.FlushAndRun(c)
 	var d golden.Document
 	d.Add("requests", r.Requests())
 	golden.RoundTrip(t, &d, "record", golden.Filled[Record](0))
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -38,7 +38,7 @@
 		if durable {
 			t.Error("RecordMove reported the record as durable before it was written")
 		}
-		s.Settle(c)
+		s.FlushAndRun(c)
 		if !durable || h.MoveCount("j-1") != n+1 || h.MoveCount("j-2") != 0 {
 			t.Errorf("got durable %v, %d moves of the job, %d of another job; want true, %d, 0",
 				durable, h.MoveCount("j-1"), h.MoveCount("j-2"), n+1)
--- a/internal/placement/batch.go
+++ b/internal/placement/batch.go
@@ -79,7 +79,7 @@
 		if w.Spot != spot {
 			continue
 		}
-		for w.HasRoom(need) && !d.full() {
+		for w.HasCapacityFor(need) && !d.full() {
 			t, rule := choose(w)
 			if t == nil {
 				break
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -185,7 +185,7 @@
 			continue
 		}
 		d.schedulableMachines = append(d.schedulableMachines, w)
-		if w.HasRoom(need) {
+		if w.HasCapacityFor(need) {
 			d.machinesWithCapacity = append(d.machinesWithCapacity, w)
 		}
 		if !w.Spot {
--- a/internal/placement/least_used.go
+++ b/internal/placement/least_used.go
@@ -35,7 +35,7 @@
 func (d *dispatch) fillLeastUsedFirst(spot bool, need jobs.Resources) {
 	queue := leastUsedHeap{}
 	for _, w := range d.machinesWithCapacity {
-		if w.Spot == spot && w.HasRoom(need) {
+		if w.Spot == spot && w.HasCapacityFor(need) {
 			queue = append(queue, w)
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 		d.Stats.countBatchTask(rule)
 		d.place(t, w)
-		if !w.HasRoom(need) {
+		if !w.HasCapacityFor(need) {
 			heap.Pop(&queue)
 			continue
 		}
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -87,7 +87,7 @@
 	need := d.minNeed(jobRange{0, len(d.batchJobs)})
 	var withCapacity []*workers.Worker
 	for _, w := range d.machinesWithCapacity {
-		if w.HasRoom(need) {
+		if w.HasCapacityFor(need) {
 			withCapacity = append(withCapacity, w)
 		}
 	}
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -345,8 +345,8 @@
 		"state", move.State.String(), "reason", move.Reason.String(), "took_s", r.leader.Now().Sub(move.StartedAt).Seconds())
 }
 
-// RecordTeamCooled records that the demand of a team left the state load.Overloaded.
-func (r *Rebalancer) RecordTeamCooled(now ident.MonotonicTime) { r.teamRecoveredAt = now }
+// RecordTeamRecovered records that the demand of a team left the state load.Overloaded.
+func (r *Rebalancer) RecordTeamRecovered(now ident.MonotonicTime) { r.teamRecoveredAt = now }
 
 // Moves lists the active moves, followed by those that ended recently.
 func (r *Rebalancer) Moves() []*migration.Move {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -190,7 +190,7 @@
 	s.transport.Malformed.Store(43)
 	query(s.loop, s.loop.post, func() bool {
 		c := s.controller
-		c.Forwarded, c.Relayed, c.Refused, c.Elections, c.LeasesKept = 51, 52, 53, 54, 55
+		c.Forwarded, c.Relayed, c.Refused, c.Elections, c.LeasesRenewedWithoutLeader = 51, 52, 53, 54, 55
 		return true
 	})
 	var d golden.Document
--- a/internal/server/node_metrics.go
+++ b/internal/server/node_metrics.go
@@ -26,7 +26,7 @@
 		func(s *controller.Stats) float64 { return float64(s.FormatLevel) }},
 	{newGauge("jobs", "Jobs that have not ended."), func(s *controller.Stats) float64 { return float64(s.Jobs) }},
 	{newGauge("tasks_held", "Tasks that are allocated to a machine."),
-		func(s *controller.Stats) float64 { return float64(s.TasksHeld) }},
+		func(s *controller.Stats) float64 { return float64(s.TasksAllocated) }},
 	{newGauge("tasks_waiting", "Tasks that wait for placement on a machine."),
 		func(s *controller.Stats) float64 { return float64(s.TasksWaiting) }},
 
@@ -76,10 +76,10 @@
 	{newCounter("relayed", "Requests forwarded to the leader through a peer, because the leader was unreachable."),
 		func(s *controller.Stats) float64 { return float64(s.Relayed) }},
 	{newCounter("leases_kept", "Worker leases renewed on behalf of an unreachable leader."),
-		func(s *controller.Stats) float64 { return float64(s.LeasesKept) }},
+		func(s *controller.Stats) float64 { return float64(s.LeasesRenewedWithoutLeader) }},
 	{newCounter("vouched",
 		"Deprecated: use opaldale_leases_kept_total. Worker leases renewed on behalf of an unreachable leader."),
-		func(s *controller.Stats) float64 { return float64(s.LeasesKept) }},
+		func(s *controller.Stats) float64 { return float64(s.LeasesRenewedWithoutLeader) }},
 	{newCounter("elected", "Terms that the node has begun as the leader."),
 		func(s *controller.Stats) float64 { return float64(s.TermsBegun) }},
 }
@@ -100,7 +100,7 @@
 	}
 	placedByRule.send(ch, float64(stats.PlacedPlanned), "planned")
 	placedByRule.send(ch, float64(stats.PlacedLocal), "local")
-	placedByRule.send(ch, float64(stats.PlacedNew), "new")
+	placedByRule.send(ch, float64(stats.PlacedUncached), "new")
 	placedByRule.send(ch, float64(stats.PlacedStolen), "stolen")
 	placedByRule.send(ch, float64(stats.PlacedServices), "service")
 	placedByRule.send(ch, float64(stats.PlacedGangs), "gang")
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -276,7 +276,7 @@
 		})
 		sim.schedule(101*time.Second, func() {
 			for _, n := range sim.nodes {
-				kept += n.controller.LeasesKept
+				kept += n.controller.LeasesRenewedWithoutLeader
 			}
 		})
 		sim.Run()
@@ -308,7 +308,7 @@
 	sim.schedule(104*time.Second, func() {
 		for _, n := range sim.nodes {
 			if n.alive {
-				kept += n.controller.LeasesKept
+				kept += n.controller.LeasesRenewedWithoutLeader
 			}
 		}
 	})
--- a/internal/workers/harness_test.go
+++ b/internal/workers/harness_test.go
@@ -76,7 +76,7 @@
 		LeaseDuration:     30 * time.Second,
 		LeaderGrace:       10 * time.Second,
 		Catalog:           func(string) *cloud.MachineType { return &machineType },
-		OnDeposed:         func() { t.Error("deposed") },
+		OnLaterTerm:       func() { t.Error("a worker reported a later term, want none") },
 		OnCapacityChanged: func() {},
 		OnTaskFailed:      func(*jobs.Task, *Worker, api.Cause) {},
 		Persist:           func(w *Worker) { w.Persisted = true },
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -20,7 +20,7 @@
 		return nil // a heartbeat that was delayed until after the machine's termination
 	}
 	switch tb.applyHeartbeat(w, heartbeat) {
-	case heartbeatDeposed:
+	case heartbeatLaterTerm:
 		return nil
 	case heartbeatStale:
 		return tb.respondToStale(w, heartbeat)
@@ -42,10 +42,10 @@
 }
 
 // handleUnknownMachine responds to a heartbeat from an unknown machine. The heartbeat may be a delayed
-// duplicate from a terminated machine, so the worker is probed and the machine added only if it answers.
+// duplicate from a terminated machine, so the worker is probed and the machine added only if it responds.
 func (tb *Table) handleUnknownMachine(heartbeat *api.Heartbeat) *api.HeartbeatResponse {
 	if heartbeat.FencingToken.Term() > tb.cfg.Term {
-		tb.cfg.OnDeposed()
+		tb.cfg.OnLaterTerm()
 		return nil
 	}
 	token := ident.MakeFencingToken(tb.cfg.Term, 0)
@@ -108,9 +108,9 @@
 type heartbeatOutcome uint8
 
 const (
-	heartbeatApplied heartbeatOutcome = iota
-	heartbeatStale                    // not newer than the newest heartbeat received
-	heartbeatDeposed                  // the worker has seen a later term: this node is no longer the leader
+	heartbeatApplied   heartbeatOutcome = iota
+	heartbeatStale                      // not newer than the newest heartbeat received
+	heartbeatLaterTerm                  // the worker has seen a later term: this node is no longer the leader
 )
 
 // applyHeartbeat updates a worker and its tasks from a heartbeat, unless the heartbeat is stale.
@@ -120,8 +120,8 @@
 		return heartbeatStale
 	}
 	if heartbeat.FencingToken.Term() > tb.cfg.Term {
-		tb.cfg.OnDeposed()
-		return heartbeatDeposed
+		tb.cfg.OnLaterTerm()
+		return heartbeatLaterTerm
 	}
 	tb.checkFencingToken(w, heartbeat.FencingToken)
 	tb.updateAddress(w, heartbeat.Addr)
--- a/internal/workers/reason.go
+++ b/internal/workers/reason.go
@@ -16,7 +16,7 @@
 	ReasonFaulty         Reason = "faulty machine"                      // jobs that run on other machines fail on this one
 	ReasonSlow           Reason = "slow machine"                        // tasks take much longer than on other machines
 	ReasonUnresponsive   Reason = "worker unresponsive"                 // the worker does not receive responses or commands
-	ReasonNotOnRecord    Reason = "no stored record"                    // a stored task names the machine; its record is deleted
+	ReasonNoStoredRecord Reason = "no stored record"                    // a stored task names the machine; its record is deleted
 	ReasonTerminated     Reason = "termination confirmed"               // by the provider
 	ReasonLeaseExpired   Reason = "lease expired"                       // the worker has killed its tasks
 	reasonNewIncarnation Reason = "not in newer incarnation"            // the worker's new incarnation does not have the task
--- a/internal/workers/reservation.go
+++ b/internal/workers/reservation.go
@@ -15,7 +15,7 @@
 // Reserve adds a reservation to the machine. It returns false if the machine already has a reservation or
 // too few free resources.
 func (w *Worker) Reserve(r Reservation) bool {
-	if w.reservation != nil || !w.HasRoom(r.Resources) {
+	if w.reservation != nil || !w.HasCapacityFor(r.Resources) {
 		return false
 	}
 	w.reservation = &r
--- a/internal/workers/reservation_test.go
+++ b/internal/workers/reservation_test.go
@@ -23,9 +23,9 @@
 	if w.Reserve(Reservation{Resources: jobs.Resources{VCPUs: 1}}) {
 		t.Error("a second reservation succeeded, want failure")
 	}
-	if w.HasRoom(four) || w.TaskCapacity(spec) != 1 || w.Free().VCPUs != 2 {
+	if w.HasCapacityFor(four) || w.TaskCapacity(spec) != 1 || w.Free().VCPUs != 2 {
 		t.Errorf("with 4 of 6 vCPUs reserved: has 4 free %v, capacity %d tasks, %v free; want false, 1 task, 2 vCPUs free",
-			w.HasRoom(four), w.TaskCapacity(spec), w.Free())
+			w.HasCapacityFor(four), w.TaskCapacity(spec), w.Free())
 	}
 	if w.FreeFor(api.High) != w.unused() || w.FreeFor(api.Standard) != w.Free() || w.FreeFor(api.BestEffort) != w.Free() {
 		t.Errorf("free for high, standard, best effort: got %v, %v, %v; want %v, %v, %v",
@@ -40,8 +40,8 @@
 	}
 	w.VCPUs = 2
 	w.ReleaseReservation()
-	if w.ReservationCovered() || w.HasReservation() || !w.HasRoom(six) {
+	if w.ReservationCovered() || w.HasReservation() || !w.HasCapacityFor(six) {
 		t.Errorf("after release: covered %v, has reservation %v, has 6 vCPUs free %v; want false, false, true",
-			w.ReservationCovered(), w.HasReservation(), w.HasRoom(six))
+			w.ReservationCovered(), w.HasReservation(), w.HasCapacityFor(six))
 	}
 }
--- a/internal/workers/table.go
+++ b/internal/workers/table.go
@@ -44,8 +44,8 @@
 	LeaderGrace time.Duration
 	// Catalog returns the machine type with the given name, or nil if the catalog does not list it.
 	Catalog func(model string) *cloud.MachineType
-	// OnDeposed is called when a worker has seen a later term. The callback ends the leadership.
-	OnDeposed func()
+	// OnLaterTerm is called when a worker has seen a later term. The callback ends the leadership.
+	OnLaterTerm func()
 	// OnCapacityChanged is called when the free capacity or the set of allocated tasks has changed.
 	OnCapacityChanged func()
 	// OnTaskFailed is called for a task that ended without completing.
--- a/internal/workers/usage.go
+++ b/internal/workers/usage.go
@@ -86,16 +86,18 @@
 }
 
 // Fits reports whether the machine has enough free resources for a task of the job.
-func (w *Worker) Fits(s *api.Spec) bool { return w.HasRoom(jobs.ResourcesOf(s)) }
+func (w *Worker) Fits(s *api.Spec) bool { return w.HasCapacityFor(jobs.ResourcesOf(s)) }
 
 // FitsEmpty reports whether a task of the job fits on an empty machine of the given type.
 func FitsEmpty(machineType *cloud.MachineType, s *api.Spec) bool {
 	return capacityOf(machineType).Covers(jobs.ResourcesOf(s))
 }
 
-// HasRoom reports whether the machine has the needed resources free, that is, neither allocated nor
+// HasCapacityFor reports whether the machine has the needed resources free, that is, neither allocated nor
 // reserved.
-func (w *Worker) HasRoom(need jobs.Resources) bool { return w.Type != nil && w.Free().Covers(need) }
+func (w *Worker) HasCapacityFor(need jobs.Resources) bool {
+	return w.Type != nil && w.Free().Covers(need)
+}
 
 // TaskCapacity returns how many tasks of a job fit into the machine's free resources, at most the number of
 // tasks of the job.
--- a/internal/workerstest/workerstest.go
+++ b/internal/workerstest/workerstest.go
@@ -19,7 +19,7 @@
 		Term:              term,
 		LeaseDuration:     30 * time.Second,
 		Catalog:           func(string) *cloud.MachineType { return &machineType },
-		OnDeposed:         func() {},
+		OnLaterTerm:       func() {},
 		OnCapacityChanged: func() {},
 		OnTaskFailed:      func(*jobs.Task, *workers.Worker, api.Cause) {},
 		Persist:           func(w *workers.Worker) { w.Persisted = true },
