--- a/cmd/opaldale/report_command.go
+++ b/cmd/opaldale/report_command.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: %s", addr, resp.Status)
+		return nil, fmt.Errorf("node %s: got status %s, want 200 OK", addr, resp.Status)
 	}
 	return body, nil
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("encoded and parsed: got %+v, %v, want %+v", parsed, err, s)
 		}
 		r := golden.Filled[Heartbeat](v)
-		golden.RoundTrip(t, &d, fmt.Sprintf("report %d", v), r)
+		golden.RoundTrip(t, &d, fmt.Sprintf("heartbeat %d", v), r)
 		if parsed, err := ParseHeartbeat(JSON(r)); err != nil || !reflect.DeepEqual(*parsed, r) {
 			t.Errorf("encoded and parsed: got %+v, %v, want %+v", parsed, err, r)
 		}
@@ -31,7 +31,7 @@
 	golden.RoundTrip(t, &d, "view", golden.Filled[JobView](0))
 	golden.RoundTrip(t, &d, "acknowledgement", golden.Filled[StatusResponse](0))
 	golden.RoundTrip(t, &d, "problem", golden.Filled[ErrorResponse](0))
-	golden.RoundTrip(t, &d, "answer to a report", golden.Filled[HeartbeatResponse](0))
+	golden.RoundTrip(t, &d, "response to a heartbeat", golden.Filled[HeartbeatResponse](0))
 	commands := golden.Filled[CommandRequest](0)
 	noGracePeriod := 0.0
 	id := ident.TaskID{Job: "j-7", Index: 8}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -48,7 +48,7 @@
 	}
 	status, response, err := call.Do(c.httpClient)
 	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
+		return Response{Outcome: NoResponse, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
 	return decodeResponse(request.Op, status, response)
 }
@@ -76,7 +76,7 @@
 	}
 	response, err := decodeSuccess(op, body)
 	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error()}
+		return Response{Outcome: NoResponse, Error: err.Error()}
 	}
 	response.Outcome = OK
 	return response
@@ -98,7 +98,7 @@
 	case http.StatusBadRequest:
 		return Response{Outcome: Invalid, Error: string(body)}
 	}
-	return Response{Outcome: NoAnswer, Error: http.StatusText(status)}
+	return Response{Outcome: NoResponse, Error: http.StatusText(status)}
 }
 
 // decodeSuccess decodes the body of a response with status 200.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -69,10 +69,10 @@
 // Outcome is the result of a request.
 type Outcome uint8
 
-// The outcomes of a request. Only with NoAnswer is it unknown whether the provider carried the request out, or
+// The outcomes of a request. Only with NoResponse is it unknown whether the provider carried the request out, or
 // will do so later.
 const (
-	NoAnswer    Outcome = iota // no response, or a response that the API does not define
+	NoResponse  Outcome = iota // no response, or a response that the API does not define
 	OK                         // the request was carried out
 	NoCapacity                 // the provider has no machine of the type in the zone
 	Unavailable                // rate limit or outage of the API; not carried out
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -12,13 +12,13 @@
 		want   Outcome
 	}{
 		{Provision, 200, `{"hosts":["host-1"]}`, OK},
-		{Provision, 200, `{"hosts":`, NoAnswer},
+		{Provision, 200, `{"hosts":`, NoResponse},
 		{Provision, 503, `{"error":"no capacity"}`, NoCapacity},
 		{Provision, 503, `{"error":"trouble"}`, Unavailable},
 		{Provision, 503, `<html>`, Unavailable},
 		{Provision, 429, ``, Unavailable},
 		{Provision, 400, ``, Invalid},
-		{Terminate, 502, ``, NoAnswer},
+		{Terminate, 502, ``, NoResponse},
 		{Terminate, 200, ``, OK},
 		{List, 200, `{"hosts":[{"id":"host-1","status":"running","age_s":1.5}],"truncated":true}`, OK},
 		{Catalog, 200, `{"models":[{"sku":"g8","vcpus":96}]}`, OK},
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("decoding %s: got %+v, want %+v", testCase.body, got, testCase.want)
 		}
 	}
-	names := map[Outcome]string{NoAnswer: "lost", OK: "ok", NoCapacity: "no capacity", Unavailable: "refused", Invalid: "bad"}
+	names := map[Outcome]string{NoResponse: "lost", OK: "ok", NoCapacity: "no capacity", Unavailable: "refused", Invalid: "bad"}
 	var b strings.Builder
 	for _, status := range []int{200, 201, 400, 404, 429, 500, 503} {
 		for _, body := range []string{`{"error":"no capacity"}`, `{"error":"outage"}`} {
--- a/internal/commit/format.go
+++ b/internal/commit/format.go
@@ -35,7 +35,7 @@
 	compact(log *changeLog, maxValueBytes int) []*Document
 }
 
-// jsonFormat is the log format at format level 0. A record is a list of JSON lines, and is needed until the
+// jsonFormat is the legacy format of the log, at format level 0. A record is a list of JSON lines, and is needed until the
 // documents of its lines have been put or deleted.
 type jsonFormat struct{}
 
--- a/internal/commit/store_test.go
+++ b/internal/commit/store_test.go
@@ -58,13 +58,13 @@
 func (f *flakyStore) Store(r kvstore.Request, onResponse func(kvstore.Response)) {
 	switch f.rng.IntN(5) {
 	case 0: // never applied
-		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+		f.respond(kvstore.Response{Outcome: kvstore.NoResponse}, onResponse)
 	case 1: // applied, response lost
 		f.serve(r)
-		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+		f.respond(kvstore.Response{Outcome: kvstore.NoResponse}, onResponse)
 	case 2: // applied later, response lost
 		f.After(time.Duration(f.rng.IntN(2000))*time.Millisecond, func() { f.serve(r) })
-		f.respond(kvstore.Response{Outcome: kvstore.NoAnswer}, onResponse)
+		f.respond(kvstore.Response{Outcome: kvstore.NoResponse}, onResponse)
 	case 3:
 		f.respond(kvstore.Response{Outcome: kvstore.Unavailable}, onResponse)
 	default:
--- a/internal/commit/txn.go
+++ b/internal/commit/txn.go
@@ -37,7 +37,7 @@
 			c.retry(t, func() { c.sendCopy(t) })
 		case kvstore.Unavailable:
 			c.handleUnavailable(t)
-		case kvstore.NoAnswer:
+		case kvstore.NoResponse:
 			t.uncertain = true
 			c.handleUnavailable(t)
 		default:
@@ -218,7 +218,7 @@
 		switch outcome {
 		case kvstore.OK:
 			c.handleCommitted(t, revision)
-		case kvstore.NoAnswer, kvstore.Unavailable, kvstore.RateLimited:
+		case kvstore.NoResponse, kvstore.Unavailable, kvstore.RateLimited:
 			c.retry(t, func() { c.recoverRevision(t) })
 		default:
 			c.failTerm(fmt.Errorf("%w: %s", ErrKeyLost, key))
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -47,7 +47,7 @@
 }
 
 // allows reports whether the node's current authority permits an action. A leader must check it before every decision, and
-// before every answer from its tables.
+// before every response from its tables.
 func (c *Controller) allows(action authority.Action) bool { return c.updateAuthority().Allows(action) }
 
 // mayManageFleet reports whether this node may provision, terminate and fence machines. While link tracking is disabled, a
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,7 +47,7 @@
 	rng          *rand.Rand
 	election     *election.Elector
 	leader       *leaderTerm       // nil while not leading
-	formatLevel  ident.FormatLevel // highest format level known to be in force
+	formatLevel  ident.FormatLevel // highest format level that is known to be enabled
 	renewalGrace time.Duration     // see the function of the same name
 
 	peers           map[ident.NodeID]*peer
@@ -59,7 +59,7 @@
 	renewer        renewal.Renewer
 	// cancelledJobs holds the most recent jobs that this node has seen as durably cancelled.
 	cancelledJobs   *jobs.RecentJobs[struct{}]
-	storeLastServed ident.MonotonicTime  // time of the store's last usable answer to a probe
+	storeLastServed ident.MonotonicTime  // time of the store's last usable response to a probe
 	links           *linktracker.Tracker // nil if link tracking is disabled
 	authority       authority.Tracker
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// FormatLevel returns the highest format level of stored data that this node has seen in force.
+// FormatLevel returns the highest format level of stored data that this node knows to be enabled.
 func (c *Controller) FormatLevel() ident.FormatLevel { return c.formatLevel }
 
 // Election returns the node's elector.
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -52,8 +52,8 @@
 	c.lastForwardID++
 	id := c.lastForwardID
 	deadline := c.env.Now().Add(timeout)
-	// After a pause of the process, an outdated answer may be read before the timer fires. The deadline invalidates it.
-	c.pendingForwards[id] = func(a Response) { reply(a.limitValidity(deadline)) }
+	// After a pause of the process, an outdated response may be read before the timer fires. The deadline invalidates it.
+	c.pendingForwards[id] = func(response Response) { reply(response.limitValidity(deadline)) }
 	frame := &transport.Frame{
 		Type:   transport.MsgRequest,
 		ID:     id,
@@ -76,7 +76,7 @@
 	})
 }
 
-// completeForward passes the leader's answer to the request that waits for it. An answer that arrives after the request
+// completeForward passes the leader's response to the request that waits for it. A response that arrives after the request
 // has timed out is dropped.
 func (c *Controller) completeForward(frame *transport.Frame) {
 	reply := c.pendingForwards[frame.ID]
@@ -113,7 +113,7 @@
 }
 
 // forwardSubmission forwards a submission unless it is malformed. A gang is forwarded only if the packed format is known to
-// be in force, since a leader of an earlier version would reject the gang as malformed.
+// be enabled, since a leader of an earlier version would reject the gang as malformed.
 func (c *Controller) forwardSubmission(r request, toLeader route, reply func(Response)) {
 	spec, err := api.ParseSpec(r.body)
 	if err != nil {
@@ -171,8 +171,8 @@
 	c.forwardOrRefuse(r, toLeader, reply)
 }
 
-// requirePackedFormat reads the format level and calls then if the packed format is in force; otherwise it refuses the
-// request. Remove it together with the first format.
+// requirePackedFormat reads the format level and calls then if the packed format is enabled; otherwise it refuses the
+// request. Remove it together with the legacy format.
 func (c *Controller) requirePackedFormat(then func(), reply func(Response)) {
 	c.refreshFormatLevel(func() {
 		if c.formatLevel < ident.FormatPacked {
@@ -196,7 +196,7 @@
 	})
 }
 
-// forwardOrRefuse forwards a request. It refuses the request if the leader is unreachable or doesn't answer in time.
+// forwardOrRefuse forwards a request. It refuses the request if the leader is unreachable or doesn't respond in time.
 func (c *Controller) forwardOrRefuse(r request, toLeader route, reply func(Response)) {
 	if !toLeader.reachable {
 		c.refuse(reply, noLeader)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -37,7 +37,7 @@
 	return []byte(strings.NewReplacer(change...).Replace(s))
 }
 
-// submitStatus submits a job and returns the HTTP status of the answer, 0 if there is no answer yet.
+// submitStatus submits a job and returns the HTTP status of the response, 0 if there is no response yet.
 func submitStatus(c *Controller, body []byte) (out int) {
 	spec, err := api.ParseSpec(body)
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // TestGangForwardingNeedsPackedFormat: a follower forwards a gang only after it has read from the store that the packed
-// format is in force, since a leader of an earlier version would reject the gang as malformed.
+// format is enabled, since a leader of an earlier version would reject the gang as malformed.
 func TestGangForwardingNeedsPackedFormat(t *testing.T) {
 	const forwarded = "forwarded"
 	for _, x := range []struct{ name, term, want string }{
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -129,7 +129,7 @@
 	d.Compare(t, "machines")
 }
 
-// recordingClient sends requests to a node and records the answers.
+// recordingClient sends requests to a node and records the responses.
 type recordingClient struct {
 	node    *Controller
 	env     *fakeEnv
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestGoldenAnswers compares the status, Retry-After and body of answers to users and workers with the golden file.
+// TestGoldenAnswers compares the status, Retry-After and body of responses to users and workers with the golden file.
 func TestGoldenAnswers(t *testing.T) {
 	var d golden.Document
 	for _, level := range []ident.FormatLevel{0, ident.FormatPacked} {
@@ -206,12 +206,12 @@
 		client.send("cancel "+id, transport.CancelJob, id, nil)
 	}
 	client.send("poll j-1", transport.GetJob, "j-1", nil)
-	client.send("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
-	client.send("report", transport.WorkerHeartbeat, "", heartbeat)
+	client.send("malformed heartbeat", transport.WorkerHeartbeat, "", []byte(`{}`))
+	client.send("heartbeat", transport.WorkerHeartbeat, "", heartbeat)
 	client.env.Time = client.env.Time.Add(time.Hour)
-	client.send("submission to a leader that is not sure", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
-	client.send("cancellation to a leader that is not sure", transport.CancelJob, "j-1", nil)
-	client.send("report to a leader that is not sure", transport.WorkerHeartbeat, "", heartbeat)
+	client.send("submission to a leader whose lease has expired", transport.SubmitJob, "", batch(`"j-1"`, `"j-8"`))
+	client.send("cancellation to a leader whose lease has expired", transport.CancelJob, "j-1", nil)
+	client.send("heartbeat to a leader whose lease has expired", transport.WorkerHeartbeat, "", heartbeat)
 }
 
 // goldenFollower returns a client of a node with one peer. If known, the peer has reported that it is the leader.
@@ -225,7 +225,7 @@
 	return client
 }
 
-// sendFollowerRequests sends requests to a node that forwards them to a leader; the leader does not answer.
+// sendFollowerRequests sends requests to a node that forwards them to a leader; the leader does not respond.
 func sendFollowerRequests(client *recordingClient) {
 	live := `{"spec":{"id":"j-80","pieces":4},"seq":3,"phase":"open",` +
 		`"tasks":[{"t":1,"h":"host-1","n":2},{"t":3,"d":true},{},{"t":1,"h":"host-1","n":2}]}`
@@ -237,8 +237,8 @@
 	client.send("array", transport.SubmitJob, "", gangSpecJSON(`"gang"`, `"batch"`))
 	client.send("cancellation", transport.CancelJob, "j-1", nil)
 	heartbeat := heartbeatJSON()
-	client.send("malformed report", transport.WorkerHeartbeat, "", []byte(`{}`))
-	client.send("report", transport.WorkerHeartbeat, "", heartbeat)
+	client.send("malformed heartbeat", transport.WorkerHeartbeat, "", []byte(`{}`))
+	client.send("heartbeat", transport.WorkerHeartbeat, "", heartbeat)
 	for _, id := range []string{"j-80", "j-81", "j-82"} {
 		client.send("poll "+id, transport.GetJob, id, nil)
 	}
@@ -255,7 +255,7 @@
 	d.JSON(t, "no moves", MoveReport{})
 	record := `{"moves":[{"task":1,"attempt":2,"from":"host-3","to":"host-4","for":"j-5/6",` +
 		`"source":"makes room","at_ms":7000,"gain_s":8.5,"cost_s":9.5}]}`
-	d.JSON(t, "moves on record", recordedMoves(kvstore.KeyValue{Key: "moves/j-7", Value: json.RawMessage(record)}, 17_500))
+	d.JSON(t, "stored moves", recordedMoves(kvstore.KeyValue{Key: "moves/j-7", Value: json.RawMessage(record)}, 17_500))
 	d.Compare(t, "reports")
 }
 
@@ -276,7 +276,7 @@
 	d.Add("directions", formatNames(links.Outbound, links.Direction.String))
 	d.Add("states of links", formatNames(links.Down, links.State.String))
 	d.Add("evidence", formatNames(links.Silence, links.Evidence.String))
-	d.Add("rows not taken", formatNames(links.Superseded, links.MergeResult.String))
+	d.Add("dropped advertisements", formatNames(links.Superseded, links.MergeResult.String))
 	d.Add("authority", formatNames(authority.Active, authority.State.String))
 	d.Add("handover", formatNames(handover.Ended, handover.State.String)+formatNames(handover.Requested, handover.Reason.String))
 	moveStates := formatNames(migration.Abandoned, migration.State.String)
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -17,7 +17,7 @@
 // maxBacklog is the number of pending writes above which submissions are refused.
 const maxBacklog = 400
 
-// submit accepts a job. The request is idempotent: the answer for a job that exists is its current status.
+// submit accepts a job. The request is idempotent: the response for a job that exists is its current status.
 func (l *leaderTerm) submit(spec *api.Spec, reply func(Response)) {
 	if j := l.jobs.Jobs[spec.ID]; j != nil {
 		l.replyWhenDurable(j, reply, ackResponse)
@@ -115,7 +115,7 @@
 	})
 }
 
-// replyWhenDurable answers with a job's view once the view is durable, so that no later leader contradicts the answer.
+// replyWhenDurable answers with a job's view once the view is durable, so that no later leader contradicts the response.
 func (l *leaderTerm) replyWhenDurable(j *jobs.Job, reply func(Response), render func(api.JobView) Response) {
 	if !j.ViewSettled() {
 		reply = l.replies.withTimeout(reply)
@@ -129,8 +129,8 @@
 	})
 }
 
-// limitToLeaderLease limits the validity of an answer from memory to the leader's lease. The server checks the validity
-// immediately before it sends the answer, since the process may pause in between.
+// limitToLeaderLease limits the validity of a response from memory to the leader's lease. The server checks the validity
+// immediately before it sends the response, since the process may pause in between.
 func (l *leaderTerm) limitToLeaderLease(r Response) Response {
 	if l.closed() || !l.controller.allows(authority.ServeReads) {
 		return unavailable(noLeader)
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -58,7 +58,7 @@
 	return l.env.Now().Sub(began)
 }
 
-// convertRecords rewrites a batch of the records that are still in the first format, if the committer has spare
+// convertRecords rewrites a batch of the records that are still in the legacy format, if the committer has spare
 // capacity.
 func (l *leaderTerm) convertRecords(now ident.MonotonicTime) {
 	if l.formatLevel < ident.FormatPacked || now <= l.nextConversionAt || !l.committer.HasSpareCapacity() {
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -50,7 +50,7 @@
 
 	formatUpgrader   *upgrade.Raiser
 	formatLevel      ident.FormatLevel   // format of the records that are written
-	nextConversionAt ident.MonotonicTime // earliest next search for records in the first format
+	nextConversionAt ident.MonotonicTime // earliest next search for records in the legacy format
 	nextDispatchAt   ident.MonotonicTime // earliest next dispatch
 
 	replies  *pendingReplies
@@ -235,7 +235,7 @@
 }
 
 // enablePackedFormat switches the term to the packed format once the format level has been raised. Remove it together with
-// the first format.
+// the legacy format.
 func (l *leaderTerm) enablePackedFormat() {
 	if l.closed() {
 		return
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// storeUnreachableAfter is the time without a usable answer from the store after which a node considers the store
+	// storeUnreachableAfter is the time without a usable response from the store after which a node considers the store
 	// unreachable.
 	storeUnreachableAfter = 2 * time.Second
 	// maxCancelledJobs limits the number of cancelled jobs that a node remembers. It covers one minute in which each
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -91,7 +91,7 @@
 func (c *Controller) probeStore() {
 	request := kvstore.Request{Op: kvstore.Get, Key: election.LeaderKey, Timeout: storeTimeout}
 	c.env.Store(request, func(r kvstore.Response) {
-		if r.Outcome != kvstore.NoAnswer && r.Outcome != kvstore.Unavailable && r.Outcome != kvstore.RateLimited {
+		if r.Outcome != kvstore.NoResponse && r.Outcome != kvstore.Unavailable && r.Outcome != kvstore.RateLimited {
 			c.storeLastServed = c.env.Now()
 		}
 	})
--- a/internal/controller/pending_replies.go
+++ b/internal/controller/pending_replies.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pendingReplies holds the replies to requests that wait for the store. Each is called once: with the answer, or with a
+// pendingReplies holds the replies to requests that wait for the store. Each is called once: with the response, or with a
 // refusal if the store becomes unavailable or takes longer than storeTimeout.
 type pendingReplies struct {
 	after  func(time.Duration, func())
--- a/internal/controller/pending_replies_test.go
+++ b/internal/controller/pending_replies_test.go
@@ -9,7 +9,7 @@
 	"opaldale/internal/ident"
 )
 
-// TestPendingRepliesAnswerOnce: a request is answered once, by the first of its answer, its timeout and a store failure.
+// TestPendingRepliesAnswerOnce: a request is answered once, by the first of its response, its timeout and a store failure.
 func TestPendingRepliesAnswerOnce(t *testing.T) {
 	const done, slow, failed = http.StatusOK, http.StatusGatewayTimeout, http.StatusServiceUnavailable
 	for _, x := range []struct {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// responder returns a function that sends a peer the answer to its request with the given ID.
+// responder returns a function that sends a peer the response to its request with the given ID.
 func (c *Controller) responder(to ident.NodeID, id uint64) func(Response) {
 	return func(r Response) {
 		c.env.SendPeer(to, &transport.Frame{
@@ -110,7 +110,7 @@
 	var commands *api.HeartbeatResponse
 	var validUntil ident.MonotonicTime
 	if c.leader != nil {
-		commands, validUntil = c.leader.answerHeartbeat(heartbeat, r.direct)
+		commands, validUntil = c.leader.respondToHeartbeat(heartbeat, r.direct)
 	}
 	if commands == nil {
 		reply(unavailable(noAuthority))
@@ -121,10 +121,10 @@
 	reply(response)
 }
 
-// answerHeartbeat renews a worker's lease and returns the commands for the worker, to the extent that the leader's
-// authority permits. commands is nil if the authority permits neither. validUntil is the expiry of the answer; 0 means
+// respondToHeartbeat renews a worker's lease and returns the commands for the worker, to the extent that the leader's
+// authority permits. commands is nil if the authority permits neither. validUntil is the expiry of the response; 0 means
 // that it does not expire.
-func (l *leaderTerm) answerHeartbeat(heartbeat *api.Heartbeat, direct bool) (
+func (l *leaderTerm) respondToHeartbeat(heartbeat *api.Heartbeat, direct bool) (
 	commands *api.HeartbeatResponse, validUntil ident.MonotonicTime,
 ) {
 	c := l.controller
@@ -137,7 +137,7 @@
 	}
 	commands = l.workers.HandleHeartbeat(heartbeat)
 	if commands != nil && api.ContainsLaunch(commands.Commands) {
-		// If the process pauses before it sends the answer, a successor may have reported the job as cancelled
+		// If the process pauses before it sends the response, a successor may have reported the job as cancelled
 		// by then.
 		validUntil = c.election.LeaseExpiry()
 	}
--- a/internal/controller/response.go
+++ b/internal/controller/response.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file defines the answers to requests, and the reasons for refusals.
+// This file defines the responses to requests, and the reasons for refusals.
 
 import (
 	"net/http"
@@ -9,17 +9,17 @@
 	"opaldale/internal/ident"
 )
 
-// Response is the answer to a request from a user or a worker.
+// Response is the response to a request from a user or a worker.
 type Response struct {
 	Status      int // HTTP status
 	RetryAfterS int // value of Retry-After in seconds; 0 means no such header
 	Body        []byte
-	// ValidUntil is the time, by this node's clock, from which the answer may be outdated; 0 means never. The server
-	// must call IfValid immediately before it sends the answer.
+	// ValidUntil is the time, by this node's clock, from which the response may be outdated; 0 means never. The server
+	// must call IfValid immediately before it sends the response.
 	ValidUntil ident.MonotonicTime
 }
 
-// limitValidity returns the answer with its validity limited to a deadline. Refusals don't become outdated, and are returned
+// limitValidity returns the response with its validity limited to a deadline. Refusals don't become outdated, and are returned
 // unchanged.
 func (r Response) limitValidity(deadline ident.MonotonicTime) Response {
 	if r.Status < http.StatusInternalServerError && (r.ValidUntil == 0 || deadline < r.ValidUntil) {
@@ -28,7 +28,7 @@
 	return r
 }
 
-// IfValid returns the answer if it is valid at the given time, and a refusal otherwise.
+// IfValid returns the response if it is valid at the given time, and a refusal otherwise.
 func (r Response) IfValid(now ident.MonotonicTime) Response {
 	if r.ValidUntil > 0 && now >= r.ValidUntil {
 		return unavailable(responseExpired)
@@ -42,10 +42,10 @@
 	return jsonResponse(status, api.ErrorResponse{Error: text})
 }
 
-// viewResponse returns the answer to a poll.
+// viewResponse returns the response to a poll.
 func viewResponse(v api.JobView) Response { return jsonResponse(http.StatusOK, v) }
 
-// ackResponse returns the short answer with the ID and status of a job that exists.
+// ackResponse returns the short response with the ID and status of a job that exists.
 func ackResponse(v api.JobView) Response {
 	return jsonResponse(http.StatusOK, api.StatusResponse{ID: v.ID, Status: v.Status})
 }
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/workers"
 )
 
-// TestResponsesExpireWithLeaderLease: an answer from a leader's memory is valid until the leader's lease expires. The server
-// checks the validity immediately before it sends the answer, since the process may have paused in between. Answers about
+// TestResponsesExpireWithLeaderLease: a response from a leader's memory is valid until the leader's lease expires. The server
+// checks the validity immediately before it sends the response, since the process may have paused in between. Responses about
 // final states do not expire.
 func TestResponsesExpireWithLeaderLease(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
@@ -110,6 +110,6 @@
 	want("3 s after a cancellation", c.renewalGrace-3*time.Second)
 	env.Time = env.Time.Add(c.renewalGrace)
 	want("after the renewal grace", 0)
-	l.jobs.MarkGone(&j.Tasks[0], nil)
+	l.jobs.MarkNotRunning(&j.Tasks[0], nil)
 	want("after the task is confirmed as terminated", c.renewalGrace)
 }
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -68,7 +68,7 @@
 }
 
 // Place implements placement.Actions: it places a task, and launches it once the placement is durable. If the leader may
-// not send the command at that time, the answer to a later heartbeat of the worker launches the task.
+// not send the command at that time, the response to a later heartbeat of the worker launches the task.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
 		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinQuota,
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -39,7 +39,7 @@
 	e.unansweredSince = min(e.unansweredSince, sentAt)
 	request := kvstore.Request{Op: kvstore.RenewLease, LeaseID: e.leaseID, Timeout: e.leaseTTL}
 	e.callStore(request, func(response kvstore.Response) {
-		if response.Outcome != kvstore.NoAnswer {
+		if response.Outcome != kvstore.NoResponse {
 			e.unansweredSince = ident.Never
 		}
 		switch response.Outcome {
@@ -65,7 +65,7 @@
 			e.sendRenewal()
 		case kvstore.NotFound:
 			e.stepDown(LeaderKeyLost)
-		case kvstore.NoAnswer:
+		case kvstore.NoResponse:
 		default:
 			e.unansweredSince = ident.Never
 		}
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -100,7 +100,7 @@
 	r.table = workers.NewTable(r, r.jobs, workersConfig)
 	tuning := settings.DefaultTuning()
 	tuning.ScaleInDelay = time.Hour // the tests terminate machines for other reasons
-	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "guest"}})
+	teams := placement.NewTeams([]settings.Team{{Name: "red", CPUs: 100, CPUsMax: 100}, {Name: "borrower"}})
 	r.manager = New(r, r.table, r.jobs, teams, rand.New(rand.NewPCG(1, 1)), Config{
 		Term:                 3,
 		Tuning:               tuning,
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -42,7 +42,7 @@
 		}
 		tries[request.RequestID]++
 		if tries[request.RequestID] < 3 {
-			return cloud.Response{Outcome: cloud.NoAnswer}
+			return cloud.Response{Outcome: cloud.NoResponse}
 		}
 		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + request.RequestID)}}
 	}
@@ -342,7 +342,7 @@
 // TestBorrowersDoNotScaleOut: for jobs of a team without a guaranteed quota, no on-demand machine is
 // provisioned, no matter how long they wait. The resources that they use count as free for other teams.
 func TestBorrowersDoNotScaleOut(t *testing.T) {
-	for _, team := range []string{"guest", "red"} {
+	for _, team := range []string{"borrower", "red"} {
 		r := newHarness()
 		r.trackTasks()
 		r.addMachines(2)
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -65,8 +65,8 @@
 				slog.Info("zone partitioned: all machines and peers are silent", "zone", zone, "machines", contact.expected)
 			}
 		} else if previous[zone] {
-			// The machines report one after the other, as their pending calls time out, so their
-			// silence only counts from now.
+			// The machines resume their heartbeats one after the other, as their pending calls time
+			// out, so their silence only counts from now.
 			slog.Info("zone partition ended", "zone", zone)
 			z.recoveredAt[zone] = now
 		}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -35,7 +35,7 @@
 	// replacementDivisor sets the deadline for replacements: the gather timeout divided by
 	// replacementDivisor, from the first placement on. The replacement needs the remaining time to start.
 	replacementDivisor = 2
-	// stopOverrun is how long a graceful stop may take in addition to its grace period.
+	// stopOverrun is the time beyond its grace period that a graceful stop may need.
 	stopOverrun = 2 * time.Second
 )
 
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -354,7 +354,7 @@
 		h.place(0)
 		h.reportAll(api.Gathering)
 		if !complete {
-			h.jobs.MarkGone(&h.job.Tasks[1], nil)
+			h.jobs.MarkNotRunning(&h.job.Tasks[1], nil)
 		}
 		h.gangs = NewTable(h.jobs, h.workers, h.Now, func() bool { return true }, h.gangs.cfg)
 		h.gangs.Adopt(h.job)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -122,7 +122,7 @@
 // State returns the progress of the handover.
 func (c *Coordinator) State() State { return c.state }
 
-// Decision returns the successor and reason that were chosen when the handover began.
+// Decision returns the successor and the reason that were decided when the handover began.
 func (c *Coordinator) Decision() Decision { return c.decision }
 
 // Begun reports whether a handover has begun. From then on the leader must make no scheduling decisions.
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -34,7 +34,7 @@
 	FormatLevel uint8
 )
 
-// The format levels above 0, which is the first format. Code that reads or writes the first format is
+// The format levels above 0. Level 0 is the legacy format. Code that reads or writes the legacy format is
 // marked as such. It can be removed, together with package upgrade, once no deployment stores data in that
 // format.
 const (
--- a/internal/jobs/convert.go
+++ b/internal/jobs/convert.go
@@ -3,7 +3,7 @@
 import "opaldale/internal/api"
 
 // UsePackedLog makes the table store the tasks of new jobs only in the log, in the packed format.
-// ConvertToLog converts the jobs that are stored in the first format.
+// ConvertToLog converts the jobs that are stored in the legacy format.
 func (tb *Table) UsePackedLog() { tb.packedLog = true }
 
 // HeaderSize returns the maximum size that a job's header without tasks can reach, and the limit on that
@@ -13,7 +13,7 @@
 	return len(api.JSON(header)) + headerReserveBytes, tb.maxValueBytes
 }
 
-// ConvertToLog moves tasks of jobs in the first format to the log, and reports whether such jobs remain.
+// ConvertToLog moves tasks of jobs in the legacy format to the log, and reports whether such jobs remain.
 // budget is the number of writes to make, where each log line and each header counts as one; the job that
 // exceeds the budget is still converted. A job may be converted at any time. Cancelling a job converts it
 // as well.
@@ -34,7 +34,7 @@
 	return false
 }
 
-// isConvertible reports whether a job is stored in the first format and may be converted now.
+// isConvertible reports whether a job is stored in the legacy format and may be converted now.
 func (tb *Table) isConvertible(j *Job) bool {
 	return j.storage.format == inDocuments && j.SubmissionDurable && !j.storage.archived && tb.headerFits(j)
 }
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -80,14 +80,14 @@
 	place(large, 149)
 	place(cancelled, 2)
 	tb.Complete(&small.Tasks[1], nil)
-	tb.MarkGone(&service.Tasks[2], nil)
+	tb.MarkNotRunning(&service.Tasks[2], nil)
 	store.FlushAndRun(c)
 	for _, d := range large.storage.segments {
 		c.MarkDirty(d, nil)
 	}
 	c.MarkDirty(service.storage.header, nil)
 	store.FlushAndRun(c)
-	tb.MarkGone(&large.Tasks[148], nil)
+	tb.MarkNotRunning(&large.Tasks[148], nil)
 	tb.Complete(&large.Tasks[7], nil)
 	tb.Place(&service.Tasks[2], "host-000999", 7, func() {})
 	tb.Cancel(cancelled, func() {})
@@ -143,7 +143,7 @@
 func TestProductionFormatLoads(t *testing.T) {
 	g := readGolden(t)
 	old, _ := loadTable(t, g.newStore(), false)
-	assertSameJobs(t, "first format", old, g)
+	assertSameJobs(t, "legacy format", old, g)
 	for steps := 0; ; steps++ {
 		store := g.newStore()
 		tb, c := loadTable(t, store, true)
@@ -192,9 +192,9 @@
 	return true
 }
 
-// TestFirstFormatRoundTrip checks that with the first format this version writes the same values as the version
+// TestLegacyFormatRoundTrip checks that with the legacy format this version writes the same values as the version
 // in production, so that a leader of that version can read and rewrite all of them.
-func TestFirstFormatRoundTrip(t *testing.T) {
+func TestLegacyFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
 	store := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(store)
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -32,8 +32,8 @@
 }
 
 var storageVariants = []storageVariant{
-	{"first format, tasks in the header", false, 16 << 10},
-	{"first format, tasks in segments", false, 64 + 2*maxRecordBytes},
+	{"legacy format, tasks in the header", false, 16 << 10},
+	{"legacy format, tasks in segments", false, 64 + 2*maxRecordBytes},
 	{"packed", true, 16 << 10},
 }
 
@@ -71,7 +71,7 @@
 	}
 	tb.Place(&held.Tasks[1], "host-13", 41, func() {})
 	flush()
-	tb.MarkGone(&open.Tasks[0], nil)
+	tb.MarkNotRunning(&open.Tasks[0], nil)
 	flush()
 	tb.Place(&open.Tasks[0], "host-77", 51, func() {})
 	tb.Complete(&open.Tasks[1], nil)
@@ -147,7 +147,7 @@
 	d.Compare(t, "storage")
 }
 
-// TestGoldenConversion compares the stored values after jobs are converted from the first format to the packed
+// TestGoldenConversion compares the stored values after jobs are converted from the legacy format to the packed
 // one with the golden file.
 func TestGoldenConversion(t *testing.T) {
 	r := &recorder{fakeStore: newFakeStore(kvstoretest.NewMemoryStore())}
@@ -170,7 +170,7 @@
 		goldenfile.RoundTrip(t, &d, fmt.Sprintf("header %d", v), h)
 	}
 	goldenfile.RoundTrip(t, &d, "segment", goldenfile.Filled[taskSegment](0))
-	goldenfile.RoundTrip(t, &d, "line of the first format", goldenfile.Filled[logLine](0))
+	goldenfile.RoundTrip(t, &d, "line of the legacy format", goldenfile.Filled[logLine](0))
 	for _, p := range []Phase{Open, Cancelled, Done} {
 		e := goldenfile.Filled[ArchivedJob](0)
 		e.Phase = p
--- a/internal/jobs/load.go
+++ b/internal/jobs/load.go
@@ -105,7 +105,7 @@
 	tb.commits.MarkDirty(doc, nil)
 }
 
-// loadSegment restores some of a job's tasks from a segment, in the first format.
+// loadSegment restores some of a job's tasks from a segment, in the legacy format.
 func (tb *Table) loadSegment(j *Job, stored storedSegment) error {
 	var segment taskSegment
 	if err := json.Unmarshal(stored.value, &segment); err != nil {
--- a/internal/jobs/logline.go
+++ b/internal/jobs/logline.go
@@ -10,13 +10,13 @@
 	"opaldale/internal/ident"
 )
 
-// JSONLine returns the task's line in a log record, in the first format.
+// JSONLine returns the task's line in a log record, in the legacy format.
 func (t *Task) JSONLine() any { return logLine{t.Job.Spec.ID, t.Index, t.toRecord()} }
 
 // Syntax of a line in the packed format.
 const (
 	fieldSeparator = ","
-	completedMark  = "+" // in place of machine and incarnation
+	completedMark  = "+" // written instead of the machine and incarnation
 )
 
 // TextLine returns the task's line in a log record, in the packed format, and the group that the line
@@ -74,7 +74,7 @@
 // Pin returns the task's reference to the log record that has its newest line.
 func (t *Task) Pin() *commit.Pin { return &t.logPin }
 
-// Document returns the document that stores the task in the first format: the job's header or a segment.
+// Document returns the document that stores the task in the legacy format: the job's header or a segment.
 func (t *Task) Document() *commit.Document {
 	s := &t.Job.storage
 	if len(s.segments) == 0 {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -17,7 +17,7 @@
 	Logged bool `json:"logged,omitempty"`
 }
 
-// taskSegment is the value of a segment's key, in the first format.
+// taskSegment is the value of a segment's key, in the legacy format.
 type taskSegment struct {
 	LSN   uint64       `json:"lsn,omitempty"`
 	Tasks []taskRecord `json:"tasks"`
@@ -26,11 +26,11 @@
 // logRecord is the value of a log key. Its lines are in one of two formats.
 type logRecord struct {
 	LSN   uint64    `json:"n"`
-	Lines []logLine `json:"l"` // in the first format
+	Lines []logLine `json:"l"` // in the legacy format
 	Text  string    `json:"t"` // in the packed format
 }
 
-// logLine is a log line, which holds the state of one task, in the first format.
+// logLine is a log line, which holds the state of one task, in the legacy format.
 type logLine struct {
 	Job   ident.JobID `json:"j"`
 	Index int         `json:"i,omitempty"`
--- a/internal/jobs/storage.go
+++ b/internal/jobs/storage.go
@@ -24,7 +24,7 @@
 type storage struct {
 	format          storageFormat
 	header          *commit.Document
-	segments        []*commit.Document // hold the tasks of large jobs in the first format; nil if there are none
+	segments        []*commit.Document // hold the tasks of large jobs in the legacy format; nil if there are none
 	tasksPerSegment int
 	archived        bool // the job is archived in memory: its header and segments render as nil
 }
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -34,7 +34,7 @@
 	wallClock       func() int64 // Unix time in milliseconds
 	tasksPerSegment int
 	maxInlineTasks  int  // maximum number of tasks in a header; larger jobs use segments
-	maxValueBytes   int  // limit on the size of values: the lowest one in force or announced
+	maxValueBytes   int  // limit on the size of values: the lowest one enforced or announced
 	packedLog       bool // the tasks of new jobs are stored only in the log
 
 	// OnWaiting is called when a task starts to wait for placement.
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -155,7 +155,7 @@
 		t.Fatalf("after the cancellation: status %q, keys %v; want status cancelled, key live/j-1 and not over/j-1",
 			status, store.Entries)
 	}
-	tb.MarkGone(&j.Tasks[0], nil)
+	tb.MarkNotRunning(&j.Tasks[0], nil)
 	store.FlushAndRun(c)
 	if store.Entries["over/j-1"].Revision == 0 || store.Entries["live/j-1"].Revision != 0 || archived != 1 {
 		t.Errorf("after the task is gone: keys %v, archived %d times; want key over/j-1 and not live/j-1, archived once",
--- a/internal/jobs/transitions.go
+++ b/internal/jobs/transitions.go
@@ -76,10 +76,10 @@
 	tb.setState(t, Stopping)
 }
 
-// MarkGone records that an allocated task can no longer run on its machine. The task then waits to be placed
+// MarkNotRunning records that an allocated task can no longer run on its machine. The task then waits to be placed
 // again. onDurable may be nil; it is called once the change is durable. If the task is not allocated,
-// MarkGone does nothing and does not call onDurable.
-func (tb *Table) MarkGone(t *Task, onDurable func()) {
+// MarkNotRunning does nothing and does not call onDurable.
+func (tb *Table) MarkNotRunning(t *Task, onDurable func()) {
 	if !t.State.Allocated() {
 		return
 	}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -42,7 +42,7 @@
 	}
 	status, responseBody, err := call.Do(c.httpClient)
 	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
+		return Response{Outcome: NoResponse, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
 	return decodeResponse(status, responseBody)
 }
@@ -51,7 +51,7 @@
 func decodeResponse(status int, body []byte) Response {
 	outcome := outcomeOf(status)
 	switch outcome {
-	case NoAnswer, RateLimited, Unavailable:
+	case NoResponse, RateLimited, Unavailable:
 		return Response{Outcome: outcome, Error: http.StatusText(status)} // the protocol defines no body
 	}
 	response := Response{Outcome: outcome}
@@ -59,7 +59,7 @@
 		return response
 	}
 	if err := json.Unmarshal(body, &response); err != nil && outcome == OK {
-		return Response{Outcome: NoAnswer, Error: err.Error()}
+		return Response{Outcome: NoResponse, Error: err.Error()}
 	}
 	return response
 }
@@ -83,7 +83,7 @@
 	case http.StatusBadRequest:
 		return Invalid
 	}
-	return NoAnswer
+	return NoResponse
 }
 
 // httpRequest returns the HTTP method, the path with the query, and the body of a request.
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -53,7 +53,7 @@
 	for v := range golden.BoolVariants {
 		want := golden.Filled[Response](v)
 		want.Outcome, want.ConnectionRefused = OK, false
-		d.JSON(t, fmt.Sprintf("answer %d", v), want)
+		d.JSON(t, fmt.Sprintf("response %d", v), want)
 		body, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -57,10 +57,10 @@
 // Outcome is the result of a request as the client sees it.
 type Outcome uint8
 
-// The outcomes. After NoAnswer it is unknown whether the request was applied, and it may still be applied
+// The outcomes. After NoResponse it is unknown whether the request was applied, and it may still be applied
 // later. After all other outcomes except OK it was not applied.
 const (
-	NoAnswer    Outcome = iota // no response, or one that the protocol does not define
+	NoResponse  Outcome = iota // no response, or one that the protocol does not define
 	OK                         // 200
 	NotFound                   // 404: no such key or lease
 	Conflict                   // 409: at least one compare failed
@@ -73,7 +73,7 @@
 // outcomeNames holds the names that String returns. Golden tests pin them, so some differ from the names
 // of the constants.
 var outcomeNames = [...]string{
-	NoAnswer:    "lost",
+	NoResponse:  "lost",
 	OK:          "ok",
 	NotFound:    "not found",
 	Conflict:    "conflict",
--- a/internal/linktracker/env.go
+++ b/internal/linktracker/env.go
@@ -91,7 +91,7 @@
 	switch {
 	case response.Outcome == kvstore.Unavailable:
 		return callRejected
-	case response.Outcome != kvstore.NoAnswer:
+	case response.Outcome != kvstore.NoResponse:
 		return callAnswered
 	case response.ConnectionRefused:
 		return callRefused
@@ -114,7 +114,7 @@
 		return callNotSent
 	case response.Outcome == cloud.Unavailable:
 		return callRejected
-	case response.Outcome != cloud.NoAnswer:
+	case response.Outcome != cloud.NoResponse:
 		return callAnswered
 	case response.ConnectionRefused:
 		return callRefused
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -103,9 +103,9 @@
 // filled by a borrower, which has another 25,000 tasks and 800 small jobs waiting.
 func BenchmarkBorrowerBacklog(b *testing.B) {
 	c := newBorrowedCluster(1900, 0)
-	c.submitAs("guest", api.BestEffort, 25_000)
+	c.submitAs("borrower", api.BestEffort, 25_000)
 	for range 800 {
-		c.submitAs("guest", api.BestEffort, 1)
+		c.submitAs("borrower", api.BestEffort, 1)
 	}
 	c.planner.Round()
 	for b.Loop() {
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -162,7 +162,7 @@
 	c.commits.Flush()
 	c.jobs.Cancel(j, func() {})
 	for i := range j.Tasks {
-		c.jobs.MarkGone(&j.Tasks[i], nil)
+		c.jobs.MarkNotRunning(&j.Tasks[i], nil)
 	}
 	c.commits.Flush()
 }
@@ -209,11 +209,11 @@
 // first machines.
 func newBorrowedCluster(machines, leftFree int) *testCluster {
 	c := newTestCluster(0)
-	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "guest"}})
+	c.planner.teams = NewTeams([]settings.Team{{Name: "red", CPUs: 1e6, CPUsMax: 1e6}, {Name: "borrower"}})
 	for i := range machines {
 		c.addMachine(i, "east", true)
 	}
-	backlog := c.submitAs("guest", api.BestEffort, 16*machines+20)
+	backlog := c.submitAs("borrower", api.BestEffort, 16*machines+20)
 	for i := range 16*machines - leftFree {
 		c.Place(&backlog.Tasks[i], c.machines.Workers[machineID((i+leftFree)/16)])
 	}
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -10,8 +10,8 @@
 // TestBorrowerHasNoLimit checks that a team whose settings are all 0 has neither guarantee nor limit: it may
 // use any free capacity.
 func TestBorrowerHasNoLimit(t *testing.T) {
-	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "guest"}})
-	bigJob := &api.Spec{Team: "guest", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
+	ts := NewTeams([]settings.Team{{Name: "house", CPUs: 8, CPUsMax: 16}, {Name: "borrower"}})
+	bigJob := &api.Spec{Team: "borrower", Shape: api.Service, Tasks: api.MaxTasks, VCPUs: 4, GPUs: 1}
 	if err := ts.Validate(bigJob); err != nil {
 		t.Errorf("Validate of a large job of a borrower: %v", err)
 	}
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -396,14 +396,14 @@
 	}{
 		{"none", manyWaiting(same, same), func(*Budgets) {}, nil, 8},
 		{"cluster", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, nil, 3},
-		{"cluster, with one under way", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
+		{"cluster, with one in progress", manyWaiting(own, own), func(b *Budgets) { b.Cluster = 3 }, []ActiveMove{{}}, 2},
 		{"zone", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, nil, 2},
-		{"zone, with one under way", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
+		{"zone, with one in progress", manyWaiting(same, own), func(b *Budgets) { b.Zone = 2 }, []ActiveMove{{Zone: "same"}}, 1},
 		{"team", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, nil, 2},
-		{"team, with one under way", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
+		{"team, with one in progress", manyWaiting(own, same), func(b *Budgets) { b.Team = 2 }, []ActiveMove{{Team: "same"}}, 1},
 		{"source in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{From: "source-0"}, {To: "source-1"}}, 6},
 		{"destinations in use", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{To: "target-0"}, {From: "target-1"}}, 6},
-		{"job, with two under way", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
+		{"job, with two in progress", manyWaiting(own, own), func(*Budgets) {}, []ActiveMove{{Job: "j-0"}, {Job: "j-0"}}, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			config := DefaultConfig()
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -34,7 +34,7 @@
 type eventLoop struct {
 	start        time.Time
 	urgentEvents chan event // events on which leadership and worker leases depend; run before userEvents
-	userEvents   chan event // user requests and reports
+	userEvents   chan event // requests of users and operators
 	timers       timerHeap
 	timerSeq     uint64
 	afterBatch   func()        // called after each batch of events
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -75,7 +75,7 @@
 	serve := func(reply func(kvstore.Response)) { e.sim().store.serve(e.node.name, r, reply) }
 	call(e.sim(), e.node.name, storeParty, r.Timeout, serve, func(a kvstore.Response, ok bool) {
 		if !ok {
-			a = kvstore.Response{Outcome: kvstore.NoAnswer}
+			a = kvstore.Response{Outcome: kvstore.NoResponse}
 		}
 		e.ifAlive(func() { f(a) })()
 	})
@@ -99,7 +99,7 @@
 		serve := func(reply func(cloud.Response)) { sim.cloud.serve(r, reply) }
 		call(sim, e.node.name, cloudParty, cloudTimeout, serve, func(a cloud.Response, ok bool) {
 			if !ok {
-				a = cloud.Response{Outcome: cloud.NoAnswer}
+				a = cloud.Response{Outcome: cloud.NoResponse}
 			}
 			answer(a)
 		})
--- a/internal/storereader/storereader_test.go
+++ b/internal/storereader/storereader_test.go
@@ -33,7 +33,7 @@
 func TestGetRetries(t *testing.T) {
 	for _, final := range []kvstore.Outcome{kvstore.OK, kvstore.NotFound} {
 		env := &scriptedEnv{responses: []kvstore.Response{
-			{Outcome: kvstore.NoAnswer}, {Outcome: kvstore.Unavailable}, {Outcome: kvstore.RateLimited}, {Outcome: final},
+			{Outcome: kvstore.NoResponse}, {Outcome: kvstore.Unavailable}, {Outcome: kvstore.RateLimited}, {Outcome: final},
 		}}
 		var got []kvstore.Outcome
 		New(env, neverClosed).Get("key", func(r kvstore.Response) { got = append(got, r.Outcome) })
@@ -57,7 +57,7 @@
 		return r
 	}
 	env := &scriptedEnv{responses: []kvstore.Response{
-		page(true, "p/1", "p/2"), {Outcome: kvstore.NoAnswer}, page(true, "p/3"), page(false, "p/4"),
+		page(true, "p/1", "p/2"), {Outcome: kvstore.NoResponse}, page(true, "p/3"), page(false, "p/4"),
 	}}
 	var got []string
 	New(env, neverClosed).ListAll("p/", func(pairs []kvstore.KeyValue) {
@@ -79,7 +79,7 @@
 
 // TestClosedReaderIsSilent: once the owner is closed, the reader calls no callback and retries no request.
 func TestClosedReaderIsSilent(t *testing.T) {
-	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoAnswer} {
+	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoResponse} {
 		env := &scriptedEnv{responses: []kvstore.Response{{Outcome: outcome}}}
 		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: callback called", outcome) })
 		if len(env.requests) != 1 || len(env.waits) != 0 {
--- a/internal/upgrade/raiser.go
+++ b/internal/upgrade/raiser.go
@@ -1,6 +1,6 @@
 // Package upgrade raises the format level of stored data once every node runs a program version that can
 // decode the new format. Until then, during a rolling upgrade, nodes of the old and the new version share
-// data in the old format.
+// data in the earlier format.
 //
 // The package and the earlier formats can be removed once no deployment stores data at a level below
 // ident.FormatPacked.
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// reportedTask returns the task that a report is about, or nil if the machine has no allocated task with
-// the ID and attempt in the report.
+// reportedTask returns the allocated task of the machine with the ID and attempt in a report, or nil if there
+// is none.
 func (w *Worker) reportedTask(report api.TaskReport) *jobs.Task {
 	t := w.Tasks[report.TaskID]
 	if t == nil || t.Attempt != report.Attempt {
--- a/internal/workers/command.go
+++ b/internal/workers/command.go
@@ -67,7 +67,7 @@
 func (tb *Table) StopTask(w *Worker, t *jobs.Task, gracePeriod time.Duration) {
 	switch t.State {
 	case jobs.Placing:
-		tb.jobs.MarkGone(t, nil)
+		tb.jobs.MarkNotRunning(t, nil)
 		return
 	case jobs.Assigned:
 		tb.jobs.MarkStopping(t, gracePeriod)
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -275,7 +275,7 @@
 	if report.Cause == api.CauseError && !t.Job.Suspect {
 		w.failures.add(t.Job)
 	}
-	tb.jobs.MarkGone(t, onDurable)
+	tb.jobs.MarkNotRunning(t, onDurable)
 }
 
 // completeTask records that a task completed. When one task of a gang completes, the whole gang does,
--- a/internal/workers/image_cache_test.go
+++ b/internal/workers/image_cache_test.go
@@ -15,7 +15,7 @@
 		diskGB float64
 		want   []string
 	}{
-		{"all have room", []Image{{"a", 1}, {"b", 2}}, 3, []string{"a", "b"}},
+		{"all fit on the disk", []Image{{"a", 1}, {"b", 2}}, 3, []string{"a", "b"}},
 		{"least recently used is evicted", []Image{{"a", 1}, {"b", 2}, {"c", 1}}, 3, []string{"b", "c"}},
 		{"another use makes an image the last", []Image{{"a", 1}, {"b", 1}, {"a", 1}, {"c", 2}}, 3, []string{"a", "c"}},
 		{"use of the last changes nothing", []Image{{"a", 1}, {"b", 1}, {"b", 1}}, 3, []string{"a", "b"}},
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -53,7 +53,7 @@
 	slog.Info("task lost", "task", t.TaskID().String(), "attempt", uint64(t.Attempt), "machine", string(w.ID),
 		"reason", string(reason))
 	tb.LostTasks++
-	tb.jobs.MarkGone(t, nil)
+	tb.jobs.MarkNotRunning(t, nil)
 }
 
 // RenewLeaseOnly responds to a heartbeat without applying it. A leader that may have lost its leadership
