--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestDecode: only status 503 with the error "no capacity" is decoded as NoCapacity, and responses that the API
-// does not define are decoded as NoAnswer.
+// does not define are decoded as NoResponse.
 func TestDecode(t *testing.T) {
 	for _, testCase := range []struct {
 		op     Op
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -6,10 +6,11 @@
 // holds changes of many documents. Each record is stored under a key, its slot, which is reused once the
 // record is obsolete. Whether a record is obsolete depends on the format of the log:
 //
-//   - In the JSON format, a record is obsolete when every document with a change in the record has
-//     been put or deleted since.
-//   - In the text format, a record is obsolete when every entry in the record has a newer line in
-//     another record. If the log becomes too long, the lines of its oldest records are written again.
+//   - In the JSON format, which belongs to the legacy format of the store, a record is obsolete when
+//     every document with a change in the record has been put or deleted since.
+//   - In the text format, which belongs to the packed format, a record is obsolete when every entry in
+//     the record has a newer line in another record. If the log becomes too long, the lines of its
+//     oldest records are written again.
 package commit
 
 import (
--- a/internal/commit/format.go
+++ b/internal/commit/format.go
@@ -35,7 +35,7 @@
 	compact(log *changeLog, maxValueBytes int) []*Document
 }
 
-// jsonFormat is the legacy format of the log, at format level 0. A record is a list of JSON lines, and is needed until the
+// jsonFormat is the log format at format level 0 (the legacy format). A record is a list of JSON lines, and is needed until the
 // documents of its lines have been put or deleted.
 type jsonFormat struct{}
 
@@ -69,7 +69,7 @@
 	return outdated
 }
 
-// textFormat is the log format at ident.FormatPacked and later levels. A record is a text with a line for each
+// textFormat is the log format at ident.FormatPacked and later levels (the packed format). A record is a text with a
 // group of entries, and is needed until all of its entries have a newer line in another record.
 type textFormat struct{}
 
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestGangAdmission: below the packed format level a gang is refused for now, since a leader of an earlier version could
-// not read it. At that level a gang is invalid if all its tasks together exceed the team's quota. At either level a job is
+// not read it. At that level a gang is invalid if all its tasks together exceed the team's limit. At either level a job is
 // invalid if its description exceeds the announced limits of the store.
 func TestGangAdmission(t *testing.T) {
 	var many []string
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -19,7 +19,7 @@
 	"opaldale/internal/workers"
 )
 
-// fakeEnv is an Env with prepared records in its store, and with machines that don't answer.
+// fakeEnv is an Env with prepared records in its store, and with machines that don't respond.
 type fakeEnv struct {
 	clocktest.Clock
 	listed      []kvstore.KeyValue
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -103,7 +103,7 @@
 		"plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 }
 
-// capacitySummary returns the number of waiting tasks, the number of waiting tasks that exceed their team's quota, and the
+// capacitySummary returns the number of waiting tasks, the number of waiting tasks that exceed their team's limit, and the
 // free CPUs.
 func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -44,10 +44,10 @@
 	l.controller.election.Resign(resignationPause, reason)
 }
 
-// detectIsolation reports whether this node receives messages neither from its peers nor, with several machines up, from
-// any machine. Without this check a leader that is partitioned from everything but the store would keep its lease for as
-// long as the partition lasts. Machines without recent contact are probed, since in a small fleet the gaps between
-// heartbeats are longer than isolatedAfter.
+// detectIsolation reports whether this node receives messages neither from its peers nor from any machine, and at least
+// minUnansweredProbes machines have left a probe unanswered. Without this check a leader that is partitioned from
+// everything but the store would keep its lease for as long as the partition lasts. Machines without recent contact are
+// probed, since in a small fleet the gaps between heartbeats are longer than isolatedAfter.
 func (l *leaderTerm) detectIsolation() bool {
 	now := l.env.Now()
 	if len(l.controller.settings.Peers) == 0 || now.Sub(l.startedAt) < isolatedAfter {
@@ -153,7 +153,7 @@
 
 // zonePeersUnreachable reports whether a zone has peers and none of them is reachable.
 func (l *leaderTerm) zonePeersUnreachable(zone string) bool {
-	silentPeers := 0
+	unreachablePeers := 0
 	for _, s := range l.controller.settings.Peers {
 		if s.Zone != zone {
 			continue
@@ -161,9 +161,9 @@
 		if l.controller.peerReachable(s.Node) {
 			return false
 		}
-		silentPeers++
+		unreachablePeers++
 	}
-	return silentPeers > 0
+	return unreachablePeers > 0
 }
 
 // hasHeartbeatSource reports whether there are no peers, or a message has arrived recently from a peer, which could
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestUnansweredProbesFreeTheirSlot: a new leader probes every machine within the time that its probe rate allows, including
-// a machine with recorded tasks, even if none of the machines probed first answers.
+// a machine with recorded tasks, even if none of the machines probed first responds.
 func TestUnansweredProbesFreeTheirSlot(t *testing.T) {
 	env := newFakeEnv(ident.MonotonicTime(time.Hour))
 	g := machinestore.GroupRecord{Model: "m8", Zone: "a"}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -100,7 +100,7 @@
 	return false
 }
 
-// serveWorkerHeartbeat answers a worker's heartbeat.
+// serveWorkerHeartbeat responds to a worker's heartbeat.
 func (c *Controller) serveWorkerHeartbeat(r request, reply func(Response)) {
 	heartbeat, err := api.ParseHeartbeat(r.body)
 	if err != nil {
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -29,10 +29,10 @@
 		t.Fatalf("poll: got %+v, want status %d until %v", r, http.StatusOK, c.election.LeaseExpiry())
 	}
 	if a := r.IfValid(r.ValidUntil.Add(-time.Millisecond)); a.Status != http.StatusOK {
-		t.Errorf("poll answer before its expiry: got %+v, want status %d", a, http.StatusOK)
+		t.Errorf("poll response before its expiry: got %+v, want status %d", a, http.StatusOK)
 	}
 	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
-		t.Errorf("poll answer at its expiry: got %+v, want status %d with Retry-After", a, http.StatusServiceUnavailable)
+		t.Errorf("poll response at its expiry: got %+v, want status %d with Retry-After", a, http.StatusServiceUnavailable)
 	}
 	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("cancellation: got %+v, want status %d without expiry", r, http.StatusOK)
--- a/internal/controller/task_actions.go
+++ b/internal/controller/task_actions.go
@@ -71,7 +71,7 @@
 // not send the command at that time, the response to a later heartbeat of the worker launches the task.
 func (l *leaderTerm) Place(t *jobs.Task, w *workers.Worker) {
 	slog.Debug("placing task", "task", t.TaskID().String(), "machine", string(w.ID),
-		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinQuota,
+		"image_cached", w.HasImage(t.Job.Spec.Image), "within_quota", t.Job.WithinGuarantee,
 		"age_s", l.env.Now().Sub(t.Job.SubmittedAt).Seconds())
 	l.jobs.Place(t, w.ID, w.Incarnation(), func() {
 		if l.closed() || !l.controller.allows(authority.Launch) {
@@ -87,7 +87,7 @@
 // PlaceGang implements placement.Actions: it places all waiting tasks of a gang.
 func (l *leaderTerm) PlaceGang(j *jobs.Job, placements []gang.Placement) {
 	slog.Debug("placing gang", "job", string(j.Spec.ID), "tasks", len(placements), "total_tasks", len(j.Tasks),
-		"within_quota", j.WithinQuota, "age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
+		"within_quota", j.WithinGuarantee, "age_s", l.env.Now().Sub(j.SubmittedAt).Seconds())
 	l.gangs.Place(j, placements)
 }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, except those that should complete before then.
+// drainBeforeReclaim stops the tasks of a machine that will be reclaimed, each at the time that drainTask chooses.
 func (l *leaderTerm) drainBeforeReclaim(w *workers.Worker) {
 	now := l.env.Now()
 	untilReclaim := w.ReclaimAt.Sub(now)
@@ -129,7 +129,8 @@
 }
 
 // drainTask stops a task of a machine that will be reclaimed, if that is due. A task that saves checkpoints is stopped at
-// the latest time that still allows a checkpoint. A gang is stopped as a whole, unless this task should complete before
+// the latest time that still allows a checkpoint. A gang is stopped as a whole at that time, unless this task should
+// complete before the reclaim. Replicas are stopped immediately, and so are other tasks that should not complete before
 // the reclaim.
 func (l *leaderTerm) drainTask(w *workers.Worker, t *jobs.Task, untilReclaim time.Duration, now ident.MonotonicTime) {
 	spec := t.Job.Spec
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -12,7 +12,7 @@
 	bins         [tierCount][]*bin
 	freeVCPUs    map[pool]float64   // free CPUs on machines that are not cordoned
 	batchVCPUs   map[pool]float64   // CPUs used by batch jobs on machines that are not cordoned
-	replicaVCPUs map[string]float64 // CPUs used by service replicas, by zone
+	replicaVCPUs map[string]float64 // CPUs used by services and gangs, by zone
 	bootingVCPUs map[pool]float64   // CPUs of machines that are not up yet; included in freeVCPUs
 	machines     map[pool]int       // number of machines
 	minNeed      jobs.Resources     // the minimum over all waiting tasks, separately for each resource
--- a/internal/fleet/capacity_measurement.go
+++ b/internal/fleet/capacity_measurement.go
@@ -71,8 +71,9 @@
 	builder.add(w.Type, p, p.tier(), free.Add(borrowed), 1)
 }
 
-// isUsable reports whether a machine counts as capacity for new tasks. Machines on which a task failed
-// don't count, because the task's job avoids them, nor do machines of partitioned zones.
+// isUsable reports whether a machine counts as capacity for new tasks. Machines that are slow, quarantined, in
+// a partitioned zone or about to be reclaimed don't count. Neither do machines that may be faulty, since the
+// jobs that failed there avoid them.
 func (r *scalingRun) isUsable(w *workers.Worker) bool {
 	if w.Type == nil || w.ReclaimAt > 0 || w.Slow || r.zones.partitioned[w.Zone] {
 		return false
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -53,7 +53,8 @@
 	return h
 }
 
-// addExpectedArrivals sets the headroom for the jobs that are expected to arrive while a machine boots.
+// addExpectedArrivals sets the headroom for expected jobs. For services and gangs it is the CPUs expected to
+// arrive while a machine boots plus those of the largest recent job, for batch jobs the CPUs of a mean job.
 func (r *scalingRun) addExpectedArrivals(h *headroom) {
 	factor := r.cfg.Tuning.Headroom
 	if len(r.arrivals.services.times) > 0 {
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -54,7 +54,8 @@
 )
 
 // healthMonitor detects machines that are unreachable, are faulty, are reclaimed or fail to boot, and
-// probes, drains or terminates them.
+// probes, drains or terminates them. It treats tasks of gangs like replicas of services: a machine with
+// replicas is one that runs either.
 type healthMonitor struct {
 	cfg        *Config
 	port       Port
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -339,8 +339,8 @@
 	}
 }
 
-// TestBorrowersDoNotScaleOut: for jobs of a team without a guaranteed quota, no on-demand machine is
-// provisioned, no matter how long they wait. The resources that they use count as free for other teams.
+// TestBorrowersDoNotScaleOut: for a borrower's jobs that may use spot machines, no on-demand machine is
+// provisioned, however long they wait. The resources that they use count as free for other teams.
 func TestBorrowersDoNotScaleOut(t *testing.T) {
 	for _, team := range []string{"borrower", "red"} {
 		r := newHarness()
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -123,8 +123,8 @@
 }
 
 // spotOnly reports whether only spot machines may be provisioned for the job. On-demand machines cost
-// several times as much, and a spot pool that has run out of capacity usually has some again soon. For
-// borrowers no on-demand machine is ever provisioned, since they only use idle capacity.
+// several times as much, and a spot pool that has run out of capacity usually has some again soon. For a
+// borrower's job that may use spot machines, no on-demand machine is ever provisioned.
 func (p *jobPacking) spotOnly(preferSpot bool) bool {
 	return preferSpot && p.onDemandBudget <= 0 || p.job.Spec.Spot && p.teams.IsBorrower(p.job.Spec.Team)
 }
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -19,7 +19,7 @@
 
 // golden is the content of testdata/production.json: the key-value pairs that the version in production (the
 // commit in deploy/service.toml) writes in runScript, and the jobs that it then has in memory. It can be
-// removed together with support for the format below ident.FormatPacked.
+// removed together with support for the legacy format.
 type golden struct {
 	Pairs []kvstore.KeyValue
 	Jobs  map[string]goldenJob
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -35,9 +35,9 @@
 	// AllocatedByZone holds the number of allocated tasks in each zone, for a job whose placement depends
 	// on zones. It is maintained by the owner of the table.
 	AllocatedByZone map[string]int
-	// WithinQuota reports whether the job fits into its team's guaranteed quota along with the team's
+	// WithinGuarantee reports whether the job fits into its team's guarantee along with the team's
 	// earlier open jobs. It is maintained by the planner.
-	WithinQuota bool
+	WithinGuarantee bool
 	// AcceptsReplacements reports whether lost tasks of a gang may be replaced in its current attempt. It is
 	// maintained by package gang.
 	AcceptsReplacements bool
--- a/internal/jobs/storage.go
+++ b/internal/jobs/storage.go
@@ -9,9 +9,9 @@
 	"opaldale/internal/ident"
 )
 
-// storageFormat says where the store holds a job's tasks. All formats except inLog belong to the first
-// version of the stored data (below ident.FormatPacked). When support for that version is dropped, remove
-// with it: segments, the tasks and the LSN in a header, the conversion, and Task.JSONLine and Task.Document.
+// storageFormat says where the store holds a job's tasks. All values except inLog belong to the legacy format
+// (below ident.FormatPacked). When support for that format is dropped, also remove the segments, the tasks and
+// the LSN in a header, the conversion, Task.JSONLine and Task.Document.
 type storageFormat uint8
 
 const (
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -30,7 +30,7 @@
 }
 
 // Do sends a request once, without retries. If it receives no response, or one that the protocol does not
-// define, the outcome is NoAnswer.
+// define, the outcome is NoResponse.
 func (c *Client) Do(r Request) Response {
 	method, path, requestBody := httpRequest(r)
 	call := httpcall.Call{
@@ -65,7 +65,7 @@
 }
 
 // outcomeOf returns the outcome for an HTTP status. For a status that the protocol does not define it
-// returns NoAnswer, because the request may have been applied.
+// returns NoResponse, because the request may have been applied.
 func outcomeOf(status int) Outcome {
 	switch status {
 	case http.StatusOK:
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -118,7 +118,7 @@
 	Truncated     bool            `json:"truncated"` // List: there are more pages
 	Events        []WatchEvent    `json:"news"`      // Watch: in the order of their revisions
 	Error         string          `json:"error"`     // error message of the store or the transport, for logs
-	// ConnectionRefused reports, if the outcome is NoAnswer, that the connection was refused, so that the
+	// ConnectionRefused reports, if the outcome is NoResponse, that the connection was refused, so that the
 	// request was certainly not sent.
 	ConnectionRefused bool `json:"-"`
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -212,7 +212,7 @@
 	now := d.now()
 	clear(d.taskCursor)
 	for _, j := range d.batchJobs {
-		if !j.WithinQuota && (d.teams.IsBorrower(j.Spec.Team) || !d.teams.BorrowersActive()) {
+		if !j.WithinGuarantee && (d.teams.IsBorrower(j.Spec.Team) || !d.teams.BorrowersActive()) {
 			continue
 		}
 		for j.WaitingCount() > 0 && !d.full() && d.teams.Allows(j.Spec, 1) {
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -41,8 +41,8 @@
 		return a.urgency == overdue
 	case a.urgency == overdue:
 		return a.job.Seq < b.job.Seq
-	case a.job.WithinQuota != b.job.WithinQuota:
-		return a.job.WithinQuota
+	case a.job.WithinGuarantee != b.job.WithinGuarantee:
+		return a.job.WithinGuarantee
 	case a.priority != b.priority:
 		return a.priority < b.priority
 	case a.urgency != b.urgency:
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -126,8 +126,8 @@
 	return largest
 }
 
-// UpdateGuarantees updates jobs.Job.WithinQuota for the teams whose jobs have changed. A job is within
-// its quota if it fits into the guarantee of its team together with the earlier open jobs of the team.
+// UpdateGuarantees updates jobs.Job.WithinGuarantee for the teams whose jobs have changed. A job is within
+// the guarantee of its team if it fits into it together with the earlier open jobs of the team.
 func (ts *Teams) UpdateGuarantees(all *jobs.Table) {
 	for name, list := range all.Teams {
 		if !list.ChangedSincePlan {
@@ -140,7 +140,7 @@
 			n := float64(j.Spec.Tasks)
 			cpus += n * j.Spec.VCPUs
 			gpus += n * j.Spec.GPUs
-			j.WithinQuota = t != nil && cpus <= t.CPUs+tolerance && gpus <= t.GPUs+tolerance
+			j.WithinGuarantee = t != nil && cpus <= t.CPUs+tolerance && gpus <= t.GPUs+tolerance
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			continue
 		}
 		for _, j := range slices.Backward(list.OpenJobs) {
-			if j.WithinQuota {
+			if j.WithinGuarantee {
 				break // all earlier jobs of the team are within the guarantee as well
 			}
 			if j.AllocatedTasks > 0 && j.Spec.Shape == api.Batch {
--- a/internal/placement/reservation_test.go
+++ b/internal/placement/reservation_test.go
@@ -13,7 +13,7 @@
 	allocated := func(j *jobs.Job) bool { return j.Tasks[0].State.Allocated() }
 	c, first, other := newReservedCluster()
 	if c.planner.Dispatch(); allocated(other) || !c.planner.IsReserved(c.machines.Sorted()[0]) {
-		t.Error("another job is placed on the reserved machine, or the reservation is gone")
+		t.Error("another job is placed on the reserved machine, or the reservation was removed")
 	}
 	first.Tasks[0].RetryAt = 0
 	if c.planner.Dispatch(); !allocated(first) {
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -30,9 +30,9 @@
 		return false
 	}
 	if victim.Job.Spec.Priority.Level() > j.Spec.Priority.Level() {
-		return !isBatch(j) || j.WithinQuota || p.teams.IsBorrower(victim.Job.Spec.Team)
+		return !isBatch(j) || j.WithinGuarantee || p.teams.IsBorrower(victim.Job.Spec.Team)
 	}
-	return j.WithinQuota && !victim.Job.WithinQuota && victim.Job.Spec.Team != j.Spec.Team && isBatch(victim.Job)
+	return j.WithinGuarantee && !victim.Job.WithinGuarantee && victim.Job.Spec.Team != j.Spec.Team && isBatch(victim.Job)
 }
 
 // hasVictims is a quick check whether the cluster may have any task that can be preempted for a job.
@@ -40,12 +40,12 @@
 	if p.machineTable.LowerPriorityTasks(j.Spec.Priority) > 0 {
 		return true
 	}
-	return j.WithinQuota && p.teams.OthersOverGuarantee(p.jobs, j.Spec.Team)
+	return j.WithinGuarantee && p.teams.OthersOverGuarantee(p.jobs, j.Spec.Team)
 }
 
 // mayHaveVictims is a quick check that excludes most machines without a victim for a job.
 func mayHaveVictims(w *workers.Worker, j *jobs.Job) bool {
-	return w.LowerPriorityTasks(j.Spec.Priority) > 0 || j.WithinQuota && w.BatchVCPUs != 0
+	return w.LowerPriorityTasks(j.Spec.Priority) > 0 || j.WithinGuarantee && w.BatchVCPUs != 0
 }
 
 // recentlyPreempted reports whether a task was preempted within preemptionCooldown.
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -52,7 +52,7 @@
 		}},
 	}},
 	{"handover", Frame{Type: MsgTransferLeader, Node: "agent-5", Term: 0x5501}},
-	{"request to be passed on", Frame{
+	{"request to be relayed", Frame{
 		Type:   MsgRelayRequest,
 		ID:     0x6601,
 		Method: CancelJob,
--- a/internal/workers/command_test.go
+++ b/internal/workers/command_test.go
@@ -8,7 +8,7 @@
 	"opaldale/internal/jobs"
 )
 
-// TestUnansweredCommand checks that a task whose launch had no response is not considered gone until a
+// TestUnansweredCommand checks that a task whose launch had no response is not considered lost until a
 // heartbeat without it carries the raised fencing token. The worker may execute the launch at any time
 // before it has seen that token.
 func TestUnansweredCommand(t *testing.T) {
--- a/internal/workers/failures.go
+++ b/internal/workers/failures.go
@@ -42,8 +42,8 @@
 	return healthyJobs >= faultyThreshold
 }
 
-// PossiblyFaulty reports whether a job has failed on the machine that is proven healthy, or is open and
-// not suspect. Such a machine is not counted as reliable capacity.
+// PossiblyFaulty reports whether any job in the machine's failure record is proven healthy, or is open and
+// not suspect. The autoscaler does not count such a machine as capacity for new tasks.
 func (w *Worker) PossiblyFaulty() bool {
 	for j := range w.failures.jobs {
 		if j.ProvenHealthy() || j.Phase == jobs.Open && !j.Suspect {
