--- a/internal/commit/build.go
+++ b/internal/commit/build.go
@@ -75,7 +75,7 @@
 }
 
 // buildTxn builds a transaction from the queues: first records of the log, then urgent documents and, if there
-// is spare capacity, lazy documents. It returns nil if nothing is queued.
+// is spare capacity, lazy documents. It returns nil if there is nothing to send.
 func (c *Committer) buildTxn() *txn {
 	draft := &txnDraft{txn: &txn{retryDelay: initialRetryDelay}, compares: []kvstore.Compare{c.leaderCompare}}
 	c.addLogRecords(draft)
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -176,7 +176,7 @@
 }
 
 // timeToNextTxn returns how long to wait before the next transaction may be sent. queued is false if there is
-// nothing to send.
+// nothing to send; while sending is paused it is always true.
 func (c *Committer) timeToNextTxn(now ident.MonotonicTime) (wait time.Duration, queued bool) {
 	if now < c.limiter.pausedUntil {
 		return c.limiter.pausedUntil.Sub(now), true
--- a/internal/commit/limits.go
+++ b/internal/commit/limits.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// rejectionPause returns the pause after n rejections. It doubles with each rejection up to maxRejectionPause.
+// rejectionPause returns the pause after n rejections beyond maxImmediateRejections. It doubles with each rejection
+// up to maxRejectionPause.
 func rejectionPause(n int) time.Duration {
 	return min(initialRejectionPause<<min(n, maxPauseDoublings), maxRejectionPause)
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -122,7 +122,7 @@
 }
 
 // respondToHeartbeat renews a worker's lease and returns the commands for the worker, to the extent that the leader's
-// authority permits. commands is nil if the authority permits neither. validUntil is the expiry of the response; 0 means
+// authority permits. commands is nil if no response may be sent. validUntil is the expiry of the response; 0 means
 // that it does not expire.
 func (l *leaderTerm) respondToHeartbeat(heartbeat *api.Heartbeat, direct bool) (
 	commands *api.HeartbeatResponse, validUntil ident.MonotonicTime,
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -34,7 +34,8 @@
 	batch        arrivalHistory
 }
 
-// record adds the arrival of a job. It ignores jobs of borrowers, for which no headroom is kept.
+// record adds the arrival of a job. It ignores jobs of borrowers, for which no headroom is kept. A batch job
+// counts with at most the CPUs of the largest guarantee of any team, but at least with those of one task.
 func (a *arrivals) record(spec *api.Spec, at ident.MonotonicTime) {
 	if a.teams.IsBorrower(spec.Team) {
 		return
--- a/internal/fleet/batch_shortfall.go
+++ b/internal/fleet/batch_shortfall.go
@@ -17,8 +17,8 @@
 	minTaskTimeLeft = 5
 )
 
-// batchShortfall returns the additional CPUs needed for the waiting batch jobs to meet their
-// objectives, or 0 if the existing and requested machines suffice. It compares the total work of the
+// batchShortfall returns the additional CPUs needed for the waiting batch jobs that may run on spot machines
+// to meet their objectives, or 0 if the existing and requested machines suffice. It compares the total work of the
 // backlog with the capacity, so that it detects a shortfall before any job is late.
 func (r *scalingRun) batchShortfall() float64 {
 	work, weightedTime := r.waitingBatchWork()
@@ -43,9 +43,10 @@
 	return supply
 }
 
-// waitingBatchWork returns the work of the waiting batch jobs in CPU seconds, and the sum of the times
-// remaining until their objectives in seconds, each weighted by the work of its job. It leaves out jobs
-// that can no longer meet their objective, because they are the least urgent.
+// waitingBatchWork returns the work of the waiting batch jobs that may run on spot machines, in CPU seconds,
+// and the sum of the times remaining until their objectives in seconds, each weighted by the work of its job.
+// It leaves out jobs of borrowers, and jobs that can no longer meet their objective, because they are the
+// least urgent.
 func (r *scalingRun) waitingBatchWork() (work, weightedTime float64) {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
 		spec := j.Spec
@@ -62,8 +63,8 @@
 	return work, weightedTime
 }
 
-// addRunningBatchWork adds the remaining work of the allocated batch tasks to an amount of work, both in
-// CPU seconds. It counts at most horizon seconds per task, and leaves out tasks of borrowers, since
+// addRunningBatchWork adds the remaining work of the allocated batch tasks that may run on spot machines to an
+// amount of work, both in CPU seconds. It counts at most horizon seconds per task, and leaves out tasks of borrowers, since
 // those are preempted.
 func (r *scalingRun) addRunningBatchWork(work, horizon float64) float64 {
 	r.eachOpenBatchJob(func(j *jobs.Job) {
--- a/internal/placement/batch.go
+++ b/internal/placement/batch.go
@@ -38,10 +38,9 @@
 // jobRange is the half-open range [from, to) of indexes in dispatch.batchJobs.
 type jobRange struct{ from, to int }
 
-// fillIdleMachines places batch tasks on all machines with free capacity: first the tasks of teams
-// with a guarantee, then those of borrowers. The tasks of borrowers are local to the machines that
-// already run them. Without this order, they would take all capacity that becomes free there, and
-// guaranteed work would have to preempt them.
+// fillIdleMachines places batch tasks on all machines with free capacity, those of borrowers last. The
+// tasks of borrowers are local to the machines that already run them. Without this order, they would
+// take all capacity that becomes free there, and the work of other teams would have to preempt them.
 func (d *dispatch) fillIdleMachines() {
 	d.fillFromRange(jobRange{0, d.firstBorrower})
 	if d.firstBorrower < len(d.batchJobs) {
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -84,13 +84,14 @@
 	Rounds      uint64 // planning rounds
 	ExtraRounds uint64 // planning rounds during a dispatch, for tasks that were in no plan
 
-	// Placed batch tasks, by placement rule.
+	// Placed batch tasks, by placement rule. Tasks placed by preemption and the first tasks of starved jobs
+	// are not counted.
 	Planned  uint64 // placed on the machine that the plan assigns
 	Local    uint64 // placed on a holder of the image, not by the plan
 	Uncached uint64 // placed while no eligible machine had the image cached
 	Stolen   uint64 // stolen by an idle machine from the plan of another machine
 
-	Services  uint64 // placed service tasks
+	Services  uint64 // placed service tasks, and delays of one until a victim has written its checkpoint
 	Gangs     uint64 // placed gangs
 	Preempted uint64 // preempted tasks; a preempted gang counts as one
 
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -22,7 +22,8 @@
 
 // reconcile compares the tasks in a heartbeat with the tasks allocated on the machine. It returns the
 // commands that bring the worker to the desired state, and marks tasks as lost that the heartbeat shows to
-// be missing.
+// be missing. A task that a queued or in-flight command addresses is not launched again: it could end and be
+// cleared before the first launch arrives, which would then start the task again.
 func (tb *Table) reconcile(w *Worker, heartbeat *api.Heartbeat) []api.Command {
 	commands := []api.Command{}
 	for _, report := range heartbeat.Tasks {
@@ -48,8 +49,7 @@
 }
 
 // commandForReported returns the command that a reported task needs, if any. An attempt that is addressed
-// by a queued or in-flight command generally needs none. If a launch were repeated here, the task could
-// end and be cleared before the first launch arrives, which would then start the task again.
+// by a queued or in-flight command generally needs none.
 func (tb *Table) commandForReported(w *Worker, report api.TaskReport) (command api.Command, needed bool) {
 	attempt := attemptIn(report)
 	t := w.reportedTask(report)
