--- a/internal/placement/gang_planner.go
+++ b/internal/placement/gang_planner.go
@@ -48,7 +48,7 @@
 //   - holders of the image with free capacity;
 //   - if an image pull would take too long, holders on which work can be preempted;
 //   - other machines with free capacity, those with the most first, so that few machines pull the image;
-//   - once the gang has waited for reclaimAfter, any machines on which work can be preempted.
+//   - once reclaimAfter has elapsed since the submission, any machines on which work can be preempted.
 func (d *dispatch) planGang(j *jobs.Job, tasks []*jobs.Task, zone string) *gangPlan {
 	g := &gangPlanner{
 		dispatch:  d,
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -24,8 +24,8 @@
 	tasks  [][]*jobs.Task // by group, indexed as groups
 }
 
-// makePlan replaces the plan. It runs ASM1 on the graph of the waiting batch tasks that fit into the
-// quotas of their teams and of the machines that have their images cached.
+// makePlan replaces the plan. It runs ASM1 on a graph of machines and waiting batch tasks. The graph contains
+// the tasks that fit into the limits of their teams.
 func (d *dispatch) makePlan() {
 	began := time.Now()
 	d.Stats.Rounds++
@@ -60,14 +60,14 @@
 }
 
 // buildPlanInput groups the waiting batch tasks by job. It includes tasks up to the limit of the plan
-// and the remaining quotas of their teams.
+// and what remains of the limits of their teams.
 func (d *dispatch) buildPlanInput() planInput {
 	machineIndex := make(map[*workers.Worker]int32, len(d.schedulableMachines))
 	for i, w := range d.schedulableMachines {
 		machineIndex[w] = int32(i)
 	}
 	var result planInput
-	quotaLeft := map[string]int{} // by team
+	quotaLeft := map[string]int{} // by team, in tasks of the size that its first job has
 	remaining := planLimit(len(d.schedulableMachines))
 	for _, j := range d.batchJobs {
 		admitted, ok := quotaLeft[j.Spec.Team]
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -35,13 +35,13 @@
 	return r.timed[w].job
 }
 
-// isReservedForStarved reports whether a machine is reserved for a starved job.
+// isReservedForStarved reports whether a machine is reserved for a starved job or a gang.
 func (r *reservations) isReservedForStarved(w *workers.Worker) bool { return r.starved[w] != nil }
 
 // starvedCount returns the number of machines that are reserved for starved jobs and gangs.
 func (r *reservations) starvedCount() int { return len(r.starved) }
 
-// hasStarvedReservation reports whether any machine is reserved for a starved job.
+// hasStarvedReservation reports whether any machine is reserved for a given starved job.
 func (r *reservations) hasStarvedReservation(j *jobs.Job) bool {
 	for _, reservedFor := range r.starved {
 		if reservedFor == j {
