--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -154,7 +154,7 @@
 	}
 	list, err := r.Decode()
 	if err != nil || len(r.Machines) > 0 || len(value) > s.maxValueBytes {
-		t.Errorf("%s: got error %v, %d machines in the legacy format and %d bytes, want no error, 0 machines and at most %d bytes",
+		t.Errorf("%s: got error %v, %d machines in the legacy format and %d bytes, want none, 0 machines and at most %d bytes",
 			path, err, len(r.Machines), len(value), s.maxValueBytes)
 	}
 	for _, m := range list {
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -158,7 +158,7 @@
 	tb.MarkNotRunning(&j.Tasks[0], nil)
 	store.FlushAndRun(c)
 	if store.Entries["over/j-1"].Revision == 0 || store.Entries["live/j-1"].Revision != 0 || archived != 1 {
-		t.Errorf("after the task can no longer run: keys %v, archived %d times; want key over/j-1 and not live/j-1, archived once",
+		t.Errorf("after the task can no longer run: keys %v, archived %d times; want over/j-1 and not live/j-1, archived once",
 			store.Entries, archived)
 	}
 }
