--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// FormatLevel returns the highest format level of stored data that this node knows to be enabled.
+// FormatLevel returns the highest format level of stored data that is known to be enabled.
 func (c *Controller) FormatLevel() ident.FormatLevel { return c.formatLevel }
 
 // Election returns the node's elector.
