--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -6,10 +6,11 @@
 // holds changes of many documents. Each record is stored under a key, its slot, which is reused once the
 // record is obsolete. Whether a record is obsolete depends on the format of the log:
 //
-//   - In the JSON format, a record is obsolete when every document with a change in the record has
-//     been put or deleted since.
-//   - In the text format, a record is obsolete when every entry in the record has a newer line in
-//     another record. If the log becomes too long, the lines of its oldest records are written again.
+//   - In the JSON format, which belongs to the legacy format of the store, a record is obsolete when
+//     every document with a change in the record has been put or deleted since.
+//   - In the text format, which belongs to the packed format, a record is obsolete when every entry in
+//     the record has a newer line in another record. If the log becomes too long, the lines of its
+//     oldest records are written again.
 package commit
 
 import (
@@ -175,7 +176,7 @@
 }
 
 // timeToNextTxn returns how long to wait before the next transaction may be sent. queued is false if there is
-// nothing to send.
+// nothing to send; while sending is paused it is always true.
 func (c *Committer) timeToNextTxn(now ident.MonotonicTime) (wait time.Duration, queued bool) {
 	if now < c.limiter.pausedUntil {
 		return c.limiter.pausedUntil.Sub(now), true
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -37,7 +37,7 @@
 	return []byte(strings.NewReplacer(change...).Replace(s))
 }
 
-// submitStatus submits a job and returns the HTTP status of the answer, 0 if there is no answer yet.
+// submitStatus submits a job and returns the HTTP status of the response, 0 if there is no response yet.
 func submitStatus(c *Controller, body []byte) (out int) {
 	spec, err := api.ParseSpec(body)
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // TestGangAdmission: below the packed format level a gang is refused for now, since a leader of an earlier version could
-// not read it. At that level a gang is invalid if all its tasks together exceed the team's quota. At either level a job is
+// not read it. At that level a gang is invalid if all its tasks together exceed the team's limit. At either level a job is
 // invalid if its description exceeds the announced limits of the store.
 func TestGangAdmission(t *testing.T) {
 	var many []string
@@ -87,7 +87,7 @@
 }
 
 // TestGangForwardingNeedsPackedFormat: a follower forwards a gang only after it has read from the store that the packed
-// format is in force, since a leader of an earlier version would reject the gang as malformed.
+// format is enabled, since a leader of an earlier version would reject the gang as malformed.
 func TestGangForwardingNeedsPackedFormat(t *testing.T) {
 	const forwarded = "forwarded"
 	for _, x := range []struct{ name, term, want string }{
--- a/internal/controller/leader_loop.go
+++ b/internal/controller/leader_loop.go
@@ -58,7 +58,7 @@
 	return l.env.Now().Sub(began)
 }
 
-// convertRecords rewrites a batch of the records that are still in the first format, if the committer has spare
+// convertRecords rewrites a batch of the records that are still in the legacy format, if the committer has spare
 // capacity.
 func (l *leaderTerm) convertRecords(now ident.MonotonicTime) {
 	if l.formatLevel < ident.FormatPacked || now <= l.nextConversionAt || !l.committer.HasSpareCapacity() {
@@ -103,7 +103,7 @@
 		"plan_ms", s.PlanTime.Seconds()*1000, "preempted", s.Preempted)
 }
 
-// capacitySummary returns the number of waiting tasks, the number of waiting tasks that exceed their team's quota, and the
+// capacitySummary returns the number of waiting tasks, the number of waiting tasks that exceed their team's limit, and the
 // free CPUs.
 func (l *leaderTerm) capacitySummary() (waiting, atQuota int, freeVCPUs float64) {
 	for j := range l.jobs.Waiting {
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// storeUnreachableAfter is the time without a usable answer from the store after which a node considers the store
+	// storeUnreachableAfter is the time without a usable response from the store after which a node considers the store
 	// unreachable.
 	storeUnreachableAfter = 2 * time.Second
 	// maxCancelledJobs limits the number of cancelled jobs that a node remembers. It covers one minute in which each
@@ -29,7 +29,7 @@
 		return Response{}, false
 	}
 	c.renewer.RecordRenewal(now)
-	c.LeasesKept++
+	c.LeasesRenewedWithoutLeader++
 	response := api.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []api.Command{}}
 	for _, task := range heartbeat.Tasks {
 		// Killing a task is safe without leadership. Without the command it would run until the lease expires.
--- a/internal/controller/response_test.go
+++ b/internal/controller/response_test.go
@@ -11,8 +11,8 @@
 	"opaldale/internal/workers"
 )
 
-// TestResponsesExpireWithLeaderLease: an answer from a leader's memory is valid until the leader's lease expires. The server
-// checks the validity immediately before it sends the answer, since the process may have paused in between. Answers about
+// TestResponsesExpireWithLeaderLease: a response from a leader's memory is valid until the leader's lease expires. The server
+// checks the validity immediately before it sends the response, since the process may have paused in between. Responses about
 // final states do not expire.
 func TestResponsesExpireWithLeaderLease(t *testing.T) {
 	c, env := newTestLeader(ident.FormatPacked)
@@ -29,10 +29,10 @@
 		t.Fatalf("poll: got %+v, want status %d until %v", r, http.StatusOK, c.election.LeaseExpiry())
 	}
 	if a := r.IfValid(r.ValidUntil.Add(-time.Millisecond)); a.Status != http.StatusOK {
-		t.Errorf("poll answer before its expiry: got %+v, want status %d", a, http.StatusOK)
+		t.Errorf("poll response before its expiry: got %+v, want status %d", a, http.StatusOK)
 	}
 	if a := r.IfValid(r.ValidUntil); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 {
-		t.Errorf("poll answer at its expiry: got %+v, want status %d with Retry-After", a, http.StatusServiceUnavailable)
+		t.Errorf("poll response at its expiry: got %+v, want status %d with Retry-After", a, http.StatusServiceUnavailable)
 	}
 	if r = ask(transport.CancelJob); r.Status != http.StatusOK || r.ValidUntil != 0 {
 		t.Errorf("cancellation: got %+v, want status %d without expiry", r, http.StatusOK)
@@ -110,6 +110,6 @@
 	want("3 s after a cancellation", c.renewalGrace-3*time.Second)
 	env.Time = env.Time.Add(c.renewalGrace)
 	want("after the renewal grace", 0)
-	l.jobs.MarkGone(&j.Tasks[0], nil)
+	l.jobs.MarkNotRunning(&j.Tasks[0], nil)
 	want("after the task is confirmed as terminated", c.renewalGrace)
 }
--- a/internal/fleet/manager_test.go
+++ b/internal/fleet/manager_test.go
@@ -42,7 +42,7 @@
 		}
 		tries[request.RequestID]++
 		if tries[request.RequestID] < 3 {
-			return cloud.Response{Outcome: cloud.NoAnswer}
+			return cloud.Response{Outcome: cloud.NoResponse}
 		}
 		return cloud.Response{Outcome: cloud.OK, Provisioned: []ident.MachineID{ident.MachineID("host-" + request.RequestID)}}
 	}
@@ -208,9 +208,9 @@
 // since their tasks may still be running. No tasks are placed there, and tasks stay allocated until the
 // leases of their machines have expired. If a controller of the zone is reachable, the machines are fenced.
 func TestZonePartition(t *testing.T) {
-	for _, peersSilent := range []bool{true, false} {
+	for _, peersUnreachable := range []bool{true, false} {
 		r := newHarness()
-		r.zonePeersSilent = peersSilent
+		r.zonePeersUnreachable = peersUnreachable
 		r.addMachines(12)
 		for i, w := range r.table.Sorted() {
 			if i < 5 {
@@ -233,7 +233,7 @@
 			}
 		}
 		runWithHeartbeats(25 * time.Second)
-		if !peersSilent {
+		if !peersUnreachable {
 			if lost.State != workers.Terminated {
 				t.Errorf("a silent machine of a zone with a reachable peer is %v after 25 s, want %v",
 					lost.State, workers.Terminated)
@@ -339,10 +339,10 @@
 	}
 }
 
-// TestBorrowersDoNotScaleOut: for jobs of a team without a guaranteed quota, no on-demand machine is
-// provisioned, no matter how long they wait. The resources that they use count as free for other teams.
+// TestBorrowersDoNotScaleOut: for a borrower's jobs that may use spot machines, no on-demand machine is
+// provisioned, however long they wait. The resources that they use count as free for other teams.
 func TestBorrowersDoNotScaleOut(t *testing.T) {
-	for _, team := range []string{"guest", "red"} {
+	for _, team := range []string{"borrower", "red"} {
 		r := newHarness()
 		r.trackTasks()
 		r.addMachines(2)
--- a/internal/fleet/zone_health.go
+++ b/internal/fleet/zone_health.go
@@ -65,8 +65,8 @@
 				slog.Info("zone partitioned: all machines and peers are silent", "zone", zone, "machines", contact.expected)
 			}
 		} else if previous[zone] {
-			// The machines report one after the other, as their pending calls time out, so their
-			// silence only counts from now.
+			// The machines resume their heartbeats one after the other, as their pending calls time
+			// out, so their silence only counts from now.
 			slog.Info("zone partition ended", "zone", zone)
 			z.recoveredAt[zone] = now
 		}
@@ -77,7 +77,7 @@
 func (z *zoneMonitor) isPartitioned(zone string, contact *zoneContact, now ident.MonotonicTime) bool {
 	heartbeatGap := z.cfg.Workers.HeartbeatS / float64(contact.expected)
 	threshold := max(zoneSilenceThreshold, settings.Seconds(zoneMissedHeartbeats*heartbeatGap))
-	return contact.expected >= minZoneMachines && now.Sub(contact.lastContact) > threshold && z.cfg.ZonePeersSilent(zone)
+	return contact.expected >= minZoneMachines && now.Sub(contact.lastContact) > threshold && z.cfg.ZonePeersUnreachable(zone)
 }
 
 // detectUnreachable finds the zones whose machines no controller can reach. A zone stays unreachable until
--- a/internal/jobs/format_test.go
+++ b/internal/jobs/format_test.go
@@ -19,7 +19,7 @@
 
 // golden is the content of testdata/production.json: the key-value pairs that the version in production (the
 // commit in deploy/service.toml) writes in runScript, and the jobs that it then has in memory. It can be
-// removed together with support for the format below ident.FormatPacked.
+// removed together with support for the legacy format.
 type golden struct {
 	Pairs []kvstore.KeyValue
 	Jobs  map[string]goldenJob
@@ -63,14 +63,14 @@
 			RuntimeS:  30,
 		}
 		j := tb.Add(s, func() {}, nil)
-		store.Settle(c)
+		store.FlushAndRun(c)
 		return j
 	}
 	place := func(j *Job, n int) {
 		for i := range n {
 			tb.Place(&j.Tasks[i], ident.MachineID(fmt.Sprintf("host-%06d", i)), ident.Incarnation(1+i%3), func() {})
 		}
-		store.Settle(c)
+		store.FlushAndRun(c)
 	}
 	small, service := add("j-1", api.Batch, 3), add("j-2", api.Service, 4)
 	large, cancelled := add("j-3", api.Batch, 150), add("j-4", api.Batch, 5)
@@ -80,18 +80,18 @@
 	place(large, 149)
 	place(cancelled, 2)
 	tb.Complete(&small.Tasks[1], nil)
-	tb.MarkGone(&service.Tasks[2], nil)
-	store.Settle(c)
+	tb.MarkNotRunning(&service.Tasks[2], nil)
+	store.FlushAndRun(c)
 	for _, d := range large.storage.segments {
 		c.MarkDirty(d, nil)
 	}
 	c.MarkDirty(service.storage.header, nil)
-	store.Settle(c)
-	tb.MarkGone(&large.Tasks[148], nil)
+	store.FlushAndRun(c)
+	tb.MarkNotRunning(&large.Tasks[148], nil)
 	tb.Complete(&large.Tasks[7], nil)
 	tb.Place(&service.Tasks[2], "host-000999", 7, func() {})
 	tb.Cancel(cancelled, func() {})
-	store.Settle(c)
+	store.FlushAndRun(c)
 }
 
 // assertSameJobs checks that a table has the same jobs as the version in production has in memory. stage names
@@ -143,7 +143,7 @@
 func TestProductionFormatLoads(t *testing.T) {
 	g := readGolden(t)
 	old, _ := loadTable(t, g.newStore(), false)
-	assertSameJobs(t, "first format", old, g)
+	assertSameJobs(t, "legacy format", old, g)
 	for steps := 0; ; steps++ {
 		store := g.newStore()
 		tb, c := loadTable(t, store, true)
@@ -167,9 +167,9 @@
 	store := g.newStore()
 	tb, c := loadTable(t, store, true)
 	for tb.ConvertToLog(1) || !allConverted(tb) {
-		store.Settle(c)
+		store.FlushAndRun(c)
 	}
-	store.Settle(c)
+	store.FlushAndRun(c)
 	assertSameJobs(t, "converted", tb, g)
 	next, _ := loadTable(t, store, true)
 	assertSameJobs(t, "loaded again", next, g)
@@ -192,9 +192,9 @@
 	return true
 }
 
-// TestFirstFormatRoundTrip checks that with the first format this version writes the same values as the version
+// TestLegacyFormatRoundTrip checks that with the legacy format this version writes the same values as the version
 // in production, so that a leader of that version can read and rewrite all of them.
-func TestFirstFormatRoundTrip(t *testing.T) {
+func TestLegacyFormatRoundTrip(t *testing.T) {
 	g := readGolden(t)
 	store := newFakeStore(kvstoretest.NewMemoryStore())
 	tb, c := newTestTable(store)
@@ -242,7 +242,7 @@
 	delete(store.Entries, "log/00000")
 	tb, c := loadTable(t, store, false)
 	tb.Place(&tb.Jobs["j-1"].Tasks[1], "host-2", 1, func() {})
-	store.Settle(c)
+	store.FlushAndRun(c)
 	var r struct {
 		N uint64 `json:"n"`
 	}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -30,7 +30,7 @@
 }
 
 // Do sends a request once, without retries. If it receives no response, or one that the protocol does not
-// define, the outcome is NoAnswer.
+// define, the outcome is NoResponse.
 func (c *Client) Do(r Request) Response {
 	method, path, requestBody := httpRequest(r)
 	call := httpcall.Call{
@@ -42,7 +42,7 @@
 	}
 	status, responseBody, err := call.Do(c.httpClient)
 	if err != nil {
-		return Response{Outcome: NoAnswer, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
+		return Response{Outcome: NoResponse, Error: err.Error(), ConnectionRefused: httpcall.ConnectionRefused(err)}
 	}
 	return decodeResponse(status, responseBody)
 }
@@ -51,7 +51,7 @@
 func decodeResponse(status int, body []byte) Response {
 	outcome := outcomeOf(status)
 	switch outcome {
-	case NoAnswer, RateLimited, Unavailable:
+	case NoResponse, RateLimited, Unavailable:
 		return Response{Outcome: outcome, Error: http.StatusText(status)} // the protocol defines no body
 	}
 	response := Response{Outcome: outcome}
@@ -59,13 +59,13 @@
 		return response
 	}
 	if err := json.Unmarshal(body, &response); err != nil && outcome == OK {
-		return Response{Outcome: NoAnswer, Error: err.Error()}
+		return Response{Outcome: NoResponse, Error: err.Error()}
 	}
 	return response
 }
 
 // outcomeOf returns the outcome for an HTTP status. For a status that the protocol does not define it
-// returns NoAnswer, because the request may have been applied.
+// returns NoResponse, because the request may have been applied.
 func outcomeOf(status int) Outcome {
 	switch status {
 	case http.StatusOK:
@@ -83,7 +83,7 @@
 	case http.StatusBadRequest:
 		return Invalid
 	}
-	return NoAnswer
+	return NoResponse
 }
 
 // httpRequest returns the HTTP method, the path with the query, and the body of a request.
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -57,10 +57,10 @@
 // Outcome is the result of a request as the client sees it.
 type Outcome uint8
 
-// The outcomes. After NoAnswer it is unknown whether the request was applied, and it may still be applied
+// The outcomes. After NoResponse it is unknown whether the request was applied, and it may still be applied
 // later. After all other outcomes except OK it was not applied.
 const (
-	NoAnswer    Outcome = iota // no response, or one that the protocol does not define
+	NoResponse  Outcome = iota // no response, or one that the protocol does not define
 	OK                         // 200
 	NotFound                   // 404: no such key or lease
 	Conflict                   // 409: at least one compare failed
@@ -73,7 +73,7 @@
 // outcomeNames holds the names that String returns. Golden tests pin them, so some differ from the names
 // of the constants.
 var outcomeNames = [...]string{
-	NoAnswer:    "lost",
+	NoResponse:  "lost",
 	OK:          "ok",
 	NotFound:    "not found",
 	Conflict:    "conflict",
@@ -118,7 +118,7 @@
 	Truncated     bool            `json:"truncated"` // List: there are more pages
 	Events        []WatchEvent    `json:"news"`      // Watch: in the order of their revisions
 	Error         string          `json:"error"`     // error message of the store or the transport, for logs
-	// ConnectionRefused reports, if the outcome is NoAnswer, that the connection was refused, so that the
+	// ConnectionRefused reports, if the outcome is NoResponse, that the connection was refused, so that the
 	// request was certainly not sent.
 	ConnectionRefused bool `json:"-"`
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -30,11 +30,11 @@
 			SinceRenewalMS:   NeverMS,
 		},
 	}},
-	{"submission passed on", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
-	{"poll passed on", Frame{Type: MsgRequest, ID: 0x2202, Method: GetJob, JobID: "j-1", Body: []byte{}}},
-	{"cancellation passed on", Frame{Type: MsgRequest, ID: 0x2203, Method: CancelJob, JobID: "j-2", Body: []byte{}}},
-	{"report passed on", Frame{Type: MsgRequest, ID: 0x2204, Method: WorkerHeartbeat, Body: []byte("report")}},
-	{"answer", Frame{Type: MsgResponse, ID: 0x3301, Status: 0x3302, RetryAfterS: 0x3303, Body: []byte("answer")}},
+	{"forwarded submission", Frame{Type: MsgRequest, ID: 0x2201, Method: SubmitJob, Body: []byte("body")}},
+	{"forwarded poll", Frame{Type: MsgRequest, ID: 0x2202, Method: GetJob, JobID: "j-1", Body: []byte{}}},
+	{"forwarded cancellation", Frame{Type: MsgRequest, ID: 0x2203, Method: CancelJob, JobID: "j-2", Body: []byte{}}},
+	{"forwarded heartbeat", Frame{Type: MsgRequest, ID: 0x2204, Method: WorkerHeartbeat, Body: []byte("report")}},
+	{"response", Frame{Type: MsgResponse, ID: 0x3301, Status: 0x3302, RetryAfterS: 0x3303, Body: []byte("answer")}},
 	{"links", Frame{
 		Type: MsgLinkState,
 		ID:   0x4401,
@@ -52,7 +52,7 @@
 		}},
 	}},
 	{"handover", Frame{Type: MsgTransferLeader, Node: "agent-5", Term: 0x5501}},
-	{"request to be passed on", Frame{
+	{"request to be relayed", Frame{
 		Type:   MsgRelayRequest,
 		ID:     0x6601,
 		Method: CancelJob,
