--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -38,7 +38,7 @@
 	partlyCompletedEvent         eventName = "job partly completed"
 	pausedInHandoverEvent        eventName = "paused in a handover"
 	requestRelayedEvent          eventName = "request relayed"
-	rowsForgedEvent              eventName = "rows forged"
+	linkStatesForgedEvent        eventName = "rows forged"
 	shortJobCancelledEvent       eventName = "short job cancelled"
 	slowMachineEvacuatedEvent    eventName = "task left the slow machine"
 	successorCrashedEvent        eventName = "successor crashed"
--- a/internal/simulator/link_scenarios_test.go
+++ b/internal/simulator/link_scenarios_test.go
@@ -19,9 +19,9 @@
 	length         time.Duration     // active part of the run; 0: 200 s
 }
 
-// staleRowsScenario delivers link states late. They show followers with better links than the leader, which no longer holds:
-// a leader that accepted them would hand over to a node without access to the store.
-const staleRowsScenario = "link states delivered late"
+// staleLinkStatesScenario delivers link states late. They show followers with better links than the leader, which no longer
+// holds: a leader that accepted them would hand over to a node without access to the store.
+const staleLinkStatesScenario = "link states delivered late"
 
 // linkScenarios are the scenarios that TestUnidirectionalPartitions runs.
 var linkScenarios = []linkScenario{
@@ -201,16 +201,16 @@
 		minEvents: map[eventName]int{requestRelayedEvent: 40, followerHealthyEvent: 40},
 	},
 	{
-		name: staleRowsScenario,
+		name: staleLinkStatesScenario,
 		inject: func(sim *Simulation) {
-			sim.staleRowDelay = 8 * time.Second
+			sim.staleLinkStateDelay = 8 * time.Second
 			sim.withLeaderAt(faultAt, func(l *node) {
 				sim.disconnectOneWay(l.name, machines, false, faultDuration)
 				sim.forEachPeer(l, func(n *node) { sim.disconnectOneWay(n.name, storeParty, false, faultDuration) })
 				sim.recordLeaderAfter(l, 7*time.Second)
 			})
 		},
-		minEvents: map[eventName]int{rowsRedeliveredEvent: 20, leaderUnchangedEvent: 1},
+		minEvents: map[eventName]int{linkStatesRedeliveredEvent: 20, leaderUnchangedEvent: 1},
 		maxEvents: map[eventName]int{handoverAnnouncedEvent: 0},
 	},
 	{
@@ -266,7 +266,7 @@
 				}
 			})
 		},
-		minEvents: map[eventName]int{rowsSentEvent: 20, leaderReplacedEvent: 1},
+		minEvents: map[eventName]int{linkStatesSentEvent: 20, leaderReplacedEvent: 1},
 	},
 }
 
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -11,10 +11,10 @@
 
 // linkMonitor records the link states and leadership handovers that the nodes announce to each other.
 type linkMonitor struct {
-	announcedTerms  map[ident.Term]bool
-	onHandover      func(from *node, to ident.NodeID) // called when a handover of a term is first announced
-	staleRowDelay   time.Duration                     // delay of duplicated link states; 0: no duplicates
-	newestHeartbeat map[string]uint64                 // id of the newest heartbeat by "sender receiver"
+	announcedTerms      map[ident.Term]bool
+	onHandover          func(from *node, to ident.NodeID) // called when a handover of a term is first announced
+	staleLinkStateDelay time.Duration                     // delay of duplicated link states; 0: no duplicates
+	newestHeartbeat     map[string]uint64                 // id of the newest heartbeat by "sender receiver"
 	// sentTransactions is the set of the transactions that were sent, by transactionKey.
 	sentTransactions map[string]bool
 	handovers        map[string]int // incarnation of each node that is handing over leadership
@@ -35,7 +35,7 @@
 	}
 	switch f.Type {
 	case transport.MsgLinkState:
-		sim.countEvent(rowsSentEvent)
+		sim.countEvent(linkStatesSentEvent)
 		sim.redeliverLinkStates(from, to, reversePath, f)
 	case transport.MsgTransferLeader:
 		if !sim.announcedTerms[f.Term] {
@@ -51,20 +51,20 @@
 	return true
 }
 
-// redeliverLinkStates delivers a duplicate of a frame of link states late. With the mutation FreshenStaleRows the duplicate
-// refers to the newest heartbeat of the receiver and has a higher sequence number, so that it appears to be current.
+// redeliverLinkStates delivers a duplicate of a frame of link states late. With the mutation AcceptStaleLinkStates the
+// duplicate refers to the newest heartbeat of the receiver and has a higher sequence number, so that it appears to be current.
 func (sim *Simulation) redeliverLinkStates(from, to *node, reversePath string, f *transport.Frame) {
-	if sim.staleRowDelay == 0 {
+	if sim.staleLinkStateDelay == 0 {
 		return
 	}
 	late := *f
 	late.LinkState = slices.Clone(f.LinkState[:1]) // the sender's own advertisement
-	sim.schedule(sim.staleRowDelay, func() {
+	sim.schedule(sim.staleLinkStateDelay, func() {
 		if !to.alive {
 			return
 		}
-		sim.countEvent(rowsRedeliveredEvent)
-		if sim.mutates(FreshenStaleRows) {
+		sim.countEvent(linkStatesRedeliveredEvent)
+		if sim.mutates(AcceptStaleLinkStates) {
 			late.ID = sim.newestHeartbeat[reversePath]
 			late.LinkState[0].Sequence += staleSequenceOffset
 		}
@@ -75,9 +75,10 @@
 // staleSequenceOffset raises the sequence number of a stale advertisement above that of any newer one.
 const staleSequenceOffset = 100_000
 
-// forgedRows returns forged advertisements in which all links of one node are up and all links of the other nodes are down.
-func forgedRows(sim *Simulation, best *node) []links.Advertisement {
-	var rows []links.Advertisement
+// forgedLinkStates returns forged advertisements in which all links of one node are up and all links of the other nodes are
+// down.
+func forgedLinkStates(sim *Simulation, best *node) []links.Advertisement {
+	var advertisements []links.Advertisement
 	for _, n := range sim.nodes {
 		r := links.Advertisement{Origin: ident.NodeID(n.name), Incarnation: 1 << 60, Sequence: sim.eventSequence}
 		state := links.Down
@@ -89,7 +90,7 @@
 		for _, p := range peers {
 			r.Links = append(r.Links, links.LinkState{Endpoint: p, In: state, Out: state})
 		}
-		rows = append(rows, r)
+		advertisements = append(advertisements, r)
 	}
-	return rows
+	return advertisements
 }
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -184,11 +184,11 @@
 func TestStaleRowsMutationIsDetected(t *testing.T) {
 	t.Parallel()
 	for _, c := range linkScenarios {
-		if c.name != staleRowsScenario {
+		if c.name != staleLinkStatesScenario {
 			continue
 		}
 		for seed := range uint64(3) {
-			if sim := c.run(seed, FreshenStaleRows); sim.eventCounts[handoverAnnouncedEvent] > 0 {
+			if sim := c.run(seed, AcceptStaleLinkStates); sim.eventCounts[handoverAnnouncedEvent] > 0 {
 				return
 			}
 		}
@@ -237,26 +237,26 @@
 			sim.schedule(time.Duration(i)*time.Second, func() {
 				for _, n := range sim.nodes {
 					if n.alive {
-						sim.forEachPeer(n, func(o *node) { sim.sendForgedRows(o, n) })
+						sim.forEachPeer(n, func(o *node) { sim.sendForgedLinkStates(o, n) })
 					}
 				}
 			})
 		}
 	})
 	sim.Run()
-	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[rowsForgedEvent] < 40 {
+	if len(sim.Violations) > 0 || len(sim.Unfinished) > 0 || sim.eventCounts[linkStatesForgedEvent] < 40 {
 		t.Errorf("violations %v, unfinished %v, %d forged messages, want none, none and at least 40\n%s", sim.Violations,
-			sim.Unfinished, sim.eventCounts[rowsForgedEvent], sim.LogTail(30))
+			sim.Unfinished, sim.eventCounts[linkStatesForgedEvent], sim.LogTail(30))
 	}
 }
 
-// sendForgedRows sends a node link states in which all links of the sender are up and those of all other nodes down.
-func (sim *Simulation) sendForgedRows(from, to *node) {
-	sim.countEvent(rowsForgedEvent)
+// sendForgedLinkStates sends a node link states in which all links of the sender are up and those of all other nodes down.
+func (sim *Simulation) sendForgedLinkStates(from, to *node) {
+	sim.countEvent(linkStatesForgedEvent)
 	f := &transport.Frame{
 		Type:      transport.MsgLinkState,
 		ID:        sim.newestHeartbeat[to.name+" "+from.name],
-		LinkState: forgedRows(sim, from),
+		LinkState: forgedLinkStates(sim, from),
 	}
 	to.whenResponsive(to.incarnation, func() { to.controller.HandleFrame(ident.NodeID(from.name), f) })
 }
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -86,16 +86,16 @@
 		if !strings.HasPrefix(p.Key, commit.LogPrefix) || json.Unmarshal(p.Value, &v) != nil {
 			continue
 		}
-		var rows []string
+		var lines []string
 		_ = commit.ParseText(v.Text, func(group, line string) error {
 			if f := strings.Split(line, ","); len(f) < 4 {
-				rows = append(rows, group+" "+line)
+				lines = append(lines, group+" "+line)
 			} else {
-				rows = append(rows, group+" "+f[0]+","+f[1])
+				lines = append(lines, group+" "+f[0]+","+f[1])
 			}
 			return nil // keep parsing: every line is kept or shortened
 		})
-		v.Text = strings.Join(rows, "\n")
+		v.Text = strings.Join(lines, "\n")
 		pairs[i].Value = api.JSON(v)
 	}
 	a.KeyValues = pairs
@@ -155,8 +155,8 @@
 	DropZoneConstraint
 	// IgnoreSendDeadlines sends requests, commands and replies even after their deadline.
 	IgnoreSendDeadlines
-	// FreshenStaleRows makes delayed duplicates of link states appear to be current.
-	FreshenStaleRows
+	// AcceptStaleLinkStates makes delayed duplicates of link states appear to be current.
+	AcceptStaleLinkStates
 	// UnboundedHandovers disables the rate limit on leadership handovers.
 	UnboundedHandovers
 	// NoFlapDamping disables the penalty for a link that failed recently.
--- a/internal/simulator/replay.go
+++ b/internal/simulator/replay.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// between returns a random duration in [least, most).
-func (sim *Simulation) between(least, most time.Duration) time.Duration {
+// randomDuration returns a random duration in [least, most).
+func (sim *Simulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -137,7 +137,7 @@
 			sim.injectMoveFault(l, m, variant)
 		})
 	})
-	sim.crashLeaderAt(wideTasksAt+35, sim.between(time.Second, 6*time.Second))
+	sim.crashLeaderAt(wideTasksAt+35, sim.randomDuration(time.Second, 6*time.Second))
 }
 
 // injectMoveFault injects a fault during a move; the variant selects the kind.
@@ -257,9 +257,9 @@
 func setUpStoreOutage(sim *Simulation, variant uint64) {
 	sim.submitBaseLoad(6)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 20*time.Second)
-	sim.scheduleAt(50, func() { sim.stopStoreFor(sim.between(5*time.Second, 35*time.Second)) })
+	sim.scheduleAt(50, func() { sim.stopStoreFor(sim.randomDuration(5*time.Second, 35*time.Second)) })
 	if odd(variant) {
-		sim.crashLeaderAt(51.5, sim.between(time.Second, 30*time.Second))
+		sim.crashLeaderAt(51.5, sim.randomDuration(time.Second, 30*time.Second))
 	}
 	sim.onLeader(100, func(l *node) { sim.store.rejectUntil[l.name] = sim.now.Add(14 * time.Second) })
 	sim.scheduleAt(120, func() {
@@ -316,7 +316,7 @@
 	for i := range 5 {
 		sim.onLeader(45+20*float64(i), func(l *node) {
 			sim.countEvent(partitionedEvent)
-			sim.partition(l, (int(variant)+i)%6, sim.between(4*time.Second, 18*time.Second))
+			sim.partition(l, (int(variant)+i)%6, sim.randomDuration(4*time.Second, 18*time.Second))
 		})
 	}
 }
@@ -437,7 +437,7 @@
 	sim.scheduleAt(20, func() { sim.slowLinks = faultWindow{0.7, sim.now.Add(replayLength)} })
 	for s := 25.0; s < replayLength.Seconds(); s += 7 {
 		sim.scheduleAt(s, func() {
-			due := sim.between(20*time.Second, 90*time.Second).Seconds()
+			due := sim.randomDuration(20*time.Second, 90*time.Second).Seconds()
 			sim.submitJob(func(s *api.Spec) {
 				s.Tasks, s.VCPUs, s.DeadlineS, s.Models = 2, 1, &due, []string{sim.cloud.machineTypes[0].SKU}
 			}, 10*time.Second)
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -48,11 +48,11 @@
 	"concurrent-faults": {leaderChange},
 	"gangs": {gangRan, expectEvent(newTermEvent, 1), expectEvent(reclaimNoticeEvent, 1),
 		{"gang stopped to checkpoint", func(sim *Simulation) int { return sim.GangStops }, 1}},
-	"links":    {expectEvent(rowsSentEvent, 100), lostOneWay, leaderChange},
+	"links":    {expectEvent(linkStatesSentEvent, 100), lostOneWay, leaderChange},
 	"handover": {expectEvent(handoverAnnouncedEvent, 1), lostOneWay},
 	"moves": {moveRecorded, expectEvent(moveEndEvent(migration.Arrived.String()), 1),
 		expectEvent(moveFaultInjectedEvent, replaysPerScenario),
-		expectEvent(rowsSentEvent, 100), leaderChange},
+		expectEvent(linkStatesSentEvent, 100), leaderChange},
 	"slow-machine": {moveRecorded, {"slow machine", func(sim *Simulation) int {
 		return sim.slowMachineCount
 	}, replaysPerScenario}},
