--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -122,7 +122,7 @@
 func checkNoTasksLost(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, l := range sim.Log {
-		if strings.Contains(l, "lease over") && !strings.Contains(l, "with 0 tasks") {
+		if strings.Contains(l, "lease expired with") && !strings.Contains(l, "with 0 tasks") {
 			t.Errorf("seed %d: a worker lost tasks: %s", sim.cfg.Seed, l)
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -87,7 +87,7 @@
 // checkLease starts the next incarnation, without tasks, if the lease has expired.
 func (w *worker) checkLease() {
 	if w.leaseExpired() {
-		w.sim.logf("%s: lease over, with %d tasks", w.id, len(w.tasks))
+		w.sim.logf("%s: lease expired with %d tasks", w.id, len(w.tasks))
 		w.sim.TasksLostWithLease += len(w.tasks)
 		w.beginIncarnation()
 	}
