--- a/cmd/study/flood.go
+++ b/cmd/study/flood.go
@@ -46,16 +46,16 @@
 // runFlood runs all seeds with a rebalancing mode and prints a row of the table.
 func runFlood(out io.Writer, mode settings.Rebalance, seeds int) error {
 	outcomes := runAll(seeds, func(seed int) simulator.LoadOutcome { return simulator.StudyFlood(uint64(seed), mode) })
-	imbalance, hot, others := newHistogram(), newHistogram(), newHistogram()
-	fetched, machines, problems, hotSeconds, moves := 0.0, 0, 0, 0, uint64(0)
+	imbalance, flooding, others := newHistogram(), newHistogram(), newHistogram()
+	fetched, machines, problems, overloadedSeconds, moves := 0.0, 0, 0, 0, uint64(0)
 	for _, o := range outcomes {
 		for _, x := range o.Imbalance {
 			if err := imbalance.RecordValue(int64(x * perMille)); err != nil {
 				return err
 			}
 		}
-		for _, d := range o.HotTeamLatencies {
-			if err := hot.RecordValue(d.Milliseconds()); err != nil {
+		for _, d := range o.FloodingTeamLatencies {
+			if err := flooding.RecordValue(d.Milliseconds()); err != nil {
 				return err
 			}
 		}
@@ -66,15 +66,15 @@
 		}
 		fetched += o.FetchedGB
 		machines += o.Machines
-		hotSeconds += o.HotSeconds
+		overloadedSeconds += o.OverloadedSeconds
 		moves += o.Moves
 		problems += o.Violations + o.Unfinished
 	}
 	fmt.Fprintf(out, "| %s | %.2f, %.2f, %.2f | %s | %s | %.0f | %.1f | %.0f | %.1f |\n", mode,
 		float64(imbalance.ValueAtQuantile(50))/perMille, float64(imbalance.ValueAtQuantile(90))/perMille,
 		float64(imbalance.Max())/perMille,
-		formatQuantiles(hot), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds),
-		float64(hotSeconds)/float64(seeds), float64(moves)/float64(seeds))
+		formatQuantiles(flooding), formatQuantiles(others), fetched/float64(seeds), float64(machines)/float64(seeds),
+		float64(overloadedSeconds)/float64(seeds), float64(moves)/float64(seeds))
 	if problems > 0 {
 		fmt.Fprintf(out, "\nINVARIANT VIOLATIONS or unfinished work: %d\n\n", problems)
 	}
--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -97,7 +97,7 @@
 					sim.poll(j)
 					sim.probeAllNodes(j)
 				}
-				sim.checkAnswer(j, r, requestedAt)
+				sim.checkStatusReply(j, r, requestedAt)
 				if sim.rng.IntN(6) == 0 { // repeat the idempotent submission much later
 					sim.schedule(time.Duration(sim.rng.IntN(60_000))*time.Millisecond, func() { sim.submit(j, 0) })
 				}
@@ -115,7 +115,7 @@
 // poll queries the status of a job periodically until the end of the run, and sometimes that of a job that does not exist.
 func (sim *Simulation) poll(j *userJob) {
 	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
-	if gap := sim.now.Sub(max(j.lastAnsweredAt, quiescentFrom)); sim.now > quiescentFrom && gap > maxStatusGap {
+	if gap := sim.now.Sub(max(j.lastStatusReplyAt, quiescentFrom)); sim.now > quiescentFrom && gap > maxStatusGap {
 		sim.reportViolation("forgotten: no status query for %s was answered for %v", j.spec.ID, gap)
 	}
 	if sim.mutates(StarvePolls) && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
@@ -148,8 +148,8 @@
 				sim.reportViolation("forgotten: the status query for accepted job %s got 404", j.spec.ID)
 			}
 			if r.Status == http.StatusOK {
-				j.lastAnsweredAt = sim.now
-				sim.checkAnswer(j, r, requestedAt)
+				j.lastStatusReplyAt = sim.now
+				sim.checkStatusReply(j, r, requestedAt)
 			}
 		}
 		onDone()
@@ -169,7 +169,7 @@
 	sim.request(apiRequest{usersParty, n, transport.CancelJob, string(j.spec.ID), nil, requestTimeout},
 		func(r *controller.Response) {
 			if r != nil && r.Status == http.StatusOK {
-				sim.checkAnswer(j, r, requestedAt)
+				sim.checkStatusReply(j, r, requestedAt)
 				return
 			}
 			if r != nil && r.Status == http.StatusNotFound {
@@ -193,9 +193,9 @@
 }
 
 // probeAllNodes queries all nodes about a job several times within milliseconds and repeats its submission, to compare
-// their replies. It does nothing outside the fault window probeAfterAnswer.
+// their replies. It does nothing outside the fault window probeAfterReply.
 func (sim *Simulation) probeAllNodes(j *userJob) {
-	if sim.now >= sim.probeAfterAnswer.until {
+	if sim.now >= sim.probeAfterReply.until {
 		return
 	}
 	for _, n := range sim.nodes {
--- a/internal/simulator/concurrent_fault_injectors_test.go
+++ b/internal/simulator/concurrent_fault_injectors_test.go
@@ -103,7 +103,7 @@
 
 // submitShortJobs submits four jobs of a few seconds each second and cancels a quarter of them.
 func submitShortJobs(sim *Simulation) {
-	sim.scheduleAt(1, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(90)} })
+	sim.scheduleAt(1, func() { sim.probeAfterReply = faultWindow{1, timeAt(90)} })
 	for s := 5.0; s < 105; s += 0.25 {
 		sim.scheduleAt(s, func() {
 			j := sim.submitJob(func(s *api.Spec) {
@@ -173,7 +173,7 @@
 func dropTransactionReplies(sim *Simulation) {
 	sim.submitBaseLoad(4)
 	sim.scheduleAt(30, func() {
-		sim.droppedReplies, sim.probeAfterAnswer = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
+		sim.droppedReplies, sim.probeAfterReply = faultWindow{0.6, timeAt(100)}, faultWindow{1, timeAt(110)}
 		if l := sim.leader(); l != nil { // the other nodes read from the store
 			sim.forEachPeer(l, func(n *node) { sim.disconnect(l.name, n.name, false, 60*time.Second) })
 		}
@@ -217,9 +217,9 @@
 	}
 }
 
-// probeAfterAnswers has users query all nodes after each answer, while jobs are submitted and cancelled.
-func probeAfterAnswers(sim *Simulation) {
-	sim.scheduleAt(5, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(125)} })
+// probeAfterReplies has users query all nodes after each reply, while jobs are submitted and cancelled.
+func probeAfterReplies(sim *Simulation) {
+	sim.scheduleAt(5, func() { sim.probeAfterReply = faultWindow{1, timeAt(125)} })
 	sim.submitBaseLoad(3)
 	for s := 20.0; s < 110; s += 1.2 {
 		sim.scheduleAt(s, func() {
@@ -372,7 +372,7 @@
 // cancelAsTasksComplete has users cancel jobs as their last tasks complete, and then query all nodes.
 func cancelAsTasksComplete(sim *Simulation) {
 	sim.scheduleAt(5, func() {
-		sim.cancelAtCompletion, sim.probeAfterAnswer = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
+		sim.cancelAtCompletion, sim.probeAfterReply = faultWindow{0.7, timeAt(120)}, faultWindow{1, timeAt(125)}
 	})
 	sim.submitBaseLoad(2)
 	for s := 10.0; s < 110; s += 1 {
--- a/internal/simulator/concurrent_faults_test.go
+++ b/internal/simulator/concurrent_faults_test.go
@@ -61,7 +61,7 @@
 		guardsAgainst:     "failures due to queued completions and cancellations, or to hundreds of ended jobs at an election",
 		inject:            submitShortJobs,
 		expectedEvents:    map[eventName]int{shortJobCancelledEvent: 40, leaderReplacedEvent: 1, nodesProbedEvent: 1000},
-		detectedMutations: []Mutation{CacheStatusAnswers},
+		detectedMutations: []Mutation{CacheStatusReplies},
 	},
 	{
 		name:          "cancellation while the store rejects the leader, then an outage",
@@ -81,7 +81,7 @@
 	},
 	{
 		name:              "ten leader changes in two minutes, one in an outage",
-		guardsAgainst:     "tasks or answers being lost between terms",
+		guardsAgainst:     "tasks or replies being lost between terms",
 		inject:            changeLeaderTenTimes,
 		length:            150 * time.Second,
 		expectedEvents:    map[eventName]int{tenTermsEvent: 1, newTermEvent: 8, leaderReplacedEvent: 1},
@@ -89,10 +89,10 @@
 	},
 	{
 		name:              "replies to transactions lost, other nodes read",
-		guardsAgainst:     "a leader answering from memory differently from a node that reads the store",
+		guardsAgainst:     "a leader replying from memory differently from a node that reads the store",
 		inject:            dropTransactionReplies,
 		expectedEvents:    map[eventName]int{replyDroppedEvent: 10, nodesProbedEvent: 100},
-		detectedMutations: []Mutation{CacheStatusAnswers},
+		detectedMutations: []Mutation{CacheStatusReplies},
 	},
 	{
 		name:              "overload over slow links",
@@ -106,12 +106,12 @@
 	},
 	{
 		name:          "users query all nodes right after an answer",
-		guardsAgainst: "a node answering with an older state than another node reported before",
-		inject:        probeAfterAnswers,
+		guardsAgainst: "a node replying with an older state than another node before",
+		inject:        probeAfterReplies,
 		expectedEvents: map[eventName]int{nodesProbedEvent: 500, leaderReplacedEvent: 1, edgeCaseRequestEvent: 20,
 			submissionChangedEvent: 1,
 			doneJobCancelledEvent:  1},
-		detectedMutations: []Mutation{CacheStatusAnswers},
+		detectedMutations: []Mutation{CacheStatusReplies},
 	},
 	{
 		name:              "leader reaches only workers and users, cancellation at the next",
@@ -161,11 +161,11 @@
 		guardsAgainst:     "one node reporting a job as cancelled and another as done",
 		inject:            cancelAsTasksComplete,
 		expectedEvents:    map[eventName]int{cancelledAtCompletionEvent: 30, nodesProbedEvent: 300},
-		detectedMutations: []Mutation{CacheStatusAnswers},
+		detectedMutations: []Mutation{CacheStatusReplies},
 	},
 	{
 		name:          "store slow, rejecting the leader, then down",
-		guardsAgainst: "wrong confirmations of cancellations, or wrong answers, as an outage begins",
+		guardsAgainst: "wrong confirmations of cancellations, or wrong replies, as an outage begins",
 		inject:        slowStoreThenOutage,
 		expectedEvents: map[eventName]int{storeSlowEvent: 20, leaderReplacedEvent: 1, cancellationConfirmedEvent: 1,
 			outageAfterConfirmationEvent: 1},
@@ -202,7 +202,7 @@
 	},
 	{
 		name:          "team at its limit, machines unreachable, failover, cancellation",
-		guardsAgainst: "capacity within a team limit being reused before the machine that holds it reports",
+		guardsAgainst: "capacity within a team limit being reused before the machine that holds it sends a heartbeat",
 		inject:        cancelAtTeamLimit,
 		expectedEvents: map[eventName]int{teamAtLimitEvent: 2, machineInboundBlockedEvent: 2, cancelledWhileRunningEvent: 2,
 			leaderReplacedEvent: 1},
--- a/internal/simulator/consecutive_partitions_test.go
+++ b/internal/simulator/consecutive_partitions_test.go
@@ -30,7 +30,7 @@
 func runConsecutivePartitions(seed uint64, leader bool, first, second partition) *Simulation {
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 130 * time.Second})
 	sim.submitBaseLoad(4)
-	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{0.3, ident.MonotonicTime(140 * time.Second)} })
+	sim.scheduleAt(30, func() { sim.probeAfterReply = faultWindow{0.3, ident.MonotonicTime(140 * time.Second)} })
 	sim.submitStream(40.0, 120, 2, 8*time.Second)
 	term := ident.Term(0)
 	sim.scheduleAt(60, func() {
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestEveryFieldChangesDigest guards against fields left out of the digest, which would hide differences between two runs:
-// any changed field of a request, a command, a frame or an answer changes the digest.
+// any changed field of a request, a command, a frame or a reply changes the digest.
 func TestEveryFieldChangesDigest(t *testing.T) {
 	t.Parallel()
 	at := timeAt(1)
--- a/internal/simulator/edge_case_requests.go
+++ b/internal/simulator/edge_case_requests.go
@@ -116,7 +116,7 @@
 				switch {
 				case r == nil || r.Status == http.StatusServiceUnavailable:
 				case isAccepted(r):
-					sim.checkAnswer(j, r, requestedAt)
+					sim.checkStatusReply(j, r, requestedAt)
 				default:
 					sim.reportViolation("forgotten: a repeated submission of %s got status %d", id, r.Status)
 				}
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -30,7 +30,7 @@
 	moveFaultInjectedEvent             eventName = "fault in a move"
 	newTermEvent                       eventName = "new term"
 	nodesProbedEvent                   eventName = "nodes probed"
-	onlyHotTeamEvent                   eventName = "one hot team"
+	onlyOneTeamOverloadedEvent         eventName = "one hot team"
 	partitionedEvent                   eventName = "partition"
 	processPausedEvent                 eventName = "process paused in the middle of an event"
 	reclaimNoticeEvent                 eventName = "reclaim notice"
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -38,7 +38,7 @@
 	delayedCommandWindow   faultKind = 26
 	fastBootWindow         faultKind = 27
 	completionCancelling   faultKind = 28
-	answerProbing          faultKind = 29
+	probeAfterReplyWindow  faultKind = 29
 	workerOutboundLoss     faultKind = 30
 	runningJobsCancelled   faultKind = 31
 	edgeCaseRequests       faultKind = 32
@@ -97,7 +97,7 @@
 	delayedCommandWindow:   func(sim *Simulation, _ faultTarget) { sim.delayedCommands = sim.randomWindow(0.4) },
 	fastBootWindow:         func(sim *Simulation, _ faultTarget) { sim.fastBoots = sim.randomWindow(1) },
 	completionCancelling:   func(sim *Simulation, _ faultTarget) { sim.cancelAtCompletion = sim.randomWindow(0.7) },
-	answerProbing:          func(sim *Simulation, _ faultTarget) { sim.probeAfterAnswer = sim.randomWindow(1) },
+	probeAfterReplyWindow:  func(sim *Simulation, _ faultTarget) { sim.probeAfterReply = sim.randomWindow(1) },
 	workerOutboundLoss:     blockOutboundOfWorker,
 	runningJobsCancelled:   cancelRandomJobs,
 	edgeCaseRequests:       startEdgeCaseRequests,
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -31,7 +31,7 @@
 	slowBoots          faultWindow // machines take six times as long to boot
 	failedBoots        faultWindow // machines never boot
 	cancelAtCompletion faultWindow // users cancel jobs right after the last task completes
-	probeAfterAnswer   faultWindow // users query all nodes within milliseconds of a reply
+	probeAfterReply    faultWindow // users query all nodes within milliseconds of a reply
 	heldDeliveries     []func()    // delivers the duplicates of heldHeartbeats
 	awaitingNextLeader bool        // the delivery of heldDeliveries at the next term is set up
 
--- a/internal/simulator/hot_team_test.go
+++ b/internal/simulator/hot_team_test.go
@@ -25,12 +25,12 @@
 				for _, r := range l.controller.Stats().TeamLoads {
 					switch {
 					case r.State != load.Overloaded:
-					case r.Team == hotTeam && sim.now > timeAt(320):
-						sim.countEvent(teamStillHotEvent)
-					case r.Team == hotTeam:
-						sim.countEvent(floodingTeamHotEvent)
+					case r.Team == floodingTeam && sim.now > timeAt(320):
+						sim.countEvent(teamStillOverloadedEvent)
+					case r.Team == floodingTeam:
+						sim.countEvent(floodingTeamOverloadedEvent)
 					default:
-						sim.countEvent(otherTeamHotEvent)
+						sim.countEvent(otherTeamOverloadedEvent)
 					}
 				}
 			})
@@ -42,9 +42,9 @@
 		})
 		sim.Run()
 		requireClean(t, sim)
-		if sim.eventCounts[floodingTeamHotEvent] < 20 || sim.eventCounts[teamStillHotEvent] > 0 {
-			t.Errorf("seed %d: got events %v, want at least 20 of %q and none of %q", seed, sim.eventCounts, floodingTeamHotEvent,
-				teamStillHotEvent)
+		if sim.eventCounts[floodingTeamOverloadedEvent] < 20 || sim.eventCounts[teamStillOverloadedEvent] > 0 {
+			t.Errorf("seed %d: got events %v, want at least 20 of %q and none of %q", seed, sim.eventCounts,
+				floodingTeamOverloadedEvent, teamStillOverloadedEvent)
 		}
 	}
 }
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// checkAnswer checks the job status in a reply. A final status must not change, which only holds for requests sent after the
+// checkStatusReply checks the job status in a reply. A final status must not change, which only holds for requests sent after the
 // user learned of it: overlapping requests have no order.
-func (sim *Simulation) checkAnswer(j *userJob, r *controller.Response, requestedAt ident.MonotonicTime) {
+func (sim *Simulation) checkStatusReply(j *userJob, r *controller.Response, requestedAt ident.MonotonicTime) {
 	var v api.JobView
 	if err := json.Unmarshal(r.Body, &v); err != nil || v.ID != j.spec.ID {
 		sim.reportViolation("%s: the reply is not a view of the job: %s", j.spec.ID, r.Body)
@@ -134,7 +134,7 @@
 const (
 	// faultDrainTime is the time after the active part by which all faults have ended.
 	faultDrainTime = 50 * time.Second
-	// maxStatusGap is how long status queries for a job may remain unanswered once all faults have ended.
+	// maxStatusGap is how long status queries for a job may remain without a reply once all faults have ended.
 	maxStatusGap = 75 * time.Second
 	// maxStartDelay is how long the largest jobs may wait until their first task starts.
 	maxStartDelay = 4 * time.Minute
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -138,7 +138,7 @@
 // bound.
 func TestHandoverHoldBoundsLeaderChanges(t *testing.T) {
 	t.Parallel()
-	const maxChanges = 6 // holds of 15, 15, 30 and 60 s, the first of which is partly over at the start
+	const maxChanges = 6 // intervals of at least 15, 15, 30 and 60 s, the first partly over at the start
 	detected := false
 	for seed := range uint64(3) {
 		if n := leaderChangesUnderAlternatingFaults(seed, None); n < 1 || n > maxChanges {
--- a/internal/simulator/moves.go
+++ b/internal/simulator/moves.go
@@ -52,10 +52,10 @@
 	})
 }
 
-// submitWideTasks submits a wide task every few seconds.
+// submitWideTasks submits a wide task every four seconds.
 func (sim *Simulation) submitWideTasks(from, to float64) {
-	const pace = 4
-	for s := from; s < to; s += pace {
+	const intervalSeconds = 4
+	for s := from; s < to; s += intervalSeconds {
 		sim.scheduleAt(s, func() {
 			sim.submitJob(func(s *api.Spec) {
 				makeWide(s, float64(3+sim.rng.IntN(4)), 12)
@@ -147,8 +147,8 @@
 
 // submitShortTasks submits an array of short tasks of different run times every two seconds.
 func (sim *Simulation) submitShortTasks(from, to float64) {
-	const pace = 2
-	for s := from; s < to; s += pace {
+	const intervalSeconds = 2
+	for s := from; s < to; s += intervalSeconds {
 		sim.scheduleAt(s, func() {
 			j := sim.submitJob(func(s *api.Spec) {
 				makeNarrow(s)
--- a/internal/simulator/mutation.go
+++ b/internal/simulator/mutation.go
@@ -47,8 +47,8 @@
 	return out
 }
 
-// cachedAnswer is a reply to a status query that a node caches, for the mutation CacheStatusAnswers.
-type cachedAnswer struct {
+// cachedStatusReply is a reply to a status query that a node caches, for the mutation CacheStatusReplies.
+type cachedStatusReply struct {
 	at   ident.MonotonicTime
 	body []byte
 }
@@ -58,7 +58,7 @@
 
 // cachedReply returns the cached reply to a status query, or nil if there is none or this run caches no replies.
 func (n *node) cachedReply(r apiRequest) *controller.Response {
-	if r.method != transport.GetJob || !n.sim.mutates(CacheStatusAnswers) {
+	if r.method != transport.GetJob || !n.sim.mutates(CacheStatusReplies) {
 		return nil
 	}
 	c := n.cache[r.job]
@@ -70,8 +70,8 @@
 
 // cacheReply caches the reply to a status query, if this run caches replies.
 func (n *node) cacheReply(r apiRequest, a controller.Response) {
-	if r.method == transport.GetJob && n.sim.mutates(CacheStatusAnswers) && a.Status == http.StatusOK {
-		n.cache[r.job] = cachedAnswer{n.sim.now, a.Body}
+	if r.method == transport.GetJob && n.sim.mutates(CacheStatusReplies) && a.Status == http.StatusOK {
+		n.cache[r.job] = cachedStatusReply{n.sim.now, a.Body}
 	}
 }
 
@@ -125,7 +125,7 @@
 	IgnoreFencingTokens
 	// IgnoreRevisions makes the store execute transactions without checking the revisions that they require.
 	IgnoreRevisions
-	// StarvePolls leaves the status queries for some jobs unanswered.
+	// StarvePolls stops the status queries for some jobs, as if they got no replies.
 	StarvePolls
 	// AcceptStaleHeartbeats gives delayed duplicates of heartbeats new sequence numbers, so that they appear to be current.
 	AcceptStaleHeartbeats
@@ -147,8 +147,8 @@
 	RenewWithoutLeadership
 	// DropStopCommands drops all commands that stop tasks.
 	DropStopCommands
-	// CacheStatusAnswers makes nodes serve status queries from a cache.
-	CacheStatusAnswers
+	// CacheStatusReplies makes nodes serve status queries from a cache.
+	CacheStatusReplies
 	// ForgetPlacements removes from the commit log that a new leader reads which machines the tasks are on.
 	ForgetPlacements
 	// DropZoneConstraint removes the zone constraints from submissions before the controllers receive them.
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -17,14 +17,14 @@
 	controller  *controller.Controller
 	incarnation int // incremented at each start and each crash of the process
 	alive       bool
-	legacy      bool                    // the next process runs the version in production
-	pausedUntil ident.MonotonicTime     // the process is paused until then; its clocks keep running
-	env         *nodeEnv                // environment of the current process
-	eventPause  eventPause              // pause in the middle of an event
-	cache       map[string]cachedAnswer // status replies by job, for the mutation CacheStatusAnswers
+	legacy      bool                         // the next process runs the version in production
+	pausedUntil ident.MonotonicTime          // the process is paused until then; its clocks keep running
+	env         *nodeEnv                     // environment of the current process
+	eventPause  eventPause                   // pause in the middle of an event
+	cache       map[string]cachedStatusReply // status replies by job, for the mutation CacheStatusReplies
 }
 
-// pauseFor pauses the node's process for d. A longer pause that is already under way stays.
+// pauseFor pauses the node's process for d. If a pause is in progress, the one that ends later applies.
 func (n *node) pauseFor(d time.Duration) {
 	n.sim.logf("%s paused for %v", n.name, d)
 	n.pausedUntil = max(n.pausedUntil, n.sim.now.Add(d))
@@ -50,7 +50,7 @@
 	n.incarnation++
 	n.alive = true
 	n.pausedUntil = 0
-	n.cache = map[string]cachedAnswer{}
+	n.cache = map[string]cachedStatusReply{}
 	set := &settings.Settings{
 		Node:    ident.NodeID(n.name),
 		Zone:    n.zone,
--- a/internal/simulator/node_env.go
+++ b/internal/simulator/node_env.go
@@ -90,10 +90,10 @@
 func (e *nodeEnv) Cloud(r cloud.Request, f func(cloud.Response)) {
 	sim := e.sim()
 	sim.cfg.Digest.cloudRequest(sim.now, e.node.name, r)
-	answer := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
+	respond := func(a cloud.Response) { e.ifAlive(func() { f(a) })() }
 	e.afterPause(func() {
 		if e.deadlinePassed(r.NotAfter) {
-			sim.schedule(0, func() { answer(cloud.Response{Outcome: cloud.NotSent}) })
+			sim.schedule(0, func() { respond(cloud.Response{Outcome: cloud.NotSent}) })
 			return
 		}
 		serve := func(reply func(cloud.Response)) { sim.cloud.serve(r, reply) }
@@ -101,7 +101,7 @@
 			if !ok {
 				a = cloud.Response{Outcome: cloud.NoAnswer}
 			}
-			answer(a)
+			respond(a)
 		})
 	})()
 }
@@ -115,7 +115,7 @@
 // command sends a command call to the worker that it addresses. A call past its deadline is not sent.
 func (e *nodeEnv) command(c workers.CommandCall, f func(workers.CommandResult)) {
 	sim := e.sim()
-	answer := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
+	respond := func(a workers.CommandResult) { e.ifAlive(func() { f(a) })() }
 	sim.recordLaunch(e.node.name, c)
 	if c.Launches() && sim.handingOver(e.node) {
 		sim.reportViolation("%s launches a task during its handover", e.node.name)
@@ -126,10 +126,10 @@
 	target := sim.workers[ident.MachineID(c.Addr)]
 	switch {
 	case e.deadlinePassed(c.NotAfter):
-		sim.schedule(0, func() { answer(workers.CommandResult{NotSent: true}) })
+		sim.schedule(0, func() { respond(workers.CommandResult{NotSent: true}) })
 		return
 	case target == nil:
-		sim.schedule(0, func() { answer(workers.CommandResult{}) })
+		sim.schedule(0, func() { respond(workers.CommandResult{}) })
 		return
 	}
 	if sim.mutates(DropStopCommands) {
@@ -144,7 +144,7 @@
 			})
 		})
 	}
-	call(sim, e.node.name, c.Addr, commandTimeout, handle, func(a workers.CommandResult, _ bool) { answer(a) })
+	call(sim, e.node.name, c.Addr, commandTimeout, handle, func(a workers.CommandResult, _ bool) { respond(a) })
 }
 
 // SendPeer sends a frame to another controller.
--- a/internal/simulator/process_pause_test.go
+++ b/internal/simulator/process_pause_test.go
@@ -10,7 +10,7 @@
 func runWithPauses(seed uint64, m Mutation) *Simulation {
 	sim := New(Config{Seed: seed, Mutation: m, NoArrivals: true, ActiveDuration: 150 * time.Second})
 	sim.submitBaseLoad(5)
-	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
+	sim.scheduleAt(30, func() { sim.probeAfterReply = faultWindow{1, timeAt(150)} })
 	sim.submitStream(35.0, 140, 0.5, 6*time.Second)
 	for s := 40.0; s < 130; s += 15 {
 		sim.scheduleAt(s, func() {
@@ -24,9 +24,9 @@
 }
 
 // TestProcessPausesWithinEvents guards against a process acting on an outdated decision after a pause, such as a long garbage
-// collection, between the decision and its effects. No invariant is violated, no answer is older than one that another node gave
-// before, and no task is launched by a node whose leadership has ended. A delayed answer to a query that was sent before the
-// other node answered does not count as older. Without send deadlines, some seed launches a task without leadership.
+// collection, between the decision and its effects. No invariant is violated, no reply is older than one that another node gave
+// before, and no task is launched by a node whose leadership has ended. A delayed reply to a query that was sent before the
+// other node replied does not count as older. Without send deadlines, some seed launches a task without leadership.
 func TestProcessPausesWithinEvents(t *testing.T) {
 	t.Parallel()
 	leaders := 0
--- a/internal/simulator/replay_scenarios.go
+++ b/internal/simulator/replay_scenarios.go
@@ -303,7 +303,7 @@
 	sim.submitBaseLoad(5)
 	sim.submitStream(20, replayLength.Seconds(), 1.5, 10*time.Second)
 	sim.scheduleAt(30, func() {
-		sim.probeAfterAnswer = faultWindow{0.3, sim.now.Add(replayLength)}
+		sim.probeAfterReply = faultWindow{0.3, sim.now.Add(replayLength)}
 		if odd(variant) {
 			sim.slowBoots, sim.failedBoots = faultWindow{0.4, timeAt(90)}, faultWindow{0.3, timeAt(90)}
 		}
@@ -359,8 +359,8 @@
 		})
 	}
 	sim.scheduleAt((floodStart + floodDuration/2).Seconds(), func() {
-		if sim.isOnlyHotTeam(hotTeam) {
-			sim.countEvent(onlyHotTeamEvent)
+		if sim.isOnlyOverloadedTeam(floodingTeam) {
+			sim.countEvent(onlyOneTeamOverloadedEvent)
 		}
 	})
 	sim.crashLeaderAt((floodStart+floodDuration/2).Seconds()+1, 4*time.Second)
--- a/internal/simulator/replay_test.go
+++ b/internal/simulator/replay_test.go
@@ -65,7 +65,7 @@
 		expectEvent(newTermEvent, 8*replaysPerScenario)},
 	"partitions": {expectEvent(partitionedEvent, 4*replaysPerScenario), expectEvent(nodesProbedEvent, 50),
 		expectEvent(bootSlowEvent, 1), leaderChange},
-	"flood":        {expectEvent(onlyHotTeamEvent, 1), leaderChange},
+	"flood":        {expectEvent(onlyOneTeamOverloadedEvent, 1), leaderChange},
 	"failing-jobs": {expectEvent(attemptFailedEvent, 10), leaderChange},
 	"borrowers":    {expectEvent(borrowerJobEvent, 70*replaysPerScenario), leaderChange},
 	"overload":     {expectEvent(linkSlowEvent, 50)},
--- a/internal/simulator/scenario_helpers_test.go
+++ b/internal/simulator/scenario_helpers_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-// onceServing calls f once a leader has loaded its state and can answer, but not if it loses its lease before that.
+// onceServing calls f once a leader has loaded its state and can serve requests, but not if it loses its lease before that.
 func (sim *Simulation) onceServing(n *node, f func()) {
 	leads := func() bool { return n.alive && n.controller.Election().LeaseValid() }
 	sim.waitUntil(func() bool { return !leads() || n.controller.Stats().Jobs > 0 }, func() {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -197,8 +197,8 @@
 }
 
 // TestLeaderReachingOnlyWorkersIsReplaced guards against workers losing their tasks when their leader is cut off from the store
-// and its peers. It reports itself unhealthy at /up, and answers workers until their heartbeats carry the fencing token of the
-// next leader; the workers then switch to another node. If it still answered, workers would reject its replies as fenced and
+// and its peers. It reports itself unhealthy at /up, and replies to workers until their heartbeats carry the fencing token of the
+// next leader; the workers then switch to another node. If it still replied, workers would reject its replies as fenced and
 // drop their tasks when their leases expire.
 func TestLeaderReachingOnlyWorkersIsReplaced(t *testing.T) {
 	t.Parallel()
@@ -231,7 +231,7 @@
 	for seed := range uint64(6) {
 		sim := New(Config{Seed: seed, ActiveDuration: 160 * time.Second})
 		var old *node
-		fenced := 0                 // negative: the number of busy machines that were terminated
+		fenced := 0                 // minus the number of busy machines that were terminated
 		busy := map[*machine]bool{} // machines with tasks; idle ones may be terminated
 		sim.schedule(80*time.Second, func() {
 			old = sim.leader()
--- a/internal/simulator/study_links.go
+++ b/internal/simulator/study_links.go
@@ -15,7 +15,8 @@
 	From, To string
 }
 
-// Ends of links in a study, in addition to the names of the services. Peer is one of the other nodes.
+// Ends of links in a study, in addition to the names of the services. Peer is one of the other nodes; the study prints it as
+// "sibling".
 const (
 	Leader = "leader"
 	Peer   = "sibling"
--- a/internal/simulator/study_load.go
+++ b/internal/simulator/study_load.go
@@ -15,17 +15,17 @@
 	// Imbalance has the coefficient of variation of the machines' CPU utilization in each second of the flood, measured at
 	// the workers.
 	Imbalance []float64
-	// HotTeamLatencies and OtherTeamLatencies have the time from submission to completion of each array of the flooding team
+	// FloodingTeamLatencies and OtherTeamLatencies have the time from submission to completion of each array of the flooding team
 	// and of the other teams.
-	HotTeamLatencies, OtherTeamLatencies []time.Duration
+	FloodingTeamLatencies, OtherTeamLatencies []time.Duration
 	// FetchedGB is the total size of the images pulled.
 	FetchedGB float64
 	// Machines is the number of machines provisioned.
 	Machines int
 	// Moves counts the moves proposed by the processes that run at the end.
 	Moves uint64
-	// HotSeconds counts the seconds in which the leader classified the flooding team, and no other, as overloaded.
-	HotSeconds int
+	// OverloadedSeconds counts the seconds in which the leader classified the flooding team, and no other, as overloaded.
+	OverloadedSeconds int
 	// Violations counts the violated invariants, and Unfinished the work that had not ended by the end of the run.
 	Violations, Unfinished int
 }
@@ -34,7 +34,7 @@
 	floodStart     = 60 * time.Second
 	floodDuration  = 90 * time.Second
 	floodFleetSize = 50
-	hotTeam        = "red"
+	floodingTeam   = "red"
 )
 
 // floodConfig returns a configuration with fifty machines, of which three teams are guaranteed a part each.
@@ -59,8 +59,8 @@
 	sim.schedule(floodStart+10*time.Second, func() {
 		sim.every(time.Second, func() bool {
 			out.Imbalance = append(out.Imbalance, sim.imbalance())
-			if sim.isOnlyHotTeam(hotTeam) {
-				out.HotSeconds++
+			if sim.isOnlyOverloadedTeam(floodingTeam) {
+				out.OverloadedSeconds++
 			}
 			return sim.now < ident.MonotonicTime(floodStart+floodDuration)
 		})
@@ -71,8 +71,8 @@
 		if j.lastStatus != api.StatusDone || j.submittedAt < ident.MonotonicTime(floodStart) {
 			continue
 		}
-		if latency := j.lastStatusAt.Sub(j.submittedAt); j.spec.Team == hotTeam {
-			out.HotTeamLatencies = append(out.HotTeamLatencies, latency)
+		if latency := j.lastStatusAt.Sub(j.submittedAt); j.spec.Team == floodingTeam {
+			out.FloodingTeamLatencies = append(out.FloodingTeamLatencies, latency)
 		} else {
 			out.OtherTeamLatencies = append(out.OtherTeamLatencies, latency)
 		}
@@ -102,13 +102,13 @@
 	}
 }
 
-// flood makes the hot team submit arrays in quick succession until the given time.
+// flood makes the flooding team submit arrays in quick succession until the given time.
 func (sim *Simulation) flood(until ident.MonotonicTime) {
 	if sim.now > until {
 		return
 	}
 	sim.submitJob(func(s *api.Spec) {
-		s.Team, s.Tasks, s.VCPUs, s.Spot = hotTeam, 3, float64(1+sim.rng.IntN(3)), true
+		s.Team, s.Tasks, s.VCPUs, s.Spot = floodingTeam, 3, float64(1+sim.rng.IntN(3)), true
 	}, time.Duration(6+sim.rng.IntN(10))*time.Second)
 	sim.schedule(time.Duration(150+sim.rng.IntN(200))*time.Millisecond, func() { sim.flood(until) })
 }
@@ -129,21 +129,21 @@
 	return math.Sqrt(max(0, sumOfSquares/n-mean*mean)) / mean
 }
 
-// isOnlyHotTeam reports whether the leader classifies the given team, and no other, as overloaded.
-func (sim *Simulation) isOnlyHotTeam(team string) bool {
+// isOnlyOverloadedTeam reports whether the leader classifies the given team, and no other, as overloaded.
+func (sim *Simulation) isOnlyOverloadedTeam(team string) bool {
 	l := sim.leader()
 	if l == nil {
 		return false
 	}
-	hot := false
+	overloaded := false
 	for _, r := range l.controller.Stats().TeamLoads {
 		switch {
 		case r.State != load.Overloaded:
 		case r.Team != team:
 			return false
 		default:
-			hot = true
+			overloaded = true
 		}
 	}
-	return hot
+	return overloaded
 }
--- a/internal/simulator/unresponsive_controllers_test.go
+++ b/internal/simulator/unresponsive_controllers_test.go
@@ -10,7 +10,7 @@
 
 // TestUnresponsiveControllers guards against a controller acting on outdated state after it was paused or partitioned for more
 // than a minute. That happens to the leader, a follower, two of three nodes, or a node that resumes during an election. Another
-// node leads for most of that time, no invariant is violated, and no answer is older than one that another node gave before.
+// node leads for most of that time, no invariant is violated, and no reply is older than one that another node gave before.
 func TestUnresponsiveControllers(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(sim *Simulation, l *node){
@@ -55,12 +55,12 @@
 }
 
 // checkUnresponsive injects a fault after a minute, while users submit, cancel and query jobs, and query all nodes after each
-// answer.
+// reply.
 func checkUnresponsive(t *testing.T, seed uint64, inject func(sim *Simulation, l *node)) {
 	t.Helper()
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 150 * time.Second})
 	sim.submitBaseLoad(5)
-	sim.scheduleAt(30, func() { sim.probeAfterAnswer = faultWindow{1, timeAt(150)} })
+	sim.scheduleAt(30, func() { sim.probeAfterReply = faultWindow{1, timeAt(150)} })
 	sim.submitStream(40.0, 140, 2, 8*time.Second)
 	sim.scheduleAt(60, func() { inject(sim, sim.leader()) })
 	samplesWithLeader := 0
--- a/internal/simulator/user_job.go
+++ b/internal/simulator/user_job.go
@@ -28,7 +28,7 @@
 	submittedAt         ident.MonotonicTime
 	acceptedAt          ident.MonotonicTime
 	firstStartAt        ident.MonotonicTime // when its first task started; 0: not yet
-	lastAnsweredAt      ident.MonotonicTime // when a status query was last answered
+	lastStatusReplyAt   ident.MonotonicTime // when a status query last got a reply with status 200
 }
 
 // durationOf returns the run time of the task with index i.
