--- a/cmd/study/replay.go
+++ b/cmd/study/replay.go
@@ -12,7 +12,7 @@
 )
 
 // errViolation is returned if a replayed run violated an invariant.
-var errViolation = errors.New("rules broken")
+var errViolation = errors.New("invariants violated")
 
 // replayCommand returns the command that runs simulated scenarios and prints their digests.
 func replayCommand() *cobra.Command {
--- a/internal/simulator/rebalancing_test.go
+++ b/internal/simulator/rebalancing_test.go
@@ -68,7 +68,7 @@
 	// convergenceTime is the time from the start of a flood until the load must be balanced.
 	convergenceTime = time.Minute
 	// maxImbalance bounds the mean imbalance in the 30 s after convergenceTime. Imbalance is the coefficient of variation of
-	// the machines' use.
+	// the machines' CPU utilization.
 	maxImbalance = 0.45
 )
 
@@ -225,7 +225,7 @@
 	}
 }
 
-// TestMoveLimitHoldsAcrossTerms guards against a new leader starting the count of moves anew: jobs that were moved twice in
+// TestMoveLimitHoldsAcrossTerms guards against a new leader restarting the count of moves at zero: jobs that were moved twice in
 // earlier terms are not moved again, and jobs that were moved once may be moved once more.
 func TestMoveLimitHoldsAcrossTerms(t *testing.T) {
 	t.Parallel()
