--- a/internal/simulator/api_client.go
+++ b/internal/simulator/api_client.go
@@ -116,7 +116,7 @@
 func (sim *Simulation) poll(j *userJob) {
 	quiescentFrom := ident.MonotonicTime(sim.cfg.ActiveDuration + faultDrainTime)
 	if gap := sim.now.Sub(max(j.lastStatusReplyAt, quiescentFrom)); sim.now > quiescentFrom && gap > maxStatusGap {
-		sim.reportViolation("forgotten: status queries for %s got no reply for %v", j.spec.ID, gap)
+		sim.reportViolation("forgotten: no status query for %s got status 200 for %v", j.spec.ID, gap)
 	}
 	if sim.mutates(StarvePolls) && sim.now > ident.MonotonicTime(sim.cfg.ActiveDuration) && j.spec.Tasks%2 == 0 {
 		sim.schedule(5*time.Second, func() { sim.poll(j) })
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	sim := New(Config{Seed: seed, NoArrivals: true, ActiveDuration: 170 * time.Second})
 	sim.submitBaseLoad(2)
-	var failing, sound []*userJob
+	var failing, succeeding []*userJob
 	sim.scheduleAt(40, func() {
 		for range f.jobs {
 			j := sim.submitJob(f.change, 10*time.Second)
@@ -53,7 +53,7 @@
 	})
 	for s := 45.0; s < 125; s += 4 {
 		sim.scheduleAt(s, func() {
-			sound = append(sound, sim.submitJob(func(s *api.Spec) {
+			succeeding = append(succeeding, sim.submitJob(func(s *api.Spec) {
 				s.Team, s.Tasks, s.VCPUs, s.ImageGB = "red", 1, 1, 0.1
 			}, 3*time.Second))
 		})
@@ -67,7 +67,7 @@
 	sim.Run()
 	requireClean(t, sim)
 	f.checkFailing(t, sim, failing)
-	for _, j := range sound {
+	for _, j := range succeeding {
 		if wait := j.firstStartAt.Sub(j.submittedAt); j.firstStartAt == 0 || wait > 25*time.Second {
 			t.Errorf("seed %d: %s, which does not fail, started after %v, want at most 25 s", seed, j.spec.ID, wait)
 		}
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -134,7 +134,7 @@
 const (
 	// faultDrainTime is the time after the active part by which all faults have ended.
 	faultDrainTime = 50 * time.Second
-	// maxStatusGap is how long status queries for a job may remain without a reply once all faults have ended.
+	// maxStatusGap is how long no status query for a job may get status 200 once all faults have ended.
 	maxStatusGap = 75 * time.Second
 	// maxStartDelay is how long the largest jobs may wait until their first task starts.
 	maxStartDelay = 4 * time.Minute
