--- a/internal/links/endpoint.go
+++ b/internal/links/endpoint.go
@@ -4,7 +4,7 @@
 // A Monitor derives a verdict for each direction from the traffic on the link. It uses an accrual
 // failure detector, which adapts to the delays of the link, and flap damping. Nodes exchange their
 // verdicts as link state advertisements. A Database holds the advertisements of the peers, and
-// Cluster.Assess compares which node has the best links for a leader.
+// Cluster.Assess determines which node has the best links for a leader.
 //
 // The package sends no messages and reads no clock. Its types are not safe for concurrent use.
 package links
@@ -89,7 +89,7 @@
 	Unknown State = iota // the evidence is not conclusive
 	Up                   // messages arrive
 	Suspect              // messages are later than usual
-	Down                 // messages are so late that the direction is almost certainly broken
+	Down                 // messages are far too late, connections are refused, or flap damping suppresses the direction
 )
 
 // String returns the state's name in reports and metrics, where it must not change.
@@ -103,7 +103,8 @@
 // Evidence is the kind of event that a verdict is based on.
 type Evidence uint8
 
-// The kinds of evidence, from the strongest sign of a working link to the weakest.
+// The kinds of evidence. Those after NoEvidence are ordered from the strongest sign of a working link to the
+// weakest.
 const (
 	NoEvidence        Evidence = iota
 	Response                   // the endpoint responded to a request
@@ -111,7 +112,7 @@
 	Message                    // the endpoint sent a message
 	ErrorResponse              // the endpoint responded that it does not serve this node
 	ConnectionRefused          // the endpoint's machine, or a firewall in front of it, refused a connection
-	Silence                    // no message arrived, for longer than the usual delay
+	Silence                    // no message or acknowledgment arrived, for longer than the usual delay
 )
 
 // String returns the evidence's name in reports, where it must not change.
--- a/internal/links/monitor.go
+++ b/internal/links/monitor.go
@@ -9,7 +9,7 @@
 
 // Config holds the timing parameters of a Monitor.
 type Config struct {
-	// SuspectGrace is added to the usual delay of a link before a longer delay raises the suspicion.
+	// SuspectGrace is added to the usual delay of a link. Only a longer delay raises the suspicion.
 	SuspectGrace time.Duration
 	// PenaltyHalfLife is the half-life of the flap damping penalty.
 	PenaltyHalfLife time.Duration
@@ -79,7 +79,7 @@
 	}
 }
 
-// Received records the arrival of a message that does not acknowledge a message of this node.
+// Received records the arrival of a message that is not the response to a request.
 func (m *Monitor) Received(endpoint Endpoint, now ident.MonotonicTime) {
 	m.link(endpoint).recordArrival(now, Message)
 }
--- a/internal/links/monitor_test.go
+++ b/internal/links/monitor_test.go
@@ -125,8 +125,8 @@
 	// detectableBreak is the minimum duration of a break that is always detected on a link with
 	// heartbeats.
 	detectableBreak = 3500 * time.Millisecond
-	// maxChanges is the maximum number of changes in two minutes under damping: the penalties of
-	// breaks 11 s apart add up to less than suppressAt.
+	// maxChanges is the maximum number of changes in two minutes under damping: the penalties of breaks
+	// at least 11.1 s apart add up to less than suppressAt, and two minutes hold at most 11 such breaks.
 	maxChanges = 22
 )
 
--- a/internal/links/score.go
+++ b/internal/links/score.go
@@ -31,7 +31,8 @@
 // linkTest reports whether a node's link to an endpoint counts as working.
 type linkTest func(Endpoint) bool
 
-// scoreOwn returns the score of the node that calls Assess. Unknown links count as working.
+// scoreOwn returns the score of the node that calls Assess. Unknown and suspect links count as
+// working.
 func (c *Cluster) scoreOwn(advertisement *Advertisement) Score {
 	return c.score(advertisement, func(endpoint Endpoint) bool {
 		l := advertisement.Link(endpoint)
@@ -39,7 +40,8 @@
 	})
 }
 
-// scorePeer returns the score of a peer that may become leader. Unknown links count as broken.
+// scorePeer returns the score of a peer that may become leader. A link counts as working only if its
+// outbound direction is Up.
 func (c *Cluster) scorePeer(advertisement *Advertisement) Score {
 	return c.score(advertisement, func(endpoint Endpoint) bool {
 		l := advertisement.Link(endpoint)
--- a/internal/links/score_test.go
+++ b/internal/links/score_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestAssess: a peer counts as better than the leader if links of the leader are broken that work for the
-// peer, but not if they are broken for both or the state of one of them is unknown.
+// peer, but not if they are broken for both or their state is unknown at either node.
 func TestAssess(t *testing.T) {
 	cluster := Cluster{Peers: []ident.NodeID{"b", "c"}, Machines: map[string]int{"east": 10, "west": 10}}
 	lose := func(kind Kind, state State) func(*LinkState) {
@@ -75,7 +75,7 @@
 		}
 		a = cluster.Assess(advertisementOf("a", c.own), database, now.Add(AdvertisementLifetime))
 		if a.PeerIsBetter() {
-			t.Errorf("%s: a peer with an expired advertisement counts as better: %+v", c.name, a)
+			t.Errorf("%s, with an expired advertisement of the peer: got peer is better true, want false: %+v", c.name, a)
 		}
 	}
 }
