--- a/internal/linktracker/exchange.go
+++ b/internal/linktracker/exchange.go
@@ -30,7 +30,8 @@
 	unknownAge uint64 // messages that do not echo a recent heartbeat of this node
 }
 
-// refreshCapabilities periodically reads from the store which peers support link state frames, until all peers do.
+// refreshCapabilities periodically reads from the store which peers support link state frames, and the cluster's format
+// level, until all peers support the frames and the level allows them.
 func (t *Tracker) refreshCapabilities(now ident.MonotonicTime) {
 	packed := t.node.FormatLevel() >= ident.FormatPacked
 	known := &t.capabilities
@@ -78,7 +79,8 @@
 	return advertisement
 }
 
-// SendAdvertisements sends a peer this node's own advertisement and the advertisements received from other peers.
+// SendAdvertisements sends a peer this node's own advertisement and the advertisements received from other peers,
+// the latter without probe targets.
 func (t *Tracker) SendAdvertisements(to ident.NodeID, own links.Advertisement, now ident.MonotonicTime) {
 	if !t.SupportsLinks(to) {
 		return
--- a/internal/linktracker/probe.go
+++ b/internal/linktracker/probe.go
@@ -34,7 +34,7 @@
 
 // probes holds the probe targets, and the times of the last probes and samples.
 type probes struct {
-	targets      map[string][]links.ProbeTarget // by zone: machines whose heartbeats this node received
+	targets      map[string][]links.ProbeTarget // by zone: machines whose heartbeats reached this node, also through a peer
 	zoneProbedAt map[string]ident.MonotonicTime // when all targets of a zone were last probed
 	sampledAt    ident.MonotonicTime            // when a follower last parsed a heartbeat
 }
@@ -90,7 +90,7 @@
 	})
 }
 
-// removeTarget removes a machine that didn't respond from the targets. The machine may have been terminated, and further
+// removeTarget removes a machine whose probe failed from the targets. The machine may have been terminated, and further
 // unanswered probes would make the link to its zone appear down.
 func (t *Tracker) removeTarget(target links.ProbeTarget) {
 	isTarget := func(other links.ProbeTarget) bool { return other == target }
--- a/internal/linktracker/report.go
+++ b/internal/linktracker/report.go
@@ -20,7 +20,8 @@
 	Links          []LinkEntry          `json:"links"`
 	Advertisements []AdvertisementEntry `json:"rows"`
 	Handovers      []HandoverEntry      `json:"handovers"`
-	// HandoverCount is the number of all handovers, including those no longer in Handovers.
+	// HandoverCount is the number of this node's terms that ended by a handover. Handovers lists only the newest ones, and
+	// also one that was announced but has not ended the term.
 	HandoverCount uint64            `json:"handover_count"`
 	Dropped       map[string]uint64 `json:"dropped"`
 }
--- a/internal/linktracker/tracker.go
+++ b/internal/linktracker/tracker.go
@@ -50,8 +50,9 @@
 
 // Tracker tracks a node's own links, and those that its peers advertise. It is not safe for concurrent use.
 //
-// A nil Tracker stands in on a node that doesn't monitor its links: Enabled returns false, methods that record an event do
-// nothing, and methods that check the health of a link report a healthy one. The other methods must not be called on it.
+// A node that doesn't monitor its links has a nil Tracker. On a nil Tracker, Enabled returns false; Start and the methods that
+// record terms, heartbeats and frames do nothing; PeerDelivering, PeerDownFor, PeerDown and ZoneHealthy report healthy links;
+// and RelayFor finds no relay. The other methods must not be called on it.
 type Tracker struct {
 	node           Node
 	env            Env
--- a/internal/linktracker/tracker_test.go
+++ b/internal/linktracker/tracker_test.go
@@ -20,16 +20,17 @@
 	tracker.SampleWorkerHeartbeat(nil)
 	tracker.MergeAdvertisements(&transport.Frame{})
 	if tracker.Enabled() {
-		t.Error("a nil tracker reports that links are monitored")
+		t.Error("nil tracker: got Enabled true, want false")
 	}
 	if !tracker.PeerDelivering("agent-1") || tracker.PeerDown("agent-1") {
-		t.Error("a nil tracker reports a peer as down")
+		t.Errorf("nil tracker: got PeerDelivering %v, PeerDown %v; want true, false",
+			tracker.PeerDelivering("agent-1"), tracker.PeerDown("agent-1"))
 	}
 	if !tracker.ZoneHealthy("a") {
-		t.Error("a nil tracker reports a zone as unhealthy")
+		t.Error("nil tracker: got ZoneHealthy false, want true")
 	}
 	if relay, ok := tracker.RelayFor("agent-1"); ok {
-		t.Errorf("a nil tracker returned relay %s, want none", relay)
+		t.Errorf("nil tracker: got relay %q, want none", relay)
 	}
 }
 
