--- a/internal/load/demand_state.go
+++ b/internal/load/demand_state.go
@@ -11,12 +11,13 @@
 // DemandState is the state of a team's demand relative to its entitled CPUs, see Model.ratio.
 type DemandState uint8
 
-// The states of a team's demand. A team must be in Rising or Recovering for Config.MinDuration before it
-// becomes Overloaded or Normal, so that short changes of the demand have no effect.
+// The states of a team's demand. A team must be in Rising for Config.MinDuration before it becomes
+// Overloaded, and in Recovering for as long before it becomes Normal again, so that short changes of the
+// demand have no effect.
 const (
 	Normal     DemandState = iota // the demand is below Config.OverloadAt
 	Rising                        // the demand is at or above Config.OverloadAt, for less than Config.MinDuration
-	Overloaded                    // the demand was at or above Config.OverloadAt for Config.MinDuration
+	Overloaded                    // the demand was at or above OverloadAt for MinDuration, and is not below RecoverAt
 	Recovering                    // overloaded before; the demand is below Config.RecoverAt, for less than Config.MinDuration
 )
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
 // Package load tracks the load of machines, zones and teams: how evenly the machines are used, which
-// teams request far more than their guaranteed CPUs, and which machines are slow.
+// teams request far more than their entitled CPUs, and which machines are slow.
 //
 // The package does no I/O and reads no clock. Each change updates running sums, so that no query iterates
 // over the machines. Its types are not safe for concurrent use.
@@ -44,10 +44,10 @@
 	// HalfLife is the half-life of all averages.
 	HalfLife time.Duration
 	// OverloadAt is the demand at or above which a team becomes overloaded, and RecoverAt the demand
-	// below which it recovers. Both are multiples of the team's guaranteed CPUs.
+	// below which it recovers. Both are multiples of the team's entitled CPUs, see Model.ratio.
 	OverloadAt, RecoverAt float64
 	// MinDuration is how long the demand of a team must stay beyond a threshold before the team
-	// becomes overloaded or normal.
+	// becomes overloaded, or normal again.
 	MinDuration time.Duration
 }
 
--- a/internal/load/slowness.go
+++ b/internal/load/slowness.go
@@ -157,7 +157,7 @@
 	return true
 }
 
-// RemoveMachine removes the samples of a machine, and whether it counts as slow.
+// RemoveMachine removes the samples of a machine, which then no longer counts as slow.
 func (s *SlownessEstimator) RemoveMachine(machine ident.MachineID) {
 	delete(s.relativeRunTimes, machine)
 	delete(s.slow, machine)
--- a/internal/load/slowness_test.go
+++ b/internal/load/slowness_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("with %d samples: got slowness %v, want at least 5 and slow", minSamples, s.Slowness("late"))
 	}
 	if s.RemoveMachine("late"); s.DetectSlow("late", 100) {
-		t.Error("a removed machine counts as slow")
+		t.Error("removed machine: got DetectSlow true, want false")
 	}
 	s = NewSlownessEstimator()
 	peers(s, "m8", time.Second)
@@ -87,6 +87,6 @@
 		s.RecordRun("j-2", "m16", "late", time.Minute)
 	}
 	if s.DetectSlow("late", 100) {
-		t.Error("a machine counts as slow without comparable runs: short runs, another type, or no runs on other machines")
+		t.Error("short runs, another type, or no runs on other machines to compare with: got DetectSlow true, want false")
 	}
 }
