--- a/internal/rebalance/budget.go
+++ b/internal/rebalance/budget.go
@@ -44,7 +44,8 @@
 	return u.allowsMachine(m) && u.zones[m.Zone] < u.budgets.Zone
 }
 
-// allowsTask reports whether the budgets of a task's team and job allow one more move.
+// allowsTask reports whether the budgets of a task's team and job allow one more move. An active move counts
+// twice against the budget of its job, because MoveCount includes it as well.
 func (u *budgetUse) allowsTask(t *Task) bool {
 	return u.teams[t.Team] < u.budgets.Team && t.MoveCount+u.jobs[t.ID.Job] < u.budgets.Job
 }
--- a/internal/rebalance/cluster.go
+++ b/internal/rebalance/cluster.go
@@ -26,10 +26,10 @@
 	CheckpointInterval time.Duration // 0 if it writes no checkpoints
 	CheckpointTime     time.Duration // time to write a checkpoint when it is stopped
 	Replica            bool          // whether it is a replica of a service: a move causes downtime, but no loss of work
-	MoveCount          int           // number of earlier moves of its job's tasks
+	MoveCount          int           // number of recorded moves of its job's tasks, including active ones
 }
 
-// Machine is a machine that accepts tasks.
+// Machine is a machine with its free capacity and its tasks. It accepts tasks, except as part of a SlowMachine.
 type Machine struct {
 	ID          ident.MachineID
 	Zone        string
@@ -76,7 +76,7 @@
 // Cluster is the state of the cluster, the input of Plan.
 type Cluster struct {
 	Machines     []*Machine
-	Waiting      []WaitingTask  // in scheduling order
+	Waiting      []WaitingTask  // in the order in which moves are planned for them
 	SlowMachines []*SlowMachine // not included in Machines
 	ActiveMoves  []ActiveMove
 	// Fits reports whether a running task may be moved to a machine, and returns the time of the image
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -12,8 +12,9 @@
 const (
 	// maxWaiting is the maximum number of waiting tasks that one plan considers.
 	maxWaiting = 32
-	// maxCandidates is the maximum number of tasks for which a destination is searched, those with the
-	// lowest cost first. maxDestinations is the maximum number of machines considered for each.
+	// maxCandidates is the maximum number of running tasks, those with the lowest cost, for which a
+	// destination is searched per waiting task. maxDestinations is the maximum number of machines
+	// considered for each.
 	maxCandidates   = 32
 	maxDestinations = 64
 	// unknownWait is the assumed wait if neither completions nor a booting machine are known to provide
@@ -109,7 +110,8 @@
 	return found, ok
 }
 
-// candidates returns the tasks whose moves would free enough capacity for a waiting task, sorted by cost.
+// candidates returns the tasks whose moves would free enough capacity for a waiting task and be worthwhile
+// without an image pull, sorted by cost. It returns at most maxCandidates.
 func (p *planner) candidates(w *WaitingTask) []candidate {
 	var list []candidate
 	for _, m := range p.byFreeCPUs {
@@ -223,7 +225,7 @@
 }
 
 // expectedWait estimates the remaining wait of a task for capacity without a move: until enough tasks on
-// the machine have completed, or a booting machine is up.
+// the machine have completed, or a booting machine is up. It returns unknownWait if neither is known.
 func (p *planner) expectedWait(w *WaitingTask, m *Machine) time.Duration {
 	wait := unknownWait
 	free := m.Free
--- a/internal/rebalance/plan_test.go
+++ b/internal/rebalance/plan_test.go
@@ -122,7 +122,7 @@
 		}
 		moves := Plan(c, cloneCluster(cluster))
 		if again := Plan(c, cloneCluster(cluster)); !reflect.DeepEqual(moves, again) {
-			t.Fatalf("got %+v, then %+v for the same cluster", moves, again)
+			t.Fatalf("got moves %+v, then %+v for the same cluster, want the same moves", moves, again)
 		}
 		planned += len(moves)
 		used := newBudgetUse(c.Budgets)
@@ -137,24 +137,26 @@
 			used.count(ActiveMove{Job: m.Task.Job, Team: x.Team, From: m.From, To: m.To, Zone: from.Zone})
 			switch {
 			case float64(m.Gain) < c.GainMargin*float64(m.Cost):
-				t.Fatalf("gain of %+v is below %v times its cost", m, c.GainMargin)
+				t.Fatalf("got gain %v, want at least %v times the cost %v: %+v", m.Gain, c.GainMargin, m.Cost, m)
 			case !to.Free.Covers(x.Need) || !from.Free.Add(x.Need).Covers(w.Need) || from.Free.Covers(w.Need):
-				t.Fatalf("%+v: task needs %v, beneficiary %v; free capacity is %v at the destination, %v at the source",
+				t.Fatalf("%+v: task needs %v, beneficiary %v; got %v free at the destination, want enough for the task; "+
+					"got %v free at the source, want enough for the beneficiary with the move only",
 					m, x.Need, w.Need, to.Free, from.Free)
 			case x.Remaining > 0 && x.Remaining <= x.CheckpointTime+c.StartOverhead:
-				t.Fatalf("%+v: task completes in %v, before the end of its move", m, x.Remaining)
+				t.Fatalf("%+v: got a task that completes in %v, want one that outlasts the move, %v without the image pull",
+					m, x.Remaining, x.CheckpointTime+c.StartOverhead)
 			case x.PriorityLevel < w.PriorityLevel || x.RunningFor < c.MinRuntime ||
 				w.WaitedFor < c.MinWait || beneficiaries[m.BeneficiaryID]:
-				t.Fatalf("%+v: task %+v must not be moved for %+v", m, x, w)
+				t.Fatalf("%+v: got a move of task %+v for %+v, want none", m, x, w)
 			case w.BootRemaining > 0 && m.ExpectedWait > w.BootRemaining:
-				t.Fatalf("%+v: expected wait is %v, but a machine is up in %v", m, m.ExpectedWait, w.BootRemaining)
+				t.Fatalf("%+v: got expected wait %v, want at most %v, when a machine is up", m, m.ExpectedWait, w.BootRemaining)
 			case x.MoveCount+used.jobs[m.Task.Job] > c.Budgets.Job ||
 				used.zones[from.Zone] > c.Budgets.Zone ||
 				used.teams[x.Team] > c.Budgets.Team ||
 				used.machines[m.From] > c.Budgets.Machine ||
 				used.machines[m.To] > c.Budgets.Machine ||
 				used.cluster > c.Budgets.Cluster:
-				t.Fatalf("budgets %+v exceeded by moves %+v with active moves %+v", c.Budgets, moves, cluster.ActiveMoves)
+				t.Fatalf("got moves %+v, active moves %+v; want at most the budgets %+v", moves, cluster.ActiveMoves, c.Budgets)
 			}
 			beneficiaries[m.BeneficiaryID] = true
 			to.Free, from.Free = to.Free.Sub(x.Need), jobs.Resources{}
