--- a/internal/rebalancer/hold.go
+++ b/internal/rebalancer/hold.go
@@ -22,7 +22,7 @@
 	HoldWriteBacklog              // there are pending writes to the key-value store
 	HoldTeamRecovered             // a team left load.Overloaded less than cooldownAfterOverload ago
 	HoldFleetUnstable             // many machines are unreachable, cordoned, or being terminated or reclaimed
-	HoldNothingWaiting            // no task has waited for at least MinWait, and no machine is slow
+	HoldNothingWaiting            // no task that may benefit has waited for at least MinWait, and no machine is slow
 	holdReasonCount
 )
 
--- a/internal/rebalancer/input.go
+++ b/internal/rebalancer/input.go
@@ -14,7 +14,7 @@
 	"opaldale/internal/workers"
 )
 
-// minRemaining is the minimum estimate of the remaining time of a task, and of a booting machine until it is up.
+// minRemaining is the minimum estimate of the time until a task ends, or until a booting machine is up.
 const minRemaining = time.Second
 
 // waitingTasks lists the first waiting task of each job for which tasks of other jobs may be moved, if that task has waited
@@ -81,7 +81,8 @@
 	return soonest
 }
 
-// planInput returns the input of rebalance.Plan. It omits machines in zones with an unhealthy link.
+// planInput returns the input of rebalance.Plan. It omits machines that are of unknown type, in zones with an unhealthy
+// link, or unreachable. Except for slow machines, it also omits those that accept no tasks or are reserved for a job.
 func (r *Rebalancer) planInput(waiting []rebalance.WaitingTask, now ident.MonotonicTime) *rebalance.Cluster {
 	input := &rebalance.Cluster{Waiting: waiting, Fits: r.imagePullTimeIfFits}
 	for _, w := range r.workers.Sorted() {
