--- a/internal/migration/history.go
+++ b/internal/migration/history.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// Interrupted lists, in no particular order, the tasks whose last recorded move may not have ended: the
-// current attempt of the task is still the one that was to be moved. attempt returns the current attempt of
-// a task, and false for an unknown task.
+// Interrupted lists, in no particular order, for each job the task of its last recorded move, if that move
+// may not have ended: the current attempt of the task is still the one that was to be moved. attempt returns
+// the current attempt of a task, and false for a task that is unknown or has completed.
 func (h *History) Interrupted(attempt func(ident.TaskID) (ident.Attempt, bool)) []ident.TaskID {
 	var out []ident.TaskID
 	for id, j := range h.jobs {
--- a/internal/migration/history_test.go
+++ b/internal/migration/history_test.go
@@ -36,7 +36,7 @@
 		durable := false
 		h.RecordMove(move, func() { durable = true })
 		if durable {
-			t.Error("RecordMove reported the record as durable before it was written")
+			t.Error("got durable true before the record was written, want false")
 		}
 		s.FlushAndRun(c)
 		if !durable || h.MoveCount("j-1") != n+1 || h.MoveCount("j-2") != 0 {
@@ -56,7 +56,7 @@
 		t.Errorf("got interrupted tasks %v, want %v only", got, move.Task)
 	}
 	if attempt = 4; len(h.Interrupted(find)) != 0 {
-		t.Error("a task in a later attempt counts as interrupted")
+		t.Errorf("task in a later attempt: got interrupted tasks %v, want none", h.Interrupted(find))
 	}
 	h.Prune(func(ident.JobID) bool { return true })
 	c.Flush()
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -265,13 +265,14 @@
 	case StopTask:
 		n.stopped++
 		if !m.recorded || o.Task != jobs.Assigned || o.Machine != source || !o.JobOpen {
-			t.Fatalf("task stopped although the observation does not permit it (recorded %v): %+v", m.recorded, o)
+			t.Fatalf("task stopped: got recorded %v, observation %+v; want a durable record, an open job, a task assigned to %s",
+				m.recorded, o, source)
 		}
 	case PlaceTask:
 		n.placed++
 		if o.Task != jobs.Waiting || o.Attempt != 3 || o.ReportedElsewhere || !o.JobOpen ||
 			!o.HasAuthority || !o.TeamAllows || o.Destination != DestinationReady {
-			t.Fatalf("task placed although the observation does not permit it: %+v", o)
+			t.Fatalf("task placed: got observation %+v; want a task that waits in attempt 3 and may be placed", o)
 		}
 	case ReleaseReservation:
 		n.released++
@@ -297,7 +298,7 @@
 				counts.add(t, k, h.move, o)
 			}
 			if was.Ended() && h.move.State != was {
-				t.Fatalf("the state of an ended move changed from %s to %s", was, h.move.State)
+				t.Fatalf("got state %s of a move that had ended, want %s as before", h.move.State, was)
 			}
 		}
 		ended := 0
--- a/internal/migration/observation.go
+++ b/internal/migration/observation.go
@@ -26,11 +26,11 @@
 	Attempt           ident.Attempt
 	Machine           ident.MachineID // empty unless the task is allocated
 	TaskRunning       bool            // whether the current attempt was reported as running
-	ReportedElsewhere bool            // whether a machine reports the task that is not assigned to it
+	ReportedElsewhere bool            // whether a machine to which the task is not assigned reports it
 	TeamAllows        bool            // whether the team's limit allows one more task of the job
 
 	// The beneficiary.
-	BeneficiaryWaiting bool // whether the beneficiary still waits
+	BeneficiaryWaiting bool // whether the beneficiary still waits; always set if the task leaves a slow machine
 	BeneficiaryPlaced  bool // whether the beneficiary was placed on the source
 	DemandRecovered    bool // whether an overloaded team has recovered since the move was started
 
--- a/internal/migration/state.go
+++ b/internal/migration/state.go
@@ -48,7 +48,7 @@
 // Reason is the reason why a move ended.
 type Reason uint8
 
-// The reasons why a move ended. All except Arrived are reasons for abandoning it.
+// The reasons why a move ended. All except NotEnded and Arrived are reasons for abandoning it.
 const (
 	NotEnded          Reason = iota
 	Arrived                  // the task runs at the destination
@@ -60,12 +60,12 @@
 	LinkSuspected            // the link to the zone of the source or the destination is not healthy
 	RecordOverdue            // the record was not durable within Config.RecordTimeout
 	TaskChanged              // the task was stopped, lost or placed for another reason
-	StopOverdue              // the stop was not confirmed within the grace period and Config.StopTimeout
+	StopOverdue              // the stop was not confirmed within the grace period plus Config.StopTimeout
 	DestinationClosed        // the destination no longer accepts tasks
 	DestinationTaken         // tasks of higher priority use the reserved capacity
 	TeamAtLimit              // the team's limit does not allow the task
 	PlacementOverdue         // the task could not be placed within Config.PlaceTimeout
-	StartOverdue             // the task was not running at the destination within Config.StartTimeout and the image pull
+	StartOverdue             // the task was not running at the destination within the image pull time plus Config.StartTimeout
 	LostAtDestination        // the task was lost before it ran at the destination
 	reasonCount
 )
--- a/internal/migration/table.go
+++ b/internal/migration/table.go
@@ -163,7 +163,8 @@
 	}
 }
 
-// advance moves one move through as many states as its observation permits.
+// advance moves one move to its next state if its observation permits it. It changes a move from Stopping
+// through Stopped to Placing in one call if the task may be placed at once.
 func (t *Table) advance(m *Move, now ident.MonotonicTime, o Observation) []Effect {
 	if o.BeneficiaryPlaced && m.BeneficiaryPlacedAt == 0 {
 		m.BeneficiaryPlacedAt = now
@@ -172,7 +173,7 @@
 	for {
 		step := t.step(m, now, o)
 		out = append(out, step...)
-		// A stopped task is placed in this call, without waiting for the next one.
+		// A task that this step found to be stopped is placed at once, without waiting for the next call.
 		if m.State != Stopped || len(step) > 0 || !o.canPlace() {
 			return out
 		}
