--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -10,14 +10,16 @@
 // State determines the actions that a node may perform.
 type State uint8
 
-// The states, from no permitted action to all actions.
+// The states. None and Loading permit no action, Active permits all.
 const (
-	None        State = iota // the node does not lead, or its lease and the grace period after it have expired
-	Grace                    // the leader lease has expired within the grace period; only worker leases may be renewed
-	Loading                  // the node leads, but has not loaded the stored state yet
-	HandingOver              // the node leads, and is handing over leadership to another node
-	StoreDown                // the node leads, but the key-value store does not accept writes
-	Active                   // the node leads and may perform all actions
+	// None: the node does not lead, its lease and the grace period after it have expired, or it has not loaded
+	// the stored state and only the lease has expired.
+	None        State = iota
+	Grace             // the leader lease has expired, but the grace period has not; only worker leases may be renewed
+	Loading           // the node leads, but has not loaded the stored state yet
+	HandingOver       // the node leads, and is handing over leadership to another node
+	StoreDown         // the node leads, but the key-value store does not accept writes
+	Active            // the node leads and may perform all actions
 )
 
 // String returns the name of the state in reports and metrics, which must not change. It differs from the
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -29,11 +29,11 @@
 			case !allowed:
 			case a == RenewWorkerLeases && f.StateLoaded && f.Leadership >= LeaseInGrace:
 			case !certain:
-				t.Fatalf("%+v: state %v allows %v without a valid lease and loaded state", f, s, a)
+				t.Fatalf("%+v: got state %v, which allows %v; want it denied without a valid lease and loaded state", f, s, a)
 			case f.HandingOver && a != ServeReads && a != CommandWorkers && a != RenewWorkerLeases:
-				t.Fatalf("%+v: state %v allows %v during a handover", f, s, a)
+				t.Fatalf("%+v: got state %v, which allows %v; want it denied during a handover", f, s, a)
 			case !f.StoreWritable && (a == Place || a == Scale || a == Fence):
-				t.Fatalf("%+v: state %v allows %v while the store is not writable", f, s, a)
+				t.Fatalf("%+v: got state %v, which allows %v; want it denied while the store is not writable", f, s, a)
 			}
 		}
 		if certain && f.StoreWritable && !f.HandingOver && s != Active {
@@ -60,7 +60,8 @@
 		}
 		for a := Place; a < actionCount; a++ {
 			if Evaluate(weaker).Allows(a) && !Evaluate(f).Allows(a) && a != RenewWorkerLeases {
-				t.Fatalf("state %v (weaker facts) allows %v, state %v does not", Evaluate(weaker), a, Evaluate(f))
+				t.Fatalf("got state %v for weaker facts, which allows %v; want it denied, as in state %v",
+					Evaluate(weaker), a, Evaluate(f))
 			}
 		}
 	})
@@ -75,7 +76,7 @@
 		t.Errorf("first update: from %v to %v, current state %v, want from %v to %v", from, to, tracker.State(), None, Active)
 	}
 	if from, to := tracker.Update(all); from != to {
-		t.Errorf("update with the same facts changed the state from %v to %v", from, to)
+		t.Errorf("update with the same facts: got a change from %v to %v, want none", from, to)
 	}
 	if State(99).Allows(Place) || Active.Allows(Action(99)) {
 		t.Error("State(99) allows Place or Active allows Action(99), want neither")
