--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,6 @@
 // Package handover decides when a leader hands leadership over to a peer, for example because the peer has
 // better network connectivity, and sequences the handover: the leader stops making scheduling decisions,
-// announces its successor, waits until its writes have completed, and ends its term.
+// announces its successor, waits up to Config.DrainTimeout for its writes to complete, and ends its term.
 //
 // The process may crash after any step: the term ends only with the transaction that deletes the leader
 // key or with the expiry of the lease, and the next leader is elected in any case. Announcing a successor
@@ -50,8 +50,8 @@
 
 // Config holds the timing parameters of a handover.
 type Config struct {
-	// MinTermDuration is the minimum time that a node leads before it hands over. It doubles with
-	// each recent change of leader; see History.MinTermDuration.
+	// MinTermDuration is the minimum time that a node leads before it hands over, except at shutdown. It
+	// increases with the number of recent leader changes; see History.MinTermDuration.
 	MinTermDuration time.Duration
 	// StabilizationWindow is how long a reason for a handover must persist before the handover begins.
 	StabilizationWindow time.Duration
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -69,8 +69,9 @@
 		m.announcedAt = m.now
 	case EndTerm:
 		if m.announcedAt == 0 || m.ended || !conditions.WritesDrained && m.now.Sub(m.announcedAt) < m.config.DrainTimeout {
-			t.Fatalf("term ended too early, twice or unannounced: %v after the announcement (ended before: %v), conditions %+v",
-				m.now.Sub(m.announcedAt), m.ended, conditions)
+			t.Fatalf("term ended %v after the announcement (announced: %v, ended before: %v); "+
+				"want one end, after the announcement, with writes drained or after %v: %+v",
+				m.now.Sub(m.announcedAt), m.announcedAt > 0, m.ended, m.config.DrainTimeout, conditions)
 		}
 		m.ended = true
 	}
@@ -78,7 +79,8 @@
 		t.Fatalf("Begun() = %v, want %v", m.coordinator.Begun(), m.announcedAt > 0)
 	}
 	if m.announcedAt > 0 && !m.ended && m.now.Sub(m.announcedAt) >= 2*m.config.DrainTimeout+1500*time.Millisecond {
-		t.Fatalf("term not ended %v after the announcement, drain timeout is %v", m.now.Sub(m.announcedAt), m.config.DrainTimeout)
+		t.Fatalf("term not ended %v after the announcement, want an end within %v", m.now.Sub(m.announcedAt),
+			2*m.config.DrainTimeout+1500*time.Millisecond)
 	}
 }
 
@@ -86,8 +88,10 @@
 	if m.announcedAt > 0 || m.reasonSince == 0 || !conditions.StoreWritable ||
 		m.now.Sub(m.termStartedAt) < m.config.MinTermDuration ||
 		m.now.Sub(m.reasonSince) < m.config.StabilizationWindow {
-		t.Fatalf("announced %v after the start of the term, %v after the reason occurred: %+v",
-			m.now.Sub(m.termStartedAt), m.now.Sub(m.reasonSince), conditions)
+		t.Fatalf("announced %v after the start of the term, %v after the reason occurred (announced before: %v); "+
+			"want at least %v and %v, once, while there is a reason and the store is writable: %+v",
+			m.now.Sub(m.termStartedAt), m.now.Sub(m.reasonSince), m.announcedAt > 0,
+			m.config.MinTermDuration, m.config.StabilizationWindow, conditions)
 	}
 	if d := m.coordinator.Decision(); d.Successor != conditions.Successor || d.Reason == NoReason {
 		t.Fatalf("decision is successor %q, reason %v, want successor %q and a reason; conditions %+v",
@@ -147,14 +151,17 @@
 func TestRequested(t *testing.T) {
 	now := ident.MonotonicTime(time.Hour)
 	coordinator := New(DefaultConfig(), &History{}, now)
-	if coordinator.Request(now, "agent-1") != Announce || coordinator.Request(now, "agent-2") != NoStep {
-		t.Error("two requests: want Announce for the first and NoStep for the second")
+	first, second := coordinator.Request(now, "agent-1"), coordinator.Request(now, "agent-2")
+	if first != Announce || second != NoStep {
+		t.Errorf("two requests: got steps %d and %d, want %d (Announce) and %d (NoStep)", first, second, Announce, NoStep)
 	}
 	if d := coordinator.Decision(); d.Successor != "agent-1" || d.Reason != Requested {
 		t.Errorf("decision is successor %q, reason %v, want successor agent-1, reason %v", d.Successor, d.Reason, Requested)
 	}
 	drained := Conditions{Now: now, WritesDrained: true}
-	if coordinator.Advance(drained) != EndTerm || coordinator.Advance(drained) != NoStep {
-		t.Error("two advances after draining: want EndTerm for the first and NoStep for the second")
+	first, second = coordinator.Advance(drained), coordinator.Advance(drained)
+	if first != EndTerm || second != NoStep {
+		t.Errorf("two advances after draining: got steps %d and %d, want %d (EndTerm) and %d (NoStep)",
+			first, second, EndTerm, NoStep)
 	}
 }
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -8,8 +8,8 @@
 )
 
 // History holds the recent leader changes that a node has observed. It limits the rate of handovers: the
-// minimum duration of a term doubles with each recent change. The zero History is
-// empty and ready to use.
+// minimum duration of a term doubles with each recent change beyond uncountedChanges, up to maxDoublings
+// times. The zero History is empty and ready to use.
 type History struct {
 	changes []leaderChange
 }
