--- a/internal/renewal/registry.go
+++ b/internal/renewal/registry.go
@@ -24,12 +24,12 @@
 // peerEntry is the state of one peer. It is kept when the peer's process restarts.
 type peerEntry struct {
 	// lastHeartbeatAt is when the newest heartbeat of the peer arrived. The peer counts a permit from
-	// the time at which it sent a heartbeat that this leader received, so from this time or earlier.
+	// the time at which it sent a heartbeat that this leader received, so from lastHeartbeatAt or earlier.
 	lastHeartbeatAt ident.MonotonicTime
 	// knownUntil is the time up to which lastRenewal accounts for all renewals by the peer.
 	knownUntil ident.MonotonicTime
-	// lastRenewal is an upper bound on the time of the peer's last renewal before knownUntil, 0 if it
-	// renewed no lease.
+	// lastRenewal is an upper bound on the time of the peer's last renewal before knownUntil, 0 if the
+	// peer renewed no lease.
 	lastRenewal ident.MonotonicTime
 }
 
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -175,7 +175,7 @@
 }
 
 // TestMayRenew checks that a node renews leases only after MinLeaderSilence, within the leader's allowance,
-// and for a worker that has no fencing token of a later term.
+// and for a worker whose fencing token is known and not of a later term.
 func TestMayRenew(t *testing.T) {
 	var renewer Renewer
 	token := ident.MakeFencingToken(7, 2)
--- a/internal/renewal/renewer.go
+++ b/internal/renewal/renewer.go
@@ -53,9 +53,10 @@
 	return now.Sub(r.permit.leaderSeenAt), true
 }
 
-// MayRenew reports whether the lease of a worker with the given latest fencing token may be renewed. It returns
-// false if the token is zero (unknown), or of a later term than the permit, which means that a later leader
-// was elected.
+// MayRenew reports whether the lease of a worker with the given latest fencing token may be renewed. The time
+// since a leader lease was last known to be valid must be above MinLeaderSilence and below the allowance. The
+// token must not be zero (unknown), or of a later term than the permit, which means that a later leader was
+// elected.
 func (r *Renewer) MayRenew(now ident.MonotonicTime, token ident.FencingToken) bool {
 	silence, permitted := r.SinceLeader(now)
 	if !permitted || silence <= MinLeaderSilence || silence >= ident.LeastElapsed(r.permit.allowance) {
