--- a/internal/upgrade/raiser.go
+++ b/internal/upgrade/raiser.go
@@ -35,7 +35,7 @@
 
 // The states of a Raiser.
 const (
-	Mixed   State = iota // not all nodes have announced that they can decode the newest level
+	Mixed   State = iota // no poll has yet found that all nodes can decode the newest level
 	Raising              // the newest level is being written
 	Raised               // the newest level is durable
 )
