--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestUrgentEventsRunFirst: urgent events run before user events posted earlier, and the lag is 0 once
-// the queues are empty.
+// TestUrgentEventsRunFirst: runQueued runs urgent events before user events that were posted earlier, and
+// the lag is 0 once the queues are empty.
 func TestUrgentEventsRunFirst(t *testing.T) {
 	l := newEventLoop()
 	var order []string
--- a/internal/server/controller_env.go
+++ b/internal/server/controller_env.go
@@ -34,7 +34,7 @@
 // After calls f on the event loop once d has elapsed.
 func (e controllerEnv) After(d time.Duration, f func()) { e.server.loop.after(d, f) }
 
-// SendPeer enqueues a frame for a peer. The frame is dropped if the peer is not connected.
+// SendPeer enqueues a frame for a peer. The frame is dropped if the peer is not connected or its queue is full.
 func (e controllerEnv) SendPeer(to ident.NodeID, f *transport.Frame) { e.server.transport.Send(to, f) }
 
 // Store sends a request to the key-value store and calls done with the response.
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -17,13 +17,13 @@
 	// exceeds the number of heartbeats and responses that a fleet of 4,000 workers can have in flight,
 	// so that posting peer frames does not block.
 	eventQueueSize = 16_384
-	// maxBatch is the maximum number of events between two calls of afterBatch.
+	// maxBatch is the maximum number of events and timers that run between two calls of afterBatch.
 	maxBatch = 32
 	// maxWait is the maximum time that the loop waits for an event or a timer.
 	maxWait = time.Hour
 )
 
-// event is a function that the loop runs, with the time at which it was posted.
+// event is a function that the loop runs, and the time at which the function was posted.
 type event struct {
 	run      func()
 	postedAt time.Time
@@ -33,11 +33,11 @@
 // the loop; only functions that run on the loop set timers.
 type eventLoop struct {
 	start        time.Time
-	urgentEvents chan event // events on which leadership and worker leases depend; run before userEvents
+	urgentEvents chan event // events on which leadership and worker leases depend; take precedence over userEvents
 	userEvents   chan event // requests of users and operators
 	timers       timerHeap
 	timerSeq     uint64
-	afterBatch   func()        // called after each batch of events
+	afterBatch   func()        // called after each batch of events and timers
 	lag          atomic.Int64  // time in ns that the latest user event waited; 0 once the queues are empty
 	done         chan struct{} // closed to stop the loop
 }
@@ -63,8 +63,8 @@
 // where blocking would deadlock.
 func (l *eventLoop) post(f func()) { l.enqueue(l.userEvents, f) }
 
-// postUrgent enqueues an urgent event, which runs before all user events. Like post, it must not be
-// called on the loop.
+// postUrgent enqueues an urgent event. Urgent events take precedence over user events, except that the
+// first event of a batch may be a user event. Like post, postUrgent must not be called on the loop.
 func (l *eventLoop) postUrgent(f func()) { l.enqueue(l.urgentEvents, f) }
 
 // enqueue adds an event to a queue, unless the loop is closed.
@@ -120,7 +120,8 @@
 	heap.Push(&l.timers, timer{l.now().Add(d), l.timerSeq, f})
 }
 
-// Lag returns how long the latest user event waited in its queue. Any goroutine may call it.
+// Lag returns how long the latest user event waited in its queue, or 0 once the queues are empty. Any
+// goroutine may call it.
 func (l *eventLoop) Lag() time.Duration { return time.Duration(l.lag.Load()) }
 
 // run runs events and timers until the loop is closed.
@@ -149,8 +150,8 @@
 	}
 }
 
-// waitForEvent waits until a timer is due or an event arrives. It runs that event, but not the timer,
-// and returns the number of events that it ran.
+// waitForEvent waits until a timer is due or an event is queued. It runs one event, of either queue if
+// both have events, but no timer, and returns the number of events that it ran.
 func (l *eventLoop) waitForEvent(wakeUp *time.Timer) int {
 	wait := maxWait
 	if len(l.timers) > 0 {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -42,8 +42,8 @@
 	return b.String() + w.Body.String()
 }
 
-// TestGoldenInterface pins the status, headers and body of the responses of a node without a leader and a
-// key-value store, and those of an overloaded node.
+// TestGoldenInterface pins the status, headers and body of the responses of a node that has neither a leader
+// nor a key-value store, and those of an overloaded node.
 func TestGoldenInterface(t *testing.T) {
 	s := newTestServer(t, 1000)
 	h := s.handler()
@@ -176,8 +176,8 @@
 	return s
 }
 
-// TestGoldenMetrics pins the names, types, labels and help texts of the metrics, and the counter of the node
-// that each metric exports.
+// TestGoldenMetrics pins the names, types, labels and help texts of the metrics, and the statistic or
+// counter of the node that each metric exports.
 func TestGoldenMetrics(t *testing.T) {
 	s := newTestServer(t, 1000)
 	m := newMetrics(s)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -68,7 +68,7 @@
 	commandSlots chan struct{} // semaphore: one element for each command in flight
 	connLimiter  *connLimiter
 	transport    *transport.Transport
-	admission    admission // limits requests from users and workers, including those forwarded by peers
+	admission    admission // limits HTTP requests, and submissions and polls that peers forward
 
 	listener, peerListener net.Listener
 	httpServer             *http.Server
@@ -120,8 +120,8 @@
 	s.commandSlots = make(chan struct{}, maxCommands)
 }
 
-// newHTTPTransport returns a transport that keeps at most idlePerHost idle connections to each host, and
-// at most idle connections in total.
+// newHTTPTransport returns a transport. idlePerHost is the maximum number of idle connections that it keeps
+// to each host, and idle the maximum in total, or unlimitedConns.
 func (s *Server) newHTTPTransport(dial Dialer, idlePerHost, idle int) *http.Transport {
 	t := &http.Transport{
 		DialContext:         dial,
@@ -192,8 +192,10 @@
 	})
 }
 
-// dispatchPeerFrame passes a frame from a peer to the controller. Forwarded user requests are subject to
-// the same queueing and admission control as requests that users send to this node.
+// dispatchPeerFrame passes a frame from a peer to the controller. Forwarded submissions and polls are user
+// events, and are rejected at the same limits as those that users send to this node, but do not count as
+// in flight. All other frames, including forwarded cancellations and worker heartbeats, are urgent events
+// without admission control.
 func (s *Server) dispatchPeerFrame(from ident.NodeID, frame *transport.Frame) {
 	handle := func() { s.controller.HandleFrame(from, frame) }
 	isRequest := frame.Type == transport.MsgRequest || frame.Type == transport.MsgRelayRequest
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -67,8 +67,8 @@
 	return s
 }
 
-// TestHTTPAPIWithoutLeader: a node without a leader and a key-value store responds to each kind of request,
-// and to malformed ones, with the right status and text.
+// TestHTTPAPIWithoutLeader: a node that has neither a leader nor a key-value store responds to each kind of
+// request, and to malformed ones, with the right status and text.
 func TestHTTPAPIWithoutLeader(t *testing.T) {
 	s := newTestServer(t, 1000)
 	web := httptest.NewServer(s.handler())
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -25,7 +25,7 @@
 		}
 		o.dequeued(<-o.frames)
 		if !o.enqueue(c.frame) || o.enqueue(c.frame) {
-			t.Errorf("%s: after a frame was dequeued, want exactly one more frame accepted", c.name)
+			t.Errorf("%s: after a frame was dequeued: got no or more than one further frame accepted, want exactly one", c.name)
 		}
 		o.discardAll()
 		if o.queuedBytes.Load() != 0 || !o.enqueue(c.frame) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -219,7 +219,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(raw[4:]); err != nil {
-			t.Errorf("decoding frame %d of production.hex: %v", i, err)
+			t.Errorf("decoding frame %d of production.hex: got error %v, want none", i, err)
 		}
 	}
 }
