--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -31,7 +31,7 @@
 	Cloud(cloud.Request, func(cloud.Response))
 }
 
-// Reader reads from the key-value store, and retries until the store responds.
+// Reader reads from the key-value store, and retries each read until it succeeds.
 type Reader interface {
 	Get(key string, done func(kvstore.Response))
 	ListAll(prefix string, done func([]kvstore.KeyValue))
@@ -146,7 +146,7 @@
 			c.committer.MarkDirty(c.typeDoc(i), nil)
 		}
 		if c.singleDoc.Revision == 0 {
-			return
+			return // the key of the legacy format does not exist
 		}
 	}
 	c.committer.MarkDirty(c.singleDoc, nil)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -69,8 +69,8 @@
 // Outcome is the result of a request.
 type Outcome uint8
 
-// The outcomes of a request. Only with NoResponse is it unknown whether the provider carried the request out, or
-// will do so later.
+// The outcomes of a request. After NoResponse it is unknown whether the provider carried out the request, and
+// the provider may still do so later. After all other outcomes except OK it did not carry out the request.
 const (
 	NoResponse  Outcome = iota // no response, or a response that the API does not define
 	OK                         // the request was carried out
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,4 +1,5 @@
-// Package httpcall sends HTTP requests with JSON bodies, and limits the time until the response and its size.
+// Package httpcall sends HTTP requests with JSON bodies. It limits the duration of each call and the size of
+// the response.
 package httpcall
 
 import (
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -20,7 +20,8 @@
 	// FencingToken orders the commands to a worker. The worker rejects a command whose token is
 	// lower than the highest one that the worker has received.
 	FencingToken uint64
-	// Incarnation counts the registrations of a worker.
+	// Incarnation numbers the periods between expiries of a worker's lease. It starts at 1 and
+	// increases whenever the lease expires.
 	Incarnation uint64
 	// SequenceNumber orders the messages of one incarnation of a worker.
 	SequenceNumber uint64
--- a/internal/machinestore/group.go
+++ b/internal/machinestore/group.go
@@ -18,8 +18,8 @@
 	Zone     string          `json:"site"`
 	Spot     bool            `json:"standby,omitempty"`
 	Machines []MachineRecord `json:"hosts,omitempty"` // in the legacy format
-	Packed   string          `json:"text,omitempty"`  // in the packed format: ID, address and age of each machine
-	BaseMS   int64           `json:"base,omitempty"`  // earliest creation time; Packed has seconds after it
+	Packed   string          `json:"text,omitempty"`  // in the packed format: ID, address and creation time of each machine
+	BaseMS   int64           `json:"base,omitempty"`  // earliest creation time; those in Packed are whole seconds after it
 }
 
 // MachineRecord is one machine of a GroupRecord.
@@ -47,8 +47,8 @@
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		ageS := (m.CreatedMS - r.BaseMS) / msPerSecond
-		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.ID)), url.PathEscape(m.Addr), ageS)
+		sinceBaseS := (m.CreatedMS - r.BaseMS) / msPerSecond
+		fmt.Fprintf(&b, "%s,%s,%d", url.PathEscape(string(m.ID)), url.PathEscape(m.Addr), sinceBaseS)
 	}
 	r.Packed = b.String()
 }
@@ -66,7 +66,8 @@
 	return records, nil
 }
 
-// decodeMachine decodes a machine in the packed format: its ID, address and age, separated by commas.
+// decodeMachine decodes a machine in the packed format: its ID, its address and its creation time in seconds after BaseMS,
+// separated by commas.
 func (r *GroupRecord) decodeMachine(field string) (MachineRecord, error) {
 	parts := strings.Split(field, ",")
 	if len(parts) != packedFields {
@@ -80,9 +81,9 @@
 	if err != nil {
 		return MachineRecord{}, err
 	}
-	ageS, err := strconv.ParseInt(parts[2], 10, 64)
+	sinceBaseS, err := strconv.ParseInt(parts[2], 10, 64)
 	if err != nil {
 		return MachineRecord{}, err
 	}
-	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + ageS*msPerSecond}, nil
+	return MachineRecord{ID: ident.MachineID(id), Addr: addr, CreatedMS: r.BaseMS + sinceBaseS*msPerSecond}, nil
 }
--- a/internal/machinestore/group_test.go
+++ b/internal/machinestore/group_test.go
@@ -28,7 +28,7 @@
 		{"a field too many", "host-1,10.1.0.1:9000,5,6"},
 		{"malformed ID", "host%zz,10.1.0.1:9000,5"},
 		{"malformed address", "host-1,%zz,5"},
-		{"malformed age", "host-1,10.1.0.1:9000,x"},
+		{"malformed creation time", "host-1,10.1.0.1:9000,x"},
 		{"malformed second machine", "host-1,10.1.0.1:9000,5 host-2"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/machinestore/machinestore.go
+++ b/internal/machinestore/machinestore.go
@@ -189,7 +189,8 @@
 	now := s.config.Now()
 	for _, m := range machines {
 		if w := s.workers.Workers[m.ID]; w != nil {
-			// The earlier term ended while the machine was moved to another group, which has already been restored.
+			// The earlier term ended while the machine was being moved between groups. Another group with it has already
+			// been restored.
 			s.workers.RestoreAddress(w, m.Addr)
 			s.committer.MarkDirtyLazily(group.Doc, nil)
 			continue
--- a/internal/settings/deploy_test.go
+++ b/internal/settings/deploy_test.go
@@ -19,7 +19,7 @@
 		}
 		tuning := DefaultTuning()
 		if err := tuning.Apply(b); err != nil {
-			t.Errorf("%s: applying the file failed: %v", f, err)
+			t.Errorf("%s: applying the file: got error %v, want none", f, err)
 		}
 		if err := tuning.check(); err != nil || !tuning.Links.Enabled {
 			t.Errorf("%s: got error %v and link monitor enabled %v, want no error and true", f, err, tuning.Links.Enabled)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads and validates the two configuration files of a controller: the platform's
-// settings in TOML, and the operators' tuning as S-expressions. It reports all errors in a file, not only
-// the first one.
+// settings in TOML, and the operators' tuning as S-expressions. If a file can be decoded, the error names all
+// invalid settings, not only the first one.
 package settings
 
 import (
@@ -138,8 +138,9 @@
 // Seconds converts a number of seconds in the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and validates the platform's settings and, unless tuningPath is empty, the tuning file. The
-// error joins all errors of the first file that has any.
+// Load reads and validates the platform's settings and, unless tuningPath is empty, the tuning file. If both
+// files are invalid, the error is about the platform's settings only. Values in the tuning file are checked
+// against their bounds only if Apply accepts the file.
 func Load(path, tuningPath string) (*Settings, error) {
 	platformFile, err := os.ReadFile(path)
 	if err != nil {
@@ -165,7 +166,7 @@
 }
 
 // Parse parses and validates the platform's settings in TOML. The result has the default tuning. Unknown
-// fields are ignored. The error joins all errors of the file.
+// fields are ignored. The error is the first decoding error, or joins the errors of all invalid settings.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{Tuning: DefaultTuning()}
 	if err := toml.Unmarshal(b, s); err != nil {
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -151,11 +151,12 @@
 	v.rejectIf(l.StabilizationWindow < 500*time.Millisecond, "links-persist: must be at least 500ms")
 }
 
-// outside reports whether a value is out of the inclusive range from least to greatest.
+// outside reports whether a value is out of the inclusive range from least to greatest. It returns false for NaN.
 func outside[T cmp.Ordered](value, least, greatest T) bool { return value < least || value > greatest }
 
-// Apply sets the fields for the settings in a tuning file. The error joins all syntax errors, unknown names and
-// malformed values. Apply does not check values against their bounds; check does.
+// Apply sets the fields for the settings in a tuning file. If the file is not an expression (tuning ...), the
+// error describes the first fault. Otherwise it joins the errors of all settings that have the wrong form, an
+// unknown name or a malformed value. Apply does not check values against their bounds; check does.
 func (t *Tuning) Apply(b []byte) error {
 	exprs, err := parseSexp(string(b))
 	if err != nil {
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkAtLeast checks that a value is not below the minimum.
+// checkAtLeast checks that a value is not below the minimum. It accepts NaN.
 func (v *validation) checkAtLeast(name string, value, minimum float64) {
 	if value < minimum {
 		v.add("%s: must be at least %v", name, minimum)
--- a/internal/storereader/storereader.go
+++ b/internal/storereader/storereader.go
@@ -1,5 +1,5 @@
-// Package storereader reads from the key-value store and retries until the store responds, for callers that can't proceed
-// without the data.
+// Package storereader reads from the key-value store and retries failed reads, for callers that can't proceed without the
+// data.
 package storereader
 
 import (
@@ -20,16 +20,17 @@
 	Store(kvstore.Request, func(kvstore.Response))
 }
 
-// Reader reads from the key-value store. It retries each read until the store responds or the reader's owner is closed.
+// Reader reads from the key-value store. It retries each read until it succeeds or the reader's owner is closed.
 type Reader struct {
 	env    Env
 	closed func() bool
 }
 
-// New returns a reader. Once closed returns true, the reader sends no more requests and calls no callbacks.
+// New returns a reader. Once closed returns true, the reader calls no callbacks, and sends no requests for retries or for
+// further pages of a list. It does not call closed before the first request of a read.
 func New(env Env, closed func() bool) *Reader { return &Reader{env: env, closed: closed} }
 
-// Get reads a key, and calls done with the response. Its outcome is either kvstore.OK or kvstore.NotFound.
+// Get reads a key, and calls done with the response, whose outcome is either kvstore.OK or kvstore.NotFound.
 func (r *Reader) Get(key string, done func(kvstore.Response)) {
 	r.read(kvstore.Request{Op: kvstore.Get, Key: key, Timeout: getTimeout}, done)
 }
--- a/internal/storereader/storereader_test.go
+++ b/internal/storereader/storereader_test.go
@@ -29,7 +29,7 @@
 
 func neverClosed() bool { return false }
 
-// TestGetRetries: a read is retried until the store responds with the key, or that the key does not exist.
+// TestGetRetries: a read is retried until the store returns the key or reports that the key does not exist.
 func TestGetRetries(t *testing.T) {
 	for _, final := range []kvstore.Outcome{kvstore.OK, kvstore.NotFound} {
 		env := &scriptedEnv{responses: []kvstore.Response{
@@ -77,11 +77,11 @@
 	}
 }
 
-// TestClosedReaderIsSilent: once the owner is closed, the reader calls no callback and retries no request.
+// TestClosedReaderIsSilent: if the owner is closed before a response, the reader calls no callback and does not retry.
 func TestClosedReaderIsSilent(t *testing.T) {
 	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoResponse} {
 		env := &scriptedEnv{responses: []kvstore.Response{{Outcome: outcome}}}
-		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: callback called", outcome) })
+		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: got a call, want none", outcome) })
 		if len(env.requests) != 1 || len(env.waits) != 0 {
 			t.Errorf("outcome %v: %d requests, want 1; %d timers, want 0", outcome, len(env.requests), len(env.waits))
 		}
