--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -47,7 +47,7 @@
 	d.JSON(t, title, message)
 	var decoded T
 	if err := json.Unmarshal(encode(t, message), &decoded); err != nil {
-		t.Errorf("%s: decoding its JSON encoding: %v", title, err)
+		t.Errorf("%s: decoding its JSON encoding: got error %v, want none", title, err)
 	}
 	if !reflect.DeepEqual(decoded, message) {
 		t.Errorf("%s: JSON round trip: got %+v, want %+v", title, decoded, message)
@@ -65,7 +65,7 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatalf("%v (written by go test -update)", err)
+		t.Fatalf("reading the golden file: got error %v, want none (the file is written by go test -update)", err)
 	}
 	if number, wantLine, gotLine, differ := firstDifference(string(want), got); differ {
 		t.Errorf("%s:%d: want %q, got %q", path, number, wantLine, gotLine)
--- a/internal/loopback/fleet_test.go
+++ b/internal/loopback/fleet_test.go
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	t.Errorf("no node gave an accepted response within %v", userTimeout)
+	t.Errorf("got no accepted response from any node within %v, want one", userTimeout)
 	return false
 }
 
@@ -112,8 +112,8 @@
 	for end := time.Now().Add(userTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			machines, tasks, imbalance := f.Load()
-			t.Fatalf("condition not met within %v: %d machines with %d tasks, imbalance %.2f, %d moves", userTimeout,
-				machines, tasks, imbalance, f.Moves())
+			t.Fatalf("got %d machines with %d tasks, imbalance %.2f, %d moves, want the condition met within %v",
+				machines, tasks, imbalance, f.Moves(), userTimeout)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 			f.Kill(n)
 			time.Sleep(500 * time.Millisecond)
 			if err := f.Restart(n); err != nil {
-				t.Errorf("restarting node %d: %v", n, err)
+				t.Errorf("restarting node %d: got error %v, want none", n, err)
 			}
 			killed++
 			continue
@@ -184,7 +184,7 @@
 	for _, id := range wide {
 		f.requestUntil(t, func(n int) Response { return f.Get(n, id) }, func(a Response) bool { return a.Job.Status == "done" })
 		if !f.Recorder.complete(id, 1) {
-			t.Errorf("job %s: got status done, but its task has not completed on a worker", id)
+			t.Errorf("job %s: got status done without a completed task on a worker, want the task completed", id)
 		}
 	}
 	close(stop)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -83,7 +83,7 @@
 func (u *user) checkResponse(response Response) {
 	switch {
 	case response.Status == 404:
-		u.reportViolation("accepted job not found: got HTTP status 404")
+		u.reportViolation("accepted job: got HTTP status 404, want the job to be found")
 	case response.Status != 200:
 	case response.Job.Status == "cancelled" && !u.cancels:
 		u.reportViolation("got status cancelled, though the user did not cancel the job")
@@ -180,7 +180,7 @@
 		c.Kill(0)
 		time.Sleep(500 * time.Millisecond)
 		if err := c.Restart(0); err != nil {
-			t.Errorf("restarting node 0: %v", err)
+			t.Errorf("restarting node 0: got error %v, want none", err)
 		}
 	})
 	broken := breakLinks(c, rng, time.Now().Add(faultDuration))
@@ -192,7 +192,7 @@
 		}
 		u.checkOutcome(c)
 		if len(u.violations) > 0 {
-			t.Errorf("job %s: %q", u.id, u.violations)
+			t.Errorf("job %s: got violations %q, want none", u.id, u.violations)
 		}
 		if u.finalStatus == "done" {
 			done++
@@ -202,8 +202,8 @@
 		t.Errorf("got invariant violations %q, want none", violations)
 	}
 	if broken == 0 || c.Network.DelayedCount() == 0 || done < jobs/2 || c.StartCount() < jobs/2 || c.Recorder.commandCount == 0 {
-		t.Errorf("too little activity for a valid test: %d links broken, %d reads and writes delayed, %d jobs done, "+
-			"%d tasks started, %d command requests",
-			broken, c.Network.DelayedCount(), done, c.StartCount(), c.Recorder.commandCount)
+		t.Errorf("too little activity for a valid test: got %d links broken, %d reads and writes delayed, %d jobs done, "+
+			"%d tasks started, %d command requests; want at least 1, 1, %d, %d and 1",
+			broken, c.Network.DelayedCount(), done, c.StartCount(), c.Recorder.commandCount, jobs/2, jobs/2)
 	}
 }
--- a/internal/loopback/recorder.go
+++ b/internal/loopback/recorder.go
@@ -56,8 +56,8 @@
 	r.leaders[token.Term()] = node
 }
 
-// recordStart records the start of a task. It reports a violation if the task already runs on another machine, unless the
-// lease of that machine has expired, as its worker may not yet have stopped the task.
+// recordStart records the start of a task. It reports a violation if the task already runs on another machine, unless that
+// machine is terminated or its lease has expired, as its worker may not yet have stopped the task.
 func (r *Recorder) recordStart(task ident.TaskID, machine ident.MachineID, mayStillRun func(ident.MachineID) bool) *execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loopback/recorder_test.go
+++ b/internal/loopback/recorder_test.go
@@ -37,10 +37,12 @@
 		t.Error("complete before the task ended: got true, want false")
 	}
 	if r.recordEnd(first, true); !r.complete("j-1", 1) || r.complete("j-1", 2) {
-		t.Error("one completed task: complete must be true for a job of one task and false for a job of two")
+		t.Errorf("one completed task: got complete %v for a job of one task and %v for a job of two, want true and false",
+			r.complete("j-1", 1), r.complete("j-1", 2))
 	}
 	if r.startsAfter("j-1", time.Now().Add(-time.Hour)) != 3 || r.startsAfter("j-1", time.Now()) != 0 {
-		t.Error("startsAfter: want 3 starts since an hour ago and 0 since now")
+		t.Errorf("startsAfter: got %d starts since an hour ago and %d since now, want 3 and 0",
+			r.startsAfter("j-1", time.Now().Add(-time.Hour)), r.startsAfter("j-1", time.Now()))
 	}
 	for _, a := range []Response{{Status: 404}, {Status: 200, Job: api.JobView{Status: "cancelled"}}} {
 		u := &user{id: "j-1"}
@@ -91,7 +93,7 @@
 	defer conn.Close()
 	n.Break("b", "a")
 	if _, err := conn.Write([]byte{1}); err != nil || <-got != 1 {
-		t.Fatalf("write in the working direction: %v", err)
+		t.Fatalf("write in the working direction: got error %v or another byte, want no error and byte 1", err)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
@@ -107,7 +109,7 @@
 	}()
 	select {
 	case b := <-got:
-		t.Errorf("write in the broken direction: byte %d was delivered before the link healed", b)
+		t.Errorf("write in the broken direction: got byte %d before the link healed, want none", b)
 	case <-time.After(20 * time.Millisecond):
 	}
 	n.HealAll()
@@ -115,13 +117,13 @@
 		t.Errorf("after healing: got byte %d, want 2", b)
 	}
 	if err := <-written; err != nil {
-		t.Errorf("delayed write: %v", err)
+		t.Errorf("delayed write: got error %v, want none", err)
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-		t.Errorf("read after healing: %v", err)
+		t.Errorf("read after healing: got error %v, want none", err)
 	}
 	if n.DelayedCount() < 2 || n.dialedFrom(conn.LocalAddr().String(), conn.RemoteAddr().String()) != "a" {
 		t.Errorf("got %d delayed reads and writes, want at least 2; connection dialed from %q, want \"a\"", n.DelayedCount(),
--- a/internal/loopback/store.go
+++ b/internal/loopback/store.go
@@ -15,7 +15,7 @@
 	"opaldale/internal/kvstore"
 )
 
-// store is an in-memory key-value store that serves the HTTP API of the key-value store.
+// store is an in-memory key-value store with the same HTTP API as the real one.
 type store struct {
 	mu          sync.Mutex
 	revision    ident.Revision
@@ -67,8 +67,8 @@
 	}
 }
 
-// expireLeases deletes the leases that have expired, with their keys. Each request calls it first. The caller must hold
-// s.mu.
+// expireLeases deletes the leases that have expired, with their keys. Each request except the grant of a lease calls it first.
+// The caller must hold s.mu.
 func (s *store) expireLeases() {
 	now := time.Now()
 	for id, lease := range s.leases {
@@ -251,7 +251,7 @@
 	}
 }
 
-// changesSince returns the changes after a revision to keys that start with a prefix.
+// changesSince returns the changes after a revision to keys that start with a prefix. The caller must hold s.mu.
 func (s *store) changesSince(prefix string, revision ident.Revision) []kvstore.WatchEvent {
 	var events []kvstore.WatchEvent
 	for _, n := range s.history {
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -31,7 +31,7 @@
 	incarnation    ident.Incarnation
 	sequence       ident.SequenceNumber
 	token          ident.FencingToken
-	leaseRenewedAt time.Time // when the last heartbeat with a response was sent
+	leaseRenewedAt time.Time // start of the lease: when the last heartbeat with a response, or this incarnation, began
 	tasks          map[taskKey]*task
 	heartbeatNow   chan struct{}
 	terminated     bool
@@ -161,7 +161,7 @@
 }
 
 // handleCommands executes the commands of a node. It responds with a conflict if they are for another incarnation or carry an
-// outdated fencing token.
+// outdated fencing token, or if the machine is terminated.
 func (w *worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var c api.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
--- a/internal/workerstest/workerstest.go
+++ b/internal/workerstest/workerstest.go
@@ -12,8 +12,8 @@
 	"opaldale/internal/workers"
 )
 
-// Config returns the configuration of a table of machines of one type. Leases last 30 seconds and
-// there is no grace period. Machines count as persisted at once. The event callbacks do nothing.
+// Config returns the configuration of a table of machines of one type. Leases last 30 seconds, and
+// LeaderGrace is 0. Persist marks a machine as persisted at once. The event callbacks do nothing.
 func Config(term ident.Term, machineType cloud.MachineType) workers.Config {
 	return workers.Config{
 		Term:              term,
