--- a/cmd/opaldale/links_test.go
+++ b/cmd/opaldale/links_test.go
@@ -35,7 +35,7 @@
 		"damped", "refuses", "term 7", "a sibling is better placed",
 	} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
+			t.Errorf("got error %v and the output below, want no error and output with %q:\n%s", err, want, out)
 		}
 	}
 	out, err = run("--json")
--- a/cmd/opaldale/log_reason_test.go
+++ b/cmd/opaldale/log_reason_test.go
@@ -33,12 +33,12 @@
 	}
 	for _, reason := range documented {
 		if !slices.Contains(literals, reason) {
-			t.Errorf("%s: reason %q is not a string in the code", logTablePage, reason)
+			t.Errorf("%s: got reason %q, want one that is a string in the code", logTablePage, reason)
 		}
 	}
 	for _, reason := range constants {
 		if !slices.Contains(documented, reason) {
-			t.Errorf("reason %q of the code is not in the table of %s", reason, logTablePage)
+			t.Errorf("got reason %q in the code, want one in the table of %s", reason, logTablePage)
 		}
 	}
 }
--- a/cmd/opaldale/log_source_test.go
+++ b/cmd/opaldale/log_source_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// maxResolveDepth bounds how many functions a message is followed through.
+// maxResolveDepth is the maximum number of assignments, constants and calls through which resolve traces a value.
 const maxResolveDepth = 4
 
 // loggingFunctions maps the logging functions of slog to the level at which they log, which slog.Log gets as an argument.
@@ -26,7 +26,7 @@
 // slogConfiguration holds the names of slog that configure logging and log nothing.
 var slogConfiguration = []string{"New", "NewTextHandler", "HandlerOptions", "SetDefault"}
 
-// testSupportPackages holds the packages of internal that no program of an operator contains.
+// testSupportPackages holds the packages of internal that are only for tests and simulations. The program does not import them.
 var testSupportPackages = []string{
 	"simulator", "loopback", "golden", "propertytest", "clocktest", "kvstoretest", "workerstest",
 }
@@ -45,7 +45,8 @@
 	depth    int
 }
 
-// leaf returns the value of an expression that stands for itself, for example a literal.
+// leaf returns the value of an expression that can be read without resolving names, for example of a literal. It returns
+// false for all other expressions.
 type leaf func(ast.Expr) (string, bool)
 
 // readLogStatements returns the log statements of the program's packages, and what could not be analyzed.
@@ -199,13 +200,13 @@
 	return keys, len(arguments)%2 == 0
 }
 
-// slogLevel is the leaf of levels.
+// slogLevel is the leaf function for levels. It accepts the level constants of slog.
 func slogLevel(expression ast.Expr) (string, bool) {
 	level, ok := slogLevels[slogName(expression)]
 	return level, ok
 }
 
-// stringLiteral is the leaf of messages and keys.
+// stringLiteral is the leaf function for messages and keys. It accepts string literals.
 func stringLiteral(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -252,7 +253,8 @@
 	in         scope
 }
 
-// assignedValues returns what is assigned to a name in the function or, if nothing is, by a constant of the package.
+// assignedValues returns the values that the function assigns to a name. If there are none and the name is not a parameter,
+// it returns the value of the package's constant with that name.
 func (s *logSources) assignedValues(name string, in scope) (sources []valueSource) {
 	add := func(left, right ast.Expr) {
 		if ident, ok := left.(*ast.Ident); ok && ident.Name == name {
@@ -389,7 +391,7 @@
 		code := `package a; import "log/slog"; ` + c.code
 		file, err := parser.ParseFile(sources.fileSet, "a.go", code, parser.SkipObjectResolution)
 		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
+			t.Fatalf("%s: parsing the code: got error %v, want none", c.name, err)
 		}
 		sources.files = []*ast.File{file}
 		sources.analyze()
--- a/cmd/opaldale/log_table_test.go
+++ b/cmd/opaldale/log_table_test.go
@@ -14,7 +14,7 @@
 	logTableEnd   = "<!-- end of log lines -->"
 )
 
-// logStatement is a message that a call in the code logs, or a row of the tables.
+// logStatement is a message that a call in the code may log, or a row of the tables.
 type logStatement struct {
 	position string
 	message  string
@@ -40,7 +40,7 @@
 	}
 }
 
-// parseLogTables returns the rows of the tables between the markers of a page, and the rows that are malformed.
+// parseLogTables returns the rows of the tables between the markers of a page, and a description of each malformed row.
 func parseLogTables(page string) (rows []logStatement, problems []string) {
 	before, rest, startFound := strings.Cut(page, logTableStart)
 	tables, _, endFound := strings.Cut(rest, logTableEnd)
--- a/cmd/opaldale/moves_test.go
+++ b/cmd/opaldale/moves_test.go
@@ -35,7 +35,7 @@
 		"j-000012/3  vision", "arrived", "16.0 s", "12.5 s", "stopping",
 	} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
+			t.Errorf("got error %v and the output below, want no error and output with %q:\n%s", err, want, out)
 		}
 	}
 	out, err = run("--json")
@@ -50,7 +50,7 @@
 	out, err = run()
 	for _, want := range []string{"follows", "does not move tasks", "state service unavailable", "the list is truncated"} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("got error %v and output without %q:\n%s", err, want, out)
+			t.Errorf("got error %v and the output below, want no error and output with %q:\n%s", err, want, out)
 		}
 	}
 }
--- a/cmd/opaldale/serve.go
+++ b/cmd/opaldale/serve.go
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-// serve runs a controller. It returns only if the controller fails.
+// serve runs a controller. It returns only if the settings are invalid or the controller fails.
 func serve(configPath, tuningPath string) error {
 	configureLogging()
 	loaded, err := settings.Load(configPath, tuningPath)
