--- a/internal/storereader/storereader_test.go
+++ b/internal/storereader/storereader_test.go
@@ -81,7 +81,9 @@
 func TestClosedReaderIsSilent(t *testing.T) {
 	for _, outcome := range []kvstore.Outcome{kvstore.OK, kvstore.NoResponse} {
 		env := &scriptedEnv{responses: []kvstore.Response{{Outcome: outcome}}}
-		New(env, func() bool { return true }).Get("key", func(kvstore.Response) { t.Errorf("%v: got a call, want none", outcome) })
+		New(env, func() bool { return true }).Get("key", func(kvstore.Response) {
+			t.Errorf("outcome %v: got a call of the callback, want none", outcome)
+		})
 		if len(env.requests) != 1 || len(env.waits) != 0 {
 			t.Errorf("outcome %v: %d requests, want 1; %d timers, want 0", outcome, len(env.requests), len(env.waits))
 		}
