--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -16,11 +16,11 @@
 	LeaderLease          time.Duration // duration of the leader lease
 	PlanInterval         time.Duration // interval between placement plans
 	UnreachableAfter     time.Duration // a machine without heartbeats for this time is fenced; 0: a multiple of report_s
-	ScaleInDelay         time.Duration // how long excess capacity is kept before machines are terminated
+	ScaleInDelay         time.Duration // how long capacity must be in excess before machines are cordoned and then terminated
 	BootTimeoutFactor    float64       // a boot counts as failed after this multiple of startup_s
 	Headroom             float64       // factor applied to the free capacity kept for expected arrivals
 	ServiceSpareFraction float64       // free capacity kept for failures, as a fraction of the services' capacity
-	StarvationTimeout    time.Duration // a job whose first task waits longer takes precedence over all other jobs
+	StarvationTimeout    time.Duration // a job that waits longer for its first task gets precedence; see placement.Config.MaxWait
 	GangPreemptAfter     time.Duration // how long other tasks wait before a whole gang is preempted for them
 	PlanMode             PlanMode      // how waiting tasks are assigned to machines
 	Links                Links
@@ -40,11 +40,12 @@
 // Rebalance is the mode of rebalancing, which is the reaction to uneven load.
 type Rebalance string
 
-// The modes of rebalancing. Each mode includes the previous ones.
+// The modes of rebalancing. All modes except RebalanceOff report the load. RebalanceMove does not include
+// RebalancePlace.
 const (
 	RebalanceOff    Rebalance = "off"
 	RebalanceReport Rebalance = "report" // report load, imbalance and overloaded teams
-	RebalancePlace  Rebalance = "place"  // while a team is overloaded, spread its tasks over equal machines
+	RebalancePlace  Rebalance = "place"  // while any team is overloaded, place tasks on the least used holders of their images
 	RebalanceMove   Rebalance = "move"   // move running tasks if the gain exceeds the cost
 )
 
