--- a/cmd/opaldale/log_reason_test.go
+++ b/cmd/opaldale/log_reason_test.go
@@ -65,7 +65,7 @@
 	for _, file := range s.files {
 		ast.Inspect(file, func(node ast.Node) bool {
 			spec, ok := node.(*ast.ValueSpec)
-			if !ok || !strings.HasSuffix(typeName(spec.Type), "Reason") {
+			if !ok || !strings.HasSuffix(unqualifiedName(spec.Type), "Reason") {
 				return true
 			}
 			for _, value := range spec.Values {
@@ -79,17 +79,6 @@
 	return reasons
 }
 
-// typeName returns the name of a type without its package, or "" if it has none.
-func typeName(expression ast.Expr) string {
-	switch expression := expression.(type) {
-	case *ast.Ident:
-		return expression.Name
-	case *ast.SelectorExpr:
-		return expression.Sel.Name
-	}
-	return ""
-}
-
 // stringLiterals returns all string literals of a package.
 func (s *logSources) stringLiterals() (literals []string) {
 	for _, file := range s.files {
--- a/cmd/opaldale/log_source_test.go
+++ b/cmd/opaldale/log_source_test.go
@@ -335,7 +335,7 @@
 						uses++
 					}
 				case *ast.CallExpr:
-					if calledName(node) == in.function.Name.Name && index < len(node.Args) {
+					if unqualifiedName(node.Fun) == in.function.Name.Name && index < len(node.Args) {
 						calls++
 						arguments = append(arguments, valueSource{node.Args[index], scope{caller, in.depth + 1}})
 					}
@@ -347,13 +347,13 @@
 	return arguments, uses == calls && !in.function.Name.IsExported()
 }
 
-// calledName returns the name of the function or method that is called.
-func calledName(call *ast.CallExpr) string {
-	switch function := call.Fun.(type) {
+// unqualifiedName returns the name of an identifier, or the name that a selector selects, or "" for other expressions.
+func unqualifiedName(expression ast.Expr) string {
+	switch expression := expression.(type) {
 	case *ast.Ident:
-		return function.Name
+		return expression.Name
 	case *ast.SelectorExpr:
-		return function.Sel.Name
+		return expression.Sel.Name
 	}
 	return ""
 }
